--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -43,7 +43,7 @@
       election_(timers, state_, settings, incarnation_, random_()),
       cloud_(timers, http, settings),
       users_(timers, state_, settings, *this),
-      hearer_(timers, http, settings, incarnation_, [this] { return hears_for(); }),
+      relay_(timers, http, settings, incarnation_, [this] { return relay_target(); }),
       follower_(incarnation_),
       heard_(settings.report_s * heard_reports, settings.lease_s * copies_leases) {
     for (auto& p : settings.peers) peers_[p.label].peer = p;
@@ -59,7 +59,7 @@
     learn_types();
     ping_peers();
     check_state();
-    hearer_.start();
+    relay_.start();
 }
 
 void Controller::won(std::uint64_t version) {
@@ -87,7 +87,7 @@
     heard_.none_lately();
     leader_ = std::make_shared<Leader>(std::move(c), version, random_());
     leader_->start();
-    for (auto& [body, reply] : hearer_.take_waiting()) hello_later(std::move(body), std::move(reply));
+    for (auto& [body, reply] : relay_.take_waiting()) hello_later(std::move(body), std::move(reply));
     metrics_.event("won");
     store_types();
 }
@@ -313,9 +313,9 @@
     auto& live = users_.live_jobs();
     metrics_.gauge("questions", static_cast<double>(live.questions()));
     metrics_.gauge("question_requests", static_cast<double>(live.requests()));
-    metrics_.gauge("reports_repeated", static_cast<double>(hearer_.repeated()));
-    metrics_.gauge("reports_relayed", static_cast<double>(hearer_.relayed()));
-    metrics_.gauge("reports_dropped", static_cast<double>(hearer_.dropped()));
+    metrics_.gauge("reports_repeated", static_cast<double>(relay_.repeated()));
+    metrics_.gauge("reports_relayed", static_cast<double>(relay_.relayed()));
+    metrics_.gauge("reports_dropped", static_cast<double>(relay_.dropped()));
     metrics_.gauge("standby_rows", static_cast<double>(follower_.copy().rows.size()));
     metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->teller().members()) : 0);
     metrics_.gauge("standby_pieces", leader_ ? static_cast<double>(leader_->teller().pieces()) : 0);
@@ -428,12 +428,12 @@
             return reply({400, wire::error_body(m.what())});
         }
     }
-    if (hearer_.offer(body, reply)) return;
+    if (relay_.offer(body, reply)) return;
     auto* peer = leading_peer();
     reply({421, wire::report_elsewhere(peer ? peer->label : "")});
 }
 // The leader, if its version takes reports from others.
-hearing::Leadership Controller::hears_for() const {
+relay::Leadership Controller::relay_target() const {
     auto it = peers_.find(election_.leader());
     if (leader_ || !settings_.op.hearing || it == peers_.end() ||
         it->second.last.features < wire::peer_features_relay)
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -8,8 +8,8 @@
 
 #include "api/users.hpp"
 #include "daemon/leader.hpp"
-#include "hearing/hearer.hpp"
-#include "hearing/newest.hpp"
+#include "relay/heartbeat_tracker.hpp"
+#include "relay/report_relay.hpp"
 #include "standby/copy.hpp"
 #include "wire/peer.hpp"
 
@@ -47,7 +47,7 @@
     void hear_some();
     void hello(std::string body, http::Reply reply);
     bool others_may_serve() const;
-    hearing::Leadership hears_for() const;
+    relay::Leadership relay_target() const;
     void won(std::uint64_t version);
     void lost();
     void ping_peers();
@@ -87,7 +87,7 @@
         double since;
     };
     std::deque<Waiting> reports_;
-    hearing::Hearer hearer_;
+    relay::ReportRelay relay_;
     bool hearing_ = false;
     standby::Follower follower_;
     std::unordered_map<std::string, api::TaskCounts> counts_;  // from the leader's last ping
@@ -96,7 +96,7 @@
     // Machines that the leader suspected when it last said so, and since when.
     std::map<std::string, double> suspected_;
     std::uint64_t pings_ = 0;
-    hearing::Newest heard_;
+    relay::HeartbeatTracker heard_;
     double worse_since_ = -1;  // that this one can't serve users, though others may
     bool state_seen_ = false;
 };
--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -17,7 +17,7 @@
 // Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
 // enough that what an interruption leaves of the time for renewals is nearly all of it.
 state::ListWatch::Pace watch_pace(const config::Settings& s) {
-    double confirm_s = std::min(s.report_s / 3, hearing::renewal_s(s) / 8);
+    double confirm_s = std::min(s.report_s / 3, relay::renewal_s(s) / 8);
     return {s.lease_s / 2, s.report_s / 60, s.report_s / 10, confirm_s, s.report_s};
 }
 // As many questions as the processor's share answers in so many report periods.
@@ -26,16 +26,16 @@
 }
 }  // namespace
 
-double Leader::renew_until() const {
-    return hearing::renew_until(c_.settings, c_.election.ttl(), job_watch_.complete_at(),
-                                c_.election.authority_until());
+double Leader::worker_lease_bound() const {
+    return relay::worker_lease_bound(c_.settings, c_.election.ttl(), job_watch_.complete_at(),
+                                     c_.election.authority_until());
 }
 
 Leader::Leader(Context context, std::uint64_t version, std::uint64_t seed)
     : c_(std::move(context)),
       version_(version),
       random_(seed),
-      keep_alive_(hearing::keep_alive_s(c_.settings, c_.election.ttl())),
+      keep_alive_(relay::keep_alive_s(c_.settings, c_.election.ttl())),
       picture_(version, c_.types),
       table_(c_.settings.value_kb),
       store_(c_.timers, c_.state, c_.settings,
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -16,14 +16,14 @@
 #include "daemon/planner.hpp"
 #include "fleet/picture.hpp"
 #include "fleet/usage.hpp"
-#include "hearing/lent.hpp"
-#include "hearing/memory.hpp"
-#include "hearing/renewal.hpp"
 #include "jobs/table.hpp"
 #include "loop/bucket.hpp"
 #include "membership/judge.hpp"
 #include "pages/machine_store.hpp"
 #include "placement/placement.hpp"
+#include "relay/delegation_table.hpp"
+#include "relay/reply_cache.hpp"
+#include "relay/worker_lease.hpp"
 #include "standby/teller.hpp"
 #include "state/election.hpp"
 #include "state/list_watch.hpp"
@@ -64,7 +64,7 @@
     void hello(std::string body, http::Reply reply);
     // Reports that another controller heard: each is answered as if it had come here.
     void relay(const wire::PeerRelay& m, http::Reply reply);
-    std::size_t lent() const { return lent_.count(); }
+    std::size_t lent() const { return delegations_.count(); }
     const standby::Teller& teller() const { return teller_; }
     const takeover::Steps& steps() const { return steps_; }
     bool doubts() const { return judge_.doubt().has_value(); }
@@ -106,13 +106,13 @@
 
     // machines
     fleet::Heard hear(const wire::Report& r, fleet::Via via);
-    double renew_until() const;
-    bool may_renew() const { return !stopped_ && now() <= renew_until(); }
+    double worker_lease_bound() const;
+    bool may_renew() const { return !stopped_ && now() <= worker_lease_bound(); }
     bool hello_again(const std::string& body, const http::Reply& reply);
     wire::PeerRelayed answer_report(const std::string& body, const std::string& hearer, std::string& machine);
     std::optional<std::string> better_place(fleet::Machine& m);
     void came_by(fleet::Machine& m, const std::string& route);
-    void recall(const std::string& id);
+    void revoke(const std::string& id);
     void flush_all();
     void flush_some();
     void flush(fleet::Machine& m);
@@ -219,10 +219,10 @@
     double last_plan_ = -1, last_capacity_ = -1, last_list_ = never, remove_retry_ = 0;
     bool listed_once_ = false;
     wire::ReportReader reader_;
-    hearing::Lent lent_;
-    hearing::Memory memory_;  // of machines that report here
-    std::size_t moved_ = 0;   // machines that were sent elsewhere since the last tick
-    loop::Bucket asks_;       // questions to machines that have not settled
+    relay::DelegationTable delegations_;
+    relay::ReplyCache reply_cache_;  // of machines that report here
+    std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
+    loop::Bucket asks_;              // questions to machines that have not settled
     membership::Judge judge_;
     takeover::Settling settling_;
     takeover::Steps steps_;
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -35,10 +35,10 @@
     auto* m = picture_.find(machine);
     if (a.quiet && m) {
         if (auto elsewhere = better_place(*m)) {
-            memory_.forget(machine);
+            reply_cache_.forget(machine);
             return reply({421, wire::report_elsewhere(*elsewhere)});
         }
-        memory_.remember(std::move(body), machine, m->sequence, a.body, now());
+        reply_cache_.put(std::move(body), machine, m->sequence, a.body, now());
     }
     reply({a.status, std::move(a.body)});
     if (m) flush(*m);
@@ -47,7 +47,7 @@
 bool Leader::hello_again(const std::string& body, const http::Reply& reply) {
     auto o = wire::outline_report(body);
     if (!o || !authority() || !may_renew()) return false;
-    auto* r = memory_.repeats(body, *o);
+    auto* r = reply_cache_.find(body, *o);
     if (!r) return false;
     std::lock_guard lock(mutex_);
     auto* m = picture_.find(std::string(o->machine));
@@ -56,7 +56,7 @@
     m->last_heard = m->renewed = now();
     came_by(*m, "");
     judge_.heard_from(zone_of(*m), now());
-    recall(m->id);
+    revoke(m->id);
     reply({200, r->answer});
     return true;
 }
@@ -85,15 +85,15 @@
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again) return {200, wire::report_answer(m->token, picture_.answer(*m, now(), may)), false};
     came_by(*m, hearer);
-    if (!lent_.lent_to(m->id, hearer)) recall(m->id);  // it has left the controller that heard it
+    if (!delegations_.delegated_to(m->id, hearer)) revoke(m->id);  // it has left the controller that heard it
     auto commands = picture_.answer(*m, now(), may);
     m->renewed = m->settled ? now() : std::max(m->renewed, now());
     if (!m->settled) m->answered = now();
     bool quiet = commands.empty() && picture_.quiet(*m);
     if (!hearer.empty() && quiet)
-        lent_.lend(m->id, hearer);
+        delegations_.delegate(m->id, hearer);
     else
-        recall(m->id);
+        revoke(m->id);
     return {200, wire::report_answer(m->token, commands), quiet};
 }
 void Leader::came_by(Machine& m, const std::string& route) {
@@ -101,8 +101,8 @@
     m.route = route;
     m.suspected = m.reach.lost();
 }
-void Leader::recall(const std::string& id) {
-    auto until = lent_.recall(id);
+void Leader::revoke(const std::string& id) {
+    auto until = delegations_.revoke(id);
     auto* m = picture_.find(id);
     if (until && m) m->lent_until = std::max(m->lent_until, *until);
 }
@@ -111,12 +111,12 @@
 std::optional<std::string> Leader::better_place(Machine& m) {
     double t = now(), fleet = static_cast<double>(judge_.up());
     auto peers = static_cast<double>(std::max<std::size_t>(1, c_.settings.peers.size()));
-    bool enough_here = fleet - static_cast<double>(lent_.count()) > fleet * own_share;
+    bool enough_here = fleet - static_cast<double>(delegations_.count()) > fleet * own_share;
     if (!c_.settings.op.hearing || !enough_here || static_cast<double>(moved_) > fleet * moved_share ||
         (m.moved >= 0 && t - m.moved < c_.settings.lease_s * moved_leases))
         return std::nullopt;
     auto most = static_cast<std::size_t>(fleet * (1 - own_share) / peers) + 1;
-    auto to = lent_.least(t, most);
+    auto to = delegations_.least(t, most);
     if (!to) return std::nullopt;
     m.moved = t;
     ++moved_;
@@ -133,7 +133,7 @@
     auto given_back = [this](const std::string& id, double until) {
         if (auto* m = picture_.find(id)) m->lent_until = std::max(m->lent_until, until);
     };
-    if (!lent_.heard(q.label, q.incarnation, q.number, q.answered, given_back))
+    if (!delegations_.heard(q.label, q.incarnation, q.number, q.answered, given_back))
         return reply({503, {}, "application/msgpack"});
     std::string machine;
     for (auto& body : q.reports) a.answers.push_back(answer_report(body, q.label, machine));
@@ -141,7 +141,7 @@
         std::lock_guard lock(mutex_);
         for (auto& h : q.heard) {
             auto* m = picture_.find(h.machine);
-            if (!m || !lent_.lent_to(h.machine, q.label)) continue;
+            if (!m || !delegations_.delegated_to(h.machine, q.label)) continue;
             m->last_heard = std::max(m->last_heard, now() - static_cast<double>(h.age_ms) / 1000);
             m->reach.shown(now());
             m->suspected = false;
@@ -151,9 +151,9 @@
     flush_all();
     // Within the time for which this leader itself may renew leases, which its successor counts on, and which
     // ends early enough for tasks that are cancelled.
-    double grant = std::max(0.0, std::min({s.report_s, keep_alive_, renew_until() - now()}));
+    double grant = std::max(0.0, std::min({s.report_s, keep_alive_, worker_lease_bound() - now()}));
     a.grant_ms = static_cast<std::uint64_t>(grant * 1000);
-    a.recalled = lent_.answer(q.label, now() + grant * (1 + 2 * state::drift));
+    a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * state::drift));
     send();
 }
 
@@ -229,7 +229,7 @@
             picture_.stop(*older, task, 0);
         }
     }
-    if (e->cancelled) picture_.cancel(*m, task, renew_until());
+    if (e->cancelled) picture_.cancel(*m, task, worker_lease_bound());
     if (e->is_done(task.index)) picture_.stop(*m, task, 0);
 }
 
@@ -324,7 +324,7 @@
 // A cancellation that this leader did not know when it was last complete was told after that.
 void Leader::cancel_active(const std::string& id, jobs::Entry& e) {
     for (auto& [task, a] : e.active)
-        if (auto* m = picture_.find(a.machine)) picture_.cancel(*m, {id, task}, renew_until());
+        if (auto* m = picture_.find(a.machine)) picture_.cancel(*m, {id, task}, worker_lease_bound());
 }
 
 void Leader::heed_notice(Machine& m) {
@@ -351,7 +351,7 @@
     }
     bool idle = flushing_.empty();
     for (auto& id : ids) {
-        recall(id);
+        revoke(id);
         flushing_.push_back(std::move(id));
     }
     if (idle) flush_some();
@@ -465,7 +465,7 @@
             first_session = before && before->session < report.session;
             if (report.machine == id) hear(report, fleet::Via::direct);
             // What a hearer would go on answering may not be the last word any more.
-            if (auto* m = picture_.find(id); m && !picture_.quiet(*m)) recall(id);
+            if (auto* m = picture_.find(id); m && !picture_.quiet(*m)) revoke(id);
         } catch (const wire::Malformed& x) {
             spdlog::info("machine {}: {}", id, x.what());
         }
@@ -556,7 +556,7 @@
 // too.
 bool Leader::check_lease(Machine& m) {
     const auto& s = c_.settings;
-    double renewed = std::max(lent_.renewed(m.id, m.renewed), m.lent_until);
+    double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.lent_until);
     bool over = now() > renewed + s.lease_s * (1 + 2 * state::drift) + s.report_s / 3;
     if (over && now() - m.last_heard > s.lease_s && (!m.tasks.empty() || !m.settled)) {
         spdlog::info("machine {}: its lease is out", m.id);
@@ -633,8 +633,8 @@
         for (auto& id : ids) {
             if (!picture_.find(id)) continue;
             store_.remove(id);
-            recall(id);
-            memory_.forget(id);
+            revoke(id);
+            reply_cache_.forget(id);
             // Proof: by the time of the answer the machine and everything on it are gone.
             for (auto& e : picture_.removed(id)) handle_end(e);
         }
--- a/src/fleet/picture.cpp
+++ b/src/fleet/picture.cpp
@@ -387,15 +387,15 @@
     flush_later(m);
     if (!i.seen && m.token <= i.run_token) m.token = i.run_token + 1;
 }
-void Picture::cancel(Machine& m, const wire::TaskId& task, double renew_until) {
+void Picture::cancel(Machine& m, const wire::TaskId& task, double worker_lease_bound) {
     if (auto it = m.tasks.find(task); it != m.tasks.end())
-        it->second.renew_until = std::min(it->second.renew_until, renew_until);
+        it->second.worker_lease_bound = std::min(it->second.worker_lease_bound, worker_lease_bound);
     stop(m, task, 0);
 }
 bool Picture::renewable(const Machine& m, double now) const {
     return std::none_of(m.tasks.begin(), m.tasks.end(), [&](auto& t) {
         auto& i = t.second;
-        return i.stop && !i.shown && now > i.renew_until;
+        return i.stop && !i.shown && now > i.worker_lease_bound;
     });
 }
 void Picture::stored(const std::string& job, const std::set<std::uint32_t>& tasks) {
--- a/src/fleet/picture.hpp
+++ b/src/fleet/picture.hpp
@@ -32,7 +32,7 @@
     bool shown = false;  // the last report did
     // Steady time, of a task that must be gone: until then its machine's lease may be renewed though it is
     // not known whether a `run` has reached it.
-    double renew_until = std::numeric_limits<double>::infinity();
+    double worker_lease_bound = std::numeric_limits<double>::infinity();
     bool ready = true;  // its machine is stored, so `run` may be sent
     bool told = true;   // and so may it, since those who follow this leader know of it
     bool stop = false;
@@ -151,7 +151,7 @@
     Instance& place(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now);
     void stop(Machine& m, const wire::TaskId& task, double grace_s);
     // The same for good, at once; see `renewable`.
-    void cancel(Machine& m, const wire::TaskId& task, double renew_until);
+    void cancel(Machine& m, const wire::TaskId& task, double worker_lease_bound);
     // Whether an answer to the last report may renew the lease. Its answer stops what it shows; what it does
     // not show may have started since, by a `run` that was held up, and would live for a lease more without a
     // command. Direct commands fence that and renew nothing.
--- a/src/hearing/lent.hpp
+++ b/src/relay/delegation_table.hpp
@@ -16,41 +16,41 @@
 #include <unordered_map>
 #include <vector>
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 
-class Lent {
+class DelegationTable {
   public:
     using GivenBack = std::function<void(const std::string& machine, double renewed_until)>;
-    // A message of a hearer has come; the recalls that it took in need not be told again. One that was
+    // A message of a hearer has come; the revocations that it took in need not be told again. One that was
     // started anew remembers nothing, so its machines are given back. False if the message is older than one
     // that came before.
     bool heard(const std::string& hearer, std::uint64_t incarnation, std::uint64_t number,
                std::uint64_t answered, const GivenBack& given_back);
-    void lend(const std::string& machine, const std::string& hearer);
+    void delegate(const std::string& machine, const std::string& hearer);
     // From now on its reports must come here. Returns until when the hearer may still renew its lease;
     // nothing if it was lent to nobody.
-    std::optional<double> recall(const std::string& machine);
-    bool lent_to(const std::string& machine, const std::string& hearer) const;
+    std::optional<double> revoke(const std::string& machine);
+    bool delegated_to(const std::string& machine, const std::string& hearer) const;
     // The last moment at which a hearer can have renewed this machine's lease; `own` if it is lent to none.
     double renewed(const std::string& machine, double own) const;
 
     // For the answer to a hearer: a grant that ends then, and what it must give back.
     std::vector<std::string> answer(const std::string& hearer, double grant_until);
     std::size_t count(const std::string& hearer) const;
-    std::size_t count() const { return lent_.size(); }
+    std::size_t count() const { return delegations_.size(); }
     // The hearer with a grant that answers the fewest machines, if it answers less than `most`.
     std::optional<std::string> least(double now, std::size_t most) const;
 
   private:
-    struct Hearer {
+    struct ReportRelay {
         std::uint64_t incarnation = 0, number = 0;
         double grant_until = -1;
         std::size_t machines = 0;
         std::deque<std::pair<std::uint64_t, std::string>>
-            recalls;  // each first told with this number or later
+            revocations;  // each first told with this number or later
     };
-    std::map<std::string, Hearer> hearers_;
-    std::unordered_map<std::string, std::string> lent_;  // machine to hearer
+    std::map<std::string, ReportRelay> hearers_;
+    std::unordered_map<std::string, std::string> delegations_;  // machine to hearer
 };
 
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
--- a/src/hearing/newest.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -10,12 +10,12 @@
 #include <unordered_map>
 #include <utility>
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 
-class Newest {
+class HeartbeatTracker {
   public:
     // Seconds: in which a machine counts as heard, and for which it is remembered what was heard.
-    Newest(double lately_s, double kept_s) : lately_s_(lately_s), kept_s_(kept_s) {}
+    HeartbeatTracker(double lately_s, double kept_s) : lately_s_(lately_s), kept_s_(kept_s) {}
 
     void note(std::string_view machine, std::uint64_t session, std::uint64_t sequence, double now) {
         auto& h = heard_[std::string(machine)];
@@ -54,4 +54,4 @@
     std::unordered_map<std::string, Report> heard_;
 };
 
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
--- a/src/hearing/memory.cpp
+++ b/src/relay/reply_cache.cpp
@@ -1,8 +1,8 @@
-#include "hearing/memory.hpp"
+#include "relay/reply_cache.hpp"
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 
-Remembered* Memory::repeats(std::string_view body, const wire::ReportOutline& o) {
+CachedReply* ReplyCache::find(std::string_view body, const wire::ReportOutline& o) {
     auto it = by_machine_.find(o.machine);
     if (it == by_machine_.end()) return nullptr;
     auto& r = it->second;
@@ -12,16 +12,16 @@
                 old.substr(r.at + r.digits) == body.substr(o.at + o.digits);
     return same ? &r : nullptr;
 }
-void Memory::remember(std::string body, const std::string& machine, std::uint64_t sequence,
-                      std::string answer, double now) {
+void ReplyCache::put(std::string body, const std::string& machine, std::uint64_t sequence, std::string answer,
+                     double now) {
     auto o = wire::outline_report(body);
     if (!o || o->machine != machine || o->sequence != sequence) return forget(machine);
-    Remembered r{{}, o->at, o->digits, sequence, now, std::move(answer)};
+    CachedReply r{{}, o->at, o->digits, sequence, now, std::move(answer)};
     r.body = std::move(body);
     by_machine_.insert_or_assign(machine, std::move(r));
 }
-void Memory::forget(std::string_view machine) {
+void ReplyCache::forget(std::string_view machine) {
     if (auto it = by_machine_.find(machine); it != by_machine_.end()) by_machine_.erase(it);
 }
 
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
--- a/src/hearing/memory.hpp
+++ b/src/relay/reply_cache.hpp
@@ -13,9 +13,9 @@
 
 #include "wire/protocol.hpp"
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 
-struct Remembered {
+struct CachedReply {
     std::string body;
     std::size_t at = 0, digits = 0;  // of the sequence's digits
     std::uint64_t sequence = 0;      // of the last report that said this
@@ -23,14 +23,14 @@
     std::string answer;              // body of the 200 that may be given again
 };
 
-class Memory {
+class ReplyCache {
   public:
     // The entry that this report repeats, with `sequence` still that of the report before; null if none.
-    Remembered* repeats(std::string_view body, const wire::ReportOutline& outline);
+    CachedReply* find(std::string_view body, const wire::ReportOutline& outline);
     // Of a report that was read in full as this machine's with this sequence. What its outline tells
     // otherwise is not remembered.
-    void remember(std::string body, const std::string& machine, std::uint64_t sequence, std::string answer,
-                  double now);
+    void put(std::string body, const std::string& machine, std::uint64_t sequence, std::string answer,
+             double now);
     void forget(std::string_view machine);
     void clear() { by_machine_.clear(); }
     std::size_t size() const { return by_machine_.size(); }
@@ -40,7 +40,7 @@
         using is_transparent = void;
         std::size_t operator()(std::string_view s) const { return std::hash<std::string_view>{}(s); }
     };
-    std::unordered_map<std::string, Remembered, Hash, std::equal_to<>> by_machine_;
+    std::unordered_map<std::string, CachedReply, Hash, std::equal_to<>> by_machine_;
 };
 
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
--- a/src/hearing/hearer.cpp
+++ b/src/relay/report_relay.cpp
@@ -1,16 +1,16 @@
-#include "hearing/hearer.hpp"
+#include "relay/report_relay.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "state/election.hpp"
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 namespace {
 // Ratios to the report period.
 constexpr double gap_reports = 1.0 / 20;  // between two messages, so that reports come together
 constexpr double idle_reports =
-    1.0 / 10;  // a message goes at least so often: recalls and grants come with it
+    1.0 / 10;  // a message goes at least so often: revocations and grants come with it
 constexpr double retry_reports = 1.0 / 5;  // after one that failed
 // A worker waits longer than its controller does for the leader: the answer must still find it waiting.
 constexpr double patience_share = 0.5;
@@ -23,12 +23,12 @@
 constexpr double memory_leases = 4;
 }  // namespace
 
-Hearer::Hearer(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-               std::uint64_t incarnation, std::function<Leadership()> lead)
+ReportRelay::ReportRelay(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+                         std::uint64_t incarnation, std::function<Leadership()> lead)
     : timers_(timers), http_(http), settings_(settings), incarnation_(incarnation), lead_(std::move(lead)) {}
-Hearer::~Hearer() = default;
+ReportRelay::~ReportRelay() = default;
 
-void Hearer::start() {
+void ReportRelay::start() {
     heed_leader();
     if (link_ != Link::up) refuse_old(held_share);
     if (!waiting_.empty() && !holds() && link_ == Link::down) refuse(waiting_);
@@ -37,14 +37,14 @@
 }
 
 // Another leadership: its grants and what it knows of the machines are its own.
-void Hearer::heed_leader() {
+void ReportRelay::heed_leader() {
     auto now = lead_();
     if (now == leader_) return;
     if (link_ == Link::up) interrupted();
     leader_ = std::move(now);
     link_ = leader_.addr.empty() ? Link::down : Link::trying;
     granted_until_ = -1;
-    memory_.clear();
+    reply_cache_.clear();
     heard_.clear();
     // Those that wait have been read by nobody: the next leader may as well take them.
     soon();
@@ -52,42 +52,42 @@
 // The leader has ended, as it seems. Until the next one takes what is sent its workers are kept waiting for
 // as long as they do: refused, all of a large fleet called every controller each second, and the next leader
 // came up so far behind that it lost its lease.
-void Hearer::interrupted() {
+void ReportRelay::interrupted() {
     up_until_ = timers_.now();
 }
-bool Hearer::holds() const {
+bool ReportRelay::holds() const {
     double ttl = settings_.lease_s * settings_.op.lease_ratio;
     return settings_.op.hearing && up_until_ >= 0 && timers_.now() - up_until_ < ttl * hold_ttls;
 }
-void Hearer::refuse_old(double share) {
+void ReportRelay::refuse_old(double share) {
     while (!waiting_.empty() && timers_.now() - waiting_.front().since > wire::worker_patience_s * share) {
         ++dropped_;
         waiting_.front().reply({503, "{}"});
         waiting_.pop_front();
     }
 }
-std::deque<std::pair<std::string, http::Reply>> Hearer::take_waiting() {
+std::deque<std::pair<std::string, http::Reply>> ReportRelay::take_waiting() {
     refuse_old(patience_share);
     std::deque<std::pair<std::string, http::Reply>> out;
     for (auto& w : std::exchange(waiting_, {})) out.emplace_back(std::move(w.body), std::move(w.reply));
     return out;
 }
-void Hearer::put_back(std::deque<Waiting> batch) {
+void ReportRelay::put_back(std::deque<Waiting> batch) {
     for (auto w = batch.rbegin(); w != batch.rend(); ++w) waiting_.push_front(std::move(*w));
 }
-bool Hearer::may_answer() const {
+bool ReportRelay::may_answer() const {
     return timers_.now() < granted_until_;
 }
-void Hearer::refuse(std::deque<Waiting>& waiting) {
+void ReportRelay::refuse(std::deque<Waiting>& waiting) {
     for (auto& w : std::exchange(waiting, {})) w.reply({503, "{}"});
 }
 
-bool Hearer::offer(std::string& body, http::Reply& reply) {
+bool ReportRelay::offer(std::string& body, http::Reply& reply) {
     heed_leader();
     if (link_ == Link::down && !holds()) return false;
     double t = timers_.now();
     if (auto o = wire::outline_report(body); o && link_ == Link::up && may_answer()) {
-        auto* r = memory_.repeats(body, *o);
+        auto* r = reply_cache_.find(body, *o);
         if (r && t - r->since < settings_.lease_s * memory_leases) {
             r->sequence = o->sequence;
             heard_[std::string(o->machine)] = t;
@@ -101,7 +101,7 @@
     return true;
 }
 
-void Hearer::soon() {
+void ReportRelay::soon() {
     if (busy_ || armed_) return;
     armed_ = true;
     double wait = std::max(0.0, last_sent_ + settings_.report_s * gap_reports - timers_.now());
@@ -111,7 +111,7 @@
                   }));
 }
 
-void Hearer::send() {
+void ReportRelay::send() {
     heed_leader();
     if (busy_ || leader_.addr.empty()) return;
     double t = timers_.now();
@@ -147,8 +147,8 @@
                }));
 }
 
-void Hearer::answered(std::uint64_t number, double sent, const Leadership& to, std::deque<Waiting> batch,
-                      const std::optional<http::Response>& r) {
+void ReportRelay::answered(std::uint64_t number, double sent, const Leadership& to, std::deque<Waiting> batch,
+                           const std::optional<http::Response>& r) {
     busy_ = false;
     heed_leader();
     std::optional<wire::PeerRelayAnswer> a;
@@ -175,19 +175,19 @@
     refuse(batch);
     // Recalls before the grant: one without the other would let a machine's lease be renewed for longer than
     // the leader counts on.
-    for (auto& machine : a->recalled) memory_.forget(machine);
+    for (auto& machine : a->recalled) reply_cache_.forget(machine);
     taken_in_ = number;
     granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * state::drift);
     if (!waiting_.empty()) soon();
 }
 
-void Hearer::keep(Waiting w, const wire::PeerRelayed& a) {
+void ReportRelay::keep(Waiting w, const wire::PeerRelayed& a) {
     auto o = wire::outline_report(w.body);
     if (o && a.status == 200 && a.quiet)
-        memory_.remember(std::move(w.body), std::string(o->machine), o->sequence, a.body, timers_.now());
+        reply_cache_.put(std::move(w.body), std::string(o->machine), o->sequence, a.body, timers_.now());
     else if (o)
-        memory_.forget(o->machine);
+        reply_cache_.forget(o->machine);
     w.reply({a.status, a.body});
 }
 
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
--- a/src/hearing/hearer.hpp
+++ b/src/relay/report_relay.hpp
@@ -12,13 +12,13 @@
 #include <unordered_map>
 
 #include "config/settings.hpp"
-#include "hearing/memory.hpp"
 #include "http/message.hpp"
 #include "loop/guard.hpp"
 #include "loop/timers.hpp"
+#include "relay/reply_cache.hpp"
 #include "wire/peer.hpp"
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 
 struct Leadership {
     std::string addr;           // of the leader's peer interface; empty: nobody to hear for
@@ -26,14 +26,14 @@
     bool operator==(const Leadership&) const = default;
 };
 
-class Hearer {
+class ReportRelay {
   public:
     // `lead` tells for whom to hear; it is asked at every report and before every message.
-    Hearer(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-           std::uint64_t incarnation, std::function<Leadership()> lead);
-    ~Hearer();
-    Hearer(const Hearer&) = delete;
-    Hearer& operator=(const Hearer&) = delete;
+    ReportRelay(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+                std::uint64_t incarnation, std::function<Leadership()> lead);
+    ~ReportRelay();
+    ReportRelay(const ReportRelay&) = delete;
+    ReportRelay& operator=(const ReportRelay&) = delete;
 
     void start();
     // Takes a report and will answer it, perhaps only once there is a leader again, or leaves both arguments
@@ -78,7 +78,7 @@
     Link link_ = Link::down;
     double granted_until_ = -1;
     double up_until_ = -1;  // when a leader was last known to take what is sent
-    Memory memory_;
+    ReplyCache reply_cache_;
     std::deque<Waiting> waiting_;
     std::unordered_map<std::string, double> heard_;  // answered here since the last message, and when
     bool busy_ = false, armed_ = false;
@@ -88,4 +88,4 @@
     loop::Guard guarded_;  // last, so that it goes first
 };
 
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
--- a/src/hearing/renewal.hpp
+++ b/src/relay/worker_lease.hpp
@@ -15,7 +15,7 @@
 #include "config/settings.hpp"
 #include "state/election.hpp"
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 
 inline constexpr double renewal_margin_reports = 1.0 / 2;
 
@@ -30,8 +30,9 @@
     return std::max(0.0, renewal_s(s) - ttl - s.report_s * renewal_margin_reports);
 }
 // The steady time after which nothing that this leader answers, or lets others answer, renews a lease.
-inline double renew_until(const config::Settings& s, double ttl, double complete_at, double authority_until) {
+inline double worker_lease_bound(const config::Settings& s, double ttl, double complete_at,
+                                 double authority_until) {
     return std::min(complete_at + renewal_s(s), authority_until + keep_alive_s(s, ttl));
 }
 
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
--- a/tests/hearing_test.cpp
+++ b/tests/relay_test.cpp
@@ -6,12 +6,12 @@
 
 #include "config/settings.hpp"
 #include "fake_timers.hpp"
-#include "hearing/hearer.hpp"
-#include "hearing/lent.hpp"
-#include "hearing/newest.hpp"
-#include "hearing/renewal.hpp"
+#include "relay/delegation_table.hpp"
+#include "relay/heartbeat_tracker.hpp"
+#include "relay/report_relay.hpp"
+#include "relay/worker_lease.hpp"
 
-namespace coralhitch::hearing {
+namespace coralhitch::relay {
 namespace {
 
 std::string report(const std::string& machine, int sequence, const std::string& tasks = "") {
@@ -21,7 +21,7 @@
 }
 const std::string task = R"({"shard":"j-1/0","launch":3,"status":"running"})";
 
-TEST(Memory, ARepetitionDiffersInItsSequenceAlone) {
+TEST(ReplyCache, ARepetitionDiffersInItsSequenceAlone) {
     struct Case {
         const char* what;
         std::string body;
@@ -47,21 +47,21 @@
         {"nothing", "", false},
     };
     for (auto& c : cases) {
-        Memory m;
-        m.remember(report("vm-1", 9, task), "vm-1", 9, "answer", 0);
+        ReplyCache m;
+        m.put(report("vm-1", 9, task), "vm-1", 9, "answer", 0);
         auto o = wire::outline_report(c.body);
-        EXPECT_EQ(o && m.repeats(c.body, *o), c.repeats) << c.what;
+        EXPECT_EQ(o && m.find(c.body, *o), c.repeats) << c.what;
     }
     // Not what a full reading told: not remembered.
-    Memory m;
-    m.remember(report("vm-1", 9), "vm-2", 9, "answer", 0);
-    m.remember(report("vm-1", 9), "vm-1", 8, "answer", 0);
+    ReplyCache m;
+    m.put(report("vm-1", 9), "vm-2", 9, "answer", 0);
+    m.put(report("vm-1", 9), "vm-1", 8, "answer", 0);
     EXPECT_EQ(m.size(), 0u);
 }
 
 // What is told to others of whom this controller hears rests on reports that are newer than all before.
-TEST(Newest, ACopyIsNoHearing) {
-    Newest heard(5, 100);
+TEST(HeartbeatTracker, ACopyIsNoHearing) {
+    HeartbeatTracker heard(5, 100);
     heard.note("vm-1", 1, 10, 0);
     heard.note("vm-2", 3, 10, 0);
     EXPECT_EQ(heard.lately(4), 2u);
@@ -80,19 +80,19 @@
     EXPECT_EQ(heard.lately(112), 1u);
 }
 
-TEST(Lent, TheBoundOnRenewalsOutlastsEveryGrantThatMayBeHeld) {
-    Lent l;
+TEST(DelegationTable, TheBoundOnRenewalsOutlastsEveryGrantThatMayBeHeld) {
+    DelegationTable l;
     auto none = [](const std::string&, double) { ADD_FAILURE(); };
     ASSERT_TRUE(l.heard("b", 1, 1, 0, none));
-    l.lend("vm-1", "b");
+    l.delegate("vm-1", "b");
     EXPECT_TRUE(l.answer("b", 100).empty());
     EXPECT_EQ(l.renewed("vm-1", 50), 100);
     EXPECT_EQ(l.renewed("vm-2", 50), 50);
     // Recalled: it may still be answered under the last grant, not under a later one, since each answer that
     // carries a later one names it until one was taken in.
-    EXPECT_EQ(l.recall("vm-1"), 100);
-    EXPECT_EQ(l.recall("vm-1"), std::nullopt);
-    EXPECT_FALSE(l.lent_to("vm-1", "b"));
+    EXPECT_EQ(l.revoke("vm-1"), 100);
+    EXPECT_EQ(l.revoke("vm-1"), std::nullopt);
+    EXPECT_FALSE(l.delegated_to("vm-1", "b"));
     EXPECT_FALSE(l.heard("b", 1, 1, 1, none)) << "a message that came late";
     ASSERT_TRUE(l.heard("b", 1, 2, 1, none));
     EXPECT_EQ(l.answer("b", 105), std::vector<std::string>{"vm-1"});
@@ -101,15 +101,15 @@
     ASSERT_TRUE(l.heard("b", 1, 4, 3, none));
     EXPECT_TRUE(l.answer("b", 107).empty());
     // A hearer that was started anew: its machines come back, with the bound of its last grant.
-    l.lend("vm-3", "b");
+    l.delegate("vm-3", "b");
     std::vector<std::pair<std::string, double>> back;
     ASSERT_TRUE(l.heard("b", 2, 1, 0, [&](auto& id, double until) { back.emplace_back(id, until); }));
     EXPECT_EQ(back, (std::vector<std::pair<std::string, double>>{{"vm-3", 107}}));
     EXPECT_EQ(l.count("b"), 0u);
     // A machine that turns from one hearer to another is recalled from the first.
-    l.lend("vm-4", "b");
+    l.delegate("vm-4", "b");
     ASSERT_TRUE(l.heard("c", 1, 1, 0, none));
-    l.lend("vm-4", "c");
+    l.delegate("vm-4", "c");
     EXPECT_EQ(l.answer("b", 108), std::vector<std::string>{"vm-4"});
     EXPECT_EQ(l.count("b"), 0u);
     EXPECT_EQ(l.count("c"), 1u);
@@ -133,7 +133,7 @@
     Network net;
     config::Settings settings;
     Leadership lead{"10.0.0.1:1", 5};
-    Hearer hearer;
+    ReportRelay hearer;
     std::vector<int> statuses;
 
     Bench() : settings(make()), hearer(timers, net, settings, 1, [this] { return lead; }) { hearer.start(); }
@@ -173,7 +173,7 @@
     return a;
 }
 
-TEST(Hearer, AnswersRepetitionsItselfWhileItsGrantLasts) {
+TEST(ReportRelay, AnswersRepetitionsItselfWhileItsGrantLasts) {
     Bench b;
     b.run(0.2);
     b.answer(grant(6000));  // the first message, without reports
@@ -197,7 +197,7 @@
     EXPECT_EQ(b.statuses.size(), before) << "the grant is over";
 }
 
-TEST(Hearer, TakesRecallsAndLaterLeadershipsToHeart) {
+TEST(ReportRelay, TakesRecallsAndLaterLeadershipsToHeart) {
     struct Case {
         const char* what;
         std::function<void(Bench&)> then;
@@ -220,7 +220,7 @@
         b.run(0.2);
         b.answer(grant(6000));
         ASSERT_EQ(b.statuses.size(), 1u);
-        b.run(0.65);  // the next message goes without a report, to fetch recalls
+        b.run(0.65);  // the next message goes without a report, to fetch revocations
         ASSERT_EQ(b.net.sent.size(), 1u) << c.what;
         c.then(b);
         bool taken = b.offer(report("vm-1", 2));
@@ -230,7 +230,7 @@
 
 // While nobody leads, or the leader does not answer, workers are kept waiting: refused, a whole fleet calls
 // each second.
-TEST(Hearer, HoldsReportsOverATakeoverAndNoLonger) {
+TEST(ReportRelay, HoldsReportsOverATakeoverAndNoLonger) {
     struct Case {
         const char* what;
         std::function<void(Bench&)> then;
@@ -288,7 +288,7 @@
     }
 }
 // What waits when this controller comes to lead itself is its own to answer.
-TEST(Hearer, HandsOverWhatWaits) {
+TEST(ReportRelay, HandsOverWhatWaits) {
     Bench b;
     b.run(0.2);
     b.answer(grant(6000));
@@ -318,15 +318,15 @@
         s.lease_s = c.lease_s;
         s.cancel_s = c.cancel_s;
         double ttl = s.lease_s * s.op.lease_ratio, slow = 1 + 0.0005;
-        double complete_at = 100, last = renew_until(s, ttl, complete_at, 1e9);
+        double complete_at = 100, last = worker_lease_bound(s, ttl, complete_at, 1e9);
         EXPECT_LT((last - complete_at) * slow + s.lease_s * slow, s.cancel_s) << c.cancel_s;
         EXPECT_EQ(keep_alive_s(s, ttl) > 0, c.some) << c.cancel_s;
         // A successor counts on no more than the predecessor does, however complete that is.
-        EXPECT_LE(renew_until(s, ttl, 1e9, 50), 50 + keep_alive_s(s, ttl));
+        EXPECT_LE(worker_lease_bound(s, ttl, 1e9, 50), 50 + keep_alive_s(s, ttl));
         // What was not complete for so long renews nothing, though its authority goes on.
         EXPECT_LE(last, complete_at + s.cancel_s - s.lease_s);
     }
 }
 
 }  // namespace
-}  // namespace coralhitch::hearing
+}  // namespace coralhitch::relay
