--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -41,7 +41,7 @@
       store_(c_.timers, c_.state, c_.settings,
              {[this](const std::string& id) { return record_of(id); },
               [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; },
-              [this](const std::vector<pages::MachineStore::Record>& r) {
+              [this](const std::vector<registry::MachineRegistry::Record>& r) {
                   if (!stopped_) machines_stored(r);
               }}),
       job_watch_(c_.timers, c_.state, keys::jobs, watch_pace(c_.settings),
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -19,8 +19,8 @@
 #include "jobs/table.hpp"
 #include "loop/bucket.hpp"
 #include "membership/judge.hpp"
-#include "pages/machine_store.hpp"
 #include "placement/placement.hpp"
+#include "registry/machine_registry.hpp"
 #include "relay/delegation_table.hpp"
 #include "relay/reply_cache.hpp"
 #include "relay/worker_lease.hpp"
@@ -137,7 +137,7 @@
     void settled_check();
     void store_machine(fleet::Machine& m);
     std::optional<wire::MachineRecord> record_of(const std::string& id);
-    void machines_stored(const std::vector<pages::MachineStore::Record>& records);
+    void machines_stored(const std::vector<registry::MachineRegistry::Record>& records);
     void delete_condemned();
     void deleted(const std::vector<std::string>& ids, bool ok);
     void drop_keys();
@@ -195,7 +195,7 @@
     std::mutex mutex_;  // guards the picture and the table: the planner reads them
     fleet::Picture picture_;
     jobs::Table table_;
-    pages::MachineStore store_;
+    registry::MachineRegistry store_;
     state::ListWatch job_watch_;
 
     std::deque<std::pair<std::string, http::Reply>> early_;  // reports that came before the jobs were loaded
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -674,7 +674,7 @@
     if (!m) return std::nullopt;
     return wire::MachineRecord{m->addr, m->type, m->zone, m->spot, m->life == Machine::Life::condemned};
 }
-void Leader::machines_stored(const std::vector<pages::MachineStore::Record>& records) {
+void Leader::machines_stored(const std::vector<registry::MachineRegistry::Record>& records) {
     {
         std::lock_guard lock(mutex_);
         for (auto& [id, r] : records) {
--- a/src/pages/machine_store.cpp
+++ b/src/registry/machine_registry.cpp
@@ -1,4 +1,4 @@
-#include "pages/machine_store.hpp"
+#include "registry/machine_registry.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 
 #include "state/keys.hpp"
 
-namespace coralhitch::pages {
+namespace coralhitch::registry {
 namespace keys = state::keys;
 using state::Committed;
 using state::Rank;
@@ -40,16 +40,16 @@
 }
 }  // namespace
 
-MachineStore::MachineStore(loop::Timers& timers, state::Client& state, const config::Settings& settings,
-                           Hooks hooks)
+MachineRegistry::MachineRegistry(loop::Timers& timers, state::Client& state, const config::Settings& settings,
+                                 Hooks hooks)
     : timers_(timers), state_(state), settings_(settings), hooks_(std::move(hooks)) {}
 
-std::size_t MachineStore::page_bytes() const {
+std::size_t MachineRegistry::page_bytes() const {
     auto value = static_cast<double>(state_.limits().value_bytes());
     return static_cast<std::size_t>(value * (value <= small_value_kb * 1024 ? small_page_share : page_share));
 }
 
-std::vector<MachineStore::Record> MachineStore::load(const state::Listed& listed) {
+std::vector<MachineRegistry::Record> MachineRegistry::load(const state::Listed& listed) {
     std::map<std::string, wire::MachineRecord> all;
     auto take = [&](std::size_t n, const std::string& id, const wire::MachineRecord& r) {
         auto& p = pages_[n];
@@ -100,7 +100,7 @@
     return {all.begin(), all.end()};
 }
 
-std::size_t MachineStore::page_for(const std::string& id, std::size_t bytes) {
+std::size_t MachineRegistry::page_for(const std::string& id, std::size_t bytes) {
     if (auto it = page_of_.find(id); it != page_of_.end()) return it->second;
     std::size_t n = 0;
     for (;; ++n) {
@@ -111,7 +111,7 @@
 }
 
 // After a refusal pages may hold less than they do.
-void MachineStore::retire_large() {
+void MachineRegistry::retire_large() {
     for (auto& [n, p] : pages_)
         if (!p.retiring && p.version > 0 && p.ids.size() > 1 && p.bytes > page_bytes()) {
             p.retiring = true;
@@ -130,7 +130,7 @@
     }
 }
 // Puts the machines of pages that retire into others; they are in both until that is confirmed.
-void MachineStore::move_on() {
+void MachineRegistry::move_on() {
     for (auto& [n, p] : pages_) {
         if (!p.retiring) continue;
         std::vector<std::string> ids;
@@ -145,11 +145,11 @@
         if (!ids.empty()) return move_on();  // `put` may have made new pages
     }
 }
-bool MachineStore::moved(const Page& p) const {
+bool MachineRegistry::moved(const Page& p) const {
     return std::none_of(p.ids.begin(), p.ids.end(), [&](auto& id) { return unmoved_.contains(id); });
 }
 
-void MachineStore::put(const std::string& id) {
+void MachineRegistry::put(const std::string& id) {
     auto r = hooks_.record(id);
     if (!r) return;
     auto bytes = bytes_of(id, *r);
@@ -160,7 +160,7 @@
     page_of_[id] = n;
     later(0);
 }
-void MachineStore::remove(const std::string& id) {
+void MachineRegistry::remove(const std::string& id) {
     auto it = page_of_.find(id);
     if (it == page_of_.end()) return;
     unmoved_.erase(id);
@@ -171,7 +171,7 @@
     page_of_.erase(it);
 }
 
-void MachineStore::later(double seconds) {
+void MachineRegistry::later(double seconds) {
     if (armed_) return;
     armed_ = true;
     timers_.after(seconds, guarded_([this] {
@@ -179,7 +179,7 @@
                       flush();
                   }));
 }
-void MachineStore::flush() {
+void MachineRegistry::flush() {
     if (busy_) return;
     move_on();
     bool tidy = timers_.now() - last_tidy_ > settings_.report_s * tidy_reports;
@@ -195,7 +195,7 @@
 }
 
 // The answer to a write was lost, or its condition failed: what does the key hold now?
-void MachineStore::read_again(std::size_t n) {
+void MachineRegistry::read_again(std::size_t n) {
     busy_ = true;
     state_.get(keys::machine_page(n), Rank::write, guarded_([this, n](state::Found f) {
                    busy_ = false;
@@ -206,7 +206,7 @@
                }));
 }
 
-void MachineStore::write() {
+void MachineRegistry::write() {
     auto t = hooks_.begin();
     if (!t) return;  // the next tick of whoever leads tries again
     std::vector<Written> pages;
@@ -259,8 +259,8 @@
                guarded_([this, pages, records](Committed c) { written(pages, records, c); }));
 }
 
-void MachineStore::written(const std::vector<Written>& pages, const std::vector<Record>& records,
-                           const Committed& c) {
+void MachineRegistry::written(const std::vector<Written>& pages, const std::vector<Record>& records,
+                              const Committed& c) {
     busy_ = false;
     bool ok = c.status == Committed::Status::committed;
     bool rejected = c.status == Committed::Status::rejected;
@@ -281,4 +281,4 @@
     later(settings_.report_s * (rejected ? rejected_reports : retry_reports));
 }
 
-}  // namespace coralhitch::pages
+}  // namespace coralhitch::registry
--- a/src/pages/machine_store.hpp
+++ b/src/registry/machine_registry.hpp
@@ -20,9 +20,9 @@
 #include "loop/timers.hpp"
 #include "state/client.hpp"
 
-namespace coralhitch::pages {
+namespace coralhitch::registry {
 
-class MachineStore {
+class MachineRegistry {
   public:
     using Record = std::pair<std::string, wire::MachineRecord>;
     struct Hooks {
@@ -32,7 +32,8 @@
         std::function<std::optional<wire::Txn>()> begin;
         std::function<void(const std::vector<Record>&)> stored;
     };
-    MachineStore(loop::Timers& timers, state::Client& state, const config::Settings& settings, Hooks hooks);
+    MachineRegistry(loop::Timers& timers, state::Client& state, const config::Settings& settings,
+                    Hooks hooks);
 
     // Takes over what earlier leaders stored, in pages or, before there were pages, in a key each. A machine
     // that is in several of them is one machine, and condemned if any of them says so.
@@ -80,4 +81,4 @@
     loop::Guard guarded_;  // last, so that it goes first
 };
 
-}  // namespace coralhitch::pages
+}  // namespace coralhitch::registry
--- a/tests/machine_store_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -1,5 +1,5 @@
 // Pages of machines: what is confirmed is stored, whatever becomes of the answers.
-#include "pages/machine_store.hpp"
+#include "registry/machine_registry.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -11,7 +11,7 @@
 #include "fake_state.hpp"
 #include "state/keys.hpp"
 
-namespace coralhitch::pages {
+namespace coralhitch::registry {
 namespace {
 using nlohmann::json;
 
@@ -45,18 +45,18 @@
     std::map<std::string, wire::MachineRecord> fleet;
     std::set<std::string> confirmed;
     bool authority = true;
-    MachineStore store{timers,
-                       client,
-                       settings,
-                       {[this](const std::string& id) {
-                            auto it = fleet.find(id);
-                            return it == fleet.end() ? std::nullopt : std::optional(it->second);
-                        },
-                        [this] { return authority ? std::optional(wire::Txn{}) : std::nullopt; },
-                        [this](const std::vector<MachineStore::Record>& records) {
-                            for (auto& [id, r] : records)
-                                if (fleet.contains(id)) confirmed.insert(id);
-                        }}};
+    MachineRegistry store{timers,
+                          client,
+                          settings,
+                          {[this](const std::string& id) {
+                               auto it = fleet.find(id);
+                               return it == fleet.end() ? std::nullopt : std::optional(it->second);
+                           },
+                           [this] { return authority ? std::optional(wire::Txn{}) : std::nullopt; },
+                           [this](const std::vector<MachineRegistry::Record>& records) {
+                               for (auto& [id, r] : records)
+                                   if (fleet.contains(id)) confirmed.insert(id);
+                           }}};
     void add(const std::string& id) {
         fleet[id] = {"10.1.0.1:9000", "g4", "z1", false, false};
         store.put(id);
@@ -92,7 +92,7 @@
     }
 };
 
-TEST(MachineStore, AFleetCostsAFewChanges) {
+TEST(MachineRegistry, AFleetCostsAFewChanges) {
     Bench b;
     for (int k = 0; k < 600; ++k) b.add("vm-" + std::to_string(100000 + k));
     b.timers.run_until(5);
@@ -103,7 +103,7 @@
 }
 // A write whose answer was lost may be executed late: it must fail then, or it would take machines that were
 // confirmed meanwhile out of their page, and the next leader would not look for tasks on them.
-TEST(MachineStore, LostAndLateWritesNeverHideAConfirmedMachine) {
+TEST(MachineRegistry, LostAndLateWritesNeverHideAConfirmedMachine) {
     using F = FakeState::Fate;
     const std::vector<F> cases[] = {{},
                                     {F::lost_after},
@@ -131,7 +131,7 @@
         EXPECT_EQ(machines_in(b.service).size(), b.fleet.size());
     }
 }
-TEST(MachineStore, WritesNothingWithoutAuthority) {
+TEST(MachineRegistry, WritesNothingWithoutAuthority) {
     Bench b;
     b.authority = false;
     b.add("vm-1");
@@ -143,7 +143,7 @@
     b.timers.run_until(6);
     EXPECT_EQ(b.confirmed.size(), 1u);
 }
-TEST(MachineStore, ReadsPagesAndTheLayoutBeforeThem) {
+TEST(MachineRegistry, ReadsPagesAndTheLayoutBeforeThem) {
     Bench b;
     b.add("vm-1");
     b.timers.run_until(1);
@@ -167,7 +167,7 @@
 
 // Pages filled under a larger limit are split, into more than one transaction takes. No machine may be out of
 // the store at any moment, whatever becomes of the answers: the next leader would not look for tasks on it.
-TEST(MachineStore, LargePagesAreSplitAndNoMachineIsEverMissing) {
+TEST(MachineRegistry, LargePagesAreSplitAndNoMachineIsEverMissing) {
     using F = FakeState::Fate;
     const std::vector<F> cases[] = {{},
                                     {F::lost_after, F::late, F::never, F::answered, F::late, F::lost_after}};
@@ -198,7 +198,7 @@
 }
 // The limits may fall without notice, and lower than the settings say: what is refused is made smaller, and
 // refusals do not repeat for ever.
-TEST(MachineStore, ARefusedWriteIsMadeSmaller) {
+TEST(MachineRegistry, ARefusedWriteIsMadeSmaller) {
     struct Case {
         std::size_t value_bytes, txn_ops;
     };
@@ -216,7 +216,7 @@
     }
 }
 // A page that can't be read may hold machines all the same: it is neither dropped as empty nor filled anew.
-TEST(MachineStore, APageThatCantBeReadIsLeftAlone) {
+TEST(MachineRegistry, APageThatCantBeReadIsLeftAlone) {
     for (std::size_t bytes : {10u, 4000u}) {
         Bench before;
         before.service.kv[state::keys::machine_page(0)] = {json{{"later", std::string(bytes, 'x')}}, 2};
@@ -228,7 +228,7 @@
         EXPECT_EQ(b.service.kv.size(), 2u) << bytes;
     }
 }
-TEST(MachineStore, AMachineInTwoPagesIsOneAndCondemnedIfEitherSaysSo) {
+TEST(MachineRegistry, AMachineInTwoPagesIsOneAndCondemnedIfEitherSaysSo) {
     for (bool first : {true, false}) {
         Bench before;
         auto row = [](bool condemned) {
@@ -252,4 +252,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::pages
+}  // namespace coralhitch::registry
