--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -317,9 +317,9 @@
     metrics_.gauge("reports_relayed", static_cast<double>(relay_.relayed()));
     metrics_.gauge("reports_dropped", static_cast<double>(relay_.dropped()));
     metrics_.gauge("standby_rows", static_cast<double>(follower_.copy().rows.size()));
-    metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->teller().members()) : 0);
-    metrics_.gauge("standby_pieces", leader_ ? static_cast<double>(leader_->teller().pieces()) : 0);
-    metrics_.gauge("standby_dropped", leader_ ? static_cast<double>(leader_->teller().dropped()) : 0);
+    metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->replication().members()) : 0);
+    metrics_.gauge("standby_pieces", leader_ ? static_cast<double>(leader_->replication().pieces()) : 0);
+    metrics_.gauge("standby_dropped", leader_ ? static_cast<double>(leader_->replication().dropped()) : 0);
     if (leader_)
         for (auto& [step, after] : leader_->steps().all())
             metrics_.gauge("takeover: " + std::string(step), after);
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -10,7 +10,7 @@
 #include "daemon/leader.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "relay/report_relay.hpp"
-#include "standby/copy.hpp"
+#include "standby/replica_state.hpp"
 #include "wire/peer.hpp"
 
 namespace coralhitch::daemon {
--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -77,21 +77,21 @@
                    if (stopped_) return;
                    take_all(found);
                    if (c_.settings.op.standby)
-                       teller_.start(found.record_version, found.inherits ? found.record : std::nullopt);
+                       replication_.start(found.record_version, found.inherits ? found.record : std::nullopt);
                    job_watch_.start(found.jobs.revision, found.jobs_listed_at);
                    loaded();
                }),
-      teller_(c_.timers, c_.http, c_.settings, c_.state, version,
-              {[this](const std::string& id) { return row_of(id); },
-               [this] {
-                   std::vector<std::string> ids;
-                   for (auto& [id, m] : picture_.machines()) ids.push_back(id);
-                   return ids;
-               },
-               [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; }, c_.peer,
-               [this] {
-                   if (!stopped_) release_starts();
-               }}) {
+      replication_(c_.timers, c_.http, c_.settings, c_.state, version,
+                   {[this](const std::string& id) { return row_of(id); },
+                    [this] {
+                        std::vector<std::string> ids;
+                        for (auto& [id, m] : picture_.machines()) ids.push_back(id);
+                        return ids;
+                    },
+                    [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; }, c_.peer,
+                    [this] {
+                        if (!stopped_) release_starts();
+                    }}) {
     if (c_.settings.op.standby) picture_.hold_starts();
 }
 
@@ -188,15 +188,15 @@
     std::vector<std::string> ids;
     {
         std::lock_guard lock(mutex_);
-        ids = picture_.to_tell();
+        ids = picture_.dirty_machines();
     }
     if (c_.settings.op.standby)
-        for (auto& id : ids) teller_.changed(id);
+        for (auto& id : ids) replication_.changed(id);
 }
 void Leader::release_starts() {
     {
         std::lock_guard lock(mutex_);
-        for (; !held_.empty() && teller_.told(held_.front().mark); held_.pop_front()) {
+        for (; !held_.empty() && replication_.told(held_.front().mark); held_.pop_front()) {
             auto* m = picture_.find(held_.front().machine);
             if (!m) continue;
             auto i = m->tasks.find(held_.front().task);
@@ -369,7 +369,7 @@
     store_progress();
     store_.flush();
     tell_changes();
-    teller_.tick();
+    replication_.tick();
     delete_condemned();
     drop_keys();
     audit();
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -24,7 +24,7 @@
 #include "relay/delegation_table.hpp"
 #include "relay/reply_cache.hpp"
 #include "relay/worker_lease.hpp"
-#include "standby/teller.hpp"
+#include "standby/replication_sender.hpp"
 #include "state/election.hpp"
 #include "state/list_watch.hpp"
 #include "takeover/reading.hpp"
@@ -50,7 +50,7 @@
     std::function<bool()> give_way;      // whether to resign for it; noted if so
     std::uint64_t incarnation;
     std::map<std::string, double> suspected;  // by the leader before, and for how many seconds by now
-    const standby::Copy& copy;                // of what the leader before knew of its machines
+    const standby::ReplicaState& copy;        // of what the leader before knew of its machines
     // What another controller last said of itself, if that is not long ago.
     std::function<const wire::PeerPing*(const std::string& label)> peer;
 };
@@ -65,7 +65,7 @@
     // Reports that another controller heard: each is answered as if it had come here.
     void relay(const wire::PeerRelay& m, http::Reply reply);
     std::size_t lent() const { return delegations_.count(); }
-    const standby::Teller& teller() const { return teller_; }
+    const standby::ReplicationSender& replication() const { return replication_; }
     const takeover::Steps& steps() const { return steps_; }
     bool doubts() const { return judge_.doubt().has_value(); }
     std::optional<api::TaskCounts> counts(const std::string& id);
@@ -75,7 +75,7 @@
     std::map<std::string, double> suspected() const;
     void types_changed();
     void started_anew(const std::string& controller, std::uint64_t incarnation) {
-        teller_.started_anew(controller, incarnation);
+        replication_.started_anew(controller, incarnation);
     }
     void cancelled(const std::string& id, std::uint64_t version);
 
@@ -227,7 +227,7 @@
     takeover::Settling settling_;
     takeover::Steps steps_;
     takeover::Reading reading_;
-    standby::Teller teller_;
+    standby::ReplicationSender replication_;
     struct Held {
         std::uint64_t mark;  // of the change that showed the start
         std::string machine;
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -295,9 +295,9 @@
     tell_changes();
     // The changes that show the starts of this plan were queued just now.
     if (c_.settings.op.standby)
-        for (auto& [machine, task] : started_now_) held_.push_back({teller_.mark(), machine, task});
+        for (auto& [machine, task] : started_now_) held_.push_back({replication_.mark(), machine, task});
     started_now_.clear();
-    teller_.hurry();
+    replication_.hurry();
     release_starts();
     auto& n = p.out.counts;
     c_.metrics.drawn("tasks", static_cast<double>(n.tasks));
--- a/src/fleet/picture.cpp
+++ b/src/fleet/picture.cpp
@@ -86,15 +86,15 @@
     m.unsent = true;
     to_flush_.push_back(m.id);
 }
-void Picture::tell_later(Machine& m) {
-    if (m.untold) return;
-    m.untold = true;
-    to_tell_.push_back(m.id);
+void Picture::mark_dirty(Machine& m) {
+    if (m.dirty) return;
+    m.dirty = true;
+    dirty_machines_.push_back(m.id);
 }
-std::vector<std::string> Picture::to_tell() {
-    for (auto& id : to_tell_)
-        if (auto* m = find(id)) m->untold = false;
-    return std::exchange(to_tell_, {});
+std::vector<std::string> Picture::dirty_machines() {
+    for (auto& id : dirty_machines_)
+        if (auto* m = find(id)) m->dirty = false;
+    return std::exchange(dirty_machines_, {});
 }
 Machine* Picture::find(std::string_view id) {
     auto it = by_id_.find(id);
@@ -260,7 +260,7 @@
     }
     std::erase_if(m.ended, [&](auto& e) { return !shown_ended.contains(e.first) && e.second.stored; });
     if (!m.tasks.empty()) m.idle_since = now;
-    if (changed || !heard.ends.empty() || !heard.found.empty()) tell_later(m);
+    if (changed || !heard.ends.empty() || !heard.found.empty()) mark_dirty(m);
     return heard;
 }
 
@@ -362,7 +362,7 @@
     i.told = !hold_starts_;
     m.idle_since = now;
     flush_later(m);
-    tell_later(m);
+    mark_dirty(m);
     return i;
 }
 Instance& Picture::inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
@@ -412,7 +412,7 @@
     auto it = machines_.find(id);
     if (it == machines_.end()) return {};
     auto ends = vanish_all(it->second);
-    if (!it->second.untold) to_tell_.push_back(id);
+    if (!it->second.dirty) dirty_machines_.push_back(id);
     by_id_.erase(it->first);
     machines_.erase(it);
     gone_.insert(id);
@@ -423,7 +423,7 @@
     m.settled = true;
     m.over = std::max(m.over, m.session);
     m.unproven = m.session == 0;
-    tell_later(m);
+    mark_dirty(m);
     return ends;
 }
 
--- a/src/fleet/picture.hpp
+++ b/src/fleet/picture.hpp
@@ -80,7 +80,7 @@
     std::shared_ptr<const wire::Images> images;  // of `cache`; replaced, never changed: plans hold on to it
     bool draining = false;                       // surplus, by the last plan of what to rent and return
     bool unsent = false;                         // among those that `to_flush` names
-    bool untold = false;                         // among those that `to_tell` names
+    bool dirty = false;                          // among those that `dirty_machines` names
     std::set<std::string> error_jobs;
     double avoid_until = 0;
     bool suspected = false;    // it should have been heard by now: nothing new goes there
@@ -180,7 +180,7 @@
     std::vector<std::string> to_flush() { return std::exchange(to_flush_, {}); }
     void flush_later(Machine& m);
     // Machines of which something has changed that a follower must know.
-    std::vector<std::string> to_tell();
+    std::vector<std::string> dirty_machines();
     // New starts are held back until they are `told`.
     void hold_starts() { hold_starts_ = true; }
     // What a leader before this one, which told all it started, knew to be on the machine: it may be there. A
@@ -188,7 +188,7 @@
     Instance& inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now);
 
   private:
-    void tell_later(Machine& m);
+    void mark_dirty(Machine& m);
     void know_type(wire::Pool& p) const;
     std::size_t pool_of(const std::string& type, const std::string& zone, bool spot);
     void used_image(Machine& m, const wire::Job& job);
@@ -200,7 +200,7 @@
     std::vector<wire::Pool> pools_;
     std::vector<std::string> zones_;
     std::map<std::string, std::uint32_t> images_;
-    std::vector<std::string> to_flush_, to_tell_;
+    std::vector<std::string> to_flush_, dirty_machines_;
     bool hold_starts_ = false, any_settled_ = false;
     // By job: machines that hold, or held, ends of its tasks. Walking all machines for each end that was
     // stored took as long as the reports.
--- a/src/standby/checks.hpp
+++ b/src/standby/checks.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "standby/copy.hpp"
+#include "standby/replica_state.hpp"
 #include "state/election.hpp"
 #include "wire/model.hpp"
 
@@ -21,7 +21,7 @@
     state::Election::Chain chain;               // leaderships seen before the claim
     bool history = false;                       // whether what came after the chain is known, and it is:
     std::vector<state::Election::Link> since;   // leaderships up to the claim, own one left out
-    const Copy* copy = nullptr;
+    const ReplicaState* copy = nullptr;
 };
 
 struct Check {
--- a/src/standby/copy.cpp
+++ b/src/standby/replica_state.cpp
@@ -1,4 +1,4 @@
-#include "standby/copy.hpp"
+#include "standby/replica_state.hpp"
 
 namespace coralhitch::standby {
 
--- a/src/standby/copy.hpp
+++ b/src/standby/replica_state.hpp
@@ -11,7 +11,7 @@
 
 namespace coralhitch::standby {
 
-struct Copy {
+struct ReplicaState {
     std::uint64_t version = 0;  // of the leadership that told it; 0: nothing is known
     std::uint64_t number = 0;   // of the last piece taken
     std::uint64_t begun = 0;    // the leadership that began it from nothing
@@ -25,11 +25,11 @@
     // A piece of an earlier leadership, or one that comes after a later piece, is refused: it was held up on
     // its way, and what it says may be over. So is one that goes on from another copy than is here.
     wire::PeerFleetAnswer take(wire::PeerFleet piece);
-    const Copy& copy() const { return copy_; }
+    const ReplicaState& copy() const { return copy_; }
 
   private:
     std::uint64_t incarnation_;
-    Copy copy_;
+    ReplicaState copy_;
 };
 
 }  // namespace coralhitch::standby
--- a/src/standby/teller.cpp
+++ b/src/standby/replication_sender.cpp
@@ -1,4 +1,4 @@
-#include "standby/teller.hpp"
+#include "standby/replication_sender.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -24,8 +24,9 @@
 constexpr std::size_t most_rows = 1024;
 }  // namespace
 
-Teller::Teller(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-               state::Client& state, std::uint64_t version, Hooks hooks)
+ReplicationSender::ReplicationSender(loop::Timers& timers, http::Requester& http,
+                                     const config::Settings& settings, state::Client& state,
+                                     std::uint64_t version, Hooks hooks)
     : timers_(timers),
       http_(http),
       settings_(settings),
@@ -34,13 +35,14 @@
       hooks_(std::move(hooks)) {
     for (auto& p : settings.peers) standbys_[p.label].peer = p;
 }
-Teller::~Teller() = default;
+ReplicationSender::~ReplicationSender() = default;
 
-double Teller::patience(const Standby& s) const {
+double ReplicationSender::patience(const Standby& s) const {
     return settings_.report_s * (s.whole || counts(s) ? patience_reports : begin_reports);
 }
 
-void Teller::start(std::uint64_t record_version, const std::optional<wire::StandbyRecord>& inherited) {
+void ReplicationSender::start(std::uint64_t record_version,
+                              const std::optional<wire::StandbyRecord>& inherited) {
     started_ = true;
     record_version_ = record_version;
     if (inherited)
@@ -51,7 +53,7 @@
     tick();
 }
 
-void Teller::tick() {
+void ReplicationSender::tick() {
     if (!started_) return;
     for (auto& [label, s] : standbys_) {
         if (!s.following && timers_.now() >= s.retry_at && can_follow(label)) begin(s);
@@ -61,14 +63,14 @@
     soon();
 }
 
-bool Teller::can_follow(const std::string& label) const {
+bool ReplicationSender::can_follow(const std::string& label) const {
     auto* p = hooks_.peer(label);
     return p && p->features >= wire::peer_features_follow;
 }
 // Its copy holds all that may be on the machines, as this leader's own did, and from here on it is told all
 // that changes. So it is named from the first record on: three leaders that were killed a second apart each
 // left nobody informed, since a copy from nothing takes longer.
-void Teller::carry(const wire::StandbyRecord::Member& m) {
+void ReplicationSender::carry(const wire::StandbyRecord::Member& m) {
     auto it = standbys_.find(m.label);
     auto* p = hooks_.peer(m.label);
     if (it == standbys_.end() || !p || p->incarnation != m.incarnation ||
@@ -83,7 +85,7 @@
 }
 // A process that has just begun has nothing to be patient with: it can be whole again long before the one
 // before it would have been waited for.
-void Teller::started_anew(const std::string& label, std::uint64_t incarnation) {
+void ReplicationSender::started_anew(const std::string& label, std::uint64_t incarnation) {
     auto it = standbys_.find(label);
     if (!started_ || it == standbys_.end() || it->second.incarnation == incarnation) return;
     auto& s = it->second;
@@ -93,7 +95,7 @@
 }
 
 // From here on it is told all that changes. What it holds of an earlier time counts for nothing.
-void Teller::begin(Standby& s) {
+void ReplicationSender::begin(Standby& s) {
     s.following = true;
     s.whole = s.busy = s.carried = s.greet = false;
     s.begun = 0;
@@ -107,7 +109,7 @@
         if (s.queued.insert(id).second) s.queue.emplace_back(1, id);  // none of it counts before all is told
     send(s);
 }
-void Teller::leave(Standby& s, const char* why, bool at_fault) {
+void ReplicationSender::leave(Standby& s, const char* why, bool at_fault) {
     if (!s.following) return;
     spdlog::info("standby: {} does not follow any more: {}", s.peer.label, why);
     if (s.whole) ++dropped_;
@@ -119,39 +121,39 @@
     write_record();
 }
 
-void Teller::changed(const std::string& machine) {
+void ReplicationSender::changed(const std::string& machine) {
     ++marks_;
     for (auto& [label, s] : standbys_)
         if (s.following && s.queued.insert(machine).second) s.queue.emplace_back(marks_, machine);
     soon();
 }
-void Teller::soon() {
+void ReplicationSender::soon() {
     if (std::exchange(armed_, true)) return;
     timers_.after(settings_.report_s * gap_reports, guarded_([this] {
                       armed_ = false;
                       send_all();
                   }));
 }
-void Teller::hurry() {
+void ReplicationSender::hurry() {
     urgent_ = marks_;
     send_all();
 }
-void Teller::send_all() {
+void ReplicationSender::send_all() {
     for (auto& [label, s] : standbys_) send(s);
 }
 
-bool Teller::counts(const Standby& s) const {
+bool ReplicationSender::counts(const Standby& s) const {
     return attempted_.contains(s.peer.label) || std::any_of(confirmed_.begin(), confirmed_.end(),
                                                             [&](auto& m) { return m.label == s.peer.label; });
 }
-bool Teller::told(std::uint64_t mark) const {
+bool ReplicationSender::told(std::uint64_t mark) const {
     return ours_ && std::all_of(standbys_.begin(), standbys_.end(),
                                 [&](auto& s) { return s.second.told >= mark || !counts(s.second); });
 }
 
 // One piece at a time. Its rows are as the machines are now, so it also tells what has changed since they
 // were queued.
-void Teller::send(Standby& s) {
+void ReplicationSender::send(Standby& s) {
     // Not before the record is of this leadership: no copy is ever newer than the record.
     if (!ours_ || !s.following || s.busy || (s.queue.empty() && s.whole && !s.greet)) return;
     wire::PeerFleet piece{version_, ++numbers_, {}, s.carried ? s.begun : 0, s.whole};
@@ -175,8 +177,9 @@
                }));
 }
 
-void Teller::answered(Standby& s, std::uint64_t round, std::uint64_t upto,
-                      const std::vector<std::string>& ids, const std::optional<http::Response>& r) {
+void ReplicationSender::answered(Standby& s, std::uint64_t round, std::uint64_t upto,
+                                 const std::vector<std::string>& ids,
+                                 const std::optional<http::Response>& r) {
     if (round != s.round) return;
     s.busy = false;
     std::optional<wire::PeerFleetAnswer> a;
@@ -219,7 +222,7 @@
 
 // --- The record -----------------------------------------------------------------------------------------
 
-std::vector<Teller::Member> Teller::wanted() const {
+std::vector<ReplicationSender::Member> ReplicationSender::wanted() const {
     std::vector<Member> out;
     for (auto& [label, s] : standbys_)
         if (s.following && s.whole) out.push_back({label, s.incarnation, s.begun});
@@ -227,7 +230,7 @@
 }
 // One write at a time, each on the version last seen, so that one which was not answered and is executed late
 // can't name somebody who was taken out since.
-void Teller::write_record() {
+void ReplicationSender::write_record() {
     if (writing_ || !started_) return;
     auto members = wanted();
     // What a write that was not answered names counts until another write, on the version after it, is
@@ -256,14 +259,14 @@
                    read_record();
                }));
 }
-void Teller::write_later() {
+void ReplicationSender::write_later() {
     if (std::exchange(writing_, true)) return;
     timers_.after(settings_.report_s * write_again_reports, guarded_([this] {
                       writing_ = false;
                       write_record();
                   }));
 }
-void Teller::read_record() {
+void ReplicationSender::read_record() {
     writing_ = true;
     state_.get(keys::standby, state::Rank::lease, guarded_([this](state::Found f) {
                    writing_ = false;
--- a/src/standby/teller.hpp
+++ b/src/standby/replication_sender.hpp
@@ -24,7 +24,7 @@
 
 namespace coralhitch::standby {
 
-class Teller {
+class ReplicationSender {
   public:
     struct Hooks {
         // The machine as it is now; nothing if there is nothing to tell of it yet.
@@ -36,11 +36,11 @@
         std::function<const wire::PeerPing*(const std::string& label)> peer;
         std::function<void()> told;  // `told` may say yes to more
     };
-    Teller(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-           state::Client& state, std::uint64_t version, Hooks hooks);
-    ~Teller();
-    Teller(const Teller&) = delete;
-    Teller& operator=(const Teller&) = delete;
+    ReplicationSender(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+                      state::Client& state, std::uint64_t version, Hooks hooks);
+    ~ReplicationSender();
+    ReplicationSender(const ReplicationSender&) = delete;
+    ReplicationSender& operator=(const ReplicationSender&) = delete;
 
     // Once, with the version of the record's key as read after the claim; 0: there is none. `inherited`: the
     // record itself, if this leader's own copy was proof; whom it names goes on from the copy that it has.
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -8,7 +8,7 @@
 #include "fleet/picture.hpp"
 #include "plays.hpp"
 #include "standby/checks.hpp"
-#include "standby/teller.hpp"
+#include "standby/replication_sender.hpp"
 #include "state/keys.hpp"
 #include "takeover/settling.hpp"
 
@@ -52,7 +52,7 @@
 
 // Each check, left out, would let a start that was sent go unnoticed: the rule in doubt is `ran_twice`.
 TEST(Checks, ACopyIsProofOnlyIfNothingCanBeMissingFromIt) {
-    Copy copy{20, 7, 20, true, {}};
+    ReplicaState copy{20, 7, 20, true, {}};
     Evidence good{"me",
                   3,
                   40,
@@ -66,7 +66,7 @@
         std::function<void(Evidence&)> change;
         bool proof;
     };
-    Copy older{10, 7, 10, true, {}}, carried{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
+    ReplicaState older{10, 7, 10, true, {}}, carried{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
     auto goes_on_from = [](Evidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
     const Case cases[] = {
         {"all is well", [](Evidence&) {}, true},
@@ -189,19 +189,20 @@
     void ping(const std::string& label, std::uint64_t incarnation) {
         pings[label] = {label, incarnation, 0, "", true, {}, {}, wire::peer_features, 0};
     }
-    Teller teller{timers,
-                  service,
-                  settings,
-                  client,
-                  50,
-                  {[this](const std::string& id) { return std::optional(row_of(id, machines.at(id))); },
-                   [this] {
-                       std::vector<std::string> ids;
-                       for (auto& [id, s] : machines) ids.push_back(id);
-                       return ids;
-                   },
-                   [this] { return authority ? std::optional(wire::Txn{}) : std::nullopt; },
-                   [this](const std::string& label) { return &pings[label]; }, [] {}}};
+    ReplicationSender teller{
+        timers,
+        service,
+        settings,
+        client,
+        50,
+        {[this](const std::string& id) { return std::optional(row_of(id, machines.at(id))); },
+         [this] {
+             std::vector<std::string> ids;
+             for (auto& [id, s] : machines) ids.push_back(id);
+             return ids;
+         },
+         [this] { return authority ? std::optional(wire::Txn{}) : std::nullopt; },
+         [this](const std::string& label) { return &pings[label]; }, [] {}}};
     std::uint64_t start(const std::string& id) {
         ++machines[id];
         teller.changed(id);
@@ -210,7 +211,7 @@
     }
 };
 
-TEST(Teller, AStartWaitsForAllThatTheRecordNames) {
+TEST(ReplicationSender, AStartWaitsForAllThatTheRecordNames) {
     Bench b;
     b.followers.at("y").silent = true;
     b.teller.start(0, std::nullopt);
@@ -237,7 +238,7 @@
 
 // A write that names somebody and was not answered may be executed at any later time, until one on the
 // version after it is confirmed.
-TEST(Teller, WhoMayComeToBeNamedCounts) {
+TEST(ReplicationSender, WhoMayComeToBeNamedCounts) {
     for (auto fate : {FakeState::Fate::lost_after, FakeState::Fate::late, FakeState::Fate::never}) {
         SCOPED_TRACE(static_cast<int>(fate));
         Bench b;
@@ -260,7 +261,7 @@
 
 // Three leaders killed a second apart: each names those that its predecessor named, from its first record on,
 // as long as each is the process, with the copy, that was meant.
-TEST(Teller, WhomTheLeaderBeforeNamedGoesOnFromItsCopy) {
+TEST(ReplicationSender, WhomTheLeaderBeforeNamedGoesOnFromItsCopy) {
     struct Case {
         const char* name;
         std::uint64_t incarnation, features, begun;  // of `x`: its process, its version, its copy
@@ -300,7 +301,7 @@
 }
 
 // It used to be left out for half a report period, longer than the next leader lived.
-TEST(Teller, AProcessThatWasStartedAnewIsToldAtOnce) {
+TEST(ReplicationSender, AProcessThatWasStartedAnewIsToldAtOnce) {
     for (bool says_so : {true, false}) {
         SCOPED_TRACE(says_so);
         Bench b;
@@ -323,7 +324,7 @@
 
 // Followers that fail, fall silent, begin anew, with hundreds of changes waiting: whatever counts as told is
 // known to all that the record names.
-TEST(Teller, WhatCountsAsToldIsKnownToAllThatAreNamed) {
+TEST(ReplicationSender, WhatCountsAsToldIsKnownToAllThatAreNamed) {
     std::size_t sent = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         SCOPED_TRACE(seed);
