--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -45,7 +45,7 @@
                   if (!stopped_) machines_stored(r);
               }}),
       job_watch_(c_.timers, c_.state, keys::jobs, watch_pace(c_.settings),
-                 {[this](const std::vector<wire::Event>& events, std::uint64_t settled) {
+                 {[this](const std::vector<wire::Event>& events, std::uint64_t reconciled) {
                       if (stopped_) return;
                       bool news = false;
                       {
@@ -53,7 +53,7 @@
                           for (auto& e : events)
                               if (e.value)
                                   news |= take_job(e.key.substr(keys::jobs.size()), e.version, *e.value);
-                          table_.seen_revision(settled);
+                          table_.seen_revision(reconciled);
                       }
                       if (news) jobs_changed();
                   },
@@ -69,18 +69,18 @@
       asks_(config::questions_per_s(c_.settings), asked_at_once(c_.settings, ask_reports)),
       judge_({c_.settings.report_s, c_.settings.lease_s, c_.settings.op.silence_reports,
               c_.settings.peers.size()}),
-      settling_(picture_, c_.settings.report_s),
+      reconciliation_(picture_, c_.settings.report_s),
       steps_(c_.timers),
-      reading_(c_.timers, c_.state, c_.settings, steps_,
-               {c_.settings.label, c_.incarnation, version, {}, c_.election.chain(), false, {}, &c_.copy},
-               [this](const takeover::Found& found) {
-                   if (stopped_) return;
-                   take_all(found);
-                   if (c_.settings.op.standby)
-                       replication_.start(found.record_version, found.inherits ? found.record : std::nullopt);
-                   job_watch_.start(found.jobs.revision, found.jobs_listed_at);
-                   loaded();
-               }),
+      loader_(c_.timers, c_.state, c_.settings, steps_,
+              {c_.settings.label, c_.incarnation, version, {}, c_.election.chain(), false, {}, &c_.copy},
+              [this](const takeover::Found& found) {
+                  if (stopped_) return;
+                  take_all(found);
+                  if (c_.settings.op.standby)
+                      replication_.start(found.record_version, found.inherits ? found.record : std::nullopt);
+                  job_watch_.start(found.jobs.revision, found.jobs_listed_at);
+                  loaded();
+              }),
       replication_(c_.timers, c_.http, c_.settings, c_.state, version,
                    {[this](const std::string& id) { return row_of(id); },
                     [this] {
@@ -96,7 +96,7 @@
 }
 
 void Leader::start() {
-    reading_.start();
+    loader_.start();
 }
 void Leader::stop() {
     stopped_ = true;
@@ -142,7 +142,7 @@
         auto& m = picture_.add(id, r.addr, r.type, r.zone, r.spot,
                                r.condemned ? Machine::Life::condemned : Machine::Life::up, now());
         m.stored = true;
-        settling_.expect(id);
+        reconciliation_.expect(id);
         if (found.inherits) inherit(id, m);
         m.deletable = r.condemned;
         if (auto it = c_.suspected.find(id); it != c_.suspected.end() && m.known)
@@ -153,7 +153,7 @@
     }
 }
 
-// The row says all that may be on the machine: see docs/standby.md. It is not used before it has settled.
+// The row says all that may be on the machine: see docs/standby.md. It is not used before it has reconciled.
 void Leader::inherit(const std::string& id, Machine& m) {
     auto it = c_.copy.rows.find(id);
     // The leader before told all machines that were stored when it came to lead, and each one before the
@@ -174,7 +174,7 @@
     if (it == picture_.machines().end()) return wire::PeerMachineRow{id, false, true, 0, 0, {}};
     auto& m = it->second;
     if (m.life == Machine::Life::booting) return std::nullopt;
-    wire::PeerMachineRow row{id, m.known || m.settled, false, m.session, m.sequence, {}};
+    wire::PeerMachineRow row{id, m.known || m.reconciled, false, m.session, m.sequence, {}};
     for (auto& [task, i] : m.tasks) row.tasks.push_back({task.job, task.index, i.attempt});
     return row;
 }
@@ -212,7 +212,7 @@
     std::map<std::string, double> out;
     for (auto& [id, m] : picture_.machines())
         if (m.life == Machine::Life::up &&
-            (m.suspected || (!m.settled && now() - m.last_heard > c_.settings.report_s / 2)))
+            (m.suspected || (!m.reconciled && now() - m.last_heard > c_.settings.report_s / 2)))
             out.emplace(id, now() - m.last_heard + m.silent_before);
     return out;
 }
@@ -270,7 +270,7 @@
     c_.timers.after(c_.settings.report_s * ask_reports, guarded([this] {
                         for (bool known : {false, true})
                             for (auto& [id, m] : picture_.machines())
-                                if (!m.settled && m.known == known) probe(m);
+                                if (!m.reconciled && m.known == known) probe(m);
                     }));
     hear_early();
     tick();
@@ -362,7 +362,7 @@
     absent_ends_.clear();
     moved_ = 0;
     read_ends();
-    settling_.tick(now(), c_.settings.report_s * tick_reports);
+    reconciliation_.tick(now(), c_.settings.report_s * tick_reports);
     check_machines();
     if (stopped_) return;
     if (!authority()) return;
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -27,8 +27,8 @@
 #include "standby/replication_sender.hpp"
 #include "state/election.hpp"
 #include "state/list_watch.hpp"
-#include "takeover/reading.hpp"
-#include "takeover/settling.hpp"
+#include "takeover/reconciliation.hpp"
+#include "takeover/recovery_loader.hpp"
 #include "wire/peer.hpp"
 
 namespace coralhitch::daemon {
@@ -134,7 +134,7 @@
     membership::Stake stake(const fleet::Machine& m) const;
     double boots(const fleet::Machine& m) const;
     void condemn(fleet::Machine& m, const char* why);
-    void settled_check();
+    void check_reconciled();
     void store_machine(fleet::Machine& m);
     std::optional<wire::MachineRecord> record_of(const std::string& id);
     void machines_stored(const std::vector<registry::MachineRegistry::Record>& records);
@@ -190,7 +190,7 @@
     std::uint64_t version_;
     std::mt19937_64 random_;
     double keep_alive_;
-    bool stopped_ = false, loaded_ = false, was_settled_ = false;
+    bool stopped_ = false, loaded_ = false, was_reconciled_ = false;
 
     std::mutex mutex_;  // guards the picture and the table: the planner reads them
     fleet::Picture picture_;
@@ -222,11 +222,11 @@
     relay::DelegationTable delegations_;
     relay::ReplyCache reply_cache_;  // of machines that report here
     std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
-    loop::Bucket asks_;              // questions to machines that have not settled
+    loop::Bucket asks_;              // questions to machines that have not reconciled
     membership::Judge judge_;
-    takeover::Settling settling_;
+    takeover::Reconciliation reconciliation_;
     takeover::Steps steps_;
-    takeover::Reading reading_;
+    takeover::RecoveryLoader loader_;
     standby::ReplicationSender replication_;
     struct Held {
         std::uint64_t mark;  // of the change that showed the start
--- a/src/daemon/leader_jobs.cpp
+++ b/src/daemon/leader_jobs.cpp
@@ -27,7 +27,7 @@
 
 void Leader::store_progress() {
     if (!authority()) return;
-    bool settled = settling_.may_place();
+    bool reconciled = reconciliation_.may_place();
     std::vector<std::pair<std::string, JobState>> over;
     std::vector<std::string> dirty;
     for (auto& [id, e] : table_.all()) {
@@ -36,7 +36,7 @@
             // Its key stays until its tasks are proven gone: a later leader must know to stop them.
             // So do those of the jobs behind it go first: what is said about them then follows from live
             // jobs.
-            if (e.active.empty() && e.strays == 0 && settled && !table_.awaits().awaited(id))
+            if (e.active.empty() && e.strays == 0 && reconciled && !table_.awaits().awaited(id))
                 over.emplace_back(id, JobState::cancelled);
         } else if (e.all_done()) {
             over.emplace_back(id, JobState::done);
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -87,8 +87,8 @@
     came_by(*m, hearer);
     if (!delegations_.delegated_to(m->id, hearer)) revoke(m->id);  // it has left the controller that heard it
     auto commands = picture_.answer(*m, now(), may);
-    m->renewed = m->settled ? now() : std::max(m->renewed, now());
-    if (!m->settled) m->answered = now();
+    m->renewed = m->reconciled ? now() : std::max(m->renewed, now());
+    if (!m->reconciled) m->answered = now();
     bool quiet = commands.empty() && picture_.quiet(*m);
     if (!hearer.empty() && quiet)
         delegations_.delegate(m->id, hearer);
@@ -182,7 +182,7 @@
         c_.timers.after(0, guarded([this, version] { c_.election.deposed(version); }));
         return heard;
     }
-    settled_check();
+    check_reconciled();
     tell_changes();
     if (heard.ends.empty() && heard.found.empty()) return heard;
     flush_all();
@@ -191,13 +191,13 @@
     return heard;
 }
 
-void Leader::settled_check() {
-    if (loaded_ && !steps_.has("may place") && settling_.may_place() && picture_.any_settled()) {
+void Leader::check_reconciled() {
+    if (loaded_ && !steps_.has("may place") && reconciliation_.may_place() && picture_.any_reconciled()) {
         steps_.over("may place");
         plan_soon();
     }
-    if (was_settled_ || !settling_.all_heard()) return;
-    was_settled_ = true;
+    if (was_reconciled_ || !reconciliation_.all_heard()) return;
+    was_reconciled_ = true;
     steps_.over("all machines settled");
     plan_soon();
 }
@@ -407,18 +407,19 @@
         if (!m) continue;
         // It has been heard meanwhile, or was answered and will say so in its next report, half a second
         // later: of the machines that a new leader must hear, the reports of most lie waiting when it begins.
-        double since = m->settled ? m->last_heard : m->answered;
-        if (since >= 0 && now() - since < c_.settings.report_s * (m->settled ? 1.0 / 2 : answered_reports)) {
+        double since = m->reconciled ? m->last_heard : m->answered;
+        if (since >= 0 &&
+            now() - since < c_.settings.report_s * (m->reconciled ? 1.0 / 2 : answered_reports)) {
             m->probing = false;
             continue;
         }
-        // While questions took all of a small share, reports that would have settled as many lay unread.
-        if (!m->settled && !asks_.has(now())) {
+        // While questions took all of a small share, reports that would have reconciled as many lay unread.
+        if (!m->reconciled && !asks_.has(now())) {
             to_probe_.push_back(m->id);
             waits = true;
             continue;
         }
-        if (!m->settled) asks_.take(now());
+        if (!m->reconciled) asks_.take(now());
         m->last_probe = now();
         if (m->asked < 0) m->asked = now();
         ++probing_;
@@ -445,7 +446,7 @@
     double timeout = c_.settings.report_s * (probe ? probe_timeout_reports : direct_timeout_reports);
     c_.http.send(m.addr, {"POST", std::string(wire::paths::commands), body}, timeout,
                  guarded([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
-                     if (r) settling_.answered(now() - sent, now());
+                     if (r) reconciliation_.answered(now() - sent, now());
                      if (probe) {
                          --probing_;
                          if (auto* m = picture_.find(id)) m->probing = false;
@@ -478,7 +479,7 @@
         m->reach.ignored(now());
     picture_.direct_done(*m, commands, token, executed || refused);
     // A 409 told the session: ask again at once, so that the machine settles.
-    if (refused && first_session && !m->settled)
+    if (refused && first_session && !m->reconciled)
         c_.timers.after(0, guarded([this, id] {
                             if (auto* again = picture_.find(id)) probe(*again);
                         }));
@@ -507,18 +508,18 @@
     std::vector<membership::Seen> seen;
     for (auto& [id, m] : picture_.machines()) {
         if (m.life != Machine::Life::up) continue;
-        membership::Seen s{id,           m.route,   zone_of(m), settling_.silence(m, t),
-                           m.last_heard, m.settled, m.known,    {}};
+        membership::Seen s{id,           m.route,      zone_of(m), reconciliation_.silence(m, t),
+                           m.last_heard, m.reconciled, m.known,    {}};
         // What runs there goes on until its worker's lease is out, and that is reported. What was sent there
         // and is not seen would wait for as long.
-        if (m.settled && m.reach.lost() && !m.runs_any())
+        if (m.reconciled && m.reach.lost() && !m.runs_any())
             s.unreached = t - m.reach.shown_at() - c_.settings.report_s;
         if (std::max(s.silent, s.unreached) > c_.settings.report_s / 2) s.stake = stake(m);
         machines.push_back(&m);
         seen.push_back(s);
     }
     double asked_s = c_.settings.report_s * c_.settings.op.silence_reports;
-    judge_.look(seen, {settling_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
+    judge_.look(seen, {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
     if (auto& doubt = judge_.doubt()) {
         auto elsewhere = c_.heard_elsewhere(doubt->silent);
         judge_.answered(elsewhere);
@@ -548,7 +549,7 @@
         std::lock_guard lock(mutex_);
         condemn(m, "does not come up");
     }
-    settled_check();
+    check_reconciled();
 }
 
 // Proof by time: the worker kills its tasks lease_s after it sent the last report that was answered. That
@@ -558,7 +559,7 @@
     const auto& s = c_.settings;
     double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.lent_until);
     bool over = now() > renewed + s.lease_s * (1 + 2 * state::drift) + s.report_s / 3;
-    if (over && now() - m.last_heard > s.lease_s && (!m.tasks.empty() || !m.settled)) {
+    if (over && now() - m.last_heard > s.lease_s && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
         std::lock_guard lock(mutex_);
         for (auto& e : picture_.lease_out(m)) handle_end(e);
@@ -569,21 +570,21 @@
 
 void Leader::check_up(Machine& m, const membership::Seen& seen, membership::Verdict verdict, bool may) {
     double period = c_.settings.report_s, t = now();
-    bool due = m.settled ? judge_.late(seen) && t - m.last_probe > period / 2
-                         : t - m.last_probe > period / 3 && t - m.created > period * ask_reports;
+    bool due = m.reconciled ? judge_.late(seen) && t - m.last_probe > period / 2
+                            : t - m.last_probe > period / 3 && t - m.created > period * ask_reports;
     if (due) probe(m);
     bool given_up = verdict == membership::Verdict::given_up;
     // Who has been heard within a lease has nothing to be proven gone: seldom worth the question, each tick.
     bool lease_over = (given_up || t - m.last_heard > c_.settings.lease_s) && check_lease(m);
-    // One that has settled is not given up while it is being asked: its answer may lie unread until the time
-    // for it is up. One that has not is asked again and again, without a pause; it was waited for then until
-    // its lease was out, and nothing placed meanwhile.
-    bool asked_now = m.settled && m.probing && !lease_over;
+    // One that has reconciled is not given up while it is being asked: its answer may lie unread until the
+    // time for it is up. One that has not is asked again and again, without a pause; it was waited for then
+    // until its lease was out, and nothing placed meanwhile.
+    bool asked_now = m.reconciled && m.probing && !lease_over;
     if (given_up && !asked_now && (may || (lease_over && authority()))) {
         std::lock_guard lock(mutex_);
         judge_.gave_up(seen, t);
         condemn(m, judge_.evidence(seen, t).c_str());
-    } else if (may && m.notice_until >= 0 && m.tasks.empty() && m.settled) {
+    } else if (may && m.notice_until >= 0 && m.tasks.empty() && m.reconciled) {
         std::lock_guard lock(mutex_);
         condemn(m, "has notice and is empty");
     }
@@ -640,7 +641,7 @@
         }
     }
     tell_changes();
-    settled_check();
+    check_reconciled();
     plan_soon();
     delete_condemned();
 }
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -42,11 +42,11 @@
 }
 
 void Leader::plan() {
-    // Unless the leader before told it, a new leader can't know what unsettled machines hold, so neither a
+    // Unless the leader before told it, a new leader can't know what unreconciled machines hold, so neither a
     // task, a quota nor a zone is safe.
-    if (planning_ || !loaded_ || !authority() || !settling_.may_place()) return;
+    if (planning_ || !loaded_ || !authority() || !reconciliation_.may_place()) return;
     auto plan = std::make_shared<Plan>();
-    plan->with_capacity = settling_.all_heard() &&
+    plan->with_capacity = reconciliation_.all_heard() &&
                           now() - last_capacity_ > c_.settings.report_s * capacity_reports &&
                           !c_.types.empty();
     // Most plans found nothing to place: each copied the whole fleet to see that.
@@ -272,9 +272,9 @@
     }
     {
         std::lock_guard lock(mutex_);
-        if (!settling_.may_place()) return;
+        if (!reconciliation_.may_place()) return;
         apply_starts(p);
-        bool stops = settling_.all_heard();
+        bool stops = reconciliation_.all_heard();
         for (auto& s : p.out.stops) {
             if (!stops) break;
             auto& i = p.in.instances[s.instance];
@@ -288,7 +288,7 @@
             for (auto& [id, m] : picture_.machines()) m.draining = p.capacity.drains.contains(id);
         for (auto& id : p.capacity.returns) {
             auto* m = picture_.find(id);
-            if (m && m->tasks.empty() && (m->settled || m->life == Machine::Life::booting))
+            if (m && m->tasks.empty() && (m->reconciled || m->life == Machine::Life::booting))
                 condemn(*m, "is surplus");
         }
     }
--- a/src/fleet/picture.cpp
+++ b/src/fleet/picture.cpp
@@ -163,8 +163,8 @@
     }
     m.unproven = false;
     heard.fresh = heard.current = true;
-    // Of one that was known before it settled those who follow know what is on it, too.
-    bool changed = r.session > m.session || (r.token >= base_ && !m.settled && !m.known);
+    // Of one that was known before it reconciled those who follow know what is on it, too.
+    bool changed = r.session > m.session || (r.token >= base_ && !m.reconciled && !m.known);
     if (r.session > m.session && m.session > 0) {
         // Proof: a worker that moves on to a new session has killed and forgotten all tasks of the old one.
         // Commands under way for the old session are refused by the worker.
@@ -187,7 +187,7 @@
     }
     // From a report under this leader's token on, the worker drops all commands of earlier leaders, so what
     // the report shows is all there is.
-    if (r.token >= base_) m.settled = any_settled_ = true;
+    if (r.token >= base_) m.reconciled = any_reconciled_ = true;
 
     std::set<std::pair<wire::TaskId, std::uint64_t>> shown_ended;
     std::set<wire::TaskId> shown;
@@ -274,7 +274,7 @@
 std::vector<Command> Picture::answer(Machine& m, double now, bool authority) {
     std::vector<Command> out;
     fence_unsure(m);
-    bool ours = authority && m.settled && m.life == Machine::Life::up;
+    bool ours = authority && m.reconciled && m.life == Machine::Life::up;
     // Not while a `run` is under way, which the higher token would stop, too.
     bool may_forget =
         ours && std::none_of(m.tasks.begin(), m.tasks.end(), [](auto& t) { return t.second.direct > 0; });
@@ -305,7 +305,7 @@
 }
 
 std::vector<Command> Picture::direct_now(Machine& m, double now, bool authority) {
-    authority = authority && m.settled && m.life == Machine::Life::up;
+    authority = authority && m.reconciled && m.life == Machine::Life::up;
     m.unsent = false;
     std::vector<Command> out;
     bool held_back = false;
@@ -329,7 +329,7 @@
 }
 
 bool Picture::quiet(const Machine& m) const {
-    bool plain = m.life == Machine::Life::up && m.settled && m.stored && m.notice_until < 0 && !m.unsent &&
+    bool plain = m.life == Machine::Life::up && m.reconciled && m.stored && m.notice_until < 0 && !m.unsent &&
                  m.ended.empty() && m.token == m.helm;
     return plain && std::all_of(m.tasks.begin(), m.tasks.end(), [](auto& t) {
                auto& i = t.second;
@@ -420,7 +420,7 @@
 }
 std::vector<End> Picture::lease_out(Machine& m) {
     auto ends = vanish_all(m);
-    m.settled = true;
+    m.reconciled = true;
     m.over = std::max(m.over, m.session);
     m.unproven = m.session == 0;
     mark_dirty(m);
--- a/src/fleet/picture.hpp
+++ b/src/fleet/picture.hpp
@@ -59,9 +59,9 @@
     wire::Room total;
     enum class Life { booting, up, condemned } life = Life::booting;
     bool stored = false, storing = false;  // its key at the state service
-    bool settled = false;                  // what is on it is known to this leader
+    bool reconciled = false;               // what is on it is known to this leader
     bool known =
-        false;  // by the leader before: `tasks` holds all that may be on it, though it has not settled
+        false;  // by the leader before: `tasks` holds all that may be on it, though it has not reconciled
     bool deletable = false;  // condemned, and stored as such: the deletion may be asked for
     bool deleting = false;
     std::uint64_t session = 0, sequence = 0, hello_sequence = 0, helm = 0, token = 0;
@@ -71,7 +71,7 @@
     std::string route;       // the controller through which its last report came; empty: the leader itself
     double moved = -1;       // when it was last sent to another controller
     double asked = -1;       // when this leader first asked it for a report
-    double answered = -1;    // when this leader last answered its report, before it had settled
+    double answered = -1;    // when this leader last answered its report, before it had reconciled
     double notice_until = -1;
     bool probing = false;
     std::map<wire::TaskId, Instance> tasks;
@@ -95,7 +95,7 @@
     bool usable(double now) const { return fit(now) && !suspected; }
     // But for a suspicion, which may end any moment.
     bool fit(double now) const {
-        return life == Life::up && settled && session > 0 && notice_until < 0 && now >= avoid_until;
+        return life == Life::up && reconciled && session > 0 && notice_until < 0 && now >= avoid_until;
     }
     wire::Room free() const;
     bool has_unknown() const;
@@ -168,7 +168,7 @@
     std::map<std::string, Machine>& machines() { return machines_; }
     const std::map<std::string, Machine>& machines() const { return machines_; }
     std::uint64_t base_token() const { return base_; }
-    bool any_settled() const { return any_settled_; }
+    bool any_reconciled() const { return any_reconciled_; }
     const std::vector<wire::Pool>& pools() const { return pools_; }
     std::size_t zones() const { return zones_.size(); }
     std::uint32_t image(const std::string& name);
@@ -201,7 +201,7 @@
     std::vector<std::string> zones_;
     std::map<std::string, std::uint32_t> images_;
     std::vector<std::string> to_flush_, dirty_machines_;
-    bool hold_starts_ = false, any_settled_ = false;
+    bool hold_starts_ = false, any_reconciled_ = false;
     // By job: machines that hold, or held, ends of its tasks. Walking all machines for each end that was
     // stored took as long as the reports.
     std::unordered_map<std::string, std::set<std::string>> ended_at_;
--- a/src/membership/judge.cpp
+++ b/src/membership/judge.cpp
@@ -64,7 +64,7 @@
 // Counted no later than it could be given up: a new leader that is cut off from the workers must see that
 // first.
 bool Judge::late(const Seen& m) const {
-    return m.silent > limits_.report_s * (m.settled ? late_reports : unsettled_reports);
+    return m.silent > limits_.report_s * (m.reconciled ? late_reports : unsettled_reports);
 }
 
 void Judge::look(std::span<Seen> machines, const Own& own, double now) {
@@ -153,13 +153,13 @@
 void Judge::find_lost_routes(std::span<const Seen> machines, double now) {
     std::map<std::string_view, double> latest;
     for (auto& m : machines)
-        if (m.settled) {
+        if (m.reconciled) {
             auto& l = latest[m.route];
             l = std::max(l, m.heard_at);
         }
     std::erase_if(lost_routes_, [&](auto& l) { return l.second < now; });
     for (auto& m : machines)
-        if (m.settled && now - m.heard_at > wait_ &&
+        if (m.reconciled && now - m.heard_at > wait_ &&
             latest[m.route] <= m.heard_at + limits_.report_s * between_reports)
             lost_routes_[std::string(m.route)] = now + limits_.report_s * turn_reports;
 }
@@ -168,7 +168,7 @@
 void Judge::learn(std::span<const Seen> machines, double now) {
     std::map<std::string, double, std::less<>> silent;
     for (auto& m : machines) {
-        if (!m.settled || quiet(m.zone)) continue;
+        if (!m.reconciled || quiet(m.zone)) continue;
         if (late(m)) {
             silent.emplace(m.id, m.silent);
         } else if (auto it = silent_.find(m.id); it != silent_.end()) {
@@ -199,22 +199,22 @@
     const auto& l = limits_;
     double turn = l.report_s * turn_reports;
     double wait = wait_ + (doubt_ && crowded_ ? turn : 0);
-    if (!m.settled) {
+    if (!m.reconciled) {
         // Nothing is placed while it may hold anything, and one that is well answers a direct command at
         // once. Not so if this leader reaches none itself, and hears only what others pass on: a worker may
         // try every other controller in vain before it comes to one that hears it.
-        double unsettled = own_.reaches
-                               ? std::min(wait_, l.report_s * unsettled_reports)
-                               : wait_ + l.report_s + static_cast<double>(l.peers) * wire::worker_turns_s;
-        if (doubt_) unsettled = std::max(unsettled, wait_ + turn);
-        if (!m.known) return unsettled;
-        wait = std::max(wait, unsettled);  // it holds nothing up
+        double unreconciled = own_.reaches
+                                  ? std::min(wait_, l.report_s * unsettled_reports)
+                                  : wait_ + l.report_s + static_cast<double>(l.peers) * wire::worker_turns_s;
+        if (doubt_) unreconciled = std::max(unreconciled, wait_ + turn);
+        if (!m.known) return unreconciled;
+        wait = std::max(wait, unreconciled);  // it holds nothing up
     }
     if (lost_routes_.contains(m.route)) wait += turn;
     // Its tasks run on until its lease is out, and are then proven gone without a deletion.
     if (quiet(m.zone))
         return std::max(wait, l.lease_s * (m.stake == Stake::nothing ? zone_leases
-                                           : m.settled               ? zone_tasks_leases
+                                           : m.reconciled            ? zone_tasks_leases
                                                                      : zone_unsettled_leases));
     if (m.stake == Stake::nothing) return std::max(wait, l.lease_s * empty_leases);
     if (m.stake == Stake::work) wait = std::max(wait, std::min(wait * work_patience, l.lease_s));
@@ -230,7 +230,7 @@
 }
 void Judge::gave_up(const Seen& m, double now) {
     given_up_.push_back(now);
-    if (m.settled && !quiet(m.zone)) silences_.cut_short(m.silent, now);
+    if (m.reconciled && !quiet(m.zone)) silences_.cut_short(m.silent, now);
     silent_.erase(std::string(m.id));
 }
 
--- a/src/membership/judge.hpp
+++ b/src/membership/judge.hpp
@@ -35,10 +35,10 @@
 struct Seen {
     std::string_view id, route;  // route: the controller through which it was heard; empty: the leader itself
     std::size_t zone = 0;
-    double silent = 0;     // seconds, as far as that is the machine's fault
-    double heard_at = 0;   // on the leader's clock
-    bool settled = false;  // it has answered this leader
-    bool known = false;    // or the leader before told what may be on it; if neither, it holds up all placing
+    double silent = 0;        // seconds, as far as that is the machine's fault
+    double heard_at = 0;      // on the leader's clock
+    bool reconciled = false;  // it has answered this leader
+    bool known = false;  // or the leader before told what may be on it; if neither, it holds up all placing
     Stake stake = Stake::nothing;
     double unreached = 0;  // seconds for which nothing showed that it is reached, though it is heard
 };
--- a/src/state/list_watch.hpp
+++ b/src/state/list_watch.hpp
@@ -28,8 +28,8 @@
     };
     struct Events {
         // The same change may come twice, and after newer ones of its key: go by the version. None up to
-        // `settled` comes any more.
-        std::function<void(const std::vector<wire::Event>& events, std::uint64_t settled)> changed;
+        // `reconciled` comes any more.
+        std::function<void(const std::vector<wire::Event>& events, std::uint64_t reconciled)> changed;
         // Everything, since the changes were not kept for so long.
         std::function<void(const Listed& all)> listed;
     };
--- a/src/takeover/settling.cpp
+++ b/src/takeover/reconciliation.cpp
@@ -1,4 +1,4 @@
-#include "takeover/settling.hpp"
+#include "takeover/reconciliation.hpp"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 using fleet::Machine;
 
 namespace {
-// A takeover goes on as long as in so many report periods at least this share of what is left has settled.
+// A takeover goes on as long as in so many report periods at least this share of what is left has reconciled.
 constexpr double pace_reports = 1.0 / 2, pace_share = 1.0 / 64;
 // A machine that was not even asked is given this much longer.
 constexpr double unasked_reports = 2;
@@ -20,12 +20,12 @@
 constexpr double late_reports = 1.0 / 8, late_most = 1.0 / 2, memory = 0.9;
 }  // namespace
 
-void Settling::expect(const std::string& id) {
+void Reconciliation::expect(const std::string& id) {
     unheard_.insert(id);
     ++expected_;
     unknown_.insert(id);
 }
-bool Settling::leave(std::set<std::string>& ids, bool (*leaves)(const Machine&)) const {
+bool Reconciliation::leave(std::set<std::string>& ids, bool (*leaves)(const Machine&)) const {
     while (!ids.empty()) {
         auto it = picture_.machines().find(*ids.begin());
         if (it != picture_.machines().end() && !leaves(it->second)) return false;
@@ -33,27 +33,27 @@
     }
     return true;
 }
-bool Settling::may_place() const {
-    return leave(unknown_, [](const Machine& m) { return m.settled || m.known; });
+bool Reconciliation::may_place() const {
+    return leave(unknown_, [](const Machine& m) { return m.reconciled || m.known; });
 }
-bool Settling::all_heard() const {
+bool Reconciliation::all_heard() const {
     // One of which all is known and that is waited for holds nothing else up, nor do a few such: dozens that
     // had died used to keep a leader from renting and displacing for ten seconds.
     return leave(unheard_,
                  [](const Machine& m) {
-                     return m.settled || m.life != Machine::Life::up || (m.known && m.suspected);
+                     return m.reconciled || m.life != Machine::Life::up || (m.known && m.suspected);
                  }) ||
            (few_left_ && may_place());
 }
 
 // A leader that did not even come to look in time has not come to hear either.
-void Settling::tick(double now, double period) {
+void Reconciliation::tick(double now, double period) {
     if (last_tick_ >= 0 && now - last_tick_ > period * late_ticks) pace_at_ = now;
     last_tick_ = now;
     std::size_t left = 0;
     for (auto& id : unheard_) {
         auto it = picture_.machines().find(id);
-        left += it != picture_.machines().end() && !it->second.settled;
+        left += it != picture_.machines().end() && !it->second.reconciled;
     }
     few_left_ = left * few_share <= expected_;
     if (left == 0) return;
@@ -65,19 +65,19 @@
     paced_ = {left, now};
 }
 
-void Settling::answered(double took, double now) {
+void Reconciliation::answered(double took, double now) {
     late_share_ = late_share_ * memory + (took > report_s_ * late_reports ? 1 - memory : 0);
     answered_at_ = now;
 }
-bool Settling::behind(double now) const {
+bool Reconciliation::behind(double now) const {
     return late_share_ > late_most && now - answered_at_ <= report_s_ * pace_reports;
 }
 
-// One that has not settled may have answered long ago: while others settle, its answer may lie unread. New
+// One that has not reconciled may have answered long ago: while others settle, its answer may lie unread. New
 // leaders of 2,600 machines took 7 to 10 s to hear them all with the processor they had, and fenced up to 230
 // that were well; at 5,200 each thought itself deaf and gave way to the next.
-double Settling::silence(const Machine& m, double now) const {
-    if (m.settled || m.life != Machine::Life::up) return now - m.last_heard;
+double Reconciliation::silence(const Machine& m, double now) const {
+    if (m.reconciled || m.life != Machine::Life::up) return now - m.last_heard;
     // One that no answer reaches does not settle, however often it is heard: its reports held up all placing
     // for as long as they came.
     double silent = now - (m.reach.lost() ? m.reach.shown_at() : m.last_heard);
--- a/src/takeover/settling.hpp
+++ b/src/takeover/reconciliation.hpp
@@ -10,9 +10,9 @@
 
 namespace coralhitch::takeover {
 
-class Settling {
+class Reconciliation {
   public:
-    Settling(const fleet::Picture& picture, double report_s) : picture_(picture), report_s_(report_s) {}
+    Reconciliation(const fleet::Picture& picture, double report_s) : picture_(picture), report_s_(report_s) {}
     // A machine that an earlier leader stored.
     void expect(const std::string& id);
     // Of each of them it is known what may be on it, from its report or from the leader before. Otherwise
@@ -42,7 +42,7 @@
     // Machines leave for good, those in front as soon as they are looked at.
     mutable std::set<std::string> unheard_, unknown_;
     std::pair<std::size_t, double> paced_{SIZE_MAX, -1};  // machines to be heard when last counted, and when
-    double pace_at_ = -1, last_tick_ = -1;                // when the settling was last seen to go on
+    double pace_at_ = -1, last_tick_ = -1;                // when the reconciliation was last seen to go on
     double late_share_ = 0, answered_at_ = -1;            // of the last answers, the newest counting most
 };
 
--- a/src/takeover/reading.cpp
+++ b/src/takeover/recovery_loader.cpp
@@ -1,4 +1,4 @@
-#include "takeover/reading.hpp"
+#include "takeover/recovery_loader.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -25,8 +25,8 @@
     return std::any_of(all_.begin(), all_.end(), [&](auto& s) { return std::string_view(s.first) == step; });
 }
 
-Reading::Reading(loop::Timers& timers, state::Client& state, const config::Settings& settings, Steps& steps,
-                 standby::Evidence evidence, std::function<void(Found)> done)
+RecoveryLoader::RecoveryLoader(loop::Timers& timers, state::Client& state, const config::Settings& settings,
+                               Steps& steps, standby::Evidence evidence, std::function<void(Found)> done)
     : timers_(timers),
       state_(state),
       settings_(settings),
@@ -34,15 +34,15 @@
       evidence_(std::move(evidence)),
       done_(std::move(done)) {}
 
-void Reading::start() {
+void RecoveryLoader::start() {
     settings_.op.standby ? read_record() : list_all();
 }
-void Reading::again() {
+void RecoveryLoader::again() {
     timers_.after(settings_.report_s * again_reports, guarded_([this] { start(); }));
 }
 
 // Who followed the leader before.
-void Reading::read_record() {
+void RecoveryLoader::read_record() {
     state_.get(keys::standby, Rank::write, guarded_([this](state::Found f) {
                    if (!f.ok) return again();
                    found_.record_version = f.entry ? f.entry->version : 0;
@@ -56,7 +56,7 @@
                }));
 }
 // Which leaders there were since this controller last knew.
-void Reading::read_history() {
+void RecoveryLoader::read_history() {
     state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](state::Watched w) {
                      if (w.status == state::Watched::Status::failed) return again();
                      evidence_.history = w.status == state::Watched::Status::ok;
@@ -67,7 +67,7 @@
                      list_all();
                  }));
 }
-void Reading::list(const std::string& prefix, state::Listed Found::*into, std::function<void()> then) {
+void RecoveryLoader::list(const std::string& prefix, state::Listed Found::*into, std::function<void()> then) {
     state_.list(prefix, Rank::write, guarded_([this, into, then](state::Listed l) {
                     if (!l.ok) return again();
                     found_.*into = std::move(l);
@@ -75,7 +75,7 @@
                 }));
 }
 // What is stored, by now for good: what the leader before may still write fails on its version.
-void Reading::list_all() {
+void RecoveryLoader::list_all() {
     found_.jobs_listed_at = timers_.now();
     list(keys::jobs, &Found::jobs, [this] {
         list(keys::progress, &Found::progress, [this] {
--- a/src/takeover/reading.hpp
+++ b/src/takeover/recovery_loader.hpp
@@ -40,11 +40,11 @@
     double jobs_listed_at = 0;  // steady time at which that list was begun
 };
 
-class Reading {
+class RecoveryLoader {
   public:
     // `evidence` as known before the claim is read on: label, incarnation, version, chain and copy.
-    Reading(loop::Timers& timers, state::Client& state, const config::Settings& settings, Steps& steps,
-            standby::Evidence evidence, std::function<void(Found)> done);
+    RecoveryLoader(loop::Timers& timers, state::Client& state, const config::Settings& settings, Steps& steps,
+                   standby::Evidence evidence, std::function<void(Found)> done);
     void start();
 
   private:
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -24,7 +24,7 @@
         std::size_t zone = 0;
         Stake stake = Stake::awaited;
         double phase = 0, silent_at = never, silent_for = 0, given_up = -1;
-        bool settled = true, known = true;
+        bool reconciled = true, known = true;
         bool silent(double t) const { return t >= silent_at && t < silent_at + silent_for; }
         double heard(double t) const {  // the last report before t
             double last = std::floor((t - phase) / report) * report + phase;
@@ -57,7 +57,7 @@
                 if (m.given_up >= 0) continue;
                 double heard = m.heard(t);
                 if (!m.silent(t)) judge.heard_from(m.zone, heard);
-                seen.push_back({m.id, m.route, m.zone, t - heard, heard, m.settled, m.known, m.stake});
+                seen.push_back({m.id, m.route, m.zone, t - heard, heard, m.reconciled, m.known, m.stake});
                 up.push_back(&m);
             }
             judge.look(seen, {false, true}, t);
@@ -259,7 +259,7 @@
 TEST(Judge, AnUnknownMachineIsGivenUpSoon) {
     for (bool known : {false, true}) {
         Model m(60);
-        m.machines[0].settled = false;
+        m.machines[0].reconciled = false;
         m.machines[0].known = known;
         m.silence(0, 1, 50, never);
         m.play(0, 100);
--- a/tests/picture_test.cpp
+++ b/tests/picture_test.cpp
@@ -52,14 +52,14 @@
 };
 
 TEST(Picture, RunGoesOutOnlyWithAuthorityToSettledStoredMachines) {
-    for (auto [settled, stored, authority] :
+    for (auto [reconciled, stored, authority] :
          {std::tuple(false, true, true), {true, false, true}, {true, true, false}, {true, true, true}}) {
         Bench b;
-        b.hear(settled ? b.base() : 0);
+        b.hear(reconciled ? b.base() : 0);
         b.machine().stored = stored;
         b.picture.place(b.machine(), task, b.spec, 5, 0);
         EXPECT_EQ(b.picture.direct_now(b.machine(), 0, authority).size(),
-                  settled && stored && authority ? 1u : 0u);
+                  reconciled && stored && authority ? 1u : 0u);
     }
 }
 
@@ -269,9 +269,9 @@
     b.on = {{task, 3, TaskState::running}};
     auto heard = b.hear(b.base() - 1);
     EXPECT_EQ(heard.found.size(), 1u);
-    EXPECT_FALSE(b.machine().settled);
+    EXPECT_FALSE(b.machine().reconciled);
     b.hear(b.base());
-    EXPECT_TRUE(b.machine().settled);
+    EXPECT_TRUE(b.machine().reconciled);
     b.sequence += 1;
     EXPECT_TRUE(b.hear((version + 1) << Picture::token_bits).deposed);
 }
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -10,7 +10,7 @@
 #include "standby/checks.hpp"
 #include "standby/replication_sender.hpp"
 #include "state/keys.hpp"
-#include "takeover/settling.hpp"
+#include "takeover/reconciliation.hpp"
 
 namespace coralhitch::standby {
 namespace {
@@ -385,17 +385,17 @@
         SCOPED_TRACE(c.name);
         std::vector<wire::MachineType> types;
         fleet::Picture p(7, types);
-        takeover::Settling settling(p, report);
+        takeover::Reconciliation settling(p, report);
         for (int k = 0; k < 60; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
             p.add(id, "a:1", "g", "z", false, fleet::Machine::Life::up, 0).asked = 0;
             settling.expect(id);
         }
         double next = c.settles_every;
-        int settled = 100;
+        int reconciled = 100;
         for (double t = 0; t <= 20; t += 0.5) {
             for (; next > 0 && next <= t; next += c.settles_every)
-                p.find("vm-" + std::to_string(settled++))->settled = true;
+                p.find("vm-" + std::to_string(reconciled++))->reconciled = true;
             if (c.answers_after >= 0) settling.answered(c.answers_after, t);
             settling.tick(t, 0.7);
         }
@@ -421,11 +421,11 @@
         SCOPED_TRACE(c.name);
         std::vector<wire::MachineType> types;
         fleet::Picture p(7, types);
-        takeover::Settling settling(p, 4);
+        takeover::Reconciliation settling(p, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
             auto& m = p.add(id, "a:1", "g", "z", false, fleet::Machine::Life::up, 0);
-            m.settled = k >= c.left;
+            m.reconciled = k >= c.left;
             m.known = c.known;
             settling.expect(id);
         }
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -186,10 +186,10 @@
 
 // A leader that no longer hears the workers must not take them for gone one by one: the other controllers
 // hear them, so one of these takes over, and the machines and what runs on them stay. Likewise a controller
-// that is cut off when it comes to lead: it fences unsettled machines early, but must doubt itself first. In
-// a large fleet those that fall silent first are few, and must not be fenced before the rest is missed. While
-// the others hear for the leader it may as well go on leading, and fences none of the machines that need some
-// seconds to turn to them: few of them are heard before the first is overdue.
+// that is cut off when it comes to lead: it fences unreconciled machines early, but must doubt itself first.
+// In a large fleet those that fall silent first are few, and must not be fenced before the rest is missed.
+// While the others hear for the leader it may as well go on leading, and fences none of the machines that
+// need some seconds to turn to them: few of them are heard before the first is overdue.
 TEST(Takeover, ALeaderCutOffFromTheWorkersFencesNone) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
