--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -67,8 +67,8 @@
                       jobs_changed();
                   }}),
       asks_(config::questions_per_s(c_.settings), asked_at_once(c_.settings, ask_reports)),
-      judge_({c_.settings.report_s, c_.settings.lease_s, c_.settings.op.silence_reports,
-              c_.settings.peers.size()}),
+      failure_detector_({c_.settings.report_s, c_.settings.lease_s, c_.settings.op.silence_reports,
+                         c_.settings.peers.size()}),
       reconciliation_(picture_, c_.settings.report_s),
       steps_(c_.timers),
       loader_(c_.timers, c_.state, c_.settings, steps_,
@@ -147,7 +147,7 @@
         m.deletable = r.condemned;
         if (auto it = c_.suspected.find(id); it != c_.suspected.end() && m.known)
             m.silent_before = it->second;
-        judge_.heard_from(zone_of(m), now() - m.silent_before);
+        failure_detector_.heard_from(zone_of(m), now() - m.silent_before);
         // The leader before may have gone on renewing leases for a while.
         m.renewed = now() + keep_alive_;
     }
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -18,7 +18,7 @@
 #include "fleet/usage.hpp"
 #include "jobs/table.hpp"
 #include "loop/bucket.hpp"
-#include "membership/judge.hpp"
+#include "membership/failure_detector.hpp"
 #include "placement/placement.hpp"
 #include "registry/machine_registry.hpp"
 #include "relay/delegation_table.hpp"
@@ -67,7 +67,7 @@
     std::size_t lent() const { return delegations_.count(); }
     const standby::ReplicationSender& replication() const { return replication_; }
     const takeover::Steps& steps() const { return steps_; }
-    bool doubts() const { return judge_.doubt().has_value(); }
+    bool doubts() const { return failure_detector_.doubt().has_value(); }
     std::optional<api::TaskCounts> counts(const std::string& id);
     std::vector<wire::PeerCount> all_counts();
     wire::PeerImages images() const;
@@ -129,9 +129,10 @@
     void stop_active(const std::string& id, jobs::Entry& e, double grace_s);
     void cancel_active(const std::string& id, jobs::Entry& e);
     void check_machines();
-    void check_up(fleet::Machine& m, const membership::Seen& seen, membership::Verdict verdict, bool may);
+    void check_up(fleet::Machine& m, const membership::Observation& seen, membership::Health verdict,
+                  bool may);
     bool check_lease(fleet::Machine& m);
-    membership::Stake stake(const fleet::Machine& m) const;
+    membership::EvictionCost eviction_cost(const fleet::Machine& m) const;
     double boots(const fleet::Machine& m) const;
     void condemn(fleet::Machine& m, const char* why);
     void check_reconciled();
@@ -223,7 +224,7 @@
     relay::ReplyCache reply_cache_;  // of machines that report here
     std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
     loop::Bucket asks_;              // questions to machines that have not reconciled
-    membership::Judge judge_;
+    membership::FailureDetector failure_detector_;
     takeover::Reconciliation reconciliation_;
     takeover::Steps steps_;
     takeover::RecoveryLoader loader_;
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -55,7 +55,7 @@
     r->sequence = m->sequence = m->hello_sequence = o->sequence;
     m->last_heard = m->renewed = now();
     came_by(*m, "");
-    judge_.heard_from(zone_of(*m), now());
+    failure_detector_.heard_from(zone_of(*m), now());
     revoke(m->id);
     reply({200, r->answer});
     return true;
@@ -109,7 +109,7 @@
 // The leader has most to do besides hearing, so others hear most machines: it sends quiet ones to them, a few
 // at a time, and none twice within some leases, in case that one can't be reached from there.
 std::optional<std::string> Leader::better_place(Machine& m) {
-    double t = now(), fleet = static_cast<double>(judge_.up());
+    double t = now(), fleet = static_cast<double>(failure_detector_.up());
     auto peers = static_cast<double>(std::max<std::size_t>(1, c_.settings.peers.size()));
     bool enough_here = fleet - static_cast<double>(delegations_.count()) > fleet * own_share;
     if (!c_.settings.op.hearing || !enough_here || static_cast<double>(moved_) > fleet * moved_share ||
@@ -145,7 +145,7 @@
             m->last_heard = std::max(m->last_heard, now() - static_cast<double>(h.age_ms) / 1000);
             m->reach.shown(now());
             m->suspected = false;
-            judge_.heard_from(zone_of(*m), now());
+            failure_detector_.heard_from(zone_of(*m), now());
         }
     }
     flush_all();
@@ -162,7 +162,7 @@
     {
         std::lock_guard lock(mutex_);
         if (auto* m = picture_.find(r.machine); m && m->life == Machine::Life::booting)
-            judge_.came_up(boots(*m));
+            failure_detector_.came_up(boots(*m));
         heard = picture_.hear(r, via, now(), [this](const std::string& id) -> fleet::Spec {
             auto* e = table_.find(id);
             return e ? e->spec : nullptr;
@@ -171,7 +171,7 @@
         for (auto& [task, machine] : heard.found) handle_found(task, machine);
         if (auto* m = picture_.find(r.machine); m && heard.fresh) {
             store_machine(*m);
-            judge_.heard_from(zone_of(*m), now());
+            failure_detector_.heard_from(zone_of(*m), now());
             if (m->notice_until >= 0) heed_notice(*m);
         }
     }
@@ -493,51 +493,52 @@
 }
 
 // Who would wait for a machine that is dead.
-membership::Stake Leader::stake(const Machine& m) const {
-    if (m.tasks.empty()) return membership::Stake::nothing;
+membership::EvictionCost Leader::eviction_cost(const Machine& m) const {
+    if (m.tasks.empty()) return membership::EvictionCost::nothing;
     bool alone = std::all_of(m.tasks.begin(), m.tasks.end(), [](auto& t) {
         auto& i = t.second;
         return i.spec && i.spec->kind == Kind::array && i.running_since >= 0;
     });
-    return alone ? membership::Stake::work : membership::Stake::awaited;
+    return alone ? membership::EvictionCost::work : membership::EvictionCost::awaited;
 }
 
 void Leader::check_machines() {
     double t = now();
     std::vector<Machine*> machines;
-    std::vector<membership::Seen> seen;
+    std::vector<membership::Observation> seen;
     for (auto& [id, m] : picture_.machines()) {
         if (m.life != Machine::Life::up) continue;
-        membership::Seen s{id,           m.route,      zone_of(m), reconciliation_.silence(m, t),
-                           m.last_heard, m.reconciled, m.known,    {}};
+        membership::Observation s{id,           m.route,      zone_of(m), reconciliation_.silence(m, t),
+                                  m.last_heard, m.reconciled, m.known,    {}};
         // What runs there goes on until its worker's lease is out, and that is reported. What was sent there
         // and is not seen would wait for as long.
         if (m.reconciled && m.reach.lost() && !m.runs_any())
             s.unreached = t - m.reach.shown_at() - c_.settings.report_s;
-        if (std::max(s.silent, s.unreached) > c_.settings.report_s / 2) s.stake = stake(m);
+        if (std::max(s.silent, s.unreached) > c_.settings.report_s / 2) s.eviction_cost = eviction_cost(m);
         machines.push_back(&m);
         seen.push_back(s);
     }
     double asked_s = c_.settings.report_s * c_.settings.op.silence_reports;
-    judge_.look(seen, {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
-    if (auto& doubt = judge_.doubt()) {
+    failure_detector_.look(seen,
+                           {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
+    if (auto& doubt = failure_detector_.doubt()) {
         auto elsewhere = c_.heard_elsewhere(doubt->silent);
-        judge_.answered(elsewhere);
-        if (judge_.should_give_way() && c_.give_way()) {
+        failure_detector_.answered(elsewhere);
+        if (failure_detector_.should_give_way() && c_.give_way()) {
             spdlog::info("leader: {} of {} machines are silent, {} report to another controller: giving way",
-                         doubt->silent.size(), judge_.up(), *elsewhere);
+                         doubt->silent.size(), failure_detector_.up(), *elsewhere);
             c_.election.resign(c_.settings.lease_s);
             return;
         }
     }
-    bool may = authority() && judge_.may_judge();
+    bool may = authority() && failure_detector_.may_judge();
     std::size_t suspected = 0;
     for (std::size_t k = 0; k < machines.size(); ++k) {
         auto& m = *machines[k];
-        auto verdict = judge_.judge(seen[k], t);
+        auto verdict = failure_detector_.judge(seen[k], t);
         {
             std::lock_guard lock(mutex_);
-            m.suspected = verdict != membership::Verdict::well || m.reach.lost();
+            m.suspected = verdict != membership::Health::Alive || m.reach.lost();
         }
         suspected += m.suspected;
         check_up(m, seen[k], verdict, may);
@@ -545,7 +546,8 @@
     c_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
     for (auto& [id, m] : picture_.machines()) {
         if (m.life == Machine::Life::condemned) check_lease(m);
-        if (m.life != Machine::Life::booting || !may || !judge_.overdue(boots(m), zone_of(m), t)) continue;
+        if (m.life != Machine::Life::booting || !may || !failure_detector_.overdue(boots(m), zone_of(m), t))
+            continue;
         std::lock_guard lock(mutex_);
         condemn(m, "does not come up");
     }
@@ -568,12 +570,12 @@
     return over;
 }
 
-void Leader::check_up(Machine& m, const membership::Seen& seen, membership::Verdict verdict, bool may) {
+void Leader::check_up(Machine& m, const membership::Observation& seen, membership::Health verdict, bool may) {
     double period = c_.settings.report_s, t = now();
-    bool due = m.reconciled ? judge_.late(seen) && t - m.last_probe > period / 2
+    bool due = m.reconciled ? failure_detector_.late(seen) && t - m.last_probe > period / 2
                             : t - m.last_probe > period / 3 && t - m.created > period * ask_reports;
     if (due) probe(m);
-    bool given_up = verdict == membership::Verdict::given_up;
+    bool given_up = verdict == membership::Health::Dead;
     // Who has been heard within a lease has nothing to be proven gone: seldom worth the question, each tick.
     bool lease_over = (given_up || t - m.last_heard > c_.settings.lease_s) && check_lease(m);
     // One that has reconciled is not given up while it is being asked: its answer may lie unread until the
@@ -582,8 +584,8 @@
     bool asked_now = m.reconciled && m.probing && !lease_over;
     if (given_up && !asked_now && (may || (lease_over && authority()))) {
         std::lock_guard lock(mutex_);
-        judge_.gave_up(seen, t);
-        condemn(m, judge_.evidence(seen, t).c_str());
+        failure_detector_.gave_up(seen, t);
+        condemn(m, failure_detector_.evidence(seen, t).c_str());
     } else if (may && m.notice_until >= 0 && m.tasks.empty() && m.reconciled) {
         std::lock_guard lock(mutex_);
         condemn(m, "has notice and is empty");
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -150,7 +150,7 @@
     in.types = c_.types;
     in.pools = picture_.pools();
     in.zones = picture_.zones();
-    for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(judge_.dark(z, now()));
+    for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.dark(z, now()));
     for (auto& [name, r] : rentals_)
         for (int k = 0; k < r.count; ++k) {
             capacity::MachineView v;
--- a/src/membership/judge.cpp
+++ b/src/membership/failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "membership/judge.hpp"
+#include "membership/failure_detector.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -40,20 +40,20 @@
 }
 }  // namespace
 
-Judge::Judge(const Limits& l)
+FailureDetector::FailureDetector(const Limits& l)
     : limits_(l),
       wait_(l.report_s * l.silence_reports),
       lately_(std::max(wait_ - l.report_s, l.report_s / 2)),
-      silences_(l.lease_s * memory_leases),
+      history_(l.lease_s * memory_leases),
       slowest_boot_(first_boots) {}
 
 // --- Heard ----------------------------------------------------------------------------------------------
 
-void Judge::heard_from(std::size_t zone, double now) {
+void FailureDetector::heard_from(std::size_t zone, double now) {
     if (zones_.size() <= zone) zones_.resize(zone + 1);
     zones_[zone].heard = std::max(zones_[zone].heard, now);
 }
-bool Judge::dark(std::size_t zone, double now) const {
+bool FailureDetector::dark(std::size_t zone, double now) const {
     if (zone >= zones_.size() || zones_[zone].heard < 0) return false;
     double silent = now - zones_[zone].heard;
     return silent > limits_.report_s * dark_reports && silent < limits_.lease_s * dark_leases;
@@ -63,11 +63,11 @@
 
 // Counted no later than it could be given up: a new leader that is cut off from the workers must see that
 // first.
-bool Judge::late(const Seen& m) const {
+bool FailureDetector::late(const Observation& m) const {
     return m.silent > limits_.report_s * (m.reconciled ? late_reports : unsettled_reports);
 }
 
-void Judge::look(std::span<Seen> machines, const Own& own, double now) {
+void FailureDetector::look(std::span<Observation> machines, const Own& own, double now) {
     // Many at once that no answer reaches: not they, but the way to them, or this leader, is at fault.
     auto unreached = std::count_if(machines.begin(), machines.end(), [](auto& m) { return m.unreached > 0; });
     if (static_cast<double>(unreached) < share(machines.size(), doubt_share))
@@ -127,7 +127,7 @@
 // Next to nothing is heard of a zone, while others are heard as usual: it was cut off. Its machines go on
 // with what they have, and a cut ends as a rule; deleted one after the other as each became due, 605 machines
 // were lost to a cut of ten seconds.
-void Judge::find_quiet_zones(double now) {
+void FailureDetector::find_quiet_zones(double now) {
     quiet_.clear();
     std::size_t lately = 0, up = 0;
     for (std::size_t z = 0; z < zones_.size(); ++z) {
@@ -150,7 +150,7 @@
 // to itself, they turn to another within some seconds. Fewer than a third of the fleet, they used to be
 // deleted before: 390 machines that were well, replicas on them, when a leader lost its workers while the
 // others went on hearing for it. So a machine is overdue only if others are heard the way it came.
-void Judge::find_lost_routes(std::span<const Seen> machines, double now) {
+void FailureDetector::find_lost_routes(std::span<const Observation> machines, double now) {
     std::map<std::string_view, double> latest;
     for (auto& m : machines)
         if (m.reconciled) {
@@ -164,15 +164,15 @@
             lost_routes_[std::string(m.route)] = now + limits_.report_s * turn_reports;
 }
 
-// Silences of single machines. One that is over tells how long such take.
-void Judge::learn(std::span<const Seen> machines, double now) {
+// HeartbeatHistory of single machines. One that is over tells how long such take.
+void FailureDetector::learn(std::span<const Observation> machines, double now) {
     std::map<std::string, double, std::less<>> silent;
     for (auto& m : machines) {
         if (!m.reconciled || quiet(m.zone)) continue;
         if (late(m)) {
             silent.emplace(m.id, m.silent);
         } else if (auto it = silent_.find(m.id); it != silent_.end()) {
-            silences_.ended(it->second, now);
+            history_.ended(it->second, now);
         }
     }
     silent_ = std::move(silent);
@@ -182,7 +182,7 @@
 
 // Workers that get no answer turn to the other controllers, so these know: if they hear machines, one of them
 // should lead; if they hear none after the time a worker takes to turn to them, the machines are gone.
-bool Judge::should_give_way() const {
+bool FailureDetector::should_give_way() const {
     if (!doubt_ || !elsewhere_ || *elsewhere_ == 0 || longest_ <= wait_) return false;
     double enough =
         doubt_->deaf ? share(up_ + given_up_.size(), deaf_share) : share(doubt_->silent.size(), 0.5);
@@ -191,11 +191,11 @@
 
 // --- Judged ---------------------------------------------------------------------------------------------
 
-bool Judge::may_judge() const {
+bool FailureDetector::may_judge() const {
     return !own_.behind && (!doubt_ || (elsewhere_ && *elsewhere_ * 2 < doubt_->silent.size()));
 }
 
-double Judge::patience(const Seen& m, double now) const {
+double FailureDetector::patience(const Observation& m, double now) const {
     const auto& l = limits_;
     double turn = l.report_s * turn_reports;
     double wait = wait_ + (doubt_ && crowded_ ? turn : 0);
@@ -213,32 +213,32 @@
     if (lost_routes_.contains(m.route)) wait += turn;
     // Its tasks run on until its lease is out, and are then proven gone without a deletion.
     if (quiet(m.zone))
-        return std::max(wait, l.lease_s * (m.stake == Stake::nothing ? zone_leases
-                                           : m.reconciled            ? zone_tasks_leases
-                                                                     : zone_unsettled_leases));
-    if (m.stake == Stake::nothing) return std::max(wait, l.lease_s * empty_leases);
-    if (m.stake == Stake::work) wait = std::max(wait, std::min(wait * work_patience, l.lease_s));
+        return std::max(wait, l.lease_s * (m.eviction_cost == EvictionCost::nothing ? zone_leases
+                                           : m.reconciled                           ? zone_tasks_leases
+                                                                                    : zone_unsettled_leases));
+    if (m.eviction_cost == EvictionCost::nothing) return std::max(wait, l.lease_s * empty_leases);
+    if (m.eviction_cost == EvictionCost::work)
+        wait = std::max(wait, std::min(wait * work_patience, l.lease_s));
     // As long as one that has been silent for so long is likely enough to speak.
-    if (m.silent >= wait && silences_.speaks_within(m.silent, l.report_s, now) * loss_reports > 1)
+    if (m.silent >= wait && history_.speaks_within(m.silent, l.report_s, now) * loss_reports > 1)
         return m.silent + l.report_s;
     return wait;
 }
-Verdict Judge::judge(const Seen& m, double now) const {
-    if (m.silent > limits_.report_s * unsettled_reports && m.silent > patience(m, now))
-        return Verdict::given_up;
-    return late(m) || quiet(m.zone) ? Verdict::suspected : Verdict::well;
+Health FailureDetector::judge(const Observation& m, double now) const {
+    if (m.silent > limits_.report_s * unsettled_reports && m.silent > patience(m, now)) return Health::Dead;
+    return late(m) || quiet(m.zone) ? Health::Suspected : Health::Alive;
 }
-void Judge::gave_up(const Seen& m, double now) {
+void FailureDetector::gave_up(const Observation& m, double now) {
     given_up_.push_back(now);
-    if (m.reconciled && !quiet(m.zone)) silences_.cut_short(m.silent, now);
+    if (m.reconciled && !quiet(m.zone)) history_.cut_short(m.silent, now);
     silent_.erase(std::string(m.id));
 }
 
-std::string Judge::evidence(const Seen& m, double now) const {
+std::string FailureDetector::evidence(const Observation& m, double now) const {
     static constexpr const char* stakes[] = {"nobody waits", "only its own work waits", "others wait"};
     char text[160];
     std::snprintf(text, sizeof text, "is silent for %.1f s, patience %.1f s, %s for it%s%s%s", m.silent,
-                  patience(m, now), stakes[static_cast<std::size_t>(m.stake)],
+                  patience(m, now), stakes[static_cast<std::size_t>(m.eviction_cost)],
                   m.settled ? "" : ", not settled", quiet(m.zone) ? ", its zone is quiet" : "",
                   doubt_ ? ", no other hears it" : "");
     return text;
@@ -249,11 +249,11 @@
 // At times new machines come up several times as late. Given up after the usual time each of them was deleted
 // a moment before it would have come, and another rented that was no faster: 300 machines stood for 500
 // needed. A new leader knows nothing of that yet, so it begins patiently.
-void Judge::came_up(double boots) {
+void FailureDetector::came_up(double boots) {
     slowest_boot_ = std::clamp(std::max(boots, slowest_boot_ * boots_kept), usual_boots, most_boots);
 }
 // In a zone that is cut off it may be up, and is needed as soon as the cut ends.
-bool Judge::overdue(double boots, std::size_t zone, double now) const {
+bool FailureDetector::overdue(double boots, std::size_t zone, double now) const {
     return boots > slowest_boot_ * overdue_ratio && !dark(zone, now);
 }
 
--- a/src/membership/judge.hpp
+++ b/src/membership/failure_detector.hpp
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/silences.hpp"
+#include "membership/heartbeat_history.hpp"
 
 namespace coralhitch::membership {
 
@@ -25,21 +25,21 @@
 };
 
 // Who pays if the machine is dead and it is waited for.
-enum class Stake {
+enum class EvictionCost {
     nothing,  // nobody: it holds no task
     work,     // tasks that run and save by themselves: given up, they lose as much again
     awaited,  // users of replicas, the other tasks of a gang, or a task that has not started
 };
 
 // A machine that is up, as seen at one moment.
-struct Seen {
+struct Observation {
     std::string_view id, route;  // route: the controller through which it was heard; empty: the leader itself
     std::size_t zone = 0;
     double silent = 0;        // seconds, as far as that is the machine's fault
     double heard_at = 0;      // on the leader's clock
     bool reconciled = false;  // it has answered this leader
     bool known = false;  // or the leader before told what may be on it; if neither, it holds up all placing
-    Stake stake = Stake::nothing;
+    EvictionCost eviction_cost = EvictionCost::nothing;
     double unreached = 0;  // seconds for which nothing showed that it is reached, though it is heard
 };
 
@@ -55,11 +55,11 @@
     std::map<std::string, double> silent;  // machines of which others are asked, and for how long, seconds
 };
 
-enum class Verdict { well, suspected, given_up };
+enum class Health { Alive, Suspected, Dead };
 
-class Judge {
+class FailureDetector {
   public:
-    explicit Judge(const Limits& limits);
+    explicit FailureDetector(const Limits& limits);
 
     // --- Heard ---
     void heard_from(std::size_t zone, double now);
@@ -69,11 +69,11 @@
 
     // --- Suspected: once a tick, all machines that are up ---
     // To be heard without being reached counts as silence.
-    void look(std::span<Seen> machines, const Own& own, double now);
+    void look(std::span<Observation> machines, const Own& own, double now);
     std::size_t up() const { return up_; }
     const std::optional<Doubt>& doubt() const { return doubt_; }
     bool quiet(std::size_t zone) const { return quiet_.contains(zone); }
-    bool late(const Seen& m) const;  // it should have been heard by now: it is asked
+    bool late(const Observation& m) const;  // it should have been heard by now: it is asked
 
     // --- Asked: how many of the doubtful machines another controller hears; nothing if none answers ---
     void answered(std::optional<std::size_t> elsewhere) { elsewhere_ = elsewhere; }
@@ -82,17 +82,17 @@
     // --- Judged ---
     // Whether verdicts may be carried out at all.
     bool may_judge() const;
-    Verdict judge(const Seen& m, double now) const;
+    Health judge(const Observation& m, double now) const;
     // For how long a machine like this is waited for, seconds of silence.
-    double patience(const Seen& m, double now) const;
-    void gave_up(const Seen& m, double now);
+    double patience(const Observation& m, double now) const;
+    void gave_up(const Observation& m, double now);
 
     // Machines that boot: a machine came up, or has not yet, after so many nominal boot times.
     void came_up(double boots);
     bool overdue(double boots, std::size_t zone, double now) const;
 
     // For the log: what speaks for a verdict.
-    std::string evidence(const Seen& m, double now) const;
+    std::string evidence(const Observation& m, double now) const;
 
   private:
     struct Zone {
@@ -100,8 +100,8 @@
         std::size_t up = 0, lately = 0;
     };
     void find_quiet_zones(double now);
-    void find_lost_routes(std::span<const Seen> machines, double now);
-    void learn(std::span<const Seen> machines, double now);
+    void find_lost_routes(std::span<const Observation> machines, double now);
+    void learn(std::span<const Observation> machines, double now);
 
     Limits limits_;
     double wait_, lately_;  // seconds: for a machine that others wait for; in which half of all are heard
@@ -111,7 +111,7 @@
         lost_routes_;                                    // until when machines that came by it are waited for
     std::deque<double> given_up_;                        // when machines were, lately
     std::map<std::string, double, std::less<>> silent_;  // one by one, at the last look: for how long
-    Silences silences_;
+    HeartbeatHistory history_;
     std::optional<Doubt> doubt_;
     std::optional<std::size_t> elsewhere_;
     Own own_;
--- a/src/membership/silences.cpp
+++ b/src/membership/heartbeat_history.cpp
@@ -1,4 +1,4 @@
-#include "membership/silences.hpp"
+#include "membership/heartbeat_history.hpp"
 
 namespace coralhitch::membership {
 namespace {
@@ -7,11 +7,11 @@
 constexpr std::size_t most = 2048;
 }  // namespace
 
-void Silences::add(Silence s) {
+void HeartbeatHistory::add(Silence s) {
     all_.push_back(s);
     while (all_.size() > most || s.at - all_.front().at > memory_s_) all_.pop_front();
 }
-double Silences::speaks_within(double silent_s, double more_s, double now) const {
+double HeartbeatHistory::speaks_within(double silent_s, double more_s, double now) const {
     double longer = doubt, spoke = 0;
     for (auto& s : all_) {
         if (now - s.at > memory_s_ || s.length < silent_s) continue;
--- a/src/membership/silences.hpp
+++ b/src/membership/heartbeat_history.hpp
@@ -9,9 +9,9 @@
 
 namespace coralhitch::membership {
 
-class Silences {
+class HeartbeatHistory {
   public:
-    explicit Silences(double memory_s) : memory_s_(memory_s) {}
+    explicit HeartbeatHistory(double memory_s) : memory_s_(memory_s) {}
     void ended(double length_s, double now) { add({now, length_s, true}); }       // the machine spoke again
     void cut_short(double length_s, double now) { add({now, length_s, false}); }  // it was given up
     // The chance, 0 to 1, that one which has been silent for so long speaks within so many seconds more. Low
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <random>
 
-#include "membership/judge.hpp"
+#include "membership/failure_detector.hpp"
 #include "membership/reach.hpp"
 
 namespace coralhitch::membership {
@@ -22,7 +22,7 @@
     struct Machine {
         std::string id, route;
         std::size_t zone = 0;
-        Stake stake = Stake::awaited;
+        EvictionCost eviction_cost = EvictionCost::awaited;
         double phase = 0, silent_at = never, silent_for = 0, given_up = -1;
         bool reconciled = true, known = true;
         bool silent(double t) const { return t >= silent_at && t < silent_at + silent_for; }
@@ -37,7 +37,7 @@
         std::mt19937_64 random(seed);
         for (std::size_t k = 0; k < n; ++k)
             machines.push_back({"vm-" + std::to_string(1000 + k),
-                                k % 5 ? "berth-" + std::to_string(k % 2) : "", k % 3, Stake::awaited,
+                                k % 5 ? "berth-" + std::to_string(k % 2) : "", k % 3, EvictionCost::awaited,
                                 std::uniform_real_distribution<double>(0, report)(random)});
     }
     void silence(std::size_t from, std::size_t to, double at, double for_s) {
@@ -51,13 +51,14 @@
             return std::optional<std::size_t>(0);
         }) {
         for (double t = from; t < until; t += report / 6) {
-            std::vector<Seen> seen;
+            std::vector<Observation> seen;
             std::vector<Machine*> up;
             for (auto& m : machines) {
                 if (m.given_up >= 0) continue;
                 double heard = m.heard(t);
                 if (!m.silent(t)) judge.heard_from(m.zone, heard);
-                seen.push_back({m.id, m.route, m.zone, t - heard, heard, m.reconciled, m.known, m.stake});
+                seen.push_back(
+                    {m.id, m.route, m.zone, t - heard, heard, m.reconciled, m.known, m.eviction_cost});
                 up.push_back(&m);
             }
             judge.look(seen, {false, true}, t);
@@ -65,8 +66,8 @@
             gave_way |= judge.should_give_way();
             for (std::size_t k = 0; k < up.size(); ++k) {
                 auto v = judge.judge(seen[k], t);
-                suspected += v == Verdict::suspected && !up[k]->silent(t);
-                if (v != Verdict::given_up || !judge.may_judge()) continue;
+                suspected += v == Health::Suspected && !up[k]->silent(t);
+                if (v != Health::Dead || !judge.may_judge()) continue;
                 up[k]->given_up = t - up[k]->silent_at;
                 judge.gave_up(seen[k], t);
             }
@@ -82,12 +83,12 @@
         return last;
     }
     std::vector<Machine> machines;
-    Judge judge{limits};
+    FailureDetector judge{limits};
     bool gave_way = false;
     std::size_t suspected = 0;  // looks at which a machine that is well was
 };
 
-TEST(Judge, GivesUpWhatIsDeadAndWaitsForWhatWillSpeak) {
+TEST(FailureDetector, GivesUpWhatIsDeadAndWaitsForWhatWillSpeak) {
     struct Case {
         const char* name;
         std::function<void(Model&)> what;
@@ -98,8 +99,8 @@
         for (auto& k : m.machines)
             if (k.zone == z) k.silent_at = at, k.silent_for = for_s;
     };
-    auto stakes = [](Model& m, Stake s) {
-        for (auto& k : m.machines) k.stake = s;
+    auto stakes = [](Model& m, EvictionCost s) {
+        for (auto& k : m.machines) k.eviction_cost = s;
     };
     const Case cases[] = {
         {"nothing happens", [](Model&) {}, 0, 0, 0},
@@ -107,19 +108,19 @@
         {"thirty die, others wait for them", [](Model& m) { m.silence(0, 30, 50, never); }, 30, 30, 9},
         {"they save by themselves: they are waited for as long as they lose",
          [&](Model& m) {
-             stakes(m, Stake::work);
+             stakes(m, EvictionCost::work);
              m.silence(0, 30, 50, never);
          },
          30, 30, 21},
         {"and go on before",
          [&](Model& m) {
-             stakes(m, Stake::work);
+             stakes(m, EvictionCost::work);
              m.silence(0, 30, 50, 14);
          },
          0, 0, 0},
         {"nobody waits for them: for a lease",
          [&](Model& m) {
-             stakes(m, Stake::nothing);
+             stakes(m, EvictionCost::nothing);
              m.silence(0, 30, 50, 25);
          },
          0, 0, 0},
@@ -129,7 +130,7 @@
          [&](Model& m) { zone(m, 1, 50, never); }, 100, 100, lease * 1.1 + 1},
         {"it holds nothing: for two",
          [&](Model& m) {
-             stakes(m, Stake::nothing);
+             stakes(m, EvictionCost::nothing);
              zone(m, 1, 50, 56);
          },
          0, 0, 0},
@@ -175,25 +176,25 @@
     EXPECT_EQ(r.shown_at(), 31);
 }
 // Heard, but not reached: as if silent, unless that is so of many.
-TEST(Judge, WhoIsNotReachedIsGivenUpOneByOne) {
+TEST(FailureDetector, WhoIsNotReachedIsGivenUpOneByOne) {
     for (std::size_t unreached : {1u, 20u}) {
-        Judge judge(limits);
-        std::vector<Seen> seen;
+        FailureDetector judge(limits);
+        std::vector<Observation> seen;
         std::vector<std::string> ids;
         for (std::size_t k = 0; k < 30; ++k) ids.push_back("vm-" + std::to_string(k));
         for (std::size_t k = 0; k < 30; ++k)
             seen.push_back(
-                {ids[k], "", 0, 1, 99, true, true, Stake::awaited, k < unreached ? 2 * report : 0});
+                {ids[k], "", 0, 1, 99, true, true, EvictionCost::awaited, k < unreached ? 2 * report : 0});
         judge.look(seen, {false, true}, 100);
-        EXPECT_EQ(judge.judge(seen[0], 100), unreached == 1 ? Verdict::given_up : Verdict::well);
-        EXPECT_EQ(judge.judge(seen[29], 100), Verdict::well);
+        EXPECT_EQ(judge.judge(seen[0], 100), unreached == 1 ? Health::Dead : Health::Alive);
+        EXPECT_EQ(judge.judge(seen[29], 100), Health::Alive);
     }
 }
-TEST(Judge, LearnsFromSilencesThatEnded) {
+TEST(FailureDetector, LearnsFromSilencesThatEnded) {
     for (bool hung_before : {false, true}) {
         SCOPED_TRACE(hung_before);
         Model m(300);
-        for (std::size_t k = 100; k < 160; ++k) m.machines[k].stake = Stake::work;
+        for (std::size_t k = 100; k < 160; ++k) m.machines[k].eviction_cost = EvictionCost::work;
         if (hung_before) m.silence(100, 160, 20, 11);
         m.silence(0, 40, 70, 11);
         m.play(0, 100);
@@ -211,7 +212,7 @@
 }
 
 // Many silent at once: the others are asked first, and nobody deletes a fleet that it alone can't hear.
-TEST(Judge, DoubtsItselfBeforeItGivesUpMany) {
+TEST(FailureDetector, DoubtsItselfBeforeItGivesUpMany) {
     struct Case {
         const char* name;
         std::size_t silent;
@@ -244,7 +245,7 @@
 
 // All that came by one controller fall silent together: its failure, until they had the time to turn to
 // another.
-TEST(Judge, AControllerThatEndedIsNoFaultOfItsMachines) {
+TEST(FailureDetector, AControllerThatEndedIsNoFaultOfItsMachines) {
     Model m(300);
     for (auto& k : m.machines)
         if (k.route == "berth-1") k.silent_at = 50, k.silent_for = 15;
@@ -256,7 +257,7 @@
 }
 
 // What holds up all placing is not waited for; what was told by the leader before is.
-TEST(Judge, AnUnknownMachineIsGivenUpSoon) {
+TEST(FailureDetector, AnUnknownMachineIsGivenUpSoon) {
     for (bool known : {false, true}) {
         Model m(60);
         m.machines[0].reconciled = false;
