--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -36,7 +36,7 @@
       version_(version),
       random_(seed),
       keep_alive_(relay::keep_alive_s(c_.settings, c_.election.ttl())),
-      picture_(version, c_.types),
+      cluster_state_(version, c_.types),
       table_(c_.settings.value_kb),
       store_(c_.timers, c_.state, c_.settings,
              {[this](const std::string& id) { return record_of(id); },
@@ -69,7 +69,7 @@
       asks_(config::questions_per_s(c_.settings), asked_at_once(c_.settings, ask_reports)),
       failure_detector_({c_.settings.report_s, c_.settings.lease_s, c_.settings.op.silence_reports,
                          c_.settings.peers.size()}),
-      reconciliation_(picture_, c_.settings.report_s),
+      reconciliation_(cluster_state_, c_.settings.report_s),
       steps_(c_.timers),
       loader_(c_.timers, c_.state, c_.settings, steps_,
               {c_.settings.label, c_.incarnation, version, {}, c_.election.chain(), false, {}, &c_.copy},
@@ -85,14 +85,14 @@
                    {[this](const std::string& id) { return row_of(id); },
                     [this] {
                         std::vector<std::string> ids;
-                        for (auto& [id, m] : picture_.machines()) ids.push_back(id);
+                        for (auto& [id, m] : cluster_state_.machines()) ids.push_back(id);
                         return ids;
                     },
                     [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; }, c_.peer,
                     [this] {
                         if (!stopped_) release_starts();
                     }}) {
-    if (c_.settings.op.standby) picture_.hold_starts();
+    if (c_.settings.op.standby) cluster_state_.hold_starts();
 }
 
 void Leader::start() {
@@ -100,7 +100,7 @@
 }
 void Leader::stop() {
     stopped_ = true;
-    tell_tally();
+    log_team_activity();
     c_.timers.cancel(tick_timer_);
     for (auto& [body, reply] : early_) reply({503, "{}"});
     early_.clear();
@@ -139,8 +139,8 @@
         }
     }
     for (auto& [id, r] : store_.load(found.machines)) {
-        auto& m = picture_.add(id, r.addr, r.type, r.zone, r.spot,
-                               r.condemned ? Machine::Life::condemned : Machine::Life::up, now());
+        auto& m = cluster_state_.add(id, r.addr, r.type, r.zone, r.spot,
+                                     r.condemned ? Machine::Life::condemned : Machine::Life::up, now());
         m.stored = true;
         reconciliation_.expect(id);
         if (found.inherits) inherit(id, m);
@@ -165,13 +165,13 @@
     for (auto& t : it->second.tasks) {
         wire::TaskId task{t.job, t.index};
         auto* e = table_.find(t.job);
-        picture_.inherit(m, task, e ? e->spec : nullptr, t.attempt, now());
+        cluster_state_.inherit(m, task, e ? e->spec : nullptr, t.attempt, now());
         handle_found(task, id);
     }
 }
 std::optional<wire::PeerMachineRow> Leader::row_of(const std::string& id) const {
-    auto it = picture_.machines().find(id);
-    if (it == picture_.machines().end()) return wire::PeerMachineRow{id, false, true, 0, 0, {}};
+    auto it = cluster_state_.machines().find(id);
+    if (it == cluster_state_.machines().end()) return wire::PeerMachineRow{id, false, true, 0, 0, {}};
     auto& m = it->second;
     if (m.life == Machine::Life::booting) return std::nullopt;
     wire::PeerMachineRow row{id, m.known || m.reconciled, false, m.session, m.sequence, {}};
@@ -179,16 +179,16 @@
     return row;
 }
 // The lines of all leaders together tell what each team got; bench/teams.py adds them up.
-void Leader::tell_tally() {
-    last_tally_ = now();
+void Leader::log_team_activity() {
+    last_team_log_ = now();
     std::lock_guard lock(mutex_);
-    if (auto text = tally_.tell(); !text.empty()) spdlog::info("teams: {}", text);
+    if (auto text = team_activity_.tell(); !text.empty()) spdlog::info("teams: {}", text);
 }
 void Leader::tell_changes() {
     std::vector<std::string> ids;
     {
         std::lock_guard lock(mutex_);
-        ids = picture_.dirty_machines();
+        ids = cluster_state_.dirty_machines();
     }
     if (c_.settings.op.standby)
         for (auto& id : ids) replication_.changed(id);
@@ -197,12 +197,12 @@
     {
         std::lock_guard lock(mutex_);
         for (; !held_.empty() && replication_.told(held_.front().mark); held_.pop_front()) {
-            auto* m = picture_.find(held_.front().machine);
+            auto* m = cluster_state_.find(held_.front().machine);
             if (!m) continue;
             auto i = m->tasks.find(held_.front().task);
             if (i == m->tasks.end()) continue;
             i->second.told = true;
-            picture_.flush_later(*m);
+            cluster_state_.flush_later(*m);
         }
     }
     flush_all();
@@ -210,7 +210,7 @@
 
 std::map<std::string, double> Leader::suspected() const {
     std::map<std::string, double> out;
-    for (auto& [id, m] : picture_.machines())
+    for (auto& [id, m] : cluster_state_.machines())
         if (m.life == Machine::Life::up &&
             (m.suspected || (!m.reconciled && now() - m.last_heard > c_.settings.report_s / 2)))
             out.emplace(id, now() - m.last_heard + m.silent_before);
@@ -218,10 +218,10 @@
 }
 wire::PeerImages Leader::images() const {
     wire::PeerImages out;
-    out.names.resize(picture_.images().size());
+    out.names.resize(cluster_state_.images().size());
     out.sizes.resize(out.names.size());
-    for (auto& [name, id] : picture_.images()) out.names[id] = name;
-    for (auto& [id, m] : picture_.machines()) {
+    for (auto& [name, id] : cluster_state_.images()) out.names[id] = name;
+    for (auto& [id, m] : cluster_state_.machines()) {
         if (m.cache.empty()) continue;
         wire::PeerMachineImages row{id, {}};
         for (auto& [image, gb] : m.cache) {
@@ -238,14 +238,14 @@
     std::lock_guard lock(mutex_);
     auto& told = c_.remembered;
     std::vector<std::uint32_t> ids;
-    for (auto& name : told.names) ids.push_back(picture_.image(name));
+    for (auto& name : told.names) ids.push_back(cluster_state_.image(name));
     for (auto& row : told.machines) {
-        auto* m = picture_.find(row.machine);
+        auto* m = cluster_state_.find(row.machine);
         if (!m) continue;
         std::vector<std::pair<std::uint32_t, double>> cache;
         for (auto k : row.images)
             if (k < ids.size() && k < told.sizes.size()) cache.emplace_back(ids[k], told.sizes[k]);
-        picture_.recall_cache(*m, std::move(cache));
+        cluster_state_.recall_cache(*m, std::move(cache));
     }
 }
 
@@ -253,23 +253,24 @@
     loaded_ = true;
     last_audit_ = now();
     recall_images();
-    auto known = std::count_if(picture_.machines().begin(), picture_.machines().end(),
+    auto known = std::count_if(cluster_state_.machines().begin(), cluster_state_.machines().end(),
                                [](auto& m) { return m.second.known; });
     steps_.over("loaded", std::to_string(table_.all().size()) + " jobs and " +
-                              std::to_string(picture_.machines().size()) + " machines, " +
+                              std::to_string(cluster_state_.machines().size()) + " machines, " +
                               std::to_string(known) + " of them known");
     read_ends();
     // With some of them placing can begin. Of the rest most reports lie waiting or come within a period: a
     // question costs three times as much as a report that is passed on. Those of which nothing is known hold
     // up all placing.
     double at_once = asked_at_once(c_.settings, ask_reports);
-    auto stride = static_cast<std::size_t>(static_cast<double>(picture_.machines().size()) / at_once) + 1;
+    auto stride =
+        static_cast<std::size_t>(static_cast<double>(cluster_state_.machines().size()) / at_once) + 1;
     std::size_t n = 0;
-    for (auto& [id, m] : picture_.machines())
+    for (auto& [id, m] : cluster_state_.machines())
         if (n++ % stride == 0) probe(m);
     c_.timers.after(c_.settings.report_s * ask_reports, guarded([this] {
                         for (bool known : {false, true})
-                            for (auto& [id, m] : picture_.machines())
+                            for (auto& [id, m] : cluster_state_.machines())
                                 if (!m.reconciled && m.known == known) probe(m);
                     }));
     hear_early();
@@ -293,7 +294,7 @@
         bool cancelled = record.cancelled;
         if (!table_.put(id, version, std::move(record))) return false;
         auto& e = *table_.find(id);
-        e.image = picture_.image(e.spec->image);
+        e.image = cluster_state_.image(e.spec->image);
         spdlog::debug("job {} of class {}: {} tasks, awaits {}, cancelled {}", id, e.spec->cls, e.spec->tasks,
                       e.awaits.size(), e.cancelled);
         if (cancelled) cancel_active(id, e);
@@ -337,7 +338,7 @@
 api::TaskCounts Leader::count(const std::string& id, const jobs::Entry& e) {
     api::TaskCounts c{e.done_count, 0};
     for (auto& [task, a] : e.active) {
-        auto* m = picture_.find(a.machine);
+        auto* m = cluster_state_.find(a.machine);
         if (!m) continue;
         auto it = m->tasks.find({id, task});
         if (it != m->tasks.end() && it->second.running_since >= 0) ++c.running;
@@ -373,7 +374,7 @@
     delete_condemned();
     drop_keys();
     audit();
-    if (now() - last_tally_ > c_.settings.lease_s) tell_tally();
+    if (now() - last_team_log_ > c_.settings.lease_s) log_team_activity();
     if (now() - last_list_ > c_.settings.list_lag_s) list_hosts();
     std::vector<std::string> names;
     for (auto& [name, r] : rentals_) names.push_back(name);
@@ -383,7 +384,7 @@
     c_.metrics.gauge("awaiting",
                      static_cast<double>(std::count_if(table_.all().begin(), table_.all().end(),
                                                        [](auto& j) { return j.second.awaiting(); })));
-    c_.metrics.gauge("machines", static_cast<double>(picture_.machines().size()));
+    c_.metrics.gauge("machines", static_cast<double>(cluster_state_.machines().size()));
 }
 
 }  // namespace coralhitch::daemon
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -14,7 +14,7 @@
 #include "cloud/client.hpp"
 #include "daemon/metrics.hpp"
 #include "daemon/planner.hpp"
-#include "fleet/picture.hpp"
+#include "fleet/cluster_state.hpp"
 #include "fleet/usage.hpp"
 #include "jobs/table.hpp"
 #include "loop/bucket.hpp"
@@ -105,7 +105,7 @@
     void tick();
 
     // machines
-    fleet::Heard hear(const wire::Report& r, fleet::Via via);
+    fleet::ReportOutcome apply_report(const wire::Report& r, fleet::Via via);
     double worker_lease_bound() const;
     bool may_renew() const { return !stopped_ && now() <= worker_lease_bound(); }
     bool hello_again(const std::string& body, const http::Reply& reply);
@@ -148,7 +148,7 @@
     // what others follow
     std::optional<wire::PeerMachineRow> row_of(const std::string& id) const;
     void tell_changes();
-    void tell_tally();
+    void log_team_activity();
     void release_starts();
 
     // jobs
@@ -194,7 +194,7 @@
     bool stopped_ = false, loaded_ = false, was_reconciled_ = false;
 
     std::mutex mutex_;  // guards the picture and the table: the planner reads them
-    fleet::Picture picture_;
+    fleet::ClusterState cluster_state_;
     jobs::Table table_;
     registry::MachineRegistry store_;
     state::ListWatch job_watch_;
@@ -213,8 +213,8 @@
     int removing_ = 0;
     bool planning_ = false, plan_wanted_ = false, store_wanted_ = false;
     double plan_took_ = 0;
-    fleet::Tally tally_;
-    double last_tally_ = -1;
+    fleet::TeamActivity team_activity_;
+    double last_team_log_ = -1;
     static constexpr double never = -1e9;  // long before a leader begins
     double last_audit_ = 0;
     double last_plan_ = -1, last_capacity_ = -1, last_list_ = never, remove_retry_ = 0;
--- a/src/daemon/leader_jobs.cpp
+++ b/src/daemon/leader_jobs.cpp
@@ -73,7 +73,7 @@
     bool awaited = table_.awaits().awaited(id);
     {
         std::lock_guard lock(mutex_);
-        picture_.stored(id);
+        cluster_state_.stored(id);
         table_.erase(id, revision);
         table_.ended(id, state, c_.timers.unix_time());
     }
@@ -141,7 +141,7 @@
                          now() + c_.settings.report_s / 6;  // tasks that end together are stored together
                      for (auto task : tasks) e->unstored.erase(task);
                      for (auto& b : blocks) e->blocks[b] = c.revision;
-                     picture_.stored(id, tasks);
+                     cluster_state_.stored(id, tasks);
                  }));
 }
 
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -32,7 +32,7 @@
     if (hello_again(body, reply)) return;
     std::string machine;
     auto a = answer_report(body, "", machine);
-    auto* m = picture_.find(machine);
+    auto* m = cluster_state_.find(machine);
     if (a.quiet && m) {
         if (auto elsewhere = better_place(*m)) {
             reply_cache_.forget(machine);
@@ -50,8 +50,8 @@
     auto* r = reply_cache_.find(body, *o);
     if (!r) return false;
     std::lock_guard lock(mutex_);
-    auto* m = picture_.find(std::string(o->machine));
-    if (!m || m->sequence != r->sequence || !picture_.quiet(*m)) return false;
+    auto* m = cluster_state_.find(std::string(o->machine));
+    if (!m || m->sequence != r->sequence || !cluster_state_.quiet(*m)) return false;
     r->sequence = m->sequence = m->hello_sequence = o->sequence;
     m->last_heard = m->renewed = now();
     came_by(*m, "");
@@ -75,21 +75,22 @@
     machine = report.machine;
     auto heard = hear(report, fleet::Via::hello);
     std::lock_guard lock(mutex_);
-    auto* m = picture_.find(report.machine);
+    auto* m = cluster_state_.find(report.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
     if (stopped_ || !heard.current || !m) return {};
-    if (!picture_.renewable(*m, now())) {
+    if (!cluster_state_.renewable(*m, now())) {
         probe(*m);
         return {};
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
-    if (heard.again) return {200, wire::report_answer(m->token, picture_.answer(*m, now(), may)), false};
+    if (heard.again)
+        return {200, wire::report_answer(m->token, cluster_state_.answer(*m, now(), may)), false};
     came_by(*m, hearer);
     if (!delegations_.delegated_to(m->id, hearer)) revoke(m->id);  // it has left the controller that heard it
-    auto commands = picture_.answer(*m, now(), may);
+    auto commands = cluster_state_.answer(*m, now(), may);
     m->renewed = m->reconciled ? now() : std::max(m->renewed, now());
     if (!m->reconciled) m->answered = now();
-    bool quiet = commands.empty() && picture_.quiet(*m);
+    bool quiet = commands.empty() && cluster_state_.quiet(*m);
     if (!hearer.empty() && quiet)
         delegations_.delegate(m->id, hearer);
     else
@@ -103,7 +104,7 @@
 }
 void Leader::revoke(const std::string& id) {
     auto until = delegations_.revoke(id);
-    auto* m = picture_.find(id);
+    auto* m = cluster_state_.find(id);
     if (until && m) m->lent_until = std::max(m->lent_until, *until);
 }
 // The leader has most to do besides hearing, so others hear most machines: it sends quiet ones to them, a few
@@ -131,7 +132,7 @@
     auto send = [&] { reply({200, wire::pack_peer(a), "application/msgpack"}); };
     if (!a.ready) return send();
     auto given_back = [this](const std::string& id, double until) {
-        if (auto* m = picture_.find(id)) m->lent_until = std::max(m->lent_until, until);
+        if (auto* m = cluster_state_.find(id)) m->lent_until = std::max(m->lent_until, until);
     };
     if (!delegations_.heard(q.label, q.incarnation, q.number, q.answered, given_back))
         return reply({503, {}, "application/msgpack"});
@@ -140,7 +141,7 @@
     {
         std::lock_guard lock(mutex_);
         for (auto& h : q.heard) {
-            auto* m = picture_.find(h.machine);
+            auto* m = cluster_state_.find(h.machine);
             if (!m || !delegations_.delegated_to(h.machine, q.label)) continue;
             m->last_heard = std::max(m->last_heard, now() - static_cast<double>(h.age_ms) / 1000);
             m->reach.shown(now());
@@ -157,19 +158,19 @@
     send();
 }
 
-fleet::Heard Leader::hear(const wire::Report& r, fleet::Via via) {
-    fleet::Heard heard;
+fleet::ReportOutcome Leader::hear(const wire::Report& r, fleet::Via via) {
+    fleet::ReportOutcome heard;
     {
         std::lock_guard lock(mutex_);
-        if (auto* m = picture_.find(r.machine); m && m->life == Machine::Life::booting)
+        if (auto* m = cluster_state_.find(r.machine); m && m->life == Machine::Life::booting)
             failure_detector_.came_up(boots(*m));
-        heard = picture_.hear(r, via, now(), [this](const std::string& id) -> fleet::Spec {
+        heard = cluster_state_.apply_report(r, via, now(), [this](const std::string& id) -> fleet::Spec {
             auto* e = table_.find(id);
             return e ? e->spec : nullptr;
         });
         for (auto& e : heard.ends) handle_end(e);
         for (auto& [task, machine] : heard.found) handle_found(task, machine);
-        if (auto* m = picture_.find(r.machine); m && heard.fresh) {
+        if (auto* m = cluster_state_.find(r.machine); m && heard.fresh) {
             store_machine(*m);
             failure_detector_.heard_from(zone_of(*m), now());
             if (m->notice_until >= 0) heed_notice(*m);
@@ -178,7 +179,7 @@
     if (heard.deposed) {
         spdlog::info("leader: machine {} has seen the token of a later leader", r.machine);
         // Not from within what the worker's message set off: this object would be gone before it is done.
-        auto version = r.token >> fleet::Picture::token_bits;
+        auto version = r.token >> fleet::ClusterState::token_bits;
         c_.timers.after(0, guarded([this, version] { c_.election.deposed(version); }));
         return heard;
     }
@@ -192,7 +193,8 @@
 }
 
 void Leader::check_reconciled() {
-    if (loaded_ && !steps_.has("may place") && reconciliation_.may_place() && picture_.any_reconciled()) {
+    if (loaded_ && !steps_.has("may place") && reconciliation_.may_place() &&
+        cluster_state_.any_reconciled()) {
         steps_.over("may place");
         plan_soon();
     }
@@ -203,12 +205,12 @@
 }
 void Leader::types_changed() {
     std::lock_guard lock(mutex_);
-    picture_.set_types(c_.types);
+    cluster_state_.set_types(c_.types);
 }
 
 void Leader::handle_found(const wire::TaskId& task, const std::string& machine) {
     auto* e = table_.find(task.job);
-    auto* m = picture_.find(machine);
+    auto* m = cluster_state_.find(machine);
     auto it = m->tasks.find(task);
     if (!e || it == m->tasks.end()) return;  // of a job that is over: the picture stops it
     auto& i = it->second;
@@ -220,23 +222,23 @@
         // one used to be stopped if it was heard second.
         auto* older = m;
         if (i.attempt > a->second.attempt) {
-            older = picture_.find(a->second.machine);
+            older = cluster_state_.find(a->second.machine);
             a->second = {machine, i.attempt, zone_of(*m)};
         }
         if (auto old = older ? older->tasks.find(task) : m->tasks.end(); older && old != older->tasks.end()) {
             old->second.stray = true;
             ++e->strays;
-            picture_.stop(*older, task, 0);
+            cluster_state_.stop(*older, task, 0);
         }
     }
-    if (e->cancelled) picture_.cancel(*m, task, worker_lease_bound());
-    if (e->is_done(task.index)) picture_.stop(*m, task, 0);
+    if (e->cancelled) cluster_state_.cancel(*m, task, worker_lease_bound());
+    if (e->is_done(task.index)) cluster_state_.stop(*m, task, 0);
 }
 
 void Leader::handle_end(const fleet::End& end) {
     auto* e = table_.find(end.task.job);
     if (!e) {
-        picture_.stored(end.task.job);  // the job is over and stored
+        cluster_state_.stored(end.task.job);  // the job is over and stored
         return;
     }
     spdlog::debug("task {} attempt {} left {}: reported {} cause {}", end.task.str(), end.attempt,
@@ -245,7 +247,7 @@
     auto a = e->active.find(end.task.index);
     // The place is free if the picture holds nothing there any more: an old attempt that is reported as
     // exited once more says nothing about the one that came after it.
-    auto* there = picture_.find(end.machine);
+    auto* there = cluster_state_.find(end.machine);
     bool ours = a != e->active.end() && a->second.machine == end.machine &&
                 !(there && there->tasks.contains(end.task));
     if (ours) e->active.erase(a);
@@ -260,17 +262,17 @@
         } else {
             e->mark_done(end.task.index);
         }
-        tally_.done(spec.team, e->done_count - before);
+        team_activity_.done(spec.team, e->done_count - before);
         e->failures = 0;
         e->not_before = 0;
-        if (auto* m = picture_.find(end.machine)) m->error_jobs.clear();
+        if (auto* m = cluster_state_.find(end.machine)) m->error_jobs.clear();
         if (e->is_done(end.task.index) && !e->unstored.contains(end.task.index))
-            picture_.stored(end.task.job, {end.task.index});
+            cluster_state_.stored(end.task.job, {end.task.index});
         return;
     }
-    if (end.cause == Cause::done) picture_.stored(end.task.job, {end.task.index});
+    if (end.cause == Cause::done) cluster_state_.stored(end.task.job, {end.task.index});
     if (!ours) return;
-    if (end.started) tally_.stopped(spec.team);
+    if (end.started) team_activity_.stopped(spec.team);
     switch (end.cause) {
         case Cause::error:
             task_error(*e, end);
@@ -278,7 +280,7 @@
         case Cause::no_room:
         case Cause::busy:
             // The picture of this machine was wrong: let reports mend it first.
-            if (auto* m = picture_.find(end.machine)) m->avoid_until = now() + c_.settings.report_s;
+            if (auto* m = cluster_state_.find(end.machine)) m->avoid_until = now() + c_.settings.report_s;
             break;
         case Cause::unknown:
             e->not_before = now() + c_.settings.report_s;
@@ -301,7 +303,7 @@
         e.not_before = now() + c_.settings.report_s * std::pow(2.0, doublings);
         if (e.failed_on.size() > 8) e.failed_on.clear();
     }
-    auto* m = picture_.find(end.machine);
+    auto* m = cluster_state_.find(end.machine);
     if (!m) return;
     m->error_jobs.insert(end.task.job);
     if (e.on_probation()) return;  // says more about the job than about the machine
@@ -318,13 +320,14 @@
 
 void Leader::stop_active(const std::string& id, jobs::Entry& e, double grace_s) {
     for (auto& [task, a] : e.active)
-        if (auto* m = picture_.find(a.machine)) picture_.stop(*m, {id, task}, grace_s);
+        if (auto* m = cluster_state_.find(a.machine)) cluster_state_.stop(*m, {id, task}, grace_s);
 }
 
 // A cancellation that this leader did not know when it was last complete was told after that.
 void Leader::cancel_active(const std::string& id, jobs::Entry& e) {
     for (auto& [task, a] : e.active)
-        if (auto* m = picture_.find(a.machine)) picture_.cancel(*m, {id, task}, worker_lease_bound());
+        if (auto* m = cluster_state_.find(a.machine))
+            cluster_state_.cancel(*m, {id, task}, worker_lease_bound());
 }
 
 void Leader::heed_notice(Machine& m) {
@@ -338,7 +341,7 @@
         if (e && e->spec->kind == Kind::gang)
             stop_active(id.job, *e, grace);
         else
-            picture_.stop(m, id, grace);
+            cluster_state_.stop(m, id, grace);
     }
     if (!stops.empty()) spdlog::info("machine {} has notice: {} tasks are moved", m.id, stops.size());
 }
@@ -347,7 +350,7 @@
     std::vector<std::string> ids;
     {
         std::lock_guard lock(mutex_);
-        ids = picture_.to_flush();
+        ids = cluster_state_.to_flush();
     }
     bool idle = flushing_.empty();
     for (auto& id : ids) {
@@ -360,7 +363,7 @@
 // lease ran out meanwhile.
 void Leader::flush_some() {
     for (std::size_t k = 0; k < flushes_at_once && !flushing_.empty(); ++k) {
-        auto* m = picture_.find(flushing_.front());
+        auto* m = cluster_state_.find(flushing_.front());
         flushing_.pop_front();
         if (m) flush(*m);
     }
@@ -374,7 +377,7 @@
             m.unsent = false;
             return;
         }
-        commands = picture_.direct_now(m, now(), authority());
+        commands = cluster_state_.direct_now(m, now(), authority());
     }
     if (!commands.empty()) send_direct(m, std::move(commands));
 }
@@ -402,7 +405,7 @@
     bool waits = false;
     std::size_t left = to_probe_.size();
     for (std::size_t k = 0; k < flushes_at_once && probing_ < most && left > 0; --left) {
-        auto* m = picture_.find(to_probe_.front());
+        auto* m = cluster_state_.find(to_probe_.front());
         to_probe_.pop_front();
         if (!m) continue;
         // It has been heard meanwhile, or was answered and will say so in its next report, half a second
@@ -449,7 +452,7 @@
                      if (r) reconciliation_.answered(now() - sent, now());
                      if (probe) {
                          --probing_;
-                         if (auto* m = picture_.find(id)) m->probing = false;
+                         if (auto* m = cluster_state_.find(id)) m->probing = false;
                      }
                      answered(id, commands, token, r);
                      if (probe && !to_probe_.empty()) probe_soon();
@@ -462,26 +465,26 @@
     if (executed || refused) direct_heard_ = now();
     if (executed || refused) try {
             auto report = reader_.read(r->body);
-            auto* before = picture_.find(id);
+            auto* before = cluster_state_.find(id);
             first_session = before && before->session < report.session;
             if (report.machine == id) hear(report, fleet::Via::direct);
             // What a hearer would go on answering may not be the last word any more.
-            if (auto* m = picture_.find(id); m && !picture_.quiet(*m)) revoke(id);
+            if (auto* m = cluster_state_.find(id); m && !cluster_state_.quiet(*m)) revoke(id);
         } catch (const wire::Malformed& x) {
             spdlog::info("machine {}: {}", id, x.what());
         }
     std::lock_guard lock(mutex_);
-    auto* m = picture_.find(id);
+    auto* m = cluster_state_.find(id);
     if (!m) return;
     if (executed || refused)
         m->reach.shown(now());
     else
         m->reach.ignored(now());
-    picture_.direct_done(*m, commands, token, executed || refused);
+    cluster_state_.direct_done(*m, commands, token, executed || refused);
     // A 409 told the session: ask again at once, so that the machine settles.
     if (refused && first_session && !m->reconciled)
         c_.timers.after(0, guarded([this, id] {
-                            if (auto* again = picture_.find(id)) probe(*again);
+                            if (auto* again = cluster_state_.find(id)) probe(*again);
                         }));
 }
 
@@ -506,7 +509,7 @@
     double t = now();
     std::vector<Machine*> machines;
     std::vector<membership::Observation> seen;
-    for (auto& [id, m] : picture_.machines()) {
+    for (auto& [id, m] : cluster_state_.machines()) {
         if (m.life != Machine::Life::up) continue;
         membership::Observation s{id,           m.route,      zone_of(m), reconciliation_.silence(m, t),
                                   m.last_heard, m.reconciled, m.known,    {}};
@@ -544,7 +547,7 @@
         check_up(m, seen[k], verdict, may);
     }
     c_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
-    for (auto& [id, m] : picture_.machines()) {
+    for (auto& [id, m] : cluster_state_.machines()) {
         if (m.life == Machine::Life::condemned) check_lease(m);
         if (m.life != Machine::Life::booting || !may || !failure_detector_.overdue(boots(m), zone_of(m), t))
             continue;
@@ -564,7 +567,7 @@
     if (over && now() - m.last_heard > s.lease_s && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
         std::lock_guard lock(mutex_);
-        for (auto& e : picture_.lease_out(m)) handle_end(e);
+        for (auto& e : cluster_state_.lease_out(m)) handle_end(e);
         plan_soon();
     }
     return over;
@@ -612,7 +615,7 @@
     constexpr int most_calls = 4;
     while (removing_ < most_calls && authority() && now() >= remove_retry_) {
         std::vector<std::string> ids;
-        for (auto& [id, m] : picture_.machines())
+        for (auto& [id, m] : cluster_state_.machines())
             if (m.life == Machine::Life::condemned && m.deletable && !m.deleting &&
                 ids.size() < cloud::Client::remove_most) {
                 ids.push_back(id);
@@ -627,19 +630,19 @@
     --removing_;
     if (!ok) {
         for (auto& id : ids)
-            if (auto* m = picture_.find(id)) m->deleting = false;
+            if (auto* m = cluster_state_.find(id)) m->deleting = false;
         remove_retry_ = now() + c_.settings.report_s / 3;
         return;
     }
     {
         std::lock_guard lock(mutex_);
         for (auto& id : ids) {
-            if (!picture_.find(id)) continue;
+            if (!cluster_state_.find(id)) continue;
             store_.remove(id);
             revoke(id);
             reply_cache_.forget(id);
             // Proof: by the time of the answer the machine and everything on it are gone.
-            for (auto& e : picture_.removed(id)) handle_end(e);
+            for (auto& e : cluster_state_.removed(id)) handle_end(e);
         }
     }
     tell_changes();
@@ -673,7 +676,7 @@
     store_.put(m.id);
 }
 std::optional<wire::MachineRecord> Leader::record_of(const std::string& id) {
-    auto* m = picture_.find(id);
+    auto* m = cluster_state_.find(id);
     if (!m) return std::nullopt;
     return wire::MachineRecord{m->addr, m->type, m->zone, m->spot, m->life == Machine::Life::condemned};
 }
@@ -681,13 +684,13 @@
     {
         std::lock_guard lock(mutex_);
         for (auto& [id, r] : records) {
-            auto* m = picture_.find(id);
+            auto* m = cluster_state_.find(id);
             if (!m) continue;
             if (r.condemned) m->deletable = true;
             if (m->stored) continue;
             m->stored = true;
             for (auto& [task, i] : m->tasks) i.ready = true;
-            picture_.flush_later(*m);
+            cluster_state_.flush_later(*m);
         }
     }
     flush_all();
@@ -707,11 +710,11 @@
             std::lock_guard lock(mutex_);
             for (auto& h : *hosts) {
                 // The list lags: what is known to be gone stays gone.
-                if (picture_.is_gone(h.id)) continue;
-                auto* known = picture_.find(h.id);
-                auto& m =
-                    known ? *known
-                          : picture_.add(h.id, h.addr, h.type, h.zone, h.spot, Machine::Life::booting, now());
+                if (cluster_state_.is_gone(h.id)) continue;
+                auto* known = cluster_state_.find(h.id);
+                auto& m = known ? *known
+                                : cluster_state_.add(h.id, h.addr, h.type, h.zone, h.spot,
+                                                     Machine::Life::booting, now());
                 if (!known) m.created = now() - h.age_s;
                 if (h.state == wire::HostState::failed && m.life != Machine::Life::condemned) {
                     condemn(m, "has failed");
@@ -722,7 +725,7 @@
             }
         }
         for (auto& id : to_probe)
-            if (auto* m = picture_.find(id)) probe(*m);
+            if (auto* m = cluster_state_.find(id)) probe(*m);
     }));
 }
 
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -81,10 +81,10 @@
 }
 
 std::size_t Leader::zone_of(const Machine& m) const {
-    return picture_.pools()[m.pool].zone_index;
+    return cluster_state_.pools()[m.pool].zone_index;
 }
 placement::ZoneCounts Leader::zones_of(const jobs::Entry& e) const {
-    placement::ZoneCounts zones(picture_.zones());
+    placement::ZoneCounts zones(cluster_state_.zones());
     for (auto& [task, a] : e.active) ++zones[a.zone];
     return zones;
 }
@@ -92,9 +92,9 @@
     placement::Input in;
     in.now = now();
     in.unix_now = c_.timers.unix_time();
-    in.pools = picture_.pools();
-    in.zones = picture_.zones();
-    in.machines.reserve(picture_.machines().size());
+    in.pools = cluster_state_.pools();
+    in.zones = cluster_state_.zones();
+    in.machines.reserve(cluster_state_.machines().size());
     in.jobs.reserve(table_.all().size());
     std::unordered_map<const wire::Job*, std::size_t> job_index;
     for (auto& [id, e] : table_.all()) {
@@ -117,7 +117,7 @@
         in.jobs.push_back(std::move(j));
     }
     fleet::Usage used;
-    for (auto& [id, m] : picture_.machines()) {
+    for (auto& [id, m] : cluster_state_.machines()) {
         used.add(m);
         placement::MachineView v;
         v.id = id;
@@ -148,8 +148,8 @@
 capacity::Input Leader::rentals() const {
     capacity::Input in;
     in.types = c_.types;
-    in.pools = picture_.pools();
-    in.zones = picture_.zones();
+    in.pools = cluster_state_.pools();
+    in.zones = cluster_state_.zones();
     for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.dark(z, now()));
     for (auto& [name, r] : rentals_)
         for (int k = 0; k < r.count; ++k) {
@@ -166,7 +166,7 @@
 void Leader::fill_capacity(Plan& p) {
     auto& in = p.fleet;
     for (auto& v : p.in.machines) {
-        auto* m = picture_.find(v.id);
+        auto* m = cluster_state_.find(v.id);
         if (!m || m->life == Machine::Life::condemned || m->notice_until >= 0) continue;
         bool booting = m->life == Machine::Life::booting;
         bool suspected = m->suspected && m->fit(p.in.now) && !m->has_unknown();
@@ -203,7 +203,7 @@
 void Leader::apply_starts(Plan& p) {
     auto& starts = p.out.starts;
     if (starts.empty()) return;  // most plans, and the sum walks the whole fleet
-    auto used = fleet::team_used(picture_, c_.settings.teams);
+    auto used = fleet::team_used(cluster_state_, c_.settings.teams);
     for (std::size_t k = 0; k < starts.size();) {
         auto job = starts[k].job;
         auto& id = p.in.jobs[job].spec->id;
@@ -217,15 +217,15 @@
         std::vector<std::pair<Machine*, std::uint32_t>> placed;
         bool ok = e && team != c_.settings.teams.end() && (!gang || e->active.empty());
         auto zones = ok ? zones_of(*e) : placement::ZoneCounts{};
-        auto attempt = picture_.base_token() + ++attempts_;
+        auto attempt = cluster_state_.base_token() + ++attempts_;
         for (std::size_t i = k; ok && i < end; ++i) {
-            auto* m = picture_.find(p.in.machines[starts[i].machine].id);
+            auto* m = cluster_state_.find(p.in.machines[starts[i].machine].id);
             auto task = starts[i].task;
             ok = m && may_start(*e, task, *m, zones) &&
                  placement::team_allows(*team, used[e->spec->team], e->spec->need);
             if (!ok) break;
             used[e->spec->team] += e->spec->need;
-            picture_.place(*m, {id, task}, e->spec, attempt, now());
+            cluster_state_.place(*m, {id, task}, e->spec, attempt, now());
             e->active[task] = {m->id, attempt, zone_of(*m)};
             ++zones[zone_of(*m)];
             placed.emplace_back(m, task);
@@ -233,7 +233,7 @@
         if (ok) {
             for (auto& [m, task] : placed) {
                 started_now_.emplace_back(m->id, wire::TaskId{id, task});
-                tally_.started(e->spec->team);
+                team_activity_.started(e->spec->team);
                 spdlog::debug("task {}/{} attempt {} goes to {}", id, task, attempt, m->id);
             }
         } else {
@@ -279,15 +279,15 @@
             if (!stops) break;
             auto& i = p.in.instances[s.instance];
             auto& spec = *p.in.jobs[i.job].spec;
-            auto* m = picture_.find(p.in.machines[i.machine].id);
+            auto* m = cluster_state_.find(p.in.machines[i.machine].id);
             if (!m || !m->tasks.contains({spec.id, i.task})) continue;
             spdlog::debug("task {}/{} is stopped for {}", spec.id, i.task, p.in.jobs[s.for_job].spec->id);
-            picture_.stop(*m, {spec.id, i.task}, placement::grace_of(spec));
+            cluster_state_.stop(*m, {spec.id, i.task}, placement::grace_of(spec));
         }
         if (p.with_capacity)
-            for (auto& [id, m] : picture_.machines()) m.draining = p.capacity.drains.contains(id);
+            for (auto& [id, m] : cluster_state_.machines()) m.draining = p.capacity.drains.contains(id);
         for (auto& id : p.capacity.returns) {
-            auto* m = picture_.find(id);
+            auto* m = cluster_state_.find(id);
             if (m && m->tasks.empty() && (m->reconciled || m->life == Machine::Life::booting))
                 condemn(*m, "is surplus");
         }
@@ -316,7 +316,7 @@
 void Leader::rent(const capacity::Rent& r) {
     // Names are never used again, by any controller: the version belongs to this leadership alone.
     std::string name = "r-" + std::to_string(version_) + "-" + std::to_string(++rentals_made_);
-    auto& pool = picture_.pools()[r.pool];
+    auto& pool = cluster_state_.pools()[r.pool];
     rentals_[name] = {r.pool, r.count, false};
     spdlog::info("renting {} {} {} in {} as {}", r.count, pool.spot ? "spot" : "ordinary", pool.type,
                  pool.zone, name);
@@ -327,7 +327,7 @@
     auto& r = rentals_.at(name);
     if (r.asking || !authority()) return;
     r.asking = true;
-    auto& pool = picture_.pools()[r.pool];
+    auto& pool = cluster_state_.pools()[r.pool];
     c_.cloud.rent(name, pool.type, pool.zone, pool.spot, r.count, guarded([this, name](cloud::Rented out) {
                       auto it = rentals_.find(name);
                       if (it == rentals_.end()) return;
@@ -338,11 +338,11 @@
                           refused_[r.pool] = now() + c_.settings.report_s * refused_reports;
                       {
                           std::lock_guard lock(mutex_);
-                          auto pool = picture_.pools()[r.pool];
+                          auto pool = cluster_state_.pools()[r.pool];
                           for (auto& id : out.machines)
-                              if (!picture_.is_gone(id))
-                                  picture_.add(id, "", pool.type, pool.zone, pool.spot,
-                                               Machine::Life::booting, now());
+                              if (!cluster_state_.is_gone(id))
+                                  cluster_state_.add(id, "", pool.type, pool.zone, pool.spot,
+                                                     Machine::Life::booting, now());
                       }
                       rentals_.erase(it);
                   }));
--- a/src/fleet/picture.cpp
+++ b/src/fleet/cluster_state.cpp
@@ -1,4 +1,4 @@
-#include "fleet/picture.hpp"
+#include "fleet/cluster_state.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -23,11 +23,11 @@
     return std::any_of(tasks.begin(), tasks.end(), [](auto& t) { return t.second.seen; });
 }
 
-Picture::Picture(std::uint64_t version, const std::vector<wire::MachineType>& types)
+ClusterState::ClusterState(std::uint64_t version, const std::vector<wire::MachineType>& types)
     : base_(version << token_bits) {
     set_types(types);
 }
-void Picture::set_types(const std::vector<wire::MachineType>& types) {
+void ClusterState::set_types(const std::vector<wire::MachineType>& types) {
     for (auto& t : types) types_[t.name] = t;
     for (auto& p : pools_) know_type(p);
     for (auto& t : types)
@@ -35,13 +35,13 @@
             for (bool spot : {false, true}) pool_of(t.name, z, spot);
     for (auto& [id, m] : machines_) m.total = pools_[m.pool].total;
 }
-void Picture::know_type(wire::Pool& p) const {
+void ClusterState::know_type(wire::Pool& p) const {
     auto it = types_.find(p.type);
     if (it == types_.end()) return;
     p.total = it->second.room;
     p.fetch_gb_per_s = it->second.fetch_gb_per_s;
 }
-std::size_t Picture::pool_of(const std::string& type, const std::string& zone, bool spot) {
+std::size_t ClusterState::pool_of(const std::string& type, const std::string& zone, bool spot) {
     for (std::size_t p = 0; p < pools_.size(); ++p)
         if (pools_[p].spot == spot && pools_[p].zone == zone && pools_[p].type == type) return p;
     auto z = std::find(zones_.begin(), zones_.end(), zone);
@@ -51,23 +51,23 @@
     know_type(pools_.back());
     return pools_.size() - 1;
 }
-std::uint32_t Picture::image(const std::string& name) {
+std::uint32_t ClusterState::image(const std::string& name) {
     return images_.try_emplace(name, static_cast<std::uint32_t>(images_.size())).first->second;
 }
 // A machine caches the images used last, as many as fit. What it has dropped must not count as there: a task
 // sent for it would fetch after all.
-void Picture::used_image(Machine& m, const wire::Job& job) {
+void ClusterState::used_image(Machine& m, const wire::Job& job) {
     auto id = image(job.image);
     std::erase_if(m.cache, [&](auto& c) { return c.first == id; });
     m.cache.emplace_back(id, job.image_gb);
     trim_cache(m);
 }
-void Picture::recall_cache(Machine& m, std::vector<std::pair<std::uint32_t, double>> cache) {
+void ClusterState::recall_cache(Machine& m, std::vector<std::pair<std::uint32_t, double>> cache) {
     if (!m.cache.empty()) return;
     m.cache = std::move(cache);
     trim_cache(m);
 }
-void Picture::trim_cache(Machine& m) {
+void ClusterState::trim_cache(Machine& m) {
     auto type = types_.find(m.type);
     double left = type == types_.end() || type->second.cache_gb <= 0 ? std::numeric_limits<double>::max()
                                                                      : type->second.cache_gb;
@@ -81,27 +81,27 @@
     std::sort(images.begin(), images.end());
     if (!m.images || *m.images != images) m.images = std::make_shared<const wire::Images>(std::move(images));
 }
-void Picture::flush_later(Machine& m) {
+void ClusterState::flush_later(Machine& m) {
     if (m.unsent) return;
     m.unsent = true;
     to_flush_.push_back(m.id);
 }
-void Picture::mark_dirty(Machine& m) {
+void ClusterState::mark_dirty(Machine& m) {
     if (m.dirty) return;
     m.dirty = true;
     dirty_machines_.push_back(m.id);
 }
-std::vector<std::string> Picture::dirty_machines() {
+std::vector<std::string> ClusterState::dirty_machines() {
     for (auto& id : dirty_machines_)
         if (auto* m = find(id)) m->dirty = false;
     return std::exchange(dirty_machines_, {});
 }
-Machine* Picture::find(std::string_view id) {
+Machine* ClusterState::find(std::string_view id) {
     auto it = by_id_.find(id);
     return it == by_id_.end() ? nullptr : it->second;
 }
-Machine& Picture::add(const std::string& id, const std::string& addr, const std::string& type,
-                      const std::string& zone, bool spot, Machine::Life life, double now) {
+Machine& ClusterState::add(const std::string& id, const std::string& addr, const std::string& type,
+                           const std::string& zone, bool spot, Machine::Life life, double now) {
     if (auto* known = find(id)) return *known;
     auto it = machines_.try_emplace(id).first;
     auto& m = it->second;
@@ -120,7 +120,7 @@
     return m;
 }
 
-std::vector<End> Picture::vanish_all(Machine& m) {
+std::vector<End> ClusterState::vanish_all(Machine& m) {
     std::vector<End> ends;
     for (auto& [id, t] : m.tasks)
         ends.push_back({m.id, id, t.attempt, false, t.stray, Cause::none, false, t.running_since >= 0});
@@ -129,8 +129,8 @@
     return ends;
 }
 
-Heard Picture::hear(const wire::Report& r, Via via, double now, const Lookup& lookup) {
-    Heard heard;
+ReportOutcome ClusterState::apply_report(const wire::Report& r, Via via, double now, const Lookup& lookup) {
+    ReportOutcome heard;
     // A machine once deleted stays gone; what still arrives from it was under way.
     if (is_gone(r.machine)) {
         heard.gone = true;
@@ -266,12 +266,12 @@
 
 // `clear` makes the worker forget an attempt, so a `run` of it that arrives afterwards would start it again.
 // An unanswered direct `run` may arrive minutes late: only a higher token, seen by the worker, stops it.
-void Picture::fence_unsure(Machine& m) {
+void ClusterState::fence_unsure(Machine& m) {
     for (auto& [key, e] : m.ended)
         if (e.stored && e.direct == 0 && e.unsure_token >= m.token) m.token = e.unsure_token + 1;
 }
 
-std::vector<Command> Picture::answer(Machine& m, double now, bool authority) {
+std::vector<Command> ClusterState::answer(Machine& m, double now, bool authority) {
     std::vector<Command> out;
     fence_unsure(m);
     bool ours = authority && m.reconciled && m.life == Machine::Life::up;
@@ -304,7 +304,7 @@
     return out;
 }
 
-std::vector<Command> Picture::direct_now(Machine& m, double now, bool authority) {
+std::vector<Command> ClusterState::direct_now(Machine& m, double now, bool authority) {
     authority = authority && m.reconciled && m.life == Machine::Life::up;
     m.unsent = false;
     std::vector<Command> out;
@@ -328,7 +328,7 @@
     return out;
 }
 
-bool Picture::quiet(const Machine& m) const {
+bool ClusterState::quiet(const Machine& m) const {
     bool plain = m.life == Machine::Life::up && m.reconciled && m.stored && m.notice_until < 0 && !m.unsent &&
                  m.ended.empty() && m.token == m.helm;
     return plain && std::all_of(m.tasks.begin(), m.tasks.end(), [](auto& t) {
@@ -337,8 +337,8 @@
            });
 }
 
-void Picture::direct_done(Machine& m, const std::vector<Command>& commands, std::uint64_t token,
-                          bool answered) {
+void ClusterState::direct_done(Machine& m, const std::vector<Command>& commands, std::uint64_t token,
+                               bool answered) {
     auto settle = [&](auto& x) {
         --x.direct;
         if (!answered) x.unsure_token = std::max(x.unsure_token, token);
@@ -352,7 +352,8 @@
     }
 }
 
-Instance& Picture::place(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now) {
+Instance& ClusterState::place(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
+                              double now) {
     auto& i = m.tasks[task];
     i = Instance{};
     i.spec = std::move(spec);
@@ -365,8 +366,8 @@
     mark_dirty(m);
     return i;
 }
-Instance& Picture::inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
-                           double now) {
+Instance& ClusterState::inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
+                                double now) {
     auto& i = m.tasks[task];
     i = Instance{};
     i.spec = std::move(spec);
@@ -376,7 +377,7 @@
     i.run_token = base_ - 1;  // of any `run` that may still be on its way
     return i;
 }
-void Picture::stop(Machine& m, const wire::TaskId& task, double grace_s) {
+void ClusterState::stop(Machine& m, const wire::TaskId& task, double grace_s) {
     auto it = m.tasks.find(task);
     if (it == m.tasks.end()) return;
     auto& i = it->second;
@@ -387,18 +388,18 @@
     flush_later(m);
     if (!i.seen && m.token <= i.run_token) m.token = i.run_token + 1;
 }
-void Picture::cancel(Machine& m, const wire::TaskId& task, double worker_lease_bound) {
+void ClusterState::cancel(Machine& m, const wire::TaskId& task, double worker_lease_bound) {
     if (auto it = m.tasks.find(task); it != m.tasks.end())
         it->second.worker_lease_bound = std::min(it->second.worker_lease_bound, worker_lease_bound);
     stop(m, task, 0);
 }
-bool Picture::renewable(const Machine& m, double now) const {
+bool ClusterState::renewable(const Machine& m, double now) const {
     return std::none_of(m.tasks.begin(), m.tasks.end(), [&](auto& t) {
         auto& i = t.second;
         return i.stop && !i.shown && now > i.worker_lease_bound;
     });
 }
-void Picture::stored(const std::string& job, const std::set<std::uint32_t>& tasks) {
+void ClusterState::stored(const std::string& job, const std::set<std::uint32_t>& tasks) {
     auto at = ended_at_.find(job);
     if (at == ended_at_.end()) return;
     for (auto& id : at->second)
@@ -408,7 +409,7 @@
                     e.stored = true;
     if (tasks.empty()) ended_at_.erase(at);
 }
-std::vector<End> Picture::removed(const std::string& id) {
+std::vector<End> ClusterState::removed(const std::string& id) {
     auto it = machines_.find(id);
     if (it == machines_.end()) return {};
     auto ends = vanish_all(it->second);
@@ -418,7 +419,7 @@
     gone_.insert(id);
     return ends;
 }
-std::vector<End> Picture::lease_out(Machine& m) {
+std::vector<End> ClusterState::lease_out(Machine& m) {
     auto ends = vanish_all(m);
     m.reconciled = true;
     m.over = std::max(m.over, m.session);
--- a/src/fleet/picture.hpp
+++ b/src/fleet/cluster_state.hpp
@@ -115,7 +115,7 @@
 
 enum class Via { hello, direct };
 
-struct Heard {
+struct ReportOutcome {
     bool fresh = false;    // newer than what was known
     bool current = false;  // of the machine's present session, so that it may be answered
     bool deposed = false;  // the worker has seen the token of a later leader
@@ -126,17 +126,17 @@
         found;  // instances not known before, with their machine
 };
 
-class Picture {
+class ClusterState {
   public:
     // Tokens of a leadership: its key's version above, a counter per machine below.
     static constexpr int token_bits = 20;
-    Picture(std::uint64_t version, const std::vector<wire::MachineType>& types);
+    ClusterState(std::uint64_t version, const std::vector<wire::MachineType>& types);
 
     void set_types(const std::vector<wire::MachineType>& types);
     Machine* find(std::string_view id);
     Machine& add(const std::string& id, const std::string& addr, const std::string& type,
                  const std::string& zone, bool spot, Machine::Life life, double now);
-    Heard hear(const wire::Report& r, Via via, double now, const Lookup& lookup);
+    ReportOutcome apply_report(const wire::Report& r, Via via, double now, const Lookup& lookup);
     // Commands for the answer to a report. Without authority only stops that were decided with it.
     std::vector<wire::Command> answer(Machine& m, double now, bool authority);
 
--- a/src/fleet/usage.cpp
+++ b/src/fleet/usage.cpp
@@ -22,13 +22,14 @@
     for (auto& t : teams) used_[t.name] += unknown_;
     return std::move(used_);
 }
-std::map<std::string, wire::Room> team_used(const Picture& picture, const std::vector<config::Team>& teams) {
+std::map<std::string, wire::Room> team_used(const ClusterState& picture,
+                                            const std::vector<config::Team>& teams) {
     Usage used;
     for (auto& [id, m] : picture.machines()) used.add(m);
     return used.of(teams);
 }
 
-std::string Tally::tell() {
+std::string TeamActivity::tell() {
     std::string text;
     for (auto& [name, t] : std::exchange(teams_, {})) {
         if (!text.empty()) text += ", ";
--- a/src/fleet/usage.hpp
+++ b/src/fleet/usage.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "fleet/picture.hpp"
+#include "fleet/cluster_state.hpp"
 
 namespace coralhitch::fleet {
 
@@ -23,10 +23,11 @@
 
 // By team: the sum of what its tasks take, until each is proven gone. A task of a job that nobody knows any
 // more may be of any team, so it counts against each.
-std::map<std::string, wire::Room> team_used(const Picture& picture, const std::vector<config::Team>& teams);
+std::map<std::string, wire::Room> team_used(const ClusterState& picture,
+                                            const std::vector<config::Team>& teams);
 
 // What became of the teams' tasks, since it was last told.
-class Tally {
+class TeamActivity {
   public:
     void started(const std::string& team) { ++teams_[team].started; }
     void done(const std::string& team, std::size_t tasks) { teams_[team].done += tasks; }
--- a/src/takeover/reconciliation.cpp
+++ b/src/takeover/reconciliation.cpp
@@ -27,8 +27,8 @@
 }
 bool Reconciliation::leave(std::set<std::string>& ids, bool (*leaves)(const Machine&)) const {
     while (!ids.empty()) {
-        auto it = picture_.machines().find(*ids.begin());
-        if (it != picture_.machines().end() && !leaves(it->second)) return false;
+        auto it = cluster_state_.machines().find(*ids.begin());
+        if (it != cluster_state_.machines().end() && !leaves(it->second)) return false;
         ids.erase(ids.begin());
     }
     return true;
@@ -52,8 +52,8 @@
     last_tick_ = now;
     std::size_t left = 0;
     for (auto& id : unheard_) {
-        auto it = picture_.machines().find(id);
-        left += it != picture_.machines().end() && !it->second.reconciled;
+        auto it = cluster_state_.machines().find(id);
+        left += it != cluster_state_.machines().end() && !it->second.reconciled;
     }
     few_left_ = left * few_share <= expected_;
     if (left == 0) return;
--- a/src/takeover/reconciliation.hpp
+++ b/src/takeover/reconciliation.hpp
@@ -6,13 +6,14 @@
 #include <string>
 #include <utility>
 
-#include "fleet/picture.hpp"
+#include "fleet/cluster_state.hpp"
 
 namespace coralhitch::takeover {
 
 class Reconciliation {
   public:
-    Reconciliation(const fleet::Picture& picture, double report_s) : picture_(picture), report_s_(report_s) {}
+    Reconciliation(const fleet::ClusterState& picture, double report_s)
+        : cluster_state_(picture), report_s_(report_s) {}
     // A machine that an earlier leader stored.
     void expect(const std::string& id);
     // Of each of them it is known what may be on it, from its report or from the leader before. Otherwise
@@ -35,7 +36,7 @@
 
   private:
     bool leave(std::set<std::string>& ids, bool (*leaves)(const fleet::Machine&)) const;
-    const fleet::Picture& picture_;
+    const fleet::ClusterState& cluster_state_;
     double report_s_;
     std::size_t expected_ = 0;
     bool few_left_ = false;  // at the last tick
--- a/tests/picture_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -1,5 +1,5 @@
 // When a task counts as gone from a machine, and when the worker may be told to forget it.
-#include "fleet/picture.hpp"
+#include "fleet/cluster_state.hpp"
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 const wire::TaskId task{"j-1", 0};
 
 struct Bench {
-    Picture picture{version, {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a"}}}};
+    ClusterState picture{version, {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a"}}}};
     Spec spec = [] {
         auto j = std::make_shared<wire::Job>();
         j->id = "j-1";
@@ -28,10 +28,10 @@
     }();
     std::uint64_t sequence = 0;
     std::vector<wire::TaskReport> on;
-    Heard hear(std::uint64_t token, Via via = Via::hello, std::uint64_t session = 1) {
+    ReportOutcome apply_report(std::uint64_t token, Via via = Via::hello, std::uint64_t session = 1) {
         wire::Report r{"vm-1", "10.1.0.1:9", "g4", "a", false, session, ++sequence, token, {}, on};
-        return picture.hear(r, via, 0,
-                            [this](const std::string& id) { return id == "j-1" ? spec : nullptr; });
+        return picture.apply_report(r, via, 0,
+                                    [this](const std::string& id) { return id == "j-1" ? spec : nullptr; });
     }
     Machine& machine() { return *picture.find("vm-1"); }
     // Known to the leader from what is stored: tasks may be on it.
@@ -51,11 +51,11 @@
     }
 };
 
-TEST(Picture, RunGoesOutOnlyWithAuthorityToSettledStoredMachines) {
+TEST(ClusterState, RunGoesOutOnlyWithAuthorityToSettledStoredMachines) {
     for (auto [reconciled, stored, authority] :
          {std::tuple(false, true, true), {true, false, true}, {true, true, false}, {true, true, true}}) {
         Bench b;
-        b.hear(reconciled ? b.base() : 0);
+        b.apply_report(reconciled ? b.base() : 0);
         b.machine().stored = stored;
         b.picture.place(b.machine(), task, b.spec, 5, 0);
         EXPECT_EQ(b.picture.direct_now(b.machine(), 0, authority).size(),
@@ -63,11 +63,11 @@
     }
 }
 
-TEST(Picture, ATaskNotShownStaysWhileItsRunMayStillArrive) {
+TEST(ClusterState, ATaskNotShownStaysWhileItsRunMayStillArrive) {
     Bench b;
     auto sent = b.run();
     b.picture.direct_done(b.machine(), sent, b.base(), false);  // no answer: not a proof
-    EXPECT_TRUE(b.hear(b.base()).ends.empty());
+    EXPECT_TRUE(b.apply_report(b.base()).ends.empty());
     EXPECT_EQ(b.machine().tasks.size(), 1u);
     EXPECT_TRUE(b.sends(Op::start));  // wanted: sent again
     EXPECT_DOUBLE_EQ(b.machine().free().gpus, 3);
@@ -75,7 +75,7 @@
 
 // Another controller may go on answering a machine for which nothing is to be said. Each of these would be
 // left unsaid for as long as its reports repeat.
-TEST(Picture, AMachineIsQuietOnlyIfNothingIsLeftToSay) {
+TEST(ClusterState, AMachineIsQuietOnlyIfNothingIsLeftToSay) {
     struct Case {
         const char* what;
         std::function<void(Bench&)> then;
@@ -107,7 +107,7 @@
          [](Bench& b) {
              b.on[0].state = TaskState::exited;
              b.on[0].cause = Cause::done;
-             b.hear(b.base());
+             b.apply_report(b.base());
          },
          false},
         {"a higher token that it has not seen", [](Bench& b) { ++b.machine().token; }, false},
@@ -121,25 +121,25 @@
         auto sent = b.run();
         b.picture.direct_done(b.machine(), sent, b.base(), true);
         b.on = {{task, 5, TaskState::running, Cause::none, false}};
-        b.hear(b.base());
+        b.apply_report(b.base());
         c.then(b);
         EXPECT_EQ(b.picture.quiet(b.machine()), c.quiet) << c.what;
     }
 }
 
-TEST(Picture, AnUnwantedRunIsFencedWithAHigherToken) {
+TEST(ClusterState, AnUnwantedRunIsFencedWithAHigherToken) {
     Bench b;
     auto sent = b.run();
     b.picture.direct_done(b.machine(), sent, b.base(), false);
     b.picture.stop(b.machine(), task, 0);
     EXPECT_GT(b.machine().token, b.base());
     EXPECT_FALSE(b.sends(Op::start));
-    EXPECT_TRUE(b.hear(b.base()).ends.empty());            // the worker would still take the late command
-    EXPECT_EQ(b.hear(b.machine().token).ends.size(), 1u);  // now it drops it
+    EXPECT_TRUE(b.apply_report(b.base()).ends.empty());  // the worker would still take the late command
+    EXPECT_EQ(b.apply_report(b.machine().token).ends.size(), 1u);  // now it drops it
     EXPECT_TRUE(b.machine().tasks.empty());
 }
 
-TEST(Picture, ProofsOfExit) {
+TEST(ClusterState, ProofsOfExit) {
     struct Case {
         const char* name;
         std::function<std::vector<End>(Bench&)> proof;
@@ -148,12 +148,12 @@
         {"reported as exited",
          [](Bench& b) {
              b.on = {{task, 5, TaskState::exited, Cause::stopped, true}};
-             return b.hear(b.base()).ends;
+             return b.apply_report(b.base()).ends;
          }},
         {"a new session",
          [](Bench& b) {
              b.sequence = 0;
-             return b.hear(b.base(), Via::hello, 2).ends;
+             return b.apply_report(b.base(), Via::hello, 2).ends;
          }},
         {"deletion answered", [](Bench& b) { return b.picture.removed("vm-1"); }},
         {"the lease is out", [](Bench& b) { return b.picture.lease_out(b.machine()); }},
@@ -162,131 +162,131 @@
         Bench b;
         b.run();
         b.on = {{task, 5, TaskState::running}};
-        EXPECT_TRUE(b.hear(b.base(), Via::direct).ends.empty()) << c.name;
+        EXPECT_TRUE(b.apply_report(b.base(), Via::direct).ends.empty()) << c.name;
         auto ends = c.proof(b);
         ASSERT_EQ(ends.size(), 1u) << c.name;
         EXPECT_EQ(ends[0].attempt, 5u) << c.name;
     }
 }
 
-TEST(Picture, AnOlderReportChangesNothing) {
+TEST(ClusterState, AnOlderReportChangesNothing) {
     Bench b;
     b.run();
     b.on = {{task, 5, TaskState::running}};
     b.sequence = 10;
-    b.hear(b.base());
+    b.apply_report(b.base());
     b.on = {{task, 5, TaskState::exited, Cause::done}};
     b.sequence = 3;
-    auto heard = b.hear(b.base());
+    auto heard = b.apply_report(b.base());
     EXPECT_FALSE(heard.fresh);
     EXPECT_FALSE(heard.current);  // a worker has one report under way: nobody waits for this one's answer
     EXPECT_EQ(b.machine().tasks.size(), 1u);
     b.sequence = 10;
-    heard = b.hear(b.base());
+    heard = b.apply_report(b.base());
     EXPECT_TRUE(heard.again && heard.current && !heard.fresh);  // the newest once more: its sender may wait
 }
 
 // Copies of reports come well over a lease late, after any number of newer ones, also to a leader that has
 // heard none of those.
-TEST(Picture, ALateCopyBringsNothingBack) {
+TEST(ClusterState, ALateCopyBringsNothingBack) {
     Bench b;  // a new leader: the machine was deleted under the one before, and is in no page
     b.on = {{task, 5, TaskState::running}};
-    EXPECT_TRUE(b.hear(b.base() - 1).gone);
+    EXPECT_TRUE(b.apply_report(b.base() - 1).gone);
     EXPECT_EQ(b.picture.find("vm-1"), nullptr);
-    EXPECT_FALSE(b.hear(b.base(), Via::direct).gone);  // what it answers now counts
+    EXPECT_FALSE(b.apply_report(b.base(), Via::direct).gone);  // what it answers now counts
     EXPECT_EQ(b.machine().tasks.size(), 1u);
 
     Bench c;  // its lease was out: the task may run elsewhere by now
     c.run();
     c.on = {{task, 5, TaskState::running}};
-    c.hear(c.base());
+    c.apply_report(c.base());
     EXPECT_EQ(c.picture.lease_out(c.machine()).size(), 1u);
-    EXPECT_TRUE(c.hear(c.base()).gone);
+    EXPECT_TRUE(c.apply_report(c.base()).gone);
     EXPECT_TRUE(c.machine().tasks.empty());
     c.on.clear();
-    EXPECT_TRUE(c.hear(c.base(), Via::hello, 2).fresh);
+    EXPECT_TRUE(c.apply_report(c.base(), Via::hello, 2).fresh);
 
     Bench d;  // the same, of a machine that this leader had never heard
     d.store();
     d.picture.lease_out(d.machine());
     d.on = {{task, 5, TaskState::running}};
-    EXPECT_TRUE(d.hear(d.base()).gone);
-    EXPECT_FALSE(d.hear(d.base(), Via::direct).gone);
+    EXPECT_TRUE(d.apply_report(d.base()).gone);
+    EXPECT_FALSE(d.apply_report(d.base(), Via::direct).gone);
 }
 
 // Forgotten, an attempt is started again by a copy of its `run`.
-TEST(Picture, ClearComesWithATokenAboveThatOfTheRun) {
+TEST(ClusterState, ClearComesWithATokenAboveThatOfTheRun) {
     Bench b;
     auto sent = b.run();
     b.picture.direct_done(b.machine(), sent, b.base(), true);
     b.on = {{task, 5, TaskState::exited, Cause::stopped}};
-    b.hear(b.base());
+    b.apply_report(b.base());
     ASSERT_TRUE(b.sends(Op::forget));
     EXPECT_GT(b.machine().token, b.base());
 }
 
-TEST(Picture, ALateReportOfADeletedMachineIsIgnored) {
+TEST(ClusterState, ALateReportOfADeletedMachineIsIgnored) {
     Bench b;
     b.run();
     b.picture.removed("vm-1");
-    EXPECT_TRUE(b.hear(b.base()).gone);
+    EXPECT_TRUE(b.apply_report(b.base()).gone);
     EXPECT_EQ(b.picture.find("vm-1"), nullptr);
 }
 
-TEST(Picture, ClearWaitsForStorageAndForEveryRunThatMayBeLate) {
+TEST(ClusterState, ClearWaitsForStorageAndForEveryRunThatMayBeLate) {
     Bench b;
     auto sent = b.run();
     b.on = {{task, 5, TaskState::exited, Cause::done}};
-    b.hear(b.base());
+    b.apply_report(b.base());
     EXPECT_FALSE(b.sends(Op::forget));  // not stored
     b.picture.stored("j-1");
-    b.hear(b.base());
+    b.apply_report(b.base());
     EXPECT_FALSE(b.sends(Op::forget));  // the direct `run` is still under way
     b.picture.direct_done(b.machine(), sent, b.base(), false);
-    b.hear(b.base());
+    b.apply_report(b.base());
     EXPECT_FALSE(b.sends(Op::forget));  // it got no answer: a higher token goes out first
     EXPECT_GT(b.machine().token, b.base());
-    b.hear(b.machine().token);
+    b.apply_report(b.machine().token);
     EXPECT_TRUE(b.sends(Op::forget));
 }
 
-TEST(Picture, ClearWaitsForTheReportAfterAnAnswerWithRun) {
+TEST(ClusterState, ClearWaitsForTheReportAfterAnAnswerWithRun) {
     Bench b;
     auto sent = b.run();
     b.picture.direct_done(b.machine(), sent, b.base(), true);
-    b.hear(b.base());
+    b.apply_report(b.base());
     EXPECT_TRUE(b.sends(Op::start));  // this answer may reach the worker up to a few seconds later
     b.on = {{task, 5, TaskState::exited, Cause::no_room}};
-    b.hear(b.base(), Via::direct);  // a direct answer overtakes it
+    b.apply_report(b.base(), Via::direct);  // a direct answer overtakes it
     EXPECT_FALSE(b.sends(Op::forget));
-    b.hear(b.base());
+    b.apply_report(b.base());
     EXPECT_TRUE(b.sends(Op::forget));
 }
 
-TEST(Picture, SettlesOnlyByAReportUnderThisLeadersToken) {
+TEST(ClusterState, SettlesOnlyByAReportUnderThisLeadersToken) {
     Bench b;
     b.store();
     b.on = {{task, 3, TaskState::running}};
-    auto heard = b.hear(b.base() - 1);
+    auto heard = b.apply_report(b.base() - 1);
     EXPECT_EQ(heard.found.size(), 1u);
     EXPECT_FALSE(b.machine().reconciled);
-    b.hear(b.base());
+    b.apply_report(b.base());
     EXPECT_TRUE(b.machine().reconciled);
     b.sequence += 1;
-    EXPECT_TRUE(b.hear((version + 1) << Picture::token_bits).deposed);
+    EXPECT_TRUE(b.apply_report((version + 1) << ClusterState::token_bits).deposed);
 }
 
-TEST(Picture, TasksOfUnknownJobsAreStoppedAndKeepTheMachineClosed) {
+TEST(ClusterState, TasksOfUnknownJobsAreStoppedAndKeepTheMachineClosed) {
     Bench b;
     b.store();
     b.on = {{{"j-2", 0}, 3, TaskState::running}};
-    b.hear(b.base());
+    b.apply_report(b.base());
     EXPECT_TRUE(b.machine().has_unknown());
     EXPECT_TRUE(b.sends(Op::stop));
 }
 
 // Cache of 100 GB: what does not fit any more is dropped, the image used longest ago first.
-TEST(Picture, ImagesThatTheCacheHasDroppedDoNotCountAsThere) {
+TEST(ClusterState, ImagesThatTheCacheHasDroppedDoNotCountAsThere) {
     struct Case {
         std::vector<int> uses;  // images of 40 GB each, by number
         std::vector<int> there;
@@ -303,7 +303,7 @@
             b.spec = j;
             b.on = {{{"j-1", static_cast<std::uint32_t>(specs.size())}, 5, TaskState::running}};
             specs.push_back(j);
-            b.hear(b.base());
+            b.apply_report(b.base());
         }
         wire::Images expected;
         for (int image : c.there) expected.push_back(b.picture.image("img-" + std::to_string(image)));
@@ -314,12 +314,12 @@
 }
 
 // What an earlier leader knew counts until something newer is known.
-TEST(Picture, ACacheIsRecalledUnlessNewerIsKnown) {
+TEST(ClusterState, ACacheIsRecalledUnlessNewerIsKnown) {
     for (bool newer : {false, true}) {
         Bench b;
         b.store();
         if (newer) b.on = {{task, 5, TaskState::running}};
-        b.hear(b.base());
+        b.apply_report(b.base());
         auto old = b.picture.image("old");
         b.picture.recall_cache(b.machine(), {{old, 30}, {b.picture.image("older"), 80}});
         ASSERT_TRUE(b.machine().images);
@@ -333,7 +333,7 @@
     std::vector<wire::MachineType> types(1);
     types[0].name = "g";
     types[0].room = {16, 4, 64};
-    Picture p(7, types);
+    ClusterState p(7, types);
     auto spec = std::make_shared<wire::Job>();
     spec->id = "j-1";
     spec->team = "a";
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "fake_state.hpp"
-#include "fleet/picture.hpp"
+#include "fleet/cluster_state.hpp"
 #include "plays.hpp"
 #include "standby/checks.hpp"
 #include "standby/replication_sender.hpp"
@@ -384,7 +384,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<wire::MachineType> types;
-        fleet::Picture p(7, types);
+        fleet::ClusterState p(7, types);
         takeover::Reconciliation settling(p, report);
         for (int k = 0; k < 60; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
@@ -420,7 +420,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<wire::MachineType> types;
-        fleet::Picture p(7, types);
+        fleet::ClusterState p(7, types);
         takeover::Reconciliation settling(p, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
@@ -442,7 +442,7 @@
         bool shown;
         std::size_t left, ends;
     };
-    const std::uint64_t mine = 7ull << fleet::Picture::token_bits, before = mine - 5;
+    const std::uint64_t mine = 7ull << fleet::ClusterState::token_bits, before = mine - 5;
     const Case cases[] = {
         {"a report from before the takeover does not show it: its `run` may come yet", 3, before, false, 1,
          0},
@@ -454,7 +454,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<wire::MachineType> types;
-        fleet::Picture p(7, types);
+        fleet::ClusterState p(7, types);
         auto& m = p.add("vm-1", "a:1", "g", "z", false, fleet::Machine::Life::up, 0);
         m.known = m.stored = true;
         m.session = 3;
@@ -467,7 +467,7 @@
         r.sequence = 20;
         r.token = c.token;
         if (c.shown) r.tasks.push_back({{"j-1", 0}, 11, wire::TaskState::running, wire::Cause::none, false});
-        auto heard = p.hear(r, fleet::Via::hello, 1, [&](auto&) { return spec; });
+        auto heard = p.apply_report(r, fleet::Via::hello, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found.empty());
