--- a/src/api/users.cpp
+++ b/src/api/users.cpp
@@ -46,8 +46,8 @@
 }
 
 Users::Users(loop::Timers& timers, state::Client& state, const config::Settings& settings,
-             Surroundings& around)
-    : timers_(timers), state_(state), settings_(settings), around_(around), live_(timers, state, settings) {}
+             ClusterQueries& around)
+    : timers_(timers), state_(state), settings_(settings), cluster_(around), live_(timers, state, settings) {}
 
 // Live first, then final: a job moves in that direction only, in one transaction, so a job that is in neither
 // was not accepted when the reads began. With a read for each question, users who asked eight times as often
@@ -113,7 +113,7 @@
     }
     if (k.live->cancelled) return reply(status(200, {id, JobState::cancelled, {}, {}}));
     // Counts are for display only; whether the job is over was read from the state service just now.
-    around_.counts(id, [id, with_counts, reply](std::optional<TaskCounts> c) {
+    cluster_.counts(id, [id, with_counts, reply](std::optional<TaskCounts> c) {
         wire::JobStatus s{id, c && c->running > 0 ? JobState::running : JobState::queued, {}, {}};
         if (with_counts) {
             s.done = c ? c->done : 0;
@@ -153,15 +153,15 @@
         return refuse_unless_known(wire::job_id_of(body), {400, wire::error_body(m.what())}, reply);
     }
     auto id = job.id;
-    if (around_.types().empty()) return refuse_unless_known(id, later(), reply);
-    auto verdict = judge(job, around_.types(), settings_);
+    if (cluster_.types().empty()) return refuse_unless_known(id, later(), reply);
+    auto verdict = judge(job, cluster_.types(), settings_);
     if (!verdict.runnable) return refuse_unless_known(id, {422, wire::error_body(verdict.reason)}, reply);
     // Only types that exist matter, each once; a long list of others must not make the record too large.
     if (job.types) {
         std::sort(job.types->begin(), job.types->end());
         job.types->erase(std::unique(job.types->begin(), job.types->end()), job.types->end());
         std::erase_if(*job.types, [&](auto& t) {
-            return std::none_of(around_.types().begin(), around_.types().end(),
+            return std::none_of(cluster_.types().begin(), cluster_.types().end(),
                                 [&](auto& known) { return known.name == t; });
         });
     }
@@ -273,7 +273,7 @@
     state_.txn(std::move(t), state::Rank::user, [this, id, reply, tries](state::Committed c) {
         using S = state::Committed::Status;
         if (c.status == S::committed) {
-            around_.cancelled(id, c.revision);
+            cluster_.cancelled(id, c.revision);
             return reply(status(200, {id, JobState::cancelled, {}, {}}));
         }
         if (c.status == S::refused) return reply(later());
--- a/src/api/users.hpp
+++ b/src/api/users.hpp
@@ -30,9 +30,9 @@
 };
 
 // What the interface needs of the controller it is part of.
-class Surroundings {
+class ClusterQueries {
   public:
-    virtual ~Surroundings() = default;
+    virtual ~ClusterQueries() = default;
     virtual const std::vector<wire::MachineType>& types() const = 0;  // empty: not known yet
     virtual void counts(const std::string& id, std::function<void(std::optional<TaskCounts>)> done) = 0;
     virtual void cancelled(const std::string& id, std::uint64_t version) = 0;
@@ -40,7 +40,8 @@
 
 class Users {
   public:
-    Users(loop::Timers& timers, state::Client& state, const config::Settings& settings, Surroundings& around);
+    Users(loop::Timers& timers, state::Client& state, const config::Settings& settings,
+          ClusterQueries& around);
     void submit(const std::string& body, http::Reply reply);
     void query(const std::string& id, http::Reply reply);
     void cancel(const std::string& id, http::Reply reply, int tries = 0);
@@ -80,7 +81,7 @@
     loop::Timers& timers_;
     state::Client& state_;
     const config::Settings& settings_;
-    Surroundings& around_;
+    ClusterQueries& cluster_;
     LiveJobs live_;
     // Final states never change, so they may be told from memory.
     std::unordered_map<std::string, wire::FinalRecord> finals_;
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -54,44 +54,44 @@
 
 void Controller::start() {
     started_ = timers_.now();
-    election_.start(
-        {[this](std::uint64_t v) { won(v); }, [this] { lost(); }, [this] { return stands_back(); }});
+    election_.start({[this](std::uint64_t v) { on_elected(v); }, [this] { on_lease_lost(); },
+                     [this] { return should_defer(); }});
     learn_types();
     ping_peers();
     check_state();
     relay_.start();
 }
 
-void Controller::won(std::uint64_t version) {
-    Context c{timers_,
-              http_,
-              settings_,
-              state_,
-              election_,
-              cloud_,
-              planner_,
-              metrics_,
-              types_,
-              [this](const std::map<std::string, double>& m) { return heard_elsewhere(m); },
-              remembered_,
-              [this] { return give_way(); },
-              incarnation_,
-              {},
-              follower_.copy(),
-              [this](const std::string& label) -> const wire::PeerPing* {
-                  auto it = peers_.find(label);
-                  return it != peers_.end() && fresh(it->second) ? &it->second.last : nullptr;
-              }};
+void Controller::on_elected(std::uint64_t version) {
+    LeaderDependencies c{timers_,
+                         http_,
+                         settings_,
+                         state_,
+                         election_,
+                         cloud_,
+                         planner_,
+                         metrics_,
+                         types_,
+                         [this](const std::map<std::string, double>& m) { return heard_elsewhere(m); },
+                         remembered_,
+                         [this] { return resign_leadership(); },
+                         incarnation_,
+                         {},
+                         follower_.copy(),
+                         [this](const std::string& label) -> const wire::PeerPing* {
+                             auto it = peers_.find(label);
+                             return it != peers_.end() && fresh(it->second) ? &it->second.last : nullptr;
+                         }};
     for (auto& [id, since] : suspected_)
         if (!heard_.since(id, since)) c.suspected.emplace(id, timers_.now() - since);
     heard_.none_lately();
     leader_ = std::make_shared<Leader>(std::move(c), version, random_());
     leader_->start();
-    for (auto& [body, reply] : relay_.take_waiting()) hello_later(std::move(body), std::move(reply));
+    for (auto& [body, reply] : relay_.take_waiting()) queue_report(std::move(body), std::move(reply));
     metrics_.event("won");
     store_types();
 }
-void Controller::lost() {
+void Controller::on_lease_lost() {
     metrics_.event("lost");
     if (leader_) remembered_ = leader_->images();
     if (leader_) leader_->stop();
@@ -121,7 +121,7 @@
 // hears clearly more of them. A leader that was started anew used to win before those that had followed it,
 // since its lease ends about when it is back. Nobody stands back for an older version: it is about to be
 // stopped and replaced. Of two, at most one stands back for the other.
-bool Controller::stands_back() const {
+bool Controller::should_defer() const {
     // Just started, it can't know yet.
     bool young = settings_.op.standby && timers_.now() - started_ < settings_.report_s * know_reports;
     auto own = followed();
@@ -138,7 +138,7 @@
 std::uint64_t Controller::followed() const {
     return follower_.copy().whole ? follower_.copy().version : 0;
 }
-bool Controller::give_way() {
+bool Controller::resign_leadership() {
     if (last_resigned_ >= 0 && timers_.now() - last_resigned_ < settings_.lease_s * resign_leases)
         return false;
     last_resigned_ = timers_.now();
@@ -297,7 +297,7 @@
         return false;
     };
     if (path == paths::report) {
-        if (only("POST")) hello_later(std::move(r.body), std::move(reply));
+        if (only("POST")) queue_report(std::move(r.body), std::move(reply));
     } else if (path.starts_with(paths::jobs)) {
         user_route(r, path, std::move(reply));
     } else if (path == paths::health) {
@@ -396,7 +396,7 @@
 // Reports are most of the work. They are read as they come, but heard a few at a time in between: after a
 // takeover, when every worker calls at once, users, health checks and the lease's renewal must not wait
 // behind all of them.
-void Controller::hello_later(std::string body, http::Reply reply) {
+void Controller::queue_report(std::string body, http::Reply reply) {
     reports_.push_back({std::move(body), std::move(reply), timers_.now()});
     if (std::exchange(hearing_, true)) return;
     timers_.after(0, [this] { hear_some(); });
@@ -408,13 +408,13 @@
         if (timers_.now() - w.since > wire::worker_patience_s)
             w.reply({503, "{}"});  // the worker has gone elsewhere meanwhile
         else
-            hello(std::move(w.body), std::move(w.reply));
+            handle_report(std::move(w.body), std::move(w.reply));
     }
     hearing_ = !reports_.empty();
     if (hearing_) timers_.after(0, [this] { hear_some(); });
 }
-void Controller::hello(std::string body, http::Reply reply) {
-    if (leader_) return leader_->hello(std::move(body), std::move(reply));
+void Controller::handle_report(std::string body, http::Reply reply) {
+    if (leader_) return leader_->handle_report(std::move(body), std::move(reply));
     // To read no more of it than its name leaves time for others: without a leader every worker calls each
     // second.
     if (auto o = wire::outline_report(body)) {
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -15,7 +15,7 @@
 
 namespace coralhitch::daemon {
 
-class Controller : public api::Surroundings {
+class Controller : public api::ClusterQueries {
   public:
     Controller(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                Planner& planner, std::uint64_t seed);
@@ -43,22 +43,22 @@
     std::string metrics_text();
     const PeerState* peer_with_state(const http::Request& r) const;
     void ask_peer(const http::Request& r, http::Response refusal, http::Reply reply);
-    void hello_later(std::string body, http::Reply reply);
+    void queue_report(std::string body, http::Reply reply);
     void hear_some();
-    void hello(std::string body, http::Reply reply);
+    void handle_report(std::string body, http::Reply reply);
     bool others_may_serve() const;
     relay::Leadership relay_target() const;
-    void won(std::uint64_t version);
-    void lost();
+    void on_elected(std::uint64_t version);
+    void on_lease_lost();
     void ping_peers();
     void check_state();
     void heard_ping(wire::PeerPing ping);
     wire::PeerPing own_ping(bool brief);
     bool fresh(const PeerState& p) const;
     std::optional<std::size_t> heard_elsewhere(const std::map<std::string, double>& silent) const;
-    bool stands_back() const;
+    bool should_defer() const;
     std::uint64_t followed() const;
-    bool give_way();
+    bool resign_leadership();
     bool state_ok() const;
     void learn_types();
     void set_types(std::vector<wire::MachineType> types);
--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -27,24 +27,24 @@
 }  // namespace
 
 double Leader::worker_lease_bound() const {
-    return relay::worker_lease_bound(c_.settings, c_.election.ttl(), job_watch_.complete_at(),
-                                     c_.election.authority_until());
+    return relay::worker_lease_bound(dependencies_.settings, dependencies_.election.ttl(),
+                                     job_watch_.complete_at(), dependencies_.election.authority_until());
 }
 
-Leader::Leader(Context context, std::uint64_t version, std::uint64_t seed)
-    : c_(std::move(context)),
+Leader::Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed)
+    : dependencies_(std::move(context)),
       version_(version),
       random_(seed),
-      keep_alive_(relay::keep_alive_s(c_.settings, c_.election.ttl())),
-      cluster_state_(version, c_.types),
-      table_(c_.settings.value_kb),
-      store_(c_.timers, c_.state, c_.settings,
+      keep_alive_(relay::keep_alive_s(dependencies_.settings, dependencies_.election.ttl())),
+      cluster_state_(version, dependencies_.types),
+      table_(dependencies_.settings.value_kb),
+      store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
              {[this](const std::string& id) { return record_of(id); },
               [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; },
               [this](const std::vector<registry::MachineRegistry::Record>& r) {
                   if (!stopped_) machines_stored(r);
               }}),
-      job_watch_(c_.timers, c_.state, keys::jobs, watch_pace(c_.settings),
+      job_watch_(dependencies_.timers, dependencies_.state, keys::jobs, watch_pace(dependencies_.settings),
                  {[this](const std::vector<wire::Event>& events, std::uint64_t reconciled) {
                       if (stopped_) return;
                       bool news = false;
@@ -66,33 +66,42 @@
                       }
                       jobs_changed();
                   }}),
-      asks_(config::questions_per_s(c_.settings), asked_at_once(c_.settings, ask_reports)),
-      failure_detector_({c_.settings.report_s, c_.settings.lease_s, c_.settings.op.silence_reports,
-                         c_.settings.peers.size()}),
-      reconciliation_(cluster_state_, c_.settings.report_s),
-      steps_(c_.timers),
-      loader_(c_.timers, c_.state, c_.settings, steps_,
-              {c_.settings.label, c_.incarnation, version, {}, c_.election.chain(), false, {}, &c_.copy},
+      asks_(config::questions_per_s(dependencies_.settings),
+            asked_at_once(dependencies_.settings, ask_reports)),
+      failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
+                         dependencies_.settings.op.silence_reports, dependencies_.settings.peers.size()}),
+      reconciliation_(cluster_state_, dependencies_.settings.report_s),
+      steps_(dependencies_.timers),
+      loader_(dependencies_.timers, dependencies_.state, dependencies_.settings, steps_,
+              {dependencies_.settings.label,
+               dependencies_.incarnation,
+               version,
+               {},
+               dependencies_.election.chain(),
+               false,
+               {},
+               &dependencies_.copy},
               [this](const takeover::Found& found) {
                   if (stopped_) return;
                   take_all(found);
-                  if (c_.settings.op.standby)
+                  if (dependencies_.settings.op.standby)
                       replication_.start(found.record_version, found.inherits ? found.record : std::nullopt);
                   job_watch_.start(found.jobs.revision, found.jobs_listed_at);
                   loaded();
               }),
-      replication_(c_.timers, c_.http, c_.settings, c_.state, version,
-                   {[this](const std::string& id) { return row_of(id); },
-                    [this] {
-                        std::vector<std::string> ids;
-                        for (auto& [id, m] : cluster_state_.machines()) ids.push_back(id);
-                        return ids;
-                    },
-                    [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; }, c_.peer,
-                    [this] {
-                        if (!stopped_) release_starts();
-                    }}) {
-    if (c_.settings.op.standby) cluster_state_.hold_starts();
+      replication_(
+          dependencies_.timers, dependencies_.http, dependencies_.settings, dependencies_.state, version,
+          {[this](const std::string& id) { return row_of(id); },
+           [this] {
+               std::vector<std::string> ids;
+               for (auto& [id, m] : cluster_state_.machines()) ids.push_back(id);
+               return ids;
+           },
+           [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; }, dependencies_.peer,
+           [this] {
+               if (!stopped_) release_starts();
+           }}) {
+    if (dependencies_.settings.op.standby) cluster_state_.hold_starts();
 }
 
 void Leader::start() {
@@ -101,7 +110,7 @@
 void Leader::stop() {
     stopped_ = true;
     log_team_activity();
-    c_.timers.cancel(tick_timer_);
+    dependencies_.timers.cancel(tick_timer_);
     for (auto& [body, reply] : early_) reply({503, "{}"});
     early_.clear();
 }
@@ -139,13 +148,14 @@
         }
     }
     for (auto& [id, r] : store_.load(found.machines)) {
-        auto& m = cluster_state_.add(id, r.addr, r.type, r.zone, r.spot,
-                                     r.condemned ? Machine::Life::condemned : Machine::Life::up, now());
+        auto& m = cluster_state_.add(
+            id, r.addr, r.type, r.zone, r.spot,
+            r.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up, now());
         m.stored = true;
         reconciliation_.expect(id);
         if (found.inherits) inherit(id, m);
-        m.deletable = r.condemned;
-        if (auto it = c_.suspected.find(id); it != c_.suspected.end() && m.known)
+        m.deletable = r.marked_for_deletion;
+        if (auto it = dependencies_.suspected.find(id); it != dependencies_.suspected.end() && m.known)
             m.silent_before = it->second;
         failure_detector_.heard_from(zone_of(m), now() - m.silent_before);
         // The leader before may have gone on renewing leases for a while.
@@ -155,11 +165,11 @@
 
 // The row says all that may be on the machine: see docs/standby.md. It is not used before it has reconciled.
 void Leader::inherit(const std::string& id, Machine& m) {
-    auto it = c_.copy.rows.find(id);
+    auto it = dependencies_.copy.rows.find(id);
     // The leader before told all machines that were stored when it came to lead, and each one before the
     // first `run` to it: of what it never told, or told to be gone, nothing is left.
-    m.known = it == c_.copy.rows.end() || it->second.known;
-    if (it == c_.copy.rows.end() || !m.known) return;
+    m.known = it == dependencies_.copy.rows.end() || it->second.known;
+    if (it == dependencies_.copy.rows.end() || !m.known) return;
     m.session = it->second.session;
     m.sequence = it->second.sequence;
     for (auto& t : it->second.tasks) {
@@ -190,7 +200,7 @@
         std::lock_guard lock(mutex_);
         ids = cluster_state_.dirty_machines();
     }
-    if (c_.settings.op.standby)
+    if (dependencies_.settings.op.standby)
         for (auto& id : ids) replication_.changed(id);
 }
 void Leader::release_starts() {
@@ -212,7 +222,7 @@
     std::map<std::string, double> out;
     for (auto& [id, m] : cluster_state_.machines())
         if (m.life == Machine::Life::up &&
-            (m.suspected || (!m.reconciled && now() - m.last_heard > c_.settings.report_s / 2)))
+            (m.suspected || (!m.reconciled && now() - m.last_heard > dependencies_.settings.report_s / 2)))
             out.emplace(id, now() - m.last_heard + m.silent_before);
     return out;
 }
@@ -236,7 +246,7 @@
 // fetch them all over.
 void Leader::recall_images() {
     std::lock_guard lock(mutex_);
-    auto& told = c_.remembered;
+    auto& told = dependencies_.remembered;
     std::vector<std::uint32_t> ids;
     for (auto& name : told.names) ids.push_back(cluster_state_.image(name));
     for (auto& row : told.machines) {
@@ -262,17 +272,17 @@
     // With some of them placing can begin. Of the rest most reports lie waiting or come within a period: a
     // question costs three times as much as a report that is passed on. Those of which nothing is known hold
     // up all placing.
-    double at_once = asked_at_once(c_.settings, ask_reports);
+    double at_once = asked_at_once(dependencies_.settings, ask_reports);
     auto stride =
         static_cast<std::size_t>(static_cast<double>(cluster_state_.machines().size()) / at_once) + 1;
     std::size_t n = 0;
     for (auto& [id, m] : cluster_state_.machines())
         if (n++ % stride == 0) probe(m);
-    c_.timers.after(c_.settings.report_s * ask_reports, guarded([this] {
-                        for (bool known : {false, true})
-                            for (auto& [id, m] : cluster_state_.machines())
-                                if (!m.reconciled && m.known == known) probe(m);
-                    }));
+    dependencies_.timers.after(dependencies_.settings.report_s * ask_reports, guarded([this] {
+                                   for (bool known : {false, true})
+                                       for (auto& [id, m] : cluster_state_.machines())
+                                           if (!m.reconciled && m.known == known) probe(m);
+                               }));
     hear_early();
     tick();
 }
@@ -281,9 +291,9 @@
     for (std::size_t k = 0; k < at_once && !early_.empty(); ++k) {
         auto [body, reply] = std::move(early_.front());
         early_.pop_front();
-        hello(std::move(body), std::move(reply));
+        handle_report(std::move(body), std::move(reply));
     }
-    if (!early_.empty()) c_.timers.after(0, guarded([this] { hear_early(); }));
+    if (!early_.empty()) dependencies_.timers.after(0, guarded([this] { hear_early(); }));
 }
 
 // Whether it was news.
@@ -359,11 +369,12 @@
 
 void Leader::tick() {
     if (stopped_) return;
-    tick_timer_ = c_.timers.after(c_.settings.report_s * tick_reports, guarded([this] { tick(); }));
+    tick_timer_ = dependencies_.timers.after(dependencies_.settings.report_s * tick_reports,
+                                             guarded([this] { tick(); }));
     absent_ends_.clear();
     moved_ = 0;
     read_ends();
-    reconciliation_.tick(now(), c_.settings.report_s * tick_reports);
+    reconciliation_.tick(now(), dependencies_.settings.report_s * tick_reports);
     check_machines();
     if (stopped_) return;
     if (!authority()) return;
@@ -374,17 +385,17 @@
     delete_condemned();
     drop_keys();
     audit();
-    if (now() - last_team_log_ > c_.settings.lease_s) log_team_activity();
-    if (now() - last_list_ > c_.settings.list_lag_s) list_hosts();
+    if (now() - last_team_log_ > dependencies_.settings.lease_s) log_team_activity();
+    if (now() - last_list_ > dependencies_.settings.list_lag_s) list_hosts();
     std::vector<std::string> names;
     for (auto& [name, r] : rentals_) names.push_back(name);
     for (auto& name : names) ask_rental(name);
     plan_soon();
-    c_.metrics.gauge("jobs", static_cast<double>(table_.all().size()));
-    c_.metrics.gauge("awaiting",
-                     static_cast<double>(std::count_if(table_.all().begin(), table_.all().end(),
-                                                       [](auto& j) { return j.second.awaiting(); })));
-    c_.metrics.gauge("machines", static_cast<double>(cluster_state_.machines().size()));
+    dependencies_.metrics.gauge("jobs", static_cast<double>(table_.all().size()));
+    dependencies_.metrics.gauge(
+        "awaiting", static_cast<double>(std::count_if(table_.all().begin(), table_.all().end(),
+                                                      [](auto& j) { return j.second.awaiting(); })));
+    dependencies_.metrics.gauge("machines", static_cast<double>(cluster_state_.machines().size()));
 }
 
 }  // namespace coralhitch::daemon
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -33,7 +33,7 @@
 
 namespace coralhitch::daemon {
 
-struct Context {
+struct LeaderDependencies {
     loop::Timers& timers;
     http::Requester& http;
     const config::Settings& settings;
@@ -46,8 +46,8 @@
     // How many of these machines, silent here for so many seconds, another controller heard from since, at
     // the most; nothing if no other answers and could lead.
     std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heard_elsewhere;
-    const wire::PeerImages& remembered;  // what the leader before told of the machines' caches
-    std::function<bool()> give_way;      // whether to resign for it; noted if so
+    const wire::PeerImages& remembered;       // what the leader before told of the machines' caches
+    std::function<bool()> resign_leadership;  // whether to resign for it; noted if so
     std::uint64_t incarnation;
     std::map<std::string, double> suspected;  // by the leader before, and for how many seconds by now
     const standby::ReplicaState& copy;        // of what the leader before knew of its machines
@@ -57,11 +57,11 @@
 
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
-    Leader(Context context, std::uint64_t version, std::uint64_t seed);
+    Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed);
     void start();
     void stop();
 
-    void hello(std::string body, http::Reply reply);
+    void handle_report(std::string body, http::Reply reply);
     // Reports that another controller heard: each is answered as if it had come here.
     void relay(const wire::PeerRelay& m, http::Reply reply);
     std::size_t lent() const { return delegations_.count(); }
@@ -93,8 +93,8 @@
             if (auto self = weak.lock(); self && !self->stopped_) f(std::forward<decltype(a)>(a)...);
         };
     }
-    double now() const { return c_.timers.now(); }
-    bool authority() const { return !stopped_ && c_.election.authority(); }
+    double now() const { return dependencies_.timers.now(); }
+    bool authority() const { return !stopped_ && dependencies_.election.authority(); }
     api::TaskCounts count(const std::string& id, const jobs::Entry& e);
     void inherit(const std::string& id, fleet::Machine& m);
     void take_all(const takeover::Found& found);
@@ -108,10 +108,10 @@
     fleet::ReportOutcome apply_report(const wire::Report& r, fleet::Via via);
     double worker_lease_bound() const;
     bool may_renew() const { return !stopped_ && now() <= worker_lease_bound(); }
-    bool hello_again(const std::string& body, const http::Reply& reply);
+    bool repeat_reply(const std::string& body, const http::Reply& reply);
     wire::PeerRelayed answer_report(const std::string& body, const std::string& hearer, std::string& machine);
-    std::optional<std::string> better_place(fleet::Machine& m);
-    void came_by(fleet::Machine& m, const std::string& route);
+    std::optional<std::string> relay_for(fleet::Machine& m);
+    void record_route(fleet::Machine& m, const std::string& route);
     void revoke(const std::string& id);
     void flush_all();
     void flush_some();
@@ -134,7 +134,7 @@
     bool check_lease(fleet::Machine& m);
     membership::EvictionCost eviction_cost(const fleet::Machine& m) const;
     double boots(const fleet::Machine& m) const;
-    void condemn(fleet::Machine& m, const char* why);
+    void mark_for_deletion(fleet::Machine& m, const char* why);
     void check_reconciled();
     void store_machine(fleet::Machine& m);
     std::optional<wire::MachineRecord> record_of(const std::string& id);
@@ -143,7 +143,7 @@
     void deleted(const std::vector<std::string>& ids, bool ok);
     void drop_keys();
     void list_hosts();
-    void heed_notice(fleet::Machine& m);
+    void handle_spot_notice(fleet::Machine& m);
 
     // what others follow
     std::optional<wire::PeerMachineRow> row_of(const std::string& id) const;
@@ -187,7 +187,7 @@
     std::size_t zone_of(const fleet::Machine& m) const;
     placement::ZoneCounts zones_of(const jobs::Entry& e) const;
 
-    Context c_;
+    LeaderDependencies dependencies_;
     std::uint64_t version_;
     std::mt19937_64 random_;
     double keep_alive_;
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -24,17 +24,17 @@
 constexpr double own_share = 0.1, moved_share = 1.0 / 50, moved_leases = 4;
 }  // namespace
 
-void Leader::hello(std::string body, http::Reply reply) {
+void Leader::handle_report(std::string body, http::Reply reply) {
     if (!loaded_) {
         early_.emplace_back(std::move(body), std::move(reply));
         return;
     }
-    if (hello_again(body, reply)) return;
+    if (repeat_reply(body, reply)) return;
     std::string machine;
     auto a = answer_report(body, "", machine);
     auto* m = cluster_state_.find(machine);
     if (a.quiet && m) {
-        if (auto elsewhere = better_place(*m)) {
+        if (auto elsewhere = relay_for(*m)) {
             reply_cache_.forget(machine);
             return reply({421, wire::report_elsewhere(*elsewhere)});
         }
@@ -44,7 +44,7 @@
     if (m) flush(*m);
 }
 // A report that says what the last one of its machine said, and that one is the last that was heard of it.
-bool Leader::hello_again(const std::string& body, const http::Reply& reply) {
+bool Leader::repeat_reply(const std::string& body, const http::Reply& reply) {
     auto o = wire::outline_report(body);
     if (!o || !authority() || !may_renew()) return false;
     auto* r = reply_cache_.find(body, *o);
@@ -54,7 +54,7 @@
     if (!m || m->sequence != r->sequence || !cluster_state_.quiet(*m)) return false;
     r->sequence = m->sequence = m->hello_sequence = o->sequence;
     m->last_heard = m->renewed = now();
-    came_by(*m, "");
+    record_route(*m, "");
     failure_detector_.heard_from(zone_of(*m), now());
     revoke(m->id);
     reply({200, r->answer});
@@ -85,7 +85,7 @@
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again)
         return {200, wire::report_answer(m->token, cluster_state_.answer(*m, now(), may)), false};
-    came_by(*m, hearer);
+    record_route(*m, hearer);
     if (!delegations_.delegated_to(m->id, hearer)) revoke(m->id);  // it has left the controller that heard it
     auto commands = cluster_state_.answer(*m, now(), may);
     m->renewed = m->reconciled ? now() : std::max(m->renewed, now());
@@ -97,10 +97,10 @@
         revoke(m->id);
     return {200, wire::report_answer(m->token, commands), quiet};
 }
-void Leader::came_by(Machine& m, const std::string& route) {
+void Leader::record_route(Machine& m, const std::string& route) {
     if (std::exchange(m.has_come, true)) m.reach.came(m.route == route, now());
     m.route = route;
-    m.suspected = m.reach.lost();
+    m.suspected = m.reach.on_lease_lost();
 }
 void Leader::revoke(const std::string& id) {
     auto until = delegations_.revoke(id);
@@ -109,12 +109,13 @@
 }
 // The leader has most to do besides hearing, so others hear most machines: it sends quiet ones to them, a few
 // at a time, and none twice within some leases, in case that one can't be reached from there.
-std::optional<std::string> Leader::better_place(Machine& m) {
+std::optional<std::string> Leader::relay_for(Machine& m) {
     double t = now(), fleet = static_cast<double>(failure_detector_.up());
-    auto peers = static_cast<double>(std::max<std::size_t>(1, c_.settings.peers.size()));
+    auto peers = static_cast<double>(std::max<std::size_t>(1, dependencies_.settings.peers.size()));
     bool enough_here = fleet - static_cast<double>(delegations_.count()) > fleet * own_share;
-    if (!c_.settings.op.hearing || !enough_here || static_cast<double>(moved_) > fleet * moved_share ||
-        (m.moved >= 0 && t - m.moved < c_.settings.lease_s * moved_leases))
+    if (!dependencies_.settings.op.hearing || !enough_here ||
+        static_cast<double>(moved_) > fleet * moved_share ||
+        (m.moved >= 0 && t - m.moved < dependencies_.settings.lease_s * moved_leases))
         return std::nullopt;
     auto most = static_cast<std::size_t>(fleet * (1 - own_share) / peers) + 1;
     auto to = delegations_.least(t, most);
@@ -124,7 +125,7 @@
     return to;
 }
 void Leader::relay(const wire::PeerRelay& q, http::Reply reply) {
-    const auto& s = c_.settings;
+    const auto& s = dependencies_.settings;
     wire::PeerRelayAnswer a;
     bool leads = loaded_ ? may_renew() : authority();
     a.leads = q.leader_version == version_ && leads && s.op.hearing;
@@ -173,14 +174,14 @@
         if (auto* m = cluster_state_.find(r.machine); m && heard.fresh) {
             store_machine(*m);
             failure_detector_.heard_from(zone_of(*m), now());
-            if (m->notice_until >= 0) heed_notice(*m);
+            if (m->notice_until >= 0) handle_spot_notice(*m);
         }
     }
     if (heard.deposed) {
         spdlog::info("leader: machine {} has seen the token of a later leader", r.machine);
         // Not from within what the worker's message set off: this object would be gone before it is done.
         auto version = r.token >> fleet::ClusterState::token_bits;
-        c_.timers.after(0, guarded([this, version] { c_.election.deposed(version); }));
+        dependencies_.timers.after(0, guarded([this, version] { dependencies_.election.deposed(version); }));
         return heard;
     }
     check_reconciled();
@@ -205,7 +206,7 @@
 }
 void Leader::types_changed() {
     std::lock_guard lock(mutex_);
-    cluster_state_.set_types(c_.types);
+    cluster_state_.set_types(dependencies_.types);
 }
 
 void Leader::handle_found(const wire::TaskId& task, const std::string& machine) {
@@ -280,10 +281,11 @@
         case Cause::no_room:
         case Cause::busy:
             // The picture of this machine was wrong: let reports mend it first.
-            if (auto* m = cluster_state_.find(end.machine)) m->avoid_until = now() + c_.settings.report_s;
+            if (auto* m = cluster_state_.find(end.machine))
+                m->avoid_until = now() + dependencies_.settings.report_s;
             break;
         case Cause::unknown:
-            e->not_before = now() + c_.settings.report_s;
+            e->not_before = now() + dependencies_.settings.report_s;
             break;
         default:
             break;
@@ -300,7 +302,7 @@
     constexpr int most_doublings = 5;
     if (e.on_probation()) {
         int doublings = std::min(e.failures - jobs::Entry::patience - 1, most_doublings);
-        e.not_before = now() + c_.settings.report_s * std::pow(2.0, doublings);
+        e.not_before = now() + dependencies_.settings.report_s * std::pow(2.0, doublings);
         if (e.failed_on.size() > 8) e.failed_on.clear();
     }
     auto* m = cluster_state_.find(end.machine);
@@ -308,14 +310,14 @@
     m->error_jobs.insert(end.task.job);
     if (e.on_probation()) return;  // says more about the job than about the machine
     if (m->error_jobs.size() < 2) {
-        m->avoid_until = now() + c_.settings.report_s * 2;
+        m->avoid_until = now() + dependencies_.settings.report_s * 2;
         return;
     }
     spdlog::info("machine {} fails the tasks of {} jobs", m->id, m->error_jobs.size());
-    c_.metrics.event("sick_machine");
-    m->avoid_until = now() + c_.settings.report_s * sick_reports;
+    dependencies_.metrics.event("sick_machine");
+    m->avoid_until = now() + dependencies_.settings.report_s * sick_reports;
     m->error_jobs.clear();
-    if (m->tasks.empty()) condemn(*m, "fails its tasks");
+    if (m->tasks.empty()) mark_for_deletion(*m, "fails its tasks");
 }
 
 void Leader::stop_active(const std::string& id, jobs::Entry& e, double grace_s) {
@@ -330,7 +332,7 @@
             cluster_state_.cancel(*m, {id, task}, worker_lease_bound());
 }
 
-void Leader::heed_notice(Machine& m) {
+void Leader::handle_spot_notice(Machine& m) {
     std::vector<std::pair<wire::TaskId, double>> stops;
     for (auto& [id, i] : m.tasks)
         if (i.spec && !i.stop && (i.spec->checkpoint_s > 0 || i.spec->kind == Kind::service))
@@ -367,7 +369,7 @@
         flushing_.pop_front();
         if (m) flush(*m);
     }
-    if (!flushing_.empty()) c_.timers.after(0, guarded([this] { flush_some(); }));
+    if (!flushing_.empty()) dependencies_.timers.after(0, guarded([this] { flush_some(); }));
 }
 void Leader::flush(Machine& m) {
     std::vector<wire::Command> commands;
@@ -393,15 +395,15 @@
 }
 void Leader::probe_soon() {
     if (std::exchange(probes_armed_, true)) return;
-    c_.timers.after(0, guarded([this] {
-                        probes_armed_ = false;
-                        send_probes();
-                    }));
+    dependencies_.timers.after(0, guarded([this] {
+                                   probes_armed_ = false;
+                                   send_probes();
+                               }));
 }
 // A few in each turn of the loop: a new leader of 5,000 machines that asked an eighth of its sockets' worth
 // of them in one go lost its lease over it, and so did the next.
 void Leader::send_probes() {
-    auto most = static_cast<std::size_t>(std::max(1.0, c_.settings.sockets * probe_sockets));
+    auto most = static_cast<std::size_t>(std::max(1.0, dependencies_.settings.sockets * probe_sockets));
     bool waits = false;
     std::size_t left = to_probe_.size();
     for (std::size_t k = 0; k < flushes_at_once && probing_ < most && left > 0; --left) {
@@ -412,7 +414,7 @@
         // later: of the machines that a new leader must hear, the reports of most lie waiting when it begins.
         double since = m->reconciled ? m->last_heard : m->answered;
         if (since >= 0 &&
-            now() - since < c_.settings.report_s * (m->reconciled ? 1.0 / 2 : answered_reports)) {
+            now() - since < dependencies_.settings.report_s * (m->reconciled ? 1.0 / 2 : answered_reports)) {
             m->probing = false;
             continue;
         }
@@ -431,10 +433,10 @@
     }
     if (waits && left == 0) {
         if (!std::exchange(asks_armed_, true))
-            c_.timers.after(asks_.wait(now()), guarded([this] {
-                                asks_armed_ = false;
-                                probe_soon();
-                            }));
+            dependencies_.timers.after(asks_.wait(now()), guarded([this] {
+                                           asks_armed_ = false;
+                                           probe_soon();
+                                       }));
     } else if (probing_ < most && !to_probe_.empty()) {
         probe_soon();
     }
@@ -446,17 +448,19 @@
     // Most workers are in their first session still: a good guess saves the question.
     auto session = std::max<std::uint64_t>(1, m.session);
     auto body = wire::direct_commands(token, session, commands);
-    double timeout = c_.settings.report_s * (probe ? probe_timeout_reports : direct_timeout_reports);
-    c_.http.send(m.addr, {"POST", std::string(wire::paths::commands), body}, timeout,
-                 guarded([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
-                     if (r) reconciliation_.answered(now() - sent, now());
-                     if (probe) {
-                         --probing_;
-                         if (auto* m = cluster_state_.find(id)) m->probing = false;
-                     }
-                     answered(id, commands, token, r);
-                     if (probe && !to_probe_.empty()) probe_soon();
-                 }));
+    double timeout =
+        dependencies_.settings.report_s * (probe ? probe_timeout_reports : direct_timeout_reports);
+    dependencies_.http.send(
+        m.addr, {"POST", std::string(wire::paths::commands), body}, timeout,
+        guarded([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
+            if (r) reconciliation_.answered(now() - sent, now());
+            if (probe) {
+                --probing_;
+                if (auto* m = cluster_state_.find(id)) m->probing = false;
+            }
+            answered(id, commands, token, r);
+            if (probe && !to_probe_.empty()) probe_soon();
+        }));
 }
 void Leader::answered(const std::string& id, const std::vector<wire::Command>& commands, std::uint64_t token,
                       const std::optional<http::Response>& r) {
@@ -483,14 +487,14 @@
     cluster_state_.direct_done(*m, commands, token, executed || refused);
     // A 409 told the session: ask again at once, so that the machine settles.
     if (refused && first_session && !m->reconciled)
-        c_.timers.after(0, guarded([this, id] {
-                            if (auto* again = cluster_state_.find(id)) probe(*again);
-                        }));
+        dependencies_.timers.after(0, guarded([this, id] {
+                                       if (auto* again = cluster_state_.find(id)) probe(*again);
+                                   }));
 }
 
 // How long ago it was rented, in nominal boot times of its type; 0: not known.
 double Leader::boots(const Machine& m) const {
-    for (auto& type : c_.types)
+    for (auto& type : dependencies_.types)
         if (type.name == m.type && type.boot_s > 0) return (now() - m.created) / type.boot_s;
     return 0;
 }
@@ -515,22 +519,23 @@
                                   m.last_heard, m.reconciled, m.known,    {}};
         // What runs there goes on until its worker's lease is out, and that is reported. What was sent there
         // and is not seen would wait for as long.
-        if (m.reconciled && m.reach.lost() && !m.runs_any())
-            s.unreached = t - m.reach.shown_at() - c_.settings.report_s;
-        if (std::max(s.silent, s.unreached) > c_.settings.report_s / 2) s.eviction_cost = eviction_cost(m);
+        if (m.reconciled && m.reach.on_lease_lost() && !m.runs_any())
+            s.unreached = t - m.reach.shown_at() - dependencies_.settings.report_s;
+        if (std::max(s.silent, s.unreached) > dependencies_.settings.report_s / 2)
+            s.eviction_cost = eviction_cost(m);
         machines.push_back(&m);
         seen.push_back(s);
     }
-    double asked_s = c_.settings.report_s * c_.settings.op.silence_reports;
+    double asked_s = dependencies_.settings.report_s * dependencies_.settings.op.silence_reports;
     failure_detector_.look(seen,
                            {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
     if (auto& doubt = failure_detector_.doubt()) {
-        auto elsewhere = c_.heard_elsewhere(doubt->silent);
+        auto elsewhere = dependencies_.heard_elsewhere(doubt->silent);
         failure_detector_.answered(elsewhere);
-        if (failure_detector_.should_give_way() && c_.give_way()) {
+        if (failure_detector_.should_give_way() && dependencies_.resign_leadership()) {
             spdlog::info("leader: {} of {} machines are silent, {} report to another controller: giving way",
                          doubt->silent.size(), failure_detector_.up(), *elsewhere);
-            c_.election.resign(c_.settings.lease_s);
+            dependencies_.election.resign(dependencies_.settings.lease_s);
             return;
         }
     }
@@ -541,18 +546,18 @@
         auto verdict = failure_detector_.judge(seen[k], t);
         {
             std::lock_guard lock(mutex_);
-            m.suspected = verdict != membership::Health::Alive || m.reach.lost();
+            m.suspected = verdict != membership::Health::Alive || m.reach.on_lease_lost();
         }
         suspected += m.suspected;
         check_up(m, seen[k], verdict, may);
     }
-    c_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
+    dependencies_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
     for (auto& [id, m] : cluster_state_.machines()) {
-        if (m.life == Machine::Life::condemned) check_lease(m);
+        if (m.life == Machine::Life::marked_for_deletion) check_lease(m);
         if (m.life != Machine::Life::booting || !may || !failure_detector_.overdue(boots(m), zone_of(m), t))
             continue;
         std::lock_guard lock(mutex_);
-        condemn(m, "does not come up");
+        mark_for_deletion(m, "does not come up");
     }
     check_reconciled();
 }
@@ -561,7 +566,7 @@
 // report was sent before its answer; an answer to a delayed report counts too. A hearer may have answered it,
 // too.
 bool Leader::check_lease(Machine& m) {
-    const auto& s = c_.settings;
+    const auto& s = dependencies_.settings;
     double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.lent_until);
     bool over = now() > renewed + s.lease_s * (1 + 2 * state::drift) + s.report_s / 3;
     if (over && now() - m.last_heard > s.lease_s && (!m.tasks.empty() || !m.reconciled)) {
@@ -574,13 +579,13 @@
 }
 
 void Leader::check_up(Machine& m, const membership::Observation& seen, membership::Health verdict, bool may) {
-    double period = c_.settings.report_s, t = now();
+    double period = dependencies_.settings.report_s, t = now();
     bool due = m.reconciled ? failure_detector_.late(seen) && t - m.last_probe > period / 2
                             : t - m.last_probe > period / 3 && t - m.created > period * ask_reports;
     if (due) probe(m);
     bool given_up = verdict == membership::Health::Dead;
     // Who has been heard within a lease has nothing to be proven gone: seldom worth the question, each tick.
-    bool lease_over = (given_up || t - m.last_heard > c_.settings.lease_s) && check_lease(m);
+    bool lease_over = (given_up || t - m.last_heard > dependencies_.settings.lease_s) && check_lease(m);
     // One that has reconciled is not given up while it is being asked: its answer may lie unread until the
     // time for it is up. One that has not is asked again and again, without a pause; it was waited for then
     // until its lease was out, and nothing placed meanwhile.
@@ -588,21 +593,21 @@
     if (given_up && !asked_now && (may || (lease_over && authority()))) {
         std::lock_guard lock(mutex_);
         failure_detector_.gave_up(seen, t);
-        condemn(m, failure_detector_.evidence(seen, t).c_str());
+        mark_for_deletion(m, failure_detector_.evidence(seen, t).c_str());
     } else if (may && m.notice_until >= 0 && m.tasks.empty() && m.reconciled) {
         std::lock_guard lock(mutex_);
-        condemn(m, "has notice and is empty");
+        mark_for_deletion(m, "has notice and is empty");
     }
 }
 
 // A machine that is to be deleted is never used again. That is stored first, if the machine is, so that a
 // later leader keeps to it.
-void Leader::condemn(Machine& m, const char* why) {
-    if (m.life == Machine::Life::condemned) return;
+void Leader::mark_for_deletion(Machine& m, const char* why) {
+    if (m.life == Machine::Life::marked_for_deletion) return;
     spdlog::info("machine {} {}: it is to be deleted, {} tasks on it, last heard through {}", m.id, why,
-                 m.tasks.size(), m.route.empty() ? c_.settings.label : m.route);
-    c_.metrics.event("condemned");
-    m.life = Machine::Life::condemned;
+                 m.tasks.size(), m.route.empty() ? dependencies_.settings.label : m.route);
+    dependencies_.metrics.event("condemned");
+    m.life = Machine::Life::marked_for_deletion;
     if (!m.stored && !m.storing) {
         m.deletable = true;
         return;
@@ -616,14 +621,14 @@
     while (removing_ < most_calls && authority() && now() >= remove_retry_) {
         std::vector<std::string> ids;
         for (auto& [id, m] : cluster_state_.machines())
-            if (m.life == Machine::Life::condemned && m.deletable && !m.deleting &&
+            if (m.life == Machine::Life::marked_for_deletion && m.deletable && !m.deleting &&
                 ids.size() < cloud::Client::remove_most) {
                 ids.push_back(id);
                 m.deleting = true;
             }
         if (ids.empty()) return;
         ++removing_;
-        c_.cloud.remove(ids, guarded([this, ids](bool ok) { deleted(ids, ok); }));
+        dependencies_.cloud.remove(ids, guarded([this, ids](bool ok) { deleted(ids, ok); }));
     }
 }
 void Leader::deleted(const std::vector<std::string>& ids, bool ok) {
@@ -631,7 +636,7 @@
     if (!ok) {
         for (auto& id : ids)
             if (auto* m = cluster_state_.find(id)) m->deleting = false;
-        remove_retry_ = now() + c_.settings.report_s / 3;
+        remove_retry_ = now() + dependencies_.settings.report_s / 3;
         return;
     }
     {
@@ -655,17 +660,17 @@
     if (dropping_ || keys_to_drop_.empty() || !authority()) return;
     auto t = leader_txn();
     for (auto& k : keys_to_drop_) {
-        if (t.changes.size() >= c_.state.limits().txn_ops()) break;
+        if (t.changes.size() >= dependencies_.state.limits().txn_ops()) break;
         t.changes.push_back({k, std::nullopt, 0});
     }
     std::vector<std::string> dropped;
     for (auto& ch : t.changes) dropped.push_back(ch.key);
     dropping_ = true;
-    c_.state.txn(std::move(t), Rank::background, guarded([this, dropped](Committed c) {
-                     dropping_ = false;
-                     if (c.status == Committed::Status::committed)
-                         for (auto& k : dropped) keys_to_drop_.erase(k);
-                 }));
+    dependencies_.state.txn(std::move(t), Rank::background, guarded([this, dropped](Committed c) {
+                                dropping_ = false;
+                                if (c.status == Committed::Status::committed)
+                                    for (auto& k : dropped) keys_to_drop_.erase(k);
+                            }));
 }
 
 // A machine is stored, and that confirmed, before the first `run` goes to it: whoever leads next must know
@@ -678,7 +683,8 @@
 std::optional<wire::MachineRecord> Leader::record_of(const std::string& id) {
     auto* m = cluster_state_.find(id);
     if (!m) return std::nullopt;
-    return wire::MachineRecord{m->addr, m->type, m->zone, m->spot, m->life == Machine::Life::condemned};
+    return wire::MachineRecord{m->addr, m->type, m->zone, m->spot,
+                               m->life == Machine::Life::marked_for_deletion};
 }
 void Leader::machines_stored(const std::vector<registry::MachineRegistry::Record>& records) {
     {
@@ -686,7 +692,7 @@
         for (auto& [id, r] : records) {
             auto* m = cluster_state_.find(id);
             if (!m) continue;
-            if (r.condemned) m->deletable = true;
+            if (r.marked_for_deletion) m->deletable = true;
             if (m->stored) continue;
             m->stored = true;
             for (auto& [task, i] : m->tasks) i.ready = true;
@@ -701,7 +707,7 @@
     if (listing_ || !authority()) return;
     listing_ = true;
     last_list_ = now();
-    c_.cloud.hosts(guarded([this](std::optional<std::vector<wire::Host>> hosts) {
+    dependencies_.cloud.hosts(guarded([this](std::optional<std::vector<wire::Host>> hosts) {
         listing_ = false;
         if (!hosts) return;
         listed_once_ = true;
@@ -716,8 +722,8 @@
                                 : cluster_state_.add(h.id, h.addr, h.type, h.zone, h.spot,
                                                      Machine::Life::booting, now());
                 if (!known) m.created = now() - h.age_s;
-                if (h.state == wire::HostState::failed && m.life != Machine::Life::condemned) {
-                    condemn(m, "has failed");
+                if (h.state == wire::HostState::failed && m.life != Machine::Life::marked_for_deletion) {
+                    mark_for_deletion(m, "has failed");
                 } else if (h.state == wire::HostState::running && m.life == Machine::Life::booting) {
                     if (m.addr.empty()) m.addr = h.addr;
                     to_probe.push_back(h.id);
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -23,13 +23,13 @@
     plan_wanted_ = true;
     // A plan that takes long leaves the processor to the loop for as long again and more: with thousands of
     // tasks waiting, plan upon plan kept reports waiting until machines that were well counted as silent.
-    double rest = std::min(plan_took_ * plan_rest, c_.settings.report_s);
-    double gap = std::max(c_.settings.report_s * plan_gap_reports, rest);
+    double rest = std::min(plan_took_ * plan_rest, dependencies_.settings.report_s);
+    double gap = std::max(dependencies_.settings.report_s * plan_gap_reports, rest);
     double wait = std::max(0.0, last_plan_ + gap - now());
-    c_.timers.after(wait, guarded([this] {
-                        plan_wanted_ = false;
-                        plan();
-                    }));
+    dependencies_.timers.after(wait, guarded([this] {
+                                   plan_wanted_ = false;
+                                   plan();
+                               }));
 }
 
 // Whether the job may start tasks now, as far as it is up to the job.
@@ -47,8 +47,8 @@
     if (planning_ || !loaded_ || !authority() || !reconciliation_.may_place()) return;
     auto plan = std::make_shared<Plan>();
     plan->with_capacity = reconciliation_.all_heard() &&
-                          now() - last_capacity_ > c_.settings.report_s * capacity_reports &&
-                          !c_.types.empty();
+                          now() - last_capacity_ > dependencies_.settings.report_s * capacity_reports &&
+                          !dependencies_.types.empty();
     // Most plans found nothing to place: each copied the whole fleet to see that.
     if (!plan->with_capacity && !anything_waits()) return;
     planning_ = true;
@@ -62,19 +62,19 @@
         planning_ = false;
         apply(*plan);
     });
-    c_.planner.submit([self = shared_from_this(), plan, seed, done]() -> loop::Task {
+    dependencies_.planner.submit([self = shared_from_this(), plan, seed, done]() -> loop::Task {
         std::mt19937_64 random(seed);
         {
             std::lock_guard lock(self->mutex_);
             plan->in = self->snapshot();
         }
-        plan->out = placement::plan(plan->in, self->c_.settings, random);
+        plan->out = placement::plan(plan->in, self->dependencies_.settings, random);
         if (plan->with_capacity) {
             {
                 std::lock_guard lock(self->mutex_);
                 self->fill_capacity(*plan);
             }
-            plan->capacity = capacity::plan(plan->fleet, self->c_.settings);
+            plan->capacity = capacity::plan(plan->fleet, self->dependencies_.settings);
         }
         return done;
     });
@@ -91,7 +91,7 @@
 placement::Input Leader::snapshot() {
     placement::Input in;
     in.now = now();
-    in.unix_now = c_.timers.unix_time();
+    in.unix_now = dependencies_.timers.unix_time();
     in.pools = cluster_state_.pools();
     in.zones = cluster_state_.zones();
     in.machines.reserve(cluster_state_.machines().size());
@@ -140,14 +140,14 @@
         }
         in.machines.push_back(std::move(v));
     }
-    in.team_used = used.of(c_.settings.teams);
+    in.team_used = used.of(dependencies_.settings.teams);
     return in;
 }
 
 // What was asked for and is not up yet counts as booting.
 capacity::Input Leader::rentals() const {
     capacity::Input in;
-    in.types = c_.types;
+    in.types = dependencies_.types;
     in.pools = cluster_state_.pools();
     in.zones = cluster_state_.zones();
     for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.dark(z, now()));
@@ -167,7 +167,7 @@
     auto& in = p.fleet;
     for (auto& v : p.in.machines) {
         auto* m = cluster_state_.find(v.id);
-        if (!m || m->life == Machine::Life::condemned || m->notice_until >= 0) continue;
+        if (!m || m->life == Machine::Life::marked_for_deletion || m->notice_until >= 0) continue;
         bool booting = m->life == Machine::Life::booting;
         bool suspected = m->suspected && m->fit(p.in.now) && !m->has_unknown();
         if (!booting && !v.usable && !suspected) continue;
@@ -203,7 +203,7 @@
 void Leader::apply_starts(Plan& p) {
     auto& starts = p.out.starts;
     if (starts.empty()) return;  // most plans, and the sum walks the whole fleet
-    auto used = fleet::team_used(cluster_state_, c_.settings.teams);
+    auto used = fleet::team_used(cluster_state_, dependencies_.settings.teams);
     for (std::size_t k = 0; k < starts.size();) {
         auto job = starts[k].job;
         auto& id = p.in.jobs[job].spec->id;
@@ -212,10 +212,10 @@
         if (gang)
             while (end < starts.size() && starts[end].job == job) ++end;
         auto* e = table_.find(id);
-        auto team = std::find_if(c_.settings.teams.begin(), c_.settings.teams.end(),
+        auto team = std::find_if(dependencies_.settings.teams.begin(), dependencies_.settings.teams.end(),
                                  [&](auto& t) { return e && t.name == e->spec->team; });
         std::vector<std::pair<Machine*, std::uint32_t>> placed;
-        bool ok = e && team != c_.settings.teams.end() && (!gang || e->active.empty());
+        bool ok = e && team != dependencies_.settings.teams.end() && (!gang || e->active.empty());
         auto zones = ok ? zones_of(*e) : placement::ZoneCounts{};
         auto attempt = cluster_state_.base_token() + ++attempts_;
         for (std::size_t i = k; ok && i < end; ++i) {
@@ -251,7 +251,7 @@
 void Leader::apply(Plan& p) {
     plan_took_ = now() - last_plan_;
     if (!authority()) return;
-    c_.metrics.plan_took(plan_took_);
+    dependencies_.metrics.plan_took(plan_took_);
     if (spdlog::should_log(spdlog::level::debug)) {
         std::array<std::size_t, 3> missing{};
         for (auto& u : p.out.unplaced)
@@ -289,23 +289,23 @@
         for (auto& id : p.capacity.returns) {
             auto* m = cluster_state_.find(id);
             if (m && m->tasks.empty() && (m->reconciled || m->life == Machine::Life::booting))
-                condemn(*m, "is surplus");
+                mark_for_deletion(*m, "is surplus");
         }
     }
     tell_changes();
     // The changes that show the starts of this plan were queued just now.
-    if (c_.settings.op.standby)
+    if (dependencies_.settings.op.standby)
         for (auto& [machine, task] : started_now_) held_.push_back({replication_.mark(), machine, task});
     started_now_.clear();
     replication_.hurry();
     release_starts();
     auto& n = p.out.counts;
-    c_.metrics.drawn("tasks", static_cast<double>(n.tasks));
-    c_.metrics.drawn("draws", static_cast<double>(n.draws));
-    c_.metrics.drawn("redraws", static_cast<double>(n.redraws));
-    c_.metrics.drawn("fallbacks", static_cast<double>(n.fallbacks));
-    c_.metrics.drawn("packed", static_cast<double>(n.packed));
-    c_.metrics.drawn("preempted", static_cast<double>(n.preempted));
+    dependencies_.metrics.drawn("tasks", static_cast<double>(n.tasks));
+    dependencies_.metrics.drawn("draws", static_cast<double>(n.draws));
+    dependencies_.metrics.drawn("redraws", static_cast<double>(n.redraws));
+    dependencies_.metrics.drawn("fallbacks", static_cast<double>(n.fallbacks));
+    dependencies_.metrics.drawn("packed", static_cast<double>(n.packed));
+    dependencies_.metrics.drawn("preempted", static_cast<double>(n.preempted));
     // What an earlier leader rented last is in no report yet; the list may show it.
     if (p.with_capacity && listed_once_)
         for (auto& r : p.capacity.rents)
@@ -328,24 +328,25 @@
     if (r.asking || !authority()) return;
     r.asking = true;
     auto& pool = cluster_state_.pools()[r.pool];
-    c_.cloud.rent(name, pool.type, pool.zone, pool.spot, r.count, guarded([this, name](cloud::Rented out) {
-                      auto it = rentals_.find(name);
-                      if (it == rentals_.end()) return;
-                      auto& r = it->second;
-                      r.asking = false;
-                      if (out.status == cloud::Rented::Status::failed) return;  // the next tick asks again
-                      if (static_cast<int>(out.machines.size()) < r.count)
-                          refused_[r.pool] = now() + c_.settings.report_s * refused_reports;
-                      {
-                          std::lock_guard lock(mutex_);
-                          auto pool = cluster_state_.pools()[r.pool];
-                          for (auto& id : out.machines)
-                              if (!cluster_state_.is_gone(id))
-                                  cluster_state_.add(id, "", pool.type, pool.zone, pool.spot,
-                                                     Machine::Life::booting, now());
-                      }
-                      rentals_.erase(it);
-                  }));
+    dependencies_.cloud.rent(
+        name, pool.type, pool.zone, pool.spot, r.count, guarded([this, name](cloud::Rented out) {
+            auto it = rentals_.find(name);
+            if (it == rentals_.end()) return;
+            auto& r = it->second;
+            r.asking = false;
+            if (out.status == cloud::Rented::Status::failed) return;  // the next tick asks again
+            if (static_cast<int>(out.machines.size()) < r.count)
+                refused_[r.pool] = now() + dependencies_.settings.report_s * refused_reports;
+            {
+                std::lock_guard lock(mutex_);
+                auto pool = cluster_state_.pools()[r.pool];
+                for (auto& id : out.machines)
+                    if (!cluster_state_.is_gone(id))
+                        cluster_state_.add(id, "", pool.type, pool.zone, pool.spot, Machine::Life::booting,
+                                           now());
+            }
+            rentals_.erase(it);
+        }));
 }
 
 }  // namespace coralhitch::daemon
--- a/src/fleet/cluster_state.hpp
+++ b/src/fleet/cluster_state.hpp
@@ -57,12 +57,12 @@
     bool spot = false;
     std::size_t pool = 0;
     wire::Room total;
-    enum class Life { booting, up, condemned } life = Life::booting;
+    enum class Life { booting, up, marked_for_deletion } life = Life::booting;
     bool stored = false, storing = false;  // its key at the state service
     bool reconciled = false;               // what is on it is known to this leader
     bool known =
         false;  // by the leader before: `tasks` holds all that may be on it, though it has not reconciled
-    bool deletable = false;  // condemned, and stored as such: the deletion may be asked for
+    bool deletable = false;  // marked_for_deletion, and stored as such: the deletion may be asked for
     bool deleting = false;
     std::uint64_t session = 0, sequence = 0, hello_sequence = 0, helm = 0, token = 0;
     double created = 0, last_heard = 0, last_probe = -1, idle_since = 0;
--- a/src/registry/machine_registry.cpp
+++ b/src/registry/machine_registry.cpp
@@ -61,7 +61,8 @@
         // Half moved by an earlier leader, or put into a second page by an older version. It stays where it
         // was read first, and the page that it leaves is written after that one.
         if (pages_[home->second].retiring) home->second = n;
-        if (it->second.condemned != r.condemned) it->second.condemned = pages_[home->second].dirty = true;
+        if (it->second.marked_for_deletion != r.marked_for_deletion)
+            it->second.marked_for_deletion = pages_[home->second].dirty = true;
         if (home->second == n || p.retiring) return;
         p.ids.erase(id);
         p.stale = true;
--- a/src/registry/machine_registry.hpp
+++ b/src/registry/machine_registry.hpp
@@ -36,7 +36,7 @@
                     Hooks hooks);
 
     // Takes over what earlier leaders stored, in pages or, before there were pages, in a key each. A machine
-    // that is in several of them is one machine, and condemned if any of them says so.
+    // that is in several of them is one machine, and marked_for_deletion if any of them says so.
     std::vector<Record> load(const state::Listed& listed);
     void put(const std::string& id);     // new, or something about it has changed
     void remove(const std::string& id);  // proven gone
--- a/src/wire/model.hpp
+++ b/src/wire/model.hpp
@@ -127,7 +127,7 @@
 struct MachineRecord {
     std::string addr, type, zone;
     bool spot = false;
-    bool condemned = false;  // a deletion was asked for: never to be used again
+    bool marked_for_deletion = false;  // a deletion was asked for: never to be used again
 };
 using MachinePage = std::vector<std::pair<std::string, MachineRecord>>;  // by machine id
 struct LeaderRecord {
--- a/src/wire/protocol.cpp
+++ b/src/wire/protocol.cpp
@@ -348,7 +348,8 @@
 }
 std::string stored(const MachinePage& p) {
     json rows = json::array();
-    for (auto& [id, r] : p) rows.push_back(json::array({id, r.addr, r.type, r.zone, r.spot, r.condemned}));
+    for (auto& [id, r] : p)
+        rows.push_back(json::array({id, r.addr, r.type, r.zone, r.spot, r.marked_for_deletion}));
     return dumped(json{{"machines", std::move(rows)}});
 }
 std::string stored(const LeaderRecord& r) {
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -158,7 +158,7 @@
     next.service.kv[state::keys::machines + "vm-0"] = {json::object(), 3};
     for (auto& [id, r] : next.store.load(listed)) next.fleet[id] = r;
     ASSERT_EQ(next.fleet.size(), 2u);
-    EXPECT_TRUE(next.fleet["vm-0"].condemned);
+    EXPECT_TRUE(next.fleet["vm-0"].marked_for_deletion);
     next.store.flush();
     next.timers.run_until(2);
     EXPECT_EQ(machines_in(next.service), (std::set<std::string>{"vm-0", "vm-1"}));
@@ -231,19 +231,19 @@
 TEST(MachineRegistry, AMachineInTwoPagesIsOneAndCondemnedIfEitherSaysSo) {
     for (bool first : {true, false}) {
         Bench before;
-        auto row = [](bool condemned) {
-            return json{{"machines", {{"vm-1", "10.1.0.1:9000", "g4", "z1", false, condemned}}}};
+        auto row = [](bool marked_for_deletion) {
+            return json{{"machines", {{"vm-1", "10.1.0.1:9000", "g4", "z1", false, marked_for_deletion}}}};
         };
         before.service.kv[state::keys::machine_page(0)] = {row(first), 2};
         before.service.kv[state::keys::machine_page(7)] = {row(!first), 3};
         Bench b;
         b.take_over(before);
         ASSERT_EQ(b.fleet.size(), 1u);
-        EXPECT_TRUE(b.fleet["vm-1"].condemned);
+        EXPECT_TRUE(b.fleet["vm-1"].marked_for_deletion);
         b.play(12);
         Bench next;
         next.take_over(b);
-        EXPECT_TRUE(next.fleet["vm-1"].condemned);
+        EXPECT_TRUE(next.fleet["vm-1"].marked_for_deletion);
         EXPECT_EQ(next.service.kv.size(), 1u);
         b.gone("vm-1");
         b.play(12);
