--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "standin.hpp"
+#include "simulated_cluster.hpp"
 
 namespace coralhitch::standin {
 namespace {
--- a/tests/meetings_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "plays.hpp"
+#include "fault_scenarios.hpp"
 
 namespace coralhitch::standin {
 namespace {
--- a/tests/plays.cpp
+++ b/tests/fault_scenarios.cpp
@@ -1,4 +1,4 @@
-#include "plays.hpp"
+#include "fault_scenarios.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/tests/plays.hpp
+++ b/tests/fault_scenarios.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "standin.hpp"
+#include "simulated_cluster.hpp"
 
 namespace coralhitch::standin {
 
--- a/tests/plays_main.cpp
+++ b/tests/fault_scenarios_main.cpp
@@ -1,11 +1,12 @@
-// Plays of seeds by hand: coralhitch_plays --from 1 --seeds 10000 [--meetings] [--size 12] [--no-shrink]
+// Plays of seeds by hand: coralhitch_fault_scenarios --from 1 --seeds 10000 [--meetings] [--size 12]
+// [--no-shrink]
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <map>
 
-#include "plays.hpp"
+#include "fault_scenarios.hpp"
 
 int main(int argc, char** argv) {
     using namespace coralhitch::standin;
--- a/tests/plays_test.cpp
+++ b/tests/fault_scenarios_test.cpp
@@ -1,4 +1,4 @@
-#include "plays.hpp"
+#include "fault_scenarios.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -6,7 +6,7 @@
 namespace coralhitch::standin {
 namespace {
 
-// In parts, so that they can be played side by side. `coralhitch_plays` plays more by hand.
+// In parts, so that they can be played side by side. `coralhitch_fault_scenarios` plays more by hand.
 class Plays : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, Plays, testing::Range<std::uint64_t>(0, 16));
 TEST_P(Plays, KeepTheRulesWhateverFails) {
--- a/tests/standin.cpp
+++ b/tests/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-#include "standin.hpp"
+#include "simulated_cluster.hpp"
 
 #include <algorithm>
 
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -5,8 +5,8 @@
 #include <random>
 
 #include "fake_state.hpp"
+#include "fault_scenarios.hpp"
 #include "fleet/cluster_state.hpp"
-#include "plays.hpp"
 #include "standby/checks.hpp"
 #include "standby/replication_sender.hpp"
 #include "state/keys.hpp"
