--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -73,7 +73,7 @@
         return {400, wire::error_body(x.what()), false};
     }
     machine = report.machine;
-    auto heard = hear(report, fleet::Via::hello);
+    auto heard = apply_report(report, fleet::Via::hello);
     std::lock_guard lock(mutex_);
     auto* m = cluster_state_.find(report.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
@@ -100,7 +100,7 @@
 void Leader::record_route(Machine& m, const std::string& route) {
     if (std::exchange(m.has_come, true)) m.reach.came(m.route == route, now());
     m.route = route;
-    m.suspected = m.reach.on_lease_lost();
+    m.suspected = m.reach.lost();
 }
 void Leader::revoke(const std::string& id) {
     auto until = delegations_.revoke(id);
@@ -159,7 +159,7 @@
     send();
 }
 
-fleet::ReportOutcome Leader::hear(const wire::Report& r, fleet::Via via) {
+fleet::ReportOutcome Leader::apply_report(const wire::Report& r, fleet::Via via) {
     fleet::ReportOutcome heard;
     {
         std::lock_guard lock(mutex_);
@@ -471,7 +471,7 @@
             auto report = reader_.read(r->body);
             auto* before = cluster_state_.find(id);
             first_session = before && before->session < report.session;
-            if (report.machine == id) hear(report, fleet::Via::direct);
+            if (report.machine == id) apply_report(report, fleet::Via::direct);
             // What a hearer would go on answering may not be the last word any more.
             if (auto* m = cluster_state_.find(id); m && !cluster_state_.quiet(*m)) revoke(id);
         } catch (const wire::Malformed& x) {
@@ -519,7 +519,7 @@
                                   m.last_heard, m.reconciled, m.known,    {}};
         // What runs there goes on until its worker's lease is out, and that is reported. What was sent there
         // and is not seen would wait for as long.
-        if (m.reconciled && m.reach.on_lease_lost() && !m.runs_any())
+        if (m.reconciled && m.reach.lost() && !m.runs_any())
             s.unreached = t - m.reach.shown_at() - dependencies_.settings.report_s;
         if (std::max(s.silent, s.unreached) > dependencies_.settings.report_s / 2)
             s.eviction_cost = eviction_cost(m);
@@ -546,7 +546,7 @@
         auto verdict = failure_detector_.judge(seen[k], t);
         {
             std::lock_guard lock(mutex_);
-            m.suspected = verdict != membership::Health::Alive || m.reach.on_lease_lost();
+            m.suspected = verdict != membership::Health::Alive || m.reach.lost();
         }
         suspected += m.suspected;
         check_up(m, seen[k], verdict, may);
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -239,7 +239,7 @@
     char text[160];
     std::snprintf(text, sizeof text, "is silent for %.1f s, patience %.1f s, %s for it%s%s%s", m.silent,
                   patience(m, now), stakes[static_cast<std::size_t>(m.eviction_cost)],
-                  m.settled ? "" : ", not settled", quiet(m.zone) ? ", its zone is quiet" : "",
+                  m.reconciled ? "" : ", not settled", quiet(m.zone) ? ", its zone is quiet" : "",
                   doubt_ ? ", no other hears it" : "");
     return text;
 }
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -39,7 +39,7 @@
     std::uint64_t base() { return picture.base_token(); }
     // A machine known and stored, with a `run` sent directly.
     std::vector<Command> run() {
-        hear(base());
+        apply_report(base());
         machine().stored = true;
         picture.place(machine(), task, spec, 5, 0);
         return picture.direct_now(machine(), 0, true);
@@ -114,7 +114,7 @@
         {"it is to be deleted", [](Bench& b) { b.machine().life = Machine::Life::marked_for_deletion; },
          false},
         {"it has notice", [](Bench& b) { b.machine().notice_until = 9; }, false},
-        {"it has not settled", [](Bench& b) { b.machine().settled = false; }, false},
+        {"it has not settled", [](Bench& b) { b.machine().reconciled = false; }, false},
         {"it is not stored yet", [](Bench& b) { b.machine().stored = false; }, false},
     };
     for (auto& c : cases) {
