--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -1,10 +1,10 @@
-// The stand-in's checker: for each rule a history that breaks it on purpose, which must be found.
+// The checker of the simulated cluster: for each rule a history that breaks it on purpose, which must be found.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
 #include "simulated_cluster.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 // The checker itself: a command that breaks a rule on purpose must be seen.
@@ -86,4 +86,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -5,7 +5,7 @@
 
 #include "fault_scenarios.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 std::size_t lead(const World& w) {
@@ -375,4 +375,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/fault_scenarios.cpp
+++ b/tests/fault_scenarios.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 constexpr double faults_from = 20, faults_until = 100, work_until = 110, play_until = 260;
 constexpr std::size_t nodes = 3, troubles = static_cast<std::size_t>(Trouble::cancel_all) + 1;
@@ -239,4 +239,4 @@
     return faults;
 }
 
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/fault_scenarios.hpp
+++ b/tests/fault_scenarios.hpp
@@ -1,4 +1,4 @@
-// Random plays of three controllers, machines and users in the stand-in's world: from a seed come faults of
+// Random plays of three controllers, machines and users in a simulated cluster: from a seed come faults of
 // every kind, alone and together; a play that breaks a rule is shrunk to the fewest faults that still do.
 #pragma once
 #include <string>
@@ -6,7 +6,7 @@
 
 #include "simulated_cluster.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 
 // Under the sanitizers a play takes ten times as long: a part of the seeds must do.
 #ifdef __SANITIZE_ADDRESS__
@@ -66,4 +66,4 @@
 // The fewest of these faults with which something is still wrong.
 std::vector<Fault> shrink(std::uint64_t seed, std::size_t machines, std::vector<Fault> faults);
 
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/fault_scenarios_main.cpp
+++ b/tests/fault_scenarios_main.cpp
@@ -9,7 +9,7 @@
 #include "fault_scenarios.hpp"
 
 int main(int argc, char** argv) {
-    using namespace coralhitch::standin;
+    using namespace coralhitch::simulation;
     CLI::App app("plays random failures of controllers, machines and networks against the rules");
     std::uint64_t from = 1, seeds = 100;
     std::size_t size = 12;
--- a/tests/fault_scenarios_test.cpp
+++ b/tests/fault_scenarios_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 // In parts, so that they can be played side by side. `coralhitch_fault_scenarios` plays more by hand.
@@ -42,4 +42,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -1,5 +1,5 @@
-// A stand-in for everything around the controllers, in simulated time: state service, cloud, workers, users
-// and the network between them. It speaks the protocol, and checks the rules itself.
+// Everything around the controllers, simulated: state service, cloud, workers, users and the network between
+// them, each in a simulated_cluster_*.cpp. It speaks the protocol, and checks the rules itself.
 #pragma once
 #include <deque>
 #include <map>
@@ -11,9 +11,14 @@
 
 #include "daemon/controller.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 using nlohmann::json;
 
+inline constexpr const char* state_addr = "10.2.0.1:2379";
+inline constexpr const char* cloud_addr = "10.2.0.2:8443";
+inline const std::vector<std::string> zones{"a", "b"};
+inline constexpr double machine_gpus = 4;
+
 class World;
 
 // Timers of one host: when the host dies, what it had planned does not happen.
@@ -93,6 +98,9 @@
     std::set<std::string> tasks_done;
 };
 
+// The jobs whose ends this one waits for.
+std::vector<std::string> awaits_of(const json& spec);
+
 struct Options {
     std::uint64_t seed = 1;
     std::size_t machines = 6;
@@ -289,4 +297,4 @@
     friend class HostTimers;
 };
 
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -477,7 +477,7 @@
 }  // namespace
 }  // namespace coralhitch::standby
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 std::size_t lead(World& w) {
@@ -661,4 +661,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -1,10 +1,10 @@
-// The real controllers in simulated time, through troubles, against the stand-in's rules.
+// The real controllers in simulated time, through troubles, against the simulated users' rules.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
 #include "simulated_cluster.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 struct Trouble {
@@ -528,4 +528,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
