--- a/tests/fault_scenarios.cpp
+++ b/tests/fault_scenarios.cpp
@@ -5,10 +5,8 @@
 
 namespace coralhitch::simulation {
 namespace {
-constexpr double faults_from = 20, faults_until = 100, work_until = 110, play_until = 260;
-constexpr std::size_t nodes = 3, troubles = static_cast<std::size_t>(Trouble::cancel_all) + 1;
-// A random play has all but those that only meetings have, so that seeds stay what they were.
-constexpr std::size_t drawn = static_cast<std::size_t>(Trouble::reboot) + 1;
+constexpr double faults_from = 20, faults_until = 100, work_until = 110, play_until = 280;
+constexpr std::size_t nodes = 3, troubles = static_cast<std::size_t>(Trouble::small_jobs) + 1;
 constexpr double copies_soon = 3, copies_late = 60;  // s; a worker's lease is 24
 constexpr const char* names[] = {"controller ends",
                                  "all controllers end",
@@ -29,7 +27,19 @@
                                  "machine is back at once",
                                  "transactions are carried out late",
                                  "state service is slow",
-                                 "live jobs are cancelled"};
+                                 "live jobs are cancelled",
+                                 "close looks",
+                                 "answer lost, carried out",
+                                 "cancel at end",
+                                 "cancel now with hangs",
+                                 "mute",
+                                 "odd requests",
+                                 "copy for the next leader",
+                                 "late commands",
+                                 "fast boots with slow writes",
+                                 "all teams at their limit",
+                                 "stream of small jobs"};
+static_assert(std::size(names) == troubles);
 
 std::string node(std::size_t k) {
     return "10.0.0." + std::to_string(k + 1);
@@ -37,6 +47,14 @@
 std::size_t leads(const World& w, std::size_t who) {
     return who < nodes ? who : static_cast<std::size_t>(std::max(0, w.leader()));
 }
+// A quarter of the transactions; what meets another fault of this kind happens as that one says first.
+void late_transactions(World& w, const Fault& f, double (*late)(std::minstd_rand&)) {
+    auto random = std::make_shared<std::minstd_rand>(f.other + f.who);
+    w.late_txn = [&w, random, late, before = w.late_txn, until = w.now() + f.for_s](const json& txn) {
+        if (double other = before ? before(txn) : 0; other != 0) return other;
+        return w.now() > until || (*random)() % 4 ? 0.0 : late(*random);
+    };
+}
 void happen(World& w, const Fault& f, std::size_t machines) {
     auto k = leads(w, f.who);
     switch (f.what) {
@@ -90,14 +108,11 @@
             return w.cut(node(k), "10.0.", f.for_s, f.hold);
         case Trouble::reboot:
             return w.reboot(f.who, f.hold);
-        case Trouble::late_txns: {
-            auto random = std::make_shared<std::minstd_rand>(f.other + f.who);
-            w.late_txn = [&w, random, until = w.now() + f.for_s](auto&) {
-                if (w.now() > until || (*random)() % 4) return 0.0;
-                return std::uniform_real_distribution<double>(2, 12)(*random);
-            };
-            return;
-        }
+        case Trouble::late_txns:
+            return late_transactions(
+                w, f, [](auto& random) { return std::uniform_real_distribution<double>(2, 12)(random); });
+        case Trouble::answer_lost:
+            return late_transactions(w, f, [](auto&) { return -1.0; });
         case Trouble::slow_state:
             return w.slow_state(f.for_s,
                                 f.hold ? 1.2 : 0.4);  // s; a leader's lease is 2.4, a question waits 1.5
@@ -105,6 +120,31 @@
             for (auto& [id, told] : w.jobs)
                 if (told.accepted && !told.done && !told.cancel_asked) w.cancel(id);
             return;
+        case Trouble::close_looks:
+            return w.close_looks(f.for_s);
+        case Trouble::cancel_at_end:
+            return w.cancel_at_end(f.for_s);
+        case Trouble::cancel_now:
+            return w.cancel_now(f.other, f.for_s);
+        case Trouble::mute: {
+            std::size_t step = f.other > 8 ? 3 : w.workers.size();  // a third of the machines, or one
+            for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step) w.mute(m, f.for_s);
+            return;
+        }
+        case Trouble::odd_requests:
+            return w.odd_requests(f.for_s);
+        case Trouble::copy_for_next:
+            return w.keep_copies(f.for_s);
+        case Trouble::late_commands:
+            return w.late_commands(f.for_s);
+        case Trouble::fast_boots:
+            // Machines that are gone make the service rent new ones.
+            for (std::size_t m = 0; m < 2; ++m) w.die(f.other + 5 * m);
+            return w.fast_boots(f.for_s, f.hold ? 1.2 : 0.4);
+        case Trouble::team_limits:
+            return w.fill_limits();
+        case Trouble::small_jobs:
+            return w.small_jobs(f.for_s);
     }
 }
 }  // namespace
@@ -135,6 +175,7 @@
     auto out = w.broken;
     if (w.starts <= 40) out.push_back("hardly anything was started");
     for (auto& [id, told] : w.jobs) {
+        if (told.refused) continue;
         if (!told.accepted) out.push_back(id + " was not accepted");
         if (!told.done && !told.cancelled) out.push_back(id + " has not ended");
     }
@@ -154,11 +195,12 @@
     f.hold = random() % 2;
     bool ends = f.what <= Trouble::crash_after;
     bool long_ones = f.what == Trouble::hang || f.what == Trouble::zone || f.what == Trouble::unreached ||
-                     f.what == Trouble::isolated || f.what == Trouble::late_txns;
+                     f.what == Trouble::isolated || f.what == Trouble::late_txns ||
+                     f.what == Trouble::cancel_now || f.what == Trouble::mute;
     f.for_s = ends ? (random() % 3 ? between(random, 0.05, 0.5) : between(random, 2, 6))
                    : between(random, 0.5, long_ones ? 30 : 12);
     bool of_machine = f.what == Trouble::die || f.what == Trouble::hang || f.what == Trouble::unreached ||
-                      f.what == Trouble::reboot;
+                      f.what == Trouble::reboot || f.what == Trouble::mute;
     if (of_machine) f.who = random() % machines;
     return f;
 }
@@ -170,51 +212,66 @@
     // Some come singly, some within a second of the one before.
     double t = faults_from;
     while ((t += random() % 3 ? between(random, 0.05, 1.5) : between(random, 3, 15)) < faults_until)
-        out.push_back(draw_fault(random, static_cast<Trouble>(random() % drawn), t, machines));
+        out.push_back(draw_fault(random, static_cast<Trouble>(random() % troubles), t, machines));
     return out;
 }
 
-const std::size_t pairs = troubles * troubles;
+const std::size_t pairs = troubles * troubles, pair_seeds = (pairs + pairs_each - 1) / pairs_each;
+namespace {
+// One pair; the second is placed in the first by ratios of what the two meet in.
+std::pair<Fault, Fault> draw_pair(std::mt19937_64& random, std::size_t pair, double t, std::size_t machines) {
+    // A leader's lease, a report period, a worker's lease, the time of a cancellation.
+    constexpr double ttl = 2.4, report = 3, lease = 24, cancel = 44, spans[] = {ttl, report, lease, cancel};
+    auto a = draw_fault(random, static_cast<Trouble>(pair % troubles), t, machines),
+         b = draw_fault(random, static_cast<Trouble>(pair / troubles % troubles), t, machines);
+    double span = spans[random() % std::size(spans)];
+    switch (random() % 3) {
+        case 0:  // back to back
+            b.at = std::min(a.until(), a.at + span) + between(random, -0.2, 0.2);
+            break;
+        case 1:  // overlapping: the first is over while the second lasts
+            a.for_s = std::max(a.for_s, span * between(random, 0.3, 1.1));
+            b.at = a.at + a.for_s * between(random, 0.3, 0.95);
+            break;
+        default:  // the second inside the first
+            a.for_s = std::max(a.for_s, span * between(random, 0.8, 1.2));
+            b.for_s = std::min(b.for_s, a.for_s / 2);
+            b.at = a.at + between(random, 0.01, 0.4) * a.for_s;
+    }
+    // A process is away for as long as its machine takes to start it; a stream ends in time for its jobs.
+    constexpr double away_most = 6, stream_most = 12;
+    for (auto* f : {&a, &b}) {
+        if (f->what <= Trouble::crash_after) f->for_s = std::min(f->for_s, away_most);
+        if (f->what == Trouble::small_jobs) f->for_s = std::min(f->for_s, stream_most);
+    }
+    return {a, b};
+}
+}  // namespace
+
 std::vector<Fault> draw_meeting(std::uint64_t seed, std::size_t machines) {
+    // Pairs that share a kind are next to each other: a step through them, without a common factor with their
+    // number, mixes the kinds of a play.
+    constexpr std::size_t step = 331;
+    static_assert(troubles * troubles % step != 0 && troubles * troubles % 2 == 1);
     std::mt19937_64 random(seed);
-    auto first = static_cast<Trouble>(seed % troubles),
-         second = static_cast<Trouble>(seed / troubles % troubles);
-    // Ratios of what the two meet in: a leader's lease, a report period, a worker's lease, the time of a
-    // cancellation.
-    constexpr double ttl = 2.4, report = 3, lease = 24, cancel = 44, spans[] = {ttl, report, lease, cancel};
     std::vector<Fault> out;
-    for (double t = faults_from; t < faults_until - 20; t += between(random, 15, 30)) {
-        auto a = draw_fault(random, first, t, machines), b = draw_fault(random, second, t, machines);
-        double span = spans[random() % std::size(spans)];
-        switch (random() % 3) {
-            case 0:  // back to back
-                b.at = std::min(a.until(), a.at + span) + between(random, -0.2, 0.2);
-                break;
-            case 1:  // overlapping: the first is over while the second lasts
-                a.for_s = std::max(a.for_s, span * between(random, 0.3, 1.1));
-                b.at = a.at + a.for_s * between(random, 0.3, 0.95);
-                break;
-            default:  // the second inside the first
-                a.for_s = std::max(a.for_s, span * between(random, 0.8, 1.2));
-                b.for_s = std::min(b.for_s, a.for_s / 2);
-                b.at = a.at + between(random, 0.01, 0.4) * a.for_s;
-        }
-        // A process is away for as long as its machine takes to start it.
-        for (auto* f : {&a, &b})
-            if (f->what <= Trouble::crash_after) f->for_s = std::min(f->for_s, 6.0);
+    double t = faults_from;
+    for (std::size_t k = 0; k < pairs_each; ++k, t += between(random, 19, 25)) {
+        auto [a, b] = draw_pair(random, (seed % pair_seeds * pairs_each + k) * step % pairs, t, machines);
         out.push_back(a);
         out.push_back(b);
-        t = std::max(t, std::max(a.until(), b.until()) - 10);
     }
     return out;
 }
-std::vector<std::string> play(std::uint64_t seed, std::size_t machines, const std::vector<Fault>& faults) {
+std::vector<std::string> play(std::uint64_t seed, std::size_t machines, const std::vector<Fault>& faults,
+                              Counts* counts) {
     Options o;
     o.seed = seed;
     o.machines = machines;
+    o.free_gpus_max = 2.5 * static_cast<double>(machines);  // of four a machine; services take 18
     // Users go on asking for as long as the longest trouble lasts, and then some.
     for (auto& f : faults)
-        if (f.for_s > 30) o.submit_tries = 80;
+        if (f.for_s > 20) o.submit_tries = 200;
     World w(o);
     work(w, work_until);
     w.troubles_over = 0;
@@ -223,6 +280,11 @@
         w.troubles_over = std::max(w.troubles_over, f.at + f.for_s);
     }
     w.run_until(play_until);
+    if (counts) {
+        counts->answers += w.answers;
+        counts->starts += w.starts;
+        counts->starts_cancelled += w.starts_cancelled;
+    }
     return wrong(w);
 }
 std::vector<Fault> shrink(std::uint64_t seed, std::size_t machines, std::vector<Fault> faults) {
--- a/tests/fault_scenarios.hpp
+++ b/tests/fault_scenarios.hpp
@@ -35,7 +35,18 @@
     reboot,
     late_txns,
     slow_state,
-    cancel_all
+    cancel_all,
+    close_looks,
+    answer_lost,
+    cancel_at_end,
+    cancel_now,
+    mute,
+    odd_requests,
+    copy_for_next,
+    late_commands,
+    fast_boots,
+    team_limits,
+    small_jobs
 };
 
 struct Fault {
@@ -57,12 +68,21 @@
 std::vector<std::string> wrong(const World& w);
 
 std::vector<Fault> draw_faults(std::uint64_t seed, std::size_t machines);
-// Two kinds of trouble that meet, a few times in one play: one after the other, overlapping, or the second
-// inside the first. Seeds 0 to `pairs - 1` have each pair once; further ones have them again with other
-// times.
-extern const std::size_t pairs;
+// Pairs of kinds of trouble, each of which meet: one after the other, overlapping, or the second inside the
+// first. A play has `pairs_each` of the `pairs`, so that seeds 0 to `pair_seeds - 1` have each pair once;
+// further ones have them again with other times.
+inline constexpr std::size_t pairs_each = 3;
+extern const std::size_t pairs, pair_seeds;
 std::vector<Fault> draw_meeting(std::uint64_t seed, std::size_t machines);
-std::vector<std::string> play(std::uint64_t seed, std::size_t machines, const std::vector<Fault>& faults);
+
+// What a play has had besides broken rules.
+struct Counts {
+    std::size_t answers = 0;           // that users got
+    std::size_t starts = 0;            // of tasks
+    std::size_t starts_cancelled = 0;  // after the cancellation was confirmed, and within `cancel_s` of it
+};
+std::vector<std::string> play(std::uint64_t seed, std::size_t machines, const std::vector<Fault>& faults,
+                              Counts* counts = nullptr);
 // The fewest of these faults with which something is still wrong.
 std::vector<Fault> shrink(std::uint64_t seed, std::size_t machines, std::vector<Fault> faults);
 
--- a/tests/fault_scenarios_main.cpp
+++ b/tests/fault_scenarios_main.cpp
@@ -23,11 +23,12 @@
     spdlog::set_level(spdlog::level::off);
     std::size_t failed = 0;
     std::map<std::string, std::size_t> met;
+    Counts counts;
     for (auto seed = from; seed < from + seeds; ++seed) {
         auto faults = meetings ? draw_meeting(seed, size) : draw_faults(seed, size);
         for (std::size_t k = 0; meetings && k + 1 < faults.size(); k += 2)
             ++met[name(faults[k]) + " / " + name(faults[k + 1])];
-        auto bad = play(seed, size, faults);
+        auto bad = play(seed, size, faults, &counts);
         if (bad.empty()) continue;
         ++failed;
         if (!whole) faults = shrink(seed, size, faults), bad = play(seed, size, faults);
@@ -38,6 +39,8 @@
     }
     for (auto& [pair, n] : met) std::printf("%6zu  %s\n", n, pair.c_str());
     if (meetings) std::printf("%zu of %zu pairs met\n", met.size(), pairs);
+    std::printf("%zu answers, %zu starts, %zu after a confirmed cancellation\n", counts.answers,
+                counts.starts, counts.starts_cancelled);
     std::printf("%zu of %llu plays failed\n", failed, static_cast<unsigned long long>(seeds));
     return failed > 0;
 }
--- a/tests/fault_scenarios_test.cpp
+++ b/tests/fault_scenarios_test.cpp
@@ -18,16 +18,26 @@
     }
 }
 
-// Each pair of troubles once.
+// Each pair of troubles once, a few in each play.
 class Meetings : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Pairs, Meetings, testing::Range<std::uint64_t>(0, 16));
 TEST_P(Meetings, KeepTheRules) {
     spdlog::set_level(spdlog::level::off);
-    for (auto seed = GetParam(); seed < pairs; seed += 16 * seeds_part)
+    for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seeds_part)
         for (auto& b : play(seed, 12, draw_meeting(seed, 12)))
             ADD_FAILURE() << "meeting " << seed << ": " << b;
 }
 
+TEST(Pairs, AreAllDrawn) {
+    std::set<std::string> met;
+    for (std::uint64_t seed = 0; seed < pair_seeds; ++seed) {
+        auto faults = draw_meeting(seed, 12);
+        for (std::size_t k = 0; k + 1 < faults.size(); k += 2)
+            met.insert(name(faults[k]) + " / " + name(faults[k + 1]));
+    }
+    EXPECT_EQ(met.size(), pairs);
+}
+
 // The checker sees what is wrong, and a failing play shrinks to what it needs.
 TEST(Shrinking, KeepsWhatThePlayNeeds) {
     spdlog::set_level(spdlog::level::off);
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -49,7 +49,7 @@
         s.cloud_addr = cloud_addr;
         s.nodes = 3;
         s.zones = zones;
-        s.teams = {{"free", 0, 0, 0, 0}, {"tight", 0, 0, 0, options_.gpus_max}};
+        s.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
         s.report_s = options_.report_s;
         s.lease_s = options_.lease_s;
         s.cancel_s = options_.cancel_s;
@@ -81,6 +81,8 @@
     every(0.1, [this] { expire_leases(); });
     every(0.5, [this] { check_cancelled(); });
     every(1.0, [this] { balance(); });
+    every(1.0, [this] { check_waiting(); });
+    every(0.05, [this] { deliver_kept(); });
     every(4.0, [this] { poll_all(); });
     // A hanging machine's tasks end with its lease too.
     every(0.1, [this] {
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -66,7 +66,9 @@
     std::string id, addr, type, zone;
     bool spot = false, dead = false, hung = false, sick = false;
     std::uint64_t session = 1, sequence = 0, helm = 0;
+    bool keeps_tasks = false;  // for ever, whatever its lease says: a broken worker
     double created = 0, up_at = 0, last_answered = 0;
+    double mute_until = 0;    // it can't open connections to controllers
     std::uint64_t lives = 0;  // reboots so far: what was on its way to the one before does not reach it
     std::size_t node = 0;
     std::map<std::string, Task> tasks;
@@ -87,12 +89,24 @@
     double busy_until = 0;    // with what workers sent
 };
 
-// What a user was told about a job.
+// An answer that a user got about a job: when the question was sent, when the answer was received.
+struct Answer {
+    std::string id;
+    enum class To { submission, question, cancellation } to = To::question;
+    double sent = 0, received = 0;
+    int http = 200;
+    std::string status;  // of the job; empty for errors
+};
+
+// What users were told about a job, and when they first received it (-1: never).
 struct Told {
     json spec;
     bool accepted = false, cancelled = false, done = false;
     bool cancel_asked = false;
-    double cancelled_at = -1;
+    int refused = 0;  // what its submission must get instead of acceptance; 0: it is accepted
+    double accepted_at = -1, cancelled_at = -1, done_at = -1;
+    double waiting_since = -1;  // with room and quota, and nothing of it started
+    bool waited_too_long = false;
     double answered_at = 0;  // a question about it, or its submission
     bool open_too_long = false;
     std::set<std::string> tasks_done;
@@ -105,8 +119,10 @@
     std::uint64_t seed = 1;
     std::size_t machines = 6;
     double report_s = 3, lease_s = 24, cancel_s = 44;
-    double gpus_max = 12;
-    double boot_s = 1;  // what a machine takes; the nominal time is 5 s
+    double gpus_max = 12;      // limit of team `tight`
+    double free_gpus_max = 0;  // of team `free`; 0: none
+    double waits_s = 90;       // a job may wait for so long with room and quota, once the troubles are over
+    double boot_s = 1;         // what a machine takes; the nominal time is 5 s
     std::set<std::size_t>
         without_standby;     // controllers of a version, or with settings, that know no standby
     bool hearing = true;     // controllers that do not lead hear workers for the one that does
@@ -158,9 +174,32 @@
         options_.next_txn_ops = txn_ops;
     }
     // Seconds for which a transaction stays without an answer before it is carried out, after newer ones;
-    // 0: it is answered at once. Empty: all are.
+    // 0: it is answered at once; less: it is carried out at once, and only its answer is lost. Empty: all are
+    // answered.
     std::function<double(const json& txn)> late_txn;
     void refuse_state(std::size_t node, double for_s) { refused_until_[addr_of(node)] = now_ + for_s; }
+    // Users look at all controllers, again and again within milliseconds, and repeat the submission, right
+    // after a job was accepted, ended or cancelled; some cancel at once.
+    void close_looks(double for_s) { close_looks_until_ = now_ + for_s; }
+    // Half of the jobs that end are cancelled at that moment.
+    void cancel_at_end(double for_s) { cancel_at_end_until_ = now_ + for_s; }
+    // Up to so many jobs that run are cancelled, and up to eight of their machines hang.
+    void cancel_now(std::size_t count, double hang_s);
+    // The machine reaches no controller; what controllers ask of it arrives and is answered.
+    void mute(std::size_t k, double for_s) { workers[k % workers.size()]->mute_until = now_ + for_s; }
+    void odd_requests(double for_s);
+    // Copies of a part of the reports are kept, and arrive at all controllers when the next one leads.
+    void keep_copies(double for_s) { keep_copies_until_ = now_ + for_s; }
+    // A quarter of the direct commands is held up, unanswered, and carried out 2 to 16 s late.
+    void late_commands(double for_s) { late_commands_until_ = now_ + for_s; }
+    // New machines are up within 2 s, and transactions take so much longer until they are carried out.
+    void fast_boots(double for_s, double slow_by) {
+        fast_boots_until_ = now_ + for_s;
+        slow_writes_by_ = slow_by;
+    }
+    // Work that fills the limit of each team that has one, a third of it cancelled.
+    void fill_limits();
+    void small_jobs(double for_s, double per_s = 4);
     void die(std::size_t k);
     void hang(std::size_t k, double for_s);
     void stand_still(std::size_t node, double for_s);
@@ -182,6 +221,8 @@
         nodes_[node].controller->serve(std::move(r), std::move(done));
     }
     void poll_all();
+    // Takes down what a user was told, and holds it against what was received before the question was sent.
+    void note(const Answer& a);
     // Called with each message as it is sent, so that a fault can be placed right after it.
     std::function<void(const std::string& from, const std::string& to, const http::Request&)> sent;
     void no_users(std::size_t node) { unserved_ = node; }  // none is led to it by the load balancer
@@ -202,6 +243,8 @@
     std::map<std::string, Told> jobs;
     std::vector<std::unique_ptr<Worker>> workers;
     std::size_t starts = 0, done_again = 0;  // done_again: of tasks that were done already
+    std::size_t starts_cancelled = 0;        // after the cancellation was confirmed
+    std::size_t answers = 0;                 // that users got about jobs
     // From then on no question about a job may stay without an answer for longer than `open_s`.
     double troubles_over = 1e9, open_s = 45;
     std::size_t deleted = 0;                   // machines with tasks on them
@@ -260,11 +303,25 @@
     // Users
     void ask(const std::string& id, const std::string& method, const std::string& path,
              const std::string& body, std::function<void(const http::Response&)> done, int tries = 40);
-    void told(const std::string& id, const std::string& status);
+    // Once, of this controller; `answered` is called with what the user receives.
+    void ask_once(Node& node, const std::string& id, http::Request r,
+                  std::function<void(const http::Response&)> answered);
+    void look_closely(const std::string& id, bool just_accepted);
+    void odd_request();
+    void submit_odd();
+    void ended(const std::string& id);
+    json plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const;
+    // Checks
+    void check_start(const Worker& w, const std::string& task);
+    void check_waiting();
+    bool could_start(const std::string& id) const;
+    std::size_t places(const Worker& w, const json& spec) const;
+    double limit_of(const std::string& team) const;
+    double used_by(const std::string& team) const;
     // When the user of a job that this one needs was first told that it is cancelled, or never.
     double cancelled_before(const std::string& id) const;
     bool is_done(const std::string& id) const;
-    void check_orphaned(const std::string& id, const std::string& status);
+    void check_orphaned(const Answer& a);
     void check_cancelled();
 
     Options options_;
@@ -290,6 +347,12 @@
     std::vector<Cut> cuts_;
     double copies_until_ = 0, copies_late_ = 0;
     double slow_until_ = 0, slow_by_ = 0;
+    double close_looks_until_ = 0, cancel_at_end_until_ = 0, keep_copies_until_ = 0, late_commands_until_ = 0,
+           fast_boots_until_ = 0, slow_writes_by_ = 0;
+    std::vector<std::pair<std::string, http::Request>> kept_;  // with who sent it
+    int led_ = -1;                                             // who led last
+    void deliver_kept();
+    int next_odd_ = 0, next_extra_ = 0;
     std::set<std::string> hidden_;
     std::optional<std::size_t> unserved_;
     std::string hidden_from_;
--- a/tests/simulated_cluster_cloud.cpp
+++ b/tests/simulated_cluster_cloud.cpp
@@ -15,7 +15,9 @@
     w->spot = spot;
     w->node = workers.size() % 3;
     w->created = now_;
-    w->up_at = w->last_answered = now_ + options_.boot_s;
+    w->up_at = now_ + options_.boot_s;
+    if (now_ < fast_boots_until_) w->up_at = now_ + std::uniform_real_distribution<double>(0.05, 2)(random_);
+    w->last_answered = w->up_at;
     workers.push_back(std::move(w));
     auto* p = workers.back().get();
     at(p->up_at, [this, p] { report_loop(*p); });
--- a/tests/simulated_cluster_network.cpp
+++ b/tests/simulated_cluster_network.cpp
@@ -36,6 +36,9 @@
         auto again = r.target == wire::paths::report ? addr_of(random_() % 3) : to;
         at(now_ + late, [this, from, again, r] { deliver(from, again, r, [](http::Response) {}); });
     }
+    if (now_ < keep_copies_until_ && r.target == wire::paths::report && kept_.size() < 200 &&
+        random_() % 3 == 0)
+        kept_.emplace_back(from, r);
     auto done = std::make_shared<bool>(false);
     auto end = [done, result](std::optional<http::Response> answer) {
         if (std::exchange(*done, true)) return;
@@ -72,6 +75,10 @@
             end(answer);
         });
     };
+    if (now_ < late_commands_until_ && r.target == wire::paths::commands && random_() % 4 == 0) {
+        double late = std::uniform_real_distribution<double>(2, 16)(random_);
+        return at(now_ + late, [this, from, to, r] { deliver(from, to, r, [](http::Response) {}); });
+    }
     bool hold = false;
     double until = 0;
     if (is_cut(host(from), host(to), hold, until)) {
@@ -120,6 +127,15 @@
     }
 }
 
+void World::deliver_kept() {
+    auto leads = leader();
+    if (leads < 0 || leads == std::exchange(led_, leads)) return;
+    for (auto& [from, r] : std::exchange(kept_, {}))
+        for (std::size_t k = 0; k < nodes_.size(); ++k)
+            at(now_ + 10 * latency(),
+               [this, from, to = addr_of(k), r] { deliver(from, to, r, [](http::Response) {}); });
+}
+
 // Messages of workers take time to read and wait for each other; what else comes does not wait for them.
 void World::in_turn(Node& n, loop::Task task) {
     if (options_.hear_s <= 0) return task();
--- a/tests/simulated_cluster_state.cpp
+++ b/tests/simulated_cluster_state.cpp
@@ -121,7 +121,20 @@
     }
     if (r.target == "/txn") {
         auto j = json::parse(r.body);
-        if (double late = late_txn ? late_txn(j) : 0; late > 0)
+        double late = late_txn ? late_txn(j) : 0;
+        if (late < 0) {
+            txn(j);
+            return kv_changed();
+        }
+        if (now_ < fast_boots_until_ && late == 0) {
+            double by = std::uniform_real_distribution<double>(0.5, 1)(random_) * slow_writes_by_;
+            return at(now_ + by, [this, j, reply] {
+                if (state_down_until_ > now_) return reply({503, "{}"});
+                reply(txn(j));
+                kv_changed();
+            });
+        }
+        if (late > 0)
             return at(now_ + late, [this, j] {
                 if (state_down_until_ > now_) return;
                 txn(j);
--- a/tests/simulated_cluster_users.cpp
+++ b/tests/simulated_cluster_users.cpp
@@ -1,4 +1,4 @@
-// The users, and what they must not be told.
+// The users: what they submit, ask and cancel.
 #include <algorithm>
 
 #include "simulated_cluster.hpp"
@@ -10,6 +10,23 @@
     return it == spec.end() || it->is_null() ? std::vector<std::string>{}
                                              : it->get<std::vector<std::string>>();
 }
+void World::ask_once(Node& node, const std::string& id, http::Request r,
+                     std::function<void(const http::Response&)> answered) {
+    using To = Answer::To;
+    auto to = r.method == "GET" ? To::question : r.target == "/api/jobs" ? To::submission : To::cancellation;
+    // What comes while the controller stands still is read when it goes on.
+    node.timers->after(0, [=, this, &node, sent = now_, r = std::move(r)] {
+        node.controller->serve(r, [=, this](http::Response a) {
+            at(now_ + latency(), [=, this] {
+                if (now_ - sent > 5) return;  // nobody listens any more
+                Answer heard{id, to, sent, now_, a.status, {}};
+                if (a.status == 200 || a.status == 201) heard.status = json::parse(a.body)["status"];
+                note(heard);
+                answered(a);
+            });
+        });
+    });
+}
 void World::ask(const std::string& id, const std::string& method, const std::string& path,
                 const std::string& body, std::function<void(const http::Response&)> done, int tries) {
     auto* node = pick_node();
@@ -30,32 +47,28 @@
                 });
         });
     }
-    // What comes while the controller stands still is read when it goes on.
-    node->timers->after(0, [=, this] {
-        node->controller->serve({method, path, body}, [=, this](http::Response r) {
-            at(now_ + latency(), [=, this] {
-                if (std::exchange(*answered, true)) return;
-                if (r.status == 503) return again();
-                done(r);
-            });
-        });
+    ask_once(*node, id, {method, path, body}, [=](const http::Response& r) {
+        if (std::exchange(*answered, true)) return;
+        if (r.status == 503) return again();
+        done(r);
     });
 }
+json World::plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const {
+    return {{"id", id},         {"cohort", "c"},     {"crew", "free"},    {"shape", kind},
+            {"rank", "normal"}, {"shards", tasks},   {"vcpus", 1.0},      {"cards", 1.0},
+            {"ram_gb", 2.0},    {"payload", "img"},  {"image_gb", 1.0},   {"together", false},
+            {"scatter", false}, {"driftwood", true}, {"reckon_s", run_s}, {"anchor_s", 5.0},
+            {"stow_s", 1.0}};
+}
 void World::submit(const std::string& id, const std::string& kind, int tasks, double run_s, json more) {
-    json j{{"id", id},         {"cohort", "c"},     {"crew", "free"},    {"shape", kind},
-           {"rank", "normal"}, {"shards", tasks},   {"vcpus", 1.0},      {"cards", 1.0},
-           {"ram_gb", 2.0},    {"payload", "img"},  {"image_gb", 1.0},   {"together", false},
-           {"scatter", false}, {"driftwood", true}, {"reckon_s", run_s}, {"anchor_s", 5.0},
-           {"stow_s", 1.0}};
+    auto j = plain_job(id, kind, tasks, run_s);
     if (more.is_object()) j.update(more);
     jobs[id].spec = j;
     ask(
         id, "POST", "/api/jobs", j.dump(),
         [this, id](const http::Response& r) {
             if (r.status != 200 && r.status != 201)
-                return rule("submission of " + id + " got " + std::to_string(r.status));
-            jobs[id].accepted = true;
-            jobs[id].answered_at = now_;
+                rule("submission of " + id + " got " + std::to_string(r.status));
         },
         options_.submit_tries);
 }
@@ -68,54 +81,16 @@
     more["awaits"] = awaits;
     submit(id, kind, tasks, run_s, more);
 }
-bool World::is_done(const std::string& id) const {
-    auto& job = jobs.at(id);
-    bool gang = job.spec["shape"] == "gang";  // its tasks complete together
-    return gang ? !job.tasks_done.empty() : job.tasks_done.size() >= job.spec["shards"].get<std::size_t>();
-}
-bool World::cancel_wanted(const std::string& id) const {
-    auto& job = jobs.at(id);
-    if (job.cancel_asked) return true;
-    auto awaits = awaits_of(job.spec);
-    return std::any_of(awaits.begin(), awaits.end(), [&](auto& a) { return cancel_wanted(a); });
-}
-double World::cancelled_before(const std::string& id) const {
-    double first = 1e18;
-    auto& job = jobs.at(id);
-    for (auto& a : awaits_of(job.spec)) {
-        auto& before = jobs.at(a);
-        if (before.cancel_asked && before.cancelled) first = std::min(first, before.cancelled_at);
-        first = std::min(first, cancelled_before(a));
-    }
-    return first;
-}
-// An answer that came so long after a job before this one was told to be cancelled must say cancelled too.
-void World::check_orphaned(const std::string& id, const std::string& status) {
-    if (status != "pending" && status != "running") return;
-    if (now_ > cancelled_before(id) + options_.cancel_s) rule("orphaned " + id);
-}
 void World::cancel(const std::string& id) {
     bool accepted = jobs[id].accepted;
     jobs[id].cancel_asked = true;
-    ask(id, "POST", "/api/jobs/" + id + "/cancel", "", [this, id, accepted](const http::Response& r) {
-        if (r.status == 404 && !accepted) return cancel(id);  // not there yet when it was asked
-        if (r.status != 200) return rule("cancellation of " + id + " got " + std::to_string(r.status));
-        told(id, json::parse(r.body)["status"]);
-    });
-}
-void World::told(const std::string& id, const std::string& status) {
-    auto& job = jobs[id];
-    if (job.done && status != "done") rule("went_back " + id + " from done to " + status);
-    if (job.cancelled && status != "withdrawn") rule("went_back " + id + " from withdrawn to " + status);
-    if (status == "withdrawn" && !cancel_wanted(id)) rule("went_back " + id + ": nobody cancelled it");
-    if (status == "withdrawn" && !job.cancelled) {
-        job.cancelled = true;
-        job.cancelled_at = now_;
-    }
-    if (status == "done") {
-        job.done = true;
-        if (!is_done(id)) rule("not_done " + id);
-    }
+    ask(
+        id, "POST", "/api/jobs/" + id + "/cancel", "",
+        [this, id, accepted](const http::Response& r) {
+            if (r.status == 404 && !accepted) return cancel(id);  // not there yet when it was asked
+            if (r.status != 200) rule("cancellation of " + id + " got " + std::to_string(r.status));
+        },
+        options_.submit_tries);
 }
 void World::poll_all() {
     for (auto& [id, job] : jobs) {
@@ -123,35 +98,109 @@
         if (now_ - std::max(job.answered_at, troubles_over) > open_s &&
             !std::exchange(job.open_too_long, true))
             rule("forgotten " + id + ": no question was answered for " + std::to_string(open_s) + " s");
-        // An answer may overtake another; it is held against what was told before the question was asked.
-        bool over = job.done || job.cancelled;
         ask(
-            id, "GET", "/api/jobs/" + id, "",
-            [this, over, job_id = id](const http::Response& r) {
-                if (r.status == 404) return rule("forgotten " + job_id);
-                if (r.status != 200) return;
-                jobs[job_id].answered_at = now_;
-                auto status = json::parse(r.body)["status"].get<std::string>();
-                check_orphaned(job_id, status);
-                if (over || status == "done" || status == "withdrawn") told(job_id, status);
-            },
-            0);
+            id, "GET", "/api/jobs/" + id, "", [](auto&) {}, 0);
     }
     ask(
-        "j-999999", "GET", "/api/jobs/j-999999", "",
-        [this](const http::Response& r) {
-            if (r.status != 404) rule("invented: " + std::to_string(r.status));
-        },
-        0);
-}
-void World::check_cancelled() {
-    for (auto& w : workers)
-        for (auto& [name, t] : w->tasks) {
-            if (w->dead || !present(t)) continue;
-            auto& job = jobs[t.job];
-            if (job.cancelled_at >= 0 && now_ > job.cancelled_at + options_.cancel_s)
-                rule("ran_cancelled " + name);
+        "j-999999", "GET", "/api/jobs/j-999999", "", [](auto&) {}, 0);
+}
+
+// --- Users who give trouble -------------------------------------------------------------------------------
+
+void World::look_closely(const std::string& id, bool just_accepted) {
+    if (now_ >= close_looks_until_) return;
+    for (std::size_t k = 0; k < nodes_.size(); ++k)
+        for (double after : {0.0, 0.001, 0.004, 0.015, 0.06, 0.25})
+            at(now_ + after, [this, id, k] {
+                if (nodes_[k].up) ask_once(nodes_[k], id, {"GET", "/api/jobs/" + id, ""}, [](auto&) {});
+            });
+    auto k = random_() % nodes_.size();
+    at(now_ + 0.002, [this, id, k] {
+        if (nodes_[k].up) ask_once(nodes_[k], id, {"POST", "/api/jobs", jobs[id].spec.dump()}, [](auto&) {});
+    });
+    if (just_accepted && random_() % 4 == 0) at(now_ + 0.003, [this, id] { cancel(id); });
+}
+void World::ended(const std::string& id) {
+    if (now_ < cancel_at_end_until_ && random_() % 2) cancel(id);
+    look_closely(id, false);
+}
+void World::cancel_now(std::size_t count, double hang_s) {
+    std::size_t hung = 0;
+    for (auto& [id, job] : jobs) {
+        if (!job.accepted || job.done || job.cancel_asked) continue;
+        std::vector<std::size_t> on;
+        for (std::size_t k = 0; k < workers.size(); ++k)
+            for (auto& [name, t] : workers[k]->tasks)
+                if (!workers[k]->dead && t.job == id && present(t) && (on.empty() || on.back() != k))
+                    on.push_back(k);
+        if (on.empty()) continue;
+        at(now_ + 25 * latency(), [this, id = id] { cancel(id); });
+        for (auto k : on)
+            if (hung++ < 8) hang(k, hang_s);
+        if (--count == 0) return;
+    }
+}
+void World::odd_requests(double for_s) {
+    for (double t = 0; t < for_s; t += 0.7) at(now_ + t, [this] { odd_request(); });
+}
+void World::odd_request() {
+    auto first = random_() % std::max<std::size_t>(1, jobs.size());
+    auto it = std::next(jobs.begin(), static_cast<std::ptrdiff_t>(first));
+    for (std::size_t k = 0; k < jobs.size(); ++k, ++it) {
+        if (it == jobs.end()) it = jobs.begin();
+        auto& [id, job] = *it;
+        if (!job.accepted) continue;
+        if (job.done)
+            ask(
+                id, "POST", "/api/jobs/" + id + "/cancel", "", [](auto&) {}, 3);
+        if (!job.done)
+            ask(
+                id, "POST", "/api/jobs", job.spec.dump(), [](auto&) {}, 3);
+        break;
+    }
+    submit_odd();
+}
+// Fits no machine, needs more than its team's limit, is of no team, or lacks a field.
+void World::submit_odd() {
+    auto id = "j-" + std::to_string(700000 + next_odd_++);
+    auto j = plain_job(id, "gang", 2, 5);
+    int refused = 422;
+    auto kind = random_() % 4;
+    if (kind == 0) j["cards"] = machine_gpus + 1;
+    if (kind == 1) j.update({{"crew", "tight"}, {"shards", static_cast<int>(options_.gpus_max) + 1}});
+    if (kind == 2) j["crew"] = "nobody";
+    if (kind == 3) {
+        constexpr const char* needed[] = {"crew",   "shape",    "rank",     "shards",  "vcpus",
+                                          "cards",  "ram_gb",   "payload",  "scatter", "together",
+                                          "cohort", "anchor_s", "reckon_s", "stow_s",  "driftwood"};
+        j.erase(needed[random_() % std::size(needed)]);
+        refused = 400;
+    }
+    jobs[id].spec = j;
+    jobs[id].refused = refused;
+    ask(id, "POST", "/api/jobs", j.dump(), [this, id, refused](const http::Response& r) {
+        if (r.status != refused) rule("odd request " + id + " got " + std::to_string(r.status));
+    });
+}
+void World::fill_limits() {
+    for (auto* team : {"free", "tight"}) {
+        if (limit_of(team) <= 0) continue;
+        for (int part = 0; part < 3; ++part) {
+            auto id = "j-" + std::to_string(500000 + next_extra_++);
+            int tasks = std::max(1, static_cast<int>(limit_of(team)) / 3);
+            submit(id, "batch", tasks, 8, {{"crew", team}});
+            if (part == 0) at(now_ + 5, [this, id] { cancel(id); });
         }
+    }
+}
+void World::small_jobs(double for_s, double per_s) {
+    for (double t = 0; t < for_s; t += 1 / per_s)
+        at(now_ + t, [this] {
+            auto id = "j-" + std::to_string(500000 + next_extra_++);
+            submit(id, "batch", 1, 2);
+            double after = std::uniform_real_distribution<double>(0.05, 5)(random_);
+            if (random_() % 4 == 0) at(now_ + after, [this, id] { cancel(id); });
+        });
 }
 
 }  // namespace coralhitch::simulation
--- a/tests/simulated_cluster_workers.cpp
+++ b/tests/simulated_cluster_workers.cpp
@@ -1,4 +1,4 @@
-// The workers, and the rules about what they start.
+// The workers.
 #include "simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -26,7 +26,7 @@
     ++w.lives;
 }
 void World::check_lease(Worker& w) {
-    if (now_ - w.last_answered <= options_.lease_s) return;
+    if (now_ - w.last_answered <= options_.lease_s || w.keeps_tasks) return;
     w.tasks.clear();
     ++w.session;
     w.sequence = 0;
@@ -48,6 +48,10 @@
     auto again = [this, &w](double s) { at(now_ + s, [this, &w] { report_loop(w); }); };
     if (w.hung) return again(0.5);
     check_lease(w);
+    if (now_ < w.mute_until) {
+        w.node = (w.node + 1) % 3;
+        return again(1);
+    }
     auto sent = now_;
     auto session = w.session;
     auto done = std::make_shared<bool>(false);
@@ -121,9 +125,10 @@
     it->second.status = "exited";
     it->second.cause = cause;
     it->second.saved = cause == "halted";
-    if (cause == "done") jobs[it->second.job].tasks_done.insert(task);
+    if (cause != "done") return;
+    auto id = it->second.job;
+    if (jobs[id].tasks_done.insert(task).second && is_done(id)) ended(id);
 }
-// Where the rules about starts are checked.
 void World::start(Worker& w, const std::string& task, std::uint64_t attempt) {
     ++starts;
     auto id = task.substr(0, task.find('/'));
@@ -133,35 +138,13 @@
         // Refused by the worker; what is there stays. Reported under the new attempt once it has gone.
         return;
     }
-    for (auto& before : awaits_of(job.spec))
-        if (!is_done(before)) rule("too_early " + task + " before " + before);
-    double used = 0, room = machine_gpus;
-    std::map<std::string, int> per_zone;
-    auto team = job.spec["crew"].get<std::string>();
-    auto cards = job.spec["cards"].get<double>();
-    for (auto& other : workers)
-        for (auto& [name, t] : other->tasks) {
-            if (!present(t) || other->dead) continue;
-            auto& spec = jobs[t.job].spec;
-            if (name == task) rule("ran_twice " + task + " on " + w.id + " and " + other->id);
-            if (spec["crew"] == team) used += spec["cards"].get<double>();
-            if (t.job == id) ++per_zone[other->zone];
-            if (other.get() == &w) room -= spec["cards"].get<double>();
-        }
-    if (team == "tight" && used + cards > options_.gpus_max + 1e-9) rule("quota " + task);
-    if (room + 1e-9 < cards) {
+    if (job.refused) return rule("accepted_impossible (start) " + task);
+    job.waiting_since = -1;
+    check_start(w, task);
+    if (places(w, job.spec) == 0) {
         w.tasks[task] = {id, attempt, "exited", "no_room"};
         return;
     }
-    int shards = job.spec["shards"];
-    if (w.spot && !job.spec["driftwood"].get<bool>()) rule("wrong_place (spot) " + task);
-    if (job.spec["scatter"].get<bool>() && per_zone[w.zone] + 1 > (shards + 1) / 2)
-        rule("wrong_place (scatter) " + task);
-    if (job.spec["together"].get<bool>())
-        for (auto& [z, n] : per_zone)
-            if (n > 0 && z != w.zone) rule("wrong_place (together) " + task);
-    if (job.cancelled_at >= 0 && now_ > job.cancelled_at + options_.cancel_s)
-        rule("ran_cancelled (start) " + task);
     w.tasks[task] = {id, attempt, "fetching", ""};
     at(now_ + 1, [this, &w, task, attempt, id] {
         auto it = w.tasks.find(task);
