--- a/src/fleet/cluster_state.cpp
+++ b/src/fleet/cluster_state.cpp
@@ -130,51 +130,73 @@
 }
 
 ReportOutcome ClusterState::apply_report(const wire::Report& r, Via via, double now, const Lookup& lookup) {
-    ReportOutcome heard;
+    ReportOutcome outcome;
     // A machine once deleted stays gone; what still arrives from it was under way.
-    if (is_gone(r.machine)) {
-        heard.gone = true;
-        return heard;
-    }
-    if (r.token >= base_ + (1ull << token_bits)) {
-        heard.deposed = true;
-        return heard;
-    }
-    bool asked = via == Via::direct;
-    auto* known = find(r.machine);
-    // Reports, and copies of them, may come well over a lease late. A machine is stored before its first
-    // `run`, so tasks can't be on one that is not: it was deleted under an earlier leader. Nor is anything
-    // left of a session whose lease is out. Taken for true, such a report brought tasks back that ran
-    // elsewhere, and those were stopped. What the machine answers now counts.
-    bool ghost = !asked && !r.tasks.empty() && (!known || !known->stored);
-    if (ghost || (known && (r.session <= known->over || (known->unproven && !asked)))) {
-        heard.gone = true;
-        return heard;
-    }
+    outcome.gone = is_gone(r.machine);
+    outcome.deposed = !outcome.gone && r.token >= base_ + (1ull << token_bits);
+    outcome.gone |= !outcome.deposed && shows_what_is_over(r, via);
+    if (outcome.gone || outcome.deposed) return outcome;
     auto& m = add(r.machine, r.addr, r.type, r.zone, r.spot, Machine::Life::up, now);
     // The larger (session, sequence) is the newer one, an older one changes nothing.
     if (std::pair(r.session, r.sequence) <= std::pair(m.session, m.sequence)) {
-        // A direct answer may overtake a report; the worker still waits for the report's answer.
-        bool overtaken = !asked && r.sequence > m.hello_sequence;
-        heard.again = !asked && r.session == m.session && r.sequence == m.hello_sequence;
-        heard.current = r.session == m.session && (asked || overtaken || heard.again);
-        if (overtaken && heard.current) m.hello_sequence = r.sequence;
-        return heard;
+        apply_older(m, r, via, outcome);
+        return outcome;
     }
     m.unproven = false;
-    heard.fresh = heard.current = true;
+    outcome.fresh = outcome.current = true;
     // Of one that was known before it reconciled those who follow know what is on it, too.
     bool changed = r.session > m.session || (r.token >= base_ && !m.reconciled && !m.known);
     if (r.session > m.session && m.session > 0) {
         // Proof: a worker that moves on to a new session has killed and forgotten all tasks of the old one.
         // Commands under way for the old session are refused by the worker.
-        heard.ends = vanish_all(m);
+        outcome.ends = vanish_all(m);
         m.hello_sequence = 0;
     }
+    apply_header(m, r, via, now);
+    std::set<std::pair<wire::TaskId, std::uint64_t>> shown_ended;
+    std::set<wire::TaskId> shown;
+    for (auto& t : r.tasks) {
+        if (t.state == TaskState::exited) {
+            shown_ended.emplace(t.task, t.attempt);
+            apply_exited(m, t, outcome);
+        } else {
+            shown.insert(t.task);
+            changed |= apply_present(m, t, now, lookup, outcome);
+        }
+    }
+    apply_absent(m, shown, r.token, outcome);
+    std::erase_if(m.ended, [&](auto& e) { return !shown_ended.contains(e.first) && e.second.stored; });
+    if (!m.tasks.empty()) m.idle_since = now;
+    if (changed || !outcome.ends.empty() || !outcome.found.empty()) mark_dirty(m);
+    return outcome;
+}
+
+// Reports, and copies of them, may come well over a lease late. A machine is stored before its first `run`,
+// so tasks can't be on one that is not: it was deleted under an earlier leader. Nor is anything left of a
+// session whose lease is out. Taken for true, such a report brought tasks back that ran elsewhere, and those
+// were stopped. What the machine answers now counts.
+bool ClusterState::shows_what_is_over(const wire::Report& r, Via via) {
+    bool asked = via == Via::direct;
+    auto* known = find(r.machine);
+    if (!asked && !r.tasks.empty() && (!known || !known->stored)) return true;
+    return known && (r.session <= known->over || (known->unproven && !asked));
+}
+
+void ClusterState::apply_older(Machine& m, const wire::Report& r, Via via, ReportOutcome& outcome) const {
+    bool asked = via == Via::direct;
+    // A direct answer may overtake a report; the worker still waits for the report's answer.
+    bool overtaken = !asked && r.sequence > m.hello_sequence;
+    outcome.again = !asked && r.session == m.session && r.sequence == m.hello_sequence;
+    outcome.current = r.session == m.session && (asked || overtaken || outcome.again);
+    if (overtaken && outcome.current) m.hello_sequence = r.sequence;
+}
+
+// All that a newer report says of the machine itself.
+void ClusterState::apply_header(Machine& m, const wire::Report& r, Via via, double now) {
     m.session = r.session;
     m.sequence = r.sequence;
     if (via == Via::hello) m.hello_sequence = r.sequence;
-    m.helm = r.token;
+    m.token_seen = r.token;
     m.addr = r.addr;
     m.last_heard = now;
     m.suspected = false;
@@ -188,55 +210,59 @@
     // From a report under this leader's token on, the worker drops all commands of earlier leaders, so what
     // the report shows is all there is.
     if (r.token >= base_) m.reconciled = any_reconciled_ = true;
+}
 
-    std::set<std::pair<wire::TaskId, std::uint64_t>> shown_ended;
-    std::set<wire::TaskId> shown;
-    for (auto& t : r.tasks) {
-        auto it = m.tasks.find(t.task);
-        bool match = it != m.tasks.end() && it->second.attempt == t.attempt;
-        if (t.state == TaskState::exited) {
-            auto key = std::pair(t.task, t.attempt);
-            shown_ended.insert(key);
-            if (m.ended.contains(key)) continue;
-            Ended e{t.attempt, 0, 0, 0, 0, false};
-            bool started = false, stray = false;
-            if (match) {
-                // Proof: the worker says that this attempt has exited.
-                e.unsure_token = it->second.unsure_token;
-                e.answer_sequence = it->second.answer_sequence;
-                e.direct = it->second.direct;
-                e.run_token = it->second.run_token;
-                started = it->second.running_since >= 0;
-                stray = it->second.stray;
-                m.tasks.erase(it);
-            }
-            if (t.cause != Cause::done) e.stored = true;  // nothing to store for other ends
-            m.ended.emplace(key, e);
-            if (!e.stored) ended_at_[t.task.job].insert(m.id);
-            heard.ends.push_back({m.id, t.task, t.attempt, true, stray, t.cause, t.saved, started});
-            continue;
-        }
-        shown.insert(t.task);
-        if (it == m.tasks.end()) {
-            Instance i;
-            i.spec = lookup(t.task.job);
-            i.attempt = t.attempt;
-            i.placed = now;
-            it = m.tasks.emplace(t.task, std::move(i)).first;
-            heard.found.emplace_back(t.task, m.id);
-        } else if (!match) {
-            // Another attempt than the one on record is there; the one shown is what holds the place.
-            it->second.attempt = t.attempt;
-            changed = true;
-        }
-        auto& i = it->second;
-        i.seen = i.shown = true;
-        i.state = t.state;
-        if (i.spec && t.state != TaskState::fetching && !std::exchange(i.image_noted, true))
-            used_image(m, *i.spec);
-        if (t.state != TaskState::fetching && t.state != TaskState::waiting && i.running_since < 0)
-            i.running_since = now;
+// Proof of exit: the worker says that this attempt has exited.
+void ClusterState::apply_exited(Machine& m, const wire::TaskReport& t, ReportOutcome& outcome) {
+    auto key = std::pair(t.task, t.attempt);
+    if (m.ended.contains(key)) return;
+    Ended e{t.attempt, 0, 0, 0, 0, false};
+    bool started = false, stray = false;
+    if (auto it = m.tasks.find(t.task); it != m.tasks.end() && it->second.attempt == t.attempt) {
+        e.unsure_token = it->second.unsure_token;
+        e.answer_sequence = it->second.answer_sequence;
+        e.direct = it->second.direct;
+        e.run_token = it->second.run_token;
+        started = it->second.running_since >= 0;
+        stray = it->second.stray;
+        m.tasks.erase(it);
+    }
+    if (t.cause != Cause::done) e.stored = true;  // nothing to store for other ends
+    m.ended.emplace(key, e);
+    if (!e.stored) ended_at_[t.task.job].insert(m.id);
+    outcome.ends.push_back({m.id, t.task, t.attempt, true, stray, t.cause, t.saved, started});
+}
+
+// Returns whether another attempt was on record.
+bool ClusterState::apply_present(Machine& m, const wire::TaskReport& t, double now, const Lookup& lookup,
+                                 ReportOutcome& outcome) {
+    bool changed = false;
+    auto it = m.tasks.find(t.task);
+    if (it == m.tasks.end()) {
+        Instance i;
+        i.spec = lookup(t.task.job);
+        i.attempt = t.attempt;
+        i.placed = now;
+        it = m.tasks.emplace(t.task, std::move(i)).first;
+        outcome.found.emplace_back(t.task, m.id);
+    } else if (it->second.attempt != t.attempt) {
+        // Another attempt than the one on record is there; the one shown is what holds the place.
+        it->second.attempt = t.attempt;
+        changed = true;
     }
+    auto& i = it->second;
+    i.seen = i.shown = true;
+    i.state = t.state;
+    if (i.spec && t.state != TaskState::fetching && !std::exchange(i.image_noted, true))
+        used_image(m, *i.spec);
+    if (t.state != TaskState::fetching && t.state != TaskState::waiting && i.running_since < 0)
+        i.running_since = now;
+    return changed;
+}
+
+// What the report does not show, though it is on record.
+void ClusterState::apply_absent(Machine& m, const std::set<wire::TaskId>& shown, std::uint64_t token,
+                                ReportOutcome& outcome) {
     for (auto it = m.tasks.begin(); it != m.tasks.end();) {
         auto& i = it->second;
         bool unsent = !i.seen && i.run_token == 0;
@@ -245,10 +271,10 @@
             ++it;
             continue;
         }
-        if (r.token > i.run_token) {
+        if (token > i.run_token) {
             // Proof: not on the machine, and every `run` for it went out under a token that the worker now
             // drops.
-            heard.ends.push_back(
+            outcome.ends.push_back(
                 {m.id, it->first, i.attempt, false, i.stray, Cause::none, false, i.running_since >= 0});
             it = m.tasks.erase(it);
             continue;
@@ -258,10 +284,6 @@
         if ((i.stop || i.seen) && m.token <= i.run_token) m.token = i.run_token + 1;
         ++it;
     }
-    std::erase_if(m.ended, [&](auto& e) { return !shown_ended.contains(e.first) && e.second.stored; });
-    if (!m.tasks.empty()) m.idle_since = now;
-    if (changed || !heard.ends.empty() || !heard.found.empty()) mark_dirty(m);
-    return heard;
 }
 
 // `clear` makes the worker forget an attempt, so a `run` of it that arrives afterwards would start it again.
@@ -280,7 +302,8 @@
         ours && std::none_of(m.tasks.begin(), m.tasks.end(), [](auto& t) { return t.second.direct > 0; });
     auto forgets = [&](const Ended& e) {
         // An earlier answer with this `run` is executed or dropped once a later report has come in.
-        return e.stored && e.direct == 0 && m.helm > e.unsure_token && m.hello_sequence > e.answer_sequence;
+        return e.stored && e.direct == 0 && m.token_seen > e.unsure_token &&
+               m.hello_sequence > e.answer_sequence;
     };
     // A copy of a `run` that was answered may come late, too. From this answer on the worker drops it.
     if (may_forget)
@@ -330,7 +353,7 @@
 
 bool ClusterState::quiet(const Machine& m) const {
     bool plain = m.life == Machine::Life::up && m.reconciled && m.stored && m.notice_until < 0 && !m.unsent &&
-                 m.ended.empty() && m.token == m.helm;
+                 m.ended.empty() && m.token == m.token_seen;
     return plain && std::all_of(m.tasks.begin(), m.tasks.end(), [](auto& t) {
                auto& i = t.second;
                return i.seen && i.spec && !i.stop && i.direct == 0;
--- a/src/fleet/cluster_state.hpp
+++ b/src/fleet/cluster_state.hpp
@@ -64,7 +64,9 @@
         false;  // by the leader before: `tasks` holds all that may be on it, though it has not reconciled
     bool deletable = false;  // marked_for_deletion, and stored as such: the deletion may be asked for
     bool deleting = false;
-    std::uint64_t session = 0, sequence = 0, hello_sequence = 0, helm = 0, token = 0;
+    std::uint64_t session = 0, sequence = 0, hello_sequence = 0;
+    std::uint64_t token_seen = 0;  // the highest fencing token that its worker has shown
+    std::uint64_t token = 0;       // the fencing token that commands and answers to it carry
     double created = 0, last_heard = 0, last_probe = -1, idle_since = 0;
     double renewed = 0;      // last moment at which a controller may have renewed the worker's lease
     double lent_until = -1;  // last moment at which a hearer that gave it back may have renewed its lease
@@ -188,6 +190,15 @@
     Instance& inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now);
 
   private:
+    // The steps of `apply_report`; those that find something out add it to the outcome.
+    bool shows_what_is_over(const wire::Report& r, Via via);
+    void apply_older(Machine& m, const wire::Report& r, Via via, ReportOutcome& outcome) const;
+    void apply_header(Machine& m, const wire::Report& r, Via via, double now);
+    void apply_exited(Machine& m, const wire::TaskReport& t, ReportOutcome& outcome);
+    bool apply_present(Machine& m, const wire::TaskReport& t, double now, const Lookup& lookup,
+                       ReportOutcome& outcome);
+    void apply_absent(Machine& m, const std::set<wire::TaskId>& shown, std::uint64_t token,
+                      ReportOutcome& outcome);
     void mark_dirty(Machine& m);
     void know_type(wire::Pool& p) const;
     std::size_t pool_of(const std::string& type, const std::string& zone, bool spot);
