--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -151,7 +151,7 @@
         auto& m = cluster_state_.add(
             id, r.addr, r.type, r.zone, r.spot,
             r.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up, now());
-        m.stored = true;
+        m.stored = m.stored_before = true;
         reconciliation_.expect(id);
         if (found.inherits) inherit(id, m);
         m.deletable = r.marked_for_deletion;
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -125,6 +125,7 @@
                   const std::optional<http::Response>& r);
     void handle_end(const fleet::End& e);
     void handle_found(const wire::TaskId& task, const std::string& machine);
+    void locate(jobs::Entry& e, const wire::TaskId& task, fleet::Machine& m, std::uint64_t attempt);
     void task_error(jobs::Entry& e, const fleet::End& end);
     void stop_active(const std::string& id, jobs::Entry& e, double grace_s);
     void cancel_active(const std::string& id, jobs::Entry& e);
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -214,28 +214,34 @@
     auto* m = cluster_state_.find(machine);
     auto it = m->tasks.find(task);
     if (!e || it == m->tasks.end()) return;  // of a job that is over: the picture stops it
-    auto& i = it->second;
-    auto [a, fresh] = e->active.try_emplace(task.index, jobs::Active{machine, i.attempt, zone_of(*m)});
-    if (!fresh && a->second.machine != machine) {
-        spdlog::error("task {} is on {} and on {}", task.str(), a->second.machine, machine);
-        // Attempts are numbered in the order of their starts, and one starts when the one before is proven
-        // gone: what shows the older one came late, if it is of another session or machine by now. The newer
-        // one used to be stopped if it was heard second.
-        auto* older = m;
-        if (i.attempt > a->second.attempt) {
-            older = cluster_state_.find(a->second.machine);
-            a->second = {machine, i.attempt, zone_of(*m)};
-        }
-        if (auto old = older ? older->tasks.find(task) : m->tasks.end(); older && old != older->tasks.end()) {
-            old->second.stray = true;
-            ++e->strays;
-            cluster_state_.stop(*older, task, 0);
-        }
-    }
+    if (it->second.confirmed) locate(*e, task, *m, it->second.attempt);
     if (e->cancelled) cluster_state_.cancel(*m, task, worker_lease_bound());
     if (e->is_done(task.index)) cluster_state_.stop(*m, task, 0);
 }
 
+// The task is on this machine. Attempts are numbered in the order of their starts, and one starts when the
+// one before is proven gone: what shows the older one came late, if it is of another session or machine by
+// now. The newer one used to be stopped if it was heard second.
+void Leader::locate(jobs::Entry& e, const wire::TaskId& task, Machine& m, std::uint64_t attempt) {
+    auto [a, fresh] = e.active.try_emplace(task.index, jobs::Active{m.id, attempt, zone_of(m)});
+    if (fresh || a->second.machine == m.id) return;
+    auto* other = cluster_state_.find(a->second.machine);
+    if (m.confirmed && other && other->confirmed)
+        spdlog::error("task {} is on {} and on {}", task.str(), a->second.machine, m.id);
+    else  // one of them has not said anything yet: what may be on it was told by the leader before
+        spdlog::info("task {} may be on {} and on {}", task.str(), a->second.machine, m.id);
+    auto* older = &m;
+    if (attempt > a->second.attempt) {
+        older = other;
+        a->second = {m.id, attempt, zone_of(m)};
+    }
+    if (auto old = older ? older->tasks.find(task) : m.tasks.end(); older && old != older->tasks.end()) {
+        old->second.stray = true;
+        ++e.strays;
+        cluster_state_.stop(*older, task, 0);
+    }
+}
+
 void Leader::handle_end(const fleet::End& end) {
     auto* e = table_.find(end.task.job);
     if (!e) {
@@ -335,7 +341,7 @@
 void Leader::handle_spot_notice(Machine& m) {
     std::vector<std::pair<wire::TaskId, double>> stops;
     for (auto& [id, i] : m.tasks)
-        if (i.spec && !i.stop && (i.spec->checkpoint_s > 0 || i.spec->kind == Kind::service))
+        if (i.spec && i.confirmed && !i.stop && (i.spec->checkpoint_s > 0 || i.spec->kind == Kind::service))
             stops.emplace_back(id,
                                std::min(placement::grace_of(*i.spec), std::max(0.0, m.notice_until - now())));
     for (auto& [id, grace] : stops) {
@@ -676,6 +682,8 @@
 // A machine is stored, and that confirmed, before the first `run` goes to it: whoever leads next must know
 // where tasks may be.
 void Leader::store_machine(Machine& m) {
+    // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
+    if (!m.confirmed && m.token_seen > 0) return;
     if (m.stored || m.storing || m.life != Machine::Life::up || m.session == 0) return;
     m.storing = true;
     store_.put(m.id);
--- a/src/fleet/cluster_state.cpp
+++ b/src/fleet/cluster_state.cpp
@@ -123,7 +123,8 @@
 std::vector<End> ClusterState::vanish_all(Machine& m) {
     std::vector<End> ends;
     for (auto& [id, t] : m.tasks)
-        ends.push_back({m.id, id, t.attempt, false, t.stray, Cause::none, false, t.running_since >= 0});
+        if (t.confirmed)
+            ends.push_back({m.id, id, t.attempt, false, t.stray, Cause::none, false, t.running_since >= 0});
     m.tasks.clear();
     m.ended.clear();
     return ends;
@@ -137,12 +138,12 @@
     outcome.gone |= !outcome.deposed && shows_what_is_over(r, via);
     if (outcome.gone || outcome.deposed) return outcome;
     auto& m = add(r.machine, r.addr, r.type, r.zone, r.spot, Machine::Life::up, now);
-    // The larger (session, sequence) is the newer one, an older one changes nothing.
-    if (std::pair(r.session, r.sequence) <= std::pair(m.session, m.sequence)) {
+    if (!is_newer(m, r, via)) {
         apply_older(m, r, via, outcome);
         return outcome;
     }
     m.unproven = false;
+    m.confirmed |= sent_since_begin(r, via);
     outcome.fresh = outcome.current = true;
     // Of one that was known before it reconciled those who follow know what is on it, too.
     bool changed = r.session > m.session || (r.token >= base_ && !m.reconciled && !m.known);
@@ -171,14 +172,30 @@
     return outcome;
 }
 
+// The worker had heard of this leader when it sent it.
+bool ClusterState::sent_since_begin(const wire::Report& r, Via via) const {
+    return via == Via::direct || r.token >= base_;
+}
+// The larger (session, sequence) is the newer one, an older one changes nothing. But a report from before
+// this leader began may be of another life of the machine, which had come further.
+bool ClusterState::is_newer(const Machine& m, const wire::Report& r, Via via) const {
+    if (std::pair(r.session, r.sequence) > std::pair(m.session, m.sequence)) return true;
+    bool asked = via == Via::direct;
+    return !m.confirmed && (r.token >= base_ || (asked && r.session < m.session));
+}
+
 // Reports, and copies of them, may come well over a lease late. A machine is stored before its first `run`,
 // so tasks can't be on one that is not: it was deleted under an earlier leader. Nor is anything left of a
 // session whose lease is out. Taken for true, such a report brought tasks back that ran elsewhere, and those
-// were stopped. What the machine answers now counts.
+// were stopped. What the machine answers now counts. A report that may be from before this leader began tells
+// of tasks only if an earlier leader may have started some, and nothing newer is known.
 bool ClusterState::shows_what_is_over(const wire::Report& r, Via via) {
     bool asked = via == Via::direct;
     auto* known = find(r.machine);
     if (!asked && !r.tasks.empty() && (!known || !known->stored)) return true;
+    bool old = !sent_since_begin(r, via) && !(known && known->confirmed);
+    bool awaited = known && known->stored_before && !known->reconciled;
+    if (old && !r.tasks.empty() && !awaited) return true;
     return known && (r.session <= known->over || (known->unproven && !asked));
 }
 
@@ -193,6 +210,7 @@
 
 // All that a newer report says of the machine itself.
 void ClusterState::apply_header(Machine& m, const wire::Report& r, Via via, double now) {
+    if (std::pair(r.session, r.sequence) < std::pair(m.session, m.sequence)) m.hello_sequence = 0;
     m.session = r.session;
     m.sequence = r.sequence;
     if (via == Via::hello) m.hello_sequence = r.sequence;
@@ -203,7 +221,8 @@
     m.silent_before = 0;
     if (m.life == Machine::Life::booting) m.life = Machine::Life::up;
     if (r.notice_s) {
-        if (m.notice_until < 0) m.notice_until = now + *r.notice_s;
+        double until = now + *r.notice_s;  // a report that came late says too much
+        m.notice_until = m.notice_until < 0 ? until : std::min(m.notice_until, until);
     } else {
         m.notice_until = -1;
     }
@@ -233,24 +252,31 @@
     outcome.ends.push_back({m.id, t.task, t.attempt, true, stray, t.cause, t.saved, started});
 }
 
-// Returns whether another attempt was on record.
+// Returns whether another attempt was on record. What a report from before this leader began shows is no
+// evidence against what the leader before told: that holds all there is. Nor does it become a belief before
+// the machine has confirmed it: as one, it made a gang that ran elsewhere by now stop when the next report
+// did not show it.
 bool ClusterState::apply_present(Machine& m, const wire::TaskReport& t, double now, const Lookup& lookup,
                                  ReportOutcome& outcome) {
     bool changed = false;
     auto it = m.tasks.find(t.task);
+    bool on_record = it != m.tasks.end() && it->second.attempt == t.attempt;
+    if (m.known && !m.confirmed && !on_record) return false;
     if (it == m.tasks.end()) {
         Instance i;
         i.spec = lookup(t.task.job);
         i.attempt = t.attempt;
         i.placed = now;
+        i.confirmed = m.confirmed;
         it = m.tasks.emplace(t.task, std::move(i)).first;
         outcome.found.emplace_back(t.task, m.id);
-    } else if (it->second.attempt != t.attempt) {
+    } else if (!on_record) {
         // Another attempt than the one on record is there; the one shown is what holds the place.
         it->second.attempt = t.attempt;
         changed = true;
     }
     auto& i = it->second;
+    if (m.confirmed && !std::exchange(i.confirmed, true)) outcome.found.emplace_back(t.task, m.id);
     i.seen = i.shown = true;
     i.state = t.state;
     if (i.spec && t.state != TaskState::fetching && !std::exchange(i.image_noted, true))
@@ -274,8 +300,9 @@
         if (token > i.run_token) {
             // Proof: not on the machine, and every `run` for it went out under a token that the worker now
             // drops.
-            outcome.ends.push_back(
-                {m.id, it->first, i.attempt, false, i.stray, Cause::none, false, i.running_since >= 0});
+            if (i.confirmed)
+                outcome.ends.push_back(
+                    {m.id, it->first, i.attempt, false, i.stray, Cause::none, false, i.running_since >= 0});
             it = m.tasks.erase(it);
             continue;
         }
--- a/src/fleet/cluster_state.hpp
+++ b/src/fleet/cluster_state.hpp
@@ -30,6 +30,9 @@
     wire::TaskState state = wire::TaskState::fetching;
     bool seen = false;   // a report showed it
     bool shown = false;  // the last report did
+    // False: only a report from before this leader began showed it. It takes its place, and is stopped if it
+    // must not be, but is no evidence of where the task is.
+    bool confirmed = true;
     // Steady time, of a task that must be gone: until then its machine's lease may be renewed though it is
     // not known whether a `run` has reached it.
     double worker_lease_bound = std::numeric_limits<double>::infinity();
@@ -59,7 +62,9 @@
     wire::Room total;
     enum class Life { booting, up, marked_for_deletion } life = Life::booting;
     bool stored = false, storing = false;  // its key at the state service
-    bool reconciled = false;               // what is on it is known to this leader
+    bool stored_before = false;  // when this leader began, so that tasks of earlier leaders may be on it
+    bool confirmed = false;      // its newest report was sent since this leader began
+    bool reconciled = false;     // what is on it is known to this leader
     bool known =
         false;  // by the leader before: `tasks` holds all that may be on it, though it has not reconciled
     bool deletable = false;  // marked_for_deletion, and stored as such: the deletion may be asked for
@@ -191,6 +196,8 @@
 
   private:
     // The steps of `apply_report`; those that find something out add it to the outcome.
+    bool sent_since_begin(const wire::Report& r, Via via) const;
+    bool is_newer(const Machine& m, const wire::Report& r, Via via) const;
     bool shows_what_is_over(const wire::Report& r, Via via);
     void apply_older(Machine& m, const wire::Report& r, Via via, ReportOutcome& outcome) const;
     void apply_header(Machine& m, const wire::Report& r, Via via, double now);
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -28,14 +28,18 @@
     }();
     std::uint64_t sequence = 0;
     std::vector<wire::TaskReport> on;
+    std::optional<double> notice_s;
     ReportOutcome apply_report(std::uint64_t token, Via via = Via::hello, std::uint64_t session = 1) {
-        wire::Report r{"vm-1", "10.1.0.1:9", "g4", "a", false, session, ++sequence, token, {}, on};
+        wire::Report r{"vm-1", "10.1.0.1:9", "g4", "a", false, session, ++sequence, token, notice_s, on};
         return picture.apply_report(r, via, 0,
                                     [this](const std::string& id) { return id == "j-1" ? spec : nullptr; });
     }
     Machine& machine() { return *picture.find("vm-1"); }
     // Known to the leader from what is stored: tasks may be on it.
-    void store() { picture.add("vm-1", "10.1.0.1:9", "g4", "a", false, Machine::Life::up, 0).stored = true; }
+    void store() {
+        auto& m = picture.add("vm-1", "10.1.0.1:9", "g4", "a", false, Machine::Life::up, 0);
+        m.stored = m.stored_before = true;
+    }
     std::uint64_t base() { return picture.base_token(); }
     // A machine known and stored, with a `run` sent directly.
     std::vector<Command> run() {
@@ -215,6 +219,125 @@
     EXPECT_FALSE(d.apply_report(d.base(), Via::direct).gone);
 }
 
+// What a report from before this leader began shows takes its place, but is no evidence of where the task is
+// before the machine confirms it, and none against what the leader before told.
+TEST(ClusterState, AnOldReportIsNoEvidence) {
+    struct Case {
+        const char* what;
+        std::function<void(Bench&)> then;
+        std::size_t found, ends;  // by it
+        bool there, confirmed;    // afterwards
+    };
+    const wire::TaskReport shown{task, 3, TaskState::running, Cause::none, false};
+    auto known = [&](Bench& b, std::uint64_t attempt) {
+        b.store();
+        b.machine().known = true;
+        b.picture.inherit(b.machine(), task, b.spec, attempt, 0);
+    };
+    std::size_t found = 0, ends = 0;
+    auto hears = [&](Bench& b, std::uint64_t token, Via via = Via::hello, std::uint64_t session = 1) {
+        auto o = b.apply_report(token, via, session);
+        found += o.found.size();
+        ends += o.ends.size();
+        return o;
+    };
+    auto old = [&](Bench& b) {
+        b.on = {shown};
+        return hears(b, b.base() - 1);
+    };
+    const Case cases[] = {
+        {"it alone", [&](Bench& b) { b.store(), old(b); }, 1, 0, true, false},
+        {"shown again in answer to a question",
+         [&](Bench& b) { b.store(), old(b), hears(b, b.base() - 1, Via::direct); }, 2, 0, true, true},
+        {"shown again under this leader's token", [&](Bench& b) { b.store(), old(b), hears(b, b.base()); }, 2,
+         0, true, true},
+        {"gone by this leader's token",
+         [&](Bench& b) { b.store(), old(b), b.on.clear(), hears(b, b.base()); }, 1, 0, false, false},
+        {"gone by an answer", [&](Bench& b) { b.store(), old(b), b.on.clear(), hears(b, 1, Via::direct); }, 1,
+         0, false, false},
+        {"gone by a new session",
+         [&](Bench& b) { b.store(), old(b), b.on.clear(), hears(b, 1, Via::hello, 2); }, 1, 0, false, false},
+        {"exited", [&](Bench& b) { b.store(), old(b), b.on[0].state = TaskState::exited, hears(b, 1); }, 1, 1,
+         false, false},
+        {"the leader before told of it", [&](Bench& b) { known(b, 3), old(b); }, 0, 0, true, true},
+        {"the leader before told that nothing is there",
+         [&](Bench& b) { b.store(), b.machine().known = true, old(b); }, 0, 0, false, false},
+        {"of an earlier attempt than the one told of",
+         [&](Bench& b) {
+             known(b, 5), old(b);
+             EXPECT_EQ(b.machine().tasks.at(task).attempt, 5u);
+         },
+         0, 0, true, true},
+        {"of a later session than one that is over",
+         [&](Bench& b) {
+             b.store(), hears(b, b.base() - 1), b.picture.lease_out(b.machine()), b.on = {shown};
+             EXPECT_TRUE(hears(b, b.base() - 1, Via::hello, 2).gone);
+         },
+         0, 0, false, false},
+        {"of a machine that only this leader stored",
+         [&](Bench& b) {
+             hears(b, b.base() - 1), b.machine().stored = true;
+             EXPECT_TRUE(old(b).gone);
+         },
+         0, 0, false, false},
+    };
+    for (auto& c : cases) {
+        Bench b;
+        found = ends = 0;
+        c.then(b);
+        EXPECT_EQ(found, c.found) << c.what;
+        EXPECT_EQ(ends, c.ends) << c.what;
+        auto* m = b.picture.find("vm-1");
+        ASSERT_TRUE(m) << c.what;
+        EXPECT_EQ(m->tasks.contains(task), c.there) << c.what;
+        EXPECT_EQ(c.there && m->tasks.at(task).confirmed, c.confirmed) << c.what;
+    }
+}
+
+// A machine back under its name begins with low numbers: copies of its earlier life, heard first, had made a
+// new leader refuse it until its lease was out.
+TEST(ClusterState, TheMachineItselfCountsMoreThanItsEarlierLife) {
+    struct Case {
+        std::uint64_t session, sequence;  // of the earlier life
+        std::uint64_t token;              // below this leader's: the session asked for was not its own
+        Via via;
+        bool fresh;
+    };
+    const Case cases[] = {{1, 500, 0, Via::hello, true},   {1, 500, 0, Via::direct, true},
+                          {3, 500, 1, Via::direct, true},  {3, 500, 1, Via::hello, false},
+                          {1, 500, 1, Via::direct, false}, {1, 500, 1, Via::hello, false}};
+    for (auto& c : cases) {
+        Bench b;
+        b.store();
+        b.on = {{task, 3, TaskState::running, Cause::none, false}};
+        b.sequence = c.sequence;
+        b.apply_report(b.base() - 1, Via::hello, c.session);
+        b.sequence = 7;
+        b.on.clear();
+        EXPECT_EQ(b.apply_report(b.base() - c.token, c.via).fresh, c.fresh);
+        EXPECT_EQ(b.machine().sequence, c.fresh ? 8 : c.sequence + 1);
+        EXPECT_EQ(b.machine().tasks.empty(), c.fresh);
+        b.apply_report(b.base());
+        EXPECT_TRUE(b.machine().reconciled);
+        // From here on the larger is the newer.
+        b.sequence = 3;
+        EXPECT_FALSE(b.apply_report(b.base()).fresh);
+    }
+}
+
+TEST(ClusterState, ANoticeIsNeverPutOff) {
+    Bench b;
+    b.store();
+    b.notice_s = 90;
+    b.apply_report(b.base() - 1);
+    b.notice_s = 20;
+    b.apply_report(b.base());
+    EXPECT_DOUBLE_EQ(b.machine().notice_until, 20);
+    b.notice_s = 30;
+    b.apply_report(b.base());
+    EXPECT_DOUBLE_EQ(b.machine().notice_until, 20);
+}
+
 // Forgotten, an attempt is started again by a copy of its `run`.
 TEST(ClusterState, ClearComesWithATokenAboveThatOfTheRun) {
     Bench b;
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -231,6 +231,9 @@
             end(answer);
         });
     };
+    if (late_command && r.target == wire::paths::commands)
+        if (double late = late_command(to, r); late > 0)
+            return at(now_ + late, [this, from, to, r] { deliver(from, to, r, [](http::Response) {}); });
     bool hold = false;
     double until = 0;
     if (is_cut(host(from), host(to), hold, until)) {
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -176,6 +176,12 @@
     void poll_all();
     // Called with each message as it is sent, so that a fault can be placed right after it.
     std::function<void(const std::string& from, const std::string& to, const http::Request&)> sent;
+    // Seconds by which a direct command is held up: it is carried out once then, and its answer is lost.
+    std::function<double(const std::string& to, const http::Request&)> late_command;
+    // A copy of a message arrives at this controller now; nobody waits for the answer.
+    void copy_to(std::size_t node, const std::string& from, const http::Request& r) {
+        deliver(from, addr_of(node), r, [](http::Response) {});
+    }
     void no_users(std::size_t node) { unserved_ = node; }  // none is led to it by the load balancer
     std::string told_by(std::size_t node, const std::string& gauge);  // of its /metrics
     bool cancel_wanted(const std::string& id) const;  // of the job itself, or of one that it needs
