--- a/src/fleet/cluster_state.cpp
+++ b/src/fleet/cluster_state.cpp
@@ -177,11 +177,12 @@
     return via == Via::direct || r.token >= base_;
 }
 // The larger (session, sequence) is the newer one, an older one changes nothing. But a report from before
-// this leader began may be of another life of the machine, which had come further.
+// this leader began may be of another life of the machine, which had come further; what the leader before
+// told is not.
 bool ClusterState::is_newer(const Machine& m, const wire::Report& r, Via via) const {
     if (std::pair(r.session, r.sequence) > std::pair(m.session, m.sequence)) return true;
     bool asked = via == Via::direct;
-    return !m.confirmed && (r.token >= base_ || (asked && r.session < m.session));
+    return !m.confirmed && !m.known && (r.token >= base_ || (asked && r.session < m.session));
 }
 
 // Reports, and copies of them, may come well over a lease late. A machine is stored before its first `run`,
