--- a/tests/simulated_cluster_network.cpp
+++ b/tests/simulated_cluster_network.cpp
@@ -28,6 +28,15 @@
     return found;
 }
 
+// Seconds by which a direct command is held up, 0 if it is not: by a script, or for one in four while that
+// fault lasts.
+double World::command_delay(const std::string& to, const http::Request& r) {
+    if (r.target != wire::paths::commands) return 0;
+    if (late_command) return late_command(to, r);
+    if (now_ >= late_commands_until_ || random_() % 4 != 0) return 0;
+    return std::uniform_real_distribution<double>(2, 16)(random_);
+}
+
 void World::send(const std::string& from, const std::string& to, http::Request r, double timeout,
                  http::Result result) {
     if (sent) at(now_, [this, from, to, r] { sent(from, to, r); });
@@ -75,10 +84,8 @@
             end(answer);
         });
     };
-    if (now_ < late_commands_until_ && r.target == wire::paths::commands && random_() % 4 == 0) {
-        double late = std::uniform_real_distribution<double>(2, 16)(random_);
+    if (double late = command_delay(to, r); late > 0)
         return at(now_ + late, [this, from, to, r] { deliver(from, to, r, [](http::Response) {}); });
-    }
     bool hold = false;
     double until = 0;
     if (is_cut(host(from), host(to), hold, until)) {
