--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -87,7 +87,7 @@
     heard_.none_lately();
     leader_ = std::make_shared<Leader>(std::move(c), version, random_());
     leader_->start();
-    for (auto& [body, reply] : relay_.take_waiting()) queue_report(std::move(body), std::move(reply));
+    for (auto& waiting : relay_.take_waiting()) queue_report(std::move(waiting));
     metrics_.event("won");
     store_types();
 }
@@ -297,7 +297,7 @@
         return false;
     };
     if (path == paths::report) {
-        if (only("POST")) queue_report(std::move(r.body), std::move(reply));
+        if (only("POST")) queue_report({std::move(r.body), std::move(reply), timers_.now()});
     } else if (path.starts_with(paths::jobs)) {
         user_route(r, path, std::move(reply));
     } else if (path == paths::health) {
@@ -315,7 +315,7 @@
     metrics_.gauge("question_requests", static_cast<double>(live.requests()));
     metrics_.gauge("reports_repeated", static_cast<double>(relay_.repeated()));
     metrics_.gauge("reports_relayed", static_cast<double>(relay_.relayed()));
-    metrics_.gauge("reports_dropped", static_cast<double>(relay_.dropped()));
+    metrics_.gauge("reports_dropped", static_cast<double>(relay_.dropped() + reports_.refused()));
     metrics_.gauge("standby_rows", static_cast<double>(follower_.copy().rows.size()));
     metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->replication().members()) : 0);
     metrics_.gauge("standby_pieces", leader_ ? static_cast<double>(leader_->replication().pieces()) : 0);
@@ -396,25 +396,23 @@
 // Reports are most of the work. They are read as they come, but heard a few at a time in between: after a
 // takeover, when every worker calls at once, users, health checks and the lease's renewal must not wait
 // behind all of them.
-void Controller::queue_report(std::string body, http::Reply reply) {
-    reports_.push_back({std::move(body), std::move(reply), timers_.now()});
+void Controller::queue_report(relay::ReportQueue::Report report) {
+    reports_.push(std::move(report));
     if (std::exchange(hearing_, true)) return;
     timers_.after(0, [this] { hear_some(); });
 }
 void Controller::hear_some() {
-    for (std::size_t k = 0; k < reports_at_once && !reports_.empty(); ++k) {
-        auto w = std::move(reports_.front());
-        reports_.pop_front();
-        if (timers_.now() - w.since > wire::worker_patience_s)
-            w.reply({503, "{}"});  // the worker has gone elsewhere meanwhile
-        else
-            handle_report(std::move(w.body), std::move(w.reply));
+    for (std::size_t k = 0; k < reports_at_once; ++k) {
+        auto report = reports_.next(timers_.now());
+        if (!report) break;
+        handle_report(std::move(*report));
     }
     hearing_ = !reports_.empty();
     if (hearing_) timers_.after(0, [this] { hear_some(); });
 }
-void Controller::handle_report(std::string body, http::Reply reply) {
-    if (leader_) return leader_->handle_report(std::move(body), std::move(reply));
+void Controller::handle_report(relay::ReportQueue::Report report) {
+    if (leader_) return leader_->handle_report(std::move(report));
+    auto& [body, reply, since] = report;
     // To read no more of it than its name leaves time for others: without a leader every worker calls each
     // second.
     if (auto o = wire::outline_report(body)) {
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -1,6 +1,5 @@
 // One controller: its interfaces, its part in the election, and the leader's work while it leads.
 #pragma once
-#include <deque>
 #include <map>
 #include <memory>
 #include <random>
@@ -9,6 +8,7 @@
 #include "api/users.hpp"
 #include "daemon/leader.hpp"
 #include "relay/heartbeat_tracker.hpp"
+#include "relay/report_queue.hpp"
 #include "relay/report_relay.hpp"
 #include "standby/replica_state.hpp"
 #include "wire/peer.hpp"
@@ -43,9 +43,9 @@
     std::string metrics_text();
     const PeerState* peer_with_state(const http::Request& r) const;
     void ask_peer(const http::Request& r, http::Response refusal, http::Reply reply);
-    void queue_report(std::string body, http::Reply reply);
+    void queue_report(relay::ReportQueue::Report report);
     void hear_some();
-    void handle_report(std::string body, http::Reply reply);
+    void handle_report(relay::ReportQueue::Report report);
     bool others_may_serve() const;
     relay::Leadership relay_target() const;
     void on_elected(std::uint64_t version);
@@ -81,12 +81,7 @@
     std::map<std::string, PeerState> peers_;
     std::shared_ptr<Leader> leader_;
     double last_resigned_ = -1, started_ = 0;
-    struct Waiting {
-        std::string body;
-        http::Reply reply;
-        double since;
-    };
-    std::deque<Waiting> reports_;
+    relay::ReportQueue reports_;
     relay::ReportRelay relay_;
     bool hearing_ = false;
     standby::Follower follower_;
--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -111,8 +111,7 @@
     stopped_ = true;
     log_team_activity();
     dependencies_.timers.cancel(tick_timer_);
-    for (auto& [body, reply] : early_) reply({503, "{}"});
-    early_.clear();
+    for (auto& report : early_.take()) report.reply({503, "{}"});
 }
 
 wire::Txn Leader::leader_txn() const {
@@ -288,10 +287,10 @@
 }
 void Leader::hear_early() {
     constexpr std::size_t at_once = 16;
-    for (std::size_t k = 0; k < at_once && !early_.empty(); ++k) {
-        auto [body, reply] = std::move(early_.front());
-        early_.pop_front();
-        handle_report(std::move(body), std::move(reply));
+    for (std::size_t k = 0; k < at_once; ++k) {
+        auto report = early_.next(now());
+        if (!report) break;
+        handle_report(std::move(*report));
     }
     if (!early_.empty()) dependencies_.timers.after(0, guarded([this] { hear_early(); }));
 }
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -23,6 +23,7 @@
 #include "registry/machine_registry.hpp"
 #include "relay/delegation_table.hpp"
 #include "relay/reply_cache.hpp"
+#include "relay/report_queue.hpp"
 #include "relay/worker_lease.hpp"
 #include "standby/replication_sender.hpp"
 #include "state/election.hpp"
@@ -61,7 +62,7 @@
     void start();
     void stop();
 
-    void handle_report(std::string body, http::Reply reply);
+    void handle_report(relay::ReportQueue::Report report);
     // Reports that another controller heard: each is answered as if it had come here.
     void relay(const wire::PeerRelay& m, http::Reply reply);
     std::size_t lent() const { return delegations_.count(); }
@@ -199,7 +200,7 @@
     registry::MachineRegistry store_;
     state::ListWatch job_watch_;
 
-    std::deque<std::pair<std::string, http::Reply>> early_;  // reports that came before the jobs were loaded
+    relay::ReportQueue early_;  // reports that came before the jobs were loaded
     std::uint64_t attempts_ = 0, rentals_made_ = 0;
     std::deque<std::string> to_probe_, flushing_;
     std::size_t probing_ = 0;
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -24,11 +24,9 @@
 constexpr double own_share = 0.1, moved_share = 1.0 / 50, moved_leases = 4;
 }  // namespace
 
-void Leader::handle_report(std::string body, http::Reply reply) {
-    if (!loaded_) {
-        early_.emplace_back(std::move(body), std::move(reply));
-        return;
-    }
+void Leader::handle_report(relay::ReportQueue::Report report) {
+    if (!loaded_) return early_.push(std::move(report));
+    auto& [body, reply, since] = report;
     if (repeat_reply(body, reply)) return;
     std::string machine;
     auto a = answer_report(body, "", machine);
--- a/src/relay/report_relay.cpp
+++ b/src/relay/report_relay.cpp
@@ -66,11 +66,9 @@
         waiting_.pop_front();
     }
 }
-std::deque<std::pair<std::string, http::Reply>> ReportRelay::take_waiting() {
+std::deque<ReportQueue::Report> ReportRelay::take_waiting() {
     refuse_old(patience_share);
-    std::deque<std::pair<std::string, http::Reply>> out;
-    for (auto& w : std::exchange(waiting_, {})) out.emplace_back(std::move(w.body), std::move(w.reply));
-    return out;
+    return std::exchange(waiting_, {});
 }
 void ReportRelay::put_back(std::deque<Waiting> batch) {
     for (auto w = batch.rbegin(); w != batch.rend(); ++w) waiting_.push_front(std::move(*w));
--- a/src/relay/report_relay.hpp
+++ b/src/relay/report_relay.hpp
@@ -16,6 +16,7 @@
 #include "loop/guard.hpp"
 #include "loop/timers.hpp"
 #include "relay/reply_cache.hpp"
+#include "relay/report_queue.hpp"
 #include "wire/peer.hpp"
 
 namespace coralhitch::relay {
@@ -41,18 +42,14 @@
     bool offer(std::string& body, http::Reply& reply);
 
     // The reports that wait, for when this controller leads itself.
-    std::deque<std::pair<std::string, http::Reply>> take_waiting();
+    std::deque<ReportQueue::Report> take_waiting();
 
     std::uint64_t repeated() const { return repeated_; }  // reports answered here
     std::uint64_t relayed() const { return relayed_; }    // reports that went to the leader
     std::uint64_t dropped() const { return dropped_; }    // reports whose workers had given up waiting
 
   private:
-    struct Waiting {
-        std::string body;
-        http::Reply reply;
-        double since = 0;
-    };
+    using Waiting = ReportQueue::Report;
     // Whether the leader takes what is sent: not known yet, yes, or there is none or it did not the last
     // time.
     enum class Link { trying, up, down };
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -8,6 +8,7 @@
 #include "fake_timers.hpp"
 #include "relay/delegation_table.hpp"
 #include "relay/heartbeat_tracker.hpp"
+#include "relay/report_queue.hpp"
 #include "relay/report_relay.hpp"
 #include "relay/worker_lease.hpp"
 
@@ -287,6 +288,58 @@
         EXPECT_EQ(b.statuses, c.statuses);
     }
 }
+// A controller that gets more reports than it can read answers as many workers as it can read reports: what
+// it answers must still find its worker waiting.
+TEST(ReportQueue, AnswersInTimeHoweverFarItIsBehind) {
+    struct Case {
+        double per_s, read_per_s;  // reports that come, and that can be read
+        double way_s;              // from a worker to the queue and back
+    };
+    const Case cases[] = {{50, 100, 0.1}, {150, 100, 0.1}, {300, 100, 0.5}, {2000, 100, 1}, {300, 100, 1.2}};
+    for (auto& c : cases) {
+        ReportQueue queue;
+        std::size_t answered = 0, refused = 0, in_time = 0;
+        double come = 0, read = 0;
+        for (double t = 0; t < 60; t += 0.002) {
+            for (come += c.per_s * 0.002; come >= 1; --come)
+                queue.push(
+                    {"", [&, t](http::Response r) { (r.status == 200 ? answered : refused) += t >= 0; }, t});
+            for (read += c.read_per_s * 0.002; read >= 1; --read)
+                if (auto r = queue.next(t)) {
+                    r->reply({200, ""});
+                    in_time += t + c.way_s - r->since < wire::worker_patience_s;
+                }
+            read = std::min(read, 1.0);
+        }
+        double most = std::min(c.per_s, c.read_per_s) * 60;
+        EXPECT_EQ(answered, in_time) << c.per_s;
+        EXPECT_GT(static_cast<double>(in_time), most * 0.9) << c.per_s;
+        EXPECT_EQ(refused, queue.refused());
+        EXPECT_EQ(refused > 0, c.per_s > c.read_per_s) << c.per_s;
+    }
+}
+// What is handed on keeps the time at which it was read.
+TEST(ReportQueue, ARefusalMayBringTheNextReport) {
+    ReportQueue queue;
+    int statuses = 0;
+    queue.push({"a",
+                [&](http::Response r) {
+                    statuses += r.status;
+                    queue.push({"b", [](http::Response) {}, 100});
+                },
+                0});
+    auto next = queue.next(100);
+    ASSERT_TRUE(next);
+    EXPECT_EQ(next->body, "b");
+    EXPECT_EQ(statuses, 503);
+    EXPECT_TRUE(queue.empty());
+    queue.push({"c", [](http::Response) {}, 7});
+    auto rest = queue.take();
+    ASSERT_EQ(rest.size(), 1u);
+    EXPECT_EQ(rest.front().since, 7);
+    EXPECT_TRUE(queue.empty());
+}
+
 // What waits when this controller comes to lead itself is its own to answer.
 TEST(ReportRelay, HandsOverWhatWaits) {
     Bench b;
@@ -297,7 +350,9 @@
     b.lose();
     b.lead = {};
     b.run(0.5);
-    EXPECT_EQ(b.hearer.take_waiting().size(), 1u);
+    auto waiting = b.hearer.take_waiting();
+    ASSERT_EQ(waiting.size(), 1u);
+    EXPECT_LT(waiting.front().since, b.timers.now() - 0.6) << "its worker has waited since then";
     b.run(5);
     EXPECT_TRUE(b.statuses.empty());
 }
