--- /dev/null
+++ b/tests/combinations_support.hpp
@@ -0,0 +1,32 @@
+// What the scripted cases of two troubles have in common.
+#pragma once
+#include <gtest/gtest.h>
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "fault_scenarios.hpp"
+
+namespace coralhitch::standin {
+
+inline std::size_t lead(const World& w) {
+    return static_cast<std::size_t>(std::max(0, w.leader()));
+}
+inline std::string host_of(std::size_t node) {
+    return "10.0.0." + std::to_string(node + 1);
+}
+inline void expect_unbroken(const World& w) {
+    for (auto& b : w.broken) ADD_FAILURE() << b;
+}
+// Tasks of the job that machines hold and that have not ended.
+inline std::size_t on_machine(const Worker& m, const std::string& job) {
+    auto here = [&](auto& t) { return !m.dead && t.second.job == job && t.second.status != "exited"; };
+    return static_cast<std::size_t>(std::count_if(m.tasks.begin(), m.tasks.end(), here));
+}
+inline std::size_t on_machines(const World& w, const std::string& job) {
+    std::size_t n = 0;
+    for (auto& m : w.workers) n += on_machine(*m, job);
+    return n;
+}
+
+}  // namespace coralhitch::standin
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -1,31 +1,10 @@
 // Two troubles that meet: a scripted case for each, with the order of messages fixed. docs/testing.md lists
 // them.
-#include <gtest/gtest.h>
-#include <spdlog/spdlog.h>
-
-#include "fault_scenarios.hpp"
+#include "combinations_support.hpp"
 
 namespace coralhitch::standin {
 namespace {
 
-std::size_t lead(const World& w) {
-    return static_cast<std::size_t>(std::max(0, w.leader()));
-}
-std::string host_of(std::size_t node) {
-    return "10.0.0." + std::to_string(node + 1);
-}
-void expect_unbroken(const World& w) {
-    for (auto& b : w.broken) ADD_FAILURE() << b;
-}
-std::size_t on_machine(const Worker& m, const std::string& job) {
-    auto here = [&](auto& t) { return !m.dead && t.second.job == job && t.second.status != "exited"; };
-    return static_cast<std::size_t>(std::count_if(m.tasks.begin(), m.tasks.end(), here));
-}
-std::size_t on_machines(const World& w, const std::string& job) {
-    std::size_t n = 0;
-    for (auto& m : w.workers) n += on_machine(*m, job);
-    return n;
-}
 // Keeps the machines, with room for one card more on each.
 void keep_machines(World& w) {
     w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 3.0}}); });
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -69,7 +69,7 @@
         s.cloud_addr = cloud_addr;
         s.nodes = 3;
         s.zones = zones;
-        s.teams = {{"free", 0, 0, 0, 0}, {"tight", 0, 0, 0, options_.gpus_max}};
+        s.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
         s.report_s = options_.report_s;
         s.lease_s = options_.lease_s;
         s.cancel_s = options_.cancel_s;
@@ -668,7 +668,8 @@
             if (t.job == id) ++per_zone[other->zone];
             if (other.get() == &w) room -= spec["cards"].get<double>();
         }
-    if (team == "tight" && used + cards > options_.gpus_max + 1e-9) rule("quota " + task);
+    double most = team == "tight" ? options_.gpus_max : options_.free_gpus_max;
+    if (most > 0 && used + cards > most + 1e-9) rule("quota " + task);
     if (room + 1e-9 < cards) {
         w.tasks[task] = {id, attempt, "exited", "no_room"};
         return;
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -98,6 +98,7 @@
     std::size_t machines = 6;
     double report_s = 3, lease_s = 24, cancel_s = 44;
     double gpus_max = 12;
+    double free_gpus_max = 0;  // of the team `free`; 0: none
     double boot_s = 1;  // what a machine takes; the nominal time is 5 s
     std::set<std::size_t>
         without_standby;     // controllers of a version, or with settings, that know no standby
