--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -44,6 +44,7 @@
       cloud_(timers, http, settings),
       users_(timers, state_, settings, *this),
       relay_(timers, http, settings, incarnation_, [this] { return relay_target(); }),
+      cancellations_(timers, http, settings, [this] { return election_.leader_version(); }),
       follower_(incarnation_),
       heard_(settings.report_s * heard_reports, settings.lease_s * copies_leases) {
     for (auto& p : settings.peers) peers_[p.label].peer = p;
@@ -315,6 +316,8 @@
     metrics_.gauge("question_requests", static_cast<double>(live.requests()));
     metrics_.gauge("reports_repeated", static_cast<double>(relay_.repeated()));
     metrics_.gauge("reports_relayed", static_cast<double>(relay_.relayed()));
+    metrics_.gauge("cancellations_told", static_cast<double>(cancellations_.size()));
+    metrics_.gauge("cancellations_repeated", static_cast<double>(cancellations_.repeated()));
     metrics_.gauge("reports_dropped", static_cast<double>(relay_.dropped()));
     metrics_.gauge("standby_rows", static_cast<double>(follower_.copy().rows.size()));
     metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->replication().members()) : 0);
@@ -466,14 +469,10 @@
                });
 }
 
-// The leader watches the jobs; being told as well gets the tasks stopped at once, and during an outage of the
-// state service that begins right now.
+// To the others also if this one leads: its lease may be over without its knowing.
 void Controller::cancelled(const std::string& id, std::uint64_t version) {
-    if (leader_) return leader_->cancelled(id, version);
-    auto body = wire::pack_peer(wire::PeerCancelled{id, version});
-    for (auto& [label, p] : peers_)
-        http_.send(p.peer.addr, {"POST", std::string(wire::peer_cancelled_path), body, "application/msgpack"},
-                   settings_.report_s, [](std::optional<http::Response>) {});
+    if (leader_) leader_->cancelled(id, version);
+    cancellations_.confirmed(id, version, leader_ ? election_.version() : 0);
 }
 
 void Controller::serve_peer(http::Request r, http::Reply reply) {
@@ -517,7 +516,10 @@
     } else if (r.target == wire::peer_cancelled_path) {
         if (auto q = wire::unpack_peer<wire::PeerCancelled>(r.body)) {
             if (leader_) leader_->cancelled(q->id, q->version);
-            return reply(packed({}));
+            for (auto& m : q->more)
+                if (leader_) leader_->cancelled(m.id, m.version);
+            return reply(
+                packed(wire::pack_peer(wire::PeerCancelledAnswer{leader_ ? election_.version() : 0})));
         }
     } else {
         return reply({404, {}});
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -8,6 +8,7 @@
 
 #include "api/users.hpp"
 #include "daemon/leader.hpp"
+#include "relay/cancellation_notices.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "relay/report_relay.hpp"
 #include "standby/replica_state.hpp"
@@ -88,6 +89,7 @@
     };
     std::deque<Waiting> reports_;
     relay::ReportRelay relay_;
+    relay::CancellationNotices cancellations_;
     bool hearing_ = false;
     standby::Follower follower_;
     std::unordered_map<std::string, api::TaskCounts> counts_;  // from the leader's last ping
--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -301,20 +301,18 @@
     if (table_.knows(id, version)) return false;
     try {
         auto record = wire::parse_job_record(value);
-        bool cancelled = record.cancelled;
         if (!table_.put(id, version, std::move(record))) return false;
         auto& e = *table_.find(id);
         e.image = cluster_state_.image(e.spec->image);
         spdlog::debug("job {} of class {}: {} tasks, awaits {}, cancelled {}", id, e.spec->cls, e.spec->tasks,
                       e.awaits.size(), e.cancelled);
-        if (cancelled) cancel_active(id, e);
+        if (e.cancelled) cancel_active(id, e);
         return true;
     } catch (const wire::Malformed& x) {
         spdlog::error("job {}: {}", id, x.what());
         // Its tasks must go all the same.
         if (auto* e = table_.find(id); e && !e->cancelled && wire::says_cancelled(value)) {
-            e->version = version;
-            table_.cancel(id);
+            table_.cancel(id, version);
             cancel_active(id, *e);
             return true;
         }
@@ -332,9 +330,9 @@
     {
         std::lock_guard lock(mutex_);
         auto* e = table_.find(id);
-        if (!e || e->cancelled) return;
-        table_.cancel(id);
-        e->version = std::max(e->version, version);
+        if (e && e->cancelled) return;
+        table_.cancel(id, version);
+        if (!e) return;  // its record is not read yet
         cancel_active(id, *e);
     }
     flush_all();
--- a/src/jobs/table.cpp
+++ b/src/jobs/table.cpp
@@ -76,6 +76,10 @@
     e.version = version;
     // For ever: behind a cancelled job it may be known sooner than its own record says so.
     e.cancelled = e.cancelled || record.cancelled;
+    if (auto told = cancelled_.extract(id)) {
+        e.cancelled = true;
+        e.version = std::max(version, told.mapped());
+    }
     if (!fresh) {
         if (e.cancelled) cancel_behind(id);
         return true;
@@ -117,8 +121,13 @@
         }
     }
 }
-void Table::cancel(const std::string& id) {
-    if (auto* e = find(id)) e->cancelled = true;
+void Table::cancel(const std::string& id, std::uint64_t version) {
+    if (auto* e = find(id)) {
+        e->cancelled = true;
+        e->version = std::max(e->version, version);
+    } else if (!knows(id, version)) {
+        cancelled_[id] = version;
+    }
     cancel_behind(id);
 }
 void Table::cancel_behind(const std::string& id) {
--- a/src/jobs/table.hpp
+++ b/src/jobs/table.hpp
@@ -87,12 +87,16 @@
     // How a job ended, as the state service says, and when, if that was just now. Once all that a job awaits
     // is done, it may start; what is behind a cancelled one, however far, is cancelled.
     void ended(const std::string& id, wire::JobState state, std::optional<double> unix_now);
-    void cancel(const std::string& id);
+    // Its record says so since this version. Of a job that is not known yet it is kept until the record
+    // comes: a leader may be told before it has read the jobs.
+    void cancel(const std::string& id, std::uint64_t version);
     const Awaits& awaits() const { return awaits_; }
     // Changes up to this revision were seen: older news of jobs that are over can't come any more, but with a
     // list that is being read. Until that is over, none is forgotten.
     void seen_revision(std::uint64_t revision) {
-        if (!listing_) std::erase_if(over_, [&](auto& o) { return o.second < revision; });
+        if (listing_) return;
+        std::erase_if(over_, [&](auto& o) { return o.second < revision; });
+        std::erase_if(cancelled_, [&](auto& c) { return c.second <= revision; });
     }
     void listing(bool under_way) { listing_ = under_way; }
     std::string block_value(const Entry& e, const std::string& block, std::size_t value_bytes) const;
@@ -112,6 +116,8 @@
     std::map<std::string, Entry> jobs_;
     Awaits awaits_;
     bool listing_ = false;
+    std::unordered_map<std::string, std::uint64_t>
+        cancelled_;                                        // not known yet, with the version that says so
     std::unordered_map<std::string, std::uint64_t> over_;  // with the revision at which they were over
 };
 
--- /dev/null
+++ b/tests/cancellation_notices_test.cpp
@@ -0,0 +1,118 @@
+// To whom confirmed cancellations are told, how often and for how long, on an injected clock.
+#include "relay/cancellation_notices.hpp"
+
+#include <gtest/gtest.h>
+
+#include <set>
+
+#include "fake_timers.hpp"
+
+namespace coralhitch::relay {
+namespace {
+
+struct Peers : http::Requester {
+    explicit Peers(FakeTimers& t) : timers(t) {}
+    FakeTimers& timers;
+    std::map<std::string, std::uint64_t> leads;  // by address, its leadership
+    std::set<std::string> cut;
+    std::map<std::string, std::vector<std::vector<std::string>>> heard;  // by address, the jobs of each
+    void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
+        if (cut.contains(addr)) return void(timers.after(timeout, [result] { result({}); }));
+        auto m = wire::unpack_peer<wire::PeerCancelled>(r.body).value();
+        std::vector<std::string> ids{m.id};
+        for (auto& more : m.more) ids.push_back(more.id);
+        heard[addr].push_back(ids);
+        auto body = wire::pack_peer(wire::PeerCancelledAnswer{leads[addr]});
+        timers.after(0.01, [result, body] { result(http::Response{200, body}); });
+    }
+};
+struct Bench {
+    FakeTimers timers;
+    Peers peers{timers};
+    config::Settings settings = [] {
+        config::Settings s;
+        s.report_s = 3;
+        s.cancel_s = 44;
+        s.memory_mb = 1;
+        s.peers = {{"berth-1", "a", "one"}, {"berth-2", "b", "two"}};
+        return s;
+    }();
+    std::uint64_t leadership = 5;
+    CancellationNotices notices{timers, peers, settings, [this] { return leadership; }};
+};
+
+TEST(CancellationNotices, AreToldToAllOnceIfTheLeaderTakesThem) {
+    Bench b;
+    b.peers.leads["one"] = 5;
+    b.notices.confirmed("j-1", 9, 0);
+    b.timers.run_until(60);
+    EXPECT_EQ(b.peers.heard["one"].size(), 1u);
+    EXPECT_EQ(b.peers.heard["two"].size(), 1u);
+    EXPECT_EQ(b.notices.size(), 0u);
+}
+TEST(CancellationNotices, AreRepeatedUntilTheLeaderHasThemAndToThatOfTheNextLeadership) {
+    Bench b;
+    b.peers.leads["one"] = 5;
+    b.peers.cut = {"one"};
+    b.notices.confirmed("j-1", 9, 0);
+    b.notices.confirmed("j-2", 10, 0);
+    b.timers.run_until(4);
+    EXPECT_TRUE(b.peers.heard["one"].empty());
+    b.peers.cut.clear();
+    b.timers.run_until(5);
+    ASSERT_EQ(b.peers.heard["one"].size(), 1u);
+    EXPECT_EQ(b.peers.heard["one"][0], (std::vector<std::string>{"j-1", "j-2"}));
+    b.timers.run_until(20);
+    EXPECT_EQ(b.peers.heard["one"].size(), 1u);
+    b.leadership = 8;  // that of the other one, which does not say so yet: it is loading
+    b.peers.leads["one"] = 0;
+    b.timers.run_until(23);
+    auto told = b.peers.heard["two"].size();
+    EXPECT_GT(told, 3u);
+    b.peers.leads["two"] = 8;
+    b.timers.run_until(40);
+    EXPECT_LE(b.peers.heard["two"].size(), told + 1);
+}
+TEST(CancellationNotices, AnOlderLeadershipsAnswerEndsNothing) {
+    Bench b;
+    b.peers.leads["one"] = 4;
+    b.notices.confirmed("j-1", 9, 4);
+    b.timers.run_until(10);
+    EXPECT_GT(b.peers.heard["two"].size(), 5u);
+}
+TEST(CancellationNotices, EndWithTheTimeInWhichTasksMayBeLeft) {
+    Bench b;
+    b.notices.confirmed("j-1", 9, 0);
+    b.timers.run_until(46);
+    EXPECT_EQ(b.notices.size(), 0u);
+    auto told = b.peers.heard["two"].size();
+    EXPECT_LE(told, 1 + static_cast<std::size_t>(44 / 0.75));
+    b.timers.run_until(200);
+    EXPECT_EQ(b.peers.heard["two"].size(), told);
+}
+TEST(CancellationNotices, HoldABoundedNumberAndAMessageABoundedPart) {
+    Bench b;
+    for (int k = 0; k < 1000; ++k) b.notices.confirmed("j-" + std::to_string(k), 9, 0);
+    EXPECT_EQ(b.notices.size(), 20u);
+    b.settings.memory_mb = 1000;
+    for (int k = 0; k < 1000; ++k) b.notices.confirmed("j-" + std::to_string(k), 9, 0);
+    b.peers.heard.clear();
+    b.timers.run_until(1);
+    ASSERT_EQ(b.peers.heard["one"].size(), 1u);
+    EXPECT_EQ(b.peers.heard["one"][0].size(), 256u);
+}
+TEST(CancellationNotices, ReadWhatTheVersionBeforeSaysAndTheOtherWayRound) {
+    // The layout of the version before: id and version only, and an empty answer.
+    msgpack::sbuffer old;
+    msgpack::packer(old).pack_array(2).pack(std::string("j-1")).pack(9);
+    auto m = wire::unpack_peer<wire::PeerCancelled>({old.data(), old.size()});
+    ASSERT_TRUE(m);
+    EXPECT_TRUE(m->id == "j-1" && m->version == 9 && m->more.empty());
+    EXPECT_FALSE(wire::unpack_peer<wire::PeerCancelledAnswer>(""));
+    auto now = wire::pack_peer(wire::PeerCancelled{"j-1", 9, {{"j-2", 10}}});
+    auto read = msgpack::unpack(now.data(), now.size()).get().as<std::tuple<std::string, std::uint64_t>>();
+    EXPECT_EQ(std::get<0>(read), "j-1");
+}
+
+}  // namespace
+}  // namespace coralhitch::relay
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -75,7 +75,7 @@
      {"a", "b1", "b2", "c", "d"},
      {}},
     {"one in the middle is cancelled, as a controller says",
-     [](Table& t) { t.cancel("b2"); },
+     [](Table& t) { t.cancel("b2", 0); },
      {"a", "x"},
      {"b2", "c", "d"},
      {}},
@@ -89,7 +89,7 @@
      {}},
     {"a job that names a cancelled one comes later; a later copy of its record changes nothing",
      [](Table& t) {
-         t.cancel("b2");
+         t.cancel("b2", 0);
          t.put("y", 30, record({"y", {"c"}}));
          t.put("y", 31, record({"y", {"c"}}));
      },
@@ -174,7 +174,7 @@
     }
     t.put("j-last", 2, record({"j-last", all, Priority::high, 50}));
     EXPECT_EQ(t.find(id(0))->priority, Priority::high);
-    t.cancel(id(0));
+    t.cancel(id(0), 0);
     EXPECT_TRUE(t.find("j-last")->cancelled);
 }
 
