--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -7,6 +7,7 @@
 
 #include "api/users.hpp"
 #include "daemon/leader.hpp"
+#include "relay/cancellation_notices.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "relay/report_queue.hpp"
 #include "relay/report_relay.hpp"
@@ -83,6 +84,7 @@
     double last_resigned_ = -1, started_ = 0;
     relay::ReportQueue reports_;
     relay::ReportRelay relay_;
+    relay::CancellationNotices cancellations_;
     bool hearing_ = false;
     standby::Follower follower_;
     std::unordered_map<std::string, api::TaskCounts> counts_;  // from the leader's last ping
