--- /dev/null
+++ b/scale/cloud.hpp
@@ -0,0 +1,74 @@
+// The cloud as the protocol describes it: machines of one type, rented, listed late, deleted.
+#pragma once
+#include <functional>
+#include <map>
+#include <random>
+#include <vector>
+
+#include "http/message.hpp"
+#include "loop/bucket.hpp"
+#include "loop/guard.hpp"
+#include "loop/timers.hpp"
+#include "scale/experiment.hpp"
+#include "wire/protocol.hpp"
+
+namespace coralhitch::scale {
+
+// Where machines are: the processes that hold the hollow workers.
+class Machines {
+  public:
+    virtual ~Machines() = default;
+    virtual void up(const wire::Host& host) = 0;
+    // `done` once the machines and all on them are gone.
+    virtual void remove(const std::vector<std::string>& ids, std::function<void()> done) = 0;
+    // They give no answer any more, and run nothing.
+    virtual void silence(const std::vector<std::string>& ids) = 0;
+};
+
+class Cloud {
+  public:
+    Cloud(loop::Timers& timers, const Experiment& experiment, Machines& machines);
+    void handle(http::Request request, http::Reply reply);
+
+    // Faults: machines fail together. Returns how many.
+    std::size_t fail_zone(const std::string& zone);
+    std::size_t fail_rack();                   // the fullest one
+    std::size_t fail_machines(std::size_t n);  // drawn
+
+    struct Counts {
+        std::uint64_t requests = 0, refused = 0, bytes_in = 0, bytes_out = 0, rented = 0, deleted = 0,
+                      lists = 0, no_capacity = 0;
+    };
+    const Counts& counts() const { return counts_; }
+    std::size_t alive() const;
+
+  private:
+    struct Machine {
+        wire::Host host;
+        double rented_at = 0, up_at = 0, failed_at = 1e18, gone_at = 1e18;
+        std::uint32_t rack = 0;
+        bool usable() const { return failed_at > 1e17 && gone_at > 1e17; }
+    };
+    void execute(const http::Request& request, const http::Reply& reply);
+    void answer(const http::Reply& reply, http::Response response);
+    http::Response rent(const http::Request& request);
+    http::Response list(const std::string& target);
+    void remove(const std::vector<std::string>& ids, const http::Reply& reply);
+    void create(const wire::MachineType& type, const std::string& zone, bool spot);
+    std::size_t fail(const std::vector<std::string>& ids);
+    wire::MachineType type() const;
+
+    loop::Timers& timers_;
+    const Experiment& experiment_;
+    Machines& hollow_;
+    std::mt19937_64 random_;
+    loop::Bucket requests_;
+    std::map<std::string, Machine> machines_;  // by name, which is the order of creation
+    std::map<std::string, std::string> rentals_;
+    std::map<std::string, std::uint32_t> in_zone_, usable_in_zone_;
+    std::uint64_t next_ = 0;
+    Counts counts_;
+    loop::Guard guard_;
+};
+
+}  // namespace coralhitch::scale
--- /dev/null
+++ b/scale/observed.hpp
@@ -0,0 +1,58 @@
+// What hollow workers tell the checker: what happened on which machine, with the time on the machine's one
+// clock that all processes share. As JSON arrays, to be short.
+#pragma once
+#include <nlohmann/json.hpp>
+
+#include "wire/model.hpp"
+
+namespace coralhitch::scale {
+
+enum class Happened { machine, started, ready, ended, gone };
+
+struct Observed {
+    double t = 0;
+    Happened what = Happened::started;
+    std::string machine;
+    wire::TaskId task;
+    std::uint64_t attempt = 0;
+    wire::Cause cause = wire::Cause::none;
+    std::string zone;  // of a machine that came up
+    bool spot = false;
+};
+inline nlohmann::json to_json(const Observed& o) {
+    return nlohmann::json::array({o.t, static_cast<int>(o.what), o.machine, o.task.job, o.task.index,
+                                  o.attempt, static_cast<int>(o.cause), o.zone, o.spot});
+}
+inline Observed observed_from(const nlohmann::json& j) {
+    return {j[0].get<double>(),        static_cast<Happened>(j[1].get<int>()),
+            j[2].get<std::string>(),   {j[3].get<std::string>(), j[4].get<std::uint32_t>()},
+            j[5].get<std::uint64_t>(), static_cast<wire::Cause>(j[6].get<int>()),
+            j[7].get<std::string>(),   j[8].get<bool>()};
+}
+// How a task is to run, which its worker fetches from the users.
+struct TaskSpec {
+    wire::Kind kind = wire::Kind::array;
+    std::uint32_t tasks = 0;
+    wire::Room need;
+    std::string image;
+    double image_gb = 0, run_s = 0;
+};
+inline nlohmann::json to_json(const TaskSpec& s) {
+    return {{"kind", static_cast<int>(s.kind)},
+            {"tasks", s.tasks},
+            {"cpus", s.need.cpus},
+            {"memory_gb", s.need.memory_gb},
+            {"image", s.image},
+            {"image_gb", s.image_gb},
+            {"run_s", s.run_s}};
+}
+inline TaskSpec spec_from(const nlohmann::json& j) {
+    return {static_cast<wire::Kind>(j.at("kind").get<int>()),
+            j.at("tasks").get<std::uint32_t>(),
+            {j.at("cpus").get<double>(), 0, j.at("memory_gb").get<double>()},
+            j.at("image").get<std::string>(),
+            j.at("image_gb").get<double>(),
+            j.at("run_s").get<double>()};
+}
+
+}  // namespace coralhitch::scale
