--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -112,7 +112,9 @@
     };
     using Seen = std::function<void(json)>;
     void start_all();
+    void wait_for_workers(std::uint32_t process);
     void start_controller(std::uint32_t k);
+    void wait_for(const std::string& addr, const std::string& path, std::function<void()> then);
     void end_controller(std::uint32_t k, double back_s);
     void wait_for(const std::string& addr, const std::string& path, std::function<void()> then, double until);
     void look();
@@ -164,7 +166,7 @@
 // --- Processes ------------------------------------------------------------------------------------------
 
 void Driver::start_all() {
-    auto role = [&](const std::string& name, std::vector<std::string> arguments) {
+    auto role = [this](const std::string& name, std::vector<std::string> arguments) {
         arguments.insert(arguments.begin(), options_.self);
         arguments.insert(arguments.end(), {"--experiment", options_.file});
         for (auto& o : options_.overrides)
@@ -172,21 +174,25 @@
         arguments.insert(arguments.end(), {"--set", "port_base=" + std::to_string(experiment_.port_base)});
         roles_.push_back(std::make_unique<Child>(name, arguments, log_file(name)));
     };
-    role("users", {"users"});
-    for (std::uint32_t k = 0; k < experiment_.worker_processes; ++k)
-        role("workers-" + std::to_string(k), {"workers", "--process", std::to_string(k)});
-    role("infrastructure", {"infrastructure"});
+    // Each is there before those that call it.
     write_file(options_.directory + "/operator.textproto", experiment_.operator_settings());
     controllers_.resize(experiment_.controllers);
-    wait_for(
-        experiment_.cloud_control(), "/stats",
-        [this] {
-            for (std::uint32_t k = 0; k < experiment_.controllers; ++k) start_controller(k);
-            wait_for(
-                experiment_.controller_addr(0), std::string(wire::paths::health), [this] { fill(); },
-                loop_.now() + start_s);
-        },
-        loop_.now() + start_s);
+    role("users", {"users"});
+    wait_for(experiment_.users_control(), "/stats", [this, role] {
+        for (std::uint32_t k = 0; k < experiment_.worker_processes; ++k)
+            role("workers-" + std::to_string(k), {"workers", "--process", std::to_string(k)});
+        role("infrastructure", {"infrastructure"});
+        wait_for_workers(0);
+    });
+}
+void Driver::wait_for_workers(std::uint32_t process) {
+    if (process < experiment_.worker_processes)
+        return wait_for(experiment_.workers_control(process), "/stats",
+                        [this, process] { wait_for_workers(process + 1); });
+    wait_for(experiment_.cloud_control(), "/stats", [this] {
+        for (std::uint32_t k = 0; k < experiment_.controllers; ++k) start_controller(k);
+        wait_for(experiment_.controller_addr(0), std::string(wire::paths::health), [this] { fill(); });
+    });
 }
 void Driver::start_controller(std::uint32_t k) {
     auto name = Experiment::label(k);
@@ -211,6 +217,9 @@
     c.peak_bytes = std::max(c.peak_bytes, used.peak_bytes);
     loop_.after(back_s, [this, k] { start_controller(k); });
 }
+void Driver::wait_for(const std::string& addr, const std::string& path, std::function<void()> then) {
+    wait_for(addr, path, std::move(then), loop_.now() + start_s);
+}
 void Driver::wait_for(const std::string& addr, const std::string& path, std::function<void()> then,
                       double until) {
     http_.send(addr, {"GET", path, {}}, 1, [this, addr, path, then, until](std::optional<http::Response> r) {
@@ -419,7 +428,13 @@
     ::sigprocmask(SIG_BLOCK, &interrupts, nullptr);
     ::signal(SIGPIPE, SIG_IGN);
     loop::Fd signals(::signalfd(-1, &interrupts, SFD_NONBLOCK | SFD_CLOEXEC));
-    loop_.watch(signals.get(), EPOLLIN, [this](std::uint32_t) { stop("broken off"); });
+    loop_.watch(signals.get(), EPOLLIN, [this, &signals](std::uint32_t) {
+        // Read, or it would end this process by itself once it is let through again.
+        signalfd_siginfo info{};
+        while (::read(signals.get(), &info, sizeof info) > 0) {
+        }
+        stop("broken off");
+    });
     start_all();
     look();
     loop_.run();
--- /dev/null
+++ b/scale/tests/ends_test.sh
@@ -0,0 +1,75 @@
+#!/usr/bin/env bash
+# A run that can't be made, or is broken off, says why in a line, exits with an error, and leaves no process.
+set -uo pipefail
+scale=$1 controller=$2 experiment=$3
+work=$(mktemp -d)
+started=()
+clean() {
+    for pid in "${started[@]}"; do kill -9 "$pid" 2>/dev/null; done
+    rm -rf "$work"
+}
+trap clean EXIT
+fail() {
+    echo "FAILED: $1"
+    cat "$work/err" 2>/dev/null
+    exit 1
+}
+# What `run` says and returns: expect TEXT CONTROLLER ARGUMENTS...
+expect() {
+    local text=$1 program=$2
+    shift 2
+    TMPDIR=$work timeout 60 "$scale" run "$experiment" --controller "$program" "$@" >"$work/out" 2>"$work/err"
+    local status=$?
+    [ $status -eq 1 ] || fail "'$text': status $status instead of 1"
+    grep -q "$text" "$work/err" || fail "'$text' was not said"
+}
+# Processes that name the directory of the run in their arguments: controllers by their settings, the others by
+# their experiment, which lies there too. (The pattern does not match the arguments of the search itself.)
+left() { grep -ls "[/]${work#/}" /proc/[0-9]*/cmdline | wc -l; }
+gone_within() {
+    for _ in $(seq "$1"); do
+        [ "$(left)" -eq 0 ] && return 0
+        sleep 0.1
+    done
+    return 1
+}
+
+expect "can't be run" "$work/nothing"
+expect "berth-. ended with status 1" /bin/false
+expect "'region_link' is not supported" "$controller" --set 'faults=[{kind="region_link"}]'
+expect "field 'wrokers' is not known" "$controller" --set wrokers=3
+
+"$scale" infrastructure --experiment "$experiment" --set port_base=9700 2>"$work/holder" &
+holder=$!
+started+=("$holder")
+for _ in $(seq 100); do
+    (exec 3<>/dev/tcp/127.0.0.1/9700) 2>/dev/null && break
+    sleep 0.1
+done
+expect "port in use: can't listen on 127.0.0.1:9700" "$controller" --set port_base=9700
+kill "$holder"
+wait "$holder" 2>/dev/null
+
+(ulimit -n 300 && expect "too few file descriptors" "$controller") || exit 1
+
+# Broken off while all processes are there, in ways that it can and can't answer to.
+cp "$experiment" "$work/experiment.toml"
+for signal in TERM KILL; do
+    TMPDIR=$work "$scale" run "$work/experiment.toml" --controller "$controller" >"$work/out" 2>"$work/err" &
+    driver=$!
+    started+=("$driver")
+    for _ in $(seq 300); do
+        grep -q "machines" "$work/err" && break
+        sleep 0.1
+    done
+    [ "$(left)" -ge 8 ] || fail "SIG$signal: only $(left) processes were there"
+    kill -$signal "$driver"
+    wait "$driver"
+    status=$?
+    gone_within 100 || fail "SIG$signal: $(left) processes are left"
+    if [ $signal = TERM ]; then
+        [ $status -eq 1 ] || fail "SIGTERM: status $status instead of 1"
+        grep -q "broken off" "$work/err" || fail "SIGTERM: nothing was said"
+    fi
+done
+echo "all ended"
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -90,13 +90,16 @@
 void Users::begin() {
     starts_per_s_ = experiment_.phases.front().starts_per_worker_s * experiment_.workers;
     submit_services(experiment_.base_tasks());
-    arrive();
+    wait_for_arrival();
     poll_unknown();
 }
 void Users::phase(const std::string& name) {
     phase_ = name;
     for (auto& p : experiment_.phases)
         if (p.name == name) starts_per_s_ = p.starts_per_worker_s * experiment_.workers;
+    // The wait that was drawn at the rate before may be longer than this phase.
+    loop_.cancel(arrival_);
+    wait_for_arrival();
 }
 wire::Job Users::new_job(wire::Kind kind, std::uint32_t tasks) {
     auto& l = experiment_.load;
@@ -127,15 +130,19 @@
     double pause = std::max(spread_services_s / std::max(1.0, jobs), 2 / experiment_.state.write_rps);
     loop_.after(pause, [this, left = left - tasks] { submit_services(left); });
 }
-void Users::arrive() {
+void Users::wait_for_arrival() {
     auto& l = experiment_.load;
-    std::uniform_real_distribution<double> share(0, 1);
     double gangs = 0;
     for (auto n : l.gang_sizes) gangs += n;
     gangs /= static_cast<double>(l.gang_sizes.size());
     double mean = l.gang_share * gangs + (1 - l.gang_share) * l.array_tasks;
     double wait = std::exponential_distribution<double>(starts_per_s_ / mean)(random_);
-    loop_.after(wait, [this] { arrive(); });
+    arrival_ = loop_.after(wait, [this] { arrive(); });
+}
+void Users::arrive() {
+    wait_for_arrival();
+    auto& l = experiment_.load;
+    std::uniform_real_distribution<double> share(0, 1);
     bool gang = share(random_) < l.gang_share;
     Job j;
     j.job = new_job(gang ? wire::Kind::gang : wire::Kind::array,
@@ -279,6 +286,10 @@
     return it == jobs_.end() ? json() : to_json(it->second.spec);
 }
 void Users::observed(const json& message) {
+    auto process = message.at("process").get<std::uint32_t>();
+    auto number = message.at("number").get<std::uint64_t>();
+    if (number <= messages_[process]) return;  // sent again, since our answer was lost
+    messages_[process] = number;
     for (auto& e : message.at("events")) {
         auto o = observed_from(e);
         auto it = jobs_.find(o.task.job);
@@ -295,7 +306,7 @@
         }
         to_judge_.emplace(o.t, [this, o] { apply(o); });
     }
-    told_until_[message.at("process").get<std::uint32_t>()] = message.at("now").get<double>();
+    told_until_[process] = message.at("now").get<double>();
     judge();
 }
 // The first time a task runs: what its user waited for.
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -60,6 +60,7 @@
         std::set<std::uint32_t> begun;
     };
     void submit_services(double left);
+    void wait_for_arrival();
     void arrive();
     void submit(Job job);
     wire::Job new_job(wire::Kind kind, std::uint32_t tasks);
@@ -88,9 +89,11 @@
     std::uint64_t next_job_ = 0;
     std::string phase_;
     double starts_per_s_ = 0;
+    loop::TimerId arrival_ = 0;
     // What is to be judged, by its time. It waits until every process of workers has told all up to then.
     std::multimap<double, std::function<void()>> to_judge_;
     std::map<std::uint32_t, double> told_until_;
+    std::map<std::uint32_t, std::uint64_t> messages_;  // the last one's number, by process
     struct {
         std::uint64_t submissions = 0, accepted = 0, retries = 0, polls = 0, unanswered = 0, cancels = 0,
                       done = 0, cancelled = 0, refused = 0, given_up = 0, bytes_out = 0, bytes_in = 0;
--- a/scale/workers.cpp
+++ b/scale/workers.cpp
@@ -12,7 +12,8 @@
 namespace {
 using nlohmann::json;
 
-constexpr double tell_every_s = 0.1, control_timeout_s = 30, bury_after_s = 1;
+constexpr double tell_every_s = 0.1, control_timeout_s = 30, bury_after_s = 1, tell_again_s = 0.5;
+constexpr int tell_tries = 10;
 
 class Site : public WorkerSite {
   public:
@@ -65,6 +66,7 @@
 
   private:
     void tell();
+    void send_events(std::string body, int tries);
     loop::Loop& loop_;
     const Experiment& experiment_;
     std::uint32_t process_;
@@ -72,6 +74,7 @@
     http::Client http_;
     WorkerCounts counts_;
     json events_ = json::array();
+    std::uint64_t messages_ = 0;
     std::map<std::string, TaskSpec> specs_;
     std::map<std::string, std::vector<std::function<void(const TaskSpec*)>>> awaited_;
     std::map<std::string, std::unique_ptr<HollowWorker>> workers_;
@@ -93,17 +96,29 @@
                });
 }
 // One message at a time, so that the checker gets them in order. All that happened before `now` is in it.
+// Numbered: one whose answer was lost is sent again, and counts once.
 void Site::tell() {
-    json body{{"process", process_}, {"now", loop_.now()}, {"events", std::exchange(events_, json::array())}};
-    http_.send(experiment_.users_control(), {"POST", "/observed", body.dump()}, control_timeout_s,
-               [this](std::optional<http::Response> r) {
-                   if (!r || r->status != 200) {
-                       // What it held is lost to the checker: what follows would be judged wrongly.
-                       spdlog::error("workers {}: the users' process took no events: {}", process_,
-                                     r ? r->body : "no answer");
-                       std::exit(1);
+    json body{{"process", process_},
+              {"number", ++messages_},
+              {"now", loop_.now()},
+              {"events", std::exchange(events_, json::array())}};
+    send_events(body.dump(), tell_tries);
+}
+void Site::send_events(std::string body, int tries) {
+    http_.send(experiment_.users_control(), {"POST", "/observed", body}, control_timeout_s,
+               [this, body, tries](std::optional<http::Response> r) {
+                   if (r && r->status == 200) {
+                       loop_.after(tell_every_s, [this] { tell(); });
+                       return;
+                   }
+                   if (tries > 1) {
+                       loop_.after(tell_again_s, [this, body, tries] { send_events(body, tries - 1); });
+                       return;
                    }
-                   loop_.after(tell_every_s, [this] { tell(); });
+                   // What it held is lost to the checker: what follows would be judged wrongly.
+                   spdlog::error("workers {}: the users' process took no events: {}", process_,
+                                 r ? r->body : "no answer");
+                   std::exit(1);
                });
 }
 json Site::stats() const {
