--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -74,7 +74,8 @@
     // Each zone has its share of the workers, rounded up, and all zones together no more than the workers.
     std::size_t share = (experiment_.workers + experiment_.zones.size() - 1) / experiment_.zones.size();
     std::size_t used = usable_in_zone_[want.zone], all = alive();
-    if (used >= share || all >= experiment_.workers) {
+    bool down = zone_back_[want.zone] > timers_.now();
+    if (down || used >= share || all >= experiment_.workers) {
         ++counts_.no_capacity;
         return {503, R"({"error":"no capacity"})"};
     }
@@ -150,7 +151,8 @@
     hollow_.silence(ids);
     return ids.size();
 }
-std::size_t Cloud::fail_zone(const std::string& zone) {
+std::size_t Cloud::fail_zone(const std::string& zone, double back_s) {
+    zone_back_[zone] = timers_.now() + back_s;
     std::vector<std::string> ids;
     for (auto& [id, m] : machines_)
         if (m.usable() && m.host.zone == zone) ids.push_back(id);
--- a/scale/cloud.hpp
+++ b/scale/cloud.hpp
@@ -31,9 +31,9 @@
     void handle(http::Request request, http::Reply reply);
 
     // Faults: machines fail together. Returns how many.
-    std::size_t fail_zone(const std::string& zone);
-    std::size_t fail_rack();                   // the fullest one
-    std::size_t fail_machines(std::size_t n);  // drawn
+    std::size_t fail_zone(const std::string& zone, double back_s);  // none can be rented there until then
+    std::size_t fail_rack();                                        // the fullest one
+    std::size_t fail_machines(std::size_t n);                       // drawn
 
     struct Counts {
         std::uint64_t requests = 0, refused = 0, bytes_in = 0, bytes_out = 0, rented = 0, deleted = 0,
@@ -66,6 +66,7 @@
     std::map<std::string, Machine> machines_;  // by name, which is the order of creation
     std::map<std::string, std::string> rentals_;
     std::map<std::string, std::uint32_t> in_zone_, usable_in_zone_;
+    std::map<std::string, double> zone_back_;
     std::uint64_t next_ = 0;
     Counts counts_;
     loop::Guard guard_;
--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -5,6 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <cmath>
 #include <cstdio>
 #include <fstream>
 #include <iostream>
@@ -281,6 +282,7 @@
         if (controllers_[k].down) row["cpu_s"] = controllers_[k].cpu_before_s;
         row["peak_bytes"] = std::max(row["peak_bytes"].get<std::uint64_t>(), controllers_[k].peak_bytes);
         (*out)["processes"][Experiment::label(k)] = row;
+        (*out)["controllers"][Experiment::label(k)] = json::object();
     }
     auto left = std::make_shared<std::size_t>(2 + experiment_.worker_processes + experiment_.controllers);
     auto one = [out, left, seen] {
@@ -310,6 +312,9 @@
     ask(experiment_.cloud_control(), "/stats", {}, [this](json j) { last_infrastructure_ = std::move(j); });
     ask(experiment_.users_control(), "/stats", {}, [this](json j) {
         last_users_ = std::move(j);
+        result_["course"].push_back({std::round(since_start() * 10) / 10, stage_,
+                                     last_infrastructure_.value("machines", 0ull),
+                                     last_users_.value("present", 0ull)});
         if (options_.quiet) return;
         auto& u = last_users_;
         std::fprintf(stderr,
@@ -371,7 +376,8 @@
     for (auto& f : experiment_.faults) loop_.after(f.at_s, [this, f] { make_fault(f); });
 }
 void Driver::make_fault(const Fault& f) {
-    json note{{"kind", f.name}, {"at_s", f.at_s}, {"which", f.which}, {"stage", stage_}};
+    json note{
+        {"kind", f.name}, {"at_s", f.at_s}, {"t", since_start()}, {"which", f.which}, {"stage", stage_}};
     auto done = [this, f](json said) {
         std::fprintf(stderr, "%6.1f s fault: %s %s\n", since_start(), f.name.c_str(), said.dump().c_str());
         result_["faults"].push_back(std::move(said));
--- a/scale/infrastructure.cpp
+++ b/scale/infrastructure.cpp
@@ -68,7 +68,8 @@
 
 std::size_t make_fault(const json& j, StateService& state, Cloud& cloud) {
     auto kind = j.at("kind").get<std::string>();
-    if (kind == "zone") return cloud.fail_zone(j.at("which").get<std::string>());
+    if (kind == "zone")
+        return cloud.fail_zone(j.at("which").get<std::string>(), j.at("back_s").get<double>());
     if (kind == "rack") return cloud.fail_rack();
     if (kind == "machines") return cloud.fail_machines(j.at("machines").get<std::size_t>());
     if (kind == "state_outage") {
--- a/scale/summary.cpp
+++ b/scale/summary.cpp
@@ -131,6 +131,8 @@
              {"most_memory_mb", rounded(m.at("most_memory_bytes").get<double>() / 1e6)},
              {"fill", m.at("fill")},
              {"faults", m.value("faults", json::array())},
+             // Seconds since the start, stage, machines, tasks on them.
+             {"course", m.value("course", json::array())},
              {"phases", json::array()}};
     for (auto& p : m.at("phases")) out["phases"].push_back(one_phase(p));
     auto& users = m.at("end").at("users");
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -14,5 +14,5 @@
 cmake --build target/check -j"$(nproc)"
 run target/check
 cmake -S . -B target/sanitize -DCORALHITCH_SANITIZE=ON -DCORALHITCH_WERROR=ON
-cmake --build target/sanitize -j"$(nproc)" --target coralhitch_tests
+cmake --build target/sanitize -j"$(nproc)" --target coralhitch_tests coralhitch_scale_tests
 run target/sanitize
