--- a/scale/histogram.hpp
+++ b/scale/histogram.hpp
@@ -1,4 +1,5 @@
-// Latencies by class of work, in prometheus-cpp's histogram with buckets a twentieth apart.
+// Latencies by class of work, in prometheus-cpp's histogram with buckets a twentieth apart (Debian 12 has no
+// HdrHistogram or DDSketch for C or C++).
 #pragma once
 #include <prometheus/histogram.h>
 
