--- a/scale/tests/ends_test.sh
+++ b/scale/tests/ends_test.sh
@@ -52,6 +52,16 @@
 
 (ulimit -n 300 && expect "too few file descriptors" "$controller") || exit 1
 
+# Controllers that take a team's limit for more than it is break a rule, and the run must see it.
+cat >"$work/generous" <<END
+#!/bin/sh
+sed -i '/team-tight/,/cpus_max/s/^cpus_max = .*/cpus_max = 60.0/' "\$2"
+exec "$controller" "\$@"
+END
+chmod +x "$work/generous"
+expect "rule broken: .* quota j-" "$work/generous" --set 'faults=[]' --set drain_s=1 \
+    --set 'phases=[{name="p",seconds=10,starts_per_worker_s=0.4}]'
+
 # Broken off while all processes are there, in ways that it can and can't answer to.
 cp "$experiment" "$work/experiment.toml"
 for signal in TERM KILL; do
--- a/scale/tests/experiment_test.cpp
+++ b/scale/tests/experiment_test.cpp
@@ -7,6 +7,7 @@
 
 #include "config/settings.hpp"
 #include "scale/histogram.hpp"
+#include "scale/summary.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -77,6 +78,21 @@
     EXPECT_EQ(s.teams.back().cpus_max, 3);
     EXPECT_EQ(config::parse_operator(e.operator_settings(), "operator").max_machines, 30u);
 }
+TEST(Complaints, NameBrokenRulesAndWorkThatWasNotDone) {
+    nlohmann::json end{{"broken", nlohmann::json::array()},
+                       {"tasks_begun", 5},
+                       {"tasks_done", 4},
+                       {"done", 2},
+                       {"refused", 0}};
+    EXPECT_TRUE(complaints({{"end", end}}).empty());
+    for (auto* zero : {"tasks_begun", "tasks_done", "done"}) {
+        auto worse = end;
+        worse[zero] = 0;
+        EXPECT_EQ(complaints({{"end", worse}}).size(), 1u) << zero;
+    }
+    end["broken"] = {"1.0 ran_twice j-1/0", "2.0 quota j-2/0"};
+    EXPECT_EQ(complaints({{"end", end}}).size(), 2u);
+}
 TEST(Latencies, PercentilesAreWithinATwentieth) {
     Latencies l;
     for (int k = 1; k <= 1000; ++k) l.observe("p", "c", "m", k * 0.01);
