--- a/tests/combinations_cancel_test.cpp
+++ b/tests/combinations_cancel_test.cpp
@@ -1,7 +1,7 @@
 // Jobs that are cancelled in the seconds in which one controller's work changes hands.
 #include "combinations_support.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 // Through this controller, and no other.
@@ -176,4 +176,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/combinations_lost_answers_test.cpp
+++ b/tests/combinations_lost_answers_test.cpp
@@ -1,7 +1,7 @@
 // Transactions that are carried out at once while their answers are lost.
 #include "combinations_support.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 // The simulated state service carries such a transaction out after this time, and never answers it.
@@ -79,4 +79,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/combinations_quota_test.cpp
+++ b/tests/combinations_quota_test.cpp
@@ -1,7 +1,7 @@
 // Teams at their limits while jobs are cancelled or end on machines that don't answer, and leaders change.
 #include "combinations_support.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 // What the machines go through that hold all of a team's limit.
@@ -164,4 +164,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/combinations_support.hpp
+++ b/tests/combinations_support.hpp
@@ -7,7 +7,7 @@
 
 #include "fault_scenarios.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 
 inline std::size_t lead(const World& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
@@ -29,4 +29,4 @@
     return n;
 }
 
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
--- a/tests/liveness_test.cpp
+++ b/tests/liveness_test.cpp
@@ -5,7 +5,7 @@
 
 #include "simulated_cluster.hpp"
 
-namespace coralhitch::standin {
+namespace coralhitch::simulation {
 namespace {
 
 std::size_t lead(const World& w) {
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standin
+}  // namespace coralhitch::simulation
