--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -13,10 +13,15 @@
 #include "daemon/version.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
+#include "http/socket_budget.hpp"
 
 namespace {
 using namespace coralhitch;
 
+// Ratios to the report period, from which workers differ by a quarter: after the first a worker that has not
+// reported has gone elsewhere or hangs, after the second its connection is closed in any case.
+constexpr double quiet_reports = 1.5, idle_reports = 4;
+
 void set_up_log() {
     auto log = std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_mt>());
     log->set_pattern("%H:%M:%S.%e %l %v");
@@ -28,18 +33,13 @@
     spdlog::set_default_logger(log);
 }
 
-// Sockets are shared out by ratio: users and workers take most, the rest serves our own requests.
-http::ServerLimits server_limits(const config::Settings& s, double share) {
-    http::ServerLimits l;
-    l.connections = static_cast<std::size_t>(s.sockets * share);
-    return l;
-}
-
 int serve(const config::Settings& settings) {
     ::signal(SIGPIPE, SIG_IGN);
     loop::Loop loop;
+    http::SocketBudget sockets(static_cast<std::size_t>(settings.sockets * http::usable_sockets),
+                               http::controller_shares);
     http::ClientLimits client_limits;
-    client_limits.connections = static_cast<std::size_t>(settings.sockets * 0.25);
+    client_limits.budget = &sockets;
     client_limits.response = static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 / 8);
     client_limits.bulk = [](const std::string& path) { return path == wire::paths::commands; };
     http::Client client(loop, client_limits);
@@ -47,13 +47,18 @@
     std::random_device device;
     std::uint64_t seed = (std::uint64_t{device()} << 32) ^ device();
     daemon::Controller controller(loop, client, settings, planner, seed);
-    auto user_limits = server_limits(settings, 0.7);
+    http::ServerLimits user_limits;
+    user_limits.budget = &sockets;
+    user_limits.bulk_quiet_s = settings.report_s * quiet_reports;
+    user_limits.bulk_idle_s = settings.report_s * idle_reports;
     user_limits.lane = loop::Lane::ordinary;
     user_limits.bulk = [](const std::string& path) { return path == wire::paths::report; };
     http::Server users(
         loop, settings.listen, std::move(user_limits),
         [&](http::Request r, http::Reply reply) { controller.serve(std::move(r), std::move(reply)); });
-    auto peer_limits = server_limits(settings, 0.04);
+    http::ServerLimits peer_limits;
+    peer_limits.budget = &sockets;
+    peer_limits.kind = http::PeerKind::controller;
     // What controllers tell each other grows with jobs and machines, beyond what a user may send.
     peer_limits.message.body = static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 / 32);
     http::Server peers(loop, settings.peer_listen, peer_limits, [&](http::Request r, http::Reply reply) {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -10,8 +10,18 @@
 
 namespace coralhitch::http {
 
+Client::Client(loop::Loop& loop, ClientLimits limits)
+    : loop_(loop),
+      limits_(std::move(limits)),
+      own_budget_(limits_.connections),
+      budget_(limits_.budget ? *limits_.budget : own_budget_),
+      reclaimer_(budget_.add([this](PeerKind kind) { return reclaim(kind); })) {}
 Client::~Client() {
-    for (auto& [id, c] : calls_) loop_.cancel(c.timer);
+    budget_.remove(reclaimer_);
+    for (auto& [id, c] : calls_) {
+        loop_.cancel(c.timer);
+        budget_.give_back(c.kind);
+    }
 }
 
 std::uint64_t Client::take_idle(const std::string& addr) {
@@ -19,14 +29,16 @@
     if (it == idle_.end() || it->second.empty()) return 0;
     auto id = it->second.back();
     it->second.pop_back();
-    idle_order_.erase(calls_.at(id).in_order);
+    auto& c = calls_.at(id);
+    idle_order(c.kind).erase(c.in_order);
     return id;
 }
 // Idle connections give way: with more machines than connections they would otherwise hold every place, and
 // each new request would be refused until the first of them times out.
-bool Client::make_place() {
-    if (calls_.size() >= limits_.connections && !idle_order_.empty()) drop(idle_order_.front());
-    return calls_.size() < limits_.connections;
+bool Client::reclaim(PeerKind kind) {
+    if (idle_order(kind).empty()) return false;
+    drop(idle_order(kind).front());
+    return true;
 }
 
 void Client::send(const std::string& addr, Request request, double timeout_s, Result result) {
@@ -42,21 +54,28 @@
     if (fresh) {
         auto fail = [&] { loop_.after(0, [result = std::move(result)] { result(std::nullopt); }); };
         auto sa = socket_address(addr);
-        if (!sa || !make_place()) return fail();
+        bool bulk = limits_.bulk && limits_.bulk(request.target);
+        auto kind = bulk ? PeerKind::machine : PeerKind::service;
+        if (!sa || !budget_.take(kind)) return fail();
         loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-        if (!fd) return fail();
+        auto fail_opened = [&] {
+            budget_.give_back(kind);
+            fail();
+        };
+        if (!fd) return fail_opened();
         int on = 1;
         ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
         if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa) < 0 && errno != EINPROGRESS)
-            return fail();
+            return fail_opened();
         id = next_++;
         auto& c = calls_[id];
         c.addr = addr;
+        c.kind = kind;
         c.connection = std::make_unique<Connection>(loop_, std::move(fd), HTTP_RESPONSE,
                                                     Limits{limits_.response, 64 * 1024});
         c.connection->listen_events([this, id](std::uint32_t e) { on_event(id, e); },
                                     Connection::Side::connecting);
-        if (limits_.bulk && limits_.bulk(request.target)) c.connection->set_lane(loop::Lane::bulk);
+        if (bulk) c.connection->set_lane(loop::Lane::bulk);
     }
     auto& c = calls_.at(id);
     c.idle = false;
@@ -83,9 +102,10 @@
     if (it->second.idle) {
         auto list = idle_.find(it->second.addr);
         list->second.remove(id);
-        idle_order_.erase(it->second.in_order);
+        idle_order(it->second.kind).erase(it->second.in_order);
         if (list->second.empty()) idle_.erase(list);
     }
+    budget_.give_back(it->second.kind);
     calls_.erase(it);
 }
 
@@ -99,7 +119,7 @@
         c.idle = true;
         c.connection->next();
         pool.push_back(id);
-        c.in_order = idle_order_.insert(idle_order_.end(), id);
+        c.in_order = idle_order(c.kind).insert(idle_order(c.kind).end(), id);
         loop_.cancel(c.timer);
         c.timer = loop_.after(limits_.idle_s, [this, id] { drop(id); });
     } else {
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -6,6 +6,7 @@
 
 #include <cerrno>
 #include <system_error>
+#include <utility>
 
 #include "http/address.hpp"
 
@@ -40,7 +41,13 @@
 }  // namespace
 
 Server::Server(loop::Loop& loop, const std::string& addr, ServerLimits limits, Handler handler)
-    : loop_(loop), limits_(limits), handler_(std::move(handler)), alive_(std::make_shared<Server*>(this)) {
+    : loop_(loop),
+      limits_(std::move(limits)),
+      handler_(std::move(handler)),
+      own_budget_(limits_.connections),
+      budget_(limits_.budget ? *limits_.budget : own_budget_),
+      reclaimer_(budget_.add([this](PeerKind kind) { return reclaim(kind); })),
+      alive_(std::make_shared<Server*>(this)) {
     auto sa = socket_address(addr);
     listener_.reset(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     int on = 1;
@@ -52,7 +59,11 @@
 }
 Server::~Server() {
     *alive_ = nullptr;
-    for (auto& [id, c] : clients_) loop_.cancel(c.timer);
+    budget_.remove(reclaimer_);
+    for (auto& [id, c] : clients_) {
+        loop_.cancel(c.timer);
+        budget_.give_back(c.kind);
+    }
     loop_.unwatch(listener_.get());
 }
 
@@ -60,8 +71,7 @@
     for (std::size_t k = 0; k < limits_.accepts; ++k) {
         loop::Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd) return;  // EAGAIN, or out of descriptors: the next event tries again
-        if (clients_.size() >= limits_.connections)
-            continue;  // shed: closed at once, others are not disturbed
+        if (!budget_.take(limits_.kind)) continue;  // shed: closed at once, others are not disturbed
         int on = 1;
         ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
         auto id = next_++;
@@ -70,9 +80,38 @@
         c.connection->listen_events([this, id](std::uint32_t e) { on_event(id, e); },
                                     Connection::Side::accepted);
         c.connection->set_lane(limits_.lane);
-        arm(id, c, limits_.idle_s);
+        c.kind = limits_.kind;
+        arm(id, c, limits_.kind == PeerKind::user ? limits_.request_s : limits_.idle_s);
+        idle(id, c);
     }
 }
+void Server::idle(std::uint64_t id, Client& c) {
+    awake(c);
+    c.idle_since = loop_.now();
+    c.line = c.bulk ? &bulk_quiet_ : c.spoke ? &quiet_ : &silent_;
+    c.in_line = c.line->insert(c.line->end(), id);
+}
+void Server::awake(Client& c) {
+    if (c.line) std::exchange(c.line, nullptr)->erase(c.in_line);
+}
+bool Server::reclaim_first(std::list<std::uint64_t>& line, double idle_s) {
+    if (line.empty() || loop_.now() - clients_.at(line.front()).idle_since < idle_s) return false;
+    close(line.front());
+    return true;
+}
+bool Server::reclaim(PeerKind kind) {
+    if (kind == PeerKind::worker) return reclaim_first(bulk_quiet_, limits_.bulk_quiet_s);
+    if (kind != limits_.kind) return false;
+    return reclaim_first(silent_, limits_.first_s) || reclaim_first(quiet_, limits_.first_s);
+}
+// The first request tells that this is a worker: it counts as one, and users have their socket back.
+bool Server::admit_bulk(Client& c) {
+    if (!budget_.move(c.kind, PeerKind::worker)) return false;
+    c.kind = PeerKind::worker;
+    c.bulk = true;
+    c.connection->set_lane(loop::Lane::bulk);
+    return true;
+}
 void Server::arm(std::uint64_t id, Client& c, double seconds) {
     // A timer that is due no later looks at the deadline when it fires: to set it anew with each request took
     // more time than reading it.
@@ -93,6 +132,8 @@
     auto it = clients_.find(id);
     if (it == clients_.end()) return;
     loop_.cancel(it->second.timer);
+    awake(it->second);
+    budget_.give_back(it->second.kind);
     clients_.erase(it);
 }
 void Server::on_event(std::uint64_t id, std::uint32_t events) {
@@ -121,6 +162,7 @@
         case Connection::State::bad: {
             bool large = c.connection->incoming().too_large;
             c.busy = true;
+            awake(c);
             return answer(id, {large ? 413 : 400, "{}"}, false);
         }
         case Connection::State::open:
@@ -129,6 +171,7 @@
     if (c.connection->incoming().complete) return serve(id);
     if (!c.started) {
         c.started = true;
+        awake(c);
         arm(id, c, limits_.request_s);  // a slow sender holds its place for a bounded time
     }
 }
@@ -138,9 +181,12 @@
     Request r{std::move(in.method), std::move(in.target), std::move(in.body), std::move(in.type)};
     bool keep = in.keep_alive;
     c.busy = true;
-    if (!c.bulk && limits_.bulk && limits_.bulk(r.target)) {
-        c.bulk = true;
-        c.connection->set_lane(loop::Lane::bulk);
+    c.spoke = true;
+    awake(c);
+    // Refused before it is read: it costs nothing but this, and its worker goes to another controller.
+    if (!c.bulk && limits_.bulk && limits_.bulk(r.target) && !admit_bulk(c)) {
+        if (limits_.shed) limits_.shed();
+        return answer(id, {503, "{}", "application/json", limits_.retry_after_s}, false);
     }
     arm(id, c, limits_.idle_s);
     std::weak_ptr<Server*> alive = alive_;
@@ -154,8 +200,9 @@
     auto& c = it->second;
     // Nearly full: connections are closed after each answer, so that more peers than places are still served,
     // and none is turned away.
-    if (static_cast<double>(clients_.size()) > static_cast<double>(limits_.connections) * limits_.keep_share)
-        keep_alive = false;
+    if (budget_.nearly_full(c.kind, limits_.keep_share)) keep_alive = false;
+    // A worker that is refused goes to another controller, and would hold a socket at both.
+    if (c.bulk && r.status != 200) keep_alive = false;
     std::string out = "HTTP/1.1 " + std::to_string(r.status) + " " + reason(r.status) +
                       "\r\nContent-Type: " + r.type + "\r\nContent-Length: " + std::to_string(r.body.size());
     if (r.retry_after_s > 0)
@@ -170,7 +217,8 @@
     c.connection->write(std::move(out));
     if (c.connection->flush() != Connection::State::open) return close(id);
     if (c.closing && !c.connection->pending()) return close(id);
-    arm(id, c, limits_.idle_s);
+    arm(id, c, c.bulk ? limits_.bulk_idle_s : limits_.idle_s);
+    if (!c.closing) idle(id, c);
 }
 
 }  // namespace coralhitch::http
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -136,6 +136,141 @@
     }
 }
 
+// Of 20 sockets 4 are kept for users and 2 for each other kind; workers may have 10 at most.
+constexpr SocketShares test_shares = {{{0.2, 0.5}, {0.1, 0.5}, {0.1, 0.1}, {0.1, 0.3}, {0.1, 0.4}}};
+constexpr std::size_t most_workers = 10;
+
+// Many workers at one server that has a share of the sockets, with those of the clients apart.
+struct Crowd : Bench {
+    Crowd() {
+        limits.budget = &budget;
+        limits.bulk = [](const std::string& path) { return path == "/report"; };
+        limits.shed = [this] { ++shed; };
+        limits.keep_share = 1;
+    }
+    ~Crowd() { server.reset(); }
+    // `held` reports stay without an answer, and `full` is called with the last one.
+    void serve_holding(std::size_t held, std::function<void()> full) {
+        server = std::make_unique<Server>(loop, addr, limits, [this, held, full](Request r, Reply reply) {
+            if (r.target != "/report" || ++reports > held) return reply({200, "{}"});
+            if (reports == held) full();
+        });
+    }
+    void send(
+        const std::string& path, std::size_t n, Result result = [](auto) {}) {
+        for (std::size_t k = 0; k < n; ++k) client.send(addr, {"POST", path, "{}"}, 15, result);
+    }
+    SocketBudget budget{20, test_shares};
+    std::size_t shed = 0, reports = 0;
+    Client client{loop, {1024, 200, 200, 60}};
+};
+// Workers that came to one controller used to hold every socket: users and health checks were refused.
+TEST(Http, WorkersLeaveUsersTheirSockets) {
+    Crowd c;
+    std::optional<Response> worker, user;
+    c.serve_holding(most_workers, [&] {
+        c.send("/report", 1, [&](auto r) {
+            worker = std::move(r);
+            c.send("/healthz", 1, [&](auto r) {
+                user = std::move(r);
+                c.loop.stop();
+            });
+        });
+    });
+    c.send("/report", most_workers);
+    c.run();
+    ASSERT_TRUE(worker && user);
+    EXPECT_EQ(worker->status, 503);
+    EXPECT_GT(worker->retry_after_s, 0);
+    EXPECT_EQ(c.shed, 1u);
+    EXPECT_EQ(user->status, 200);
+    EXPECT_EQ(c.budget.used(PeerKind::worker), most_workers);
+    EXPECT_EQ(c.budget.used(PeerKind::user), 1u);
+}
+// Workers that have gone elsewhere may leave connections behind whose end never comes: the one that was used
+// longest ago gives way, but none that may still be used.
+TEST(Http, ConnectionsThatWorkersLeftGiveWay) {
+    for (auto [quiet_s, status] : {std::pair(0.0, 200), {60.0, 503}}) {
+        Crowd c;
+        c.limits.bulk_quiet_s = quiet_s;
+        c.serve_holding(0, [] {});
+        std::size_t answered = 0;
+        std::optional<Response> last;
+        Client other(c.loop, {1024, 10, 10, 60});
+        c.send("/report", most_workers, [&](auto) {
+            if (++answered < most_workers) return;
+            other.send(c.addr, {"POST", "/report", "{}"}, 15, [&](auto r) {
+                last = std::move(r);
+                c.loop.stop();
+            });
+        });
+        c.run();
+        ASSERT_TRUE(last);
+        EXPECT_EQ(last->status, status);
+        EXPECT_EQ(c.budget.used(PeerKind::worker), most_workers);
+    }
+}
+// Connections on which nothing is ever asked give way to users, too.
+TEST(Http, SilentConnectionsGiveWayToUsers) {
+    for (auto [first_s, served] : {std::pair(0.0, true), {60.0, false}}) {
+        Crowd c;
+        c.limits.first_s = first_s;
+        c.limits.accepts = 100;
+        c.serve_holding(0, [] {});
+        std::vector<loop::Fd> silent;
+        auto sa = socket_address(c.addr);
+        for (std::size_t k = 0; k < 10; ++k) {
+            silent.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
+            ASSERT_EQ(::connect(silent.back().get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
+        }
+        std::optional<Response> user;
+        c.send("/healthz", 1, [&](auto r) {
+            user = std::move(r);
+            c.loop.stop();
+        });
+        c.run();
+        EXPECT_EQ(user && user->status == 200, served);
+    }
+}
+// A worker that is told to go elsewhere held a socket at each controller that it had come by.
+TEST(Http, AWorkerThatIsRefusedIsNotKept) {
+    for (auto [path, kept] : {std::pair("/report", 0u), {"/api/jobs", 1u}}) {
+        Crowd c;
+        c.server = std::make_unique<Server>(c.loop, c.addr, c.limits, [](Request, Reply reply) {
+            reply({421, "{}"});
+        });
+        c.send(path, 1, [&](auto r) {
+            EXPECT_EQ(r ? r->status : 0, 421);
+            c.loop.stop();
+        });
+        c.run();
+        EXPECT_EQ(c.server->connections(), kept) << path;
+    }
+}
+// Commands to machines that don't answer leave the lease's renewal its socket.
+TEST(Http, MachinesLeaveServicesTheirSockets) {
+    Crowd c;
+    c.server = std::make_unique<Server>(c.loop, c.addr, ServerLimits{}, [](Request r, Reply reply) {
+        if (r.target != "/do") reply({200, "{}"});
+    });
+    ClientLimits limits;
+    limits.bulk = [](const std::string& path) { return path == "/do"; };
+    limits.budget = &c.budget;
+    Client client(c.loop, limits);
+    std::size_t refused = 0;
+    for (int k = 0; k < 20; ++k)
+        client.send(c.addr, {"POST", "/do", "{}"}, 60, [&](auto r) { refused += !r; });
+    std::optional<Response> renewed;
+    client.send(c.addr, {"POST", "/renew", "{}"}, 15, [&](auto r) {
+        renewed = std::move(r);
+        c.loop.stop();
+    });
+    c.run();
+    EXPECT_TRUE(renewed);
+    EXPECT_EQ(refused, 12u);
+    EXPECT_EQ(c.budget.used(PeerKind::machine), 8u);
+}
+
 // With more ready than a turn handles: what is urgent goes first, users before workers, and a timer that is
 // due waits for one turn only.
 TEST(Loop, LanesHaveTheirTurns) {
