--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -81,7 +81,8 @@
                          [this](const std::string& label) -> const wire::PeerPing* {
                              auto it = peers_.find(label);
                              return it != peers_.end() && fresh(it->second) ? &it->second.last : nullptr;
-                         }};
+                         },
+                         relay_.refusals()};
     for (auto& [id, since] : suspected_)
         if (!heard_.since(id, since)) c.suspected.emplace(id, timers_.now() - since);
     heard_.none_lately();
@@ -175,6 +176,10 @@
     heard_.tidy(timers_.now());
     state_.get(state::keys::leader, state::Rank::lease, [this](state::Found f) { state_seen_ |= f.ok; });
     users_.live_jobs().keep_up();
+    if (sockets_ && sockets_->refused() > sockets_refused_) {
+        sockets_refused_ = sockets_->refused();
+        spdlog::info("sockets: {}", sockets_->text());
+    }
     timers_.after(settings_.report_s * state_check_reports, [this] { check_state(); });
 }
 
@@ -324,6 +329,16 @@
         for (auto& [step, after] : leader_->steps().all())
             metrics_.gauge("takeover: " + std::string(step), after);
     metrics_.gauge("machines_lent", leader_ ? static_cast<double>(leader_->lent()) : 0);
+    for (std::size_t k = 0; k < relay::refusal_names.size(); ++k)
+        metrics_.gauge("reports_refused: " + std::string(relay::refusal_names[k]),
+                       static_cast<double>(relay_.refusals().count(static_cast<relay::Refusal>(k))));
+    for (std::size_t k = 0; sockets_ && k < http::peer_kinds; ++k) {
+        auto name = std::string(http::peer_kind_names[k]);
+        auto& use = sockets_->use(static_cast<http::PeerKind>(k));
+        metrics_.gauge("sockets: " + name, static_cast<double>(use.used));
+        metrics_.gauge("sockets at most: " + name, static_cast<double>(use.peak));
+        metrics_.gauge("sockets refused: " + name, static_cast<double>(use.refused));
+    }
     metrics_.gauge("live_jobs", static_cast<double>(live.size()));
     for (auto& [what, n] : state_.changes()) metrics_.gauge("state_changes_" + what, n);
     metrics_.gauge("state_rejections", static_cast<double>(state_.rejections()));
@@ -405,10 +420,12 @@
     for (std::size_t k = 0; k < reports_at_once && !reports_.empty(); ++k) {
         auto w = std::move(reports_.front());
         reports_.pop_front();
-        if (timers_.now() - w.since > wire::worker_patience_s)
-            w.reply({503, "{}"});  // the worker has gone elsewhere meanwhile
-        else
+        if (timers_.now() - w.since > wire::worker_patience_s) {
+            relay_.refusals().note(relay::Refusal::late);  // the worker has gone elsewhere meanwhile
+            w.reply({503, "{}"});
+        } else {
             handle_report(std::move(w.body), std::move(w.reply));
+        }
     }
     hearing_ = !reports_.empty();
     if (hearing_) timers_.after(0, [this] { hear_some(); });
@@ -430,6 +447,7 @@
     }
     if (relay_.offer(body, reply)) return;
     auto* peer = leading_peer();
+    relay_.refusals().note(peer ? relay::Refusal::elsewhere : relay::Refusal::no_leader);
     reply({421, wire::report_elsewhere(peer ? peer->label : "")});
 }
 // The leader, if its version takes reports from others.
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -8,6 +8,7 @@
 
 #include "api/users.hpp"
 #include "daemon/leader.hpp"
+#include "http/socket_budget.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "relay/report_relay.hpp"
 #include "standby/replica_state.hpp"
@@ -24,6 +25,10 @@
     void serve(http::Request request, http::Reply reply);       // users, workers, health, metrics
     void serve_peer(http::Request request, http::Reply reply);  // the other controllers
 
+    // To be told in metrics and in the log; must live longer than this.
+    void watch_sockets(const http::SocketBudget& sockets) { sockets_ = &sockets; }
+    relay::Refusals& refusals() { return relay_.refusals(); }
+
     bool leads() const { return leader_ != nullptr; }
     bool healthy() const;
 
@@ -88,6 +93,8 @@
     };
     std::deque<Waiting> reports_;
     relay::ReportRelay relay_;
+    const http::SocketBudget* sockets_ = nullptr;
+    std::uint64_t sockets_refused_ = 0;  // when the log last told
     bool hearing_ = false;
     standby::Follower follower_;
     std::unordered_map<std::string, api::TaskCounts> counts_;  // from the leader's last ping
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -22,6 +22,7 @@
 #include "placement/placement.hpp"
 #include "registry/machine_registry.hpp"
 #include "relay/delegation_table.hpp"
+#include "relay/refusals.hpp"
 #include "relay/reply_cache.hpp"
 #include "relay/worker_lease.hpp"
 #include "standby/replication_sender.hpp"
@@ -53,6 +54,7 @@
     const standby::ReplicaState& copy;        // of what the leader before knew of its machines
     // What another controller last said of itself, if that is not long ago.
     std::function<const wire::PeerPing*(const std::string& label)> peer;
+    relay::Refusals& refusals;
 };
 
 class Leader : public std::enable_shared_from_this<Leader> {
@@ -107,6 +109,7 @@
     // machines
     fleet::ReportOutcome apply_report(const wire::Report& r, fleet::Via via);
     double worker_lease_bound() const;
+    wire::PeerRelayed refused(relay::Refusal why);
     bool may_renew() const { return !stopped_ && now() <= worker_lease_bound(); }
     bool repeat_reply(const std::string& body, const http::Reply& reply);
     wire::PeerRelayed answer_report(const std::string& body, const std::string& hearer, std::string& machine);
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -18,6 +18,8 @@
 constexpr double probe_sockets = 1.0 / 8;     // of all sockets
 constexpr double answered_reports = 1.0 / 4;  // in which a worker shows the token that it was answered with
 constexpr double sick_reports = 20;
+// Half of a worker's lease is left then; it goes round all controllers and comes back well within the first.
+constexpr double mute_leases = 1.0 / 2;
 constexpr std::size_t flushes_at_once = 16;
 // Of the machines that are up: how many report to the leader itself while others hear for it; how many it
 // sends to them in a tick; and for how many leases a machine is not sent again.
@@ -60,10 +62,14 @@
     reply({200, r->answer});
     return true;
 }
+wire::PeerRelayed Leader::refused(relay::Refusal why) {
+    dependencies_.refusals.note(why);
+    return {};
+}
 // With the hearer that passes it on, or none if it came here.
 wire::PeerRelayed Leader::answer_report(const std::string& body, const std::string& hearer,
                                         std::string& machine) {
-    if (!may_renew()) return {};
+    if (!may_renew()) return refused(stopped_ ? relay::Refusal::no_lease : relay::Refusal::bound_over);
     bool may = authority();
     wire::Report report;
     try {
@@ -77,10 +83,11 @@
     std::lock_guard lock(mutex_);
     auto* m = cluster_state_.find(report.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
-    if (stopped_ || !heard.current || !m) return {};
+    if (stopped_) return refused(relay::Refusal::no_lease);
+    if (!heard.current || !m) return refused(relay::Refusal::older);
     if (!cluster_state_.renewable(*m, now())) {
         probe(*m);
-        return {};
+        return refused(relay::Refusal::stop_unsent);
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again)
@@ -101,6 +108,8 @@
     if (std::exchange(m.has_come, true)) m.reach.came(m.route == route, now());
     m.route = route;
     m.suspected = m.reach.lost();
+    m.reach.reported(now());
+    m.mute = false;
 }
 void Leader::revoke(const std::string& id) {
     auto until = delegations_.revoke(id);
@@ -146,7 +155,8 @@
             if (!m || !delegations_.delegated_to(h.machine, q.label)) continue;
             m->last_heard = std::max(m->last_heard, now() - static_cast<double>(h.age_ms) / 1000);
             m->reach.shown(now());
-            m->suspected = false;
+            m->reach.reported(now() - static_cast<double>(h.age_ms) / 1000);
+            m->suspected = m->mute = false;
             failure_detector_.heard_from(zone_of(*m), now());
         }
     }
@@ -547,8 +557,9 @@
         {
             std::lock_guard lock(mutex_);
             m.suspected = verdict != membership::Health::Alive || m.reach.lost();
+            m.mute = m.reach.mute(t, dependencies_.settings.lease_s * mute_leases);
         }
-        suspected += m.suspected;
+        suspected += m.doubtful();
         check_up(m, seen[k], verdict, may);
     }
     dependencies_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -169,7 +169,7 @@
         auto* m = cluster_state_.find(v.id);
         if (!m || m->life == Machine::Life::marked_for_deletion || m->notice_until >= 0) continue;
         bool booting = m->life == Machine::Life::booting;
-        bool suspected = m->suspected && m->fit(p.in.now) && !m->has_unknown();
+        bool suspected = m->doubtful() && m->fit(p.in.now) && !m->has_unknown();
         if (!booting && !v.usable && !suspected) continue;
         // With what the plan has just decided to start.
         capacity::MachineView c;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -53,6 +53,7 @@
     user_limits.bulk_idle_s = settings.report_s * idle_reports;
     user_limits.lane = loop::Lane::ordinary;
     user_limits.bulk = [](const std::string& path) { return path == wire::paths::report; };
+    user_limits.shed = [&] { controller.refusals().note(relay::Refusal::sockets); };
     http::Server users(
         loop, settings.listen, std::move(user_limits),
         [&](http::Request r, http::Reply reply) { controller.serve(std::move(r), std::move(reply)); });
@@ -69,6 +70,7 @@
         spdlog::warn(
             "limits.core_share is {:.3f}: to hear as many workers as there are sockets for takes {:.3f}",
             settings.cpu_share, expected);
+    controller.watch_sockets(sockets);
     controller.start();
     loop.run();
     return 0;
--- a/src/fleet/cluster_state.hpp
+++ b/src/fleet/cluster_state.hpp
@@ -83,7 +83,8 @@
     bool dirty = false;                          // among those that `dirty_machines` names
     std::set<std::string> error_jobs;
     double avoid_until = 0;
-    bool suspected = false;    // it should have been heard by now: nothing new goes there
+    bool suspected = false;  // it should have been heard by now: nothing new goes there
+    bool mute = false;       // no report comes, though it may answer commands: nothing new goes there either
     double silent_before = 0;  // seconds for which the leader before had not heard it; a hint
     // All that was in sessions up to this one is proven gone by time. What shows it still came late.
     std::uint64_t over = 0;
@@ -92,8 +93,9 @@
     bool has_come = false;  // a report, so that `route` says by which way
     bool runs_any() const;  // shown by the machine itself
 
-    bool usable(double now) const { return fit(now) && !suspected; }
-    // But for a suspicion, which may end any moment.
+    bool doubtful() const { return suspected || mute; }
+    bool usable(double now) const { return fit(now) && !doubtful(); }
+    // But for a doubt, which may end any moment.
     bool fit(double now) const {
         return life == Life::up && reconciled && session > 0 && notice_until < 0 && now >= avoid_until;
     }
--- a/src/http/socket_budget.cpp
+++ b/src/http/socket_budget.cpp
@@ -22,10 +22,10 @@
 // What a kind has not taken of its guarantee counts as taken for all others.
 bool SocketBudget::fits(PeerKind kind) const {
     auto& k = kinds_[index(kind)];
-    if (k.used < k.guaranteed) return true;
-    if (k.used >= k.most) return false;
+    if (k.use.used < k.guaranteed) return true;
+    if (k.use.used >= k.most) return false;
     std::size_t committed = 0;
-    for (auto& each : kinds_) committed += std::max(each.used, each.guaranteed);
+    for (auto& each : kinds_) committed += std::max(each.use.used, each.guaranteed);
     return committed < sockets_;
 }
 bool SocketBudget::reclaim(PeerKind kind) {
@@ -33,31 +33,51 @@
 }
 bool SocketBudget::make_room(PeerKind kind) {
     auto& k = kinds_[index(kind)];
-    if (k.used < k.most)
+    if (k.use.used < k.most)
         for (auto other : order) {
             auto& o = kinds_[index(other)];
-            if (other != kind && o.used > o.guaranteed && reclaim(other)) return fits(kind);
+            if (other != kind && o.use.used > o.guaranteed && reclaim(other)) return fits(kind);
         }
     return reclaim(kind) && fits(kind);
 }
 bool SocketBudget::take(PeerKind kind) {
-    if (!fits(kind) && !make_room(kind)) return false;
-    ++kinds_[index(kind)].used;
+    auto& use = kinds_[index(kind)].use;
+    if (!fits(kind) && !make_room(kind)) {
+        ++use.refused;
+        return false;
+    }
+    use.peak = std::max(use.peak, ++use.used);
     return true;
 }
 void SocketBudget::give_back(PeerKind kind) {
-    --kinds_[index(kind)].used;
+    --kinds_[index(kind)].use.used;
 }
 bool SocketBudget::move(PeerKind from, PeerKind to) {
     if (from == to) return true;
-    --kinds_[index(from)].used;
+    --kinds_[index(from)].use.used;
     if (take(to)) return true;
-    ++kinds_[index(from)].used;
+    ++kinds_[index(from)].use.used;
     return false;
 }
 bool SocketBudget::nearly_full(PeerKind kind, double share) const {
     auto& k = kinds_[index(kind)];
-    return static_cast<double>(k.used) > static_cast<double>(k.most) * share;
+    return static_cast<double>(k.use.used) > static_cast<double>(k.most) * share;
+}
+
+std::uint64_t SocketBudget::refused() const {
+    std::uint64_t n = 0;
+    for (auto& k : kinds_) n += k.use.refused;
+    return n;
+}
+std::string SocketBudget::text() const {
+    std::string out;
+    for (std::size_t k = 0; k < peer_kinds; ++k) {
+        auto& use = kinds_[k].use;
+        out += (out.empty() ? "" : ", ") + std::string(peer_kind_names[k]) + " " + std::to_string(use.used) +
+               " (at most " + std::to_string(use.peak) + " of " + std::to_string(kinds_[k].most) + ", " +
+               std::to_string(use.refused) + " refused)";
+    }
+    return out;
 }
 
 }  // namespace coralhitch::http
--- a/src/http/socket_budget.hpp
+++ b/src/http/socket_budget.hpp
@@ -6,9 +6,11 @@
 #pragma once
 #include <array>
 #include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <list>
-#include <vector>
+#include <string>
+#include <string_view>
 
 namespace coralhitch::http {
 
@@ -20,6 +22,8 @@
     machine,     // opened to workers
 };
 inline constexpr std::size_t peer_kinds = 5;
+inline constexpr std::array<std::string_view, peer_kinds> peer_kind_names = {
+    "users", "workers", "controllers", "services", "machines"};
 
 // Ratios to all sockets. The guarantees together must be at most 1.
 struct SocketShare {
@@ -54,7 +58,14 @@
     bool move(PeerKind from, PeerKind to);
     // Whether a kind holds more than this share of what it may hold.
     bool nearly_full(PeerKind kind, double share) const;
-    std::size_t used(PeerKind kind) const { return kinds_[index(kind)].used; }
+    struct Use {
+        std::size_t used = 0, peak = 0;
+        std::uint64_t refused = 0;  // so far: no socket was left
+    };
+    const Use& use(PeerKind kind) const { return kinds_[index(kind)].use; }
+    std::size_t used(PeerKind kind) const { return use(kind).used; }
+    std::uint64_t refused() const;  // of all kinds
+    std::string text() const;       // of each kind: used, at most so far, of how many, refused
 
     // Closes an idle connection to a peer of this kind, which gives its socket back, or returns false.
     using Reclaim = std::function<bool(PeerKind)>;
@@ -64,7 +75,8 @@
 
   private:
     struct Kind {
-        std::size_t guaranteed = 0, most = 0, used = 0;
+        std::size_t guaranteed = 0, most = 0;
+        Use use;
     };
     static std::size_t index(PeerKind kind) { return static_cast<std::size_t>(kind); }
     bool fits(PeerKind kind) const;
--- a/src/membership/reach.hpp
+++ b/src/membership/reach.hpp
@@ -2,6 +2,7 @@
 // there. Only what comes from its side is evidence that they do: it answers a command, or its worker, which
 // stays where it is answered and goes round otherwise, stays. Pure; times are seconds of the leader's clock.
 #pragma once
+#include <algorithm>
 
 namespace coralhitch::membership {
 
@@ -20,6 +21,11 @@
         else
             ++wanders_;
     }
+    // Its report came to a controller that passes on its lease: a direct answer does not.
+    void reported(double at) { reported_at_ = std::max(reported_at_, at); }
+    // It answers commands, perhaps, but its worker's lease goes unrenewed, and everything that is started
+    // there is killed when that is out.
+    bool mute(double now, double within_s) const { return now - reported_at_ > within_s; }
     void ignored(double now) { ignored_at_ = now; }  // a command
 
     // Once it may be its controller that has ended, or the machine that hung; what it ignored before it came
@@ -29,7 +35,7 @@
     double shown_at() const { return shown_at_; }
 
   private:
-    double shown_at_ = 0, came_at_ = 0, ignored_at_ = -1;
+    double shown_at_ = 0, came_at_ = 0, ignored_at_ = -1, reported_at_ = 0;
     int wanders_ = 0;
 };
 
--- a/src/relay/report_relay.cpp
+++ b/src/relay/report_relay.cpp
@@ -8,6 +8,7 @@
 namespace coralhitch::relay {
 namespace {
 // Ratios to the report period.
+constexpr double log_reports = 2;         // between two lines of the log about reports refused
 constexpr double gap_reports = 1.0 / 20;  // between two messages, so that reports come together
 constexpr double idle_reports =
     1.0 / 10;  // a message goes at least so often: revocations and grants come with it
@@ -25,7 +26,12 @@
 
 ReportRelay::ReportRelay(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                          std::uint64_t incarnation, std::function<Leadership()> lead)
-    : timers_(timers), http_(http), settings_(settings), incarnation_(incarnation), lead_(std::move(lead)) {}
+    : timers_(timers),
+      http_(http),
+      settings_(settings),
+      incarnation_(incarnation),
+      lead_(std::move(lead)),
+      refusals_(timers, settings.report_s * log_reports) {}
 ReportRelay::~ReportRelay() = default;
 
 void ReportRelay::start() {
@@ -61,6 +67,7 @@
 }
 void ReportRelay::refuse_old(double share) {
     while (!waiting_.empty() && timers_.now() - waiting_.front().since > wire::worker_patience_s * share) {
+        refusals_.note(Refusal::late);
         ++dropped_;
         waiting_.front().reply({503, "{}"});
         waiting_.pop_front();
@@ -79,7 +86,10 @@
     return timers_.now() < granted_until_;
 }
 void ReportRelay::refuse(std::deque<Waiting>& waiting) {
-    for (auto& w : std::exchange(waiting, {})) w.reply({503, "{}"});
+    for (auto& w : std::exchange(waiting, {})) {
+        refusals_.note(Refusal::no_leader);
+        w.reply({503, "{}"});
+    }
 }
 
 bool ReportRelay::offer(std::string& body, http::Reply& reply) {
@@ -124,6 +134,7 @@
         auto w = std::move(waiting_.front());
         waiting_.pop_front();
         if (t - w.since > wire::worker_patience_s * patience_share) {
+            refusals_.note(Refusal::late);
             ++dropped_;  // nobody waits for it by the time the leader has answered
             w.reply({503, "{}"});
             continue;
--- a/src/relay/report_relay.hpp
+++ b/src/relay/report_relay.hpp
@@ -15,6 +15,7 @@
 #include "http/message.hpp"
 #include "loop/guard.hpp"
 #include "loop/timers.hpp"
+#include "relay/refusals.hpp"
 #include "relay/reply_cache.hpp"
 #include "wire/peer.hpp"
 
@@ -45,6 +46,7 @@
 
     std::uint64_t repeated() const { return repeated_; }  // reports answered here
     std::uint64_t relayed() const { return relayed_; }    // reports that went to the leader
+    Refusals& refusals() { return refusals_; }            // of this controller, whoever leads
     std::uint64_t dropped() const { return dropped_; }    // reports whose workers had given up waiting
 
   private:
@@ -74,6 +76,7 @@
     const config::Settings& settings_;
     std::uint64_t incarnation_;
     std::function<Leadership()> lead_;
+    Refusals refusals_;
     Leadership leader_;
     Link link_ = Link::down;
     double granted_until_ = -1;
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -254,6 +254,44 @@
     expect_unbroken(w);
 }
 
+// Workers can't open connections to any controller, while direct commands still reach them: their answers
+// show them well, but every lease that ends kills what was started there since.
+TEST(Meeting, NothingNewGoesToAMachineThatOnlyAnswersCommands) {
+    spdlog::set_level(spdlog::level::off);
+    for (bool crash : {false, true}) {
+        Options o;
+        o.machines = 8;
+        World w(o);
+        keep_machines(w);
+        w.run_until(30);
+        constexpr double mute_s = 90;
+        for (std::size_t m = 0; m < 4; ++m) w.workers[m]->mute_until = w.now() + mute_s;
+        std::size_t runs = 0;
+        bool over = false;
+        std::set<std::string> mute;
+        for (std::size_t m = 0; m < 4; ++m) mute.insert(w.workers[m]->addr);
+        // Half of a lease and a look later, longer with a new leader, which begins to count at its start.
+        double from = w.now() + o.lease_s / 2 + (crash ? 20 : 3);
+        w.sent = [&](auto&, auto& to, auto& r) {
+            bool run = r.target == wire::paths::commands && r.body.find("\"run\"") != std::string::npos;
+            runs += run && !over && w.now() > from && mute.contains(to);
+        };
+        if (crash) w.at(35, [&w] { w.crash(lead(w), 0.1); });
+        // The other half has room for these, one after the other.
+        for (int k = 0; k < 8; ++k)
+            w.at(from + 1 + k * 6, [&w, k] { w.submit("j-" + std::to_string(k), "batch", 2, 8); });
+        w.run_until(30 + mute_s);
+        over = true;
+        EXPECT_EQ(runs, 0u) << crash;
+        // They are well again, and are used.
+        w.at(w.now() + 5, [&w] { w.submit("j-20", "batch", 8, 20); });
+        w.run_until(w.now() + 90);
+        EXPECT_TRUE(w.jobs["j-20"].done);
+        for (int k = 0; k < 8; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(k)].done) << k;
+        expect_unbroken(w);
+    }
+}
+
 // Controllers hand over and back within moments, all end, one returns; what the first life of one sent comes
 // later.
 TEST(Meeting, HandoversThereAndBack) {
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -568,6 +568,10 @@
     auto again = [this, &w](double s) { at(now_ + s, [this, &w] { report_loop(w); }); };
     if (w.hung) return again(0.5);
     check_lease(w);
+    if (now_ < w.mute_until) {
+        w.node = (w.node + 1) % 3;
+        return again(1);
+    }
     auto sent = now_;
     auto session = w.session;
     auto done = std::make_shared<bool>(false);
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -62,6 +62,7 @@
     bool spot = false, dead = false, hung = false, sick = false;
     std::uint64_t session = 1, sequence = 0, helm = 0;
     double created = 0, up_at = 0, last_answered = 0;
+    double mute_until = 0;  // until then it can't open a connection to any controller
     std::uint64_t lives = 0;  // reboots so far: what was on its way to the one before does not reach it
     std::size_t node = 0;
     std::map<std::string, Task> tasks;
