--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,6 +1,7 @@
 // Hearing for the leader: what is taken for a repetition, what a hearer may answer by itself and until when,
 // and what the leader may conclude about the leases of machines that it lent.
 #include <gtest/gtest.h>
+#include <spdlog/spdlog.h>
 
 #include <deque>
 
@@ -228,6 +229,42 @@
     }
 }
 
+// Every report refused is counted by its reason, and the log tells so once in a while, however many there
+// are.
+TEST(Refusals, AreCountedAndToldOnceInAWhile) {
+    spdlog::set_level(spdlog::level::off);
+    FakeTimers timers;
+    Refusals r(timers, 10);
+    r.note(Refusal::late);
+    EXPECT_EQ(r.lines(), 1u);
+    for (int k = 0; k < 3; ++k) r.note(Refusal::late);
+    r.note(Refusal::sockets);
+    EXPECT_EQ(r.lines(), 1u);
+    EXPECT_EQ(r.since_logged(), "3 late, 1 sockets");
+    timers.run_until(10);
+    r.note(Refusal::older);
+    EXPECT_EQ(r.lines(), 2u);
+    EXPECT_EQ(r.since_logged(), "");
+    EXPECT_EQ(r.count(Refusal::late), 4u);
+    EXPECT_EQ(r.count(Refusal::older), 1u);
+    EXPECT_EQ(r.count(Refusal::no_lease), 0u);
+}
+// A report that the leader doesn't take, and one that has waited for too long.
+TEST(Refusals, OfARelayNameTheirReason) {
+    for (auto [seconds, why] : {std::pair(0.0, Refusal::no_leader), {4.0, Refusal::late}}) {
+        Bench b;
+        b.settings.op.hearing = false;  // nothing is held for the next leader
+        ASSERT_TRUE(b.offer("{}"));
+        b.run(0.5);
+        ASSERT_EQ(b.net.sent.size(), 1u);
+        ASSERT_TRUE(b.offer("{}"));
+        b.run(seconds);
+        b.lose();
+        EXPECT_EQ(b.statuses, (std::vector{503, 503}));
+        EXPECT_EQ(b.hearer.refusals().count(why), seconds > 0 ? 1u : 2u);
+    }
+}
+
 // While nobody leads, or the leader does not answer, workers are kept waiting: refused, a whole fleet calls
 // each second.
 TEST(ReportRelay, HoldsReportsOverATakeoverAndNoLonger) {
