--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -22,6 +22,7 @@
 #include "placement/placement.hpp"
 #include "registry/machine_registry.hpp"
 #include "relay/delegation_table.hpp"
+#include "relay/refusals.hpp"
 #include "relay/reply_cache.hpp"
 #include "relay/report_queue.hpp"
 #include "relay/worker_lease.hpp"
@@ -54,6 +55,7 @@
     const standby::ReplicaState& copy;        // of what the leader before knew of its machines
     // What another controller last said of itself, if that is not long ago.
     std::function<const wire::PeerPing*(const std::string& label)> peer;
+    relay::Refusals& refusals;
 };
 
 class Leader : public std::enable_shared_from_this<Leader> {
@@ -108,6 +110,7 @@
     // machines
     fleet::ReportOutcome apply_report(const wire::Report& r, fleet::Via via);
     double worker_lease_bound() const;
+    wire::PeerRelayed refused(relay::Refusal why);
     bool may_renew() const { return !stopped_ && now() <= worker_lease_bound(); }
     bool repeat_reply(const std::string& body, const http::Reply& reply);
     wire::PeerRelayed answer_report(const std::string& body, const std::string& hearer, std::string& machine);
@@ -201,7 +204,7 @@
     registry::MachineRegistry store_;
     state::ListWatch job_watch_;
 
-    relay::ReportQueue early_;  // reports that came before the jobs were loaded
+    relay::ReportQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
     std::uint64_t attempts_ = 0, rentals_made_ = 0;
     std::deque<std::string> to_probe_, flushing_;
     std::size_t probing_ = 0;
--- a/src/relay/report_queue.hpp
+++ b/src/relay/report_queue.hpp
@@ -14,6 +14,7 @@
 #include <utility>
 
 #include "http/message.hpp"
+#include "relay/refusals.hpp"
 #include "wire/protocol.hpp"
 
 namespace coralhitch::relay {
@@ -28,6 +29,8 @@
     // Seconds.
     static constexpr double longest_wait_s = wire::worker_patience_s * 0.6;
 
+    // `refusals` counts those that waited too long; it must outlive the queue.
+    explicit ReportQueue(Refusals& refusals) : refusals_(refusals) {}
     void push(Report r) { waiting_.push_back(std::move(r)); }
     // The one that waited longest of those whose workers can still be answered in time.
     std::optional<Report> next(double now) {
@@ -36,6 +39,7 @@
             waiting_.pop_front();
             if (now - r.since <= longest_wait_s) return r;
             ++refused_;
+            refusals_.note(Refusal::late);
             r.reply({503, "{}"});
         }
         return std::nullopt;
@@ -46,6 +50,7 @@
     std::uint64_t refused() const { return refused_; }
 
   private:
+    Refusals& refusals_;
     std::deque<Report> waiting_;
     std::uint64_t refused_ = 0;
 };
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,6 +1,7 @@
 // Hearing for the leader: what is taken for a repetition, what a hearer may answer by itself and until when,
 // and what the leader may conclude about the leases of machines that it lent.
 #include <gtest/gtest.h>
+#include <spdlog/spdlog.h>
 
 #include <deque>
 
@@ -229,6 +230,42 @@
     }
 }
 
+// Every report refused is counted by its reason, and the log tells so once in a while, however many there
+// are.
+TEST(Refusals, AreCountedAndToldOnceInAWhile) {
+    spdlog::set_level(spdlog::level::off);
+    FakeTimers timers;
+    Refusals r(timers, 10);
+    r.note(Refusal::late);
+    EXPECT_EQ(r.lines(), 1u);
+    for (int k = 0; k < 3; ++k) r.note(Refusal::late);
+    r.note(Refusal::sockets);
+    EXPECT_EQ(r.lines(), 1u);
+    EXPECT_EQ(r.since_logged(), "3 late, 1 sockets");
+    timers.run_until(10);
+    r.note(Refusal::older);
+    EXPECT_EQ(r.lines(), 2u);
+    EXPECT_EQ(r.since_logged(), "");
+    EXPECT_EQ(r.count(Refusal::late), 4u);
+    EXPECT_EQ(r.count(Refusal::older), 1u);
+    EXPECT_EQ(r.count(Refusal::no_lease), 0u);
+}
+// A report that the leader doesn't take, and one that has waited for too long.
+TEST(Refusals, OfARelayNameTheirReason) {
+    for (auto [seconds, why] : {std::pair(0.0, Refusal::no_leader), {4.0, Refusal::late}}) {
+        Bench b;
+        b.settings.op.hearing = false;  // nothing is held for the next leader
+        ASSERT_TRUE(b.offer("{}"));
+        b.run(0.5);
+        ASSERT_EQ(b.net.sent.size(), 1u);
+        ASSERT_TRUE(b.offer("{}"));
+        b.run(seconds);
+        b.lose();
+        EXPECT_EQ(b.statuses, (std::vector{503, 503}));
+        EXPECT_EQ(b.hearer.refusals().count(why), seconds > 0 ? 1u : 2u);
+    }
+}
+
 // While nobody leads, or the leader does not answer, workers are kept waiting: refused, a whole fleet calls
 // each second.
 TEST(ReportRelay, HoldsReportsOverATakeoverAndNoLonger) {
@@ -297,7 +334,9 @@
     };
     const Case cases[] = {{50, 100, 0.1}, {150, 100, 0.1}, {300, 100, 0.5}, {2000, 100, 1}, {300, 100, 1.2}};
     for (auto& c : cases) {
-        ReportQueue queue;
+        FakeTimers timers;
+        Refusals refusals(timers, 60);
+        ReportQueue queue(refusals);
         std::size_t answered = 0, refused = 0, in_time = 0;
         double come = 0, read = 0;
         for (double t = 0; t < 60; t += 0.002) {
@@ -315,12 +354,15 @@
         EXPECT_EQ(answered, in_time) << c.per_s;
         EXPECT_GT(static_cast<double>(in_time), most * 0.9) << c.per_s;
         EXPECT_EQ(refused, queue.refused());
+        EXPECT_EQ(refused, refusals.count(Refusal::late));
         EXPECT_EQ(refused > 0, c.per_s > c.read_per_s) << c.per_s;
     }
 }
 // What is handed on keeps the time at which it was read.
 TEST(ReportQueue, ARefusalMayBringTheNextReport) {
-    ReportQueue queue;
+    FakeTimers timers;
+    Refusals refusals(timers, 60);
+    ReportQueue queue(refusals);
     int statuses = 0;
     queue.push({"a",
                 [&](http::Response r) {
