--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -514,7 +514,7 @@
                 wire::pack_peer(wire::PeerJobCounts{c.has_value(), c ? c->done : 0, c ? c->running : 0})));
         }
     } else if (r.target == wire::peer_cancelled_path) {
-        if (auto q = wire::unpack_peer<wire::PeerCancelled>(r.body)) {
+        if (auto q = wire::unpack_peer<wire::PeerCancelledAgain>(r.body)) {
             if (leader_) leader_->cancelled(q->id, q->version);
             for (auto& m : q->more)
                 if (leader_) leader_->cancelled(m.id, m.version);
--- a/src/relay/cancellation_notices.cpp
+++ b/src/relay/cancellation_notices.cpp
@@ -17,25 +17,26 @@
     : timers_(timers), http_(http), settings_(settings), leadership_(std::move(leadership)) {}
 
 void CancellationNotices::confirmed(const std::string& id, std::uint64_t version, std::uint64_t taken_by) {
-    for (auto& peer : settings_.peers) send(peer, {id, version, {}});
+    send(wire::pack_peer(wire::PeerCancelled{id, version}), {id, version, {}});
     if (static_cast<double>(notices_.size() + 1) > settings_.memory_mb * notices_per_mb && !notices_.empty())
         notices_.pop_front();
     notices_.push_back({id, version, taken_by, timers_.now() + settings_.cancel_s});
     repeat_later();
 }
 
-void CancellationNotices::send(const config::Peer& peer, wire::PeerCancelled message) {
-    auto body = wire::pack_peer(message);
-    http_.send(
-        peer.addr, {"POST", std::string(wire::peer_cancelled_path), std::move(body), "application/msgpack"},
-        settings_.report_s, guarded_([this, message = std::move(message)](std::optional<http::Response> r) {
-            if (!r || r->status != 200) return;
-            // One of a version before answers without a word: it is told again.
-            if (auto a = wire::unpack_peer<wire::PeerCancelledAnswer>(r->body); a && a->taken_by > 0)
-                taken(message, a->taken_by);
-        }));
+// To all: whom this controller takes for the leader may have lost its lease, and the next one is not known
+// here yet.
+void CancellationNotices::send(const std::string& body, const wire::PeerCancelledAgain& message) {
+    for (auto& peer : settings_.peers)
+        http_.send(peer.addr, {"POST", std::string(wire::peer_cancelled_path), body, "application/msgpack"},
+                   settings_.report_s, guarded_([this, message](std::optional<http::Response> r) {
+                       if (!r || r->status != 200) return;
+                       // One of a version before answers without a word: it is told again.
+                       auto a = wire::unpack_peer<wire::PeerCancelledAnswer>(r->body);
+                       if (a && a->taken_by > 0) taken(message, a->taken_by);
+                   }));
 }
-void CancellationNotices::taken(const wire::PeerCancelled& message, std::uint64_t by) {
+void CancellationNotices::taken(const wire::PeerCancelledAgain& message, std::uint64_t by) {
     std::set<std::string> ids{message.id};
     for (auto& m : message.more) ids.insert(m.id);
     for (auto& n : notices_)
@@ -49,13 +50,11 @@
                       repeat();
                   }));
 }
-// To all: whom this controller takes for the leader may have lost its lease, and the next one is not known
-// here yet.
 void CancellationNotices::repeat() {
     while (!notices_.empty() && notices_.front().until < timers_.now()) notices_.pop_front();
     if (notices_.empty()) return;
     auto now_leads = leadership_();
-    wire::PeerCancelled message;
+    wire::PeerCancelledAgain message;
     std::size_t named = 0;
     for (auto& n : notices_) {
         if (n.taken_by > 0 && n.taken_by >= now_leads) continue;
@@ -69,7 +68,7 @@
         }
     }
     if (named > 0) {
-        for (auto& peer : settings_.peers) send(peer, message);
+        send(wire::pack_peer(message), message);
         repeated_ += settings_.peers.size();
     }
     repeat_later();
--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -15,7 +15,7 @@
 #include "http/message.hpp"
 #include "loop/guard.hpp"
 #include "loop/timers.hpp"
-#include "wire/peer.hpp"
+#include "wire/peer_cancelled.hpp"
 
 namespace coralhitch::relay {
 
@@ -36,10 +36,10 @@
         std::uint64_t version, taken_by;
         double until;  // steady time
     };
-    void send(const config::Peer& peer, wire::PeerCancelled message);
+    void send(const std::string& body, const wire::PeerCancelledAgain& message);
     void repeat();
     void repeat_later();
-    void taken(const wire::PeerCancelled& message, std::uint64_t by);
+    void taken(const wire::PeerCancelledAgain& message, std::uint64_t by);
 
     loop::Timers& timers_;
     http::Requester& http_;
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -63,21 +63,11 @@
     std::string id;
     MSGPACK_DEFINE(id)
 };
-struct PeerCancelledJob {
+struct PeerCancelled {
     std::string id;
     std::uint64_t version = 0;
     MSGPACK_DEFINE(id, version)
 };
-struct PeerCancelled {
-    std::string id;
-    std::uint64_t version = 0;             // of its record, which says since then that it is cancelled
-    std::vector<PeerCancelledJob> more{};  // told once more, with the first one
-    MSGPACK_DEFINE(id, version, more)
-};
-struct PeerCancelledAnswer {
-    std::uint64_t taken_by = 0;  // the leadership that has taken it in; 0: the answering one does not lead
-    MSGPACK_DEFINE(taken_by)
-};
 // Which images the machines have cached, from the leader: whoever leads next can't learn it from reports.
 struct PeerMachineImages {
     std::string machine;
--- /dev/null
+++ b/src/wire/peer_cancelled.hpp
@@ -0,0 +1,21 @@
+// What controllers say to each other of cancellations, beside the single notice (`PeerCancelled`), in
+// msgpack.
+#pragma once
+#include "wire/peer.hpp"
+
+namespace coralhitch::wire {
+
+// On the path of the single notice, with what the version before doesn't read at the end.
+struct PeerCancelledAgain {
+    std::string id;
+    std::uint64_t version = 0;          // of its record, which says since then that it is cancelled
+    std::vector<PeerCancelled> more{};  // told with the first one
+    MSGPACK_DEFINE(id, version, more)
+};
+// The version before answers without a word.
+struct PeerCancelledAnswer {
+    std::uint64_t taken_by = 0;  // the leadership that has taken it in; 0: the answering one does not lead
+    MSGPACK_DEFINE(taken_by)
+};
+
+}  // namespace coralhitch::wire
