--- a/scale/tests/ends_test.sh
+++ b/scale/tests/ends_test.sh
@@ -74,7 +74,7 @@
     done
     [ "$(left)" -ge 8 ] || fail "SIG$signal: only $(left) processes were there"
     kill -$signal "$driver"
-    wait "$driver"
+    wait "$driver" 2>/dev/null
     status=$?
     gone_within 100 || fail "SIG$signal: $(left) processes are left"
     if [ $signal = TERM ]; then
