--- a/src/capacity/capacity.cpp
+++ b/src/capacity/capacity.cpp
@@ -58,8 +58,11 @@
     bool dark(std::size_t p) const {
         return pool(p).zone_index < in_.dark.size() && in_.dark[pool(p).zone_index];
     }
+    // What exists counts, whether or not it can be used: the limit is one of money. Without those that had
+    // not reconciled yet, new leaders rented beyond it.
     bool full() const {
-        return settings_.op.max_machines > 0 && bins_.size() + dark_bins_.size() >= settings_.op.max_machines;
+        auto machines = bins_.size() + dark_bins_.size() + in_.others;
+        return settings_.op.max_machines > 0 && machines >= settings_.op.max_machines;
     }
     double free_share(const Bin& b) const { return placement::least_share(b.free, pool(b.pool).total); }
 
--- a/src/capacity/capacity.hpp
+++ b/src/capacity/capacity.hpp
@@ -30,7 +30,8 @@
     std::vector<wire::MachineType> types;
     std::size_t zones = 0;               // how many there are
     std::vector<placement::Pool> pools;  // all that the types allow, and any other that has machines
-    std::vector<MachineView> machines;
+    std::vector<MachineView> machines;   // those that can be counted on, now or soon
+    std::size_t others = 0;  // that exist beside them: not reconciled, about to be taken or deleted
     std::vector<Need> needs;
     std::set<std::size_t> refused;  // pools lately without capacity
     std::vector<bool> dark;         // zones from which nothing is heard
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -165,6 +165,7 @@
 }
 void Leader::fill_capacity(Plan& p) {
     auto& in = p.fleet;
+    in.others = cluster_state_.machines().size();
     for (auto& v : p.in.machines) {
         auto* m = cluster_state_.find(v.id);
         if (!m || m->life == Machine::Life::marked_for_deletion || m->notice_until >= 0) continue;
@@ -184,6 +185,7 @@
         c.services = v.services;
         c.idle_for = now() - (booting ? m->created : m->idle_since);
         in.machines.push_back(std::move(c));
+        --in.others;
     }
     for (auto& u : p.out.unplaced) {
         auto& j = p.in.jobs[u.job];
--- a/src/fleet/usage.cpp
+++ b/src/fleet/usage.cpp
@@ -1,7 +1,18 @@
 #include "fleet/usage.hpp"
 
+#include <algorithm>
+
 namespace coralhitch::fleet {
 
+namespace {
+// Of a machine whose type is not known its tasks seem to take more than there is: as a negative number, that
+// lowered what every team was thought to use.
+wire::Room left_on(const Machine& m) {
+    auto room = m.free();
+    return {std::max(0.0, room.cpus), std::max(0.0, room.gpus), std::max(0.0, room.memory_gb)};
+}
+}  // namespace
+
 void Usage::add(const Machine& m) {
     bool all_known = true;
     for (auto& [task, i] : m.tasks) {
@@ -16,7 +27,7 @@
     // Tasks of a job that was done, started twice by leaders that did not know it, outlive its record.
     // The next leader counted them for nobody, and filled the team's limit once more beside them. They
     // take no more than the machine has left.
-    if (!all_known) unknown_ += m.free();
+    if (!all_known) unknown_ += left_on(m);
 }
 std::map<std::string, wire::Room> Usage::of(const std::vector<config::Team>& teams) {
     for (auto& t : teams) used_[t.name] += unknown_;
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -479,5 +479,21 @@
     EXPECT_EQ(team_used(p, teams)["b"].gpus, 0);
 }
 
+// Of a machine whose type is not known a known task seems to take more than there is.
+TEST(Usage, WhatNobodyKnowsOnAMachineOfAnUnknownTypeLowersNoSum) {
+    ClusterState p(7, {});
+    auto spec = std::make_shared<wire::Job>();
+    spec->id = "j-1";
+    spec->team = "a";
+    spec->need = {2, 1, 4};
+    std::vector<config::Team> teams(1);
+    teams[0].name = "a";
+    auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
+    p.inherit(m, {"j-1", 0}, spec, 1, 0);
+    p.inherit(m, {"j-0", 5}, nullptr, 1, 0);
+    EXPECT_EQ(team_used(p, teams)["a"].gpus, 1);
+    EXPECT_EQ(team_used(p, teams)["a"].cpus, 2);
+}
+
 }  // namespace
 }  // namespace coralhitch::fleet
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -521,6 +521,32 @@
     EXPECT_EQ(std::count(d.returns.begin(), d.returns.end(), "u3"), 1);
     EXPECT_FALSE(std::count(d.returns.begin(), d.returns.end(), "u0"));
 }
+// Machines that can't be used exist all the same: a new leader that had not heard them yet rented beyond the
+// operators' limit.
+TEST(Capacity, MaxMachinesCountsWhatCannotBeUsed) {
+    struct Case {
+        std::uint32_t max_machines;
+        std::size_t others;
+        int rented;
+    };
+    const Case cases[] = {{0, 50, 3}, {4, 0, 3}, {4, 2, 2}, {4, 4, 0}, {4, 9, 0}};
+    for (auto& c : cases) {
+        auto s = settings();
+        s.teams = {{"free", 0, 0, 0, 0}};
+        s.op.max_machines = c.max_machines;
+        capacity::Input in;
+        in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+        in.pools = pools;
+        in.zones = 2;
+        in.others = c.others;
+        auto waiting = job("j-1", Kind::array, 8, 1);
+        in.needs.push_back({waiting.spec.get(), 8, {}});
+        int rented = 0;
+        for (auto& r : capacity::plan(in, s).rents) rented += r.count;
+        EXPECT_EQ(rented, c.rented) << c.max_machines << " " << c.others;
+    }
+}
+
 TEST(Capacity, PassesRefusedPoolsOverAndPrefersWhatIsCheapest) {
     auto s = settings();
     s.teams = {{"free", 0, 0, 0, 0}};
