--- /dev/null
+++ b/src/api/admission.hpp
@@ -0,0 +1,40 @@
+// How many jobs a controller accepts: no more than the state service can store to their ends.
+//
+// An accepted job causes changes later, most of them by the leader. Accepted faster than those can be stored,
+// jobs would be done for their users minutes late, and the backlog would outlast the burst that caused it.
+#pragma once
+#include <map>
+#include <string>
+
+#include "config/settings.hpp"
+#include "loop/bucket.hpp"
+
+namespace coralhitch::api {
+
+class Admission {
+  public:
+    // Changes over a job's whole life with one task: accepted, its final record, its live record removed.
+    static constexpr double changes_per_job = 3;
+    // Accepted at once after a quiet time, in worker leases at the lasting rate.
+    static constexpr double burst_leases = 0.5;
+
+    explicit Admission(const config::Settings& settings);
+    // Takes a place for a job of this team, if there is one. Each team has an equal part for itself; beyond
+    // it, any team may take what the others leave while more than half of the burst is there.
+    bool admit(const std::string& team, double now);
+    // The job was not accepted after all, and causes no changes.
+    void give_back(const std::string& team, double now);
+    // Seconds after which the team may try again.
+    double retry_after_s(const std::string& team, double now);
+    double refused() const { return refused_; }  // so far
+
+  private:
+    loop::Bucket& part_of(const std::string& team);
+    double rate_, burst_;  // jobs a second, jobs
+    double teams_;
+    loop::Bucket all_;
+    std::map<std::string, loop::Bucket> parts_;
+    double refused_ = 0;
+};
+
+}  // namespace coralhitch::api
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -13,10 +13,16 @@
 namespace {
 constexpr double gap_reports = 1.0 / 20;  // between two requests: questions come together meanwhile
 constexpr double keep_up_leases = 0.5;    // changes in that time are far fewer than the service keeps
+constexpr std::size_t ends_together = 2;  // from so many on, one request for all instead of one each
 }  // namespace
 
-LiveJobs::LiveJobs(loop::Timers& timers, state::Client& state, const config::Settings& settings)
-    : timers_(timers), state_(state), settings_(settings) {}
+LiveJobs::LiveJobs(loop::Timers& timers, state::Client& state, const config::Settings& settings, Ended ended)
+    : timers_(timers), state_(state), settings_(settings), told_ended_(std::move(ended)) {}
+
+const LiveJobs::Live* LiveJobs::last_known(const std::string& id) const {
+    auto it = jobs_.find(id);
+    return it == jobs_.end() ? nullptr : &it->second;
+}
 
 void LiveJobs::confirm(const std::string& id, Done done) {
     ++questions_;
@@ -68,11 +74,23 @@
             revision_ = 0;
             return read_all(std::move(batch));
         }
-        if (w.status == S::ok) {
-            for (auto& e : w.events.events) take(e.key, e.version, e.value ? &*e.value : nullptr);
-            revision_ = std::max(revision_, w.events.revision);
-        }
-        answer(std::move(batch), w.status == S::ok);
+        if (w.status != S::ok) return answer(std::move(batch), false);
+        dropped_ = 0;
+        for (auto& e : w.events.events) take(e.key, e.version, e.value ? &*e.value : nullptr);
+        auto since = std::exchange(revision_, std::max(revision_, w.events.revision));
+        if (dropped_ < ends_together || !told_ended_) return answer(std::move(batch), true);
+        read_ends(std::move(batch), since);
+    });
+}
+// A job leaves in the transaction that stores its end: so the ends of all that left since a revision are
+// among the final records written since then, and one request brings them all. One by one they took most of
+// the requests left when jobs end by the score. Should it fail, those who ask read them singly.
+void LiveJobs::read_ends(std::vector<Question> batch, std::uint64_t since) {
+    ++requests_;
+    state_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](state::Watched w) mutable {
+        for (auto& e : w.events.events)
+            if (e.value) told_ended_(e.key.substr(keys::finals.size()), *e.value);
+        answer(std::move(batch), true);
     });
 }
 
@@ -108,6 +126,7 @@
 void LiveJobs::drop(const std::string& id) {
     auto it = jobs_.find(id);
     if (it == jobs_.end()) return;
+    ++dropped_;
     awaits_.remove(id, it->second.awaits);
     jobs_.erase(it);
     awaits_.gone(id);
--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -38,8 +38,10 @@
         std::vector<std::string> ends_unknown;
     };
     using Done = std::function<void(Answer)>;
+    // A final record as the state service says it; told before the questions that were asked with it.
+    using Ended = std::function<void(const std::string& id, const std::string& record)>;
 
-    LiveJobs(loop::Timers& timers, state::Client& state, const config::Settings& settings);
+    LiveJobs(loop::Timers& timers, state::Client& state, const config::Settings& settings, Ended ended = {});
     void confirm(const std::string& id, Done done);
     void ended(const std::string& id, wire::JobState state);  // for ever
     void keep_up();  // now and then, so that the revision does not become too old to ask from
@@ -47,6 +49,8 @@
     std::uint64_t questions() const { return questions_; }  // so far
     std::uint64_t requests() const { return requests_; }
     std::size_t size() const { return jobs_.size(); }
+    // As of the last answer; null: not live then. What is cancelled stays so.
+    const Live* last_known(const std::string& id) const;
 
   private:
     struct Question {
@@ -57,6 +61,7 @@
     void ask_soon();
     void read_all(std::vector<Question> batch);
     void read_changes(std::vector<Question> batch);
+    void read_ends(std::vector<Question> batch, std::uint64_t since);
     void take(const std::string& key, std::uint64_t version, const std::string* value);
     void drop(const std::string& id);
     void cancel_behind(const std::string& id);
@@ -66,6 +71,7 @@
     loop::Timers& timers_;
     state::Client& state_;
     const config::Settings& settings_;
+    Ended told_ended_;
     std::unordered_map<std::string, Live> jobs_;
     jobs::Awaits awaits_;
     std::uint64_t revision_ = 0;  // 0: all must be read first
@@ -73,6 +79,7 @@
     std::vector<Question> waiting_;
     bool asking_ = false, armed_ = false;
     double last_ = -1;
+    std::size_t dropped_ = 0;  // jobs that left with the changes read last
 };
 
 }  // namespace coralhitch::api
--- a/src/api/users.cpp
+++ b/src/api/users.cpp
@@ -16,11 +16,16 @@
 http::Response later() {
     return {503, wire::error_body("try again"), "application/json", 1};
 }
+// More than can be stored. A job's users are asked to come back when there may be room, at least a second
+// later.
+http::Response put_off(double wait_s) {
+    return {503, wire::error_body("too many submissions"), "application/json", std::max(1.0, wait_s)};
+}
 http::Response status(int code, const wire::JobStatus& s) {
     return {code, wire::job_status(s)};
 }
 constexpr int cancel_tries = 4, submit_tries = 4, look_up_tries = 4;
-constexpr std::size_t finals_per_mb = 50;  // cached final states for each MB of memory that is granted
+constexpr std::size_t finals_per_mb = 500;  // cached final states for each MB of memory that is granted
 }  // namespace
 
 std::size_t most_awaited(std::size_t txn_ops) {
@@ -47,7 +52,31 @@
 
 Users::Users(loop::Timers& timers, state::Client& state, const config::Settings& settings,
              ClusterQueries& around)
-    : timers_(timers), state_(state), settings_(settings), cluster_(around), live_(timers, state, settings) {}
+    : timers_(timers),
+      state_(state),
+      settings_(settings),
+      cluster_(around),
+      live_(timers, state, settings,
+            [this](const std::string& id, const std::string& record) {
+                try {
+                    keep_final(id, wire::parse_final_record(record));
+                } catch (const wire::Malformed& m) {
+                    spdlog::error("final record {}: {}", id, m.what());
+                }
+            }),
+      admission_(settings) {}
+
+// With all of them forgotten at once, each was read again by everybody who still asked.
+void Users::keep_final(const std::string& id, const wire::FinalRecord& record) {
+    if (!finals_.emplace(id, record).second) return;
+    finals_order_.push_back(id);
+    if (finals_order_.size() <= settings_.memory_mb * finals_per_mb) return;
+    finals_.erase(finals_order_.front());
+    finals_order_.pop_front();
+}
+bool Users::accepted_before(const std::string& id) const {
+    return finals_.contains(id) || live_.last_known(id);
+}
 
 // Live first, then final: a job moves in that direction only, in one transaction, so a job that is in neither
 // was not accepted when the reads began. With a read for each question, users who asked eight times as often
@@ -56,7 +85,7 @@
     if (auto it = finals_.find(id); it != finals_.end()) return done({true, {}, it->second});
     if (tries >= look_up_tries) return done({});
     live_.confirm(id, [this, id, done, tries](LiveJobs::Answer a) {
-        if (a.ok && !a.live) return read_final(id, done);
+        if (a.ok && !a.live) return read_final(id, done);  // from memory, if it was told meanwhile
         if (a.ok && !a.ends_unknown.empty()) return read_ends(id, a.ends_unknown, done, tries);
         done({a.ok, a.live, {}});
     });
@@ -85,8 +114,7 @@
         Known k{f.ok, {}, {}};
         if (f.entry) try {
                 k.final = wire::parse_final_record(f.entry->value);
-                if (finals_.size() > settings_.memory_mb * finals_per_mb) finals_.clear();
-                finals_[id] = *k.final;
+                keep_final(id, *k.final);
             } catch (const wire::Malformed& m) {
                 spdlog::error("final record {}: {}", id, m.what());
                 k.ok = false;
@@ -168,7 +196,7 @@
     auto s = std::make_shared<Submission>();
     s->job = std::move(job);
     s->reply = std::move(reply);
-    if (s->job.awaits.empty()) return store(s);
+    if (s->job.awaits.empty()) return accept(s);
     // A retry is answered before the awaited jobs are judged.
     auto most = most_awaited(state_.limits().txn_ops());
     if (s->job.awaits.size() > most)
@@ -177,9 +205,29 @@
     look_up(id, [this, id, s](Known k) {
         if (!k.ok) return s->reply(later());
         if (!k.unknown()) return answer_known(id, k, false, s->reply);
-        look_up_awaited(s);
+        if (admission_.admit(s->job.team, timers_.now())) return look_up_awaited(s);
+        s->reply(put_off(admission_.retry_after_s(s->job.team, timers_.now())));
+    });
+}
+
+// A repetition costs no change: users who looked closely repeated each submission at all controllers, and the
+// transactions that failed on that took the changes that other submissions waited for.
+void Users::accept(std::shared_ptr<Submission> s) {
+    auto& id = s->job.id;
+    if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
+    if (!accepted_before(id) && !state_.short_of_changes() && admission_.admit(s->job.team, timers_.now()))
+        return store(s);
+    look_up(id, [this, id, s](Known k) {
+        if (!k.ok) return s->reply(later());
+        if (!k.unknown()) return answer_known(id, k, false, s->reply);
+        if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
+        admit(s);
     });
 }
+void Users::admit(std::shared_ptr<Submission> s) {
+    if (admission_.admit(s->job.team, timers_.now())) return store(s);
+    s->reply(put_off(admission_.retry_after_s(s->job.team, timers_.now())));
+}
 
 // Each awaited job is looked up, and the transaction then holds on to what was found: if one that was live is
 // cancelled or over before the job is stored, nothing is stored and all are looked up again.
@@ -226,24 +274,54 @@
     t.conditions.push_back({keys::job(id), 0});
     t.conditions.push_back({keys::final(id), 0});
     t.changes = {{keys::job(id), std::move(value), 0}};
-    state_.txn(std::move(t), state::Rank::user, [this, id, s](state::Committed c) {
+    storing_.try_emplace(id);
+    // Those who repeat it meanwhile must not be told what is older than their question: they are looked up
+    // anew. Of a second try to store it, all but the first ask again in any case.
+    s->reply = [this, id, reply = std::move(s->reply)](http::Response a) {
+        auto others = storing_.extract(id);
+        reply(std::move(a));
+        if (others)
+            for (auto& other : others.mapped()) refuse_unless_known(id, later(), other);
+    };
+    state_.txn(std::move(t), state::Rank::accept, [this, id, s](state::Committed c) {
         using S = state::Committed::Status;
         if (c.status == S::committed)
             return s->reply(status(201, {id, s->cancelled ? JobState::cancelled : JobState::queued, {}, {}}));
+        if (c.status != S::unknown) admission_.give_back(s->job.team, timers_.now());
         if (c.status == S::refused) return s->reply(later());
         if (c.status == S::rejected)
             return refuse_unless_known(id, {422, wire::error_body(too_long)}, s->reply);
         // An awaited job was cancelled or came to its end meanwhile.
         bool other = c.status == S::conflict && !c.failed_on(keys::job(id)) && !c.failed_on(keys::final(id));
-        if (other && ++s->tries < submit_tries) return look_up_awaited(s);
+        if (other && ++s->tries < submit_tries && admission_.admit(s->job.team, timers_.now()))
+            return look_up_awaited(s);
         // Known already, or the answer was lost: read, then decide. If it is not there yet, the user asks
         // again.
         refuse_unless_known(id, later(), s->reply);
     });
 }
 
-void Users::cancel(const std::string& id, http::Reply reply, int tries) {
+// What is told of a cancelled or finished job holds for ever, so all who ask for the same meanwhile may have
+// it.
+void Users::cancel(const std::string& id, http::Reply reply) {
     if (!wire::valid_job_id(id)) return reply({404, wire::error_body("no such job")});
+    if (auto it = finals_.find(id); it != finals_.end())
+        return answer_known(id, {true, {}, it->second}, false, reply);
+    if (auto* live = live_.last_known(id); live && live->cancelled)
+        return reply(status(200, {id, JobState::cancelled, {}, {}}));
+    auto [it, first] = cancelling_.try_emplace(id);
+    it->second.push_back(std::move(reply));
+    if (first)
+        send_cancel(
+            id, [this, id](http::Response a) { cancel_answered(id, a); }, 0);
+}
+// That there is no such job is an answer only to who asked before it was read: the others ask again.
+void Users::cancel_answered(const std::string& id, const http::Response& answer) {
+    auto askers = std::move(cancelling_.extract(id).mapped());
+    for (std::size_t k = 0; k < askers.size(); ++k)
+        askers[k](k > 0 && answer.status == 404 ? later() : answer);
+}
+void Users::send_cancel(const std::string& id, http::Reply reply, int tries) {
     if (tries >= cancel_tries) return reply(later());
     // The record itself is needed, to be written again.
     state_.get(keys::job(id), state::Rank::user, [this, id, reply, tries](state::Found f) {
@@ -260,7 +338,11 @@
         spdlog::error("job record {}: {}", id, m.what());
         return reply(later());
     }
-    if (record.cancelled) return reply(status(200, {id, JobState::cancelled, {}, {}}));
+    if (record.cancelled) {
+        // Perhaps by this very request, and only the answer was lost: the leader is told all the same.
+        if (tries > 0) cluster_.cancelled(id, entry.version);
+        return reply(status(200, {id, JobState::cancelled, {}, {}}));
+    }
     wire::Txn t;
     t.conditions = {{keys::job(id), entry.version}};
     record.cancelled = true;
@@ -277,7 +359,7 @@
             return reply(status(200, {id, JobState::cancelled, {}, {}}));
         }
         if (c.status == S::refused) return reply(later());
-        cancel(id, reply, tries + 1);
+        send_cancel(id, reply, tries + 1);
     });
 }
 
--- a/src/api/users.hpp
+++ b/src/api/users.hpp
@@ -1,10 +1,12 @@
 // The users' interface: submit, query, cancel, on any controller, on the authority of the state service.
 #pragma once
+#include <deque>
 #include <optional>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
+#include "api/admission.hpp"
 #include "api/live_jobs.hpp"
 #include "config/settings.hpp"
 #include "http/message.hpp"
@@ -44,8 +46,9 @@
           ClusterQueries& around);
     void submit(const std::string& body, http::Reply reply);
     void query(const std::string& id, http::Reply reply);
-    void cancel(const std::string& id, http::Reply reply, int tries = 0);
+    void cancel(const std::string& id, http::Reply reply);
     LiveJobs& live_jobs() { return live_; }
+    const Admission& admission() const { return admission_; }
 
   private:
     struct Known {
@@ -76,15 +79,26 @@
     void answer(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
     void answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
     void refuse_unless_known(const std::optional<std::string>& id, http::Response refusal, http::Reply reply);
+    void accept(std::shared_ptr<Submission> s);
+    void admit(std::shared_ptr<Submission> s);
     void store(std::shared_ptr<Submission> s);
+    void send_cancel(const std::string& id, http::Reply reply, int tries);
+    void cancel_answered(const std::string& id, const http::Response& answer);
+    void keep_final(const std::string& id, const wire::FinalRecord& record);
+    bool accepted_before(const std::string& id) const;
 
     loop::Timers& timers_;
     state::Client& state_;
     const config::Settings& settings_;
     ClusterQueries& cluster_;
     LiveJobs live_;
-    // Final states never change, so they may be told from memory.
+    Admission admission_;
+    // Final states never change, so they may be told from memory; the oldest are forgotten first.
     std::unordered_map<std::string, wire::FinalRecord> finals_;
+    std::deque<std::string> finals_order_;
+    // Submissions that are being stored, by job, with those that repeat them meanwhile.
+    std::unordered_map<std::string, std::vector<http::Reply>> storing_;
+    std::unordered_map<std::string, std::vector<http::Reply>> cancelling_;
     struct Reading {
         std::vector<std::function<void(Known)>> asked, later;  // before the read was sent, and since
     };
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -26,6 +26,10 @@
 constexpr double know_reports = 1.0 / 5;  // after the start: for the others to answer the first ping
 // After giving way, a controller keeps its leadership for this many worker leases, even if it hears nobody.
 constexpr double resign_leases = 4;
+constexpr std::pair<state::Rank, const char*> queue_names[] = {{state::Rank::user, "cancellations"},
+                                                               {state::Rank::accept, "acceptances"},
+                                                               {state::Rank::write, "writes"},
+                                                               {state::Rank::read, "looks"}};
 http::Response packed(std::string body) {
     return {200, std::move(body), "application/msgpack"};
 }
@@ -175,9 +179,25 @@
     heard_.tidy(timers_.now());
     state_.get(state::keys::leader, state::Rank::lease, [this](state::Found f) { state_seen_ |= f.ok; });
     users_.live_jobs().keep_up();
+    log_queues();
     timers_.after(settings_.report_s * state_check_reports, [this] { check_state(); });
 }
 
+// Once a lease, and only while something is refused: which line is the one that is too long.
+void Controller::log_queues() {
+    double refused = users_.admission().refused();
+    for (auto& [rank, name] : queue_names) refused += state_.queue_counts(rank).refused;
+    if (refused <= refused_logged_ || timers_.now() - queues_logged_ < settings_.lease_s) return;
+    queues_logged_ = timers_.now();
+    refused_logged_ = refused;
+    spdlog::info("{} submissions put off so far; calls to the state service:", users_.admission().refused());
+    for (auto& [rank, name] : queue_names) {
+        auto& q = state_.queue_counts(rank);
+        spdlog::info("  {}: {} sent, {} refused, waited {:.3f} s on average, {:.3f} s at most", name, q.sent,
+                     q.refused, q.waited_s / std::max(1.0, q.sent), q.longest_wait_s);
+    }
+}
+
 wire::PeerPing Controller::own_ping(bool brief) {
     wire::PeerPing p{
         settings_.label,     incarnation_, election_.leader_version(), election_.leader(), state_ok(), {}, {},
@@ -326,6 +346,15 @@
     metrics_.gauge("machines_lent", leader_ ? static_cast<double>(leader_->lent()) : 0);
     metrics_.gauge("live_jobs", static_cast<double>(live.size()));
     for (auto& [what, n] : state_.changes()) metrics_.gauge("state_changes_" + what, n);
+    for (auto& [rank, name] : queue_names) {
+        auto& q = state_.queue_counts(rank);
+        auto of = std::string("queue_") + name;
+        metrics_.gauge(of + "_sent", q.sent);
+        metrics_.gauge(of + "_refused", q.refused);
+        metrics_.gauge(of + "_waited_s", q.waited_s);
+        metrics_.gauge(of + "_longest_wait_s", q.longest_wait_s);
+    }
+    metrics_.gauge("submissions_put_off", users_.admission().refused());
     metrics_.gauge("state_rejections", static_cast<double>(state_.rejections()));
     return metrics_.text();
 }
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -52,6 +52,7 @@
     void on_lease_lost();
     void ping_peers();
     void check_state();
+    void log_queues();
     void heard_ping(wire::PeerPing ping);
     wire::PeerPing own_ping(bool brief);
     bool fresh(const PeerState& p) const;
@@ -98,6 +99,7 @@
     std::uint64_t pings_ = 0;
     relay::HeartbeatTracker heard_;
     double worse_since_ = -1;  // that this one can't serve users, though others may
+    double queues_logged_ = -1, refused_logged_ = 0;
     bool state_seen_ = false;
 };
 
--- a/src/loop/bucket.hpp
+++ b/src/loop/bucket.hpp
@@ -20,6 +20,11 @@
         fill(now);
         return std::max(0.0, (std::min(n, burst_) - level_) / rate_);
     }
+    // Until `n` could be taken, also where that is more than the burst: by one after the other.
+    double time_for(double now, double n) {
+        fill(now);
+        return std::max(0.0, (n - level_) / rate_);
+    }
     void set_rate(double rate, double burst) {
         rate_ = rate;
         burst_ = burst;
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -16,10 +16,15 @@
 constexpr double budget_use = 0.9;
 // Calls that can't go out in time are refused, so that a queue can't grow without bound.
 constexpr double queue_report_periods = 1.0;
+// What a user waits for may spend this part of the user's patience in the queue; the rest is for the answer.
+constexpr double queue_patience = 0.5;
+constexpr double leader_requests = 0.5, leader_changes = 0.6;  // the leader's parts
+constexpr double short_part = 0.5;
+constexpr double look_part = 0.5;  // of the requests, for single reads that answer questions
 }  // namespace
 
 Client::Client(loop::Timers& timers, http::Requester& http, const config::Settings& s)
-    : timers_(timers), http_(http), settings_(s), requests_(1, 1), writes_(1, 1), limits_(s) {
+    : timers_(timers), http_(http), settings_(s), requests_(1, 1), writes_(1, 1), looks_(1, 1), limits_(s) {
     set_leading(false);
 }
 
@@ -40,9 +45,13 @@
 }
 
 void Client::set_leading(bool leading) {
-    double share = settings_.nodes <= 1 ? 1.0 : leading ? 0.5 : 0.5 / (settings_.nodes - 1);
-    double requests = settings_.state_rps * share * budget_use;
-    double writes = settings_.state_write_rps * share * budget_use;
+    auto part = [&](double leaders) {
+        return settings_.nodes <= 1 ? 1.0 : leading ? leaders : (1 - leaders) / (settings_.nodes - 1);
+    };
+    double requests = settings_.state_rps * part(leader_requests) * budget_use;
+    double writes = settings_.state_write_rps * part(leader_changes) * budget_use;
+    looks_.set_rate(requests * look_part, std::max(1.0, requests * look_part));
+    changes_per_s_ = writes;
     requests_.set_rate(requests, std::max(1.0, requests));
     writes_.set_rate(writes, std::max(1.0, writes));
 }
@@ -51,32 +60,66 @@
     return settings_.report_s / 2;
 }
 
+bool Client::short_of_changes() {
+    return !writes_.has(timers_.now(), std::max(1.0, changes_per_s_ * short_part));
+}
+double Client::patience(Rank rank) const {
+    double own = settings_.report_s * queue_report_periods;
+    if (rank == Rank::user || rank == Rank::accept)
+        return std::min(own, submission_patience_s * queue_patience);
+    if (rank == Rank::read) return std::min(own, look_patience_s * queue_patience);
+    return own;
+}
+// An acceptance behind more changes than can be sent in time. Kept in the queue until then, it was refused
+// when its user had just given up, and asked for again: time-outs instead of refusals, and no end of them.
+bool Client::hopeless(Rank rank, const Call& call) {
+    if (rank != Rank::accept) return false;
+    double ahead = call.writes;
+    for (auto r : {Rank::user, Rank::accept})
+        for (auto& c : queues_[static_cast<std::size_t>(r)]) ahead += c.writes;
+    return writes_.time_for(timers_.now(), ahead) > patience(rank);
+}
+void Client::refuse(Rank rank, http::Result result) {
+    ++counts_[static_cast<std::size_t>(rank)].refused;
+    // Was never sent. Told later, since this may run inside somebody else's call.
+    timers_.after(0, [result = std::move(result)] { result(http::Response{429, "{}"}); });
+}
+
 void Client::submit(Rank rank, Call call) {
-    call.deadline = timers_.now() + settings_.report_s * queue_report_periods;
+    call.queued = timers_.now();
+    call.deadline = call.queued + patience(rank);
     if (rank == Rank::lease) return send(std::move(call));
+    if (hopeless(rank, call)) return refuse(rank, std::move(call.result));
     queues_[static_cast<std::size_t>(rank)].push_back(std::move(call));
     pump();
 }
 
 void Client::pump() {
     double now = timers_.now(), wait = -1;
-    for (auto& q : queues_) {
+    for (std::size_t rank = 0; rank < ranks; ++rank) {
+        auto& q = queues_[rank];
+        auto& counts = counts_[rank];
         while (!q.empty()) {
             auto& c = q.front();
             if (c.deadline < now) {
                 auto result = std::move(c.result);
                 q.pop_front();
-                // Was never sent. Told later, since this may run inside somebody else's call.
-                timers_.after(0, [result = std::move(result)] { result(http::Response{429, "{}"}); });
+                refuse(static_cast<Rank>(rank), std::move(result));
                 continue;
             }
-            if (!requests_.has(now) || !writes_.has(now, c.writes)) {
+            bool look = static_cast<Rank>(rank) == Rank::read;
+            if (!requests_.has(now) || !writes_.has(now, c.writes) || (look && !looks_.has(now))) {
                 double w = std::max(requests_.wait(now), writes_.wait(now, c.writes));
+                if (look) w = std::max(w, looks_.wait(now));
                 wait = wait < 0 ? w : std::min(wait, w);
                 break;
             }
+            if (look) looks_.take(now);
             auto call = std::move(c);
             q.pop_front();
+            ++counts.sent;
+            counts.waited_s += now - call.queued;
+            counts.longest_wait_s = std::max(counts.longest_wait_s, now - call.queued);
             send(std::move(call));
         }
     }
--- a/src/state/client.hpp
+++ b/src/state/client.hpp
@@ -13,8 +13,19 @@
 
 namespace coralhitch::state {
 
-// Who goes first when the budget is short. Lease calls never wait; then what a user waits for is stored.
-enum class Rank { lease, user, write, read, background };
+// Who goes first when the budget is short. Lease calls never wait; then come cancellations (user),
+// acceptances, the leader's own writes, and what is only read.
+enum class Rank { lease, user, accept, write, read, background };
+inline constexpr std::size_t ranks = 6;
+
+// How long users wait for an answer (seconds): to a submission or cancellation, and to a question.
+inline constexpr double submission_patience_s = 5, look_patience_s = 2;
+
+// What became of the calls of one rank in this controller's own queue.
+struct QueueCounts {
+    double sent = 0, refused = 0;             // refused: never sent, nobody would have waited for the answer
+    double waited_s = 0, longest_wait_s = 0;  // of those sent: in all, and the longest
+};
 
 struct Found {
     bool ok = false;  // false: not answered; nothing is known
@@ -78,8 +89,13 @@
     void renew_lease(std::uint64_t id, double timeout_s, std::function<void(LeaseAnswer)> done);
     void end_lease(std::uint64_t id, std::function<void(bool)> done);
 
-    // The leader writes most: it gets half of the budget, the others share the rest.
+    // The leader writes most: it gets half of the requests and three fifths of the changes, the others share
+    // the rest.
     void set_leading(bool leading);
+    // Whether less than half of the changes allowed at once are left: a change that would only fail on a
+    // condition is then worth a read before.
+    bool short_of_changes();
+    const QueueCounts& queue_counts(Rank rank) const { return counts_[static_cast<std::size_t>(rank)]; }
     const Limits& limits() const { return limits_; }
     // Changes sent so far, by what they are for (the first part of the key), and how many calls were refused
     // with 400.
@@ -93,7 +109,11 @@
         http::Request request;
         double timeout = 0, deadline = 0, writes = 0;
         http::Result result;
+        double queued = 0;  // steady time
     };
+    double patience(Rank rank) const;
+    bool hopeless(Rank rank, const Call& call);
+    void refuse(Rank rank, http::Result result);
     void submit(Rank rank, Call call);
     void send(Call call);
     void pump();
@@ -105,7 +125,10 @@
     http::Requester& http_;
     const config::Settings& settings_;
     loop::Bucket requests_, writes_;
-    std::array<std::deque<Call>, 5> queues_;
+    loop::Bucket looks_;  // what single reads for users' questions may take of the requests
+    std::array<std::deque<Call>, ranks> queues_;
+    std::array<QueueCounts, ranks> counts_;
+    double changes_per_s_ = 0;
     Limits limits_;
     std::map<std::string, double> changes_;
     std::uint64_t rejections_ = 0;
--- a/tests/fake_state.hpp
+++ b/tests/fake_state.hpp
@@ -4,6 +4,7 @@
 #include <functional>
 #include <map>
 #include <nlohmann/json.hpp>
+#include <vector>
 
 #include "fake_timers.hpp"
 #include "http/message.hpp"
@@ -20,6 +21,8 @@
     std::map<std::string, std::pair<nlohmann::json, std::uint64_t>> kv;
     std::uint64_t revision = 4;
     int changes = 0;
+    std::function<double()> latency = [] { return 0.01; };  // from the execution to the answer, seconds
+    std::map<std::string, int> asked;                       // requests by kind: kv, list, watch, txn
     // What goes to other addresses than the state service's, if the test answers that.
     std::function<void(const std::string& addr, const http::Request&, double timeout, http::Result)> others;
     std::size_t value_bytes = 16 * 1024, txn_ops = 24;  // what is refused beyond, with 400
@@ -35,11 +38,32 @@
         if (fate == Fate::answered || fate == Fate::lost_after) answer = execute(r);
         if (fate == Fate::late) timers_.after(timeout * 1.4, [this, r] { execute(r); });
         if (fate != Fate::answered) answer = std::nullopt;
-        timers_.after(answer ? 0.01 : timeout, [answer, result] { result(answer); });
+        timers_.after(answer ? latency() : timeout, [answer, result] { result(answer); });
     }
 
   private:
+    http::Response watch(const std::string& target) {
+        auto prefix = target.substr(target.find("starts=") + 7);
+        prefix.erase(std::min(prefix.size(), prefix.find('&')));
+        auto since = std::stoull(target.substr(target.find("since=") + 6));
+        nlohmann::json news = nlohmann::json::array();
+        for (auto& [key, event] : history_)
+            if (key.starts_with(prefix) && event["stamp"].get<std::uint64_t>() > since) news.push_back(event);
+        return {200, nlohmann::json{{"epoch", revision}, {"news", news}}.dump()};
+    }
+    http::Response list(const std::string& target) {
+        auto prefix = target.substr(target.find("starts=") + 7);
+        prefix.erase(std::min(prefix.size(), prefix.find('&')));
+        nlohmann::json entries = nlohmann::json::array();
+        for (auto& [key, v] : kv)
+            if (key.starts_with(prefix))
+                entries.push_back({{"path", key}, {"value", v.first}, {"stamp", v.second}});
+        return {200, nlohmann::json{{"entries", entries}, {"more", false}, {"epoch", revision}}.dump()};
+    }
     http::Response execute(const http::Request& r) {
+        if (r.target.starts_with("/watch")) return ++asked["watch"], watch(r.target);
+        if (r.target.starts_with("/kv?")) return ++asked["list"], list(r.target);
+        ++asked[r.target == "/txn" ? "txn" : "kv"];
         if (r.target.starts_with("/kv/")) {
             auto it = kv.find(r.target.substr(4));
             if (it == kv.end()) return {404, nlohmann::json{{"epoch", revision}}.dump()};
@@ -64,10 +88,13 @@
                 kv[c["put"]] = {c["value"], revision};
             else
                 kv.erase(c["drop"].get<std::string>());
+            c["stamp"] = revision;
+            history_.emplace_back((c.contains("put") ? c["put"] : c["drop"]).get<std::string>(), c);
         }
         return {200, nlohmann::json{{"epoch", revision}}.dump()};
     }
     FakeTimers& timers_;
+    std::vector<std::pair<std::string, nlohmann::json>> history_;  // changes, by key
 };
 
 }  // namespace coralhitch
--- /dev/null
+++ b/tests/users_test.cpp
@@ -0,0 +1,326 @@
+// The users' interface at several controllers that share one state service.
+#include "api/users.hpp"
+
+#include <gtest/gtest.h>
+
+#include <nlohmann/json.hpp>
+#include <random>
+
+#include "fake_state.hpp"
+#include "fake_timers.hpp"
+#include "state/keys.hpp"
+
+namespace coralhitch::api {
+namespace {
+using nlohmann::json;
+namespace keys = state::keys;
+
+struct Cluster : ClusterQueries {
+    std::vector<wire::MachineType> kinds{wire::parse_types(
+        R"({"hulls":[{"name":"g8","vcpus":96,"cards":8,"ram_gb":768,"cache_gb":200,"fetch_gb_per_s":1,)"
+        R"("hourly":12,"spot_price":4,"startup_s":45,"reefs":["a"]}]})")};
+    std::vector<std::string> told_cancelled;
+    const std::vector<wire::MachineType>& types() const override { return kinds; }
+    void counts(const std::string&, std::function<void(std::optional<TaskCounts>)> done) override {
+        done(TaskCounts{});
+    }
+    void cancelled(const std::string& id, std::uint64_t) override { told_cancelled.push_back(id); }
+};
+
+std::string spec(const std::string& id, const std::string& team = "t1") {
+    return json{{"id", id},         {"cohort", "c"},     {"crew", team},     {"shape", "batch"},
+                {"rank", "high"},   {"shards", 1},       {"vcpus", 1.0},     {"cards", 0.0},
+                {"ram_gb", 1.0},    {"payload", "i"},    {"image_gb", 1.0},  {"hulls", nullptr},
+                {"reef", nullptr},  {"together", false}, {"scatter", false}, {"driftwood", true},
+                {"reckon_s", 20.0}, {"anchor_s", 0.0},   {"stow_s", 0.0},    {"tide_s", nullptr}}
+        .dump();
+}
+
+// An answer with the times between which it was asked and told.
+struct Answer {
+    double sent = 0, told = 0;
+    int status = 0;
+    std::string state;
+    double retry_after_s = 0;
+    bool shed() const { return status == 503 || status == 429; }
+};
+
+struct Site {
+    FakeTimers timers;
+    FakeState service{timers};
+    config::Settings settings = [] {
+        config::Settings s;
+        s.nodes = 3;
+        s.report_s = 5;
+        s.lease_s = 31;
+        s.state_rps = 250;
+        s.state_write_rps = 50;
+        s.value_kb = s.safe_value_kb = 16;
+        s.txn_ops = 24;
+        s.memory_mb = 100;
+        s.teams = {{"t1"}, {"t2"}};
+        return s;
+    }();
+    Cluster cluster;
+    struct Node {
+        state::Client client;
+        Users users;
+        explicit Node(Site& s)
+            : client(s.timers, s.service, s.settings), users(s.timers, client, s.settings, s.cluster) {}
+    };
+    std::vector<std::unique_ptr<Node>> nodes;
+    std::vector<std::unique_ptr<Answer>> answers;
+
+    Site() {
+        for (int k = 0; k < 3; ++k) nodes.push_back(std::make_unique<Node>(*this));
+    }
+    Users& at(std::size_t node) { return nodes[node]->users; }
+    http::Reply note(Answer*& kept) {
+        answers.push_back(std::make_unique<Answer>());
+        auto* a = kept = answers.back().get();
+        a->sent = timers.now();
+        return [this, a](http::Response r) {
+            auto body = json::parse(r.body);
+            *a = {a->sent, timers.now(), r.status, body.value("status", ""), r.retry_after_s};
+        };
+    }
+    Answer* submit(std::size_t node, const std::string& id, const std::string& team = "t1") {
+        Answer* a;
+        auto reply = note(a);
+        at(node).submit(spec(id, team), std::move(reply));
+        return a;
+    }
+    Answer* query(std::size_t node, const std::string& id) {
+        Answer* a;
+        auto reply = note(a);
+        at(node).query(id, std::move(reply));
+        return a;
+    }
+    Answer* cancel(std::size_t node, const std::string& id) {
+        Answer* a;
+        auto reply = note(a);
+        at(node).cancel(id, std::move(reply));
+        return a;
+    }
+    // As the leader stores it: only if the record is as it was read.
+    void store_end(const std::string& id) {
+        auto it = service.kv.find(keys::job(id));
+        if (it == service.kv.end()) return;
+        bool cancelled = it->second.first.dump().find("\"cancelled\":true") != std::string::npos;
+        wire::Txn t;
+        t.conditions = {{keys::job(id), it->second.second}};
+        t.changes = {
+            {keys::final(id),
+             wire::stored(wire::FinalRecord{cancelled ? wire::JobState::cancelled : wire::JobState::done, 1}),
+             0},
+            {keys::job(id), std::nullopt, 0}};
+        service.send("", {"POST", "/txn", wire::txn_request(t)}, 1, [](auto) {});
+    }
+};
+
+// How far along a job is. Done and withdrawn are both the last state: never one after the other.
+int rank(const Answer& a) {
+    if (a.status == 404) return 0;
+    return a.state == "pending" || a.state == "running" ? 1 : 2;
+}
+void expect_no_older_answer(const Site& s, const std::string& when) {
+    for (auto& a : s.answers)
+        for (auto& b : s.answers) {
+            if (a->status == 0 || b->status == 0 || a->shed() || b->shed() || b->sent <= a->told) continue;
+            EXPECT_GE(rank(*b), rank(*a)) << when << ": " << a->state << " told at " << a->told << ", "
+                                          << b->state << b->status << " for a question of " << b->sent;
+            if (rank(*a) == 2) EXPECT_EQ(a->state, b->state) << when;
+        }
+}
+
+// Everybody asks everywhere each few milliseconds, and repeats the submission, while the job is accepted,
+// called off at two controllers at once, and ends.
+TEST(Users, NoCloseLookIsAnsweredWithSomethingOlder) {
+    for (double end_ms : {-8.0, -4.0, -1.0, 0.0, 1.0, 3.0, 6.0, 12.0, 25.0, 400.0}) {
+        Site s;
+        constexpr double accepted = 1, called_off = 1.7;
+        bool ended = false;
+        // Executed at once and answered later: an answer under way may be older than others already told.
+        std::minstd_rand random(7);
+        s.service.latency = [&] { return std::uniform_real_distribution(0.002, 0.12)(random); };
+        for (int ms = 900; ms < 3500; ms += 3) {
+            double now = ms / 1000.0;
+            s.timers.run_until(now);
+            if (ms >= accepted * 1000 && ms % 60 == 0)
+                for (std::size_t n : {0, 1, 2}) s.submit(n, "j-000001");
+            if (ms >= called_off * 1000 && ms < called_off * 1000 + 3)
+                for (std::size_t n : {0, 2}) s.cancel(n, "j-000001");
+            if (!std::exchange(ended, ended || now >= called_off + end_ms / 1000) &&
+                now >= called_off + end_ms / 1000)
+                s.store_end("j-000001");
+            if (ms % 2 == 0 || ms % 5 == 0)
+                for (std::size_t n : {0, 1, 2}) s.query(n, "j-000001");
+        }
+        s.timers.run_until(12);
+        auto when = "end " + std::to_string(end_ms) + " ms after it was called off";
+        expect_no_older_answer(s, when);
+        for (auto& a : s.answers) EXPECT_NE(a->status, 0) << when;
+        std::map<std::string, int> last;
+        for (auto& a : s.answers) ++last[a->state];
+        EXPECT_EQ((last["done"] > 0) + (last["withdrawn"] > 0), 1) << when;
+        EXPECT_GT(last["pending"], 100) << when;
+    }
+}
+
+// The transaction is carried out at once and only its answer is lost; others read what it wrote.
+TEST(Users, AnAcceptanceWhoseAnswerIsLostIsOneAcceptance) {
+    for (bool cancelled_meanwhile : {false, true}) {
+        Site s;
+        s.service.fates = {FakeState::Fate::lost_after};
+        auto* first = s.submit(0, "j-000001");
+        s.timers.run_until(0.1);
+        auto* read = s.query(1, "j-000001");
+        auto* retry = s.submit(1, "j-000001");
+        auto* same = s.submit(0, "j-000001");
+        s.timers.run_until(1);
+        if (cancelled_meanwhile) s.cancel(2, "j-000001");
+        s.timers.run_until(10);
+        auto* again = s.submit(0, "j-000001");
+        s.timers.run_until(12);
+        std::string now = cancelled_meanwhile ? "withdrawn" : "pending";
+        EXPECT_EQ(read->state, "pending");
+        EXPECT_EQ(retry->state, "pending");
+        for (auto* a : {first, same, again}) {
+            EXPECT_EQ(a->status, 200);
+            EXPECT_EQ(a->state, now);
+        }
+        EXPECT_EQ(s.service.changes, cancelled_meanwhile ? 2 : 1);
+    }
+}
+TEST(Users, ACancellationWhoseAnswerIsLostIsRecognisedAndTold) {
+    Site s;
+    s.submit(0, "j-000001");
+    s.timers.run_until(1);
+    s.service.fates = {FakeState::Fate::lost_after};
+    auto* first = s.cancel(0, "j-000001");
+    s.timers.run_until(1.1);
+    auto* repeated = s.cancel(0, "j-000001");
+    auto* elsewhere = s.cancel(1, "j-000001");
+    s.timers.run_until(10);
+    for (auto* a : {first, repeated, elsewhere}) {
+        EXPECT_EQ(a->status, 200);
+        EXPECT_EQ(a->state, "withdrawn");
+    }
+    EXPECT_EQ(s.service.changes, 2);
+    EXPECT_EQ(s.cluster.told_cancelled, std::vector<std::string>{"j-000001"});
+}
+
+// Ends are read together, and no final state twice at one controller.
+TEST(Users, LooksShareReadsAndFinalStatesAreReadOnce) {
+    Site s;
+    constexpr int jobs = 60;
+    auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
+    for (int k = 0; k < jobs; ++k) {
+        s.submit(0, id(k));
+        s.timers.run_until(1 + k * 0.2);
+    }
+    s.query(0, id(0));
+    s.timers.run_until(20);
+    for (int k = 0; k < jobs; ++k) s.store_end(id(k));
+    s.timers.run_until(21);
+    s.service.asked.clear();
+    std::vector<Answer*> told;
+    for (int round = 0; round < 20; ++round)
+        for (int k = 0; k < jobs; ++k) told.push_back(s.query(0, id(k)));
+    s.timers.run_until(22);
+    for (auto* a : told) EXPECT_EQ(a->state, "done");
+    EXPECT_EQ(s.service.asked["kv"], 0);
+    // For the first question, for all others with the next one, and for all ends.
+    EXPECT_LE(s.service.asked["watch"], 3);
+    s.service.asked.clear();
+    for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
+    s.timers.run_until(24);
+    EXPECT_EQ(s.service.asked["kv"] + s.service.asked["watch"] + s.service.asked["txn"], 0);
+}
+
+// A repetition of what is known takes nothing from the changes that submissions wait for.
+TEST(Users, RepeatedSubmissionsAndCancellationsCostNoChange) {
+    Site s;
+    s.submit(0, "j-000001");
+    for (int k = 0; k < 5; ++k) s.submit(0, "j-000001");
+    s.timers.run_until(2);
+    s.query(0, "j-000001");
+    s.timers.run_until(3);
+    s.service.asked.clear();
+    for (int k = 0; k < 200; ++k) s.submit(0, "j-000001");
+    s.timers.run_until(5);
+    EXPECT_EQ(s.service.asked["txn"], 0);
+    for (int k = 0; k < 100; ++k) s.cancel(0, "j-000001");
+    s.timers.run_until(8);
+    EXPECT_EQ(s.service.asked["txn"], 1);
+    for (auto& a : s.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
+}
+
+// What becomes of a stream of submissions at one controller after its reserve is used up: `factor` times what
+// the state service can store, with one of another team among each twenty.
+struct Stream {
+    double accepted = 0;  // of what can be stored
+    double slowest = 0;   // answer in seconds
+    int shed = 0, small_asked = 0, small_accepted = 0;
+    explicit Stream(double factor) {
+        Site s;
+        auto& set = s.settings;
+        double capacity = set.state_write_rps * 0.9 / Admission::changes_per_job / set.nodes;
+        constexpr double begin = 61, end = 121;
+        int n = 0;
+        for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
+            s.timers.run_until(t);
+            bool small = t >= begin && ++n % 20 == 0;
+            s.submit(0, "j-" + std::to_string(100000 + s.answers.size()), small ? "t2" : "t1");
+            if (!small) continue;
+            ++small_asked;
+            auto* a = s.answers.back().get();
+            s.timers.run_until(t + 0.5 / (capacity * factor));
+            small_accepted_.push_back(a);
+        }
+        s.timers.run_until(end + 10);
+        for (auto& a : s.answers) {
+            if (a->sent < begin) continue;
+            EXPECT_NE(a->status, 0);
+            slowest = std::max(slowest, a->told - a->sent);
+            shed += a->shed();
+            if (a->shed()) EXPECT_GE(a->retry_after_s, 1);
+            accepted += (a->status == 201) / ((end - begin) * capacity);
+        }
+        for (auto* a : small_accepted_) small_accepted += a->status == 201;
+    }
+
+  private:
+    std::vector<Answer*> small_accepted_;
+};
+TEST(Users, OverloadIsShedAtOnceAndFairlyBetweenTeams) {
+    Stream once(1), five(5);
+    EXPECT_GE(once.accepted, 0.9);
+    EXPECT_GE(five.accepted, 0.9 * once.accepted);
+    EXPECT_LE(five.accepted, 1.1);
+    for (auto* stream : {&once, &five}) EXPECT_LE(stream->slowest, 1);
+    EXPECT_GT(five.shed, 0);
+    EXPECT_GE(five.small_accepted, five.small_asked * 0.9) << "of the team that asks for little";
+}
+// Cancellations go before acceptances, which wait for the changes that are left.
+TEST(Users, CancellationsAreNotHeldUpBySubmissions) {
+    Site s;
+    auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
+    for (int k = 0; k < 10; ++k) s.submit(0, id(k));
+    s.timers.run_until(5);
+    for (int k = 100; k < 300; ++k) s.submit(0, id(k));
+    std::vector<Answer*> cancelled;
+    for (int k = 0; k < 5; ++k) cancelled.push_back(s.cancel(0, id(k)));
+    s.timers.run_until(15);
+    for (auto* a : cancelled) {
+        EXPECT_EQ(a->state, "withdrawn");
+        EXPECT_LE(a->told - a->sent, 1);
+    }
+    for (auto& a : s.answers) {
+        EXPECT_NE(a->status, 0);
+        EXPECT_LE(a->told - a->sent, state::submission_patience_s);
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::api
