--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -130,7 +130,9 @@
             if (a->status == 0 || b->status == 0 || a->shed() || b->shed() || b->sent <= a->told) continue;
             EXPECT_GE(rank(*b), rank(*a)) << when << ": " << a->state << " told at " << a->told << ", "
                                           << b->state << b->status << " for a question of " << b->sent;
-            if (rank(*a) == 2) EXPECT_EQ(a->state, b->state) << when;
+            if (rank(*a) == 2) {
+                EXPECT_EQ(a->state, b->state) << when;
+            }
         }
 }
 
@@ -303,7 +305,9 @@
             EXPECT_NE(a->status, 0);
             slowest = std::max(slowest, a->told - a->sent);
             shed += a->shed();
-            if (a->shed()) EXPECT_GE(a->retry_after_s, 1);
+            if (a->shed()) {
+                EXPECT_GE(a->retry_after_s, 1);
+            }
             accepted += (a->status == 201) / ((end - begin) * capacity);
         }
         for (auto* a : small_accepted_) small_accepted += a->status == 201;
