--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -147,7 +147,7 @@
     void crash(std::size_t node, double back_after);
     void cut(const std::string& a, const std::string& b, double for_s, bool hold);
     void cut_one_way(const std::string& from, const std::string& to, double for_s, bool hold = false) {
-        cuts_.push_back({from, to, now_ + for_s, hold, true});
+        cuts_.push_back({host(from), host(to), now_ + for_s, hold, true});
     }
     // Until then some messages come once more, up to so many seconds later; nobody waits for the answer.
     void copy_messages(double for_s, double late_s) {
