--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -16,12 +16,15 @@
     // Changes over a job's whole life with one task: accepted, its final record, its live record removed.
     static constexpr double changes_per_job = 3;
     // Accepted at once after a quiet time, in worker leases at the lasting rate.
-    static constexpr double burst_leases = 0.5;
+    static constexpr double burst_leases = 1;
 
     explicit Admission(const config::Settings& settings);
-    // Takes a place for a job of this team, if there is one. Each team has an equal part for itself; beyond
-    // it, any team may take what the others leave while more than half of the burst is there.
+    // Takes a place for a job of this team, if there is one. Each team has an equal part for itself. Beyond
+    // it, a team may take what there is if no other asked within a worker's lease, otherwise only while more
+    // than half of the burst is there.
     bool admit(const std::string& team, double now);
+    // Whether it would; takes nothing.
+    bool has_place(const std::string& team, double now);
     // The job was not accepted after all, and causes no changes.
     void give_back(const std::string& team, double now);
     // Seconds after which the team may try again.
@@ -29,11 +32,17 @@
     double refused() const { return refused_; }  // so far
 
   private:
-    loop::Bucket& part_of(const std::string& team);
+    static constexpr double never = -1e9;
+    struct Part {
+        loop::Bucket places;
+        double asked_at;  // seconds of the injected clock
+    };
+    Part& part_of(const std::string& team);
+    double left_to_others(const std::string& team, double now) const;
     double rate_, burst_;  // jobs a second, jobs
-    double teams_;
+    double teams_, active_s_;
     loop::Bucket all_;
-    std::map<std::string, loop::Bucket> parts_;
+    std::map<std::string, Part> parts_;
     double refused_ = 0;
 };
 
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -316,6 +316,25 @@
   private:
     std::vector<Answer*> small_accepted_;
 };
+// The jobs of a day's beginning come all at once, from one team: half of the reserve kept for teams that ask
+// for nothing put them off.
+TEST(Admission, ATeamAloneMayUseTheWholeReserveAndLeavesHalfToOthers) {
+    auto settings = Site().settings;
+    settings.teams = {{"t1", 0, 0, 0, 0}, {"t2", 0, 0, 0, 0}};
+    double rate = settings.state_write_rps * 0.9 / Admission::changes_per_job / settings.nodes;
+    auto reserve = static_cast<int>(rate * settings.lease_s * Admission::burst_leases);
+    for (bool other : {false, true}) {
+        Admission admission(settings);
+        if (other) {
+            EXPECT_TRUE(admission.admit("t2", 0.5));
+        }
+        int admitted = 0;
+        while (admission.admit("t1", 1) && admitted < 10 * reserve) ++admitted;
+        EXPECT_GE(admitted, (other ? 0.4 : 0.95) * reserve);
+        EXPECT_LE(admitted, (other ? 0.8 : 1.05) * reserve);
+        EXPECT_TRUE(!other || admission.admit("t2", 1));
+    }
+}
 TEST(Users, OverloadIsShedAtOnceAndFairlyBetweenTeams) {
     Stream once(1), five(5);
     EXPECT_GE(once.accepted, 0.9);
