--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -154,7 +154,10 @@
     // jobs
     void store_soon();
     void store_progress();
-    void finish(const std::string& id, jobs::Entry& e, wire::JobState state);
+    void store_ends(const std::vector<std::string>& ids, wire::JobState state);
+    void finish(const std::vector<std::string>& ids, wire::JobState state, state::Rank rank);
+    void end_answered(const std::vector<std::string>& ids, wire::JobState state, const state::Committed& c);
+    void read_live(const std::string& id);
     void store_blocks(const std::string& id, jobs::Entry& e);
     void ended(const std::string& id, std::uint64_t revision, wire::JobState state);
     void read_end(const std::string& id);
@@ -211,6 +214,9 @@
     std::set<std::string> reading_ends_, absent_ends_;  // of awaited jobs
     bool dropping_ = false, listing_ = false, auditing_ = false;
     int removing_ = 0;
+    int ends_under_way_ = 0,
+        tidying_ = 0;         // transactions that store ends, of jobs that are done and of others
+    bool ends_left_ = false;  // some wait for one of these
     bool planning_ = false, plan_wanted_ = false, store_wanted_ = false;
     double plan_took_ = 0;
     fleet::TeamActivity team_activity_;
--- a/src/daemon/leader_jobs.cpp
+++ b/src/daemon/leader_jobs.cpp
@@ -1,6 +1,8 @@
 // What the leader stores about jobs: progress, and that they are over.
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+
 #include "daemon/leader.hpp"
 #include "state/keys.hpp"
 
@@ -13,6 +15,10 @@
 namespace {
 constexpr double store_reports = 1.0 / 60;
 constexpr double audit_leases = 4;
+constexpr int ends_at_once = 4;             // transactions under way: a lost answer holds up its own only
+constexpr std::size_t changes_per_end = 2;  // the final record is put, the live one dropped
+constexpr double group_s = 0.2;    // of all changes the service allows, the most one transaction takes
+constexpr double tidy_leases = 2;  // for which the end of a cancelled job may be put off
 }  // namespace
 
 // Ends come by the hundred: stored with each report, a walk over all jobs took a fifth of the processor's
@@ -27,53 +33,92 @@
 
 void Leader::store_progress() {
     if (!authority()) return;
-    bool reconciled = reconciliation_.may_place();
-    std::vector<std::pair<std::string, JobState>> over;
-    std::vector<std::string> dirty;
-    for (auto& [id, e] : table_.all()) {
-        if (e.writing || now() < e.retry_at) continue;
-        if (e.cancelled) {
-            // Its key stays until its tasks are proven gone: a later leader must know to stop them.
-            // So do those of the jobs behind it go first: what is said about them then follows from live
-            // jobs.
-            if (e.active.empty() && e.strays == 0 && reconciled && !table_.awaits().awaited(id))
-                over.emplace_back(id, JobState::cancelled);
-        } else if (e.all_done()) {
-            over.emplace_back(id, JobState::done);
-        } else if (!e.unstored.empty()) {
-            dirty.push_back(id);
+    auto due = table_.unstored(now(), reconciliation_.may_place());
+    dependencies_.metrics.gauge("ends_waiting", static_cast<double>(due.done.size()));
+    dependencies_.metrics.gauge("cancelled_to_drop", static_cast<double>(due.cancelled.size()));
+    store_ends(due.done, JobState::done);
+    for (auto& id : due.progress) store_blocks(id, *table_.find(id));
+    store_ends(due.cancelled, JobState::cancelled);
+}
+
+// An end that a user waits for costs two changes. Those that come while the last ones are under way go
+// together in the next transactions, oldest first; what waits here has no deadline, while what waits in the
+// client's queue is refused after a while and would begin anew, behind younger ones. The end of a cancelled
+// job can wait: its live record gives its users the same answer, and every version takes it for what it is.
+// It goes one transaction at a time with what no user waits for, unless that was put off for so long that the
+// table would grow.
+void Leader::store_ends(const std::vector<std::string>& ids, JobState state) {
+    bool done = state == JobState::done;
+    int at_once = done ? ends_at_once : 1;
+    auto& under_way = done ? ends_under_way_ : tidying_;
+    auto& settings = dependencies_.settings;
+    auto most = std::min(static_cast<std::size_t>(settings.state_write_rps * group_s),
+                         dependencies_.state.limits().txn_ops()) /
+                changes_per_end;
+    most = std::max<std::size_t>(1, most);
+    for (std::size_t k = 0; k < ids.size(); k += most) {
+        if (under_way >= at_once) {
+            ends_left_ = true;
+            return;
         }
+        auto last = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), k + most));
+        double waited = now() - table_.find(ids[k])->over_since;
+        bool late = waited > settings.lease_s * tidy_leases;
+        finish({ids.begin() + static_cast<std::ptrdiff_t>(k), last}, state,
+               done || late ? Rank::write : Rank::background);
     }
-    for (auto& [id, state] : over) finish(id, *table_.find(id), state);
-    for (auto& id : dirty) store_blocks(id, *table_.find(id));
 }
 
-void Leader::finish(const std::string& id, jobs::Entry& e, JobState state) {
-    e.writing = true;
+void Leader::finish(const std::vector<std::string>& ids, JobState state, Rank rank) {
     auto t = leader_txn();
-    t.conditions.push_back({keys::job(id), e.version});  // fails if it was cancelled meanwhile
-    t.changes.push_back({keys::final(id), wire::stored(wire::FinalRecord{state, e.spec->tasks}), 0});
-    t.changes.push_back({keys::job(id), std::nullopt, 0});
-    for (auto& [b, version] : e.blocks) {
-        auto key = keys::progress_of(id, b);
-        if (t.changes.size() < dependencies_.state.limits().txn_ops())
-            t.changes.push_back({key, std::nullopt, 0});
-        else
-            keys_to_drop_.insert(key);
+    for (auto& id : ids) {
+        auto& e = *table_.find(id);
+        e.writing = true;
+        t.conditions.push_back({keys::job(id), e.version});  // fails if it was cancelled meanwhile
+        t.changes.push_back({keys::final(id), wire::stored(wire::FinalRecord{state, e.spec->tasks}), 0});
+        t.changes.push_back({keys::job(id), std::nullopt, 0});
     }
-    dependencies_.state.txn(std::move(t), Rank::write, guarded([this, id, state](Committed c) {
-                                if (c.status != Committed::Status::committed) return stored_failed(id, c);
-                                if (auto* e = table_.find(id))
-                                    spdlog::debug("job {} is over after {} tasks", id, e->done_count);
-                                ended(id, c.revision, state);
+    ++(state == JobState::done ? ends_under_way_ : tidying_);
+    dependencies_.state.txn(std::move(t), rank, guarded([this, ids, state](Committed c) {
+                                --(state == JobState::done ? ends_under_way_ : tidying_);
+                                end_answered(ids, state, c);
+                                bool all = c.status == Committed::Status::committed;
+                                if (std::exchange(ends_left_, false) || !all) store_soon();
                             }));
 }
+
+// One job that was cancelled, or ended by a transaction whose answer was lost, holds up all that are in its
+// transaction: only those that failed are looked at, the others go again at once without them.
+void Leader::end_answered(const std::vector<std::string>& ids, JobState state, const Committed& c) {
+    using S = Committed::Status;
+    bool others = std::any_of(ids.begin(), ids.end(), [&](auto& id) { return c.failed_on(keys::job(id)); });
+    for (auto& id : ids) {
+        auto* e = table_.find(id);
+        if (!e) continue;
+        if (c.status == S::committed) {
+            spdlog::debug("job {} is over after {} tasks, stored {:.2f} s later", id, e->done_count,
+                          now() - e->over_since);
+            ended(id, c.revision, state);
+        } else if (c.failed_on(keys::job(id)) || c.status == S::unknown) {
+            // Cancelled by some controller, or stored by a transaction whose answer was lost: read, then
+            // decide. To write again without knowing costs the changes of the whole transaction.
+            read_live(id);
+        } else if (others) {
+            e->writing = false;
+        } else {
+            stored_failed(id, c);
+        }
+    }
+}
 // The job's end is stored. What awaited it goes on at once: a short stage must not wait for the next report.
 void Leader::ended(const std::string& id, std::uint64_t revision, JobState state) {
     bool awaited = table_.awaits().awaited(id);
     {
         std::lock_guard lock(mutex_);
         cluster_state_.stored(id);
+        // Its progress means nothing any more, and is dropped when there is time.
+        if (auto* e = table_.find(id))
+            for (auto& [block, version] : e->blocks) keys_to_drop_.insert(keys::progress_of(id, block));
         table_.erase(id, revision);
         table_.ended(id, state, dependencies_.timers.unix_time());
     }
@@ -205,13 +250,17 @@
             }
         return;
     }
-    // Cancelled by some controller, or stored by a transaction whose answer was lost: read, then decide.
-    e->writing = true;
+    read_live(id);
+}
+// What became of the live record, of which this leader does not know what it says by now.
+void Leader::read_live(const std::string& id) {
+    table_.find(id)->writing = true;
     dependencies_.state.get(keys::job(id), Rank::write, guarded([this, id](state::Found f) {
                                 std::lock_guard lock(mutex_);
                                 auto* e = table_.find(id);
                                 if (!e) return;
                                 e->writing = false;
+                                store_soon();
                                 if (!f.ok) {
                                     e->retry_at = now() + dependencies_.settings.report_s / 10;
                                 } else if (f.entry) {
--- a/src/jobs/table.cpp
+++ b/src/jobs/table.cpp
@@ -162,4 +162,28 @@
                               e.done.begin() + static_cast<std::ptrdiff_t>(last)});
 }
 
+Unstored Table::unstored(double now, bool may_drop) {
+    Unstored out;
+    for (auto& [id, e] : jobs_) {
+        // The key of a cancelled job stays until its tasks are proven gone: a later leader must know to stop
+        // them. So do those of the jobs behind it go first: what is said about them then follows from live
+        // jobs.
+        bool over = e.cancelled ? may_drop && e.active.empty() && e.strays == 0 && !awaits_.awaited(id)
+                                : e.all_done();
+        if (!over)
+            e.over_since = Entry::never;
+        else
+            e.over_since = std::min(e.over_since, now);
+        if (e.writing || now < e.retry_at) continue;
+        if (over)
+            (e.cancelled ? out.cancelled : out.done).push_back(id);
+        else if (!e.cancelled && !e.unstored.empty())
+            out.progress.push_back(id);
+    }
+    // By the age of the end, not by name: an end that was refused once keeps its place.
+    auto older = [&](auto& a, auto& b) { return jobs_.at(a).over_since < jobs_.at(b).over_since; };
+    for (auto* ids : {&out.done, &out.cancelled}) std::stable_sort(ids->begin(), ids->end(), older);
+    return out;
+}
+
 }  // namespace coralhitch::jobs
--- a/src/jobs/table.hpp
+++ b/src/jobs/table.hpp
@@ -41,9 +41,10 @@
     std::set<std::uint32_t> unstored;             // tasks done whose progress is not stored yet
     std::map<std::string, std::uint64_t> blocks;  // progress blocks at the state service, and their versions
     bool writing = false;
-    double retry_at = 0;    // storing is tried again then
-    double not_before = 0;  // pause after failures
-    int failures = 0;       // since a task of it last completed
+    double retry_at = 0;        // storing is tried again then
+    double over_since = never;  // steady time from which on its end can be stored; `never`: not yet
+    double not_before = 0;      // pause after failures
+    int failures = 0;           // since a task of it last completed
     std::set<std::string> failed_on;
 
     // A job submitted with a mistake fails wherever it runs. After some failures in a row it is tried one
@@ -66,6 +67,12 @@
     }
 };
 
+// What is to be stored about jobs, in the order in which it is: ends that users wait for, the oldest first,
+// then progress, then the ends of cancelled jobs, which change no answer.
+struct Unstored {
+    std::vector<std::string> done, progress, cancelled;
+};
+
 class Table {
   public:
     // Progress is stored in blocks, four tasks to a letter. Every version counts blocks of so many tasks by
@@ -96,6 +103,9 @@
     }
     void listing(bool under_way) { listing_ = under_way; }
     std::string block_value(const Entry& e, const std::string& block, std::size_t value_bytes) const;
+    // What can be stored now (steady seconds). `may_drop`: machines that an earlier leader knew hold no task
+    // of a cancelled job that is not in the table.
+    Unstored unstored(double now, bool may_drop);
     std::map<std::string, Entry>& all() { return jobs_; }
 
   private:
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -14,6 +14,9 @@
 namespace {
 // Other controllers may still be spending their share while leadership moves, hence a little less than all.
 constexpr double budget_use = 0.9;
+// The leader stores the end of each job, two changes, besides its part of what users ask for: with half of
+// all it ran out at ten jobs of one task a second, while the others used a third of theirs.
+constexpr double leader_share = 0.6;
 // Calls that can't go out in time are refused, so that a queue can't grow without bound.
 constexpr double queue_report_periods = 1.0;
 }  // namespace
@@ -40,7 +43,9 @@
 }
 
 void Client::set_leading(bool leading) {
-    double share = settings_.nodes <= 1 ? 1.0 : leading ? 0.5 : 0.5 / (settings_.nodes - 1);
+    double share = settings_.nodes <= 1 ? 1.0
+                   : leading            ? leader_share
+                                        : (1 - leader_share) / (settings_.nodes - 1);
     double requests = settings_.state_rps * share * budget_use;
     double writes = settings_.state_write_rps * share * budget_use;
     requests_.set_rate(requests, std::max(1.0, requests));
@@ -60,6 +65,7 @@
 
 void Client::pump() {
     double now = timers_.now(), wait = -1;
+    bool changes_wanted = false;  // by a call of a higher rank
     for (auto& q : queues_) {
         while (!q.empty()) {
             auto& c = q.front();
@@ -70,7 +76,11 @@
                 timers_.after(0, [result = std::move(result)] { result(http::Response{429, "{}"}); });
                 continue;
             }
+            // A transaction with many changes waits until there is room for all: if those of lower ranks took
+            // what gathers meanwhile, it would wait for ever.
+            if (c.writes > 0 && changes_wanted) break;
             if (!requests_.has(now) || !writes_.has(now, c.writes)) {
+                changes_wanted = changes_wanted || c.writes > 0;
                 double w = std::max(requests_.wait(now), writes_.wait(now, c.writes));
                 wait = wait < 0 ? w : std::min(wait, w);
                 break;
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -224,5 +224,47 @@
     EXPECT_THROW((void)std::stoul("from-4096"), std::invalid_argument);
 }
 
+// What is stored first: ends by their age, not by name, and the cancelled ones apart, since no user waits for
+// those.
+TEST(Table, TellsWhatIsToBeStoredByAge) {
+    Table t(16);
+    for (auto* id : {"a", "b", "c", "d", "e"}) t.put(id, 5, record({id, {}}, 2));
+    auto end = [&](const char* id, double at) {
+        t.find(id)->mark_done(0);
+        t.find(id)->mark_done(1);
+        t.unstored(at, true);
+    };
+    end("c", 10);
+    end("a", 11);
+    end("b", 12);
+    t.find("d")->mark_done(0);
+    t.cancel("e");
+    t.find("c")->retry_at = 20;  // refused once
+    struct Case {
+        const char* name;
+        double now;
+        bool may_drop;
+        std::vector<std::string> done, progress, cancelled;
+    };
+    const Case cases[] = {
+        {"the oldest waits to be tried again", 13, true, {"a", "b"}, {"d"}, {"e"}},
+        {"and keeps its place", 20, true, {"c", "a", "b"}, {"d"}, {"e"}},
+        {"machines may hold tasks of cancelled jobs", 20, false, {"c", "a", "b"}, {"d"}, {}},
+    };
+    for (auto& c : cases) {
+        SCOPED_TRACE(c.name);
+        auto got = t.unstored(c.now, c.may_drop);
+        EXPECT_EQ(got.done, c.done);
+        EXPECT_EQ(got.progress, c.progress);
+        EXPECT_EQ(got.cancelled, c.cancelled);
+    }
+    t.cancel("a");  // by its user, before its end is stored
+    auto got = t.unstored(20, true);
+    EXPECT_EQ(got.done, (std::vector<std::string>{"c", "b"}));
+    EXPECT_EQ(got.cancelled, (std::vector<std::string>{"a", "e"}));
+    t.find("b")->writing = true;
+    EXPECT_EQ(t.unstored(20, true).done, (std::vector<std::string>{"c"}));
+}
+
 }  // namespace
 }  // namespace coralhitch::jobs
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -54,7 +54,8 @@
     });
 }
 
-World::World(Options options) : options_(options), random_(options.seed) {
+World::World(Options options)
+    : options_(options), random_(options.seed), changes_left_(options.write_rps, options.write_rps) {
     for (std::size_t k = 0; k < 3; ++k) {
         Node n;
         auto& s = n.settings;
@@ -78,7 +79,7 @@
         s.op.hearing = options_.hearing;
         s.op.standby = !options_.without_standby.contains(k);
         s.state_rps = 200;
-        s.state_write_rps = 80;
+        s.state_write_rps = options_.write_rps;
         s.value_kb = options_.value_kb;
         s.safe_value_kb = std::min(options_.value_kb, options_.next_value_kb);
         s.txn_ops = std::min(options_.txn_ops, options_.next_txn_ops);
@@ -385,6 +386,11 @@
             return {400, R"({"error":"too large"})"};
     ++revision_;
     for (auto& c : j["then"]) {
+        std::string key = c.contains("put") ? c["put"] : c["drop"];
+        ++changes[key.substr(0, key.find('/'))];
+        if (auto job = jobs.find(key.substr(key.find('/') + 1));
+            job != jobs.end() && key.starts_with("final/"))
+            job->second.stored_at = now_;
         if (c.contains("put")) {
             kv_[c["put"]] = {c["value"].dump(), revision_, c.value("mooring", std::uint64_t{0})};
             history_.push_back(
@@ -429,7 +435,19 @@
     }
     if (r.target == "/txn") {
         auto j = json::parse(r.body);
-        if (double late = late_txn ? late_txn(j) : 0; late > 0)
+        // Transactions with failing conditions count, too.
+        auto wanted = static_cast<double>(j["then"].size());
+        if (!changes_left_.has(now_, wanted)) {
+            ++changes_refused;
+            return reply({429, "{}"});
+        }
+        changes_left_.take(now_, wanted);
+        double late = late_txn ? late_txn(j) : 0;
+        if (late < 0) {
+            txn(j);
+            return kv_changed();
+        }
+        if (late > 0)
             return at(now_ + late, [this, j] {
                 if (state_down_until_ > now_) return;
                 txn(j);
@@ -641,7 +659,9 @@
     it->second.status = "exited";
     it->second.cause = cause;
     it->second.saved = cause == "halted";
-    if (cause == "done") jobs[it->second.job].tasks_done.insert(task);
+    if (cause != "done") return;
+    auto& job = jobs[it->second.job];
+    if (job.tasks_done.insert(task).second) job.completed_at = now_;
 }
 // Where the rules about starts are checked.
 void World::start(Worker& w, const std::string& task, std::uint64_t attempt) {
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -10,6 +10,7 @@
 #include <set>
 
 #include "daemon/controller.hpp"
+#include "loop/bucket.hpp"
 
 namespace coralhitch::standin {
 using nlohmann::json;
@@ -91,6 +92,7 @@
     double answered_at = 0;  // a question about it, or its submission
     bool open_too_long = false;
     std::set<std::string> tasks_done;
+    double completed_at = -1, stored_at = -1;  // its last task; its final record
 };
 
 struct Options {
@@ -109,6 +111,8 @@
     std::uint32_t txn_ops = 8, next_txn_ops = 8;
     double limits_fall_at = 1e9;
     int submit_tries = 40;  // of a user, 1.5 s apart
+    // Changes a second that the state service allows; beyond them, and a second's worth more, it refuses.
+    double write_rps = 80;
 };
 
 class World {
@@ -150,7 +154,8 @@
         options_.next_txn_ops = txn_ops;
     }
     // Seconds for which a transaction stays without an answer before it is carried out, after newer ones;
-    // 0: it is answered at once. Empty: all are.
+    // 0: it is answered at once; less: it is carried out at once, and only its answer is lost. Empty: all are
+    // answered at once.
     std::function<double(const json& txn)> late_txn;
     void refuse_state(std::size_t node, double for_s) { refused_until_[addr_of(node)] = now_ + for_s; }
     void die(std::size_t k);
@@ -196,8 +201,14 @@
     std::size_t starts = 0, done_again = 0;  // done_again: of tasks that were done already
     // From then on no question about a job may stay without an answer for longer than `open_s`.
     double troubles_over = 1e9, open_s = 45;
-    std::size_t deleted = 0;                   // machines with tasks on them
-    std::map<std::string, std::size_t> reads;  // of each key at the state service
+    std::size_t deleted = 0;                     // machines with tasks on them
+    std::map<std::string, std::size_t> reads;    // of each key at the state service
+    std::map<std::string, std::size_t> changes;  // at the state service, by the first part of the key
+    std::size_t changes_refused = 0;             // calls, for too many changes a second
+    std::optional<std::string> stored(const std::string& key) const {
+        auto it = kv_.find(key);
+        return it == kv_.end() ? std::nullopt : std::optional(it->second.value);
+    }
 
   private:
     struct Event {
@@ -267,6 +278,7 @@
     std::vector<Node> nodes_;
     std::vector<Node> graveyard_;
     std::map<std::string, Item> kv_;
+    loop::Bucket changes_left_;
     std::vector<std::pair<std::uint64_t, json>> history_;
     std::map<std::uint64_t, Lease> leases_;
     std::vector<Watch> watches_;
