--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -238,7 +238,7 @@
     end("a", 11);
     end("b", 12);
     t.find("d")->mark_done(0);
-    t.cancel("e");
+    t.cancel("e", 0);
     t.find("c")->retry_at = 20;  // refused once
     struct Case {
         const char* name;
@@ -258,7 +258,7 @@
         EXPECT_EQ(got.progress, c.progress);
         EXPECT_EQ(got.cancelled, c.cancelled);
     }
-    t.cancel("a");  // by its user, before its end is stored
+    t.cancel("a", 0);  // by its user, before its end is stored
     auto got = t.unstored(20, true);
     EXPECT_EQ(got.done, (std::vector<std::string>{"c", "b"}));
     EXPECT_EQ(got.cancelled, (std::vector<std::string>{"a", "e"}));
