--- a/src/api/users.cpp
+++ b/src/api/users.cpp
@@ -217,18 +217,23 @@
     if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
     if (!accepted_before(id) && !state_.short_of_changes() && admission_.admit(s->job.team, timers_.now()))
         return store(s);
+    bool place = admission_.has_place(s->job.team, timers_.now());
+    if (place || accepted_before(id)) return answer_known_or_admit(s);
     // Who is put off learns so from the shared request alone. A read of its final record for each took most
     // of the reads that questions waited for.
     live_.confirm(id, [this, id, s](LiveJobs::Answer a) {
         if (!a.ok) return s->reply(later());
-        bool known = a.live || finals_.contains(id);
-        if (!known && !admission_.has_place(s->job.team, timers_.now())) return admit(s);
-        look_up(id, [this, id, s](Known k) {
-            if (!k.ok) return s->reply(later());
-            if (!k.unknown()) return answer_known(id, k, false, s->reply);
-            if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
-            admit(s);
-        });
+        if (a.live || finals_.contains(id)) return answer_known_or_admit(s);
+        admit(s);
+    });
+}
+void Users::answer_known_or_admit(std::shared_ptr<Submission> s) {
+    auto& id = s->job.id;
+    look_up(id, [this, id, s](Known k) {
+        if (!k.ok) return s->reply(later());
+        if (!k.unknown()) return answer_known(id, k, false, s->reply);
+        if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
+        admit(s);
     });
 }
 void Users::admit(std::shared_ptr<Submission> s) {
--- a/src/api/users.hpp
+++ b/src/api/users.hpp
@@ -80,6 +80,7 @@
     void answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
     void refuse_unless_known(const std::optional<std::string>& id, http::Response refusal, http::Reply reply);
     void accept(std::shared_ptr<Submission> s);
+    void answer_known_or_admit(std::shared_ptr<Submission> s);
     void admit(std::shared_ptr<Submission> s);
     void store(std::shared_ptr<Submission> s);
     void send_cancel(const std::string& id, http::Reply reply, int tries);
