--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -33,6 +33,36 @@
     EXPECT_NE(w.broken[0].find("ran_cancelled"), std::string::npos);
 }
 
+// A cut to one machine, named by its address, keeps away what it says and what is said to it, and nobody
+// else's.
+TEST(WorldOfTests, CutsOneMachineOff) {
+    spdlog::set_level(spdlog::level::off);
+    Options o;
+    o.machines = 12;  // 10.1.0.1 and 10.1.0.10 to 10.1.0.12
+    for (bool one_way : {false, true}) {
+        World w(o);
+        w.run_until(5);
+        auto& m = *w.workers[0];
+        auto ask = [&](const Worker& to, bool& came) {
+            w.send("10.9.0.1", to.addr, {"POST", "/inspect", "{}"}, 1,
+                   [&](std::optional<http::Response> r) { came = r.has_value(); });
+        };
+        if (one_way)
+            w.cut_one_way("10.9.", m.addr, 3);
+        else
+            w.cut("10.9.", m.addr, 3, false);
+        bool came = false, other_came = false, came_later = false;
+        ask(m, came);
+        ask(*w.workers[9], other_came);
+        w.run_until(7);
+        EXPECT_FALSE(came);
+        EXPECT_TRUE(other_came);
+        w.at(9, [&] { ask(m, came_later); });
+        w.run_until(10);
+        EXPECT_TRUE(came_later);
+    }
+}
+
 struct Broken {
     const char* rule;
     void (*breaks)(World&);  // at 30 s
@@ -45,6 +75,7 @@
     {"wrong_place (spot)", [](World& w) { w.rogue_run("j-3/1", 99, 2); }},
     {"wrong_place (scatter)", [](World& w) { w.rogue_run("j-4/9", 99, 0), w.rogue_run("j-4/8", 99, 1); }},
     {"wrong_place (together)", [](World& w) { w.rogue_run("j-5/8", 99, 0), w.rogue_run("j-5/9", 99, 1); }},
+    {"wrong_place (zone)", [](World& w) { w.rogue_run("j-5/8", 99, 1); }},
     {"too_early", [](World& w) { w.rogue_run("j-6/0", 99); }},
     {"forgotten j-1", [](World& w) { w.tamper("job/j-1", {}); }},
     {"forgotten j-1: no question was answered",
@@ -106,7 +137,7 @@
         w.submit("j-2", "batch", 9, 400, {{"crew", "tight"}});
         w.submit("j-3", "service", 1, 0, {{"driftwood", false}});
         w.submit("j-4", "service", 2, 0, {{"scatter", true}});
-        w.submit("j-5", "gang", 2, 400, {{"together", true}});
+        w.submit("j-5", "gang", 2, 400, {{"together", true}, {"reef", "a"}});
         w.submit("j-7", "service", 1, 0);
     });
     w.submit_awaiting("j-6", "batch", 1, 5, {"j-2"});
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -145,9 +145,11 @@
 
     // Faults
     void crash(std::size_t node, double back_after);
-    void cut(const std::string& a, const std::string& b, double for_s, bool hold);
+    void cut(const std::string& a, const std::string& b, double for_s, bool hold) {
+        add_cut(a, b, for_s, hold, false);
+    }
     void cut_one_way(const std::string& from, const std::string& to, double for_s, bool hold = false) {
-        cuts_.push_back({from, to, now_ + for_s, hold, true});
+        add_cut(from, to, for_s, hold, true);
     }
     // Until then some messages come once more, up to so many seconds later; nobody waits for the answer.
     void copy_messages(double for_s, double late_s) {
@@ -286,6 +288,7 @@
     Node* pick_node();
     void deliver(const std::string& from, const std::string& to, http::Request r, http::Reply reply);
     double command_delay(const std::string& to, const http::Request& r);
+    void add_cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way);
     bool is_cut(const std::string& from, const std::string& to, bool& hold, double& until) const;
     static std::string host(const std::string& addr) { return addr.substr(0, addr.find(':')); }
 
--- a/tests/simulated_cluster_checker.cpp
+++ b/tests/simulated_cluster_checker.cpp
@@ -118,6 +118,7 @@
     if (places(w, spec) == 0) return;  // refused by the worker
     int shards = spec["shards"];
     if (w.spot && !spec["driftwood"].get<bool>()) rule("wrong_place (spot) " + task);
+    if (spec.value("reef", w.zone) != w.zone) rule("wrong_place (zone) " + task);
     if (spec["scatter"].get<bool>() && per_zone[w.zone] + 1 > (shards + 1) / 2)
         rule("wrong_place (scatter) " + task);
     if (spec["together"].get<bool>())
@@ -158,6 +159,7 @@
     double limit = limit_of(team), more = static_cast<double>(needs) * spec["cards"].get<double>();
     if (limit > 0 && used_by(team) + more > limit + 1e-9) return false;
     for (auto& [zone, places] : room) {
+        if (spec.value("reef", zone) != zone) continue;
         std::size_t most = spec["scatter"].get<bool>() ? (tasks + 1) / 2 : tasks;
         auto n = std::min(places, most - std::min(most, in_zone[zone]));
         if (!spec["together"].get<bool>() || here == in_zone[zone]) all += n, best = std::max(best, n);
--- a/tests/simulated_cluster_network.cpp
+++ b/tests/simulated_cluster_network.cpp
@@ -12,14 +12,18 @@
 }
 }  // namespace
 
-void World::cut(const std::string& a, const std::string& b, double for_s, bool hold) {
-    cuts_.push_back({a, b, now_ + for_s, hold, false});
+// Ends of a cut are hosts, with or without a port, or, with a dot at the end, all hosts that begin so. A
+// machine's address with its port used to match no host at all, so that such a cut did nothing.
+void World::add_cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way) {
+    cuts_.push_back({host(a), host(b), now_ + for_s, hold, one_way});
 }
 bool World::is_cut(const std::string& a, const std::string& b, bool& hold, double& until) const {
     bool found = false;
     for (auto& c : cuts_) {
         if (c.until <= now_) continue;
-        auto match = [](const std::string& p, const std::string& h) { return h.rfind(p, 0) == 0; };
+        auto match = [](const std::string& p, const std::string& h) {
+            return p.ends_with('.') ? h.starts_with(p) : h == p;
+        };
         if (!(match(c.a, a) && match(c.b, b)) && (c.one_way || !(match(c.a, b) && match(c.b, a)))) continue;
         found = true;
         hold = c.hold;
