--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -41,6 +41,7 @@
     o.machines = 12;  // 10.1.0.1 and 10.1.0.10 to 10.1.0.12
     for (bool one_way : {false, true}) {
         World w(o);
+        w.at(1.1, [&w] { w.submit("j-9", "service", 12, 0, {{"cards", 0.0}, {"vcpus", 13.0}}); });
         w.run_until(5);
         auto& m = *w.workers[0];
         auto ask = [&](const Worker& to, bool& came) {
