--- a/src/api/users.cpp
+++ b/src/api/users.cpp
@@ -81,36 +81,39 @@
 // Live first, then final: a job moves in that direction only, in one transaction, so a job that is in neither
 // was not accepted when the reads began. With a read for each question, users who asked eight times as often
 // used up the requests that the state service allows, and half of them got no answer.
-void Users::look_up(const std::string& id, std::function<void(Known)> done, int tries) {
+void Users::look_up(const std::string& id, std::function<void(Known)> done, state::Rank rank, int tries) {
     if (auto it = finals_.find(id); it != finals_.end()) return done({true, {}, it->second});
     if (tries >= look_up_tries) return done({});
-    live_.confirm(id, [this, id, done, tries](LiveJobs::Answer a) {
-        if (a.ok && !a.live) return read_final(id, done);  // from memory, if it was told meanwhile
-        if (a.ok && !a.ends_unknown.empty()) return read_ends(id, a.ends_unknown, done, tries);
+    live_.confirm(id, [this, id, done, rank, tries](LiveJobs::Answer a) {
+        if (a.ok && !a.live) return read_final(id, done, rank);  // from memory, if it was told meanwhile
+        if (a.ok && !a.ends_unknown.empty()) return read_ends(id, a.ends_unknown, done, rank, tries);
         done({a.ok, a.live, {}});
     });
 }
 // Whether the job is cancelled hangs on how others ended, each of which is read once for all that await it.
 void Users::read_ends(const std::string& id, const std::vector<std::string>& ends,
-                      std::function<void(Known)> done, int tries) {
+                      std::function<void(Known)> done, state::Rank rank, int tries) {
     auto left = std::make_shared<std::size_t>(ends.size());
     for (auto& end : ends)
-        read_final(end, [this, id, end, done, tries, left](Known k) {
-            if (k.final) live_.ended(end, k.final->state);
-            if (--*left == 0) look_up(id, done, tries + 1);
-        });
+        read_final(
+            end,
+            [this, id, end, done, rank, tries, left](Known k) {
+                if (k.final) live_.ended(end, k.final->state);
+                if (--*left == 0) look_up(id, done, rank, tries + 1);
+            },
+            rank);
 }
 // One read for all who ask: of a long pipeline hundreds may hang on how the same job ended. A final state
 // holds for ever, so those who came while the read was under way may have it, too; that there is none is an
 // answer to those only who asked before the read.
-void Users::read_final(const std::string& id, std::function<void(Known)> done) {
+void Users::read_final(const std::string& id, std::function<void(Known)> done, state::Rank rank) {
     if (auto it = finals_.find(id); it != finals_.end()) return done({true, {}, it->second});
     auto [it, first] = reading_.try_emplace(id);
     (first ? it->second.asked : it->second.later).push_back(std::move(done));
-    if (first) send_read(id);
+    if (first) send_read(id, rank);
 }
-void Users::send_read(const std::string& id) {
-    state_.get(keys::final(id), state::Rank::read, [this, id](state::Found f) {
+void Users::send_read(const std::string& id, state::Rank rank) {
+    state_.get(keys::final(id), rank, [this, id, rank](state::Found f) {
         Known k{f.ok, {}, {}};
         if (f.entry) try {
                 k.final = wire::parse_final_record(f.entry->value);
@@ -122,7 +125,7 @@
         auto reading = std::move(reading_.extract(id).mapped());
         if (!reading.later.empty() && k.unknown()) {
             reading_[id].asked = std::move(reading.later);
-            send_read(id);
+            send_read(id, rank);
         }
         for (auto* askers : {&reading.asked, &reading.later})
             for (auto& done : *askers)
@@ -166,11 +169,14 @@
 void Users::refuse_unless_known(const std::optional<std::string>& id, http::Response refusal,
                                 http::Reply reply) {
     if (!id) return reply(std::move(refusal));
-    look_up(*id, [this, id = *id, refusal, reply](Known k) {
-        if (!k.ok) return reply(later());
-        if (k.unknown()) return reply(refusal);
-        answer_known(id, k, false, reply);
-    });
+    look_up(
+        *id,
+        [this, id = *id, refusal, reply](Known k) {
+            if (!k.ok) return reply(later());
+            if (k.unknown()) return reply(refusal);
+            answer_known(id, k, false, reply);
+        },
+        state::Rank::accept);
 }
 
 void Users::submit(const std::string& body, http::Reply reply) {
@@ -202,12 +208,15 @@
     if (s->job.awaits.size() > most)
         return refuse_unless_known(
             id, {422, wire::error_body("awaits more than " + std::to_string(most) + " jobs")}, s->reply);
-    look_up(id, [this, id, s](Known k) {
-        if (!k.ok) return s->reply(later());
-        if (!k.unknown()) return answer_known(id, k, false, s->reply);
-        if (admission_.admit(s->job.team, timers_.now())) return look_up_awaited(s);
-        s->reply(put_off(admission_.retry_after_s(s->job.team, timers_.now())));
-    });
+    look_up(
+        id,
+        [this, id, s](Known k) {
+            if (!k.ok) return s->reply(later());
+            if (!k.unknown()) return answer_known(id, k, false, s->reply);
+            if (admission_.admit(s->job.team, timers_.now())) return look_up_awaited(s);
+            s->reply(put_off(admission_.retry_after_s(s->job.team, timers_.now())));
+        },
+        state::Rank::accept);
 }
 
 // A repetition costs no change: users who looked closely repeated each submission at all controllers, and the
@@ -229,12 +238,15 @@
 }
 void Users::answer_known_or_admit(std::shared_ptr<Submission> s) {
     auto& id = s->job.id;
-    look_up(id, [this, id, s](Known k) {
-        if (!k.ok) return s->reply(later());
-        if (!k.unknown()) return answer_known(id, k, false, s->reply);
-        if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
-        admit(s);
-    });
+    look_up(
+        id,
+        [this, id, s](Known k) {
+            if (!k.ok) return s->reply(later());
+            if (!k.unknown()) return answer_known(id, k, false, s->reply);
+            if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
+            admit(s);
+        },
+        state::Rank::accept);
 }
 void Users::admit(std::shared_ptr<Submission> s) {
     if (admission_.admit(s->job.team, timers_.now())) return store(s);
@@ -250,17 +262,20 @@
     s->unfinished.clear();
     s->conditions.clear();
     for (auto& a : s->job.awaits)
-        look_up(a, [this, s, a](Known k) {
-            s->unanswered = s->unanswered || !k.ok;
-            if (k.unknown()) s->unknown = a;
-            if (k.final) s->cancelled = s->cancelled || k.final->state == JobState::cancelled;
-            if (k.live) {
-                s->cancelled = s->cancelled || k.live->cancelled;
-                s->unfinished.push_back(a);
-                s->conditions.push_back({keys::job(a), k.live->version});
-            }
-            if (--s->asked == 0) judge_awaited(s);
-        });
+        look_up(
+            a,
+            [this, s, a](Known k) {
+                s->unanswered = s->unanswered || !k.ok;
+                if (k.unknown()) s->unknown = a;
+                if (k.final) s->cancelled = s->cancelled || k.final->state == JobState::cancelled;
+                if (k.live) {
+                    s->cancelled = s->cancelled || k.live->cancelled;
+                    s->unfinished.push_back(a);
+                    s->conditions.push_back({keys::job(a), k.live->version});
+                }
+                if (--s->asked == 0) judge_awaited(s);
+            },
+            state::Rank::accept);
 }
 void Users::judge_awaited(std::shared_ptr<Submission> s) {
     if (!s->unknown.empty())
--- a/src/api/users.hpp
+++ b/src/api/users.hpp
@@ -68,13 +68,16 @@
         std::vector<std::string> unfinished;  // to be awaited
         std::vector<wire::Condition> conditions;
     };
-    void look_up(const std::string& id, std::function<void(Known)> done, int tries = 0);
+    // Reads for submissions have their rank, and wait behind no questions.
+    void look_up(const std::string& id, std::function<void(Known)> done, state::Rank rank = state::Rank::read,
+                 int tries = 0);
     void read_ends(const std::string& id, const std::vector<std::string>& ends,
-                   std::function<void(Known)> done, int tries);
+                   std::function<void(Known)> done, state::Rank rank, int tries);
     void look_up_awaited(std::shared_ptr<Submission> s);
     void judge_awaited(std::shared_ptr<Submission> s);
-    void read_final(const std::string& id, std::function<void(Known)> done);
-    void send_read(const std::string& id);
+    void read_final(const std::string& id, std::function<void(Known)> done,
+                    state::Rank rank = state::Rank::read);
+    void send_read(const std::string& id, state::Rank rank);
     void store_cancelled(const std::string& id, const wire::Entry& entry, http::Reply reply, int tries);
     void answer(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
     void answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
