--- a/scale/outside.cpp
+++ b/scale/outside.cpp
@@ -24,27 +24,6 @@
 }
 }  // namespace
 
-std::string job_body(const Job& b) {
-    json j{{"id", b.id},
-           {"cohort", b.cls},
-           {"crew", b.team},
-           {"shape", name_of(kind_names, b.kind)},
-           {"rank", name_of(priority_names, b.priority)},
-           {"shards", b.tasks},
-           {"vcpus", b.need.cpus},
-           {"cards", b.need.gpus},
-           {"ram_gb", b.need.memory_gb},
-           {"payload", b.image},
-           {"image_gb", b.image_gb},
-           {"together", b.one_zone},
-           {"scatter", b.spread},
-           {"driftwood", b.spot},
-           {"reckon_s", b.estimate_s},
-           {"anchor_s", b.checkpoint_s},
-           {"stow_s", b.save_s}};
-    if (b.deadline_s) j["tide_s"] = *b.deadline_s;
-    return j.dump();
-}
 JobStatus parse_status(std::string_view body) {
     auto j = parse(body);
     JobStatus s;
--- a/scale/outside.hpp
+++ b/scale/outside.hpp
@@ -11,7 +11,6 @@
 namespace coralhitch::scale::outside {
 
 // Users
-std::string job_body(const wire::Job& job);
 wire::JobStatus parse_status(std::string_view body);
 
 // Workers
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -197,7 +197,7 @@
     });
 }
 void Users::try_submit(const std::string& id) {
-    http::Request r{"POST", std::string(wire::paths::jobs), outside::job_body(jobs_.at(id).job)};
+    http::Request r{"POST", std::string(wire::paths::jobs), wire::submission(jobs_.at(id).job)};
     ask(std::move(r), submit_timeout_s, [this, id](std::optional<http::Response> response) {
         auto& j = jobs_.at(id);
         double now = loop_.now();
--- a/src/api/users.cpp
+++ b/src/api/users.cpp
@@ -214,7 +214,7 @@
             if (!k.ok) return s->reply(later());
             if (!k.unknown()) return answer_known(id, k, false, s->reply);
             if (admission_.admit(s->job.team, timers_.now())) return look_up_awaited(s);
-            s->reply(put_off(admission_.retry_after_s(s->job.team, timers_.now())));
+            refuse_for_now(s);
         },
         state::Rank::accept);
 }
@@ -224,10 +224,9 @@
 void Users::accept(std::shared_ptr<Submission> s) {
     auto& id = s->job.id;
     if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
-    if (!accepted_before(id) && !state_.short_of_changes() && admission_.admit(s->job.team, timers_.now()))
-        return store(s);
-    bool place = admission_.has_place(s->job.team, timers_.now());
-    if (place || accepted_before(id)) return answer_known_or_admit(s);
+    bool known = accepted_before(id), place = admission_.has_place(s->job.team, timers_.now());
+    if (!known && place && !state_.short_of_changes()) return admit(s);
+    if (known || place) return answer_known_or_admit(s);
     // Who is put off learns so from the shared request alone. A read of its final record for each took most
     // of the reads that questions waited for.
     live_.confirm(id, [this, id, s](LiveJobs::Answer a) {
@@ -250,6 +249,9 @@
 }
 void Users::admit(std::shared_ptr<Submission> s) {
     if (admission_.admit(s->job.team, timers_.now())) return store(s);
+    refuse_for_now(s);
+}
+void Users::refuse_for_now(const std::shared_ptr<Submission>& s) {
     s->reply(put_off(admission_.retry_after_s(s->job.team, timers_.now())));
 }
 
--- a/src/api/users.hpp
+++ b/src/api/users.hpp
@@ -85,6 +85,7 @@
     void accept(std::shared_ptr<Submission> s);
     void answer_known_or_admit(std::shared_ptr<Submission> s);
     void admit(std::shared_ptr<Submission> s);
+    void refuse_for_now(const std::shared_ptr<Submission>& s);
     void store(std::shared_ptr<Submission> s);
     void send_cancel(const std::string& id, http::Reply reply, int tries);
     void cancel_answered(const std::string& id, const http::Response& answer);
--- a/src/fleet/cluster_state.cpp
+++ b/src/fleet/cluster_state.cpp
@@ -404,13 +404,21 @@
     }
 }
 
-Instance& ClusterState::place(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
-                              double now) {
+namespace {
+// Takes the place of whatever was known of the task there.
+Instance& new_instance(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now) {
     auto& i = m.tasks[task];
     i = Instance{};
     i.spec = std::move(spec);
     i.attempt = attempt;
     i.placed = now;
+    return i;
+}
+}  // namespace
+
+Instance& ClusterState::place(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
+                              double now) {
+    auto& i = new_instance(m, task, std::move(spec), attempt, now);
     i.ready = m.stored;
     i.told = !hold_starts_;
     m.idle_since = now;
@@ -420,11 +428,7 @@
 }
 Instance& ClusterState::inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
                                 double now) {
-    auto& i = m.tasks[task];
-    i = Instance{};
-    i.spec = std::move(spec);
-    i.attempt = attempt;
-    i.placed = now;
+    auto& i = new_instance(m, task, std::move(spec), attempt, now);
     i.seen = true;
     i.run_token = base_ - 1;  // of any `run` that may still be on its way
     return i;
--- a/src/relay/report_relay.cpp
+++ b/src/relay/report_relay.cpp
@@ -67,12 +67,15 @@
 }
 void ReportRelay::refuse_old(double share) {
     while (!waiting_.empty() && timers_.now() - waiting_.front().since > wire::worker_patience_s * share) {
-        refusals_.note(Refusal::late);
-        ++dropped_;
-        waiting_.front().reply({503, "{}"});
+        refuse_late(waiting_.front());
         waiting_.pop_front();
     }
 }
+void ReportRelay::refuse_late(const Waiting& report) {
+    refusals_.note(Refusal::late);
+    ++dropped_;
+    report.reply({503, "{}"});
+}
 std::deque<ReportQueue::Report> ReportRelay::take_waiting() {
     refuse_old(patience_share);
     return std::exchange(waiting_, {});
@@ -132,9 +135,7 @@
         auto w = std::move(waiting_.front());
         waiting_.pop_front();
         if (t - w.since > wire::worker_patience_s * patience_share) {
-            refusals_.note(Refusal::late);
-            ++dropped_;  // nobody waits for it by the time the leader has answered
-            w.reply({503, "{}"});
+            refuse_late(w);  // nobody waits for it by the time the leader has answered
             continue;
         }
         bytes += w.body.size();
--- a/src/relay/report_relay.hpp
+++ b/src/relay/report_relay.hpp
@@ -62,6 +62,7 @@
     void interrupted();
     bool holds() const;
     void refuse_old(double share);
+    void refuse_late(const Waiting& report);
     void soon();
     void send();
     void answered(std::uint64_t number, double sent, const Leadership& to, std::deque<Waiting> batch,
--- a/src/wire/protocol.cpp
+++ b/src/wire/protocol.cpp
@@ -192,6 +192,9 @@
         if (c < '0' || c > '9') return false;
     return true;
 }
+std::string submission(const Job& job) {
+    return dumped(job_json(job));
+}
 Job parse_job(std::string_view body) {
     return job_of(parse_object(body));
 }
--- a/src/wire/protocol.hpp
+++ b/src/wire/protocol.hpp
@@ -42,6 +42,8 @@
 // Users
 inline constexpr std::size_t max_job_id = 64;
 bool valid_job_id(std::string_view id);
+// The body of a submission, as `parse_job` reads it.
+std::string submission(const Job& job);
 Job parse_job(std::string_view body);
 std::optional<std::string> job_id_of(std::string_view body);  // of a body that may be malformed otherwise
 std::string job_status(const JobStatus& s);
--- a/tests/liveness_test.cpp
+++ b/tests/liveness_test.cpp
@@ -56,6 +56,15 @@
     w.no_users(inside);
 }
 
+// Six tasks of an array that last, and six replicas, all of them running by then.
+void run_long_work(World& w) {
+    w.at(2, [&w] {
+        w.submit("j-1", "batch", 6, 400);
+        w.submit("j-2", "service", 6, 0);
+    });
+    w.run_until(25);
+}
+
 // A zone with workers and a controller is cut off for longer than `lease_s`. That controller renews their
 // leases for as long as it may, which ends early enough for a cancellation that it can't hear of, and a
 // leader outside starts nothing again before that time and a lease more are over.
@@ -77,11 +86,7 @@
     auto c = GetParam();
     Options o;
     World w(o);
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 400);
-        w.submit("j-2", "service", 6, 0);
-    });
-    w.run_until(25);
+    run_long_work(w);
     make_lead(w, inside, c.leads);
     ASSERT_EQ(on_machines(w, "j-1"), 6u);
     ASSERT_GT(on_machines(w, "j-1", "b"), 0u);
@@ -126,11 +131,7 @@
     auto c = GetParam();
     Options o;
     World w(o);
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 400);
-        w.submit("j-2", "service", 6, 0);
-    });
-    w.run_until(25);
+    run_long_work(w);
     ASSERT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2"), 12u);
     auto starts = w.starts;
     std::set<std::size_t> led;
