--- a/tests/fault_scenarios.cpp
+++ b/tests/fault_scenarios.cpp
@@ -284,6 +284,7 @@
         counts->answers += w.answers;
         counts->starts += w.starts;
         counts->starts_cancelled += w.starts_cancelled;
+        counts->digest = w.digest.value();
     }
     return wrong(w);
 }
--- a/tests/fault_scenarios.hpp
+++ b/tests/fault_scenarios.hpp
@@ -80,6 +80,7 @@
     std::size_t answers = 0;           // that users got
     std::size_t starts = 0;            // of tasks
     std::size_t starts_cancelled = 0;  // after the cancellation was confirmed, and within `cancel_s` of it
+    std::uint64_t digest = 0;          // of the messages of the last play
 };
 std::vector<std::string> play(std::uint64_t seed, std::size_t machines, const std::vector<Fault>& faults,
                               Counts* counts = nullptr);
--- a/tests/fault_scenarios_main.cpp
+++ b/tests/fault_scenarios_main.cpp
@@ -13,12 +13,14 @@
     CLI::App app("plays random failures of controllers, machines and networks against the rules");
     std::uint64_t from = 1, seeds = 100;
     std::size_t size = 12;
-    bool whole = false, meetings = false;
+    bool whole = false, meetings = false, digest = false;
     app.add_option("--from", from, "the first seed");
     app.add_option("--seeds", seeds, "how many");
     app.add_option("--size", size, "machines at the start")->check(CLI::Range(4, 250));
     app.add_flag("--meetings", meetings, "two kinds of trouble that meet; says how often each pair did");
     app.add_flag("--no-shrink", whole, "print all faults of a play that fails");
+    app.add_flag("--digest", digest,
+                 "print a hash of all messages of each play, a line a seed, and nothing else");
     CLI11_PARSE(app, argc, argv);
     spdlog::set_level(spdlog::level::off);
     std::size_t failed = 0;
@@ -29,6 +31,12 @@
         for (std::size_t k = 0; meetings && k + 1 < faults.size(); k += 2)
             ++met[name(faults[k]) + " / " + name(faults[k + 1])];
         auto bad = play(seed, size, faults, &counts);
+        if (digest) {
+            std::printf("%llu %016llx\n", static_cast<unsigned long long>(seed),
+                        static_cast<unsigned long long>(counts.digest));
+            std::fflush(stdout);
+            continue;
+        }
         if (bad.empty()) continue;
         ++failed;
         if (!whole) faults = shrink(seed, size, faults), bad = play(seed, size, faults);
@@ -37,6 +45,7 @@
         for (auto& b : bad) std::printf("  -> %s\n", b.c_str());
         std::fflush(stdout);
     }
+    if (digest) return 0;
     for (auto& [pair, n] : met) std::printf("%6zu  %s\n", n, pair.c_str());
     if (meetings) std::printf("%zu of %zu pairs met\n", met.size(), pairs);
     std::printf("%zu answers, %zu starts, %zu after a confirmed cancellation\n", counts.answers,
--- /dev/null
+++ b/tests/message_digest.hpp
@@ -0,0 +1,39 @@
+// A hash over all messages of a simulated run: two runs with equal digests sent the same bytes between the
+// same hosts at the same simulated times. It is how a change of names or structure is shown to change no
+// behaviour.
+#pragma once
+#include <xxhash.h>
+
+#include <cstdint>
+#include <memory>
+#include <string_view>
+
+namespace coralhitch::simulation {
+
+class MessageDigest {
+  public:
+    MessageDigest() { XXH3_64bits_reset(state_.get()); }
+
+    // A request, or the response to one (`what` is then its status).
+    void add(double time, std::string_view sender, std::string_view receiver, std::string_view what,
+             std::string_view body) {
+        XXH3_64bits_update(state_.get(), &time, sizeof time);
+        for (auto field : {sender, receiver, what, body}) add_field(field);
+    }
+    std::uint64_t value() const { return XXH3_64bits_digest(state_.get()); }
+
+  private:
+    // With its length, so that bytes which move from one field to the next are seen.
+    void add_field(std::string_view field) {
+        std::uint64_t size = field.size();
+        XXH3_64bits_update(state_.get(), &size, sizeof size);
+        XXH3_64bits_update(state_.get(), field.data(), field.size());
+    }
+
+    struct FreeState {
+        void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
+    };
+    std::unique_ptr<XXH3_state_t, FreeState> state_{XXH3_createState()};
+};
+
+}  // namespace coralhitch::simulation
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -11,6 +11,7 @@
 
 #include "daemon/controller.hpp"
 #include "loop/bucket.hpp"
+#include "message_digest.hpp"
 
 namespace coralhitch::simulation {
 using nlohmann::json;
@@ -257,6 +258,7 @@
     std::size_t starts = 0, done_again = 0;  // done_again: of tasks that were done already
     std::size_t starts_cancelled = 0;        // after the cancellation was confirmed
     std::size_t answers = 0;                 // that users got about jobs
+    MessageDigest digest;                    // of all requests sent and responses received
     // From then on no question about a job may stay without an answer for longer than `open_s`.
     double troubles_over = 1e9, open_s = 45;
     std::size_t deleted = 0;                     // machines with tasks on them
--- a/tests/simulated_cluster_network.cpp
+++ b/tests/simulated_cluster_network.cpp
@@ -43,6 +43,7 @@
 
 void World::send(const std::string& from, const std::string& to, http::Request r, double timeout,
                  http::Result result) {
+    digest.add(now_, from, to, r.method + " " + r.target, r.body);
     if (sent) at(now_, [this, from, to, r] { sent(from, to, r); });
     if (now_ < copies_until_ && random_() % 4 == 0) {
         double late = std::uniform_real_distribution<double>(0.05, copies_late_)(random_);
@@ -69,6 +70,7 @@
     // A process that is back within a fraction of a second must not hear what the one before it asked: that
     // one would go on acting, and end the lease of the process that runs in its place.
     auto back = [this, end, sender, to, come, life](http::Response answer) {
+        digest.add(now_, to, sender, std::to_string(answer.status), answer.body);
         bool hold = false;
         double until = 0;
         if (is_cut(host(to), host(sender), hold, until)) return;
--- a/tests/simulated_cluster_users.cpp
+++ b/tests/simulated_cluster_users.cpp
@@ -16,7 +16,9 @@
     auto to = r.method == "GET" ? To::question : r.target == "/api/jobs" ? To::submission : To::cancellation;
     // What comes while the controller stands still is read when it goes on.
     node.timers->after(0, [=, this, &node, sent = now_, r = std::move(r)] {
-        node.controller->serve(r, [=, this](http::Response a) {
+        digest.add(now_, "user", node.settings.listen, r.method + " " + r.target, r.body);
+        node.controller->serve(r, [=, this, &node](http::Response a) {
+            digest.add(now_, node.settings.listen, "user", std::to_string(a.status), a.body);
             at(now_ + latency(), [=, this] {
                 if (now_ - sent > 5) return;  // nobody listens any more
                 Answer heard{id, to, sent, now_, a.status, {}};
