--- a/scale/balancer.cpp
+++ b/scale/balancer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -12,12 +12,13 @@
 constexpr std::size_t looked_at = 6;
 }  // namespace
 
-Balancer::Balancer(loop::Timers& timers, http::Requester& http, const Experiment& e)
+Balancer::Balancer(event_loop::Timers& timers, http::Requester& http, const Experiment& e)
     : timers_(timers), http_(http), experiment_(e), nodes_(e.controllers) {
     for (std::uint32_t k = 0; k < e.controllers; ++k) probe(k);
 }
 void Balancer::probe(std::uint32_t k) {
-    http_.send(experiment_.controller_addr(k), {"GET", std::string(wire::paths::health), {}}, probe_timeout_s,
+    http_.send(experiment_.controller_addr(k), {"GET", std::string(protocol::paths::health), {}},
+               probe_timeout_s,
                [this, k](std::optional<http::Response> r) { judge(nodes_[k], r && r->status == 200); });
     timers_.after(probe_every_s, [this, k] { probe(k); });
 }
--- a/scale/balancer.hpp
+++ b/scale/balancer.hpp
@@ -5,8 +5,8 @@
 #include <random>
 #include <vector>
 
+#include "event_loop/timers.hpp"
 #include "http/message.hpp"
-#include "loop/timers.hpp"
 #include "scale/experiment.hpp"
 
 namespace coralhitch::scale {
@@ -16,7 +16,7 @@
 // connections.
 class Balancer {
   public:
-    Balancer(loop::Timers& timers, http::Requester& http, const Experiment& experiment);
+    Balancer(event_loop::Timers& timers, http::Requester& http, const Experiment& experiment);
     // A healthy controller with the fewest open requests; nothing if there is none.
     std::optional<std::uint32_t> pick();
     void opened(std::uint32_t k) { ++nodes_[k].open; }
@@ -31,7 +31,7 @@
     };
     void probe(std::uint32_t k);
     void judge(Node& n, bool ok);
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     http::Requester& http_;
     const Experiment& experiment_;
     std::vector<Node> nodes_;
--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -12,15 +12,15 @@
 constexpr double dying_s = 30, burst_s = 2;
 }  // namespace
 
-Cloud::Cloud(loop::Timers& timers, const Experiment& e, Machines& machines)
+Cloud::Cloud(event_loop::Timers& timers, const Experiment& e, Machines& machines)
     : timers_(timers),
       experiment_(e),
       hollow_(machines),
       random_(e.seed * 7 + 3),
       requests_(e.cloud.rps, e.cloud.rps * burst_s) {}
 
-wire::MachineType Cloud::type() const {
-    wire::MachineType t;
+protocol::MachineType Cloud::type() const {
+    protocol::MachineType t;
     t.name = "hollow";
     double n = experiment_.slots();
     t.room = {n, 0, n};
@@ -57,10 +57,11 @@
     }
 }
 void Cloud::execute(const http::Request& r, const http::Reply& reply) {
-    if (r.target == wire::paths::types) return answer(reply, {200, wire::stored_types(std::vector{type()})});
-    if (r.target == wire::paths::hosts_delete) return remove(outside::parse_machines(r.body), reply);
-    if (r.target == wire::paths::hosts && r.method == "POST") return answer(reply, rent(r));
-    if (r.target.starts_with(wire::paths::hosts)) return answer(reply, list(r.target));
+    if (r.target == protocol::paths::types)
+        return answer(reply, {200, protocol::stored_types(std::vector{type()})});
+    if (r.target == protocol::paths::hosts_delete) return remove(outside::parse_machines(r.body), reply);
+    if (r.target == protocol::paths::hosts && r.method == "POST") return answer(reply, rent(r));
+    if (r.target.starts_with(protocol::paths::hosts)) return answer(reply, list(r.target));
     answer(reply, {404, "{}"});
 }
 
@@ -88,11 +89,11 @@
     counts_.rented += n;
     return {200, rentals_[want.name] = outside::machines_body(names)};
 }
-void Cloud::create(const wire::MachineType& t, const std::string& zone, bool spot) {
+void Cloud::create(const protocol::MachineType& t, const std::string& zone, bool spot) {
     char name[32];
     std::snprintf(name, sizeof name, "vm-%06llu", static_cast<unsigned long long>(next_));
     Machine m;
-    m.host = {name, experiment_.worker_addr(next_), t.name, zone, spot, wire::HostState::booting, 0};
+    m.host = {name, experiment_.worker_addr(next_), t.name, zone, spot, protocol::HostState::booting, 0};
     ++next_;
     m.rack = in_zone_[zone]++ / experiment_.machines_a_rack;
     m.rented_at = timers_.now();
@@ -123,7 +124,7 @@
     std::size_t limit = limit_text.empty() ? page : std::min<std::size_t>(page, std::stoul(limit_text));
     double lag = experiment_.cloud.list_lag_s * std::uniform_real_distribution<double>(0.5, 1)(random_);
     double t = timers_.now() - lag;
-    std::vector<wire::Host> hosts;
+    std::vector<protocol::Host> hosts;
     bool more = false;
     for (auto it = machines_.upper_bound(since); it != machines_.end(); ++it) {
         auto& m = it->second;
@@ -134,9 +135,9 @@
         }
         auto h = m.host;
         h.age_s = t - m.rented_at;
-        h.state = t >= m.failed_at + dying_s ? wire::HostState::failed
-                  : t >= m.up_at             ? wire::HostState::running
-                                             : wire::HostState::booting;
+        h.state = t >= m.failed_at + dying_s ? protocol::HostState::failed
+                  : t >= m.up_at             ? protocol::HostState::running
+                                             : protocol::HostState::booting;
         hosts.push_back(std::move(h));
     }
     return {200, outside::hosts_body(hosts, more)};
--- a/scale/cloud.hpp
+++ b/scale/cloud.hpp
@@ -5,12 +5,12 @@
 #include <random>
 #include <vector>
 
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
+#include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
-#include "loop/bucket.hpp"
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
+#include "protocol/protocol.hpp"
 #include "scale/experiment.hpp"
-#include "wire/protocol.hpp"
 
 namespace coralhitch::scale {
 
@@ -18,7 +18,7 @@
 class Machines {
   public:
     virtual ~Machines() = default;
-    virtual void up(const wire::Host& host) = 0;
+    virtual void up(const protocol::Host& host) = 0;
     // `done` once the machines and all on them are gone.
     virtual void remove(const std::vector<std::string>& ids, std::function<void()> done) = 0;
     // They give no answer any more, and run nothing.
@@ -27,7 +27,7 @@
 
 class Cloud {
   public:
-    Cloud(loop::Timers& timers, const Experiment& experiment, Machines& machines);
+    Cloud(event_loop::Timers& timers, const Experiment& experiment, Machines& machines);
     void handle(http::Request request, http::Reply reply);
 
     // Faults: machines fail together. Returns how many.
@@ -44,7 +44,7 @@
 
   private:
     struct Machine {
-        wire::Host host;
+        protocol::Host host;
         double rented_at = 0, up_at = 0, failed_at = 1e18, gone_at = 1e18;
         std::uint32_t rack = 0;
         bool usable() const { return failed_at > 1e17 && gone_at > 1e17; }
@@ -54,22 +54,22 @@
     http::Response rent(const http::Request& request);
     http::Response list(const std::string& target);
     void remove(const std::vector<std::string>& ids, const http::Reply& reply);
-    void create(const wire::MachineType& type, const std::string& zone, bool spot);
+    void create(const protocol::MachineType& type, const std::string& zone, bool spot);
     std::size_t fail(const std::vector<std::string>& ids);
-    wire::MachineType type() const;
+    protocol::MachineType type() const;
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     const Experiment& experiment_;
     Machines& hollow_;
     std::mt19937_64 random_;
-    loop::Bucket requests_;
+    event_loop::Bucket requests_;
     std::map<std::string, Machine> machines_;  // by name, which is the order of creation
     std::map<std::string, std::string> rentals_;
     std::map<std::string, std::uint32_t> in_zone_, usable_in_zone_;
     std::map<std::string, double> zone_back_;
     std::uint64_t next_ = 0;
     Counts counts_;
-    loop::Guard guard_;
+    event_loop::Guard guard_;
 };
 
 }  // namespace coralhitch::scale
--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -11,9 +11,9 @@
 #include <iostream>
 
 #include "http/address.hpp"
+#include "protocol/protocol.hpp"
 #include "scale/process.hpp"
 #include "scale/role.hpp"
-#include "wire/protocol.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -38,7 +38,7 @@
 }
 void check_free(const std::string& addr) {
     auto sa = http::socket_address(addr);
-    loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     int on = 1;
     ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     if (!sa || !fd || ::bind(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa) < 0 ||
@@ -138,7 +138,7 @@
 
     Experiment experiment_;
     const RunOptions& options_;
-    loop::Loop loop_;
+    event_loop::Loop loop_;
     http::Client http_;
     std::vector<std::unique_ptr<Child>> roles_;
     std::vector<Controller> controllers_;
@@ -192,7 +192,7 @@
                         [this, process] { wait_for_workers(process + 1); });
     wait_for(experiment_.cloud_control(), "/stats", [this] {
         for (std::uint32_t k = 0; k < experiment_.controllers; ++k) start_controller(k);
-        wait_for(experiment_.controller_addr(0), std::string(wire::paths::health), [this] { fill(); });
+        wait_for(experiment_.controller_addr(0), std::string(protocol::paths::health), [this] { fill(); });
     });
 }
 void Driver::start_controller(std::uint32_t k) {
@@ -258,7 +258,7 @@
 }
 void Driver::ask_metrics(std::uint32_t k, std::shared_ptr<json> out, std::function<void()> done) {
     if (controllers_[k].down) return done();
-    http_.send(experiment_.controller_addr(k), {"GET", std::string(wire::paths::metrics), {}}, answer_s,
+    http_.send(experiment_.controller_addr(k), {"GET", std::string(protocol::paths::metrics), {}}, answer_s,
                [this, k, out, done](std::optional<http::Response> r) {
                    if (r && r->status == 200) {
                        auto& row = (*out)["controllers"][Experiment::label(k)];
@@ -433,7 +433,7 @@
     for (int s : {SIGINT, SIGTERM, SIGHUP}) ::sigaddset(&interrupts, s);
     ::sigprocmask(SIG_BLOCK, &interrupts, nullptr);
     ::signal(SIGPIPE, SIG_IGN);
-    loop::Fd signals(::signalfd(-1, &interrupts, SFD_NONBLOCK | SFD_CLOEXEC));
+    event_loop::Fd signals(::signalfd(-1, &interrupts, SFD_NONBLOCK | SFD_CLOEXEC));
     loop_.watch(signals.get(), EPOLLIN, [this, &signals](std::uint32_t) {
         // Read, or it would end this process by itself once it is let through again.
         signalfd_siginfo info{};
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -24,16 +24,16 @@
 }
 // Of two reports, whether they say the same.
 bool repeats(const std::string& a, const std::string& b) {
-    auto x = wire::outline_report(a), y = wire::outline_report(b);
+    auto x = protocol::outline_report(a), y = protocol::outline_report(b);
     if (!x || !y) return false;
-    auto rest = [](const std::string& s, const wire::ReportOutline& o) {
+    auto rest = [](const std::string& s, const protocol::ReportOutline& o) {
         return std::pair{std::string_view(s).substr(0, o.at), std::string_view(s).substr(o.at + o.digits)};
     };
     return rest(a, *x) == rest(b, *y);
 }
 }  // namespace
 
-HollowWorker::HollowWorker(WorkerSite& site, wire::Host host)
+HollowWorker::HollowWorker(WorkerSite& site, protocol::Host host)
     : site_(site), host_(std::move(host)), client_(site.loop(), one_connection()) {
     http::ServerLimits limits;
     limits.connections = connections_in;
@@ -46,7 +46,7 @@
     last_answered_ = site_.loop().now();
     regular_due_ = last_answered_;
     site_.observe(
-        {last_answered_, Happened::machine, host_.id, {}, 0, wire::Cause::none, host_.zone, host_.spot});
+        {last_answered_, Happened::machine, host_.id, {}, 0, protocol::Cause::none, host_.zone, host_.spot});
     arm_lease();
     schedule();
 }
@@ -75,7 +75,7 @@
     schedule();
 }
 std::string HollowWorker::report() {
-    wire::Report r;
+    protocol::Report r;
     r.machine = host_.id;
     r.addr = host_.addr;
     r.type = host_.type;
@@ -93,7 +93,7 @@
     auto& c = site_.counts();
     double now = site_.loop().now();
     auto to = e.controller_addr(controller_);
-    http::Request r{"POST", std::string(wire::paths::report), report()};
+    http::Request r{"POST", std::string(protocol::paths::report), report()};
     auto bytes = request_bytes(to, r);
     ++c.reports;
     c.report_bytes += bytes;
@@ -105,7 +105,7 @@
     last_sent_ = now;
     regular_due_ = now + e.worker.report_s * uniform(site_.random(), 1 - report_spread, 1 + report_spread);
     // Its own timer, since the lease may end while an answer is awaited.
-    client_.send(to, std::move(r), wire::worker_patience_s,
+    client_.send(to, std::move(r), protocol::worker_patience_s,
                  guard_([this, now, session = session_](std::optional<http::Response> response) {
                      answered(session, now, std::move(response));
                  }));
@@ -186,7 +186,7 @@
     ++site_.counts().expired;
     std::vector<Key> keys;
     for (auto& [key, task] : tasks_) keys.push_back(key);
-    for (auto& key : keys) end(key, wire::Cause::stopped, over);
+    for (auto& key : keys) end(key, protocol::Cause::stopped, over);
     tasks_.clear();
     ++session_;
     sequence_ = 0;
@@ -201,8 +201,8 @@
     ++c.direct;
     c.direct_bytes += request_bytes(host_.addr, r);
     http::Response response{404, "{}"};
-    if (r.target == wire::paths::inspect) response = {200, report()};
-    if (r.target == wire::paths::commands) response = direct(r);
+    if (r.target == protocol::paths::inspect) response = {200, report()};
+    if (r.target == protocol::paths::commands) response = direct(r);
     c.direct_answer_bytes += response_bytes(response);
     return response;
 }
@@ -222,20 +222,20 @@
     execute(orders.commands);
     return {200, report()};
 }
-void HollowWorker::execute(const std::vector<wire::Command>& commands) {
+void HollowWorker::execute(const std::vector<protocol::Command>& commands) {
     site_.counts().commands += commands.size();
     for (auto& command : commands) {
         Key key{command.task, command.attempt};
         auto it = tasks_.find(key);
         switch (command.op) {
-            case wire::Op::start:
+            case protocol::Op::start:
                 if (it == tasks_.end()) start(key);
                 break;
-            case wire::Op::stop:  // no task here saves
-                if (it != tasks_.end()) end(key, wire::Cause::stopped);
+            case protocol::Op::stop:  // no task here saves
+                if (it != tasks_.end()) end(key, protocol::Cause::stopped);
                 break;
-            case wire::Op::forget:
-                if (it == tasks_.end() || it->second.state != wire::TaskState::exited) break;
+            case protocol::Op::forget:
+                if (it == tasks_.end() || it->second.state != protocol::TaskState::exited) break;
                 tasks_.erase(it);
                 changed();
                 break;
@@ -243,13 +243,13 @@
     }
 }
 Observed HollowWorker::event(Happened what, const Key& key) const {
-    return {site_.loop().now(), what, host_.id, key.first, key.second, wire::Cause::none, "", false};
+    return {site_.loop().now(), what, host_.id, key.first, key.second, protocol::Cause::none, "", false};
 }
 void HollowWorker::start(const Key& key) {
     auto same = tasks_.lower_bound({key.first, 0});
     for (; same != tasks_.end() && same->first.first == key.first; ++same)
-        if (same->second.state != wire::TaskState::exited) {
-            tasks_[key] = {wire::TaskState::exited, wire::Cause::busy, 0, {}};
+        if (same->second.state != protocol::TaskState::exited) {
+            tasks_[key] = {protocol::TaskState::exited, protocol::Cause::busy, 0, {}};
             return changed();
         }
     tasks_[key] = {};
@@ -278,61 +278,62 @@
 }
 void HollowWorker::fetch(const Key& key, const TaskSpec* spec) {
     auto it = tasks_.find(key);
-    if (silent_ || it == tasks_.end() || it->second.state != wire::TaskState::fetching) return;
-    if (!spec || key.first.index >= spec->tasks) return end(key, wire::Cause::unknown);
-    wire::Room free{static_cast<double>(site_.experiment().slots()), 0,
-                    static_cast<double>(site_.experiment().slots())};
+    if (silent_ || it == tasks_.end() || it->second.state != protocol::TaskState::fetching) return;
+    if (!spec || key.first.index >= spec->tasks) return end(key, protocol::Cause::unknown);
+    protocol::Room free{static_cast<double>(site_.experiment().slots()), 0,
+                        static_cast<double>(site_.experiment().slots())};
     for (auto& [other, task] : tasks_)
-        if (task.state != wire::TaskState::exited) free -= task.need;
-    if (!free.holds(spec->need)) return end(key, wire::Cause::no_room);
+        if (task.state != protocol::TaskState::exited) free -= task.need;
+    if (!free.holds(spec->need)) return end(key, protocol::Cause::no_room);
     it->second.need = spec->need;
     it->second.timer =
         site_.loop().after(image_ready_after(*spec), guard_([this, key, spec = *spec] { ready(key, spec); }));
 }
 void HollowWorker::ready(const Key& key, const TaskSpec& spec) {
     auto it = tasks_.find(key);
-    if (silent_ || it == tasks_.end() || it->second.state != wire::TaskState::fetching) return;
+    if (silent_ || it == tasks_.end() || it->second.state != protocol::TaskState::fetching) return;
     it->second.timer = 0;
     site_.observe(event(Happened::ready, key));
-    it->second.state = spec.kind == wire::Kind::gang ? wire::TaskState::waiting : wire::TaskState::running;
+    it->second.state =
+        spec.kind == protocol::Kind::gang ? protocol::TaskState::waiting : protocol::TaskState::running;
     changed();
-    if (spec.kind == wire::Kind::gang)
-        end_later(key, site_.experiment().worker.gang_wait_s, wire::Cause::alone);
-    if (spec.kind == wire::Kind::array)
-        end_later(key, spec.run_s * uniform(site_.random(), 0.5, 1.5), wire::Cause::done);
+    if (spec.kind == protocol::Kind::gang)
+        end_later(key, site_.experiment().worker.gang_wait_s, protocol::Cause::alone);
+    if (spec.kind == protocol::Kind::array)
+        end_later(key, spec.run_s * uniform(site_.random(), 0.5, 1.5), protocol::Cause::done);
 }
-void HollowWorker::end_later(const Key& key, double seconds, wire::Cause cause) {
+void HollowWorker::end_later(const Key& key, double seconds, protocol::Cause cause) {
     auto& task = tasks_.at(key);
     site_.loop().cancel(task.timer);
     task.timer = site_.loop().after(seconds, guard_([this, key, cause] { end(key, cause); }));
 }
 void HollowWorker::gang_begins(const std::string& job, std::uint64_t attempt, double run_s) {
     bool any = false;
-    for (auto it = tasks_.lower_bound({wire::TaskId{job, 0}, 0});
+    for (auto it = tasks_.lower_bound({protocol::TaskId{job, 0}, 0});
          it != tasks_.end() && it->first.first.job == job; ++it) {
-        if (it->first.second != attempt || it->second.state != wire::TaskState::waiting) continue;
-        it->second.state = wire::TaskState::running;
-        end_later(it->first, run_s, wire::Cause::done);
+        if (it->first.second != attempt || it->second.state != protocol::TaskState::waiting) continue;
+        it->second.state = protocol::TaskState::running;
+        end_later(it->first, run_s, protocol::Cause::done);
         any = true;
     }
     if (any) changed();
 }
 void HollowWorker::gang_lost(const std::string& job, std::uint64_t attempt) {
     std::vector<Key> lost;
-    for (auto it = tasks_.lower_bound({wire::TaskId{job, 0}, 0});
+    for (auto it = tasks_.lower_bound({protocol::TaskId{job, 0}, 0});
          it != tasks_.end() && it->first.first.job == job; ++it)
-        if (it->first.second == attempt && it->second.state == wire::TaskState::running)
+        if (it->first.second == attempt && it->second.state == protocol::TaskState::running)
             lost.push_back(it->first);
-    for (auto& key : lost) end(key, wire::Cause::peers);
+    for (auto& key : lost) end(key, protocol::Cause::peers);
 }
-void HollowWorker::end(const Key& key, wire::Cause cause, std::optional<double> when) {
+void HollowWorker::end(const Key& key, protocol::Cause cause, std::optional<double> when) {
     auto it = tasks_.find(key);
-    if (silent_ || it == tasks_.end() || it->second.state == wire::TaskState::exited) return;
+    if (silent_ || it == tasks_.end() || it->second.state == protocol::TaskState::exited) return;
     check_lease();  // what ends after the lease was killed with it
     it = tasks_.find(key);
-    if (it == tasks_.end() || it->second.state == wire::TaskState::exited) return;
+    if (it == tasks_.end() || it->second.state == protocol::TaskState::exited) return;
     site_.loop().cancel(it->second.timer);
-    it->second = {wire::TaskState::exited, cause, 0, {}};
+    it->second = {protocol::TaskState::exited, cause, 0, {}};
     --present_;
     ++site_.counts().ended;
     ++site_.counts().ends_by_cause[std::to_string(static_cast<int>(cause))];
@@ -349,7 +350,7 @@
     present_ = 0;
     site_.loop().cancel(report_timer_);
     site_.loop().cancel(lease_timer_);
-    site_.observe({site_.loop().now(), Happened::gone, host_.id, {}, 0, wire::Cause::none, "", false});
+    site_.observe({site_.loop().now(), Happened::gone, host_.id, {}, 0, protocol::Cause::none, "", false});
 }
 
 }  // namespace coralhitch::scale
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -6,13 +6,13 @@
 #include <memory>
 #include <random>
 
+#include "event_loop/event_loop.hpp"
+#include "event_loop/lifetime_guard.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
-#include "loop/guard.hpp"
-#include "loop/loop.hpp"
+#include "protocol/protocol.hpp"
 #include "scale/experiment.hpp"
 #include "scale/observed.hpp"
-#include "wire/protocol.hpp"
 
 namespace coralhitch::scale {
 
@@ -28,7 +28,7 @@
 class WorkerSite {
   public:
     virtual ~WorkerSite() = default;
-    virtual loop::Loop& loop() = 0;
+    virtual event_loop::Loop& loop() = 0;
     virtual const Experiment& experiment() const = 0;
     virtual std::mt19937_64& random() = 0;
     virtual WorkerCounts& counts() = 0;
@@ -39,7 +39,7 @@
 
 class HollowWorker {
   public:
-    HollowWorker(WorkerSite& site, wire::Host host);
+    HollowWorker(WorkerSite& site, protocol::Host host);
     const std::string& id() const { return host_.id; }
     void silence();  // gives no answer any more, and runs nothing
     // Of a gang's attempt: all its tasks have their image, or one of them is gone.
@@ -48,12 +48,12 @@
     std::size_t present() const { return present_; }
 
   private:
-    using Key = std::pair<wire::TaskId, std::uint64_t>;  // a task's attempt
+    using Key = std::pair<protocol::TaskId, std::uint64_t>;  // a task's attempt
     struct Task {
-        wire::TaskState state = wire::TaskState::fetching;
-        wire::Cause cause = wire::Cause::none;
-        loop::TimerId timer = 0;
-        wire::Room need;
+        protocol::TaskState state = protocol::TaskState::fetching;
+        protocol::Cause cause = protocol::Cause::none;
+        event_loop::TimerId timer = 0;
+        protocol::Room need;
     };
     // Reports
     void schedule();
@@ -69,17 +69,17 @@
     // Commands
     http::Response serve(const http::Request& request);
     http::Response direct(const http::Request& request);
-    void execute(const std::vector<wire::Command>& commands);
+    void execute(const std::vector<protocol::Command>& commands);
     void start(const Key& key);
     void fetch(const Key& key, const TaskSpec* spec);
     void ready(const Key& key, const TaskSpec& spec);
-    void end(const Key& key, wire::Cause cause, std::optional<double> when = {});
+    void end(const Key& key, protocol::Cause cause, std::optional<double> when = {});
     double image_ready_after(const TaskSpec& spec);
-    void end_later(const Key& key, double seconds, wire::Cause cause);
+    void end_later(const Key& key, double seconds, protocol::Cause cause);
     Observed event(Happened what, const Key& key) const;
 
     WorkerSite& site_;
-    wire::Host host_;
+    protocol::Host host_;
     bool silent_ = false;
     std::uint64_t session_ = 1, sequence_ = 0, token_ = 0;
     std::map<Key, Task> tasks_;
@@ -90,8 +90,8 @@
     double last_sent_ = -1e9, regular_due_ = 0, last_answered_ = 0, token_told_ = -1e9, due_ = 1e18;
     bool in_flight_ = false, changed_ = false;
     std::string last_report_;
-    loop::TimerId report_timer_ = 0, lease_timer_ = 0;
-    loop::Guard guard_;
+    event_loop::TimerId report_timer_ = 0, lease_timer_ = 0;
+    event_loop::Guard guard_;
     http::Client client_;
     std::unique_ptr<http::Server> server_;
 };
--- a/scale/infrastructure.cpp
+++ b/scale/infrastructure.cpp
@@ -15,8 +15,9 @@
 // Machines live in the workers' processes: the n-th machine in process n modulo their number.
 class RemoteMachines : public Machines {
   public:
-    RemoteMachines(loop::Loop& loop, const Experiment& e) : experiment_(e), http_(loop, control_limits()) {}
-    void up(const wire::Host& h) override {
+    RemoteMachines(event_loop::Loop& loop, const Experiment& e)
+        : experiment_(e), http_(loop, control_limits()) {}
+    void up(const protocol::Host& h) override {
         json body{{"id", h.id}, {"addr", h.addr}, {"type", h.type}, {"zone", h.zone}, {"spot", h.spot}};
         tell(process_of(h.id), "/up", body.dump(), [] {});
     }
@@ -81,7 +82,7 @@
 }  // namespace
 
 int run_infrastructure(const Experiment& e) {
-    loop::Loop loop;
+    event_loop::Loop loop;
     Lateness lateness(loop);
     RemoteMachines machines(loop, e);
     StateService state(loop, e.state, e.seed * 5 + 1);
--- a/scale/observed.hpp
+++ b/scale/observed.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <nlohmann/json.hpp>
 
-#include "wire/model.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::scale {
 
@@ -13,9 +13,9 @@
     double t = 0;
     Happened what = Happened::started;
     std::string machine;
-    wire::TaskId task;
+    protocol::TaskId task;
     std::uint64_t attempt = 0;
-    wire::Cause cause = wire::Cause::none;
+    protocol::Cause cause = protocol::Cause::none;
     std::string zone;  // of a machine that came up
     bool spot = false;
 };
@@ -26,14 +26,14 @@
 inline Observed observed_from(const nlohmann::json& j) {
     return {j[0].get<double>(),        static_cast<Happened>(j[1].get<int>()),
             j[2].get<std::string>(),   {j[3].get<std::string>(), j[4].get<std::uint32_t>()},
-            j[5].get<std::uint64_t>(), static_cast<wire::Cause>(j[6].get<int>()),
+            j[5].get<std::uint64_t>(), static_cast<protocol::Cause>(j[6].get<int>()),
             j[7].get<std::string>(),   j[8].get<bool>()};
 }
 // How a task is to run, which its worker fetches from the users.
 struct TaskSpec {
-    wire::Kind kind = wire::Kind::array;
+    protocol::Kind kind = protocol::Kind::array;
     std::uint32_t tasks = 0;
-    wire::Room need;
+    protocol::Room need;
     std::string image;
     double image_gb = 0, run_s = 0;
 };
@@ -47,7 +47,7 @@
             {"run_s", s.run_s}};
 }
 inline TaskSpec spec_from(const nlohmann::json& j) {
-    return {static_cast<wire::Kind>(j.at("kind").get<int>()),
+    return {static_cast<protocol::Kind>(j.at("kind").get<int>()),
             j.at("tasks").get<std::uint32_t>(),
             {j.at("cpus").get<double>(), 0, j.at("memory_gb").get<double>()},
             j.at("image").get<std::string>(),
--- a/scale/outside.cpp
+++ b/scale/outside.cpp
@@ -2,11 +2,11 @@
 
 #include <nlohmann/json.hpp>
 
-#include "wire/names.hpp"
+#include "protocol/names.hpp"
 
 namespace coralhitch::scale::outside {
 using nlohmann::json;
-using namespace wire;
+using namespace protocol;
 
 namespace {
 json parse(std::string_view body) {
@@ -102,7 +102,7 @@
     return json{{"berths", std::move(list)}, {"more", more}}.dump();
 }
 std::vector<Host> parse_hosts(std::string_view body) {
-    return wire::parse_hosts(body).hosts;
+    return protocol::parse_hosts(body).hosts;
 }
 
 Txn parse_txn(std::string_view body) {
--- a/scale/outside.hpp
+++ b/scale/outside.hpp
@@ -6,18 +6,18 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
 
 namespace coralhitch::scale::outside {
 
 // Users
-wire::JobStatus parse_status(std::string_view body);
+protocol::JobStatus parse_status(std::string_view body);
 
 // Workers
-std::string report_body(const wire::Report& report);
+std::string report_body(const protocol::Report& report);
 struct Orders {
     std::optional<std::uint64_t> token, session;
-    std::vector<wire::Command> commands;
+    std::vector<protocol::Command> commands;
 };
 Orders parse_orders(std::string_view body);  // an answer to a report, or direct commands
 std::optional<std::string> parse_elsewhere(std::string_view body);
@@ -31,16 +31,16 @@
 Rent parse_rent(std::string_view body);
 std::vector<std::string> parse_machines(std::string_view body);
 std::string machines_body(const std::vector<std::string>& machines);
-std::string hosts_body(const std::vector<wire::Host>& hosts, bool more);
-std::vector<wire::Host> parse_hosts(std::string_view body);
+std::string hosts_body(const std::vector<protocol::Host>& hosts, bool more);
+std::vector<protocol::Host> parse_hosts(std::string_view body);
 
 // State service
-wire::Txn parse_txn(std::string_view body);
+protocol::Txn parse_txn(std::string_view body);
 std::string revision_body(std::uint64_t revision);
 std::string conflict_body(const std::vector<std::string>& failed, std::uint64_t revision);
-std::string entry_body(const wire::Entry& entry);
-std::string entries_body(const std::vector<wire::Entry>& entries, bool more, std::uint64_t revision);
-std::string events_body(const std::vector<const wire::Event*>& events, std::uint64_t revision);
+std::string entry_body(const protocol::Entry& entry);
+std::string entries_body(const std::vector<protocol::Entry>& entries, bool more, std::uint64_t revision);
+std::string events_body(const std::vector<const protocol::Event*>& events, std::uint64_t revision);
 std::string lease_body(std::uint64_t lease);
 double parse_ttl_s(std::string_view body);
 // A parameter of a target's query, or "".
--- a/scale/role.cpp
+++ b/scale/role.cpp
@@ -18,7 +18,8 @@
     });
 }
 
-std::unique_ptr<http::Server> control_server(loop::Loop& loop, const std::string& addr, Control control) {
+std::unique_ptr<http::Server> control_server(event_loop::Loop& loop, const std::string& addr,
+                                             Control control) {
     http::ServerLimits limits;
     limits.message.body = control_body;
     limits.idle_s = 3600;
--- a/scale/role.hpp
+++ b/scale/role.hpp
@@ -4,9 +4,9 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
+#include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
-#include "loop/loop.hpp"
 #include "scale/experiment.hpp"
 
 namespace coralhitch::scale {
@@ -14,20 +14,21 @@
 // How late timers fire: a hollow process that lacks processor time would otherwise look like a slow service.
 class Lateness {
   public:
-    explicit Lateness(loop::Loop& loop) : loop_(loop) { arm(); }
+    explicit Lateness(event_loop::Loop& loop) : loop_(loop) { arm(); }
     double most_s() const { return most_; }
     std::uint64_t over_100_ms() const { return late_; }
 
   private:
     void arm();
-    loop::Loop& loop_;
+    event_loop::Loop& loop_;
     double most_ = 0;
     std::uint64_t late_ = 0;
 };
 
 using Control = std::function<void(const http::Request&, http::Reply)>;
 // Answers are JSON; a handler that throws answers 500 with the text.
-std::unique_ptr<http::Server> control_server(loop::Loop& loop, const std::string& addr, Control control);
+std::unique_ptr<http::Server> control_server(event_loop::Loop& loop, const std::string& addr,
+                                             Control control);
 http::ClientLimits control_limits();
 
 // Each runs until it is killed.
--- a/scale/state_service.cpp
+++ b/scale/state_service.cpp
@@ -19,7 +19,7 @@
 }
 }  // namespace
 
-StateService::StateService(loop::Timers& timers, StateSettings settings, std::uint64_t seed)
+StateService::StateService(event_loop::Timers& timers, StateSettings settings, std::uint64_t seed)
     : timers_(timers),
       settings_(settings),
       random_(seed),
@@ -72,11 +72,11 @@
         ++counts_.reads;
         return list(r.target);
     }
-    if (r.target == wire::paths::txn) {
+    if (r.target == protocol::paths::txn) {
         ++counts_.txns;
         return transaction(outside::parse_txn(r.body), r.body.size());
     }
-    if (r.target.starts_with(wire::paths::leases)) return lease_call(r);
+    if (r.target.starts_with(protocol::paths::leases)) return lease_call(r);
     return {404, "{}"};
 }
 
@@ -86,7 +86,7 @@
     std::size_t limit =
         limit_text.empty() ? page_items : std::min<std::size_t>(page_items, std::stoul(limit_text));
     auto it = since.empty() ? items_.lower_bound(prefix) : items_.upper_bound(std::max(since, prefix));
-    std::vector<wire::Entry> entries;
+    std::vector<protocol::Entry> entries;
     std::size_t bytes = 0;
     bool more = false;
     for (; it != items_.end() && it->first.starts_with(prefix); ++it) {
@@ -101,7 +101,7 @@
     return {200, outside::entries_body(entries, more, revision_)};
 }
 
-http::Response StateService::transaction(const wire::Txn& t, std::size_t bytes) {
+http::Response StateService::transaction(const protocol::Txn& t, std::size_t bytes) {
     bool fits = bytes <= txn_bytes && t.changes.size() <= settings_.txn_ops &&
                 t.conditions.size() <= 4 * settings_.txn_ops;
     for (auto& c : t.changes) {
@@ -130,7 +130,7 @@
     return {200, outside::revision_body(revision_)};
 }
 // One change under the present revision.
-void StateService::apply(const wire::Change& c) {
+void StateService::apply(const protocol::Change& c) {
     ++counts_.changes;
     ++changes_by_kind_[kind_of(c.key)];
     if (c.value)
@@ -142,7 +142,7 @@
 }
 
 http::Response StateService::lease_call(const http::Request& r) {
-    auto base = wire::paths::leases.size();
+    auto base = protocol::paths::leases.size();
     if (r.target.size() == base) {
         double ttl = outside::parse_ttl_s(r.body);
         if (!(ttl >= least_ttl_s && ttl <= most_ttl_s)) return {400, R"({"error":"ttl_ms"})"};
@@ -209,10 +209,11 @@
     if (left > 0) timers_.after(left + 0.001, guard_([this] { changed(); }));
     changed();
 }
-std::vector<const wire::Event*> StateService::events(const Watch& w) const {
-    std::vector<const wire::Event*> out;
-    auto it = std::upper_bound(history_.begin(), history_.end(), w.since,
-                               [](std::uint64_t since, const wire::Event& e) { return since < e.version; });
+std::vector<const protocol::Event*> StateService::events(const Watch& w) const {
+    std::vector<const protocol::Event*> out;
+    auto it =
+        std::upper_bound(history_.begin(), history_.end(), w.since,
+                         [](std::uint64_t since, const protocol::Event& e) { return since < e.version; });
     for (; it != history_.end(); ++it)
         if (it->key.starts_with(w.prefix)) out.push_back(&*it);
     return out;
--- a/scale/state_service.hpp
+++ b/scale/state_service.hpp
@@ -6,18 +6,18 @@
 #include <map>
 #include <random>
 
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
+#include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
-#include "loop/bucket.hpp"
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
+#include "protocol/protocol.hpp"
 #include "scale/experiment.hpp"
-#include "wire/protocol.hpp"
 
 namespace coralhitch::scale {
 
 class StateService {
   public:
-    StateService(loop::Timers& timers, StateSettings settings, std::uint64_t seed);
+    StateService(event_loop::Timers& timers, StateSettings settings, std::uint64_t seed);
     void handle(http::Request request, http::Reply reply);
     void outage(double seconds);
 
@@ -43,7 +43,7 @@
     };
     struct Lease {
         double ttl = 0, until = 0;
-        loop::TimerId timer = 0;
+        event_loop::TimerId timer = 0;
     };
     struct Watch {
         std::string prefix;
@@ -56,28 +56,28 @@
     void answer(const http::Reply& reply, http::Response response);
     http::Response execute(const http::Request& request);
     http::Response list(const std::string& target) const;
-    http::Response transaction(const wire::Txn& txn, std::size_t bytes);
+    http::Response transaction(const protocol::Txn& txn, std::size_t bytes);
     http::Response lease_call(const http::Request& request);
     void open_watch(const std::string& target, http::Reply reply);
     void changed();
-    void apply(const wire::Change& change);
+    void apply(const protocol::Change& change);
     void arm(std::uint64_t lease);
     void expire(std::uint64_t lease);
-    std::vector<const wire::Event*> events(const Watch& watch) const;
+    std::vector<const protocol::Event*> events(const Watch& watch) const;
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     StateSettings settings_;
     std::mt19937_64 random_;
-    loop::Bucket requests_, writes_;
+    event_loop::Bucket requests_, writes_;
     std::map<std::string, Item> items_;
-    std::deque<wire::Event> history_;
+    std::deque<protocol::Event> history_;
     std::map<std::uint64_t, Lease> leases_;
     std::list<Watch> watches_;
     std::uint64_t revision_ = 0, next_lease_ = 1;
     double down_until_ = -1;
     Counts counts_;
     std::map<std::string, std::uint64_t> changes_by_kind_;
-    loop::Guard guard_;
+    event_loop::Guard guard_;
 };
 
 }  // namespace coralhitch::scale
--- a/scale/tests/checker_test.cpp
+++ b/scale/tests/checker_test.cpp
@@ -6,8 +6,8 @@
 namespace coralhitch::verification {
 namespace {
 
-wire::Job job(const std::string& id, std::uint32_t tasks = 2) {
-    wire::Job j;
+protocol::Job job(const std::string& id, std::uint32_t tasks = 2) {
+    protocol::Job j;
     j.id = id;
     j.team = "t";
     j.tasks = tasks;
@@ -19,13 +19,13 @@
     const char* rule;  // "": none is broken
     void (*happens)(Checker&);
 };
-void begin(Checker& c, const wire::Job& j) {
+void begin(Checker& c, const protocol::Job& j) {
     c.submitted(j);
     c.accepted(j.id);
 }
 void finish(Checker& c, double t, const std::string& id) {
     c.started(t, "a1", {id, 0});
-    c.ended(t + 1, "a1", {id, 0}, wire::Cause::done);
+    c.ended(t + 1, "a1", {id, 0}, protocol::Cause::done);
 }
 
 const History histories[] = {
@@ -33,7 +33,7 @@
      [](Checker& c) {
          begin(c, job("j-1"));
          c.started(1, "a1", {"j-1", 0});
-         c.ended(2, "a1", {"j-1", 0}, wire::Cause::stopped);
+         c.ended(2, "a1", {"j-1", 0}, protocol::Cause::stopped);
          c.started(2, "b1", {"j-1", 0});
      }},
     {"twice", "ran_twice",
@@ -99,9 +99,9 @@
          begin(c, job("j-1"));
          c.started(1, "a1", {"j-1", 0});
          c.cancel_asked("j-1");
-         c.told(2, "j-1", wire::JobState::cancelled);
+         c.told(2, "j-1", protocol::JobState::cancelled);
          c.look(11);
-         c.ended(11.9, "a1", {"j-1", 0}, wire::Cause::stopped);
+         c.ended(11.9, "a1", {"j-1", 0}, protocol::Cause::stopped);
          c.look(13);
      }},
     {"cancelled_runs_on", "ran_cancelled",
@@ -109,46 +109,46 @@
          begin(c, job("j-1"));
          c.started(1, "a1", {"j-1", 0});
          c.cancel_asked("j-1");
-         c.told(2, "j-1", wire::JobState::cancelled);
+         c.told(2, "j-1", protocol::JobState::cancelled);
          c.look(12.1);
      }},
     {"cancelled_starts", "ran_cancelled (start)",
      [](Checker& c) {
          begin(c, job("j-1"));
          c.cancel_asked("j-1");
-         c.told(2, "j-1", wire::JobState::cancelled);
+         c.told(2, "j-1", protocol::JobState::cancelled);
          c.started(12.1, "a1", {"j-1", 0});
      }},
     {"done", "",
      [](Checker& c) {
          begin(c, job("j-1", 1));
          finish(c, 1, "j-1");
-         c.told(3, "j-1", wire::JobState::done);
+         c.told(3, "j-1", protocol::JobState::done);
      }},
     {"done_early", "not_done",
      [](Checker& c) {
          begin(c, job("j-1", 2));
          finish(c, 1, "j-1");
-         c.told(3, "j-1", wire::JobState::done);
+         c.told(3, "j-1", protocol::JobState::done);
      }},
     {"done_then_running", "went_back j-1 from done",
      [](Checker& c) {
          begin(c, job("j-1", 1));
          finish(c, 1, "j-1");
-         c.told(3, "j-1", wire::JobState::done);
-         c.told(4, "j-1", wire::JobState::running);
+         c.told(3, "j-1", protocol::JobState::done);
+         c.told(4, "j-1", protocol::JobState::running);
      }},
     {"cancelled_by_nobody", "went_back j-1: nobody cancelled it",
      [](Checker& c) {
          begin(c, job("j-1"));
-         c.told(2, "j-1", wire::JobState::cancelled);
+         c.told(2, "j-1", protocol::JobState::cancelled);
      }},
     {"denied", "forgotten",
      [](Checker& c) {
          begin(c, job("j-1"));
          c.denied(2, "j-1");
      }},
-    {"unknown_answer", "invented", [](Checker& c) { c.told(2, "j-9", wire::JobState::queued); }},
+    {"unknown_answer", "invented", [](Checker& c) { c.told(2, "j-9", protocol::JobState::queued); }},
     {"unknown_start", "invented",
      [](Checker& c) {
          c.started(2, "a1", {"j-9", 0});
@@ -184,7 +184,7 @@
     for (std::uint32_t k = 0; k < 2; ++k) {
         c.started(k, "a1", {"j-1", k});
         EXPECT_EQ(c.present(), 1u);
-        c.ended(k + 0.5, "a1", {"j-1", k}, wire::Cause::done);
+        c.ended(k + 0.5, "a1", {"j-1", k}, protocol::Cause::done);
         EXPECT_EQ(c.present(), 0u);
     }
     EXPECT_TRUE(c.broken().empty());
--- a/scale/tests/state_service_test.cpp
+++ b/scale/tests/state_service_test.cpp
@@ -33,17 +33,17 @@
     EXPECT_EQ(b.put("a/1", 0), 200);
     EXPECT_EQ(b.put("a/1", 0), 409);
     EXPECT_EQ(b.put("a/1", 1), 200);
-    EXPECT_EQ(wire::parse_entry(b.ask("GET", "/kv/a/1").body).version, 2u);
+    EXPECT_EQ(protocol::parse_entry(b.ask("GET", "/kv/a/1").body).version, 2u);
     EXPECT_EQ(b.ask("GET", "/kv/a/2").status, 404);
 }
 TEST(ScaleStateService, ListsInOrderAndInPages) {
     Bench b;
     for (auto* key : {"a/3", "a/1", "b/1", "a/2"}) b.put(key, 0);
-    auto first = wire::parse_entries(b.ask("GET", "/kv?starts=a/&limit=2").body);
+    auto first = protocol::parse_entries(b.ask("GET", "/kv?starts=a/&limit=2").body);
     ASSERT_EQ(first.entries.size(), 2u);
     EXPECT_EQ(first.entries[1].key, "a/2");
     EXPECT_TRUE(first.more);
-    auto rest = wire::parse_entries(b.ask("GET", "/kv?starts=a/&since=a/2&limit=2").body);
+    auto rest = protocol::parse_entries(b.ask("GET", "/kv?starts=a/&since=a/2&limit=2").body);
     ASSERT_EQ(rest.entries.size(), 1u);
     EXPECT_EQ(rest.entries[0].key, "a/3");
     EXPECT_FALSE(rest.more);
@@ -58,31 +58,31 @@
     EXPECT_FALSE(told);
     b.put("a/2", 0);
     ASSERT_TRUE(told);
-    auto events = wire::parse_events(told->body);
+    auto events = protocol::parse_events(told->body);
     ASSERT_EQ(events.events.size(), 1u);
     EXPECT_EQ(events.events[0].key, "a/2");
     EXPECT_EQ(events.events[0].version, 3u);
 }
 TEST(ScaleStateService, ALeaseEndsWithItsKeysUnlessRenewed) {
     Bench b;
-    auto lease = wire::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
+    auto lease = protocol::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
     EXPECT_EQ(b.put("a/1", 0, R"(,"mooring":)" + std::to_string(lease)), 200);
     b.timers.run_until(b.timers.now() + 2.5);
-    EXPECT_EQ(b.ask("POST", wire::paths::lease_renew(lease)).status, 200);
+    EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
     b.timers.run_until(b.timers.now() + 3.5);
     EXPECT_EQ(b.ask("GET", "/kv/a/1").status, 200);
     b.timers.run_until(b.timers.now() + 2);
     EXPECT_EQ(b.ask("GET", "/kv/a/1").status, 404);
-    EXPECT_EQ(b.ask("POST", wire::paths::lease_renew(lease)).status, 404);
+    EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 404);
     EXPECT_EQ(b.put("a/2", 0, R"(,"mooring":)" + std::to_string(lease)), 400);
 }
 TEST(ScaleStateService, AnOutageGivesLeasesTheirTimeAgain) {
     Bench b;
-    auto lease = wire::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
+    auto lease = protocol::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
     b.service.outage(20);
     EXPECT_EQ(b.put("a/1", 0), 503);
     b.timers.run_until(b.timers.now() + 23);
-    EXPECT_EQ(b.ask("POST", wire::paths::lease_renew(lease)).status, 200);
+    EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
 }
 struct Limit {
     const char* name;
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -56,7 +56,7 @@
         on_machine_.erase(o.machine);
         return;
     }
-    if (!spec || spec->kind != wire::Kind::gang) return;
+    if (!spec || spec->kind != protocol::Kind::gang) return;
     Key key{o.task.job, o.attempt};
     auto& a = attempts_[key];
     if (o.what == Happened::ready) {
@@ -70,13 +70,13 @@
     if (o.what == Happened::ended) {
         a.waiting.erase(o.task.index);
         on_machine_[o.machine].erase({key, o.task.index});
-        if (o.cause != wire::Cause::done) lost(key);
+        if (o.cause != protocol::Cause::done) lost(key);
     }
 }
 
 // --- Load -----------------------------------------------------------------------------------------------
 
-Users::Users(loop::Loop& loop, const Experiment& e)
+Users::Users(event_loop::Loop& loop, const Experiment& e)
     : loop_(loop),
       experiment_(e),
       random_(e.seed * 13 + 5),
@@ -101,9 +101,9 @@
     loop_.cancel(arrival_);
     wait_for_arrival();
 }
-wire::Job Users::new_job(wire::Kind kind, std::uint32_t tasks) {
+protocol::Job Users::new_job(protocol::Kind kind, std::uint32_t tasks) {
     auto& l = experiment_.load;
-    wire::Job j;
+    protocol::Job j;
     char id[24];
     std::snprintf(id, sizeof id, "j-%09llu", static_cast<unsigned long long>(next_job_++));
     j.id = id;
@@ -114,7 +114,7 @@
     j.image = "img-" + std::to_string(random_() % l.images);
     j.image_gb = l.image_gb;
     j.spot = true;
-    j.cls = kind == wire::Kind::service ? "service" : kind == wire::Kind::gang ? "gang" : "array";
+    j.cls = kind == protocol::Kind::service ? "service" : kind == protocol::Kind::gang ? "gang" : "array";
     return j;
 }
 // Spread over some seconds, and over no more of the state service's changes than half.
@@ -122,8 +122,8 @@
     if (left < 1) return;
     auto tasks = std::min<std::uint32_t>(experiment_.load.service_tasks, static_cast<std::uint32_t>(left));
     Job j;
-    j.job = new_job(wire::Kind::service, tasks);
-    j.job.priority = wire::Priority::high;
+    j.job = new_job(protocol::Kind::service, tasks);
+    j.job.priority = protocol::Priority::high;
     j.cls = j.job.cls;
     submit(std::move(j));
     double jobs = experiment_.base_tasks() / experiment_.load.service_tasks;
@@ -145,11 +145,11 @@
     std::uniform_real_distribution<double> share(0, 1);
     bool gang = share(random_) < l.gang_share;
     Job j;
-    j.job = new_job(gang ? wire::Kind::gang : wire::Kind::array,
+    j.job = new_job(gang ? protocol::Kind::gang : protocol::Kind::array,
                     gang ? l.gang_sizes[random_() % l.gang_sizes.size()] : l.array_tasks);
     j.cls = j.job.cls;
     if (share(random_) < l.urgent_share) {
-        j.job.priority = wire::Priority::production;
+        j.job.priority = protocol::Priority::production;
         j.cls = j.job.cls = "urgent";
     } else if (!gang && l.tight_cpus > 0 && random_() % (l.teams + 1) == 0) {
         j.job.team = "team-tight";
@@ -197,7 +197,7 @@
     });
 }
 void Users::try_submit(const std::string& id) {
-    http::Request r{"POST", std::string(wire::paths::jobs), wire::submission(jobs_.at(id).job)};
+    http::Request r{"POST", std::string(protocol::paths::jobs), protocol::submission(jobs_.at(id).job)};
     ask(std::move(r), submit_timeout_s, [this, id](std::optional<http::Response> response) {
         auto& j = jobs_.at(id);
         double now = loop_.now();
@@ -230,7 +230,7 @@
     auto& j = jobs_.at(id);
     if (j.over) return;
     ++counts_.polls;
-    ask({"GET", std::string(wire::paths::jobs) + "/" + id, {}}, poll_timeout_s,
+    ask({"GET", std::string(protocol::paths::jobs) + "/" + id, {}}, poll_timeout_s,
         [this, id](std::optional<http::Response> r) {
             if (r && r->status == 404) judge_later([this, id](double now) { checker_.denied(now, id); });
             if (r && r->status == 200) told(id, *r, jobs_.at(id).over);
@@ -239,11 +239,11 @@
 }
 void Users::told(const std::string& id, const http::Response& r, bool was_over) {
     auto state = outside::parse_status(r.body).state;
-    bool over = state == wire::JobState::done || state == wire::JobState::cancelled;
+    bool over = state == protocol::JobState::done || state == protocol::JobState::cancelled;
     if (over || was_over) judge_later([this, id, state](double now) { checker_.told(now, id, state); });
     auto& j = jobs_.at(id);
     if (!over || std::exchange(j.over, true)) return;
-    if (state == wire::JobState::cancelled) {
+    if (state == protocol::JobState::cancelled) {
         ++counts_.cancelled;
         return;
     }
@@ -260,7 +260,7 @@
         ++counts_.cancels;
         judge_later([this, id](double) { checker_.cancel_asked(id); });
     }
-    ask({"POST", std::string(wire::paths::jobs) + "/" + id + std::string(wire::paths::cancel), {}},
+    ask({"POST", std::string(protocol::paths::jobs) + "/" + id + std::string(protocol::paths::cancel), {}},
         submit_timeout_s, [this, id, asked](std::optional<http::Response> r) {
             if (r && r->status == 200) {
                 auto& j = jobs_.at(id);
@@ -271,10 +271,11 @@
         });
 }
 void Users::poll_unknown() {
-    ask({"GET", std::string(wire::paths::jobs) + "/" + unknown_job, {}}, poll_timeout_s,
+    ask({"GET", std::string(protocol::paths::jobs) + "/" + unknown_job, {}}, poll_timeout_s,
         [this](std::optional<http::Response> r) {
             if (r && r->status == 200)
-                judge_later([this](double now) { checker_.told(now, unknown_job, wire::JobState::queued); });
+                judge_later(
+                    [this](double now) { checker_.told(now, unknown_job, protocol::JobState::queued); });
         });
     loop_.after(experiment_.load.poll_s, [this] { poll_unknown(); });
 }
@@ -302,7 +303,7 @@
         });
         if (o.what == Happened::ready) {
             ++tasks_ready_;
-            if (it != jobs_.end() && it->second.spec.kind != wire::Kind::gang) begun(o);
+            if (it != jobs_.end() && it->second.spec.kind != protocol::Kind::gang) begun(o);
         }
         to_judge_.emplace(o.t, [this, o] { apply(o); });
     }
@@ -330,7 +331,7 @@
             return checker_.machine_gone(o.machine);
         case Happened::ended:
             checker_.ended(o.t, o.machine, o.task, o.cause);
-            if (o.cause != wire::Cause::done) return;
+            if (o.cause != protocol::Cause::done) return;
             ++tasks_done_;
             if (auto it = jobs_.find(o.task.job);
                 it != jobs_.end() && it->second.all_done < 0 && checker_.is_done(o.task.job))
@@ -383,7 +384,7 @@
 }
 
 int run_users(const Experiment& e) {
-    loop::Loop loop;
+    event_loop::Loop loop;
     Lateness lateness(loop);
     Users users(loop, e);
     auto control = control_server(loop, e.users_control(), [&](const http::Request& r, http::Reply reply) {
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -6,8 +6,8 @@
 #include <random>
 #include <set>
 
+#include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
-#include "loop/loop.hpp"
 #include "scale/balancer.hpp"
 #include "scale/experiment.hpp"
 #include "scale/histogram.hpp"
@@ -20,7 +20,7 @@
 // gone.
 class Gangs {
   public:
-    Gangs(loop::Loop& loop, http::Client& http, const Experiment& e)
+    Gangs(event_loop::Loop& loop, http::Client& http, const Experiment& e)
         : loop_(loop), http_(http), experiment_(e) {}
     // Called for each event as it comes. `begun` when the gang's last task is there.
     void observe(const Observed& o, const TaskSpec* spec, const std::function<void()>& begun);
@@ -34,7 +34,7 @@
     using Key = std::pair<std::string, std::uint64_t>;
     void tell(const nlohmann::json& body);
     void lost(const Key& key);
-    loop::Loop& loop_;
+    event_loop::Loop& loop_;
     http::Client& http_;
     const Experiment& experiment_;
     std::map<Key, Attempt> attempts_;
@@ -43,7 +43,7 @@
 
 class Users {
   public:
-    Users(loop::Loop& loop, const Experiment& experiment);
+    Users(event_loop::Loop& loop, const Experiment& experiment);
     void begin();                         // the services, and arrivals at the first phase's rate
     void phase(const std::string& name);  // latencies count for it from now on
     void observed(const nlohmann::json& message);
@@ -52,7 +52,7 @@
 
   private:
     struct Job {
-        wire::Job job;
+        protocol::Job job;
         TaskSpec spec;
         std::string phase, cls;
         double first_tried = 0, all_done = -1;
@@ -63,7 +63,7 @@
     void wait_for_arrival();
     void arrive();
     void submit(Job job);
-    wire::Job new_job(wire::Kind kind, std::uint32_t tasks);
+    protocol::Job new_job(protocol::Kind kind, std::uint32_t tasks);
     void try_submit(const std::string& id);
     void poll(const std::string& id);
     void ask_cancel(const std::string& id);
@@ -77,7 +77,7 @@
     void apply(const Observed& o);
     void begun(const Observed& o);
 
-    loop::Loop& loop_;
+    event_loop::Loop& loop_;
     const Experiment& experiment_;
     std::mt19937_64 random_;
     http::Client http_, control_;
@@ -89,7 +89,7 @@
     std::uint64_t next_job_ = 0;
     std::string phase_;
     double starts_per_s_ = 0;
-    loop::TimerId arrival_ = 0;
+    event_loop::TimerId arrival_ = 0;
     // What is to be judged, by its time. It waits until every process of workers has told all up to then.
     std::multimap<double, std::function<void()>> to_judge_;
     std::map<std::uint32_t, double> told_until_;
--- a/scale/workers.cpp
+++ b/scale/workers.cpp
@@ -17,7 +17,7 @@
 
 class Site : public WorkerSite {
   public:
-    Site(loop::Loop& loop, const Experiment& e, std::uint32_t process)
+    Site(event_loop::Loop& loop, const Experiment& e, std::uint32_t process)
         : loop_(loop),
           experiment_(e),
           process_(process),
@@ -25,14 +25,14 @@
           http_(loop, control_limits()) {
         loop_.after(tell_every_s, [this] { tell(); });
     }
-    loop::Loop& loop() override { return loop_; }
+    event_loop::Loop& loop() override { return loop_; }
     const Experiment& experiment() const override { return experiment_; }
     std::mt19937_64& random() override { return random_; }
     WorkerCounts& counts() override { return counts_; }
     void observe(Observed event) override { events_.push_back(to_json(event)); }
     void spec(const std::string& job, std::function<void(const TaskSpec*)> done) override;
 
-    void up(const wire::Host& host) {
+    void up(const protocol::Host& host) {
         if (removed_.contains(host.id)) return;  // deleted while the message was under way
         try {
             workers_[host.id] = std::make_unique<HollowWorker>(*this, host);
@@ -67,7 +67,7 @@
   private:
     void tell();
     void send_events(std::string body, int tries);
-    loop::Loop& loop_;
+    event_loop::Loop& loop_;
     const Experiment& experiment_;
     std::uint32_t process_;
     std::mt19937_64 random_;
@@ -151,7 +151,7 @@
 }  // namespace
 
 int run_workers(const Experiment& e, std::uint32_t process) {
-    loop::Loop loop;
+    event_loop::Loop loop;
     Lateness lateness(loop);
     Site site(loop, e, process);
     auto control =
@@ -165,7 +165,7 @@
             auto j = json::parse(r.body);
             if (r.target == "/up")
                 site.up({j.at("id"), j.at("addr"), j.at("type"), j.at("zone"), j.at("spot"),
-                         wire::HostState::running, 0});
+                         protocol::HostState::running, 0});
             if (r.target == "/remove")
                 for (auto& id : outside::parse_machines(r.body)) site.remove(id);
             if (r.target == "/silence")
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "config/settings.hpp"
-#include "loop/bucket.hpp"
+#include "event_loop/token_bucket.hpp"
 
 namespace coralhitch::api {
 
@@ -34,14 +34,14 @@
   private:
     static constexpr double never = -1e9;
     struct Part {
-        loop::Bucket places;
+        event_loop::Bucket places;
         double asked_at;  // seconds of the injected clock
     };
     Part& part_of(const std::string& team);
     double left_to_others(const std::string& team, double now) const;
     double rate_, burst_;  // jobs a second, jobs
     double teams_, active_s_;
-    loop::Bucket all_;
+    event_loop::Bucket all_;
     std::map<std::string, Part> parts_;
     double refused_ = 0;
 };
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -5,10 +5,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
 namespace coralhitch::api {
-namespace keys = state::keys;
+namespace keys = kv::keys;
 
 namespace {
 constexpr double gap_reports = 1.0 / 20;  // between two requests: questions come together meanwhile
@@ -16,7 +16,8 @@
 constexpr std::size_t ends_together = 2;  // from so many on, one request for all instead of one each
 }  // namespace
 
-LiveJobs::LiveJobs(loop::Timers& timers, state::Client& state, const config::Settings& settings, Ended ended)
+LiveJobs::LiveJobs(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+                   Ended ended)
     : timers_(timers), state_(state), settings_(settings), told_ended_(std::move(ended)) {}
 
 const LiveJobs::Live* LiveJobs::last_known(const std::string& id) const {
@@ -57,7 +58,7 @@
 }
 
 void LiveJobs::read_all(std::vector<Question> batch) {
-    state_.list(keys::jobs, state::Rank::read, [this, batch = std::move(batch)](state::Listed l) mutable {
+    state_.list(keys::jobs, kv::Rank::read, [this, batch = std::move(batch)](kv::Listed l) mutable {
         if (l.ok) {
             jobs_.clear();
             awaits_.clear();
@@ -68,8 +69,8 @@
     });
 }
 void LiveJobs::read_changes(std::vector<Question> batch) {
-    using S = state::Watched::Status;
-    state_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](state::Watched w) mutable {
+    using S = kv::Watched::Status;
+    state_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](kv::Watched w) mutable {
         if (w.status == S::too_old) {
             revision_ = 0;
             return read_all(std::move(batch));
@@ -87,7 +88,7 @@
 // the requests left when jobs end by the score. Should it fail, those who ask read them singly.
 void LiveJobs::read_ends(std::vector<Question> batch, std::uint64_t since) {
     ++requests_;
-    state_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](state::Watched w) mutable {
+    state_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](kv::Watched w) mutable {
         for (auto& e : w.events.events)
             if (e.value) told_ended_(e.key.substr(keys::finals.size()), *e.value);
         answer(std::move(batch), true);
@@ -102,13 +103,13 @@
     if (!value) return drop(id);
     Live live{version, false, {}};
     try {
-        auto r = wire::parse_live_record(*value);
+        auto r = protocol::parse_live_record(*value);
         live.cancelled = r.cancelled;
         live.awaits = std::move(r.awaits);
-    } catch (const wire::Malformed& m) {
+    } catch (const protocol::Malformed& m) {
         spdlog::error("job record {}: {}", id, m.what());
         // Written by another version: a known job all the same. It was refused for ever.
-        live.cancelled = wire::says_cancelled(*value);
+        live.cancelled = protocol::says_cancelled(*value);
     }
     if (it != jobs_.end()) {
         // Written again, which only a cancellation does.
@@ -134,9 +135,9 @@
 void LiveJobs::cancel_behind(const std::string& id) {
     awaits_.each_behind(id, [&](auto& y) { return !std::exchange(jobs_.at(y).cancelled, true); });
 }
-void LiveJobs::ended(const std::string& id, wire::JobState state) {
+void LiveJobs::ended(const std::string& id, protocol::JobState state) {
     if (!awaits_.ends_unknown().contains(id)) return;
-    if (state == wire::JobState::cancelled) cancel_behind(id);
+    if (state == protocol::JobState::cancelled) cancel_behind(id);
     for (auto& y : awaits_.ended(id)) std::erase(jobs_.at(y).awaits, id);
 }
 // Seldom are there any: the walk back from a job is only made while the end of some awaited job is unknown.
--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -17,9 +17,9 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "jobs/awaits.hpp"
-#include "loop/timers.hpp"
-#include "state/client.hpp"
+#include "event_loop/timers.hpp"
+#include "jobs/dependency_graph.hpp"
+#include "kv/kv_client.hpp"
 
 namespace coralhitch::api {
 
@@ -41,9 +41,10 @@
     // A final record as the state service says it; told before the questions that were asked with it.
     using Ended = std::function<void(const std::string& id, const std::string& record)>;
 
-    LiveJobs(loop::Timers& timers, state::Client& state, const config::Settings& settings, Ended ended = {});
+    LiveJobs(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+             Ended ended = {});
     void confirm(const std::string& id, Done done);
-    void ended(const std::string& id, wire::JobState state);  // for ever
+    void ended(const std::string& id, protocol::JobState state);  // for ever
     void keep_up();  // now and then, so that the revision does not become too old to ask from
 
     std::uint64_t questions() const { return questions_; }  // so far
@@ -68,8 +69,8 @@
     std::vector<std::string> unknown_before(const std::string& id) const;
     void answer(std::vector<Question> batch, bool ok);
 
-    loop::Timers& timers_;
-    state::Client& state_;
+    event_loop::Timers& timers_;
+    kv::Client& state_;
     const config::Settings& settings_;
     Ended told_ended_;
     std::unordered_map<std::string, Live> jobs_;
--- a/src/api/users.cpp
+++ b/src/api/user_api.cpp
@@ -1,28 +1,28 @@
-#include "api/users.hpp"
+#include "api/user_api.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <memory>
 
-#include "placement/placement.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
+#include "scheduler/scheduler.hpp"
 
 namespace coralhitch::api {
-namespace keys = state::keys;
-using wire::JobState;
+namespace keys = kv::keys;
+using protocol::JobState;
 
 namespace {
 http::Response later() {
-    return {503, wire::error_body("try again"), "application/json", 1};
+    return {503, protocol::error_body("try again"), "application/json", 1};
 }
 // More than can be stored. A job's users are asked to come back when there may be room, at least a second
 // later.
 http::Response put_off(double wait_s) {
-    return {503, wire::error_body("too many submissions"), "application/json", std::max(1.0, wait_s)};
+    return {503, protocol::error_body("too many submissions"), "application/json", std::max(1.0, wait_s)};
 }
-http::Response status(int code, const wire::JobStatus& s) {
-    return {code, wire::job_status(s)};
+http::Response status(int code, const protocol::JobStatus& s) {
+    return {code, protocol::job_status(s)};
 }
 constexpr int cancel_tries = 4, submit_tries = 4, look_up_tries = 4;
 constexpr std::size_t finals_per_mb = 500;  // cached final states for each MB of memory that is granted
@@ -33,24 +33,24 @@
     return txn_ops * conditions_per_op - own;
 }
 
-Verdict judge(const wire::Job& job, const std::vector<wire::MachineType>& types,
+Verdict judge(const protocol::Job& job, const std::vector<protocol::MachineType>& types,
               const config::Settings& settings) {
     auto team = std::find_if(settings.teams.begin(), settings.teams.end(),
                              [&](auto& t) { return t.name == job.team; });
     if (team == settings.teams.end()) return {false, "unknown team"};
     bool fits = std::any_of(types.begin(), types.end(), [&](auto& t) {
         return t.room.holds(job.need) && std::any_of(t.zones.begin(), t.zones.end(), [&](auto& z) {
-                   return placement::type_allowed(job, t.name, z, false);
+                   return scheduler::type_allowed(job, t.name, z, false);
                });
     });
     if (!fits) return {false, "a task fits no allowed machine type"};
-    double at_once = job.kind == wire::Kind::array ? 1 : static_cast<double>(job.tasks);
-    if (!placement::team_allows(*team, {}, job.need.times(at_once)))
+    double at_once = job.kind == protocol::Kind::array ? 1 : static_cast<double>(job.tasks);
+    if (!scheduler::team_allows(*team, {}, job.need.times(at_once)))
         return {false, "more than the team's limit"};
     return {};
 }
 
-Users::Users(loop::Timers& timers, state::Client& state, const config::Settings& settings,
+Users::Users(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
              ClusterQueries& around)
     : timers_(timers),
       state_(state),
@@ -59,15 +59,15 @@
       live_(timers, state, settings,
             [this](const std::string& id, const std::string& record) {
                 try {
-                    keep_final(id, wire::parse_final_record(record));
-                } catch (const wire::Malformed& m) {
+                    keep_final(id, protocol::parse_final_record(record));
+                } catch (const protocol::Malformed& m) {
                     spdlog::error("final record {}: {}", id, m.what());
                 }
             }),
       admission_(settings) {}
 
 // With all of them forgotten at once, each was read again by everybody who still asked.
-void Users::keep_final(const std::string& id, const wire::FinalRecord& record) {
+void Users::keep_final(const std::string& id, const protocol::FinalRecord& record) {
     if (!finals_.emplace(id, record).second) return;
     finals_order_.push_back(id);
     if (finals_order_.size() <= settings_.memory_mb * finals_per_mb) return;
@@ -81,7 +81,7 @@
 // Live first, then final: a job moves in that direction only, in one transaction, so a job that is in neither
 // was not accepted when the reads began. With a read for each question, users who asked eight times as often
 // used up the requests that the state service allows, and half of them got no answer.
-void Users::look_up(const std::string& id, std::function<void(Known)> done, state::Rank rank, int tries) {
+void Users::look_up(const std::string& id, std::function<void(Known)> done, kv::Rank rank, int tries) {
     if (auto it = finals_.find(id); it != finals_.end()) return done({true, {}, it->second});
     if (tries >= look_up_tries) return done({});
     live_.confirm(id, [this, id, done, rank, tries](LiveJobs::Answer a) {
@@ -92,7 +92,7 @@
 }
 // Whether the job is cancelled hangs on how others ended, each of which is read once for all that await it.
 void Users::read_ends(const std::string& id, const std::vector<std::string>& ends,
-                      std::function<void(Known)> done, state::Rank rank, int tries) {
+                      std::function<void(Known)> done, kv::Rank rank, int tries) {
     auto left = std::make_shared<std::size_t>(ends.size());
     for (auto& end : ends)
         read_final(
@@ -106,19 +106,19 @@
 // One read for all who ask: of a long pipeline hundreds may hang on how the same job ended. A final state
 // holds for ever, so those who came while the read was under way may have it, too; that there is none is an
 // answer to those only who asked before the read.
-void Users::read_final(const std::string& id, std::function<void(Known)> done, state::Rank rank) {
+void Users::read_final(const std::string& id, std::function<void(Known)> done, kv::Rank rank) {
     if (auto it = finals_.find(id); it != finals_.end()) return done({true, {}, it->second});
     auto [it, first] = reading_.try_emplace(id);
     (first ? it->second.asked : it->second.later).push_back(std::move(done));
     if (first) send_read(id, rank);
 }
-void Users::send_read(const std::string& id, state::Rank rank) {
-    state_.get(keys::final(id), rank, [this, id, rank](state::Found f) {
+void Users::send_read(const std::string& id, kv::Rank rank) {
+    state_.get(keys::final(id), rank, [this, id, rank](kv::Found f) {
         Known k{f.ok, {}, {}};
         if (f.entry) try {
-                k.final = wire::parse_final_record(f.entry->value);
+                k.final = protocol::parse_final_record(f.entry->value);
                 keep_final(id, *k.final);
-            } catch (const wire::Malformed& m) {
+            } catch (const protocol::Malformed& m) {
                 spdlog::error("final record {}: {}", id, m.what());
                 k.ok = false;
             }
@@ -135,7 +135,7 @@
 
 void Users::answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply) {
     if (k.final) {
-        wire::JobStatus s{id, k.final->state, {}, {}};
+        protocol::JobStatus s{id, k.final->state, {}, {}};
         if (with_counts) {
             s.done = k.final->state == JobState::done ? k.final->tasks : 0;
             s.running = 0;
@@ -145,7 +145,7 @@
     if (k.live->cancelled) return reply(status(200, {id, JobState::cancelled, {}, {}}));
     // Counts are for display only; whether the job is over was read from the state service just now.
     cluster_.counts(id, [id, with_counts, reply](std::optional<TaskCounts> c) {
-        wire::JobStatus s{id, c && c->running > 0 ? JobState::running : JobState::queued, {}, {}};
+        protocol::JobStatus s{id, c && c->running > 0 ? JobState::running : JobState::queued, {}, {}};
         if (with_counts) {
             s.done = c ? c->done : 0;
             s.running = c ? c->running : 0;
@@ -156,12 +156,12 @@
 
 void Users::answer(const std::string& id, const Known& k, bool with_counts, http::Reply reply) {
     if (!k.ok) return reply(later());
-    if (k.unknown()) return reply({404, wire::error_body("no such job")});
+    if (k.unknown()) return reply({404, protocol::error_body("no such job")});
     answer_known(id, k, with_counts, std::move(reply));
 }
 
 void Users::query(const std::string& id, http::Reply reply) {
-    if (!wire::valid_job_id(id)) return reply({404, wire::error_body("no such job")});
+    if (!protocol::valid_job_id(id)) return reply({404, protocol::error_body("no such job")});
     look_up(id, [this, id, reply](Known k) { answer(id, k, true, reply); });
 }
 
@@ -176,20 +176,20 @@
             if (k.unknown()) return reply(refusal);
             answer_known(id, k, false, reply);
         },
-        state::Rank::accept);
+        kv::Rank::accept);
 }
 
 void Users::submit(const std::string& body, http::Reply reply) {
-    wire::Job job;
+    protocol::Job job;
     try {
-        job = wire::parse_job(body);
-    } catch (const wire::Malformed& m) {
-        return refuse_unless_known(wire::job_id_of(body), {400, wire::error_body(m.what())}, reply);
+        job = protocol::parse_job(body);
+    } catch (const protocol::Malformed& m) {
+        return refuse_unless_known(protocol::job_id_of(body), {400, protocol::error_body(m.what())}, reply);
     }
     auto id = job.id;
     if (cluster_.types().empty()) return refuse_unless_known(id, later(), reply);
     auto verdict = judge(job, cluster_.types(), settings_);
-    if (!verdict.runnable) return refuse_unless_known(id, {422, wire::error_body(verdict.reason)}, reply);
+    if (!verdict.runnable) return refuse_unless_known(id, {422, protocol::error_body(verdict.reason)}, reply);
     // Only types that exist matter, each once; a long list of others must not make the record too large.
     if (job.types) {
         std::sort(job.types->begin(), job.types->end());
@@ -207,7 +207,7 @@
     auto most = most_awaited(state_.limits().txn_ops());
     if (s->job.awaits.size() > most)
         return refuse_unless_known(
-            id, {422, wire::error_body("awaits more than " + std::to_string(most) + " jobs")}, s->reply);
+            id, {422, protocol::error_body("awaits more than " + std::to_string(most) + " jobs")}, s->reply);
     look_up(
         id,
         [this, id, s](Known k) {
@@ -216,7 +216,7 @@
             if (admission_.admit(s->job.team, timers_.now())) return look_up_awaited(s);
             refuse_for_now(s);
         },
-        state::Rank::accept);
+        kv::Rank::accept);
 }
 
 // A repetition costs no change: users who looked closely repeated each submission at all controllers, and the
@@ -245,7 +245,7 @@
             if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
             admit(s);
         },
-        state::Rank::accept);
+        kv::Rank::accept);
 }
 void Users::admit(std::shared_ptr<Submission> s) {
     if (admission_.admit(s->job.team, timers_.now())) return store(s);
@@ -277,12 +277,12 @@
                 }
                 if (--s->asked == 0) judge_awaited(s);
             },
-            state::Rank::accept);
+            kv::Rank::accept);
 }
 void Users::judge_awaited(std::shared_ptr<Submission> s) {
     if (!s->unknown.empty())
         return refuse_unless_known(
-            s->job.id, {422, wire::error_body("awaits " + s->unknown + ", which was never accepted")},
+            s->job.id, {422, protocol::error_body("awaits " + s->unknown + ", which was never accepted")},
             s->reply);
     if (s->unanswered) return s->reply(later());
     if (s->cancelled) s->conditions.clear();  // for ever, whatever becomes of the others
@@ -291,14 +291,14 @@
 
 void Users::store(std::shared_ptr<Submission> s) {
     auto id = s->job.id;
-    wire::JobRecord record{s->job, timers_.unix_time(), s->cancelled};
+    protocol::JobRecord record{s->job, timers_.unix_time(), s->cancelled};
     // Those that are done need not be kept, nor any once the job is cancelled.
     record.job.awaits = s->cancelled ? std::vector<std::string>{} : s->unfinished;
-    auto value = wire::stored(record);
+    auto value = protocol::stored(record);
     constexpr const char* too_long = "the job's texts and awaited jobs are too long to be stored";
     if (value.size() > state_.limits().value_bytes())
-        return refuse_unless_known(id, {422, wire::error_body(too_long)}, s->reply);
-    wire::Txn t;
+        return refuse_unless_known(id, {422, protocol::error_body(too_long)}, s->reply);
+    protocol::Txn t;
     t.conditions = s->conditions;
     t.conditions.push_back({keys::job(id), 0});
     t.conditions.push_back({keys::final(id), 0});
@@ -312,14 +312,14 @@
         if (others)
             for (auto& other : others.mapped()) refuse_unless_known(id, later(), other);
     };
-    state_.txn(std::move(t), state::Rank::accept, [this, id, s](state::Committed c) {
-        using S = state::Committed::Status;
+    state_.txn(std::move(t), kv::Rank::accept, [this, id, s](kv::Committed c) {
+        using S = kv::Committed::Status;
         if (c.status == S::committed)
             return s->reply(status(201, {id, s->cancelled ? JobState::cancelled : JobState::queued, {}, {}}));
         if (c.status != S::unknown) admission_.give_back(s->job.team, timers_.now());
         if (c.status == S::refused) return s->reply(later());
         if (c.status == S::rejected)
-            return refuse_unless_known(id, {422, wire::error_body(too_long)}, s->reply);
+            return refuse_unless_known(id, {422, protocol::error_body(too_long)}, s->reply);
         // An awaited job was cancelled or came to its end meanwhile.
         bool other = c.status == S::conflict && !c.failed_on(keys::job(id)) && !c.failed_on(keys::final(id));
         if (other && ++s->tries < submit_tries && admission_.admit(s->job.team, timers_.now()))
@@ -333,7 +333,7 @@
 // What is told of a cancelled or finished job holds for ever, so all who ask for the same meanwhile may have
 // it.
 void Users::cancel(const std::string& id, http::Reply reply) {
-    if (!wire::valid_job_id(id)) return reply({404, wire::error_body("no such job")});
+    if (!protocol::valid_job_id(id)) return reply({404, protocol::error_body("no such job")});
     if (auto it = finals_.find(id); it != finals_.end())
         return answer_known(id, {true, {}, it->second}, false, reply);
     if (auto* live = live_.last_known(id); live && live->cancelled)
@@ -353,17 +353,18 @@
 void Users::send_cancel(const std::string& id, http::Reply reply, int tries) {
     if (tries >= cancel_tries) return reply(later());
     // The record itself is needed, to be written again.
-    state_.get(keys::job(id), state::Rank::user, [this, id, reply, tries](state::Found f) {
+    state_.get(keys::job(id), kv::Rank::user, [this, id, reply, tries](kv::Found f) {
         if (!f.ok) return reply(later());
         if (f.entry) return store_cancelled(id, *f.entry, reply, tries);
         read_final(id, [this, id, reply](Known k) { answer(id, k, false, reply); });
     });
 }
-void Users::store_cancelled(const std::string& id, const wire::Entry& entry, http::Reply reply, int tries) {
-    wire::JobRecord record;
+void Users::store_cancelled(const std::string& id, const protocol::Entry& entry, http::Reply reply,
+                            int tries) {
+    protocol::JobRecord record;
     try {
-        record = wire::parse_job_record(entry.value);
-    } catch (const wire::Malformed& m) {
+        record = protocol::parse_job_record(entry.value);
+    } catch (const protocol::Malformed& m) {
         spdlog::error("job record {}: {}", id, m.what());
         return reply(later());
     }
@@ -372,17 +373,17 @@
         if (tries > 0) cluster_.cancelled(id, entry.version);
         return reply(status(200, {id, JobState::cancelled, {}, {}}));
     }
-    wire::Txn t;
+    protocol::Txn t;
     t.conditions = {{keys::job(id), entry.version}};
     record.cancelled = true;
     record.job.awaits.clear();  // so that every version can read it
-    auto value = wire::stored(record);
+    auto value = protocol::stored(record);
     // Stored when larger values were allowed.
     if (value.size() > state_.limits().value_bytes())
-        value = wire::stored(wire::shortened(std::move(record)));
+        value = protocol::stored(protocol::shortened(std::move(record)));
     t.changes = {{keys::job(id), std::move(value), 0}};
-    state_.txn(std::move(t), state::Rank::user, [this, id, reply, tries](state::Committed c) {
-        using S = state::Committed::Status;
+    state_.txn(std::move(t), kv::Rank::user, [this, id, reply, tries](kv::Committed c) {
+        using S = kv::Committed::Status;
         if (c.status == S::committed) {
             cluster_.cancelled(id, c.revision);
             return reply(status(200, {id, JobState::cancelled, {}, {}}));
--- a/src/api/users.hpp
+++ b/src/api/user_api.hpp
@@ -9,10 +9,10 @@
 #include "api/admission.hpp"
 #include "api/live_jobs.hpp"
 #include "config/settings.hpp"
+#include "event_loop/timers.hpp"
 #include "http/message.hpp"
-#include "loop/timers.hpp"
-#include "state/client.hpp"
-#include "wire/protocol.hpp"
+#include "kv/kv_client.hpp"
+#include "protocol/protocol.hpp"
 
 namespace coralhitch::api {
 
@@ -21,7 +21,7 @@
     std::string reason;
 };
 // Whether the job can ever run on what exists.
-Verdict judge(const wire::Job& job, const std::vector<wire::MachineType>& types,
+Verdict judge(const protocol::Job& job, const std::vector<protocol::MachineType>& types,
               const config::Settings& settings);
 
 // How many jobs one may await: a condition of the transaction for each, beside two of its own.
@@ -35,14 +35,14 @@
 class ClusterQueries {
   public:
     virtual ~ClusterQueries() = default;
-    virtual const std::vector<wire::MachineType>& types() const = 0;  // empty: not known yet
+    virtual const std::vector<protocol::MachineType>& types() const = 0;  // empty: not known yet
     virtual void counts(const std::string& id, std::function<void(std::optional<TaskCounts>)> done) = 0;
     virtual void cancelled(const std::string& id, std::uint64_t version) = 0;
 };
 
 class Users {
   public:
-    Users(loop::Timers& timers, state::Client& state, const config::Settings& settings,
+    Users(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
           ClusterQueries& around);
     void submit(const std::string& body, http::Reply reply);
     void query(const std::string& id, http::Reply reply);
@@ -54,31 +54,30 @@
     struct Known {
         bool ok = false;  // false: the state service did not answer
         std::optional<LiveJobs::Live> live;
-        std::optional<wire::FinalRecord> final;
+        std::optional<protocol::FinalRecord> final;
         bool unknown() const { return ok && !live && !final; }
     };
     // A submission while the jobs that it awaits are looked up.
     struct Submission {
-        wire::Job job;
+        protocol::Job job;
         http::Reply reply;
         int tries = 0;
         std::size_t asked = 0;
         bool unanswered = false, cancelled = false;
         std::string unknown;                  // one that was never accepted
         std::vector<std::string> unfinished;  // to be awaited
-        std::vector<wire::Condition> conditions;
+        std::vector<protocol::Condition> conditions;
     };
     // Reads for submissions have their rank, and wait behind no questions.
-    void look_up(const std::string& id, std::function<void(Known)> done, state::Rank rank = state::Rank::read,
+    void look_up(const std::string& id, std::function<void(Known)> done, kv::Rank rank = kv::Rank::read,
                  int tries = 0);
     void read_ends(const std::string& id, const std::vector<std::string>& ends,
-                   std::function<void(Known)> done, state::Rank rank, int tries);
+                   std::function<void(Known)> done, kv::Rank rank, int tries);
     void look_up_awaited(std::shared_ptr<Submission> s);
     void judge_awaited(std::shared_ptr<Submission> s);
-    void read_final(const std::string& id, std::function<void(Known)> done,
-                    state::Rank rank = state::Rank::read);
-    void send_read(const std::string& id, state::Rank rank);
-    void store_cancelled(const std::string& id, const wire::Entry& entry, http::Reply reply, int tries);
+    void read_final(const std::string& id, std::function<void(Known)> done, kv::Rank rank = kv::Rank::read);
+    void send_read(const std::string& id, kv::Rank rank);
+    void store_cancelled(const std::string& id, const protocol::Entry& entry, http::Reply reply, int tries);
     void answer(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
     void answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
     void refuse_unless_known(const std::optional<std::string>& id, http::Response refusal, http::Reply reply);
@@ -89,17 +88,17 @@
     void store(std::shared_ptr<Submission> s);
     void send_cancel(const std::string& id, http::Reply reply, int tries);
     void cancel_answered(const std::string& id, const http::Response& answer);
-    void keep_final(const std::string& id, const wire::FinalRecord& record);
+    void keep_final(const std::string& id, const protocol::FinalRecord& record);
     bool accepted_before(const std::string& id) const;
 
-    loop::Timers& timers_;
-    state::Client& state_;
+    event_loop::Timers& timers_;
+    kv::Client& state_;
     const config::Settings& settings_;
     ClusterQueries& cluster_;
     LiveJobs live_;
     Admission admission_;
     // Final states never change, so they may be told from memory; the oldest are forgotten first.
-    std::unordered_map<std::string, wire::FinalRecord> finals_;
+    std::unordered_map<std::string, protocol::FinalRecord> finals_;
     std::deque<std::string> finals_order_;
     // Submissions that are being stored, by job, with those that repeat them meanwhile.
     std::unordered_map<std::string, std::vector<http::Reply>> storing_;
--- a/src/capacity/capacity.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "capacity/capacity.hpp"
+#include "autoscaler/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,12 +6,12 @@
 #include <optional>
 #include <tuple>
 
-namespace coralhitch::capacity {
+namespace coralhitch::autoscaler {
 namespace {
 
 struct Bin {
     std::size_t pool = 0;
-    wire::Room free;
+    protocol::Room free;
     const MachineView* machine = nullptr;  // null: would be rented
 };
 
@@ -54,7 +54,7 @@
     }
 
   private:
-    const placement::Pool& pool(std::size_t p) const { return in_.pools[p]; }
+    const scheduler::Pool& pool(std::size_t p) const { return in_.pools[p]; }
     bool dark(std::size_t p) const {
         return pool(p).zone_index < in_.dark.size() && in_.dark[pool(p).zone_index];
     }
@@ -64,10 +64,10 @@
         auto machines = bins_.size() + dark_bins_.size() + in_.others;
         return settings_.op.max_machines > 0 && machines >= settings_.op.max_machines;
     }
-    double free_share(const Bin& b) const { return placement::least_share(b.free, pool(b.pool).total); }
+    double free_share(const Bin& b) const { return scheduler::least_share(b.free, pool(b.pool).total); }
 
-    placement::PoolSet pools_of(const wire::Job& job, const placement::ZoneCounts& zones) const {
-        return placement::allowed_pools(job, zones, in_.pools);
+    scheduler::PoolSet pools_of(const protocol::Job& job, const scheduler::ZoneCounts& zones) const {
+        return scheduler::allowed_pools(job, zones, in_.pools);
     }
     void pack(const Need& n) {
         auto zones = n.zones;
@@ -92,7 +92,7 @@
         }
     }
     // A machine to rent for the job: the cheapest per task it holds, then the zone with the fewest machines.
-    bool open(const wire::Job& job, const placement::PoolSet& pools, bool in_dark = false) {
+    bool open(const protocol::Job& job, const scheduler::PoolSet& pools, bool in_dark = false) {
         if (full()) return false;
         std::optional<std::size_t> best;
         double best_cost = 0;
@@ -124,7 +124,7 @@
     // What the teams are guaranteed together, in machines of the largest type: they need not wait for it, so
     // it is there once anybody works.
     double guaranteed() const {
-        wire::Room sum, largest;
+        protocol::Room sum, largest;
         for (auto& t : settings_.teams) sum += {t.cpus, t.gpus, 0};
         for (auto& t : in_.types) {
             largest.cpus = std::max(largest.cpus, t.room.cpus);
@@ -136,7 +136,7 @@
     }
     double surplus() const { return spare_ - spare_wanted(); }
     void reserve() {
-        wire::Job any;  // ordinary machines serve every job; where there are none, spot ones relieve them
+        protocol::Job any;  // ordinary machines serve every job; where there are none, spot ones relieve them
         auto ordinary = pools_of(any, {});
         any.spot = true;
         auto every = pools_of(any, {});
@@ -190,7 +190,7 @@
     double spare_ = 0;
     std::size_t suspected_ = 0;
     std::vector<int> per_zone_;
-    std::vector<const wire::MachineType*> rented_type_;  // by pool; null: can't be rented
+    std::vector<const protocol::MachineType*> rented_type_;  // by pool; null: can't be rented
 };
 
 }  // namespace
@@ -199,4 +199,4 @@
     return Packer(in, settings).run();
 }
 
-}  // namespace coralhitch::capacity
+}  // namespace coralhitch::autoscaler
--- a/src/capacity/capacity.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -5,16 +5,16 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "placement/placement.hpp"
-#include "wire/model.hpp"
+#include "protocol/model.hpp"
+#include "scheduler/scheduler.hpp"
 
-namespace coralhitch::capacity {
+namespace coralhitch::autoscaler {
 
 struct MachineView {
     std::string id;
     std::size_t pool = 0;
     bool booting = false;
-    wire::Room free;
+    protocol::Room free;
     bool empty = false;
     bool draining = false;  // lately chosen to be emptied
     int tasks = 0, services = 0;
@@ -22,14 +22,14 @@
     bool suspected = false;  // not heard when it should have been; it may speak any moment
 };
 struct Need {
-    const wire::Job* job = nullptr;
+    const protocol::Job* job = nullptr;
     std::size_t count = 0;
-    placement::ZoneCounts zones;
+    scheduler::ZoneCounts zones;
 };
 struct Input {
-    std::vector<wire::MachineType> types;
+    std::vector<protocol::MachineType> types;
     std::size_t zones = 0;               // how many there are
-    std::vector<placement::Pool> pools;  // all that the types allow, and any other that has machines
+    std::vector<scheduler::Pool> pools;  // all that the types allow, and any other that has machines
     std::vector<MachineView> machines;   // those that can be counted on, now or soon
     std::size_t others = 0;  // that exist beside them: not reconciled, about to be taken or deleted
     std::vector<Need> needs;
@@ -48,4 +48,4 @@
 
 Decisions plan(const Input& in, const config::Settings& settings);
 
-}  // namespace coralhitch::capacity
+}  // namespace coralhitch::autoscaler
--- a/src/cloud/client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,12 +1,12 @@
-#include "cloud/client.hpp"
+#include "cloud/cloud_client.hpp"
 
 #include <algorithm>
 #include <memory>
 
 namespace coralhitch::cloud {
-using wire::Malformed;
+using protocol::Malformed;
 
-Client::Client(loop::Timers& timers, http::Requester& http, const config::Settings& s)
+Client::Client(event_loop::Timers& timers, http::Requester& http, const config::Settings& s)
     : timers_(timers),
       http_(http),
       settings_(s),
@@ -37,25 +37,25 @@
     });
 }
 
-void Client::types(std::function<void(std::optional<std::vector<wire::MachineType>>)> done) {
-    submit({"GET", std::string(wire::paths::types), {}}, false, [done](std::optional<http::Response> r) {
+void Client::types(std::function<void(std::optional<std::vector<protocol::MachineType>>)> done) {
+    submit({"GET", std::string(protocol::paths::types), {}}, false, [done](std::optional<http::Response> r) {
         try {
-            if (r && r->status == 200) return done(wire::parse_types(r->body));
+            if (r && r->status == 200) return done(protocol::parse_types(r->body));
         } catch (const Malformed&) {
         }
         done(std::nullopt);
     });
 }
-void Client::hosts(std::function<void(std::optional<std::vector<wire::Host>>)> done) {
-    host_page(std::make_shared<std::vector<wire::Host>>(), "", std::move(done));
+void Client::hosts(std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
+    host_page(std::make_shared<std::vector<protocol::Host>>(), "", std::move(done));
 }
-void Client::host_page(std::shared_ptr<std::vector<wire::Host>> acc, std::string after,
-                       std::function<void(std::optional<std::vector<wire::Host>>)> done) {
-    submit({"GET", wire::paths::host_list(after, 500), {}}, false,
+void Client::host_page(std::shared_ptr<std::vector<protocol::Host>> acc, std::string after,
+                       std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
+    submit({"GET", protocol::paths::host_list(after, 500), {}}, false,
            [this, acc, done](std::optional<http::Response> r) {
                try {
                    if (!r || r->status != 200) return done(std::nullopt);
-                   auto page = wire::parse_hosts(r->body);
+                   auto page = protocol::parse_hosts(r->body);
                    for (auto& h : page.hosts) acc->push_back(std::move(h));
                    if (!page.more || acc->empty()) return done(std::move(*acc));
                    host_page(acc, acc->back().id, done);
@@ -66,21 +66,22 @@
 }
 void Client::rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
                   int count, std::function<void(Rented)> done) {
-    submit({"POST", std::string(wire::paths::hosts), wire::rent_request(name, type, zone, spot, count)},
-           false, [done](std::optional<http::Response> r) {
-               Rented out;
-               try {
-                   if (r && r->status == 200)
-                       out = {Rented::Status::rented, wire::parse_rented(r->body)};
-                   else if (r && r->status == 503 && r->body.find("no capacity") != std::string::npos)
-                       out.status = Rented::Status::no_capacity;
-               } catch (const Malformed&) {
-               }
-               done(std::move(out));
-           });
+    submit(
+        {"POST", std::string(protocol::paths::hosts), protocol::rent_request(name, type, zone, spot, count)},
+        false, [done](std::optional<http::Response> r) {
+            Rented out;
+            try {
+                if (r && r->status == 200)
+                    out = {Rented::Status::rented, protocol::parse_rented(r->body)};
+                else if (r && r->status == 503 && r->body.find("no capacity") != std::string::npos)
+                    out.status = Rented::Status::no_capacity;
+            } catch (const Malformed&) {
+            }
+            done(std::move(out));
+        });
 }
 void Client::remove(std::vector<std::string> machines, std::function<void(bool)> done) {
-    submit({"POST", std::string(wire::paths::hosts_delete), wire::delete_request(machines)}, true,
+    submit({"POST", std::string(protocol::paths::hosts_delete), protocol::delete_request(machines)}, true,
            [done](std::optional<http::Response> r) { done(r && r->status == 200); });
 }
 
--- a/src/cloud/client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -2,10 +2,10 @@
 #include <deque>
 
 #include "config/settings.hpp"
+#include "event_loop/timers.hpp"
+#include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
-#include "loop/bucket.hpp"
-#include "loop/timers.hpp"
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
 
 namespace coralhitch::cloud {
 
@@ -16,9 +16,9 @@
 
 class Client {
   public:
-    Client(loop::Timers& timers, http::Requester& http, const config::Settings& settings);
-    void types(std::function<void(std::optional<std::vector<wire::MachineType>>)> done);
-    void hosts(std::function<void(std::optional<std::vector<wire::Host>>)> done);
+    Client(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
+    void types(std::function<void(std::optional<std::vector<protocol::MachineType>>)> done);
+    void hosts(std::function<void(std::optional<std::vector<protocol::Host>>)> done);
     void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot, int count,
               std::function<void(Rented)> done);
     // true: by the time of the answer the machines and all on them are gone
@@ -29,16 +29,16 @@
   private:
     void submit(http::Request r, bool urgent, http::Result done);
     void pump();
-    void host_page(std::shared_ptr<std::vector<wire::Host>> acc, std::string after,
-                   std::function<void(std::optional<std::vector<wire::Host>>)> done);
+    void host_page(std::shared_ptr<std::vector<protocol::Host>> acc, std::string after,
+                   std::function<void(std::optional<std::vector<protocol::Host>>)> done);
     struct Call {
         http::Request request;
         http::Result done;
     };
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    loop::Bucket bucket_;
+    event_loop::Bucket bucket_;
     std::deque<Call> queue_;
     bool armed_ = false;
 };
--- a/src/fleet/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -1,16 +1,16 @@
-#include "fleet/cluster_state.hpp"
+#include "cluster/cluster_state.hpp"
 
 #include <algorithm>
 #include <limits>
 
-namespace coralhitch::fleet {
-using wire::Cause;
-using wire::Command;
-using wire::Op;
-using wire::TaskState;
+namespace coralhitch::cluster {
+using protocol::Cause;
+using protocol::Command;
+using protocol::Op;
+using protocol::TaskState;
 
-wire::Room Machine::free() const {
-    wire::Room room = total;
+protocol::Room Machine::free() const {
+    protocol::Room room = total;
     for (auto& [id, t] : tasks)
         if (t.spec) room -= t.spec->need;
     return room;
@@ -23,11 +23,11 @@
     return std::any_of(tasks.begin(), tasks.end(), [](auto& t) { return t.second.seen; });
 }
 
-ClusterState::ClusterState(std::uint64_t version, const std::vector<wire::MachineType>& types)
+ClusterState::ClusterState(std::uint64_t version, const std::vector<protocol::MachineType>& types)
     : base_(version << token_bits) {
     set_types(types);
 }
-void ClusterState::set_types(const std::vector<wire::MachineType>& types) {
+void ClusterState::set_types(const std::vector<protocol::MachineType>& types) {
     for (auto& t : types) types_[t.name] = t;
     for (auto& p : pools_) know_type(p);
     for (auto& t : types)
@@ -35,7 +35,7 @@
             for (bool spot : {false, true}) pool_of(t.name, z, spot);
     for (auto& [id, m] : machines_) m.total = pools_[m.pool].total;
 }
-void ClusterState::know_type(wire::Pool& p) const {
+void ClusterState::know_type(protocol::Pool& p) const {
     auto it = types_.find(p.type);
     if (it == types_.end()) return;
     p.total = it->second.room;
@@ -56,7 +56,7 @@
 }
 // A machine caches the images used last, as many as fit. What it has dropped must not count as there: a task
 // sent for it would fetch after all.
-void ClusterState::used_image(Machine& m, const wire::Job& job) {
+void ClusterState::used_image(Machine& m, const protocol::Job& job) {
     auto id = image(job.image);
     std::erase_if(m.cache, [&](auto& c) { return c.first == id; });
     m.cache.emplace_back(id, job.image_gb);
@@ -71,7 +71,7 @@
     auto type = types_.find(m.type);
     double left = type == types_.end() || type->second.cache_gb <= 0 ? std::numeric_limits<double>::max()
                                                                      : type->second.cache_gb;
-    wire::Images images;
+    protocol::Images images;
     std::size_t kept = 0;
     for (auto c = m.cache.rbegin(); c != m.cache.rend() && (kept == 0 || left >= c->second); ++c, ++kept) {
         left -= c->second;
@@ -79,7 +79,8 @@
     }
     m.cache.erase(m.cache.begin(), m.cache.end() - static_cast<std::ptrdiff_t>(kept));
     std::sort(images.begin(), images.end());
-    if (!m.images || *m.images != images) m.images = std::make_shared<const wire::Images>(std::move(images));
+    if (!m.images || *m.images != images)
+        m.images = std::make_shared<const protocol::Images>(std::move(images));
 }
 void ClusterState::flush_later(Machine& m) {
     if (m.unsent) return;
@@ -131,7 +132,8 @@
     return ends;
 }
 
-ReportOutcome ClusterState::apply_report(const wire::Report& r, Via via, double now, const Lookup& lookup) {
+ReportOutcome ClusterState::apply_report(const protocol::Report& r, Via via, double now,
+                                         const Lookup& lookup) {
     ReportOutcome outcome;
     // A machine once deleted stays gone; what still arrives from it was under way.
     outcome.gone = is_gone(r.machine);
@@ -155,8 +157,8 @@
         m.hello_sequence = 0;
     }
     apply_header(m, r, via, now);
-    std::set<std::pair<wire::TaskId, std::uint64_t>> shown_ended;
-    std::set<wire::TaskId> shown;
+    std::set<std::pair<protocol::TaskId, std::uint64_t>> shown_ended;
+    std::set<protocol::TaskId> shown;
     for (auto& t : r.tasks) {
         if (t.state == TaskState::exited) {
             shown_ended.emplace(t.task, t.attempt);
@@ -174,13 +176,13 @@
 }
 
 // The worker had heard of this leader when it sent it.
-bool ClusterState::sent_since_begin(const wire::Report& r, Via via) const {
+bool ClusterState::sent_since_begin(const protocol::Report& r, Via via) const {
     return via == Via::direct || r.token >= base_;
 }
 // The larger (session, sequence) is the newer one, an older one changes nothing. But a report from before
 // this leader began may be of another life of the machine, which had come further; what the leader before
 // told is not.
-bool ClusterState::is_newer(const Machine& m, const wire::Report& r, Via via) const {
+bool ClusterState::is_newer(const Machine& m, const protocol::Report& r, Via via) const {
     if (std::pair(r.session, r.sequence) > std::pair(m.session, m.sequence)) return true;
     bool asked = via == Via::direct;
     return !m.confirmed && !m.known && (r.token >= base_ || (asked && r.session < m.session));
@@ -191,7 +193,7 @@
 // session whose lease is out. Taken for true, such a report brought tasks back that ran elsewhere, and those
 // were stopped. What the machine answers now counts. A report that may be from before this leader began tells
 // of tasks only if an earlier leader may have started some, and nothing newer is known.
-bool ClusterState::shows_what_is_over(const wire::Report& r, Via via) {
+bool ClusterState::shows_what_is_over(const protocol::Report& r, Via via) {
     bool asked = via == Via::direct;
     auto* known = find(r.machine);
     if (!asked && !r.tasks.empty() && (!known || !known->stored)) return true;
@@ -201,7 +203,7 @@
     return known && (r.session <= known->over || (known->unproven && !asked));
 }
 
-void ClusterState::apply_older(Machine& m, const wire::Report& r, Via via, ReportOutcome& outcome) const {
+void ClusterState::apply_older(Machine& m, const protocol::Report& r, Via via, ReportOutcome& outcome) const {
     bool asked = via == Via::direct;
     // A direct answer may overtake a report; the worker still waits for the report's answer.
     bool overtaken = !asked && r.sequence > m.hello_sequence;
@@ -211,7 +213,7 @@
 }
 
 // All that a newer report says of the machine itself.
-void ClusterState::apply_header(Machine& m, const wire::Report& r, Via via, double now) {
+void ClusterState::apply_header(Machine& m, const protocol::Report& r, Via via, double now) {
     if (std::pair(r.session, r.sequence) < std::pair(m.session, m.sequence)) m.hello_sequence = 0;
     m.session = r.session;
     m.sequence = r.sequence;
@@ -234,7 +236,7 @@
 }
 
 // Proof of exit: the worker says that this attempt has exited.
-void ClusterState::apply_exited(Machine& m, const wire::TaskReport& t, ReportOutcome& outcome) {
+void ClusterState::apply_exited(Machine& m, const protocol::TaskReport& t, ReportOutcome& outcome) {
     auto key = std::pair(t.task, t.attempt);
     if (m.ended.contains(key)) return;
     Ended e{t.attempt, 0, 0, 0, 0, false};
@@ -258,7 +260,7 @@
 // evidence against what the leader before told: that holds all there is. Nor does it become a belief before
 // the machine has confirmed it: as one, it made a gang that ran elsewhere by now stop when the next report
 // did not show it.
-bool ClusterState::apply_present(Machine& m, const wire::TaskReport& t, double now, const Lookup& lookup,
+bool ClusterState::apply_present(Machine& m, const protocol::TaskReport& t, double now, const Lookup& lookup,
                                  ReportOutcome& outcome) {
     bool changed = false;
     auto it = m.tasks.find(t.task);
@@ -289,7 +291,7 @@
 }
 
 // What the report does not show, though it is on record.
-void ClusterState::apply_absent(Machine& m, const std::set<wire::TaskId>& shown, std::uint64_t token,
+void ClusterState::apply_absent(Machine& m, const std::set<protocol::TaskId>& shown, std::uint64_t token,
                                 ReportOutcome& outcome) {
     for (auto it = m.tasks.begin(); it != m.tasks.end();) {
         auto& i = it->second;
@@ -406,7 +408,8 @@
 
 namespace {
 // Takes the place of whatever was known of the task there.
-Instance& new_instance(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now) {
+Instance& new_instance(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt,
+                       double now) {
     auto& i = m.tasks[task];
     i = Instance{};
     i.spec = std::move(spec);
@@ -416,7 +419,7 @@
 }
 }  // namespace
 
-Instance& ClusterState::place(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
+Instance& ClusterState::place(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt,
                               double now) {
     auto& i = new_instance(m, task, std::move(spec), attempt, now);
     i.ready = m.stored;
@@ -426,14 +429,14 @@
     mark_dirty(m);
     return i;
 }
-Instance& ClusterState::inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt,
+Instance& ClusterState::inherit(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt,
                                 double now) {
     auto& i = new_instance(m, task, std::move(spec), attempt, now);
     i.seen = true;
     i.run_token = base_ - 1;  // of any `run` that may still be on its way
     return i;
 }
-void ClusterState::stop(Machine& m, const wire::TaskId& task, double grace_s) {
+void ClusterState::stop(Machine& m, const protocol::TaskId& task, double grace_s) {
     auto it = m.tasks.find(task);
     if (it == m.tasks.end()) return;
     auto& i = it->second;
@@ -444,7 +447,7 @@
     flush_later(m);
     if (!i.seen && m.token <= i.run_token) m.token = i.run_token + 1;
 }
-void ClusterState::cancel(Machine& m, const wire::TaskId& task, double worker_lease_bound) {
+void ClusterState::cancel(Machine& m, const protocol::TaskId& task, double worker_lease_bound) {
     if (auto it = m.tasks.find(task); it != m.tasks.end())
         it->second.worker_lease_bound = std::min(it->second.worker_lease_bound, worker_lease_bound);
     stop(m, task, 0);
@@ -484,4 +487,4 @@
     return ends;
 }
 
-}  // namespace coralhitch::fleet
+}  // namespace coralhitch::cluster
--- a/src/fleet/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -16,18 +16,18 @@
 #include <utility>
 #include <vector>
 
-#include "membership/reach.hpp"
-#include "wire/model.hpp"
+#include "membership/reachability.hpp"
+#include "protocol/model.hpp"
 
-namespace coralhitch::fleet {
+namespace coralhitch::cluster {
 
-using Spec = std::shared_ptr<const wire::Job>;
+using Spec = std::shared_ptr<const protocol::Job>;
 using Lookup = std::function<Spec(const std::string& job)>;
 
 struct Instance {
     Spec spec;  // null: a job nobody knows (any more); it is stopped, and its machine gets nothing new
     std::uint64_t attempt = 0;
-    wire::TaskState state = wire::TaskState::fetching;
+    protocol::TaskState state = protocol::TaskState::fetching;
     bool seen = false;   // a report showed it
     bool shown = false;  // the last report did
     // False: only a report from before this leader began showed it. It takes its place, and is stopped if it
@@ -59,7 +59,7 @@
     std::string id, addr, type, zone;
     bool spot = false;
     std::size_t pool = 0;
-    wire::Room total;
+    protocol::Room total;
     enum class Life { booting, up, marked_for_deletion } life = Life::booting;
     bool stored = false, storing = false;  // its key at the state service
     bool stored_before = false;  // when this leader began, so that tasks of earlier leaders may be on it
@@ -81,13 +81,14 @@
     double answered = -1;    // when this leader last answered its report, before it had reconciled
     double notice_until = -1;
     bool probing = false;
-    std::map<wire::TaskId, Instance> tasks;
-    std::map<std::pair<wire::TaskId, std::uint64_t>, Ended> ended;
+    std::map<protocol::TaskId, Instance> tasks;
+    std::map<std::pair<protocol::TaskId, std::uint64_t>, Ended> ended;
     std::vector<std::pair<std::uint32_t, double>> cache;  // images and their sizes, the last used last
-    std::shared_ptr<const wire::Images> images;  // of `cache`; replaced, never changed: plans hold on to it
-    bool draining = false;                       // surplus, by the last plan of what to rent and return
-    bool unsent = false;                         // among those that `to_flush` names
-    bool dirty = false;                          // among those that `dirty_machines` names
+    std::shared_ptr<const protocol::Images>
+        images;             // of `cache`; replaced, never changed: plans hold on to it
+    bool draining = false;  // surplus, by the last plan of what to rent and return
+    bool unsent = false;    // among those that `to_flush` names
+    bool dirty = false;     // among those that `dirty_machines` names
     std::set<std::string> error_jobs;
     double avoid_until = 0;
     bool suspected = false;  // it should have been heard by now: nothing new goes there
@@ -106,18 +107,18 @@
     bool fit(double now) const {
         return life == Life::up && reconciled && session > 0 && notice_until < 0 && now >= avoid_until;
     }
-    wire::Room free() const;
+    protocol::Room free() const;
     bool has_unknown() const;
 };
 
 // A task that is proven gone from a machine.
 struct End {
     std::string machine;
-    wire::TaskId task;
+    protocol::TaskId task;
     std::uint64_t attempt = 0;
     bool reported = false;  // false: the machine, the session or the command is proven gone
     bool stray = false;
-    wire::Cause cause = wire::Cause::none;
+    protocol::Cause cause = protocol::Cause::none;
     bool saved = false;
     bool started = false;  // it had its image
 };
@@ -131,7 +132,7 @@
     bool again = false;    // the newest report once more
     bool gone = false;     // what it shows is gone: a late report
     std::vector<End> ends;
-    std::vector<std::pair<wire::TaskId, std::string>>
+    std::vector<std::pair<protocol::TaskId, std::string>>
         found;  // instances not known before, with their machine
 };
 
@@ -139,28 +140,28 @@
   public:
     // Tokens of a leadership: its key's version above, a counter per machine below.
     static constexpr int token_bits = 20;
-    ClusterState(std::uint64_t version, const std::vector<wire::MachineType>& types);
+    ClusterState(std::uint64_t version, const std::vector<protocol::MachineType>& types);
 
-    void set_types(const std::vector<wire::MachineType>& types);
+    void set_types(const std::vector<protocol::MachineType>& types);
     Machine* find(std::string_view id);
     Machine& add(const std::string& id, const std::string& addr, const std::string& type,
                  const std::string& zone, bool spot, Machine::Life life, double now);
-    ReportOutcome apply_report(const wire::Report& r, Via via, double now, const Lookup& lookup);
+    ReportOutcome apply_report(const protocol::Report& r, Via via, double now, const Lookup& lookup);
     // Commands for the answer to a report. Without authority only stops that were decided with it.
-    std::vector<wire::Command> answer(Machine& m, double now, bool authority);
+    std::vector<protocol::Command> answer(Machine& m, double now, bool authority);
 
     // Direct commands: what to send now; mark them as under way; what became of them.
-    std::vector<wire::Command> direct_now(Machine& m, double now, bool authority);
+    std::vector<protocol::Command> direct_now(Machine& m, double now, bool authority);
     // Nothing is to be said to the machine, and its last report showed all that is known to be on it: a
     // report that says the same tells nothing, and its answer holds nothing.
     bool quiet(const Machine& m) const;
-    void direct_done(Machine& m, const std::vector<wire::Command>& commands, std::uint64_t token,
+    void direct_done(Machine& m, const std::vector<protocol::Command>& commands, std::uint64_t token,
                      bool answered);
 
-    Instance& place(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now);
-    void stop(Machine& m, const wire::TaskId& task, double grace_s);
+    Instance& place(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt, double now);
+    void stop(Machine& m, const protocol::TaskId& task, double grace_s);
     // The same for good, at once; see `renewable`.
-    void cancel(Machine& m, const wire::TaskId& task, double worker_lease_bound);
+    void cancel(Machine& m, const protocol::TaskId& task, double worker_lease_bound);
     // Whether an answer to the last report may renew the lease. Its answer stops what it shows; what it does
     // not show may have started since, by a `run` that was held up, and would live for a lease more without a
     // command. Direct commands fence that and renew nothing.
@@ -178,7 +179,7 @@
     const std::map<std::string, Machine>& machines() const { return machines_; }
     std::uint64_t base_token() const { return base_; }
     bool any_reconciled() const { return any_reconciled_; }
-    const std::vector<wire::Pool>& pools() const { return pools_; }
+    const std::vector<protocol::Pool>& pools() const { return pools_; }
     std::size_t zones() const { return zones_.size(); }
     std::uint32_t image(const std::string& name);
     const std::map<std::string, std::uint32_t>& images() const { return images_; }
@@ -194,30 +195,30 @@
     void hold_starts() { hold_starts_ = true; }
     // What a leader before this one, which told all it started, knew to be on the machine: it may be there. A
     // report under this leader's token proves what is; the predecessor's tokens were all lower.
-    Instance& inherit(Machine& m, const wire::TaskId& task, Spec spec, std::uint64_t attempt, double now);
+    Instance& inherit(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt, double now);
 
   private:
     // The steps of `apply_report`; those that find something out add it to the outcome.
-    bool sent_since_begin(const wire::Report& r, Via via) const;
-    bool is_newer(const Machine& m, const wire::Report& r, Via via) const;
-    bool shows_what_is_over(const wire::Report& r, Via via);
-    void apply_older(Machine& m, const wire::Report& r, Via via, ReportOutcome& outcome) const;
-    void apply_header(Machine& m, const wire::Report& r, Via via, double now);
-    void apply_exited(Machine& m, const wire::TaskReport& t, ReportOutcome& outcome);
-    bool apply_present(Machine& m, const wire::TaskReport& t, double now, const Lookup& lookup,
+    bool sent_since_begin(const protocol::Report& r, Via via) const;
+    bool is_newer(const Machine& m, const protocol::Report& r, Via via) const;
+    bool shows_what_is_over(const protocol::Report& r, Via via);
+    void apply_older(Machine& m, const protocol::Report& r, Via via, ReportOutcome& outcome) const;
+    void apply_header(Machine& m, const protocol::Report& r, Via via, double now);
+    void apply_exited(Machine& m, const protocol::TaskReport& t, ReportOutcome& outcome);
+    bool apply_present(Machine& m, const protocol::TaskReport& t, double now, const Lookup& lookup,
                        ReportOutcome& outcome);
-    void apply_absent(Machine& m, const std::set<wire::TaskId>& shown, std::uint64_t token,
+    void apply_absent(Machine& m, const std::set<protocol::TaskId>& shown, std::uint64_t token,
                       ReportOutcome& outcome);
     void mark_dirty(Machine& m);
-    void know_type(wire::Pool& p) const;
+    void know_type(protocol::Pool& p) const;
     std::size_t pool_of(const std::string& type, const std::string& zone, bool spot);
-    void used_image(Machine& m, const wire::Job& job);
+    void used_image(Machine& m, const protocol::Job& job);
     void trim_cache(Machine& m);
     std::vector<End> vanish_all(Machine& m);
     void fence_unsure(Machine& m);
     std::uint64_t base_;
-    std::map<std::string, wire::MachineType> types_;
-    std::vector<wire::Pool> pools_;
+    std::map<std::string, protocol::MachineType> types_;
+    std::vector<protocol::Pool> pools_;
     std::vector<std::string> zones_;
     std::map<std::string, std::uint32_t> images_;
     std::vector<std::string> to_flush_, dirty_machines_;
@@ -231,4 +232,4 @@
     std::unordered_set<std::string> gone_;
 };
 
-}  // namespace coralhitch::fleet
+}  // namespace coralhitch::cluster
--- a/src/fleet/usage.cpp
+++ b/src/cluster/team_usage.cpp
@@ -1,13 +1,13 @@
-#include "fleet/usage.hpp"
+#include "cluster/team_usage.hpp"
 
 #include <algorithm>
 
-namespace coralhitch::fleet {
+namespace coralhitch::cluster {
 
 namespace {
 // Of a machine whose type is not known its tasks seem to take more than there is: as a negative number, that
 // lowered what every team was thought to use.
-wire::Room left_on(const Machine& m) {
+protocol::Room left_on(const Machine& m) {
     auto room = m.free();
     return {std::max(0.0, room.cpus), std::max(0.0, room.gpus), std::max(0.0, room.memory_gb)};
 }
@@ -29,12 +29,12 @@
     // take no more than the machine has left.
     if (!all_known) unknown_ += left_on(m);
 }
-std::map<std::string, wire::Room> Usage::of(const std::vector<config::Team>& teams) {
+std::map<std::string, protocol::Room> Usage::of(const std::vector<config::Team>& teams) {
     for (auto& t : teams) used_[t.name] += unknown_;
     return std::move(used_);
 }
-std::map<std::string, wire::Room> team_used(const ClusterState& picture,
-                                            const std::vector<config::Team>& teams) {
+std::map<std::string, protocol::Room> team_used(const ClusterState& picture,
+                                                const std::vector<config::Team>& teams) {
     Usage used;
     for (auto& [id, m] : picture.machines()) used.add(m);
     return used.of(teams);
@@ -50,4 +50,4 @@
     return text;
 }
 
-}  // namespace coralhitch::fleet
+}  // namespace coralhitch::cluster
--- a/src/fleet/usage.hpp
+++ b/src/cluster/team_usage.hpp
@@ -4,27 +4,28 @@
 #include <string>
 #include <vector>
 
+#include "cluster/cluster_state.hpp"
 #include "config/settings.hpp"
-#include "fleet/cluster_state.hpp"
 
-namespace coralhitch::fleet {
+namespace coralhitch::cluster {
 
 // The sum, machine by machine.
 class Usage {
   public:
     void add(const Machine& m);
-    std::map<std::string, wire::Room> of(const std::vector<config::Team>& teams);  // once, at the end
+    std::map<std::string, protocol::Room> of(const std::vector<config::Team>& teams);  // once, at the end
 
   private:
-    std::map<std::string, wire::Room> used_;
-    wire::Room unknown_;
-    std::unordered_map<const wire::Job*, wire::Room*> team_;  // a job's team, without its name for each task
+    std::map<std::string, protocol::Room> used_;
+    protocol::Room unknown_;
+    std::unordered_map<const protocol::Job*, protocol::Room*>
+        team_;  // a job's team, without its name for each task
 };
 
 // By team: the sum of what its tasks take, until each is proven gone. A task of a job that nobody knows any
 // more may be of any team, so it counts against each.
-std::map<std::string, wire::Room> team_used(const ClusterState& picture,
-                                            const std::vector<config::Team>& teams);
+std::map<std::string, protocol::Room> team_used(const ClusterState& picture,
+                                                const std::vector<config::Team>& teams);
 
 // What became of the teams' tasks, since it was last told.
 class TeamActivity {
@@ -42,4 +43,4 @@
     std::map<std::string, Team> teams_;
 };
 
-}  // namespace coralhitch::fleet
+}  // namespace coralhitch::cluster
--- a/src/daemon/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,11 +1,11 @@
-#include "daemon/controller.hpp"
+#include "controller/controller.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::daemon {
-namespace paths = wire::paths;
+namespace coralhitch::controller {
+namespace paths = protocol::paths;
 
 namespace {
 // Ratios to the report period.
@@ -26,17 +26,17 @@
 constexpr double know_reports = 1.0 / 5;  // after the start: for the others to answer the first ping
 // After giving way, a controller keeps its leadership for this many worker leases, even if it hears nobody.
 constexpr double resign_leases = 4;
-constexpr std::pair<state::Rank, const char*> queue_names[] = {{state::Rank::user, "cancellations"},
-                                                               {state::Rank::accept, "acceptances"},
-                                                               {state::Rank::write, "writes"},
-                                                               {state::Rank::read, "looks"}};
+constexpr std::pair<kv::Rank, const char*> queue_names[] = {{kv::Rank::user, "cancellations"},
+                                                            {kv::Rank::accept, "acceptances"},
+                                                            {kv::Rank::write, "writes"},
+                                                            {kv::Rank::read, "looks"}};
 http::Response packed(std::string body) {
     return {200, std::move(body), "application/msgpack"};
 }
 }  // namespace
 
-Controller::Controller(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                       Planner& planner, std::uint64_t seed)
+Controller::Controller(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+                       leader::Planner& planner, std::uint64_t seed)
     : timers_(timers),
       http_(http),
       settings_(settings),
@@ -69,30 +69,31 @@
 }
 
 void Controller::on_elected(std::uint64_t version) {
-    LeaderDependencies c{timers_,
-                         http_,
-                         settings_,
-                         state_,
-                         election_,
-                         cloud_,
-                         planner_,
-                         metrics_,
-                         types_,
-                         [this](const std::map<std::string, double>& m) { return heard_elsewhere(m); },
-                         remembered_,
-                         [this] { return resign_leadership(); },
-                         incarnation_,
-                         {},
-                         follower_.copy(),
-                         [this](const std::string& label) -> const wire::PeerPing* {
-                             auto it = peers_.find(label);
-                             return it != peers_.end() && fresh(it->second) ? &it->second.last : nullptr;
-                         },
-                         relay_.refusals()};
+    leader::LeaderDependencies c{
+        timers_,
+        http_,
+        settings_,
+        state_,
+        election_,
+        cloud_,
+        planner_,
+        metrics_,
+        types_,
+        [this](const std::map<std::string, double>& m) { return heard_elsewhere(m); },
+        remembered_,
+        [this] { return resign_leadership(); },
+        incarnation_,
+        {},
+        follower_.copy(),
+        [this](const std::string& label) -> const protocol::PeerPing* {
+            auto it = peers_.find(label);
+            return it != peers_.end() && fresh(it->second) ? &it->second.last : nullptr;
+        },
+        relay_.refusals()};
     for (auto& [id, since] : suspected_)
         if (!heard_.since(id, since)) c.suspected.emplace(id, timers_.now() - since);
     heard_.none_lately();
-    leader_ = std::make_shared<Leader>(std::move(c), version, random_());
+    leader_ = std::make_shared<leader::Leader>(std::move(c), version, random_());
     leader_->start();
     for (auto& waiting : relay_.take_waiting()) queue_report(std::move(waiting));
     metrics_.event("won");
@@ -135,7 +136,7 @@
     auto ours = heard_.lately(timers_.now());
     for (auto& [label, p] : peers_) {
         if (young && !p.answered) return true;
-        if (!fresh(p) || !p.last.state_ok || p.last.features < wire::peer_features) continue;
+        if (!fresh(p) || !p.last.state_ok || p.last.features < protocol::peer_features) continue;
         auto theirs = p.last.workers.size();
         if (p.last.followed > own ? theirs * 2 >= ours : p.last.followed == own && theirs > 2 * ours)
             return true;
@@ -180,7 +181,7 @@
     else if (worse_since_ < 0)
         worse_since_ = timers_.now();
     heard_.tidy(timers_.now());
-    state_.get(state::keys::leader, state::Rank::lease, [this](state::Found f) { state_seen_ |= f.ok; });
+    state_.get(kv::keys::leader, kv::Rank::lease, [this](kv::Found f) { state_seen_ |= f.ok; });
     users_.live_jobs().keep_up();
     if (sockets_ && sockets_->refused() > sockets_refused_) {
         sockets_refused_ = sockets_->refused();
@@ -205,10 +206,16 @@
     }
 }
 
-wire::PeerPing Controller::own_ping(bool brief) {
-    wire::PeerPing p{
-        settings_.label,     incarnation_, election_.leader_version(), election_.leader(), state_ok(), {}, {},
-        wire::peer_features, followed()};
+protocol::PeerPing Controller::own_ping(bool brief) {
+    protocol::PeerPing p{settings_.label,
+                         incarnation_,
+                         election_.leader_version(),
+                         election_.leader(),
+                         state_ok(),
+                         {},
+                         {},
+                         protocol::peer_features,
+                         followed()};
     p.brief = brief;
     if (brief) return p;
     heard_.each_lately(timers_.now(), [&](auto& machine, double ago_s) {
@@ -218,7 +225,7 @@
     });
     return p;
 }
-void Controller::heard_ping(wire::PeerPing ping) {
+void Controller::heard_ping(protocol::PeerPing ping) {
     auto it = peers_.find(ping.label);
     if (it == peers_.end()) return;
     auto counts = std::exchange(ping.counts, {});
@@ -254,19 +261,20 @@
             ping.silent_ms.push_back(static_cast<std::uint32_t>(silent * 1000));
         }
     }
-    auto body = wire::pack_peer(ping);
+    auto body = protocol::pack_peer(ping);
     for (auto& [label, p] : peers_)
-        http_.send(p.peer.addr, {"POST", std::string(wire::peer_ping_path), body, "application/msgpack"},
+        http_.send(p.peer.addr, {"POST", std::string(protocol::peer_ping_path), body, "application/msgpack"},
                    settings_.report_s * ping_reports, [this, &p](std::optional<http::Response> r) {
                        p.answered = true;
                        if (!r || r->status != 200) return;
-                       if (auto p = wire::unpack_peer<wire::PeerPing>(r->body)) heard_ping(std::move(*p));
+                       if (auto p = protocol::unpack_peer<protocol::PeerPing>(r->body))
+                           heard_ping(std::move(*p));
                    });
     if (leader_ && pings_++ % images_pings == 0) {
-        auto images = wire::pack_peer(leader_->images());
+        auto images = protocol::pack_peer(leader_->images());
         for (auto& [label, p] : peers_)
             http_.send(p.peer.addr,
-                       {"POST", std::string(wire::peer_images_path), images, "application/msgpack"},
+                       {"POST", std::string(protocol::peer_images_path), images, "application/msgpack"},
                        settings_.report_s * ping_reports, [](std::optional<http::Response>) {});
     }
     // A leader that doubts itself goes by what the others tell, while leases run out.
@@ -276,35 +284,35 @@
 
 // --- Machine types --------------------------------------------------------------------------------------
 
-void Controller::set_types(std::vector<wire::MachineType> types) {
+void Controller::set_types(std::vector<protocol::MachineType> types) {
     if (types.empty()) return;
     types_ = std::move(types);
     if (leader_) leader_->types_changed();
 }
 void Controller::store_types() {
     if (!leader_ || types_.empty()) return;
-    auto value = wire::stored_types(types_);
+    auto value = protocol::stored_types(types_);
     if (value == stored_types_ || value.size() > state_.limits().value_bytes()) return;
-    wire::Txn t;
-    t.conditions = {{state::keys::leader, election_.version()}};
-    t.changes = {{state::keys::types, value, 0}};
-    state_.txn(std::move(t), state::Rank::background, [this, value](state::Committed c) {
-        if (c.status == state::Committed::Status::committed) stored_types_ = value;
+    protocol::Txn t;
+    t.conditions = {{kv::keys::leader, election_.version()}};
+    t.changes = {{kv::keys::types, value, 0}};
+    state_.txn(std::move(t), kv::Rank::background, [this, value](kv::Committed c) {
+        if (c.status == kv::Committed::Status::committed) stored_types_ = value;
     });
 }
 // From the cloud; while it does not answer, from what a leader stored last.
 void Controller::learn_types() {
-    cloud_.types([this](std::optional<std::vector<wire::MachineType>> t) {
+    cloud_.types([this](std::optional<std::vector<protocol::MachineType>> t) {
         bool known = t && !t->empty();
         if (known) {
             set_types(std::move(*t));
             store_types();
         } else if (types_.empty()) {
-            state_.get(state::keys::types, state::Rank::read, [this](state::Found f) {
+            state_.get(kv::keys::types, kv::Rank::read, [this](kv::Found f) {
                 if (!f.entry || !types_.empty()) return;
                 try {
-                    set_types(wire::parse_types(f.entry->value));
-                } catch (const wire::Malformed& m) {
+                    set_types(protocol::parse_types(f.entry->value));
+                } catch (const protocol::Malformed& m) {
                     spdlog::error("stored machine types: {}", m.what());
                 }
             });
@@ -320,7 +328,7 @@
     auto path = r.target.substr(0, r.target.find('?'));
     auto only = [&](std::string_view method) {
         if (r.method == method) return true;
-        reply({405, wire::error_body("wrong method")});
+        reply({405, protocol::error_body("wrong method")});
         return false;
     };
     if (path == paths::report) {
@@ -332,7 +340,7 @@
     } else if (path == paths::metrics) {
         if (only("GET")) reply({200, metrics_text(), "text/plain; version=0.0.4"});
     } else {
-        reply({404, wire::error_body("no such path")});
+        reply({404, protocol::error_body("no such path")});
     }
 }
 
@@ -381,9 +389,9 @@
 // One that reaches the state service and understands the request: a version that knows nothing of awaited
 // jobs would store one that awaits others as if it awaited none.
 const Controller::PeerState* Controller::peer_with_state(const http::Request& r) const {
-    bool awaits = r.method == "POST" && wire::names_awaits(r.body);
+    bool awaits = r.method == "POST" && protocol::names_awaits(r.body);
     for (auto& [label, p] : peers_)
-        if (fresh(p) && p.last.state_ok && (!awaits || p.last.features >= wire::peer_features_awaits))
+        if (fresh(p) && p.last.state_ok && (!awaits || p.last.features >= protocol::peer_features_awaits))
             return &p;
     return nullptr;
 }
@@ -398,20 +406,20 @@
     });
 }
 void Controller::ask_peer(const http::Request& r, http::Response refusal, http::Reply reply) {
-    auto body = wire::pack_peer(wire::PeerUserRequest{r.method, r.target, r.body});
+    auto body = protocol::pack_peer(protocol::PeerUserRequest{r.method, r.target, r.body});
     http_.send(
         peer_with_state(r)->peer.addr,
-        {"POST", std::string(wire::peer_user_path), std::move(body), "application/msgpack"},
+        {"POST", std::string(protocol::peer_user_path), std::move(body), "application/msgpack"},
         settings_.report_s * pass_on_reports, [refusal, reply](std::optional<http::Response> a) {
             if (a && a->status == 200)
-                if (auto p = wire::unpack_peer<wire::PeerUserAnswer>(a->body))
+                if (auto p = protocol::unpack_peer<protocol::PeerUserAnswer>(a->body))
                     return reply({p->status, std::move(p->body), "application/json", p->retry_after_s});
             reply(refusal);
         });
 }
 
 void Controller::jobs_route(const http::Request& r, const std::string& path, http::Reply reply) {
-    auto wrong = [&](int status, const char* what) { reply({status, wire::error_body(what)}); };
+    auto wrong = [&](int status, const char* what) { reply({status, protocol::error_body(what)}); };
     if (!path.starts_with(paths::jobs)) return wrong(404, "no such path");
     std::string rest = path.substr(paths::jobs.size());
     if (rest.empty()) {
@@ -463,27 +471,27 @@
     auto& [body, reply, since] = report;
     // To read no more of it than its name leaves time for others: without a leader every worker calls each
     // second.
-    if (auto o = wire::outline_report(body)) {
+    if (auto o = protocol::outline_report(body)) {
         heard_.note(o->machine, o->session, o->sequence, timers_.now());
     } else {
         try {
-            auto r = wire::parse_report(body);
+            auto r = protocol::parse_report(body);
             heard_.note(r.machine, r.session, r.sequence, timers_.now());
-        } catch (const wire::Malformed& m) {
+        } catch (const protocol::Malformed& m) {
             spdlog::info("report: {}", m.what());
-            return reply({400, wire::error_body(m.what())});
+            return reply({400, protocol::error_body(m.what())});
         }
     }
     if (relay_.offer(body, reply)) return;
     auto* peer = leading_peer();
     relay_.refusals().note(peer ? relay::Refusal::elsewhere : relay::Refusal::no_leader);
-    reply({421, wire::report_elsewhere(peer ? peer->label : "")});
+    reply({421, protocol::report_elsewhere(peer ? peer->label : "")});
 }
 // The leader, if its version takes reports from others.
 relay::Leadership Controller::relay_target() const {
     auto it = peers_.find(election_.leader());
     if (leader_ || !settings_.op.hearing || it == peers_.end() ||
-        it->second.last.features < wire::peer_features_relay)
+        it->second.last.features < protocol::peer_features_relay)
         return {};
     return {it->second.peer.addr, election_.leader_version()};
 }
@@ -503,11 +511,11 @@
     auto* peer = leading_peer();
     if (!peer) return done(std::nullopt);
     http_.send(peer->addr,
-               {"POST", std::string(wire::peer_job_path), wire::pack_peer(wire::PeerJobQuery{id}),
+               {"POST", std::string(protocol::peer_job_path), protocol::pack_peer(protocol::PeerJobQuery{id}),
                 "application/msgpack"},
                settings_.report_s * counts_reports, [done](std::optional<http::Response> r) {
                    if (r && r->status == 200)
-                       if (auto c = wire::unpack_peer<wire::PeerJobCounts>(r->body); c && c->known)
+                       if (auto c = protocol::unpack_peer<protocol::PeerJobCounts>(r->body); c && c->known)
                            return done(api::TaskCounts{c->done, c->running});
                    done(std::nullopt);
                });
@@ -521,49 +529,49 @@
 
 void Controller::serve_peer(http::Request r, http::Reply reply) {
     if (r.method != "POST") return reply({405, {}});
-    if (r.target == wire::peer_ping_path) {
-        if (auto p = wire::unpack_peer<wire::PeerPing>(r.body)) {
+    if (r.target == protocol::peer_ping_path) {
+        if (auto p = protocol::unpack_peer<protocol::PeerPing>(r.body)) {
             // Not to a leader: when it doubts itself it goes by whom others hear, and has little time.
-            bool brief = p->features >= wire::peer_features_brief && p->leader != p->label;
+            bool brief = p->features >= protocol::peer_features_brief && p->leader != p->label;
             heard_ping(std::move(*p));
-            return reply(packed(wire::pack_peer(own_ping(brief))));
+            return reply(packed(protocol::pack_peer(own_ping(brief))));
         }
-    } else if (r.target == wire::peer_user_path) {
-        if (auto q = wire::unpack_peer<wire::PeerUserRequest>(r.body)) {
+    } else if (r.target == protocol::peer_user_path) {
+        if (auto q = protocol::unpack_peer<protocol::PeerUserRequest>(r.body)) {
             // Not passed on again: two controllers must not send a request back and forth.
             return jobs_route({q->method, q->target, q->body}, q->target.substr(0, q->target.find('?')),
                               [reply](http::Response a) {
-                                  reply(packed(wire::pack_peer(
-                                      wire::PeerUserAnswer{a.status, std::move(a.body), a.retry_after_s})));
+                                  reply(packed(protocol::pack_peer(protocol::PeerUserAnswer{
+                                      a.status, std::move(a.body), a.retry_after_s})));
                               });
         }
-    } else if (r.target == wire::peer_relay_path) {
-        if (auto m = wire::unpack_peer<wire::PeerRelay>(r.body)) {
+    } else if (r.target == protocol::peer_relay_path) {
+        if (auto m = protocol::unpack_peer<protocol::PeerRelay>(r.body)) {
             if (leader_) return leader_->relay(*m, std::move(reply));
-            return reply(packed(wire::pack_peer(wire::PeerRelayAnswer{})));
+            return reply(packed(protocol::pack_peer(protocol::PeerRelayAnswer{})));
         }
-    } else if (r.target == wire::peer_fleet_path) {
+    } else if (r.target == protocol::peer_fleet_path) {
         // With its own standby switched off it has no part in that of others.
-        if (auto piece = wire::unpack_peer<wire::PeerFleet>(r.body); piece && settings_.op.standby)
-            return reply(packed(wire::pack_peer(follower_.take(std::move(*piece)))));
-    } else if (r.target == wire::peer_images_path) {
-        if (auto images = wire::unpack_peer<wire::PeerImages>(r.body)) {
+        if (auto piece = protocol::unpack_peer<protocol::PeerFleet>(r.body); piece && settings_.op.standby)
+            return reply(packed(protocol::pack_peer(follower_.take(std::move(*piece)))));
+    } else if (r.target == protocol::peer_images_path) {
+        if (auto images = protocol::unpack_peer<protocol::PeerImages>(r.body)) {
             remembered_ = std::move(*images);
             return reply(packed({}));
         }
-    } else if (r.target == wire::peer_job_path) {
-        if (auto q = wire::unpack_peer<wire::PeerJobQuery>(r.body)) {
+    } else if (r.target == protocol::peer_job_path) {
+        if (auto q = protocol::unpack_peer<protocol::PeerJobQuery>(r.body)) {
             auto c = leader_ ? leader_->counts(q->id) : std::nullopt;
-            return reply(packed(
-                wire::pack_peer(wire::PeerJobCounts{c.has_value(), c ? c->done : 0, c ? c->running : 0})));
+            return reply(packed(protocol::pack_peer(
+                protocol::PeerJobCounts{c.has_value(), c ? c->done : 0, c ? c->running : 0})));
         }
-    } else if (r.target == wire::peer_cancelled_path) {
-        if (auto q = wire::unpack_peer<wire::PeerCancelledAgain>(r.body)) {
+    } else if (r.target == protocol::peer_cancelled_path) {
+        if (auto q = protocol::unpack_peer<protocol::PeerCancelledAgain>(r.body)) {
             if (leader_) leader_->cancelled(q->id, q->version);
             for (auto& m : q->more)
                 if (leader_) leader_->cancelled(m.id, m.version);
-            return reply(
-                packed(wire::pack_peer(wire::PeerCancelledAnswer{leader_ ? election_.version() : 0})));
+            return reply(packed(
+                protocol::pack_peer(protocol::PeerCancelledAnswer{leader_ ? election_.version() : 0})));
         }
     } else {
         return reply({404, {}});
@@ -571,4 +579,4 @@
     reply({400, {}});
 }
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::controller
--- a/src/daemon/controller.hpp
+++ b/src/controller/controller.hpp
@@ -5,22 +5,22 @@
 #include <random>
 #include <unordered_map>
 
-#include "api/users.hpp"
-#include "daemon/leader.hpp"
+#include "api/user_api.hpp"
 #include "http/socket_budget.hpp"
+#include "leader/leader.hpp"
+#include "protocol/peer_messages.hpp"
 #include "relay/cancellation_notices.hpp"
+#include "relay/heartbeat_queue.hpp"
+#include "relay/heartbeat_relay.hpp"
 #include "relay/heartbeat_tracker.hpp"
-#include "relay/report_queue.hpp"
-#include "relay/report_relay.hpp"
-#include "standby/replica_state.hpp"
-#include "wire/peer.hpp"
+#include "replication/replica_state.hpp"
 
-namespace coralhitch::daemon {
+namespace coralhitch::controller {
 
 class Controller : public api::ClusterQueries {
   public:
-    Controller(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-               Planner& planner, std::uint64_t seed);
+    Controller(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+               leader::Planner& planner, std::uint64_t seed);
     ~Controller() override;
     void start();
     void serve(http::Request request, http::Reply reply);       // users, workers, health, metrics
@@ -33,14 +33,14 @@
     bool leads() const { return leader_ != nullptr; }
     bool healthy() const;
 
-    const std::vector<wire::MachineType>& types() const override { return types_; }
+    const std::vector<protocol::MachineType>& types() const override { return types_; }
     void counts(const std::string& id, std::function<void(std::optional<api::TaskCounts>)> done) override;
     void cancelled(const std::string& id, std::uint64_t version) override;
 
   private:
     struct PeerState {
         config::Peer peer;
-        wire::PeerPing last;
+        protocol::PeerPing last;
         double heard = -1, whole = -1;  // a ping, and one with its lists
         bool answered = false;          // the first ping, or the connection failed
     };
@@ -59,8 +59,8 @@
     void ping_peers();
     void check_state();
     void log_queues();
-    void heard_ping(wire::PeerPing ping);
-    wire::PeerPing own_ping(bool brief);
+    void heard_ping(protocol::PeerPing ping);
+    protocol::PeerPing own_ping(bool brief);
     bool fresh(const PeerState& p) const;
     std::optional<std::size_t> heard_elsewhere(const std::map<std::string, double>& silent) const;
     bool should_defer() const;
@@ -68,25 +68,25 @@
     bool resign_leadership();
     bool state_ok() const;
     void learn_types();
-    void set_types(std::vector<wire::MachineType> types);
+    void set_types(std::vector<protocol::MachineType> types);
     void store_types();
     const config::Peer* leading_peer() const;
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    Planner& planner_;
+    leader::Planner& planner_;
     std::mt19937_64 random_;
     std::uint64_t incarnation_;
-    Metrics metrics_;
-    state::Client state_;
-    state::Election election_;
+    metrics::Metrics metrics_;
+    kv::Client state_;
+    election::Election election_;
     cloud::Client cloud_;
     api::Users users_;
-    std::vector<wire::MachineType> types_;
+    std::vector<protocol::MachineType> types_;
     std::string stored_types_;
     std::map<std::string, PeerState> peers_;
-    std::shared_ptr<Leader> leader_;
+    std::shared_ptr<leader::Leader> leader_;
     double last_resigned_ = -1, started_ = 0;
     relay::ReportRelay relay_;
     relay::ReportQueue reports_;
@@ -94,10 +94,10 @@
     const http::SocketBudget* sockets_ = nullptr;
     std::uint64_t sockets_refused_ = 0;  // when the log last told
     bool hearing_ = false;
-    standby::Follower follower_;
+    replication::Follower follower_;
     std::unordered_map<std::string, api::TaskCounts> counts_;  // from the leader's last ping
     double counted_ = -1;
-    wire::PeerImages remembered_;  // from the leader, for when this one leads
+    protocol::PeerImages remembered_;  // from the leader, for when this one leads
     // Machines that the leader suspected when it last said so, and since when.
     std::map<std::string, double> suspected_;
     std::uint64_t pings_ = 0;
@@ -107,4 +107,4 @@
     bool state_seen_ = false;
 };
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::controller
--- a/src/daemon/main.cpp
+++ b/src/controller/main.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "config/settings.hpp"
-#include "daemon/controller.hpp"
-#include "daemon/version.hpp"
+#include "controller/controller.hpp"
+#include "controller/version.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
 #include "http/socket_budget.hpp"
@@ -35,24 +35,24 @@
 
 int serve(const config::Settings& settings) {
     ::signal(SIGPIPE, SIG_IGN);
-    loop::Loop loop;
+    event_loop::Loop loop;
     http::SocketBudget sockets(static_cast<std::size_t>(settings.sockets * http::usable_sockets),
                                http::controller_shares);
     http::ClientLimits client_limits;
     client_limits.budget = &sockets;
     client_limits.response = static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 / 8);
-    client_limits.bulk = [](const std::string& path) { return path == wire::paths::commands; };
+    client_limits.bulk = [](const std::string& path) { return path == protocol::paths::commands; };
     http::Client client(loop, client_limits);
-    daemon::ThreadPlanner planner(loop);
+    leader::ThreadPlanner planner(loop);
     std::random_device device;
     std::uint64_t seed = (std::uint64_t{device()} << 32) ^ device();
-    daemon::Controller controller(loop, client, settings, planner, seed);
+    controller::Controller controller(loop, client, settings, planner, seed);
     http::ServerLimits user_limits;
     user_limits.budget = &sockets;
     user_limits.bulk_quiet_s = settings.report_s * quiet_reports;
     user_limits.bulk_idle_s = settings.report_s * idle_reports;
-    user_limits.lane = loop::Lane::ordinary;
-    user_limits.bulk = [](const std::string& path) { return path == wire::paths::report; };
+    user_limits.lane = event_loop::Lane::ordinary;
+    user_limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
     user_limits.shed = [&] { controller.refusals().note(relay::Refusal::sockets); };
     http::Server users(
         loop, settings.listen, std::move(user_limits),
@@ -84,7 +84,7 @@
     app.add_option("--config", file, "the platform's settings (TOML)")->required();
     app.add_option("--operator", operator_file, "operators' own settings (protobuf text format)");
     app.add_flag("--check", check, "check the settings and exit");
-    app.set_version_flag("--version", std::string(coralhitch::daemon::version));
+    app.set_version_flag("--version", std::string(coralhitch::controller::version));
     CLI11_PARSE(app, argc, argv);
     set_up_log();
     try {
--- a/src/daemon/version.hpp
+++ b/src/controller/version.hpp
@@ -1,5 +1,5 @@
 #pragma once
 #include <string_view>
-namespace coralhitch::daemon {
+namespace coralhitch::controller {
 inline constexpr std::string_view version = "coralhitch 0.1.0";
 }
--- a/src/state/election.cpp
+++ b/src/election/election.cpp
@@ -1,10 +1,10 @@
-#include "state/election.hpp"
+#include "election/election.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::state {
+namespace coralhitch::election {
 namespace {
 // A margin for the time between a check of the clock and the act that follows it.
 constexpr double margin_ratio = 1.0 / 20;
@@ -13,7 +13,7 @@
 constexpr std::size_t most_links = 16;
 }  // namespace
 
-Election::Election(loop::Timers& timers, Client& state, const config::Settings& settings,
+Election::Election(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
                    std::uint64_t incarnation, std::uint64_t seed)
     : timers_(timers),
       state_(state),
@@ -44,9 +44,9 @@
     if (links.size() > most_links) links.erase(links.begin());
     chain_.known_until = version;
 }
-void Election::saw(const wire::Entry& e) {
+void Election::saw(const protocol::Entry& e) {
     try {
-        auto r = wire::parse_leader_record(e.value);
+        auto r = protocol::parse_leader_record(e.value);
         if (!chain_.links.empty() && chain_.links.back().version != e.version) chain_.links.clear();
         link(e.version, r.keeps_record);
         if (e.version >= leader_version_ && (leader_ != r.label || leader_version_ != e.version)) {
@@ -54,7 +54,7 @@
             leader_version_ = e.version;
             spdlog::info("election: {} leads with version {}", leader_, leader_version_);
         }
-    } catch (const wire::Malformed& m) {
+    } catch (const protocol::Malformed& m) {
         spdlog::error("election: leader record: {}", m.what());
     }
 }
@@ -62,21 +62,21 @@
 // Reads the key, then either campaigns or follows it.
 void Election::look() {
     if (role_ != Role::following) return;
-    state_.get(keys::leader, Rank::lease, [this](Found f) {
+    state_.get(kv::keys::leader, kv::Rank::lease, [this](kv::Found f) {
         if (role_ != Role::following) return;
         if (!f.ok) return retry_look();
         if (!f.entry) return vacant();
         vacant_since_ = -1;
         saw(*f.entry);
         try {
-            auto r = wire::parse_leader_record(f.entry->value);
+            auto r = protocol::parse_leader_record(f.entry->value);
             // An earlier process of this controller held the key. It is dead, since this one runs in its
             // place; what it sent and is still under way is fenced by token and condition.
             if (r.label == settings_.label && r.incarnation != incarnation_ && f.entry->lease) {
                 spdlog::info("election: ending the lease of this controller's earlier process");
                 return state_.end_lease(f.entry->lease, [this](bool) { retry_look(); });
             }
-        } catch (const wire::Malformed&) {
+        } catch (const protocol::Malformed&) {
         }
         follow(std::max(f.entry->version, chain_.known_until));
     });
@@ -96,17 +96,17 @@
 }
 
 void Election::follow(std::uint64_t revision) {
-    state_.watch(keys::leader, revision, ttl_, [this, revision](Watched w) {
+    state_.watch(kv::keys::leader, revision, ttl_, [this, revision](kv::Watched w) {
         if (role_ != Role::following) return;
-        if (w.status == Watched::Status::too_old) return follow_late();
-        if (w.status != Watched::Status::ok) return retry_look();
+        if (w.status == kv::Watched::Status::too_old) return follow_late();
+        if (w.status != kv::Watched::Status::ok) return retry_look();
         std::uint64_t next = std::max(revision, w.events.revision);
         bool ended = false, again = false;
         for (auto& e : w.events.events) {
-            if (e.key != keys::leader) continue;
+            if (e.key != kv::keys::leader) continue;
             ended = !e.value;
             again |= e.value.has_value();
-            if (e.value) link(e.version, wire::keeps_record(*e.value));
+            if (e.value) link(e.version, protocol::keeps_record(*e.value));
         }
         chain_.known_until = std::max(chain_.known_until, next);
         if (again) return look();
@@ -121,7 +121,7 @@
 // The leader's key is older than the changes that the state service keeps: the list tells a revision to watch
 // from. Asked for by its version again and again, each watch was refused.
 void Election::follow_late() {
-    state_.list(keys::leader, Rank::lease, [this](Listed l) {
+    state_.list(kv::keys::leader, kv::Rank::lease, [this](kv::Listed l) {
         if (role_ != Role::following) return;
         bool same = l.ok && l.entries.size() == 1 && l.entries[0].version == leader_version_ &&
                     !chain_.links.empty() && chain_.links.back().version == leader_version_;
@@ -133,9 +133,9 @@
 
 void Election::campaign() {
     role_ = Role::campaigning;
-    state_.create_lease(ttl_, [this](LeaseAnswer lease) {
+    state_.create_lease(ttl_, [this](kv::LeaseAnswer lease) {
         if (role_ != Role::campaigning) return;
-        if (lease.status != LeaseAnswer::Status::ok) {
+        if (lease.status != kv::LeaseAnswer::Status::ok) {
             role_ = Role::following;
             return retry_look();
         }
@@ -143,34 +143,35 @@
     });
 }
 
-void Election::claim(LeaseAnswer lease) {
-    wire::Txn t;
-    t.conditions.push_back({keys::leader, 0});
+void Election::claim(kv::LeaseAnswer lease) {
+    protocol::Txn t;
+    t.conditions.push_back({kv::keys::leader, 0});
     t.changes.push_back(
-        {keys::leader, wire::stored(wire::LeaderRecord{settings_.label, incarnation_, settings_.op.standby}),
+        {kv::keys::leader,
+         protocol::stored(protocol::LeaderRecord{settings_.label, incarnation_, settings_.op.standby}),
          lease.id});
-    state_.txn(std::move(t), Rank::lease, [this, lease](Committed c) {
+    state_.txn(std::move(t), kv::Rank::lease, [this, lease](kv::Committed c) {
         if (role_ != Role::campaigning) return;
-        if (c.status == Committed::Status::committed) return win(c.revision, lease);
-        if (c.status == Committed::Status::unknown) return check_claim(lease);
+        if (c.status == kv::Committed::Status::committed) return win(c.revision, lease);
+        if (c.status == kv::Committed::Status::unknown) return check_claim(lease);
         role_ = Role::following;
         state_.end_lease(lease.id, [](bool) {});
-        if (c.status == Committed::Status::conflict) return look();
+        if (c.status == kv::Committed::Status::conflict) return look();
         retry_look();
     });
 }
 
 // The answer to the claim was lost. The key tells whether it was executed; while it may still be, the lease
 // is ended first, so that a late claim finds no lease.
-void Election::check_claim(LeaseAnswer lease) {
-    state_.get(keys::leader, Rank::lease, [this, lease](Found f) {
+void Election::check_claim(kv::LeaseAnswer lease) {
+    state_.get(kv::keys::leader, kv::Rank::lease, [this, lease](kv::Found f) {
         if (role_ != Role::campaigning) return;
         if (f.ok && f.entry) {
             try {
-                auto r = wire::parse_leader_record(f.entry->value);
+                auto r = protocol::parse_leader_record(f.entry->value);
                 if (r.incarnation == incarnation_ && f.entry->lease == lease.id)
                     return win(f.entry->version, lease);
-            } catch (const wire::Malformed&) {
+            } catch (const protocol::Malformed&) {
             }
         }
         role_ = Role::following;
@@ -179,7 +180,7 @@
     });
 }
 
-void Election::win(std::uint64_t version, LeaseAnswer lease) {
+void Election::win(std::uint64_t version, kv::LeaseAnswer lease) {
     role_ = Role::leading;
     version_ = version;
     vacant_since_ = -1;
@@ -198,10 +199,10 @@
 
 void Election::renew() {
     auto round = round_;
-    state_.renew_lease(lease_, ttl_ / 3, [this, round](LeaseAnswer a) {
+    state_.renew_lease(lease_, ttl_ / 3, [this, round](kv::LeaseAnswer a) {
         if (round != round_ || role_ != Role::leading) return;
-        if (a.status == LeaseAnswer::Status::gone) return lose();
-        bool ok = a.status == LeaseAnswer::Status::ok;
+        if (a.status == kv::LeaseAnswer::Status::gone) return lose();
+        bool ok = a.status == kv::LeaseAnswer::Status::ok;
         if (ok) authority_until_ = std::max(authority_until_, usable(a.sent));
         double next = ok ? ttl_ / renewals_per_ttl : ttl_ / (renewals_per_ttl * 4);
         timers_.after(next, [this, round] {
@@ -245,4 +246,4 @@
     state_.end_lease(id, [](bool) {});
 }
 
-}  // namespace coralhitch::state
+}  // namespace coralhitch::election
--- a/src/state/election.hpp
+++ b/src/election/election.hpp
@@ -3,9 +3,9 @@
 #pragma once
 #include <random>
 
-#include "state/client.hpp"
+#include "kv/kv_client.hpp"
 
-namespace coralhitch::state {
+namespace coralhitch::election {
 
 // Steady clocks of two machines drift apart by up to 0.05%; twice that, on top of whatever is judged by time.
 inline constexpr double drift = 0.001;
@@ -18,8 +18,8 @@
         // Whether another controller should lead rather than this one, as far as is known; may be empty.
         std::function<bool()> defers = {};
     };
-    Election(loop::Timers& timers, Client& state, const config::Settings& settings, std::uint64_t incarnation,
-             std::uint64_t seed);
+    Election(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+             std::uint64_t incarnation, std::uint64_t seed);
     void start(Events events);
 
     bool holding() const { return role_ == Role::leading; }
@@ -33,7 +33,7 @@
     // went on, and until which revision: what came after that, it must ask before it relies on it.
     struct Link {
         std::uint64_t version = 0;
-        bool keeps_record = false;  // see wire::LeaderRecord
+        bool keeps_record = false;  // see protocol::LeaderRecord
     };
     struct Chain {
         std::vector<Link> links;
@@ -56,18 +56,18 @@
     void follow(std::uint64_t revision);
     void follow_late();
     void campaign();
-    void claim(LeaseAnswer lease);
-    void check_claim(LeaseAnswer lease);
-    void win(std::uint64_t version, LeaseAnswer lease);
+    void claim(kv::LeaseAnswer lease);
+    void check_claim(kv::LeaseAnswer lease);
+    void win(std::uint64_t version, kv::LeaseAnswer lease);
     void renew();
     void lose();
     void retry_look();
-    void saw(const wire::Entry& e);
+    void saw(const protocol::Entry& e);
     double usable(double sent) const;
     void link(std::uint64_t version, bool keeps_record);
 
-    loop::Timers& timers_;
-    Client& state_;
+    event_loop::Timers& timers_;
+    kv::Client& state_;
     const config::Settings& settings_;
     std::uint64_t incarnation_;
     std::minstd_rand random_;
@@ -81,4 +81,4 @@
     Chain chain_, chain_before_;
 };
 
-}  // namespace coralhitch::state
+}  // namespace coralhitch::election
--- a/src/loop/loop.cpp
+++ b/src/event_loop/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "loop/loop.hpp"
+#include "event_loop/event_loop.hpp"
 
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
@@ -10,7 +10,7 @@
 #include <system_error>
 #include <utility>
 
-namespace coralhitch::loop {
+namespace coralhitch::event_loop {
 namespace {
 double read_clock(clockid_t id) {
     timespec t{};
@@ -156,4 +156,4 @@
     }
 }
 
-}  // namespace coralhitch::loop
+}  // namespace coralhitch::event_loop
--- a/src/loop/loop.hpp
+++ b/src/event_loop/event_loop.hpp
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loop/timers.hpp"
+#include "event_loop/timers.hpp"
 
-namespace coralhitch::loop {
+namespace coralhitch::event_loop {
 
 class Fd {
   public:
@@ -85,4 +85,4 @@
     std::vector<Task> posted_;
 };
 
-}  // namespace coralhitch::loop
+}  // namespace coralhitch::event_loop
--- a/src/loop/guard.hpp
+++ b/src/event_loop/lifetime_guard.hpp
@@ -3,7 +3,7 @@
 #include <memory>
 #include <utility>
 
-namespace coralhitch::loop {
+namespace coralhitch::event_loop {
 
 class Guard {
   public:
@@ -18,4 +18,4 @@
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-}  // namespace coralhitch::loop
+}  // namespace coralhitch::event_loop
--- a/src/loop/timers.hpp
+++ b/src/event_loop/timers.hpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <functional>
 
-namespace coralhitch::loop {
+namespace coralhitch::event_loop {
 
 using TimerId = std::uint64_t;
 using Task = std::function<void()>;
@@ -17,4 +17,4 @@
     virtual void cancel(TimerId id) = 0;
 };
 
-}  // namespace coralhitch::loop
+}  // namespace coralhitch::event_loop
--- a/src/loop/bucket.hpp
+++ b/src/event_loop/token_bucket.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <algorithm>
 
-namespace coralhitch::loop {
+namespace coralhitch::event_loop {
 
 class Bucket {
   public:
@@ -39,4 +39,4 @@
     double rate_, burst_, level_, last_ = -1;
 };
 
-}  // namespace coralhitch::loop
+}  // namespace coralhitch::event_loop
--- a/src/takeover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -1,9 +1,9 @@
-#include "takeover/reconciliation.hpp"
+#include "failover/reconciliation.hpp"
 
 #include <algorithm>
 
-namespace coralhitch::takeover {
-using fleet::Machine;
+namespace coralhitch::failover {
+using cluster::Machine;
 
 namespace {
 // A takeover goes on as long as in so many report periods at least this share of what is left has reconciled.
@@ -89,4 +89,4 @@
     return counted + (counted > report_s_ * asked_reports ? m.silent_before : 0);
 }
 
-}  // namespace coralhitch::takeover
+}  // namespace coralhitch::failover
--- a/src/takeover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <utility>
 
-#include "fleet/cluster_state.hpp"
+#include "cluster/cluster_state.hpp"
 
-namespace coralhitch::takeover {
+namespace coralhitch::failover {
 
 class Reconciliation {
   public:
-    Reconciliation(const fleet::ClusterState& picture, double report_s)
+    Reconciliation(const cluster::ClusterState& picture, double report_s)
         : cluster_state_(picture), report_s_(report_s) {}
     // A machine that an earlier leader stored.
     void expect(const std::string& id);
@@ -32,11 +32,11 @@
     // off.
     bool behind(double now) const;
     // How long nothing was heard of a machine, as far as that is the machine's fault.
-    double silence(const fleet::Machine& m, double now) const;
+    double silence(const cluster::Machine& m, double now) const;
 
   private:
-    bool leave(std::set<std::string>& ids, bool (*leaves)(const fleet::Machine&)) const;
-    const fleet::ClusterState& cluster_state_;
+    bool leave(std::set<std::string>& ids, bool (*leaves)(const cluster::Machine&)) const;
+    const cluster::ClusterState& cluster_state_;
     double report_s_;
     std::size_t expected_ = 0;
     bool few_left_ = false;  // at the last tick
@@ -47,4 +47,4 @@
     double late_share_ = 0, answered_at_ = -1;            // of the last answers, the newest counting most
 };
 
-}  // namespace coralhitch::takeover
+}  // namespace coralhitch::failover
--- a/src/takeover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -1,15 +1,15 @@
-#include "takeover/recovery_loader.hpp"
+#include "failover/recovery_loader.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <string_view>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::takeover {
-namespace keys = state::keys;
-using state::Rank;
+namespace coralhitch::failover {
+namespace keys = kv::keys;
+using kv::Rank;
 
 namespace {
 constexpr double again_reports = 1.0 / 10;
@@ -25,8 +25,9 @@
     return std::any_of(all_.begin(), all_.end(), [&](auto& s) { return std::string_view(s.first) == step; });
 }
 
-RecoveryLoader::RecoveryLoader(loop::Timers& timers, state::Client& state, const config::Settings& settings,
-                               Steps& steps, standby::Evidence evidence, std::function<void(Found)> done)
+RecoveryLoader::RecoveryLoader(event_loop::Timers& timers, kv::Client& state,
+                               const config::Settings& settings, Steps& steps, replication::Evidence evidence,
+                               std::function<void(Found)> done)
     : timers_(timers),
       state_(state),
       settings_(settings),
@@ -43,13 +44,13 @@
 
 // Who followed the leader before.
 void RecoveryLoader::read_record() {
-    state_.get(keys::standby, Rank::write, guarded_([this](state::Found f) {
+    state_.get(keys::standby, Rank::write, guarded_([this](kv::Found f) {
                    if (!f.ok) return again();
                    found_.record_version = f.entry ? f.entry->version : 0;
                    evidence_.record.reset();
                    if (f.entry) try {
-                           evidence_.record = wire::parse_standby_record(f.entry->value);
-                       } catch (const wire::Malformed& x) {
+                           evidence_.record = protocol::parse_standby_record(f.entry->value);
+                       } catch (const protocol::Malformed& x) {
                            spdlog::error("standby: record: {}", x.what());
                        }
                    read_history();
@@ -57,18 +58,18 @@
 }
 // Which leaders there were since this controller last knew.
 void RecoveryLoader::read_history() {
-    state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](state::Watched w) {
-                     if (w.status == state::Watched::Status::failed) return again();
-                     evidence_.history = w.status == state::Watched::Status::ok;
+    state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::Watched w) {
+                     if (w.status == kv::Watched::Status::failed) return again();
+                     evidence_.history = w.status == kv::Watched::Status::ok;
                      evidence_.since.clear();
                      for (auto& e : w.events.events)
                          if (e.key == keys::leader && e.value && e.version != evidence_.version)
-                             evidence_.since.push_back({e.version, wire::keeps_record(*e.value)});
+                             evidence_.since.push_back({e.version, protocol::keeps_record(*e.value)});
                      list_all();
                  }));
 }
-void RecoveryLoader::list(const std::string& prefix, state::Listed Found::*into, std::function<void()> then) {
-    state_.list(prefix, Rank::write, guarded_([this, into, then](state::Listed l) {
+void RecoveryLoader::list(const std::string& prefix, kv::Listed Found::*into, std::function<void()> then) {
+    state_.list(prefix, Rank::write, guarded_([this, into, then](kv::Listed l) {
                     if (!l.ok) return again();
                     found_.*into = std::move(l);
                     then();
@@ -80,7 +81,7 @@
     list(keys::jobs, &Found::jobs, [this] {
         list(keys::progress, &Found::progress, [this] {
             list(keys::machines, &Found::machines, [this] {
-                auto wrong = standby::judge(evidence_);
+                auto wrong = replication::judge(evidence_);
                 found_.inherits = settings_.op.standby && !wrong;
                 found_.record = evidence_.record;
                 steps_.over("all is read", found_.inherits
@@ -93,4 +94,4 @@
     });
 }
 
-}  // namespace coralhitch::takeover
+}  // namespace coralhitch::failover
--- a/src/takeover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -9,17 +9,17 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
-#include "standby/checks.hpp"
-#include "state/client.hpp"
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
+#include "kv/kv_client.hpp"
+#include "replication/checks.hpp"
 
-namespace coralhitch::takeover {
+namespace coralhitch::failover {
 
 // The steps of a takeover that are over.
 class Steps {
   public:
-    explicit Steps(loop::Timers& timers) : timers_(timers), begun_(timers.now()) {}
+    explicit Steps(event_loop::Timers& timers) : timers_(timers), begun_(timers.now()) {}
     void over(const char* step, const std::string& what = {});  // what: for the log
     bool has(const char* step) const;
     const std::vector<std::pair<const char*, double>>& all() const {
@@ -27,7 +27,7 @@
     }  // seconds since the claim
 
   private:
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     double begun_;
     std::vector<std::pair<const char*, double>> all_;
 };
@@ -35,33 +35,33 @@
 struct Found {
     bool inherits = false;             // the copy of the leader before is proof
     std::uint64_t record_version = 0;  // of the standby record's key; 0: there is none
-    std::optional<wire::StandbyRecord> record;
-    state::Listed jobs, progress, machines;
+    std::optional<protocol::StandbyRecord> record;
+    kv::Listed jobs, progress, machines;
     double jobs_listed_at = 0;  // steady time at which that list was begun
 };
 
 class RecoveryLoader {
   public:
     // `evidence` as known before the claim is read on: label, incarnation, version, chain and copy.
-    RecoveryLoader(loop::Timers& timers, state::Client& state, const config::Settings& settings, Steps& steps,
-                   standby::Evidence evidence, std::function<void(Found)> done);
+    RecoveryLoader(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+                   Steps& steps, replication::Evidence evidence, std::function<void(Found)> done);
     void start();
 
   private:
     void again();
     void read_record();
     void read_history();
-    void list(const std::string& prefix, state::Listed Found::*into, std::function<void()> then);
+    void list(const std::string& prefix, kv::Listed Found::*into, std::function<void()> then);
     void list_all();
 
-    loop::Timers& timers_;
-    state::Client& state_;
+    event_loop::Timers& timers_;
+    kv::Client& state_;
     const config::Settings& settings_;
     Steps& steps_;
-    standby::Evidence evidence_;
+    replication::Evidence evidence_;
     std::function<void(Found)> done_;
     Found found_;
-    loop::Guard guarded_;  // last, so that it goes first
+    event_loop::Guard guarded_;  // last, so that it goes first
 };
 
-}  // namespace coralhitch::takeover
+}  // namespace coralhitch::failover
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -10,7 +10,7 @@
 
 namespace coralhitch::http {
 
-Client::Client(loop::Loop& loop, ClientLimits limits)
+Client::Client(event_loop::Loop& loop, ClientLimits limits)
     : loop_(loop),
       limits_(std::move(limits)),
       own_budget_(limits_.connections),
@@ -57,7 +57,7 @@
         bool bulk = limits_.bulk && limits_.bulk(request.target);
         auto kind = bulk ? PeerKind::machine : PeerKind::service;
         if (!sa || !budget_.take(kind)) return fail();
-        loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+        event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
         auto fail_opened = [&] {
             budget_.give_back(kind);
             fail();
@@ -75,7 +75,7 @@
                                                     Limits{limits_.response, 64 * 1024});
         c.connection->listen_events([this, id](std::uint32_t e) { on_event(id, e); },
                                     Connection::Side::connecting);
-        if (bulk) c.connection->set_lane(loop::Lane::bulk);
+        if (bulk) c.connection->set_lane(event_loop::Lane::bulk);
     }
     auto& c = calls_.at(id);
     c.idle = false;
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -23,7 +23,7 @@
 // Keeps connections open for reuse. One request is on a connection at a time.
 class Client : public Requester {
   public:
-    Client(loop::Loop& loop, ClientLimits limits);
+    Client(event_loop::Loop& loop, ClientLimits limits);
     ~Client() override;
     void send(const std::string& addr, Request request, double timeout_s, Result result) override;
 
@@ -32,7 +32,7 @@
         std::string addr;
         std::unique_ptr<Connection> connection;
         Result result;
-        loop::TimerId timer = 0;
+        event_loop::TimerId timer = 0;
         std::uint64_t number = 0;  // of requests, so far
         PeerKind kind = PeerKind::service;
         bool idle = false;
@@ -45,7 +45,7 @@
     bool reclaim(PeerKind kind);
     std::uint64_t take_idle(const std::string& addr);
 
-    loop::Loop& loop_;
+    event_loop::Loop& loop_;
     ClientLimits limits_;
     SocketBudget own_budget_;
     SocketBudget& budget_;
--- a/src/http/connection.hpp
+++ b/src/http/connection.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "loop/loop.hpp"
+#include "event_loop/event_loop.hpp"
 
 namespace coralhitch::http {
 
@@ -27,15 +27,15 @@
 class Connection {
   public:
     enum class State { open, closed, bad };
-    Connection(loop::Loop& loop, loop::Fd fd, http_parser_type type, Limits limits);
+    Connection(event_loop::Loop& loop, event_loop::Fd fd, http_parser_type type, Limits limits);
     ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
     // Of one that was accepted, events also tell when the peer has closed its side.
     enum class Side { accepted, connecting };
-    void listen_events(loop::Loop::Handler handler, Side side);
-    void set_lane(loop::Lane lane) { loop_.set_lane(fd_.get(), lane); }
+    void listen_events(event_loop::Loop::Handler handler, Side side);
+    void set_lane(event_loop::Lane lane) { loop_.set_lane(fd_.get(), lane); }
     State read();   // fills incoming()
     State flush();  // writes what it can
     void write(std::string bytes);
@@ -55,8 +55,8 @@
     bool grow_head(std::size_t n);
     void header_done();
 
-    loop::Loop& loop_;
-    loop::Fd fd_;
+    event_loop::Loop& loop_;
+    event_loop::Fd fd_;
     Limits limits_;
     http_parser parser_{};
     Incoming in_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -40,7 +40,7 @@
 }
 }  // namespace
 
-Server::Server(loop::Loop& loop, const std::string& addr, ServerLimits limits, Handler handler)
+Server::Server(event_loop::Loop& loop, const std::string& addr, ServerLimits limits, Handler handler)
     : loop_(loop),
       limits_(std::move(limits)),
       handler_(std::move(handler)),
@@ -69,7 +69,7 @@
 
 void Server::accept_all() {
     for (std::size_t k = 0; k < limits_.accepts; ++k) {
-        loop::Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+        event_loop::Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd) return;  // EAGAIN, or out of descriptors: the next event tries again
         if (!budget_.take(limits_.kind)) continue;  // shed: closed at once, others are not disturbed
         int on = 1;
@@ -109,7 +109,7 @@
     if (!budget_.move(c.kind, PeerKind::worker)) return false;
     c.kind = PeerKind::worker;
     c.bulk = true;
-    c.connection->set_lane(loop::Lane::bulk);
+    c.connection->set_lane(event_loop::Lane::bulk);
     return true;
 }
 void Server::arm(std::uint64_t id, Client& c, double seconds) {
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -23,7 +23,7 @@
         0.9;  // above this share of what its kind of peers may hold no connection is kept open
     double retry_after_s = 1;  // told to those that are refused
     std::size_t accepts = 16;  // at once, in between other events
-    loop::Lane lane = loop::Lane::urgent;
+    event_loop::Lane lane = event_loop::Lane::urgent;
     // Requests that wait for others when there is more to do than can be done, by their path. A connection
     // that has carried one is taken for such a peer's from then on: when the peer closes it, what it sent
     // last is not read any more.
@@ -36,14 +36,14 @@
 
 class Server {
   public:
-    Server(loop::Loop& loop, const std::string& addr, ServerLimits limits, Handler handler);
+    Server(event_loop::Loop& loop, const std::string& addr, ServerLimits limits, Handler handler);
     ~Server();
     std::size_t connections() const { return clients_.size(); }
 
   private:
     struct Client {
         std::unique_ptr<Connection> connection;
-        loop::TimerId timer = 0;
+        event_loop::TimerId timer = 0;
         double timer_due = 0, deadline = 0;
         bool busy = false, closing = false, started = false, bulk = false, spoke = false;
         PeerKind kind = PeerKind::user;
@@ -64,8 +64,8 @@
     void expire(std::uint64_t id);
     void close(std::uint64_t id);
 
-    loop::Loop& loop_;
-    loop::Fd listener_;
+    event_loop::Loop& loop_;
+    event_loop::Fd listener_;
     ServerLimits limits_;
     Handler handler_;
     SocketBudget own_budget_;
--- a/src/jobs/table.cpp
+++ b/src/jobs/job_table.cpp
@@ -1,4 +1,4 @@
-#include "jobs/table.hpp"
+#include "jobs/job_table.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -69,7 +69,7 @@
     auto it = jobs_.find(id);
     return it != jobs_.end() && version <= it->second.version;
 }
-bool Table::put(const std::string& id, std::uint64_t version, wire::JobRecord record) {
+bool Table::put(const std::string& id, std::uint64_t version, protocol::JobRecord record) {
     if (knows(id, version)) return false;
     auto [it, fresh] = jobs_.try_emplace(id);
     auto& e = it->second;
@@ -89,7 +89,7 @@
     e.priority = record.job.priority;
     if (record.job.deadline_s) e.due = e.submitted + *record.job.deadline_s;
     e.awaits.insert(record.job.awaits.begin(), record.job.awaits.end());
-    e.spec = std::make_shared<const wire::Job>(std::move(record.job));
+    e.spec = std::make_shared<const protocol::Job>(std::move(record.job));
     link(id, e);
     return true;
 }
@@ -133,10 +133,10 @@
 void Table::cancel_behind(const std::string& id) {
     awaits_.each_behind(id, [&](auto& y) { return !std::exchange(jobs_.at(y).cancelled, true); });
 }
-void Table::ended(const std::string& id, wire::JobState state, std::optional<double> unix_now) {
-    if (state == wire::JobState::cancelled) cancel_behind(id);
+void Table::ended(const std::string& id, protocol::JobState state, std::optional<double> unix_now) {
+    if (state == protocol::JobState::cancelled) cancel_behind(id);
     for (auto& y : awaits_.ended(id)) {
-        if (state != wire::JobState::done) continue;
+        if (state != protocol::JobState::done) continue;
         auto& e = jobs_.at(y);
         e.awaits.erase(id);
         if (unix_now) e.ready = std::max(e.ready, *unix_now);
@@ -167,8 +167,8 @@
 std::string Table::block_value(const Entry& e, const std::string& block, std::size_t value_bytes) const {
     auto [first, count] = range_of(block, value_bytes);
     auto last = std::min(first + count, e.done.size());
-    return wire::stored_bits({e.done.begin() + static_cast<std::ptrdiff_t>(first),
-                              e.done.begin() + static_cast<std::ptrdiff_t>(last)});
+    return protocol::stored_bits({e.done.begin() + static_cast<std::ptrdiff_t>(first),
+                                  e.done.begin() + static_cast<std::ptrdiff_t>(last)});
 }
 
 Unstored Table::unstored(double now, bool may_drop) {
--- a/src/jobs/table.hpp
+++ b/src/jobs/job_table.hpp
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "jobs/awaits.hpp"
-#include "wire/protocol.hpp"
+#include "jobs/dependency_graph.hpp"
+#include "protocol/protocol.hpp"
 
 namespace coralhitch::jobs {
 
@@ -22,7 +22,7 @@
 };
 
 struct Entry {
-    std::shared_ptr<const wire::Job> spec;
+    std::shared_ptr<const protocol::Job> spec;
     std::uint64_t version = 0;
     std::uint32_t image = 0;  // the picture's number for it
     double submitted = 0;     // unix seconds
@@ -31,9 +31,10 @@
     double ready = 0;
     // Cancelled by its user, or behind a job that was.
     bool cancelled = false;
-    std::set<std::string> awaits;                   // jobs it awaits that are not known to be done
-    wire::Priority priority = wire::Priority::low;  // the highest of its own and of all jobs that need it
-    double due = never;                             // unix seconds; so that those that need it can be in time
+    std::set<std::string> awaits;  // jobs it awaits that are not known to be done
+    protocol::Priority priority =
+        protocol::Priority::low;  // the highest of its own and of all jobs that need it
+    double due = never;           // unix seconds; so that those that need it can be in time
     std::vector<bool> done;
     std::uint32_t done_count = 0, first_open = 0;
     std::map<std::uint32_t, Active> active;  // not proven gone
@@ -85,7 +86,7 @@
     // Whether what is stored of the job at this version is known, or older than what is known of it.
     bool knows(const std::string& id, std::uint64_t version) const;
     // Takes a stored record in; false if it is older than what is known, or of a job that is over.
-    bool put(const std::string& id, std::uint64_t version, wire::JobRecord record);
+    bool put(const std::string& id, std::uint64_t version, protocol::JobRecord record);
     // A block by its name, as it is in its key; throws std::invalid_argument for a name it can't read.
     void put_progress(const std::string& id, const std::string& block, const std::vector<bool>& bits,
                       std::uint64_t version);
@@ -93,7 +94,7 @@
     void erase(const std::string& id, std::uint64_t revision);
     // How a job ended, as the state service says, and when, if that was just now. Once all that a job awaits
     // is done, it may start; what is behind a cancelled one, however far, is cancelled.
-    void ended(const std::string& id, wire::JobState state, std::optional<double> unix_now);
+    void ended(const std::string& id, protocol::JobState state, std::optional<double> unix_now);
     // Its record says so since this version. Of a job that is not known yet it is kept until the record
     // comes: a leader may be told before it has read the jobs.
     void cancel(const std::string& id, std::uint64_t version);
--- a/src/state/keys.hpp
+++ b/src/kv/keys.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <string>
 
-namespace coralhitch::state::keys {
+namespace coralhitch::kv::keys {
 
 inline const std::string leader = "leader";
 inline const std::string standby = "standby";  // who has taken in every start that the leader may have sent
@@ -27,4 +27,4 @@
     return progress + id + "/" + block;
 }
 
-}  // namespace coralhitch::state::keys
+}  // namespace coralhitch::kv::keys
--- a/src/state/client.cpp
+++ b/src/kv/kv_client.cpp
@@ -1,11 +1,11 @@
-#include "state/client.hpp"
+#include "kv/kv_client.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace coralhitch::state {
-using wire::Malformed;
+namespace coralhitch::kv {
+using protocol::Malformed;
 
 bool Committed::failed_on(const std::string& key) const {
     return std::find(failed.begin(), failed.end(), key) != failed.end();
@@ -26,7 +26,7 @@
 constexpr double look_part = 0.5;  // of the requests, for single reads that answer questions
 }  // namespace
 
-Client::Client(loop::Timers& timers, http::Requester& http, const config::Settings& s)
+Client::Client(event_loop::Timers& timers, http::Requester& http, const config::Settings& s)
     : timers_(timers), http_(http), settings_(s), requests_(1, 1), writes_(1, 1), looks_(1, 1), limits_(s) {
     set_leading(false);
 }
@@ -35,7 +35,7 @@
     : promised_ops_(s.txn_ops),
       txn_ops_(s.txn_ops),
       value_bytes_(static_cast<std::size_t>(s.safe_value_kb * 1024)) {}
-void Limits::refused(const wire::Txn& t) {
+void Limits::refused(const protocol::Txn& t) {
     if (t.changes.size() > least_ops) {
         txn_ops_ = std::max(least_ops, std::min(txn_ops_, t.changes.size() / 2));
         return;
@@ -154,20 +154,21 @@
 }
 
 void Client::get(const std::string& key, Rank rank, std::function<void(Found)> done) {
-    submit(rank,
-           {{"GET", wire::paths::kv(key), {}}, timeout(), 0, 0, [done](std::optional<http::Response> r) {
-                Found f;
-                try {
-                    if (r && r->status == 200) f = {true, wire::parse_entry(r->body)};
-                    if (r && r->status == 404) {
-                        wire::parse_revision(r->body);  // a 404 of the service itself, not of a wrong path
-                        f.ok = true;
-                    }
-                } catch (const Malformed&) {
-                    f = {};
-                }
-                done(std::move(f));
-            }});
+    submit(
+        rank,
+        {{"GET", protocol::paths::kv(key), {}}, timeout(), 0, 0, [done](std::optional<http::Response> r) {
+             Found f;
+             try {
+                 if (r && r->status == 200) f = {true, protocol::parse_entry(r->body)};
+                 if (r && r->status == 404) {
+                     protocol::parse_revision(r->body);  // a 404 of the service itself, not of a wrong path
+                     f.ok = true;
+                 }
+             } catch (const Malformed&) {
+                 f = {};
+             }
+             done(std::move(f));
+         }});
 }
 
 void Client::list(const std::string& prefix, Rank rank, std::function<void(Listed)> done) {
@@ -176,11 +177,11 @@
 void Client::list_page(std::string prefix, Rank rank, std::shared_ptr<Listed> acc, std::string after,
                        std::function<void(Listed)> done) {
     constexpr int page = 500;
-    auto target = wire::paths::kv_list(prefix, after, page);
+    auto target = protocol::paths::kv_list(prefix, after, page);
     submit(rank, {{"GET", target, {}}, timeout() * 2, 0, 0, [=, this](std::optional<http::Response> r) {
                       try {
                           if (!r || r->status != 200) return done({});
-                          auto p = wire::parse_entries(r->body);
+                          auto p = protocol::parse_entries(r->body);
                           if (acc->revision == 0) acc->revision = p.revision;
                           for (auto& e : p.entries) acc->entries.push_back(std::move(e));
                           if (p.more && !acc->entries.empty()) {
@@ -195,10 +196,10 @@
                   }});
 }
 
-void Client::txn(wire::Txn t, Rank rank, std::function<void(Committed)> done) {
+void Client::txn(protocol::Txn t, Rank rank, std::function<void(Committed)> done) {
     double writes = static_cast<double>(t.changes.size());
-    auto body = wire::txn_request(t);
-    submit(rank, {{"POST", std::string(wire::paths::txn), std::move(body)},
+    auto body = protocol::txn_request(t);
+    submit(rank, {{"POST", std::string(protocol::paths::txn), std::move(body)},
                   timeout(),
                   0,
                   writes,
@@ -211,9 +212,9 @@
                           if (!r) {
                               c.status = Committed::Status::unknown;
                           } else if (r->status == 200) {
-                              c = {Committed::Status::committed, wire::parse_revision(r->body), {}};
+                              c = {Committed::Status::committed, protocol::parse_revision(r->body), {}};
                           } else if (r->status == 409) {
-                              c = {Committed::Status::conflict, 0, wire::parse_conflict(r->body).failed};
+                              c = {Committed::Status::conflict, 0, protocol::parse_conflict(r->body).failed};
                           } else {
                               c.status = Committed::Status::refused;
                               // A put under a lease that is over gets 400, too.
@@ -241,7 +242,7 @@
 void Client::watch(const std::string& prefix, std::uint64_t since, double wait_s,
                    std::function<void(Watched)> done, std::optional<double> patience_s) {
     auto wait_ms = static_cast<std::uint64_t>(wait_s * 1000);
-    submit(Rank::lease, {{"GET", wire::paths::watch(prefix, since, wait_ms), {}},
+    submit(Rank::lease, {{"GET", protocol::paths::watch(prefix, since, wait_ms), {}},
                          wait_s > 0 ? wait_s + timeout() * 2 : patience_s.value_or(timeout() / 2),
                          0,
                          0,
@@ -249,7 +250,7 @@
                              Watched w;
                              try {
                                  if (r && r->status == 200)
-                                     w = {Watched::Status::ok, wire::parse_events(r->body)};
+                                     w = {Watched::Status::ok, protocol::parse_events(r->body)};
                                  else if (r && r->status == 410)
                                      w.status = Watched::Status::too_old;
                              } catch (const Malformed&) {
@@ -261,8 +262,8 @@
 
 void Client::create_lease(double ttl_s, std::function<void(LeaseAnswer)> done) {
     double sent = timers_.now();
-    submit(Rank::lease, {{"POST", std::string(wire::paths::leases),
-                          wire::lease_request(static_cast<std::uint64_t>(ttl_s * 1000))},
+    submit(Rank::lease, {{"POST", std::string(protocol::paths::leases),
+                          protocol::lease_request(static_cast<std::uint64_t>(ttl_s * 1000))},
                          timeout(),
                          0,
                          0,
@@ -270,7 +271,7 @@
                              LeaseAnswer a{LeaseAnswer::Status::failed, 0, sent};
                              try {
                                  if (r && r->status == 200)
-                                     a = {LeaseAnswer::Status::ok, wire::parse_lease(r->body), sent};
+                                     a = {LeaseAnswer::Status::ok, protocol::parse_lease(r->body), sent};
                              } catch (const Malformed&) {
                              }
                              done(a);
@@ -278,7 +279,7 @@
 }
 void Client::renew_lease(std::uint64_t id, double timeout_s, std::function<void(LeaseAnswer)> done) {
     double sent = timers_.now();
-    submit(Rank::lease, {{"POST", wire::paths::lease_renew(id), {}},
+    submit(Rank::lease, {{"POST", protocol::paths::lease_renew(id), {}},
                          timeout_s,
                          0,
                          0,
@@ -291,9 +292,11 @@
 }
 void Client::end_lease(std::uint64_t id, std::function<void(bool)> done) {
     submit(Rank::lease,
-           {{"DELETE", wire::paths::lease(id), {}}, timeout(), 0, 0, [done](std::optional<http::Response> r) {
-                done(r && (r->status < 300 || r->status == 404));
-            }});
+           {{"DELETE", protocol::paths::lease(id), {}},
+            timeout(),
+            0,
+            0,
+            [done](std::optional<http::Response> r) { done(r && (r->status < 300 || r->status == 404)); }});
 }
 
-}  // namespace coralhitch::state
+}  // namespace coralhitch::kv
--- a/src/state/client.hpp
+++ b/src/kv/kv_client.hpp
@@ -6,12 +6,12 @@
 #include <memory>
 
 #include "config/settings.hpp"
+#include "event_loop/timers.hpp"
+#include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
-#include "loop/bucket.hpp"
-#include "loop/timers.hpp"
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
 
-namespace coralhitch::state {
+namespace coralhitch::kv {
 
 // Who goes first when the budget is short. Lease calls never wait; then come cancellations (user),
 // acceptances, the leader's own writes, and what is only read.
@@ -29,16 +29,16 @@
 
 struct Found {
     bool ok = false;  // false: not answered; nothing is known
-    std::optional<wire::Entry> entry;
+    std::optional<protocol::Entry> entry;
 };
 struct Listed {
     bool ok = false;
-    std::vector<wire::Entry> entries;
+    std::vector<protocol::Entry> entries;
     std::uint64_t revision = 0;  // of the first page: changes after it are found by watching from here
 };
 struct Watched {
     enum class Status { ok, too_old, failed } status = Status::failed;
-    wire::Events events;
+    protocol::Events events;
 };
 struct Committed {
     enum class Status {
@@ -62,7 +62,7 @@
     explicit Limits(const config::Settings& settings);
     std::size_t txn_ops() const { return txn_ops_; }
     std::size_t value_bytes() const { return value_bytes_; }
-    void refused(const wire::Txn& t);
+    void refused(const protocol::Txn& t);
     static constexpr std::size_t least_ops = 2, least_bytes = 256;
 
   private:
@@ -76,11 +76,11 @@
 
 class Client {
   public:
-    Client(loop::Timers& timers, http::Requester& http, const config::Settings& settings);
+    Client(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
 
     void get(const std::string& key, Rank rank, std::function<void(Found)> done);
     void list(const std::string& prefix, Rank rank, std::function<void(Listed)> done);
-    void txn(wire::Txn t, Rank rank, std::function<void(Committed)> done);
+    void txn(protocol::Txn t, Rank rank, std::function<void(Committed)> done);
     // Changes since a revision; waits for one, unless `wait_s` is 0. For an answer at once the caller has
     // `patience_s`, or as long as a user who asks.
     void watch(const std::string& prefix, std::uint64_t since, double wait_s,
@@ -121,11 +121,11 @@
                    std::function<void(Listed)> done);
     double timeout() const;
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    loop::Bucket requests_, writes_;
-    loop::Bucket looks_;  // what single reads for users' questions may take of the requests
+    event_loop::Bucket requests_, writes_;
+    event_loop::Bucket looks_;  // what single reads for users' questions may take of the requests
     std::array<std::deque<Call>, ranks> queues_;
     std::array<QueueCounts, ranks> counts_;
     double changes_per_s_ = 0;
@@ -137,4 +137,4 @@
     double last_answer_ = -1;
 };
 
-}  // namespace coralhitch::state
+}  // namespace coralhitch::kv
--- a/src/state/list_watch.cpp
+++ b/src/kv/list_watch.cpp
@@ -1,11 +1,11 @@
-#include "state/list_watch.hpp"
+#include "kv/list_watch.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace coralhitch::state {
+namespace coralhitch::kv {
 
-ListWatch::ListWatch(loop::Timers& timers, Client& state, std::string prefix, Pace pace, Events events)
+ListWatch::ListWatch(event_loop::Timers& timers, Client& state, std::string prefix, Pace pace, Events events)
     : timers_(timers),
       state_(state),
       prefix_(std::move(prefix)),
@@ -49,4 +49,4 @@
                 }));
 }
 
-}  // namespace coralhitch::state
+}  // namespace coralhitch::kv
--- a/src/state/list_watch.hpp
+++ b/src/kv/list_watch.hpp
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
-#include "state/client.hpp"
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
+#include "kv/kv_client.hpp"
 
-namespace coralhitch::state {
+namespace coralhitch::kv {
 
 class ListWatch {
   public:
@@ -29,11 +29,11 @@
     struct Events {
         // The same change may come twice, and after newer ones of its key: go by the version. None up to
         // `reconciled` comes any more.
-        std::function<void(const std::vector<wire::Event>& events, std::uint64_t reconciled)> changed;
+        std::function<void(const std::vector<protocol::Event>& events, std::uint64_t reconciled)> changed;
         // Everything, since the changes were not kept for so long.
         std::function<void(const Listed& all)> listed;
     };
-    ListWatch(loop::Timers& timers, Client& state, std::string prefix, Pace pace, Events events);
+    ListWatch(event_loop::Timers& timers, Client& state, std::string prefix, Pace pace, Events events);
     // Goes on from a list that was begun at that steady time.
     void start(std::uint64_t revision, double listed_at);
 
@@ -51,14 +51,14 @@
     void list(Reader& r);
     void later(Reader& r, double pause_s);
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     Client& state_;
     std::string prefix_;
     double retry_s_;
     Events events_;
     Reader watch_, confirm_;
     double complete_at_ = -1e9;
-    loop::Guard guarded_;  // last, so that it goes first
+    event_loop::Guard guarded_;  // last, so that it goes first
 };
 
-}  // namespace coralhitch::state
+}  // namespace coralhitch::kv
