--- a/src/daemon/leader.cpp
+++ b/src/leader/leader.cpp
@@ -1,22 +1,22 @@
-#include "daemon/leader.hpp"
+#include "leader/leader.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::daemon {
-namespace keys = state::keys;
-using fleet::Machine;
-using state::Rank;
+namespace coralhitch::leader {
+namespace keys = kv::keys;
+using cluster::Machine;
+using kv::Rank;
 
 namespace {
 // Ratios to the report period, unless named otherwise.
 constexpr double tick_reports = 1.0 / 6;
 // Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
 // enough that what an interruption leaves of the time for renewals is nearly all of it.
-state::ListWatch::Pace watch_pace(const config::Settings& s) {
+kv::ListWatch::Pace watch_pace(const config::Settings& s) {
     double confirm_s = std::min(s.report_s / 3, relay::renewal_s(s) / 8);
     return {s.lease_s / 2, s.report_s / 60, s.report_s / 10, confirm_s, s.report_s};
 }
@@ -41,11 +41,11 @@
       store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
              {[this](const std::string& id) { return record_of(id); },
               [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; },
-              [this](const std::vector<registry::MachineRegistry::Record>& r) {
+              [this](const std::vector<machine_registry::MachineRegistry::Record>& r) {
                   if (!stopped_) machines_stored(r);
               }}),
       job_watch_(dependencies_.timers, dependencies_.state, keys::jobs, watch_pace(dependencies_.settings),
-                 {[this](const std::vector<wire::Event>& events, std::uint64_t reconciled) {
+                 {[this](const std::vector<protocol::Event>& events, std::uint64_t reconciled) {
                       if (stopped_) return;
                       bool news = false;
                       {
@@ -57,7 +57,7 @@
                       }
                       if (news) jobs_changed();
                   },
-                  [this](const state::Listed& all) {
+                  [this](const kv::Listed& all) {
                       if (stopped_) return;
                       {
                           std::lock_guard lock(mutex_);
@@ -81,7 +81,7 @@
                false,
                {},
                &dependencies_.copy},
-              [this](const takeover::Found& found) {
+              [this](const failover::Found& found) {
                   if (stopped_) return;
                   take_all(found);
                   if (dependencies_.settings.op.standby)
@@ -114,14 +114,14 @@
     for (auto& report : early_.take()) report.reply({503, "{}"});
 }
 
-wire::Txn Leader::leader_txn() const {
-    wire::Txn t;
+protocol::Txn Leader::leader_txn() const {
+    protocol::Txn t;
     // A transaction that arrives late, when another controller leads, fails here.
     t.conditions.push_back({keys::leader, version_});
     return t;
 }
 
-void Leader::take_all(const takeover::Found& found) {
+void Leader::take_all(const failover::Found& found) {
     std::lock_guard lock(mutex_);
     std::set<std::string> live;
     for (auto& e : found.jobs.entries) {
@@ -141,7 +141,7 @@
         }
         try {
             table_.put_progress(id, slash == std::string::npos ? "" : rest.substr(slash + 1),
-                                wire::parse_bits(e.value), e.version);
+                                protocol::parse_bits(e.value), e.version);
         } catch (const std::exception& x) {
             spdlog::error("progress {}: {}", e.key, x.what());
         }
@@ -172,18 +172,18 @@
     m.session = it->second.session;
     m.sequence = it->second.sequence;
     for (auto& t : it->second.tasks) {
-        wire::TaskId task{t.job, t.index};
+        protocol::TaskId task{t.job, t.index};
         auto* e = table_.find(t.job);
         cluster_state_.inherit(m, task, e ? e->spec : nullptr, t.attempt, now());
         handle_found(task, id);
     }
 }
-std::optional<wire::PeerMachineRow> Leader::row_of(const std::string& id) const {
+std::optional<protocol::PeerMachineRow> Leader::row_of(const std::string& id) const {
     auto it = cluster_state_.machines().find(id);
-    if (it == cluster_state_.machines().end()) return wire::PeerMachineRow{id, false, true, 0, 0, {}};
+    if (it == cluster_state_.machines().end()) return protocol::PeerMachineRow{id, false, true, 0, 0, {}};
     auto& m = it->second;
     if (m.life == Machine::Life::booting) return std::nullopt;
-    wire::PeerMachineRow row{id, m.known || m.reconciled, false, m.session, m.sequence, {}};
+    protocol::PeerMachineRow row{id, m.known || m.reconciled, false, m.session, m.sequence, {}};
     for (auto& [task, i] : m.tasks) row.tasks.push_back({task.job, task.index, i.attempt});
     return row;
 }
@@ -225,14 +225,14 @@
             out.emplace(id, now() - m.last_heard + m.silent_before);
     return out;
 }
-wire::PeerImages Leader::images() const {
-    wire::PeerImages out;
+protocol::PeerImages Leader::images() const {
+    protocol::PeerImages out;
     out.names.resize(cluster_state_.images().size());
     out.sizes.resize(out.names.size());
     for (auto& [name, id] : cluster_state_.images()) out.names[id] = name;
     for (auto& [id, m] : cluster_state_.machines()) {
         if (m.cache.empty()) continue;
-        wire::PeerMachineImages row{id, {}};
+        protocol::PeerMachineImages row{id, {}};
         for (auto& [image, gb] : m.cache) {
             row.images.push_back(image);
             out.sizes[image] = gb;
@@ -299,7 +299,7 @@
 bool Leader::take_job(const std::string& id, std::uint64_t version, const std::string& value) {
     if (table_.knows(id, version)) return false;
     try {
-        auto record = wire::parse_job_record(value);
+        auto record = protocol::parse_job_record(value);
         if (!table_.put(id, version, std::move(record))) return false;
         auto& e = *table_.find(id);
         e.image = cluster_state_.image(e.spec->image);
@@ -307,10 +307,10 @@
                       e.awaits.size(), e.cancelled);
         if (e.cancelled) cancel_active(id, e);
         return true;
-    } catch (const wire::Malformed& x) {
+    } catch (const protocol::Malformed& x) {
         spdlog::error("job {}: {}", id, x.what());
         // Its tasks must go all the same.
-        if (auto* e = table_.find(id); e && !e->cancelled && wire::says_cancelled(value)) {
+        if (auto* e = table_.find(id); e && !e->cancelled && protocol::says_cancelled(value)) {
             table_.cancel(id, version);
             cancel_active(id, *e);
             return true;
@@ -353,8 +353,8 @@
     return c;
 }
 
-std::vector<wire::PeerCount> Leader::all_counts() {
-    std::vector<wire::PeerCount> out;
+std::vector<protocol::PeerCount> Leader::all_counts() {
+    std::vector<protocol::PeerCount> out;
     if (!loaded_) return out;
     for (auto& [id, e] : table_.all()) {
         auto c = count(id, e);
@@ -395,4 +395,4 @@
     dependencies_.metrics.gauge("machines", static_cast<double>(cluster_state_.machines().size()));
 }
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::leader
--- a/src/daemon/leader.hpp
+++ b/src/leader/leader.hpp
@@ -9,52 +9,52 @@
 #include <set>
 #include <unordered_map>
 
-#include "api/users.hpp"
-#include "capacity/capacity.hpp"
-#include "cloud/client.hpp"
-#include "daemon/metrics.hpp"
-#include "daemon/planner.hpp"
-#include "fleet/cluster_state.hpp"
-#include "fleet/usage.hpp"
-#include "jobs/table.hpp"
-#include "loop/bucket.hpp"
+#include "api/user_api.hpp"
+#include "autoscaler/autoscaler.hpp"
+#include "cloud/cloud_client.hpp"
+#include "cluster/cluster_state.hpp"
+#include "cluster/team_usage.hpp"
+#include "election/election.hpp"
+#include "event_loop/token_bucket.hpp"
+#include "failover/reconciliation.hpp"
+#include "failover/recovery_loader.hpp"
+#include "jobs/job_table.hpp"
+#include "kv/list_watch.hpp"
+#include "leader/planner.hpp"
+#include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
-#include "placement/placement.hpp"
-#include "registry/machine_registry.hpp"
+#include "metrics/metrics.hpp"
+#include "protocol/peer_messages.hpp"
 #include "relay/delegation_table.hpp"
-#include "relay/refusals.hpp"
+#include "relay/heartbeat_queue.hpp"
+#include "relay/heartbeat_rejections.hpp"
 #include "relay/reply_cache.hpp"
-#include "relay/report_queue.hpp"
 #include "relay/worker_lease.hpp"
-#include "standby/replication_sender.hpp"
-#include "state/election.hpp"
-#include "state/list_watch.hpp"
-#include "takeover/reconciliation.hpp"
-#include "takeover/recovery_loader.hpp"
-#include "wire/peer.hpp"
+#include "replication/replication_sender.hpp"
+#include "scheduler/scheduler.hpp"
 
-namespace coralhitch::daemon {
+namespace coralhitch::leader {
 
 struct LeaderDependencies {
-    loop::Timers& timers;
+    event_loop::Timers& timers;
     http::Requester& http;
     const config::Settings& settings;
-    state::Client& state;
-    state::Election& election;
+    kv::Client& state;
+    election::Election& election;
     cloud::Client& cloud;
     Planner& planner;
-    Metrics& metrics;
-    const std::vector<wire::MachineType>& types;
+    metrics::Metrics& metrics;
+    const std::vector<protocol::MachineType>& types;
     // How many of these machines, silent here for so many seconds, another controller heard from since, at
     // the most; nothing if no other answers and could lead.
     std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heard_elsewhere;
-    const wire::PeerImages& remembered;       // what the leader before told of the machines' caches
+    const protocol::PeerImages& remembered;   // what the leader before told of the machines' caches
     std::function<bool()> resign_leadership;  // whether to resign for it; noted if so
     std::uint64_t incarnation;
     std::map<std::string, double> suspected;  // by the leader before, and for how many seconds by now
-    const standby::ReplicaState& copy;        // of what the leader before knew of its machines
+    const replication::ReplicaState& copy;    // of what the leader before knew of its machines
     // What another controller last said of itself, if that is not long ago.
-    std::function<const wire::PeerPing*(const std::string& label)> peer;
+    std::function<const protocol::PeerPing*(const std::string& label)> peer;
     relay::Refusals& refusals;
 };
 
@@ -66,14 +66,14 @@
 
     void handle_report(relay::ReportQueue::Report report);
     // Reports that another controller heard: each is answered as if it had come here.
-    void relay(const wire::PeerRelay& m, http::Reply reply);
+    void relay(const protocol::PeerRelay& m, http::Reply reply);
     std::size_t lent() const { return delegations_.count(); }
-    const standby::ReplicationSender& replication() const { return replication_; }
-    const takeover::Steps& steps() const { return steps_; }
+    const replication::ReplicationSender& replication() const { return replication_; }
+    const failover::Steps& steps() const { return steps_; }
     bool doubts() const { return failure_detector_.doubt().has_value(); }
     std::optional<api::TaskCounts> counts(const std::string& id);
-    std::vector<wire::PeerCount> all_counts();
-    wire::PeerImages images() const;
+    std::vector<protocol::PeerCount> all_counts();
+    protocol::PeerImages images() const;
     // Machines that should have been heard, and how long ago they were, seconds.
     std::map<std::string, double> suspected() const;
     void types_changed();
@@ -99,8 +99,8 @@
     double now() const { return dependencies_.timers.now(); }
     bool authority() const { return !stopped_ && dependencies_.election.authority(); }
     api::TaskCounts count(const std::string& id, const jobs::Entry& e);
-    void inherit(const std::string& id, fleet::Machine& m);
-    void take_all(const takeover::Found& found);
+    void inherit(const std::string& id, cluster::Machine& m);
+    void take_all(const failover::Found& found);
     void loaded();
     void recall_images();
     void jobs_changed();
@@ -108,50 +108,51 @@
     void tick();
 
     // machines
-    fleet::ReportOutcome apply_report(const wire::Report& r, fleet::Via via);
+    cluster::ReportOutcome apply_report(const protocol::Report& r, cluster::Via via);
     double worker_lease_bound() const;
-    wire::PeerRelayed refused(relay::Refusal why);
+    protocol::PeerRelayed refused(relay::Refusal why);
     bool may_renew() const { return !stopped_ && now() <= worker_lease_bound(); }
     bool repeat_reply(const std::string& body, const http::Reply& reply);
-    wire::PeerRelayed answer_report(const std::string& body, const std::string& hearer, std::string& machine);
-    std::optional<std::string> relay_for(fleet::Machine& m);
-    void record_route(fleet::Machine& m, const std::string& route);
+    protocol::PeerRelayed answer_report(const std::string& body, const std::string& hearer,
+                                        std::string& machine);
+    std::optional<std::string> relay_for(cluster::Machine& m);
+    void record_route(cluster::Machine& m, const std::string& route);
     void revoke(const std::string& id);
     void flush_all();
     void flush_some();
-    void flush(fleet::Machine& m);
-    void probe(fleet::Machine& m);
+    void flush(cluster::Machine& m);
+    void probe(cluster::Machine& m);
     void probe_soon();
     void send_probes();
     void hear_early();
-    void send_direct(fleet::Machine& m, std::vector<wire::Command> commands);
-    void answered(const std::string& id, const std::vector<wire::Command>& commands, std::uint64_t token,
+    void send_direct(cluster::Machine& m, std::vector<protocol::Command> commands);
+    void answered(const std::string& id, const std::vector<protocol::Command>& commands, std::uint64_t token,
                   const std::optional<http::Response>& r);
-    void handle_end(const fleet::End& e);
-    void handle_found(const wire::TaskId& task, const std::string& machine);
-    void locate(jobs::Entry& e, const wire::TaskId& task, fleet::Machine& m, std::uint64_t attempt);
-    void task_error(jobs::Entry& e, const fleet::End& end);
+    void handle_end(const cluster::End& e);
+    void handle_found(const protocol::TaskId& task, const std::string& machine);
+    void locate(jobs::Entry& e, const protocol::TaskId& task, cluster::Machine& m, std::uint64_t attempt);
+    void task_error(jobs::Entry& e, const cluster::End& end);
     void stop_active(const std::string& id, jobs::Entry& e, double grace_s);
     void cancel_active(const std::string& id, jobs::Entry& e);
     void check_machines();
-    void check_up(fleet::Machine& m, const membership::Observation& seen, membership::Health verdict,
+    void check_up(cluster::Machine& m, const membership::Observation& seen, membership::Health verdict,
                   bool may);
-    bool check_lease(fleet::Machine& m);
-    membership::EvictionCost eviction_cost(const fleet::Machine& m) const;
-    double boots(const fleet::Machine& m) const;
-    void mark_for_deletion(fleet::Machine& m, const char* why);
+    bool check_lease(cluster::Machine& m);
+    membership::EvictionCost eviction_cost(const cluster::Machine& m) const;
+    double boots(const cluster::Machine& m) const;
+    void mark_for_deletion(cluster::Machine& m, const char* why);
     void check_reconciled();
-    void store_machine(fleet::Machine& m);
-    std::optional<wire::MachineRecord> record_of(const std::string& id);
-    void machines_stored(const std::vector<registry::MachineRegistry::Record>& records);
+    void store_machine(cluster::Machine& m);
+    std::optional<protocol::MachineRecord> record_of(const std::string& id);
+    void machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records);
     void delete_condemned();
     void deleted(const std::vector<std::string>& ids, bool ok);
     void drop_keys();
     void list_hosts();
-    void handle_spot_notice(fleet::Machine& m);
+    void handle_spot_notice(cluster::Machine& m);
 
     // what others follow
-    std::optional<wire::PeerMachineRow> row_of(const std::string& id) const;
+    std::optional<protocol::PeerMachineRow> row_of(const std::string& id) const;
     void tell_changes();
     void log_team_activity();
     void release_starts();
@@ -159,41 +160,42 @@
     // jobs
     void store_soon();
     void store_progress();
-    void store_ends(const std::vector<std::string>& ids, wire::JobState state);
-    void finish(const std::vector<std::string>& ids, wire::JobState state, state::Rank rank);
-    void end_answered(const std::vector<std::string>& ids, wire::JobState state, const state::Committed& c);
+    void store_ends(const std::vector<std::string>& ids, protocol::JobState state);
+    void finish(const std::vector<std::string>& ids, protocol::JobState state, kv::Rank rank);
+    void end_answered(const std::vector<std::string>& ids, protocol::JobState state, const kv::Committed& c);
     void read_live(const std::string& id);
     void store_blocks(const std::string& id, jobs::Entry& e);
-    void ended(const std::string& id, std::uint64_t revision, wire::JobState state);
+    void ended(const std::string& id, std::uint64_t revision, protocol::JobState state);
     void read_end(const std::string& id);
     void read_ends();
     void audit();
-    void stored_failed(const std::string& id, const state::Committed& c);
+    void stored_failed(const std::string& id, const kv::Committed& c);
     void read_block(const std::string& id, const std::string& block);
-    wire::Txn leader_txn() const;
+    protocol::Txn leader_txn() const;
 
     // plans
     void plan_soon();
     void plan();
     struct Plan {
-        placement::Input in;
-        placement::Decisions out;
-        capacity::Input fleet;  // all but the machines, which the planner fills in
-        capacity::Decisions capacity;
+        scheduler::Input in;
+        scheduler::Decisions out;
+        autoscaler::Input fleet;  // all but the machines, which the planner fills in
+        autoscaler::Decisions capacity;
         bool with_capacity = false;
     };
     bool may_wait(const jobs::Entry& e) const;
     bool anything_waits();
-    placement::Input snapshot();
-    capacity::Input rentals() const;
+    scheduler::Input snapshot();
+    autoscaler::Input rentals() const;
     void fill_capacity(Plan& p);
     void apply(Plan& p);
     void apply_starts(Plan& p);
-    bool may_start(jobs::Entry& e, std::uint32_t task, fleet::Machine& m, const placement::ZoneCounts& zones);
-    void rent(const capacity::Rent& r);
+    bool may_start(jobs::Entry& e, std::uint32_t task, cluster::Machine& m,
+                   const scheduler::ZoneCounts& zones);
+    void rent(const autoscaler::Rent& r);
     void ask_rental(const std::string& name);
-    std::size_t zone_of(const fleet::Machine& m) const;
-    placement::ZoneCounts zones_of(const jobs::Entry& e) const;
+    std::size_t zone_of(const cluster::Machine& m) const;
+    scheduler::ZoneCounts zones_of(const jobs::Entry& e) const;
 
     LeaderDependencies dependencies_;
     std::uint64_t version_;
@@ -202,10 +204,10 @@
     bool stopped_ = false, loaded_ = false, was_reconciled_ = false;
 
     std::mutex mutex_;  // guards the picture and the table: the planner reads them
-    fleet::ClusterState cluster_state_;
+    cluster::ClusterState cluster_state_;
     jobs::Table table_;
-    registry::MachineRegistry store_;
-    state::ListWatch job_watch_;
+    machine_registry::MachineRegistry store_;
+    kv::ListWatch job_watch_;
 
     relay::ReportQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
     std::uint64_t attempts_ = 0, rentals_made_ = 0;
@@ -224,30 +226,30 @@
     bool ends_left_ = false;  // some wait for one of these
     bool planning_ = false, plan_wanted_ = false, store_wanted_ = false;
     double plan_took_ = 0;
-    fleet::TeamActivity team_activity_;
+    cluster::TeamActivity team_activity_;
     double last_team_log_ = -1;
     static constexpr double never = -1e9;  // long before a leader begins
     double last_audit_ = 0;
     double last_plan_ = -1, last_capacity_ = -1, last_list_ = never, remove_retry_ = 0;
     bool listed_once_ = false;
-    wire::ReportReader reader_;
+    protocol::ReportReader reader_;
     relay::DelegationTable delegations_;
     relay::ReplyCache reply_cache_;  // of machines that report here
     std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
-    loop::Bucket asks_;              // questions to machines that have not reconciled
+    event_loop::Bucket asks_;        // questions to machines that have not reconciled
     membership::FailureDetector failure_detector_;
-    takeover::Reconciliation reconciliation_;
-    takeover::Steps steps_;
-    takeover::RecoveryLoader loader_;
-    standby::ReplicationSender replication_;
+    failover::Reconciliation reconciliation_;
+    failover::Steps steps_;
+    failover::RecoveryLoader loader_;
+    replication::ReplicationSender replication_;
     struct Held {
         std::uint64_t mark;  // of the change that showed the start
         std::string machine;
-        wire::TaskId task;
+        protocol::TaskId task;
     };
-    std::vector<std::pair<std::string, wire::TaskId>> started_now_;  // by the plan that is applied
+    std::vector<std::pair<std::string, protocol::TaskId>> started_now_;  // by the plan that is applied
     std::deque<Held> held_;  // starts that those who follow may not have taken in yet
-    loop::TimerId tick_timer_ = 0;
+    event_loop::TimerId tick_timer_ = 0;
 };
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::leader
--- a/src/daemon/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -3,14 +3,14 @@
 
 #include <algorithm>
 
-#include "daemon/leader.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
+#include "leader/leader.hpp"
 
-namespace coralhitch::daemon {
-namespace keys = state::keys;
-using state::Committed;
-using state::Rank;
-using wire::JobState;
+namespace coralhitch::leader {
+namespace keys = kv::keys;
+using kv::Committed;
+using kv::Rank;
+using protocol::JobState;
 
 namespace {
 constexpr double store_reports = 1.0 / 60;
@@ -75,7 +75,8 @@
         auto& e = *table_.find(id);
         e.writing = true;
         t.conditions.push_back({keys::job(id), e.version});  // fails if it was cancelled meanwhile
-        t.changes.push_back({keys::final(id), wire::stored(wire::FinalRecord{state, e.spec->tasks}), 0});
+        t.changes.push_back(
+            {keys::final(id), protocol::stored(protocol::FinalRecord{state, e.spec->tasks}), 0});
         t.changes.push_back({keys::job(id), std::nullopt, 0});
     }
     ++(state == JobState::done ? ends_under_way_ : tidying_);
@@ -135,19 +136,19 @@
         if (reading_ends_.size() >= at_once) return;
         if (absent_ends_.contains(id) || !reading_ends_.insert(id).second) continue;
         dependencies_.state.get(
-            keys::final(id), Rank::write, guarded([this, id](state::Found f) {
+            keys::final(id), Rank::write, guarded([this, id](kv::Found f) {
                 reading_ends_.erase(id);
                 absent_ends_.insert(id);  // unless it is told below: the next tick asks again
                 if (!f.entry) return read_ends();
                 try {
-                    auto state = wire::parse_final_record(f.entry->value).state;
+                    auto state = protocol::parse_final_record(f.entry->value).state;
                     {
                         std::lock_guard lock(mutex_);
                         table_.ended(id, state, std::nullopt);
                     }
                     plan_soon();
                     if (state == JobState::cancelled) store_soon();
-                } catch (const wire::Malformed& x) {
+                } catch (const protocol::Malformed& x) {
                     spdlog::error("final record {}: {}", id, x.what());
                 }
                 read_ends();
@@ -201,7 +202,7 @@
     table_.listing(true);
     last_audit_ = now();
     dependencies_.state.list(
-        keys::jobs, Rank::background, guarded([this](state::Listed l) {
+        keys::jobs, Rank::background, guarded([this](kv::Listed l) {
             auditing_ = false;
             table_.listing(false);
             if (!l.ok) return;
@@ -255,7 +256,7 @@
 // What became of the live record, of which this leader does not know what it says by now.
 void Leader::read_live(const std::string& id) {
     table_.find(id)->writing = true;
-    dependencies_.state.get(keys::job(id), Rank::write, guarded([this, id](state::Found f) {
+    dependencies_.state.get(keys::job(id), Rank::write, guarded([this, id](kv::Found f) {
                                 std::lock_guard lock(mutex_);
                                 auto* e = table_.find(id);
                                 if (!e) return;
@@ -273,7 +274,7 @@
 }
 void Leader::read_block(const std::string& id, const std::string& block) {
     dependencies_.state.get(keys::progress_of(id, block), Rank::write,
-                            guarded([this, id, block](state::Found f) {
+                            guarded([this, id, block](kv::Found f) {
                                 auto* e = table_.find(id);
                                 if (!e) return;
                                 e->writing = false;
@@ -286,18 +287,18 @@
 // Only a leader removes the key, and only this one leads: a transaction whose answer was lost was executed.
 // Which of them, the final record says: the job may have been done, or cancelled in between.
 void Leader::read_end(const std::string& id) {
-    dependencies_.state.get(keys::final(id), Rank::write, guarded([this, id](state::Found f) {
+    dependencies_.state.get(keys::final(id), Rank::write, guarded([this, id](kv::Found f) {
                                 auto* e = table_.find(id);
                                 if (!e) return;
                                 e->writing = false;
                                 e->retry_at = now() + dependencies_.settings.report_s / 10;
                                 if (!f.entry) return;
                                 try {
-                                    ended(id, e->version, wire::parse_final_record(f.entry->value).state);
-                                } catch (const wire::Malformed& x) {
+                                    ended(id, e->version, protocol::parse_final_record(f.entry->value).state);
+                                } catch (const protocol::Malformed& x) {
                                     spdlog::error("final record {}: {}", id, x.what());
                                 }
                             }));
 }
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::leader
--- a/src/daemon/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -4,14 +4,14 @@
 #include <algorithm>
 #include <cmath>
 
-#include "daemon/leader.hpp"
+#include "leader/leader.hpp"
 
-namespace coralhitch::daemon {
-using fleet::Machine;
-using state::Committed;
-using state::Rank;
-using wire::Cause;
-using wire::Kind;
+namespace coralhitch::leader {
+using cluster::Machine;
+using kv::Committed;
+using kv::Rank;
+using protocol::Cause;
+using protocol::Kind;
 
 namespace {
 constexpr double probe_timeout_reports = 0.33, direct_timeout_reports = 0.7;
@@ -36,7 +36,7 @@
     if (a.quiet && m) {
         if (auto elsewhere = relay_for(*m)) {
             reply_cache_.forget(machine);
-            return reply({421, wire::report_elsewhere(*elsewhere)});
+            return reply({421, protocol::report_elsewhere(*elsewhere)});
         }
         reply_cache_.put(std::move(body), machine, m->sequence, a.body, now());
     }
@@ -45,7 +45,7 @@
 }
 // A report that says what the last one of its machine said, and that one is the last that was heard of it.
 bool Leader::repeat_reply(const std::string& body, const http::Reply& reply) {
-    auto o = wire::outline_report(body);
+    auto o = protocol::outline_report(body);
     if (!o || !authority() || !may_renew()) return false;
     auto* r = reply_cache_.find(body, *o);
     if (!r) return false;
@@ -60,24 +60,24 @@
     reply({200, r->answer});
     return true;
 }
-wire::PeerRelayed Leader::refused(relay::Refusal why) {
+protocol::PeerRelayed Leader::refused(relay::Refusal why) {
     dependencies_.refusals.note(why);
     return {};
 }
 // With the hearer that passes it on, or none if it came here.
-wire::PeerRelayed Leader::answer_report(const std::string& body, const std::string& hearer,
-                                        std::string& machine) {
+protocol::PeerRelayed Leader::answer_report(const std::string& body, const std::string& hearer,
+                                            std::string& machine) {
     if (!may_renew()) return refused(stopped_ ? relay::Refusal::no_lease : relay::Refusal::bound_over);
     bool may = authority();
-    wire::Report report;
+    protocol::Report report;
     try {
         report = reader_.read(body);
-    } catch (const wire::Malformed& x) {
+    } catch (const protocol::Malformed& x) {
         spdlog::info("report: {}", x.what());
-        return {400, wire::error_body(x.what()), false};
+        return {400, protocol::error_body(x.what()), false};
     }
     machine = report.machine;
-    auto heard = apply_report(report, fleet::Via::hello);
+    auto heard = apply_report(report, cluster::Via::hello);
     std::lock_guard lock(mutex_);
     auto* m = cluster_state_.find(report.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
@@ -89,7 +89,7 @@
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again)
-        return {200, wire::report_answer(m->token, cluster_state_.answer(*m, now(), may)), false};
+        return {200, protocol::report_answer(m->token, cluster_state_.answer(*m, now(), may)), false};
     record_route(*m, hearer);
     if (!delegations_.delegated_to(m->id, hearer)) revoke(m->id);  // it has left the controller that heard it
     auto commands = cluster_state_.answer(*m, now(), may);
@@ -100,7 +100,7 @@
         delegations_.delegate(m->id, hearer);
     else
         revoke(m->id);
-    return {200, wire::report_answer(m->token, commands), quiet};
+    return {200, protocol::report_answer(m->token, commands), quiet};
 }
 void Leader::record_route(Machine& m, const std::string& route) {
     if (std::exchange(m.has_come, true)) m.reach.came(m.route == route, now());
@@ -131,13 +131,13 @@
     ++moved_;
     return to;
 }
-void Leader::relay(const wire::PeerRelay& q, http::Reply reply) {
+void Leader::relay(const protocol::PeerRelay& q, http::Reply reply) {
     const auto& s = dependencies_.settings;
-    wire::PeerRelayAnswer a;
+    protocol::PeerRelayAnswer a;
     bool leads = loaded_ ? may_renew() : authority();
     a.leads = q.leader_version == version_ && leads && s.op.hearing;
     a.ready = a.leads && loaded_;
-    auto send = [&] { reply({200, wire::pack_peer(a), "application/msgpack"}); };
+    auto send = [&] { reply({200, protocol::pack_peer(a), "application/msgpack"}); };
     if (!a.ready) return send();
     auto given_back = [this](const std::string& id, double until) {
         if (auto* m = cluster_state_.find(id)) m->lent_until = std::max(m->lent_until, until);
@@ -163,17 +163,17 @@
     // ends early enough for tasks that are cancelled.
     double grant = std::max(0.0, std::min({s.report_s, keep_alive_, worker_lease_bound() - now()}));
     a.grant_ms = static_cast<std::uint64_t>(grant * 1000);
-    a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * state::drift));
+    a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * election::drift));
     send();
 }
 
-fleet::ReportOutcome Leader::apply_report(const wire::Report& r, fleet::Via via) {
-    fleet::ReportOutcome heard;
+cluster::ReportOutcome Leader::apply_report(const protocol::Report& r, cluster::Via via) {
+    cluster::ReportOutcome heard;
     {
         std::lock_guard lock(mutex_);
         if (auto* m = cluster_state_.find(r.machine); m && m->life == Machine::Life::booting)
             failure_detector_.came_up(boots(*m));
-        heard = cluster_state_.apply_report(r, via, now(), [this](const std::string& id) -> fleet::Spec {
+        heard = cluster_state_.apply_report(r, via, now(), [this](const std::string& id) -> cluster::Spec {
             auto* e = table_.find(id);
             return e ? e->spec : nullptr;
         });
@@ -188,7 +188,7 @@
     if (heard.deposed) {
         spdlog::info("leader: machine {} has seen the token of a later leader", r.machine);
         // Not from within what the worker's message set off: this object would be gone before it is done.
-        auto version = r.token >> fleet::ClusterState::token_bits;
+        auto version = r.token >> cluster::ClusterState::token_bits;
         dependencies_.timers.after(0, guarded([this, version] { dependencies_.election.deposed(version); }));
         return heard;
     }
@@ -217,7 +217,7 @@
     cluster_state_.set_types(dependencies_.types);
 }
 
-void Leader::handle_found(const wire::TaskId& task, const std::string& machine) {
+void Leader::handle_found(const protocol::TaskId& task, const std::string& machine) {
     auto* e = table_.find(task.job);
     auto* m = cluster_state_.find(machine);
     auto it = m->tasks.find(task);
@@ -230,7 +230,7 @@
 // The task is on this machine. Attempts are numbered in the order of their starts, and one starts when the
 // one before is proven gone: what shows the older one came late, if it is of another session or machine by
 // now. The newer one used to be stopped if it was heard second.
-void Leader::locate(jobs::Entry& e, const wire::TaskId& task, Machine& m, std::uint64_t attempt) {
+void Leader::locate(jobs::Entry& e, const protocol::TaskId& task, Machine& m, std::uint64_t attempt) {
     auto [a, fresh] = e.active.try_emplace(task.index, jobs::Active{m.id, attempt, zone_of(m)});
     if (fresh || a->second.machine == m.id) return;
     auto* other = cluster_state_.find(a->second.machine);
@@ -250,7 +250,7 @@
     }
 }
 
-void Leader::handle_end(const fleet::End& end) {
+void Leader::handle_end(const cluster::End& end) {
     auto* e = table_.find(end.task.job);
     if (!e) {
         cluster_state_.stored(end.task.job);  // the job is over and stored
@@ -305,10 +305,10 @@
             break;
     }
     // A gang that lost a task is stopped whole; its next attempt starts when all of the old one is gone.
-    if (gang && !e->all_done()) stop_active(end.task.job, *e, placement::grace_of(spec));
+    if (gang && !e->all_done()) stop_active(end.task.job, *e, scheduler::grace_of(spec));
 }
 
-void Leader::task_error(jobs::Entry& e, const fleet::End& end) {
+void Leader::task_error(jobs::Entry& e, const cluster::End& end) {
     ++e.failures;
     e.failed_on.insert(end.machine);
     // The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on
@@ -347,11 +347,11 @@
 }
 
 void Leader::handle_spot_notice(Machine& m) {
-    std::vector<std::pair<wire::TaskId, double>> stops;
+    std::vector<std::pair<protocol::TaskId, double>> stops;
     for (auto& [id, i] : m.tasks)
         if (i.spec && i.confirmed && !i.stop && (i.spec->checkpoint_s > 0 || i.spec->kind == Kind::service))
             stops.emplace_back(id,
-                               std::min(placement::grace_of(*i.spec), std::max(0.0, m.notice_until - now())));
+                               std::min(scheduler::grace_of(*i.spec), std::max(0.0, m.notice_until - now())));
     for (auto& [id, grace] : stops) {
         auto* e = table_.find(id.job);
         if (e && e->spec->kind == Kind::gang)
@@ -386,7 +386,7 @@
     if (!flushing_.empty()) dependencies_.timers.after(0, guarded([this] { flush_some(); }));
 }
 void Leader::flush(Machine& m) {
-    std::vector<wire::Command> commands;
+    std::vector<protocol::Command> commands;
     {
         std::lock_guard lock(mutex_);
         if (m.session == 0) {
@@ -455,17 +455,17 @@
         probe_soon();
     }
 }
-void Leader::send_direct(Machine& m, std::vector<wire::Command> commands) {
+void Leader::send_direct(Machine& m, std::vector<protocol::Command> commands) {
     auto token = m.token;
     std::string id = m.id;
     bool probe = commands.empty();
     // Most workers are in their first session still: a good guess saves the question.
     auto session = std::max<std::uint64_t>(1, m.session);
-    auto body = wire::direct_commands(token, session, commands);
+    auto body = protocol::direct_commands(token, session, commands);
     double timeout =
         dependencies_.settings.report_s * (probe ? probe_timeout_reports : direct_timeout_reports);
     dependencies_.http.send(
-        m.addr, {"POST", std::string(wire::paths::commands), body}, timeout,
+        m.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
         guarded([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
             if (r) reconciliation_.answered(now() - sent, now());
             if (probe) {
@@ -476,8 +476,8 @@
             if (probe && !to_probe_.empty()) probe_soon();
         }));
 }
-void Leader::answered(const std::string& id, const std::vector<wire::Command>& commands, std::uint64_t token,
-                      const std::optional<http::Response>& r) {
+void Leader::answered(const std::string& id, const std::vector<protocol::Command>& commands,
+                      std::uint64_t token, const std::optional<http::Response>& r) {
     bool executed = r && r->status == 200, refused = r && (r->status == 409 || r->status == 400);
     bool first_session = false;
     if (executed || refused) direct_heard_ = now();
@@ -485,10 +485,10 @@
             auto report = reader_.read(r->body);
             auto* before = cluster_state_.find(id);
             first_session = before && before->session < report.session;
-            if (report.machine == id) apply_report(report, fleet::Via::direct);
+            if (report.machine == id) apply_report(report, cluster::Via::direct);
             // What a hearer would go on answering may not be the last word any more.
             if (auto* m = cluster_state_.find(id); m && !cluster_state_.quiet(*m)) revoke(id);
-        } catch (const wire::Malformed& x) {
+        } catch (const protocol::Malformed& x) {
             spdlog::info("machine {}: {}", id, x.what());
         }
     std::lock_guard lock(mutex_);
@@ -583,7 +583,7 @@
 bool Leader::check_lease(Machine& m) {
     const auto& s = dependencies_.settings;
     double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.lent_until);
-    bool over = now() > renewed + s.lease_s * (1 + 2 * state::drift) + s.report_s / 3;
+    bool over = now() > renewed + s.lease_s * (1 + 2 * election::drift) + s.report_s / 3;
     if (over && now() - m.last_heard > s.lease_s && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
         std::lock_guard lock(mutex_);
@@ -697,13 +697,13 @@
     m.storing = true;
     store_.put(m.id);
 }
-std::optional<wire::MachineRecord> Leader::record_of(const std::string& id) {
+std::optional<protocol::MachineRecord> Leader::record_of(const std::string& id) {
     auto* m = cluster_state_.find(id);
     if (!m) return std::nullopt;
-    return wire::MachineRecord{m->addr, m->type, m->zone, m->spot,
-                               m->life == Machine::Life::marked_for_deletion};
+    return protocol::MachineRecord{m->addr, m->type, m->zone, m->spot,
+                                   m->life == Machine::Life::marked_for_deletion};
 }
-void Leader::machines_stored(const std::vector<registry::MachineRegistry::Record>& records) {
+void Leader::machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records) {
     {
         std::lock_guard lock(mutex_);
         for (auto& [id, r] : records) {
@@ -724,7 +724,7 @@
     if (listing_ || !authority()) return;
     listing_ = true;
     last_list_ = now();
-    dependencies_.cloud.hosts(guarded([this](std::optional<std::vector<wire::Host>> hosts) {
+    dependencies_.cloud.hosts(guarded([this](std::optional<std::vector<protocol::Host>> hosts) {
         listing_ = false;
         if (!hosts) return;
         listed_once_ = true;
@@ -739,9 +739,9 @@
                                 : cluster_state_.add(h.id, h.addr, h.type, h.zone, h.spot,
                                                      Machine::Life::booting, now());
                 if (!known) m.created = now() - h.age_s;
-                if (h.state == wire::HostState::failed && m.life != Machine::Life::marked_for_deletion) {
+                if (h.state == protocol::HostState::failed && m.life != Machine::Life::marked_for_deletion) {
                     mark_for_deletion(m, "has failed");
-                } else if (h.state == wire::HostState::running && m.life == Machine::Life::booting) {
+                } else if (h.state == protocol::HostState::running && m.life == Machine::Life::booting) {
                     if (m.addr.empty()) m.addr = h.addr;
                     to_probe.push_back(h.id);
                 }
@@ -752,4 +752,4 @@
     }));
 }
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::leader
--- a/src/daemon/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -4,11 +4,11 @@
 #include <algorithm>
 #include <array>
 
-#include "daemon/leader.hpp"
+#include "leader/leader.hpp"
 
-namespace coralhitch::daemon {
-using fleet::Machine;
-using wire::Kind;
+namespace coralhitch::leader {
+using cluster::Machine;
+using protocol::Kind;
 
 namespace {
 constexpr double plan_gap_reports = 1.0 / 12;
@@ -62,19 +62,19 @@
         planning_ = false;
         apply(*plan);
     });
-    dependencies_.planner.submit([self = shared_from_this(), plan, seed, done]() -> loop::Task {
+    dependencies_.planner.submit([self = shared_from_this(), plan, seed, done]() -> event_loop::Task {
         std::mt19937_64 random(seed);
         {
             std::lock_guard lock(self->mutex_);
             plan->in = self->snapshot();
         }
-        plan->out = placement::plan(plan->in, self->dependencies_.settings, random);
+        plan->out = scheduler::plan(plan->in, self->dependencies_.settings, random);
         if (plan->with_capacity) {
             {
                 std::lock_guard lock(self->mutex_);
                 self->fill_capacity(*plan);
             }
-            plan->capacity = capacity::plan(plan->fleet, self->dependencies_.settings);
+            plan->capacity = autoscaler::plan(plan->fleet, self->dependencies_.settings);
         }
         return done;
     });
@@ -83,24 +83,24 @@
 std::size_t Leader::zone_of(const Machine& m) const {
     return cluster_state_.pools()[m.pool].zone_index;
 }
-placement::ZoneCounts Leader::zones_of(const jobs::Entry& e) const {
-    placement::ZoneCounts zones(cluster_state_.zones());
+scheduler::ZoneCounts Leader::zones_of(const jobs::Entry& e) const {
+    scheduler::ZoneCounts zones(cluster_state_.zones());
     for (auto& [task, a] : e.active) ++zones[a.zone];
     return zones;
 }
-placement::Input Leader::snapshot() {
-    placement::Input in;
+scheduler::Input Leader::snapshot() {
+    scheduler::Input in;
     in.now = now();
     in.unix_now = dependencies_.timers.unix_time();
     in.pools = cluster_state_.pools();
     in.zones = cluster_state_.zones();
     in.machines.reserve(cluster_state_.machines().size());
     in.jobs.reserve(table_.all().size());
-    std::unordered_map<const wire::Job*, std::size_t> job_index;
+    std::unordered_map<const protocol::Job*, std::size_t> job_index;
     for (auto& [id, e] : table_.all()) {
         // Waits for other jobs: holds no part of a guarantee, displaces nobody, nothing is rented for it.
         if (e.awaiting() && e.active.empty()) continue;
-        placement::JobView j;
+        scheduler::JobView j;
         j.spec = e.spec;
         j.priority = e.priority;
         j.submitted = e.ready;
@@ -116,10 +116,10 @@
         job_index[e.spec.get()] = in.jobs.size();
         in.jobs.push_back(std::move(j));
     }
-    fleet::Usage used;
+    cluster::Usage used;
     for (auto& [id, m] : cluster_state_.machines()) {
         used.add(m);
-        placement::MachineView v;
+        scheduler::MachineView v;
         v.id = id;
         v.pool = m.pool;
         v.usable = m.usable(in.now) && !m.has_unknown();
@@ -131,12 +131,13 @@
             auto it = job_index.find(i.spec.get());
             if (it == job_index.end()) continue;
             if (i.spec->kind == Kind::service) ++v.services;
-            if (i.state == wire::TaskState::fetching && !i.stop) {
+            if (i.state == protocol::TaskState::fetching && !i.stop) {
                 auto image = in.jobs[it->second].image;
-                if (!placement::has_image(v, image)) v.coming.push_back(image);
+                if (!scheduler::has_image(v, image)) v.coming.push_back(image);
             }
             in.instances.push_back({it->second, in.machines.size(), task.index,
-                                    i.stop || i.state == wire::TaskState::saving, i.placed, i.running_since});
+                                    i.stop || i.state == protocol::TaskState::saving, i.placed,
+                                    i.running_since});
         }
         in.machines.push_back(std::move(v));
     }
@@ -145,15 +146,15 @@
 }
 
 // What was asked for and is not up yet counts as booting.
-capacity::Input Leader::rentals() const {
-    capacity::Input in;
+autoscaler::Input Leader::rentals() const {
+    autoscaler::Input in;
     in.types = dependencies_.types;
     in.pools = cluster_state_.pools();
     in.zones = cluster_state_.zones();
     for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.dark(z, now()));
     for (auto& [name, r] : rentals_)
         for (int k = 0; k < r.count; ++k) {
-            capacity::MachineView v;
+            autoscaler::MachineView v;
             v.id = name;
             v.pool = r.pool;
             v.booting = true;
@@ -173,7 +174,7 @@
         bool suspected = m->doubtful() && m->fit(p.in.now) && !m->has_unknown();
         if (!booting && !v.usable && !suspected) continue;
         // With what the plan has just decided to start.
-        capacity::MachineView c;
+        autoscaler::MachineView c;
         c.id = v.id;
         c.pool = v.pool;
         c.booting = booting;
@@ -193,19 +194,19 @@
     }
 }
 
-bool Leader::may_start(jobs::Entry& e, std::uint32_t task, Machine& m, const placement::ZoneCounts& zones) {
+bool Leader::may_start(jobs::Entry& e, std::uint32_t task, Machine& m, const scheduler::ZoneCounts& zones) {
     auto& spec = *e.spec;
     return !e.cancelled && !e.awaiting() && e.strays == 0 && !e.is_done(task) && !e.active.contains(task) &&
            m.usable(now()) && !m.has_unknown() && !m.tasks.contains({spec.id, task}) &&
-           m.free().holds(spec.need) && placement::type_allowed(spec, m.type, m.zone, m.spot) &&
-           placement::zone_allowed(spec, zones, zone_of(m));
+           m.free().holds(spec.need) && scheduler::type_allowed(spec, m.type, m.zone, m.spot) &&
+           scheduler::zone_allowed(spec, zones, zone_of(m));
 }
 
 // Every start is checked again: since the snapshot, reports and cancellations have come in.
 void Leader::apply_starts(Plan& p) {
     auto& starts = p.out.starts;
     if (starts.empty()) return;  // most plans, and the sum walks the whole fleet
-    auto used = fleet::team_used(cluster_state_, dependencies_.settings.teams);
+    auto used = cluster::team_used(cluster_state_, dependencies_.settings.teams);
     for (std::size_t k = 0; k < starts.size();) {
         auto job = starts[k].job;
         auto& id = p.in.jobs[job].spec->id;
@@ -218,13 +219,13 @@
                                  [&](auto& t) { return e && t.name == e->spec->team; });
         std::vector<std::pair<Machine*, std::uint32_t>> placed;
         bool ok = e && team != dependencies_.settings.teams.end() && (!gang || e->active.empty());
-        auto zones = ok ? zones_of(*e) : placement::ZoneCounts{};
+        auto zones = ok ? zones_of(*e) : scheduler::ZoneCounts{};
         auto attempt = cluster_state_.base_token() + ++attempts_;
         for (std::size_t i = k; ok && i < end; ++i) {
             auto* m = cluster_state_.find(p.in.machines[starts[i].machine].id);
             auto task = starts[i].task;
             ok = m && may_start(*e, task, *m, zones) &&
-                 placement::team_allows(*team, used[e->spec->team], e->spec->need);
+                 scheduler::team_allows(*team, used[e->spec->team], e->spec->need);
             if (!ok) break;
             used[e->spec->team] += e->spec->need;
             cluster_state_.place(*m, {id, task}, e->spec, attempt, now());
@@ -234,7 +235,7 @@
         }
         if (ok) {
             for (auto& [m, task] : placed) {
-                started_now_.emplace_back(m->id, wire::TaskId{id, task});
+                started_now_.emplace_back(m->id, protocol::TaskId{id, task});
                 team_activity_.started(e->spec->team);
                 spdlog::debug("task {}/{} attempt {} goes to {}", id, task, attempt, m->id);
             }
@@ -259,7 +260,7 @@
         for (auto& u : p.out.unplaced)
             missing[static_cast<std::size_t>(p.in.jobs[u.job].spec->kind)] += u.count;
         std::size_t usable = 0, whole = 0;
-        wire::Room free;
+        protocol::Room free;
         for (auto& m : p.in.machines) {
             if (!m.usable) continue;
             ++usable;
@@ -284,7 +285,7 @@
             auto* m = cluster_state_.find(p.in.machines[i.machine].id);
             if (!m || !m->tasks.contains({spec.id, i.task})) continue;
             spdlog::debug("task {}/{} is stopped for {}", spec.id, i.task, p.in.jobs[s.for_job].spec->id);
-            cluster_state_.stop(*m, {spec.id, i.task}, placement::grace_of(spec));
+            cluster_state_.stop(*m, {spec.id, i.task}, scheduler::grace_of(spec));
         }
         if (p.with_capacity)
             for (auto& [id, m] : cluster_state_.machines()) m.draining = p.capacity.drains.contains(id);
@@ -315,7 +316,7 @@
                 rent({r.pool, std::min(left, cloud::Client::rent_most)});
 }
 
-void Leader::rent(const capacity::Rent& r) {
+void Leader::rent(const autoscaler::Rent& r) {
     // Names are never used again, by any controller: the version belongs to this leadership alone.
     std::string name = "r-" + std::to_string(version_) + "-" + std::to_string(++rentals_made_);
     auto& pool = cluster_state_.pools()[r.pool];
@@ -351,4 +352,4 @@
         }));
 }
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::leader
--- a/src/daemon/planner.cpp
+++ b/src/leader/planner.cpp
@@ -1,8 +1,8 @@
-#include "daemon/planner.hpp"
+#include "leader/planner.hpp"
 
-namespace coralhitch::daemon {
+namespace coralhitch::leader {
 
-ThreadPlanner::ThreadPlanner(loop::Loop& loop) : loop_(loop), thread_([this] { run(); }) {}
+ThreadPlanner::ThreadPlanner(event_loop::Loop& loop) : loop_(loop), thread_([this] { run(); }) {}
 ThreadPlanner::~ThreadPlanner() {
     {
         std::lock_guard lock(mutex_);
@@ -32,4 +32,4 @@
     }
 }
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::leader
--- a/src/daemon/planner.hpp
+++ b/src/leader/planner.hpp
@@ -6,27 +6,27 @@
 #include <optional>
 #include <thread>
 
-#include "loop/loop.hpp"
+#include "event_loop/event_loop.hpp"
 
-namespace coralhitch::daemon {
+namespace coralhitch::leader {
 
 class Planner {
   public:
     // The work runs beside the loop and returns what the loop is to do with its result.
-    using Work = std::function<loop::Task()>;
+    using Work = std::function<event_loop::Task()>;
     virtual ~Planner() = default;
     virtual void submit(Work work) = 0;
 };
 
 class ThreadPlanner : public Planner {
   public:
-    explicit ThreadPlanner(loop::Loop& loop);
+    explicit ThreadPlanner(event_loop::Loop& loop);
     ~ThreadPlanner() override;
     void submit(Work work) override;
 
   private:
     void run();
-    loop::Loop& loop_;
+    event_loop::Loop& loop_;
     std::mutex mutex_;
     std::condition_variable wake_;
     std::optional<Work> work_;
@@ -34,4 +34,4 @@
     std::thread thread_;
 };
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::leader
--- a/src/registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -1,4 +1,4 @@
-#include "registry/machine_registry.hpp"
+#include "machine_registry/machine_registry.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,12 +6,12 @@
 #include <charconv>
 #include <limits>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::registry {
-namespace keys = state::keys;
-using state::Committed;
-using state::Rank;
+namespace coralhitch::machine_registry {
+namespace keys = kv::keys;
+using kv::Committed;
+using kv::Rank;
 
 namespace {
 // Of the largest value; the estimate of a record's size below need not be exact. Where values are small, a
@@ -35,13 +35,13 @@
     if (ec != std::errc() || end != last) return std::nullopt;
     return n;
 }
-std::size_t bytes_of(const std::string& id, const wire::MachineRecord& r) {
+std::size_t bytes_of(const std::string& id, const protocol::MachineRecord& r) {
     return id.size() + r.addr.size() + r.type.size() + r.zone.size() + record_overhead;
 }
 }  // namespace
 
-MachineRegistry::MachineRegistry(loop::Timers& timers, state::Client& state, const config::Settings& settings,
-                                 Hooks hooks)
+MachineRegistry::MachineRegistry(event_loop::Timers& timers, kv::Client& state,
+                                 const config::Settings& settings, Hooks hooks)
     : timers_(timers), state_(state), settings_(settings), hooks_(std::move(hooks)) {}
 
 std::size_t MachineRegistry::page_bytes() const {
@@ -49,9 +49,9 @@
     return static_cast<std::size_t>(value * (value <= small_value_kb * 1024 ? small_page_share : page_share));
 }
 
-std::vector<MachineRegistry::Record> MachineRegistry::load(const state::Listed& listed) {
-    std::map<std::string, wire::MachineRecord> all;
-    auto take = [&](std::size_t n, const std::string& id, const wire::MachineRecord& r) {
+std::vector<MachineRegistry::Record> MachineRegistry::load(const kv::Listed& listed) {
+    std::map<std::string, protocol::MachineRecord> all;
+    auto take = [&](std::size_t n, const std::string& id, const protocol::MachineRecord& r) {
         auto& p = pages_[n];
         p.ids.insert(id);
         p.bytes += bytes_of(id, r);
@@ -74,8 +74,8 @@
         p.version = e.version;
         p.retiring = e.value.size() > state_.limits().value_bytes();
         try {
-            for (auto& [id, r] : wire::parse_machine_page(e.value)) take(*n, id, r);
-        } catch (const wire::Malformed& x) {
+            for (auto& [id, r] : protocol::parse_machine_page(e.value)) take(*n, id, r);
+        } catch (const protocol::Malformed& x) {
             // Of another version, perhaps: left as it is, and taken for full.
             spdlog::error("machine page {}: {}", e.key, x.what());
             p.retiring = false;
@@ -87,12 +87,12 @@
         old_keys_.insert(e.key);
         try {
             auto id = e.key.substr(keys::machines.size());
-            auto r = wire::parse_machine_record(e.value);
+            auto r = protocol::parse_machine_record(e.value);
             if (page_of_.contains(id)) continue;
             auto n = page_for(id, bytes_of(id, r));
             take(n, id, r);
             pages_[n].dirty = true;
-        } catch (const wire::Malformed& x) {
+        } catch (const protocol::Malformed& x) {
             spdlog::error("machine {}: {}", e.key, x.what());
         }
     }
@@ -198,7 +198,7 @@
 // The answer to a write was lost, or its condition failed: what does the key hold now?
 void MachineRegistry::read_again(std::size_t n) {
     busy_ = true;
-    state_.get(keys::machine_page(n), Rank::write, guarded_([this, n](state::Found f) {
+    state_.get(keys::machine_page(n), Rank::write, guarded_([this, n](kv::Found f) {
                    busy_ = false;
                    if (!f.ok) return later(settings_.report_s * retry_reports);
                    pages_[n].version = f.entry ? f.entry->version : 0;
@@ -227,7 +227,7 @@
             left_over = true;
             break;
         }
-        wire::MachinePage page;
+        protocol::MachinePage page;
         p.bytes = 0;
         // Its machines are in other pages, or gone.
         if (std::exchange(p.retiring, false)) p.ids.clear();
@@ -241,7 +241,7 @@
         p.dirty = p.stale = false;
         t->conditions.push_back({keys::machine_page(n), p.version});
         if (!page.empty())
-            t->changes.push_back({keys::machine_page(n), wire::stored(page), 0});
+            t->changes.push_back({keys::machine_page(n), protocol::stored(page), 0});
         else if (p.version > 0)
             t->changes.push_back({keys::machine_page(n), std::nullopt, 0});
         pages.push_back({n, !page.empty()});
@@ -282,4 +282,4 @@
     later(settings_.report_s * (rejected ? rejected_reports : retry_reports));
 }
 
-}  // namespace coralhitch::registry
+}  // namespace coralhitch::machine_registry
--- a/src/registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -16,28 +16,28 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
-#include "state/client.hpp"
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
+#include "kv/kv_client.hpp"
 
-namespace coralhitch::registry {
+namespace coralhitch::machine_registry {
 
 class MachineRegistry {
   public:
-    using Record = std::pair<std::string, wire::MachineRecord>;
+    using Record = std::pair<std::string, protocol::MachineRecord>;
     struct Hooks {
         // What to store of a machine; nothing if it is gone.
-        std::function<std::optional<wire::MachineRecord>(const std::string&)> record;
+        std::function<std::optional<protocol::MachineRecord>(const std::string&)> record;
         // A transaction under the leader's condition; nothing without authority.
-        std::function<std::optional<wire::Txn>()> begin;
+        std::function<std::optional<protocol::Txn>()> begin;
         std::function<void(const std::vector<Record>&)> stored;
     };
-    MachineRegistry(loop::Timers& timers, state::Client& state, const config::Settings& settings,
+    MachineRegistry(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
                     Hooks hooks);
 
     // Takes over what earlier leaders stored, in pages or, before there were pages, in a key each. A machine
     // that is in several of them is one machine, and marked_for_deletion if any of them says so.
-    std::vector<Record> load(const state::Listed& listed);
+    std::vector<Record> load(const kv::Listed& listed);
     void put(const std::string& id);     // new, or something about it has changed
     void remove(const std::string& id);  // proven gone
     void flush();                        // writes what is due
@@ -65,11 +65,11 @@
         bool held = false;  // false: it was empty, and dropped
     };
     void written(const std::vector<Written>& pages, const std::vector<Record>& records,
-                 const state::Committed& c);
+                 const kv::Committed& c);
     void later(double seconds);
 
-    loop::Timers& timers_;
-    state::Client& state_;
+    event_loop::Timers& timers_;
+    kv::Client& state_;
     const config::Settings& settings_;
     Hooks hooks_;
     std::map<std::size_t, Page> pages_;
@@ -78,7 +78,7 @@
     std::set<std::string> old_keys_;  // of the layout with a key for each machine
     bool busy_ = false, armed_ = false;
     double last_write_ = -1, last_tidy_ = -1;
-    loop::Guard guarded_;  // last, so that it goes first
+    event_loop::Guard guarded_;  // last, so that it goes first
 };
 
-}  // namespace coralhitch::registry
+}  // namespace coralhitch::machine_registry
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
 
 namespace coralhitch::membership {
 
@@ -203,9 +203,9 @@
         // Nothing is placed while it may hold anything, and one that is well answers a direct command at
         // once. Not so if this leader reaches none itself, and hears only what others pass on: a worker may
         // try every other controller in vain before it comes to one that hears it.
-        double unreconciled = own_.reaches
-                                  ? std::min(wait_, l.report_s * unsettled_reports)
-                                  : wait_ + l.report_s + static_cast<double>(l.peers) * wire::worker_turns_s;
+        double unreconciled =
+            own_.reaches ? std::min(wait_, l.report_s * unsettled_reports)
+                         : wait_ + l.report_s + static_cast<double>(l.peers) * protocol::worker_turns_s;
         if (doubt_) unreconciled = std::max(unreconciled, wait_ + turn);
         if (!m.known) return unreconciled;
         wait = std::max(wait, unreconciled);  // it holds nothing up
--- a/src/daemon/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -1,8 +1,8 @@
-#include "daemon/metrics.hpp"
+#include "metrics/metrics.hpp"
 
 #include <prometheus/text_serializer.h>
 
-namespace coralhitch::daemon {
+namespace coralhitch::metrics {
 namespace {
 prometheus::Histogram::BucketBoundaries seconds() {
     return {0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10};
@@ -42,4 +42,4 @@
     requests_.Add({{"route", route}, {"status", std::to_string(status)}}).Increment();
 }
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::metrics
--- a/src/daemon/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -6,7 +6,7 @@
 
 #include <string>
 
-namespace coralhitch::daemon {
+namespace coralhitch::metrics {
 
 class Metrics {
   public:
@@ -28,4 +28,4 @@
     void plan_took(double s) { plan_.Observe(s); }
 };
 
-}  // namespace coralhitch::daemon
+}  // namespace coralhitch::metrics
--- a/src/wire/reports.cpp
+++ b/src/protocol/heartbeat_parser.cpp
@@ -1,10 +1,10 @@
 // Workers' reports, read without a tree of values: they are most of what a leader reads.
 #include <charconv>
 
-#include "wire/fast.hpp"
-#include "wire/protocol.hpp"
+#include "protocol/json_reader.hpp"
+#include "protocol/protocol.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 namespace {
 using namespace fast;
 
@@ -67,4 +67,4 @@
     return ReportReader().read(body);
 }
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/wire/fast.hpp
+++ b/src/protocol/json_reader.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "wire/names.hpp"
+#include "protocol/names.hpp"
 
-namespace coralhitch::wire::fast {
+namespace coralhitch::protocol::fast {
 
 using simdjson::dom::array;
 using simdjson::dom::element;
@@ -66,4 +66,4 @@
     return o;
 }
 
-}  // namespace coralhitch::wire::fast
+}  // namespace coralhitch::protocol::fast
--- a/src/wire/lists.cpp
+++ b/src/protocol/list_parsers.cpp
@@ -1,9 +1,9 @@
 // Lists of the state service and the cloud: the longest messages that a controller reads, at each takeover
 // and while it looks for machines. A tree of values took a new leader longer than all it did with them.
-#include "wire/fast.hpp"
-#include "wire/protocol.hpp"
+#include "protocol/json_reader.hpp"
+#include "protocol/protocol.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 using namespace fast;
 using simdjson::dom::parser;
 
@@ -74,4 +74,4 @@
     return out;
 }
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/wire/model.hpp
+++ b/src/protocol/model.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 
 enum class Kind { array, gang, service };
 enum class Priority { low, normal, high, production };
@@ -148,4 +148,4 @@
     std::vector<Member> members;
 };
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/wire/names.hpp
+++ b/src/protocol/names.hpp
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <utility>
 
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 
 // Strings that are stored or used in keys stay short, so that no record can pass the state service's limit.
 inline constexpr std::size_t max_text = 512;
@@ -60,4 +60,4 @@
     throw Malformed(std::string("field '") + field + "' has an unknown value");
 }
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/wire/peer_cancelled.hpp
+++ b/src/protocol/peer_cancellation_messages.hpp
@@ -1,9 +1,9 @@
 // What controllers say to each other of cancellations, beside the single notice (`PeerCancelled`), in
 // msgpack.
 #pragma once
-#include "wire/peer.hpp"
+#include "protocol/peer_messages.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 
 // On the path of the single notice, with what the version before doesn't read at the end.
 struct PeerCancelledAgain {
@@ -18,4 +18,4 @@
     MSGPACK_DEFINE(taken_by)
 };
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/wire/peer.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 
 inline constexpr std::string_view peer_ping_path = "/peer/ping";
 inline constexpr std::string_view peer_user_path = "/peer/user";
@@ -166,4 +166,4 @@
     }
 }
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/wire/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -1,4 +1,4 @@
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
 
 #include <algorithm>
 #include <array>
@@ -6,9 +6,9 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "wire/names.hpp"
+#include "protocol/names.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 using nlohmann::json;
 
 namespace {
@@ -457,4 +457,4 @@
     return bits;
 }
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/wire/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "wire/model.hpp"
+#include "protocol/model.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 
 // A message that does not follow the protocol; what() names the field.
 struct Malformed : std::runtime_error {
@@ -160,4 +160,4 @@
 StandbyRecord parse_standby_record(std::string_view v);
 std::vector<bool> parse_bits(std::string_view v);
 
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/src/relay/cancellation_notices.cpp
+++ b/src/relay/cancellation_notices.cpp
@@ -11,13 +11,13 @@
 constexpr std::size_t most_in_message = 256;  // some 5 KB
 }  // namespace
 
-CancellationNotices::CancellationNotices(loop::Timers& timers, http::Requester& http,
+CancellationNotices::CancellationNotices(event_loop::Timers& timers, http::Requester& http,
                                          const config::Settings& settings,
                                          std::function<std::uint64_t()> leadership)
     : timers_(timers), http_(http), settings_(settings), leadership_(std::move(leadership)) {}
 
 void CancellationNotices::confirmed(const std::string& id, std::uint64_t version, std::uint64_t taken_by) {
-    send(wire::pack_peer(wire::PeerCancelled{id, version}), {id, version, {}});
+    send(protocol::pack_peer(protocol::PeerCancelled{id, version}), {id, version, {}});
     if (static_cast<double>(notices_.size() + 1) > settings_.memory_mb * notices_per_mb && !notices_.empty())
         notices_.pop_front();
     notices_.push_back({id, version, taken_by, timers_.now() + settings_.cancel_s});
@@ -26,17 +26,18 @@
 
 // To all: whom this controller takes for the leader may have lost its lease, and the next one is not known
 // here yet.
-void CancellationNotices::send(const std::string& body, const wire::PeerCancelledAgain& message) {
+void CancellationNotices::send(const std::string& body, const protocol::PeerCancelledAgain& message) {
     for (auto& peer : settings_.peers)
-        http_.send(peer.addr, {"POST", std::string(wire::peer_cancelled_path), body, "application/msgpack"},
+        http_.send(peer.addr,
+                   {"POST", std::string(protocol::peer_cancelled_path), body, "application/msgpack"},
                    settings_.report_s, guarded_([this, message](std::optional<http::Response> r) {
                        if (!r || r->status != 200) return;
                        // One of a version before answers without a word: it is told again.
-                       auto a = wire::unpack_peer<wire::PeerCancelledAnswer>(r->body);
+                       auto a = protocol::unpack_peer<protocol::PeerCancelledAnswer>(r->body);
                        if (a && a->taken_by > 0) taken(message, a->taken_by);
                    }));
 }
-void CancellationNotices::taken(const wire::PeerCancelledAgain& message, std::uint64_t by) {
+void CancellationNotices::taken(const protocol::PeerCancelledAgain& message, std::uint64_t by) {
     std::set<std::string> ids{message.id};
     for (auto& m : message.more) ids.insert(m.id);
     for (auto& n : notices_)
@@ -54,7 +55,7 @@
     while (!notices_.empty() && notices_.front().until < timers_.now()) notices_.pop_front();
     if (notices_.empty()) return;
     auto now_leads = leadership_();
-    wire::PeerCancelledAgain message;
+    protocol::PeerCancelledAgain message;
     std::size_t named = 0;
     for (auto& n : notices_) {
         if (n.taken_by > 0 && n.taken_by >= now_leads) continue;
@@ -68,7 +69,7 @@
         }
     }
     if (named > 0) {
-        send(wire::pack_peer(message), message);
+        send(protocol::pack_peer(message), message);
         repeated_ += settings_.peers.size();
     }
     repeat_later();
--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -12,17 +12,17 @@
 #include <string>
 
 #include "config/settings.hpp"
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
 #include "http/message.hpp"
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
-#include "wire/peer_cancelled.hpp"
+#include "protocol/peer_cancellation_messages.hpp"
 
 namespace coralhitch::relay {
 
 class CancellationNotices {
   public:
     // `leadership`: the version of the newest one that this controller knows of; 0: none.
-    CancellationNotices(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+    CancellationNotices(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                         std::function<std::uint64_t()> leadership);
     // The job's record says since this version that it is cancelled, and its user is about to be told. With
     // the leadership that knows it already, if this controller leads.
@@ -36,19 +36,19 @@
         std::uint64_t version, taken_by;
         double until;  // steady time
     };
-    void send(const std::string& body, const wire::PeerCancelledAgain& message);
+    void send(const std::string& body, const protocol::PeerCancelledAgain& message);
     void repeat();
     void repeat_later();
-    void taken(const wire::PeerCancelledAgain& message, std::uint64_t by);
+    void taken(const protocol::PeerCancelledAgain& message, std::uint64_t by);
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
     std::function<std::uint64_t()> leadership_;
     std::deque<Notice> notices_;  // the oldest first
     bool armed_ = false;
     std::uint64_t repeated_ = 0;
-    loop::Guard guarded_;  // last, so that it goes first
+    event_loop::Guard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/report_queue.hpp
+++ b/src/relay/heartbeat_queue.hpp
@@ -14,8 +14,8 @@
 #include <utility>
 
 #include "http/message.hpp"
-#include "relay/refusals.hpp"
-#include "wire/protocol.hpp"
+#include "protocol/protocol.hpp"
+#include "relay/heartbeat_rejections.hpp"
 
 namespace coralhitch::relay {
 
@@ -27,7 +27,7 @@
         double since = 0;  // when it was read, seconds of the injected clock
     };
     // Seconds.
-    static constexpr double longest_wait_s = wire::worker_patience_s * 0.6;
+    static constexpr double longest_wait_s = protocol::worker_patience_s * 0.6;
 
     // `refusals` counts those that waited too long; it must outlive the queue.
     explicit ReportQueue(Refusals& refusals) : refusals_(refusals) {}
--- a/src/relay/refusals.cpp
+++ b/src/relay/heartbeat_rejections.cpp
@@ -1,4 +1,4 @@
-#include "relay/refusals.hpp"
+#include "relay/heartbeat_rejections.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/relay/refusals.hpp
+++ b/src/relay/heartbeat_rejections.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "loop/timers.hpp"
+#include "event_loop/timers.hpp"
 
 namespace coralhitch::relay {
 
@@ -25,7 +25,7 @@
 class Refusals {
   public:
     // Logs at most once in `period_s` seconds.
-    Refusals(loop::Timers& timers, double period_s) : timers_(timers), period_s_(period_s) {}
+    Refusals(event_loop::Timers& timers, double period_s) : timers_(timers), period_s_(period_s) {}
     void note(Refusal why);
     std::uint64_t count(Refusal why) const { return counts_[static_cast<std::size_t>(why)]; }
     // What the next line would say: each reason with its number since the line before.
@@ -33,7 +33,7 @@
     std::uint64_t lines() const { return lines_; }
 
   private:
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     double period_s_, logged_ = -1;
     std::uint64_t lines_ = 0;
     std::array<std::uint64_t, refusal_names.size()> counts_{}, told_{};
--- a/src/relay/report_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -1,9 +1,9 @@
-#include "relay/report_relay.hpp"
+#include "relay/heartbeat_relay.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "state/election.hpp"
+#include "election/election.hpp"
 
 namespace coralhitch::relay {
 namespace {
@@ -24,7 +24,7 @@
 constexpr double memory_leases = 4;
 }  // namespace
 
-ReportRelay::ReportRelay(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+ReportRelay::ReportRelay(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                          std::uint64_t incarnation, std::function<Leadership()> lead)
     : timers_(timers),
       http_(http),
@@ -66,7 +66,8 @@
     return settings_.op.hearing && up_until_ >= 0 && timers_.now() - up_until_ < ttl * hold_ttls;
 }
 void ReportRelay::refuse_old(double share) {
-    while (!waiting_.empty() && timers_.now() - waiting_.front().since > wire::worker_patience_s * share) {
+    while (!waiting_.empty() &&
+           timers_.now() - waiting_.front().since > protocol::worker_patience_s * share) {
         refuse_late(waiting_.front());
         waiting_.pop_front();
     }
@@ -97,7 +98,7 @@
     heed_leader();
     if (link_ == Link::down && !holds()) return false;
     double t = timers_.now();
-    if (auto o = wire::outline_report(body); o && link_ == Link::up && may_answer()) {
+    if (auto o = protocol::outline_report(body); o && link_ == Link::up && may_answer()) {
         auto* r = reply_cache_.find(body, *o);
         if (r && t - r->since < settings_.lease_s * memory_leases) {
             r->sequence = o->sequence;
@@ -127,14 +128,14 @@
     if (busy_ || leader_.addr.empty()) return;
     double t = timers_.now();
     if (link_ == Link::down && t - last_sent_ < settings_.report_s * retry_reports) return;
-    wire::PeerRelay m{settings_.label, incarnation_, leader_.version, ++number_, taken_in_, {}, {}};
+    protocol::PeerRelay m{settings_.label, incarnation_, leader_.version, ++number_, taken_in_, {}, {}};
     std::deque<Waiting> batch;
     auto most_bytes = static_cast<std::size_t>(settings_.memory_mb * 1024 * 1024 * message_share);
     std::size_t bytes = 0;
     while (!waiting_.empty() && batch.size() < most_reports && bytes <= most_bytes) {
         auto w = std::move(waiting_.front());
         waiting_.pop_front();
-        if (t - w.since > wire::worker_patience_s * patience_share) {
+        if (t - w.since > protocol::worker_patience_s * patience_share) {
             refuse_late(w);  // nobody waits for it by the time the leader has answered
             continue;
         }
@@ -149,20 +150,21 @@
     busy_ = true;
     last_sent_ = t;
     auto shared = std::make_shared<std::deque<Waiting>>(std::move(batch));
-    http_.send(leader_.addr,
-               {"POST", std::string(wire::peer_relay_path), wire::pack_peer(m), "application/msgpack"},
-               wire::worker_patience_s * patience_share,
-               guarded_([this, number = number_, t, to = leader_, shared](std::optional<http::Response> r) {
-                   answered(number, t, to, std::move(*shared), r);
-               }));
+    http_.send(
+        leader_.addr,
+        {"POST", std::string(protocol::peer_relay_path), protocol::pack_peer(m), "application/msgpack"},
+        protocol::worker_patience_s * patience_share,
+        guarded_([this, number = number_, t, to = leader_, shared](std::optional<http::Response> r) {
+            answered(number, t, to, std::move(*shared), r);
+        }));
 }
 
 void ReportRelay::answered(std::uint64_t number, double sent, const Leadership& to, std::deque<Waiting> batch,
                            const std::optional<http::Response>& r) {
     busy_ = false;
     heed_leader();
-    std::optional<wire::PeerRelayAnswer> a;
-    if (r && r->status == 200) a = wire::unpack_peer<wire::PeerRelayAnswer>(r->body);
+    std::optional<protocol::PeerRelayAnswer> a;
+    if (r && r->status == 200) a = protocol::unpack_peer<protocol::PeerRelayAnswer>(r->body);
     if (!a || !a->leads || !(to == leader_)) {
         if (link_ == Link::up) interrupted();
         if (to == leader_) link_ = Link::down;
@@ -187,12 +189,12 @@
     // the leader counts on.
     for (auto& machine : a->recalled) reply_cache_.forget(machine);
     taken_in_ = number;
-    granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * state::drift);
+    granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * election::drift);
     if (!waiting_.empty()) soon();
 }
 
-void ReportRelay::keep(Waiting w, const wire::PeerRelayed& a) {
-    auto o = wire::outline_report(w.body);
+void ReportRelay::keep(Waiting w, const protocol::PeerRelayed& a) {
+    auto o = protocol::outline_report(w.body);
     if (o && a.status == 200 && a.quiet)
         reply_cache_.put(std::move(w.body), std::string(o->machine), o->sequence, a.body, timers_.now());
     else if (o)
--- a/src/relay/report_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -12,13 +12,13 @@
 #include <unordered_map>
 
 #include "config/settings.hpp"
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
 #include "http/message.hpp"
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
-#include "relay/refusals.hpp"
+#include "protocol/peer_messages.hpp"
+#include "relay/heartbeat_queue.hpp"
+#include "relay/heartbeat_rejections.hpp"
 #include "relay/reply_cache.hpp"
-#include "relay/report_queue.hpp"
-#include "wire/peer.hpp"
 
 namespace coralhitch::relay {
 
@@ -31,7 +31,7 @@
 class ReportRelay {
   public:
     // `lead` tells for whom to hear; it is asked at every report and before every message.
-    ReportRelay(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+    ReportRelay(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                 std::uint64_t incarnation, std::function<Leadership()> lead);
     ~ReportRelay();
     ReportRelay(const ReportRelay&) = delete;
@@ -67,9 +67,9 @@
     void send();
     void answered(std::uint64_t number, double sent, const Leadership& to, std::deque<Waiting> batch,
                   const std::optional<http::Response>& r);
-    void keep(Waiting w, const wire::PeerRelayed& a);
+    void keep(Waiting w, const protocol::PeerRelayed& a);
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
     std::uint64_t incarnation_;
@@ -86,7 +86,7 @@
     double last_sent_ = -1;
     std::uint64_t number_ = 0, taken_in_ = 0;
     std::uint64_t repeated_ = 0, relayed_ = 0, dropped_ = 0;
-    loop::Guard guarded_;  // last, so that it goes first
+    event_loop::Guard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/worker_lease.hpp
+++ b/src/relay/worker_lease.hpp
@@ -2,7 +2,7 @@
 //
 // A task of a cancelled job must be gone `cancel_s` after the cancellation was told, also if no command
 // reaches its machine. What ends it then is its worker's lease, `lease_s` after the sending of the last
-// report that was answered. A leader that is complete up to K (`state::ListWatch::complete_at`) knows of
+// report that was answered. A leader that is complete up to K (`kv::ListWatch::complete_at`) knows of
 // every cancellation committed before K; one that it doesn't know was told after K. So with
 //
 //     K + renewal_s + lease_s (1 + 2 drift) + report_s / 2 <= K + cancel_s
@@ -13,7 +13,7 @@
 #include <algorithm>
 
 #include "config/settings.hpp"
-#include "state/election.hpp"
+#include "election/election.hpp"
 
 namespace coralhitch::relay {
 
@@ -21,7 +21,7 @@
 
 // Seconds after the time up to which the leader is complete; 0 if the settings leave nothing.
 inline double renewal_s(const config::Settings& s) {
-    double left = s.cancel_s - s.lease_s * (1 + 2 * state::drift) - s.report_s * renewal_margin_reports;
+    double left = s.cancel_s - s.lease_s * (1 + 2 * election::drift) - s.report_s * renewal_margin_reports;
     return std::max(0.0, left);
 }
 // How long after its authority has run out a leader goes on renewing, without new commands: what its
--- a/src/standby/checks.cpp
+++ b/src/replication/checks.cpp
@@ -1,9 +1,9 @@
-#include "standby/checks.hpp"
+#include "replication/checks.hpp"
 
 #include <algorithm>
 #include <array>
 
-namespace coralhitch::standby {
+namespace coralhitch::replication {
 namespace {
 
 bool stored(const Evidence& e) {
@@ -11,7 +11,7 @@
 }
 // The leader sent no start that this process had not taken in before. Another process of this controller does
 // not count: it is gone, with all that it knew.
-const wire::StandbyRecord::Member* named(const Evidence& e) {
+const protocol::StandbyRecord::Member* named(const Evidence& e) {
     for (auto& m : e.record->members)
         if (m.label == e.label && m.incarnation == e.incarnation) return &m;
     return nullptr;
@@ -63,4 +63,4 @@
     return std::nullopt;
 }
 
-}  // namespace coralhitch::standby
+}  // namespace coralhitch::replication
--- a/src/standby/checks.hpp
+++ b/src/replication/checks.hpp
@@ -7,20 +7,20 @@
 #include <string>
 #include <vector>
 
-#include "standby/replica_state.hpp"
-#include "state/election.hpp"
-#include "wire/model.hpp"
+#include "election/election.hpp"
+#include "protocol/model.hpp"
+#include "replication/replica_state.hpp"
 
-namespace coralhitch::standby {
+namespace coralhitch::replication {
 
 // All of it read after the claim, but for `copy` and `chain`.
 struct Evidence {
     std::string label;  // of this controller
     std::uint64_t incarnation = 0, version = 0;
-    std::optional<wire::StandbyRecord> record;  // as stored
-    state::Election::Chain chain;               // leaderships seen before the claim
-    bool history = false;                       // whether what came after the chain is known, and it is:
-    std::vector<state::Election::Link> since;   // leaderships up to the claim, own one left out
+    std::optional<protocol::StandbyRecord> record;  // as stored
+    election::Election::Chain chain;                // leaderships seen before the claim
+    bool history = false;                           // whether what came after the chain is known, and it is:
+    std::vector<election::Election::Link> since;    // leaderships up to the claim, own one left out
     const ReplicaState* copy = nullptr;
 };
 
@@ -33,4 +33,4 @@
 // Nothing if the copy is proof; otherwise the first check that does not hold.
 std::optional<std::string> judge(const Evidence& e);
 
-}  // namespace coralhitch::standby
+}  // namespace coralhitch::replication
--- a/src/standby/replica_state.cpp
+++ b/src/replication/replica_state.cpp
@@ -1,8 +1,8 @@
-#include "standby/replica_state.hpp"
+#include "replication/replica_state.hpp"
 
-namespace coralhitch::standby {
+namespace coralhitch::replication {
 
-wire::PeerFleetAnswer Follower::take(wire::PeerFleet piece) {
+protocol::PeerFleetAnswer Follower::take(protocol::PeerFleet piece) {
     if (piece.leader_version < copy_.version ||
         (piece.leader_version == copy_.version && piece.number <= copy_.number))
         return {false, incarnation_, copy_.begun};
@@ -24,4 +24,4 @@
     return {true, incarnation_, copy_.begun};
 }
 
-}  // namespace coralhitch::standby
+}  // namespace coralhitch::replication
--- a/src/standby/replica_state.hpp
+++ b/src/replication/replica_state.hpp
@@ -1,22 +1,22 @@
 // What a controller that does not lead knows of the leader's machines, from the leader.
 //
-// All of it is a hint until `standby::judge` says otherwise: a copy may be old, half received, or of a
+// All of it is a hint until `replication::judge` says otherwise: a copy may be old, half received, or of a
 // leadership that others followed.
 #pragma once
 #include <cstdint>
 #include <string>
 #include <unordered_map>
 
-#include "wire/peer.hpp"
+#include "protocol/peer_messages.hpp"
 
-namespace coralhitch::standby {
+namespace coralhitch::replication {
 
 struct ReplicaState {
     std::uint64_t version = 0;  // of the leadership that told it; 0: nothing is known
     std::uint64_t number = 0;   // of the last piece taken
     std::uint64_t begun = 0;    // the leadership that began it from nothing
     bool whole = false;         // the leadership of `version` has told all
-    std::unordered_map<std::string, wire::PeerMachineRow> rows;  // by machine
+    std::unordered_map<std::string, protocol::PeerMachineRow> rows;  // by machine
 };
 
 class Follower {
@@ -24,7 +24,7 @@
     explicit Follower(std::uint64_t incarnation) : incarnation_(incarnation) {}
     // A piece of an earlier leadership, or one that comes after a later piece, is refused: it was held up on
     // its way, and what it says may be over. So is one that goes on from another copy than is here.
-    wire::PeerFleetAnswer take(wire::PeerFleet piece);
+    protocol::PeerFleetAnswer take(protocol::PeerFleet piece);
     const ReplicaState& copy() const { return copy_; }
 
   private:
@@ -32,4 +32,4 @@
     ReplicaState copy_;
 };
 
-}  // namespace coralhitch::standby
+}  // namespace coralhitch::replication
--- a/src/standby/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -1,15 +1,15 @@
-#include "standby/replication_sender.hpp"
+#include "replication/replication_sender.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <string_view>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::standby {
-namespace keys = state::keys;
-using state::Committed;
+namespace coralhitch::replication {
+namespace keys = kv::keys;
+using kv::Committed;
 
 namespace {
 // Ratios to the report period, unless named otherwise.
@@ -24,8 +24,8 @@
 constexpr std::size_t most_rows = 1024;
 }  // namespace
 
-ReplicationSender::ReplicationSender(loop::Timers& timers, http::Requester& http,
-                                     const config::Settings& settings, state::Client& state,
+ReplicationSender::ReplicationSender(event_loop::Timers& timers, http::Requester& http,
+                                     const config::Settings& settings, kv::Client& state,
                                      std::uint64_t version, Hooks hooks)
     : timers_(timers),
       http_(http),
@@ -42,7 +42,7 @@
 }
 
 void ReplicationSender::start(std::uint64_t record_version,
-                              const std::optional<wire::StandbyRecord>& inherited) {
+                              const std::optional<protocol::StandbyRecord>& inherited) {
     started_ = true;
     record_version_ = record_version;
     if (inherited)
@@ -65,16 +65,16 @@
 
 bool ReplicationSender::can_follow(const std::string& label) const {
     auto* p = hooks_.peer(label);
-    return p && p->features >= wire::peer_features_follow;
+    return p && p->features >= protocol::peer_features_follow;
 }
 // Its copy holds all that may be on the machines, as this leader's own did, and from here on it is told all
 // that changes. So it is named from the first record on: three leaders that were killed a second apart each
 // left nobody informed, since a copy from nothing takes longer.
-void ReplicationSender::carry(const wire::StandbyRecord::Member& m) {
+void ReplicationSender::carry(const protocol::StandbyRecord::Member& m) {
     auto it = standbys_.find(m.label);
     auto* p = hooks_.peer(m.label);
     if (it == standbys_.end() || !p || p->incarnation != m.incarnation ||
-        p->features < wire::peer_features_carry)
+        p->features < protocol::peer_features_carry)
         return;
     auto& s = it->second;
     s.following = s.whole = s.carried = s.greet = true;
@@ -156,7 +156,7 @@
 void ReplicationSender::send(Standby& s) {
     // Not before the record is of this leadership: no copy is ever newer than the record.
     if (!ours_ || !s.following || s.busy || (s.queue.empty() && s.whole && !s.greet)) return;
-    wire::PeerFleet piece{version_, ++numbers_, {}, s.carried ? s.begun : 0, s.whole};
+    protocol::PeerFleet piece{version_, ++numbers_, {}, s.carried ? s.begun : 0, s.whole};
     s.greet = false;
     std::vector<std::string> ids;
     while (!s.queue.empty() && piece.rows.size() < most_rows) {
@@ -170,11 +170,12 @@
     s.busy = true;
     if (s.waiting_since < 0) s.waiting_since = timers_.now();
     ++pieces_;
-    http_.send(s.peer.addr,
-               {"POST", std::string(wire::peer_fleet_path), wire::pack_peer(piece), "application/msgpack"},
-               patience(s), guarded_([this, &s, round = s.round, upto, ids](std::optional<http::Response> r) {
-                   answered(s, round, upto, ids, r);
-               }));
+    http_.send(
+        s.peer.addr,
+        {"POST", std::string(protocol::peer_fleet_path), protocol::pack_peer(piece), "application/msgpack"},
+        patience(s), guarded_([this, &s, round = s.round, upto, ids](std::optional<http::Response> r) {
+            answered(s, round, upto, ids, r);
+        }));
 }
 
 void ReplicationSender::answered(Standby& s, std::uint64_t round, std::uint64_t upto,
@@ -182,8 +183,8 @@
                                  const std::optional<http::Response>& r) {
     if (round != s.round) return;
     s.busy = false;
-    std::optional<wire::PeerFleetAnswer> a;
-    if (r && r->status == 200) a = wire::unpack_peer<wire::PeerFleetAnswer>(r->body);
+    std::optional<protocol::PeerFleetAnswer> a;
+    if (r && r->status == 200) a = protocol::unpack_peer<protocol::PeerFleetAnswer>(r->body);
     if (a && s.incarnation != 0 && a->incarnation != s.incarnation)
         return started_anew(s.peer.label, a->incarnation);
     if (a && !a->taken)
@@ -239,11 +240,11 @@
     auto t = hooks_.begin();
     if (!t) return write_later();
     t->conditions.push_back({keys::standby, record_version_});
-    t->changes.push_back({keys::standby, wire::stored(wire::StandbyRecord{version_, members}), 0});
+    t->changes.push_back({keys::standby, protocol::stored(protocol::StandbyRecord{version_, members}), 0});
     for (auto& m : members) attempted_.insert(m.label);
     writing_ = true;
     // No start is sent before it is answered, so it waits for nothing else.
-    state_.txn(std::move(*t), state::Rank::lease, guarded_([this, members](Committed c) {
+    state_.txn(std::move(*t), kv::Rank::lease, guarded_([this, members](Committed c) {
                    writing_ = false;
                    if (c.status == Committed::Status::committed) {
                        record_version_ = c.revision;
@@ -268,18 +269,18 @@
 }
 void ReplicationSender::read_record() {
     writing_ = true;
-    state_.get(keys::standby, state::Rank::lease, guarded_([this](state::Found f) {
+    state_.get(keys::standby, kv::Rank::lease, guarded_([this](kv::Found f) {
                    writing_ = false;
                    if (f.ok) {
                        record_version_ = f.entry ? f.entry->version : 0;
                        if (f.entry) try {
-                               auto r = wire::parse_standby_record(f.entry->value);
+                               auto r = protocol::parse_standby_record(f.entry->value);
                                if (r.version == version_) {
                                    ours_ = true;
                                    confirmed_ = r.members;
                                    send_all();
                                }
-                           } catch (const wire::Malformed& x) {
+                           } catch (const protocol::Malformed& x) {
                                spdlog::error("standby: record: {}", x.what());
                            }
                    }
@@ -287,4 +288,4 @@
                }));
 }
 
-}  // namespace coralhitch::standby
+}  // namespace coralhitch::replication
--- a/src/standby/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -17,27 +17,27 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "loop/guard.hpp"
-#include "loop/timers.hpp"
-#include "state/client.hpp"
-#include "wire/peer.hpp"
+#include "event_loop/lifetime_guard.hpp"
+#include "event_loop/timers.hpp"
+#include "kv/kv_client.hpp"
+#include "protocol/peer_messages.hpp"
 
-namespace coralhitch::standby {
+namespace coralhitch::replication {
 
 class ReplicationSender {
   public:
     struct Hooks {
         // The machine as it is now; nothing if there is nothing to tell of it yet.
-        std::function<std::optional<wire::PeerMachineRow>(const std::string& machine)> row;
+        std::function<std::optional<protocol::PeerMachineRow>(const std::string& machine)> row;
         std::function<std::vector<std::string>()> machines;
-        std::function<std::optional<wire::Txn>()>
+        std::function<std::optional<protocol::Txn>()>
             begin;  // under the leader's condition; none without authority
         // What another controller last said of itself, if that is not long ago.
-        std::function<const wire::PeerPing*(const std::string& label)> peer;
+        std::function<const protocol::PeerPing*(const std::string& label)> peer;
         std::function<void()> told;  // `told` may say yes to more
     };
-    ReplicationSender(loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                      state::Client& state, std::uint64_t version, Hooks hooks);
+    ReplicationSender(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+                      kv::Client& state, std::uint64_t version, Hooks hooks);
     ~ReplicationSender();
     ReplicationSender(const ReplicationSender&) = delete;
     ReplicationSender& operator=(const ReplicationSender&) = delete;
@@ -45,7 +45,7 @@
     // Once, with the version of the record's key as read after the claim; 0: there is none. `inherited`: the
     // record itself, if this leader's own copy was proof; whom it names goes on from the copy that it has.
     // Called before anything changes in the picture.
-    void start(std::uint64_t record_version, const std::optional<wire::StandbyRecord>& inherited);
+    void start(std::uint64_t record_version, const std::optional<protocol::StandbyRecord>& inherited);
     // The controller is a process that was started just now.
     void started_anew(const std::string& label, std::uint64_t incarnation);
     void changed(const std::string& machine);
@@ -60,7 +60,7 @@
     std::uint64_t dropped() const { return dropped_; }
 
   private:
-    using Member = wire::StandbyRecord::Member;
+    using Member = protocol::StandbyRecord::Member;
     struct Standby {
         config::Peer peer;
         bool following = false, busy = false, whole = false;  // whole: it has taken in all machines once
@@ -74,7 +74,7 @@
     };
     void begin(Standby& s);
     bool can_follow(const std::string& label) const;
-    void carry(const wire::StandbyRecord::Member& m);
+    void carry(const protocol::StandbyRecord::Member& m);
     void leave(Standby& s, const char* why, bool at_fault = true);
     void soon();
     void send_all();
@@ -88,10 +88,10 @@
     void write_later();
     double patience(const Standby& s) const;
 
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    state::Client& state_;
+    kv::Client& state_;
     std::uint64_t version_;
     Hooks hooks_;
     std::map<std::string, Standby> standbys_;
@@ -101,7 +101,7 @@
     std::vector<Member> confirmed_;
     std::set<std::string> attempted_;  // named by writes since the last one that was confirmed
     std::uint64_t pieces_ = 0, dropped_ = 0;
-    loop::Guard guarded_;  // last, so that it goes first
+    event_loop::Guard guarded_;  // last, so that it goes first
 };
 
-}  // namespace coralhitch::standby
+}  // namespace coralhitch::replication
--- a/src/placement/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -1,11 +1,11 @@
-#include "placement/gang_placer.hpp"
+#include "scheduler/gang_placer.hpp"
 
 #include <algorithm>
 #include <numeric>
 
-namespace coralhitch::placement {
-using wire::Kind;
-using wire::Room;
+namespace coralhitch::scheduler {
+using protocol::Kind;
+using protocol::Room;
 
 namespace {
 // Report periods that a gang waits before what room there is is kept for it.
@@ -47,7 +47,7 @@
 }
 
 // Whether the team's limit has room for all of it beside what does not end by itself.
-bool GangPlacer::comes_free(const wire::Job& spec) const {
+bool GangPlacer::comes_free(const protocol::Job& spec) const {
     Room stays;
     for (auto& instance : plan_.in.instances) {
         auto& other = *plan_.in.jobs[instance.job].spec;
@@ -154,4 +154,4 @@
     for (auto machine : best) plan_.in.machines[machine].reserved += need;
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -3,10 +3,10 @@
 #include <compare>
 #include <vector>
 
-#include "placement/machine_choice.hpp"
-#include "placement/preemption.hpp"
+#include "scheduler/machine_choice.hpp"
+#include "scheduler/preemption.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 class GangPlacer {
   public:
@@ -27,11 +27,11 @@
     bool gathers(const JobView& job) const;
     void gather(std::size_t job, const std::vector<PoolSet>& groups);
     void keep_quota(const JobView& job);
-    bool comes_free(const wire::Job& spec) const;
+    bool comes_free(const protocol::Job& spec) const;
 
     PlanState& plan_;
     Preemption& preemption_;
     bool gathering_ = false;  // for one gang of this plan
 };
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -1,12 +1,12 @@
-#include "placement/job_order.hpp"
+#include "scheduler/job_order.hpp"
 
 #include <algorithm>
 #include <numeric>
 
-namespace coralhitch::placement {
-using wire::Kind;
-using wire::Priority;
-using wire::Room;
+namespace coralhitch::scheduler {
+using protocol::Kind;
+using protocol::Priority;
+using protocol::Room;
 
 namespace {
 // Ratios to the report period.
@@ -88,4 +88,4 @@
     return order;
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/job_order.hpp
+++ b/src/scheduler/job_order.hpp
@@ -5,9 +5,9 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "placement/types.hpp"
+#include "scheduler/types.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 // Refers to the input and the settings that it was made from; indices are those of `Input::jobs`.
 class JobOrder {
@@ -37,4 +37,4 @@
     std::vector<bool> guaranteed_;  // by job: it fits into its team's guarantee
 };
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/machine_choice.cpp
+++ b/src/scheduler/machine_choice.cpp
@@ -1,10 +1,10 @@
-#include "placement/machine_choice.hpp"
+#include "scheduler/machine_choice.hpp"
 
 #include <limits>
 
-#include "placement/two_choices.hpp"
+#include "scheduler/two_choices.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 namespace {
 constexpr double small_replica_share = 0.25;  // replicas that take at most this share go together
@@ -28,7 +28,7 @@
 std::size_t tier_of(const PlanState& plan, const JobView& job, std::size_t machine) {
     auto& view = plan.in.machines[machine];
     if (view.draining) return last_tier;
-    bool stays = job.spec->kind == wire::Kind::service &&
+    bool stays = job.spec->kind == protocol::Kind::service &&
                  largest_share(job.spec->need, plan.total(machine)) <= small_replica_share;
     bool fitting = stays ? view.services > 0 : !plan.breaks_up(*job.spec, machine);
     return 2 * static_cast<std::size_t>(plan.image_distance(job, machine)) + (fitting ? 0 : 1);
@@ -64,4 +64,4 @@
     return take_out(*from, at);
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/machine_choice.hpp
+++ b/src/scheduler/machine_choice.hpp
@@ -3,9 +3,9 @@
 #include <array>
 #include <optional>
 
-#include "placement/plan_state.hpp"
+#include "scheduler/plan_state.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 // The draws are made from the first of these sets that has a machine with room: by how near the image is, and
 // those that are fitting first. Surplus machines come last.
@@ -23,4 +23,4 @@
 std::optional<std::size_t> choose_of_two(PlanState& plan, TieredMachines& sets);
 std::optional<std::size_t> choose_fullest(PlanState& plan, const JobView& job, TieredMachines& sets);
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -1,9 +1,9 @@
-#include "placement/plan_state.hpp"
+#include "scheduler/plan_state.hpp"
 
-namespace coralhitch::placement {
-using wire::Kind;
-using wire::Priority;
-using wire::Room;
+namespace coralhitch::scheduler {
+using protocol::Kind;
+using protocol::Priority;
+using protocol::Room;
 
 bool covers(const PoolSet& a, const PoolSet& b) {
     for (std::size_t p = 0; p < b.size(); ++p)
@@ -53,7 +53,7 @@
     return found == teams_.end() ? nullptr : found->second;
 }
 
-bool PlanState::team_has_room(const wire::Job& job, double tasks) {
+bool PlanState::team_has_room(const protocol::Job& job, double tasks) {
     auto* limits = team(job.team);
     return limits && team_allows(*limits, in.team_used[job.team], job.need.times(tasks));
 }
@@ -84,7 +84,7 @@
     return coming ? ImageDistance::coming : ImageDistance::busy;
 }
 
-bool PlanState::needs_whole_machine(const wire::Job& job, const PoolSet& pools) const {
+bool PlanState::needs_whole_machine(const protocol::Job& job, const PoolSet& pools) const {
     for (std::size_t p = 0; p < pools.size(); ++p) {
         if (!pools[p] || by_pool_[p].empty()) continue;
         if (largest_share(job.need, in.pools[p].total) > whole_machine_share) return true;
@@ -101,7 +101,7 @@
     if (job.failed_on.empty() && job.priority != Priority::low) full_.push_back({job.spec->need, pools});
 }
 
-bool PlanState::breaks_up(const wire::Job& job, std::size_t machine) const {
+bool PlanState::breaks_up(const protocol::Job& job, std::size_t machine) const {
     if (largest_share_ <= 0) return false;
     auto room = in.machines[machine].free;
     if (!room.holds(largest_)) return false;
@@ -111,7 +111,7 @@
 
 // What a task takes of the room that others could use: nothing, if it only needs what is left over there, as
 // processors are on a machine whose GPUs are all in use.
-double PlanState::taken_of_spare(const wire::Job& job, std::size_t machine) const {
+double PlanState::taken_of_spare(const protocol::Job& job, std::size_t machine) const {
     auto room = in.machines[machine].free;
     double before = least_share(room, total(machine));
     room -= job.need;
@@ -156,4 +156,4 @@
     --decisions.counts.tasks;
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/plan_state.hpp
+++ b/src/scheduler/plan_state.hpp
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "placement/job_order.hpp"
-#include "placement/rules.hpp"
-#include "placement/types.hpp"
+#include "scheduler/job_order.hpp"
+#include "scheduler/rules.hpp"
+#include "scheduler/types.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 using Machines = std::vector<std::size_t>;  // indices of `Input::machines`
 
@@ -33,16 +33,18 @@
     const JobOrder order;
     Decisions decisions;
 
-    const wire::Room& need_of(const InstanceView& i) const { return in.jobs[i.job].spec->need; }
-    const wire::Room& total(std::size_t machine) const { return in.pools[in.machines[machine].pool].total; }
+    const protocol::Room& need_of(const InstanceView& i) const { return in.jobs[i.job].spec->need; }
+    const protocol::Room& total(std::size_t machine) const {
+        return in.pools[in.machines[machine].pool].total;
+    }
     std::size_t zone(std::size_t machine) const { return in.pools[in.machines[machine].pool].zone_index; }
 
     // --- Where a job may go ---
     PoolSet pools_of(const JobView& job) const { return allowed_pools(*job.spec, job.zones, in.pools); }
-    bool team_has_room(const wire::Job& job, double tasks);
+    bool team_has_room(const protocol::Job& job, double tasks);
     const config::Team* team(const std::string& name) const;
     // Places on a machine that nobody waits for already.
-    wire::Room open_room(std::size_t machine) const;
+    protocol::Room open_room(std::size_t machine) const;
     template <class F>
     void each_machine(const JobView& job, const PoolSet& pools, F f) const {
         for (std::size_t p = 0; p < pools.size(); ++p) {
@@ -54,17 +56,17 @@
     Machines with_room(const JobView& job, const PoolSet& pools) const;
     ImageDistance image_distance(const JobView& job, std::size_t machine) const;
     // Whether a task takes more than half of a machine of these pools.
-    bool needs_whole_machine(const wire::Job& job, const PoolSet& pools) const;
+    bool needs_whole_machine(const protocol::Job& job, const PoolSet& pools) const;
 
     // What an earlier job of this plan found no room for, a later one that needs as much need not look for:
     // within a plan room only shrinks. With thousands of tasks waiting and hardly any room, walking all
     // machines for each of them took longer than everything else together.
-    bool known_full(const wire::Room& need, const PoolSet& pools) const;
+    bool known_full(const protocol::Room& need, const PoolSet& pools) const;
     void note_full(const JobView& job, const PoolSet& pools);
 
     // --- Room kept for others ---
     // Whether the task would take the room in which the largest whole-machine task still fits.
-    bool breaks_up(const wire::Job& job, std::size_t machine) const;
+    bool breaks_up(const protocol::Job& job, std::size_t machine) const;
     // Low priority lives on what is left over, and takes none of the last spare room: on that, higher
     // priorities start at once. With a guest's thousands of small tasks on every machine hundreds of GPUs lay
     // idle, and each gang waited for a place to be emptied and for its image.
@@ -77,17 +79,17 @@
   private:
     // A need that found no room in these pools.
     struct Full {
-        wire::Room need;
+        protocol::Room need;
         PoolSet pools;
     };
     void find_largest();
-    double taken_of_spare(const wire::Job& job, std::size_t machine) const;
+    double taken_of_spare(const protocol::Job& job, std::size_t machine) const;
 
     std::map<std::string, const config::Team*> teams_;
     std::vector<Machines> by_pool_;  // usable ones
     std::vector<Full> full_;
     // The largest task of live jobs, those of low priority apart, that goes to the fullest machine.
-    wire::Room largest_;
+    protocol::Room largest_;
     double largest_share_ = 0;
     double spare_ = 0, kept_ = 0;  // in machines: free room, and how much of it low priority leaves alone
 };
@@ -95,4 +97,4 @@
 // Whether each pool of `b` is one of `a`.
 bool covers(const PoolSet& a, const PoolSet& b);
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -1,10 +1,10 @@
-#include "placement/preemption.hpp"
+#include "scheduler/preemption.hpp"
 
 #include <algorithm>
 
-namespace coralhitch::placement {
-using wire::Kind;
-using wire::Room;
+namespace coralhitch::scheduler {
+using protocol::Kind;
+using protocol::Room;
 
 namespace {
 // The cost of a place that is being emptied already, on a machine that has the image: below all others.
@@ -169,4 +169,4 @@
     return true;
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/preemption.hpp
+++ b/src/scheduler/preemption.hpp
@@ -5,9 +5,9 @@
 #include <optional>
 #include <vector>
 
-#include "placement/plan_state.hpp"
+#include "scheduler/plan_state.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 class Preemption {
   public:
@@ -45,4 +45,4 @@
     std::vector<Stuck> stuck_;
 };
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/rules.cpp
+++ b/src/scheduler/rules.cpp
@@ -1,16 +1,16 @@
-#include "placement/rules.hpp"
+#include "scheduler/rules.hpp"
 
 #include <algorithm>
 
-namespace coralhitch::placement {
-using wire::Room;
+namespace coralhitch::scheduler {
+using protocol::Room;
 
-bool type_allowed(const wire::Job& job, const std::string& type, const std::string& zone, bool spot) {
+bool type_allowed(const protocol::Job& job, const std::string& type, const std::string& zone, bool spot) {
     if (job.types && std::find(job.types->begin(), job.types->end(), type) == job.types->end()) return false;
     if (job.zone && *job.zone != zone) return false;
     return job.spot || !spot;
 }
-bool zone_allowed(const wire::Job& job, const ZoneCounts& zones, std::size_t zone) {
+bool zone_allowed(const protocol::Job& job, const ZoneCounts& zones, std::size_t zone) {
     if (job.one_zone)
         for (std::size_t z = 0; z < zones.size(); ++z)
             if (zones[z] > 0 && z != zone) return false;
@@ -20,7 +20,7 @@
     }
     return true;
 }
-PoolSet allowed_pools(const wire::Job& job, const ZoneCounts& zones, const std::vector<Pool>& pools) {
+PoolSet allowed_pools(const protocol::Job& job, const ZoneCounts& zones, const std::vector<Pool>& pools) {
     PoolSet set(pools.size());
     for (std::size_t p = 0; p < set.size(); ++p)
         set[p] = type_allowed(job, pools[p].type, pools[p].zone, pools[p].spot) &&
@@ -43,7 +43,7 @@
     if (total.memory_gb > 0) s = std::min(s, room.memory_gb / total.memory_gb);
     return std::max(0.0, s);
 }
-double grace_of(const wire::Job& job) {
+double grace_of(const protocol::Job& job) {
     // Half as long again as the owner says, so that a slow machine still saves.
     return job.checkpoint_s > 0 ? job.save_s * 1.5 + 1 : 0;
 }
@@ -55,4 +55,4 @@
     return s;
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/rules.hpp
+++ b/src/scheduler/rules.hpp
@@ -4,23 +4,23 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "placement/types.hpp"
+#include "scheduler/types.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 // Rules that hold for a single task, given where the job's other tasks are.
-bool type_allowed(const wire::Job& job, const std::string& type, const std::string& zone, bool spot);
-bool zone_allowed(const wire::Job& job, const ZoneCounts& zones, std::size_t zone);
+bool type_allowed(const protocol::Job& job, const std::string& type, const std::string& zone, bool spot);
+bool zone_allowed(const protocol::Job& job, const ZoneCounts& zones, std::size_t zone);
 // Which of the pools the job may use: what its type, zone and kind allow, and its other tasks at present.
 using PoolSet = std::vector<bool>;
-PoolSet allowed_pools(const wire::Job& job, const ZoneCounts& zones, const std::vector<Pool>& pools);
+PoolSet allowed_pools(const protocol::Job& job, const ZoneCounts& zones, const std::vector<Pool>& pools);
 bool has_image(const MachineView& m, std::uint32_t image);
-bool team_allows(const config::Team& team, const wire::Room& used, const wire::Room& more);
+bool team_allows(const config::Team& team, const protocol::Room& used, const protocol::Room& more);
 // The largest share of a whole machine that `need` takes: processors, GPUs or memory.
-double largest_share(const wire::Room& need, const wire::Room& total);
+double largest_share(const protocol::Room& need, const protocol::Room& total);
 // The smallest share of a machine that the room is: what can still be used of it by tasks of any shape.
-double least_share(const wire::Room& room, const wire::Room& total);
+double least_share(const protocol::Room& room, const protocol::Room& total);
 // Seconds for which a stopped task may save; 0: it has no checkpoints.
-double grace_of(const wire::Job& job);
+double grace_of(const protocol::Job& job);
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/placement.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,13 +1,13 @@
-#include "placement/placement.hpp"
+#include "scheduler/scheduler.hpp"
 
 #include <algorithm>
 
-#include "placement/gang_placer.hpp"
-#include "placement/plan_state.hpp"
-#include "placement/preemption.hpp"
-#include "placement/task_placer.hpp"
+#include "scheduler/gang_placer.hpp"
+#include "scheduler/plan_state.hpp"
+#include "scheduler/preemption.hpp"
+#include "scheduler/task_placer.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 namespace {
 
@@ -41,7 +41,7 @@
         if (view.waiting.empty()) return;
         bool patient = plan_.order.patient(job);
         if (!near_only && !patient) return;  // was tried whole the first time
-        if (view.spec->kind == wire::Kind::gang)
+        if (view.spec->kind == protocol::Kind::gang)
             gangs_.place(job, near_only && patient);
         else
             tasks_.place(job, near_only && patient);
@@ -59,4 +59,4 @@
     return Planner(in, settings, random).run();
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/placement.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -6,13 +6,13 @@
 #include <random>
 
 #include "config/settings.hpp"
-#include "placement/rules.hpp"
-#include "placement/two_choices.hpp"
-#include "placement/types.hpp"
+#include "scheduler/rules.hpp"
+#include "scheduler/two_choices.hpp"
+#include "scheduler/types.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 // Decides on starts and stops. `in` is used up: it holds the room and the use of teams after the plan.
 Decisions plan(Input& in, const config::Settings& settings, std::mt19937_64& random);
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -1,6 +1,6 @@
-#include "placement/task_placer.hpp"
+#include "scheduler/task_placer.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 TieredMachines TaskPlacer::candidates(const JobView& job, const PoolSet& pools, bool near_only) const {
     TieredMachines sets;
@@ -66,4 +66,4 @@
     if (missing) plan_.decisions.unplaced.push_back({index, missing});
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/task_placer.hpp
+++ b/src/scheduler/task_placer.hpp
@@ -1,9 +1,9 @@
 // Places tasks that start one by one: of arrays and services.
 #pragma once
-#include "placement/machine_choice.hpp"
-#include "placement/preemption.hpp"
+#include "scheduler/machine_choice.hpp"
+#include "scheduler/preemption.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 class TaskPlacer {
   public:
@@ -20,4 +20,4 @@
     Preemption& preemption_;
 };
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/two_choices.cpp
+++ b/src/scheduler/two_choices.cpp
@@ -1,9 +1,9 @@
-#include "placement/two_choices.hpp"
+#include "scheduler/two_choices.hpp"
 
 #include <algorithm>
 #include <vector>
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 std::optional<std::size_t> draw(std::size_t n, const std::function<bool(std::size_t)>& has_room,
                                 const std::function<double(std::size_t)>& load, const config::Operator& op,
@@ -28,4 +28,4 @@
     return *std::min_element(found.begin(), found.end(), [&](auto a, auto b) { return load(a) < load(b); });
 }
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/two_choices.hpp
+++ b/src/scheduler/two_choices.hpp
@@ -5,9 +5,9 @@
 #include <random>
 
 #include "config/settings.hpp"
-#include "placement/types.hpp"
+#include "scheduler/types.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
 // Two random choices among `n` machines: draws at random, skips those without room, and returns the one with
 // the least load; after some fruitless rounds, the first that has room.
@@ -15,4 +15,4 @@
                                 const std::function<double(std::size_t)>& load, const config::Operator& op,
                                 std::mt19937_64& random, Counts& counts);
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/placement/types.hpp
+++ b/src/scheduler/types.hpp
@@ -8,24 +8,24 @@
 #include <string>
 #include <vector>
 
-#include "wire/model.hpp"
+#include "protocol/model.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 
-using wire::Images;
-using wire::Pool;
+using protocol::Images;
+using protocol::Pool;
 
 struct MachineView {
     std::string id;
     std::size_t pool = 0;
     bool usable = false;
     bool draining = false;  // surplus: used only if there is no room elsewhere
-    wire::Room free;
+    protocol::Room free;
     int tasks = 0, services = 0;           // services: those of `tasks` that run until they are cancelled
     std::shared_ptr<const Images> images;  // null: none
     std::vector<std::uint32_t> coming;     // images that it fetches, this plan's starts included
-    wire::Room soon;                       // free, and what is being stopped
-    wire::Room reserved;                   // of `soon`, kept for tasks that wait for places being emptied
+    protocol::Room soon;                   // free, and what is being stopped
+    protocol::Room reserved;               // of `soon`, kept for tasks that wait for places being emptied
 };
 struct InstanceView {
     std::size_t job = 0, machine = 0;
@@ -36,10 +36,10 @@
 // How many tasks of a job may be in each zone, by the zone's index.
 using ZoneCounts = std::vector<int>;
 struct JobView {
-    std::shared_ptr<const wire::Job> spec;
-    wire::Priority priority = wire::Priority::low;  // its own, or that of a job that needs it
-    double submitted = 0;                           // unix seconds; or since when it could start
-    bool startable = true;                          // not cancelled, not pausing, nothing unexplained
+    std::shared_ptr<const protocol::Job> spec;
+    protocol::Priority priority = protocol::Priority::low;  // its own, or that of a job that needs it
+    double submitted = 0;                                   // unix seconds; or since when it could start
+    bool startable = true;                                  // not cancelled, not pausing, nothing unexplained
     // Unix seconds at which it should be done, so that it and all that need it are in time.
     double due = std::numeric_limits<double>::infinity();
     std::vector<std::uint32_t> waiting;
@@ -56,7 +56,7 @@
     std::vector<MachineView> machines;
     std::vector<InstanceView> instances;
     std::vector<JobView> jobs;
-    std::map<std::string, wire::Room> team_used;
+    std::map<std::string, protocol::Room> team_used;
 };
 struct Start {
     std::size_t job = 0;
@@ -80,4 +80,4 @@
     Counts counts;
 };
 
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -11,7 +11,7 @@
     broken_.push_back(std::to_string(now) + " " + what);
 }
 
-void Checker::submitted(const wire::Job& job) {
+void Checker::submitted(const protocol::Job& job) {
     jobs_[job.id].job = job;
 }
 void Checker::accepted(const std::string& id) {
@@ -22,14 +22,14 @@
 }
 bool Checker::is_done(const std::string& id) const {
     auto& o = jobs_.at(id);
-    bool gang = o.job.kind == wire::Kind::gang;  // its tasks complete together
+    bool gang = o.job.kind == protocol::Kind::gang;  // its tasks complete together
     return gang ? !o.tasks_done.empty() : o.tasks_done.size() >= o.job.tasks;
 }
-void Checker::told(double now, const std::string& id, wire::JobState state) {
+void Checker::told(double now, const std::string& id, protocol::JobState state) {
     auto found = jobs_.find(id);
     if (found == jobs_.end()) return rule(now, "invented " + id);
     auto& o = found->second;
-    bool done = state == wire::JobState::done, cancelled = state == wire::JobState::cancelled;
+    bool done = state == protocol::JobState::done, cancelled = state == protocol::JobState::cancelled;
     if (o.done && !done) rule(now, "went_back " + id + " from done");
     if (o.cancelled && !cancelled) rule(now, "went_back " + id + " from cancelled");
     if (cancelled && !o.cancel_asked) rule(now, "went_back " + id + ": nobody cancelled it");
@@ -48,7 +48,7 @@
     if (found != jobs_.end() && found->second.accepted) rule(now, "forgotten " + id);
 }
 
-void Checker::check_quota(double now, const wire::Job& job, const std::string& task) {
+void Checker::check_quota(double now, const protocol::Job& job, const std::string& task) {
     auto limit = rules_.teams.find(job.team);
     if (limit == rules_.teams.end()) return rule(now, "quota " + task + ": unknown team " + job.team);
     auto used = used_[job.team];
@@ -70,7 +70,7 @@
         for (auto& [zone, n] : o.per_zone)
             if (n > 0 && zone != place.zone) rule(now, "wrong_place (one zone) " + task);
 }
-void Checker::started(double now, const std::string& machine, const wire::TaskId& task) {
+void Checker::started(double now, const std::string& machine, const protocol::TaskId& task) {
     ++starts_;
     auto found = jobs_.find(task.job);
     if (found == jobs_.end()) return rule(now, "invented " + task.str() + " was started");
@@ -100,11 +100,11 @@
     o.on.erase(on);
     --present_;
 }
-void Checker::ended(double, const std::string& machine, const wire::TaskId& task, wire::Cause cause) {
+void Checker::ended(double, const std::string& machine, const protocol::TaskId& task, protocol::Cause cause) {
     auto found = jobs_.find(task.job);
     if (found == jobs_.end()) return;
     auto& o = found->second;
-    if (cause == wire::Cause::done) o.tasks_done.insert(task.index);
+    if (cause == protocol::Cause::done) o.tasks_done.insert(task.index);
     auto on = o.on.find(task.index);
     if (on != o.on.end() && on->second == machine) remove(o, task.index);
 }
@@ -120,7 +120,7 @@
         bool late = now > o.cancelled_at + rules_.cancel_s;
         if (late)
             for (auto& [index, machine] : o.on)
-                rule(now, "ran_cancelled " + wire::TaskId{*it, index}.str() + " on " + machine);
+                rule(now, "ran_cancelled " + protocol::TaskId{*it, index}.str() + " on " + machine);
         it = late ? cancelled_.erase(it) : std::next(it);
     }
 }
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/model.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::verification {
 
@@ -20,7 +20,7 @@
 struct MachinePlace {
     std::string type, zone;
     bool spot = false;
-    wire::Room room;
+    protocol::Room room;
 };
 
 // All times are seconds of one clock; each call's time is at least that of the call before.
@@ -29,19 +29,19 @@
     explicit Checker(Rules rules) : rules_(std::move(rules)) {}
 
     // What users do and are told.
-    void submitted(const wire::Job& job);
+    void submitted(const protocol::Job& job);
     void accepted(const std::string& id);
     void cancel_asked(const std::string& id);
     // An answer about a job. Answers overtake each other: one that says neither done nor cancelled counts
     // only if the user had been told that the job is over before asking, which the caller sees to.
-    void told(double now, const std::string& id, wire::JobState state);
+    void told(double now, const std::string& id, protocol::JobState state);
     // A question that got 404.
     void denied(double now, const std::string& id);
 
     // What happens on machines. A task takes its place when its worker carries out the command to start it.
     void machine(const std::string& id, MachinePlace place) { machines_[id] = std::move(place); }
-    void started(double now, const std::string& machine, const wire::TaskId& task);
-    void ended(double now, const std::string& machine, const wire::TaskId& task, wire::Cause cause);
+    void started(double now, const std::string& machine, const protocol::TaskId& task);
+    void ended(double now, const std::string& machine, const protocol::TaskId& task, protocol::Cause cause);
     void machine_gone(const std::string& machine);
     // Looks for tasks of cancelled jobs that are still on a machine.
     void look(double now);
@@ -53,7 +53,7 @@
 
   private:
     struct Observed {
-        wire::Job job;
+        protocol::Job job;
         bool accepted = false, cancel_asked = false, cancelled = false, done = false;
         double cancelled_at = 0;
         std::set<std::uint32_t> tasks_done;
@@ -61,16 +61,16 @@
         std::map<std::string, std::uint32_t> per_zone;
     };
     void rule(double now, const std::string& what);
-    void check_quota(double now, const wire::Job& job, const std::string& task);
+    void check_quota(double now, const protocol::Job& job, const std::string& task);
     void check_place(double now, const Observed& o, const MachinePlace& place, const std::string& task);
     void remove(Observed& o, std::uint32_t index);
 
     Rules rules_;
     std::map<std::string, MachinePlace> machines_;
     std::map<std::string, Observed> jobs_;
-    std::map<std::string, std::set<wire::TaskId>> on_machine_;
-    std::map<std::string, wire::Room> used_;  // by team
-    std::set<std::string> cancelled_;         // with tasks on machines, perhaps
+    std::map<std::string, std::set<protocol::TaskId>> on_machine_;
+    std::map<std::string, protocol::Room> used_;  // by team
+    std::set<std::string> cancelled_;             // with tasks on machines, perhaps
     std::size_t starts_ = 0, present_ = 0;
     std::vector<std::string> broken_;
 };
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -68,8 +68,8 @@
     const char* rule;
     void (*breaks)(World&);  // at 30 s
 };
-std::string over(wire::JobState state) {
-    return wire::stored(wire::FinalRecord{state, 1});
+std::string over(protocol::JobState state) {
+    return protocol::stored(protocol::FinalRecord{state, 1});
 }
 const Broken broken[] = {
     {"quota", [](World& w) { w.rogue_run("j-2/7", 99, 0); }},
@@ -86,11 +86,11 @@
      }},
     {"invented", [](World& w) { w.tamper("job/j-999999", w.record("job/j-1")); }},
     {"not_done",
-     [](World& w) { w.tamper("final/j-1", over(wire::JobState::done)), w.tamper("job/j-1", {}); }},
+     [](World& w) { w.tamper("final/j-1", over(protocol::JobState::done)), w.tamper("job/j-1", {}); }},
     {"went_back j-1: nobody cancelled it",
-     [](World& w) { w.tamper("final/j-1", over(wire::JobState::cancelled)), w.tamper("job/j-1", {}); }},
+     [](World& w) { w.tamper("final/j-1", over(protocol::JobState::cancelled)), w.tamper("job/j-1", {}); }},
     {"went_back j-7 from withdrawn to done",
-     [](World& w) { w.tamper("final/j-7", over(wire::JobState::done)), w.tamper("job/j-7", {}); }},
+     [](World& w) { w.tamper("final/j-7", over(protocol::JobState::done)), w.tamper("job/j-7", {}); }},
     {"quota j-1/",  // of the other team: eight cards; some machines have been returned
      [](World& w) {
          for (std::size_t k = 0; k < 4 * w.workers.size(); ++k)
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -1,36 +1,36 @@
 // When a task counts as gone from a machine, and when the worker may be told to forget it.
-#include "fleet/cluster_state.hpp"
+#include "cluster/cluster_state.hpp"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 
-#include "fleet/usage.hpp"
+#include "cluster/team_usage.hpp"
 
-namespace coralhitch::fleet {
+namespace coralhitch::cluster {
 namespace {
-using wire::Cause;
-using wire::Command;
-using wire::Op;
-using wire::TaskState;
+using protocol::Cause;
+using protocol::Command;
+using protocol::Op;
+using protocol::TaskState;
 
 constexpr std::uint64_t version = 7;
-const wire::TaskId task{"j-1", 0};
+const protocol::TaskId task{"j-1", 0};
 
 struct Bench {
     ClusterState picture{version, {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a"}}}};
     Spec spec = [] {
-        auto j = std::make_shared<wire::Job>();
+        auto j = std::make_shared<protocol::Job>();
         j->id = "j-1";
         j->need = {1, 1, 1};
         j->image = "img";
         return j;
     }();
     std::uint64_t sequence = 0;
-    std::vector<wire::TaskReport> on;
+    std::vector<protocol::TaskReport> on;
     std::optional<double> notice_s;
     ReportOutcome apply_report(std::uint64_t token, Via via = Via::hello, std::uint64_t session = 1) {
-        wire::Report r{"vm-1", "10.1.0.1:9", "g4", "a", false, session, ++sequence, token, notice_s, on};
+        protocol::Report r{"vm-1", "10.1.0.1:9", "g4", "a", false, session, ++sequence, token, notice_s, on};
         return picture.apply_report(r, via, 0,
                                     [this](const std::string& id) { return id == "j-1" ? spec : nullptr; });
     }
@@ -228,7 +228,7 @@
         std::size_t found, ends;  // by it
         bool there, confirmed;    // afterwards
     };
-    const wire::TaskReport shown{task, 3, TaskState::running, Cause::none, false};
+    const protocol::TaskReport shown{task, 3, TaskState::running, Cause::none, false};
     auto known = [&](Bench& b, std::uint64_t attempt) {
         b.store();
         b.machine().known = true;
@@ -421,7 +421,7 @@
         b.store();
         std::vector<Spec> specs;
         for (int image : c.uses) {
-            auto j = std::make_shared<wire::Job>(*b.spec);
+            auto j = std::make_shared<protocol::Job>(*b.spec);
             j->image = "img-" + std::to_string(image);
             j->image_gb = 40;
             b.spec = j;
@@ -429,7 +429,7 @@
             specs.push_back(j);
             b.apply_report(b.base());
         }
-        wire::Images expected;
+        protocol::Images expected;
         for (int image : c.there) expected.push_back(b.picture.image("img-" + std::to_string(image)));
         std::sort(expected.begin(), expected.end());
         ASSERT_TRUE(b.machine().images);
@@ -448,17 +448,17 @@
         b.picture.recall_cache(b.machine(), {{old, 30}, {b.picture.image("older"), 80}});
         ASSERT_TRUE(b.machine().images);
         // 100 GB: of the recalled ones only the last used fits.
-        EXPECT_EQ(*b.machine().images, wire::Images{b.picture.image(newer ? "img" : "older")});
+        EXPECT_EQ(*b.machine().images, protocol::Images{b.picture.image(newer ? "img" : "older")});
     }
 }
 
 // A limit holds against tasks of a job that is over, whose team a new leader can't know.
 TEST(Usage, WhatNobodyKnowsCountsAgainstEachTeam) {
-    std::vector<wire::MachineType> types(1);
+    std::vector<protocol::MachineType> types(1);
     types[0].name = "g";
     types[0].room = {16, 4, 64};
     ClusterState p(7, types);
-    auto spec = std::make_shared<wire::Job>();
+    auto spec = std::make_shared<protocol::Job>();
     spec->id = "j-1";
     spec->team = "a";
     spec->need = {2, 1, 4};
@@ -482,7 +482,7 @@
 // Of a machine whose type is not known a known task seems to take more than there is.
 TEST(Usage, WhatNobodyKnowsOnAMachineOfAnUnknownTypeLowersNoSum) {
     ClusterState p(7, {});
-    auto spec = std::make_shared<wire::Job>();
+    auto spec = std::make_shared<protocol::Job>();
     spec->id = "j-1";
     spec->team = "a";
     spec->need = {2, 1, 4};
@@ -496,4 +496,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::fleet
+}  // namespace coralhitch::cluster
--- a/tests/combinations_cancel_test.cpp
+++ b/tests/combinations_cancel_test.cpp
@@ -156,7 +156,7 @@
     auto old = lead(w);
     std::optional<double> begun;
     w.sent = [&](auto&, auto&, auto& r) {
-        bool starts = r.target == wire::paths::commands && r.body.find("j-1/") != std::string::npos;
+        bool starts = r.target == protocol::paths::commands && r.body.find("j-1/") != std::string::npos;
         if (!starts || begun) return;
         begun = w.now();
         w.at(w.now() + 0.004, [&w, old] {
--- a/tests/combinations_lost_answers_test.cpp
+++ b/tests/combinations_lost_answers_test.cpp
@@ -58,7 +58,7 @@
     };
     w.sent = [&](auto& from, auto&, auto& r) {
         bool refused = claimed && w.now() < *claimed + 12;
-        if (refused && from == w.addr_of(*claimer) && r.target == wire::paths::commands) ++commands;
+        if (refused && from == w.addr_of(*claimer) && r.target == protocol::paths::commands) ++commands;
     };
     for (double t = 30.1; t < 60; t += 0.1)
         w.at(t, [&] {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,7 +1,7 @@
 // Settings: what is taken, and complaints that name the field.
 #include <gtest/gtest.h>
 
-#include "api/users.hpp"
+#include "api/user_api.hpp"
 #include "config/settings.hpp"
 
 namespace coralhitch::config {
@@ -104,9 +104,9 @@
                           {{1}, 20000, 24, 15000},
                           {{1, 1, 1}, 300, 24, 256}};
     for (auto& c : cases) {
-        state::Limits limits(settings);
+        kv::Limits limits(settings);
         for (auto n : c.changes) {
-            wire::Txn t;
+            protocol::Txn t;
             for (std::size_t k = 0; k < n; ++k) t.changes.push_back({"k", std::string(c.bytes, 'x'), 0});
             limits.refused(t);
         }
@@ -163,10 +163,10 @@
 
 TEST(Submit, Verdicts) {
     Settings s = parse_settings(good(), "f");
-    const std::vector<wire::MachineType> types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1"}}};
+    const std::vector<protocol::MachineType> types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1"}}};
     struct Case {
         const char* name;
-        std::function<void(wire::Job&)> change;
+        std::function<void(protocol::Job&)> change;
         bool runnable;
     };
     const Case cases[] = {
@@ -189,25 +189,25 @@
         {"an array larger than the limit runs in turns", [](auto& j) { j.tasks = 1000; }, true},
         {"a gang larger than the limit never runs",
          [](auto& j) {
-             j.kind = wire::Kind::gang;
+             j.kind = protocol::Kind::gang;
              j.tasks = 17;
          },
          false},
         {"a service at the limit",
          [](auto& j) {
-             j.kind = wire::Kind::service;
+             j.kind = protocol::Kind::service;
              j.tasks = 8;
          },
          true},
         {"a service beyond the limit",
          [](auto& j) {
-             j.kind = wire::Kind::service;
+             j.kind = protocol::Kind::service;
              j.tasks = 9;
          },
          false},
     };
     for (auto& c : cases) {
-        wire::Job j;
+        protocol::Job j;
         j.team = "t";
         j.need = {1, 1, 1};
         c.change(j);
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -1,13 +1,13 @@
 // Leadership under late, lost and repeated answers, with an injected clock and network.
-#include "state/election.hpp"
+#include "election/election.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
 #include "fake_timers.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::state {
+namespace coralhitch::kv {
 namespace {
 
 // A state service of one key. Requests can be refused, or their answers lost after they were executed.
@@ -76,7 +76,7 @@
         return s;
     }();
     Client client{timers, service, settings};
-    Election election{timers, client, settings, 77, 1};
+    election::Election election{timers, client, settings, 77, 1};
     int won = 0, lost = 0;
     // The key as another process left it.
     void held_by(const std::string& label) {
@@ -191,4 +191,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::state
+}  // namespace coralhitch::kv
--- a/tests/fake_timers.hpp
+++ b/tests/fake_timers.hpp
@@ -2,19 +2,19 @@
 #pragma once
 #include <map>
 
-#include "loop/timers.hpp"
+#include "event_loop/timers.hpp"
 
 namespace coralhitch {
 
-class FakeTimers : public loop::Timers {
+class FakeTimers : public event_loop::Timers {
   public:
     double now() const override { return now_; }
     double unix_time() const override { return now_; }
-    loop::TimerId after(double s, loop::Task task) override {
+    event_loop::TimerId after(double s, event_loop::Task task) override {
         tasks_.emplace(std::pair(now_ + s, ++next_), std::move(task));
         return next_;
     }
-    void cancel(loop::TimerId) override {}
+    void cancel(event_loop::TimerId) override {}
     void run_until(double t) {
         while (!tasks_.empty() && tasks_.begin()->first.first <= t) {
             auto node = tasks_.extract(tasks_.begin());
@@ -26,8 +26,8 @@
 
   private:
     double now_ = 0;
-    loop::TimerId next_ = 0;
-    std::map<std::pair<double, loop::TimerId>, loop::Task> tasks_;
+    event_loop::TimerId next_ = 0;
+    std::map<std::pair<double, event_loop::TimerId>, event_loop::Task> tasks_;
 };
 
 }  // namespace coralhitch
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -102,7 +102,7 @@
     w.at(4, [&w] { w.submit("j-1", "service", 1, 0); });
     std::map<std::string, http::Request> showed;  // the last report of each machine with the task
     w.sent = [&](auto& from, auto&, auto& r) {
-        if (r.target == wire::paths::report && r.body.find("j-1/") != std::string::npos && w.now() < 25)
+        if (r.target == protocol::paths::report && r.body.find("j-1/") != std::string::npos && w.now() < 25)
             showed[from] = r;
     };
     w.run_until(25);
@@ -149,9 +149,10 @@
     std::map<std::string, http::Request> held;
     std::string met;
     w.sent = [&](auto& from, auto& to, auto& r) {
-        if (r.target == wire::paths::commands && r.body.find("run") != std::string::npos && w.now() < 43)
+        if (r.target == protocol::paths::commands && r.body.find("run") != std::string::npos && w.now() < 43)
             held.emplace(to, r);
-        if (r.target != wire::paths::report || w.now() < 43 || !met.empty() || !held.contains(from)) return;
+        if (r.target != protocol::paths::report || w.now() < 43 || !met.empty() || !held.contains(from))
+            return;
         met = from;
         w.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
         w.at(w.now() + 0.4, [&w] { w.cut("10.0.", "10.1.", 60, false); });
@@ -252,7 +253,7 @@
         // Half of a lease and a look later, longer with a new leader, which begins to count at its start.
         double from = w.now() + o.lease_s / 2 + (crash ? 20 : 3);
         w.sent = [&](auto&, auto& to, auto& r) {
-            bool run = r.target == wire::paths::commands && r.body.find("\"run\"") != std::string::npos;
+            bool run = r.target == protocol::paths::commands && r.body.find("\"run\"") != std::string::npos;
             runs += run && !over && w.now() > from && mute.contains(to);
         };
         if (crash) w.at(35, [&w] { w.crash(lead(w), 0.1); });
@@ -376,7 +377,7 @@
     std::set<std::string> crashed;
     if (at_report)
         w.sent = [&](auto&, auto&, auto& r) {
-            if (r.target != wire::paths::report || r.body.find("exited") == std::string::npos) return;
+            if (r.target != protocol::paths::report || r.body.find("exited") == std::string::npos) return;
             auto ended = std::to_string(w.jobs["j-1"].tasks_done.size());
             if (!crashed.insert(ended).second) return;
             w.at(w.now() + 0.012, [&w] { w.crash(lead(w), 0.1); });
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -14,7 +14,7 @@
 
 // A free port of the loopback.
 std::string free_address() {
-    loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
+    event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
     sockaddr_in sa{};
     sa.sin_family = AF_INET;
     sa.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -25,7 +25,7 @@
 }
 
 struct Bench {
-    loop::Loop loop;
+    event_loop::Loop loop;
     std::string addr = free_address();
     ServerLimits limits;
     std::unique_ptr<Server> server;
@@ -45,7 +45,7 @@
 
 // Raw bytes in, everything that comes back until the server closes or answers once.
 std::string raw(Bench& b, const std::string& bytes) {
-    loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
+    event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
     auto sa = socket_address(b.addr);
     EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
     EXPECT_EQ(::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
@@ -217,7 +217,7 @@
         c.limits.first_s = first_s;
         c.limits.accepts = 100;
         c.serve_holding(0, [] {});
-        std::vector<loop::Fd> silent;
+        std::vector<event_loop::Fd> silent;
         auto sa = socket_address(c.addr);
         for (std::size_t k = 0; k < 10; ++k) {
             silent.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
@@ -274,19 +274,20 @@
 // With more ready than a turn handles: what is urgent goes first, users before workers, and a timer that is
 // due waits for one turn only.
 TEST(Loop, LanesHaveTheirTurns) {
-    loop::Loop l;
+    event_loop::Loop l;
     struct End {
-        loop::Fd in, out;
+        event_loop::Fd in, out;
     };
     std::vector<End> ends;
     std::string order;
     constexpr std::size_t each = 40;
-    for (auto [lane, letter] : {std::pair(loop::Lane::bulk, 'b'), std::pair(loop::Lane::ordinary, 'o'),
-                                std::pair(loop::Lane::urgent, 'u')})
+    for (auto [lane, letter] :
+         {std::pair(event_loop::Lane::bulk, 'b'), std::pair(event_loop::Lane::ordinary, 'o'),
+          std::pair(event_loop::Lane::urgent, 'u')})
         for (std::size_t k = 0; k < each; ++k) {
             int fds[2];
             ASSERT_EQ(::pipe(fds), 0);
-            auto& e = ends.emplace_back(End{loop::Fd(fds[0]), loop::Fd(fds[1])});
+            auto& e = ends.emplace_back(End{event_loop::Fd(fds[0]), event_loop::Fd(fds[1])});
             ASSERT_EQ(::write(e.out.get(), "x", 1), 1);
             l.watch(fds[0], EPOLLIN, [&, fd = fds[0], letter](std::uint32_t) {
                 char byte;
@@ -309,7 +310,7 @@
         Bench b;
         b.limits.bulk = [&](const std::string& path) { return bulk && path == "/x"; };
         b.serve();
-        loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
+        event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
         auto sa = socket_address(b.addr);
         ASSERT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
         const std::string request = "POST /x HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
@@ -337,13 +338,13 @@
 // The answer lies in the socket when the time is up, since others had their turn first: it is not given up.
 TEST(Http, AnAnswerThatHasComeIsReadThoughItsTimeIsUp) {
     Bench b;
-    loop::Fd listener(::socket(AF_INET, SOCK_STREAM, 0));
+    event_loop::Fd listener(::socket(AF_INET, SOCK_STREAM, 0));
     auto sa = socket_address(b.addr);
     ASSERT_EQ(::bind(listener.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
     ASSERT_EQ(::listen(listener.get(), 1), 0);
     Client client(b.loop, {});
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
-    loop::Fd peer;
+    event_loop::Fd peer;
     auto respond = [&] {
         char buffer[4096];
         ASSERT_GT(::recv(peer.get(), buffer, sizeof buffer, 0), 0);
@@ -360,7 +361,7 @@
         respond();
     });
     b.loop.watch(listener.get(), EPOLLIN, [&](std::uint32_t) {
-        peer = loop::Fd(::accept(listener.get(), nullptr, nullptr));
+        peer = event_loop::Fd(::accept(listener.get(), nullptr, nullptr));
         b.loop.unwatch(listener.get());
         b.loop.watch(peer.get(), EPOLLIN, [&](std::uint32_t) {
             b.loop.unwatch(peer.get());
--- a/tests/job_ends_test.cpp
+++ b/tests/job_ends_test.cpp
@@ -3,8 +3,8 @@
 #include <spdlog/spdlog.h>
 
 #include "fake_state.hpp"
+#include "kv/kv_client.hpp"
 #include "simulated_cluster.hpp"
-#include "state/client.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -29,7 +29,7 @@
             bool met = false;
             // The end is stored a moment after the report that tells it.
             w.sent = [&](auto&, auto&, const http::Request& r) {
-                bool meets = after < 0 ? r.target == wire::paths::report &&
+                bool meets = after < 0 ? r.target == protocol::paths::report &&
                                              r.body.find("\"done\"") != std::string::npos
                                        : ends(r, "j-1");
                 if (!meets || std::exchange(met, true)) return;
@@ -158,22 +158,22 @@
     s.state_write_rps = 50;
     s.txn_ops = 24;
     s.safe_value_kb = 16;
-    state::Client client(timers, service, s);
+    kv::Client client(timers, service, s);
     client.set_leading(true);
-    auto put = [&](const std::string& key, int changes, state::Rank rank, std::function<void()> done) {
-        wire::Txn t;
+    auto put = [&](const std::string& key, int changes, kv::Rank rank, std::function<void()> done) {
+        protocol::Txn t;
         for (int k = 0; k < changes; ++k) t.changes.push_back({key + std::to_string(k), "1", 0});
-        client.txn(std::move(t), rank, [done](state::Committed c) {
-            if (c.status == state::Committed::Status::committed) done();
+        client.txn(std::move(t), rank, [done](kv::Committed c) {
+            if (c.status == kv::Committed::Status::committed) done();
         });
     };
     int small = 0;
     double stored_at = -1;
     timers.run_until(1);
-    put("first/", 20, state::Rank::write, [] {});
-    put("large/", 20, state::Rank::write, [&] { stored_at = timers.now(); });
+    put("first/", 20, kv::Rank::write, [] {});
+    put("large/", 20, kv::Rank::write, [&] { stored_at = timers.now(); });
     for (int k = 0; k < 200; ++k)
-        put("small" + std::to_string(k) + "/", 2, state::Rank::background, [&] { ++small; });
+        put("small" + std::to_string(k) + "/", 2, kv::Rank::background, [&] { ++small; });
     timers.run_until(3.5);
     EXPECT_GT(stored_at, 0);
     timers.run_until(6);
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -3,12 +3,12 @@
 
 #include <functional>
 
-#include "jobs/table.hpp"
+#include "jobs/job_table.hpp"
 
 namespace coralhitch::jobs {
 namespace {
-using wire::JobState;
-using wire::Priority;
+using protocol::JobState;
+using protocol::Priority;
 
 struct Sketch {
     std::string id;
@@ -17,8 +17,8 @@
     std::optional<double> deadline_s = {};
     bool cancelled = false;
 };
-wire::JobRecord record(const Sketch& s, std::uint32_t tasks = 1) {
-    wire::JobRecord r;
+protocol::JobRecord record(const Sketch& s, std::uint32_t tasks = 1) {
+    protocol::JobRecord r;
     r.job.id = s.id;
     r.job.awaits = s.awaits;
     r.job.priority = s.priority;
@@ -211,7 +211,7 @@
             if (next.find("j")->blocks.contains(block)) continue;
             auto value = t.block_value(e, block, limit);
             EXPECT_LE(value.size(), std::max<std::size_t>(limit, 256));
-            next.put_progress("j", block, wire::parse_bits(value), 7);
+            next.put_progress("j", block, protocol::parse_bits(value), 7);
         }
         EXPECT_EQ(next.find("j")->done, e.done);
         EXPECT_EQ(next.find("j")->done_count, e.done_count);
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -1,5 +1,5 @@
 // Until when a follower of changes knows all of them: what an answer proves, and what none does.
-#include "state/list_watch.hpp"
+#include "kv/list_watch.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 #include "fake_timers.hpp"
 
-namespace coralhitch::state {
+namespace coralhitch::kv {
 namespace {
 using nlohmann::json;
 
@@ -70,4 +70,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::state
+}  // namespace coralhitch::kv
--- a/tests/live_jobs_test.cpp
+++ b/tests/live_jobs_test.cpp
@@ -76,7 +76,7 @@
         s.state_write_rps = 40;
         return s;
     }();
-    state::Client client{timers, service, settings};
+    kv::Client client{timers, service, settings};
     LiveJobs live{timers, client, settings};
     std::vector<std::string> told;
 
@@ -193,7 +193,7 @@
          b.service.drop("j-1");
          for (auto id : {"j-3", "j-100"}) b.ask(id);
          b.timers.run_until(1);
-         b.live.ended("j-1", wire::JobState::cancelled);
+         b.live.ended("j-1", protocol::JobState::cancelled);
          b.ask("j-3");
      },
      {"hangs on j-1", "live", "cancelled"}},
@@ -203,7 +203,7 @@
          b.service.drop("j-1");
          b.ask("j-2");
          b.timers.run_until(1);
-         b.live.ended("j-1", wire::JobState::done);
+         b.live.ended("j-1", protocol::JobState::done);
          b.ask("j-2");
          b.timers.run_until(2);
          b.service.forgotten = b.service.revision + 1;
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -1,5 +1,5 @@
 // Pages of machines: what is confirmed is stored, whatever becomes of the answers.
-#include "registry/machine_registry.hpp"
+#include "machine_registry/machine_registry.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -9,16 +9,16 @@
 #include <nlohmann/json.hpp>
 
 #include "fake_state.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace coralhitch::registry {
+namespace coralhitch::machine_registry {
 namespace {
 using nlohmann::json;
 
 std::set<std::string> machines_in(const FakeState& state) {
     std::set<std::string> out;
     for (auto& [k, v] : state.kv)
-        if (k.starts_with(coralhitch::state::keys::machine_pages))
+        if (k.starts_with(coralhitch::kv::keys::machine_pages))
             for (auto& row : v.first.value("machines", json::array())) out.insert(row[0].get<std::string>());
     return out;
 }
@@ -41,8 +41,8 @@
     FakeTimers timers;
     FakeState service{timers};
     config::Settings settings;
-    state::Client client{timers, service, settings};
-    std::map<std::string, wire::MachineRecord> fleet;
+    kv::Client client{timers, service, settings};
+    std::map<std::string, protocol::MachineRecord> fleet;
     std::set<std::string> confirmed;
     bool authority = true;
     MachineRegistry store{timers,
@@ -52,7 +52,7 @@
                                auto it = fleet.find(id);
                                return it == fleet.end() ? std::nullopt : std::optional(it->second);
                            },
-                           [this] { return authority ? std::optional(wire::Txn{}) : std::nullopt; },
+                           [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
                            [this](const std::vector<MachineRegistry::Record>& records) {
                                for (auto& [id, r] : records)
                                    if (fleet.contains(id)) confirmed.insert(id);
@@ -70,7 +70,7 @@
     void take_over(const Bench& before) {
         service.kv = before.service.kv;
         service.revision = before.service.revision;
-        state::Listed listed;
+        kv::Listed listed;
         listed.ok = true;
         for (auto& [k, v] : service.kv) listed.entries.push_back({k, v.first.dump(), v.second, 0});
         for (auto& [id, r] : store.load(listed)) {
@@ -147,22 +147,22 @@
     Bench b;
     b.add("vm-1");
     b.timers.run_until(1);
-    state::Listed listed;
+    kv::Listed listed;
     listed.ok = true;
     auto& page = *b.service.kv.begin();
-    listed.entries = {{state::keys::machines + "vm-0",
+    listed.entries = {{kv::keys::machines + "vm-0",
                        R"({"addr":"10.1.0.2:9","type":"g4","zone":"z1","spot":true,"condemned":true})", 3, 0},
                       {page.first, page.second.first.dump(), page.second.second, 0}};
     Bench next;
     next.service.kv = b.service.kv;
-    next.service.kv[state::keys::machines + "vm-0"] = {json::object(), 3};
+    next.service.kv[kv::keys::machines + "vm-0"] = {json::object(), 3};
     for (auto& [id, r] : next.store.load(listed)) next.fleet[id] = r;
     ASSERT_EQ(next.fleet.size(), 2u);
     EXPECT_TRUE(next.fleet["vm-0"].marked_for_deletion);
     next.store.flush();
     next.timers.run_until(2);
     EXPECT_EQ(machines_in(next.service), (std::set<std::string>{"vm-0", "vm-1"}));
-    EXPECT_FALSE(next.service.kv.contains(state::keys::machines + "vm-0"));
+    EXPECT_FALSE(next.service.kv.contains(kv::keys::machines + "vm-0"));
 }
 
 // Pages filled under a larger limit are split, into more than one transaction takes. No machine may be out of
@@ -219,12 +219,12 @@
 TEST(MachineRegistry, APageThatCantBeReadIsLeftAlone) {
     for (std::size_t bytes : {10u, 4000u}) {
         Bench before;
-        before.service.kv[state::keys::machine_page(0)] = {json{{"later", std::string(bytes, 'x')}}, 2};
+        before.service.kv[kv::keys::machine_page(0)] = {json{{"later", std::string(bytes, 'x')}}, 2};
         Bench b(2, 8);
         b.take_over(before);
         b.add("vm-1");
         b.play(12);
-        EXPECT_EQ(b.service.kv[state::keys::machine_page(0)].second, 2u) << bytes;
+        EXPECT_EQ(b.service.kv[kv::keys::machine_page(0)].second, 2u) << bytes;
         EXPECT_EQ(b.service.kv.size(), 2u) << bytes;
     }
 }
@@ -234,8 +234,8 @@
         auto row = [](bool marked_for_deletion) {
             return json{{"machines", {{"vm-1", "10.1.0.1:9000", "g4", "z1", false, marked_for_deletion}}}};
         };
-        before.service.kv[state::keys::machine_page(0)] = {row(first), 2};
-        before.service.kv[state::keys::machine_page(7)] = {row(!first), 3};
+        before.service.kv[kv::keys::machine_page(0)] = {row(first), 2};
+        before.service.kv[kv::keys::machine_page(7)] = {row(!first), 3};
         Bench b;
         b.take_over(before);
         ASSERT_EQ(b.fleet.size(), 1u);
@@ -252,4 +252,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::registry
+}  // namespace coralhitch::machine_registry
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "membership/failure_detector.hpp"
-#include "membership/reach.hpp"
+#include "membership/reachability.hpp"
 
 namespace coralhitch::membership {
 namespace {
--- a/tests/old_reports_test.cpp
+++ b/tests/old_reports_test.cpp
@@ -48,7 +48,7 @@
   public:
     void keep(World& w, double until) {
         w.sent = [this, &w, until](const std::string& from, const std::string&, const http::Request& r) {
-            bool shows = r.target == wire::paths::report && r.body.find("running") != std::string::npos;
+            bool shows = r.target == protocol::paths::report && r.body.find("running") != std::string::npos;
             if (shows && w.now() < until) kept_[from] = r;
         };
     }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,15 +1,14 @@
 // Where tasks may go, who goes first, and that two choices are better than one.
-#include "placement/placement.hpp"
-
 #include <gtest/gtest.h>
 
-#include "capacity/capacity.hpp"
+#include "autoscaler/autoscaler.hpp"
+#include "scheduler/scheduler.hpp"
 
-namespace coralhitch::placement {
+namespace coralhitch::scheduler {
 namespace {
-using wire::Kind;
-using wire::Priority;
-using wire::Room;
+using protocol::Kind;
+using protocol::Priority;
+using protocol::Room;
 
 config::Settings settings() {
     config::Settings s;
@@ -31,7 +30,7 @@
 }
 JobView job(const std::string& id, Kind kind, std::uint32_t tasks, double gpus,
             const std::string& team = "free") {
-    auto j = std::make_shared<wire::Job>();
+    auto j = std::make_shared<protocol::Job>();
     j->id = id;
     j->kind = kind;
     j->tasks = tasks;
@@ -44,8 +43,8 @@
     for (std::uint32_t i = 0; i < tasks; ++i) v.waiting.push_back(i);
     return v;
 }
-wire::Job& edit(JobView& v) {
-    return const_cast<wire::Job&>(*v.spec);
+protocol::Job& edit(JobView& v) {
+    return const_cast<protocol::Job&>(*v.spec);
 }
 Decisions run(Input& in) {
     in.pools = pools;
@@ -69,7 +68,7 @@
         {false, true, 9, {5, 0}, false}, {false, true, 2, {1, 0}, false}, {false, true, 2, {0, 1}, true},
     };
     for (auto& c : cases) {
-        wire::Job j;
+        protocol::Job j;
         j.one_zone = c.one_zone;
         j.spread = c.spread;
         j.tasks = c.tasks;
@@ -77,7 +76,7 @@
     }
 }
 TEST(Rules, TypeZoneAndSpot) {
-    wire::Job j;
+    protocol::Job j;
     EXPECT_FALSE(type_allowed(j, "g4", "z1", true));
     EXPECT_TRUE(type_allowed(j, "g4", "z1", false));
     j.spot = true;
@@ -487,36 +486,36 @@
 TEST(Capacity, RentsForNeedAndReturnsTheSurplus) {
     auto s = settings();
     s.teams = {{"free", 0, 0, 0, 0}};
-    capacity::Input in;
+    autoscaler::Input in;
     in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
     in.pools = pools;
     in.zones = 2;
     auto waiting = job("j-1", Kind::array, 8, 1);
     in.needs.push_back({waiting.spec.get(), 8, {}});
-    auto count = [](const capacity::Decisions& d) {
+    auto count = [](const autoscaler::Decisions& d) {
         int n = 0;
         for (auto& r : d.rents) n += r.count;
         return n;
     };
-    EXPECT_EQ(count(capacity::plan(in, s)), 3);  // two for the tasks, one in reserve
+    EXPECT_EQ(count(autoscaler::plan(in, s)), 3);  // two for the tasks, one in reserve
     for (int i = 0; i < 3; ++i) {
-        capacity::MachineView b{"b" + std::to_string(i), 0, true, {}};
+        autoscaler::MachineView b{"b" + std::to_string(i), 0, true, {}};
         in.machines.push_back(b);
     }
-    EXPECT_EQ(count(capacity::plan(in, s)), 0);  // on their way
+    EXPECT_EQ(count(autoscaler::plan(in, s)), 0);  // on their way
     in.machines.clear();
     in.needs.clear();
     for (int i = 0; i < 4; ++i) {
-        capacity::MachineView u{"u" + std::to_string(i), 0, false, {16, 4, 64}};
+        autoscaler::MachineView u{"u" + std::to_string(i), 0, false, {16, 4, 64}};
         u.empty = true;
         u.idle_for = 1000;
         in.machines.push_back(u);
     }
-    EXPECT_EQ(capacity::plan(in, s).returns.size(), 4u);
+    EXPECT_EQ(autoscaler::plan(in, s).returns.size(), 4u);
     in.machines[0].free = {8, 2, 32};
     in.machines[0].empty = false;
     in.machines[3].booting = true;  // the first to go: it serves nobody yet
-    auto d = capacity::plan(in, s);
+    auto d = autoscaler::plan(in, s);
     EXPECT_EQ(d.returns.size(), 2u);
     EXPECT_EQ(std::count(d.returns.begin(), d.returns.end(), "u3"), 1);
     EXPECT_FALSE(std::count(d.returns.begin(), d.returns.end(), "u0"));
@@ -534,7 +533,7 @@
         auto s = settings();
         s.teams = {{"free", 0, 0, 0, 0}};
         s.op.max_machines = c.max_machines;
-        capacity::Input in;
+        autoscaler::Input in;
         in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
         in.pools = pools;
         in.zones = 2;
@@ -542,7 +541,7 @@
         auto waiting = job("j-1", Kind::array, 8, 1);
         in.needs.push_back({waiting.spec.get(), 8, {}});
         int rented = 0;
-        for (auto& r : capacity::plan(in, s).rents) rented += r.count;
+        for (auto& r : autoscaler::plan(in, s).rents) rented += r.count;
         EXPECT_EQ(rented, c.rented) << c.max_machines << " " << c.others;
     }
 }
@@ -551,19 +550,19 @@
     auto s = settings();
     s.teams = {{"free", 0, 0, 0, 0}};
     s.op.reserve_ratio = 0;
-    capacity::Input in;
+    autoscaler::Input in;
     in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
     in.pools = pools;
     in.zones = 2;
     auto waiting = job("j-1", Kind::array, 1, 1);
     edit(waiting).spot = true;
     in.needs.push_back({waiting.spec.get(), 1, {}});
-    auto spot_first = capacity::plan(in, s).rents;
+    auto spot_first = autoscaler::plan(in, s).rents;
     ASSERT_FALSE(spot_first.empty());
     EXPECT_TRUE(
         std::any_of(spot_first.begin(), spot_first.end(), [](auto& r) { return pools[r.pool].spot; }));
     in.refused = {0, 2, 3};
-    for (auto& r : capacity::plan(in, s).rents) EXPECT_EQ(r.pool, 1u);
+    for (auto& r : autoscaler::plan(in, s).rents) EXPECT_EQ(r.pool, 1u);
 }
 
 // Machines rented into a zone that is cut off are of no use until the cut ends, and those that boot there
@@ -579,7 +578,7 @@
     };
     const Case cases[] = {{{}, 0, {1}}, {{}, 4, {1}}, {{1}, 0, {0}}, {{1}, 4, {}}};
     for (auto& c : cases) {
-        capacity::Input in;
+        autoscaler::Input in;
         in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
         in.pools = pools;
         in.zones = 2;
@@ -589,10 +588,10 @@
         in.needs.push_back({waiting.spec.get(), 8, {}});
         for (int i = 0; i < c.booting_dark; ++i) in.machines.push_back({"b", 0, true, {}});
         std::set<std::size_t> rents;
-        for (auto& r : capacity::plan(in, s).rents) rents.insert(r.pool);
+        for (auto& r : autoscaler::plan(in, s).rents) rents.insert(r.pool);
         EXPECT_EQ(rents, c.rents) << c.booting_dark;
     }
 }
 
 }  // namespace
-}  // namespace coralhitch::placement
+}  // namespace coralhitch::scheduler
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -8,9 +8,9 @@
 #include "config/settings.hpp"
 #include "fake_timers.hpp"
 #include "relay/delegation_table.hpp"
+#include "relay/heartbeat_queue.hpp"
+#include "relay/heartbeat_relay.hpp"
 #include "relay/heartbeat_tracker.hpp"
-#include "relay/report_queue.hpp"
-#include "relay/report_relay.hpp"
 #include "relay/worker_lease.hpp"
 
 namespace coralhitch::relay {
@@ -51,7 +51,7 @@
     for (auto& c : cases) {
         ReplyCache m;
         m.put(report("vm-1", 9, task), "vm-1", 9, "answer", 0);
-        auto o = wire::outline_report(c.body);
+        auto o = protocol::outline_report(c.body);
         EXPECT_EQ(o && m.find(c.body, *o), c.repeats) << c.what;
     }
     // Not what a full reading told: not remembered.
@@ -122,12 +122,12 @@
 // Keeps what was sent to the leader; the test answers, late or not at all.
 struct Network : http::Requester {
     struct Sent {
-        wire::PeerRelay message;
+        protocol::PeerRelay message;
         http::Result result;
     };
     std::deque<Sent> sent;
     void send(const std::string&, http::Request r, double, http::Result result) override {
-        sent.push_back({wire::unpack_peer<wire::PeerRelay>(r.body).value(), std::move(result)});
+        sent.push_back({protocol::unpack_peer<protocol::PeerRelay>(r.body).value(), std::move(result)});
     }
 };
 struct Bench {
@@ -154,12 +154,12 @@
     }
     void run(double seconds) { timers.run_until(timers.now() + seconds); }
     // Answers the oldest message: all its reports with 200.
-    void answer(wire::PeerRelayAnswer a, bool quiet = true) {
+    void answer(protocol::PeerRelayAnswer a, bool quiet = true) {
         auto s = std::move(net.sent.front());
         net.sent.pop_front();
         a.leads = true;
         for (std::size_t k = 0; k < s.message.reports.size(); ++k) a.answers.push_back({200, "{}", quiet});
-        s.result(http::Response{200, wire::pack_peer(a), "application/msgpack"});
+        s.result(http::Response{200, protocol::pack_peer(a), "application/msgpack"});
     }
     void lose() {
         auto s = std::move(net.sent.front());
@@ -167,8 +167,8 @@
         s.result(std::nullopt);
     }
 };
-wire::PeerRelayAnswer grant(std::uint64_t ms, std::vector<std::string> recalled = {}) {
-    wire::PeerRelayAnswer a;
+protocol::PeerRelayAnswer grant(std::uint64_t ms, std::vector<std::string> recalled = {}) {
+    protocol::PeerRelayAnswer a;
     a.ready = true;
     a.grant_ms = ms;
     a.recalled = std::move(recalled);
@@ -347,7 +347,7 @@
             for (read += c.read_per_s * 0.002; read >= 1; --read)
                 if (auto r = queue.next(t)) {
                     r->reply({200, ""});
-                    in_time += t + c.way_s - r->since < wire::worker_patience_s;
+                    in_time += t + c.way_s - r->since < protocol::worker_patience_s;
                 }
             read = std::min(read, 1.0);
         }
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -21,12 +21,12 @@
 double HostTimers::now() const {
     return world_.now();
 }
-loop::TimerId HostTimers::after(double s, loop::Task task) {
+event_loop::TimerId HostTimers::after(double s, event_loop::Task task) {
     auto id = next_++;
     fire(id, world_.now() + std::max(0.0, s), std::move(task));
     return id;
 }
-void HostTimers::fire(loop::TimerId id, double due, loop::Task task) {
+void HostTimers::fire(event_loop::TimerId id, double due, event_loop::Task task) {
     world_.at(due, [this, alive = alive_, cancelled = cancelled_, id, task = std::move(task)] {
         if (!*alive || cancelled->erase(id)) return;
         if (still_until() > now()) return fire(id, still_until(), task);
@@ -115,7 +115,7 @@
     n.http = std::make_unique<NodeRequester>(*this, n.settings.listen);
     n.planner = std::make_unique<InlinePlanner>(*n.timers);
     n.controller =
-        std::make_unique<daemon::Controller>(*n.timers, *n.http, n.settings, *n.planner, random_());
+        std::make_unique<controller::Controller>(*n.timers, *n.http, n.settings, *n.planner, random_());
     n.up = true;
     ++n.lives;
     n.busy_until = now_;
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -9,8 +9,8 @@
 #include <random>
 #include <set>
 
-#include "daemon/controller.hpp"
-#include "loop/bucket.hpp"
+#include "controller/controller.hpp"
+#include "event_loop/token_bucket.hpp"
 #include "message_digest.hpp"
 
 namespace coralhitch::simulation {
@@ -24,13 +24,13 @@
 class World;
 
 // Timers of one host: when the host dies, what it had planned does not happen.
-class HostTimers : public loop::Timers {
+class HostTimers : public event_loop::Timers {
   public:
     explicit HostTimers(World& world) : world_(world) {}
     double now() const override;
     double unix_time() const override { return now() + 1e9; }
-    loop::TimerId after(double s, loop::Task task) override;
-    void cancel(loop::TimerId id) override { cancelled_->insert(id); }
+    event_loop::TimerId after(double s, event_loop::Task task) override;
+    void cancel(event_loop::TimerId id) override { cancelled_->insert(id); }
     void kill() { *alive_ = false; }
     // Nothing that is due happens until then; it happens all at once afterwards.
     void stand_still(double until) { *still_until_ = until; }
@@ -38,22 +38,23 @@
 
   private:
     World& world_;
-    loop::TimerId next_ = 1;
-    void fire(loop::TimerId id, double due, loop::Task task);
+    event_loop::TimerId next_ = 1;
+    void fire(event_loop::TimerId id, double due, event_loop::Task task);
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::shared_ptr<double> still_until_ = std::make_shared<double>(0);
-    std::shared_ptr<std::set<loop::TimerId>> cancelled_ = std::make_shared<std::set<loop::TimerId>>();
+    std::shared_ptr<std::set<event_loop::TimerId>> cancelled_ =
+        std::make_shared<std::set<event_loop::TimerId>>();
 };
 
-class InlinePlanner : public daemon::Planner {
+class InlinePlanner : public leader::Planner {
   public:
-    explicit InlinePlanner(loop::Timers& t) : timers_(t) {}
+    explicit InlinePlanner(event_loop::Timers& t) : timers_(t) {}
     void submit(Work work) override {
         timers_.after(0.01, [work = std::move(work)] { work()(); });
     }
 
   private:
-    loop::Timers& timers_;
+    event_loop::Timers& timers_;
 };
 
 struct Task {
@@ -81,7 +82,7 @@
     std::unique_ptr<HostTimers> timers;
     std::unique_ptr<http::Requester> http;
     std::unique_ptr<InlinePlanner> planner;
-    std::unique_ptr<daemon::Controller> controller;
+    std::unique_ptr<controller::Controller> controller;
     bool up = false;
     // What the load balancer makes of its health.
     bool served = false, ever_served = false;
@@ -146,7 +147,7 @@
     ~World();
     void run_until(double t);
     double now() const { return now_; }
-    void at(double t, loop::Task task) { queue_.push({t, next_event_++, std::move(task)}); }
+    void at(double t, event_loop::Task task) { queue_.push({t, next_event_++, std::move(task)}); }
 
     // Faults
     void crash(std::size_t node, double back_after);
@@ -274,7 +275,7 @@
     struct Event {
         double t;
         std::uint64_t n;
-        loop::Task task;
+        event_loop::Task task;
         bool operator<(const Event& o) const { return std::tie(t, n) > std::tie(o.t, o.n); }
     };
     struct Item {
@@ -295,7 +296,7 @@
     void rule(const std::string& what) { broken.push_back(std::to_string(now_) + " " + what); }
     double latency() { return std::uniform_real_distribution<double>(0.001, 0.008)(random_); }
     void boot(std::size_t node);
-    void in_turn(Node& n, loop::Task task);
+    void in_turn(Node& n, event_loop::Task task);
     void balance();
     Node* pick_node();
     void deliver(const std::string& from, const std::string& to, http::Request r, http::Reply reply);
@@ -354,7 +355,7 @@
     std::vector<Node> nodes_;
     std::vector<Node> graveyard_;
     std::map<std::string, Item> kv_;
-    loop::Bucket changes_left_;
+    event_loop::Bucket changes_left_;
     std::vector<std::pair<std::uint64_t, json>> history_;
     std::map<std::uint64_t, Lease> leases_;
     std::vector<Watch> watches_;
--- a/tests/simulated_cluster_network.cpp
+++ b/tests/simulated_cluster_network.cpp
@@ -6,9 +6,9 @@
 namespace coralhitch::simulation {
 namespace {
 std::string old_ping(const std::string& body) {
-    auto ping = wire::unpack_peer<wire::PeerPing>(body).value();
+    auto ping = protocol::unpack_peer<protocol::PeerPing>(body).value();
     ping.features = 0;
-    return wire::pack_peer(ping);
+    return protocol::pack_peer(ping);
 }
 }  // namespace
 
@@ -35,7 +35,7 @@
 // Seconds by which a direct command is held up, 0 if it is not: by a script, or for one in four while that
 // fault lasts.
 double World::command_delay(const std::string& to, const http::Request& r) {
-    if (r.target != wire::paths::commands) return 0;
+    if (r.target != protocol::paths::commands) return 0;
     if (late_command) return late_command(to, r);
     if (now_ >= late_commands_until_ || random_() % 4 != 0) return 0;
     return std::uniform_real_distribution<double>(2, 16)(random_);
@@ -47,10 +47,10 @@
     if (sent) at(now_, [this, from, to, r] { sent(from, to, r); });
     if (now_ < copies_until_ && random_() % 4 == 0) {
         double late = std::uniform_real_distribution<double>(0.05, copies_late_)(random_);
-        auto again = r.target == wire::paths::report ? addr_of(random_() % 3) : to;
+        auto again = r.target == protocol::paths::report ? addr_of(random_() % 3) : to;
         at(now_ + late, [this, from, again, r] { deliver(from, again, r, [](http::Response) {}); });
     }
-    if (now_ < keep_copies_until_ && r.target == wire::paths::report && kept_.size() < 200 &&
+    if (now_ < keep_copies_until_ && r.target == protocol::paths::report && kept_.size() < 200 &&
         random_() % 3 == 0)
         kept_.emplace_back(from, r);
     auto done = std::make_shared<bool>(false);
@@ -116,7 +116,7 @@
             n.timers->after(0, [this, from, to, r, reply] { deliver(from, to, r, reply); });
             return;
         }
-        if (to == n.settings.peer_listen && options_.old_pings && r.target == wire::peer_ping_path) {
+        if (to == n.settings.peer_listen && options_.old_pings && r.target == protocol::peer_ping_path) {
             r.body = old_ping(r.body);
             return n.controller->serve_peer(std::move(r), [reply](http::Response a) {
                 a.body = old_ping(a.body);
@@ -124,7 +124,7 @@
             });
         }
         if (to == n.settings.peer_listen) return n.controller->serve_peer(std::move(r), std::move(reply));
-        if (r.target == wire::paths::report)
+        if (r.target == protocol::paths::report)
             return in_turn(n, [&n, r, reply] { n.controller->serve(r, reply); });
         return n.controller->serve(std::move(r), std::move(reply));
     }
@@ -150,7 +150,7 @@
 }
 
 // Messages of workers take time to read and wait for each other; what else comes does not wait for them.
-void World::in_turn(Node& n, loop::Task task) {
+void World::in_turn(Node& n, event_loop::Task task) {
     if (options_.hear_s <= 0) return task();
     n.busy_until = std::max(now_, n.busy_until) + options_.hear_s;
     n.timers->after(n.busy_until - now_, std::move(task));
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -4,19 +4,19 @@
 
 #include <random>
 
+#include "cluster/cluster_state.hpp"
+#include "failover/reconciliation.hpp"
 #include "fake_state.hpp"
 #include "fault_scenarios.hpp"
-#include "fleet/cluster_state.hpp"
-#include "standby/checks.hpp"
-#include "standby/replication_sender.hpp"
-#include "state/keys.hpp"
-#include "takeover/reconciliation.hpp"
+#include "kv/keys.hpp"
+#include "replication/checks.hpp"
+#include "replication/replication_sender.hpp"
 
-namespace coralhitch::standby {
+namespace coralhitch::replication {
 namespace {
 using nlohmann::json;
 
-wire::PeerMachineRow row_of(const std::string& id, std::uint64_t session = 1) {
+protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t session = 1) {
     return {id, true, false, session, 0, {}};
 }
 
@@ -25,7 +25,7 @@
     struct Case {
         const char* name;
         std::uint64_t version, number;
-        wire::PeerMachineRow row;
+        protocol::PeerMachineRow row;
         bool taken;
         std::size_t rows;
     };
@@ -56,7 +56,7 @@
     Evidence good{"me",
                   3,
                   40,
-                  wire::StandbyRecord{20, {{"me", 3, 20}, {"other", 4, 20}}},
+                  protocol::StandbyRecord{20, {{"me", 3, 20}, {"other", 4, 20}}},
                   {{{10, false}, {20, true}}, 25},
                   true,
                   {},
@@ -161,8 +161,8 @@
             if (!f.silent && f.fails) {
                 answer = http::Response{503, {}};
             } else if (!f.silent) {
-                auto piece = wire::unpack_peer<wire::PeerFleet>(r.body);
-                answer = http::Response{200, wire::pack_peer(f.follower.take(std::move(*piece)))};
+                auto piece = protocol::unpack_peer<protocol::PeerFleet>(r.body);
+                answer = http::Response{200, protocol::pack_peer(f.follower.take(std::move(*piece)))};
             }
             timers.after(answer ? 0.01 : timeout, [answer, result] { result(answer); });
         };
@@ -173,7 +173,7 @@
     };
     std::set<std::string> named() {
         std::set<std::string> out;
-        auto it = service.kv.find(state::keys::standby);
+        auto it = service.kv.find(kv::keys::standby);
         if (it != service.kv.end())
             for (auto& m : it->second.first["members"]) out.insert(m["label"].get<std::string>());
         return out;
@@ -181,13 +181,13 @@
     FakeTimers timers;
     FakeState service{timers};
     config::Settings settings = settings_for();
-    state::Client client{timers, service, settings};
+    kv::Client client{timers, service, settings};
     std::map<std::string, Peer> followers{{"x", {Follower(1)}}, {"y", {Follower(2)}}};
     std::map<std::string, std::uint64_t> machines{{"vm-1", 1}, {"vm-2", 1}};
     bool authority = true;
-    std::map<std::string, wire::PeerPing> pings;
+    std::map<std::string, protocol::PeerPing> pings;
     void ping(const std::string& label, std::uint64_t incarnation) {
-        pings[label] = {label, incarnation, 0, "", true, {}, {}, wire::peer_features, 0};
+        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features, 0};
     }
     ReplicationSender teller{
         timers,
@@ -201,7 +201,7 @@
              for (auto& [id, s] : machines) ids.push_back(id);
              return ids;
          },
-         [this] { return authority ? std::optional(wire::Txn{}) : std::nullopt; },
+         [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
          [this](const std::string& label) { return &pings[label]; }, [] {}}};
     std::uint64_t start(const std::string& id) {
         ++machines[id];
@@ -268,10 +268,10 @@
         bool at_once, carried;
     };
     const Case cases[] = {
-        {"it goes on", 1, wire::peer_features, 40, true, true},
-        {"it was started anew", 3, wire::peer_features, 0, false, false},
-        {"its version wipes its copy", 1, wire::peer_features_follow, 40, false, false},
-        {"another leader has wiped its copy since", 1, wire::peer_features, 45, true, false},
+        {"it goes on", 1, protocol::peer_features, 40, true, true},
+        {"it was started anew", 3, protocol::peer_features, 0, false, false},
+        {"its version wipes its copy", 1, protocol::peer_features_follow, 40, false, false},
+        {"another leader has wiped its copy since", 1, protocol::peer_features, 45, true, false},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
@@ -281,8 +281,8 @@
         auto& f = b.followers.at("x").follower = Follower(c.incarnation);
         b.followers.at("y").silent = true;
         if (c.begun) f.take({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
-        b.teller.start(0, wire::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
-        for (double t = 0; !b.service.kv.contains(state::keys::standby); t += 0.001) b.timers.run_until(t);
+        b.teller.start(0, protocol::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
+        for (double t = 0; !b.service.kv.contains(kv::keys::standby); t += 0.001) b.timers.run_until(t);
         EXPECT_EQ(b.named().contains("x"), c.at_once);
         auto mark = b.start("vm-2");
         for (double t = b.timers.now(); t < 0.8; t += 0.01) {
@@ -290,7 +290,7 @@
             b.teller.tick();
             if (b.teller.told(mark) && b.named().contains("x")) {
                 EXPECT_EQ(f.copy().rows.at("vm-2").session, b.machines["vm-2"]);
-                EXPECT_EQ(f.copy().begun, b.service.kv.at(state::keys::standby).first["members"][0]["begun"]);
+                EXPECT_EQ(f.copy().begun, b.service.kv.at(kv::keys::standby).first["members"][0]["begun"]);
             }
         }
         EXPECT_TRUE(b.teller.told(mark));
@@ -315,7 +315,7 @@
         else
             b.start("vm-1");  // the answer tells
         b.timers.run_until(1.2);
-        auto& members = b.service.kv.at(state::keys::standby).first["members"];
+        auto& members = b.service.kv.at(kv::keys::standby).first["members"];
         ASSERT_EQ(members.size(), 1u);
         EXPECT_EQ(members[0]["incarnation"], 11u);
         EXPECT_EQ(b.followers.at("x").follower.copy().rows.size(), 2u);
@@ -383,12 +383,12 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        std::vector<wire::MachineType> types;
-        fleet::ClusterState p(7, types);
-        takeover::Reconciliation settling(p, report);
+        std::vector<protocol::MachineType> types;
+        cluster::ClusterState p(7, types);
+        failover::Reconciliation settling(p, report);
         for (int k = 0; k < 60; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
-            p.add(id, "a:1", "g", "z", false, fleet::Machine::Life::up, 0).asked = 0;
+            p.add(id, "a:1", "g", "z", false, cluster::Machine::Life::up, 0).asked = 0;
             settling.expect(id);
         }
         double next = c.settles_every;
@@ -419,12 +419,12 @@
                           {"none", 0, false, true}};
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        std::vector<wire::MachineType> types;
-        fleet::ClusterState p(7, types);
-        takeover::Reconciliation settling(p, 4);
+        std::vector<protocol::MachineType> types;
+        cluster::ClusterState p(7, types);
+        failover::Reconciliation settling(p, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
-            auto& m = p.add(id, "a:1", "g", "z", false, fleet::Machine::Life::up, 0);
+            auto& m = p.add(id, "a:1", "g", "z", false, cluster::Machine::Life::up, 0);
             m.reconciled = k >= c.left;
             m.known = c.known;
             settling.expect(id);
@@ -442,7 +442,7 @@
         bool shown;
         std::size_t left, ends;
     };
-    const std::uint64_t mine = 7ull << fleet::ClusterState::token_bits, before = mine - 5;
+    const std::uint64_t mine = 7ull << cluster::ClusterState::token_bits, before = mine - 5;
     const Case cases[] = {
         {"a report from before the takeover does not show it: its `run` may come yet", 3, before, false, 1,
          0},
@@ -453,21 +453,22 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        std::vector<wire::MachineType> types;
-        fleet::ClusterState p(7, types);
-        auto& m = p.add("vm-1", "a:1", "g", "z", false, fleet::Machine::Life::up, 0);
+        std::vector<protocol::MachineType> types;
+        cluster::ClusterState p(7, types);
+        auto& m = p.add("vm-1", "a:1", "g", "z", false, cluster::Machine::Life::up, 0);
         m.known = m.stored = true;
         m.session = 3;
-        auto spec = std::make_shared<wire::Job>();
+        auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
         p.inherit(m, {"j-1", 0}, spec, 11, 0);
-        wire::Report r;
+        protocol::Report r;
         r.machine = "vm-1";
         r.session = c.session;
         r.sequence = 20;
         r.token = c.token;
-        if (c.shown) r.tasks.push_back({{"j-1", 0}, 11, wire::TaskState::running, wire::Cause::none, false});
-        auto heard = p.apply_report(r, fleet::Via::hello, 1, [&](auto&) { return spec; });
+        if (c.shown)
+            r.tasks.push_back({{"j-1", 0}, 11, protocol::TaskState::running, protocol::Cause::none, false});
+        auto heard = p.apply_report(r, cluster::Via::hello, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found.empty());
@@ -475,7 +476,7 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::standby
+}  // namespace coralhitch::replication
 
 namespace coralhitch::simulation {
 namespace {
@@ -484,7 +485,7 @@
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 bool runs(const http::Request& r) {
-    return r.target == wire::paths::commands && r.body.find("\"run\"") != std::string::npos;
+    return r.target == protocol::paths::commands && r.body.find("\"run\"") != std::string::npos;
 }
 
 void ends_well(World& w) {
@@ -505,7 +506,7 @@
     std::function<void(World&, std::size_t leader)> what;
 };
 const FaultAt faults[] = {
-    {"a start is told", [](auto& r) { return r.target == wire::peer_fleet_path; },
+    {"a start is told", [](auto& r) { return r.target == protocol::peer_fleet_path; },
      [](World& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent", runs, [](World& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent, and the next leader ends before it has settled", runs,
@@ -522,7 +523,7 @@
     {"a start is sent, and the leader stands still, then goes on", runs,
      [](World& w, std::size_t l) { w.stand_still(l, 14); }},
     {"a start is told to one that is cut off, its messages held",
-     [](auto& r) { return r.target == wire::peer_fleet_path; },
+     [](auto& r) { return r.target == protocol::peer_fleet_path; },
      [](World& w, std::size_t l) {
          w.cut("10.0.0." + std::to_string((l + 1) % 3 + 1), "10.", 25, true);
          w.at(w.now() + 4, [&w, l] { w.crash(l, 5); });
@@ -540,7 +541,7 @@
      }},
     // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
     {"a start is told, reaches nobody, and the leader ends while machines hang",
-     [](auto& r) { return r.target == wire::peer_fleet_path; },
+     [](auto& r) { return r.target == protocol::peer_fleet_path; },
      [](World& w, std::size_t l) {
          for (std::size_t k = 0; k < 12; k += 2) w.hang(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -1,27 +1,26 @@
 // The users' interface at several controllers that share one state service.
-#include "api/users.hpp"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 #include <random>
 #include <set>
 
+#include "api/user_api.hpp"
 #include "fake_state.hpp"
 #include "fake_timers.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
 namespace coralhitch::api {
 namespace {
 using nlohmann::json;
-namespace keys = state::keys;
+namespace keys = kv::keys;
 
 struct Cluster : ClusterQueries {
-    std::vector<wire::MachineType> kinds{wire::parse_types(
+    std::vector<protocol::MachineType> kinds{protocol::parse_types(
         R"({"hulls":[{"name":"g8","vcpus":96,"cards":8,"ram_gb":768,"cache_gb":200,"fetch_gb_per_s":1,)"
         R"("hourly":12,"spot_price":4,"startup_s":45,"reefs":["a"]}]})")};
     std::vector<std::string> told_cancelled;
-    const std::vector<wire::MachineType>& types() const override { return kinds; }
+    const std::vector<protocol::MachineType>& types() const override { return kinds; }
     void counts(const std::string&, std::function<void(std::optional<TaskCounts>)> done) override {
         done(TaskCounts{});
     }
@@ -64,7 +63,7 @@
     }();
     Cluster cluster;
     struct Node {
-        state::Client client;
+        kv::Client client;
         Users users;
         explicit Node(Site& s)
             : client(s.timers, s.service, s.settings), users(s.timers, client, s.settings, s.cluster) {}
@@ -108,14 +107,14 @@
         auto it = service.kv.find(keys::job(id));
         if (it == service.kv.end()) return;
         bool cancelled = it->second.first.dump().find("\"cancelled\":true") != std::string::npos;
-        wire::Txn t;
+        protocol::Txn t;
         t.conditions = {{keys::job(id), it->second.second}};
-        t.changes = {
-            {keys::final(id),
-             wire::stored(wire::FinalRecord{cancelled ? wire::JobState::cancelled : wire::JobState::done, 1}),
-             0},
-            {keys::job(id), std::nullopt, 0}};
-        service.send("", {"POST", "/txn", wire::txn_request(t)}, 1, [](auto) {});
+        t.changes = {{keys::final(id),
+                      protocol::stored(protocol::FinalRecord{
+                          cancelled ? protocol::JobState::cancelled : protocol::JobState::done, 1}),
+                      0},
+                     {keys::job(id), std::nullopt, 0}};
+        service.send("", {"POST", "/txn", protocol::txn_request(t)}, 1, [](auto) {});
     }
 };
 
@@ -360,7 +359,7 @@
     }
     for (auto& a : s.answers) {
         EXPECT_NE(a->status, 0);
-        EXPECT_LE(a->told - a->sent, state::submission_patience_s);
+        EXPECT_LE(a->told - a->sent, kv::submission_patience_s);
     }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,10 +3,10 @@
 
 #include <nlohmann/json.hpp>
 
-#include "wire/peer.hpp"
-#include "wire/protocol.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/protocol.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 namespace {
 
 nlohmann::json good_job() {
@@ -223,4 +223,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
