--- /dev/null
+++ b/src/daemon/attempt_numbers.cpp
@@ -0,0 +1,41 @@
+#include "daemon/attempt_numbers.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "state/keys.hpp"
+
+namespace coralhitch::daemon {
+namespace {
+constexpr std::uint64_t numbers_per_revision = 1ull << AttemptNumbers::revision_bits;
+constexpr std::uint64_t low_water = numbers_per_revision / 2;
+}  // namespace
+
+AttemptNumbers::AttemptNumbers(state::Client& state, std::uint64_t version, Begin begin)
+    : state_(state),
+      begin_(std::move(begin)),
+      last_(version << revision_bits),
+      bound_((version + 1) << revision_bits) {}
+
+std::optional<std::uint64_t> AttemptNumbers::next() {
+    if (last_ + 1 >= bound_) return std::nullopt;
+    return ++last_;
+}
+
+void AttemptNumbers::extend() {
+    if (extending_ || bound_ - last_ > low_water) return;
+    auto transaction = begin_();
+    if (!transaction) return;
+    // What is written does not matter, but that the revision grows while the leader's key stands.
+    transaction->changes.push_back({state::keys::attempts, "{}", 0});
+    extending_ = true;
+    state_.txn(std::move(*transaction), state::Rank::write, guarded_([this](state::Committed c) {
+                   extending_ = false;
+                   if (c.status != state::Committed::Status::committed) return;  // asked again
+                   bound_ = std::max(bound_, (c.revision + 1) << revision_bits);
+                   spdlog::info("leader: attempt numbers extended at revision {}", c.revision);
+               }));
+}
+
+}  // namespace coralhitch::daemon
--- a/src/daemon/leader.cpp
+++ b/src/daemon/leader.cpp
@@ -66,6 +66,8 @@
                       }
                       jobs_changed();
                   }}),
+      attempts_(dependencies_.state, version,
+                [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; }),
       asks_(config::questions_per_s(dependencies_.settings),
             asked_at_once(dependencies_.settings, ask_reports)),
       failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
@@ -364,6 +366,15 @@
     return out;
 }
 
+// A later leadership's tokens begin above all of this one's.
+bool Leader::hand_over_tokens() {
+    if (!cluster_state_.tokens_run_out()) return false;
+    spdlog::info(
+        "leader: a machine's token was raised so often that the next leadership's are near: resigning");
+    dependencies_.election.resign(0);
+    return true;
+}
+
 void Leader::tick() {
     if (stopped_) return;
     tick_timer_ = dependencies_.timers.after(dependencies_.settings.report_s * tick_reports,
@@ -374,7 +385,9 @@
     reconciliation_.tick(now(), dependencies_.settings.report_s * tick_reports);
     check_machines();
     if (stopped_) return;
+    if (hand_over_tokens()) return;
     if (!authority()) return;
+    attempts_.extend();
     store_progress();
     store_.flush();
     tell_changes();
--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -12,6 +12,7 @@
 #include "api/users.hpp"
 #include "capacity/capacity.hpp"
 #include "cloud/client.hpp"
+#include "daemon/attempt_numbers.hpp"
 #include "daemon/metrics.hpp"
 #include "daemon/planner.hpp"
 #include "fleet/cluster_state.hpp"
@@ -106,6 +107,7 @@
     void jobs_changed();
     bool take_job(const std::string& id, std::uint64_t version, const std::string& value);
     void tick();
+    bool hand_over_tokens();  // whether it has resigned
 
     // machines
     fleet::ReportOutcome apply_report(const wire::Report& r, fleet::Via via);
@@ -208,7 +210,8 @@
     state::ListWatch job_watch_;
 
     relay::ReportQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
-    std::uint64_t attempts_ = 0, rentals_made_ = 0;
+    AttemptNumbers attempts_;
+    std::uint64_t rentals_made_ = 0;
     std::deque<std::string> to_probe_, flushing_;
     std::size_t probing_ = 0;
     bool probes_armed_ = false, asks_armed_ = false;
--- a/src/daemon/leader_plans.cpp
+++ b/src/daemon/leader_plans.cpp
@@ -219,7 +219,8 @@
         std::vector<std::pair<Machine*, std::uint32_t>> placed;
         bool ok = e && team != dependencies_.settings.teams.end() && (!gang || e->active.empty());
         auto zones = ok ? zones_of(*e) : placement::ZoneCounts{};
-        auto attempt = cluster_state_.base_token() + ++attempts_;
+        auto attempt = attempts_.next();
+        if (!attempt) return;  // the next plan starts the rest
         for (std::size_t i = k; ok && i < end; ++i) {
             auto* m = cluster_state_.find(p.in.machines[starts[i].machine].id);
             auto task = starts[i].task;
@@ -227,8 +228,8 @@
                  placement::team_allows(*team, used[e->spec->team], e->spec->need);
             if (!ok) break;
             used[e->spec->team] += e->spec->need;
-            cluster_state_.place(*m, {id, task}, e->spec, attempt, now());
-            e->active[task] = {m->id, attempt, zone_of(*m)};
+            cluster_state_.place(*m, {id, task}, e->spec, *attempt, now());
+            e->active[task] = {m->id, *attempt, zone_of(*m)};
             ++zones[zone_of(*m)];
             placed.emplace_back(m, task);
         }
@@ -236,7 +237,7 @@
             for (auto& [m, task] : placed) {
                 started_now_.emplace_back(m->id, wire::TaskId{id, task});
                 team_activity_.started(e->spec->team);
-                spdlog::debug("task {}/{} attempt {} goes to {}", id, task, attempt, m->id);
+                spdlog::debug("task {}/{} attempt {} goes to {}", id, task, *attempt, m->id);
             }
         } else {
             // Nothing was sent yet: all tasks of a gang or none.
--- a/src/fleet/cluster_state.cpp
+++ b/src/fleet/cluster_state.cpp
@@ -24,7 +24,7 @@
 }
 
 ClusterState::ClusterState(std::uint64_t version, const std::vector<wire::MachineType>& types)
-    : base_(version << token_bits) {
+    : base_(version << token_bits), highest_token_(base_) {
     set_types(types);
 }
 void ClusterState::set_types(const std::vector<wire::MachineType>& types) {
@@ -135,7 +135,7 @@
     ReportOutcome outcome;
     // A machine once deleted stays gone; what still arrives from it was under way.
     outcome.gone = is_gone(r.machine);
-    outcome.deposed = !outcome.gone && r.token >= base_ + (1ull << token_bits);
+    outcome.deposed = !outcome.gone && r.token >= base_ + tokens_per_leadership;
     outcome.gone |= !outcome.deposed && shows_what_is_over(r, via);
     if (outcome.gone || outcome.deposed) return outcome;
     auto& m = add(r.machine, r.addr, r.type, r.zone, r.spot, Machine::Life::up, now);
@@ -310,7 +310,7 @@
         }
         // Not shown is no proof while a `run` may still arrive. One that is not wanted any more, or that was
         // there before, is fenced with a higher token; one that is wanted is sent again.
-        if ((i.stop || i.seen) && m.token <= i.run_token) m.token = i.run_token + 1;
+        if (i.stop || i.seen) raise_token(m, i.run_token);
         ++it;
     }
 }
@@ -319,7 +319,12 @@
 // An unanswered direct `run` may arrive minutes late: only a higher token, seen by the worker, stops it.
 void ClusterState::fence_unsure(Machine& m) {
     for (auto& [key, e] : m.ended)
-        if (e.stored && e.direct == 0 && e.unsure_token >= m.token) m.token = e.unsure_token + 1;
+        if (e.stored && e.direct == 0) raise_token(m, e.unsure_token);
+}
+void ClusterState::raise_token(Machine& m, std::uint64_t above) {
+    if (m.token > above) return;
+    m.token = above + 1;
+    highest_token_ = std::max(highest_token_, m.token);
 }
 
 std::vector<Command> ClusterState::answer(Machine& m, double now, bool authority) {
@@ -337,7 +342,7 @@
     // A copy of a `run` that was answered may come late, too. From this answer on the worker drops it.
     if (may_forget)
         for (auto& [key, e] : m.ended)
-            if (forgets(e) && e.run_token >= m.token) m.token = e.run_token + 1;
+            if (forgets(e)) raise_token(m, e.run_token);
     for (auto& [id, i] : m.tasks) {
         if (i.stop || !i.spec) {
             if (i.seen && (i.state != TaskState::saving || i.grace_s <= 0)) {
@@ -442,7 +447,7 @@
     i.grace_s = grace_s;
     i.stop_sent = -1;
     flush_later(m);
-    if (!i.seen && m.token <= i.run_token) m.token = i.run_token + 1;
+    if (!i.seen) raise_token(m, i.run_token);
 }
 void ClusterState::cancel(Machine& m, const wire::TaskId& task, double worker_lease_bound) {
     if (auto it = m.tasks.find(task); it != m.tasks.end())
--- a/src/fleet/cluster_state.hpp
+++ b/src/fleet/cluster_state.hpp
@@ -139,6 +139,8 @@
   public:
     // Tokens of a leadership: its key's version above, a counter per machine below.
     static constexpr int token_bits = 20;
+    static constexpr std::uint64_t tokens_per_leadership = 1ull << token_bits;
+    static constexpr std::uint64_t spare_tokens = tokens_per_leadership / 16;  // for the time of a hand-over
     ClusterState(std::uint64_t version, const std::vector<wire::MachineType>& types);
 
     void set_types(const std::vector<wire::MachineType>& types);
@@ -177,6 +179,8 @@
     std::map<std::string, Machine>& machines() { return machines_; }
     const std::map<std::string, Machine>& machines() const { return machines_; }
     std::uint64_t base_token() const { return base_; }
+    // A machine's token comes near to where a later leadership's may begin: this one must end before that.
+    bool tokens_run_out() const { return highest_token_ - base_ >= tokens_per_leadership - spare_tokens; }
     bool any_reconciled() const { return any_reconciled_; }
     const std::vector<wire::Pool>& pools() const { return pools_; }
     std::size_t zones() const { return zones_.size(); }
@@ -215,7 +219,8 @@
     void trim_cache(Machine& m);
     std::vector<End> vanish_all(Machine& m);
     void fence_unsure(Machine& m);
-    std::uint64_t base_;
+    void raise_token(Machine& m, std::uint64_t above);
+    std::uint64_t base_, highest_token_;
     std::map<std::string, wire::MachineType> types_;
     std::vector<wire::Pool> pools_;
     std::vector<std::string> zones_;
--- a/src/state/keys.hpp
+++ b/src/state/keys.hpp
@@ -5,7 +5,8 @@
 namespace coralhitch::state::keys {
 
 inline const std::string leader = "leader";
-inline const std::string standby = "standby";  // who has taken in every start that the leader may have sent
+inline const std::string standby = "standby";    // who has taken in every start that the leader may have sent
+inline const std::string attempts = "attempts";  // rewritten so that the revision grows; says nothing
 inline const std::string types =
     "types";                             // machine types, for controllers that start while the cloud is down
 inline const std::string jobs = "job/";  // live jobs, cancelled ones included until their tasks are gone
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -67,6 +67,27 @@
     }
 }
 
+// Each `run` that is called back before it is seen raises its machine's token by one.
+TEST(ClusterState, SaysThatTokensRunOutBeforeALaterLeadershipsAreReached) {
+    Bench b;
+    b.apply_report(b.base());
+    auto& m = b.machine();
+    m.stored = true;
+    auto raise = [&] {
+        b.picture.place(m, task, b.spec, 5, 0);
+        b.picture.direct_now(m, 0, true);
+        b.picture.stop(m, task, 0);
+    };
+    constexpr std::uint64_t next_leadership = 1ull << 20;
+    std::uint64_t raised = 0;
+    for (; !b.picture.tokens_run_out() && raised < next_leadership; ++raised) raise();
+    EXPECT_EQ(m.token, b.base() + raised);
+    EXPECT_GT(raised, 900000u);  // not more hand-overs than need be
+    // What happens until the hand-over, at the leader's next tick, stays below too.
+    for (int k = 0; k < 60000; ++k) raise();
+    EXPECT_LT(m.token, b.base() + next_leadership);
+}
+
 TEST(ClusterState, ATaskNotShownStaysWhileItsRunMayStillArrive) {
     Bench b;
     auto sent = b.run();
