--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -17,7 +17,6 @@
 constexpr double heard_reports = 3;
 constexpr double worse_reports = 1.0 / 2;  // for so long the others must have been able to serve users alone
 constexpr double copies_leases = 8;        // in which copies of a report may come
-constexpr std::size_t most_named = 1000;   // a sample does in a larger fleet
 constexpr double counts_reports = 1.0 / 10;
 constexpr std::size_t reports_at_once = 16;
 constexpr std::uint64_t images_pings = 3;  // caches change slowly
@@ -212,7 +211,6 @@
     p.brief = brief;
     if (brief) return p;
     heard_.each_lately(timers_.now(), [&](auto& machine, double ago_s) {
-        if (p.workers.size() >= most_named) return;
         p.workers.push_back(machine);
         p.ages_ms.push_back(static_cast<std::uint32_t>(ago_s * 1000));
     });
@@ -249,7 +247,6 @@
     if (leader_) {
         ping.counts = leader_->all_counts();
         for (auto& [id, silent] : leader_->suspected()) {
-            if (ping.silent.size() >= most_named) break;
             ping.silent.push_back(id);
             ping.silent_ms.push_back(static_cast<std::uint32_t>(silent * 1000));
         }
