--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -557,7 +557,7 @@
     std::size_t suspected = 0;
     for (std::size_t k = 0; k < machines.size(); ++k) {
         auto& m = *machines[k];
-        auto verdict = failure_detector_.judge(seen[k], t);
+        auto verdict = failure_detector_.judge(seen[k]);
         {
             std::lock_guard lock(mutex_);
             m.suspected = verdict != membership::Health::Alive || m.reach.lost();
@@ -608,7 +608,7 @@
     if (given_up && !asked_now && (may || (lease_over && authority()))) {
         std::lock_guard lock(mutex_);
         failure_detector_.gave_up(seen, t);
-        mark_for_deletion(m, failure_detector_.evidence(seen, t).c_str());
+        mark_for_deletion(m, failure_detector_.evidence(seen).c_str());
     } else if (may && m.notice_until >= 0 && m.tasks.empty() && m.reconciled) {
         std::lock_guard lock(mutex_);
         mark_for_deletion(m, "has notice and is empty");
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -166,6 +166,7 @@
 
 // HeartbeatHistory of single machines. One that is over tells how long such take.
 void FailureDetector::learn(std::span<const Observation> machines, double now) {
+    history_.forget_old(now);
     std::map<std::string, double, std::less<>> silent;
     for (auto& m : machines) {
         if (!m.reconciled || quiet(m.zone)) continue;
@@ -195,7 +196,7 @@
     return !own_.behind && (!doubt_ || (elsewhere_ && *elsewhere_ * 2 < doubt_->silent.size()));
 }
 
-double FailureDetector::patience(const Observation& m, double now) const {
+double FailureDetector::patience(const Observation& m) const {
     const auto& l = limits_;
     double turn = l.report_s * turn_reports;
     double wait = wait_ + (doubt_ && crowded_ ? turn : 0);
@@ -220,12 +221,12 @@
     if (m.eviction_cost == EvictionCost::work)
         wait = std::max(wait, std::min(wait * work_patience, l.lease_s));
     // As long as one that has been silent for so long is likely enough to speak.
-    if (m.silent >= wait && history_.speaks_within(m.silent, l.report_s, now) * loss_reports > 1)
+    if (m.silent >= wait && history_.speaks_within(m.silent, l.report_s) * loss_reports > 1)
         return m.silent + l.report_s;
     return wait;
 }
-Health FailureDetector::judge(const Observation& m, double now) const {
-    if (m.silent > limits_.report_s * unsettled_reports && m.silent > patience(m, now)) return Health::Dead;
+Health FailureDetector::judge(const Observation& m) const {
+    if (m.silent > limits_.report_s * unsettled_reports && m.silent > patience(m)) return Health::Dead;
     return late(m) || quiet(m.zone) ? Health::Suspected : Health::Alive;
 }
 void FailureDetector::gave_up(const Observation& m, double now) {
@@ -234,11 +235,11 @@
     silent_.erase(std::string(m.id));
 }
 
-std::string FailureDetector::evidence(const Observation& m, double now) const {
+std::string FailureDetector::evidence(const Observation& m) const {
     static constexpr const char* stakes[] = {"nobody waits", "only its own work waits", "others wait"};
     char text[160];
     std::snprintf(text, sizeof text, "is silent for %.1f s, patience %.1f s, %s for it%s%s%s", m.silent,
-                  patience(m, now), stakes[static_cast<std::size_t>(m.eviction_cost)],
+                  patience(m), stakes[static_cast<std::size_t>(m.eviction_cost)],
                   m.reconciled ? "" : ", not settled", quiet(m.zone) ? ", its zone is quiet" : "",
                   doubt_ ? ", no other hears it" : "");
     return text;
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -82,9 +82,9 @@
     // --- Judged ---
     // Whether verdicts may be carried out at all.
     bool may_judge() const;
-    Health judge(const Observation& m, double now) const;
+    Health judge(const Observation& m) const;
     // For how long a machine like this is waited for, seconds of silence.
-    double patience(const Observation& m, double now) const;
+    double patience(const Observation& m) const;
     void gave_up(const Observation& m, double now);
 
     // Machines that boot: a machine came up, or has not yet, after so many nominal boot times.
@@ -92,7 +92,7 @@
     bool overdue(double boots, std::size_t zone, double now) const;
 
     // For the log: what speaks for a verdict.
-    std::string evidence(const Observation& m, double now) const;
+    std::string evidence(const Observation& m) const;
 
   private:
     struct Zone {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -65,7 +65,7 @@
             if (judge.doubt()) judge.answered(elsewhere(*judge.doubt()));
             gave_way |= judge.should_give_way();
             for (std::size_t k = 0; k < up.size(); ++k) {
-                auto v = judge.judge(seen[k], t);
+                auto v = judge.judge(seen[k]);
                 suspected += v == Health::Suspected && !up[k]->silent(t);
                 if (v != Health::Dead || !judge.may_judge()) continue;
                 up[k]->given_up = t - up[k]->silent_at;
@@ -186,8 +186,8 @@
             seen.push_back(
                 {ids[k], "", 0, 1, 99, true, true, EvictionCost::awaited, k < unreached ? 2 * report : 0});
         judge.look(seen, {false, true}, 100);
-        EXPECT_EQ(judge.judge(seen[0], 100), unreached == 1 ? Health::Dead : Health::Alive);
-        EXPECT_EQ(judge.judge(seen[29], 100), Health::Alive);
+        EXPECT_EQ(judge.judge(seen[0]), unreached == 1 ? Health::Dead : Health::Alive);
+        EXPECT_EQ(judge.judge(seen[29]), Health::Alive);
     }
 }
 TEST(FailureDetector, LearnsFromSilencesThatEnded) {
