--- a/tests/fault_scenarios_main.cpp
+++ b/tests/fault_scenarios_main.cpp
@@ -16,7 +16,7 @@
     bool whole = false, meetings = false;
     app.add_option("--from", from, "the first seed");
     app.add_option("--seeds", seeds, "how many");
-    app.add_option("--size", size, "machines at the start")->check(CLI::Range(4, 250));
+    app.add_option("--size", size, "machines at the start")->check(CLI::Range(4, 10000));
     app.add_flag("--meetings", meetings, "two kinds of trouble that meet; says how often each pair did");
     app.add_flag("--no-shrink", whole, "print all faults of a play that fails");
     CLI11_PARSE(app, argc, argv);
--- a/tests/fault_scenarios_test.cpp
+++ b/tests/fault_scenarios_test.cpp
@@ -3,6 +3,8 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
+#include "http/address.hpp"
+
 namespace coralhitch::simulation {
 namespace {
 
@@ -38,6 +40,17 @@
     EXPECT_EQ(met.size(), pairs);
 }
 
+TEST(Size, AWorldOf8000MachinesHasAnAddressForEach) {
+    spdlog::set_level(spdlog::level::off);
+    Options options;
+    options.machines = 8000;
+    World world(options);
+    std::set<std::string> addresses;
+    for (auto& worker : world.workers) addresses.insert(worker->addr);
+    EXPECT_EQ(addresses.size(), options.machines);
+    for (auto& address : addresses) EXPECT_TRUE(http::socket_address(address)) << address;
+}
+
 // The checker sees what is wrong, and a failing play shrinks to what it needs.
 TEST(Shrinking, KeepsWhatThePlayNeeds) {
     spdlog::set_level(spdlog::level::off);
--- a/tests/simulated_cluster_cloud.cpp
+++ b/tests/simulated_cluster_cloud.cpp
@@ -9,7 +9,9 @@
     char name[16];
     std::snprintf(name, sizeof name, "vm-%06zu", workers.size());
     w->id = name;
-    w->addr = "10.1.0." + std::to_string(workers.size() + 1) + ":9000";
+    constexpr std::size_t addresses_per_block = 250;
+    w->addr = "10.1." + std::to_string(workers.size() / addresses_per_block) + "." +
+              std::to_string(workers.size() % addresses_per_block + 1) + ":9000";
     w->type = "g4";
     w->zone = zone;
     w->spot = spot;
