--- a/src/relay/report_relay.cpp
+++ b/src/relay/report_relay.cpp
@@ -8,8 +8,7 @@
 namespace coralhitch::relay {
 namespace {
 // Ratios to the report period.
-constexpr double log_reports = 2;         // between two lines of the log about reports refused
-constexpr double gap_reports = 1.0 / 20;  // between two messages, so that reports come together
+constexpr double log_reports = 2;  // between two lines of the log about reports refused
 constexpr double idle_reports =
     1.0 / 10;  // a message goes at least so often: revocations and grants come with it
 constexpr double retry_reports = 1.0 / 5;  // after one that failed
@@ -112,10 +111,10 @@
     return true;
 }
 
-void ReportRelay::soon() {
+void ReportRelay::soon(double gap) {
     if (busy_ || armed_) return;
     armed_ = true;
-    double wait = std::max(0.0, last_sent_ + settings_.report_s * gap_reports - timers_.now());
+    double wait = std::max(0.0, last_sent_ + settings_.report_s * gap - timers_.now());
     timers_.after(wait, guarded_([this] {
                       armed_ = false;
                       send();
@@ -188,7 +187,9 @@
     for (auto& machine : a->recalled) reply_cache_.forget(machine);
     taken_in_ = number;
     granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * state::drift);
-    if (!waiting_.empty()) soon();
+    // What fills a message already gains nothing by waiting for more: at the rate of one full message in each
+    // gap, the only hearer of 4,000 machines fell behind when most reports had news.
+    if (!waiting_.empty()) soon(waiting_.size() < most_reports ? gap_reports : 0);
 }
 
 void ReportRelay::keep(Waiting w, const wire::PeerRelayed& a) {
--- a/src/relay/report_relay.hpp
+++ b/src/relay/report_relay.hpp
@@ -63,7 +63,9 @@
     bool holds() const;
     void refuse_old(double share);
     void refuse_late(const Waiting& report);
-    void soon();
+    // Between two messages, in report periods, so that reports come together.
+    static constexpr double gap_reports = 1.0 / 20;
+    void soon(double gap = gap_reports);
     void send();
     void answered(std::uint64_t number, double sent, const Leadership& to, std::deque<Waiting> batch,
                   const std::optional<http::Response>& r);
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <deque>
 
 #include "config/settings.hpp"
@@ -383,6 +384,46 @@
     EXPECT_TRUE(queue.empty());
 }
 
+// One controller of three is down and another leads, so this one hears nine tenths of the fleet; half of the
+// reports have news, 0.43 a machine and second, as in a takeover at the target's peak. The leader takes 20 ms
+// for each message.
+TEST(ReportRelay, PassesOnWhatTheOnlyHearerOf8000MachinesHears) {
+    for (int machines : {4000, 8000}) {
+        SCOPED_TRACE(machines);
+        Bench b;
+        b.settings.report_s = 3;
+        b.run(0.2);
+        b.answer(grant(3000));
+        constexpr double step_s = 0.02;
+        double due = 0, per_step = machines * 0.9 * 0.43 / 2 * step_s;
+        int sequence = 0;
+        for (double t = 0; t < 10; t += step_s) {
+            for (due += per_step; due >= 1; --due) b.offer(report("vm-1", ++sequence, task));
+            b.run(step_s);
+            if (!b.net.sent.empty()) b.answer(grant(3000), false);
+        }
+        EXPECT_EQ(std::count(b.statuses.begin(), b.statuses.end(), 503), 0);
+        EXPECT_GT(static_cast<double>(b.statuses.size()), machines * 0.9 * 0.43 / 2 * 9);
+    }
+}
+
+// A leader that is not ready yet is not asked again and again, however much waits.
+TEST(ReportRelay, AsksALeaderThatIsNotReadyAtItsPace) {
+    Bench b;
+    b.settings.report_s = 3;
+    b.run(0.2);
+    b.answer(grant(3000));
+    for (int k = 1; k <= 1000; ++k) b.offer(report("vm-1", k, task));
+    int messages = 0;
+    for (double t = 0; t < 1.5; t += 0.01) {
+        b.run(0.01);
+        if (b.net.sent.empty()) continue;
+        ++messages;
+        b.answer({});
+    }
+    EXPECT_LE(messages, 11);
+}
+
 // What waits when this controller comes to lead itself is its own to answer.
 TEST(ReportRelay, HandsOverWhatWaits) {
     Bench b;
