--- /dev/null
+++ b/tests/message_size_test.cpp
@@ -0,0 +1,95 @@
+// The largest messages between controllers, and the largest values, at the size of a large fleet: 8,000
+// machines with 17 tasks each.
+#include <gtest/gtest.h>
+
+#include <cstdio>
+
+#include "wire/peer.hpp"
+#include "wire/protocol.hpp"
+
+namespace coralhitch::wire {
+namespace {
+
+constexpr std::size_t machine_count = 8000, tasks_per_machine = 17, images_per_machine = 10;
+constexpr std::size_t live_jobs = 1400;
+constexpr std::size_t memory_bytes = 136 * 1024 * 1024;  // as sites of 1,300 machines grant it
+constexpr std::size_t body_limit = memory_bytes / 32;    // src/daemon/main.cpp
+constexpr std::uint64_t version = 1ull << 32;
+
+std::string name(const char* form, std::size_t k) {
+    char text[40];
+    std::snprintf(text, sizeof text, form, k);
+    return text;
+}
+std::size_t packed_bytes(const char* what, const auto& message) {
+    auto bytes = pack_peer(message).size();
+    std::printf("%-40s %8zu bytes\n", what, bytes);
+    return bytes;
+}
+
+TEST(MessageSize, OfAPingThatNamesAllMachinesTwice) {
+    PeerPing ping;
+    for (std::size_t k = 0; k < machine_count; ++k) {
+        ping.workers.push_back(name("vm-%06zu", k));
+        ping.ages_ms.push_back(70000);
+        ping.silent.push_back(name("vm-%06zu", k));
+        ping.silent_ms.push_back(70000);
+    }
+    for (std::size_t k = 0; k < live_jobs; ++k) ping.counts.push_back({name("j-%09zu", k), 70000, 70000});
+    EXPECT_LT(packed_bytes("ping, 8,000 heard and 8,000 silent", ping), body_limit / 8);
+}
+
+TEST(MessageSize, OfAPieceOfWhatFollowersAreTold) {
+    PeerFleet piece;
+    for (std::size_t k = 0; k < 1024; ++k) {  // standby::ReplicationSender's most_rows
+        PeerMachineRow row{name("vm-%06zu", k), true, false, 1, 70000, {}};
+        for (std::uint32_t t = 0; t < tasks_per_machine; ++t)
+            row.tasks.push_back({name("j-%09zu", k), 70000 + t, version << 20});
+        piece.rows.push_back(std::move(row));
+    }
+    EXPECT_LT(packed_bytes("piece of 1,024 machines for a follower", piece), body_limit / 4);
+}
+
+TEST(MessageSize, OfAllCachedImages) {
+    PeerImages images;
+    for (std::size_t k = 0; k < 1000; ++k) {
+        images.names.push_back(name("registry.local/team/image-%04zu", k % 10000));
+        images.sizes.push_back(7.5);
+    }
+    for (std::size_t k = 0; k < machine_count; ++k) {
+        PeerMachineImages row{name("vm-%06zu", k), {}};
+        for (std::uint32_t i = 0; i < images_per_machine; ++i) row.images.push_back(300 + i);
+        images.machines.push_back(std::move(row));
+    }
+    EXPECT_LT(packed_bytes("cached images of 8,000 machines", images), body_limit / 4);
+}
+
+TEST(MessageSize, OfAMessageThatPassesReportsOn) {
+    PeerRelay relay;
+    relay.reports.assign(96, std::string(1900, 'x'));  // relay::ReportRelay's most_reports, 17 ends in each
+    for (std::size_t k = 0; k < machine_count; ++k) relay.heard.push_back({name("vm-%06zu", k), 70000});
+    EXPECT_LT(packed_bytes("96 reports passed on, 8,000 repeated", relay), body_limit / 4);
+}
+
+// They grow with what the cloud offers, not with the fleet.
+TEST(MessageSize, OfTheMachineTypesThatAreStored) {
+    std::vector<MachineType> types;
+    for (std::size_t k = 0; k < 50; ++k) {
+        MachineType t;
+        t.name = name("type-%zu", k);
+        t.room = {96, 8, 768};
+        t.cache_gb = 200;
+        t.fetch_gb_per_s = 1;
+        t.price = 12.25;
+        t.spot_price = 4.125;
+        t.boot_s = 45;
+        t.zones = {"a-1", "a-2", "a-3", "a-4", "b-1", "b-2", "b-3"};
+        types.push_back(t);
+    }
+    auto bytes = stored_types(types).size();
+    std::printf("%-40s %8zu bytes\n", "50 machine types of seven zones", bytes);
+    EXPECT_LT(bytes, 16u * 1024);
+}
+
+}  // namespace
+}  // namespace coralhitch::wire
