--- a/src/daemon/leader.hpp
+++ b/src/daemon/leader.hpp
@@ -137,6 +137,7 @@
     void check_up(fleet::Machine& m, const membership::Observation& seen, membership::Health verdict,
                   bool may);
     bool check_lease(fleet::Machine& m);
+    bool beyond_reach(const fleet::Machine& m) const;
     membership::EvictionCost eviction_cost(const fleet::Machine& m) const;
     double boots(const fleet::Machine& m) const;
     void mark_for_deletion(fleet::Machine& m, const char* why);
--- a/src/daemon/leader_machines.cpp
+++ b/src/daemon/leader_machines.cpp
@@ -43,6 +43,12 @@
     reply({a.status, std::move(a.body)});
     if (m) flush(*m);
 }
+// Its reports come, and nothing shows that anything sent to it arrives. Each answer would move the time at
+// which its lease is out, though none renews it: it never settled, and a new leader placed nothing for as
+// long as it went on. Until that time moves, answers cost nothing; from then on only a question reaches it.
+bool Leader::beyond_reach(const Machine& m) const {
+    return !m.reconciled && m.reach.lost() && now() > m.renewed && !reconciliation_.behind(now());
+}
 // A report that says what the last one of its machine said, and that one is the last that was heard of it.
 bool Leader::repeat_reply(const std::string& body, const http::Reply& reply) {
     auto o = wire::outline_report(body);
@@ -83,9 +89,12 @@
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
     if (stopped_) return refused(relay::Refusal::no_lease);
     if (!heard.current || !m) return refused(relay::Refusal::older);
-    if (!cluster_state_.renewable(*m, now())) {
+    bool unreached = beyond_reach(*m);
+    if (unreached || !cluster_state_.renewable(*m, now())) {
+        // It was not answered: should the same report come again, the lease counts from then.
+        m->hello_sequence = std::min(m->hello_sequence, report.sequence - 1);
         probe(*m);
-        return refused(relay::Refusal::stop_unsent);
+        return refused(unreached ? relay::Refusal::unreached : relay::Refusal::stop_unsent);
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again)
@@ -563,6 +572,8 @@
             m.suspected = verdict != membership::Health::Alive || m.reach.lost();
             m.mute = m.reach.mute(t, dependencies_.settings.lease_s * mute_leases);
         }
+        // Each grant to its hearer would move the time at which its lease is out, and it never was.
+        if (m.mute) revoke(m.id);
         suspected += m.doubtful();
         check_up(m, seen[k], verdict, may);
     }
@@ -584,7 +595,8 @@
     const auto& s = dependencies_.settings;
     double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.lent_until);
     bool over = now() > renewed + s.lease_s * (1 + 2 * state::drift) + s.report_s / 3;
-    if (over && now() - m.last_heard > s.lease_s && (!m.tasks.empty() || !m.reconciled)) {
+    bool silent = now() - m.last_heard > s.lease_s || beyond_reach(m);
+    if (over && silent && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
         std::lock_guard lock(mutex_);
         for (auto& e : cluster_state_.lease_out(m)) handle_end(e);
@@ -600,7 +612,8 @@
     if (due) probe(m);
     bool given_up = verdict == membership::Health::Dead;
     // Who has been heard within a lease has nothing to be proven gone: seldom worth the question, each tick.
-    bool lease_over = (given_up || t - m.last_heard > dependencies_.settings.lease_s) && check_lease(m);
+    bool look = given_up || beyond_reach(m) || t - m.last_heard > dependencies_.settings.lease_s;
+    bool lease_over = look && check_lease(m);
     // One that has reconciled is not given up while it is being asked: its answer may lie unread until the
     // time for it is up. One that has not is asked again and again, without a pause; it was waited for then
     // until its lease was out, and nothing placed meanwhile.
@@ -623,6 +636,7 @@
                  m.tasks.size(), m.route.empty() ? dependencies_.settings.label : m.route);
     dependencies_.metrics.event("condemned");
     m.life = Machine::Life::marked_for_deletion;
+    revoke(m.id);  // no grant moves the time at which its lease is out
     if (!m.stored && !m.storing) {
         m.deletable = true;
         return;
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -184,8 +184,10 @@
 // should lead; if they hear none after the time a worker takes to turn to them, the machines are gone.
 bool FailureDetector::should_give_way() const {
     if (!doubt_ || !elsewhere_ || *elsewhere_ == 0 || longest_ <= wait_) return false;
-    double enough =
-        doubt_->deaf ? share(up_ + given_up_.size(), deaf_share) : share(doubt_->silent.size(), 0.5);
+    // What was given up a moment ago is silent here, too, and nobody is asked about it: a leader that had
+    // given up seven machines that hear nothing gave way for the sake of one more.
+    std::size_t gone = given_up_.size();
+    double enough = doubt_->deaf ? share(up_ + gone, deaf_share) : share(doubt_->silent.size() + gone, 0.5);
     return static_cast<double>(*elsewhere_) >= enough;
 }
 
--- a/src/relay/refusals.hpp
+++ b/src/relay/refusals.hpp
@@ -18,9 +18,11 @@
     elsewhere,    // named the leader instead
     late,         // waited for its turn until its worker had gone
     sockets,      // all sockets for workers are taken
+    unreached,    // nothing that this leader answers arrives there: its lease must be seen to end
 };
-inline constexpr std::array<std::string_view, 8> refusal_names = {
-    "no_lease", "bound_over", "stop_unsent", "older", "no_leader", "elsewhere", "late", "sockets"};
+inline constexpr std::array<std::string_view, 9> refusal_names = {"no_lease", "bound_over", "stop_unsent",
+                                                                  "older",    "no_leader",  "elsewhere",
+                                                                  "late",     "sockets",    "unreached"};
 
 class Refusals {
   public:
--- a/tests/combinations_zones_test.cpp
+++ b/tests/combinations_zones_test.cpp
@@ -91,6 +91,31 @@
     expect_unbroken(w);
 }
 
+// One machine is cut off and can't be deleted, the leader stays: only the end of its lease proves anything,
+// whoever answered it until then. What was there goes on elsewhere within that time.
+class OneCutOff : public testing::TestWithParam<std::size_t> {};
+INSTANTIATE_TEST_SUITE_P(Meeting, OneCutOff, testing::Range<std::size_t>(0, 6));
+TEST_P(OneCutOff, GoesOnElsewhereOnceTheLeaseIsOut) {
+    spdlog::set_level(spdlog::level::off);
+    Options o;
+    World w(o);
+    w.at(2, [&w] {  // keeps the machines: one on each
+        w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
+    });
+    w.at(8, [&w] { w.submit("j-1", "service", 6, 0); });
+    w.run_until(30);
+    ASSERT_EQ(on_machines(w, "j-1"), 6u);
+    double proven_s = o.cancel_s + 2 * o.report_s;
+    w.cloud_down(proven_s + 10);
+    w.cut("10.0.", w.workers[GetParam()]->addr, proven_s + 10, false);
+    w.run_until(30 + proven_s);
+    EXPECT_EQ(on_machines(w, "j-1"), 6u);
+    w.troubles_over = 30 + proven_s + 10;
+    w.run_until(w.troubles_over + 100);
+    EXPECT_EQ(on_machines(w, "j-1"), 6u);
+    expect_unbroken(w);
+}
+
 // More than twice the work that there is room for with all that the cloud gives, of each rank. Machines
 // die, hang and are cut off, leaders end and a part is cancelled meanwhile. The urgent work is not behind the
 // rest, and once the troubles are over everything is served: nothing waits with room and quota.
