--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -113,6 +113,7 @@
     bool open_too_long = false;
     std::set<std::string> tasks_done;
     double completed_at = -1, stored_at = -1;  // its last task; its final record
+    double reported_at = -1;                   // its worker first said that its last task is done
 };
 
 // The jobs whose ends this one waits for.
