--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -20,6 +20,7 @@
 #include "failover/recovery_loader.hpp"
 #include "jobs/job_table.hpp"
 #include "kv/list_watch.hpp"
+#include "leader/attempt_numbers.hpp"
 #include "leader/planner.hpp"
 #include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
@@ -106,6 +107,7 @@
     void jobs_changed();
     bool take_job(const std::string& id, std::uint64_t version, const std::string& value);
     void tick();
+    bool hand_over_tokens();  // whether it has resigned
 
     // machines
     cluster::ReportOutcome apply_report(const protocol::Report& r, cluster::Via via);
@@ -138,6 +140,7 @@
     void check_up(cluster::Machine& m, const membership::Observation& seen, membership::Health verdict,
                   bool may);
     bool check_lease(cluster::Machine& m);
+    bool beyond_reach(const cluster::Machine& m) const;
     membership::EvictionCost eviction_cost(const cluster::Machine& m) const;
     double boots(const cluster::Machine& m) const;
     void mark_for_deletion(cluster::Machine& m, const char* why);
@@ -210,7 +213,8 @@
     kv::ListWatch job_watch_;
 
     relay::ReportQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
-    std::uint64_t attempts_ = 0, rentals_made_ = 0;
+    AttemptNumbers attempts_;
+    std::uint64_t rentals_made_ = 0;
     std::deque<std::string> to_probe_, flushing_;
     std::size_t probing_ = 0;
     bool probes_armed_ = false, asks_armed_ = false;
--- a/tests/job_ends_test.cpp
+++ b/tests/job_ends_test.cpp
@@ -107,9 +107,17 @@
 
 // Jobs of one task come for two minutes, a quarter of them are cancelled, and the state service allows few
 // changes. Ends are stored in time, since those of cancelled jobs wait for them and not the other way round.
-TEST(JobEnds, AreStoredInTimeWhenChangesAreShort) {
+//
+// Counted from the report that says it: a worker reports a change within half a second, so that this bound
+// keeps the three seconds in which users expect it, but those simulated here report only once a period, which
+// alone may take longer. With ends of cancelled jobs at the rank of the others each of 24 seeds took 2.31 s
+// or more.
+class JobEndsWithFewChanges : public testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsWithFewChanges, testing::Values(1, 2, 3));
+TEST_P(JobEndsWithFewChanges, AreStoredInTime) {
     spdlog::set_level(spdlog::level::off);
     Options o;
+    o.seed = GetParam();
     o.machines = 10;
     o.write_rps = 20;
     o.txn_ops = o.next_txn_ops = 24;
@@ -135,11 +143,13 @@
         if (job.cancelled) continue;
         ++done;
         EXPECT_TRUE(job.done) << id;
-        worst = std::max(worst, job.stored_at - job.completed_at);
+        EXPECT_GE(job.reported_at, job.completed_at) << id;
+        EXPECT_GE(job.stored_at, job.reported_at) << id;
+        worst = std::max(worst, job.stored_at - job.reported_at);
     }
     EXPECT_EQ(done + cancelled, n);
     EXPECT_GE(cancelled, n / 5);
-    EXPECT_LT(worst, 3.0);
+    EXPECT_LT(worst, 2.2);
     EXPECT_EQ(w.changes_refused, 0u);
     // Three changes for one that is done, four for one that is cancelled.
     EXPECT_EQ(of_jobs(), 3 * done + 4 * cancelled);
--- a/tests/simulated_cluster_workers.cpp
+++ b/tests/simulated_cluster_workers.cpp
@@ -37,6 +37,8 @@
     for (auto& [name, t] : w.tasks) {
         json e{{"shard", name}, {"launch", t.attempt}, {"status", t.status}};
         if (t.status == "exited") e["cause"] = t.cause, e["saved"] = t.saved;
+        if (auto& job = jobs[t.job]; job.reported_at < 0 && job.completed_at >= 0 && is_done(t.job))
+            job.reported_at = now_;
         tasks.push_back(std::move(e));
     }
     return {{"berth", w.id},         {"addr", w.addr},      {"hull", w.type},
