--- a/scale/cloud.hpp
+++ b/scale/cloud.hpp
@@ -62,14 +62,14 @@
     const Experiment& experiment_;
     Machines& hollow_;
     std::mt19937_64 random_;
-    event_loop::Bucket requests_;
+    event_loop::TokenBucket requests_;
     std::map<std::string, Machine> machines_;  // by name, which is the order of creation
     std::map<std::string, std::string> rentals_;
     std::map<std::string, std::uint32_t> in_zone_, usable_in_zone_;
     std::map<std::string, double> zone_back_;
     std::uint64_t next_ = 0;
     Counts counts_;
-    event_loop::Guard guard_;
+    event_loop::LifetimeGuard guard_;
 };
 
 }  // namespace coralhitch::scale
--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -138,7 +138,7 @@
 
     Experiment experiment_;
     const RunOptions& options_;
-    event_loop::Loop loop_;
+    event_loop::EventLoop loop_;
     http::Client http_;
     std::vector<std::unique_ptr<Child>> roles_;
     std::vector<Controller> controllers_;
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -24,9 +24,9 @@
 }
 // Of two reports, whether they say the same.
 bool repeats(const std::string& a, const std::string& b) {
-    auto x = protocol::outline_report(a), y = protocol::outline_report(b);
+    auto x = protocol::outline_heartbeat(a), y = protocol::outline_heartbeat(b);
     if (!x || !y) return false;
-    auto rest = [](const std::string& s, const protocol::ReportOutline& o) {
+    auto rest = [](const std::string& s, const protocol::HeartbeatOutline& o) {
         return std::pair{std::string_view(s).substr(0, o.at), std::string_view(s).substr(o.at + o.digits)};
     };
     return rest(a, *x) == rest(b, *y);
@@ -45,8 +45,14 @@
     controller_ = static_cast<std::uint32_t>(site_.random()() % site_.experiment().controllers);
     last_answered_ = site_.loop().now();
     regular_due_ = last_answered_;
-    site_.observe(
-        {last_answered_, Happened::machine, host_.id, {}, 0, protocol::Cause::none, host_.zone, host_.spot});
+    site_.observe({last_answered_,
+                   Happened::machine,
+                   host_.id,
+                   {},
+                   0,
+                   protocol::ExitCause::none,
+                   host_.zone,
+                   host_.spot});
     arm_lease();
     schedule();
 }
@@ -75,13 +81,13 @@
     schedule();
 }
 std::string HollowWorker::report() {
-    protocol::Report r;
+    protocol::Heartbeat r;
     r.machine = host_.id;
     r.addr = host_.addr;
     r.type = host_.type;
     r.zone = host_.zone;
     r.spot = host_.spot;
-    r.session = session_;
+    r.agent_epoch = session_;
     r.sequence = ++sequence_;
     r.token = token_;
     for (auto& [key, task] : tasks_)
@@ -105,9 +111,9 @@
     last_sent_ = now;
     regular_due_ = now + e.worker.report_s * uniform(site_.random(), 1 - report_spread, 1 + report_spread);
     // Its own timer, since the lease may end while an answer is awaited.
-    client_.send(to, std::move(r), protocol::worker_patience_s,
-                 guard_([this, now, session = session_](std::optional<http::Response> response) {
-                     answered(session, now, std::move(response));
+    client_.send(to, std::move(r), protocol::heartbeat_timeout_s,
+                 guard_([this, now, agent_epoch = session_](std::optional<http::Response> response) {
+                     answered(agent_epoch, now, std::move(response));
                  }));
 }
 void HollowWorker::next_controller() {
@@ -115,7 +121,7 @@
     regular_due_ = site_.loop().now() + next_controller_s;
     changed_ = false;
 }
-void HollowWorker::answered(std::uint64_t session, double sent, std::optional<http::Response> response) {
+void HollowWorker::answered(std::uint64_t agent_epoch, double sent, std::optional<http::Response> response) {
     if (silent_) return;
     in_flight_ = false;
     auto& c = site_.counts();
@@ -141,17 +147,17 @@
         ++c.turned_away;
         next_controller();
     } else {
-        take_answer(session, sent, response->body);
+        take_answer(agent_epoch, sent, response->body);
     }
     schedule();
 }
-void HollowWorker::take_answer(std::uint64_t session, double sent, const std::string& body) {
+void HollowWorker::take_answer(std::uint64_t agent_epoch, double sent, const std::string& body) {
     outside::Orders orders;
     try {
         orders = outside::parse_orders(body);
     } catch (const std::exception&) {
     }
-    if (session != session_ || !orders.token || *orders.token < token_) {
+    if (agent_epoch != session_ || !orders.token || *orders.token < token_) {
         ++site_.counts().dropped_answers;
         return;
     }
@@ -176,9 +182,9 @@
                                           arm_lease();
                                       }));
 }
-// Its last answered report was sent too long ago: all tasks ended then, and the next session begins. The time
-// told is that of the lease's end, not when this process came to it: it may be behind, and its tasks are no
-// real ones.
+// Its last answered report was sent too long ago: all tasks ended then, and the next agent epoch begins. The
+// time told is that of the lease's end, not when this process came to it: it may be behind, and its tasks are
+// no real ones.
 void HollowWorker::check_lease() {
     double now = site_.loop().now(), over = last_answered_ + site_.experiment().worker.lease_s;
     if (now <= over) return;
@@ -186,7 +192,7 @@
     ++site_.counts().expired;
     std::vector<Key> keys;
     for (auto& [key, task] : tasks_) keys.push_back(key);
-    for (auto& key : keys) end(key, protocol::Cause::stopped, over);
+    for (auto& key : keys) end(key, protocol::ExitCause::stopped, over);
     tasks_.clear();
     ++session_;
     sequence_ = 0;
@@ -213,8 +219,8 @@
     } catch (const std::exception&) {
         return {400, "{}"};
     }
-    if (!orders.token || !orders.session) return {400, "{}"};
-    if (*orders.token < token_ || *orders.session != session_) {
+    if (!orders.token || !orders.agent_epoch) return {400, "{}"};
+    if (*orders.token < token_ || *orders.agent_epoch != session_) {
         ++site_.counts().refused_commands;
         return {409, report()};
     }
@@ -228,13 +234,13 @@
         Key key{command.task, command.attempt};
         auto it = tasks_.find(key);
         switch (command.op) {
-            case protocol::Op::start:
+            case protocol::CommandKind::start:
                 if (it == tasks_.end()) start(key);
                 break;
-            case protocol::Op::stop:  // no task here saves
-                if (it != tasks_.end()) end(key, protocol::Cause::stopped);
+            case protocol::CommandKind::stop:  // no task here saves
+                if (it != tasks_.end()) end(key, protocol::ExitCause::stopped);
                 break;
-            case protocol::Op::forget:
+            case protocol::CommandKind::forget:
                 if (it == tasks_.end() || it->second.state != protocol::TaskState::exited) break;
                 tasks_.erase(it);
                 changed();
@@ -243,13 +249,13 @@
     }
 }
 Observed HollowWorker::event(Happened what, const Key& key) const {
-    return {site_.loop().now(), what, host_.id, key.first, key.second, protocol::Cause::none, "", false};
+    return {site_.loop().now(), what, host_.id, key.first, key.second, protocol::ExitCause::none, "", false};
 }
 void HollowWorker::start(const Key& key) {
     auto same = tasks_.lower_bound({key.first, 0});
     for (; same != tasks_.end() && same->first.first == key.first; ++same)
         if (same->second.state != protocol::TaskState::exited) {
-            tasks_[key] = {protocol::TaskState::exited, protocol::Cause::busy, 0, {}};
+            tasks_[key] = {protocol::TaskState::exited, protocol::ExitCause::busy, 0, {}};
             return changed();
         }
     tasks_[key] = {};
@@ -279,13 +285,13 @@
 void HollowWorker::fetch(const Key& key, const TaskSpec* spec) {
     auto it = tasks_.find(key);
     if (silent_ || it == tasks_.end() || it->second.state != protocol::TaskState::fetching) return;
-    if (!spec || key.first.index >= spec->tasks) return end(key, protocol::Cause::unknown);
-    protocol::Room free{static_cast<double>(site_.experiment().slots()), 0,
-                        static_cast<double>(site_.experiment().slots())};
+    if (!spec || key.first.index >= spec->tasks) return end(key, protocol::ExitCause::unknown);
+    protocol::Resources free{static_cast<double>(site_.experiment().slots()), 0,
+                             static_cast<double>(site_.experiment().slots())};
     for (auto& [other, task] : tasks_)
-        if (task.state != protocol::TaskState::exited) free -= task.need;
-    if (!free.holds(spec->need)) return end(key, protocol::Cause::no_room);
-    it->second.need = spec->need;
+        if (task.state != protocol::TaskState::exited) free -= task.request;
+    if (!free.fits(spec->request)) return end(key, protocol::ExitCause::no_room);
+    it->second.request = spec->request;
     it->second.timer =
         site_.loop().after(image_ready_after(*spec), guard_([this, key, spec = *spec] { ready(key, spec); }));
 }
@@ -295,14 +301,14 @@
     it->second.timer = 0;
     site_.observe(event(Happened::ready, key));
     it->second.state =
-        spec.kind == protocol::Kind::gang ? protocol::TaskState::waiting : protocol::TaskState::running;
+        spec.kind == protocol::JobKind::gang ? protocol::TaskState::waiting : protocol::TaskState::running;
     changed();
-    if (spec.kind == protocol::Kind::gang)
-        end_later(key, site_.experiment().worker.gang_wait_s, protocol::Cause::alone);
-    if (spec.kind == protocol::Kind::array)
-        end_later(key, spec.run_s * uniform(site_.random(), 0.5, 1.5), protocol::Cause::done);
+    if (spec.kind == protocol::JobKind::gang)
+        end_later(key, site_.experiment().worker.gang_wait_s, protocol::ExitCause::alone);
+    if (spec.kind == protocol::JobKind::array)
+        end_later(key, spec.run_s * uniform(site_.random(), 0.5, 1.5), protocol::ExitCause::done);
 }
-void HollowWorker::end_later(const Key& key, double seconds, protocol::Cause cause) {
+void HollowWorker::end_later(const Key& key, double seconds, protocol::ExitCause cause) {
     auto& task = tasks_.at(key);
     site_.loop().cancel(task.timer);
     task.timer = site_.loop().after(seconds, guard_([this, key, cause] { end(key, cause); }));
@@ -313,7 +319,7 @@
          it != tasks_.end() && it->first.first.job == job; ++it) {
         if (it->first.second != attempt || it->second.state != protocol::TaskState::waiting) continue;
         it->second.state = protocol::TaskState::running;
-        end_later(it->first, run_s, protocol::Cause::done);
+        end_later(it->first, run_s, protocol::ExitCause::done);
         any = true;
     }
     if (any) changed();
@@ -324,9 +330,9 @@
          it != tasks_.end() && it->first.first.job == job; ++it)
         if (it->first.second == attempt && it->second.state == protocol::TaskState::running)
             lost.push_back(it->first);
-    for (auto& key : lost) end(key, protocol::Cause::peers);
+    for (auto& key : lost) end(key, protocol::ExitCause::peers);
 }
-void HollowWorker::end(const Key& key, protocol::Cause cause, std::optional<double> when) {
+void HollowWorker::end(const Key& key, protocol::ExitCause cause, std::optional<double> when) {
     auto it = tasks_.find(key);
     if (silent_ || it == tasks_.end() || it->second.state == protocol::TaskState::exited) return;
     check_lease();  // what ends after the lease was killed with it
@@ -350,7 +356,8 @@
     present_ = 0;
     site_.loop().cancel(report_timer_);
     site_.loop().cancel(lease_timer_);
-    site_.observe({site_.loop().now(), Happened::gone, host_.id, {}, 0, protocol::Cause::none, "", false});
+    site_.observe(
+        {site_.loop().now(), Happened::gone, host_.id, {}, 0, protocol::ExitCause::none, "", false});
 }
 
 }  // namespace coralhitch::scale
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -1,5 +1,5 @@
 // One worker as the protocol describes it, without anything that it would run: its own address, connection,
-// session, token, lease, images and tasks that end by drawn times.
+// agent epoch, token, lease, images and tasks that end by drawn times.
 #pragma once
 #include <functional>
 #include <map>
@@ -28,7 +28,7 @@
 class WorkerSite {
   public:
     virtual ~WorkerSite() = default;
-    virtual event_loop::Loop& loop() = 0;
+    virtual event_loop::EventLoop& loop() = 0;
     virtual const Experiment& experiment() const = 0;
     virtual std::mt19937_64& random() = 0;
     virtual WorkerCounts& counts() = 0;
@@ -51,15 +51,15 @@
     using Key = std::pair<protocol::TaskId, std::uint64_t>;  // a task's attempt
     struct Task {
         protocol::TaskState state = protocol::TaskState::fetching;
-        protocol::Cause cause = protocol::Cause::none;
+        protocol::ExitCause cause = protocol::ExitCause::none;
         event_loop::TimerId timer = 0;
-        protocol::Room need;
+        protocol::Resources request;
     };
     // Reports
     void schedule();
     void send_report();
-    void answered(std::uint64_t session, double sent, std::optional<http::Response> response);
-    void take_answer(std::uint64_t session, double sent, const std::string& body);
+    void answered(std::uint64_t agent_epoch, double sent, std::optional<http::Response> response);
+    void take_answer(std::uint64_t agent_epoch, double sent, const std::string& body);
     void next_controller();
     std::string report();
     void changed();
@@ -73,9 +73,9 @@
     void start(const Key& key);
     void fetch(const Key& key, const TaskSpec* spec);
     void ready(const Key& key, const TaskSpec& spec);
-    void end(const Key& key, protocol::Cause cause, std::optional<double> when = {});
+    void end(const Key& key, protocol::ExitCause cause, std::optional<double> when = {});
     double image_ready_after(const TaskSpec& spec);
-    void end_later(const Key& key, double seconds, protocol::Cause cause);
+    void end_later(const Key& key, double seconds, protocol::ExitCause cause);
     Observed event(Happened what, const Key& key) const;
 
     WorkerSite& site_;
@@ -91,7 +91,7 @@
     bool in_flight_ = false, changed_ = false;
     std::string last_report_;
     event_loop::TimerId report_timer_ = 0, lease_timer_ = 0;
-    event_loop::Guard guard_;
+    event_loop::LifetimeGuard guard_;
     http::Client client_;
     std::unique_ptr<http::Server> server_;
 };
--- a/scale/infrastructure.cpp
+++ b/scale/infrastructure.cpp
@@ -1,4 +1,4 @@
-// The process that holds the state service and the cloud.
+// The process that holds the key-value store and the cloud.
 #include <spdlog/spdlog.h>
 
 #include "scale/cloud.hpp"
@@ -15,7 +15,7 @@
 // Machines live in the workers' processes: the n-th machine in process n modulo their number.
 class RemoteMachines : public Machines {
   public:
-    RemoteMachines(event_loop::Loop& loop, const Experiment& e)
+    RemoteMachines(event_loop::EventLoop& loop, const Experiment& e)
         : experiment_(e), http_(loop, control_limits()) {}
     void up(const protocol::Host& h) override {
         json body{{"id", h.id}, {"addr", h.addr}, {"type", h.type}, {"zone", h.zone}, {"spot", h.spot}};
@@ -82,7 +82,7 @@
 }  // namespace
 
 int run_infrastructure(const Experiment& e) {
-    event_loop::Loop loop;
+    event_loop::EventLoop loop;
     Lateness lateness(loop);
     RemoteMachines machines(loop, e);
     StateService state(loop, e.state, e.seed * 5 + 1);
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,4 +1,4 @@
-// coralhitch-scale: real controllers on loopback beside hollow workers, users, state service and cloud.
+// coralhitch-scale: real controllers on loopback beside hollow workers, users, key-value store and cloud.
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
--- a/scale/observed.hpp
+++ b/scale/observed.hpp
@@ -15,7 +15,7 @@
     std::string machine;
     protocol::TaskId task;
     std::uint64_t attempt = 0;
-    protocol::Cause cause = protocol::Cause::none;
+    protocol::ExitCause cause = protocol::ExitCause::none;
     std::string zone;  // of a machine that came up
     bool spot = false;
 };
@@ -26,28 +26,28 @@
 inline Observed observed_from(const nlohmann::json& j) {
     return {j[0].get<double>(),        static_cast<Happened>(j[1].get<int>()),
             j[2].get<std::string>(),   {j[3].get<std::string>(), j[4].get<std::uint32_t>()},
-            j[5].get<std::uint64_t>(), static_cast<protocol::Cause>(j[6].get<int>()),
+            j[5].get<std::uint64_t>(), static_cast<protocol::ExitCause>(j[6].get<int>()),
             j[7].get<std::string>(),   j[8].get<bool>()};
 }
 // How a task is to run, which its worker fetches from the users.
 struct TaskSpec {
-    protocol::Kind kind = protocol::Kind::array;
+    protocol::JobKind kind = protocol::JobKind::array;
     std::uint32_t tasks = 0;
-    protocol::Room need;
+    protocol::Resources request;
     std::string image;
     double image_gb = 0, run_s = 0;
 };
 inline nlohmann::json to_json(const TaskSpec& s) {
     return {{"kind", static_cast<int>(s.kind)},
             {"tasks", s.tasks},
-            {"cpus", s.need.cpus},
-            {"memory_gb", s.need.memory_gb},
+            {"cpus", s.request.cpus},
+            {"memory_gb", s.request.memory_gb},
             {"image", s.image},
             {"image_gb", s.image_gb},
             {"run_s", s.run_s}};
 }
 inline TaskSpec spec_from(const nlohmann::json& j) {
-    return {static_cast<protocol::Kind>(j.at("kind").get<int>()),
+    return {static_cast<protocol::JobKind>(j.at("kind").get<int>()),
             j.at("tasks").get<std::uint32_t>(),
             {j.at("cpus").get<double>(), 0, j.at("memory_gb").get<double>()},
             j.at("image").get<std::string>(),
--- a/scale/outside.hpp
+++ b/scale/outside.hpp
@@ -1,4 +1,4 @@
-// The other side of the protocol: what users, workers, the cloud and the state service say and read. With
+// The other side of the protocol: what users, workers, the cloud and the key-value store say and read. With
 // wire/, which holds the controllers' side, the only place with the protocol's names.
 #pragma once
 #include <optional>
@@ -14,9 +14,9 @@
 protocol::JobStatus parse_status(std::string_view body);
 
 // Workers
-std::string report_body(const protocol::Report& report);
+std::string report_body(const protocol::Heartbeat& report);
 struct Orders {
-    std::optional<std::uint64_t> token, session;
+    std::optional<std::uint64_t> token, agent_epoch;
     std::vector<protocol::Command> commands;
 };
 Orders parse_orders(std::string_view body);  // an answer to a report, or direct commands
--- a/scale/role.cpp
+++ b/scale/role.cpp
@@ -18,7 +18,7 @@
     });
 }
 
-std::unique_ptr<http::Server> control_server(event_loop::Loop& loop, const std::string& addr,
+std::unique_ptr<http::Server> control_server(event_loop::EventLoop& loop, const std::string& addr,
                                              Control control) {
     http::ServerLimits limits;
     limits.message.body = control_body;
--- a/scale/role.hpp
+++ b/scale/role.hpp
@@ -14,20 +14,20 @@
 // How late timers fire: a hollow process that lacks processor time would otherwise look like a slow service.
 class Lateness {
   public:
-    explicit Lateness(event_loop::Loop& loop) : loop_(loop) { arm(); }
+    explicit Lateness(event_loop::EventLoop& loop) : loop_(loop) { arm(); }
     double most_s() const { return most_; }
     std::uint64_t over_100_ms() const { return late_; }
 
   private:
     void arm();
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     double most_ = 0;
     std::uint64_t late_ = 0;
 };
 
 using Control = std::function<void(const http::Request&, http::Reply)>;
 // Answers are JSON; a handler that throws answers 500 with the text.
-std::unique_ptr<http::Server> control_server(event_loop::Loop& loop, const std::string& addr,
+std::unique_ptr<http::Server> control_server(event_loop::EventLoop& loop, const std::string& addr,
                                              Control control);
 http::ClientLimits control_limits();
 
--- a/scale/state_service.hpp
+++ b/scale/state_service.hpp
@@ -1,4 +1,4 @@
-// The state service as the protocol describes it, held in memory: versions, transactions, watches, leases,
+// The key-value store as the protocol describes it, held in memory: versions, transactions, watches, leases,
 // limits.
 #pragma once
 #include <deque>
@@ -68,7 +68,7 @@
     event_loop::Timers& timers_;
     StateSettings settings_;
     std::mt19937_64 random_;
-    event_loop::Bucket requests_, writes_;
+    event_loop::TokenBucket requests_, writes_;
     std::map<std::string, Item> items_;
     std::deque<protocol::Event> history_;
     std::map<std::uint64_t, Lease> leases_;
@@ -77,7 +77,7 @@
     double down_until_ = -1;
     Counts counts_;
     std::map<std::string, std::uint64_t> changes_by_kind_;
-    event_loop::Guard guard_;
+    event_loop::LifetimeGuard guard_;
 };
 
 }  // namespace coralhitch::scale
--- a/scale/tests/checker_test.cpp
+++ b/scale/tests/checker_test.cpp
@@ -11,7 +11,7 @@
     j.id = id;
     j.team = "t";
     j.tasks = tasks;
-    j.need = {1, 0, 1};
+    j.request = {1, 0, 1};
     return j;
 }
 struct History {
@@ -25,7 +25,7 @@
 }
 void finish(Checker& c, double t, const std::string& id) {
     c.started(t, "a1", {id, 0});
-    c.ended(t + 1, "a1", {id, 0}, protocol::Cause::done);
+    c.ended(t + 1, "a1", {id, 0}, protocol::ExitCause::done);
 }
 
 const History histories[] = {
@@ -33,7 +33,7 @@
      [](Checker& c) {
          begin(c, job("j-1"));
          c.started(1, "a1", {"j-1", 0});
-         c.ended(2, "a1", {"j-1", 0}, protocol::Cause::stopped);
+         c.ended(2, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
          c.started(2, "b1", {"j-1", 0});
      }},
     {"twice", "ran_twice",
@@ -101,7 +101,7 @@
          c.cancel_asked("j-1");
          c.told(2, "j-1", protocol::JobState::cancelled);
          c.look(11);
-         c.ended(11.9, "a1", {"j-1", 0}, protocol::Cause::stopped);
+         c.ended(11.9, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
          c.look(13);
      }},
     {"cancelled_runs_on", "ran_cancelled",
@@ -184,7 +184,7 @@
     for (std::uint32_t k = 0; k < 2; ++k) {
         c.started(k, "a1", {"j-1", k});
         EXPECT_EQ(c.present(), 1u);
-        c.ended(k + 0.5, "a1", {"j-1", k}, protocol::Cause::done);
+        c.ended(k + 0.5, "a1", {"j-1", k}, protocol::ExitCause::done);
         EXPECT_EQ(c.present(), 0u);
     }
     EXPECT_TRUE(c.broken().empty());
--- a/scale/tests/state_service_test.cpp
+++ b/scale/tests/state_service_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in for the state service keeps to the protocol: what it allowed beyond it would flatter the
+// The stand-in for the key-value store keeps to the protocol: what it allowed beyond it would flatter the
 // service.
 #include "scale/state_service.hpp"
 
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -56,7 +56,7 @@
         on_machine_.erase(o.machine);
         return;
     }
-    if (!spec || spec->kind != protocol::Kind::gang) return;
+    if (!spec || spec->kind != protocol::JobKind::gang) return;
     Key key{o.task.job, o.attempt};
     auto& a = attempts_[key];
     if (o.what == Happened::ready) {
@@ -70,13 +70,13 @@
     if (o.what == Happened::ended) {
         a.waiting.erase(o.task.index);
         on_machine_[o.machine].erase({key, o.task.index});
-        if (o.cause != protocol::Cause::done) lost(key);
+        if (o.cause != protocol::ExitCause::done) lost(key);
     }
 }
 
 // --- Load -----------------------------------------------------------------------------------------------
 
-Users::Users(event_loop::Loop& loop, const Experiment& e)
+UserApi::UserApi(event_loop::EventLoop& loop, const Experiment& e)
     : loop_(loop),
       experiment_(e),
       random_(e.seed * 13 + 5),
@@ -87,13 +87,13 @@
       checker_(rules_of(e)),
       phase_("fill") {}
 
-void Users::begin() {
+void UserApi::begin() {
     starts_per_s_ = experiment_.phases.front().starts_per_worker_s * experiment_.workers;
     submit_services(experiment_.base_tasks());
     wait_for_arrival();
     poll_unknown();
 }
-void Users::phase(const std::string& name) {
+void UserApi::phase(const std::string& name) {
     phase_ = name;
     for (auto& p : experiment_.phases)
         if (p.name == name) starts_per_s_ = p.starts_per_worker_s * experiment_.workers;
@@ -101,7 +101,7 @@
     loop_.cancel(arrival_);
     wait_for_arrival();
 }
-protocol::Job Users::new_job(protocol::Kind kind, std::uint32_t tasks) {
+protocol::Job UserApi::new_job(protocol::JobKind kind, std::uint32_t tasks) {
     auto& l = experiment_.load;
     protocol::Job j;
     char id[24];
@@ -110,19 +110,21 @@
     j.team = "team-" + std::to_string(random_() % l.teams);
     j.kind = kind;
     j.tasks = tasks;
-    j.need = {1, 0, 1};
+    j.request = {1, 0, 1};
     j.image = "img-" + std::to_string(random_() % l.images);
     j.image_gb = l.image_gb;
     j.spot = true;
-    j.cls = kind == protocol::Kind::service ? "service" : kind == protocol::Kind::gang ? "gang" : "array";
+    j.cls = kind == protocol::JobKind::service ? "service"
+            : kind == protocol::JobKind::gang  ? "gang"
+                                               : "array";
     return j;
 }
-// Spread over some seconds, and over no more of the state service's changes than half.
-void Users::submit_services(double left) {
+// Spread over some seconds, and over no more of the key-value store's changes than half.
+void UserApi::submit_services(double left) {
     if (left < 1) return;
     auto tasks = std::min<std::uint32_t>(experiment_.load.service_tasks, static_cast<std::uint32_t>(left));
     Job j;
-    j.job = new_job(protocol::Kind::service, tasks);
+    j.job = new_job(protocol::JobKind::service, tasks);
     j.job.priority = protocol::Priority::high;
     j.cls = j.job.cls;
     submit(std::move(j));
@@ -130,7 +132,7 @@
     double pause = std::max(spread_services_s / std::max(1.0, jobs), 2 / experiment_.state.write_rps);
     loop_.after(pause, [this, left = left - tasks] { submit_services(left); });
 }
-void Users::wait_for_arrival() {
+void UserApi::wait_for_arrival() {
     auto& l = experiment_.load;
     double gangs = 0;
     for (auto n : l.gang_sizes) gangs += n;
@@ -139,13 +141,13 @@
     double wait = std::exponential_distribution<double>(starts_per_s_ / mean)(random_);
     arrival_ = loop_.after(wait, [this] { arrive(); });
 }
-void Users::arrive() {
+void UserApi::arrive() {
     wait_for_arrival();
     auto& l = experiment_.load;
     std::uniform_real_distribution<double> share(0, 1);
     bool gang = share(random_) < l.gang_share;
     Job j;
-    j.job = new_job(gang ? protocol::Kind::gang : protocol::Kind::array,
+    j.job = new_job(gang ? protocol::JobKind::gang : protocol::JobKind::array,
                     gang ? l.gang_sizes[random_() % l.gang_sizes.size()] : l.array_tasks);
     j.cls = j.job.cls;
     if (share(random_) < l.urgent_share) {
@@ -160,10 +162,10 @@
     j.cancel = share(random_) < l.cancel_share;
     submit(std::move(j));
 }
-void Users::submit(Job j) {
+void UserApi::submit(Job j) {
     j.spec.kind = j.job.kind;
     j.spec.tasks = j.job.tasks;
-    j.spec.need = j.job.need;
+    j.spec.request = j.job.request;
     j.spec.image = j.job.image;
     j.spec.image_gb = j.job.image_gb;
     j.phase = phase_;
@@ -177,7 +179,8 @@
 
 // --- Requests -------------------------------------------------------------------------------------------
 
-void Users::ask(http::Request r, double timeout_s, std::function<void(std::optional<http::Response>)> done) {
+void UserApi::ask(http::Request r, double timeout_s,
+                  std::function<void(std::optional<http::Response>)> done) {
     auto k = balancer_.pick();
     if (!k) {
         ++counts_.unanswered;
@@ -196,7 +199,7 @@
         done(std::move(response));
     });
 }
-void Users::try_submit(const std::string& id) {
+void UserApi::try_submit(const std::string& id) {
     http::Request r{"POST", std::string(protocol::paths::jobs), protocol::submission(jobs_.at(id).job)};
     ask(std::move(r), submit_timeout_s, [this, id](std::optional<http::Response> response) {
         auto& j = jobs_.at(id);
@@ -226,7 +229,7 @@
         loop_.after(wait, [this, id] { try_submit(id); });
     });
 }
-void Users::poll(const std::string& id) {
+void UserApi::poll(const std::string& id) {
     auto& j = jobs_.at(id);
     if (j.over) return;
     ++counts_.polls;
@@ -237,7 +240,7 @@
             loop_.after(experiment_.load.poll_s, [this, id] { poll(id); });
         });
 }
-void Users::told(const std::string& id, const http::Response& r, bool was_over) {
+void UserApi::told(const std::string& id, const http::Response& r, bool was_over) {
     auto state = outside::parse_status(r.body).state;
     bool over = state == protocol::JobState::done || state == protocol::JobState::cancelled;
     if (over || was_over) judge_later([this, id, state](double now) { checker_.told(now, id, state); });
@@ -252,7 +255,7 @@
     latencies_.observe(j.phase, j.cls, "done", now - j.first_tried);
     if (j.all_done >= 0) latencies_.observe(j.phase, j.cls, "told_done_after", now - j.all_done);
 }
-void Users::ask_cancel(const std::string& id) {
+void UserApi::ask_cancel(const std::string& id) {
     auto& j = jobs_.at(id);
     if (j.over) return;
     double asked = loop_.now();
@@ -270,7 +273,7 @@
             loop_.after(least_retry_s, [this, id] { ask_cancel(id); });
         });
 }
-void Users::poll_unknown() {
+void UserApi::poll_unknown() {
     ask({"GET", std::string(protocol::paths::jobs) + "/" + unknown_job, {}}, poll_timeout_s,
         [this](std::optional<http::Response> r) {
             if (r && r->status == 200)
@@ -282,11 +285,11 @@
 
 // --- What happened --------------------------------------------------------------------------------------
 
-nlohmann::json Users::spec(const std::string& id) const {
+nlohmann::json UserApi::spec(const std::string& id) const {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? json() : to_json(it->second.spec);
 }
-void Users::observed(const json& message) {
+void UserApi::observed(const json& message) {
     auto process = message.at("process").get<std::uint32_t>();
     auto number = message.at("number").get<std::uint64_t>();
     if (number <= messages_[process]) return;  // sent again, since our answer was lost
@@ -303,7 +306,7 @@
         });
         if (o.what == Happened::ready) {
             ++tasks_ready_;
-            if (it != jobs_.end() && it->second.spec.kind != protocol::Kind::gang) begun(o);
+            if (it != jobs_.end() && it->second.spec.kind != protocol::JobKind::gang) begun(o);
         }
         to_judge_.emplace(o.t, [this, o] { apply(o); });
     }
@@ -311,13 +314,13 @@
     judge();
 }
 // The first time a task runs: what its user waited for.
-void Users::begun(const Observed& o) {
+void UserApi::begun(const Observed& o) {
     auto& j = jobs_.at(o.task.job);
     if (!j.begun.insert(o.task.index).second) return;
     ++tasks_begun_;
     latencies_.observe(j.phase, j.cls, "begun", o.t - j.first_tried);
 }
-void Users::apply(const Observed& o) {
+void UserApi::apply(const Observed& o) {
     switch (o.what) {
         case Happened::machine: {
             double n = experiment_.slots();
@@ -331,18 +334,18 @@
             return checker_.machine_gone(o.machine);
         case Happened::ended:
             checker_.ended(o.t, o.machine, o.task, o.cause);
-            if (o.cause != protocol::Cause::done) return;
+            if (o.cause != protocol::ExitCause::done) return;
             ++tasks_done_;
             if (auto it = jobs_.find(o.task.job);
                 it != jobs_.end() && it->second.all_done < 0 && checker_.is_done(o.task.job))
                 it->second.all_done = o.t;
     }
 }
-void Users::judge_later(std::function<void(double now)> check) {
+void UserApi::judge_later(std::function<void(double now)> check) {
     double now = loop_.now();
     to_judge_.emplace(now, [check = std::move(check), now] { check(now); });
 }
-void Users::judge() {
+void UserApi::judge() {
     if (told_until_.size() < experiment_.worker_processes) return;
     double until = 1e18;
     for (auto& [process, t] : told_until_) until = std::min(until, t);
@@ -356,7 +359,7 @@
         last_look_ = until;
     }
 }
-json Users::stats() {
+json UserApi::stats() {
     std::size_t open = 0;
     for (auto& [id, j] : jobs_) open += j.accepted && !j.over;
     auto& c = counts_;
@@ -384,9 +387,9 @@
 }
 
 int run_users(const Experiment& e) {
-    event_loop::Loop loop;
+    event_loop::EventLoop loop;
     Lateness lateness(loop);
-    Users users(loop, e);
+    UserApi users(loop, e);
     auto control = control_server(loop, e.users_control(), [&](const http::Request& r, http::Reply reply) {
         if (r.target == "/observed") {
             users.observed(json::parse(r.body));
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -20,7 +20,7 @@
 // gone.
 class Gangs {
   public:
-    Gangs(event_loop::Loop& loop, http::Client& http, const Experiment& e)
+    Gangs(event_loop::EventLoop& loop, http::Client& http, const Experiment& e)
         : loop_(loop), http_(http), experiment_(e) {}
     // Called for each event as it comes. `begun` when the gang's last task is there.
     void observe(const Observed& o, const TaskSpec* spec, const std::function<void()>& begun);
@@ -34,16 +34,16 @@
     using Key = std::pair<std::string, std::uint64_t>;
     void tell(const nlohmann::json& body);
     void lost(const Key& key);
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     http::Client& http_;
     const Experiment& experiment_;
     std::map<Key, Attempt> attempts_;
     std::map<std::string, std::set<std::pair<Key, std::uint32_t>>> on_machine_;
 };
 
-class Users {
+class UserApi {
   public:
-    Users(event_loop::Loop& loop, const Experiment& experiment);
+    UserApi(event_loop::EventLoop& loop, const Experiment& experiment);
     void begin();                         // the services, and arrivals at the first phase's rate
     void phase(const std::string& name);  // latencies count for it from now on
     void observed(const nlohmann::json& message);
@@ -63,7 +63,7 @@
     void wait_for_arrival();
     void arrive();
     void submit(Job job);
-    protocol::Job new_job(protocol::Kind kind, std::uint32_t tasks);
+    protocol::Job new_job(protocol::JobKind kind, std::uint32_t tasks);
     void try_submit(const std::string& id);
     void poll(const std::string& id);
     void ask_cancel(const std::string& id);
@@ -77,7 +77,7 @@
     void apply(const Observed& o);
     void begun(const Observed& o);
 
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     const Experiment& experiment_;
     std::mt19937_64 random_;
     http::Client http_, control_;
--- a/scale/workers.cpp
+++ b/scale/workers.cpp
@@ -17,7 +17,7 @@
 
 class Site : public WorkerSite {
   public:
-    Site(event_loop::Loop& loop, const Experiment& e, std::uint32_t process)
+    Site(event_loop::EventLoop& loop, const Experiment& e, std::uint32_t process)
         : loop_(loop),
           experiment_(e),
           process_(process),
@@ -25,7 +25,7 @@
           http_(loop, control_limits()) {
         loop_.after(tell_every_s, [this] { tell(); });
     }
-    event_loop::Loop& loop() override { return loop_; }
+    event_loop::EventLoop& loop() override { return loop_; }
     const Experiment& experiment() const override { return experiment_; }
     std::mt19937_64& random() override { return random_; }
     WorkerCounts& counts() override { return counts_; }
@@ -67,7 +67,7 @@
   private:
     void tell();
     void send_events(std::string body, int tries);
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     const Experiment& experiment_;
     std::uint32_t process_;
     std::mt19937_64 random_;
@@ -151,7 +151,7 @@
 }  // namespace
 
 int run_workers(const Experiment& e, std::uint32_t process) {
-    event_loop::Loop loop;
+    event_loop::EventLoop loop;
     Lateness lateness(loop);
     Site site(loop, e, process);
     auto control =
--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -5,7 +5,7 @@
 namespace coralhitch::api {
 
 namespace {
-constexpr double budget_use = 0.9;  // as the client of the state service keeps to
+constexpr double budget_use = 0.9;  // as the client of the key-value store keeps to
 // Of the burst, what a team leaves to others that have asked lately. Half of it took half a burst's time to
 // come back after an overload, in which the changes that there were went unused.
 constexpr double spare_part = 1.0 / 8;
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -1,4 +1,4 @@
-// How many jobs a controller accepts: no more than the state service can store to their ends.
+// How many jobs a controller accepts: no more than the key-value store can store to their ends.
 //
 // An accepted job causes changes later, most of them by the leader. Accepted faster than those can be stored,
 // jobs would be done for their users minutes late, and the backlog would outlast the burst that caused it.
@@ -34,14 +34,14 @@
   private:
     static constexpr double never = -1e9;
     struct Part {
-        event_loop::Bucket places;
+        event_loop::TokenBucket places;
         double asked_at;  // seconds of the injected clock
     };
     Part& part_of(const std::string& team);
     double left_to_others(const std::string& team, double now) const;
     double rate_, burst_;  // jobs a second, jobs
     double teams_, active_s_;
-    event_loop::Bucket all_;
+    event_loop::TokenBucket all_;
     std::map<std::string, Part> parts_;
     double refused_ = 0;
 };
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t ends_together = 2;  // from so many on, one request for all instead of one each
 }  // namespace
 
-LiveJobs::LiveJobs(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+LiveJobs::LiveJobs(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
                    Ended ended)
     : timers_(timers), state_(state), settings_(settings), told_ended_(std::move(ended)) {}
 
@@ -58,19 +58,20 @@
 }
 
 void LiveJobs::read_all(std::vector<Question> batch) {
-    state_.list(keys::jobs, kv::Rank::read, [this, batch = std::move(batch)](kv::Listed l) mutable {
-        if (l.ok) {
-            jobs_.clear();
-            awaits_.clear();
-            for (auto& e : l.entries) take(e.key, e.version, &e.value);
-            revision_ = l.revision;
-        }
-        answer(std::move(batch), l.ok);
-    });
+    state_.list(keys::jobs, kv::RequestPriority::read,
+                [this, batch = std::move(batch)](kv::ListResult l) mutable {
+                    if (l.ok) {
+                        jobs_.clear();
+                        awaits_.clear();
+                        for (auto& e : l.entries) take(e.key, e.version, &e.value);
+                        revision_ = l.revision;
+                    }
+                    answer(std::move(batch), l.ok);
+                });
 }
 void LiveJobs::read_changes(std::vector<Question> batch) {
-    using S = kv::Watched::Status;
-    state_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](kv::Watched w) mutable {
+    using S = kv::WatchResult::Status;
+    state_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](kv::WatchResult w) mutable {
         if (w.status == S::too_old) {
             revision_ = 0;
             return read_all(std::move(batch));
@@ -88,7 +89,7 @@
 // the requests left when jobs end by the score. Should it fail, those who ask read them singly.
 void LiveJobs::read_ends(std::vector<Question> batch, std::uint64_t since) {
     ++requests_;
-    state_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](kv::Watched w) mutable {
+    state_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](kv::WatchResult w) mutable {
         for (auto& e : w.events.events)
             if (e.value) told_ended_(e.key.substr(keys::finals.size()), *e.value);
         answer(std::move(batch), true);
--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -1,12 +1,12 @@
-// Which jobs are live, as the state service says when it is asked, for many questions with one request.
+// Which jobs are live, as the key-value store says when it is asked, for many questions with one request.
 //
 // A copy of the live jobs' versions is kept at some revision. A question is answered only after a request to
-// the state service that was sent after it came in: a watch that does not wait returns all changes since that
-// revision, or shows that there are none. Questions that come while one is under way go with the next.
+// the key-value store that was sent after it came in: a watch that does not wait returns all changes since
+// that revision, or shows that there are none. Questions that come while one is under way go with the next.
 //
 // A job is cancelled with any job that it awaits, directly or through others. That follows from what is
-// stored without waiting for a leader to mark it: while there is none, or no state service to write to, users
-// must not be told for longer than the platform allows that such a job still waits.
+// stored without waiting for a leader to mark it: while there is none, or no key-value store to write to,
+// users must not be told for longer than the platform allows that such a job still waits.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -31,17 +31,17 @@
         std::vector<std::string> awaits;  // those not known to be done
     };
     struct Answer {
-        bool ok = false;  // false: the state service did not answer; nothing is known
+        bool ok = false;  // false: the key-value store did not answer; nothing is known
         std::optional<Live> live;
         // Jobs before it that are not live: how they ended decides whether this one is cancelled. To be told
         // with `ended`, then asked again.
         std::vector<std::string> ends_unknown;
     };
     using Done = std::function<void(Answer)>;
-    // A final record as the state service says it; told before the questions that were asked with it.
+    // A final record as the key-value store says it; told before the questions that were asked with it.
     using Ended = std::function<void(const std::string& id, const std::string& record)>;
 
-    LiveJobs(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+    LiveJobs(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
              Ended ended = {});
     void confirm(const std::string& id, Done done);
     void ended(const std::string& id, protocol::JobState state);  // for ever
@@ -70,11 +70,11 @@
     void answer(std::vector<Question> batch, bool ok);
 
     event_loop::Timers& timers_;
-    kv::Client& state_;
+    kv::KvClient& state_;
     const config::Settings& settings_;
     Ended told_ended_;
     std::unordered_map<std::string, Live> jobs_;
-    jobs::Awaits awaits_;
+    jobs::DependencyGraph awaits_;
     std::uint64_t revision_ = 0;  // 0: all must be read first
     std::uint64_t questions_ = 0, requests_ = 0;
     std::vector<Question> waiting_;
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t finals_per_mb = 500;  // cached final states for each MB of memory that is granted
 }  // namespace
 
-std::size_t most_awaited(std::size_t txn_ops) {
+std::size_t max_dependencies(std::size_t txn_ops) {
     constexpr std::size_t conditions_per_op = 4, own = 2;
     return txn_ops * conditions_per_op - own;
 }
@@ -39,19 +39,19 @@
                              [&](auto& t) { return t.name == job.team; });
     if (team == settings.teams.end()) return {false, "unknown team"};
     bool fits = std::any_of(types.begin(), types.end(), [&](auto& t) {
-        return t.room.holds(job.need) && std::any_of(t.zones.begin(), t.zones.end(), [&](auto& z) {
+        return t.room.fits(job.request) && std::any_of(t.zones.begin(), t.zones.end(), [&](auto& z) {
                    return scheduler::type_allowed(job, t.name, z, false);
                });
     });
     if (!fits) return {false, "a task fits no allowed machine type"};
-    double at_once = job.kind == protocol::Kind::array ? 1 : static_cast<double>(job.tasks);
-    if (!scheduler::team_allows(*team, {}, job.need.times(at_once)))
+    double at_once = job.kind == protocol::JobKind::array ? 1 : static_cast<double>(job.tasks);
+    if (!scheduler::team_allows(*team, {}, job.request.times(at_once)))
         return {false, "more than the team's limit"};
     return {};
 }
 
-Users::Users(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
-             ClusterQueries& around)
+UserApi::UserApi(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
+                 ClusterQueries& around)
     : timers_(timers),
       state_(state),
       settings_(settings),
@@ -67,21 +67,22 @@
       admission_(settings) {}
 
 // With all of them forgotten at once, each was read again by everybody who still asked.
-void Users::keep_final(const std::string& id, const protocol::FinalRecord& record) {
+void UserApi::keep_final(const std::string& id, const protocol::FinalRecord& record) {
     if (!finals_.emplace(id, record).second) return;
     finals_order_.push_back(id);
     if (finals_order_.size() <= settings_.memory_mb * finals_per_mb) return;
     finals_.erase(finals_order_.front());
     finals_order_.pop_front();
 }
-bool Users::accepted_before(const std::string& id) const {
+bool UserApi::accepted_before(const std::string& id) const {
     return finals_.contains(id) || live_.last_known(id);
 }
 
 // Live first, then final: a job moves in that direction only, in one transaction, so a job that is in neither
 // was not accepted when the reads began. With a read for each question, users who asked eight times as often
-// used up the requests that the state service allows, and half of them got no answer.
-void Users::look_up(const std::string& id, std::function<void(Known)> done, kv::Rank rank, int tries) {
+// used up the requests that the key-value store allows, and half of them got no answer.
+void UserApi::look_up(const std::string& id, std::function<void(Known)> done, kv::RequestPriority rank,
+                      int tries) {
     if (auto it = finals_.find(id); it != finals_.end()) return done({true, {}, it->second});
     if (tries >= look_up_tries) return done({});
     live_.confirm(id, [this, id, done, rank, tries](LiveJobs::Answer a) {
@@ -91,8 +92,8 @@
     });
 }
 // Whether the job is cancelled hangs on how others ended, each of which is read once for all that await it.
-void Users::read_ends(const std::string& id, const std::vector<std::string>& ends,
-                      std::function<void(Known)> done, kv::Rank rank, int tries) {
+void UserApi::read_ends(const std::string& id, const std::vector<std::string>& ends,
+                        std::function<void(Known)> done, kv::RequestPriority rank, int tries) {
     auto left = std::make_shared<std::size_t>(ends.size());
     for (auto& end : ends)
         read_final(
@@ -106,14 +107,14 @@
 // One read for all who ask: of a long pipeline hundreds may hang on how the same job ended. A final state
 // holds for ever, so those who came while the read was under way may have it, too; that there is none is an
 // answer to those only who asked before the read.
-void Users::read_final(const std::string& id, std::function<void(Known)> done, kv::Rank rank) {
+void UserApi::read_final(const std::string& id, std::function<void(Known)> done, kv::RequestPriority rank) {
     if (auto it = finals_.find(id); it != finals_.end()) return done({true, {}, it->second});
     auto [it, first] = reading_.try_emplace(id);
     (first ? it->second.asked : it->second.later).push_back(std::move(done));
     if (first) send_read(id, rank);
 }
-void Users::send_read(const std::string& id, kv::Rank rank) {
-    state_.get(keys::final(id), rank, [this, id, rank](kv::Found f) {
+void UserApi::send_read(const std::string& id, kv::RequestPriority rank) {
+    state_.get(keys::final(id), rank, [this, id, rank](kv::GetResult f) {
         Known k{f.ok, {}, {}};
         if (f.entry) try {
                 k.final = protocol::parse_final_record(f.entry->value);
@@ -133,7 +134,7 @@
     });
 }
 
-void Users::answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply) {
+void UserApi::answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply) {
     if (k.final) {
         protocol::JobStatus s{id, k.final->state, {}, {}};
         if (with_counts) {
@@ -143,7 +144,7 @@
         return reply(status(200, s));
     }
     if (k.live->cancelled) return reply(status(200, {id, JobState::cancelled, {}, {}}));
-    // Counts are for display only; whether the job is over was read from the state service just now.
+    // Counts are for display only; whether the job is over was read from the key-value store just now.
     cluster_.counts(id, [id, with_counts, reply](std::optional<TaskCounts> c) {
         protocol::JobStatus s{id, c && c->running > 0 ? JobState::running : JobState::queued, {}, {}};
         if (with_counts) {
@@ -154,20 +155,20 @@
     });
 }
 
-void Users::answer(const std::string& id, const Known& k, bool with_counts, http::Reply reply) {
+void UserApi::answer(const std::string& id, const Known& k, bool with_counts, http::Reply reply) {
     if (!k.ok) return reply(later());
     if (k.unknown()) return reply({404, protocol::error_body("no such job")});
     answer_known(id, k, with_counts, std::move(reply));
 }
 
-void Users::query(const std::string& id, http::Reply reply) {
+void UserApi::query(const std::string& id, http::Reply reply) {
     if (!protocol::valid_job_id(id)) return reply({404, protocol::error_body("no such job")});
     look_up(id, [this, id, reply](Known k) { answer(id, k, true, reply); });
 }
 
 // An accepted job's retry is answered with its state, whatever the rest of the body now says.
-void Users::refuse_unless_known(const std::optional<std::string>& id, http::Response refusal,
-                                http::Reply reply) {
+void UserApi::refuse_unless_known(const std::optional<std::string>& id, http::Response refusal,
+                                  http::Reply reply) {
     if (!id) return reply(std::move(refusal));
     look_up(
         *id,
@@ -176,10 +177,10 @@
             if (k.unknown()) return reply(refusal);
             answer_known(id, k, false, reply);
         },
-        kv::Rank::accept);
+        kv::RequestPriority::accept);
 }
 
-void Users::submit(const std::string& body, http::Reply reply) {
+void UserApi::submit(const std::string& body, http::Reply reply) {
     protocol::Job job;
     try {
         job = protocol::parse_job(body);
@@ -204,7 +205,7 @@
     s->reply = std::move(reply);
     if (s->job.awaits.empty()) return accept(s);
     // A retry is answered before the awaited jobs are judged.
-    auto most = most_awaited(state_.limits().txn_ops());
+    auto most = max_dependencies(state_.limits().txn_ops());
     if (s->job.awaits.size() > most)
         return refuse_unless_known(
             id, {422, protocol::error_body("awaits more than " + std::to_string(most) + " jobs")}, s->reply);
@@ -216,12 +217,12 @@
             if (admission_.admit(s->job.team, timers_.now())) return look_up_awaited(s);
             refuse_for_now(s);
         },
-        kv::Rank::accept);
+        kv::RequestPriority::accept);
 }
 
 // A repetition costs no change: users who looked closely repeated each submission at all controllers, and the
 // transactions that failed on that took the changes that other submissions waited for.
-void Users::accept(std::shared_ptr<Submission> s) {
+void UserApi::accept(std::shared_ptr<Submission> s) {
     auto& id = s->job.id;
     if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
     bool known = accepted_before(id), place = admission_.has_place(s->job.team, timers_.now());
@@ -235,7 +236,7 @@
         admit(s);
     });
 }
-void Users::answer_known_or_admit(std::shared_ptr<Submission> s) {
+void UserApi::answer_known_or_admit(std::shared_ptr<Submission> s) {
     auto& id = s->job.id;
     look_up(
         id,
@@ -245,19 +246,19 @@
             if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
             admit(s);
         },
-        kv::Rank::accept);
+        kv::RequestPriority::accept);
 }
-void Users::admit(std::shared_ptr<Submission> s) {
+void UserApi::admit(std::shared_ptr<Submission> s) {
     if (admission_.admit(s->job.team, timers_.now())) return store(s);
     refuse_for_now(s);
 }
-void Users::refuse_for_now(const std::shared_ptr<Submission>& s) {
+void UserApi::refuse_for_now(const std::shared_ptr<Submission>& s) {
     s->reply(put_off(admission_.retry_after_s(s->job.team, timers_.now())));
 }
 
 // Each awaited job is looked up, and the transaction then holds on to what was found: if one that was live is
 // cancelled or over before the job is stored, nothing is stored and all are looked up again.
-void Users::look_up_awaited(std::shared_ptr<Submission> s) {
+void UserApi::look_up_awaited(std::shared_ptr<Submission> s) {
     s->asked = s->job.awaits.size();
     s->unanswered = s->cancelled = false;
     s->unknown.clear();
@@ -277,9 +278,9 @@
                 }
                 if (--s->asked == 0) judge_awaited(s);
             },
-            kv::Rank::accept);
+            kv::RequestPriority::accept);
 }
-void Users::judge_awaited(std::shared_ptr<Submission> s) {
+void UserApi::judge_awaited(std::shared_ptr<Submission> s) {
     if (!s->unknown.empty())
         return refuse_unless_known(
             s->job.id, {422, protocol::error_body("awaits " + s->unknown + ", which was never accepted")},
@@ -289,7 +290,7 @@
     store(s);
 }
 
-void Users::store(std::shared_ptr<Submission> s) {
+void UserApi::store(std::shared_ptr<Submission> s) {
     auto id = s->job.id;
     protocol::JobRecord record{s->job, timers_.unix_time(), s->cancelled};
     // Those that are done need not be kept, nor any once the job is cancelled.
@@ -312,8 +313,8 @@
         if (others)
             for (auto& other : others.mapped()) refuse_unless_known(id, later(), other);
     };
-    state_.txn(std::move(t), kv::Rank::accept, [this, id, s](kv::Committed c) {
-        using S = kv::Committed::Status;
+    state_.txn(std::move(t), kv::RequestPriority::accept, [this, id, s](kv::TxnResult c) {
+        using S = kv::TxnResult::Status;
         if (c.status == S::committed)
             return s->reply(status(201, {id, s->cancelled ? JobState::cancelled : JobState::queued, {}, {}}));
         if (c.status != S::unknown) admission_.give_back(s->job.team, timers_.now());
@@ -332,7 +333,7 @@
 
 // What is told of a cancelled or finished job holds for ever, so all who ask for the same meanwhile may have
 // it.
-void Users::cancel(const std::string& id, http::Reply reply) {
+void UserApi::cancel(const std::string& id, http::Reply reply) {
     if (!protocol::valid_job_id(id)) return reply({404, protocol::error_body("no such job")});
     if (auto it = finals_.find(id); it != finals_.end())
         return answer_known(id, {true, {}, it->second}, false, reply);
@@ -345,22 +346,22 @@
             id, [this, id](http::Response a) { cancel_answered(id, a); }, 0);
 }
 // That there is no such job is an answer only to who asked before it was read: the others ask again.
-void Users::cancel_answered(const std::string& id, const http::Response& answer) {
+void UserApi::cancel_answered(const std::string& id, const http::Response& answer) {
     auto askers = std::move(cancelling_.extract(id).mapped());
     for (std::size_t k = 0; k < askers.size(); ++k)
         askers[k](k > 0 && answer.status == 404 ? later() : answer);
 }
-void Users::send_cancel(const std::string& id, http::Reply reply, int tries) {
+void UserApi::send_cancel(const std::string& id, http::Reply reply, int tries) {
     if (tries >= cancel_tries) return reply(later());
     // The record itself is needed, to be written again.
-    state_.get(keys::job(id), kv::Rank::user, [this, id, reply, tries](kv::Found f) {
+    state_.get(keys::job(id), kv::RequestPriority::user, [this, id, reply, tries](kv::GetResult f) {
         if (!f.ok) return reply(later());
         if (f.entry) return store_cancelled(id, *f.entry, reply, tries);
         read_final(id, [this, id, reply](Known k) { answer(id, k, false, reply); });
     });
 }
-void Users::store_cancelled(const std::string& id, const protocol::Entry& entry, http::Reply reply,
-                            int tries) {
+void UserApi::store_cancelled(const std::string& id, const protocol::Entry& entry, http::Reply reply,
+                              int tries) {
     protocol::JobRecord record;
     try {
         record = protocol::parse_job_record(entry.value);
@@ -382,8 +383,8 @@
     if (value.size() > state_.limits().value_bytes())
         value = protocol::stored(protocol::shortened(std::move(record)));
     t.changes = {{keys::job(id), std::move(value), 0}};
-    state_.txn(std::move(t), kv::Rank::user, [this, id, reply, tries](kv::Committed c) {
-        using S = kv::Committed::Status;
+    state_.txn(std::move(t), kv::RequestPriority::user, [this, id, reply, tries](kv::TxnResult c) {
+        using S = kv::TxnResult::Status;
         if (c.status == S::committed) {
             cluster_.cancelled(id, c.revision);
             return reply(status(200, {id, JobState::cancelled, {}, {}}));
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -1,4 +1,4 @@
-// The users' interface: submit, query, cancel, on any controller, on the authority of the state service.
+// The users' interface: submit, query, cancel, on any controller, on the authority of the key-value store.
 #pragma once
 #include <deque>
 #include <optional>
@@ -25,7 +25,7 @@
               const config::Settings& settings);
 
 // How many jobs one may await: a condition of the transaction for each, beside two of its own.
-std::size_t most_awaited(std::size_t txn_ops);
+std::size_t max_dependencies(std::size_t txn_ops);
 
 struct TaskCounts {
     std::uint64_t done = 0, running = 0;
@@ -40,10 +40,10 @@
     virtual void cancelled(const std::string& id, std::uint64_t version) = 0;
 };
 
-class Users {
+class UserApi {
   public:
-    Users(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
-          ClusterQueries& around);
+    UserApi(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
+            ClusterQueries& around);
     void submit(const std::string& body, http::Reply reply);
     void query(const std::string& id, http::Reply reply);
     void cancel(const std::string& id, http::Reply reply);
@@ -52,7 +52,7 @@
 
   private:
     struct Known {
-        bool ok = false;  // false: the state service did not answer
+        bool ok = false;  // false: the key-value store did not answer
         std::optional<LiveJobs::Live> live;
         std::optional<protocol::FinalRecord> final;
         bool unknown() const { return ok && !live && !final; }
@@ -69,14 +69,15 @@
         std::vector<protocol::Condition> conditions;
     };
     // Reads for submissions have their rank, and wait behind no questions.
-    void look_up(const std::string& id, std::function<void(Known)> done, kv::Rank rank = kv::Rank::read,
-                 int tries = 0);
+    void look_up(const std::string& id, std::function<void(Known)> done,
+                 kv::RequestPriority rank = kv::RequestPriority::read, int tries = 0);
     void read_ends(const std::string& id, const std::vector<std::string>& ends,
-                   std::function<void(Known)> done, kv::Rank rank, int tries);
+                   std::function<void(Known)> done, kv::RequestPriority rank, int tries);
     void look_up_awaited(std::shared_ptr<Submission> s);
     void judge_awaited(std::shared_ptr<Submission> s);
-    void read_final(const std::string& id, std::function<void(Known)> done, kv::Rank rank = kv::Rank::read);
-    void send_read(const std::string& id, kv::Rank rank);
+    void read_final(const std::string& id, std::function<void(Known)> done,
+                    kv::RequestPriority rank = kv::RequestPriority::read);
+    void send_read(const std::string& id, kv::RequestPriority rank);
     void store_cancelled(const std::string& id, const protocol::Entry& entry, http::Reply reply, int tries);
     void answer(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
     void answer_known(const std::string& id, const Known& k, bool with_counts, http::Reply reply);
@@ -92,7 +93,7 @@
     bool accepted_before(const std::string& id) const;
 
     event_loop::Timers& timers_;
-    kv::Client& state_;
+    kv::KvClient& state_;
     const config::Settings& settings_;
     ClusterQueries& cluster_;
     LiveJobs live_;
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -11,7 +11,7 @@
 
 struct Bin {
     std::size_t pool = 0;
-    protocol::Room free;
+    protocol::Resources free;
     const MachineView* machine = nullptr;  // null: would be rented
 };
 
@@ -69,14 +69,14 @@
     scheduler::PoolSet pools_of(const protocol::Job& job, const scheduler::ZoneCounts& zones) const {
         return scheduler::allowed_pools(job, zones, in_.pools);
     }
-    void pack(const Need& n) {
+    void pack(const UnplacedDemand& n) {
         auto zones = n.zones;
         zones.resize(in_.zones);
         auto pools = pools_of(*n.job, zones);
         bool zoned = n.job->spread || n.job->one_zone;
         std::size_t lit_at = 0, dark_at = 0;  // bins before have no room for another of these tasks
         auto find = [&](std::vector<Bin>& bins, std::size_t& at, bool in_dark) -> Bin* {
-            while (at < bins.size() && !(pools[bins[at].pool] && bins[at].free.holds(n.job->need))) ++at;
+            while (at < bins.size() && !(pools[bins[at].pool] && bins[at].free.fits(n.job->request))) ++at;
             return at < bins.size() || open(*n.job, pools, in_dark) ? &bins[at] : nullptr;
         };
         for (std::size_t k = 0; k < n.count; ++k) {
@@ -85,7 +85,7 @@
             auto* to = find(bins_, lit_at, false);
             if (!to) to = find(dark_bins_, dark_at, true);
             if (!to) return;
-            to->free -= n.job->need;
+            to->free -= n.job->request;
             if (!zoned) continue;
             ++zones[pool(to->pool).zone_index];
             pools = pools_of(*n.job, zones);
@@ -98,10 +98,11 @@
         double best_cost = 0;
         for (std::size_t p = 0; p < pools.size(); ++p) {
             auto* t = rented_type_[p];
-            if (!t || !pools[p] || dark(p) != in_dark || !t->room.holds(job.need) || in_.refused.contains(p))
+            if (!t || !pools[p] || dark(p) != in_dark || !t->room.fits(job.request) ||
+                in_.refused.contains(p))
                 continue;
-            double holds = t->room.gpus > 0 && job.need.gpus > 0 ? t->room.gpus / job.need.gpus : 1;
-            if (job.need.cpus > 0) holds = std::min(holds, t->room.cpus / job.need.cpus);
+            double holds = t->room.gpus > 0 && job.request.gpus > 0 ? t->room.gpus / job.request.gpus : 1;
+            if (job.request.cpus > 0) holds = std::min(holds, t->room.cpus / job.request.cpus);
             double cost = (pool(p).spot ? t->spot_price : t->price) / std::max(1.0, std::floor(holds));
             bool better = !best || cost < best_cost - 1e-9 ||
                           (cost < best_cost + 1e-9 &&
@@ -124,7 +125,7 @@
     // What the teams are guaranteed together, in machines of the largest type: they need not wait for it, so
     // it is there once anybody works.
     double guaranteed() const {
-        protocol::Room sum, largest;
+        protocol::Resources sum, largest;
         for (auto& t : settings_.teams) sum += {t.cpus, t.gpus, 0};
         for (auto& t : in_.types) {
             largest.cpus = std::max(largest.cpus, t.room.cpus);
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -6,14 +6,14 @@
 namespace coralhitch::cloud {
 using protocol::Malformed;
 
-Client::Client(event_loop::Timers& timers, http::Requester& http, const config::Settings& s)
+CloudClient::CloudClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& s)
     : timers_(timers),
       http_(http),
       settings_(s),
       // The other controllers ask now and then too, hence not all of it.
       bucket_(s.cloud_rps * 0.7, std::max(1.0, s.cloud_rps * 0.7)) {}
 
-void Client::submit(http::Request r, bool urgent, http::Result done) {
+void CloudClient::submit(http::Request r, bool urgent, http::Result done) {
     Call c{std::move(r), std::move(done)};
     if (urgent)
         queue_.push_front(std::move(c));
@@ -21,7 +21,7 @@
         queue_.push_back(std::move(c));
     pump();
 }
-void Client::pump() {
+void CloudClient::pump() {
     double now = timers_.now();
     while (!queue_.empty() && bucket_.has(now)) {
         bucket_.take(now);
@@ -37,7 +37,7 @@
     });
 }
 
-void Client::types(std::function<void(std::optional<std::vector<protocol::MachineType>>)> done) {
+void CloudClient::types(std::function<void(std::optional<std::vector<protocol::MachineType>>)> done) {
     submit({"GET", std::string(protocol::paths::types), {}}, false, [done](std::optional<http::Response> r) {
         try {
             if (r && r->status == 200) return done(protocol::parse_types(r->body));
@@ -46,11 +46,11 @@
         done(std::nullopt);
     });
 }
-void Client::hosts(std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
+void CloudClient::hosts(std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
     host_page(std::make_shared<std::vector<protocol::Host>>(), "", std::move(done));
 }
-void Client::host_page(std::shared_ptr<std::vector<protocol::Host>> acc, std::string after,
-                       std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
+void CloudClient::host_page(std::shared_ptr<std::vector<protocol::Host>> acc, std::string after,
+                            std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
     submit({"GET", protocol::paths::host_list(after, 500), {}}, false,
            [this, acc, done](std::optional<http::Response> r) {
                try {
@@ -64,23 +64,23 @@
                }
            });
 }
-void Client::rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                  int count, std::function<void(Rented)> done) {
+void CloudClient::rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
+                       int count, std::function<void(CreateMachinesResult)> done) {
     submit(
         {"POST", std::string(protocol::paths::hosts), protocol::rent_request(name, type, zone, spot, count)},
         false, [done](std::optional<http::Response> r) {
-            Rented out;
+            CreateMachinesResult out;
             try {
                 if (r && r->status == 200)
-                    out = {Rented::Status::rented, protocol::parse_rented(r->body)};
+                    out = {CreateMachinesResult::Status::rented, protocol::parse_rented(r->body)};
                 else if (r && r->status == 503 && r->body.find("no capacity") != std::string::npos)
-                    out.status = Rented::Status::no_capacity;
+                    out.status = CreateMachinesResult::Status::no_capacity;
             } catch (const Malformed&) {
             }
             done(std::move(out));
         });
 }
-void Client::remove(std::vector<std::string> machines, std::function<void(bool)> done) {
+void CloudClient::remove(std::vector<std::string> machines, std::function<void(bool)> done) {
     submit({"POST", std::string(protocol::paths::hosts_delete), protocol::delete_request(machines)}, true,
            [done](std::optional<http::Response> r) { done(r && r->status == 200); });
 }
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -9,18 +9,18 @@
 
 namespace coralhitch::cloud {
 
-struct Rented {
+struct CreateMachinesResult {
     enum class Status { rented, no_capacity, failed } status = Status::failed;
     std::vector<std::string> machines;
 };
 
-class Client {
+class CloudClient {
   public:
-    Client(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
+    CloudClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
     void types(std::function<void(std::optional<std::vector<protocol::MachineType>>)> done);
     void hosts(std::function<void(std::optional<std::vector<protocol::Host>>)> done);
     void rent(const std::string& name, const std::string& type, const std::string& zone, bool spot, int count,
-              std::function<void(Rented)> done);
+              std::function<void(CreateMachinesResult)> done);
     // true: by the time of the answer the machines and all on them are gone
     void remove(std::vector<std::string> machines, std::function<void(bool)> done);
     static constexpr int rent_most = 50;
@@ -38,7 +38,7 @@
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    event_loop::Bucket bucket_;
+    event_loop::TokenBucket bucket_;
     std::deque<Call> queue_;
     bool armed_ = false;
 };
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -4,22 +4,22 @@
 #include <limits>
 
 namespace coralhitch::cluster {
-using protocol::Cause;
 using protocol::Command;
-using protocol::Op;
+using protocol::CommandKind;
+using protocol::ExitCause;
 using protocol::TaskState;
 
-protocol::Room Machine::free() const {
-    protocol::Room room = total;
+protocol::Resources Machine::free() const {
+    protocol::Resources room = total;
     for (auto& [id, t] : tasks)
-        if (t.spec) room -= t.spec->need;
+        if (t.spec) room -= t.spec->request;
     return room;
 }
-bool Machine::has_unknown() const {
+bool Machine::has_orphaned_instance() const {
     return std::any_of(tasks.begin(), tasks.end(), [](auto& t) { return !t.second.spec; });
 }
 
-bool Machine::runs_any() const {
+bool Machine::has_reported_instances() const {
     return std::any_of(tasks.begin(), tasks.end(), [](auto& t) { return t.second.seen; });
 }
 
@@ -82,7 +82,7 @@
     if (!m.images || *m.images != images)
         m.images = std::make_shared<const protocol::Images>(std::move(images));
 }
-void ClusterState::flush_later(Machine& m) {
+void ClusterState::schedule_flush(Machine& m) {
     if (m.unsent) return;
     m.unsent = true;
     to_flush_.push_back(m.id);
@@ -122,23 +122,24 @@
     return m;
 }
 
-std::vector<End> ClusterState::vanish_all(Machine& m) {
-    std::vector<End> ends;
+std::vector<InstanceEnd> ClusterState::terminate_all(Machine& m) {
+    std::vector<InstanceEnd> ends;
     for (auto& [id, t] : m.tasks)
         if (t.confirmed)
-            ends.push_back({m.id, id, t.attempt, false, t.stray, Cause::none, false, t.running_since >= 0});
+            ends.push_back(
+                {m.id, id, t.attempt, false, t.orphaned, ExitCause::none, false, t.running_since >= 0});
     m.tasks.clear();
     m.ended.clear();
     return ends;
 }
 
-ReportOutcome ClusterState::apply_report(const protocol::Report& r, Via via, double now,
-                                         const Lookup& lookup) {
-    ReportOutcome outcome;
+HeartbeatOutcome ClusterState::apply_heartbeat(const protocol::Heartbeat& r, Via via, double now,
+                                               const Lookup& lookup) {
+    HeartbeatOutcome outcome;
     // A machine once deleted stays gone; what still arrives from it was under way.
-    outcome.gone = is_gone(r.machine);
+    outcome.gone = is_deleted(r.machine);
     outcome.deposed = !outcome.gone && r.token >= base_ + tokens_per_leadership;
-    outcome.gone |= !outcome.deposed && shows_what_is_over(r, via);
+    outcome.gone |= !outcome.deposed && is_from_terminated_epoch(r, via);
     if (outcome.gone || outcome.deposed) return outcome;
     auto& m = add(r.machine, r.addr, r.type, r.zone, r.spot, Machine::Life::up, now);
     if (!is_newer(m, r, via)) {
@@ -149,12 +150,12 @@
     m.confirmed |= sent_since_begin(r, via);
     outcome.fresh = outcome.current = true;
     // Of one that was known before it reconciled those who follow know what is on it, too.
-    bool changed = r.session > m.session || (r.token >= base_ && !m.reconciled && !m.known);
-    if (r.session > m.session && m.session > 0) {
-        // Proof: a worker that moves on to a new session has killed and forgotten all tasks of the old one.
-        // Commands under way for the old session are refused by the worker.
-        outcome.ends = vanish_all(m);
-        m.hello_sequence = 0;
+    bool changed = r.agent_epoch > m.agent_epoch || (r.token >= base_ && !m.reconciled && !m.known);
+    if (r.agent_epoch > m.agent_epoch && m.agent_epoch > 0) {
+        // Proof: a worker that moves on to a new agent epoch has killed and forgotten all tasks of the old
+        // one. Commands under way for the old agent epoch are refused by the worker.
+        outcome.ends = terminate_all(m);
+        m.heartbeat_sequence = 0;
     }
     apply_header(m, r, via, now);
     std::set<std::pair<protocol::TaskId, std::uint64_t>> shown_ended;
@@ -165,10 +166,10 @@
             apply_exited(m, t, outcome);
         } else {
             shown.insert(t.task);
-            changed |= apply_present(m, t, now, lookup, outcome);
+            changed |= apply_reported(m, t, now, lookup, outcome);
         }
     }
-    apply_absent(m, shown, r.token, outcome);
+    terminate_unreported(m, shown, r.token, outcome);
     std::erase_if(m.ended, [&](auto& e) { return !shown_ended.contains(e.first) && e.second.stored; });
     if (!m.tasks.empty()) m.idle_since = now;
     if (changed || !outcome.ends.empty() || !outcome.found.empty()) mark_dirty(m);
@@ -176,59 +177,61 @@
 }
 
 // The worker had heard of this leader when it sent it.
-bool ClusterState::sent_since_begin(const protocol::Report& r, Via via) const {
+bool ClusterState::sent_since_begin(const protocol::Heartbeat& r, Via via) const {
     return via == Via::direct || r.token >= base_;
 }
-// The larger (session, sequence) is the newer one, an older one changes nothing. But a report from before
+// The larger (agent epoch, sequence) is the newer one, an older one changes nothing. But a report from before
 // this leader began may be of another life of the machine, which had come further; what the leader before
 // told is not.
-bool ClusterState::is_newer(const Machine& m, const protocol::Report& r, Via via) const {
-    if (std::pair(r.session, r.sequence) > std::pair(m.session, m.sequence)) return true;
+bool ClusterState::is_newer(const Machine& m, const protocol::Heartbeat& r, Via via) const {
+    if (std::pair(r.agent_epoch, r.sequence) > std::pair(m.agent_epoch, m.sequence)) return true;
     bool asked = via == Via::direct;
-    return !m.confirmed && !m.known && (r.token >= base_ || (asked && r.session < m.session));
+    return !m.confirmed && !m.known && (r.token >= base_ || (asked && r.agent_epoch < m.agent_epoch));
 }
 
 // Reports, and copies of them, may come well over a lease late. A machine is stored before its first `run`,
 // so tasks can't be on one that is not: it was deleted under an earlier leader. Nor is anything left of a
-// session whose lease is out. Taken for true, such a report brought tasks back that ran elsewhere, and those
-// were stopped. What the machine answers now counts. A report that may be from before this leader began tells
-// of tasks only if an earlier leader may have started some, and nothing newer is known.
-bool ClusterState::shows_what_is_over(const protocol::Report& r, Via via) {
+// agent epoch whose lease is out. Taken for true, such a report brought tasks back that ran elsewhere, and
+// those were stopped. What the machine answers now counts. A report that may be from before this leader began
+// tells of tasks only if an earlier leader may have started some, and nothing newer is known.
+bool ClusterState::is_from_terminated_epoch(const protocol::Heartbeat& r, Via via) {
     bool asked = via == Via::direct;
     auto* known = find(r.machine);
     if (!asked && !r.tasks.empty() && (!known || !known->stored)) return true;
     bool old = !sent_since_begin(r, via) && !(known && known->confirmed);
     bool awaited = known && known->stored_before && !known->reconciled;
     if (old && !r.tasks.empty() && !awaited) return true;
-    return known && (r.session <= known->over || (known->unproven && !asked));
+    return known && (r.agent_epoch <= known->over || (known->unproven && !asked));
 }
 
-void ClusterState::apply_older(Machine& m, const protocol::Report& r, Via via, ReportOutcome& outcome) const {
+void ClusterState::apply_older(Machine& m, const protocol::Heartbeat& r, Via via,
+                               HeartbeatOutcome& outcome) const {
     bool asked = via == Via::direct;
     // A direct answer may overtake a report; the worker still waits for the report's answer.
-    bool overtaken = !asked && r.sequence > m.hello_sequence;
-    outcome.again = !asked && r.session == m.session && r.sequence == m.hello_sequence;
-    outcome.current = r.session == m.session && (asked || overtaken || outcome.again);
-    if (overtaken && outcome.current) m.hello_sequence = r.sequence;
+    bool overtaken = !asked && r.sequence > m.heartbeat_sequence;
+    outcome.again = !asked && r.agent_epoch == m.agent_epoch && r.sequence == m.heartbeat_sequence;
+    outcome.current = r.agent_epoch == m.agent_epoch && (asked || overtaken || outcome.again);
+    if (overtaken && outcome.current) m.heartbeat_sequence = r.sequence;
 }
 
 // All that a newer report says of the machine itself.
-void ClusterState::apply_header(Machine& m, const protocol::Report& r, Via via, double now) {
-    if (std::pair(r.session, r.sequence) < std::pair(m.session, m.sequence)) m.hello_sequence = 0;
-    m.session = r.session;
+void ClusterState::apply_header(Machine& m, const protocol::Heartbeat& r, Via via, double now) {
+    if (std::pair(r.agent_epoch, r.sequence) < std::pair(m.agent_epoch, m.sequence)) m.heartbeat_sequence = 0;
+    m.agent_epoch = r.agent_epoch;
     m.sequence = r.sequence;
-    if (via == Via::hello) m.hello_sequence = r.sequence;
+    if (via == Via::heartbeat) m.heartbeat_sequence = r.sequence;
     m.token_seen = r.token;
     m.addr = r.addr;
     m.last_heard = now;
     m.suspected = false;
     m.silent_before = 0;
     if (m.life == Machine::Life::booting) m.life = Machine::Life::up;
-    if (r.notice_s) {
-        double until = now + *r.notice_s;  // a report that came late says too much
-        m.notice_until = m.notice_until < 0 ? until : std::min(m.notice_until, until);
+    if (r.preemption_notice_s) {
+        double until = now + *r.preemption_notice_s;  // a report that came late says too much
+        m.preemption_notice_until =
+            m.preemption_notice_until < 0 ? until : std::min(m.preemption_notice_until, until);
     } else {
-        m.notice_until = -1;
+        m.preemption_notice_until = -1;
     }
     // From a report under this leader's token on, the worker drops all commands of earlier leaders, so what
     // the report shows is all there is.
@@ -236,32 +239,32 @@
 }
 
 // Proof of exit: the worker says that this attempt has exited.
-void ClusterState::apply_exited(Machine& m, const protocol::TaskReport& t, ReportOutcome& outcome) {
+void ClusterState::apply_exited(Machine& m, const protocol::TaskStatus& t, HeartbeatOutcome& outcome) {
     auto key = std::pair(t.task, t.attempt);
     if (m.ended.contains(key)) return;
-    Ended e{t.attempt, 0, 0, 0, 0, false};
-    bool started = false, stray = false;
+    ExitedTask e{t.attempt, 0, 0, 0, 0, false};
+    bool started = false, orphaned = false;
     if (auto it = m.tasks.find(t.task); it != m.tasks.end() && it->second.attempt == t.attempt) {
-        e.unsure_token = it->second.unsure_token;
+        e.unacknowledged_run_token = it->second.unacknowledged_run_token;
         e.answer_sequence = it->second.answer_sequence;
         e.direct = it->second.direct;
         e.run_token = it->second.run_token;
         started = it->second.running_since >= 0;
-        stray = it->second.stray;
+        orphaned = it->second.orphaned;
         m.tasks.erase(it);
     }
-    if (t.cause != Cause::done) e.stored = true;  // nothing to store for other ends
+    if (t.cause != ExitCause::done) e.stored = true;  // nothing to store for other ends
     m.ended.emplace(key, e);
-    if (!e.stored) ended_at_[t.task.job].insert(m.id);
-    outcome.ends.push_back({m.id, t.task, t.attempt, true, stray, t.cause, t.saved, started});
+    if (!e.stored) exited_by_job_[t.task.job].insert(m.id);
+    outcome.ends.push_back({m.id, t.task, t.attempt, true, orphaned, t.cause, t.saved, started});
 }
 
 // Returns whether another attempt was on record. What a report from before this leader began shows is no
 // evidence against what the leader before told: that holds all there is. Nor does it become a belief before
 // the machine has confirmed it: as one, it made a gang that ran elsewhere by now stop when the next report
 // did not show it.
-bool ClusterState::apply_present(Machine& m, const protocol::TaskReport& t, double now, const Lookup& lookup,
-                                 ReportOutcome& outcome) {
+bool ClusterState::apply_reported(Machine& m, const protocol::TaskStatus& t, double now, const Lookup& lookup,
+                                  HeartbeatOutcome& outcome) {
     bool changed = false;
     auto it = m.tasks.find(t.task);
     bool on_record = it != m.tasks.end() && it->second.attempt == t.attempt;
@@ -291,8 +294,8 @@
 }
 
 // What the report does not show, though it is on record.
-void ClusterState::apply_absent(Machine& m, const std::set<protocol::TaskId>& shown, std::uint64_t token,
-                                ReportOutcome& outcome) {
+void ClusterState::terminate_unreported(Machine& m, const std::set<protocol::TaskId>& shown,
+                                        std::uint64_t token, HeartbeatOutcome& outcome) {
     for (auto it = m.tasks.begin(); it != m.tasks.end();) {
         auto& i = it->second;
         bool unsent = !i.seen && i.run_token == 0;
@@ -305,8 +308,8 @@
             // Proof: not on the machine, and every `run` for it went out under a token that the worker now
             // drops.
             if (i.confirmed)
-                outcome.ends.push_back(
-                    {m.id, it->first, i.attempt, false, i.stray, Cause::none, false, i.running_since >= 0});
+                outcome.ends.push_back({m.id, it->first, i.attempt, false, i.orphaned, ExitCause::none, false,
+                                        i.running_since >= 0});
             it = m.tasks.erase(it);
             continue;
         }
@@ -319,9 +322,9 @@
 
 // `clear` makes the worker forget an attempt, so a `run` of it that arrives afterwards would start it again.
 // An unanswered direct `run` may arrive minutes late: only a higher token, seen by the worker, stops it.
-void ClusterState::fence_unsure(Machine& m) {
+void ClusterState::fence_unacknowledged_runs(Machine& m) {
     for (auto& [key, e] : m.ended)
-        if (e.stored && e.direct == 0) raise_token(m, e.unsure_token);
+        if (e.stored && e.direct == 0) raise_token(m, e.unacknowledged_run_token);
 }
 void ClusterState::raise_token(Machine& m, std::uint64_t above) {
     if (m.token > above) return;
@@ -331,15 +334,15 @@
 
 std::vector<Command> ClusterState::answer(Machine& m, double now, bool authority) {
     std::vector<Command> out;
-    fence_unsure(m);
+    fence_unacknowledged_runs(m);
     bool ours = authority && m.reconciled && m.life == Machine::Life::up;
     // Not while a `run` is under way, which the higher token would stop, too.
     bool may_forget =
         ours && std::none_of(m.tasks.begin(), m.tasks.end(), [](auto& t) { return t.second.direct > 0; });
-    auto forgets = [&](const Ended& e) {
+    auto forgets = [&](const ExitedTask& e) {
         // An earlier answer with this `run` is executed or dropped once a later report has come in.
-        return e.stored && e.direct == 0 && m.token_seen > e.unsure_token &&
-               m.hello_sequence > e.answer_sequence;
+        return e.stored && e.direct == 0 && m.token_seen > e.unacknowledged_run_token &&
+               m.heartbeat_sequence > e.answer_sequence;
     };
     // A copy of a `run` that was answered may come late, too. From this answer on the worker drops it.
     if (may_forget)
@@ -348,18 +351,18 @@
     for (auto& [id, i] : m.tasks) {
         if (i.stop || !i.spec) {
             if (i.seen && (i.state != TaskState::saving || i.grace_s <= 0)) {
-                out.push_back({Op::stop, id, i.attempt, i.spec ? i.grace_s : 0});
+                out.push_back({CommandKind::stop, id, i.attempt, i.spec ? i.grace_s : 0});
                 if (i.stop_sent < 0) i.stop_sent = now;
             }
         } else if (!i.seen && i.ready && ours && i.run_token > 0) {
-            out.push_back({Op::start, id, i.attempt, 0});
+            out.push_back({CommandKind::start, id, i.attempt, 0});
             i.run_token = m.token;
-            i.answer_sequence = m.hello_sequence;
+            i.answer_sequence = m.heartbeat_sequence;
         }
     }
     if (may_forget)
         for (auto& [key, e] : m.ended)
-            if (forgets(e)) out.push_back({Op::forget, key.first, key.second, 0});
+            if (forgets(e)) out.push_back({CommandKind::forget, key.first, key.second, 0});
     return out;
 }
 
@@ -371,25 +374,25 @@
     for (auto& [id, i] : m.tasks) {
         if (i.stop) {
             if (i.stop_sent >= 0) continue;
-            out.push_back({Op::stop, id, i.attempt, i.grace_s});
+            out.push_back({CommandKind::stop, id, i.attempt, i.grace_s});
             i.stop_sent = now;
         } else if (i.spec && i.ready && i.told && !i.seen && i.run_token == 0) {
             if (!authority) {
                 held_back = true;
                 continue;
             }
-            out.push_back({Op::start, id, i.attempt, 0});
+            out.push_back({CommandKind::start, id, i.attempt, 0});
             i.run_token = m.token;
             ++i.direct;
         }
     }
-    if (held_back) flush_later(m);
+    if (held_back) schedule_flush(m);
     return out;
 }
 
 bool ClusterState::quiet(const Machine& m) const {
-    bool plain = m.life == Machine::Life::up && m.reconciled && m.stored && m.notice_until < 0 && !m.unsent &&
-                 m.ended.empty() && m.token == m.token_seen;
+    bool plain = m.life == Machine::Life::up && m.reconciled && m.stored && m.preemption_notice_until < 0 &&
+                 !m.unsent && m.ended.empty() && m.token == m.token_seen;
     return plain && std::all_of(m.tasks.begin(), m.tasks.end(), [](auto& t) {
                auto& i = t.second;
                return i.seen && i.spec && !i.stop && i.direct == 0;
@@ -400,10 +403,10 @@
                                bool answered) {
     auto settle = [&](auto& x) {
         --x.direct;
-        if (!answered) x.unsure_token = std::max(x.unsure_token, token);
+        if (!answered) x.unacknowledged_run_token = std::max(x.unacknowledged_run_token, token);
     };
     for (auto& c : commands) {
-        if (c.op != Op::start) continue;
+        if (c.op != CommandKind::start) continue;
         if (auto it = m.tasks.find(c.task); it != m.tasks.end() && it->second.attempt == c.attempt)
             settle(it->second);
         else if (auto e = m.ended.find({c.task, c.attempt}); e != m.ended.end())
@@ -413,7 +416,7 @@
 
 namespace {
 // Takes the place of whatever was known of the task there.
-Instance& new_instance(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt,
+Instance& new_instance(Machine& m, const protocol::TaskId& task, JobSpec spec, std::uint64_t attempt,
                        double now) {
     auto& i = m.tasks[task];
     i = Instance{};
@@ -424,17 +427,17 @@
 }
 }  // namespace
 
-Instance& ClusterState::place(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt,
+Instance& ClusterState::place(Machine& m, const protocol::TaskId& task, JobSpec spec, std::uint64_t attempt,
                               double now) {
     auto& i = new_instance(m, task, std::move(spec), attempt, now);
     i.ready = m.stored;
     i.told = !hold_starts_;
     m.idle_since = now;
-    flush_later(m);
+    schedule_flush(m);
     mark_dirty(m);
     return i;
 }
-Instance& ClusterState::inherit(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt,
+Instance& ClusterState::inherit(Machine& m, const protocol::TaskId& task, JobSpec spec, std::uint64_t attempt,
                                 double now) {
     auto& i = new_instance(m, task, std::move(spec), attempt, now);
     i.seen = true;
@@ -449,45 +452,46 @@
     i.stop = true;
     i.grace_s = grace_s;
     i.stop_sent = -1;
-    flush_later(m);
+    schedule_flush(m);
     if (!i.seen) raise_token(m, i.run_token);
 }
-void ClusterState::cancel(Machine& m, const protocol::TaskId& task, double worker_lease_bound) {
+void ClusterState::cancel(Machine& m, const protocol::TaskId& task, double lease_renewal_deadline) {
     if (auto it = m.tasks.find(task); it != m.tasks.end())
-        it->second.worker_lease_bound = std::min(it->second.worker_lease_bound, worker_lease_bound);
+        it->second.lease_renewal_deadline =
+            std::min(it->second.lease_renewal_deadline, lease_renewal_deadline);
     stop(m, task, 0);
 }
 bool ClusterState::renewable(const Machine& m, double now) const {
     return std::none_of(m.tasks.begin(), m.tasks.end(), [&](auto& t) {
         auto& i = t.second;
-        return i.stop && !i.shown && now > i.worker_lease_bound;
+        return i.stop && !i.shown && now > i.lease_renewal_deadline;
     });
 }
 void ClusterState::stored(const std::string& job, const std::set<std::uint32_t>& tasks) {
-    auto at = ended_at_.find(job);
-    if (at == ended_at_.end()) return;
+    auto at = exited_by_job_.find(job);
+    if (at == exited_by_job_.end()) return;
     for (auto& id : at->second)
         if (auto* m = find(id))
             for (auto& [key, e] : m->ended)
                 if (key.first.job == job && (tasks.empty() || tasks.contains(key.first.index)))
                     e.stored = true;
-    if (tasks.empty()) ended_at_.erase(at);
+    if (tasks.empty()) exited_by_job_.erase(at);
 }
-std::vector<End> ClusterState::removed(const std::string& id) {
+std::vector<InstanceEnd> ClusterState::removed(const std::string& id) {
     auto it = machines_.find(id);
     if (it == machines_.end()) return {};
-    auto ends = vanish_all(it->second);
+    auto ends = terminate_all(it->second);
     if (!it->second.dirty) dirty_machines_.push_back(id);
     by_id_.erase(it->first);
     machines_.erase(it);
-    gone_.insert(id);
+    deleted_machines_.insert(id);
     return ends;
 }
-std::vector<End> ClusterState::lease_out(Machine& m) {
-    auto ends = vanish_all(m);
+std::vector<InstanceEnd> ClusterState::expire_lease(Machine& m) {
+    auto ends = terminate_all(m);
     m.reconciled = true;
-    m.over = std::max(m.over, m.session);
-    m.unproven = m.session == 0;
+    m.over = std::max(m.over, m.agent_epoch);
+    m.unproven = m.agent_epoch == 0;
     mark_dirty(m);
     return ends;
 }
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -1,5 +1,5 @@
-// The leader's picture of the machines: what is on each, as proven by reports, plus what was sent since.
-// Bookkeeping only: no I/O, no clock of its own.
+// The leader's cluster state of the machines: what is on each, as proven by reports, plus what was sent
+// since. Bookkeeping only: no I/O, no clock of its own.
 //
 // The one question that matters here is "is this task surely gone from this machine?". A place is given
 // free only on proof; every branch that takes an instance away names its proof.
@@ -21,11 +21,11 @@
 
 namespace coralhitch::cluster {
 
-using Spec = std::shared_ptr<const protocol::Job>;
-using Lookup = std::function<Spec(const std::string& job)>;
+using JobSpec = std::shared_ptr<const protocol::Job>;
+using Lookup = std::function<JobSpec(const std::string& job)>;
 
 struct Instance {
-    Spec spec;  // null: a job nobody knows (any more); it is stopped, and its machine gets nothing new
+    JobSpec spec;  // null: a job nobody knows (any more); it is stopped, and its machine gets nothing new
     std::uint64_t attempt = 0;
     protocol::TaskState state = protocol::TaskState::fetching;
     bool seen = false;   // a report showed it
@@ -35,22 +35,22 @@
     bool confirmed = true;
     // Steady time, of a task that must be gone: until then its machine's lease may be renewed though it is
     // not known whether a `run` has reached it.
-    double worker_lease_bound = std::numeric_limits<double>::infinity();
+    double lease_renewal_deadline = std::numeric_limits<double>::infinity();
     bool ready = true;  // its machine is stored, so `run` may be sent
     bool told = true;   // and so may it, since those who follow this leader know of it
     bool stop = false;
     bool image_noted = false;
-    bool stray = false;  // a second instance of a task: never wanted, still counted
+    bool orphaned = false;  // a second instance of a task: never wanted, still counted
     double grace_s = 0, placed = 0, running_since = -1, stop_sent = -1;
-    std::uint64_t run_token = 0;        // highest token a `run` went out under
-    std::uint64_t unsure_token = 0;     // highest token of a direct `run` that got no answer
-    std::uint64_t answer_sequence = 0;  // the report whose answer carried the last `run`
-    int direct = 0;                     // direct `run`s under way
+    std::uint64_t run_token = 0;                 // highest token a `run` went out under
+    std::uint64_t unacknowledged_run_token = 0;  // highest token of a direct `run` that got no answer
+    std::uint64_t answer_sequence = 0;           // the report whose answer carried the last `run`
+    int direct = 0;                              // direct `run`s under way
 };
 
 // An exited task that the worker still reports.
-struct Ended {
-    std::uint64_t attempt = 0, unsure_token = 0, run_token = 0, answer_sequence = 0;
+struct ExitedTask {
+    std::uint64_t attempt = 0, unacknowledged_run_token = 0, run_token = 0, answer_sequence = 0;
     int direct = 0;
     bool stored = false;  // what it means for the job is stored, so the worker may forget it
 };
@@ -59,9 +59,9 @@
     std::string id, addr, type, zone;
     bool spot = false;
     std::size_t pool = 0;
-    protocol::Room total;
+    protocol::Resources total;
     enum class Life { booting, up, marked_for_deletion } life = Life::booting;
-    bool stored = false, storing = false;  // its key at the state service
+    bool stored = false, storing = false;  // its key at the key-value store
     bool stored_before = false;  // when this leader began, so that tasks of earlier leaders may be on it
     bool confirmed = false;      // its newest report was sent since this leader began
     bool reconciled = false;     // what is on it is known to this leader
@@ -69,20 +69,21 @@
         false;  // by the leader before: `tasks` holds all that may be on it, though it has not reconciled
     bool deletable = false;  // marked_for_deletion, and stored as such: the deletion may be asked for
     bool deleting = false;
-    std::uint64_t session = 0, sequence = 0, hello_sequence = 0;
+    std::uint64_t agent_epoch = 0, sequence = 0, heartbeat_sequence = 0;
     std::uint64_t token_seen = 0;  // the highest fencing token that its worker has shown
     std::uint64_t token = 0;       // the fencing token that commands and answers to it carry
     double created = 0, last_heard = 0, last_probe = -1, idle_since = 0;
-    double renewed = 0;      // last moment at which a controller may have renewed the worker's lease
-    double lent_until = -1;  // last moment at which a hearer that gave it back may have renewed its lease
-    std::string route;       // the controller through which its last report came; empty: the leader itself
-    double moved = -1;       // when it was last sent to another controller
-    double asked = -1;       // when this leader first asked it for a report
-    double answered = -1;    // when this leader last answered its report, before it had reconciled
-    double notice_until = -1;
+    double renewed = 0;  // last moment at which a controller may have renewed the worker's lease
+    double delegation_expiry =
+        -1;                // last moment at which a relay that gave it back may have renewed its lease
+    std::string route;     // the controller through which its last report came; empty: the leader itself
+    double moved = -1;     // when it was last sent to another controller
+    double asked = -1;     // when this leader first asked it for a report
+    double answered = -1;  // when this leader last answered its report, before it had reconciled
+    double preemption_notice_until = -1;
     bool probing = false;
     std::map<protocol::TaskId, Instance> tasks;
-    std::map<std::pair<protocol::TaskId, std::uint64_t>, Ended> ended;
+    std::map<std::pair<protocol::TaskId, std::uint64_t>, ExitedTask> ended;
     std::vector<std::pair<std::uint32_t, double>> cache;  // images and their sizes, the last used last
     std::shared_ptr<const protocol::Images>
         images;             // of `cache`; replaced, never changed: plans hold on to it
@@ -90,48 +91,50 @@
     bool unsent = false;    // among those that `to_flush` names
     bool dirty = false;     // among those that `dirty_machines` names
     std::set<std::string> error_jobs;
-    double avoid_until = 0;
+    double quarantined_until = 0;
     bool suspected = false;  // it should have been heard by now: nothing new goes there
     bool mute = false;       // no report comes, though it may answer commands: nothing new goes there either
     double silent_before = 0;  // seconds for which the leader before had not heard it; a hint
-    // All that was in sessions up to this one is proven gone by time. What shows it still came late.
+    // All that was in agent epochs up to this one is proven gone by time. What shows it still came late.
     std::uint64_t over = 0;
-    bool unproven = false;  // the same, though its session was never heard: only its own answer counts now
-    membership::Reach reach;
-    bool has_come = false;  // a report, so that `route` says by which way
-    bool runs_any() const;  // shown by the machine itself
-
-    bool doubtful() const { return suspected || mute; }
-    bool usable(double now) const { return fit(now) && !doubtful(); }
+    bool unproven =
+        false;  // the same, though its agent epoch was never heard: only its own answer counts now
+    membership::Reachability reach;
+    bool heartbeat_route_known = false;   // a report, so that `route` says by which way
+    bool has_reported_instances() const;  // shown by the machine itself
+
+    bool is_suspect() const { return suspected || mute; }
+    bool usable(double now) const { return fit(now) && !is_suspect(); }
     // But for a doubt, which may end any moment.
     bool fit(double now) const {
-        return life == Life::up && reconciled && session > 0 && notice_until < 0 && now >= avoid_until;
+        return life == Life::up && reconciled && agent_epoch > 0 && preemption_notice_until < 0 &&
+               now >= quarantined_until;
     }
-    protocol::Room free() const;
-    bool has_unknown() const;
+    protocol::Resources free() const;
+    bool has_orphaned_instance() const;
 };
 
 // A task that is proven gone from a machine.
-struct End {
+struct InstanceEnd {
     std::string machine;
     protocol::TaskId task;
     std::uint64_t attempt = 0;
-    bool reported = false;  // false: the machine, the session or the command is proven gone
-    bool stray = false;
-    protocol::Cause cause = protocol::Cause::none;
+    bool reported = false;  // false: the machine, the agent epoch or the command is proven gone
+    bool orphaned = false;
+    protocol::ExitCause cause = protocol::ExitCause::none;
     bool saved = false;
     bool started = false;  // it had its image
 };
 
-enum class Via { hello, direct };
+enum class Via { heartbeat, direct };
 
-struct ReportOutcome {
+struct HeartbeatOutcome {
     bool fresh = false;    // newer than what was known
-    bool current = false;  // of the machine's present session, so that it may be answered
+    bool current = false;  // of the machine's present agent epoch, so that it may be answered
     bool deposed = false;  // the worker has seen the token of a later leader
     bool again = false;    // the newest report once more
     bool gone = false;     // what it shows is gone: a late report
-    std::vector<End> ends;
+    std::vector<InstanceEnd> ends;
     std::vector<std::pair<protocol::TaskId, std::string>>
         found;  // instances not known before, with their machine
 };
@@ -148,7 +151,7 @@
     Machine* find(std::string_view id);
     Machine& add(const std::string& id, const std::string& addr, const std::string& type,
                  const std::string& zone, bool spot, Machine::Life life, double now);
-    ReportOutcome apply_report(const protocol::Report& r, Via via, double now, const Lookup& lookup);
+    HeartbeatOutcome apply_heartbeat(const protocol::Heartbeat& r, Via via, double now, const Lookup& lookup);
     // Commands for the answer to a report. Without authority only stops that were decided with it.
     std::vector<protocol::Command> answer(Machine& m, double now, bool authority);
 
@@ -160,10 +163,11 @@
     void direct_done(Machine& m, const std::vector<protocol::Command>& commands, std::uint64_t token,
                      bool answered);
 
-    Instance& place(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt, double now);
+    Instance& place(Machine& m, const protocol::TaskId& task, JobSpec spec, std::uint64_t attempt,
+                    double now);
     void stop(Machine& m, const protocol::TaskId& task, double grace_s);
     // The same for good, at once; see `renewable`.
-    void cancel(Machine& m, const protocol::TaskId& task, double worker_lease_bound);
+    void cancel(Machine& m, const protocol::TaskId& task, double lease_renewal_deadline);
     // Whether an answer to the last report may renew the lease. Its answer stops what it shows; what it does
     // not show may have started since, by a `run` that was held up, and would live for a lease more without a
     // command. Direct commands fence that and renew nothing.
@@ -171,11 +175,11 @@
     // What the ends of these tasks mean is stored; all tasks of the job if none are named.
     void stored(const std::string& job, const std::set<std::uint32_t>& tasks = {});
     // The deletion of the machine was answered: all on it is gone.
-    std::vector<End> removed(const std::string& id);
+    std::vector<InstanceEnd> removed(const std::string& id);
     // The worker's lease is surely out: all on it is gone, the machine itself may come back with a new
-    // session.
-    std::vector<End> lease_out(Machine& m);
-    bool is_gone(const std::string& id) const { return gone_.contains(id); }
+    // agent epoch.
+    std::vector<InstanceEnd> expire_lease(Machine& m);
+    bool is_deleted(const std::string& id) const { return deleted_machines_.contains(id); }
 
     std::map<std::string, Machine>& machines() { return machines_; }
     const std::map<std::string, Machine>& machines() const { return machines_; }
@@ -192,34 +196,35 @@
     // Machines for which direct commands may be due; walking all of them after every report took longer than
     // the reports themselves.
     std::vector<std::string> to_flush() { return std::exchange(to_flush_, {}); }
-    void flush_later(Machine& m);
+    void schedule_flush(Machine& m);
     // Machines of which something has changed that a follower must know.
     std::vector<std::string> dirty_machines();
     // New starts are held back until they are `told`.
     void hold_starts() { hold_starts_ = true; }
     // What a leader before this one, which told all it started, knew to be on the machine: it may be there. A
     // report under this leader's token proves what is; the predecessor's tokens were all lower.
-    Instance& inherit(Machine& m, const protocol::TaskId& task, Spec spec, std::uint64_t attempt, double now);
+    Instance& inherit(Machine& m, const protocol::TaskId& task, JobSpec spec, std::uint64_t attempt,
+                      double now);
 
   private:
     // The steps of `apply_report`; those that find something out add it to the outcome.
-    bool sent_since_begin(const protocol::Report& r, Via via) const;
-    bool is_newer(const Machine& m, const protocol::Report& r, Via via) const;
-    bool shows_what_is_over(const protocol::Report& r, Via via);
-    void apply_older(Machine& m, const protocol::Report& r, Via via, ReportOutcome& outcome) const;
-    void apply_header(Machine& m, const protocol::Report& r, Via via, double now);
-    void apply_exited(Machine& m, const protocol::TaskReport& t, ReportOutcome& outcome);
-    bool apply_present(Machine& m, const protocol::TaskReport& t, double now, const Lookup& lookup,
-                       ReportOutcome& outcome);
-    void apply_absent(Machine& m, const std::set<protocol::TaskId>& shown, std::uint64_t token,
-                      ReportOutcome& outcome);
+    bool sent_since_begin(const protocol::Heartbeat& r, Via via) const;
+    bool is_newer(const Machine& m, const protocol::Heartbeat& r, Via via) const;
+    bool is_from_terminated_epoch(const protocol::Heartbeat& r, Via via);
+    void apply_older(Machine& m, const protocol::Heartbeat& r, Via via, HeartbeatOutcome& outcome) const;
+    void apply_header(Machine& m, const protocol::Heartbeat& r, Via via, double now);
+    void apply_exited(Machine& m, const protocol::TaskStatus& t, HeartbeatOutcome& outcome);
+    bool apply_reported(Machine& m, const protocol::TaskStatus& t, double now, const Lookup& lookup,
+                        HeartbeatOutcome& outcome);
+    void terminate_unreported(Machine& m, const std::set<protocol::TaskId>& shown, std::uint64_t token,
+                              HeartbeatOutcome& outcome);
     void mark_dirty(Machine& m);
     void know_type(protocol::Pool& p) const;
     std::size_t pool_of(const std::string& type, const std::string& zone, bool spot);
     void used_image(Machine& m, const protocol::Job& job);
     void trim_cache(Machine& m);
-    std::vector<End> vanish_all(Machine& m);
-    void fence_unsure(Machine& m);
+    std::vector<InstanceEnd> terminate_all(Machine& m);
+    void fence_unacknowledged_runs(Machine& m);
     void raise_token(Machine& m, std::uint64_t above);
     std::uint64_t base_, highest_token_;
     std::map<std::string, protocol::MachineType> types_;
@@ -230,11 +235,11 @@
     bool hold_starts_ = false, any_reconciled_ = false;
     // By job: machines that hold, or held, ends of its tasks. Walking all machines for each end that was
     // stored took as long as the reports.
-    std::unordered_map<std::string, std::set<std::string>> ended_at_;
+    std::unordered_map<std::string, std::set<std::string>> exited_by_job_;
     std::map<std::string, Machine> machines_;
     std::unordered_map<std::string_view, Machine*>
         by_id_;  // the same, found faster; names are those of the map
-    std::unordered_set<std::string> gone_;
+    std::unordered_set<std::string> deleted_machines_;
 };
 
 }  // namespace coralhitch::cluster
--- a/src/cluster/team_usage.hpp
+++ b/src/cluster/team_usage.hpp
@@ -1,4 +1,4 @@
-// What the teams use, by the picture. Pure.
+// What the teams use, by the cluster state. Pure.
 #pragma once
 #include <map>
 #include <string>
@@ -13,19 +13,20 @@
 class Usage {
   public:
     void add(const Machine& m);
-    std::map<std::string, protocol::Room> of(const std::vector<config::Team>& teams);  // once, at the end
+    std::map<std::string, protocol::Resources> of(
+        const std::vector<config::Team>& teams);  // once, at the end
 
   private:
-    std::map<std::string, protocol::Room> used_;
-    protocol::Room unknown_;
-    std::unordered_map<const protocol::Job*, protocol::Room*>
+    std::map<std::string, protocol::Resources> used_;
+    protocol::Resources unknown_;
+    std::unordered_map<const protocol::Job*, protocol::Resources*>
         team_;  // a job's team, without its name for each task
 };
 
 // By team: the sum of what its tasks take, until each is proven gone. A task of a job that nobody knows any
 // more may be of any team, so it counts against each.
-std::map<std::string, protocol::Room> team_used(const ClusterState& picture,
-                                                const std::vector<config::Team>& teams);
+std::map<std::string, protocol::Resources> team_used(const ClusterState& cluster_state,
+                                                     const std::vector<config::Team>& teams);
 
 // What became of the teams' tasks, since it was last told.
 class TeamActivity {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -43,7 +43,7 @@
     std::vector<Team> teams;
     std::vector<Objective> objectives;
     double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
-    // The state service's limits. It may go over to others at any moment without notice (`state.next`), so
+    // The key-value store's limits. It may go over to others at any moment without notice (`state.next`), so
     // what is asked of it and written keeps to the smaller of both from the start.
     double state_rps = 0, state_write_rps = 0, safe_value_kb = 0;
     std::uint32_t txn_ops = 0;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -12,7 +12,7 @@
 constexpr double ping_reports = 1.0 / 2, doubt_reports = 1.0 / 6;
 constexpr double state_check_reports = 1.0 / 3;
 constexpr double peer_fresh_reports = 1.5;
-constexpr double relay_reports = 1.0 / 10;  // what a hearer heard is known here so much later
+constexpr double relay_reports = 1.0 / 10;  // what a relay heard is known here so much later
 // Long enough for every worker that turns away from a leader to come by; the ages tell which came since.
 constexpr double heard_reports = 3;
 constexpr double worse_reports = 1.0 / 2;  // for so long the others must have been able to serve users alone
@@ -25,10 +25,11 @@
 constexpr double know_reports = 1.0 / 5;  // after the start: for the others to answer the first ping
 // After giving way, a controller keeps its leadership for this many worker leases, even if it hears nobody.
 constexpr double resign_leases = 4;
-constexpr std::pair<kv::Rank, const char*> queue_names[] = {{kv::Rank::user, "cancellations"},
-                                                            {kv::Rank::accept, "acceptances"},
-                                                            {kv::Rank::write, "writes"},
-                                                            {kv::Rank::read, "looks"}};
+constexpr std::pair<kv::RequestPriority, const char*> queue_names[] = {
+    {kv::RequestPriority::user, "cancellations"},
+    {kv::RequestPriority::accept, "acceptances"},
+    {kv::RequestPriority::write, "writes"},
+    {kv::RequestPriority::read, "looks"}};
 http::Response packed(std::string body) {
     return {200, std::move(body), "application/msgpack"};
 }
@@ -78,7 +79,7 @@
         planner_,
         metrics_,
         types_,
-        [this](const std::map<std::string, double>& m) { return heard_elsewhere(m); },
+        [this](const std::map<std::string, double>& m) { return heartbeats_seen_by_peers(m); },
         remembered_,
         [this] { return resign_leadership(); },
         incarnation_,
@@ -94,7 +95,7 @@
     heard_.none_lately();
     leader_ = std::make_shared<leader::Leader>(std::move(c), version, random_());
     leader_->start();
-    for (auto& waiting : relay_.take_waiting()) queue_report(std::move(waiting));
+    for (auto& waiting : relay_.take_waiting()) queue_heartbeat(std::move(waiting));
     metrics_.event("won");
     store_types();
 }
@@ -109,7 +110,8 @@
 }
 // What another heard before the machine fell silent here says nothing: leaders used to give way because of a
 // cut that silenced the same machines for all of them.
-std::optional<std::size_t> Controller::heard_elsewhere(const std::map<std::string, double>& silent) const {
+std::optional<std::size_t> Controller::heartbeats_seen_by_peers(
+    const std::map<std::string, double>& silent) const {
     std::optional<std::size_t> most;
     for (auto& [label, p] : peers_) {
         if (!fresh(p) || !p.last.state_ok) continue;
@@ -162,9 +164,9 @@
     return state_ok() || worse_since_ < 0 ||
            timers_.now() - worse_since_ < settings_.report_s * worse_reports;
 }
-// Users are better served by a controller that reaches the state service. If none does, going away and coming
-// back slowly would only add to the outage. One that hears no other controller either is the one that is cut
-// off, as far as it can know: the balancer would leave its users with it for as long as that lasts.
+// Users are better served by a controller that reaches the key-value store. If none does, going away and
+// coming back slowly would only add to the outage. One that hears no other controller either is the one that
+// is cut off, as far as it can know: the balancer would leave its users with it for as long as that lasts.
 bool Controller::others_may_serve() const {
     bool any = false;
     for (auto& [label, p] : peers_) {
@@ -180,7 +182,8 @@
     else if (worse_since_ < 0)
         worse_since_ = timers_.now();
     heard_.tidy(timers_.now());
-    state_.get(kv::keys::leader, kv::Rank::lease, [this](kv::Found f) { state_seen_ |= f.ok; });
+    state_.get(kv::keys::leader, kv::RequestPriority::lease,
+               [this](kv::GetResult f) { state_seen_ |= f.ok; });
     users_.live_jobs().keep_up();
     if (sockets_ && sockets_->refused() > sockets_refused_) {
         sockets_refused_ = sockets_->refused();
@@ -275,7 +278,7 @@
                        settings_.report_s * ping_reports, [](std::optional<http::Response>) {});
     }
     // A leader that doubts itself goes by what the others tell, while leases run out.
-    bool hurry = leader_ && leader_->doubts();
+    bool hurry = leader_ && leader_->suspects_itself();
     timers_.after(settings_.report_s * (hurry ? doubt_reports : ping_reports), [this] { ping_peers(); });
 }
 
@@ -293,8 +296,8 @@
     protocol::Txn t;
     t.conditions = {{kv::keys::leader, election_.version()}};
     t.changes = {{kv::keys::types, value, 0}};
-    state_.txn(std::move(t), kv::Rank::background, [this, value](kv::Committed c) {
-        if (c.status == kv::Committed::Status::committed) stored_types_ = value;
+    state_.txn(std::move(t), kv::RequestPriority::background, [this, value](kv::TxnResult c) {
+        if (c.status == kv::TxnResult::Status::committed) stored_types_ = value;
     });
 }
 // From the cloud; while it does not answer, from what a leader stored last.
@@ -305,7 +308,7 @@
             set_types(std::move(*t));
             store_types();
         } else if (types_.empty()) {
-            state_.get(kv::keys::types, kv::Rank::read, [this](kv::Found f) {
+            state_.get(kv::keys::types, kv::RequestPriority::read, [this](kv::GetResult f) {
                 if (!f.entry || !types_.empty()) return;
                 try {
                     set_types(protocol::parse_types(f.entry->value));
@@ -329,7 +332,7 @@
         return false;
     };
     if (path == paths::report) {
-        if (only("POST")) queue_report({std::move(r.body), std::move(reply), timers_.now()});
+        if (only("POST")) queue_heartbeat({std::move(r.body), std::move(reply), timers_.now()});
     } else if (path.starts_with(paths::jobs)) {
         user_route(r, path, std::move(reply));
     } else if (path == paths::health) {
@@ -358,9 +361,10 @@
         for (auto& [step, after] : leader_->steps().all())
             metrics_.gauge("takeover: " + std::string(step), after);
     metrics_.gauge("machines_lent", leader_ ? static_cast<double>(leader_->lent()) : 0);
-    for (std::size_t k = 0; k < relay::refusal_names.size(); ++k)
-        metrics_.gauge("reports_refused: " + std::string(relay::refusal_names[k]),
-                       static_cast<double>(relay_.refusals().count(static_cast<relay::Refusal>(k))));
+    for (std::size_t k = 0; k < relay::heartbeat_rejection_names.size(); ++k)
+        metrics_.gauge(
+            "reports_refused: " + std::string(relay::heartbeat_rejection_names[k]),
+            static_cast<double>(relay_.refusals().count(static_cast<relay::HeartbeatRejection>(k))));
     for (std::size_t k = 0; sockets_ && k < http::peer_kinds; ++k) {
         auto name = std::string(http::peer_kind_names[k]);
         auto& use = sockets_->use(static_cast<http::PeerKind>(k));
@@ -383,16 +387,16 @@
     return metrics_.text();
 }
 
-// One that reaches the state service and understands the request: a version that knows nothing of awaited
+// One that reaches the key-value store and understands the request: a version that knows nothing of awaited
 // jobs would store one that awaits others as if it awaited none.
 const Controller::PeerState* Controller::peer_with_state(const http::Request& r) const {
-    bool awaits = r.method == "POST" && protocol::names_awaits(r.body);
+    bool awaits = r.method == "POST" && protocol::names_dependencies(r.body);
     for (auto& [label, p] : peers_)
         if (fresh(p) && p.last.state_ok && (!awaits || p.last.features >= protocol::peer_features_awaits))
             return &p;
     return nullptr;
 }
-// A controller that alone is cut off from the state service passes its users' requests on: they would
+// A controller that alone is cut off from the key-value store passes its users' requests on: they would
 // otherwise come back to it until the load balancer has noticed.
 void Controller::user_route(const http::Request& r, const std::string& path, http::Reply reply) {
     if (!state_ok() && peer_with_state(r))
@@ -447,33 +451,33 @@
 }
 
 // Reports are most of the work. They are read as they come, but heard a few at a time in between: after a
-// takeover, when every worker calls at once, users, health checks and the lease's renewal must not wait
+// failover, when every worker calls at once, users, health checks and the lease's renewal must not wait
 // behind all of them.
-void Controller::queue_report(relay::ReportQueue::Report report) {
+void Controller::queue_heartbeat(relay::HeartbeatQueue::Report report) {
     reports_.push(std::move(report));
     if (std::exchange(hearing_, true)) return;
-    timers_.after(0, [this] { hear_some(); });
+    timers_.after(0, [this] { handle_queued_heartbeats(); });
 }
-void Controller::hear_some() {
+void Controller::handle_queued_heartbeats() {
     for (std::size_t k = 0; k < reports_at_once; ++k) {
         auto report = reports_.next(timers_.now());
         if (!report) break;
-        handle_report(std::move(*report));
+        handle_heartbeat(std::move(*report));
     }
     hearing_ = !reports_.empty();
-    if (hearing_) timers_.after(0, [this] { hear_some(); });
+    if (hearing_) timers_.after(0, [this] { handle_queued_heartbeats(); });
 }
-void Controller::handle_report(relay::ReportQueue::Report report) {
-    if (leader_) return leader_->handle_report(std::move(report));
+void Controller::handle_heartbeat(relay::HeartbeatQueue::Report report) {
+    if (leader_) return leader_->handle_heartbeat(std::move(report));
     auto& [body, reply, since] = report;
     // To read no more of it than its name leaves time for others: without a leader every worker calls each
     // second.
-    if (auto o = protocol::outline_report(body)) {
-        heard_.note(o->machine, o->session, o->sequence, timers_.now());
+    if (auto o = protocol::outline_heartbeat(body)) {
+        heard_.note(o->machine, o->agent_epoch, o->sequence, timers_.now());
     } else {
         try {
-            auto r = protocol::parse_report(body);
-            heard_.note(r.machine, r.session, r.sequence, timers_.now());
+            auto r = protocol::parse_heartbeat(body);
+            heard_.note(r.machine, r.agent_epoch, r.sequence, timers_.now());
         } catch (const protocol::Malformed& m) {
             spdlog::info("report: {}", m.what());
             return reply({400, protocol::error_body(m.what())});
@@ -481,8 +485,9 @@
     }
     if (relay_.offer(body, reply)) return;
     auto* peer = leading_peer();
-    relay_.refusals().note(peer ? relay::Refusal::elsewhere : relay::Refusal::no_leader);
-    reply({421, protocol::report_elsewhere(peer ? peer->label : "")});
+    relay_.refusals().note(peer ? relay::HeartbeatRejection::elsewhere
+                                : relay::HeartbeatRejection::no_leader);
+    reply({421, protocol::heartbeat_redirect(peer ? peer->label : "")});
 }
 // The leader, if its version takes reports from others.
 relay::Leadership Controller::relay_target() const {
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -28,7 +28,7 @@
 
     // To be told in metrics and in the log; must live longer than this.
     void watch_sockets(const http::SocketBudget& sockets) { sockets_ = &sockets; }
-    relay::Refusals& refusals() { return relay_.refusals(); }
+    relay::HeartbeatRejections& refusals() { return relay_.refusals(); }
 
     bool leads() const { return leader_ != nullptr; }
     bool healthy() const;
@@ -49,9 +49,9 @@
     std::string metrics_text();
     const PeerState* peer_with_state(const http::Request& r) const;
     void ask_peer(const http::Request& r, http::Response refusal, http::Reply reply);
-    void queue_report(relay::ReportQueue::Report report);
-    void hear_some();
-    void handle_report(relay::ReportQueue::Report report);
+    void queue_heartbeat(relay::HeartbeatQueue::Report report);
+    void handle_queued_heartbeats();
+    void handle_heartbeat(relay::HeartbeatQueue::Report report);
     bool others_may_serve() const;
     relay::Leadership relay_target() const;
     void on_elected(std::uint64_t version);
@@ -62,7 +62,7 @@
     void heard_ping(protocol::PeerPing ping);
     protocol::PeerPing own_ping(bool brief);
     bool fresh(const PeerState& p) const;
-    std::optional<std::size_t> heard_elsewhere(const std::map<std::string, double>& silent) const;
+    std::optional<std::size_t> heartbeats_seen_by_peers(const std::map<std::string, double>& silent) const;
     bool should_defer() const;
     std::uint64_t followed() const;
     bool resign_leadership();
@@ -79,17 +79,17 @@
     std::mt19937_64 random_;
     std::uint64_t incarnation_;
     metrics::Metrics metrics_;
-    kv::Client state_;
+    kv::KvClient state_;
     election::Election election_;
-    cloud::Client cloud_;
-    api::Users users_;
+    cloud::CloudClient cloud_;
+    api::UserApi users_;
     std::vector<protocol::MachineType> types_;
     std::string stored_types_;
     std::map<std::string, PeerState> peers_;
     std::shared_ptr<leader::Leader> leader_;
     double last_resigned_ = -1, started_ = 0;
-    relay::ReportRelay relay_;
-    relay::ReportQueue reports_;
+    relay::HeartbeatRelay relay_;
+    relay::HeartbeatQueue reports_;
     relay::CancellationNotices cancellations_;
     const http::SocketBudget* sockets_ = nullptr;
     std::uint64_t sockets_refused_ = 0;  // when the log last told
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -35,7 +35,7 @@
 
 int serve(const config::Settings& settings) {
     ::signal(SIGPIPE, SIG_IGN);
-    event_loop::Loop loop;
+    event_loop::EventLoop loop;
     http::SocketBudget sockets(static_cast<std::size_t>(settings.sockets * http::usable_sockets),
                                http::controller_shares);
     http::ClientLimits client_limits;
@@ -53,7 +53,7 @@
     user_limits.bulk_idle_s = settings.report_s * idle_reports;
     user_limits.lane = event_loop::Lane::ordinary;
     user_limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
-    user_limits.shed = [&] { controller.refusals().note(relay::Refusal::sockets); };
+    user_limits.shed = [&] { controller.refusals().note(relay::HeartbeatRejection::sockets); };
     http::Server users(
         loop, settings.listen, std::move(user_limits),
         [&](http::Request r, http::Reply reply) { controller.serve(std::move(r), std::move(reply)); });
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t most_links = 16;
 }  // namespace
 
-Election::Election(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+Election::Election(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
                    std::uint64_t incarnation, std::uint64_t seed)
     : timers_(timers),
       state_(state),
@@ -62,7 +62,7 @@
 // Reads the key, then either campaigns or follows it.
 void Election::look() {
     if (role_ != Role::following) return;
-    state_.get(kv::keys::leader, kv::Rank::lease, [this](kv::Found f) {
+    state_.get(kv::keys::leader, kv::RequestPriority::lease, [this](kv::GetResult f) {
         if (role_ != Role::following) return;
         if (!f.ok) return retry_look();
         if (!f.entry) return vacant();
@@ -96,10 +96,10 @@
 }
 
 void Election::follow(std::uint64_t revision) {
-    state_.watch(kv::keys::leader, revision, ttl_, [this, revision](kv::Watched w) {
+    state_.watch(kv::keys::leader, revision, ttl_, [this, revision](kv::WatchResult w) {
         if (role_ != Role::following) return;
-        if (w.status == kv::Watched::Status::too_old) return follow_late();
-        if (w.status != kv::Watched::Status::ok) return retry_look();
+        if (w.status == kv::WatchResult::Status::too_old) return follow_late();
+        if (w.status != kv::WatchResult::Status::ok) return retry_look();
         std::uint64_t next = std::max(revision, w.events.revision);
         bool ended = false, again = false;
         for (auto& e : w.events.events) {
@@ -118,10 +118,10 @@
     });
 }
 
-// The leader's key is older than the changes that the state service keeps: the list tells a revision to watch
-// from. Asked for by its version again and again, each watch was refused.
+// The leader's key is older than the changes that the key-value store keeps: the list tells a revision to
+// watch from. Asked for by its version again and again, each watch was refused.
 void Election::follow_late() {
-    state_.list(kv::keys::leader, kv::Rank::lease, [this](kv::Listed l) {
+    state_.list(kv::keys::leader, kv::RequestPriority::lease, [this](kv::ListResult l) {
         if (role_ != Role::following) return;
         bool same = l.ok && l.entries.size() == 1 && l.entries[0].version == leader_version_ &&
                     !chain_.links.empty() && chain_.links.back().version == leader_version_;
@@ -133,9 +133,9 @@
 
 void Election::campaign() {
     role_ = Role::campaigning;
-    state_.create_lease(ttl_, [this](kv::LeaseAnswer lease) {
+    state_.create_lease(ttl_, [this](kv::LeaseResult lease) {
         if (role_ != Role::campaigning) return;
-        if (lease.status != kv::LeaseAnswer::Status::ok) {
+        if (lease.status != kv::LeaseResult::Status::ok) {
             role_ = Role::following;
             return retry_look();
         }
@@ -143,28 +143,28 @@
     });
 }
 
-void Election::claim(kv::LeaseAnswer lease) {
+void Election::claim(kv::LeaseResult lease) {
     protocol::Txn t;
     t.conditions.push_back({kv::keys::leader, 0});
     t.changes.push_back(
         {kv::keys::leader,
          protocol::stored(protocol::LeaderRecord{settings_.label, incarnation_, settings_.op.standby}),
          lease.id});
-    state_.txn(std::move(t), kv::Rank::lease, [this, lease](kv::Committed c) {
+    state_.txn(std::move(t), kv::RequestPriority::lease, [this, lease](kv::TxnResult c) {
         if (role_ != Role::campaigning) return;
-        if (c.status == kv::Committed::Status::committed) return win(c.revision, lease);
-        if (c.status == kv::Committed::Status::unknown) return check_claim(lease);
+        if (c.status == kv::TxnResult::Status::committed) return win(c.revision, lease);
+        if (c.status == kv::TxnResult::Status::unknown) return check_claim(lease);
         role_ = Role::following;
         state_.end_lease(lease.id, [](bool) {});
-        if (c.status == kv::Committed::Status::conflict) return look();
+        if (c.status == kv::TxnResult::Status::conflict) return look();
         retry_look();
     });
 }
 
 // The answer to the claim was lost. The key tells whether it was executed; while it may still be, the lease
 // is ended first, so that a late claim finds no lease.
-void Election::check_claim(kv::LeaseAnswer lease) {
-    state_.get(kv::keys::leader, kv::Rank::lease, [this, lease](kv::Found f) {
+void Election::check_claim(kv::LeaseResult lease) {
+    state_.get(kv::keys::leader, kv::RequestPriority::lease, [this, lease](kv::GetResult f) {
         if (role_ != Role::campaigning) return;
         if (f.ok && f.entry) {
             try {
@@ -180,7 +180,7 @@
     });
 }
 
-void Election::win(std::uint64_t version, kv::LeaseAnswer lease) {
+void Election::win(std::uint64_t version, kv::LeaseResult lease) {
     role_ = Role::leading;
     version_ = version;
     vacant_since_ = -1;
@@ -199,10 +199,10 @@
 
 void Election::renew() {
     auto round = round_;
-    state_.renew_lease(lease_, ttl_ / 3, [this, round](kv::LeaseAnswer a) {
+    state_.renew_lease(lease_, ttl_ / 3, [this, round](kv::LeaseResult a) {
         if (round != round_ || role_ != Role::leading) return;
-        if (a.status == kv::LeaseAnswer::Status::gone) return lose();
-        bool ok = a.status == kv::LeaseAnswer::Status::ok;
+        if (a.status == kv::LeaseResult::Status::gone) return lose();
+        bool ok = a.status == kv::LeaseResult::Status::ok;
         if (ok) authority_until_ = std::max(authority_until_, usable(a.sent));
         double next = ok ? ttl_ / renewals_per_ttl : ttl_ / (renewals_per_ttl * 4);
         timers_.after(next, [this, round] {
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -18,7 +18,7 @@
         // Whether another controller should lead rather than this one, as far as is known; may be empty.
         std::function<bool()> defers = {};
     };
-    Election(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+    Election(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
              std::uint64_t incarnation, std::uint64_t seed);
     void start(Events events);
 
@@ -56,9 +56,9 @@
     void follow(std::uint64_t revision);
     void follow_late();
     void campaign();
-    void claim(kv::LeaseAnswer lease);
-    void check_claim(kv::LeaseAnswer lease);
-    void win(std::uint64_t version, kv::LeaseAnswer lease);
+    void claim(kv::LeaseResult lease);
+    void check_claim(kv::LeaseResult lease);
+    void win(std::uint64_t version, kv::LeaseResult lease);
     void renew();
     void lose();
     void retry_look();
@@ -67,7 +67,7 @@
     void link(std::uint64_t version, bool keeps_record);
 
     event_loop::Timers& timers_;
-    kv::Client& state_;
+    kv::KvClient& state_;
     const config::Settings& settings_;
     std::uint64_t incarnation_;
     std::minstd_rand random_;
--- a/src/event_loop/event_loop.cpp
+++ b/src/event_loop/event_loop.cpp
@@ -29,7 +29,7 @@
     fd_ = fd;
 }
 
-Loop::Loop()
+EventLoop::EventLoop()
     : epoll_(epoll_create1(EPOLL_CLOEXEC)),
       wake_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
       events_(most_events) {
@@ -42,50 +42,50 @@
         }
     });
 }
-void Loop::refresh() {
+void EventLoop::refresh() {
     now_ = now();
 }
-double Loop::now() const {
+double EventLoop::now() const {
     return read_clock(CLOCK_MONOTONIC);
 }
-double Loop::unix_time() const {
+double EventLoop::unix_time() const {
     return read_clock(CLOCK_REALTIME);
 }
 
-TimerId Loop::after(double seconds, Task task) {
+TimerId EventLoop::after(double seconds, Task task) {
     TimerId id = next_id_++;
     double due = now() + std::max(0.0, seconds);
     timers_.emplace(std::pair{due, id}, std::move(task));
     due_.emplace(id, due);
     return id;
 }
-void Loop::cancel(TimerId id) {
+void EventLoop::cancel(TimerId id) {
     auto it = due_.find(id);
     if (it == due_.end()) return;
     timers_.erase({it->second, id});
     due_.erase(it);
 }
-void Loop::watch(int fd, std::uint32_t events, Handler handler) {
-    auto w = std::make_shared<Watched>(Watched{std::move(handler), ++generation_, Lane::urgent, 0});
+void EventLoop::watch(int fd, std::uint32_t events, Handler handler) {
+    auto w = std::make_shared<WatchResult>(WatchResult{std::move(handler), ++generation_, Lane::urgent, 0});
     epoll_event e{};
     e.events = events;
     e.data.fd = fd;
     if (epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &e) < 0) fail("epoll_ctl add");
     watched_[fd] = std::move(w);
 }
-void Loop::change(int fd, std::uint32_t events) {
+void EventLoop::change(int fd, std::uint32_t events) {
     epoll_event e{};
     e.events = events;
     e.data.fd = fd;
     if (epoll_ctl(epoll_.get(), EPOLL_CTL_MOD, fd, &e) < 0) fail("epoll_ctl mod");
 }
-void Loop::set_lane(int fd, Lane lane) {
+void EventLoop::set_lane(int fd, Lane lane) {
     watched_.at(fd)->lane = lane;
 }
-void Loop::unwatch(int fd) {
+void EventLoop::unwatch(int fd) {
     watched_.erase(fd);
 }
-void Loop::post(Task task) {
+void EventLoop::post(Task task) {
     {
         std::lock_guard lock(mutex_);
         posted_.push_back(std::move(task));
@@ -93,7 +93,7 @@
     std::uint64_t one = 1;
     [[maybe_unused]] auto n = ::write(wake_.get(), &one, sizeof one);
 }
-void Loop::run_posted() {
+void EventLoop::run_posted() {
     std::vector<Task> work;
     {
         std::lock_guard lock(mutex_);
@@ -101,7 +101,7 @@
     }
     for (auto& t : work) t();
 }
-void Loop::run_due() {
+void EventLoop::run_due() {
     while (!timers_.empty() && timers_.begin()->first.first <= now_) {
         auto node = timers_.extract(timers_.begin());
         due_.erase(node.key().second);
@@ -109,7 +109,7 @@
     }
 }
 // All that is ready is asked for: what is urgent is handled now, the rest stands in line, once each.
-void Loop::wait(int wait_ms) {
+void EventLoop::wait(int wait_ms) {
     int n = epoll_wait(epoll_.get(), events_.data(), static_cast<int>(events_.size()), wait_ms);
     if (n < 0 && errno != EINTR) fail("epoll_wait");
     refresh();
@@ -129,7 +129,7 @@
         }
     }
 }
-void Loop::run_lane(std::deque<int>& line, std::size_t most) {
+void EventLoop::run_lane(std::deque<int>& line, std::size_t most) {
     for (std::size_t k = 0; k < most && !line.empty(); ++k) {
         auto it = watched_.find(line.front());
         line.pop_front();
@@ -139,7 +139,7 @@
         keep->handler(std::exchange(keep->ready, 0));
     }
 }
-void Loop::run() {
+void EventLoop::run() {
     while (!stopped_) {
         int wait_ms = ordinary_.empty() && bulk_.empty() ? -1 : 0;
         if (wait_ms != 0 && !timers_.empty()) {
--- a/src/event_loop/event_loop.hpp
+++ b/src/event_loop/event_loop.hpp
@@ -41,11 +41,11 @@
 // Urgent is handled as it comes; of the others some have their turn after that, ordinary ones more than bulk.
 enum class Lane { urgent, ordinary, bulk };
 
-class Loop : public Timers {
+class EventLoop : public Timers {
   public:
     using Handler = std::function<void(std::uint32_t events)>;
 
-    Loop();
+    EventLoop();
     double now() const override;  // read afresh: authority is judged by it, and it serves any thread
     double unix_time() const override;
     TimerId after(double seconds, Task task) override;
@@ -71,13 +71,13 @@
     TimerId next_id_ = 1;
     std::map<std::pair<double, TimerId>, Task> timers_;
     std::unordered_map<TimerId, double> due_;
-    struct Watched {
+    struct WatchResult {
         Handler handler;
         std::uint64_t generation;
         Lane lane;
         std::uint32_t ready;  // events that wait for their turn
     };
-    std::unordered_map<int, std::shared_ptr<Watched>> watched_;
+    std::unordered_map<int, std::shared_ptr<WatchResult>> watched_;
     std::vector<epoll_event> events_;
     std::deque<int> ordinary_, bulk_;  // descriptors with `ready` set, the first one that became so in front
     std::uint64_t generation_ = 0;
--- a/src/event_loop/lifetime_guard.hpp
+++ b/src/event_loop/lifetime_guard.hpp
@@ -5,7 +5,7 @@
 
 namespace coralhitch::event_loop {
 
-class Guard {
+class LifetimeGuard {
   public:
     template <class F>
     auto operator()(F f) const {
--- a/src/event_loop/token_bucket.hpp
+++ b/src/event_loop/token_bucket.hpp
@@ -4,9 +4,9 @@
 
 namespace coralhitch::event_loop {
 
-class Bucket {
+class TokenBucket {
   public:
-    Bucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
+    TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
     bool has(double now, double n = 1) {
         fill(now);
         return level_ >= std::min(n, burst_);
--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -6,7 +6,7 @@
 using cluster::Machine;
 
 namespace {
-// A takeover goes on as long as in so many report periods at least this share of what is left has reconciled.
+// A failover goes on as long as in so many report periods at least this share of what is left has reconciled.
 constexpr double pace_reports = 1.0 / 2, pace_share = 1.0 / 64;
 // A machine that was not even asked is given this much longer.
 constexpr double unasked_reports = 2;
@@ -36,7 +36,7 @@
 bool Reconciliation::may_place() const {
     return leave(unknown_, [](const Machine& m) { return m.reconciled || m.known; });
 }
-bool Reconciliation::all_heard() const {
+bool Reconciliation::all_reconciled() const {
     // One of which all is known and that is waited for holds nothing else up, nor do a few such: dozens that
     // had died used to keep a leader from renting and displacing for ten seconds.
     return leave(unheard_,
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -12,16 +12,16 @@
 
 class Reconciliation {
   public:
-    Reconciliation(const cluster::ClusterState& picture, double report_s)
-        : cluster_state_(picture), report_s_(report_s) {}
+    Reconciliation(const cluster::ClusterState& cluster_state, double report_s)
+        : cluster_state_(cluster_state), report_s_(report_s) {}
     // A machine that an earlier leader stored.
     void expect(const std::string& id);
     // Of each of them it is known what may be on it, from its report or from the leader before. Otherwise
     // neither a task, a quota nor a zone is safe.
     bool may_place() const;
-    // Each that may still answer has answered. Until then the picture lacks most of the room that there is:
-    // nothing is rented, returned or displaced for want of it.
-    bool all_heard() const;
+    // Each that may still answer has answered. Until then the cluster state lacks most of the room that there
+    // is: nothing is rented, returned or displaced for want of it.
+    bool all_reconciled() const;
 
     // Once a tick, ticks being at most so far apart as a rule.
     void tick(double now, double period);
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -9,25 +9,25 @@
 
 namespace coralhitch::failover {
 namespace keys = kv::keys;
-using kv::Rank;
+using kv::RequestPriority;
 
 namespace {
 constexpr double again_reports = 1.0 / 10;
 }  // namespace
 
-void Steps::over(const char* step, const std::string& what) {
+void FailoverSteps::over(const char* step, const std::string& what) {
     if (has(step)) return;
     double t = timers_.now() - begun_;
     all_.emplace_back(step, t);
     spdlog::info("leader: {} after {:.2f} s{}{}", step, t, what.empty() ? "" : ": ", what);
 }
-bool Steps::has(const char* step) const {
+bool FailoverSteps::has(const char* step) const {
     return std::any_of(all_.begin(), all_.end(), [&](auto& s) { return std::string_view(s.first) == step; });
 }
 
-RecoveryLoader::RecoveryLoader(event_loop::Timers& timers, kv::Client& state,
-                               const config::Settings& settings, Steps& steps, replication::Evidence evidence,
-                               std::function<void(Found)> done)
+RecoveryLoader::RecoveryLoader(event_loop::Timers& timers, kv::KvClient& state,
+                               const config::Settings& settings, FailoverSteps& steps,
+                               replication::ReplicaEvidence evidence, std::function<void(GetResult)> done)
     : timers_(timers),
       state_(state),
       settings_(settings),
@@ -44,7 +44,7 @@
 
 // Who followed the leader before.
 void RecoveryLoader::read_record() {
-    state_.get(keys::standby, Rank::write, guarded_([this](kv::Found f) {
+    state_.get(keys::standby, RequestPriority::write, guarded_([this](kv::GetResult f) {
                    if (!f.ok) return again();
                    found_.record_version = f.entry ? f.entry->version : 0;
                    evidence_.record.reset();
@@ -58,9 +58,9 @@
 }
 // Which leaders there were since this controller last knew.
 void RecoveryLoader::read_history() {
-    state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::Watched w) {
-                     if (w.status == kv::Watched::Status::failed) return again();
-                     evidence_.history = w.status == kv::Watched::Status::ok;
+    state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::WatchResult w) {
+                     if (w.status == kv::WatchResult::Status::failed) return again();
+                     evidence_.history = w.status == kv::WatchResult::Status::ok;
                      evidence_.since.clear();
                      for (auto& e : w.events.events)
                          if (e.key == keys::leader && e.value && e.version != evidence_.version)
@@ -68,8 +68,9 @@
                      list_all();
                  }));
 }
-void RecoveryLoader::list(const std::string& prefix, kv::Listed Found::*into, std::function<void()> then) {
-    state_.list(prefix, Rank::write, guarded_([this, into, then](kv::Listed l) {
+void RecoveryLoader::list(const std::string& prefix, kv::ListResult GetResult::*into,
+                          std::function<void()> then) {
+    state_.list(prefix, RequestPriority::write, guarded_([this, into, then](kv::ListResult l) {
                     if (!l.ok) return again();
                     found_.*into = std::move(l);
                     then();
@@ -78,9 +79,9 @@
 // What is stored, by now for good: what the leader before may still write fails on its version.
 void RecoveryLoader::list_all() {
     found_.jobs_listed_at = timers_.now();
-    list(keys::jobs, &Found::jobs, [this] {
-        list(keys::progress, &Found::progress, [this] {
-            list(keys::machines, &Found::machines, [this] {
+    list(keys::jobs, &GetResult::jobs, [this] {
+        list(keys::progress, &GetResult::progress, [this] {
+            list(keys::machines, &GetResult::machines, [this] {
                 auto wrong = replication::judge(evidence_);
                 found_.inherits = settings_.op.standby && !wrong;
                 found_.record = evidence_.record;
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -16,10 +16,10 @@
 
 namespace coralhitch::failover {
 
-// The steps of a takeover that are over.
-class Steps {
+// The steps of a failover that are over.
+class FailoverSteps {
   public:
-    explicit Steps(event_loop::Timers& timers) : timers_(timers), begun_(timers.now()) {}
+    explicit FailoverSteps(event_loop::Timers& timers) : timers_(timers), begun_(timers.now()) {}
     void over(const char* step, const std::string& what = {});  // what: for the log
     bool has(const char* step) const;
     const std::vector<std::pair<const char*, double>>& all() const {
@@ -32,36 +32,37 @@
     std::vector<std::pair<const char*, double>> all_;
 };
 
-struct Found {
+struct GetResult {
     bool inherits = false;             // the copy of the leader before is proof
     std::uint64_t record_version = 0;  // of the standby record's key; 0: there is none
     std::optional<protocol::StandbyRecord> record;
-    kv::Listed jobs, progress, machines;
+    kv::ListResult jobs, progress, machines;
     double jobs_listed_at = 0;  // steady time at which that list was begun
 };
 
 class RecoveryLoader {
   public:
     // `evidence` as known before the claim is read on: label, incarnation, version, chain and copy.
-    RecoveryLoader(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
-                   Steps& steps, replication::Evidence evidence, std::function<void(Found)> done);
+    RecoveryLoader(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
+                   FailoverSteps& steps, replication::ReplicaEvidence evidence,
+                   std::function<void(GetResult)> done);
     void start();
 
   private:
     void again();
     void read_record();
     void read_history();
-    void list(const std::string& prefix, kv::Listed Found::*into, std::function<void()> then);
+    void list(const std::string& prefix, kv::ListResult GetResult::*into, std::function<void()> then);
     void list_all();
 
     event_loop::Timers& timers_;
-    kv::Client& state_;
+    kv::KvClient& state_;
     const config::Settings& settings_;
-    Steps& steps_;
-    replication::Evidence evidence_;
-    std::function<void(Found)> done_;
-    Found found_;
-    event_loop::Guard guarded_;  // last, so that it goes first
+    FailoverSteps& steps_;
+    replication::ReplicaEvidence evidence_;
+    std::function<void(GetResult)> done_;
+    GetResult found_;
+    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::failover
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -10,7 +10,7 @@
 
 namespace coralhitch::http {
 
-Client::Client(event_loop::Loop& loop, ClientLimits limits)
+Client::Client(event_loop::EventLoop& loop, ClientLimits limits)
     : loop_(loop),
       limits_(std::move(limits)),
       own_budget_(limits_.connections),
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -23,7 +23,7 @@
 // Keeps connections open for reuse. One request is on a connection at a time.
 class Client : public Requester {
   public:
-    Client(event_loop::Loop& loop, ClientLimits limits);
+    Client(event_loop::EventLoop& loop, ClientLimits limits);
     ~Client() override;
     void send(const std::string& addr, Request request, double timeout_s, Result result) override;
 
@@ -45,7 +45,7 @@
     bool reclaim(PeerKind kind);
     std::uint64_t take_idle(const std::string& addr);
 
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     ClientLimits limits_;
     SocketBudget own_budget_;
     SocketBudget& budget_;
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -14,7 +14,7 @@
 }
 }  // namespace
 
-Connection::Connection(event_loop::Loop& loop, event_loop::Fd fd, http_parser_type type, Limits limits)
+Connection::Connection(event_loop::EventLoop& loop, event_loop::Fd fd, http_parser_type type, Limits limits)
     : loop_(loop), fd_(std::move(fd)), limits_(limits) {
     http_parser_init(&parser_, type);
     parser_.data = this;
@@ -97,7 +97,7 @@
     return s;
 }
 
-void Connection::listen_events(event_loop::Loop::Handler handler, Side side) {
+void Connection::listen_events(event_loop::EventLoop::Handler handler, Side side) {
     if (side == Side::accepted) always_ |= EPOLLRDHUP;
     events_ = side == Side::connecting ? always_ | EPOLLOUT : always_;
     loop_.watch(fd_.get(), events_, std::move(handler));
--- a/src/http/connection.hpp
+++ b/src/http/connection.hpp
@@ -27,14 +27,14 @@
 class Connection {
   public:
     enum class State { open, closed, bad };
-    Connection(event_loop::Loop& loop, event_loop::Fd fd, http_parser_type type, Limits limits);
+    Connection(event_loop::EventLoop& loop, event_loop::Fd fd, http_parser_type type, Limits limits);
     ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
     // Of one that was accepted, events also tell when the peer has closed its side.
     enum class Side { accepted, connecting };
-    void listen_events(event_loop::Loop::Handler handler, Side side);
+    void listen_events(event_loop::EventLoop::Handler handler, Side side);
     void set_lane(event_loop::Lane lane) { loop_.set_lane(fd_.get(), lane); }
     State read();   // fills incoming()
     State flush();  // writes what it can
@@ -55,7 +55,7 @@
     bool grow_head(std::size_t n);
     void header_done();
 
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     event_loop::Fd fd_;
     Limits limits_;
     http_parser parser_{};
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -40,7 +40,7 @@
 }
 }  // namespace
 
-Server::Server(event_loop::Loop& loop, const std::string& addr, ServerLimits limits, Handler handler)
+Server::Server(event_loop::EventLoop& loop, const std::string& addr, ServerLimits limits, Handler handler)
     : loop_(loop),
       limits_(std::move(limits)),
       handler_(std::move(handler)),
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -36,7 +36,7 @@
 
 class Server {
   public:
-    Server(event_loop::Loop& loop, const std::string& addr, ServerLimits limits, Handler handler);
+    Server(event_loop::EventLoop& loop, const std::string& addr, ServerLimits limits, Handler handler);
     ~Server();
     std::size_t connections() const { return clients_.size(); }
 
@@ -64,7 +64,7 @@
     void expire(std::uint64_t id);
     void close(std::uint64_t id);
 
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     event_loop::Fd listener_;
     ServerLimits limits_;
     Handler handler_;
--- a/src/http/socket_budget.hpp
+++ b/src/http/socket_budget.hpp
@@ -18,7 +18,7 @@
     user,        // users, health checks and metrics; an accepted connection until its first request is read
     worker,      // accepted connections that have carried a report
     controller,  // accepted from other controllers
-    service,     // opened to the state service, the cloud and other controllers
+    service,     // opened to the key-value store, the cloud and other controllers
     machine,     // opened to workers
 };
 inline constexpr std::size_t peer_kinds = 5;
@@ -74,7 +74,7 @@
     void remove(Reclaimer r) { reclaim_.erase(r); }
 
   private:
-    struct Kind {
+    struct JobKind {
         std::size_t guaranteed = 0, most = 0;
         Use use;
     };
@@ -84,7 +84,7 @@
     bool reclaim(PeerKind kind);
 
     std::size_t sockets_;
-    std::array<Kind, peer_kinds> kinds_;
+    std::array<JobKind, peer_kinds> kinds_;
     std::list<Reclaim> reclaim_;
 };
 
--- a/src/jobs/dependency_graph.hpp
+++ b/src/jobs/dependency_graph.hpp
@@ -8,7 +8,7 @@
 
 namespace coralhitch::jobs {
 
-class Awaits {
+class DependencyGraph {
   public:
     // A job that is live from now on; `live` says whether an awaited one is, too.
     template <class Names, class F>
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -7,18 +7,18 @@
 
 namespace coralhitch::jobs {
 
-bool Entry::mark_done(std::uint32_t i) {
+bool JobEntry::mark_done(std::uint32_t i) {
     if (i >= done.size() || done[i]) return false;
     done[i] = true;
     ++done_count;
     unstored.insert(i);
     return true;
 }
-std::size_t Entry::active_open() const {
+std::size_t JobEntry::active_open() const {
     return static_cast<std::size_t>(
         std::count_if(active.begin(), active.end(), [&](auto& a) { return !done[a.first]; }));
 }
-std::vector<std::uint32_t> Entry::waiting(std::size_t most) {
+std::vector<std::uint32_t> JobEntry::waiting(std::size_t most) {
     while (first_open < done.size() && done[first_open]) ++first_open;
     std::vector<std::uint32_t> out;
     auto a = active.lower_bound(first_open);
@@ -35,22 +35,22 @@
 constexpr std::size_t bits_overhead = 32;  // of a value beside its letters
 }  // namespace
 
-Table::Table(double value_kb)
+JobTable::JobTable(double value_kb)
     : block_(std::max<std::size_t>(64, static_cast<std::size_t>(value_kb * 1024))) {}
 
-std::size_t Table::fine_block(std::size_t value_bytes) {
+std::size_t JobTable::fine_block(std::size_t value_bytes) {
     // A power of two, so that the blocks under a lower limit divide those under a higher one.
     std::size_t tasks = 256;
     while (tasks * 2 / 4 + bits_overhead <= value_bytes) tasks *= 2;
     return tasks;
 }
-std::string Table::block_of(const Entry& e, std::uint32_t task, std::size_t value_bytes) const {
+std::string JobTable::block_of(const JobEntry& e, std::uint32_t task, std::size_t value_bytes) const {
     if (std::min(block_, e.done.size()) / 4 + bits_overhead <= value_bytes)
         return std::to_string(task / block_);
     auto fine = fine_block(value_bytes);
     return std::string(fine_prefix) + std::to_string(task / fine * fine);
 }
-Table::Range Table::range_of(const std::string& block, std::size_t value_bytes) const {
+JobTable::Range JobTable::range_of(const std::string& block, std::size_t value_bytes) const {
     bool fine = block.starts_with(fine_prefix);
     std::size_t n = 0;
     auto* first = block.data() + (fine ? fine_prefix.size() : 0);
@@ -60,16 +60,16 @@
     return fine ? Range{n, fine_block(value_bytes)} : Range{n * block_, block_};
 }
 
-Entry* Table::find(const std::string& id) {
+JobEntry* JobTable::find(const std::string& id) {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
 }
-bool Table::knows(const std::string& id, std::uint64_t version) const {
+bool JobTable::knows(const std::string& id, std::uint64_t version) const {
     if (auto o = over_.find(id); o != over_.end() && version <= o->second) return true;
     auto it = jobs_.find(id);
     return it != jobs_.end() && version <= it->second.version;
 }
-bool Table::put(const std::string& id, std::uint64_t version, protocol::JobRecord record) {
+bool JobTable::put(const std::string& id, std::uint64_t version, protocol::JobRecord record) {
     if (knows(id, version)) return false;
     auto [it, fresh] = jobs_.try_emplace(id);
     auto& e = it->second;
@@ -95,7 +95,7 @@
 }
 
 // Jobs come in any order when a leader loads: what needs this one may be here already.
-void Table::link(const std::string& id, Entry& e) {
+void JobTable::link(const std::string& id, JobEntry& e) {
     awaits_.add(id, e.awaits, [&](auto& a) { return jobs_.contains(a); });
     for (auto& a : e.awaits)
         if (auto* before = find(a)) e.cancelled = e.cancelled || before->cancelled;
@@ -104,7 +104,7 @@
     if (e.cancelled) cancel_behind(id);
 }
 // Hands the priority and the time left of a job on to those it needs, as far as that changes anything.
-void Table::hurry(const std::string& id) {
+void JobTable::hurry(const std::string& id) {
     std::vector<std::string> todo{id};
     while (!todo.empty()) {
         auto& y = jobs_.at(todo.back());
@@ -121,7 +121,7 @@
         }
     }
 }
-void Table::cancel(const std::string& id, std::uint64_t version) {
+void JobTable::cancel(const std::string& id, std::uint64_t version) {
     if (auto* e = find(id)) {
         e->cancelled = true;
         e->version = std::max(e->version, version);
@@ -130,10 +130,10 @@
     }
     cancel_behind(id);
 }
-void Table::cancel_behind(const std::string& id) {
+void JobTable::cancel_behind(const std::string& id) {
     awaits_.each_behind(id, [&](auto& y) { return !std::exchange(jobs_.at(y).cancelled, true); });
 }
-void Table::ended(const std::string& id, protocol::JobState state, std::optional<double> unix_now) {
+void JobTable::ended(const std::string& id, protocol::JobState state, std::optional<double> unix_now) {
     if (state == protocol::JobState::cancelled) cancel_behind(id);
     for (auto& y : awaits_.ended(id)) {
         if (state != protocol::JobState::done) continue;
@@ -143,8 +143,8 @@
     }
 }
 
-void Table::put_progress(const std::string& id, const std::string& block, const std::vector<bool>& bits,
-                         std::uint64_t version) {
+void JobTable::put_progress(const std::string& id, const std::string& block, const std::vector<bool>& bits,
+                            std::uint64_t version) {
     auto first = range_of(block, 0).first;
     auto* e = find(id);
     if (!e) return;
@@ -156,7 +156,7 @@
         ++e->done_count;
     }
 }
-void Table::erase(const std::string& id, std::uint64_t revision) {
+void JobTable::erase(const std::string& id, std::uint64_t revision) {
     if (auto it = jobs_.find(id); it != jobs_.end()) {
         awaits_.remove(id, it->second.awaits);
         jobs_.erase(it);
@@ -164,23 +164,24 @@
     over_[id] = revision;
     awaits_.gone(id);
 }
-std::string Table::block_value(const Entry& e, const std::string& block, std::size_t value_bytes) const {
+std::string JobTable::block_value(const JobEntry& e, const std::string& block,
+                                  std::size_t value_bytes) const {
     auto [first, count] = range_of(block, value_bytes);
     auto last = std::min(first + count, e.done.size());
     return protocol::stored_bits({e.done.begin() + static_cast<std::ptrdiff_t>(first),
                                   e.done.begin() + static_cast<std::ptrdiff_t>(last)});
 }
 
-Unstored Table::unstored(double now, bool may_drop) {
+Unstored JobTable::unstored(double now, bool may_drop) {
     Unstored out;
     for (auto& [id, e] : jobs_) {
         // The key of a cancelled job stays until its tasks are proven gone: a later leader must know to stop
         // them. So do those of the jobs behind it go first: what is said about them then follows from live
         // jobs.
-        bool over = e.cancelled ? may_drop && e.active.empty() && e.strays == 0 && !awaits_.awaited(id)
+        bool over = e.cancelled ? may_drop && e.active.empty() && e.orphans == 0 && !awaits_.awaited(id)
                                 : e.all_done();
         if (!over)
-            e.over_since = Entry::never;
+            e.over_since = JobEntry::never;
         else
             e.over_since = std::min(e.over_since, now);
         if (e.writing || now < e.retry_at) continue;
--- a/src/jobs/job_table.hpp
+++ b/src/jobs/job_table.hpp
@@ -15,16 +15,16 @@
 
 namespace coralhitch::jobs {
 
-struct Active {
+struct ActiveTask {
     std::string machine;
     std::uint64_t attempt = 0;
-    std::size_t zone = 0;  // its index in the picture
+    std::size_t zone = 0;  // its index in the cluster state
 };
 
-struct Entry {
+struct JobEntry {
     std::shared_ptr<const protocol::Job> spec;
     std::uint64_t version = 0;
-    std::uint32_t image = 0;  // the picture's number for it
+    std::uint32_t image = 0;  // the cluster state's number for it
     double submitted = 0;     // unix seconds
     // From when on it could start: its submission, or the moment when this leader saw the last job that it
     // awaits done. For one that was released under an earlier leader its submission.
@@ -37,10 +37,11 @@
     double due = never;           // unix seconds; so that those that need it can be in time
     std::vector<bool> done;
     std::uint32_t done_count = 0, first_open = 0;
-    std::map<std::uint32_t, Active> active;  // not proven gone
-    int strays = 0;
-    std::set<std::uint32_t> unstored;             // tasks done whose progress is not stored yet
-    std::map<std::string, std::uint64_t> blocks;  // progress blocks at the state service, and their versions
+    std::map<std::uint32_t, ActiveTask> active;  // not proven gone
+    int orphans = 0;
+    std::set<std::uint32_t> unstored;  // tasks done whose progress is not stored yet
+    std::map<std::string, std::uint64_t>
+        blocks;  // progress blocks at the key-value store, and their versions
     bool writing = false;
     double retry_at = 0;        // storing is tried again then
     double over_since = never;  // steady time from which on its end can be stored; `never`: not yet
@@ -74,15 +75,15 @@
     std::vector<std::string> done, progress, cancelled;
 };
 
-class Table {
+class JobTable {
   public:
     // Progress is stored in blocks, four tasks to a letter. Every version counts blocks of so many tasks by
     // the present limit of a value, and reads the number of the block in the key; to count otherwise under
     // the same keys would mark other tasks done. Where such a block passes what may be written now, the tasks
     // go in smaller blocks whose name says where they begin, which versions that don't know them leave alone.
-    explicit Table(double value_kb);
-    std::string block_of(const Entry& e, std::uint32_t task, std::size_t value_bytes) const;
-    Entry* find(const std::string& id);
+    explicit JobTable(double value_kb);
+    std::string block_of(const JobEntry& e, std::uint32_t task, std::size_t value_bytes) const;
+    JobEntry* find(const std::string& id);
     // Whether what is stored of the job at this version is known, or older than what is known of it.
     bool knows(const std::string& id, std::uint64_t version) const;
     // Takes a stored record in; false if it is older than what is known, or of a job that is over.
@@ -92,13 +93,13 @@
                       std::uint64_t version);
     // The job is over, and stored so at this revision.
     void erase(const std::string& id, std::uint64_t revision);
-    // How a job ended, as the state service says, and when, if that was just now. Once all that a job awaits
-    // is done, it may start; what is behind a cancelled one, however far, is cancelled.
+    // How a job ended, as the key-value store says, and when, if that was just now. Once all that a job
+    // awaits is done, it may start; what is behind a cancelled one, however far, is cancelled.
     void ended(const std::string& id, protocol::JobState state, std::optional<double> unix_now);
     // Its record says so since this version. Of a job that is not known yet it is kept until the record
     // comes: a leader may be told before it has read the jobs.
     void cancel(const std::string& id, std::uint64_t version);
-    const Awaits& awaits() const { return awaits_; }
+    const DependencyGraph& awaits() const { return awaits_; }
     // Changes up to this revision were seen: older news of jobs that are over can't come any more, but with a
     // list that is being read. Until that is over, none is forgotten.
     void seen_revision(std::uint64_t revision) {
@@ -107,11 +108,11 @@
         std::erase_if(cancelled_, [&](auto& c) { return c.second <= revision; });
     }
     void listing(bool under_way) { listing_ = under_way; }
-    std::string block_value(const Entry& e, const std::string& block, std::size_t value_bytes) const;
+    std::string block_value(const JobEntry& e, const std::string& block, std::size_t value_bytes) const;
     // What can be stored now (steady seconds). `may_drop`: machines that an earlier leader knew hold no task
     // of a cancelled job that is not in the table.
     Unstored unstored(double now, bool may_drop);
-    std::map<std::string, Entry>& all() { return jobs_; }
+    std::map<std::string, JobEntry>& all() { return jobs_; }
 
   private:
     struct Range {
@@ -119,13 +120,13 @@
     };
     Range range_of(const std::string& block, std::size_t value_bytes) const;
     static std::size_t fine_block(std::size_t value_bytes);
-    void link(const std::string& id, Entry& e);
+    void link(const std::string& id, JobEntry& e);
     void hurry(const std::string& id);
     void cancel_behind(const std::string& id);
 
     std::size_t block_;
-    std::map<std::string, Entry> jobs_;
-    Awaits awaits_;
+    std::map<std::string, JobEntry> jobs_;
+    DependencyGraph awaits_;
     bool listing_ = false;
     std::unordered_map<std::string, std::uint64_t>
         cancelled_;                                        // not known yet, with the version that says so
--- a/src/kv/keys.hpp
+++ b/src/kv/keys.hpp
@@ -1,4 +1,4 @@
-// The key layout at the state service. docs/design.md describes it.
+// The key layout at the key-value store. docs/design.md describes it.
 #pragma once
 #include <string>
 
--- a/src/kv/kv_client.cpp
+++ b/src/kv/kv_client.cpp
@@ -7,7 +7,7 @@
 namespace coralhitch::kv {
 using protocol::Malformed;
 
-bool Committed::failed_on(const std::string& key) const {
+bool TxnResult::failed_on(const std::string& key) const {
     return std::find(failed.begin(), failed.end(), key) != failed.end();
 }
 
@@ -26,7 +26,7 @@
 constexpr double look_part = 0.5;  // of the requests, for single reads that answer questions
 }  // namespace
 
-Client::Client(event_loop::Timers& timers, http::Requester& http, const config::Settings& s)
+KvClient::KvClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& s)
     : timers_(timers), http_(http), settings_(s), requests_(1, 1), writes_(1, 1), looks_(1, 1), limits_(s) {
     set_leading(false);
 }
@@ -47,7 +47,7 @@
     txn_ops_ = promised_ops_;
 }
 
-void Client::set_leading(bool leading) {
+void KvClient::set_leading(bool leading) {
     auto part = [&](double leaders) {
         return settings_.nodes <= 1 ? 1.0 : leading ? leaders : (1 - leaders) / (settings_.nodes - 1);
     };
@@ -59,45 +59,45 @@
     writes_.set_rate(writes, std::max(1.0, writes));
 }
 
-double Client::timeout() const {
+double KvClient::timeout() const {
     return settings_.report_s / 2;
 }
 
-bool Client::short_of_changes() {
+bool KvClient::short_of_changes() {
     return !writes_.has(timers_.now(), std::max(1.0, changes_per_s_ * short_part));
 }
-double Client::patience(Rank rank) const {
+double KvClient::patience(RequestPriority rank) const {
     double own = settings_.report_s * queue_report_periods;
-    if (rank == Rank::user || rank == Rank::accept)
-        return std::min(own, submission_patience_s * queue_patience);
-    if (rank == Rank::read) return std::min(own, look_patience_s * queue_patience);
+    if (rank == RequestPriority::user || rank == RequestPriority::accept)
+        return std::min(own, submission_timeout_s * queue_patience);
+    if (rank == RequestPriority::read) return std::min(own, read_timeout_s * queue_patience);
     return own;
 }
 // An acceptance behind more changes than can be sent in time. Kept in the queue until then, it was refused
 // when its user had just given up, and asked for again: time-outs instead of refusals, and no end of them.
-bool Client::hopeless(Rank rank, const Call& call) {
-    if (rank != Rank::accept) return false;
+bool KvClient::hopeless(RequestPriority rank, const Call& call) {
+    if (rank != RequestPriority::accept) return false;
     double ahead = call.writes;
-    for (auto r : {Rank::user, Rank::accept})
+    for (auto r : {RequestPriority::user, RequestPriority::accept})
         for (auto& c : queues_[static_cast<std::size_t>(r)]) ahead += c.writes;
     return writes_.time_for(timers_.now(), ahead) > patience(rank);
 }
-void Client::refuse(Rank rank, http::Result result) {
+void KvClient::refuse(RequestPriority rank, http::Result result) {
     ++counts_[static_cast<std::size_t>(rank)].refused;
     // Was never sent. Told later, since this may run inside somebody else's call.
     timers_.after(0, [result = std::move(result)] { result(http::Response{429, "{}"}); });
 }
 
-void Client::submit(Rank rank, Call call) {
+void KvClient::submit(RequestPriority rank, Call call) {
     call.queued = timers_.now();
     call.deadline = call.queued + patience(rank);
-    if (rank == Rank::lease) return send(std::move(call));
+    if (rank == RequestPriority::lease) return send(std::move(call));
     if (hopeless(rank, call)) return refuse(rank, std::move(call.result));
     queues_[static_cast<std::size_t>(rank)].push_back(std::move(call));
     pump();
 }
 
-void Client::pump() {
+void KvClient::pump() {
     double now = timers_.now(), wait = -1;
     bool changes_wanted = false;  // by a call of a higher rank
     for (std::size_t rank = 0; rank < ranks; ++rank) {
@@ -108,13 +108,13 @@
             if (c.deadline < now) {
                 auto result = std::move(c.result);
                 q.pop_front();
-                refuse(static_cast<Rank>(rank), std::move(result));
+                refuse(static_cast<RequestPriority>(rank), std::move(result));
                 continue;
             }
             // A transaction with many changes waits until there is room for all: if those of lower ranks took
             // what gathers meanwhile, it would wait for ever.
             if (c.writes > 0 && changes_wanted) break;
-            bool look = static_cast<Rank>(rank) == Rank::read;
+            bool look = static_cast<RequestPriority>(rank) == RequestPriority::read;
             if (!requests_.has(now) || !writes_.has(now, c.writes) || (look && !looks_.has(now))) {
                 changes_wanted = changes_wanted || c.writes > 0;
                 double w = std::max(requests_.wait(now), writes_.wait(now, c.writes));
@@ -140,7 +140,7 @@
     }
 }
 
-void Client::send(Call call) {
+void KvClient::send(Call call) {
     double now = timers_.now();
     requests_.take(now);
     if (call.writes > 0) writes_.take(now, call.writes);
@@ -153,11 +153,11 @@
                });
 }
 
-void Client::get(const std::string& key, Rank rank, std::function<void(Found)> done) {
+void KvClient::get(const std::string& key, RequestPriority rank, std::function<void(GetResult)> done) {
     submit(
         rank,
         {{"GET", protocol::paths::kv(key), {}}, timeout(), 0, 0, [done](std::optional<http::Response> r) {
-             Found f;
+             GetResult f;
              try {
                  if (r && r->status == 200) f = {true, protocol::parse_entry(r->body)};
                  if (r && r->status == 404) {
@@ -171,11 +171,11 @@
          }});
 }
 
-void Client::list(const std::string& prefix, Rank rank, std::function<void(Listed)> done) {
-    list_page(prefix, rank, std::make_shared<Listed>(), "", std::move(done));
+void KvClient::list(const std::string& prefix, RequestPriority rank, std::function<void(ListResult)> done) {
+    list_page(prefix, rank, std::make_shared<ListResult>(), "", std::move(done));
 }
-void Client::list_page(std::string prefix, Rank rank, std::shared_ptr<Listed> acc, std::string after,
-                       std::function<void(Listed)> done) {
+void KvClient::list_page(std::string prefix, RequestPriority rank, std::shared_ptr<ListResult> acc,
+                         std::string after, std::function<void(ListResult)> done) {
     constexpr int page = 500;
     auto target = protocol::paths::kv_list(prefix, after, page);
     submit(rank, {{"GET", target, {}}, timeout() * 2, 0, 0, [=, this](std::optional<http::Response> r) {
@@ -196,7 +196,7 @@
                   }});
 }
 
-void Client::txn(protocol::Txn t, Rank rank, std::function<void(Committed)> done) {
+void KvClient::txn(protocol::Txn t, RequestPriority rank, std::function<void(TxnResult)> done) {
     double writes = static_cast<double>(t.changes.size());
     auto body = protocol::txn_request(t);
     submit(rank, {{"POST", std::string(protocol::paths::txn), std::move(body)},
@@ -207,21 +207,21 @@
                       bool sent = !r || r->status != 429;
                       for (auto& change : t.changes)
                           if (sent) ++changes_[change.key.substr(0, change.key.find('/'))];
-                      Committed c;
+                      TxnResult c;
                       try {
                           if (!r) {
-                              c.status = Committed::Status::unknown;
+                              c.status = TxnResult::Status::unknown;
                           } else if (r->status == 200) {
-                              c = {Committed::Status::committed, protocol::parse_revision(r->body), {}};
+                              c = {TxnResult::Status::committed, protocol::parse_revision(r->body), {}};
                           } else if (r->status == 409) {
-                              c = {Committed::Status::conflict, 0, protocol::parse_conflict(r->body).failed};
+                              c = {TxnResult::Status::conflict, 0, protocol::parse_conflict(r->body).failed};
                           } else {
-                              c.status = Committed::Status::refused;
+                              c.status = TxnResult::Status::refused;
                               // A put under a lease that is over gets 400, too.
                               bool leased = std::any_of(t.changes.begin(), t.changes.end(),
                                                         [](auto& change) { return change.lease != 0; });
                               if (r->status == 400 && !leased) {
-                                  c.status = Committed::Status::rejected;
+                                  c.status = TxnResult::Status::rejected;
                                   ++rejections_;
                                   limits_.refused(t);
                                   spdlog::error(
@@ -233,65 +233,67 @@
                               }
                           }
                       } catch (const Malformed&) {
-                          c.status = Committed::Status::unknown;
+                          c.status = TxnResult::Status::unknown;
                       }
                       done(std::move(c));
                   }});
 }
 
-void Client::watch(const std::string& prefix, std::uint64_t since, double wait_s,
-                   std::function<void(Watched)> done, std::optional<double> patience_s) {
+void KvClient::watch(const std::string& prefix, std::uint64_t since, double wait_s,
+                     std::function<void(WatchResult)> done, std::optional<double> patience_s) {
     auto wait_ms = static_cast<std::uint64_t>(wait_s * 1000);
-    submit(Rank::lease, {{"GET", protocol::paths::watch(prefix, since, wait_ms), {}},
-                         wait_s > 0 ? wait_s + timeout() * 2 : patience_s.value_or(timeout() / 2),
-                         0,
-                         0,
-                         [done](std::optional<http::Response> r) {
-                             Watched w;
-                             try {
-                                 if (r && r->status == 200)
-                                     w = {Watched::Status::ok, protocol::parse_events(r->body)};
-                                 else if (r && r->status == 410)
-                                     w.status = Watched::Status::too_old;
-                             } catch (const Malformed&) {
-                                 w = {};
-                             }
-                             done(std::move(w));
-                         }});
+    submit(RequestPriority::lease,
+           {{"GET", protocol::paths::watch(prefix, since, wait_ms), {}},
+            wait_s > 0 ? wait_s + timeout() * 2 : patience_s.value_or(timeout() / 2),
+            0,
+            0,
+            [done](std::optional<http::Response> r) {
+                WatchResult w;
+                try {
+                    if (r && r->status == 200)
+                        w = {WatchResult::Status::ok, protocol::parse_events(r->body)};
+                    else if (r && r->status == 410)
+                        w.status = WatchResult::Status::too_old;
+                } catch (const Malformed&) {
+                    w = {};
+                }
+                done(std::move(w));
+            }});
 }
 
-void Client::create_lease(double ttl_s, std::function<void(LeaseAnswer)> done) {
+void KvClient::create_lease(double ttl_s, std::function<void(LeaseResult)> done) {
     double sent = timers_.now();
-    submit(Rank::lease, {{"POST", std::string(protocol::paths::leases),
-                          protocol::lease_request(static_cast<std::uint64_t>(ttl_s * 1000))},
-                         timeout(),
-                         0,
-                         0,
-                         [done, sent](std::optional<http::Response> r) {
-                             LeaseAnswer a{LeaseAnswer::Status::failed, 0, sent};
-                             try {
-                                 if (r && r->status == 200)
-                                     a = {LeaseAnswer::Status::ok, protocol::parse_lease(r->body), sent};
-                             } catch (const Malformed&) {
-                             }
-                             done(a);
-                         }});
+    submit(RequestPriority::lease,
+           {{"POST", std::string(protocol::paths::leases),
+             protocol::lease_request(static_cast<std::uint64_t>(ttl_s * 1000))},
+            timeout(),
+            0,
+            0,
+            [done, sent](std::optional<http::Response> r) {
+                LeaseResult a{LeaseResult::Status::failed, 0, sent};
+                try {
+                    if (r && r->status == 200)
+                        a = {LeaseResult::Status::ok, protocol::parse_lease(r->body), sent};
+                } catch (const Malformed&) {
+                }
+                done(a);
+            }});
 }
-void Client::renew_lease(std::uint64_t id, double timeout_s, std::function<void(LeaseAnswer)> done) {
+void KvClient::renew_lease(std::uint64_t id, double timeout_s, std::function<void(LeaseResult)> done) {
     double sent = timers_.now();
-    submit(Rank::lease, {{"POST", protocol::paths::lease_renew(id), {}},
-                         timeout_s,
-                         0,
-                         0,
-                         [done, sent, id](std::optional<http::Response> r) {
-                             LeaseAnswer a{LeaseAnswer::Status::failed, id, sent};
-                             if (r && r->status == 200) a.status = LeaseAnswer::Status::ok;
-                             if (r && r->status == 404) a.status = LeaseAnswer::Status::gone;
-                             done(a);
-                         }});
+    submit(RequestPriority::lease, {{"POST", protocol::paths::lease_renew(id), {}},
+                                    timeout_s,
+                                    0,
+                                    0,
+                                    [done, sent, id](std::optional<http::Response> r) {
+                                        LeaseResult a{LeaseResult::Status::failed, id, sent};
+                                        if (r && r->status == 200) a.status = LeaseResult::Status::ok;
+                                        if (r && r->status == 404) a.status = LeaseResult::Status::gone;
+                                        done(a);
+                                    }});
 }
-void Client::end_lease(std::uint64_t id, std::function<void(bool)> done) {
-    submit(Rank::lease,
+void KvClient::end_lease(std::uint64_t id, std::function<void(bool)> done) {
+    submit(RequestPriority::lease,
            {{"DELETE", protocol::paths::lease(id), {}},
             timeout(),
             0,
--- a/src/kv/list_watch.cpp
+++ b/src/kv/list_watch.cpp
@@ -5,7 +5,8 @@
 
 namespace coralhitch::kv {
 
-ListWatch::ListWatch(event_loop::Timers& timers, Client& state, std::string prefix, Pace pace, Events events)
+ListWatch::ListWatch(event_loop::Timers& timers, KvClient& state, std::string prefix, Pace pace,
+                     Events events)
     : timers_(timers),
       state_(state),
       prefix_(std::move(prefix)),
@@ -26,9 +27,9 @@
 
 void ListWatch::read(Reader& r) {
     double sent = timers_.now();
-    state_.watch(prefix_, r.revision, r.wait_s, guarded_([this, &r, sent](Watched w) {
-                     if (w.status == Watched::Status::too_old) return list(r);
-                     if (w.status != Watched::Status::ok) return later(r, retry_s_);
+    state_.watch(prefix_, r.revision, r.wait_s, guarded_([this, &r, sent](WatchResult w) {
+                     if (w.status == WatchResult::Status::too_old) return list(r);
+                     if (w.status != WatchResult::Status::ok) return later(r, retry_s_);
                      r.revision = std::max(r.revision, w.events.revision);
                      later(r, r.pause_s);
                      events_.changed(w.events.events, std::min(watch_.revision, confirm_.revision));
@@ -40,7 +41,7 @@
 // Taken in several requests; the first says from which revision on changes are still to be read.
 void ListWatch::list(Reader& r) {
     double sent = timers_.now();
-    state_.list(prefix_, Rank::write, guarded_([this, &r, sent](Listed l) {
+    state_.list(prefix_, RequestPriority::write, guarded_([this, &r, sent](ListResult l) {
                     if (!l.ok) return later(r, retry_s_);
                     r.revision = std::max(r.revision, l.revision);
                     later(r, r.pause_s);
--- a/src/kv/list_watch.hpp
+++ b/src/kv/list_watch.hpp
@@ -31,9 +31,9 @@
         // `reconciled` comes any more.
         std::function<void(const std::vector<protocol::Event>& events, std::uint64_t reconciled)> changed;
         // Everything, since the changes were not kept for so long.
-        std::function<void(const Listed& all)> listed;
+        std::function<void(const ListResult& all)> listed;
     };
-    ListWatch(event_loop::Timers& timers, Client& state, std::string prefix, Pace pace, Events events);
+    ListWatch(event_loop::Timers& timers, KvClient& state, std::string prefix, Pace pace, Events events);
     // Goes on from a list that was begun at that steady time.
     void start(std::uint64_t revision, double listed_at);
 
@@ -52,13 +52,13 @@
     void later(Reader& r, double pause_s);
 
     event_loop::Timers& timers_;
-    Client& state_;
+    KvClient& state_;
     std::string prefix_;
     double retry_s_;
     Events events_;
     Reader watch_, confirm_;
     double complete_at_ = -1e9;
-    event_loop::Guard guarded_;  // last, so that it goes first
+    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::kv
--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t low_water = numbers_per_revision / 2;
 }  // namespace
 
-AttemptNumbers::AttemptNumbers(kv::Client& state, std::uint64_t version, Begin begin)
+AttemptNumbers::AttemptNumbers(kv::KvClient& state, std::uint64_t version, Begin begin)
     : state_(state),
       begin_(std::move(begin)),
       last_(version << revision_bits),
@@ -30,9 +30,9 @@
     // What is written does not matter, but that the revision grows while the leader's key stands.
     transaction->changes.push_back({kv::keys::attempts, "{}", 0});
     extending_ = true;
-    state_.txn(std::move(*transaction), kv::Rank::write, guarded_([this](kv::Committed c) {
+    state_.txn(std::move(*transaction), kv::RequestPriority::write, guarded_([this](kv::TxnResult c) {
                    extending_ = false;
-                   if (c.status != kv::Committed::Status::committed) return;  // asked again
+                   if (c.status != kv::TxnResult::Status::committed) return;  // asked again
                    bound_ = std::max(bound_, (c.revision + 1) << revision_bits);
                    spdlog::info("leader: attempt numbers extended at revision {}", c.revision);
                }));
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -1,7 +1,7 @@
 // The numbers of the attempts that one leadership starts: each is used once, and all are above those of every
 // earlier leadership and below those of every later one.
 //
-// A leadership is known by its version, the revision of the state service at which its key was written. It
+// A leadership is known by its version, the revision of the key-value store at which its key was written. It
 // may use the numbers up to (R + 1) << revision_bits, where R is the highest revision at which its key is
 // known to have stood: a later leadership's version is above R, and its numbers begin above that bound. R is
 // raised by a transaction that holds the leader's key, long before the numbers up to the bound are used up.
@@ -17,24 +17,24 @@
 
 class AttemptNumbers {
   public:
-    // How many numbers each revision of the state service stands for, as a power of two.
+    // How many numbers each revision of the key-value store stands for, as a power of two.
     static constexpr int revision_bits = 20;
     // A transaction on the condition that this leadership's key stands; nothing without authority.
     using Begin = std::function<std::optional<protocol::Txn>()>;
 
-    AttemptNumbers(kv::Client& state, std::uint64_t version, Begin begin);
+    AttemptNumbers(kv::KvClient& state, std::uint64_t version, Begin begin);
     // Nothing while all numbers are used that are known to be this leadership's own.
     std::optional<std::uint64_t> next();
     // Asks for more when half of what one revision gives is left. To be called every now and then.
     void extend();
 
   private:
-    kv::Client& state_;
+    kv::KvClient& state_;
     Begin begin_;
     std::uint64_t last_;   // number given
     std::uint64_t bound_;  // numbers stay below it
     bool extending_ = false;
-    event_loop::Guard guarded_;  // last, so that it goes first
+    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::leader
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -9,7 +9,7 @@
 namespace coralhitch::leader {
 namespace keys = kv::keys;
 using cluster::Machine;
-using kv::Rank;
+using kv::RequestPriority;
 
 namespace {
 // Ratios to the report period, unless named otherwise.
@@ -26,9 +26,9 @@
 }
 }  // namespace
 
-double Leader::worker_lease_bound() const {
-    return relay::worker_lease_bound(dependencies_.settings, dependencies_.election.ttl(),
-                                     job_watch_.complete_at(), dependencies_.election.authority_until());
+double Leader::lease_renewal_deadline() const {
+    return relay::lease_renewal_deadline(dependencies_.settings, dependencies_.election.ttl(),
+                                         job_watch_.complete_at(), dependencies_.election.authority_until());
 }
 
 Leader::Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed)
@@ -57,7 +57,7 @@
                       }
                       if (news) jobs_changed();
                   },
-                  [this](const kv::Listed& all) {
+                  [this](const kv::ListResult& all) {
                       if (stopped_) return;
                       {
                           std::lock_guard lock(mutex_);
@@ -83,7 +83,7 @@
                false,
                {},
                &dependencies_.copy},
-              [this](const failover::Found& found) {
+              [this](const failover::GetResult& found) {
                   if (stopped_) return;
                   take_all(found);
                   if (dependencies_.settings.op.standby)
@@ -123,7 +123,7 @@
     return t;
 }
 
-void Leader::take_all(const failover::Found& found) {
+void Leader::take_all(const failover::GetResult& found) {
     std::lock_guard lock(mutex_);
     std::set<std::string> live;
     for (auto& e : found.jobs.entries) {
@@ -171,7 +171,7 @@
     // first `run` to it: of what it never told, or told to be gone, nothing is left.
     m.known = it == dependencies_.copy.rows.end() || it->second.known;
     if (it == dependencies_.copy.rows.end() || !m.known) return;
-    m.session = it->second.session;
+    m.agent_epoch = it->second.agent_epoch;
     m.sequence = it->second.sequence;
     for (auto& t : it->second.tasks) {
         protocol::TaskId task{t.job, t.index};
@@ -185,7 +185,7 @@
     if (it == cluster_state_.machines().end()) return protocol::PeerMachineRow{id, false, true, 0, 0, {}};
     auto& m = it->second;
     if (m.life == Machine::Life::booting) return std::nullopt;
-    protocol::PeerMachineRow row{id, m.known || m.reconciled, false, m.session, m.sequence, {}};
+    protocol::PeerMachineRow row{id, m.known || m.reconciled, false, m.agent_epoch, m.sequence, {}};
     for (auto& [task, i] : m.tasks) row.tasks.push_back({task.job, task.index, i.attempt});
     return row;
 }
@@ -195,7 +195,7 @@
     std::lock_guard lock(mutex_);
     if (auto text = team_activity_.tell(); !text.empty()) spdlog::info("teams: {}", text);
 }
-void Leader::tell_changes() {
+void Leader::replicate_changes() {
     std::vector<std::string> ids;
     {
         std::lock_guard lock(mutex_);
@@ -213,7 +213,7 @@
             auto i = m->tasks.find(held_.front().task);
             if (i == m->tasks.end()) continue;
             i->second.told = true;
-            cluster_state_.flush_later(*m);
+            cluster_state_.schedule_flush(*m);
         }
     }
     flush_all();
@@ -284,17 +284,17 @@
                                        for (auto& [id, m] : cluster_state_.machines())
                                            if (!m.reconciled && m.known == known) probe(m);
                                }));
-    hear_early();
+    apply_early_heartbeats();
     tick();
 }
-void Leader::hear_early() {
+void Leader::apply_early_heartbeats() {
     constexpr std::size_t at_once = 16;
     for (std::size_t k = 0; k < at_once; ++k) {
         auto report = early_.next(now());
         if (!report) break;
-        handle_report(std::move(*report));
+        handle_heartbeat(std::move(*report));
     }
-    if (!early_.empty()) dependencies_.timers.after(0, guarded([this] { hear_early(); }));
+    if (!early_.empty()) dependencies_.timers.after(0, guarded([this] { apply_early_heartbeats(); }));
 }
 
 // Whether it was news.
@@ -344,7 +344,7 @@
     auto* e = table_.find(id);
     return e ? std::optional(count(id, *e)) : std::nullopt;
 }
-api::TaskCounts Leader::count(const std::string& id, const jobs::Entry& e) {
+api::TaskCounts Leader::count(const std::string& id, const jobs::JobEntry& e) {
     api::TaskCounts c{e.done_count, 0};
     for (auto& [task, a] : e.active) {
         auto* m = cluster_state_.find(a.machine);
@@ -390,9 +390,9 @@
     attempts_.extend();
     store_progress();
     store_.flush();
-    tell_changes();
+    replicate_changes();
     replication_.tick();
-    delete_condemned();
+    delete_marked_machines();
     drop_keys();
     audit();
     if (now() - last_team_log_ > dependencies_.settings.lease_s) log_team_activity();
