--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -40,15 +40,15 @@
     event_loop::Timers& timers;
     http::Requester& http;
     const config::Settings& settings;
-    kv::Client& state;
+    kv::KvClient& state;
     election::Election& election;
-    cloud::Client& cloud;
+    cloud::CloudClient& cloud;
     Planner& planner;
     metrics::Metrics& metrics;
     const std::vector<protocol::MachineType>& types;
     // How many of these machines, silent here for so many seconds, another controller heard from since, at
     // the most; nothing if no other answers and could lead.
-    std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heard_elsewhere;
+    std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heartbeats_seen_by_peers;
     const protocol::PeerImages& remembered;   // what the leader before told of the machines' caches
     std::function<bool()> resign_leadership;  // whether to resign for it; noted if so
     std::uint64_t incarnation;
@@ -56,7 +56,7 @@
     const replication::ReplicaState& copy;    // of what the leader before knew of its machines
     // What another controller last said of itself, if that is not long ago.
     std::function<const protocol::PeerPing*(const std::string& label)> peer;
-    relay::Refusals& refusals;
+    relay::HeartbeatRejections& refusals;
 };
 
 class Leader : public std::enable_shared_from_this<Leader> {
@@ -65,13 +65,13 @@
     void start();
     void stop();
 
-    void handle_report(relay::ReportQueue::Report report);
+    void handle_heartbeat(relay::HeartbeatQueue::Report report);
     // Reports that another controller heard: each is answered as if it had come here.
     void relay(const protocol::PeerRelay& m, http::Reply reply);
     std::size_t lent() const { return delegations_.count(); }
     const replication::ReplicationSender& replication() const { return replication_; }
-    const failover::Steps& steps() const { return steps_; }
-    bool doubts() const { return failure_detector_.doubt().has_value(); }
+    const failover::FailoverSteps& steps() const { return steps_; }
+    bool suspects_itself() const { return failure_detector_.self_suspicion().has_value(); }
     std::optional<api::TaskCounts> counts(const std::string& id);
     std::vector<protocol::PeerCount> all_counts();
     protocol::PeerImages images() const;
@@ -99,9 +99,9 @@
     }
     double now() const { return dependencies_.timers.now(); }
     bool authority() const { return !stopped_ && dependencies_.election.authority(); }
-    api::TaskCounts count(const std::string& id, const jobs::Entry& e);
+    api::TaskCounts count(const std::string& id, const jobs::JobEntry& e);
     void inherit(const std::string& id, cluster::Machine& m);
-    void take_all(const failover::Found& found);
+    void take_all(const failover::GetResult& found);
     void loaded();
     void recall_images();
     void jobs_changed();
@@ -110,13 +110,13 @@
     bool hand_over_tokens();  // whether it has resigned
 
     // machines
-    cluster::ReportOutcome apply_report(const protocol::Report& r, cluster::Via via);
-    double worker_lease_bound() const;
-    protocol::PeerRelayed refused(relay::Refusal why);
-    bool may_renew() const { return !stopped_ && now() <= worker_lease_bound(); }
+    cluster::HeartbeatOutcome apply_heartbeat(const protocol::Heartbeat& r, cluster::Via via);
+    double lease_renewal_deadline() const;
+    protocol::PeerRelayed refused(relay::HeartbeatRejection why);
+    bool may_renew() const { return !stopped_ && now() <= lease_renewal_deadline(); }
     bool repeat_reply(const std::string& body, const http::Reply& reply);
-    protocol::PeerRelayed answer_report(const std::string& body, const std::string& hearer,
-                                        std::string& machine);
+    protocol::PeerRelayed answer_heartbeat(const std::string& body, const std::string& relay_label,
+                                           std::string& machine);
     std::optional<std::string> relay_for(cluster::Machine& m);
     void record_route(cluster::Machine& m, const std::string& route);
     void revoke(const std::string& id);
@@ -126,16 +126,16 @@
     void probe(cluster::Machine& m);
     void probe_soon();
     void send_probes();
-    void hear_early();
+    void apply_early_heartbeats();
     void send_direct(cluster::Machine& m, std::vector<protocol::Command> commands);
     void answered(const std::string& id, const std::vector<protocol::Command>& commands, std::uint64_t token,
                   const std::optional<http::Response>& r);
-    void handle_end(const cluster::End& e);
+    void handle_end(const cluster::InstanceEnd& e);
     void handle_found(const protocol::TaskId& task, const std::string& machine);
-    void locate(jobs::Entry& e, const protocol::TaskId& task, cluster::Machine& m, std::uint64_t attempt);
-    void task_error(jobs::Entry& e, const cluster::End& end);
-    void stop_active(const std::string& id, jobs::Entry& e, double grace_s);
-    void cancel_active(const std::string& id, jobs::Entry& e);
+    void locate(jobs::JobEntry& e, const protocol::TaskId& task, cluster::Machine& m, std::uint64_t attempt);
+    void task_error(jobs::JobEntry& e, const cluster::InstanceEnd& end);
+    void stop_active(const std::string& id, jobs::JobEntry& e, double grace_s);
+    void cancel_active(const std::string& id, jobs::JobEntry& e);
     void check_machines();
     void check_up(cluster::Machine& m, const membership::Observation& seen, membership::Health verdict,
                   bool may);
@@ -148,15 +148,15 @@
     void store_machine(cluster::Machine& m);
     std::optional<protocol::MachineRecord> record_of(const std::string& id);
     void machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records);
-    void delete_condemned();
+    void delete_marked_machines();
     void deleted(const std::vector<std::string>& ids, bool ok);
     void drop_keys();
     void list_hosts();
-    void handle_spot_notice(cluster::Machine& m);
+    void handle_preemption_notice(cluster::Machine& m);
 
     // what others follow
     std::optional<protocol::PeerMachineRow> row_of(const std::string& id) const;
-    void tell_changes();
+    void replicate_changes();
     void log_team_activity();
     void release_starts();
 
@@ -164,15 +164,15 @@
     void store_soon();
     void store_progress();
     void store_ends(const std::vector<std::string>& ids, protocol::JobState state);
-    void finish(const std::vector<std::string>& ids, protocol::JobState state, kv::Rank rank);
-    void end_answered(const std::vector<std::string>& ids, protocol::JobState state, const kv::Committed& c);
+    void finish(const std::vector<std::string>& ids, protocol::JobState state, kv::RequestPriority rank);
+    void end_answered(const std::vector<std::string>& ids, protocol::JobState state, const kv::TxnResult& c);
     void read_live(const std::string& id);
-    void store_blocks(const std::string& id, jobs::Entry& e);
+    void store_blocks(const std::string& id, jobs::JobEntry& e);
     void ended(const std::string& id, std::uint64_t revision, protocol::JobState state);
     void read_end(const std::string& id);
     void read_ends();
     void audit();
-    void stored_failed(const std::string& id, const kv::Committed& c);
+    void stored_failed(const std::string& id, const kv::TxnResult& c);
     void read_block(const std::string& id, const std::string& block);
     protocol::Txn leader_txn() const;
 
@@ -186,19 +186,19 @@
         autoscaler::Decisions capacity;
         bool with_capacity = false;
     };
-    bool may_wait(const jobs::Entry& e) const;
+    bool may_wait(const jobs::JobEntry& e) const;
     bool anything_waits();
     scheduler::Input snapshot();
     autoscaler::Input rentals() const;
     void fill_capacity(Plan& p);
     void apply(Plan& p);
     void apply_starts(Plan& p);
-    bool may_start(jobs::Entry& e, std::uint32_t task, cluster::Machine& m,
+    bool may_start(jobs::JobEntry& e, std::uint32_t task, cluster::Machine& m,
                    const scheduler::ZoneCounts& zones);
-    void rent(const autoscaler::Rent& r);
+    void rent(const autoscaler::ScaleOutRequest& r);
     void ask_rental(const std::string& name);
     std::size_t zone_of(const cluster::Machine& m) const;
-    scheduler::ZoneCounts zones_of(const jobs::Entry& e) const;
+    scheduler::ZoneCounts zones_of(const jobs::JobEntry& e) const;
 
     LeaderDependencies dependencies_;
     std::uint64_t version_;
@@ -206,13 +206,13 @@
     double keep_alive_;
     bool stopped_ = false, loaded_ = false, was_reconciled_ = false;
 
-    std::mutex mutex_;  // guards the picture and the table: the planner reads them
+    std::mutex mutex_;  // guards the cluster state and the table: the planner reads them
     cluster::ClusterState cluster_state_;
-    jobs::Table table_;
+    jobs::JobTable table_;
     machine_registry::MachineRegistry store_;
     kv::ListWatch job_watch_;
 
-    relay::ReportQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
+    relay::HeartbeatQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
     AttemptNumbers attempts_;
     std::uint64_t rentals_made_ = 0;
     std::deque<std::string> to_probe_, flushing_;
@@ -236,14 +236,14 @@
     double last_audit_ = 0;
     double last_plan_ = -1, last_capacity_ = -1, last_list_ = never, remove_retry_ = 0;
     bool listed_once_ = false;
-    protocol::ReportReader reader_;
+    protocol::HeartbeatReader reader_;
     relay::DelegationTable delegations_;
     relay::ReplyCache reply_cache_;  // of machines that report here
     std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
-    event_loop::Bucket asks_;        // questions to machines that have not reconciled
+    event_loop::TokenBucket asks_;   // questions to machines that have not reconciled
     membership::FailureDetector failure_detector_;
     failover::Reconciliation reconciliation_;
-    failover::Steps steps_;
+    failover::FailoverSteps steps_;
     failover::RecoveryLoader loader_;
     replication::ReplicationSender replication_;
     struct Held {
--- a/src/leader/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -8,8 +8,8 @@
 
 namespace coralhitch::leader {
 namespace keys = kv::keys;
-using kv::Committed;
-using kv::Rank;
+using kv::RequestPriority;
+using kv::TxnResult;
 using protocol::JobState;
 
 namespace {
@@ -65,11 +65,11 @@
         double waited = now() - table_.find(ids[k])->over_since;
         bool late = waited > settings.lease_s * tidy_leases;
         finish({ids.begin() + static_cast<std::ptrdiff_t>(k), last}, state,
-               done || late ? Rank::write : Rank::background);
+               done || late ? RequestPriority::write : RequestPriority::background);
     }
 }
 
-void Leader::finish(const std::vector<std::string>& ids, JobState state, Rank rank) {
+void Leader::finish(const std::vector<std::string>& ids, JobState state, RequestPriority rank) {
     auto t = leader_txn();
     for (auto& id : ids) {
         auto& e = *table_.find(id);
@@ -80,18 +80,18 @@
         t.changes.push_back({keys::job(id), std::nullopt, 0});
     }
     ++(state == JobState::done ? ends_under_way_ : tidying_);
-    dependencies_.state.txn(std::move(t), rank, guarded([this, ids, state](Committed c) {
+    dependencies_.state.txn(std::move(t), rank, guarded([this, ids, state](TxnResult c) {
                                 --(state == JobState::done ? ends_under_way_ : tidying_);
                                 end_answered(ids, state, c);
-                                bool all = c.status == Committed::Status::committed;
+                                bool all = c.status == TxnResult::Status::committed;
                                 if (std::exchange(ends_left_, false) || !all) store_soon();
                             }));
 }
 
 // One job that was cancelled, or ended by a transaction whose answer was lost, holds up all that are in its
 // transaction: only those that failed are looked at, the others go again at once without them.
-void Leader::end_answered(const std::vector<std::string>& ids, JobState state, const Committed& c) {
-    using S = Committed::Status;
+void Leader::end_answered(const std::vector<std::string>& ids, JobState state, const TxnResult& c) {
+    using S = TxnResult::Status;
     bool others = std::any_of(ids.begin(), ids.end(), [&](auto& id) { return c.failed_on(keys::job(id)); });
     for (auto& id : ids) {
         auto* e = table_.find(id);
@@ -136,7 +136,7 @@
         if (reading_ends_.size() >= at_once) return;
         if (absent_ends_.contains(id) || !reading_ends_.insert(id).second) continue;
         dependencies_.state.get(
-            keys::final(id), Rank::write, guarded([this, id](kv::Found f) {
+            keys::final(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
                 reading_ends_.erase(id);
                 absent_ends_.insert(id);  // unless it is told below: the next tick asks again
                 if (!f.entry) return read_ends();
@@ -156,7 +156,7 @@
     }
 }
 
-void Leader::store_blocks(const std::string& id, jobs::Entry& e) {
+void Leader::store_blocks(const std::string& id, jobs::JobEntry& e) {
     e.writing = true;
     auto t = leader_txn();
     t.conditions.push_back({keys::job(id), e.version});
@@ -178,18 +178,19 @@
         t.conditions.push_back({key, known == e.blocks.end() ? 0 : known->second});
         t.changes.push_back({std::move(key), table_.block_value(e, b, limits.value_bytes()), 0});
     }
-    dependencies_.state.txn(std::move(t), Rank::write, guarded([this, id, tasks, blocks](Committed c) {
-                                if (c.status != Committed::Status::committed) return stored_failed(id, c);
-                                std::lock_guard lock(mutex_);
-                                auto* e = table_.find(id);
-                                if (!e) return;
-                                e->writing = false;
-                                e->retry_at = now() + dependencies_.settings.report_s /
-                                                          6;  // tasks that end together are stored together
-                                for (auto task : tasks) e->unstored.erase(task);
-                                for (auto& b : blocks) e->blocks[b] = c.revision;
-                                cluster_state_.stored(id, tasks);
-                            }));
+    dependencies_.state.txn(
+        std::move(t), RequestPriority::write, guarded([this, id, tasks, blocks](TxnResult c) {
+            if (c.status != TxnResult::Status::committed) return stored_failed(id, c);
+            std::lock_guard lock(mutex_);
+            auto* e = table_.find(id);
+            if (!e) return;
+            e->writing = false;
+            e->retry_at =
+                now() + dependencies_.settings.report_s / 6;  // tasks that end together are stored together
+            for (auto task : tasks) e->unstored.erase(task);
+            for (auto& b : blocks) e->blocks[b] = c.revision;
+            cluster_state_.stored(id, tasks);
+        }));
 }
 
 // What the watch brings is all there is to know, as far as anyone can tell. A job that it lost would wait for
@@ -202,7 +203,7 @@
     table_.listing(true);
     last_audit_ = now();
     dependencies_.state.list(
-        keys::jobs, Rank::background, guarded([this](kv::Listed l) {
+        keys::jobs, RequestPriority::background, guarded([this](kv::ListResult l) {
             auditing_ = false;
             table_.listing(false);
             if (!l.ok) return;
@@ -232,15 +233,15 @@
         }));
 }
 
-void Leader::stored_failed(const std::string& id, const Committed& c) {
+void Leader::stored_failed(const std::string& id, const TxnResult& c) {
     std::lock_guard lock(mutex_);
     auto* e = table_.find(id);
     if (!e) return;
     e->writing = false;
     // What was too large is written in smaller parts the next time; if it can't be, not without pause.
-    bool rejected = c.status == Committed::Status::rejected;
+    bool rejected = c.status == TxnResult::Status::rejected;
     e->retry_at = now() + dependencies_.settings.report_s * (rejected ? 1.0 / 2 : 1.0 / 10);
-    if (c.status != Committed::Status::conflict) return;
+    if (c.status != TxnResult::Status::conflict) return;
     auto progress = keys::progress_of(id, "");
     if (!c.failed_on(keys::job(id))) {
         // A write whose answer was lost was carried out. Of several blocks the next try tells the next.
@@ -256,7 +257,7 @@
 // What became of the live record, of which this leader does not know what it says by now.
 void Leader::read_live(const std::string& id) {
     table_.find(id)->writing = true;
-    dependencies_.state.get(keys::job(id), Rank::write, guarded([this, id](kv::Found f) {
+    dependencies_.state.get(keys::job(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
                                 std::lock_guard lock(mutex_);
                                 auto* e = table_.find(id);
                                 if (!e) return;
@@ -273,8 +274,8 @@
                             }));
 }
 void Leader::read_block(const std::string& id, const std::string& block) {
-    dependencies_.state.get(keys::progress_of(id, block), Rank::write,
-                            guarded([this, id, block](kv::Found f) {
+    dependencies_.state.get(keys::progress_of(id, block), RequestPriority::write,
+                            guarded([this, id, block](kv::GetResult f) {
                                 auto* e = table_.find(id);
                                 if (!e) return;
                                 e->writing = false;
@@ -287,7 +288,7 @@
 // Only a leader removes the key, and only this one leads: a transaction whose answer was lost was executed.
 // Which of them, the final record says: the job may have been done, or cancelled in between.
 void Leader::read_end(const std::string& id) {
-    dependencies_.state.get(keys::final(id), Rank::write, guarded([this, id](kv::Found f) {
+    dependencies_.state.get(keys::final(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
                                 auto* e = table_.find(id);
                                 if (!e) return;
                                 e->writing = false;
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -8,10 +8,10 @@
 
 namespace coralhitch::leader {
 using cluster::Machine;
-using kv::Committed;
-using kv::Rank;
-using protocol::Cause;
-using protocol::Kind;
+using kv::RequestPriority;
+using kv::TxnResult;
+using protocol::ExitCause;
+using protocol::JobKind;
 
 namespace {
 constexpr double probe_timeout_reports = 0.33, direct_timeout_reports = 0.7;
@@ -23,20 +23,20 @@
 constexpr std::size_t flushes_at_once = 16;
 // Of the machines that are up: how many report to the leader itself while others hear for it; how many it
 // sends to them in a tick; and for how many leases a machine is not sent again.
-constexpr double own_share = 0.1, moved_share = 1.0 / 50, moved_leases = 4;
+constexpr double own_share = 0.1, redirected_share = 1.0 / 50, moved_leases = 4;
 }  // namespace
 
-void Leader::handle_report(relay::ReportQueue::Report report) {
+void Leader::handle_heartbeat(relay::HeartbeatQueue::Report report) {
     if (!loaded_) return early_.push(std::move(report));
     auto& [body, reply, since] = report;
     if (repeat_reply(body, reply)) return;
     std::string machine;
-    auto a = answer_report(body, "", machine);
+    auto a = answer_heartbeat(body, "", machine);
     auto* m = cluster_state_.find(machine);
     if (a.quiet && m) {
         if (auto elsewhere = relay_for(*m)) {
             reply_cache_.forget(machine);
-            return reply({421, protocol::report_elsewhere(*elsewhere)});
+            return reply({421, protocol::heartbeat_redirect(*elsewhere)});
         }
         reply_cache_.put(std::move(body), machine, m->sequence, a.body, now());
     }
@@ -51,14 +51,14 @@
 }
 // A report that says what the last one of its machine said, and that one is the last that was heard of it.
 bool Leader::repeat_reply(const std::string& body, const http::Reply& reply) {
-    auto o = protocol::outline_report(body);
+    auto o = protocol::outline_heartbeat(body);
     if (!o || !authority() || !may_renew()) return false;
     auto* r = reply_cache_.find(body, *o);
     if (!r) return false;
     std::lock_guard lock(mutex_);
     auto* m = cluster_state_.find(std::string(o->machine));
     if (!m || m->sequence != r->sequence || !cluster_state_.quiet(*m)) return false;
-    r->sequence = m->sequence = m->hello_sequence = o->sequence;
+    r->sequence = m->sequence = m->heartbeat_sequence = o->sequence;
     m->last_heard = m->renewed = now();
     record_route(*m, "");
     failure_detector_.heard_from(zone_of(*m), now());
@@ -66,16 +66,18 @@
     reply({200, r->answer});
     return true;
 }
-protocol::PeerRelayed Leader::refused(relay::Refusal why) {
+protocol::PeerRelayed Leader::refused(relay::HeartbeatRejection why) {
     dependencies_.refusals.note(why);
     return {};
 }
-// With the hearer that passes it on, or none if it came here.
-protocol::PeerRelayed Leader::answer_report(const std::string& body, const std::string& hearer,
-                                            std::string& machine) {
-    if (!may_renew()) return refused(stopped_ ? relay::Refusal::no_lease : relay::Refusal::bound_over);
+// With the relay that passes it on, or none if it came here.
+protocol::PeerRelayed Leader::answer_heartbeat(const std::string& body, const std::string& relay_label,
+                                               std::string& machine) {
+    if (!may_renew())
+        return refused(stopped_ ? relay::HeartbeatRejection::no_lease
+                                : relay::HeartbeatRejection::bound_over);
     bool may = authority();
-    protocol::Report report;
+    protocol::Heartbeat report;
     try {
         report = reader_.read(body);
     } catch (const protocol::Malformed& x) {
@@ -83,36 +85,38 @@
         return {400, protocol::error_body(x.what()), false};
     }
     machine = report.machine;
-    auto heard = apply_report(report, cluster::Via::hello);
+    auto heard = apply_heartbeat(report, cluster::Via::heartbeat);
     std::lock_guard lock(mutex_);
     auto* m = cluster_state_.find(report.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
-    if (stopped_) return refused(relay::Refusal::no_lease);
-    if (!heard.current || !m) return refused(relay::Refusal::older);
+    if (stopped_) return refused(relay::HeartbeatRejection::no_lease);
+    if (!heard.current || !m) return refused(relay::HeartbeatRejection::older);
     bool unreached = beyond_reach(*m);
     if (unreached || !cluster_state_.renewable(*m, now())) {
         // It was not answered: should the same report come again, the lease counts from then.
-        m->hello_sequence = std::min(m->hello_sequence, report.sequence - 1);
+        m->heartbeat_sequence = std::min(m->heartbeat_sequence, report.sequence - 1);
         probe(*m);
-        return refused(unreached ? relay::Refusal::unreached : relay::Refusal::stop_unsent);
+        return refused(unreached ? relay::HeartbeatRejection::unreached
+                                 : relay::HeartbeatRejection::stop_unsent);
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again)
-        return {200, protocol::report_answer(m->token, cluster_state_.answer(*m, now(), may)), false};
-    record_route(*m, hearer);
-    if (!delegations_.delegated_to(m->id, hearer)) revoke(m->id);  // it has left the controller that heard it
+        return {200, protocol::heartbeat_response(m->token, cluster_state_.answer(*m, now(), may)), false};
+    record_route(*m, relay_label);
+    if (!delegations_.delegated_to(m->id, relay_label))
+        revoke(m->id);  // it has left the controller that heard it
     auto commands = cluster_state_.answer(*m, now(), may);
     m->renewed = m->reconciled ? now() : std::max(m->renewed, now());
     if (!m->reconciled) m->answered = now();
     bool quiet = commands.empty() && cluster_state_.quiet(*m);
-    if (!hearer.empty() && quiet)
-        delegations_.delegate(m->id, hearer);
+    if (!relay_label.empty() && quiet)
+        delegations_.delegate(m->id, relay_label);
     else
         revoke(m->id);
-    return {200, protocol::report_answer(m->token, commands), quiet};
+    return {200, protocol::heartbeat_response(m->token, commands), quiet};
 }
 void Leader::record_route(Machine& m, const std::string& route) {
-    if (std::exchange(m.has_come, true)) m.reach.came(m.route == route, now());
+    if (std::exchange(m.heartbeat_route_known, true)) m.reach.came(m.route == route, now());
     m.route = route;
     m.suspected = m.reach.lost();
     m.reach.reported(now());
@@ -121,7 +125,7 @@
 void Leader::revoke(const std::string& id) {
     auto until = delegations_.revoke(id);
     auto* m = cluster_state_.find(id);
-    if (until && m) m->lent_until = std::max(m->lent_until, *until);
+    if (until && m) m->delegation_expiry = std::max(m->delegation_expiry, *until);
 }
 // The leader has most to do besides hearing, so others hear most machines: it sends quiet ones to them, a few
 // at a time, and none twice within some leases, in case that one can't be reached from there.
@@ -130,7 +134,7 @@
     auto peers = static_cast<double>(std::max<std::size_t>(1, dependencies_.settings.peers.size()));
     bool enough_here = fleet - static_cast<double>(delegations_.count()) > fleet * own_share;
     if (!dependencies_.settings.op.hearing || !enough_here ||
-        static_cast<double>(moved_) > fleet * moved_share ||
+        static_cast<double>(moved_) > fleet * redirected_share ||
         (m.moved >= 0 && t - m.moved < dependencies_.settings.lease_s * moved_leases))
         return std::nullopt;
     auto most = static_cast<std::size_t>(fleet * (1 - own_share) / peers) + 1;
@@ -149,12 +153,12 @@
     auto send = [&] { reply({200, protocol::pack_peer(a), "application/msgpack"}); };
     if (!a.ready) return send();
     auto given_back = [this](const std::string& id, double until) {
-        if (auto* m = cluster_state_.find(id)) m->lent_until = std::max(m->lent_until, until);
+        if (auto* m = cluster_state_.find(id)) m->delegation_expiry = std::max(m->delegation_expiry, until);
     };
     if (!delegations_.heard(q.label, q.incarnation, q.number, q.answered, given_back))
         return reply({503, {}, "application/msgpack"});
     std::string machine;
-    for (auto& body : q.reports) a.answers.push_back(answer_report(body, q.label, machine));
+    for (auto& body : q.reports) a.answers.push_back(answer_heartbeat(body, q.label, machine));
     {
         std::lock_guard lock(mutex_);
         for (auto& h : q.heard) {
@@ -170,28 +174,29 @@
     flush_all();
     // Within the time for which this leader itself may renew leases, which its successor counts on, and which
     // ends early enough for tasks that are cancelled.
-    double grant = std::max(0.0, std::min({s.report_s, keep_alive_, worker_lease_bound() - now()}));
+    double grant = std::max(0.0, std::min({s.report_s, keep_alive_, lease_renewal_deadline() - now()}));
     a.grant_ms = static_cast<std::uint64_t>(grant * 1000);
     a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * election::drift));
     send();
 }
 
-cluster::ReportOutcome Leader::apply_report(const protocol::Report& r, cluster::Via via) {
-    cluster::ReportOutcome heard;
+cluster::HeartbeatOutcome Leader::apply_heartbeat(const protocol::Heartbeat& r, cluster::Via via) {
+    cluster::HeartbeatOutcome heard;
     {
         std::lock_guard lock(mutex_);
         if (auto* m = cluster_state_.find(r.machine); m && m->life == Machine::Life::booting)
-            failure_detector_.came_up(boots(*m));
-        heard = cluster_state_.apply_report(r, via, now(), [this](const std::string& id) -> cluster::Spec {
-            auto* e = table_.find(id);
-            return e ? e->spec : nullptr;
-        });
+            failure_detector_.booted(boots(*m));
+        heard =
+            cluster_state_.apply_heartbeat(r, via, now(), [this](const std::string& id) -> cluster::JobSpec {
+                auto* e = table_.find(id);
+                return e ? e->spec : nullptr;
+            });
         for (auto& e : heard.ends) handle_end(e);
         for (auto& [task, machine] : heard.found) handle_found(task, machine);
         if (auto* m = cluster_state_.find(r.machine); m && heard.fresh) {
             store_machine(*m);
             failure_detector_.heard_from(zone_of(*m), now());
-            if (m->notice_until >= 0) handle_spot_notice(*m);
+            if (m->preemption_notice_until >= 0) handle_preemption_notice(*m);
         }
     }
     if (heard.deposed) {
@@ -202,7 +207,7 @@
         return heard;
     }
     check_reconciled();
-    tell_changes();
+    replicate_changes();
     if (heard.ends.empty() && heard.found.empty()) return heard;
     flush_all();
     if (loaded_) store_soon();
@@ -216,7 +221,7 @@
         steps_.over("may place");
         plan_soon();
     }
-    if (was_reconciled_ || !reconciliation_.all_heard()) return;
+    if (was_reconciled_ || !reconciliation_.all_reconciled()) return;
     was_reconciled_ = true;
     steps_.over("all machines settled");
     plan_soon();
@@ -230,17 +235,17 @@
     auto* e = table_.find(task.job);
     auto* m = cluster_state_.find(machine);
     auto it = m->tasks.find(task);
-    if (!e || it == m->tasks.end()) return;  // of a job that is over: the picture stops it
+    if (!e || it == m->tasks.end()) return;  // of a job that is over: the cluster state stops it
     if (it->second.confirmed) locate(*e, task, *m, it->second.attempt);
-    if (e->cancelled) cluster_state_.cancel(*m, task, worker_lease_bound());
+    if (e->cancelled) cluster_state_.cancel(*m, task, lease_renewal_deadline());
     if (e->is_done(task.index)) cluster_state_.stop(*m, task, 0);
 }
 
 // The task is on this machine. Attempts are numbered in the order of their starts, and one starts when the
-// one before is proven gone: what shows the older one came late, if it is of another session or machine by
-// now. The newer one used to be stopped if it was heard second.
-void Leader::locate(jobs::Entry& e, const protocol::TaskId& task, Machine& m, std::uint64_t attempt) {
-    auto [a, fresh] = e.active.try_emplace(task.index, jobs::Active{m.id, attempt, zone_of(m)});
+// one before is proven gone: what shows the older one came late, if it is of another agent epoch or machine
+// by now. The newer one used to be stopped if it was heard second.
+void Leader::locate(jobs::JobEntry& e, const protocol::TaskId& task, Machine& m, std::uint64_t attempt) {
+    auto [a, fresh] = e.active.try_emplace(task.index, jobs::ActiveTask{m.id, attempt, zone_of(m)});
     if (fresh || a->second.machine == m.id) return;
     auto* other = cluster_state_.find(a->second.machine);
     if (m.confirmed && other && other->confirmed)
@@ -253,13 +258,13 @@
         a->second = {m.id, attempt, zone_of(m)};
     }
     if (auto old = older ? older->tasks.find(task) : m.tasks.end(); older && old != older->tasks.end()) {
-        old->second.stray = true;
-        ++e.strays;
+        old->second.orphaned = true;
+        ++e.orphans;
         cluster_state_.stop(*older, task, 0);
     }
 }
 
-void Leader::handle_end(const cluster::End& end) {
+void Leader::handle_end(const cluster::InstanceEnd& end) {
     auto* e = table_.find(end.task.job);
     if (!e) {
         cluster_state_.stored(end.task.job);  // the job is over and stored
@@ -267,18 +272,18 @@
     }
     spdlog::debug("task {} attempt {} left {}: reported {} cause {}", end.task.str(), end.attempt,
                   end.machine, end.reported, static_cast<int>(end.cause));
-    if (end.stray) --e->strays;
+    if (end.orphaned) --e->orphans;
     auto a = e->active.find(end.task.index);
-    // The place is free if the picture holds nothing there any more: an old attempt that is reported as
+    // The place is free if the cluster state holds nothing there any more: an old attempt that is reported as
     // exited once more says nothing about the one that came after it.
     auto* there = cluster_state_.find(end.machine);
     bool ours = a != e->active.end() && a->second.machine == end.machine &&
                 !(there && there->tasks.contains(end.task));
     if (ours) e->active.erase(a);
     auto& spec = *e->spec;
-    bool gang = spec.kind == Kind::gang;
+    bool gang = spec.kind == JobKind::gang;
     if (end.task.index >= spec.tasks) return;
-    if (end.cause == Cause::done && spec.kind != Kind::service) {
+    if (end.cause == ExitCause::done && spec.kind != JobKind::service) {
         // The tasks of a gang complete together: if one is done, all are.
         auto before = e->done_count;
         if (gang) {
@@ -294,20 +299,20 @@
             cluster_state_.stored(end.task.job, {end.task.index});
         return;
     }
-    if (end.cause == Cause::done) cluster_state_.stored(end.task.job, {end.task.index});
+    if (end.cause == ExitCause::done) cluster_state_.stored(end.task.job, {end.task.index});
     if (!ours) return;
     if (end.started) team_activity_.stopped(spec.team);
     switch (end.cause) {
-        case Cause::error:
+        case ExitCause::error:
             task_error(*e, end);
             break;
-        case Cause::no_room:
-        case Cause::busy:
-            // The picture of this machine was wrong: let reports mend it first.
+        case ExitCause::no_room:
+        case ExitCause::busy:
+            // The cluster state of this machine was wrong: let reports mend it first.
             if (auto* m = cluster_state_.find(end.machine))
-                m->avoid_until = now() + dependencies_.settings.report_s;
+                m->quarantined_until = now() + dependencies_.settings.report_s;
             break;
-        case Cause::unknown:
+        case ExitCause::unknown:
             e->not_before = now() + dependencies_.settings.report_s;
             break;
         default:
@@ -317,14 +322,14 @@
     if (gang && !e->all_done()) stop_active(end.task.job, *e, scheduler::grace_of(spec));
 }
 
-void Leader::task_error(jobs::Entry& e, const cluster::End& end) {
+void Leader::task_error(jobs::JobEntry& e, const cluster::InstanceEnd& end) {
     ++e.failures;
     e.failed_on.insert(end.machine);
     // The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on
     // several machines gets pauses that grow, up to a bound, and holds nobody else up.
     constexpr int most_doublings = 5;
     if (e.on_probation()) {
-        int doublings = std::min(e.failures - jobs::Entry::patience - 1, most_doublings);
+        int doublings = std::min(e.failures - jobs::JobEntry::patience - 1, most_doublings);
         e.not_before = now() + dependencies_.settings.report_s * std::pow(2.0, doublings);
         if (e.failed_on.size() > 8) e.failed_on.clear();
     }
@@ -333,37 +338,38 @@
     m->error_jobs.insert(end.task.job);
     if (e.on_probation()) return;  // says more about the job than about the machine
     if (m->error_jobs.size() < 2) {
-        m->avoid_until = now() + dependencies_.settings.report_s * 2;
+        m->quarantined_until = now() + dependencies_.settings.report_s * 2;
         return;
     }
     spdlog::info("machine {} fails the tasks of {} jobs", m->id, m->error_jobs.size());
     dependencies_.metrics.event("sick_machine");
-    m->avoid_until = now() + dependencies_.settings.report_s * sick_reports;
+    m->quarantined_until = now() + dependencies_.settings.report_s * sick_reports;
     m->error_jobs.clear();
     if (m->tasks.empty()) mark_for_deletion(*m, "fails its tasks");
 }
 
-void Leader::stop_active(const std::string& id, jobs::Entry& e, double grace_s) {
+void Leader::stop_active(const std::string& id, jobs::JobEntry& e, double grace_s) {
     for (auto& [task, a] : e.active)
         if (auto* m = cluster_state_.find(a.machine)) cluster_state_.stop(*m, {id, task}, grace_s);
 }
 
 // A cancellation that this leader did not know when it was last complete was told after that.
-void Leader::cancel_active(const std::string& id, jobs::Entry& e) {
+void Leader::cancel_active(const std::string& id, jobs::JobEntry& e) {
     for (auto& [task, a] : e.active)
         if (auto* m = cluster_state_.find(a.machine))
-            cluster_state_.cancel(*m, {id, task}, worker_lease_bound());
+            cluster_state_.cancel(*m, {id, task}, lease_renewal_deadline());
 }
 
-void Leader::handle_spot_notice(Machine& m) {
+void Leader::handle_preemption_notice(Machine& m) {
     std::vector<std::pair<protocol::TaskId, double>> stops;
     for (auto& [id, i] : m.tasks)
-        if (i.spec && i.confirmed && !i.stop && (i.spec->checkpoint_s > 0 || i.spec->kind == Kind::service))
-            stops.emplace_back(id,
-                               std::min(scheduler::grace_of(*i.spec), std::max(0.0, m.notice_until - now())));
+        if (i.spec && i.confirmed && !i.stop &&
+            (i.spec->checkpoint_s > 0 || i.spec->kind == JobKind::service))
+            stops.emplace_back(
+                id, std::min(scheduler::grace_of(*i.spec), std::max(0.0, m.preemption_notice_until - now())));
     for (auto& [id, grace] : stops) {
         auto* e = table_.find(id.job);
-        if (e && e->spec->kind == Kind::gang)
+        if (e && e->spec->kind == JobKind::gang)
             stop_active(id.job, *e, grace);
         else
             cluster_state_.stop(m, id, grace);
@@ -398,7 +404,7 @@
     std::vector<protocol::Command> commands;
     {
         std::lock_guard lock(mutex_);
-        if (m.session == 0) {
+        if (m.agent_epoch == 0) {
             m.unsent = false;
             return;
         }
@@ -406,7 +412,7 @@
     }
     if (!commands.empty()) send_direct(m, std::move(commands));
 }
-// Asks for a report, and makes the worker take this leader's token. Only some at a time: a takeover asks
+// Asks for a report, and makes the worker take this leader's token. Only some at a time: a failover asks
 // hundreds, which must fit into the sockets and the processor's share.
 void Leader::probe(Machine& m) {
     if (m.addr.empty()) return;
@@ -468,9 +474,9 @@
     auto token = m.token;
     std::string id = m.id;
     bool probe = commands.empty();
-    // Most workers are in their first session still: a good guess saves the question.
-    auto session = std::max<std::uint64_t>(1, m.session);
-    auto body = protocol::direct_commands(token, session, commands);
+    // Most workers are in their first agent epoch still: a good guess saves the question.
+    auto agent_epoch = std::max<std::uint64_t>(1, m.agent_epoch);
+    auto body = protocol::direct_commands(token, agent_epoch, commands);
     double timeout =
         dependencies_.settings.report_s * (probe ? probe_timeout_reports : direct_timeout_reports);
     dependencies_.http.send(
@@ -493,9 +499,9 @@
     if (executed || refused) try {
             auto report = reader_.read(r->body);
             auto* before = cluster_state_.find(id);
-            first_session = before && before->session < report.session;
-            if (report.machine == id) apply_report(report, cluster::Via::direct);
-            // What a hearer would go on answering may not be the last word any more.
+            first_session = before && before->agent_epoch < report.agent_epoch;
+            if (report.machine == id) apply_heartbeat(report, cluster::Via::direct);
+            // What a relay would go on answering may not be the last word any more.
             if (auto* m = cluster_state_.find(id); m && !cluster_state_.quiet(*m)) revoke(id);
         } catch (const protocol::Malformed& x) {
             spdlog::info("machine {}: {}", id, x.what());
@@ -508,7 +514,7 @@
     else
         m->reach.ignored(now());
     cluster_state_.direct_done(*m, commands, token, executed || refused);
-    // A 409 told the session: ask again at once, so that the machine settles.
+    // A 409 told the agent epoch: ask again at once, so that the machine settles.
     if (refused && first_session && !m->reconciled)
         dependencies_.timers.after(0, guarded([this, id] {
                                        if (auto* again = cluster_state_.find(id)) probe(*again);
@@ -527,7 +533,7 @@
     if (m.tasks.empty()) return membership::EvictionCost::nothing;
     bool alone = std::all_of(m.tasks.begin(), m.tasks.end(), [](auto& t) {
         auto& i = t.second;
-        return i.spec && i.spec->kind == Kind::array && i.running_since >= 0;
+        return i.spec && i.spec->kind == JobKind::array && i.running_since >= 0;
     });
     return alone ? membership::EvictionCost::work : membership::EvictionCost::awaited;
 }
@@ -542,7 +548,7 @@
                                   m.last_heard, m.reconciled, m.known,    {}};
         // What runs there goes on until its worker's lease is out, and that is reported. What was sent there
         // and is not seen would wait for as long.
-        if (m.reconciled && m.reach.lost() && !m.runs_any())
+        if (m.reconciled && m.reach.lost() && !m.has_reported_instances())
             s.unreached = t - m.reach.shown_at() - dependencies_.settings.report_s;
         if (std::max(s.silent, s.unreached) > dependencies_.settings.report_s / 2)
             s.eviction_cost = eviction_cost(m);
@@ -552,17 +558,17 @@
     double asked_s = dependencies_.settings.report_s * dependencies_.settings.op.silence_reports;
     failure_detector_.look(seen,
                            {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
-    if (auto& doubt = failure_detector_.doubt()) {
-        auto elsewhere = dependencies_.heard_elsewhere(doubt->silent);
+    if (auto& self_suspicion = failure_detector_.self_suspicion()) {
+        auto elsewhere = dependencies_.heartbeats_seen_by_peers(self_suspicion->silent);
         failure_detector_.answered(elsewhere);
-        if (failure_detector_.should_give_way() && dependencies_.resign_leadership()) {
+        if (failure_detector_.should_resign() && dependencies_.resign_leadership()) {
             spdlog::info("leader: {} of {} machines are silent, {} report to another controller: giving way",
-                         doubt->silent.size(), failure_detector_.up(), *elsewhere);
+                         self_suspicion->silent.size(), failure_detector_.up(), *elsewhere);
             dependencies_.election.resign(dependencies_.settings.lease_s);
             return;
         }
     }
-    bool may = authority() && failure_detector_.may_judge();
+    bool may = authority() && failure_detector_.may_evict();
     std::size_t suspected = 0;
     for (std::size_t k = 0; k < machines.size(); ++k) {
         auto& m = *machines[k];
@@ -572,9 +578,9 @@
             m.suspected = verdict != membership::Health::Alive || m.reach.lost();
             m.mute = m.reach.mute(t, dependencies_.settings.lease_s * mute_leases);
         }
-        // Each grant to its hearer would move the time at which its lease is out, and it never was.
+        // Each grant to its relay would move the time at which its lease is out, and it never was.
         if (m.mute) revoke(m.id);
-        suspected += m.doubtful();
+        suspected += m.is_suspect();
         check_up(m, seen[k], verdict, may);
     }
     dependencies_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
@@ -589,17 +595,17 @@
 }
 
 // Proof by time: the worker kills its tasks lease_s after it sent the last report that was answered. That
-// report was sent before its answer; an answer to a delayed report counts too. A hearer may have answered it,
+// report was sent before its answer; an answer to a delayed report counts too. A relay may have answered it,
 // too.
 bool Leader::check_lease(Machine& m) {
     const auto& s = dependencies_.settings;
-    double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.lent_until);
+    double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.delegation_expiry);
     bool over = now() > renewed + s.lease_s * (1 + 2 * election::drift) + s.report_s / 3;
     bool silent = now() - m.last_heard > s.lease_s || beyond_reach(m);
     if (over && silent && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
         std::lock_guard lock(mutex_);
-        for (auto& e : cluster_state_.lease_out(m)) handle_end(e);
+        for (auto& e : cluster_state_.expire_lease(m)) handle_end(e);
         plan_soon();
     }
     return over;
@@ -620,9 +626,9 @@
     bool asked_now = m.reconciled && m.probing && !lease_over;
     if (given_up && !asked_now && (may || (lease_over && authority()))) {
         std::lock_guard lock(mutex_);
-        failure_detector_.gave_up(seen, t);
+        failure_detector_.evicted(seen, t);
         mark_for_deletion(m, failure_detector_.evidence(seen).c_str());
-    } else if (may && m.notice_until >= 0 && m.tasks.empty() && m.reconciled) {
+    } else if (may && m.preemption_notice_until >= 0 && m.tasks.empty() && m.reconciled) {
         std::lock_guard lock(mutex_);
         mark_for_deletion(m, "has notice and is empty");
     }
@@ -645,13 +651,13 @@
 }
 
 // Up to a call's most machines each, and several calls at once: after a wave of losses, places wait for it.
-void Leader::delete_condemned() {
+void Leader::delete_marked_machines() {
     constexpr int most_calls = 4;
     while (removing_ < most_calls && authority() && now() >= remove_retry_) {
         std::vector<std::string> ids;
         for (auto& [id, m] : cluster_state_.machines())
             if (m.life == Machine::Life::marked_for_deletion && m.deletable && !m.deleting &&
-                ids.size() < cloud::Client::remove_most) {
+                ids.size() < cloud::CloudClient::remove_most) {
                 ids.push_back(id);
                 m.deleting = true;
             }
@@ -679,10 +685,10 @@
             for (auto& e : cluster_state_.removed(id)) handle_end(e);
         }
     }
-    tell_changes();
+    replicate_changes();
     check_reconciled();
     plan_soon();
-    delete_condemned();
+    delete_marked_machines();
 }
 
 void Leader::drop_keys() {
@@ -695,9 +701,9 @@
     std::vector<std::string> dropped;
     for (auto& ch : t.changes) dropped.push_back(ch.key);
     dropping_ = true;
-    dependencies_.state.txn(std::move(t), Rank::background, guarded([this, dropped](Committed c) {
+    dependencies_.state.txn(std::move(t), RequestPriority::background, guarded([this, dropped](TxnResult c) {
                                 dropping_ = false;
-                                if (c.status == Committed::Status::committed)
+                                if (c.status == TxnResult::Status::committed)
                                     for (auto& k : dropped) keys_to_drop_.erase(k);
                             }));
 }
@@ -707,7 +713,7 @@
 void Leader::store_machine(Machine& m) {
     // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
     if (!m.confirmed && m.token_seen > 0) return;
-    if (m.stored || m.storing || m.life != Machine::Life::up || m.session == 0) return;
+    if (m.stored || m.storing || m.life != Machine::Life::up || m.agent_epoch == 0) return;
     m.storing = true;
     store_.put(m.id);
 }
@@ -727,11 +733,11 @@
             if (m->stored) continue;
             m->stored = true;
             for (auto& [task, i] : m->tasks) i.ready = true;
-            cluster_state_.flush_later(*m);
+            cluster_state_.schedule_flush(*m);
         }
     }
     flush_all();
-    delete_condemned();
+    delete_marked_machines();
 }
 
 void Leader::list_hosts() {
@@ -747,7 +753,7 @@
             std::lock_guard lock(mutex_);
             for (auto& h : *hosts) {
                 // The list lags: what is known to be gone stays gone.
-                if (cluster_state_.is_gone(h.id)) continue;
+                if (cluster_state_.is_deleted(h.id)) continue;
                 auto* known = cluster_state_.find(h.id);
                 auto& m = known ? *known
                                 : cluster_state_.add(h.id, h.addr, h.type, h.zone, h.spot,
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -8,7 +8,7 @@
 
 namespace coralhitch::leader {
 using cluster::Machine;
-using protocol::Kind;
+using protocol::JobKind;
 
 namespace {
 constexpr double plan_gap_reports = 1.0 / 12;
@@ -33,8 +33,8 @@
 }
 
 // Whether the job may start tasks now, as far as it is up to the job.
-bool Leader::may_wait(const jobs::Entry& e) const {
-    return !e.cancelled && !e.awaiting() && !e.all_done() && now() >= e.not_before && e.strays == 0;
+bool Leader::may_wait(const jobs::JobEntry& e) const {
+    return !e.cancelled && !e.awaiting() && !e.all_done() && now() >= e.not_before && e.orphans == 0;
 }
 bool Leader::anything_waits() {
     return std::any_of(table_.all().begin(), table_.all().end(),
@@ -46,7 +46,7 @@
     // task, a quota nor a zone is safe.
     if (planning_ || !loaded_ || !authority() || !reconciliation_.may_place()) return;
     auto plan = std::make_shared<Plan>();
-    plan->with_capacity = reconciliation_.all_heard() &&
+    plan->with_capacity = reconciliation_.all_reconciled() &&
                           now() - last_capacity_ > dependencies_.settings.report_s * capacity_reports &&
                           !dependencies_.types.empty();
     // Most plans found nothing to place: each copied the whole fleet to see that.
@@ -83,7 +83,7 @@
 std::size_t Leader::zone_of(const Machine& m) const {
     return cluster_state_.pools()[m.pool].zone_index;
 }
-scheduler::ZoneCounts Leader::zones_of(const jobs::Entry& e) const {
+scheduler::ZoneCounts Leader::zones_of(const jobs::JobEntry& e) const {
     scheduler::ZoneCounts zones(cluster_state_.zones());
     for (auto& [task, a] : e.active) ++zones[a.zone];
     return zones;
@@ -106,7 +106,9 @@
         j.submitted = e.ready;
         j.due = e.due;
         j.startable = may_wait(e);
-        std::size_t most = e.spec->kind == Kind::gang ? e.spec->tasks : e.on_probation() ? 1 : tasks_per_plan;
+        std::size_t most = e.spec->kind == JobKind::gang ? e.spec->tasks
+                           : e.on_probation()            ? 1
+                                                         : tasks_per_plan;
         if (j.startable && !(e.on_probation() && !e.active.empty())) j.waiting = e.waiting(most);
         j.open = e.done.size() - e.done_count;
         j.zones = zones_of(e);
@@ -122,7 +124,7 @@
         scheduler::MachineView v;
         v.id = id;
         v.pool = m.pool;
-        v.usable = m.usable(in.now) && !m.has_unknown();
+        v.usable = m.usable(in.now) && !m.has_orphaned_instance();
         v.draining = m.draining;
         v.free = m.free();
         v.tasks = static_cast<int>(m.tasks.size());
@@ -130,7 +132,7 @@
         for (auto& [task, i] : m.tasks) {
             auto it = job_index.find(i.spec.get());
             if (it == job_index.end()) continue;
-            if (i.spec->kind == Kind::service) ++v.services;
+            if (i.spec->kind == JobKind::service) ++v.services;
             if (i.state == protocol::TaskState::fetching && !i.stop) {
                 auto image = in.jobs[it->second].image;
                 if (!scheduler::has_image(v, image)) v.coming.push_back(image);
@@ -169,9 +171,9 @@
     in.others = cluster_state_.machines().size();
     for (auto& v : p.in.machines) {
         auto* m = cluster_state_.find(v.id);
-        if (!m || m->life == Machine::Life::marked_for_deletion || m->notice_until >= 0) continue;
+        if (!m || m->life == Machine::Life::marked_for_deletion || m->preemption_notice_until >= 0) continue;
         bool booting = m->life == Machine::Life::booting;
-        bool suspected = m->doubtful() && m->fit(p.in.now) && !m->has_unknown();
+        bool suspected = m->is_suspect() && m->fit(p.in.now) && !m->has_orphaned_instance();
         if (!booting && !v.usable && !suspected) continue;
         // With what the plan has just decided to start.
         autoscaler::MachineView c;
@@ -194,11 +196,12 @@
     }
 }
 
-bool Leader::may_start(jobs::Entry& e, std::uint32_t task, Machine& m, const scheduler::ZoneCounts& zones) {
+bool Leader::may_start(jobs::JobEntry& e, std::uint32_t task, Machine& m,
+                       const scheduler::ZoneCounts& zones) {
     auto& spec = *e.spec;
-    return !e.cancelled && !e.awaiting() && e.strays == 0 && !e.is_done(task) && !e.active.contains(task) &&
-           m.usable(now()) && !m.has_unknown() && !m.tasks.contains({spec.id, task}) &&
-           m.free().holds(spec.need) && scheduler::type_allowed(spec, m.type, m.zone, m.spot) &&
+    return !e.cancelled && !e.awaiting() && e.orphans == 0 && !e.is_done(task) && !e.active.contains(task) &&
+           m.usable(now()) && !m.has_orphaned_instance() && !m.tasks.contains({spec.id, task}) &&
+           m.free().fits(spec.request) && scheduler::type_allowed(spec, m.type, m.zone, m.spot) &&
            scheduler::zone_allowed(spec, zones, zone_of(m));
 }
 
@@ -210,7 +213,7 @@
     for (std::size_t k = 0; k < starts.size();) {
         auto job = starts[k].job;
         auto& id = p.in.jobs[job].spec->id;
-        bool gang = p.in.jobs[job].spec->kind == Kind::gang;
+        bool gang = p.in.jobs[job].spec->kind == JobKind::gang;
         std::size_t end = k + 1;
         if (gang)
             while (end < starts.size() && starts[end].job == job) ++end;
@@ -226,9 +229,9 @@
             auto* m = cluster_state_.find(p.in.machines[starts[i].machine].id);
             auto task = starts[i].task;
             ok = m && may_start(*e, task, *m, zones) &&
-                 scheduler::team_allows(*team, used[e->spec->team], e->spec->need);
+                 scheduler::team_allows(*team, used[e->spec->team], e->spec->request);
             if (!ok) break;
-            used[e->spec->team] += e->spec->need;
+            used[e->spec->team] += e->spec->request;
             cluster_state_.place(*m, {id, task}, e->spec, *attempt, now());
             e->active[task] = {m->id, *attempt, zone_of(*m)};
             ++zones[zone_of(*m)];
@@ -245,7 +248,7 @@
             for (auto& [m, task] : placed) {
                 m->tasks.erase({id, task});
                 e->active.erase(task);
-                used[e->spec->team] -= e->spec->need;
+                used[e->spec->team] -= e->spec->request;
             }
         }
         k = end;
@@ -261,7 +264,7 @@
         for (auto& u : p.out.unplaced)
             missing[static_cast<std::size_t>(p.in.jobs[u.job].spec->kind)] += u.count;
         std::size_t usable = 0, whole = 0;
-        protocol::Room free;
+        protocol::Resources free;
         for (auto& m : p.in.machines) {
             if (!m.usable) continue;
             ++usable;
@@ -278,7 +281,7 @@
         std::lock_guard lock(mutex_);
         if (!reconciliation_.may_place()) return;
         apply_starts(p);
-        bool stops = reconciliation_.all_heard();
+        bool stops = reconciliation_.all_reconciled();
         for (auto& s : p.out.stops) {
             if (!stops) break;
             auto& i = p.in.instances[s.instance];
@@ -296,7 +299,7 @@
                 mark_for_deletion(*m, "is surplus");
         }
     }
-    tell_changes();
+    replicate_changes();
     // The changes that show the starts of this plan were queued just now.
     if (dependencies_.settings.op.standby)
         for (auto& [machine, task] : started_now_) held_.push_back({replication_.mark(), machine, task});
@@ -313,11 +316,11 @@
     // What an earlier leader rented last is in no report yet; the list may show it.
     if (p.with_capacity && listed_once_)
         for (auto& r : p.capacity.rents)
-            for (int left = r.count; left > 0; left -= cloud::Client::rent_most)
-                rent({r.pool, std::min(left, cloud::Client::rent_most)});
+            for (int left = r.count; left > 0; left -= cloud::CloudClient::rent_most)
+                rent({r.pool, std::min(left, cloud::CloudClient::rent_most)});
 }
 
-void Leader::rent(const autoscaler::Rent& r) {
+void Leader::rent(const autoscaler::ScaleOutRequest& r) {
     // Names are never used again, by any controller: the version belongs to this leadership alone.
     std::string name = "r-" + std::to_string(version_) + "-" + std::to_string(++rentals_made_);
     auto& pool = cluster_state_.pools()[r.pool];
@@ -332,25 +335,27 @@
     if (r.asking || !authority()) return;
     r.asking = true;
     auto& pool = cluster_state_.pools()[r.pool];
-    dependencies_.cloud.rent(
-        name, pool.type, pool.zone, pool.spot, r.count, guarded([this, name](cloud::Rented out) {
-            auto it = rentals_.find(name);
-            if (it == rentals_.end()) return;
-            auto& r = it->second;
-            r.asking = false;
-            if (out.status == cloud::Rented::Status::failed) return;  // the next tick asks again
-            if (static_cast<int>(out.machines.size()) < r.count)
-                refused_[r.pool] = now() + dependencies_.settings.report_s * refused_reports;
-            {
-                std::lock_guard lock(mutex_);
-                auto pool = cluster_state_.pools()[r.pool];
-                for (auto& id : out.machines)
-                    if (!cluster_state_.is_gone(id))
-                        cluster_state_.add(id, "", pool.type, pool.zone, pool.spot, Machine::Life::booting,
-                                           now());
-            }
-            rentals_.erase(it);
-        }));
+    dependencies_.cloud.rent(name, pool.type, pool.zone, pool.spot, r.count,
+                             guarded([this, name](cloud::CreateMachinesResult out) {
+                                 auto it = rentals_.find(name);
+                                 if (it == rentals_.end()) return;
+                                 auto& r = it->second;
+                                 r.asking = false;
+                                 if (out.status == cloud::CreateMachinesResult::Status::failed)
+                                     return;  // the next tick asks again
+                                 if (static_cast<int>(out.machines.size()) < r.count)
+                                     refused_[r.pool] =
+                                         now() + dependencies_.settings.report_s * refused_reports;
+                                 {
+                                     std::lock_guard lock(mutex_);
+                                     auto pool = cluster_state_.pools()[r.pool];
+                                     for (auto& id : out.machines)
+                                         if (!cluster_state_.is_deleted(id))
+                                             cluster_state_.add(id, "", pool.type, pool.zone, pool.spot,
+                                                                Machine::Life::booting, now());
+                                 }
+                                 rentals_.erase(it);
+                             }));
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/planner.cpp
+++ b/src/leader/planner.cpp
@@ -2,7 +2,7 @@
 
 namespace coralhitch::leader {
 
-ThreadPlanner::ThreadPlanner(event_loop::Loop& loop) : loop_(loop), thread_([this] { run(); }) {}
+ThreadPlanner::ThreadPlanner(event_loop::EventLoop& loop) : loop_(loop), thread_([this] { run(); }) {}
 ThreadPlanner::~ThreadPlanner() {
     {
         std::lock_guard lock(mutex_);
--- a/src/leader/planner.hpp
+++ b/src/leader/planner.hpp
@@ -20,13 +20,13 @@
 
 class ThreadPlanner : public Planner {
   public:
-    explicit ThreadPlanner(event_loop::Loop& loop);
+    explicit ThreadPlanner(event_loop::EventLoop& loop);
     ~ThreadPlanner() override;
     void submit(Work work) override;
 
   private:
     void run();
-    event_loop::Loop& loop_;
+    event_loop::EventLoop& loop_;
     std::mutex mutex_;
     std::condition_variable wake_;
     std::optional<Work> work_;
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -10,8 +10,8 @@
 
 namespace coralhitch::machine_registry {
 namespace keys = kv::keys;
-using kv::Committed;
-using kv::Rank;
+using kv::RequestPriority;
+using kv::TxnResult;
 
 namespace {
 // Of the largest value; the estimate of a record's size below need not be exact. Where values are small, a
@@ -40,7 +40,7 @@
 }
 }  // namespace
 
-MachineRegistry::MachineRegistry(event_loop::Timers& timers, kv::Client& state,
+MachineRegistry::MachineRegistry(event_loop::Timers& timers, kv::KvClient& state,
                                  const config::Settings& settings, Hooks hooks)
     : timers_(timers), state_(state), settings_(settings), hooks_(std::move(hooks)) {}
 
@@ -49,7 +49,7 @@
     return static_cast<std::size_t>(value * (value <= small_value_kb * 1024 ? small_page_share : page_share));
 }
 
-std::vector<MachineRegistry::Record> MachineRegistry::load(const kv::Listed& listed) {
+std::vector<MachineRegistry::Record> MachineRegistry::load(const kv::ListResult& listed) {
     std::map<std::string, protocol::MachineRecord> all;
     auto take = [&](std::size_t n, const std::string& id, const protocol::MachineRecord& r) {
         auto& p = pages_[n];
@@ -198,7 +198,7 @@
 // The answer to a write was lost, or its condition failed: what does the key hold now?
 void MachineRegistry::read_again(std::size_t n) {
     busy_ = true;
-    state_.get(keys::machine_page(n), Rank::write, guarded_([this, n](kv::Found f) {
+    state_.get(keys::machine_page(n), RequestPriority::write, guarded_([this, n](kv::GetResult f) {
                    busy_ = false;
                    if (!f.ok) return later(settings_.report_s * retry_reports);
                    pages_[n].version = f.entry ? f.entry->version : 0;
@@ -256,15 +256,15 @@
     if (!left_over) last_tidy_ = last_write_;
     if (t->changes.empty()) return;
     busy_ = true;
-    state_.txn(std::move(*t), urgent ? Rank::write : Rank::background,
-               guarded_([this, pages, records](Committed c) { written(pages, records, c); }));
+    state_.txn(std::move(*t), urgent ? RequestPriority::write : RequestPriority::background,
+               guarded_([this, pages, records](TxnResult c) { written(pages, records, c); }));
 }
 
 void MachineRegistry::written(const std::vector<Written>& pages, const std::vector<Record>& records,
-                              const Committed& c) {
+                              const TxnResult& c) {
     busy_ = false;
-    bool ok = c.status == Committed::Status::committed;
-    bool rejected = c.status == Committed::Status::rejected;
+    bool ok = c.status == TxnResult::Status::committed;
+    bool rejected = c.status == TxnResult::Status::rejected;
     if (ok)
         for (auto& [id, r] : records) unmoved_.erase(id);
     for (auto [n, held] : pages) {
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -1,5 +1,5 @@
-// Which machines may hold tasks, as the state service knows it. A page of many machines is one value, so that
-// a wave of new or lost machines costs a few changes instead of one each.
+// Which machines may hold tasks, as the key-value store knows it. A page of many machines is one value, so
+// that a wave of new or lost machines costs a few changes instead of one each.
 //
 // Pages keep to the smaller of the present and the coming limit of a value. A page that earlier leaders
 // filled beyond it is emptied into others, never written again.
@@ -32,12 +32,12 @@
         std::function<std::optional<protocol::Txn>()> begin;
         std::function<void(const std::vector<Record>&)> stored;
     };
-    MachineRegistry(event_loop::Timers& timers, kv::Client& state, const config::Settings& settings,
+    MachineRegistry(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
                     Hooks hooks);
 
     // Takes over what earlier leaders stored, in pages or, before there were pages, in a key each. A machine
     // that is in several of them is one machine, and marked_for_deletion if any of them says so.
-    std::vector<Record> load(const kv::Listed& listed);
+    std::vector<Record> load(const kv::ListResult& listed);
     void put(const std::string& id);     // new, or something about it has changed
     void remove(const std::string& id);  // proven gone
     void flush();                        // writes what is due
@@ -65,11 +65,11 @@
         bool held = false;  // false: it was empty, and dropped
     };
     void written(const std::vector<Written>& pages, const std::vector<Record>& records,
-                 const kv::Committed& c);
+                 const kv::TxnResult& c);
     void later(double seconds);
 
     event_loop::Timers& timers_;
-    kv::Client& state_;
+    kv::KvClient& state_;
     const config::Settings& settings_;
     Hooks hooks_;
     std::map<std::size_t, Page> pages_;
@@ -78,7 +78,7 @@
     std::set<std::string> old_keys_;  // of the layout with a key for each machine
     bool busy_ = false, armed_ = false;
     double last_write_ = -1, last_tidy_ = -1;
-    event_loop::Guard guarded_;  // last, so that it goes first
+    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::machine_registry
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -67,7 +67,7 @@
     return m.silent > limits_.report_s * (m.reconciled ? late_reports : unsettled_reports);
 }
 
-void FailureDetector::look(std::span<Observation> machines, const Own& own, double now) {
+void FailureDetector::look(std::span<Observation> machines, const LeaderLoad& own, double now) {
     // Many at once that no answer reaches: not they, but the way to them, or this leader, is at fault.
     auto unreached = std::count_if(machines.begin(), machines.end(), [](auto& m) { return m.unreached > 0; });
     if (static_cast<double>(unreached) < share(machines.size(), doubt_share))
@@ -75,7 +75,7 @@
     own_ = own;
     doubt_.reset();
     elsewhere_.reset();
-    while (!given_up_.empty() && now - given_up_.front() > limits_.lease_s) given_up_.pop_front();
+    while (!evictions_.empty() && now - evictions_.front() > limits_.lease_s) evictions_.pop_front();
     for (auto& z : zones_) z.up = z.lately = 0;
     up_ = machines.size();
     longest_ = 0;
@@ -94,7 +94,7 @@
     find_lost_routes(machines, now);
     learn(machines, now);
 
-    Doubt d;
+    SelfSuspicion d;
     std::size_t apart = 0, up_apart = 0, lately_apart = 0;  // of what no quiet zone explains
     for (auto& m : machines) {
         bool is_late = late(m);
@@ -106,7 +106,7 @@
     }
     // Those given up a moment ago count as silent still. Otherwise a leader that is cut off from the workers
     // would delete the fleet one by one, each time seeing only a few silent machines.
-    std::size_t gone = given_up_.size(), fleet = up_ + gone;
+    std::size_t gone = evictions_.size(), fleet = up_ + gone;
     // While the first machine becomes due, more than half of a fleet that is well reports. A leader that
     // hears next to none of many is cut off from them, or stood still, though less than a third is late yet:
     // it used to delete those that fell silent first, dozens of machines that were well.
@@ -183,18 +183,18 @@
 
 // Workers that get no answer turn to the other controllers, so these know: if they hear machines, one of them
 // should lead; if they hear none after the time a worker takes to turn to them, the machines are gone.
-bool FailureDetector::should_give_way() const {
+bool FailureDetector::should_resign() const {
     if (!doubt_ || !elsewhere_ || *elsewhere_ == 0 || longest_ <= wait_) return false;
     // What was given up a moment ago is silent here, too, and nobody is asked about it: a leader that had
     // given up seven machines that hear nothing gave way for the sake of one more.
-    std::size_t gone = given_up_.size();
+    std::size_t gone = evictions_.size();
     double enough = doubt_->deaf ? share(up_ + gone, deaf_share) : share(doubt_->silent.size() + gone, 0.5);
     return static_cast<double>(*elsewhere_) >= enough;
 }
 
 // --- Judged ---------------------------------------------------------------------------------------------
 
-bool FailureDetector::may_judge() const {
+bool FailureDetector::may_evict() const {
     return !own_.behind && (!doubt_ || (elsewhere_ && *elsewhere_ * 2 < doubt_->silent.size()));
 }
 
@@ -208,7 +208,7 @@
         // try every other controller in vain before it comes to one that hears it.
         double unreconciled =
             own_.reaches ? std::min(wait_, l.report_s * unsettled_reports)
-                         : wait_ + l.report_s + static_cast<double>(l.peers) * protocol::worker_turns_s;
+                         : wait_ + l.report_s + static_cast<double>(l.peers) * protocol::heartbeat_retry_s;
         if (doubt_) unreconciled = std::max(unreconciled, wait_ + turn);
         if (!m.known) return unreconciled;
         wait = std::max(wait, unreconciled);  // it holds nothing up
@@ -231,8 +231,8 @@
     if (m.silent > limits_.report_s * unsettled_reports && m.silent > patience(m)) return Health::Dead;
     return late(m) || quiet(m.zone) ? Health::Suspected : Health::Alive;
 }
-void FailureDetector::gave_up(const Observation& m, double now) {
-    given_up_.push_back(now);
+void FailureDetector::evicted(const Observation& m, double now) {
+    evictions_.push_back(now);
     if (m.reconciled && !quiet(m.zone)) history_.cut_short(m.silent, now);
     silent_.erase(std::string(m.id));
 }
@@ -252,7 +252,7 @@
 // At times new machines come up several times as late. Given up after the usual time each of them was deleted
 // a moment before it would have come, and another rented that was no faster: 300 machines stood for 500
 // needed. A new leader knows nothing of that yet, so it begins patiently.
-void FailureDetector::came_up(double boots) {
+void FailureDetector::booted(double boots) {
     slowest_boot_ = std::clamp(std::max(boots, slowest_boot_ * boots_kept), usual_boots, most_boots);
 }
 // In a zone that is cut off it may be up, and is needed as soon as the cut ends.
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -44,13 +44,13 @@
 };
 
 // What the leader knows of itself.
-struct Own {
+struct LeaderLoad {
     bool behind = false;   // it has not the processor to hear in time
     bool reaches = false;  // a machine answered its direct question lately
 };
 
 // Why the leader may be the one that is cut off. Others are asked before anything is given up.
-struct Doubt {
+struct SelfSuspicion {
     bool deaf = false;                     // it hears next to nobody
     std::map<std::string, double> silent;  // machines of which others are asked, and for how long, seconds
 };
@@ -69,26 +69,26 @@
 
     // --- Suspected: once a tick, all machines that are up ---
     // To be heard without being reached counts as silence.
-    void look(std::span<Observation> machines, const Own& own, double now);
+    void look(std::span<Observation> machines, const LeaderLoad& own, double now);
     std::size_t up() const { return up_; }
-    const std::optional<Doubt>& doubt() const { return doubt_; }
+    const std::optional<SelfSuspicion>& self_suspicion() const { return doubt_; }
     bool quiet(std::size_t zone) const { return quiet_.contains(zone); }
     bool late(const Observation& m) const;  // it should have been heard by now: it is asked
 
     // --- Asked: how many of the doubtful machines another controller hears; nothing if none answers ---
     void answered(std::optional<std::size_t> elsewhere) { elsewhere_ = elsewhere; }
-    bool should_give_way() const;
+    bool should_resign() const;
 
     // --- Judged ---
     // Whether verdicts may be carried out at all.
-    bool may_judge() const;
+    bool may_evict() const;
     Health judge(const Observation& m) const;
     // For how long a machine like this is waited for, seconds of silence.
     double patience(const Observation& m) const;
-    void gave_up(const Observation& m, double now);
+    void evicted(const Observation& m, double now);
 
     // Machines that boot: a machine came up, or has not yet, after so many nominal boot times.
-    void came_up(double boots);
+    void booted(double boots);
     bool overdue(double boots, std::size_t zone, double now) const;
 
     // For the log: what speaks for a verdict.
@@ -109,12 +109,12 @@
     std::set<std::size_t> quiet_;
     std::map<std::string, double, std::less<>>
         lost_routes_;                                    // until when machines that came by it are waited for
-    std::deque<double> given_up_;                        // when machines were, lately
+    std::deque<double> evictions_;                       // when machines were, lately
     std::map<std::string, double, std::less<>> silent_;  // one by one, at the last look: for how long
     HeartbeatHistory history_;
-    std::optional<Doubt> doubt_;
+    std::optional<SelfSuspicion> doubt_;
     std::optional<std::size_t> elsewhere_;
-    Own own_;
+    LeaderLoad own_;
     std::size_t up_ = 0;
     bool crowded_ = false;  // many are silent that no quiet zone explains
     double longest_ = 0, slowest_boot_;
--- a/src/membership/heartbeat_history.cpp
+++ b/src/membership/heartbeat_history.cpp
@@ -5,7 +5,7 @@
 namespace coralhitch::membership {
 namespace {
 // So many silences that never ended are added to what was seen: two or three returns prove nothing yet.
-constexpr double doubt = 3;
+constexpr double self_suspicion = 3;
 }  // namespace
 
 void HeartbeatHistory::add(Silence s) {
@@ -33,7 +33,7 @@
     // What one that was cut short sooner would have done is not known.
     auto stayed_silent = cut_short_.end() - std::ranges::lower_bound(cut_short_, silent_s + more_s);
     auto longer = (ended_.end() - from) + stayed_silent;
-    return static_cast<double>(spoke) / (doubt + static_cast<double>(longer));
+    return static_cast<double>(spoke) / (self_suspicion + static_cast<double>(longer));
 }
 
 }  // namespace coralhitch::membership
--- a/src/membership/reachability.hpp
+++ b/src/membership/reachability.hpp
@@ -6,7 +6,7 @@
 
 namespace coralhitch::membership {
 
-class Reach {
+class Reachability {
   public:
     // It showed that something reached it.
     void shown(double now) {
--- a/src/protocol/heartbeat_parser.cpp
+++ b/src/protocol/heartbeat_parser.cpp
@@ -16,16 +16,16 @@
     if (ec != std::errc() || end != s.data() + s.size()) bad("shard", "is not a task id");
     return id;
 }
-TaskReport task_report(const element& e) {
+TaskStatus task_report(const element& e) {
     auto o = as_object(e, "shards");
-    TaskReport t;
+    TaskStatus t;
     t.task = task_id(text(o, "shard"));
     t.attempt = count(o, "launch");
     t.state = named(task_state_names, text(o, "status"), "status");
     element other;
     // A cause this program doesn't know still is an end of the task.
     if (t.state == TaskState::exited) {
-        t.cause = Cause::error;
+        t.cause = ExitCause::error;
         std::string_view why;
         if (find(o, "cause", other) && other.get(why) == simdjson::SUCCESS)
             for (auto& [value, name] : cause_names)
@@ -37,34 +37,34 @@
 }
 }  // namespace
 
-struct ReportReader::Parser {
+struct HeartbeatReader::Parser {
     simdjson::dom::parser parser;
 };
-ReportReader::ReportReader() : parser_(std::make_unique<Parser>()) {}
-ReportReader::~ReportReader() = default;
+HeartbeatReader::HeartbeatReader() : parser_(std::make_unique<Parser>()) {}
+HeartbeatReader::~HeartbeatReader() = default;
 
-Report ReportReader::read(std::string_view body) {
+Heartbeat HeartbeatReader::read(std::string_view body) {
     auto o = root(parser_->parser, body);
-    Report r;
+    Heartbeat r;
     r.machine = text(o, "berth");
     r.addr = text(o, "addr");
     r.type = text(o, "hull");
     r.zone = text(o, "reef");
     r.spot = flag(o, "driftwood");
-    r.session = count(o, "watch");
+    r.agent_epoch = count(o, "watch");
     r.sequence = count(o, "tally");
     r.token = count(o, "helm");
     element e;
     if (find(o, "warning_s", e)) {
         double s = 0;
         if (e.get(s) != simdjson::SUCCESS) bad("warning_s", "is not a number");
-        r.notice_s = s;
+        r.preemption_notice_s = s;
     }
     for (auto t : list(o, "shards")) r.tasks.push_back(task_report(t));
     return r;
 }
-Report parse_report(std::string_view body) {
-    return ReportReader().read(body);
+Heartbeat parse_heartbeat(std::string_view body) {
+    return HeartbeatReader().read(body);
 }
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/list_parsers.cpp
+++ b/src/protocol/list_parsers.cpp
@@ -1,4 +1,4 @@
-// Lists of the state service and the cloud: the longest messages that a controller reads, at each takeover
+// Lists of the key-value store and the cloud: the longest messages that a controller reads, at each failover
 // and while it looks for machines. A tree of values took a new leader longer than all it did with them.
 #include "protocol/json_reader.hpp"
 #include "protocol/protocol.hpp"
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -10,7 +10,7 @@
 
 namespace coralhitch::protocol {
 
-enum class Kind { array, gang, service };
+enum class JobKind { array, gang, service };
 enum class Priority { low, normal, high, production };
 
 struct TaskId {
@@ -20,30 +20,31 @@
     std::string str() const { return job + "/" + std::to_string(index); }
 };
 
-struct Room {
+struct Resources {
     double cpus = 0, gpus = 0, memory_gb = 0;
-    Room& operator+=(const Room& o) {
+    Resources& operator+=(const Resources& o) {
         cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
         return *this;
     }
-    Room& operator-=(const Room& o) {
+    Resources& operator-=(const Resources& o) {
         cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
         return *this;
     }
-    Room times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
+    Resources times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
     // Sums of decimal amounts carry rounding; a task that fills a machine exactly still fits.
-    bool holds(const Room& need) const {
+    bool fits(const Resources& request) const {
         constexpr double slack = 1e-6;
-        return need.cpus <= cpus + slack && need.gpus <= gpus + slack && need.memory_gb <= memory_gb + slack;
+        return request.cpus <= cpus + slack && request.gpus <= gpus + slack &&
+               request.memory_gb <= memory_gb + slack;
     }
 };
 
 struct Job {
     std::string id, cls, team;
-    Kind kind = Kind::array;
+    JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
-    Room need;
+    Resources request;
     std::string image;
     double image_gb = 0;
     std::optional<std::vector<std::string>> types;
@@ -63,27 +64,27 @@
 };
 
 enum class TaskState { fetching, waiting, running, saving, exited };
-enum class Cause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
 
-struct TaskReport {
+struct TaskStatus {
     TaskId task;
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
-    Cause cause = Cause::none;
+    ExitCause cause = ExitCause::none;
     bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
-    std::uint64_t session = 0, sequence = 0, token = 0;
-    std::optional<double> notice_s;
-    std::vector<TaskReport> tasks;
+    std::uint64_t agent_epoch = 0, sequence = 0, token = 0;
+    std::optional<double> preemption_notice_s;
+    std::vector<TaskStatus> tasks;
 };
 
-enum class Op { start, stop, forget };
+enum class CommandKind { start, stop, forget };
 struct Command {
-    Op op = Op::start;
+    CommandKind op = CommandKind::start;
     TaskId task;
     std::uint64_t attempt = 0;
     double grace_s = 0;
@@ -91,7 +92,7 @@
 
 struct MachineType {
     std::string name;
-    Room room;
+    Resources room;
     double cache_gb = 0, fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
     std::vector<std::string> zones;
 };
@@ -101,7 +102,7 @@
     std::string type, zone;
     bool spot = false;
     std::size_t zone_index = 0;
-    Room total;
+    Resources total;
     double fetch_gb_per_s = 0;  // 0: not known
 };
 using Images = std::vector<std::uint32_t>;  // sorted; a number for each image's name
@@ -114,7 +115,7 @@
     double age_s = 0;
 };
 
-// The stored form of things: what the controllers keep at the state service.
+// The stored form of things: what the controllers keep at the key-value store.
 struct JobRecord {
     Job job;
     double submitted = 0;  // unix seconds
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -10,7 +10,7 @@
 
 namespace coralhitch::protocol {
 
-// Strings that are stored or used in keys stay short, so that no record can pass the state service's limit.
+// Strings that are stored or used in keys stay short, so that no record can pass the key-value store's limit.
 inline constexpr std::size_t max_text = 512;
 
 [[noreturn]] inline void bad(const char* field, const char* what) {
@@ -20,8 +20,8 @@
 template <class E, std::size_t N>
 using Names = std::array<std::pair<E, std::string_view>, N>;
 
-inline constexpr Names<Kind, 3> kind_names{
-    {{Kind::array, "batch"}, {Kind::gang, "gang"}, {Kind::service, "service"}}};
+inline constexpr Names<JobKind, 3> kind_names{
+    {{JobKind::array, "batch"}, {JobKind::gang, "gang"}, {JobKind::service, "service"}}};
 inline constexpr Names<Priority, 4> priority_names{{{Priority::production, "critical"},
                                                     {Priority::high, "high"},
                                                     {Priority::normal, "normal"},
@@ -35,15 +35,16 @@
                                                        {TaskState::running, "running"},
                                                        {TaskState::saving, "flushing"},
                                                        {TaskState::exited, "exited"}}};
-inline constexpr Names<Cause, 8> cause_names{{{Cause::done, "done"},
-                                              {Cause::stopped, "halted"},
-                                              {Cause::peers, "mates_gone"},
-                                              {Cause::alone, "incomplete"},
-                                              {Cause::error, "error"},
-                                              {Cause::no_room, "no_room"},
-                                              {Cause::busy, "busy"},
-                                              {Cause::unknown, "unknown"}}};
-inline constexpr Names<Op, 3> op_names{{{Op::start, "run"}, {Op::stop, "kill"}, {Op::forget, "clear"}}};
+inline constexpr Names<ExitCause, 8> cause_names{{{ExitCause::done, "done"},
+                                                  {ExitCause::stopped, "halted"},
+                                                  {ExitCause::peers, "mates_gone"},
+                                                  {ExitCause::alone, "incomplete"},
+                                                  {ExitCause::error, "error"},
+                                                  {ExitCause::no_room, "no_room"},
+                                                  {ExitCause::busy, "busy"},
+                                                  {ExitCause::unknown, "unknown"}}};
+inline constexpr Names<CommandKind, 3> op_names{
+    {{CommandKind::start, "run"}, {CommandKind::stop, "kill"}, {CommandKind::forget, "clear"}}};
 inline constexpr Names<HostState, 3> host_state_names{
     {{HostState::booting, "booting"}, {HostState::running, "running"}, {HostState::failed, "failed"}}};
 
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -35,7 +35,7 @@
     std::uint64_t incarnation = 0;
     std::uint64_t leader_version = 0;  // the newest leadership the sender knows of
     std::string leader;
-    bool state_ok = false;             // the state service answered the sender lately
+    bool state_ok = false;             // the key-value store answered the sender lately
     std::vector<std::string> workers;  // machines that lately reported to the sender, which does not lead
     std::vector<PeerCount> counts;     // of all live jobs, from a leader
     std::uint64_t features = 0;        // what its version can do: a sender that says nothing is an old one
@@ -48,7 +48,7 @@
     MSGPACK_DEFINE(label, incarnation, leader_version, leader, state_ok, workers, counts, features, followed,
                    ages_ms, silent, silent_ms, brief)
 };
-// A user's request that its controller can't decide, since it does not reach the state service.
+// A user's request that its controller can't decide, since it does not reach the key-value store.
 struct PeerUserRequest {
     std::string method, target, body;
     MSGPACK_DEFINE(method, target, body)
@@ -130,9 +130,9 @@
     std::string machine;
     bool known = false;  // it holds these tasks at the most; otherwise anything may be on it
     bool gone = false;   // it was deleted
-    std::uint64_t session = 0, sequence = 0;  // of the last report that the leader heard
+    std::uint64_t agent_epoch = 0, sequence = 0;  // of the last report that the leader heard
     std::vector<PeerPlaced> tasks;
-    MSGPACK_DEFINE(machine, known, gone, session, sequence, tasks)
+    MSGPACK_DEFINE(machine, known, gone, agent_epoch, sequence, tasks)
 };
 struct PeerFleet {
     std::uint64_t leader_version = 0;
--- a/src/protocol/protocol.cpp
+++ b/src/protocol/protocol.cpp
@@ -85,9 +85,9 @@
            {"shape", name_of(kind_names, b.kind)},
            {"rank", name_of(priority_names, b.priority)},
            {"shards", b.tasks},
-           {"vcpus", b.need.cpus},
-           {"cards", b.need.gpus},
-           {"ram_gb", b.need.memory_gb},
+           {"vcpus", b.request.cpus},
+           {"cards", b.request.gpus},
+           {"ram_gb", b.request.memory_gb},
            {"payload", b.image},
            {"image_gb", b.image_gb},
            {"together", b.one_zone},
@@ -126,7 +126,7 @@
     constexpr std::uint64_t max_tasks = 100000;
     if (tasks == 0 || tasks > max_tasks) bad("shards", "is out of range");
     b.tasks = static_cast<std::uint32_t>(tasks);
-    b.need = {amount(j, "vcpus"), amount(j, "cards"), amount(j, "ram_gb")};
+    b.request = {amount(j, "vcpus"), amount(j, "cards"), amount(j, "ram_gb")};
     b.image = text(j, "payload");
     b.image_gb = amount(j, "image_gb");
     if (auto* v = find(j, "hulls")) b.types = texts(*v, "hulls");
@@ -152,7 +152,7 @@
     json out = json::array();
     for (auto& c : commands) {
         json o{{"verb", name_of(op_names, c.op)}, {"shard", c.task.str()}, {"launch", c.attempt}};
-        if (c.op == Op::stop) o["slack_s"] = c.grace_s;
+        if (c.op == CommandKind::stop) o["slack_s"] = c.grace_s;
         out.push_back(std::move(o));
     }
     return dumped(out);
@@ -211,7 +211,7 @@
     if (s.running) j["running"] = *s.running;
     return dumped(j);
 }
-bool names_awaits(std::string_view body) {
+bool names_dependencies(std::string_view body) {
     json j = json::parse(body, nullptr, false);
     return j.is_object() && find(j, awaits_field);
 }
@@ -219,7 +219,7 @@
     return dumped(json{{"error", t}});
 }
 
-std::optional<ReportOutline> outline_report(std::string_view body) {
+std::optional<HeartbeatOutline> outline_heartbeat(std::string_view body) {
     constexpr std::string_view machine_field = "\"berth\":", session_field = "\"watch\":",
                                sequence_field = "\"tally\":";
     auto value_at = [&](std::string_view field) {
@@ -227,16 +227,18 @@
         if (p == std::string_view::npos) return p;
         return body.find_first_not_of(' ', p + field.size());
     };
-    ReportOutline o;
+    HeartbeatOutline o;
     auto m = value_at(machine_field);
     if (m == std::string_view::npos || body[m] != '"') return std::nullopt;
     auto end = body.find('"', ++m);
-    auto session = value_at(session_field);
+    auto agent_epoch = value_at(session_field);
     o.at = value_at(sequence_field);
-    if (end == std::string_view::npos || session == std::string_view::npos || o.at == std::string_view::npos)
+    if (end == std::string_view::npos || agent_epoch == std::string_view::npos ||
+        o.at == std::string_view::npos)
         return std::nullopt;
     auto* text_end = body.data() + body.size();
-    if (std::from_chars(body.data() + session, text_end, o.session).ec != std::errc()) return std::nullopt;
+    if (std::from_chars(body.data() + agent_epoch, text_end, o.agent_epoch).ec != std::errc())
+        return std::nullopt;
     o.machine = body.substr(m, end - m);
     auto [last, ec] = std::from_chars(body.data() + o.at, text_end, o.sequence);
     o.digits = static_cast<std::size_t>(last - body.data()) - o.at;
@@ -244,14 +246,15 @@
     if (ec != std::errc() || o.machine.find('\\') != std::string_view::npos) return std::nullopt;
     return o;
 }
-std::string report_answer(std::uint64_t token, std::span<const Command> commands) {
+std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands) {
     return R"({"helm":)" + std::to_string(token) + R"(,"orders":)" + orders(commands) + '}';
 }
-std::string direct_commands(std::uint64_t token, std::uint64_t session, std::span<const Command> commands) {
-    return R"({"helm":)" + std::to_string(token) + R"(,"watch":)" + std::to_string(session) +
+std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
+                            std::span<const Command> commands) {
+    return R"({"helm":)" + std::to_string(token) + R"(,"watch":)" + std::to_string(agent_epoch) +
            R"(,"orders":)" + orders(commands) + '}';
 }
-std::string report_elsewhere(std::string_view label) {
+std::string heartbeat_redirect(std::string_view label) {
     return label.empty() ? "{}" : dumped(json{{"harbor", label}});
 }
 
--- a/src/protocol/protocol.hpp
+++ b/src/protocol/protocol.hpp
@@ -48,18 +48,19 @@
 std::optional<std::string> job_id_of(std::string_view body);  // of a body that may be malformed otherwise
 std::string job_status(const JobStatus& s);
 std::string error_body(std::string_view text);
-bool names_awaits(std::string_view body);  // whether a submission names jobs that it awaits
+bool names_dependencies(std::string_view body);  // whether a submission names jobs that it awaits
 
 // Workers
-inline constexpr double worker_patience_s = 4;  // a worker drops answers to its reports after that
-inline constexpr double worker_turns_s = worker_patience_s + 1;  // and has then turned to the next controller
-Report parse_report(std::string_view body);
+inline constexpr double heartbeat_timeout_s = 4;  // a worker drops answers to its reports after that
+inline constexpr double heartbeat_retry_s =
+    heartbeat_timeout_s + 1;  // and has then turned to the next controller
+Heartbeat parse_heartbeat(std::string_view body);
 // The same for many reports: keeps its buffers.
-class ReportReader {
+class HeartbeatReader {
   public:
-    ReportReader();
-    ~ReportReader();
-    Report read(std::string_view body);  // throws Malformed
+    HeartbeatReader();
+    ~HeartbeatReader();
+    Heartbeat read(std::string_view body);  // throws Malformed
 
   private:
     struct Parser;
@@ -67,15 +68,16 @@
 };
 // What tells two reports of a machine apart that say the same: where the sequence stands in the text. Found
 // without reading the rest; nothing if the text is laid out in a way that this does not expect.
-struct ReportOutline {
+struct HeartbeatOutline {
     std::string_view machine;
-    std::uint64_t session = 0, sequence = 0;
+    std::uint64_t agent_epoch = 0, sequence = 0;
     std::size_t at = 0, digits = 0;  // of the sequence's digits
 };
-std::optional<ReportOutline> outline_report(std::string_view body);
-std::string report_answer(std::uint64_t token, std::span<const Command> commands);
-std::string direct_commands(std::uint64_t token, std::uint64_t session, std::span<const Command> commands);
-std::string report_elsewhere(std::string_view label);  // empty label: nobody known
+std::optional<HeartbeatOutline> outline_heartbeat(std::string_view body);
+std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands);
+std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
+                            std::span<const Command> commands);
+std::string heartbeat_redirect(std::string_view label);  // empty label: nobody known
 
 // Cloud
 std::vector<MachineType> parse_types(std::string_view body);
--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -48,7 +48,7 @@
     std::deque<Notice> notices_;  // the oldest first
     bool armed_ = false;
     std::uint64_t repeated_ = 0;
-    event_loop::Guard guarded_;  // last, so that it goes first
+    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/heartbeat_queue.hpp
+++ b/src/relay/heartbeat_queue.hpp
@@ -19,7 +19,7 @@
 
 namespace coralhitch::relay {
 
-class ReportQueue {
+class HeartbeatQueue {
   public:
     struct Report {
         std::string body;
@@ -27,10 +27,10 @@
         double since = 0;  // when it was read, seconds of the injected clock
     };
     // Seconds.
-    static constexpr double longest_wait_s = protocol::worker_patience_s * 0.6;
+    static constexpr double longest_wait_s = protocol::heartbeat_timeout_s * 0.6;
 
     // `refusals` counts those that waited too long; it must outlive the queue.
-    explicit ReportQueue(Refusals& refusals) : refusals_(refusals) {}
+    explicit HeartbeatQueue(HeartbeatRejections& refusals) : refusals_(refusals) {}
     void push(Report r) { waiting_.push_back(std::move(r)); }
     // The one that waited longest of those whose workers can still be answered in time.
     std::optional<Report> next(double now) {
@@ -39,7 +39,7 @@
             waiting_.pop_front();
             if (now - r.since <= longest_wait_s) return r;
             ++refused_;
-            refusals_.note(Refusal::late);
+            refusals_.note(HeartbeatRejection::late);
             r.reply({503, "{}"});
         }
         return std::nullopt;
@@ -50,7 +50,7 @@
     std::uint64_t refused() const { return refused_; }
 
   private:
-    Refusals& refusals_;
+    HeartbeatRejections& refusals_;
     std::deque<Report> waiting_;
     std::uint64_t refused_ = 0;
 };
--- a/src/relay/heartbeat_rejections.hpp
+++ b/src/relay/heartbeat_rejections.hpp
@@ -9,7 +9,7 @@
 
 namespace coralhitch::relay {
 
-enum class Refusal {
+enum class HeartbeatRejection {
     no_lease,     // this leader does not hold its own lease any more, or is about to stop
     bound_over,   // the leader does not know of all cancellations until so late that leases may be renewed
     stop_unsent,  // the machine may hold a cancelled task that no command has reached
@@ -20,16 +20,16 @@
     sockets,      // all sockets for workers are taken
     unreached,    // nothing that this leader answers arrives there: its lease must be seen to end
 };
-inline constexpr std::array<std::string_view, 9> refusal_names = {"no_lease", "bound_over", "stop_unsent",
-                                                                  "older",    "no_leader",  "elsewhere",
-                                                                  "late",     "sockets",    "unreached"};
+inline constexpr std::array<std::string_view, 9> heartbeat_rejection_names = {
+    "no_lease",  "bound_over", "stop_unsent", "older",    "no_leader",
+    "elsewhere", "late",       "sockets",     "unreached"};
 
-class Refusals {
+class HeartbeatRejections {
   public:
     // Logs at most once in `period_s` seconds.
-    Refusals(event_loop::Timers& timers, double period_s) : timers_(timers), period_s_(period_s) {}
-    void note(Refusal why);
-    std::uint64_t count(Refusal why) const { return counts_[static_cast<std::size_t>(why)]; }
+    HeartbeatRejections(event_loop::Timers& timers, double period_s) : timers_(timers), period_s_(period_s) {}
+    void note(HeartbeatRejection why);
+    std::uint64_t count(HeartbeatRejection why) const { return counts_[static_cast<std::size_t>(why)]; }
     // What the next line would say: each reason with its number since the line before.
     std::string since_logged() const;
     std::uint64_t lines() const { return lines_; }
@@ -38,7 +38,7 @@
     event_loop::Timers& timers_;
     double period_s_, logged_ = -1;
     std::uint64_t lines_ = 0;
-    std::array<std::uint64_t, refusal_names.size()> counts_{}, told_{};
+    std::array<std::uint64_t, heartbeat_rejection_names.size()> counts_{}, told_{};
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -16,24 +16,25 @@
 constexpr double patience_share = 0.5;
 constexpr std::size_t most_reports = 96;     // in a message: the leader reads them in one go
 constexpr double held_share = 0.75;          // of that patience, while nobody leads
-constexpr double hold_ttls = 1.5;            // a takeover as a rule takes no longer
+constexpr double hold_ttls = 1.5;            // a failover as a rule takes no longer
 constexpr double message_share = 1.0 / 128;  // of the memory: what a message may hold
 // Read in full again after so many worker leases, whatever is repeated: what would otherwise hang on one
 // mistaken answer for ever is mended.
 constexpr double memory_leases = 4;
 }  // namespace
 
-ReportRelay::ReportRelay(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                         std::uint64_t incarnation, std::function<Leadership()> lead)
+HeartbeatRelay::HeartbeatRelay(event_loop::Timers& timers, http::Requester& http,
+                               const config::Settings& settings, std::uint64_t incarnation,
+                               std::function<Leadership()> lead)
     : timers_(timers),
       http_(http),
       settings_(settings),
       incarnation_(incarnation),
       lead_(std::move(lead)),
       refusals_(timers, settings.report_s * log_reports) {}
-ReportRelay::~ReportRelay() = default;
+HeartbeatRelay::~HeartbeatRelay() = default;
 
-void ReportRelay::start() {
+void HeartbeatRelay::start() {
     heed_leader();
     if (link_ != Link::up) refuse_old(held_share);
     if (!waiting_.empty() && !holds() && link_ == Link::down) refuse(waiting_);
@@ -42,7 +43,7 @@
 }
 
 // Another leadership: its grants and what it knows of the machines are its own.
-void ReportRelay::heed_leader() {
+void HeartbeatRelay::heed_leader() {
     auto now = lead_();
     if (now == leader_) return;
     if (link_ == Link::up) interrupted();
@@ -57,47 +58,47 @@
 // The leader has ended, as it seems. Until the next one takes what is sent its workers are kept waiting for
 // as long as they do: refused, all of a large fleet called every controller each second, and the next leader
 // came up so far behind that it lost its lease.
-void ReportRelay::interrupted() {
+void HeartbeatRelay::interrupted() {
     up_until_ = timers_.now();
 }
-bool ReportRelay::holds() const {
+bool HeartbeatRelay::holds() const {
     double ttl = settings_.lease_s * settings_.op.lease_ratio;
     return settings_.op.hearing && up_until_ >= 0 && timers_.now() - up_until_ < ttl * hold_ttls;
 }
-void ReportRelay::refuse_old(double share) {
+void HeartbeatRelay::refuse_old(double share) {
     while (!waiting_.empty() &&
-           timers_.now() - waiting_.front().since > protocol::worker_patience_s * share) {
+           timers_.now() - waiting_.front().since > protocol::heartbeat_timeout_s * share) {
         refuse_late(waiting_.front());
         waiting_.pop_front();
     }
 }
-void ReportRelay::refuse_late(const Waiting& report) {
-    refusals_.note(Refusal::late);
+void HeartbeatRelay::refuse_late(const Waiting& report) {
+    refusals_.note(HeartbeatRejection::late);
     ++dropped_;
     report.reply({503, "{}"});
 }
-std::deque<ReportQueue::Report> ReportRelay::take_waiting() {
+std::deque<HeartbeatQueue::Report> HeartbeatRelay::take_waiting() {
     refuse_old(patience_share);
     return std::exchange(waiting_, {});
 }
-void ReportRelay::put_back(std::deque<Waiting> batch) {
+void HeartbeatRelay::put_back(std::deque<Waiting> batch) {
     for (auto w = batch.rbegin(); w != batch.rend(); ++w) waiting_.push_front(std::move(*w));
 }
-bool ReportRelay::may_answer() const {
+bool HeartbeatRelay::may_answer() const {
     return timers_.now() < granted_until_;
 }
-void ReportRelay::refuse(std::deque<Waiting>& waiting) {
+void HeartbeatRelay::refuse(std::deque<Waiting>& waiting) {
     for (auto& w : std::exchange(waiting, {})) {
-        refusals_.note(Refusal::no_leader);
+        refusals_.note(HeartbeatRejection::no_leader);
         w.reply({503, "{}"});
     }
 }
 
-bool ReportRelay::offer(std::string& body, http::Reply& reply) {
+bool HeartbeatRelay::offer(std::string& body, http::Reply& reply) {
     heed_leader();
     if (link_ == Link::down && !holds()) return false;
     double t = timers_.now();
-    if (auto o = protocol::outline_report(body); o && link_ == Link::up && may_answer()) {
+    if (auto o = protocol::outline_heartbeat(body); o && link_ == Link::up && may_answer()) {
         auto* r = reply_cache_.find(body, *o);
         if (r && t - r->since < settings_.lease_s * memory_leases) {
             r->sequence = o->sequence;
@@ -112,7 +113,7 @@
     return true;
 }
 
-void ReportRelay::soon(double gap) {
+void HeartbeatRelay::soon(double gap) {
     if (busy_ || armed_) return;
     armed_ = true;
     double wait = std::max(0.0, last_sent_ + settings_.report_s * gap - timers_.now());
@@ -122,7 +123,7 @@
                   }));
 }
 
-void ReportRelay::send() {
+void HeartbeatRelay::send() {
     heed_leader();
     if (busy_ || leader_.addr.empty()) return;
     double t = timers_.now();
@@ -134,7 +135,7 @@
     while (!waiting_.empty() && batch.size() < most_reports && bytes <= most_bytes) {
         auto w = std::move(waiting_.front());
         waiting_.pop_front();
-        if (t - w.since > protocol::worker_patience_s * patience_share) {
+        if (t - w.since > protocol::heartbeat_timeout_s * patience_share) {
             refuse_late(w);  // nobody waits for it by the time the leader has answered
             continue;
         }
@@ -152,14 +153,14 @@
     http_.send(
         leader_.addr,
         {"POST", std::string(protocol::peer_relay_path), protocol::pack_peer(m), "application/msgpack"},
-        protocol::worker_patience_s * patience_share,
+        protocol::heartbeat_timeout_s * patience_share,
         guarded_([this, number = number_, t, to = leader_, shared](std::optional<http::Response> r) {
             answered(number, t, to, std::move(*shared), r);
         }));
 }
 
-void ReportRelay::answered(std::uint64_t number, double sent, const Leadership& to, std::deque<Waiting> batch,
-                           const std::optional<http::Response>& r) {
+void HeartbeatRelay::answered(std::uint64_t number, double sent, const Leadership& to,
+                              std::deque<Waiting> batch, const std::optional<http::Response>& r) {
     busy_ = false;
     heed_leader();
     std::optional<protocol::PeerRelayAnswer> a;
@@ -190,12 +191,12 @@
     taken_in_ = number;
     granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * election::drift);
     // What fills a message already gains nothing by waiting for more: at the rate of one full message in each
-    // gap, the only hearer of 4,000 machines fell behind when most reports had news.
+    // gap, the only relay of 4,000 machines fell behind when most reports had news.
     if (!waiting_.empty()) soon(waiting_.size() < most_reports ? gap_reports : 0);
 }
 
-void ReportRelay::keep(Waiting w, const protocol::PeerRelayed& a) {
-    auto o = protocol::outline_report(w.body);
+void HeartbeatRelay::keep(Waiting w, const protocol::PeerRelayed& a) {
+    auto o = protocol::outline_heartbeat(w.body);
     if (o && a.status == 200 && a.quiet)
         reply_cache_.put(std::move(w.body), std::string(o->machine), o->sequence, a.body, timers_.now());
     else if (o)
--- a/src/relay/heartbeat_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -28,14 +28,14 @@
     bool operator==(const Leadership&) const = default;
 };
 
-class ReportRelay {
+class HeartbeatRelay {
   public:
     // `lead` tells for whom to hear; it is asked at every report and before every message.
-    ReportRelay(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                std::uint64_t incarnation, std::function<Leadership()> lead);
-    ~ReportRelay();
-    ReportRelay(const ReportRelay&) = delete;
-    ReportRelay& operator=(const ReportRelay&) = delete;
+    HeartbeatRelay(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
+                   std::uint64_t incarnation, std::function<Leadership()> lead);
+    ~HeartbeatRelay();
+    HeartbeatRelay(const HeartbeatRelay&) = delete;
+    HeartbeatRelay& operator=(const HeartbeatRelay&) = delete;
 
     void start();
     // Takes a report and will answer it, perhaps only once there is a leader again, or leaves both arguments
@@ -43,15 +43,15 @@
     bool offer(std::string& body, http::Reply& reply);
 
     // The reports that wait, for when this controller leads itself.
-    std::deque<ReportQueue::Report> take_waiting();
+    std::deque<HeartbeatQueue::Report> take_waiting();
 
-    std::uint64_t repeated() const { return repeated_; }  // reports answered here
-    std::uint64_t relayed() const { return relayed_; }    // reports that went to the leader
-    Refusals& refusals() { return refusals_; }            // of this controller, whoever leads
-    std::uint64_t dropped() const { return dropped_; }    // reports whose workers had given up waiting
+    std::uint64_t repeated() const { return repeated_; }   // reports answered here
+    std::uint64_t relayed() const { return relayed_; }     // reports that went to the leader
+    HeartbeatRejections& refusals() { return refusals_; }  // of this controller, whoever leads
+    std::uint64_t dropped() const { return dropped_; }     // reports whose workers had given up waiting
 
   private:
-    using Waiting = ReportQueue::Report;
+    using Waiting = HeartbeatQueue::Report;
     // Whether the leader takes what is sent: not known yet, yes, or there is none or it did not the last
     // time.
     enum class Link { trying, up, down };
@@ -76,7 +76,7 @@
     const config::Settings& settings_;
     std::uint64_t incarnation_;
     std::function<Leadership()> lead_;
-    Refusals refusals_;
+    HeartbeatRejections refusals_;
     Leadership leader_;
     Link link_ = Link::down;
     double granted_until_ = -1;
@@ -88,7 +88,7 @@
     double last_sent_ = -1;
     std::uint64_t number_ = 0, taken_in_ = 0;
     std::uint64_t repeated_ = 0, relayed_ = 0, dropped_ = 0;
-    event_loop::Guard guarded_;  // last, so that it goes first
+    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/heartbeat_tracker.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -17,10 +17,10 @@
     // Seconds: in which a machine counts as heard, and for which it is remembered what was heard.
     HeartbeatTracker(double lately_s, double kept_s) : lately_s_(lately_s), kept_s_(kept_s) {}
 
-    void note(std::string_view machine, std::uint64_t session, std::uint64_t sequence, double now) {
+    void note(std::string_view machine, std::uint64_t agent_epoch, std::uint64_t sequence, double now) {
         auto& h = heard_[std::string(machine)];
-        if (std::pair(session, sequence) <= std::pair(h.session, h.sequence)) return;
-        h = {now, now, session, sequence};
+        if (std::pair(agent_epoch, sequence) <= std::pair(h.agent_epoch, h.sequence)) return;
+        h = {now, now, agent_epoch, sequence};
     }
     bool since(const std::string& machine, double at) const {
         auto it = heard_.find(machine);
@@ -47,7 +47,7 @@
     static constexpr double never = -1;
     struct Report {
         double at = never, noted = never;
-        std::uint64_t session = 0, sequence = 0;
+        std::uint64_t agent_epoch = 0, sequence = 0;
     };
     bool fresh(const Report& r, double now) const { return r.at > never && now - r.at <= lately_s_; }
     double lately_s_, kept_s_;
--- a/src/relay/reply_cache.cpp
+++ b/src/relay/reply_cache.cpp
@@ -2,7 +2,7 @@
 
 namespace coralhitch::relay {
 
-CachedReply* ReplyCache::find(std::string_view body, const protocol::ReportOutline& o) {
+CachedReply* ReplyCache::find(std::string_view body, const protocol::HeartbeatOutline& o) {
     auto it = by_machine_.find(o.machine);
     if (it == by_machine_.end()) return nullptr;
     auto& r = it->second;
@@ -14,7 +14,7 @@
 }
 void ReplyCache::put(std::string body, const std::string& machine, std::uint64_t sequence, std::string answer,
                      double now) {
-    auto o = protocol::outline_report(body);
+    auto o = protocol::outline_heartbeat(body);
     if (!o || o->machine != machine || o->sequence != sequence) return forget(machine);
     CachedReply r{{}, o->at, o->digits, sequence, now, std::move(answer)};
     r.body = std::move(body);
--- a/src/relay/reply_cache.hpp
+++ b/src/relay/reply_cache.hpp
@@ -26,7 +26,7 @@
 class ReplyCache {
   public:
     // The entry that this report repeats, with `sequence` still that of the report before; null if none.
-    CachedReply* find(std::string_view body, const protocol::ReportOutline& outline);
+    CachedReply* find(std::string_view body, const protocol::HeartbeatOutline& outline);
     // Of a report that was read in full as this machine's with this sequence. What its outline tells
     // otherwise is not remembered.
     void put(std::string body, const std::string& machine, std::uint64_t sequence, std::string answer,
--- a/src/relay/worker_lease.hpp
+++ b/src/relay/worker_lease.hpp
@@ -30,8 +30,8 @@
     return std::max(0.0, renewal_s(s) - ttl - s.report_s * renewal_margin_reports);
 }
 // The steady time after which nothing that this leader answers, or lets others answer, renews a lease.
-inline double worker_lease_bound(const config::Settings& s, double ttl, double complete_at,
-                                 double authority_until) {
+inline double lease_renewal_deadline(const config::Settings& s, double ttl, double complete_at,
+                                     double authority_until) {
     return std::min(complete_at + renewal_s(s), authority_until + keep_alive_s(s, ttl));
 }
 
--- a/src/replication/checks.hpp
+++ b/src/replication/checks.hpp
@@ -14,7 +14,7 @@
 namespace coralhitch::replication {
 
 // All of it read after the claim, but for `copy` and `chain`.
-struct Evidence {
+struct ReplicaEvidence {
     std::string label;  // of this controller
     std::uint64_t incarnation = 0, version = 0;
     std::optional<protocol::StandbyRecord> record;  // as stored
@@ -26,11 +26,11 @@
 
 struct Check {
     const char* name;  // what is wrong if it does not hold
-    bool (*holds)(const Evidence&);
+    bool (*holds)(const ReplicaEvidence&);
 };
 std::span<const Check> checks();
 
 // Nothing if the copy is proof; otherwise the first check that does not hold.
-std::optional<std::string> judge(const Evidence& e);
+std::optional<std::string> judge(const ReplicaEvidence& e);
 
 }  // namespace coralhitch::replication
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -9,7 +9,7 @@
 
 namespace coralhitch::replication {
 namespace keys = kv::keys;
-using kv::Committed;
+using kv::TxnResult;
 
 namespace {
 // Ratios to the report period, unless named otherwise.
@@ -25,7 +25,7 @@
 }  // namespace
 
 ReplicationSender::ReplicationSender(event_loop::Timers& timers, http::Requester& http,
-                                     const config::Settings& settings, kv::Client& state,
+                                     const config::Settings& settings, kv::KvClient& state,
                                      std::uint64_t version, Hooks hooks)
     : timers_(timers),
       http_(http),
@@ -244,9 +244,9 @@
     for (auto& m : members) attempted_.insert(m.label);
     writing_ = true;
     // No start is sent before it is answered, so it waits for nothing else.
-    state_.txn(std::move(*t), kv::Rank::lease, guarded_([this, members](Committed c) {
+    state_.txn(std::move(*t), kv::RequestPriority::lease, guarded_([this, members](TxnResult c) {
                    writing_ = false;
-                   if (c.status == Committed::Status::committed) {
+                   if (c.status == TxnResult::Status::committed) {
                        record_version_ = c.revision;
                        ours_ = true;
                        confirmed_ = members;
@@ -269,7 +269,7 @@
 }
 void ReplicationSender::read_record() {
     writing_ = true;
-    state_.get(keys::standby, kv::Rank::lease, guarded_([this](kv::Found f) {
+    state_.get(keys::standby, kv::RequestPriority::lease, guarded_([this](kv::GetResult f) {
                    writing_ = false;
                    if (f.ok) {
                        record_version_ = f.entry ? f.entry->version : 0;
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -37,14 +37,14 @@
         std::function<void()> told;  // `told` may say yes to more
     };
     ReplicationSender(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                      kv::Client& state, std::uint64_t version, Hooks hooks);
+                      kv::KvClient& state, std::uint64_t version, Hooks hooks);
     ~ReplicationSender();
     ReplicationSender(const ReplicationSender&) = delete;
     ReplicationSender& operator=(const ReplicationSender&) = delete;
 
     // Once, with the version of the record's key as read after the claim; 0: there is none. `inherited`: the
     // record itself, if this leader's own copy was proof; whom it names goes on from the copy that it has.
-    // Called before anything changes in the picture.
+    // Called before anything changes in the cluster state.
     void start(std::uint64_t record_version, const std::optional<protocol::StandbyRecord>& inherited);
     // The controller is a process that was started just now.
     void started_anew(const std::string& label, std::uint64_t incarnation);
@@ -91,7 +91,7 @@
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    kv::Client& state_;
+    kv::KvClient& state_;
     std::uint64_t version_;
     Hooks hooks_;
     std::map<std::string, Standby> standbys_;
@@ -101,7 +101,7 @@
     std::vector<Member> confirmed_;
     std::set<std::string> attempted_;  // named by writes since the last one that was confirmed
     std::uint64_t pieces_ = 0, dropped_ = 0;
-    event_loop::Guard guarded_;  // last, so that it goes first
+    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
 
 }  // namespace coralhitch::replication
--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -4,8 +4,8 @@
 #include <numeric>
 
 namespace coralhitch::scheduler {
-using protocol::Kind;
-using protocol::Room;
+using protocol::JobKind;
+using protocol::Resources;
 
 namespace {
 // Report periods that a gang waits before what room there is is kept for it.
@@ -43,18 +43,18 @@
 // Its team's smaller jobs would take each place under the limit that comes free.
 void GangPlacer::keep_quota(const JobView& job) {
     if (!gathers(job) || !comes_free(*job.spec)) return;
-    plan_.in.team_used[job.spec->team] += job.spec->need.times(static_cast<double>(job.waiting.size()));
+    plan_.in.team_used[job.spec->team] += job.spec->request.times(static_cast<double>(job.waiting.size()));
 }
 
 // Whether the team's limit has room for all of it beside what does not end by itself.
 bool GangPlacer::comes_free(const protocol::Job& spec) const {
-    Room stays;
+    Resources stays;
     for (auto& instance : plan_.in.instances) {
         auto& other = *plan_.in.jobs[instance.job].spec;
-        if (other.team == spec.team && other.kind == Kind::service) stays += other.need;
+        if (other.team == spec.team && other.kind == JobKind::service) stays += other.request;
     }
     auto* team = plan_.team(spec.team);
-    return team && team_allows(*team, stays, spec.need.times(static_cast<double>(spec.tasks)));
+    return team && team_allows(*team, stays, spec.request.times(static_cast<double>(spec.tasks)));
 }
 
 // The sets of pools of which it may use one: the zones in random order if it must be in one of them.
@@ -88,13 +88,13 @@
 }
 
 GangPlacer::Distance GangPlacer::distance(const JobView& job, const PoolSet& pools) {
-    auto& need = job.spec->need;
+    auto& need = job.spec->request;
     auto most = job.waiting.size();
     std::vector<std::size_t> far;
     if (plan_.known_full(need, pools)) return {unreachable, 0};
     for (auto machine : plan_.with_room(job, pools)) {
         auto room = plan_.open_room(machine);
-        for (std::size_t k = 0; k < most && room.holds(need); ++k, room -= need)
+        for (std::size_t k = 0; k < most && room.fits(need); ++k, room -= need)
             far.push_back(static_cast<std::size_t>(plan_.image_distance(job, machine)));
     }
     if (far.empty()) plan_.note_full(job, pools);
@@ -120,7 +120,7 @@
         if (!machine) break;
         plan_.start(index, task, *machine);
         ++taken;
-        if (plan_.open_room(*machine).holds(spec.need)) sets[tier(*machine)].push_back(*machine);
+        if (plan_.open_room(*machine).fits(spec.request)) sets[tier(*machine)].push_back(*machine);
         if (!spec.spread) continue;
         for (auto& set : sets)
             std::erase_if(set, [&](auto m) { return !zone_allowed(spec, job.zones, plan_.zone(m)); });
@@ -139,13 +139,13 @@
 void GangPlacer::gather(std::size_t index, const std::vector<PoolSet>& groups) {
     if (gathering_) return;
     auto& job = plan_.in.jobs[index];
-    auto& need = job.spec->need;
+    auto& need = job.spec->request;
     Machines best;
     for (auto& group : groups) {
         Machines places;
         for (auto machine : plan_.with_room(job, group)) {
             auto room = plan_.open_room(machine);
-            for (; room.holds(need) && places.size() < job.waiting.size(); room -= need)
+            for (; room.fits(need) && places.size() < job.waiting.size(); room -= need)
                 places.push_back(machine);
         }
         if (places.size() > best.size()) best = std::move(places);
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -4,9 +4,9 @@
 #include <numeric>
 
 namespace coralhitch::scheduler {
-using protocol::Kind;
+using protocol::JobKind;
 using protocol::Priority;
-using protocol::Room;
+using protocol::Resources;
 
 namespace {
 // Ratios to the report period.
@@ -14,7 +14,7 @@
 constexpr double pressed_reports = 4;
 
 // Whether a team's guarantee, of which 0 means none, holds as much.
-bool guarantee_holds(const config::Team& team, const Room& needed) {
+bool guarantee_holds(const config::Team& team, const Resources& needed) {
     constexpr double slack = 1e-6;
     if (team.cpus <= 0 && team.gpus <= 0) return false;
     bool cpus = team.cpus <= 0 || needed.cpus <= team.cpus + slack;
@@ -36,13 +36,13 @@
     std::sort(by_age.begin(), by_age.end(),
               [&](auto a, auto b) { return in_.jobs[a].submitted < in_.jobs[b].submitted; });
     guaranteed_.assign(in_.jobs.size(), false);
-    std::map<std::string, Room> needed;
+    std::map<std::string, Resources> needed;
     for (auto job : by_age) {
         auto& spec = *in_.jobs[job].spec;
         auto team = teams.find(spec.team);
         if (team == teams.end()) continue;
         auto& sum = needed[spec.team];
-        sum += spec.need.times(static_cast<double>(in_.jobs[job].open));
+        sum += spec.request.times(static_cast<double>(in_.jobs[job].open));
         guaranteed_[job] = guarantee_holds(*team->second, sum);
     }
 }
@@ -68,7 +68,7 @@
 
 bool JobOrder::patient(std::size_t job) const {
     auto& view = in_.jobs[job];
-    if (view.spec->kind == Kind::service || pressed(job)) return false;
+    if (view.spec->kind == JobKind::service || pressed(job)) return false;
     return in_.unix_now - view.submitted < settings_.report_s * patience_reports;
 }
 
--- a/src/scheduler/machine_choice.cpp
+++ b/src/scheduler/machine_choice.cpp
@@ -28,8 +28,8 @@
 std::size_t tier_of(const PlanState& plan, const JobView& job, std::size_t machine) {
     auto& view = plan.in.machines[machine];
     if (view.draining) return last_tier;
-    bool stays = job.spec->kind == protocol::Kind::service &&
-                 largest_share(job.spec->need, plan.total(machine)) <= small_replica_share;
+    bool stays = job.spec->kind == protocol::JobKind::service &&
+                 largest_share(job.spec->request, plan.total(machine)) <= small_replica_share;
     bool fitting = stays ? view.services > 0 : !plan.breaks_up(*job.spec, machine);
     return 2 * static_cast<std::size_t>(plan.image_distance(job, machine)) + (fitting ? 0 : 1);
 }
--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -1,9 +1,9 @@
 #include "scheduler/plan_state.hpp"
 
 namespace coralhitch::scheduler {
-using protocol::Kind;
+using protocol::JobKind;
 using protocol::Priority;
-using protocol::Room;
+using protocol::Resources;
 
 bool covers(const PoolSet& a, const PoolSet& b) {
     for (std::size_t p = 0; p < b.size(); ++p)
@@ -31,11 +31,11 @@
         if (job.open == 0 || job.priority == Priority::low) continue;
         for (std::size_t p = 0; p < used.size(); ++p) {
             if (!used[p]) continue;
-            double share = largest_share(job.spec->need, in.pools[p].total);
-            bool drawn = job.spec->kind != Kind::gang && share <= whole_machine_share;
+            double share = largest_share(job.spec->request, in.pools[p].total);
+            bool drawn = job.spec->kind != JobKind::gang && share <= whole_machine_share;
             if (drawn || share > 1 || share <= largest_share_) continue;
             largest_share_ = share;
-            largest_ = job.spec->need;
+            largest_ = job.spec->request;
         }
     }
     double usable = 0;
@@ -55,12 +55,12 @@
 
 bool PlanState::team_has_room(const protocol::Job& job, double tasks) {
     auto* limits = team(job.team);
-    return limits && team_allows(*limits, in.team_used[job.team], job.need.times(tasks));
+    return limits && team_allows(*limits, in.team_used[job.team], job.request.times(tasks));
 }
 
-Room PlanState::open_room(std::size_t machine) const {
+Resources PlanState::open_room(std::size_t machine) const {
     auto& view = in.machines[machine];
-    Room room = view.soon;
+    Resources room = view.soon;
     room -= view.reserved;
     room.cpus = std::min(room.cpus, view.free.cpus);
     room.gpus = std::min(room.gpus, view.free.gpus);
@@ -71,7 +71,7 @@
 Machines PlanState::with_room(const JobView& job, const PoolSet& pools) const {
     Machines found;
     each_machine(job, pools, [&](auto m) {
-        if (open_room(m).holds(job.spec->need)) found.push_back(m);
+        if (open_room(m).fits(job.spec->request)) found.push_back(m);
     });
     return found;
 }
@@ -87,26 +87,26 @@
 bool PlanState::needs_whole_machine(const protocol::Job& job, const PoolSet& pools) const {
     for (std::size_t p = 0; p < pools.size(); ++p) {
         if (!pools[p] || by_pool_[p].empty()) continue;
-        if (largest_share(job.need, in.pools[p].total) > whole_machine_share) return true;
+        if (largest_share(job.request, in.pools[p].total) > whole_machine_share) return true;
     }
     return false;
 }
 
-bool PlanState::known_full(const Room& need, const PoolSet& pools) const {
+bool PlanState::known_full(const Resources& request, const PoolSet& pools) const {
     return std::any_of(full_.begin(), full_.end(),
-                       [&](auto& f) { return need.holds(f.need) && covers(f.pools, pools); });
+                       [&](auto& f) { return request.fits(f.request) && covers(f.pools, pools); });
 }
 void PlanState::note_full(const JobView& job, const PoolSet& pools) {
     // What low priority leaves alone is there for others.
-    if (job.failed_on.empty() && job.priority != Priority::low) full_.push_back({job.spec->need, pools});
+    if (job.failed_on.empty() && job.priority != Priority::low) full_.push_back({job.spec->request, pools});
 }
 
 bool PlanState::breaks_up(const protocol::Job& job, std::size_t machine) const {
     if (largest_share_ <= 0) return false;
     auto room = in.machines[machine].free;
-    if (!room.holds(largest_)) return false;
-    room -= job.need;
-    return !room.holds(largest_);
+    if (!room.fits(largest_)) return false;
+    room -= job.request;
+    return !room.fits(largest_);
 }
 
 // What a task takes of the room that others could use: nothing, if it only needs what is left over there, as
@@ -114,7 +114,7 @@
 double PlanState::taken_of_spare(const protocol::Job& job, std::size_t machine) const {
     auto room = in.machines[machine].free;
     double before = least_share(room, total(machine));
-    room -= job.need;
+    room -= job.request;
     return before - least_share(room, total(machine));
 }
 
@@ -129,14 +129,14 @@
     auto& view = in.jobs[job];
     auto& there = in.machines[machine];
     spare_ -= taken_of_spare(*view.spec, machine);
-    there.free -= view.spec->need;
-    there.soon -= view.spec->need;
+    there.free -= view.spec->request;
+    there.soon -= view.spec->request;
     ++there.tasks;
-    if (view.spec->kind == Kind::service) ++there.services;
+    if (view.spec->kind == JobKind::service) ++there.services;
     if (image_distance(view, machine) > ImageDistance::coming) there.coming.push_back(view.image);
     ++view.zones[zone(machine)];
     ++view.active;
-    in.team_used[view.spec->team] += view.spec->need;
+    in.team_used[view.spec->team] += view.spec->request;
     decisions.starts.push_back({job, task, machine});
     ++decisions.counts.tasks;
 }
@@ -146,12 +146,12 @@
     decisions.starts.pop_back();
     auto& view = in.jobs[last.job];
     auto& there = in.machines[last.machine];
-    there.free += view.spec->need;
-    there.soon += view.spec->need;
+    there.free += view.spec->request;
+    there.soon += view.spec->request;
     --there.tasks;
     --view.zones[zone(last.machine)];
     --view.active;
-    in.team_used[view.spec->team] -= view.spec->need;
+    in.team_used[view.spec->team] -= view.spec->request;
     spare_ += taken_of_spare(*view.spec, last.machine);
     --decisions.counts.tasks;
 }
--- a/src/scheduler/plan_state.hpp
+++ b/src/scheduler/plan_state.hpp
@@ -33,8 +33,8 @@
     const JobOrder order;
     Decisions decisions;
 
-    const protocol::Room& need_of(const InstanceView& i) const { return in.jobs[i.job].spec->need; }
-    const protocol::Room& total(std::size_t machine) const {
+    const protocol::Resources& need_of(const InstanceView& i) const { return in.jobs[i.job].spec->request; }
+    const protocol::Resources& total(std::size_t machine) const {
         return in.pools[in.machines[machine].pool].total;
     }
     std::size_t zone(std::size_t machine) const { return in.pools[in.machines[machine].pool].zone_index; }
@@ -44,7 +44,7 @@
     bool team_has_room(const protocol::Job& job, double tasks);
     const config::Team* team(const std::string& name) const;
     // Places on a machine that nobody waits for already.
-    protocol::Room open_room(std::size_t machine) const;
+    protocol::Resources open_room(std::size_t machine) const;
     template <class F>
     void each_machine(const JobView& job, const PoolSet& pools, F f) const {
         for (std::size_t p = 0; p < pools.size(); ++p) {
@@ -61,7 +61,7 @@
     // What an earlier job of this plan found no room for, a later one that needs as much need not look for:
     // within a plan room only shrinks. With thousands of tasks waiting and hardly any room, walking all
     // machines for each of them took longer than everything else together.
-    bool known_full(const protocol::Room& need, const PoolSet& pools) const;
+    bool known_full(const protocol::Resources& request, const PoolSet& pools) const;
     void note_full(const JobView& job, const PoolSet& pools);
 
     // --- Room kept for others ---
@@ -79,7 +79,7 @@
   private:
     // A need that found no room in these pools.
     struct Full {
-        protocol::Room need;
+        protocol::Resources request;
         PoolSet pools;
     };
     void find_largest();
@@ -89,7 +89,7 @@
     std::vector<Machines> by_pool_;  // usable ones
     std::vector<Full> full_;
     // The largest task of live jobs, those of low priority apart, that goes to the fullest machine.
-    protocol::Room largest_;
+    protocol::Resources largest_;
     double largest_share_ = 0;
     double spare_ = 0, kept_ = 0;  // in machines: free room, and how much of it low priority leaves alone
 };
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 
 namespace coralhitch::scheduler {
-using protocol::Kind;
-using protocol::Room;
+using protocol::JobKind;
+using protocol::Resources;
 
 namespace {
 // The cost of a place that is being emptied already, on a machine that has the image: below all others.
@@ -66,28 +66,28 @@
 std::optional<Preemption::Choice> Preemption::victims_on(std::size_t job, std::size_t machine) const {
     auto& in = plan_.in;
     auto& view = in.jobs[job];
-    auto& need = view.spec->need;
+    auto& need = view.spec->request;
     if (plan_.kept_spare(view, machine)) return std::nullopt;
-    Room room = in.machines[machine].soon;
+    Resources room = in.machines[machine].soon;
     room -= in.machines[machine].reserved;
     Choice choice;
     // A place that is being emptied already always goes first: otherwise each plan would stop others.
     choice.cost = has_image(in.machines[machine], view.image) ? being_emptied : being_emptied / 2;
-    if (room.holds(need)) return choice;
+    if (room.fits(need)) return choice;
     choice.cost = fetch_s(view, machine);
     if (lowest_rank_[machine] >= plan_.order.rank(job)) return std::nullopt;
     auto candidates = candidates_on(job, machine);
-    Room most = room;
+    Resources most = room;
     for (auto k : candidates) most += plan_.need_of(in.instances[k]);
-    if (!most.holds(need)) return std::nullopt;
+    if (!most.fits(need)) return std::nullopt;
     sort_by_cost(candidates);
     for (auto k : candidates) {
-        if (room.holds(need)) break;
+        if (room.fits(need)) break;
         room += plan_.need_of(in.instances[k]);
         choice.victims.push_back(k);
         // A gang is stopped whole.
         auto victim = in.instances[k].job;
-        bool gang = in.jobs[victim].spec->kind == Kind::gang;
+        bool gang = in.jobs[victim].spec->kind == JobKind::gang;
         double times = gang ? static_cast<double>(by_job_[victim].size()) : 1;
         choice.cost += loss(in.instances[k]) * times;
     }
@@ -98,7 +98,7 @@
     auto& in = plan_.in;
     for (auto k : choice.victims) {
         auto victim = in.instances[k].job;
-        bool whole = in.jobs[victim].spec->kind == Kind::gang;
+        bool whole = in.jobs[victim].spec->kind == JobKind::gang;
         for (auto other : whole ? by_job_[victim] : std::vector<std::size_t>{k}) {
             if (stopping_[other]) continue;
             stopping_[other] = true;
@@ -115,7 +115,7 @@
     return std::any_of(stuck_.begin(), stuck_.end(), [&](auto& s) {
         auto& other = *plan_.in.jobs[s.job].spec;
         return plan_.order.rank(s.job) == plan_.order.rank(job) && other.team == spec.team &&
-               spec.need.holds(other.need) && covers(s.pools, pools);
+               spec.request.fits(other.request) && covers(s.pools, pools);
     });
 }
 
@@ -135,7 +135,7 @@
         return std::nullopt;
     }
     stop(cheapest, job);
-    plan_.in.machines[*best].reserved += plan_.in.jobs[job].spec->need;
+    plan_.in.machines[*best].reserved += plan_.in.jobs[job].spec->request;
     // A gang that is stopped whole leaves places elsewhere, too.
     if (!cheapest.victims.empty()) stuck_.clear();
     return best;
@@ -145,7 +145,7 @@
 void Preemption::take_back(std::size_t job, const Machines& reserved, std::size_t stops) {
     auto& in = plan_.in;
     auto& decided = plan_.decisions.stops;
-    for (auto machine : reserved) in.machines[machine].reserved -= in.jobs[job].spec->need;
+    for (auto machine : reserved) in.machines[machine].reserved -= in.jobs[job].spec->request;
     for (; decided.size() > stops; decided.pop_back()) {
         auto k = decided.back().instance;
         stopping_[k] = false;
--- a/src/scheduler/rules.cpp
+++ b/src/scheduler/rules.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 namespace coralhitch::scheduler {
-using protocol::Room;
+using protocol::Resources;
 
 bool type_allowed(const protocol::Job& job, const std::string& type, const std::string& zone, bool spot) {
     if (job.types && std::find(job.types->begin(), job.types->end(), type) == job.types->end()) return false;
@@ -30,13 +30,13 @@
 bool has_image(const MachineView& m, std::uint32_t image) {
     return m.images && std::binary_search(m.images->begin(), m.images->end(), image);
 }
-bool team_allows(const config::Team& team, const Room& used, const Room& more) {
+bool team_allows(const config::Team& team, const Resources& used, const Resources& more) {
     constexpr double slack = 1e-6;
     if (team.cpus_max > 0 && used.cpus + more.cpus > team.cpus_max + slack) return false;
     if (team.gpus_max > 0 && used.gpus + more.gpus > team.gpus_max + slack) return false;
     return true;
 }
-double least_share(const Room& room, const Room& total) {
+double least_share(const Resources& room, const Resources& total) {
     double s = 1;
     if (total.cpus > 0) s = std::min(s, room.cpus / total.cpus);
     if (total.gpus > 0) s = std::min(s, room.gpus / total.gpus);
@@ -47,11 +47,11 @@
     // Half as long again as the owner says, so that a slow machine still saves.
     return job.checkpoint_s > 0 ? job.save_s * 1.5 + 1 : 0;
 }
-double largest_share(const Room& need, const Room& total) {
+double largest_share(const Resources& request, const Resources& total) {
     double s = 0;
-    if (total.cpus > 0) s = std::max(s, need.cpus / total.cpus);
-    if (total.gpus > 0) s = std::max(s, need.gpus / total.gpus);
-    if (total.memory_gb > 0) s = std::max(s, need.memory_gb / total.memory_gb);
+    if (total.cpus > 0) s = std::max(s, request.cpus / total.cpus);
+    if (total.gpus > 0) s = std::max(s, request.gpus / total.gpus);
+    if (total.memory_gb > 0) s = std::max(s, request.memory_gb / total.memory_gb);
     return s;
 }
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -41,7 +41,7 @@
         if (view.waiting.empty()) return;
         bool patient = plan_.order.patient(job);
         if (!near_only && !patient) return;  // was tried whole the first time
-        if (view.spec->kind == protocol::Kind::gang)
+        if (view.spec->kind == protocol::JobKind::gang)
             gangs_.place(job, near_only && patient);
         else
             tasks_.place(job, near_only && patient);
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -36,7 +36,7 @@
     auto& job = plan_.in.jobs[index];
     auto& spec = *job.spec;
     auto pools = plan_.pools_of(job);
-    bool room = !plan_.known_full(spec.need, pools);
+    bool room = !plan_.known_full(spec.request, pools);
     TieredMachines sets;
     if (room) sets = candidates(job, pools, near_only);
     std::size_t missing = 0, placed = 0;
@@ -47,7 +47,7 @@
         if (machine) {
             plan_.start(index, job.waiting[k], *machine);
             ++placed;
-            if (plan_.open_room(*machine).holds(spec.need))
+            if (plan_.open_room(*machine).fits(spec.request))
                 sets[tier_of(plan_, job, *machine)].push_back(*machine);
             narrow(job, pools, sets);
             continue;
--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -20,12 +20,12 @@
     std::size_t pool = 0;
     bool usable = false;
     bool draining = false;  // surplus: used only if there is no room elsewhere
-    protocol::Room free;
+    protocol::Resources free;
     int tasks = 0, services = 0;           // services: those of `tasks` that run until they are cancelled
     std::shared_ptr<const Images> images;  // null: none
     std::vector<std::uint32_t> coming;     // images that it fetches, this plan's starts included
-    protocol::Room soon;                   // free, and what is being stopped
-    protocol::Room reserved;               // of `soon`, kept for tasks that wait for places being emptied
+    protocol::Resources soon;              // free, and what is being stopped
+    protocol::Resources reserved;          // of `soon`, kept for tasks that wait for places being emptied
 };
 struct InstanceView {
     std::size_t job = 0, machine = 0;
@@ -56,7 +56,7 @@
     std::vector<MachineView> machines;
     std::vector<InstanceView> instances;
     std::vector<JobView> jobs;
-    std::map<std::string, protocol::Room> team_used;
+    std::map<std::string, protocol::Resources> team_used;
 };
 struct Start {
     std::size_t job = 0;
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -22,7 +22,7 @@
 }
 bool Checker::is_done(const std::string& id) const {
     auto& o = jobs_.at(id);
-    bool gang = o.job.kind == protocol::Kind::gang;  // its tasks complete together
+    bool gang = o.job.kind == protocol::JobKind::gang;  // its tasks complete together
     return gang ? !o.tasks_done.empty() : o.tasks_done.size() >= o.job.tasks;
 }
 void Checker::told(double now, const std::string& id, protocol::JobState state) {
@@ -53,8 +53,8 @@
     if (limit == rules_.teams.end()) return rule(now, "quota " + task + ": unknown team " + job.team);
     auto used = used_[job.team];
     auto beyond = [](double sum, double most) { return most > 0 && sum > most + rounding; };
-    if (beyond(used.cpus + job.need.cpus, limit->second.cpus_max) ||
-        beyond(used.gpus + job.need.gpus, limit->second.gpus_max))
+    if (beyond(used.cpus + job.request.cpus, limit->second.cpus_max) ||
+        beyond(used.gpus + job.request.gpus, limit->second.gpus_max))
         rule(now, "quota " + task + " of " + job.team);
 }
 void Checker::check_place(double now, const Observed& o, const MachinePlace& place, const std::string& task) {
@@ -89,22 +89,23 @@
     o.on[task.index] = machine;
     ++o.per_zone[machines_[machine].zone];
     on_machine_[machine].insert(task);
-    used_[o.job.team] += o.job.need;
+    used_[o.job.team] += o.job.request;
     ++present_;
 }
 void Checker::remove(Observed& o, std::uint32_t index) {
     auto on = o.on.find(index);
     --o.per_zone[machines_[on->second].zone];
     on_machine_[on->second].erase({o.job.id, index});
-    used_[o.job.team] -= o.job.need;
+    used_[o.job.team] -= o.job.request;
     o.on.erase(on);
     --present_;
 }
-void Checker::ended(double, const std::string& machine, const protocol::TaskId& task, protocol::Cause cause) {
+void Checker::ended(double, const std::string& machine, const protocol::TaskId& task,
+                    protocol::ExitCause cause) {
     auto found = jobs_.find(task.job);
     if (found == jobs_.end()) return;
     auto& o = found->second;
-    if (cause == protocol::Cause::done) o.tasks_done.insert(task.index);
+    if (cause == protocol::ExitCause::done) o.tasks_done.insert(task.index);
     auto on = o.on.find(task.index);
     if (on != o.on.end() && on->second == machine) remove(o, task.index);
 }
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -20,7 +20,7 @@
 struct MachinePlace {
     std::string type, zone;
     bool spot = false;
-    protocol::Room room;
+    protocol::Resources room;
 };
 
 // All times are seconds of one clock; each call's time is at least that of the call before.
@@ -41,7 +41,8 @@
     // What happens on machines. A task takes its place when its worker carries out the command to start it.
     void machine(const std::string& id, MachinePlace place) { machines_[id] = std::move(place); }
     void started(double now, const std::string& machine, const protocol::TaskId& task);
-    void ended(double now, const std::string& machine, const protocol::TaskId& task, protocol::Cause cause);
+    void ended(double now, const std::string& machine, const protocol::TaskId& task,
+               protocol::ExitCause cause);
     void machine_gone(const std::string& machine);
     // Looks for tasks of cancelled jobs that are still on a machine.
     void look(double now);
@@ -69,8 +70,8 @@
     std::map<std::string, MachinePlace> machines_;
     std::map<std::string, Observed> jobs_;
     std::map<std::string, std::set<protocol::TaskId>> on_machine_;
-    std::map<std::string, protocol::Room> used_;  // by team
-    std::set<std::string> cancelled_;             // with tasks on machines, perhaps
+    std::map<std::string, protocol::Resources> used_;  // by team
+    std::set<std::string> cancelled_;                  // with tasks on machines, perhaps
     std::size_t starts_ = 0, present_ = 0;
     std::vector<std::string> broken_;
 };
--- a/tests/attempt_numbers_test.cpp
+++ b/tests/attempt_numbers_test.cpp
@@ -7,7 +7,7 @@
 #include "fake_state.hpp"
 #include "kv/keys.hpp"
 
-namespace coralhitch::controller {
+namespace coralhitch::leader {
 namespace {
 
 struct Bench {
@@ -39,7 +39,7 @@
     FakeTimers timers;
     FakeState service{timers};
     config::Settings settings = settings_of_one();
-    kv::Client client{timers, service, settings};
+    kv::KvClient client{timers, service, settings};
     std::uint64_t version = 0;
     bool authority = true;
 };
@@ -60,7 +60,7 @@
     }
 };
 
-// The state service sees no other change in that hour, so the next leadership's version is as low as it can
+// The key-value store sees no other change in that hour, so the next leadership's version is as low as it can
 // be. The load is 8,000 machines at the target's peak, 0.2033 starts a machine and second.
 TEST(AttemptNumbers, AnHourAtThePeakOf8000MachinesStaysBelowTheNextLeadership) {
     Bench bench;
@@ -135,4 +135,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::controller
+}  // namespace coralhitch::leader
--- a/tests/combinations_boot_test.cpp
+++ b/tests/combinations_boot_test.cpp
@@ -10,7 +10,7 @@
     auto ours = [&](auto& c) { return c.value("put", "").starts_with(prefix); };
     return std::any_of(txn["then"].begin(), txn["then"].end(), ours);
 }
-// Whether the state service's page of machines names this one.
+// Whether the key-value store's page of machines names this one.
 bool stored(const World& w, const std::string& id) {
     try {
         return w.record("mach/page/0").find(id) != std::string::npos;
--- a/tests/combinations_cancel_test.cpp
+++ b/tests/combinations_cancel_test.cpp
@@ -76,7 +76,7 @@
     expect_unbroken(w);
 }
 
-// The same at each moment of a takeover that is slow to read: the first notice comes while the list is read,
+// The same at each moment of a failover that is slow to read: the first notice comes while the list is read,
 // and what the list says is older.
 class WhileTheNextOneReads : public testing::TestWithParam<double> {};
 INSTANTIATE_TEST_SUITE_P(Meeting, WhileTheNextOneReads, testing::Range(0.0, 1.2, 0.1));
--- a/tests/combinations_lost_answers_test.cpp
+++ b/tests/combinations_lost_answers_test.cpp
@@ -4,7 +4,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-// The simulated state service carries such a transaction out after this time, and never answers it.
+// The simulated key-value store carries such a transaction out after this time, and never answers it.
 constexpr double at_once = 1e-6;
 
 // Each kind of the controllers' own transactions, a third of the time, over leaders that end.
@@ -33,7 +33,7 @@
     for (auto& b : wrong(w)) ADD_FAILURE() << b;
 }
 
-// A claim succeeds, its answer is lost, and its claimer reaches the state service no more for a while: it
+// A claim succeeds, its answer is lost, and its claimer reaches the key-value store no more for a while: it
 // does not act as a leader, and another one leads once the lease is out that nobody renews.
 TEST(Meeting, AClaimThatSucceededUnknownHoldsUpNobodyLongerThanALease) {
     spdlog::set_level(spdlog::level::off);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -172,10 +172,10 @@
     const Case cases[] = {
         {"fits", [](auto&) {}, true},
         {"unknown team", [](auto& j) { j.team = "x"; }, false},
-        {"too large for any type", [](auto& j) { j.need.gpus = 5; }, false},
+        {"too large for any type", [](auto& j) { j.request.gpus = 5; }, false},
         {"fills a machine",
          [](auto& j) {
-             j.need = {8, 4, 64};
+             j.request = {8, 4, 64};
          },
          true},
         {"a type that does not exist", [](auto& j) { j.types = {"nope"}; }, false},
@@ -189,19 +189,19 @@
         {"an array larger than the limit runs in turns", [](auto& j) { j.tasks = 1000; }, true},
         {"a gang larger than the limit never runs",
          [](auto& j) {
-             j.kind = protocol::Kind::gang;
+             j.kind = protocol::JobKind::gang;
              j.tasks = 17;
          },
          false},
         {"a service at the limit",
          [](auto& j) {
-             j.kind = protocol::Kind::service;
+             j.kind = protocol::JobKind::service;
              j.tasks = 8;
          },
          true},
         {"a service beyond the limit",
          [](auto& j) {
-             j.kind = protocol::Kind::service;
+             j.kind = protocol::JobKind::service;
              j.tasks = 9;
          },
          false},
@@ -209,7 +209,7 @@
     for (auto& c : cases) {
         protocol::Job j;
         j.team = "t";
-        j.need = {1, 1, 1};
+        j.request = {1, 1, 1};
         c.change(j);
         EXPECT_EQ(api::judge(j, types, s).runnable, c.runnable) << c.name;
     }
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -10,7 +10,7 @@
 namespace coralhitch::kv {
 namespace {
 
-// A state service of one key. Requests can be refused, or their answers lost after they were executed.
+// A key-value store of one key. Requests can be refused, or their answers lost after they were executed.
 class FakeState : public http::Requester {
   public:
     explicit FakeState(FakeTimers& t) : timers_(t) {}
@@ -75,7 +75,7 @@
         s.state_write_rps = 50;
         return s;
     }();
-    Client client{timers, service, settings};
+    KvClient client{timers, service, settings};
     election::Election election{timers, client, settings, 77, 1};
     int won = 0, lost = 0;
     // The key as another process left it.
@@ -145,7 +145,7 @@
     b.election.peer_says("berth-2", 8);
     EXPECT_EQ(b.election.leader(), "berth-2");
 }
-// A leader cut off from the state service hears of its successor from the workers: it stops heeding them.
+// A leader cut off from the key-value store hears of its successor from the workers: it stops heeding them.
 TEST(Election, StepsDownOnProofOfALaterLeadership) {
     for (auto [ahead, lost] : {std::pair(0, 0), {1, 1}}) {
         Bench b;
--- a/tests/fake_state.hpp
+++ b/tests/fake_state.hpp
@@ -1,4 +1,4 @@
-// A small state service for tests of single parts, on the injected clock.
+// A small key-value store for tests of single parts, on the injected clock.
 #pragma once
 #include <deque>
 #include <functional>
@@ -11,7 +11,7 @@
 
 namespace coralhitch {
 
-// A state service in memory. A transaction's answer can be lost, with the transaction executed
+// A key-value store in memory. A transaction's answer can be lost, with the transaction executed
 // at once, later or never.
 class FakeState : public http::Requester {
   public:
@@ -23,7 +23,7 @@
     int changes = 0;
     std::function<double()> latency = [] { return 0.01; };  // from the execution to the answer, seconds
     std::map<std::string, int> asked;                       // requests by kind: kv, list, watch, txn
-    // What goes to other addresses than the state service's, if the test answers that.
+    // What goes to other addresses than the key-value store's, if the test answers that.
     std::function<void(const std::string& addr, const http::Request&, double timeout, http::Result)> others;
     std::size_t value_bytes = 16 * 1024, txn_ops = 24;  // what is refused beyond, with 400
 
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -10,10 +10,10 @@
     w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 3.0}}); });
 }
 
-// The state service refuses the leader alone, another controller confirms a cancellation, and the service is
-// then out for all for longer than `cancel_s`, while the workers report to the old leader. Others don't reach
-// it: what they tell it proves nothing.
-struct Refusal {
+// The key-value store refuses the leader alone, another controller confirms a cancellation, and the service
+// is then out for all for longer than `cancel_s`, while the workers report to the old leader. Others don't
+// reach it: what they tell it proves nothing.
+struct HeartbeatRejection {
     const char* name;
     double refused_s;      // the leader alone, from 30 s on; the cancellation comes 0.3 s later
     double outage_from_s;  // for all, for 70 s; before the leader's lease is out, which thus is kept
@@ -21,14 +21,14 @@
     bool crash;       // the leader ends in the middle, and is back at once
     bool late_watch;  // the leader's watch, still open, says nothing of it
 };
-const Refusal refusals[] = {
+const HeartbeatRejection refusals[] = {
     {"refused on", 14, 31.0, false, false, false},
     {"refused, then served for a moment", 10, 31.0, true, false, false},
     {"served for a moment, and the watch is late", 10, 31.0, true, false, true},
     {"the leader ends meanwhile", 14, 31.0, false, true, false},
     {"the lease is out before the outage", 14, 34.0, false, false, false},
 };
-class RefusedAlone : public testing::TestWithParam<Refusal> {};
+class RefusedAlone : public testing::TestWithParam<HeartbeatRejection> {};
 INSTANTIATE_TEST_SUITE_P(Meeting, RefusedAlone, testing::ValuesIn(refusals));
 TEST_P(RefusedAlone, CancelledTasksAreGoneInTime) {
     spdlog::set_level(spdlog::level::off);
@@ -109,7 +109,7 @@
     ASSERT_EQ(on_machines(w, "j-1"), 1u);
     std::size_t first = on_machine(*w.workers[0], "j-1") ? 0 : 1;
     // For longer than a lease, and it can't be deleted: the task goes on elsewhere, the machine in its next
-    // session.
+    // agent epoch.
     w.hang(first, 30);
     w.cloud_down(60);
     w.run_until(70);
@@ -298,7 +298,7 @@
     }
 }
 
-// The state service answers slowly, up to the edge of a leader's lease, while users cancel and ask, refuses
+// The key-value store answers slowly, up to the edge of a leader's lease, while users cancel and ask, refuses
 // the leader alone in between, and is then out for all.
 TEST(Meeting, ASlowStateServiceAtTheEdgeOfALease) {
     spdlog::set_level(spdlog::level::off);
@@ -315,8 +315,9 @@
     }
 }
 
-// A leader is cut from the state service and from the other controllers, while workers and users still reach
-// it, and jobs are cancelled through the new one: the old one says nothing older, and keeps no task too long.
+// A leader is cut from the key-value store and from the other controllers, while workers and users still
+// reach it, and jobs are cancelled through the new one: the old one says nothing older, and keeps no task too
+// long.
 TEST(Meeting, ALeaderAloneTellsNothingOlder) {
     spdlog::set_level(spdlog::level::off);
     World w({});
--- a/tests/fault_scenarios_test.cpp
+++ b/tests/fault_scenarios_test.cpp
@@ -56,7 +56,7 @@
     spdlog::set_level(spdlog::level::off);
     std::vector<Fault> faults;
     for (int k = 0; k < 6; ++k) faults.push_back({20.0 + 10 * k, Trouble::crash, 3, 1, 0.2, false});
-    // The state service never comes back: nothing ends.
+    // The key-value store never comes back: nothing ends.
     faults.push_back({60, Trouble::state, 0, 1, 1000, false});
     EXPECT_FALSE(play(1, 8, faults).empty());
     auto least = shrink(1, 8, faults);
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -25,7 +25,7 @@
 }
 
 struct Bench {
-    event_loop::Loop loop;
+    event_loop::EventLoop loop;
     std::string addr = free_address();
     ServerLimits limits;
     std::unique_ptr<Server> server;
@@ -274,7 +274,7 @@
 // With more ready than a turn handles: what is urgent goes first, users before workers, and a timer that is
 // due waits for one turn only.
 TEST(Loop, LanesHaveTheirTurns) {
-    event_loop::Loop l;
+    event_loop::EventLoop l;
     struct End {
         event_loop::Fd in, out;
     };
--- a/tests/job_ends_test.cpp
+++ b/tests/job_ends_test.cpp
@@ -105,7 +105,7 @@
     }
 }
 
-// Jobs of one task come for two minutes, a quarter of them are cancelled, and the state service allows few
+// Jobs of one task come for two minutes, a quarter of them are cancelled, and the key-value store allows few
 // changes. Ends are stored in time, since those of cancelled jobs wait for them and not the other way round.
 //
 // Counted from the report that says it: a worker reports a change within half a second, so that this bound
@@ -168,22 +168,23 @@
     s.state_write_rps = 50;
     s.txn_ops = 24;
     s.safe_value_kb = 16;
-    kv::Client client(timers, service, s);
+    kv::KvClient client(timers, service, s);
     client.set_leading(true);
-    auto put = [&](const std::string& key, int changes, kv::Rank rank, std::function<void()> done) {
+    auto put = [&](const std::string& key, int changes, kv::RequestPriority rank,
+                   std::function<void()> done) {
         protocol::Txn t;
         for (int k = 0; k < changes; ++k) t.changes.push_back({key + std::to_string(k), "1", 0});
-        client.txn(std::move(t), rank, [done](kv::Committed c) {
-            if (c.status == kv::Committed::Status::committed) done();
+        client.txn(std::move(t), rank, [done](kv::TxnResult c) {
+            if (c.status == kv::TxnResult::Status::committed) done();
         });
     };
     int small = 0;
     double stored_at = -1;
     timers.run_until(1);
-    put("first/", 20, kv::Rank::write, [] {});
-    put("large/", 20, kv::Rank::write, [&] { stored_at = timers.now(); });
+    put("first/", 20, kv::RequestPriority::write, [] {});
+    put("large/", 20, kv::RequestPriority::write, [&] { stored_at = timers.now(); });
     for (int k = 0; k < 200; ++k)
-        put("small" + std::to_string(k) + "/", 2, kv::Rank::background, [&] { ++small; });
+        put("small" + std::to_string(k) + "/", 2, kv::RequestPriority::background, [&] { ++small; });
     timers.run_until(3.5);
     EXPECT_GT(stored_at, 0);
     timers.run_until(6);
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -39,13 +39,13 @@
 
 struct Case {
     const char* name;
-    std::function<void(Table&)> play;
+    std::function<void(JobTable&)> play;
     std::set<std::string> may_start, cancelled, unknown;
 };
 const Case cases[] = {
-    {"as submitted", [](Table&) {}, {"a", "x"}, {}, {}},
+    {"as submitted", [](JobTable&) {}, {"a", "x"}, {}, {}},
     {"the first is done",
-     [](Table& t) {
+     [](JobTable& t) {
          t.erase("a", 50);
          t.ended("a", JobState::done, 130);
      },
@@ -53,12 +53,12 @@
      {},
      {}},
     {"the first is gone, and nobody knows how: it may have been cancelled",
-     [](Table& t) { t.erase("a", 50); },
+     [](JobTable& t) { t.erase("a", 50); },
      {"x"},
      {},
      {"a"}},
     {"one of two that a job awaits is done",
-     [](Table& t) {
+     [](JobTable& t) {
          t.erase("a", 50);
          t.ended("a", JobState::done, 130);
          t.erase("b1", 51);
@@ -68,19 +68,19 @@
      {},
      {}},
     {"the first is cancelled by its user",
-     [](Table& t) {
+     [](JobTable& t) {
          t.put("a", 20, record({"a", {}, Priority::low, {}, true}));
      },
      {"x"},
      {"a", "b1", "b2", "c", "d"},
      {}},
     {"one in the middle is cancelled, as a controller says",
-     [](Table& t) { t.cancel("b2", 0); },
+     [](JobTable& t) { t.cancel("b2", 0); },
      {"a", "x"},
      {"b2", "c", "d"},
      {}},
     {"the first was cancelled under an earlier leader",
-     [](Table& t) {
+     [](JobTable& t) {
          t.erase("a", 50);
          t.ended("a", JobState::cancelled, {});
      },
@@ -88,7 +88,7 @@
      {"b1", "b2", "c", "d"},
      {}},
     {"a job that names a cancelled one comes later; a later copy of its record changes nothing",
-     [](Table& t) {
+     [](JobTable& t) {
          t.cancel("b2", 0);
          t.put("y", 30, record({"y", {"c"}}));
          t.put("y", 31, record({"y", {"c"}}));
@@ -97,7 +97,7 @@
      {"b2", "c", "d", "y"},
      {}},
     {"those that awaited it are over: its end need not be known",
-     [](Table& t) {
+     [](JobTable& t) {
          t.erase("d", 60);
          t.erase("c", 61);
          t.erase("b1", 62);
@@ -111,7 +111,7 @@
     for (auto& c : cases) {
         for (bool backwards : {false, true}) {  // a leader loads them in any order
             SCOPED_TRACE(c.name);
-            Table t(16);
+            JobTable t(16);
             auto all = diamond;
             if (backwards) std::reverse(all.begin(), all.end());
             std::uint64_t version = 1;
@@ -136,14 +136,14 @@
 // The last job carries priority and deadline; those it needs have as much of each, and no others.
 TEST(Table, WhatAJobNeedsIsAsUrgentAsTheJob) {
     for (bool backwards : {false, true}) {
-        Table t(16);
+        JobTable t(16);
         auto all = diamond;
         if (backwards) std::reverse(all.begin(), all.end());
         std::uint64_t version = 1;
         for (auto& s : all) t.put(s.id, version++, record(s));
         for (auto id : {"a", "b1", "b2", "c", "d"}) EXPECT_EQ(t.find(id)->priority, Priority::high) << id;
         EXPECT_EQ(t.find("x")->priority, Priority::low);
-        EXPECT_EQ(t.find("x")->due, Entry::never);
+        EXPECT_EQ(t.find("x")->due, JobEntry::never);
         EXPECT_EQ(t.find("d")->due, 190);
         EXPECT_EQ(t.find("c")->due, 180);
         EXPECT_EQ(t.find("b2")->due, 170);
@@ -152,7 +152,7 @@
 }
 // Age runs from the release that this leader saw; one that an earlier leader saw counts from the submission.
 TEST(Table, AgeRunsFromTheReleaseThatWasSeen) {
-    Table t(16);
+    JobTable t(16);
     t.put("b", 2, record({"b", {"a", "a2"}}));
     t.ended("a", JobState::done, {});
     EXPECT_EQ(t.find("b")->ready, 100);
@@ -164,7 +164,7 @@
 }
 // No recursion over what users submit, no walk over all pairs.
 TEST(Table, ChainsAndJoinsOfThousands) {
-    Table t(16);
+    JobTable t(16);
     constexpr int n = 20000;
     auto id = [](int k) { return "j-" + std::to_string(k); };
     std::vector<std::string> all;
@@ -197,13 +197,13 @@
         {100, 99, 16, "from-0"},
     };
     for (auto& c : cases) {
-        Table t(16);
+        JobTable t(16);
         t.put("j", 1, record({"j", {}}, c.tasks));
         auto& e = *t.find("j");
         EXPECT_EQ(t.block_of(e, c.task, c.value_bytes), c.block);
         for (std::uint32_t i = 0; i < c.tasks; i += 7) e.mark_done(i);
         // All that was done under any limit is found again, and nothing else.
-        Table next(16);
+        JobTable next(16);
         next.put("j", 1, record({"j", {}}, c.tasks));
         for (auto i : e.unstored) {
             auto limit = i % 2 ? c.value_bytes : 16384;
@@ -216,7 +216,7 @@
         EXPECT_EQ(next.find("j")->done, e.done);
         EXPECT_EQ(next.find("j")->done_count, e.done_count);
     }
-    Table t(16);
+    JobTable t(16);
     t.put("j", 1, record({"j", {}}, 9));
     for (auto name : {"", "x", "from-", "from-x", "1x", "-1", "0/1"})
         EXPECT_THROW(t.put_progress("j", name, {true}, 7), std::invalid_argument) << name;
@@ -227,7 +227,7 @@
 // What is stored first: ends by their age, not by name, and the cancelled ones apart, since no user waits for
 // those.
 TEST(Table, TellsWhatIsToBeStoredByAge) {
-    Table t(16);
+    JobTable t(16);
     for (auto* id : {"a", "b", "c", "d", "e"}) t.put(id, 5, record({id, {}}, 2));
     auto end = [&](const char* id, double at) {
         t.find(id)->mark_done(0);
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -54,7 +54,7 @@
         settings.state_rps = settings.state_write_rps = 200;
         FakeTimers timers;
         Service service(timers);
-        Client client(timers, service, settings);
+        KvClient client(timers, service, settings);
         bool listed = false;
         ListWatch w(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
                     {[](auto&, auto) {}, [&](auto&) { listed = true; }});
--- a/tests/live_jobs_test.cpp
+++ b/tests/live_jobs_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 using nlohmann::json;
 
-// A state service that keeps the last changes of job records, and can be told what becomes of each request.
+// A key-value store that keeps the last changes of job records, and can be told what becomes of each request.
 class FakeState : public http::Requester {
   public:
     explicit FakeState(FakeTimers& t) : timers_(t) {}
@@ -76,7 +76,7 @@
         s.state_write_rps = 40;
         return s;
     }();
-    kv::Client client{timers, service, settings};
+    kv::KvClient client{timers, service, settings};
     LiveJobs live{timers, client, settings};
     std::vector<std::string> told;
 
--- a/tests/liveness_test.cpp
+++ b/tests/liveness_test.cpp
@@ -31,7 +31,7 @@
 std::size_t machines(const World& w, const std::string& zone = "", bool lapsed_only = false) {
     std::size_t n = 0;
     for (auto& m : w.workers)
-        n += !m->dead && (zone.empty() || m->zone == zone) && (!lapsed_only || m->session > 1);
+        n += !m->dead && (zone.empty() || m->zone == zone) && (!lapsed_only || m->agent_epoch > 1);
     return n;
 }
 std::size_t lapsed(const World& w, const std::string& zone = "") {
@@ -115,7 +115,7 @@
 // what is renewed in between lasts over it: nothing is killed, deleted or started again.
 struct Changes {
     const char* name;
-    double outage_s;      // of the state service, begun with the fifth change; 0: none
+    double outage_s;      // of the key-value store, begun with the fifth change; 0: none
     double back_after_s;  // of the one that ended
 };
 const Changes changes[] = {
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -41,7 +41,7 @@
     FakeTimers timers;
     FakeState service{timers};
     config::Settings settings;
-    kv::Client client{timers, service, settings};
+    kv::KvClient client{timers, service, settings};
     std::map<std::string, protocol::MachineRecord> fleet;
     std::set<std::string> confirmed;
     bool authority = true;
@@ -70,7 +70,7 @@
     void take_over(const Bench& before) {
         service.kv = before.service.kv;
         service.revision = before.service.revision;
-        kv::Listed listed;
+        kv::ListResult listed;
         listed.ok = true;
         for (auto& [k, v] : service.kv) listed.entries.push_back({k, v.first.dump(), v.second, 0});
         for (auto& [id, r] : store.load(listed)) {
@@ -147,7 +147,7 @@
     Bench b;
     b.add("vm-1");
     b.timers.run_until(1);
-    kv::Listed listed;
+    kv::ListResult listed;
     listed.ok = true;
     auto& page = *b.service.kv.begin();
     listed.entries = {{kv::keys::machines + "vm-0",
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -47,7 +47,7 @@
     // hear.
     void play(
         double from, double until,
-        const std::function<std::optional<std::size_t>(const Doubt&)>& elsewhere = [](auto&) {
+        const std::function<std::optional<std::size_t>(const SelfSuspicion&)>& elsewhere = [](auto&) {
             return std::optional<std::size_t>(0);
         }) {
         for (double t = from; t < until; t += report / 6) {
@@ -62,14 +62,14 @@
                 up.push_back(&m);
             }
             judge.look(seen, {false, true}, t);
-            if (judge.doubt()) judge.answered(elsewhere(*judge.doubt()));
-            gave_way |= judge.should_give_way();
+            if (judge.self_suspicion()) judge.answered(elsewhere(*judge.self_suspicion()));
+            gave_way |= judge.should_resign();
             for (std::size_t k = 0; k < up.size(); ++k) {
                 auto v = judge.judge(seen[k]);
                 suspected += v == Health::Suspected && !up[k]->silent(t);
-                if (v != Health::Dead || !judge.may_judge()) continue;
+                if (v != Health::Dead || !judge.may_evict()) continue;
                 up[k]->given_up = t - up[k]->silent_at;
-                judge.gave_up(seen[k], t);
+                judge.evicted(seen[k], t);
             }
         }
     }
@@ -155,8 +155,8 @@
 }
 
 // A wave of silences that end teaches how long such take; the dead are waited for no longer than that.
-TEST(Reach, WhoGoesRoundIsNotReached) {
-    Reach r;
+TEST(Reachability, WhoGoesRoundIsNotReached) {
+    Reachability r;
     r.shown(10);
     EXPECT_FALSE(r.lost());
     r.came(false, 15);  // its controller may have ended
@@ -233,7 +233,7 @@
         SCOPED_TRACE(c.name);
         Model m(300);
         m.silence(0, c.silent, 50, never);
-        m.play(0, 80, [&](const Doubt& d) -> std::optional<std::size_t> {
+        m.play(0, 80, [&](const SelfSuspicion& d) -> std::optional<std::size_t> {
             if (!c.elsewhere) return std::nullopt;
             return static_cast<std::size_t>(*c.elsewhere * static_cast<double>(d.silent.size()));
         });
--- a/tests/peer_ping_size_test.cpp
+++ b/tests/peer_ping_size_test.cpp
@@ -31,7 +31,7 @@
         .dump();
 }
 
-// The state service with leases that are never refused; pings to the peer are kept, nobody else answers.
+// The key-value store with leases that are never refused; pings to the peer are kept, nobody else answers.
 class Network : public http::Requester {
   public:
     explicit Network(FakeTimers& timers) : timers_(timers), service(timers) {}
@@ -57,7 +57,7 @@
     std::size_t ping_bytes = 0;
 };
 
-class NoPlanner : public Planner {
+class NoPlanner : public leader::Planner {
   public:
     void submit(Work) override {}
 };
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -6,9 +6,9 @@
 
 namespace coralhitch::scheduler {
 namespace {
-using protocol::Kind;
+using protocol::JobKind;
 using protocol::Priority;
-using protocol::Room;
+using protocol::Resources;
 
 config::Settings settings() {
     config::Settings s;
@@ -28,13 +28,13 @@
     m.free = {16, 4, 64};
     return m;
 }
-JobView job(const std::string& id, Kind kind, std::uint32_t tasks, double gpus,
+JobView job(const std::string& id, JobKind kind, std::uint32_t tasks, double gpus,
             const std::string& team = "free") {
     auto j = std::make_shared<protocol::Job>();
     j->id = id;
     j->kind = kind;
     j->tasks = tasks;
-    j->need = {1, gpus, 1};
+    j->request = {1, gpus, 1};
     j->team = team;
     j->image = "img";
     JobView v;
@@ -91,7 +91,7 @@
 TEST(Plan, KeepsTheTeamsMaximumWithWhatMayStillRun) {
     Input in;
     for (int i = 0; i < 5; ++i) in.machines.push_back(machine("m" + std::to_string(i)));
-    in.jobs.push_back(job("j-1", Kind::array, 10, 1, "a"));
+    in.jobs.push_back(job("j-1", JobKind::array, 10, 1, "a"));
     in.team_used["a"] = {0, 3, 0};
     EXPECT_EQ(run(in).starts.size(), 5u);  // 8 at most, 3 taken
 }
@@ -99,7 +99,7 @@
     for (auto [machines, starts] : {std::pair(2, 0u), {3, 3u}}) {
         Input in;
         for (int i = 0; i < machines; ++i) in.machines.push_back(machine("m" + std::to_string(i)));
-        in.jobs.push_back(job("j-1", Kind::gang, 3, 4));
+        in.jobs.push_back(job("j-1", JobKind::gang, 3, 4));
         EXPECT_EQ(run(in).starts.size(), starts);
     }
 }
@@ -127,16 +127,16 @@
             in.machines.push_back(machine("m" + std::to_string(i)));
             if (i >= c.free) in.machines[i].free = {0, 0, 0};
         }
-        in.jobs.push_back(job("j-1", Kind::gang, limit ? 2 : 3, 4, limit ? "a" : "free"));
+        in.jobs.push_back(job("j-1", JobKind::gang, limit ? 2 : 3, 4, limit ? "a" : "free"));
         in.jobs[0].submitted = in.unix_now - c.waited;
-        in.jobs.push_back(job("j-2", Kind::array, 1, 1, limit ? "a" : "free"));
+        in.jobs.push_back(job("j-2", JobKind::array, 1, 1, limit ? "a" : "free"));
         in.jobs[1].submitted = in.unix_now - 1;
         if (limit) {
-            in.jobs.push_back(job("j-3", c.service_gpus > 0 ? Kind::service : Kind::array, 1,
+            in.jobs.push_back(job("j-3", c.service_gpus > 0 ? JobKind::service : JobKind::array, 1,
                                   c.service_gpus > 0 ? c.service_gpus : 1, "a"));
             in.jobs[2].waiting.clear();
             in.instances.push_back({2, 0, 0, false, 0, 0});
-            in.team_used["a"] = in.jobs[2].spec->need;
+            in.team_used["a"] = in.jobs[2].spec->request;
         }
         auto out = run(in);
         EXPECT_EQ(out.starts.size(), c.starts) << c.name;
@@ -145,14 +145,14 @@
 TEST(Plan, AGangWaitsForItsOldAttemptToBeGone) {
     Input in;
     for (int i = 0; i < 4; ++i) in.machines.push_back(machine("m" + std::to_string(i)));
-    in.jobs.push_back(job("j-1", Kind::gang, 2, 1));
+    in.jobs.push_back(job("j-1", JobKind::gang, 2, 1));
     in.jobs[0].active = 1;
     EXPECT_TRUE(run(in).starts.empty());
 }
 TEST(Plan, AGangInOneZoneNeverSpansTwo) {
     Input in;
     in.machines = {machine("m0"), machine("m1", 1), machine("m2", 1)};
-    in.jobs.push_back(job("j-1", Kind::gang, 2, 4));
+    in.jobs.push_back(job("j-1", JobKind::gang, 2, 4));
     edit(in.jobs[0]).one_zone = true;
     auto d = run(in);
     ASSERT_EQ(d.starts.size(), 2u);
@@ -182,9 +182,9 @@
         in.now = 1000;
         in.machines = {machine("m0")};
         in.machines[0].free = {12, 0, 60};
-        in.jobs.push_back(job("j-1", Kind::array, 1, 1, c.waiting_team));
+        in.jobs.push_back(job("j-1", JobKind::array, 1, 1, c.waiting_team));
         edit(in.jobs[0]).priority = c.waiting;
-        in.jobs.push_back(job("j-2", Kind::array, 4, 1, c.running_team));
+        in.jobs.push_back(job("j-2", JobKind::array, 4, 1, c.running_team));
         edit(in.jobs[1]).priority = c.running;
         in.jobs[1].waiting.clear();
         in.jobs[1].open = static_cast<std::size_t>(c.running_open);
@@ -197,11 +197,11 @@
     in.now = 1000;
     in.machines = {machine("m0")};
     in.machines[0].free = {14, 1, 60};
-    in.jobs.push_back(job("j-1", Kind::array, 1, 2));
+    in.jobs.push_back(job("j-1", JobKind::array, 1, 2));
     edit(in.jobs[0]).priority = Priority::high;
-    in.jobs.push_back(job("j-2", Kind::array, 1, 1));  // would fit now, into what j-1 waits for
+    in.jobs.push_back(job("j-2", JobKind::array, 1, 1));  // would fit now, into what j-1 waits for
     edit(in.jobs[1]).priority = Priority::low;
-    in.jobs.push_back(job("j-3", Kind::array, 3, 1));
+    in.jobs.push_back(job("j-3", JobKind::array, 3, 1));
     in.jobs[2].waiting.clear();
     edit(in.jobs[2]).priority = Priority::low;
     for (std::uint32_t i = 0; i < 3; ++i) in.instances.push_back({2, 0, i, i == 0, 100, 110});
@@ -226,8 +226,8 @@
         Input in;
         in.machines = {machine("m0"), machine("m1", 3)};
         in.machines[0].free = {16, 1, 64};
-        in.jobs.push_back(job("j-1", Kind::array, 1, 2));
-        in.jobs.push_back(job("j-2", Kind::array, 1, c.gpus));
+        in.jobs.push_back(job("j-1", JobKind::array, 1, 2));
+        in.jobs.push_back(job("j-2", JobKind::array, 1, c.gpus));
         edit(in.jobs[1]).spot = c.spot;
         EXPECT_EQ(run(in).starts.size(), c.starts) << c.name;
     }
@@ -245,11 +245,11 @@
         in.now = 1000;
         in.machines = {machine("m0"), machine("m1")};
         in.machines[1].images = std::make_shared<const Images>(Images{7});
-        in.jobs.push_back(job("j-1", Kind::array, 1, 4));
+        in.jobs.push_back(job("j-1", JobKind::array, 1, 4));
         in.jobs[0].image = 7;
         edit(in.jobs[0]).image_gb = 6;
         edit(in.jobs[0]).priority = Priority::high;
-        in.jobs.push_back(job("j-2", Kind::array, 2, 4));
+        in.jobs.push_back(job("j-2", JobKind::array, 2, 4));
         in.jobs[1].waiting.clear();
         edit(in.jobs[1]).priority = Priority::low;
         for (std::uint32_t k = 0; k < 2; ++k) {
@@ -268,11 +268,11 @@
         Input in;
         in.now = 1000;
         in.machines = {machine("m0"), machine("m1")};
-        in.jobs.push_back(job("j-1", Kind::gang, 2, 4));
+        in.jobs.push_back(job("j-1", JobKind::gang, 2, 4));
         edit(in.jobs[0]).priority = Priority::high;
         for (std::size_t k = 0; k < 2; ++k) {
             in.machines[k].free = {12, 0, 60};
-            in.jobs.push_back(job("j-" + std::to_string(k + 2), Kind::array, 1, 4));
+            in.jobs.push_back(job("j-" + std::to_string(k + 2), JobKind::array, 1, 4));
             in.jobs[k + 1].waiting.clear();
             edit(in.jobs[k + 1]).priority = static_cast<int>(k) < low ? Priority::low : Priority::production;
             in.instances.push_back({k + 1, k, 0, false, 100, 110});
@@ -295,7 +295,7 @@
     for (std::size_t first = 0; first < nearest.size(); ++first) {
         Input in;
         for (std::size_t k = nearest.size(); k-- > first;) in.machines.push_back(nearest[k]);
-        in.jobs.push_back(job("j-1", Kind::array, 1, 1));
+        in.jobs.push_back(job("j-1", JobKind::array, 1, 1));
         in.jobs[0].image = 7;
         auto d = run(in);
         ASSERT_EQ(d.starts.size(), 1u);
@@ -307,14 +307,14 @@
 TEST(Plan, AmongEqualsTheJobWhoseImageIsAtHandGoesFirst) {
     struct Case {
         const char* name;
-        Kind kind;
+        JobKind kind;
         double age;
         std::size_t first;
     };
-    const Case cases[] = {{"arrays", Kind::array, 10, 1},
-                          {"gangs", Kind::gang, 10, 1},
-                          {"an old one", Kind::gang, 3 * 20 + 1, 0},
-                          {"replicas", Kind::service, 10, 0}};
+    const Case cases[] = {{"arrays", JobKind::array, 10, 1},
+                          {"gangs", JobKind::gang, 10, 1},
+                          {"an old one", JobKind::gang, 3 * 20 + 1, 0},
+                          {"replicas", JobKind::service, 10, 0}};
     for (auto& c : cases) {
         Input in;
         in.unix_now = 1000;
@@ -338,7 +338,7 @@
             // The other zone has it on fewer machines than the gang needs.
             if (k % 2 == with || k < 4) in.machines[k].images = std::make_shared<const Images>(Images{7});
         }
-        in.jobs.push_back(job("j-1", Kind::gang, 4, 4));
+        in.jobs.push_back(job("j-1", JobKind::gang, 4, 4));
         edit(in.jobs[0]).one_zone = true;
         in.jobs[0].image = 7;
         auto d = run(in);
@@ -349,7 +349,7 @@
 // Replicas stay; spread over all machines, they kept a shrinking fleet from being returned.
 TEST(Plan, SmallReplicasGoWhereReplicasAreOtherTasksDoNotCare) {
     for (auto [kind, gpus, there] :
-         {std::tuple(Kind::service, 1.0, 3u), {Kind::service, 1.5, 0u}, {Kind::array, 1.0, 0u}}) {
+         {std::tuple(JobKind::service, 1.0, 3u), {JobKind::service, 1.5, 0u}, {JobKind::array, 1.0, 0u}}) {
         Input in;
         in.machines = {machine("m0"), machine("m1"), machine("m2")};
         in.machines[2].free = {15, 3, 63};
@@ -368,8 +368,8 @@
     Input in;
     in.machines = {machine("m0"), machine("m1"), machine("m2")};
     in.machines[2].free = {15, 3, 60};
-    in.jobs.push_back(job("j-1", Kind::array, 3, 1));
-    in.jobs.push_back(job("j-2", Kind::gang, 1, 4));
+    in.jobs.push_back(job("j-1", JobKind::array, 3, 1));
+    in.jobs.push_back(job("j-2", JobKind::gang, 1, 4));
     in.jobs[1].startable = false;
     auto d = run(in);
     ASSERT_EQ(d.starts.size(), 3u);
@@ -393,7 +393,7 @@
         in.machines = {machine("m1")};
         in.machines[0].free = {1, 1, 1};
         in.machines[0].images = std::make_shared<const Images>(Images{1});
-        in.jobs = {job("j-1", Kind::array, 1, 1), job("j-2", Kind::array, 1, 1)};
+        in.jobs = {job("j-1", JobKind::array, 1, 1), job("j-2", JobKind::array, 1, 1)};
         in.jobs[0].submitted = in.jobs[1].submitted = 999;
         in.jobs[0].image = 1;
         in.jobs[1].image = 2;
@@ -410,7 +410,7 @@
 TEST(Plan, LowPriorityLivesOnWhatIsLeftOver) {
     struct Case {
         const char* name;
-        std::vector<Room> free;
+        std::vector<Resources> free;
         Priority priority;
         std::size_t starts;
     };
@@ -427,8 +427,8 @@
             in.machines.push_back(machine("m" + std::to_string(k)));
             in.machines.back().free = c.free[k];
         }
-        in.jobs.push_back(job("j-1", Kind::array, 10, 0));
-        edit(in.jobs[0]).need = {4, 0, 4};
+        in.jobs.push_back(job("j-1", JobKind::array, 10, 0));
+        edit(in.jobs[0]).request = {4, 0, 4};
         edit(in.jobs[0]).priority = c.priority;
         EXPECT_EQ(run(in).starts.size(), c.starts) << c.name;
         EXPECT_LE(in.machines[0].reserved.cpus, c.priority == Priority::low ? 0 : 4) << c.name;
@@ -439,7 +439,7 @@
     in.machines = {machine("m0"), machine("m1"), machine("m2")};
     in.machines[0].usable = false;
     in.machines[1].draining = true;
-    in.jobs.push_back(job("j-1", Kind::array, 5, 1));
+    in.jobs.push_back(job("j-1", JobKind::array, 5, 1));
     auto d = run(in);
     ASSERT_EQ(d.starts.size(), 5u);
     for (std::size_t k = 0; k < 4; ++k) EXPECT_EQ(d.starts[k].machine, 2u);
@@ -490,7 +490,7 @@
     in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
     in.pools = pools;
     in.zones = 2;
-    auto waiting = job("j-1", Kind::array, 8, 1);
+    auto waiting = job("j-1", JobKind::array, 8, 1);
     in.needs.push_back({waiting.spec.get(), 8, {}});
     auto count = [](const autoscaler::Decisions& d) {
         int n = 0;
@@ -538,7 +538,7 @@
         in.pools = pools;
         in.zones = 2;
         in.others = c.others;
-        auto waiting = job("j-1", Kind::array, 8, 1);
+        auto waiting = job("j-1", JobKind::array, 8, 1);
         in.needs.push_back({waiting.spec.get(), 8, {}});
         int rented = 0;
         for (auto& r : autoscaler::plan(in, s).rents) rented += r.count;
@@ -554,7 +554,7 @@
     in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
     in.pools = pools;
     in.zones = 2;
-    auto waiting = job("j-1", Kind::array, 1, 1);
+    auto waiting = job("j-1", JobKind::array, 1, 1);
     edit(waiting).spot = true;
     in.needs.push_back({waiting.spec.get(), 1, {}});
     auto spot_first = autoscaler::plan(in, s).rents;
@@ -584,7 +584,7 @@
         in.zones = 2;
         in.dark = {true, false};
         in.refused = c.refused;
-        auto waiting = job("j-1", Kind::array, 8, 1);
+        auto waiting = job("j-1", JobKind::array, 8, 1);
         in.needs.push_back({waiting.spec.get(), 8, {}});
         for (int i = 0; i < c.booting_dark; ++i) in.machines.push_back({"b", 0, true, {}});
         std::set<std::size_t> rents;
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-// Hearing for the leader: what is taken for a repetition, what a hearer may answer by itself and until when,
+// Hearing for the leader: what is taken for a repetition, what a relay may answer by itself and until when,
 // and what the leader may conclude about the leases of machines that it lent.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -52,7 +52,7 @@
     for (auto& c : cases) {
         ReplyCache m;
         m.put(report("vm-1", 9, task), "vm-1", 9, "answer", 0);
-        auto o = protocol::outline_report(c.body);
+        auto o = protocol::outline_heartbeat(c.body);
         EXPECT_EQ(o && m.find(c.body, *o), c.repeats) << c.what;
     }
     // Not what a full reading told: not remembered.
@@ -70,7 +70,7 @@
     EXPECT_EQ(heard.lately(4), 2u);
     heard.note("vm-1", 1, 10, 10);  // the same again
     heard.note("vm-1", 1, 9, 10);   // and an older one
-    heard.note("vm-2", 2, 99, 10);  // of an earlier session
+    heard.note("vm-2", 2, 99, 10);  // of an earlier agent epoch
     EXPECT_EQ(heard.lately(10), 0u);
     EXPECT_FALSE(heard.since("vm-1", 5));
     heard.note("vm-1", 1, 11, 11);
@@ -103,13 +103,13 @@
     EXPECT_EQ(l.answer("b", 106), std::vector<std::string>{"vm-1"});
     ASSERT_TRUE(l.heard("b", 1, 4, 3, none));
     EXPECT_TRUE(l.answer("b", 107).empty());
-    // A hearer that was started anew: its machines come back, with the bound of its last grant.
+    // A relay that was started anew: its machines come back, with the bound of its last grant.
     l.delegate("vm-3", "b");
     std::vector<std::pair<std::string, double>> back;
     ASSERT_TRUE(l.heard("b", 2, 1, 0, [&](auto& id, double until) { back.emplace_back(id, until); }));
     EXPECT_EQ(back, (std::vector<std::pair<std::string, double>>{{"vm-3", 107}}));
     EXPECT_EQ(l.count("b"), 0u);
-    // A machine that turns from one hearer to another is recalled from the first.
+    // A machine that turns from one relay to another is recalled from the first.
     l.delegate("vm-4", "b");
     ASSERT_TRUE(l.heard("c", 1, 1, 0, none));
     l.delegate("vm-4", "c");
@@ -136,10 +136,12 @@
     Network net;
     config::Settings settings;
     Leadership lead{"10.0.0.1:1", 5};
-    ReportRelay hearer;
+    HeartbeatRelay relay_label;
     std::vector<int> statuses;
 
-    Bench() : settings(make()), hearer(timers, net, settings, 1, [this] { return lead; }) { hearer.start(); }
+    Bench() : settings(make()), relay_label(timers, net, settings, 1, [this] { return lead; }) {
+        relay_label.start();
+    }
     static config::Settings make() {
         config::Settings s;
         s.label = "b";
@@ -151,7 +153,7 @@
     // A worker's report; true if it was taken. Its answer's status, once there is one, goes to `statuses`.
     bool offer(std::string body) {
         http::Reply reply = [this](http::Response r) { statuses.push_back(r.status); };
-        return hearer.offer(body, reply);
+        return relay_label.offer(body, reply);
     }
     void run(double seconds) { timers.run_until(timers.now() + seconds); }
     // Answers the oldest message: all its reports with 200.
@@ -176,7 +178,7 @@
     return a;
 }
 
-TEST(ReportRelay, AnswersRepetitionsItselfWhileItsGrantLasts) {
+TEST(HeartbeatRelay, AnswersRepetitionsItselfWhileItsGrantLasts) {
     Bench b;
     b.run(0.2);
     b.answer(grant(6000));  // the first message, without reports
@@ -200,7 +202,7 @@
     EXPECT_EQ(b.statuses.size(), before) << "the grant is over";
 }
 
-TEST(ReportRelay, TakesRecallsAndLaterLeadershipsToHeart) {
+TEST(HeartbeatRelay, TakesRecallsAndLaterLeadershipsToHeart) {
     struct Case {
         const char* what;
         std::function<void(Bench&)> then;
@@ -233,28 +235,29 @@
 
 // Every report refused is counted by its reason, and the log tells so once in a while, however many there
 // are.
-TEST(Refusals, AreCountedAndToldOnceInAWhile) {
+TEST(HeartbeatRejections, AreCountedAndToldOnceInAWhile) {
     spdlog::set_level(spdlog::level::off);
     FakeTimers timers;
-    Refusals r(timers, 10);
-    r.note(Refusal::late);
+    HeartbeatRejections r(timers, 10);
+    r.note(HeartbeatRejection::late);
     EXPECT_EQ(r.lines(), 1u);
-    for (int k = 0; k < 3; ++k) r.note(Refusal::late);
-    r.note(Refusal::sockets);
+    for (int k = 0; k < 3; ++k) r.note(HeartbeatRejection::late);
+    r.note(HeartbeatRejection::sockets);
     EXPECT_EQ(r.lines(), 1u);
     EXPECT_EQ(r.since_logged(), "3 late, 1 sockets");
     timers.run_until(10);
-    r.note(Refusal::older);
+    r.note(HeartbeatRejection::older);
     EXPECT_EQ(r.lines(), 2u);
     EXPECT_EQ(r.since_logged(), "");
-    EXPECT_EQ(r.count(Refusal::late), 4u);
-    EXPECT_EQ(r.count(Refusal::older), 1u);
-    EXPECT_EQ(r.count(Refusal::no_lease), 0u);
+    EXPECT_EQ(r.count(HeartbeatRejection::late), 4u);
+    EXPECT_EQ(r.count(HeartbeatRejection::older), 1u);
+    EXPECT_EQ(r.count(HeartbeatRejection::no_lease), 0u);
 }
 // While the first message has no answer two reports wait: for too long, or until it turns out that it is
 // lost.
-TEST(Refusals, OfARelayNameTheirReason) {
-    for (auto [seconds, why] : {std::pair(0.0, Refusal::no_leader), {4.0, Refusal::late}}) {
+TEST(HeartbeatRejections, OfARelayNameTheirReason) {
+    for (auto [seconds, why] :
+         {std::pair(0.0, HeartbeatRejection::no_leader), {4.0, HeartbeatRejection::late}}) {
         Bench b;
         b.settings.op.hearing = false;  // nothing is held for the next leader
         ASSERT_TRUE(b.offer("{}"));
@@ -264,13 +267,13 @@
         b.run(seconds);
         b.lose();
         EXPECT_EQ(b.statuses, (std::vector{503, 503}));
-        EXPECT_EQ(b.hearer.refusals().count(why), 2u);
+        EXPECT_EQ(b.relay_label.refusals().count(why), 2u);
     }
 }
 
 // While nobody leads, or the leader does not answer, workers are kept waiting: refused, a whole fleet calls
 // each second.
-TEST(ReportRelay, HoldsReportsOverATakeoverAndNoLonger) {
+TEST(HeartbeatRelay, HoldsReportsOverATakeoverAndNoLonger) {
     struct Case {
         const char* what;
         std::function<void(Bench&)> then;
@@ -329,7 +332,7 @@
 }
 // A controller that gets more reports than it can read answers as many workers as it can read reports: what
 // it answers must still find its worker waiting.
-TEST(ReportQueue, AnswersInTimeHoweverFarItIsBehind) {
+TEST(HeartbeatQueue, AnswersInTimeHoweverFarItIsBehind) {
     struct Case {
         double per_s, read_per_s;  // reports that come, and that can be read
         double way_s;              // from a worker to the queue and back
@@ -337,8 +340,8 @@
     const Case cases[] = {{50, 100, 0.1}, {150, 100, 0.1}, {300, 100, 0.5}, {2000, 100, 1}, {300, 100, 1.2}};
     for (auto& c : cases) {
         FakeTimers timers;
-        Refusals refusals(timers, 60);
-        ReportQueue queue(refusals);
+        HeartbeatRejections refusals(timers, 60);
+        HeartbeatQueue queue(refusals);
         std::size_t answered = 0, refused = 0, in_time = 0;
         double come = 0, read = 0;
         for (double t = 0; t < 60; t += 0.002) {
@@ -348,7 +351,7 @@
             for (read += c.read_per_s * 0.002; read >= 1; --read)
                 if (auto r = queue.next(t)) {
                     r->reply({200, ""});
-                    in_time += t + c.way_s - r->since < protocol::worker_patience_s;
+                    in_time += t + c.way_s - r->since < protocol::heartbeat_timeout_s;
                 }
             read = std::min(read, 1.0);
         }
@@ -356,15 +359,15 @@
         EXPECT_EQ(answered, in_time) << c.per_s;
         EXPECT_GT(static_cast<double>(in_time), most * 0.9) << c.per_s;
         EXPECT_EQ(refused, queue.refused());
-        EXPECT_EQ(refused, refusals.count(Refusal::late));
+        EXPECT_EQ(refused, refusals.count(HeartbeatRejection::late));
         EXPECT_EQ(refused > 0, c.per_s > c.read_per_s) << c.per_s;
     }
 }
 // What is handed on keeps the time at which it was read.
-TEST(ReportQueue, ARefusalMayBringTheNextReport) {
+TEST(HeartbeatQueue, ARefusalMayBringTheNextReport) {
     FakeTimers timers;
-    Refusals refusals(timers, 60);
-    ReportQueue queue(refusals);
+    HeartbeatRejections refusals(timers, 60);
+    HeartbeatQueue queue(refusals);
     int statuses = 0;
     queue.push({"a",
                 [&](http::Response r) {
@@ -385,9 +388,9 @@
 }
 
 // One controller of three is down and another leads, so this one hears nine tenths of the fleet; half of the
-// reports have news, 0.43 a machine and second, as in a takeover at the target's peak. The leader takes 20 ms
+// reports have news, 0.43 a machine and second, as in a failover at the target's peak. The leader takes 20 ms
 // for each message.
-TEST(ReportRelay, PassesOnWhatTheOnlyHearerOf8000MachinesHears) {
+TEST(HeartbeatRelay, PassesOnWhatTheOnlyHearerOf8000MachinesHears) {
     for (int machines : {4000, 8000}) {
         SCOPED_TRACE(machines);
         Bench b;
@@ -408,7 +411,7 @@
 }
 
 // A leader that is not ready yet is not asked again and again, however much waits.
-TEST(ReportRelay, AsksALeaderThatIsNotReadyAtItsPace) {
+TEST(HeartbeatRelay, AsksALeaderThatIsNotReadyAtItsPace) {
     Bench b;
     b.settings.report_s = 3;
     b.run(0.2);
@@ -425,7 +428,7 @@
 }
 
 // What waits when this controller comes to lead itself is its own to answer.
-TEST(ReportRelay, HandsOverWhatWaits) {
+TEST(HeartbeatRelay, HandsOverWhatWaits) {
     Bench b;
     b.run(0.2);
     b.answer(grant(6000));
@@ -434,7 +437,7 @@
     b.lose();
     b.lead = {};
     b.run(0.5);
-    auto waiting = b.hearer.take_waiting();
+    auto waiting = b.relay_label.take_waiting();
     ASSERT_EQ(waiting.size(), 1u);
     EXPECT_LT(waiting.front().since, b.timers.now() - 0.6) << "its worker has waited since then";
     b.run(5);
@@ -457,11 +460,11 @@
         s.lease_s = c.lease_s;
         s.cancel_s = c.cancel_s;
         double ttl = s.lease_s * s.op.lease_ratio, slow = 1 + 0.0005;
-        double complete_at = 100, last = worker_lease_bound(s, ttl, complete_at, 1e9);
+        double complete_at = 100, last = lease_renewal_deadline(s, ttl, complete_at, 1e9);
         EXPECT_LT((last - complete_at) * slow + s.lease_s * slow, s.cancel_s) << c.cancel_s;
         EXPECT_EQ(keep_alive_s(s, ttl) > 0, c.some) << c.cancel_s;
         // A successor counts on no more than the predecessor does, however complete that is.
-        EXPECT_LE(worker_lease_bound(s, ttl, 1e9, 50), 50 + keep_alive_s(s, ttl));
+        EXPECT_LE(lease_renewal_deadline(s, ttl, 1e9, 50), 50 + keep_alive_s(s, ttl));
         // What was not complete for so long renews nothing, though its authority goes on.
         EXPECT_LE(last, complete_at + s.cancel_s - s.lease_s);
     }
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -1,5 +1,5 @@
-// Everything around the controllers, simulated: state service, cloud, workers, users and the network between
-// them, each in a simulated_cluster_*.cpp. It speaks the protocol, and checks the rules itself.
+// Everything around the controllers, simulated: key-value store, cloud, workers, users and the network
+// between them, each in a simulated_cluster_*.cpp. It speaks the protocol, and checks the rules itself.
 #pragma once
 #include <deque>
 #include <map>
@@ -68,7 +68,7 @@
 struct Worker {
     std::string id, addr, type, zone;
     bool spot = false, dead = false, hung = false, sick = false;
-    std::uint64_t session = 1, sequence = 0, helm = 0;
+    std::uint64_t agent_epoch = 1, sequence = 0, helm = 0;
     bool keeps_tasks = false;  // for ever, whatever its lease says: a broken worker
     double created = 0, up_at = 0, last_answered = 0;
     double mute_until = 0;    // it can't open connections to controllers
@@ -133,12 +133,12 @@
     bool hearing = true;     // controllers that do not lead hear workers for the one that does
     double hear_s = 0;       // what a controller takes for each message of a worker; the next ones wait
     bool old_pings = false;  // what controllers say of themselves is as the version before says it
-    // The state service's limits, and what they fall to without notice, if they do.
+    // The key-value store's limits, and what they fall to without notice, if they do.
     double value_kb = 16, next_value_kb = 16;
     std::uint32_t txn_ops = 8, next_txn_ops = 8;
     double limits_fall_at = 1e9;
     int submit_tries = 40;  // of a user, 1.5 s apart
-    // Changes a second that the state service allows; beyond them, and a second's worth more, it refuses.
+    // Changes a second that the key-value store allows; beyond them, and a second's worth more, it refuses.
     double write_rps = 80;
 };
 
@@ -172,7 +172,7 @@
     }
     bool healthy(std::size_t node) const { return nodes_[node].controller->healthy(); }
     void state_down(double for_s) { state_down_until_ = now_ + for_s; }
-    // Each answer of the state service takes so much longer, or half as much at the least.
+    // Each answer of the key-value store takes so much longer, or half as much at the least.
     void slow_state(double for_s, double by_s) {
         slow_until_ = now_ + for_s;
         slow_by_ = by_s;
@@ -264,8 +264,8 @@
     // From then on no question about a job may stay without an answer for longer than `open_s`.
     double troubles_over = 1e9, open_s = 45;
     std::size_t deleted = 0;                     // machines with tasks on them
-    std::map<std::string, std::size_t> reads;    // of each key at the state service
-    std::map<std::string, std::size_t> changes;  // at the state service, by the first part of the key
+    std::map<std::string, std::size_t> reads;    // of each key at the key-value store
+    std::map<std::string, std::size_t> changes;  // at the key-value store, by the first part of the key
     std::size_t changes_refused = 0;             // calls, for too many changes a second
     std::optional<std::string> stored(const std::string& key) const {
         auto it = kv_.find(key);
@@ -356,7 +356,7 @@
     std::vector<Node> nodes_;
     std::vector<Node> graveyard_;
     std::map<std::string, Item> kv_;
-    event_loop::Bucket changes_left_;
+    event_loop::TokenBucket changes_left_;
     std::vector<std::pair<std::uint64_t, json>> history_;
     std::map<std::uint64_t, Lease> leases_;
     std::vector<Watch> watches_;
--- a/tests/simulated_cluster_state.cpp
+++ b/tests/simulated_cluster_state.cpp
@@ -1,4 +1,4 @@
-// The state service.
+// The key-value store.
 #include "simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
--- a/tests/simulated_cluster_workers.cpp
+++ b/tests/simulated_cluster_workers.cpp
@@ -14,12 +14,12 @@
         check_lease(*w);
     });
 }
-// Under the same name and address; it remembers its session or begins anew.
+// Under the same name and address; it remembers its agent epoch or begins anew.
 void World::reboot(std::size_t k, bool anew) {
     auto& w = *workers[k % workers.size()];
     if (w.dead || now_ < w.up_at) return;
     w.tasks.clear();
-    w.session = anew ? 1 : w.session + 1;
+    w.agent_epoch = anew ? 1 : w.agent_epoch + 1;
     w.sequence = 0;
     if (anew) w.helm = 0;
     w.last_answered = now_;
@@ -28,7 +28,7 @@
 void World::check_lease(Worker& w) {
     if (now_ - w.last_answered <= options_.lease_s || w.keeps_tasks) return;
     w.tasks.clear();
-    ++w.session;
+    ++w.agent_epoch;
     w.sequence = 0;
     w.last_answered = now_;
 }
@@ -42,7 +42,7 @@
         tasks.push_back(std::move(e));
     }
     return {{"berth", w.id},         {"addr", w.addr},      {"hull", w.type},
-            {"reef", w.zone},        {"driftwood", w.spot}, {"watch", w.session},
+            {"reef", w.zone},        {"driftwood", w.spot}, {"watch", w.agent_epoch},
             {"tally", ++w.sequence}, {"helm", w.helm},      {"shards", tasks}};
 }
 void World::report_loop(Worker& w) {
@@ -55,7 +55,7 @@
         return again(1);
     }
     auto sent = now_;
-    auto session = w.session;
+    auto agent_epoch = w.agent_epoch;
     auto done = std::make_shared<bool>(false);
     auto from = w.addr, to = addr_of(w.node);
     auto next = [this, &w, again] {
@@ -79,7 +79,7 @@
         if (a->status != 200) return next();
         auto j = json::parse(a->body);
         auto helm = j["helm"].get<std::uint64_t>();
-        if (session == w.session && helm >= w.helm) {
+        if (agent_epoch == w.agent_epoch && helm >= w.helm) {
             bool higher = helm > w.helm;
             w.helm = helm;
             w.last_answered = std::max(w.last_answered, sent);
@@ -94,7 +94,7 @@
     if (r.target == "/inspect") return {200, report(w).dump()};
     auto j = json::parse(r.body);
     auto helm = j["helm"].get<std::uint64_t>();
-    if (helm < w.helm || j["watch"].get<std::uint64_t>() != w.session) return {409, report(w).dump()};
+    if (helm < w.helm || j["watch"].get<std::uint64_t>() != w.agent_epoch) return {409, report(w).dump()};
     w.helm = helm;
     command(w, j["orders"]);
     return {200, report(w).dump()};
