--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -16,8 +16,8 @@
 namespace {
 using nlohmann::json;
 
-protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t session = 1) {
-    return {id, true, false, session, 0, {}};
+protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
+    return {id, true, false, agent_epoch, 0, {}};
 }
 
 TEST(Follower, TakesPiecesInTheirOrderOfOneLeadershipAtATime) {
@@ -53,77 +53,79 @@
 // Each check, left out, would let a start that was sent go unnoticed: the rule in doubt is `ran_twice`.
 TEST(Checks, ACopyIsProofOnlyIfNothingCanBeMissingFromIt) {
     ReplicaState copy{20, 7, 20, true, {}};
-    Evidence good{"me",
-                  3,
-                  40,
-                  protocol::StandbyRecord{20, {{"me", 3, 20}, {"other", 4, 20}}},
-                  {{{10, false}, {20, true}}, 25},
-                  true,
-                  {},
-                  &copy};
+    ReplicaEvidence good{"me",
+                         3,
+                         40,
+                         protocol::StandbyRecord{20, {{"me", 3, 20}, {"other", 4, 20}}},
+                         {{{10, false}, {20, true}}, 25},
+                         true,
+                         {},
+                         &copy};
     struct Case {
         const char* name;
-        std::function<void(Evidence&)> change;
+        std::function<void(ReplicaEvidence&)> change;
         bool proof;
     };
     ReplicaState older{10, 7, 10, true, {}}, carried{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
-    auto goes_on_from = [](Evidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
+    auto goes_on_from = [](ReplicaEvidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
     const Case cases[] = {
-        {"all is well", [](Evidence&) {}, true},
-        {"no record: the leader may never have waited for anybody", [](Evidence& e) { e.record.reset(); },
-         false},
-        {"the record is of this leadership", [](Evidence& e) { e.record->version = 40; }, false},
+        {"all is well", [](ReplicaEvidence&) {}, true},
+        {"no record: the leader may never have waited for anybody",
+         [](ReplicaEvidence& e) { e.record.reset(); }, false},
+        {"the record is of this leadership", [](ReplicaEvidence& e) { e.record->version = 40; }, false},
         {"it was taken out, and starts have gone without it since",
-         [](Evidence& e) {
+         [](ReplicaEvidence& e) {
              e.record->members = {{"other", 4, 20}};
          },
          false},
         {"another process of this controller was named",
-         [](Evidence& e) {
+         [](ReplicaEvidence& e) {
              e.record->members = {{"me", 2, 20}};
          },
          false},
-        {"the copy is of the leader before", [&](Evidence& e) { e.copy = &older; }, false},
+        {"the copy is of the leader before", [&](ReplicaEvidence& e) { e.copy = &older; }, false},
         {"it goes on from the copy of a leader before, as the record says",
-         [&](Evidence& e) {
+         [&](ReplicaEvidence& e) {
              e.copy = &carried;
              goes_on_from(e, 10);
          },
          true},
         {"the leader of the record sent no start, and has told nothing",
-         [&](Evidence& e) {
+         [&](ReplicaEvidence& e) {
              e.copy = &older;
              goes_on_from(e, 10);
          },
          true},
         {"a leader that came to nothing has wiped the copy that is meant",
-         [&](Evidence& e) { goes_on_from(e, 10); }, false},
-        {"it goes on from another copy than the record says", [&](Evidence& e) { e.copy = &carried; }, false},
-        {"a leader without a record of its own has told more", [&](Evidence& e) { e.copy = &later; }, false},
-        {"nothing was taken in", [](Evidence& e) { e.copy = nullptr; }, false},
-        {"what came after the last watch is not known", [](Evidence& e) { e.history = false; }, false},
+         [&](ReplicaEvidence& e) { goes_on_from(e, 10); }, false},
+        {"it goes on from another copy than the record says", [&](ReplicaEvidence& e) { e.copy = &carried; },
+         false},
+        {"a leader without a record of its own has told more", [&](ReplicaEvidence& e) { e.copy = &later; },
+         false},
+        {"nothing was taken in", [](ReplicaEvidence& e) { e.copy = nullptr; }, false},
+        {"what came after the last watch is not known", [](ReplicaEvidence& e) { e.history = false; }, false},
         {"it was away, and saw only a later leader",
-         [](Evidence& e) {
+         [](ReplicaEvidence& e) {
              e.chain.links = {{30, true}};
          },
          false},
         {"a leader that keeps a record won and ended before it started anything",
-         [](Evidence& e) {
+         [](ReplicaEvidence& e) {
              e.chain.links.push_back({30, true});
          },
          true},
         {"an old version led in between",
-         [](Evidence& e) {
+         [](ReplicaEvidence& e) {
              e.chain.links.push_back({30, false});
          },
          false},
         {"an old version led in between, found after the claim",
-         [](Evidence& e) {
+         [](ReplicaEvidence& e) {
              e.since = {{30, false}};
          },
          false},
         {"two that keep records led in between, found after the claim",
-         [](Evidence& e) {
+         [](ReplicaEvidence& e) {
              e.since = {{30, true}, {35, true}};
          },
          true},
@@ -181,7 +183,7 @@
     FakeTimers timers;
     FakeState service{timers};
     config::Settings settings = settings_for();
-    kv::Client client{timers, service, settings};
+    kv::KvClient client{timers, service, settings};
     std::map<std::string, Peer> followers{{"x", {Follower(1)}}, {"y", {Follower(2)}}};
     std::map<std::string, std::uint64_t> machines{{"vm-1", 1}, {"vm-2", 1}};
     bool authority = true;
@@ -222,7 +224,7 @@
     EXPECT_FALSE(b.teller.told(mark));
     b.timers.run_until(1.05);
     EXPECT_TRUE(b.teller.told(mark));
-    EXPECT_EQ(b.followers.at("x").follower.copy().rows.at("vm-1").session, b.machines["vm-1"]);
+    EXPECT_EQ(b.followers.at("x").follower.copy().rows.at("vm-1").agent_epoch, b.machines["vm-1"]);
     // One that does not answer any more holds starts up until it is taken out, and no longer.
     b.followers.at("x").silent = true;
     mark = b.start("vm-2");
@@ -249,7 +251,8 @@
             b.timers.run_until(t);
             if (t > 0.3) b.followers.at("x").silent = true;
             auto mark = b.start("vm-1");
-            bool knows = b.followers.at("x").follower.copy().rows.at("vm-1").session == b.machines["vm-1"];
+            bool knows =
+                b.followers.at("x").follower.copy().rows.at("vm-1").agent_epoch == b.machines["vm-1"];
             if (!knows && b.teller.told(mark)) {
                 EXPECT_FALSE(b.named().contains("x")) << t;
             }
@@ -289,7 +292,7 @@
             b.timers.run_until(t);
             b.teller.tick();
             if (b.teller.told(mark) && b.named().contains("x")) {
-                EXPECT_EQ(f.copy().rows.at("vm-2").session, b.machines["vm-2"]);
+                EXPECT_EQ(f.copy().rows.at("vm-2").agent_epoch, b.machines["vm-2"]);
                 EXPECT_EQ(f.copy().begun, b.service.kv.at(kv::keys::standby).first["members"][0]["begun"]);
             }
         }
@@ -335,7 +338,7 @@
         struct Start {
             std::uint64_t mark;
             std::string machine;
-            std::uint64_t session;
+            std::uint64_t agent_epoch;
         };
         std::deque<Start> starts;
         for (int step = 0; step < 250; ++step) {
@@ -359,7 +362,7 @@
                 for (auto& label : b.named()) {
                     auto& rows = b.followers.at(label).follower.copy().rows;
                     ASSERT_TRUE(rows.contains(s.machine)) << label << " step " << step;
-                    ASSERT_GE(rows.at(s.machine).session, s.session) << label << " step " << step;
+                    ASSERT_GE(rows.at(s.machine).agent_epoch, s.agent_epoch) << label << " step " << step;
                 }
             }
         }
@@ -401,7 +404,7 @@
         }
         EXPECT_NEAR(settling.silence(*p.find("vm-159"), 20), c.counted, 1);
         EXPECT_FALSE(settling.may_place());
-        EXPECT_FALSE(settling.all_heard());
+        EXPECT_FALSE(settling.all_reconciled());
     }
 }
 
@@ -430,7 +433,7 @@
             settling.expect(id);
         }
         settling.tick(1, 0.7);
-        EXPECT_EQ(settling.all_heard(), c.heard);
+        EXPECT_EQ(settling.all_reconciled(), c.heard);
     }
 }
 
@@ -438,7 +441,7 @@
 TEST(Inherited, TasksLeaveOnProofOnly) {
     struct Case {
         const char* name;
-        std::uint64_t session, token;
+        std::uint64_t agent_epoch, token;
         bool shown;
         std::size_t left, ends;
     };
@@ -457,18 +460,19 @@
         cluster::ClusterState p(7, types);
         auto& m = p.add("vm-1", "a:1", "g", "z", false, cluster::Machine::Life::up, 0);
         m.known = m.stored = true;
-        m.session = 3;
+        m.agent_epoch = 3;
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
         p.inherit(m, {"j-1", 0}, spec, 11, 0);
-        protocol::Report r;
+        protocol::Heartbeat r;
         r.machine = "vm-1";
-        r.session = c.session;
+        r.agent_epoch = c.agent_epoch;
         r.sequence = 20;
         r.token = c.token;
         if (c.shown)
-            r.tasks.push_back({{"j-1", 0}, 11, protocol::TaskState::running, protocol::Cause::none, false});
-        auto heard = p.apply_report(r, cluster::Via::hello, 1, [&](auto&) { return spec; });
+            r.tasks.push_back(
+                {{"j-1", 0}, 11, protocol::TaskState::running, protocol::ExitCause::none, false});
+        auto heard = p.apply_heartbeat(r, cluster::Via::heartbeat, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found.empty());
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -282,8 +282,8 @@
         }
 }
 
-// A controller that has lost the state service and the others is left by the balancer, once; all of them stay
-// while nobody could serve, or one answer is late.
+// A controller that has lost the key-value store and the others is left by the balancer, once; all of them
+// stay while nobody could serve, or one answer is late.
 TEST(Health, SaysWhoCanServe) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
@@ -367,7 +367,7 @@
 }
 
 // What is submitted with jobs to await is judged by what these are, and a retry by what became of it.
-TEST(Awaits, SubmissionsAreJudged) {
+TEST(DependencyGraph, SubmissionsAreJudged) {
     spdlog::set_level(spdlog::level::off);
     World w({});
     w.at(2, [&w] {
@@ -419,9 +419,9 @@
     auto id = [](int k) { return "j-" + std::to_string(k); };
     for (int k = first + 1; k < end; ++k) w.submit_awaiting(id(k), "batch", 1, run_s, {id(k - 1)});
 }
-// While the state service is away nobody can mark the jobs behind a cancelled one, and right after it there
+// While the key-value store is away nobody can mark the jobs behind a cancelled one, and right after it there
 // may be no leader: whoever answers must work it out from the awaited jobs.
-TEST(Awaits, CancellationReachesThroughAnOutageWithoutALeader) {
+TEST(DependencyGraph, CancellationReachesThroughAnOutageWithoutALeader) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3}) {
         Options o;
@@ -443,9 +443,9 @@
         for (int k = 11; k < 30; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(k)].cancelled) << k;
     }
 }
-// A controller that is cut off from the state service passes users' requests on, but a submission that awaits
-// jobs only to a version that knows of that: any other would store it as one that may start.
-TEST(Awaits, AreNotPassedOnToAnOlderVersion) {
+// A controller that is cut off from the key-value store passes users' requests on, but a submission that
+// awaits jobs only to a version that knows of that: any other would store it as one that may start.
+TEST(DependencyGraph, AreNotPassedOnToAnOlderVersion) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
         bool old_pings, awaits;
@@ -473,7 +473,7 @@
     }
 }
 // Hundreds of questions that hang on how one job ended share the read of it.
-TEST(Awaits, AStormOfQuestionsReadsEachEndOnce) {
+TEST(DependencyGraph, AStormOfQuestionsReadsEachEndOnce) {
     spdlog::set_level(spdlog::level::off);
     World w({});
     w.at(2, [&w] {
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -1,4 +1,4 @@
-// The users' interface at several controllers that share one state service.
+// The users' interface at several controllers that share one key-value store.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -63,8 +63,8 @@
     }();
     Cluster cluster;
     struct Node {
-        kv::Client client;
-        Users users;
+        kv::KvClient client;
+        UserApi users;
         explicit Node(Site& s)
             : client(s.timers, s.service, s.settings), users(s.timers, client, s.settings, s.cluster) {}
     };
@@ -74,7 +74,7 @@
     Site() {
         for (int k = 0; k < 3; ++k) nodes.push_back(std::make_unique<Node>(*this));
     }
-    Users& at(std::size_t node) { return nodes[node]->users; }
+    UserApi& at(std::size_t node) { return nodes[node]->users; }
     http::Reply note(Answer*& kept) {
         answers.push_back(std::make_unique<Answer>());
         auto* a = kept = answers.back().get();
@@ -137,7 +137,7 @@
 
 // Everybody asks everywhere each few milliseconds, and repeats the submission, while jobs are accepted,
 // called off at two controllers at once, and end somewhat before or after that.
-TEST(Users, NoCloseLookIsAnsweredWithSomethingOlder) {
+TEST(UserApi, NoCloseLookIsAnsweredWithSomethingOlder) {
     const double ends_ms[] = {-100, -20, -8, -3, 0, 3, 8, 20, 60, 150, 400};
     Site s;
     // Executed at once and answered later: an answer under way may be older than others already told.
@@ -188,7 +188,7 @@
 }
 
 // The transaction is carried out at once and only its answer is lost; others read what it wrote.
-TEST(Users, AnAcceptanceWhoseAnswerIsLostIsOneAcceptance) {
+TEST(UserApi, AnAcceptanceWhoseAnswerIsLostIsOneAcceptance) {
     for (bool cancelled_meanwhile : {false, true}) {
         Site s;
         s.service.fates = {FakeState::Fate::lost_after};
@@ -212,7 +212,7 @@
         EXPECT_EQ(s.service.changes, cancelled_meanwhile ? 2 : 1);
     }
 }
-TEST(Users, ACancellationWhoseAnswerIsLostIsRecognisedAndTold) {
+TEST(UserApi, ACancellationWhoseAnswerIsLostIsRecognisedAndTold) {
     Site s;
     s.submit(0, "j-000001");
     s.timers.run_until(1);
@@ -231,7 +231,7 @@
 }
 
 // Ends are read together, and no final state twice at one controller.
-TEST(Users, LooksShareReadsAndFinalStatesAreReadOnce) {
+TEST(UserApi, LooksShareReadsAndFinalStatesAreReadOnce) {
     Site s;
     constexpr int jobs = 60;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
@@ -259,7 +259,7 @@
 }
 
 // A repetition of what is known takes nothing from the changes that submissions wait for.
-TEST(Users, RepeatedSubmissionsAndCancellationsCostNoChange) {
+TEST(UserApi, RepeatedSubmissionsAndCancellationsCostNoChange) {
     Site s;
     s.submit(0, "j-000001");
     for (int k = 0; k < 5; ++k) s.submit(0, "j-000001");
@@ -277,7 +277,7 @@
 }
 
 // What becomes of a stream of submissions at one controller after its reserve is used up: `factor` times what
-// the state service can store, with one of another team among each twenty.
+// the key-value store can store, with one of another team among each twenty.
 struct Stream {
     double accepted = 0;  // of what can be stored
     double slowest = 0;   // answer in seconds
@@ -334,7 +334,7 @@
         EXPECT_TRUE(!other || admission.admit("t2", 1));
     }
 }
-TEST(Users, OverloadIsShedAtOnceAndFairlyBetweenTeams) {
+TEST(UserApi, OverloadIsShedAtOnceAndFairlyBetweenTeams) {
     Stream once(1), five(5);
     EXPECT_GE(once.accepted, 0.9);
     EXPECT_GE(five.accepted, 0.9 * once.accepted);
@@ -344,7 +344,7 @@
     EXPECT_GE(five.small_accepted, five.small_asked * 0.9) << "of the team that asks for little";
 }
 // Cancellations go before acceptances, which wait for the changes that are left.
-TEST(Users, CancellationsAreNotHeldUpBySubmissions) {
+TEST(UserApi, CancellationsAreNotHeldUpBySubmissions) {
     Site s;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
     for (int k = 0; k < 10; ++k) s.submit(0, id(k));
@@ -359,7 +359,7 @@
     }
     for (auto& a : s.answers) {
         EXPECT_NE(a->status, 0);
-        EXPECT_LE(a->told - a->sent, kv::submission_patience_s);
+        EXPECT_LE(a->told - a->sent, kv::submission_timeout_s);
     }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -19,7 +19,7 @@
 
 TEST(JobMessage, IsTakenAndStoredWithoutLoss) {
     auto job = parse_job(good_job().dump());
-    EXPECT_EQ(job.kind, Kind::gang);
+    EXPECT_EQ(job.kind, JobKind::gang);
     EXPECT_EQ(job.priority, Priority::high);
     auto back = parse_job_record(stored(JobRecord{job, 12.5, true}));
     EXPECT_EQ(back.job.tasks, 16u);
@@ -89,14 +89,14 @@
         j["awaits"] = c.value;
         auto job = parse_job(j.dump());
         EXPECT_EQ(job.awaits, c.awaits);
-        EXPECT_EQ(names_awaits(j.dump()), !c.value.is_null());
+        EXPECT_EQ(names_dependencies(j.dump()), !c.value.is_null());
         auto record = stored(JobRecord{job, 1, false});
         EXPECT_EQ(parse_job_record(record).job.awaits, c.awaits);
         EXPECT_EQ(parse_live_record(record).awaits, c.awaits);
         // The version before reads `job`, and must not find one that it would start at once.
         EXPECT_EQ(nlohmann::json::parse(record).contains("job"), c.awaits.empty());
     }
-    EXPECT_TRUE(names_awaits(R"({"\u0061waits":["j-1"]})"));
+    EXPECT_TRUE(names_dependencies(R"({"\u0061waits":["j-1"]})"));
 }
 
 // Every record as the version in production writes it: read, and where both write it, written alike.
@@ -131,22 +131,23 @@
     auto back = parse_job_record(brief);
     EXPECT_TRUE(back.cancelled);
     EXPECT_EQ(back.job.team, "vision");  // its tasks count against the team until they are gone
-    EXPECT_EQ(back.job.need.gpus, 1);
+    EXPECT_EQ(back.job.request.gpus, 1);
     EXPECT_EQ(back.job.tasks, 16u);
 }
 
 TEST(Report, KeepsCountsAbove53Bits) {
-    auto r = parse_report(R"({"berth":"vm-1","addr":"10.1.0.1:9000","hull":"g8","reef":"a","driftwood":true,
+    auto r =
+        parse_heartbeat(R"({"berth":"vm-1","addr":"10.1.0.1:9000","hull":"g8","reef":"a","driftwood":true,
         "watch":2,"tally":18446744073709551615,"helm":9007199254740993,"warning_s":12.5,"news":1,
         "shards":[{"shard":"j-7/3","launch":9007199254740995,"status":"exited","cause":"halted","saved":true},
                   {"shard":"j-7/4","launch":1,"status":"exited","cause":"a new one"}]})");
     EXPECT_EQ(r.sequence, 18446744073709551615ull);
     EXPECT_EQ(r.token, 9007199254740993ull);
     EXPECT_EQ(r.tasks[0].attempt, 9007199254740995ull);
-    EXPECT_EQ(r.tasks[0].cause, Cause::stopped);
+    EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
-    EXPECT_EQ(r.tasks[1].cause, Cause::error);  // an end of a kind not known yet still is an end
-    EXPECT_EQ(r.notice_s, 12.5);
+    EXPECT_EQ(r.tasks[1].cause, ExitCause::error);  // an end of a kind not known yet still is an end
+    EXPECT_EQ(r.preemption_notice_s, 12.5);
 }
 
 TEST(Report, RefusesWhatIsMalformed) {
@@ -156,7 +157,7 @@
          R"({"berth":"vm-1","addr":"a","hull":"g","reef":"a","driftwood":false,"watch":-1,"tally":1,"helm":0,"shards":[]})",
          R"({"berth":"vm-1","addr":"a","hull":"g","reef":"a","driftwood":false,"watch":1,"tally":1,"helm":0,"shards":[{"shard":"j-1","launch":1,"status":"running"}]})",
          R"({"berth":"vm-1","addr":"a","hull":"g","reef":"a","driftwood":false,"watch":1,"tally":1,"helm":0,"shards":[7]})"})
-        EXPECT_THROW(parse_report(body), Malformed) << body;
+        EXPECT_THROW(parse_heartbeat(body), Malformed) << body;
 }
 
 TEST(Progress, AnyPatternRoundTrips) {
