--- a/scale/tests/state_service_test.cpp
+++ b/scale/tests/state_service_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "fake_timers.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/tests/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -5,16 +5,16 @@
 
 #include <nlohmann/json.hpp>
 
-#include "fake_timers.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::api {
 namespace {
 using nlohmann::json;
 
 // A key-value store that keeps the last changes of job records, and can be told what becomes of each request.
-class FakeState : public http::Requester {
+class FakeKeyValueStore : public http::Requester {
   public:
-    explicit FakeState(FakeTimers& t) : timers_(t) {}
+    explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
     enum class Fate { answered, refused, lost };
     Fate fate = Fate::answered;
     double latency = 0.01;
@@ -66,7 +66,7 @@
 
 struct Bench {
     FakeTimers timers;
-    FakeState service{timers};
+    FakeKeyValueStore service{timers};
     config::Settings settings = [] {
         config::Settings s;
         s.nodes = 3;
@@ -134,10 +134,10 @@
      [](Bench& b) {
          b.ask("j-1");
          b.timers.run_until(1);
-         b.service.fate = FakeState::Fate::refused;
+         b.service.fate = FakeKeyValueStore::Fate::refused;
          b.ask("j-1");
          b.timers.run_until(2);
-         b.service.fate = FakeState::Fate::answered;
+         b.service.fate = FakeKeyValueStore::Fate::answered;
          b.ask("j-1");
      },
      {"live", "no answer", "live"}},
@@ -146,10 +146,10 @@
          b.ask("j-1");
          b.timers.run_until(1);
          b.service.put("j-1", true);
-         b.service.fate = FakeState::Fate::lost;
+         b.service.fate = FakeKeyValueStore::Fate::lost;
          b.ask("j-1");
          b.timers.run_until(5);
-         b.service.fate = FakeState::Fate::answered;
+         b.service.fate = FakeKeyValueStore::Fate::answered;
          b.ask("j-1");
      },
      {"live", "no answer", "cancelled"}},
--- a/tests/users_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -1,14 +1,15 @@
 // The users' interface at several controllers that share one key-value store.
+#include "api/user_api.hpp"
+
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 #include <random>
 #include <set>
 
-#include "api/user_api.hpp"
-#include "fake_state.hpp"
-#include "fake_timers.hpp"
 #include "kv/keys.hpp"
+#include "support/fake_key_value_store.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::api {
 namespace {
@@ -47,7 +48,7 @@
 
 struct Site {
     FakeTimers timers;
-    FakeState service{timers};
+    FakeKeyValueStore service{timers};
     config::Settings settings = [] {
         config::Settings s;
         s.nodes = 3;
@@ -191,7 +192,7 @@
 TEST(UserApi, AnAcceptanceWhoseAnswerIsLostIsOneAcceptance) {
     for (bool cancelled_meanwhile : {false, true}) {
         Site s;
-        s.service.fates = {FakeState::Fate::lost_after};
+        s.service.fates = {FakeKeyValueStore::Fate::lost_after};
         auto* first = s.submit(0, "j-000001");
         s.timers.run_until(0.1);
         auto* read = s.query(1, "j-000001");
@@ -216,7 +217,7 @@
     Site s;
     s.submit(0, "j-000001");
     s.timers.run_until(1);
-    s.service.fates = {FakeState::Fate::lost_after};
+    s.service.fates = {FakeKeyValueStore::Fate::lost_after};
     auto* first = s.cancel(0, "j-000001");
     s.timers.run_until(1.1);
     auto* repeated = s.cancel(0, "j-000001");
--- a/tests/config_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -1,8 +1,9 @@
 // Settings: what is taken, and complaints that name the field.
+#include "config/settings.hpp"
+
 #include <gtest/gtest.h>
 
 #include "api/user_api.hpp"
-#include "config/settings.hpp"
 
 namespace coralhitch::config {
 namespace {
--- a/tests/peer_ping_size_test.cpp
+++ b/tests/controller/peer_ping_size_test.cpp
@@ -4,8 +4,8 @@
 #include <spdlog/spdlog.h>
 
 #include "controller/controller.hpp"
-#include "fake_state.hpp"
 #include "kv/keys.hpp"
+#include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::controller {
 namespace {
@@ -52,7 +52,7 @@
     FakeTimers& timers_;
 
   public:
-    FakeState service;
+    FakeKeyValueStore service;
     std::optional<protocol::PeerPing> ping;
     std::size_t ping_bytes = 0;
 };
--- a/tests/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -4,16 +4,16 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "fake_timers.hpp"
 #include "kv/keys.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::kv {
 namespace {
 
 // A key-value store of one key. Requests can be refused, or their answers lost after they were executed.
-class FakeState : public http::Requester {
+class FakeKeyValueStore : public http::Requester {
   public:
-    explicit FakeState(FakeTimers& t) : timers_(t) {}
+    explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
     bool refuse = false, lose_txn_answer = false, lose_renewals = false;
     std::uint64_t version = 0, lease = 0, leases = 0, revision = 4;
     std::string value;
@@ -65,7 +65,7 @@
 
 struct Bench {
     FakeTimers timers;
-    FakeState service{timers};
+    FakeKeyValueStore service{timers};
     config::Settings settings = [] {
         config::Settings s;
         s.label = "berth-0";
--- a/tests/jobs_test.cpp
+++ b/tests/jobs/job_table_test.cpp
@@ -1,10 +1,10 @@
 // The table of live jobs: what awaits what, and where progress is kept.
+#include "jobs/job_table.hpp"
+
 #include <gtest/gtest.h>
 
 #include <functional>
 
-#include "jobs/job_table.hpp"
-
 namespace coralhitch::jobs {
 namespace {
 using protocol::JobState;
--- a/tests/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "fake_timers.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::kv {
 namespace {
--- a/tests/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -4,8 +4,8 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "fake_state.hpp"
 #include "kv/keys.hpp"
+#include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::leader {
 namespace {
@@ -37,7 +37,7 @@
         });
     }
     FakeTimers timers;
-    FakeState service{timers};
+    FakeKeyValueStore service{timers};
     config::Settings settings = settings_of_one();
     kv::KvClient client{timers, service, settings};
     std::uint64_t version = 0;
@@ -99,7 +99,7 @@
     };
     const Case cases[] = {
         {"no authority", [](Bench& b) { b.authority = false; }},
-        {"no answer", [](Bench& b) { b.service.fates.assign(1000, FakeState::Fate::never); }},
+        {"no answer", [](Bench& b) { b.service.fates.assign(1000, FakeKeyValueStore::Fate::never); }},
         {"another leads", [](Bench& b) { b.claim(); }},
     };
     for (auto& c : cases) {
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry/machine_registry_test.cpp
@@ -8,14 +8,14 @@
 #include <deque>
 #include <nlohmann/json.hpp>
 
-#include "fake_state.hpp"
 #include "kv/keys.hpp"
+#include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::machine_registry {
 namespace {
 using nlohmann::json;
 
-std::set<std::string> machines_in(const FakeState& state) {
+std::set<std::string> machines_in(const FakeKeyValueStore& state) {
     std::set<std::string> out;
     for (auto& [k, v] : state.kv)
         if (k.starts_with(coralhitch::kv::keys::machine_pages))
@@ -39,7 +39,7 @@
         spdlog::set_level(spdlog::level::off);
     }
     FakeTimers timers;
-    FakeState service{timers};
+    FakeKeyValueStore service{timers};
     config::Settings settings;
     kv::KvClient client{timers, service, settings};
     std::map<std::string, protocol::MachineRecord> fleet;
@@ -79,7 +79,7 @@
         }
     }
     // Through everything that becomes due, looking after each step.
-    void play(double seconds) {
+    void run_scenario(double seconds) {
         for (double t = 0; t < seconds; t += 0.05) {
             if (static_cast<int>(t / 0.05) % 20 == 0) store.flush();
             timers.run_until(timers.now() + 0.05);
@@ -104,7 +104,7 @@
 // A write whose answer was lost may be executed late: it must fail then, or it would take machines that were
 // confirmed meanwhile out of their page, and the next leader would not look for tasks on them.
 TEST(MachineRegistry, LostAndLateWritesNeverHideAConfirmedMachine) {
-    using F = FakeState::Fate;
+    using F = FakeKeyValueStore::Fate;
     const std::vector<F> cases[] = {{},
                                     {F::lost_after},
                                     {F::late},
@@ -168,7 +168,7 @@
 // Pages filled under a larger limit are split, into more than one transaction takes. No machine may be out of
 // the store at any moment, whatever becomes of the answers: the next leader would not look for tasks on it.
 TEST(MachineRegistry, LargePagesAreSplitAndNoMachineIsEverMissing) {
-    using F = FakeState::Fate;
+    using F = FakeKeyValueStore::Fate;
     const std::vector<F> cases[] = {{},
                                     {F::lost_after, F::late, F::never, F::answered, F::late, F::lost_after}};
     for (auto& fates : cases) {
@@ -186,7 +186,7 @@
         b.expect_all_confirmed_stored();
         for (int k = 0; k < 40; ++k) b.gone("vm-" + std::to_string(100007 + 11 * k));  // a wave, right then
         b.add("vm-200000");
-        b.play(40);
+        b.run_scenario(40);
         EXPECT_EQ(b.confirmed.size(), 561u);
         EXPECT_EQ(machines_in(b.service).size(), 561u);
         for (auto& [k, v] : b.service.kv) EXPECT_LE(v.first.dump().size(), 2048u) << k;
@@ -209,7 +209,7 @@
         b.service.value_bytes = c.value_bytes;
         b.service.txn_ops = c.txn_ops;
         for (int k = 300; k < 420; ++k) b.add("vm-" + std::to_string(100000 + k));
-        b.play(120);
+        b.run_scenario(120);
         EXPECT_EQ(b.confirmed.size(), 420u) << c.value_bytes;
         EXPECT_EQ(machines_in(b.service).size(), 420u) << c.value_bytes;
         EXPECT_LE(b.client.rejections(), 24u) << c.value_bytes;
@@ -223,7 +223,7 @@
         Bench b(2, 8);
         b.take_over(before);
         b.add("vm-1");
-        b.play(12);
+        b.run_scenario(12);
         EXPECT_EQ(b.service.kv[kv::keys::machine_page(0)].second, 2u) << bytes;
         EXPECT_EQ(b.service.kv.size(), 2u) << bytes;
     }
@@ -240,13 +240,13 @@
         b.take_over(before);
         ASSERT_EQ(b.fleet.size(), 1u);
         EXPECT_TRUE(b.fleet["vm-1"].marked_for_deletion);
-        b.play(12);
+        b.run_scenario(12);
         Bench next;
         next.take_over(b);
         EXPECT_TRUE(next.fleet["vm-1"].marked_for_deletion);
         EXPECT_EQ(next.service.kv.size(), 1u);
         b.gone("vm-1");
-        b.play(12);
+        b.run_scenario(12);
         EXPECT_TRUE(b.service.kv.empty());
     }
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership/failure_detector_test.cpp
@@ -1,5 +1,7 @@
 // Who is suspected, whom others are asked about, and who is given up: the judgement alone, on fleets that are
 // played in a small model of reports and silences.
+#include "membership/failure_detector.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -7,7 +9,6 @@
 #include <functional>
 #include <random>
 
-#include "membership/failure_detector.hpp"
 #include "membership/reachability.hpp"
 
 namespace coralhitch::membership {
@@ -45,7 +46,7 @@
     }
     // Once a sixth of a period, as a leader looks. `elsewhere`: how many of the doubtful machines others
     // hear.
-    void play(
+    void run_scenario(
         double from, double until,
         const std::function<std::optional<std::size_t>(const SelfSuspicion&)>& elsewhere = [](auto&) {
             return std::optional<std::size_t>(0);
@@ -145,7 +146,7 @@
         SCOPED_TRACE(c.name);
         Model m(300);
         c.what(m);
-        m.play(0, 130);
+        m.run_scenario(0, 130);
         EXPECT_GE(m.gone(), c.least);
         EXPECT_LE(m.gone(), c.most);
         EXPECT_LE(m.last_given_up(), c.by);
@@ -197,7 +198,7 @@
         for (std::size_t k = 100; k < 160; ++k) m.machines[k].eviction_cost = EvictionCost::work;
         if (hung_before) m.silence(100, 160, 20, 11);
         m.silence(0, 40, 70, 11);
-        m.play(0, 100);
+        m.run_scenario(0, 100);
         if (hung_before)
             EXPECT_LT(m.gone(), 5u);
         else
@@ -205,7 +206,7 @@
         // Long afterwards nothing of it is believed any more.
         for (std::size_t k = 200; k < 240; ++k)
             m.machines[k].silent_at = 500, m.machines[k].silent_for = never;
-        m.play(495, 540);
+        m.run_scenario(495, 540);
         EXPECT_LE(m.machines[200].given_up, 9);
         EXPECT_GE(m.machines[200].given_up, 0);
     }
@@ -233,7 +234,7 @@
         SCOPED_TRACE(c.name);
         Model m(300);
         m.silence(0, c.silent, 50, never);
-        m.play(0, 80, [&](const SelfSuspicion& d) -> std::optional<std::size_t> {
+        m.run_scenario(0, 80, [&](const SelfSuspicion& d) -> std::optional<std::size_t> {
             if (!c.elsewhere) return std::nullopt;
             return static_cast<std::size_t>(*c.elsewhere * static_cast<double>(d.silent.size()));
         });
@@ -252,7 +253,7 @@
     for (auto& k : m.machines) k.zone = 0;  // and no zone explains it
     m.silence(299, 300, 50, never);         // one dies
     m.machines[299].route = "berth-0";
-    m.play(0, 100);
+    m.run_scenario(0, 100);
     EXPECT_EQ(m.gone(), 1u);
 }
 
@@ -263,7 +264,7 @@
         m.machines[0].reconciled = false;
         m.machines[0].known = known;
         m.silence(0, 1, 50, never);
-        m.play(0, 100);
+        m.run_scenario(0, 100);
         EXPECT_LE(m.machines[0].given_up, known ? 9 : 5.5);
         EXPECT_GE(m.machines[0].given_up, 0);
     }
--- a/tests/wire_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -1,10 +1,11 @@
 // Tables of messages: what is taken, what is refused, and that nothing is lost on the way.
+#include "protocol/protocol.hpp"
+
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
 #include "protocol/peer_messages.hpp"
-#include "protocol/protocol.hpp"
 
 namespace coralhitch::protocol {
 namespace {
--- a/tests/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -5,7 +5,7 @@
 
 #include <set>
 
-#include "fake_timers.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::relay {
 namespace {
--- a/tests/relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -1,5 +1,7 @@
 // Hearing for the leader: what is taken for a repetition, what a relay may answer by itself and until when,
 // and what the leader may conclude about the leases of machines that it lent.
+#include "relay/heartbeat_relay.hpp"
+
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -7,12 +9,11 @@
 #include <deque>
 
 #include "config/settings.hpp"
-#include "fake_timers.hpp"
 #include "relay/delegation_table.hpp"
 #include "relay/heartbeat_queue.hpp"
-#include "relay/heartbeat_relay.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "relay/worker_lease.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::relay {
 namespace {
--- a/tests/old_reports_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -6,7 +6,7 @@
 
 #include <sstream>
 
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -28,25 +28,25 @@
     std::shared_ptr<spdlog::logger> before_;
 };
 
-void expect_unbroken(const World& w) {
+void expect_unbroken(const SimulatedCluster& w) {
     for (auto& b : w.broken) ADD_FAILURE() << b;
 }
 // Where each task of a job is.
-std::map<std::string, std::string> places(const World& w, const std::string& job) {
+std::map<std::string, std::string> places(const SimulatedCluster& w, const std::string& job) {
     std::map<std::string, std::string> out;
     for (auto& m : w.workers)
         for (auto& [task, t] : m->tasks)
             if (!m->dead && t.job == job && t.status != "exited") out[task] = m->id;
     return out;
 }
-void end_all(World& w) {
+void end_all(SimulatedCluster& w) {
     for (std::size_t n = 0; n < 3; ++n) w.crash(n, 0.2);
 }
 
 // Of each machine the newest report that was sent before some time and showed a task.
 class Copies {
   public:
-    void keep(World& w, double until) {
+    void keep(SimulatedCluster& w, double until) {
         w.sent = [this, &w, until](const std::string& from, const std::string&, const http::Request& r) {
             bool shows = r.target == protocol::paths::report && r.body.find("running") != std::string::npos;
             if (shows && w.now() < until) kept_[from] = r;
@@ -54,7 +54,7 @@
     }
     // They reach every controller again and again, so that each may be the first that a new leader hears, or
     // come through another controller.
-    void deliver(World& w, double from, double until) {
+    void deliver(SimulatedCluster& w, double from, double until) {
         for (double t = from; t < until; t += 0.1)
             w.at(t, [this, &w] {
                 for (auto& [machine, r] : kept_)
@@ -69,22 +69,22 @@
 
 struct Meanwhile {
     const char* name;
-    void (*happens)(World& w);  // after the copies were made, and well before the leader ends
+    void (*happens)(SimulatedCluster& w);  // after the copies were made, and well before the leader ends
 };
 const Meanwhile meanwhiles[] = {
     // The rest of the gang was stopped and cleared, and runs under its next attempt.
     {"a machine of a gang is deleted",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          auto on = places(w, "j-1").begin()->second;
          for (std::size_t k = 0; k < w.workers.size(); ++k)
              if (w.workers[k]->id == on) w.die(k);
      }},
     {"three machines are in their next session",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (std::size_t k : {0, 2, 4}) w.reboot(k, false);
      }},
     {"three machines are cut off for longer than a lease",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (std::size_t k : {0, 2, 4}) w.cut("10.1.0." + std::to_string(k + 1), "10.0.", 40, false);
          w.cloud_down(40);
      }},
@@ -98,7 +98,7 @@
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         Options o;
         o.seed = seed;
-        World w(o);
+        SimulatedCluster w(o);
         Copies copies;
         copies.keep(w, 25);
         w.at(2, [&w] {
@@ -132,7 +132,7 @@
 // Machines back under their names begin with low numbers. The copies of their earlier lives come first.
 TEST(OldReports, OfAnEarlierLifeDoNotShutAMachineOut) {
     ErrorLog log;
-    World w({});
+    SimulatedCluster w({});
     Copies copies;
     copies.keep(w, 40);
     w.at(2, [&w] { w.submit("j-1", "batch", 6, 100); });
@@ -160,7 +160,7 @@
 TEST_P(HeldRun, OfALeaderThatEnded) {
     ErrorLog log;
     auto [late_s, all] = GetParam();
-    World w({});
+    SimulatedCluster w({});
     bool held = false;
     w.at(20, [&w] {
         w.submit("j-1", "batch", 6, 30, {{"crew", "tight"}});
@@ -205,7 +205,7 @@
 TEST_P(HeldRunOfTheSameLeader, StartsNothingThatIsOver) {
     ErrorLog log;
     auto [over, late_s] = GetParam();
-    World w({});
+    SimulatedCluster w({});
     bool held = false;
     w.at(20, [&w, s = over.run_s] { w.submit("j-1", "batch", 1, s); });
     w.late_command = [&, over = over, late_s = late_s](auto&, auto& r) {
--- a/tests/takeover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -2,44 +2,44 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-struct Trouble {
+struct FaultKind {
     const char* name;
-    std::function<void(World&, std::mt19937_64&)> plan;
+    std::function<void(SimulatedCluster&, std::mt19937_64&)> plan;
 };
 
-std::size_t lead(World& w) {
+std::size_t lead(SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 
-const Trouble troubles[] = {
-    {"quiet", [](World&, std::mt19937_64&) {}},
+const FaultKind troubles[] = {
+    {"quiet", [](SimulatedCluster&, std::mt19937_64&) {}},
     {"leader crashes twice",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          for (double t : {40.0, 55.0}) w.at(t, [&w] { w.crash(lead(w), 6); });
      }},
     {"all crash together",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(45, [&w] {
              for (std::size_t k = 0; k < 3; ++k) w.crash(k, 4 + static_cast<double>(k));
          });
      }},
     {"leader cut from the state service, packets held",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] { w.cut("10.0.0." + std::to_string(lead(w) + 1), "10.2.0.1", 30, true); });
      }},
     {"leader refused by the state service alone",
-     [](World& w, std::mt19937_64&) { w.at(40, [&w] { w.refuse_state(lead(w), 40); }); }},
+     [](SimulatedCluster& w, std::mt19937_64&) { w.at(40, [&w] { w.refuse_state(lead(w), 40); }); }},
     {"leader cut from the workers, packets held",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] { w.cut("10.0.0." + std::to_string(lead(w) + 1), "10.1.", 30, true); });
      }},
     {"leader cut from all, packets held, machines hang over the takeover",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] {
              w.cut("10.0.0." + std::to_string(lead(w) + 1), "10.", 35, true);
              w.hang(1, 20);
@@ -47,14 +47,14 @@
          });
      }},
     {"state outage, then all crash",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] { w.state_down(20); });
          w.at(57, [&w] {
              for (std::size_t k = 0; k < 3; ++k) w.crash(k, 5);
          });
      }},
     {"machines die while the cloud is down and the leader crashes",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(38, [&w] { w.cloud_down(50); });
          w.at(40, [&w] {
              w.die(0);
@@ -63,28 +63,28 @@
          w.at(42, [&w] { w.crash(lead(w), 8); });
      }},
     {"rolling restart while machines hang",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          for (std::size_t k = 0; k < 3; ++k)
              w.at(40 + 8.0 * static_cast<double>(k), [&w, k] { w.crash(k, 3); });
          w.at(44, [&w] { w.hang(0, 15); });
          w.at(50, [&w] { w.hang(4, 40); });
      }},
     {"leader stands still, its clocks run on, twice",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] { w.stand_still(lead(w), 12); });
          w.at(60, [&w] { w.stand_still(lead(w), 30); });
      }},
     {"leader stands still through a state outage, another controller crashes",
-     [](World& w, std::mt19937_64&) {
+     [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] {
              w.state_down(14);
              w.stand_still(lead(w), 15);
              w.crash((lead(w) + 1) % 3, 6);
          });
      }},
-    {"a machine fails every task", [](World& w, std::mt19937_64&) { w.workers[0]->sick = true; }},
+    {"a machine fails every task", [](SimulatedCluster& w, std::mt19937_64&) { w.workers[0]->sick = true; }},
     {"anything, at random times",
-     [](World& w, std::mt19937_64& random) {
+     [](SimulatedCluster& w, std::mt19937_64& random) {
          for (int k = 0; k < 8; ++k) {
              double t = std::uniform_real_distribution<double>(20, 110)(random);
              auto what = random() % 7, which = random() % 8;
@@ -114,11 +114,11 @@
 
 // A day with every kind of job, some cancelled while the trouble lasts. Checked at its end: no rule was
 // broken, every accepted job of the kinds that end has ended, and something ran.
-void play(const Trouble& trouble, std::uint64_t seed) {
+void run_scenario(const FaultKind& trouble, std::uint64_t seed) {
     SCOPED_TRACE(std::string(trouble.name) + ", seed " + std::to_string(seed));
     Options o;
     o.seed = seed;
-    World w(o);
+    SimulatedCluster w(o);
     std::mt19937_64 random(seed);
     auto id = [](int n) { return "j-" + std::to_string(1000 + n); };
     for (int k = 0; k < 12; ++k) {
@@ -175,13 +175,14 @@
 };
 INSTANTIATE_TEST_SUITE_P(Takeover, Troubles, testing::Range<std::size_t>(0, std::size(troubles)));
 TEST_P(Troubles, KeepTheRules) {
-    for (std::uint64_t seed : {1, 2, 3}) play(troubles[GetParam()], seed);
+    for (std::uint64_t seed : {1, 2, 3}) run_scenario(troubles[GetParam()], seed);
 }
 class AtRandom : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Takeover, AtRandom, testing::Range<std::uint64_t>(0, 4));
 TEST_P(AtRandom, KeepsTheRules) {
     spdlog::set_level(spdlog::level::off);
-    for (std::uint64_t seed = 10 + GetParam(); seed < 30; seed += 4) play(std::end(troubles)[-1], seed);
+    for (std::uint64_t seed = 10 + GetParam(); seed < 30; seed += 4)
+        run_scenario(std::end(troubles)[-1], seed);
 }
 
 // A leader that no longer hears the workers must not take them for gone one by one: the other controllers
@@ -213,7 +214,7 @@
         o.hearing = c.hearing;
         o.machines = c.machines;
         o.seed = c.seed;
-        World w(o);
+        SimulatedCluster w(o);
         for (std::size_t k = 0; k < c.machines * 3 / 4; ++k)
             w.at(2, [&w, k] {
                 w.submit("j-" + std::to_string(k + 1), "service", 4, 0, {{"driftwood", false}});
@@ -242,7 +243,7 @@
         o.seed = seed;
         o.machines = 90;
         o.hear_s = seed < 4 ? 0.025 : 0.04;
-        World w(o);
+        SimulatedCluster w(o);
         for (std::size_t k = 0; k < 70; ++k)
             w.at(2, [&w, k] {
                 w.submit("j-" + std::to_string(k + 1), "service", 4, 0, {{"driftwood", false}});
@@ -267,7 +268,7 @@
             SCOPED_TRACE((cold ? "cold, seed " : "warm, seed ") + std::to_string(seed));
             Options o;
             o.seed = seed;
-            World w(o);
+            SimulatedCluster w(o);
             w.at(5, [&w] { w.submit("j-1", "service", 3, 0); });
             w.at(40, [&w] { w.cut_one_way("10.0.", w.workers[0]->addr, 90); });
             if (cold)
@@ -288,24 +289,25 @@
     spdlog::set_level(spdlog::level::off);
     struct Case {
         const char* name;
-        std::function<void(World&)> trouble;
+        std::function<void(SimulatedCluster&)> trouble;
         bool first, others;  // are healthy ten seconds later
     };
     const Case cases[] = {
-        {"all is well", [](World&) {}, true, true},
+        {"all is well", [](SimulatedCluster&) {}, true, true},
         {"one has its workers only",
-         [](World& w) {
+         [](SimulatedCluster& w) {
              w.cut("10.0.0.1", "10.2.0.1", 30, false);
              w.cut("10.0.0.1", "10.0.", 30, false);
          },
          false, true},
-        {"one is refused by the state service", [](World& w) { w.refuse_state(0, 30); }, false, true},
-        {"nobody has the state service", [](World& w) { w.state_down(30); }, true, true},
-        {"one answer was refused", [](World& w) { w.at(w.now() + 9.2, [&w] { w.refuse_state(0, 0.7); }); },
-         true, true},
+        {"one is refused by the state service", [](SimulatedCluster& w) { w.refuse_state(0, 30); }, false,
+         true},
+        {"nobody has the state service", [](SimulatedCluster& w) { w.state_down(30); }, true, true},
+        {"one answer was refused",
+         [](SimulatedCluster& w) { w.at(w.now() + 9.2, [&w] { w.refuse_state(0, 0.7); }); }, true, true},
     };
     for (auto& c : cases) {
-        World w({});
+        SimulatedCluster w({});
         w.run_until(30);
         c.trouble(w);
         w.run_until(40);
@@ -319,7 +321,7 @@
     // A watch that waits misses it: the next read of the changes has it. All that the leader reads of changes
     // does: only the audit can find it.
     for (bool all : {false, true}) {
-        World w({});
+        SimulatedCluster w({});
         w.run_until(9);
         auto leader = lead(w);
         w.no_users(leader);
@@ -337,7 +339,7 @@
 // A job submitted with a mistake costs its own tasks once, and a probe now and then; others are not held up.
 TEST(Takeover, AJobThatFailsEverywhereIsTriedOneTaskAtATime) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     w.at(2, [&w] {
         w.submit("j-1", "batch", 40, 5, {{"mistake", true}});
         w.submit("j-2", "batch", 40, 5);
@@ -358,7 +360,7 @@
     Options o;
     o.machines = 0;
     o.boot_s = 22;  // more than four nominal times
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-1", "batch", 4, 5); });
     w.at(16, [&w] { w.crash(lead(w), 6); });
     w.run_until(60);
@@ -369,7 +371,7 @@
 // What is submitted with jobs to await is judged by what these are, and a retry by what became of it.
 TEST(DependencyGraph, SubmissionsAreJudged) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     w.at(2, [&w] {
         w.submit("j-1", "batch", 2, 3);
         w.submit("j-2", "service", 1, 0);
@@ -415,7 +417,7 @@
     for (auto& b : w.broken) ADD_FAILURE() << b;
 }
 // Behind job `first`, each awaits the one before it.
-void submit_chain(World& w, int first, int end, double run_s) {
+void submit_chain(SimulatedCluster& w, int first, int end, double run_s) {
     auto id = [](int k) { return "j-" + std::to_string(k); };
     for (int k = first + 1; k < end; ++k) w.submit_awaiting(id(k), "batch", 1, run_s, {id(k - 1)});
 }
@@ -426,7 +428,7 @@
     for (std::uint64_t seed : {1, 2, 3}) {
         Options o;
         o.seed = seed;
-        World w(o);
+        SimulatedCluster w(o);
         w.at(2, [&w] {
             w.submit("j-1", "service", 1, 0);
             w.submit("j-10", "batch", 1, 100);
@@ -455,7 +457,7 @@
          {Case{false, false, 201}, Case{false, true, 201}, Case{true, false, 201}, Case{true, true, 503}}) {
         Options o;
         o.old_pings = c.old_pings;
-        World w(o);
+        SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "batch", 1, 300); });
         w.run_until(20);
         auto cut = (lead(w) + 1) % 3;
@@ -475,7 +477,7 @@
 // Hundreds of questions that hang on how one job ended share the read of it.
 TEST(DependencyGraph, AStormOfQuestionsReadsEachEndOnce) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     w.at(2, [&w] {
         w.submit("j-1", "batch", 1, 3);
         submit_chain(w, 1, 60, 600);
@@ -504,7 +506,7 @@
             o.next_txn_ops = 8;
             o.next_value_kb = 2;
             o.limits_fall_at = 40;
-            World w(o);
+            SimulatedCluster w(o);
             if (lower) w.fall_further(1, 4);
             w.at(2, [&w] {
                 w.submit("j-1", "service", 8, 0);
--- a/tests/combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -1,5 +1,5 @@
 // New machines get work at once while writes lag, and the leader ends.
-#include "combinations_support.hpp"
+#include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -11,7 +11,7 @@
     return std::any_of(txn["then"].begin(), txn["then"].end(), ours);
 }
 // Whether the key-value store's page of machines names this one.
-bool stored(const World& w, const std::string& id) {
+bool stored(const SimulatedCluster& w, const std::string& id) {
     try {
         return w.record("mach/page/0").find(id) != std::string::npos;
     } catch (const std::out_of_range&) {
@@ -20,7 +20,7 @@
 }
 
 // Called as soon as a machine rented since then has been told to run something of `j-1`.
-void on_first_run(World& w, std::size_t first_new, std::function<void(Worker&)> then) {
+void on_first_run(SimulatedCluster& w, std::size_t first_new, std::function<void(Worker&)> then) {
     auto seen = std::make_shared<bool>(false);
     for (double t = w.now(); t < w.now() + 40; t += 0.005)
         w.at(t, [&w, first_new, then, seen] {
@@ -62,7 +62,7 @@
     o.machines = 2;
     o.boot_s = machine_up_s;
     if (!c.warm) o.without_standby = {0, 1, 2};
-    World w(o);
+    SimulatedCluster w(o);
     w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
     w.run_until(25);
     ASSERT_EQ(on_machines(w, "j-8"), 2u);
@@ -117,7 +117,7 @@
         o.machines = 2;
         o.boot_s = machine_up_s;
         if (!warm) o.without_standby = {0, 1, 2};
-        World w(o);
+        SimulatedCluster w(o);
         w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
         w.run_until(25);
         std::size_t lost = 0, first_new = w.workers.size();
@@ -159,7 +159,7 @@
         o.boot_s = machine_up_s;
         o.gpus_max = 4;
         if (!warm) o.without_standby = {0, 1, 2};
-        World w(o);
+        SimulatedCluster w(o);
         w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
         w.run_until(25);
         w.at(26, [&w] {
@@ -196,7 +196,7 @@
         Options o;
         o.machines = 2;
         o.boot_s = machine_up_s;
-        World w(o);
+        SimulatedCluster w(o);
         std::map<std::string, std::size_t> asked;  // how often, of each rental
         std::string lost;
         w.sent = [&](auto&, auto&, auto& r) {
--- a/tests/combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -1,11 +1,11 @@
 // Jobs that are cancelled in the seconds in which one controller's work changes hands.
-#include "combinations_support.hpp"
+#include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
 // Through this controller, and no other.
-void cancel_at(World& w, std::size_t node, const std::string& id) {
+void cancel_at(SimulatedCluster& w, std::size_t node, const std::string& id) {
     w.jobs[id].cancel_asked = true;
     w.ask_node(node, {"POST", "/api/jobs/" + id + "/cancel", ""}, [&w, id](http::Response r) {
         if (r.status != 200 || w.jobs[id].cancelled) return;
@@ -15,12 +15,12 @@
 }
 // The service's answers to this controller don't show that the job is cancelled, so that only notices tell
 // it. Users are not led there: it would tell them what it was told.
-void keep_from(World& w, std::size_t node, const std::string& id) {
+void keep_from(SimulatedCluster& w, std::size_t node, const std::string& id) {
     w.hide_from(node, id);
     w.no_users(node);
 }
 // Two jobs on all machines, one that is cancelled and one that stays.
-void fill(World& w) {
+void fill(SimulatedCluster& w) {
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 300);
         w.submit("j-2", "service", 6, 0);
@@ -33,7 +33,7 @@
 // The confirming controller's notice is lost, and the leader's watch does not say it either.
 TEST(Meeting, ANoticeOfACancellationThatIsLostIsRepeated) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     fill(w);
     auto leader = lead(w), other = (leader + 1) % 3;
     keep_from(w, leader, "j-1");
@@ -59,7 +59,7 @@
 TEST_P(BetweenTwoLeaders, CancelledTasksGoWithTheFirstDecision) {
     spdlog::set_level(spdlog::level::off);
     auto [after, through] = GetParam();
-    World w({});
+    SimulatedCluster w({});
     fill(w);
     auto old = lead(w), confirms = (old + through) % 3, next = (old + 3 - through) % 3;
     w.crash(old, 8);
@@ -82,7 +82,7 @@
 INSTANTIATE_TEST_SUITE_P(Meeting, WhileTheNextOneReads, testing::Range(0.0, 1.2, 0.1));
 TEST_P(WhileTheNextOneReads, TheNoticeIsNotLost) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     fill(w);
     auto old = lead(w);
     std::optional<double> claimed;
@@ -118,7 +118,7 @@
     auto [after, cut_after] = GetParam();
     Options o;
     o.machines = 9;
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 9, 300);
         w.submit("j-2", "service", 9, 0);
@@ -150,7 +150,7 @@
     Options o;
     o.machines = 8;
     if (!warm) o.without_standby = {0, 1, 2};
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-2", "service", 8, 0); });
     w.run_until(29.5);
     auto old = lead(w);
--- a/tests/combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -1,5 +1,5 @@
 // Transactions that are carried out at once while their answers are lost.
-#include "combinations_support.hpp"
+#include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -14,7 +14,7 @@
 TEST_P(LostAnswers, ChangeNothing) {
     spdlog::set_level(spdlog::level::off);
     std::string kind = GetParam();
-    World w({});
+    SimulatedCluster w({});
     std::minstd_rand random(11);
     std::size_t lost = 0;
     w.late_txn = [&](const json& txn) {
@@ -37,7 +37,7 @@
 // does not act as a leader, and another one leads once the lease is out that nobody renews.
 TEST(Meeting, AClaimThatSucceededUnknownHoldsUpNobodyLongerThanALease) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 300);
         w.submit("j-2", "service", 6, 0);
--- a/tests/combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -1,7 +1,7 @@
 // Jobs that can't run or lack a field, and requests that make no sense, in the midst of other troubles.
 #include <array>
 
-#include "combinations_support.hpp"
+#include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -73,7 +73,7 @@
 };
 constexpr double trouble_at = 30, trouble_s = 9;
 
-void begin(World& w, Meets meets) {
+void begin(SimulatedCluster& w, Meets meets) {
     if (meets == Meets::types_unknown) w.cloud_down(trouble_at + trouble_s);  // from the start
     w.at(trouble_at, [&w, meets] {
         if (meets == Meets::state_out) w.state_down(trouble_s);
@@ -93,7 +93,7 @@
 TEST_P(Midsts, WhatCannotRunIsNeverAccepted) {
     spdlog::set_level(spdlog::level::off);
     auto meets = GetParam().meets;
-    World w({});
+    SimulatedCluster w({});
     begin(w, meets);
     auto odd = odd_ones();
     for (auto& o : odd) w.jobs[o.id].spec = o.body, w.jobs[o.id].refused = o.refused;
@@ -145,7 +145,7 @@
 TEST_P(Midsts, AnOddRequestChangesNoJob) {
     spdlog::set_level(spdlog::level::off);
     auto meets = GetParam().meets;
-    World w({});
+    SimulatedCluster w({});
     if (meets == Meets::types_unknown) {  // to controllers that have just begun; nothing was stored of them
         w.at(trouble_at - 0.1, [&w] {
             w.cloud_down(trouble_s);
--- a/tests/combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -1,5 +1,5 @@
 // Teams at their limits while jobs are cancelled or end on machines that don't answer, and leaders change.
-#include "combinations_support.hpp"
+#include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -7,7 +7,7 @@
 // What the machines go through that hold all of a team's limit.
 enum class Away { hang, hang_briefly, no_answers, cut_off };
 
-void away(World& w, Away how, std::size_t machine, double for_s) {
+void away(SimulatedCluster& w, Away how, std::size_t machine, double for_s) {
     auto& m = *w.workers[machine];
     if (how == Away::hang) w.hang(machine, for_s);
     if (how == Away::hang_briefly) w.hang(machine, 9);
@@ -55,7 +55,7 @@
     o.machines = 13;  // the tasks are on eight of them at most
     o.gpus_max = o.free_gpus_max = 4;
     if (!c.warm) o.without_standby = {0, 1, 2};
-    World w(o);
+    SimulatedCluster w(o);
     w.at(1.9, [&w] {  // keeps the machines
         w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
     });
@@ -102,7 +102,7 @@
     o.machines = 4;
     o.gpus_max = 6;
     if (!GetParam()) o.without_standby = {0, 1, 2};
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-1", "gang", 2, 25, {{"crew", "tight"}, {"cards", 3.0}}); });
     w.at(2, [&w] { w.submit("j-9", "service", 4, 0, {{"cards", 1.0}}); });
     w.run_until(20);
@@ -140,7 +140,7 @@
     o.machines = 5;
     o.gpus_max = 5;
     if (!warm) o.without_standby = {0, 1, 2};
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 5, 300, {{"crew", "tight"}, {"driftwood", false}});
         w.submit("j-9", "service", 5, 0);
--- a/tests/combinations_support.hpp
+++ b/tests/scenarios/fault_combinations_support.hpp
@@ -5,17 +5,17 @@
 
 #include <algorithm>
 
-#include "fault_scenarios.hpp"
+#include "scenarios/fault_scenarios.hpp"
 
 namespace coralhitch::simulation {
 
-inline std::size_t lead(const World& w) {
+inline std::size_t lead(const SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 inline std::string host_of(std::size_t node) {
     return "10.0.0." + std::to_string(node + 1);
 }
-inline void expect_unbroken(const World& w) {
+inline void expect_unbroken(const SimulatedCluster& w) {
     for (auto& b : w.broken) ADD_FAILURE() << b;
 }
 // Tasks of the job that machines hold and that have not ended.
@@ -23,7 +23,7 @@
     auto here = [&](auto& t) { return !m.dead && t.second.job == job && t.second.status != "exited"; };
     return static_cast<std::size_t>(std::count_if(m.tasks.begin(), m.tasks.end(), here));
 }
-inline std::size_t on_machines(const World& w, const std::string& job) {
+inline std::size_t on_machines(const SimulatedCluster& w, const std::string& job) {
     std::size_t n = 0;
     for (auto& m : w.workers) n += on_machine(*m, job);
     return n;
--- a/tests/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -1,12 +1,12 @@
 // Two troubles that meet: a scripted case for each, with the order of messages fixed. docs/testing.md lists
 // them.
-#include "combinations_support.hpp"
+#include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
 // Keeps the machines, with room for one card more on each.
-void keep_machines(World& w) {
+void keep_machines(SimulatedCluster& w) {
     w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 3.0}}); });
 }
 
@@ -33,7 +33,7 @@
 TEST_P(RefusedAlone, CancelledTasksAreGoneInTime) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
-    World w({});
+    SimulatedCluster w({});
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 300);
         w.submit("j-2", "service", 3, 0);
@@ -72,7 +72,7 @@
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 1;
-    World w(o);
+    SimulatedCluster w(o);
     std::size_t written = 0;
     w.late_txn = [&](const json& txn) {
         for (auto& c : txn["then"])
@@ -97,7 +97,7 @@
     Options o;
     o.machines = 2;
     o.without_standby = {0, 1, 2};  // nothing is known of the machines but what they say
-    World w(o);
+    SimulatedCluster w(o);
     keep_machines(w);
     w.at(4, [&w] { w.submit("j-1", "service", 1, 0); });
     std::map<std::string, http::Request> showed;  // the last report of each machine with the task
@@ -141,7 +141,7 @@
     o.machines = 12;
     o.hear_s = 0.05;  // so that the answer comes after the `run`
     o.cancel_s = 34;
-    World w(o);
+    SimulatedCluster w(o);
     keep_machines(w);
     w.run_until(30);
     w.cut_one_way("10.0.", "10.1.", 13, false);
@@ -176,7 +176,7 @@
 TEST_P(LateTransactions, BreakNoRule) {
     spdlog::set_level(spdlog::level::off);
     std::string kind = GetParam();
-    World w({});
+    SimulatedCluster w({});
     std::minstd_rand random(7);
     std::size_t late = 0;
     w.late_txn = [&](const json& txn) {
@@ -207,7 +207,7 @@
     auto [both_ways, for_s] = GetParam();
     Options o;
     o.gpus_max = 6;
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 200, {{"crew", "tight"}});
         w.submit("j-2", "gang", 3, 200, {{"together", true}});
@@ -241,7 +241,7 @@
     for (bool crash : {false, true}) {
         Options o;
         o.machines = 8;
-        World w(o);
+        SimulatedCluster w(o);
         keep_machines(w);
         w.run_until(30);
         constexpr double mute_s = 90;
@@ -279,7 +279,7 @@
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Options o;
         o.seed = seed;
-        World w(o);
+        SimulatedCluster w(o);
         work(w, 110);
         for (double t = 25; t < 95; t += 24) {
             w.at(t, [&w] {
@@ -303,7 +303,7 @@
 TEST(Meeting, ASlowStateServiceAtTheEdgeOfALease) {
     spdlog::set_level(spdlog::level::off);
     for (double by : {0.6, 1.2, 1.6}) {
-        World w({});
+        SimulatedCluster w({});
         work(w, 110);
         for (double t = 25; t < 95; t += 20) {
             w.at(t, [&w, by] { w.slow_state(15, by); });
@@ -320,7 +320,7 @@
 // long.
 TEST(Meeting, ALeaderAloneTellsNothingOlder) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 300);
         w.submit("j-2", "service", 3, 0);
@@ -368,7 +368,7 @@
     auto [shape, at_report] = GetParam();
     Options o;
     o.machines = 1;
-    World w(o);
+    SimulatedCluster w(o);
     bool gang = std::string(shape) == "gang";
     // One at a time finds room.
     w.at(2, [&w, s = std::string(shape), gang] {
--- a/tests/combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -2,7 +2,7 @@
 // nothing waits that has room and quota.
 #include <array>
 
-#include "combinations_support.hpp"
+#include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -46,7 +46,7 @@
     auto c = GetParam();
     Options o;
     o.machines = 8;
-    World w(o);
+    SimulatedCluster w(o);
     json more{{"together", true}, {"cards", 2.0}, {"driftwood", false}};
     if (c.named) more["reef"] = "a";
     bool service = std::string(c.shape) == "service";
@@ -98,7 +98,7 @@
 TEST_P(OneCutOff, GoesOnElsewhereOnceTheLeaseIsOut) {
     spdlog::set_level(spdlog::level::off);
     Options o;
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] {  // keeps the machines: one on each
         w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
     });
@@ -131,7 +131,7 @@
     o.gpus_max = 8;
     o.waits_s = 90;
     if (slow) o.hear_s = 0.15;  // what workers say takes long on its way, and waits in line
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}}); });
     w.run_until(20);
     constexpr std::array ranks{"idle", "normal", "high"};
--- a/tests/fault_scenarios.cpp
+++ b/tests/scenarios/fault_scenarios.cpp
@@ -1,4 +1,4 @@
-#include "fault_scenarios.hpp"
+#include "scenarios/fault_scenarios.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -6,7 +6,7 @@
 namespace coralhitch::simulation {
 namespace {
 constexpr double faults_from = 20, faults_until = 100, work_until = 110, play_until = 280;
-constexpr std::size_t nodes = 3, troubles = static_cast<std::size_t>(Trouble::small_jobs) + 1;
+constexpr std::size_t nodes = 3, troubles = static_cast<std::size_t>(FaultKind::small_jobs) + 1;
 constexpr double copies_soon = 3, copies_late = 60;  // s; a worker's lease is 24
 constexpr const char* names[] = {"controller ends",
                                  "all controllers end",
@@ -44,26 +44,26 @@
 std::string node(std::size_t k) {
     return "10.0.0." + std::to_string(k + 1);
 }
-std::size_t leads(const World& w, std::size_t who) {
+std::size_t leads(const SimulatedCluster& w, std::size_t who) {
     return who < nodes ? who : static_cast<std::size_t>(std::max(0, w.leader()));
 }
 // A quarter of the transactions; what meets another fault of this kind happens as that one says first.
-void late_transactions(World& w, const Fault& f, double (*late)(std::minstd_rand&)) {
+void late_transactions(SimulatedCluster& w, const Fault& f, double (*late)(std::minstd_rand&)) {
     auto random = std::make_shared<std::minstd_rand>(f.other + f.who);
     w.late_txn = [&w, random, late, before = w.late_txn, until = w.now() + f.for_s](const json& txn) {
         if (double other = before ? before(txn) : 0; other != 0) return other;
         return w.now() > until || (*random)() % 4 ? 0.0 : late(*random);
     };
 }
-void happen(World& w, const Fault& f, std::size_t machines) {
+void happen(SimulatedCluster& w, const Fault& f, std::size_t machines) {
     auto k = leads(w, f.who);
     switch (f.what) {
-        case Trouble::crash:
+        case FaultKind::crash:
             return w.crash(k, f.for_s);
-        case Trouble::crash_all:
+        case FaultKind::crash_all:
             for (std::size_t n = 0; n < nodes; ++n) w.crash(n, f.for_s);
             return;
-        case Trouble::crash_after: {
+        case FaultKind::crash_after: {
             auto left = std::make_shared<std::size_t>(f.other);
             w.sent = [&w, left, back = f.for_s](const std::string& from, auto&, auto&) {
                 auto l = leads(w, nodes);
@@ -72,78 +72,78 @@
             };
             return;
         }
-        case Trouble::stand_still:
+        case FaultKind::stand_still:
             return w.stand_still(k, f.for_s);
-        case Trouble::refuse:
+        case FaultKind::refuse:
             return w.refuse_state(k, f.for_s);
-        case Trouble::cut:
+        case FaultKind::cut:
             return w.cut(node(k), node((k + 1 + f.other % 2) % nodes), f.for_s, f.hold);
-        case Trouble::deaf:
+        case FaultKind::deaf:
             return w.cut(node(k), "10.1.", f.for_s, f.hold);
-        case Trouble::alone:
+        case FaultKind::alone:
             return w.cut(node(k), "10.", f.for_s, f.hold);
-        case Trouble::state:
+        case FaultKind::state:
             return w.state_down(f.for_s);
-        case Trouble::cloud:
+        case FaultKind::cloud:
             return w.cloud_down(f.for_s);
-        case Trouble::die:
+        case FaultKind::die:
             return w.die(f.who);
-        case Trouble::hang:
+        case FaultKind::hang:
             return w.hang(f.who, f.for_s);
-        case Trouble::zone:
+        case FaultKind::zone:
             for (std::size_t m = f.who % 2; m < std::max(machines, w.workers.size()); m += 2)
                 w.cut(w.workers[m % w.workers.size()]->addr, "10.", f.for_s, f.hold);
             return w.cut(node(f.who % 2), "10.", f.for_s, f.hold);
-        case Trouble::unreached: {
+        case FaultKind::unreached: {
             // One machine, or a third of them; from all controllers, or from one.
             std::size_t step = f.other > 8 ? 3 : w.workers.size();
             for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step)
                 w.cut_one_way(f.other % 4 == 0 ? node(f.who % nodes) : "10.0.", w.workers[m]->addr, f.for_s);
             return;
         }
-        case Trouble::copies:
+        case FaultKind::copies:
             return w.copy_messages(f.for_s, f.hold ? copies_late : copies_soon);
-        case Trouble::isolated:
+        case FaultKind::isolated:
             w.cut(node(k), "10.2.0.1", f.for_s, f.hold);
             return w.cut(node(k), "10.0.", f.for_s, f.hold);
-        case Trouble::reboot:
+        case FaultKind::reboot:
             return w.reboot(f.who, f.hold);
-        case Trouble::late_txns:
+        case FaultKind::late_txns:
             return late_transactions(
                 w, f, [](auto& random) { return std::uniform_real_distribution<double>(2, 12)(random); });
-        case Trouble::answer_lost:
+        case FaultKind::answer_lost:
             return late_transactions(w, f, [](auto&) { return -1.0; });
-        case Trouble::slow_state:
+        case FaultKind::slow_state:
             return w.slow_state(f.for_s,
                                 f.hold ? 1.2 : 0.4);  // s; a leader's lease is 2.4, a question waits 1.5
-        case Trouble::cancel_all:
+        case FaultKind::cancel_all:
             for (auto& [id, told] : w.jobs)
                 if (told.accepted && !told.done && !told.cancel_asked) w.cancel(id);
             return;
-        case Trouble::close_looks:
+        case FaultKind::close_looks:
             return w.close_looks(f.for_s);
-        case Trouble::cancel_at_end:
+        case FaultKind::cancel_at_end:
             return w.cancel_at_end(f.for_s);
-        case Trouble::cancel_now:
+        case FaultKind::cancel_now:
             return w.cancel_now(f.other, f.for_s);
-        case Trouble::mute: {
+        case FaultKind::mute: {
             std::size_t step = f.other > 8 ? 3 : w.workers.size();  // a third of the machines, or one
             for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step) w.mute(m, f.for_s);
             return;
         }
-        case Trouble::odd_requests:
+        case FaultKind::odd_requests:
             return w.odd_requests(f.for_s);
-        case Trouble::copy_for_next:
+        case FaultKind::copy_for_next:
             return w.keep_copies(f.for_s);
-        case Trouble::late_commands:
+        case FaultKind::late_commands:
             return w.late_commands(f.for_s);
-        case Trouble::fast_boots:
+        case FaultKind::fast_boots:
             // Machines that are gone make the service rent new ones.
             for (std::size_t m = 0; m < 2; ++m) w.die(f.other + 5 * m);
             return w.fast_boots(f.for_s, f.hold ? 1.2 : 0.4);
-        case Trouble::team_limits:
+        case FaultKind::team_limits:
             return w.fill_limits();
-        case Trouble::small_jobs:
+        case FaultKind::small_jobs:
             return w.small_jobs(f.for_s);
     }
 }
@@ -159,7 +159,7 @@
     return line;
 }
 
-void work(World& w, double until) {
+void work(SimulatedCluster& w, double until) {
     int n = 0;
     for (double t = 2; t < until; t += 2.5, ++n)
         w.at(t, [&w, n] {
@@ -171,7 +171,7 @@
         });
     for (int k = 0; k < n; k += 5) w.at(until + 30, [&w, k] { w.cancel("j-" + std::to_string(100 + k)); });
 }
-std::vector<std::string> wrong(const World& w) {
+std::vector<std::string> wrong(const SimulatedCluster& w) {
     auto out = w.broken;
     if (w.starts <= 40) out.push_back("hardly anything was started");
     for (auto& [id, told] : w.jobs) {
@@ -186,21 +186,23 @@
 double between(std::mt19937_64& random, double a, double b) {
     return std::uniform_real_distribution<double>(a, b)(random);
 }
-Fault draw_fault(std::mt19937_64& random, Trouble what, double at, std::size_t machines) {
+Fault draw_fault(std::mt19937_64& random, FaultKind what, double at, std::size_t machines) {
     Fault f;
     f.at = at;
     f.what = what;
     f.who = random() % (nodes + 1);
     f.other = 1 + random() % 12;
     f.hold = random() % 2;
-    bool ends = f.what <= Trouble::crash_after;
-    bool long_ones = f.what == Trouble::hang || f.what == Trouble::zone || f.what == Trouble::unreached ||
-                     f.what == Trouble::isolated || f.what == Trouble::late_txns ||
-                     f.what == Trouble::cancel_now || f.what == Trouble::mute;
+    bool ends = f.what <= FaultKind::crash_after;
+    bool long_ones = f.what == FaultKind::hang || f.what == FaultKind::zone ||
+                     f.what == FaultKind::unreached || f.what == FaultKind::isolated ||
+                     f.what == FaultKind::late_txns || f.what == FaultKind::cancel_now ||
+                     f.what == FaultKind::mute;
     f.for_s = ends ? (random() % 3 ? between(random, 0.05, 0.5) : between(random, 2, 6))
                    : between(random, 0.5, long_ones ? 30 : 12);
-    bool of_machine = f.what == Trouble::die || f.what == Trouble::hang || f.what == Trouble::unreached ||
-                      f.what == Trouble::reboot || f.what == Trouble::mute;
+    bool of_machine = f.what == FaultKind::die || f.what == FaultKind::hang ||
+                      f.what == FaultKind::unreached || f.what == FaultKind::reboot ||
+                      f.what == FaultKind::mute;
     if (of_machine) f.who = random() % machines;
     return f;
 }
@@ -212,7 +214,7 @@
     // Some come singly, some within a second of the one before.
     double t = faults_from;
     while ((t += random() % 3 ? between(random, 0.05, 1.5) : between(random, 3, 15)) < faults_until)
-        out.push_back(draw_fault(random, static_cast<Trouble>(random() % troubles), t, machines));
+        out.push_back(draw_fault(random, static_cast<FaultKind>(random() % troubles), t, machines));
     return out;
 }
 
@@ -222,8 +224,8 @@
 std::pair<Fault, Fault> draw_pair(std::mt19937_64& random, std::size_t pair, double t, std::size_t machines) {
     // A leader's lease, a report period, a worker's lease, the time of a cancellation.
     constexpr double ttl = 2.4, report = 3, lease = 24, cancel = 44, spans[] = {ttl, report, lease, cancel};
-    auto a = draw_fault(random, static_cast<Trouble>(pair % troubles), t, machines),
-         b = draw_fault(random, static_cast<Trouble>(pair / troubles % troubles), t, machines);
+    auto a = draw_fault(random, static_cast<FaultKind>(pair % troubles), t, machines),
+         b = draw_fault(random, static_cast<FaultKind>(pair / troubles % troubles), t, machines);
     double span = spans[random() % std::size(spans)];
     switch (random() % 3) {
         case 0:  // back to back
@@ -241,14 +243,14 @@
     // A process is away for as long as its machine takes to start it; a stream ends in time for its jobs.
     constexpr double away_most = 6, stream_most = 12;
     for (auto* f : {&a, &b}) {
-        if (f->what <= Trouble::crash_after) f->for_s = std::min(f->for_s, away_most);
-        if (f->what == Trouble::small_jobs) f->for_s = std::min(f->for_s, stream_most);
+        if (f->what <= FaultKind::crash_after) f->for_s = std::min(f->for_s, away_most);
+        if (f->what == FaultKind::small_jobs) f->for_s = std::min(f->for_s, stream_most);
     }
     return {a, b};
 }
 }  // namespace
 
-std::vector<Fault> draw_meeting(std::uint64_t seed, std::size_t machines) {
+std::vector<Fault> draw_fault_pairs(std::uint64_t seed, std::size_t machines) {
     // Pairs that share a kind are next to each other: a step through them, without a common factor with their
     // number, mixes the kinds of a play.
     constexpr std::size_t step = 331;
@@ -263,8 +265,8 @@
     }
     return out;
 }
-std::vector<std::string> play(std::uint64_t seed, std::size_t machines, const std::vector<Fault>& faults,
-                              Counts* counts) {
+std::vector<std::string> run_scenario(std::uint64_t seed, std::size_t machines,
+                                      const std::vector<Fault>& faults, Counts* counts) {
     Options o;
     o.seed = seed;
     o.machines = machines;
@@ -272,7 +274,7 @@
     // Users go on asking for as long as the longest trouble lasts, and then some.
     for (auto& f : faults)
         if (f.for_s > 20) o.submit_tries = 200;
-    World w(o);
+    SimulatedCluster w(o);
     work(w, work_until);
     w.troubles_over = 0;
     for (auto& f : faults) {
@@ -294,7 +296,7 @@
             auto less = faults;
             auto at = less.begin() + static_cast<std::ptrdiff_t>(k);
             less.erase(at, at + static_cast<std::ptrdiff_t>(part));
-            if (play(seed, machines, less).empty())
+            if (run_scenario(seed, machines, less).empty())
                 k += part;
             else
                 faults = std::move(less);
--- a/tests/fault_scenarios.hpp
+++ b/tests/scenarios/fault_scenarios.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 
@@ -15,7 +15,7 @@
 inline constexpr std::uint64_t seeds_part = 1;
 #endif
 
-enum class Trouble {
+enum class FaultKind {
     crash,
     crash_all,
     crash_after,
@@ -51,7 +51,7 @@
 
 struct Fault {
     double at = 0;  // s
-    Trouble what = Trouble::crash;
+    FaultKind what = FaultKind::crash;
     std::size_t who = 0;  // a controller (3: who leads then), a machine, or a zone
     std::size_t other =
         0;              // for a cut between controllers: the other; for crash_after: after so many messages
@@ -63,9 +63,9 @@
 std::string name(const Fault& f);  // of its kind
 
 // Jobs of every kind come all the time, so that starts are on their way at any moment; all end in time.
-void work(World& w, double until);
+void work(SimulatedCluster& w, double until);
 // What is wrong at the end: rules that were broken, jobs that were not accepted or have not ended.
-std::vector<std::string> wrong(const World& w);
+std::vector<std::string> wrong(const SimulatedCluster& w);
 
 std::vector<Fault> draw_faults(std::uint64_t seed, std::size_t machines);
 // Pairs of kinds of trouble, each of which meet: one after the other, overlapping, or the second inside the
@@ -73,7 +73,7 @@
 // further ones have them again with other times.
 inline constexpr std::size_t pairs_each = 3;
 extern const std::size_t pairs, pair_seeds;
-std::vector<Fault> draw_meeting(std::uint64_t seed, std::size_t machines);
+std::vector<Fault> draw_fault_pairs(std::uint64_t seed, std::size_t machines);
 
 // What a play has had besides broken rules.
 struct Counts {
@@ -82,8 +82,8 @@
     std::size_t starts_cancelled = 0;  // after the cancellation was confirmed, and within `cancel_s` of it
     std::uint64_t digest = 0;          // of the messages of the last play
 };
-std::vector<std::string> play(std::uint64_t seed, std::size_t machines, const std::vector<Fault>& faults,
-                              Counts* counts = nullptr);
+std::vector<std::string> run_scenario(std::uint64_t seed, std::size_t machines,
+                                      const std::vector<Fault>& faults, Counts* counts = nullptr);
 // The fewest of these faults with which something is still wrong.
 std::vector<Fault> shrink(std::uint64_t seed, std::size_t machines, std::vector<Fault> faults);
 
--- a/tests/fault_scenarios_main.cpp
+++ b/tests/scenarios/fault_scenarios_main.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <map>
 
-#include "fault_scenarios.hpp"
+#include "scenarios/fault_scenarios.hpp"
 
 int main(int argc, char** argv) {
     using namespace coralhitch::simulation;
@@ -27,10 +27,10 @@
     std::map<std::string, std::size_t> met;
     Counts counts;
     for (auto seed = from; seed < from + seeds; ++seed) {
-        auto faults = meetings ? draw_meeting(seed, size) : draw_faults(seed, size);
+        auto faults = meetings ? draw_fault_pairs(seed, size) : draw_faults(seed, size);
         for (std::size_t k = 0; meetings && k + 1 < faults.size(); k += 2)
             ++met[name(faults[k]) + " / " + name(faults[k + 1])];
-        auto bad = play(seed, size, faults, &counts);
+        auto bad = run_scenario(seed, size, faults, &counts);
         if (digest) {
             std::printf("%llu %016llx\n", static_cast<unsigned long long>(seed),
                         static_cast<unsigned long long>(counts.digest));
@@ -39,7 +39,7 @@
         }
         if (bad.empty()) continue;
         ++failed;
-        if (!whole) faults = shrink(seed, size, faults), bad = play(seed, size, faults);
+        if (!whole) faults = shrink(seed, size, faults), bad = run_scenario(seed, size, faults);
         std::printf("seed %llu, size %zu:\n", static_cast<unsigned long long>(seed), size);
         for (auto& f : faults) std::printf("  %s\n", text(f).c_str());
         for (auto& b : bad) std::printf("  -> %s\n", b.c_str());
--- a/tests/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -1,4 +1,4 @@
-#include "fault_scenarios.hpp"
+#include "scenarios/fault_scenarios.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -16,7 +16,7 @@
     constexpr std::uint64_t each = 15 / seeds_part;
     for (auto seed = 1 + GetParam() * each; seed <= (1 + GetParam()) * each; ++seed) {
         auto faults = draw_faults(seed, 12);
-        for (auto& b : play(seed, 12, faults)) ADD_FAILURE() << "seed " << seed << ": " << b;
+        for (auto& b : run_scenario(seed, 12, faults)) ADD_FAILURE() << "seed " << seed << ": " << b;
     }
 }
 
@@ -26,14 +26,14 @@
 TEST_P(Meetings, KeepTheRules) {
     spdlog::set_level(spdlog::level::off);
     for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seeds_part)
-        for (auto& b : play(seed, 12, draw_meeting(seed, 12)))
+        for (auto& b : run_scenario(seed, 12, draw_fault_pairs(seed, 12)))
             ADD_FAILURE() << "meeting " << seed << ": " << b;
 }
 
 TEST(Pairs, AreAllDrawn) {
     std::set<std::string> met;
     for (std::uint64_t seed = 0; seed < pair_seeds; ++seed) {
-        auto faults = draw_meeting(seed, 12);
+        auto faults = draw_fault_pairs(seed, 12);
         for (std::size_t k = 0; k + 1 < faults.size(); k += 2)
             met.insert(name(faults[k]) + " / " + name(faults[k + 1]));
     }
@@ -44,7 +44,7 @@
     spdlog::set_level(spdlog::level::off);
     Options options;
     options.machines = 8000;
-    World world(options);
+    SimulatedCluster world(options);
     std::set<std::string> addresses;
     for (auto& worker : world.workers) addresses.insert(worker->addr);
     EXPECT_EQ(addresses.size(), options.machines);
@@ -55,13 +55,13 @@
 TEST(Shrinking, KeepsWhatThePlayNeeds) {
     spdlog::set_level(spdlog::level::off);
     std::vector<Fault> faults;
-    for (int k = 0; k < 6; ++k) faults.push_back({20.0 + 10 * k, Trouble::crash, 3, 1, 0.2, false});
+    for (int k = 0; k < 6; ++k) faults.push_back({20.0 + 10 * k, FaultKind::crash, 3, 1, 0.2, false});
     // The key-value store never comes back: nothing ends.
-    faults.push_back({60, Trouble::state, 0, 1, 1000, false});
-    EXPECT_FALSE(play(1, 8, faults).empty());
+    faults.push_back({60, FaultKind::state, 0, 1, 1000, false});
+    EXPECT_FALSE(run_scenario(1, 8, faults).empty());
     auto least = shrink(1, 8, faults);
     ASSERT_EQ(least.size(), 1u);
-    EXPECT_EQ(least[0].what, Trouble::state);
+    EXPECT_EQ(least[0].what, FaultKind::state);
 }
 
 }  // namespace
--- a/tests/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -2,9 +2,9 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "fake_state.hpp"
 #include "kv/kv_client.hpp"
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
+#include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -24,7 +24,7 @@
     for (std::size_t nodes : {1u, 2u, 3u})
         for (double after : {-1.0, 0.0, 0.002, 0.004, 0.007, 0.012, 0.03}) {
             SCOPED_TRACE(std::to_string(nodes) + " nodes, " + std::to_string(after) + " s after");
-            World w({});
+            SimulatedCluster w({});
             std::vector<std::string> told;
             bool met = false;
             // The end is stored a moment after the report that tells it.
@@ -65,7 +65,7 @@
     for (double late : {-1.0, 1.0, 4.0, 9.0}) {
         SCOPED_TRACE(std::to_string(late));
         Options o;
-        World w(o);
+        SimulatedCluster w(o);
         std::size_t lost = 0, written = 0;
         w.late_txn = [&](const json& txn) {
             for (auto& c : txn["then"])
@@ -121,7 +121,7 @@
     o.machines = 10;
     o.write_rps = 20;
     o.txn_ops = o.next_txn_ops = 24;
-    World w(o);
+    SimulatedCluster w(o);
     constexpr double rate = 4.6, from = 20, until = 140;
     std::size_t n = 0;
     for (double t = from; t < until; t += 1 / rate) {
@@ -160,7 +160,7 @@
 // take what gathered meanwhile.
 TEST(StateClient, SmallChangesDontOvertakeLargeOnes) {
     FakeTimers timers;
-    FakeState service(timers);
+    FakeKeyValueStore service(timers);
     config::Settings s;
     s.nodes = 3;
     s.report_s = 5;
--- a/tests/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -3,12 +3,12 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-std::size_t lead(const World& w) {
+std::size_t lead(const SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 std::string host_of(std::size_t node) {
@@ -17,10 +17,10 @@
 std::string host_of(const Worker& m) {
     return m.addr.substr(0, m.addr.find(':'));
 }
-void expect_unbroken(const World& w) {
+void expect_unbroken(const SimulatedCluster& w) {
     for (auto& b : w.broken) ADD_FAILURE() << b;
 }
-std::size_t on_machines(const World& w, const std::string& job, const std::string& zone = "") {
+std::size_t on_machines(const SimulatedCluster& w, const std::string& job, const std::string& zone = "") {
     std::size_t n = 0;
     for (auto& m : w.workers)
         for (auto& [name, t] : m->tasks)
@@ -28,17 +28,17 @@
     return n;
 }
 // Machines in a zone, both if it is empty: all, or those whose workers' leases have run out.
-std::size_t machines(const World& w, const std::string& zone = "", bool lapsed_only = false) {
+std::size_t machines(const SimulatedCluster& w, const std::string& zone = "", bool lapsed_only = false) {
     std::size_t n = 0;
     for (auto& m : w.workers)
         n += !m->dead && (zone.empty() || m->zone == zone) && (!lapsed_only || m->agent_epoch > 1);
     return n;
 }
-std::size_t lapsed(const World& w, const std::string& zone = "") {
+std::size_t lapsed(const SimulatedCluster& w, const std::string& zone = "") {
     return machines(w, zone, true);
 }
 // Leaders end until this controller leads, or until another one does.
-void make_lead(World& w, std::size_t node, bool wanted) {
+void make_lead(SimulatedCluster& w, std::size_t node, bool wanted) {
     for (int tries = 0; tries < 30 && (lead(w) == node) != wanted; ++tries) {
         w.crash(lead(w), 2);
         w.run_until(w.now() + 6);
@@ -48,7 +48,7 @@
 }
 // Zone b, that is one controller and every other machine, from the other zone and from the region.
 constexpr std::size_t inside = 1;
-void cut_zone(World& w, double for_s, bool hold) {
+void cut_zone(SimulatedCluster& w, double for_s, bool hold) {
     std::vector<std::string> in{host_of(inside)}, out{"10.2.", host_of(0), host_of(2)};
     for (auto& m : w.workers) (m->zone == "b" ? in : out).push_back(host_of(*m));
     for (auto& a : in)
@@ -57,7 +57,7 @@
 }
 
 // Six tasks of an array that last, and six replicas, all of them running by then.
-void run_long_work(World& w) {
+void run_long_work(SimulatedCluster& w) {
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 400);
         w.submit("j-2", "service", 6, 0);
@@ -85,7 +85,7 @@
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
-    World w(o);
+    SimulatedCluster w(o);
     run_long_work(w);
     make_lead(w, inside, c.leads);
     ASSERT_EQ(on_machines(w, "j-1"), 6u);
@@ -130,7 +130,7 @@
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
-    World w(o);
+    SimulatedCluster w(o);
     run_long_work(w);
     ASSERT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2"), 12u);
     auto starts = w.starts;
@@ -175,7 +175,7 @@
     Options o;
     o.machines = 9;
     if (!c.standby) o.without_standby = {0, 1, 2};
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 400);
         w.submit("j-2", "service", 6, 0);
--- a/tests/standby_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -6,11 +6,11 @@
 
 #include "cluster/cluster_state.hpp"
 #include "failover/reconciliation.hpp"
-#include "fake_state.hpp"
-#include "fault_scenarios.hpp"
 #include "kv/keys.hpp"
 #include "replication/checks.hpp"
 #include "replication/replication_sender.hpp"
+#include "scenarios/fault_scenarios.hpp"
+#include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::replication {
 namespace {
@@ -181,7 +181,7 @@
         return out;
     }
     FakeTimers timers;
-    FakeState service{timers};
+    FakeKeyValueStore service{timers};
     config::Settings settings = settings_for();
     kv::KvClient client{timers, service, settings};
     std::map<std::string, Peer> followers{{"x", {Follower(1)}}, {"y", {Follower(2)}}};
@@ -241,11 +241,12 @@
 // A write that names somebody and was not answered may be executed at any later time, until one on the
 // version after it is confirmed.
 TEST(ReplicationSender, WhoMayComeToBeNamedCounts) {
-    for (auto fate : {FakeState::Fate::lost_after, FakeState::Fate::late, FakeState::Fate::never}) {
+    for (auto fate : {FakeKeyValueStore::Fate::lost_after, FakeKeyValueStore::Fate::late,
+                      FakeKeyValueStore::Fate::never}) {
         SCOPED_TRACE(static_cast<int>(fate));
         Bench b;
         b.followers.at("y").silent = true;
-        b.service.fates = {FakeState::Fate::answered, fate};  // the first names nobody
+        b.service.fates = {FakeKeyValueStore::Fate::answered, fate};  // the first names nobody
         b.teller.start(0, std::nullopt);
         for (double t = 0.1; t < 12; t += 0.05) {
             b.timers.run_until(t);
@@ -348,7 +349,8 @@
                 f.silent = f.silent ? random() % 5 != 0 : random() % 25 == 0;
                 f.fails = f.fails ? random() % 3 != 0 : random() % 8 == 0;
             }
-            if (random() % 20 == 0) b.service.fates.push_back(static_cast<FakeState::Fate>(random() % 4));
+            if (random() % 20 == 0)
+                b.service.fates.push_back(static_cast<FakeKeyValueStore::Fate>(random() % 4));
             if (random() % 3 == 0) b.teller.tick();
             for (std::size_t n = random() % 10 == 0 ? 500 : random() % 3; n > 0; --n) {
                 auto id = "vm-" + std::to_string(1000 + random() % 700);
@@ -485,19 +487,19 @@
 namespace coralhitch::simulation {
 namespace {
 
-std::size_t lead(World& w) {
+std::size_t lead(SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 bool runs(const http::Request& r) {
     return r.target == protocol::paths::commands && r.body.find("\"run\"") != std::string::npos;
 }
 
-void ends_well(World& w) {
+void ends_well(SimulatedCluster& w) {
     for (auto& b : wrong(w)) ADD_FAILURE() << b;
 }
 
 // Whoever leads after this one ends as soon as it does.
-void crash_next(World& w, std::size_t leader) {
+void crash_next(SimulatedCluster& w, std::size_t leader) {
     if (w.leader() >= 0 && lead(w) != leader) return w.crash(lead(w), 3);
     w.at(w.now() + 0.02, [&w, leader] { crash_next(w, leader); });
 }
@@ -507,14 +509,14 @@
 struct FaultAt {
     const char* name;
     std::function<bool(const http::Request&)> message;
-    std::function<void(World&, std::size_t leader)> what;
+    std::function<void(SimulatedCluster&, std::size_t leader)> what;
 };
 const FaultAt faults[] = {
     {"a start is told", [](auto& r) { return r.target == protocol::peer_fleet_path; },
-     [](World& w, std::size_t l) { w.crash(l, 5); }},
-    {"a start is sent", runs, [](World& w, std::size_t l) { w.crash(l, 5); }},
+     [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
+    {"a start is sent", runs, [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent, and the next leader ends before it has settled", runs,
-     [](World& w, std::size_t l) {
+     [](SimulatedCluster& w, std::size_t l) {
          w.crash(l, 9);
          crash_next(w, l);
      }},
@@ -523,22 +525,22 @@
          return r.target == "/txn" && (r.body.find("mach/") != std::string::npos ||
                                        r.body.find("\"standby\"") != std::string::npos);
      },
-     [](World& w, std::size_t l) { w.crash(l, 5); }},
+     [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent, and the leader stands still, then goes on", runs,
-     [](World& w, std::size_t l) { w.stand_still(l, 14); }},
+     [](SimulatedCluster& w, std::size_t l) { w.stand_still(l, 14); }},
     {"a start is told to one that is cut off, its messages held",
      [](auto& r) { return r.target == protocol::peer_fleet_path; },
-     [](World& w, std::size_t l) {
+     [](SimulatedCluster& w, std::size_t l) {
          w.cut("10.0.0." + std::to_string((l + 1) % 3 + 1), "10.", 25, true);
          w.at(w.now() + 4, [&w, l] { w.crash(l, 5); });
      }},
     {"a start is sent while the state service is out", runs,
-     [](World& w, std::size_t l) {
+     [](SimulatedCluster& w, std::size_t l) {
          w.state_down(10);
          w.crash(l, 5);
      }},
     {"a third of the machines and two controllers at once", runs,
-     [](World& w, std::size_t l) {
+     [](SimulatedCluster& w, std::size_t l) {
          for (std::size_t k = 0; k < 4; ++k) w.die(3 * k);
          w.crash(l, 5);
          w.crash((l + 1) % 3, 7);
@@ -546,7 +548,7 @@
     // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
     {"a start is told, reaches nobody, and the leader ends while machines hang",
      [](auto& r) { return r.target == protocol::peer_fleet_path; },
-     [](World& w, std::size_t l) {
+     [](SimulatedCluster& w, std::size_t l) {
          for (std::size_t k = 0; k < 12; k += 2) w.hang(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
              if (k != l)
@@ -554,7 +556,7 @@
          w.at(w.now() + 0.3, [&w, l] { w.crash(l, 5); });
      }},
     {"the leader is cut off with a zone, packets held", runs,
-     [](World& w, std::size_t l) { w.cut("10.0.0." + std::to_string(l + 1), "10.", 30, true); }},
+     [](SimulatedCluster& w, std::size_t l) { w.cut("10.0.0." + std::to_string(l + 1), "10.", 30, true); }},
 };
 
 void play_at(const FaultAt& f, std::uint64_t seed, std::set<std::size_t> without = {}) {
@@ -563,7 +565,7 @@
     o.seed = seed;
     o.machines = 12;
     o.without_standby = std::move(without);
-    World w(o);
+    SimulatedCluster w(o);
     work(w, 110);
     std::mt19937_64 random(seed);
     for (double t : {30.0, 60.0, 90.0}) {
@@ -610,7 +612,7 @@
         Options o;
         o.seed = seed;
         o.machines = 12;
-        World w(o);
+        SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "service", 30, 0); });
         w.run_until(30);
         w.die(0);
@@ -628,7 +630,7 @@
     spdlog::set_level(spdlog::level::off);
     for (double back : {1.5, 2.3, 2.4, 2.45, 2.5, 2.6}) {
         SCOPED_TRACE(back);
-        World w({});
+        SimulatedCluster w({});
         w.at(2, [&w] { w.submit("j-1", "service", 6, 0); });
         for (double t : {30.0, 45.0, 60.0}) {
             w.run_until(t);
@@ -650,7 +652,7 @@
         Options o;
         o.machines = 5;
         if (!standby) o.without_standby = {0, 1, 2};
-        World w(o);
+        SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "service", 18, 0); });
         w.run_until(30);
         w.cloud_down(60);  // so that it is proven gone by its lease alone
--- a/tests/placement_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -1,8 +1,9 @@
 // Where tasks may go, who goes first, and that two choices are better than one.
+#include "scheduler/scheduler.hpp"
+
 #include <gtest/gtest.h>
 
 #include "autoscaler/autoscaler.hpp"
-#include "scheduler/scheduler.hpp"
 
 namespace coralhitch::scheduler {
 namespace {
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -1,23 +1,31 @@
 // The three controllers as processes in simulated time, and what happens regularly.
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 #include <algorithm>
 
+#include "controller/controller.hpp"
+
 namespace coralhitch::simulation {
 namespace {
 class NodeRequester : public http::Requester {
   public:
-    NodeRequester(World& w, std::string from) : world_(w), from_(std::move(from)) {}
+    NodeRequester(SimulatedCluster& w, std::string from) : world_(w), from_(std::move(from)) {}
     void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
         world_.send(from_, addr, std::move(r), timeout, std::move(result));
     }
 
   private:
-    World& world_;
+    SimulatedCluster& world_;
     std::string from_;
 };
 }  // namespace
 
+// Here, where the controller's type is complete.
+Node::Node() = default;
+Node::Node(Node&&) noexcept = default;
+Node& Node::operator=(Node&&) noexcept = default;
+Node::~Node() = default;
+
 double HostTimers::now() const {
     return world_.now();
 }
@@ -34,7 +42,7 @@
     });
 }
 
-World::World(Options options)
+SimulatedCluster::SimulatedCluster(Options options)
     : options_(options), random_(options.seed), changes_left_(options.write_rps, options.write_rps) {
     for (std::size_t k = 0; k < 3; ++k) {
         Node n;
@@ -91,7 +99,7 @@
             if (!w->dead) check_lease(*w);
     });
 }
-World::~World() {
+SimulatedCluster::~SimulatedCluster() {
     for (auto& n : nodes_)
         if (n.timers) n.timers->kill();
     // A controller that ends answers what still waits with it, into a world that must be whole.
@@ -99,7 +107,7 @@
         for (auto& n : *all) n.controller.reset();
 }
 
-void World::run_until(double t) {
+void SimulatedCluster::run_until(double t) {
     while (!queue_.empty() && queue_.top().t <= t) {
         auto e = queue_.top();
         queue_.pop();
@@ -109,7 +117,7 @@
     now_ = t;
 }
 
-void World::boot(std::size_t k) {
+void SimulatedCluster::boot(std::size_t k) {
     auto& n = nodes_[k];
     n.timers = std::make_unique<HostTimers>(*this);
     n.http = std::make_unique<NodeRequester>(*this, n.settings.listen);
@@ -121,7 +129,7 @@
     n.busy_until = now_;
     n.controller->start();
 }
-void World::crash(std::size_t k, double back_after) {
+void SimulatedCluster::crash(std::size_t k, double back_after) {
     auto& n = nodes_[k];
     if (!n.up) return;
     n.up = false;
@@ -135,7 +143,7 @@
     graveyard_.push_back(std::move(dead));
     at(now_ + back_after, [this, k] { boot(k); });
 }
-std::string World::told_by(std::size_t k, const std::string& gauge) {
+std::string SimulatedCluster::told_by(std::size_t k, const std::string& gauge) {
     std::string value;
     if (nodes_[k].up)
         nodes_[k].controller->serve({"GET", "/metrics", {}}, [&](http::Response r) {
@@ -146,10 +154,16 @@
         });
     return value;
 }
-void World::stand_still(std::size_t k, double for_s) {
+void SimulatedCluster::stand_still(std::size_t k, double for_s) {
     if (nodes_[k].up) nodes_[k].timers->stand_still(now_ + for_s);
 }
-int World::leader() const {
+bool SimulatedCluster::healthy(std::size_t node) const {
+    return nodes_[node].controller->healthy();
+}
+void SimulatedCluster::ask_node(std::size_t node, http::Request r, http::Reply done) {
+    nodes_[node].controller->serve(std::move(r), std::move(done));
+}
+int SimulatedCluster::leader() const {
     for (std::size_t k = 0; k < nodes_.size(); ++k)
         if (nodes_[k].up && nodes_[k].controller->leads()) return static_cast<int>(k);
     return -1;
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -9,9 +9,17 @@
 #include <random>
 #include <set>
 
-#include "controller/controller.hpp"
+#include "config/settings.hpp"
+#include "event_loop/timers.hpp"
 #include "event_loop/token_bucket.hpp"
-#include "message_digest.hpp"
+#include "http/message.hpp"
+#include "leader/planner.hpp"
+#include "protocol/protocol.hpp"
+#include "simulation/message_digest.hpp"
+
+namespace coralhitch::controller {
+class Controller;
+}
 
 namespace coralhitch::simulation {
 using nlohmann::json;
@@ -21,12 +29,12 @@
 inline const std::vector<std::string> zones{"a", "b"};
 inline constexpr double machine_gpus = 4;
 
-class World;
+class SimulatedCluster;
 
 // Timers of one host: when the host dies, what it had planned does not happen.
 class HostTimers : public event_loop::Timers {
   public:
-    explicit HostTimers(World& world) : world_(world) {}
+    explicit HostTimers(SimulatedCluster& world) : world_(world) {}
     double now() const override;
     double unix_time() const override { return now() + 1e9; }
     event_loop::TimerId after(double s, event_loop::Task task) override;
@@ -37,7 +45,7 @@
     double still_until() const { return *still_until_; }
 
   private:
-    World& world_;
+    SimulatedCluster& world_;
     event_loop::TimerId next_ = 1;
     void fire(event_loop::TimerId id, double due, event_loop::Task task);
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -78,6 +86,10 @@
 };
 
 struct Node {
+    Node();
+    Node(Node&&) noexcept;
+    Node& operator=(Node&&) noexcept;
+    ~Node();
     config::Settings settings;
     std::unique_ptr<HostTimers> timers;
     std::unique_ptr<http::Requester> http;
@@ -102,7 +114,7 @@
 };
 
 // What users were told about a job, and when they first received it (-1: never).
-struct Told {
+struct JobHistory {
     json spec;
     bool accepted = false, cancelled = false, done = false;
     bool cancel_asked = false;
@@ -142,10 +154,10 @@
     double write_rps = 80;
 };
 
-class World {
+class SimulatedCluster {
   public:
-    explicit World(Options options);
-    ~World();
+    explicit SimulatedCluster(Options options);
+    ~SimulatedCluster();
     void run_until(double t);
     double now() const { return now_; }
     void at(double t, event_loop::Task task) { queue_.push({t, next_event_++, std::move(task)}); }
@@ -170,7 +182,7 @@
         hide_from_watches(id);
         hidden_from_ = addr_of(node);
     }
-    bool healthy(std::size_t node) const { return nodes_[node].controller->healthy(); }
+    bool healthy(std::size_t node) const;
     void state_down(double for_s) { state_down_until_ = now_ + for_s; }
     // Each answer of the key-value store takes so much longer, or half as much at the least.
     void slow_state(double for_s, double by_s) {
@@ -226,9 +238,7 @@
     void post_to(std::size_t node, const std::string& body, http::Reply done) {
         ask_node(node, {"POST", "/api/jobs", body}, std::move(done));
     }
-    void ask_node(std::size_t node, http::Request r, http::Reply done) {
-        nodes_[node].controller->serve(std::move(r), std::move(done));
-    }
+    void ask_node(std::size_t node, http::Request r, http::Reply done);
     void poll_all();
     // Takes down what a user was told, and holds it against what was received before the question was sent.
     void note(const Answer& a);
@@ -255,7 +265,7 @@
     std::string record(const std::string& key) const { return kv_.at(key).value; }
 
     std::vector<std::string> broken;
-    std::map<std::string, Told> jobs;
+    std::map<std::string, JobHistory> jobs;
     std::vector<std::unique_ptr<Worker>> workers;
     std::size_t starts = 0, done_again = 0;  // done_again: of tasks that were done already
     std::size_t starts_cancelled = 0;        // after the cancellation was confirmed
--- a/tests/simulated_cluster_checker.cpp
+++ b/tests/simulation/simulated_cluster_checker.cpp
@@ -1,22 +1,22 @@
 // The rules: about what starts, what stays on machines, what waits and what users are told.
 #include <algorithm>
 
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 
-bool World::is_done(const std::string& id) const {
+bool SimulatedCluster::is_done(const std::string& id) const {
     auto& job = jobs.at(id);
     bool gang = job.spec["shape"] == "gang";  // its tasks complete together
     return gang ? !job.tasks_done.empty() : job.tasks_done.size() >= job.spec["shards"].get<std::size_t>();
 }
-bool World::cancel_wanted(const std::string& id) const {
+bool SimulatedCluster::cancel_wanted(const std::string& id) const {
     auto& job = jobs.at(id);
     if (job.cancel_asked) return true;
     auto awaits = awaits_of(job.spec);
     return std::any_of(awaits.begin(), awaits.end(), [&](auto& a) { return cancel_wanted(a); });
 }
-double World::cancelled_before(const std::string& id) const {
+double SimulatedCluster::cancelled_before(const std::string& id) const {
     double first = 1e18;
     auto& job = jobs.at(id);
     for (auto& a : awaits_of(job.spec)) {
@@ -30,7 +30,7 @@
 
 // Answers may overtake each other. Each is held against what anyone had received before its question was
 // sent: from then on nothing older is right.
-void World::note(const Answer& a) {
+void SimulatedCluster::note(const Answer& a) {
     using To = Answer::To;
     if (a.id.empty()) return;  // a scripted request, judged by its test
     ++answers;
@@ -69,17 +69,17 @@
     if (news) look_closely(a.id, a.to == To::submission && a.status == "pending");
 }
 // An answer that came so long after a job before this one was told to be cancelled must say cancelled too.
-void World::check_orphaned(const Answer& a) {
+void SimulatedCluster::check_orphaned(const Answer& a) {
     if (a.status != "pending" && a.status != "running") return;
     if (a.received > cancelled_before(a.id) + options_.cancel_s) rule("orphaned " + a.id);
 }
 
 // --- What is on machines ----------------------------------------------------------------------------------
 
-double World::limit_of(const std::string& team) const {
+double SimulatedCluster::limit_of(const std::string& team) const {
     return team == "tight" ? options_.gpus_max : options_.free_gpus_max;
 }
-double World::used_by(const std::string& team) const {
+double SimulatedCluster::used_by(const std::string& team) const {
     double used = 0;
     for (auto& w : workers)
         for (auto& [name, t] : w->tasks)
@@ -88,7 +88,7 @@
     return used;
 }
 // For how many more tasks of this job the machine has room.
-std::size_t World::places(const Worker& w, const json& spec) const {
+std::size_t SimulatedCluster::places(const Worker& w, const json& spec) const {
     double cards = machine_gpus;
     for (auto& [name, t] : w.tasks)
         if (present(t)) cards -= jobs.at(t.job).spec["cards"].get<double>();
@@ -96,7 +96,7 @@
     double each = spec["cards"].get<double>();
     return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : without_end;
 }
-void World::check_start(const Worker& w, const std::string& task) {
+void SimulatedCluster::check_start(const Worker& w, const std::string& task) {
     auto id = task.substr(0, task.find('/'));
     auto& job = jobs.at(id);
     auto& spec = job.spec;
@@ -125,7 +125,7 @@
         for (auto& [z, n] : per_zone)
             if (n > 0 && z != w.zone) rule("wrong_place (together) " + task);
 }
-void World::check_cancelled() {
+void SimulatedCluster::check_cancelled() {
     for (auto& w : workers)
         for (auto& [name, t] : w->tasks) {
             if (w->dead || !present(t)) continue;
@@ -139,7 +139,7 @@
 
 // Whether something of the job waits that a machine and the team's limit would take now: of a gang, all of
 // it.
-bool World::could_start(const std::string& id) const {
+bool SimulatedCluster::could_start(const std::string& id) const {
     auto& job = jobs.at(id);
     auto& spec = job.spec;
     std::size_t tasks = spec["shards"].get<std::size_t>(), here = 0;
@@ -166,7 +166,7 @@
     }
     return (spec["together"].get<bool>() ? best : all) >= needs;
 }
-void World::check_waiting() {
+void SimulatedCluster::check_waiting() {
     if (now_ < troubles_over) return;
     for (auto& [id, job] : jobs) {
         if (!job.accepted || job.done || cancel_wanted(id) || job.waited_too_long) continue;
--- a/tests/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -1,10 +1,10 @@
 // The cloud.
 #include <algorithm>
 
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
-Worker& World::add_worker(const std::string& zone, bool spot) {
+Worker& SimulatedCluster::add_worker(const std::string& zone, bool spot) {
     auto w = std::make_unique<Worker>();
     char name[16];
     std::snprintf(name, sizeof name, "vm-%06zu", workers.size());
@@ -25,7 +25,7 @@
     at(p->up_at, [this, p] { report_loop(*p); });
     return *p;
 }
-http::Response World::cloud(const http::Request& r) {
+http::Response SimulatedCluster::cloud(const http::Request& r) {
     if (cloud_down_until_ > now_) return {503, R"({"error":"trouble"})"};
     if (r.target == "/flavors")
         return {200, json{{"hulls",
--- a/tests/simulated_cluster_state.cpp
+++ b/tests/simulation/simulated_cluster_key_value_store.cpp
@@ -1,5 +1,5 @@
 // The key-value store.
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -11,7 +11,7 @@
 }
 }  // namespace
 
-json World::events(const Watch& w) const {
+json SimulatedCluster::events(const Watch& w) const {
     json out = json::array();
     for (auto& [revision, e] : history_) {
         auto key = e.value("put", e.value("drop", std::string()));
@@ -20,7 +20,7 @@
     }
     return out;
 }
-void World::kv_changed() {
+void SimulatedCluster::kv_changed() {
     auto open = std::move(watches_);
     watches_.clear();
     for (auto& w : open) {
@@ -32,7 +32,7 @@
             watches_.push_back(std::move(w));
     }
 }
-void World::expire_leases() {
+void SimulatedCluster::expire_leases() {
     if (state_down_until_ > now_) {
         for (auto& [id, l] : leases_) l.until = state_down_until_ + l.ttl;
         return;
@@ -57,7 +57,7 @@
     }
     kv_changed();
 }
-http::Response World::txn(const json& j) {
+http::Response SimulatedCluster::txn(const json& j) {
     for (auto& c : j["then"])
         if (c.contains("mooring") && !leases_.contains(c["mooring"]))
             return {400, R"({"error":"no such lease"})"};
@@ -93,7 +93,7 @@
     }
     return {200, json{{"epoch", revision_}}.dump()};
 }
-void World::state(const std::string& from, const http::Request& r, http::Reply reply) {
+void SimulatedCluster::state(const std::string& from, const http::Request& r, http::Reply reply) {
     if (state_down_until_ > now_ || refused_until_[from] > now_) return reply({503, "{}"});
     if (r.target.rfind("/kv/", 0) == 0) {
         auto key = r.target.substr(4);
@@ -167,7 +167,7 @@
     reply({200, json{{"mooring", id}}.dump()});
     if (r.method == "DELETE") expire_leases();
 }
-void World::tamper(const std::string& key, std::optional<std::string> value) {
+void SimulatedCluster::tamper(const std::string& key, std::optional<std::string> value) {
     ++revision_;
     json change{{value ? "put" : "drop", key}, {"stamp", revision_}};
     if (value) {
--- a/tests/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -1,7 +1,8 @@
 // The network between all hosts, and the load balancer in front of the controllers.
 #include <algorithm>
 
-#include "simulated_cluster.hpp"
+#include "controller/controller.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -14,10 +15,11 @@
 
 // Ends of a cut are hosts, with or without a port, or, with a dot at the end, all hosts that begin so. A
 // machine's address with its port used to match no host at all, so that such a cut did nothing.
-void World::add_cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way) {
+void SimulatedCluster::add_cut(const std::string& a, const std::string& b, double for_s, bool hold,
+                               bool one_way) {
     cuts_.push_back({host(a), host(b), now_ + for_s, hold, one_way});
 }
-bool World::is_cut(const std::string& a, const std::string& b, bool& hold, double& until) const {
+bool SimulatedCluster::is_cut(const std::string& a, const std::string& b, bool& hold, double& until) const {
     bool found = false;
     for (auto& c : cuts_) {
         if (c.until <= now_) continue;
@@ -34,15 +36,15 @@
 
 // Seconds by which a direct command is held up, 0 if it is not: by a script, or for one in four while that
 // fault lasts.
-double World::command_delay(const std::string& to, const http::Request& r) {
+double SimulatedCluster::command_delay(const std::string& to, const http::Request& r) {
     if (r.target != protocol::paths::commands) return 0;
     if (late_command) return late_command(to, r);
     if (now_ >= late_commands_until_ || random_() % 4 != 0) return 0;
     return std::uniform_real_distribution<double>(2, 16)(random_);
 }
 
-void World::send(const std::string& from, const std::string& to, http::Request r, double timeout,
-                 http::Result result) {
+void SimulatedCluster::send(const std::string& from, const std::string& to, http::Request r, double timeout,
+                            http::Result result) {
     digest.add(now_, from, to, r.method + " " + r.target, r.body);
     if (sent) at(now_, [this, from, to, r] { sent(from, to, r); });
     if (now_ < copies_until_ && random_() % 4 == 0) {
@@ -102,7 +104,8 @@
     at(now_ + latency(), [this, from, to, r = std::move(r), back] { deliver(from, to, r, back); });
 }
 
-void World::deliver(const std::string& from, const std::string& to, http::Request r, http::Reply reply) {
+void SimulatedCluster::deliver(const std::string& from, const std::string& to, http::Request r,
+                               http::Reply reply) {
     if (to == state_addr && now_ < slow_until_) {
         double by = std::uniform_real_distribution<double>(0.5, 1)(random_) * slow_by_;
         return at(now_ + by, [this, from, r, reply] { state(from, r, reply); });
@@ -140,7 +143,7 @@
     }
 }
 
-void World::deliver_kept() {
+void SimulatedCluster::deliver_kept() {
     auto leads = leader();
     if (leads < 0 || leads == std::exchange(led_, leads)) return;
     for (auto& [from, r] : std::exchange(kept_, {}))
@@ -150,7 +153,7 @@
 }
 
 // Messages of workers take time to read and wait for each other; what else comes does not wait for them.
-void World::in_turn(Node& n, event_loop::Task task) {
+void SimulatedCluster::in_turn(Node& n, event_loop::Task task) {
     if (options_.hear_s <= 0) return task();
     n.busy_until = std::max(now_, n.busy_until) + options_.hear_s;
     n.timers->after(n.busy_until - now_, std::move(task));
@@ -158,7 +161,7 @@
 
 // The load balancer's view of the controllers: out after two failures in a row or three of six, back after
 // two successes and a pause that doubles.
-void World::balance() {
+void SimulatedCluster::balance() {
     for (auto& n : nodes_) {
         bool ok = n.up && n.timers->still_until() <= now_ && n.controller->healthy();
         n.probes.push_back(ok);
@@ -176,7 +179,7 @@
     }
 }
 // A refused connection is tried at another controller.
-Node* World::pick_node() {
+Node* SimulatedCluster::pick_node() {
     bool ever = std::any_of(nodes_.begin(), nodes_.end(), [](auto& n) { return n.ever_served; });
     auto first = random_() % nodes_.size();
     for (std::size_t k = 0; k < nodes_.size(); ++k) {
--- a/tests/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -1,7 +1,8 @@
 // The users: what they submit, ask and cancel.
 #include <algorithm>
 
-#include "simulated_cluster.hpp"
+#include "controller/controller.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 
@@ -10,8 +11,8 @@
     return it == spec.end() || it->is_null() ? std::vector<std::string>{}
                                              : it->get<std::vector<std::string>>();
 }
-void World::ask_once(Node& node, const std::string& id, http::Request r,
-                     std::function<void(const http::Response&)> answered) {
+void SimulatedCluster::ask_once(Node& node, const std::string& id, http::Request r,
+                                std::function<void(const http::Response&)> answered) {
     using To = Answer::To;
     auto to = r.method == "GET" ? To::question : r.target == "/api/jobs" ? To::submission : To::cancellation;
     // What comes while the controller stands still is read when it goes on.
@@ -29,8 +30,9 @@
         });
     });
 }
-void World::ask(const std::string& id, const std::string& method, const std::string& path,
-                const std::string& body, std::function<void(const http::Response&)> done, int tries) {
+void SimulatedCluster::ask(const std::string& id, const std::string& method, const std::string& path,
+                           const std::string& body, std::function<void(const http::Response&)> done,
+                           int tries) {
     auto* node = pick_node();
     auto answered = std::make_shared<bool>(false);
     auto again = [=, this] {
@@ -55,14 +57,16 @@
         done(r);
     });
 }
-json World::plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const {
+json SimulatedCluster::plain_job(const std::string& id, const std::string& kind, int tasks,
+                                 double run_s) const {
     return {{"id", id},         {"cohort", "c"},     {"crew", "free"},    {"shape", kind},
             {"rank", "normal"}, {"shards", tasks},   {"vcpus", 1.0},      {"cards", 1.0},
             {"ram_gb", 2.0},    {"payload", "img"},  {"image_gb", 1.0},   {"together", false},
             {"scatter", false}, {"driftwood", true}, {"reckon_s", run_s}, {"anchor_s", 5.0},
             {"stow_s", 1.0}};
 }
-void World::submit(const std::string& id, const std::string& kind, int tasks, double run_s, json more) {
+void SimulatedCluster::submit(const std::string& id, const std::string& kind, int tasks, double run_s,
+                              json more) {
     auto j = plain_job(id, kind, tasks, run_s);
     if (more.is_object()) j.update(more);
     jobs[id].spec = j;
@@ -74,8 +78,8 @@
         },
         options_.submit_tries);
 }
-void World::submit_awaiting(const std::string& id, const std::string& kind, int tasks, double run_s,
-                            std::vector<std::string> awaits, json more) {
+void SimulatedCluster::submit_awaiting(const std::string& id, const std::string& kind, int tasks,
+                                       double run_s, std::vector<std::string> awaits, json more) {
     for (auto& a : awaits)
         if (!jobs[a].accepted)
             return at(now_ + 0.4, [=, this] { submit_awaiting(id, kind, tasks, run_s, awaits, more); });
@@ -83,7 +87,7 @@
     more["awaits"] = awaits;
     submit(id, kind, tasks, run_s, more);
 }
-void World::cancel(const std::string& id) {
+void SimulatedCluster::cancel(const std::string& id) {
     bool accepted = jobs[id].accepted;
     jobs[id].cancel_asked = true;
     ask(
@@ -94,7 +98,7 @@
         },
         options_.submit_tries);
 }
-void World::poll_all() {
+void SimulatedCluster::poll_all() {
     for (auto& [id, job] : jobs) {
         if (!job.accepted) continue;
         if (now_ - std::max(job.answered_at, troubles_over) > open_s &&
@@ -109,7 +113,7 @@
 
 // --- Users who give trouble -------------------------------------------------------------------------------
 
-void World::look_closely(const std::string& id, bool just_accepted) {
+void SimulatedCluster::look_closely(const std::string& id, bool just_accepted) {
     if (now_ >= close_looks_until_) return;
     for (std::size_t k = 0; k < nodes_.size(); ++k)
         for (double after : {0.0, 0.001, 0.004, 0.015, 0.06, 0.25})
@@ -122,11 +126,11 @@
     });
     if (just_accepted && random_() % 4 == 0) at(now_ + 0.003, [this, id] { cancel(id); });
 }
-void World::ended(const std::string& id) {
+void SimulatedCluster::ended(const std::string& id) {
     if (now_ < cancel_at_end_until_ && random_() % 2) cancel(id);
     look_closely(id, false);
 }
-void World::cancel_now(std::size_t count, double hang_s) {
+void SimulatedCluster::cancel_now(std::size_t count, double hang_s) {
     std::size_t hung = 0;
     for (auto& [id, job] : jobs) {
         if (!job.accepted || job.done || job.cancel_asked) continue;
@@ -142,10 +146,10 @@
         if (--count == 0) return;
     }
 }
-void World::odd_requests(double for_s) {
+void SimulatedCluster::odd_requests(double for_s) {
     for (double t = 0; t < for_s; t += 0.7) at(now_ + t, [this] { odd_request(); });
 }
-void World::odd_request() {
+void SimulatedCluster::odd_request() {
     auto first = random_() % std::max<std::size_t>(1, jobs.size());
     auto it = std::next(jobs.begin(), static_cast<std::ptrdiff_t>(first));
     for (std::size_t k = 0; k < jobs.size(); ++k, ++it) {
@@ -163,7 +167,7 @@
     submit_odd();
 }
 // Fits no machine, needs more than its team's limit, is of no team, or lacks a field.
-void World::submit_odd() {
+void SimulatedCluster::submit_odd() {
     auto id = "j-" + std::to_string(700000 + next_odd_++);
     auto j = plain_job(id, "gang", 2, 5);
     int refused = 422;
@@ -184,7 +188,7 @@
         if (r.status != refused) rule("odd request " + id + " got " + std::to_string(r.status));
     });
 }
-void World::fill_limits() {
+void SimulatedCluster::fill_limits() {
     for (auto* team : {"free", "tight"}) {
         if (limit_of(team) <= 0) continue;
         for (int part = 0; part < 3; ++part) {
@@ -195,7 +199,7 @@
         }
     }
 }
-void World::small_jobs(double for_s, double per_s) {
+void SimulatedCluster::small_jobs(double for_s, double per_s) {
     for (double t = 0; t < for_s; t += 1 / per_s)
         at(now_ + t, [this] {
             auto id = "j-" + std::to_string(500000 + next_extra_++);
--- a/tests/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -1,12 +1,12 @@
 // The workers.
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
-void World::die(std::size_t k) {
+void SimulatedCluster::die(std::size_t k) {
     workers[k % workers.size()]->dead = true;
     workers[k % workers.size()]->tasks.clear();
 }
-void World::hang(std::size_t k, double for_s) {
+void SimulatedCluster::hang(std::size_t k, double for_s) {
     auto* w = workers[k % workers.size()].get();
     w->hung = true;
     at(now_ + for_s, [this, w] {
@@ -15,7 +15,7 @@
     });
 }
 // Under the same name and address; it remembers its agent epoch or begins anew.
-void World::reboot(std::size_t k, bool anew) {
+void SimulatedCluster::reboot(std::size_t k, bool anew) {
     auto& w = *workers[k % workers.size()];
     if (w.dead || now_ < w.up_at) return;
     w.tasks.clear();
@@ -25,14 +25,14 @@
     w.last_answered = now_;
     ++w.lives;
 }
-void World::check_lease(Worker& w) {
+void SimulatedCluster::check_lease(Worker& w) {
     if (now_ - w.last_answered <= options_.lease_s || w.keeps_tasks) return;
     w.tasks.clear();
     ++w.agent_epoch;
     w.sequence = 0;
     w.last_answered = now_;
 }
-json World::report(Worker& w) {
+json SimulatedCluster::report(Worker& w) {
     json tasks = json::array();
     for (auto& [name, t] : w.tasks) {
         json e{{"shard", name}, {"launch", t.attempt}, {"status", t.status}};
@@ -45,7 +45,7 @@
             {"reef", w.zone},        {"driftwood", w.spot}, {"watch", w.agent_epoch},
             {"tally", ++w.sequence}, {"helm", w.helm},      {"shards", tasks}};
 }
-void World::report_loop(Worker& w) {
+void SimulatedCluster::report_loop(Worker& w) {
     if (w.dead) return;
     auto again = [this, &w](double s) { at(now_ + s, [this, &w] { report_loop(w); }); };
     if (w.hung) return again(0.5);
@@ -89,7 +89,7 @@
         again(options_.report_s * std::uniform_real_distribution<double>(0.75, 1.25)(random_));
     });
 }
-http::Response World::direct(Worker& w, const http::Request& r) {
+http::Response SimulatedCluster::direct(Worker& w, const http::Request& r) {
     check_lease(w);
     if (r.target == "/inspect") return {200, report(w).dump()};
     auto j = json::parse(r.body);
@@ -99,7 +99,7 @@
     command(w, j["orders"]);
     return {200, report(w).dump()};
 }
-void World::command(Worker& w, const json& orders) {
+void SimulatedCluster::command(Worker& w, const json& orders) {
     for (auto& o : orders) {
         auto verb = o["verb"].get<std::string>();
         auto task = o["shard"].get<std::string>();
@@ -120,7 +120,8 @@
         if (verb == "clear" && same && !present(it->second)) w.tasks.erase(it);
     }
 }
-void World::finish(Worker& w, const std::string& task, std::uint64_t attempt, const std::string& cause) {
+void SimulatedCluster::finish(Worker& w, const std::string& task, std::uint64_t attempt,
+                              const std::string& cause) {
     auto it = w.tasks.find(task);
     if (w.dead || it == w.tasks.end() || it->second.attempt != attempt || !present(it->second)) return;
     if (w.hung) return at(now_ + 0.5, [this, &w, task, attempt, cause] { finish(w, task, attempt, cause); });
@@ -134,7 +135,7 @@
     job.completed_at = now_;
     if (is_done(id)) ended(id);
 }
-void World::start(Worker& w, const std::string& task, std::uint64_t attempt) {
+void SimulatedCluster::start(Worker& w, const std::string& task, std::uint64_t attempt) {
     ++starts;
     auto id = task.substr(0, task.find('/'));
     auto& job = jobs[id];
@@ -183,7 +184,8 @@
            [this, &w, task, attempt] { finish(w, task, attempt, "done"); });
     });
 }
-void World::rogue_run(const std::string& task, std::uint64_t attempt, std::optional<std::size_t> machine) {
+void SimulatedCluster::rogue_run(const std::string& task, std::uint64_t attempt,
+                                 std::optional<std::size_t> machine) {
     if (machine) return start(*workers.at(*machine), task, attempt);
     for (auto& w : workers)
         if (!w->dead && !w->tasks.contains(task)) return start(*w, task, attempt);
--- a/tests/fake_state.hpp
+++ b/tests/support/fake_key_value_store.hpp
@@ -6,16 +6,16 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "fake_timers.hpp"
 #include "http/message.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch {
 
 // A key-value store in memory. A transaction's answer can be lost, with the transaction executed
 // at once, later or never.
-class FakeState : public http::Requester {
+class FakeKeyValueStore : public http::Requester {
   public:
-    explicit FakeState(FakeTimers& t) : timers_(t) {}
+    explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
     enum class Fate { answered, lost_after, late, never };
     std::deque<Fate> fates;  // of the next transactions
     std::map<std::string, std::pair<nlohmann::json, std::uint64_t>> kv;
--- a/tests/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -11,7 +11,7 @@
 // The checker itself: a command that breaks a rule on purpose must be seen.
 TEST(CheckerOfStarts, SeesATaskStartedTwice) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     w.at(2, [&w] { w.submit("j-1", "service", 1, 0); });
     w.run_until(30);
     ASSERT_TRUE(w.broken.empty());
@@ -21,7 +21,7 @@
 }
 TEST(CheckerOfStarts, SeesACancelledTaskThatStays) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     for (const char* id : {"j-1", "j-2"}) w.at(2, [&w, id] { w.submit(id, "service", 1, 0); });
     w.at(20, [&w] { w.cancel("j-1"); });
     w.run_until(40);
@@ -40,7 +40,7 @@
     Options o;
     o.machines = 12;  // 10.1.0.1 and 10.1.0.10 to 10.1.0.12
     for (bool one_way : {false, true}) {
-        World w(o);
+        SimulatedCluster w(o);
         w.at(1.1, [&w] { w.submit("j-9", "service", 12, 0, {{"cards", 0.0}, {"vcpus", 13.0}}); });
         w.run_until(5);
         auto& m = *w.workers[0];
@@ -66,48 +66,56 @@
 
 struct Broken {
     const char* rule;
-    void (*breaks)(World&);  // at 30 s
+    void (*breaks)(SimulatedCluster&);  // at 30 s
 };
 std::string over(protocol::JobState state) {
     return protocol::stored(protocol::FinalRecord{state, 1});
 }
 const Broken broken[] = {
-    {"quota", [](World& w) { w.rogue_run("j-2/7", 99, 0); }},
-    {"wrong_place (spot)", [](World& w) { w.rogue_run("j-3/1", 99, 2); }},
-    {"wrong_place (scatter)", [](World& w) { w.rogue_run("j-4/9", 99, 0), w.rogue_run("j-4/8", 99, 1); }},
-    {"wrong_place (together)", [](World& w) { w.rogue_run("j-5/8", 99, 0), w.rogue_run("j-5/9", 99, 1); }},
-    {"wrong_place (zone)", [](World& w) { w.rogue_run("j-5/8", 99, 1); }},
-    {"too_early", [](World& w) { w.rogue_run("j-6/0", 99); }},
-    {"forgotten j-1", [](World& w) { w.tamper("job/j-1", {}); }},
+    {"quota", [](SimulatedCluster& w) { w.rogue_run("j-2/7", 99, 0); }},
+    {"wrong_place (spot)", [](SimulatedCluster& w) { w.rogue_run("j-3/1", 99, 2); }},
+    {"wrong_place (scatter)",
+     [](SimulatedCluster& w) { w.rogue_run("j-4/9", 99, 0), w.rogue_run("j-4/8", 99, 1); }},
+    {"wrong_place (together)",
+     [](SimulatedCluster& w) { w.rogue_run("j-5/8", 99, 0), w.rogue_run("j-5/9", 99, 1); }},
+    {"wrong_place (zone)", [](SimulatedCluster& w) { w.rogue_run("j-5/8", 99, 1); }},
+    {"too_early", [](SimulatedCluster& w) { w.rogue_run("j-6/0", 99); }},
+    {"forgotten j-1", [](SimulatedCluster& w) { w.tamper("job/j-1", {}); }},
     {"forgotten j-1: no question was answered",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.troubles_over = w.now();
          w.state_down(60);
      }},
-    {"invented", [](World& w) { w.tamper("job/j-999999", w.record("job/j-1")); }},
+    {"invented", [](SimulatedCluster& w) { w.tamper("job/j-999999", w.record("job/j-1")); }},
     {"not_done",
-     [](World& w) { w.tamper("final/j-1", over(protocol::JobState::done)), w.tamper("job/j-1", {}); }},
+     [](SimulatedCluster& w) {
+         w.tamper("final/j-1", over(protocol::JobState::done)), w.tamper("job/j-1", {});
+     }},
     {"went_back j-1: nobody cancelled it",
-     [](World& w) { w.tamper("final/j-1", over(protocol::JobState::cancelled)), w.tamper("job/j-1", {}); }},
+     [](SimulatedCluster& w) {
+         w.tamper("final/j-1", over(protocol::JobState::cancelled)), w.tamper("job/j-1", {});
+     }},
     {"went_back j-7 from withdrawn to done",
-     [](World& w) { w.tamper("final/j-7", over(protocol::JobState::done)), w.tamper("job/j-7", {}); }},
+     [](SimulatedCluster& w) {
+         w.tamper("final/j-7", over(protocol::JobState::done)), w.tamper("job/j-7", {});
+     }},
     {"quota j-1/",  // of the other team: eight cards; some machines have been returned
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (std::size_t k = 0; k < 4 * w.workers.size(); ++k)
              w.rogue_run("j-1/" + std::to_string(7 + k), 99, k % w.workers.size());
      }},
     {"accepted_impossible j-8",  // for the users it is one that can't run; the service sees nothing wrong
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.submit("j-8", "batch", 1, 5);
          w.jobs["j-8"].refused = 422;
      }},
     {"accepted_impossible (start) j-1/7",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.jobs["j-1"].refused = 400;
          w.rogue_run("j-1/7", 99, 0);
      }},
     {"left_waiting j-8",  // its machines hear nobody
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.troubles_over = w.now();
          w.cut("10.0.", "10.1.", 100, false);
          w.cloud_down(100);
@@ -115,7 +123,7 @@
      }},
     // A cancelled task goes on after its machine hung, for longer than the machine's lease.
     {"ran_cancelled j-3/0",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.cloud_down(100);
          for (std::size_t k = 0; k < w.workers.size(); ++k) {
              w.workers[k]->keeps_tasks = true;
@@ -132,7 +140,7 @@
     o.gpus_max = 2;
     o.free_gpus_max = 8;
     o.waits_s = 40;
-    World w(o);
+    SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "service", 1, 0);
         w.submit("j-2", "batch", 9, 400, {{"crew", "tight"}});
@@ -215,7 +223,7 @@
 TEST_P(Histories, AreHeldAgainstWhatWasReceivedBefore) {
     spdlog::set_level(spdlog::level::off);
     auto& h = GetParam();
-    World w({});
+    SimulatedCluster w({});
     auto& job = w.jobs["j-1"];
     job.spec = {{"shards", 1}, {"shape", "batch"}};
     job.tasks_done = {"j-1/0"};
@@ -234,7 +242,7 @@
 // A start after a confirmed cancellation that was on its way is counted, and no rule.
 TEST(CheckerOfStarts, CountsThoseAfterACancellation) {
     spdlog::set_level(spdlog::level::off);
-    World w({});
+    SimulatedCluster w({});
     for (const char* id : {"j-1", "j-2"}) w.at(2, [&w, id] { w.submit(id, "service", 1, 0); });
     w.at(20, [&w] { w.cancel("j-1"); });
     w.run_until(30);
