--- /dev/null
+++ b/src/leader/authority.cpp
@@ -0,0 +1,40 @@
+#include "leader/authority.hpp"
+
+#include <utility>
+
+#include "kv/keys.hpp"
+#include "relay/worker_lease.hpp"
+
+namespace coralhitch::leader {
+
+Authority::Authority(event_loop::Timers& timers, const config::Settings& settings,
+                     election::Election& election, std::uint64_t fencing_token,
+                     CancellationsKnownUntil cancellations_known_until)
+    : timers_(timers),
+      settings_(settings),
+      election_(election),
+      fencing_token_(fencing_token),
+      cancellations_known_until_(std::move(cancellations_known_until)),
+      renewal_after_expiry_s_(relay::keep_alive_s(settings, election.ttl())) {}
+
+bool Authority::may_renew_worker_leases() const {
+    return !ended_ && timers_.now() <= lease_renewal_deadline();
+}
+
+double Authority::lease_renewal_deadline() const {
+    return relay::lease_renewal_deadline(settings_, election_.ttl(), cancellations_known_until_(),
+                                         election_.authority_until());
+}
+
+protocol::Txn Authority::fenced_transaction() const {
+    protocol::Txn transaction;
+    transaction.conditions.push_back({kv::keys::leader, fencing_token_});
+    return transaction;
+}
+
+std::optional<protocol::Txn> Authority::begin_transaction() const {
+    if (!holds()) return std::nullopt;
+    return fenced_transaction();
+}
+
+}  // namespace coralhitch::leader
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -21,6 +21,9 @@
 #include "jobs/job_table.hpp"
 #include "kv/list_watch.hpp"
 #include "leader/attempt_numbers.hpp"
+#include "leader/authority.hpp"
+#include "leader/callback_guard.hpp"
+#include "leader/leader_state.hpp"
 #include "leader/planner.hpp"
 #include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
@@ -91,14 +94,7 @@
         int count = 0;
         bool asking = false;
     };
-    template <class F>
-    auto guarded(F f) {
-        return [weak = weak_from_this(), f = std::move(f)](auto&&... a) mutable {
-            if (auto self = weak.lock(); self && !self->stopped_) f(std::forward<decltype(a)>(a)...);
-        };
-    }
     double now() const { return dependencies_.timers.now(); }
-    bool authority() const { return !stopped_ && dependencies_.election.authority(); }
     api::TaskCounts count(const std::string& id, const jobs::JobEntry& e);
     void inherit(const std::string& id, cluster::Machine& m);
     void take_all(const failover::GetResult& found);
@@ -111,9 +107,7 @@
 
     // machines
     cluster::HeartbeatOutcome apply_heartbeat(const protocol::Heartbeat& r, cluster::Via via);
-    double lease_renewal_deadline() const;
     protocol::PeerRelayed refused(relay::HeartbeatRejection why);
-    bool may_renew() const { return !stopped_ && now() <= lease_renewal_deadline(); }
     bool repeat_reply(const std::string& body, const http::Reply& reply);
     protocol::PeerRelayed answer_heartbeat(const std::string& body, const std::string& relay_label,
                                            std::string& machine);
@@ -174,7 +168,6 @@
     void audit();
     void stored_failed(const std::string& id, const kv::TxnResult& c);
     void read_block(const std::string& id, const std::string& block);
-    protocol::Txn leader_txn() const;
 
     // plans
     void plan_soon();
@@ -201,14 +194,12 @@
     scheduler::ZoneCounts zones_of(const jobs::JobEntry& e) const;
 
     LeaderDependencies dependencies_;
-    std::uint64_t version_;
+    Authority authority_;
+    CallbackGuard guarded_{authority_};
     std::mt19937_64 random_;
-    double keep_alive_;
-    bool stopped_ = false, loaded_ = false, was_reconciled_ = false;
+    bool loaded_ = false, was_reconciled_ = false;
 
-    std::mutex mutex_;  // guards the cluster state and the table: the planner reads them
-    cluster::ClusterState cluster_state_;
-    jobs::JobTable table_;
+    LeaderState state_;
     machine_registry::MachineRegistry store_;
     kv::ListWatch job_watch_;
 
--- a/src/leader/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -25,19 +25,19 @@
 // share while a thousand jobs were live.
 void Leader::store_soon() {
     if (std::exchange(store_wanted_, true)) return;
-    dependencies_.timers.after(dependencies_.settings.report_s * store_reports, guarded([this] {
+    dependencies_.timers.after(dependencies_.settings.report_s * store_reports, guarded_([this] {
                                    store_wanted_ = false;
                                    store_progress();
                                }));
 }
 
 void Leader::store_progress() {
-    if (!authority()) return;
-    auto due = table_.unstored(now(), reconciliation_.may_place());
+    if (!authority_.holds()) return;
+    auto due = state_.jobs.unstored(now(), reconciliation_.may_place());
     dependencies_.metrics.gauge("ends_waiting", static_cast<double>(due.done.size()));
     dependencies_.metrics.gauge("cancelled_to_drop", static_cast<double>(due.cancelled.size()));
     store_ends(due.done, JobState::done);
-    for (auto& id : due.progress) store_blocks(id, *table_.find(id));
+    for (auto& id : due.progress) store_blocks(id, *state_.jobs.find(id));
     store_ends(due.cancelled, JobState::cancelled);
 }
 
@@ -62,7 +62,7 @@
             return;
         }
         auto last = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), k + most));
-        double waited = now() - table_.find(ids[k])->over_since;
+        double waited = now() - state_.jobs.find(ids[k])->over_since;
         bool late = waited > settings.lease_s * tidy_leases;
         finish({ids.begin() + static_cast<std::ptrdiff_t>(k), last}, state,
                done || late ? RequestPriority::write : RequestPriority::background);
@@ -70,9 +70,9 @@
 }
 
 void Leader::finish(const std::vector<std::string>& ids, JobState state, RequestPriority rank) {
-    auto t = leader_txn();
+    auto t = authority_.fenced_transaction();
     for (auto& id : ids) {
-        auto& e = *table_.find(id);
+        auto& e = *state_.jobs.find(id);
         e.writing = true;
         t.conditions.push_back({keys::job(id), e.version});  // fails if it was cancelled meanwhile
         t.changes.push_back(
@@ -80,7 +80,7 @@
         t.changes.push_back({keys::job(id), std::nullopt, 0});
     }
     ++(state == JobState::done ? ends_under_way_ : tidying_);
-    dependencies_.state.txn(std::move(t), rank, guarded([this, ids, state](TxnResult c) {
+    dependencies_.state.txn(std::move(t), rank, guarded_([this, ids, state](TxnResult c) {
                                 --(state == JobState::done ? ends_under_way_ : tidying_);
                                 end_answered(ids, state, c);
                                 bool all = c.status == TxnResult::Status::committed;
@@ -94,7 +94,7 @@
     using S = TxnResult::Status;
     bool others = std::any_of(ids.begin(), ids.end(), [&](auto& id) { return c.failed_on(keys::job(id)); });
     for (auto& id : ids) {
-        auto* e = table_.find(id);
+        auto* e = state_.jobs.find(id);
         if (!e) continue;
         if (c.status == S::committed) {
             spdlog::debug("job {} is over after {} tasks, stored {:.2f} s later", id, e->done_count,
@@ -113,15 +113,15 @@
 }
 // The job's end is stored. What awaited it goes on at once: a short stage must not wait for the next report.
 void Leader::ended(const std::string& id, std::uint64_t revision, JobState state) {
-    bool awaited = table_.awaits().awaited(id);
+    bool awaited = state_.jobs.awaits().awaited(id);
     {
-        std::lock_guard lock(mutex_);
-        cluster_state_.stored(id);
+        std::lock_guard lock(state_.mutex);
+        state_.cluster.stored(id);
         // Its progress means nothing any more, and is dropped when there is time.
-        if (auto* e = table_.find(id))
+        if (auto* e = state_.jobs.find(id))
             for (auto& [block, version] : e->blocks) keys_to_drop_.insert(keys::progress_of(id, block));
-        table_.erase(id, revision);
-        table_.ended(id, state, dependencies_.timers.unix_time());
+        state_.jobs.erase(id, revision);
+        state_.jobs.ended(id, state, dependencies_.timers.unix_time());
     }
     if (state == JobState::cancelled) store_soon();  // the jobs before it may leave now
     if (awaited) plan_soon();
@@ -132,19 +132,19 @@
 // behind.
 void Leader::read_ends() {
     constexpr std::size_t at_once = 8;
-    for (auto& id : table_.awaits().ends_unknown()) {
+    for (auto& id : state_.jobs.awaits().ends_unknown()) {
         if (reading_ends_.size() >= at_once) return;
         if (absent_ends_.contains(id) || !reading_ends_.insert(id).second) continue;
         dependencies_.state.get(
-            keys::final(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
+            keys::final(id), RequestPriority::write, guarded_([this, id](kv::GetResult f) {
                 reading_ends_.erase(id);
                 absent_ends_.insert(id);  // unless it is told below: the next tick asks again
                 if (!f.entry) return read_ends();
                 try {
                     auto state = protocol::parse_final_record(f.entry->value).state;
                     {
-                        std::lock_guard lock(mutex_);
-                        table_.ended(id, state, std::nullopt);
+                        std::lock_guard lock(state_.mutex);
+                        state_.jobs.ended(id, state, std::nullopt);
                     }
                     plan_soon();
                     if (state == JobState::cancelled) store_soon();
@@ -158,13 +158,13 @@
 
 void Leader::store_blocks(const std::string& id, jobs::JobEntry& e) {
     e.writing = true;
-    auto t = leader_txn();
+    auto t = authority_.fenced_transaction();
     t.conditions.push_back({keys::job(id), e.version});
     std::set<std::uint32_t> tasks;
     std::set<std::string> blocks;
     auto& limits = dependencies_.state.limits();
     for (auto task : e.unstored) {
-        auto b = table_.block_of(e, task, limits.value_bytes());
+        auto b = state_.jobs.block_of(e, task, limits.value_bytes());
         if (!blocks.contains(b) && blocks.size() >= limits.txn_ops()) continue;
         blocks.insert(b);
         tasks.insert(task);
@@ -176,20 +176,20 @@
         auto known = e.blocks.find(b);
         auto key = keys::progress_of(id, b);
         t.conditions.push_back({key, known == e.blocks.end() ? 0 : known->second});
-        t.changes.push_back({std::move(key), table_.block_value(e, b, limits.value_bytes()), 0});
+        t.changes.push_back({std::move(key), state_.jobs.block_value(e, b, limits.value_bytes()), 0});
     }
     dependencies_.state.txn(
-        std::move(t), RequestPriority::write, guarded([this, id, tasks, blocks](TxnResult c) {
+        std::move(t), RequestPriority::write, guarded_([this, id, tasks, blocks](TxnResult c) {
             if (c.status != TxnResult::Status::committed) return stored_failed(id, c);
-            std::lock_guard lock(mutex_);
-            auto* e = table_.find(id);
+            std::lock_guard lock(state_.mutex);
+            auto* e = state_.jobs.find(id);
             if (!e) return;
             e->writing = false;
             e->retry_at =
                 now() + dependencies_.settings.report_s / 6;  // tasks that end together are stored together
             for (auto task : tasks) e->unstored.erase(task);
             for (auto& b : blocks) e->blocks[b] = c.revision;
-            cluster_state_.stored(id, tasks);
+            state_.cluster.stored(id, tasks);
         }));
 }
 
@@ -197,23 +197,24 @@
 // ever, though its user is told that it is accepted: so what is stored is compared with the table now and
 // then.
 void Leader::audit() {
-    if (auditing_ || !authority() || now() - last_audit_ < dependencies_.settings.lease_s * audit_leases)
+    if (auditing_ || !authority_.holds() ||
+        now() - last_audit_ < dependencies_.settings.lease_s * audit_leases)
         return;
     auditing_ = true;
-    table_.listing(true);
+    state_.jobs.listing(true);
     last_audit_ = now();
     dependencies_.state.list(
-        keys::jobs, RequestPriority::background, guarded([this](kv::ListResult l) {
+        keys::jobs, RequestPriority::background, guarded_([this](kv::ListResult l) {
             auditing_ = false;
-            table_.listing(false);
+            state_.jobs.listing(false);
             if (!l.ok) return;
             std::size_t missed = 0, left = 0;
             std::set<std::string> stored;
             {
-                std::lock_guard lock(mutex_);
+                std::lock_guard lock(state_.mutex);
                 for (auto& e : l.entries) {
                     auto id = e.key.substr(keys::jobs.size());
-                    if (!table_.knows(id, e.version)) {
+                    if (!state_.jobs.knows(id, e.version)) {
                         ++missed;
                         take_job(id, e.version, e.value);
                     }
@@ -221,7 +222,7 @@
                 }
             }
             // Its end may be stored by a transaction of this leader whose answer was lost.
-            for (auto& [id, e] : table_.all()) {
+            for (auto& [id, e] : state_.jobs.all()) {
                 if (stored.contains(id) || e.version > l.revision || e.writing) continue;
                 ++left;
                 e.writing = true;
@@ -234,8 +235,8 @@
 }
 
 void Leader::stored_failed(const std::string& id, const TxnResult& c) {
-    std::lock_guard lock(mutex_);
-    auto* e = table_.find(id);
+    std::lock_guard lock(state_.mutex);
+    auto* e = state_.jobs.find(id);
     if (!e) return;
     e->writing = false;
     // What was too large is written in smaller parts the next time; if it can't be, not without pause.
@@ -256,10 +257,10 @@
 }
 // What became of the live record, of which this leader does not know what it says by now.
 void Leader::read_live(const std::string& id) {
-    table_.find(id)->writing = true;
-    dependencies_.state.get(keys::job(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
-                                std::lock_guard lock(mutex_);
-                                auto* e = table_.find(id);
+    state_.jobs.find(id)->writing = true;
+    dependencies_.state.get(keys::job(id), RequestPriority::write, guarded_([this, id](kv::GetResult f) {
+                                std::lock_guard lock(state_.mutex);
+                                auto* e = state_.jobs.find(id);
                                 if (!e) return;
                                 e->writing = false;
                                 store_soon();
@@ -275,8 +276,8 @@
 }
 void Leader::read_block(const std::string& id, const std::string& block) {
     dependencies_.state.get(keys::progress_of(id, block), RequestPriority::write,
-                            guarded([this, id, block](kv::GetResult f) {
-                                auto* e = table_.find(id);
+                            guarded_([this, id, block](kv::GetResult f) {
+                                auto* e = state_.jobs.find(id);
                                 if (!e) return;
                                 e->writing = false;
                                 if (f.ok && f.entry)
@@ -288,8 +289,8 @@
 // Only a leader removes the key, and only this one leads: a transaction whose answer was lost was executed.
 // Which of them, the final record says: the job may have been done, or cancelled in between.
 void Leader::read_end(const std::string& id) {
-    dependencies_.state.get(keys::final(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
-                                auto* e = table_.find(id);
+    dependencies_.state.get(keys::final(id), RequestPriority::write, guarded_([this, id](kv::GetResult f) {
+                                auto* e = state_.jobs.find(id);
                                 if (!e) return;
                                 e->writing = false;
                                 e->retry_at = now() + dependencies_.settings.report_s / 10;
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -32,7 +32,7 @@
     if (repeat_reply(body, reply)) return;
     std::string machine;
     auto a = answer_heartbeat(body, "", machine);
-    auto* m = cluster_state_.find(machine);
+    auto* m = state_.cluster.find(machine);
     if (a.quiet && m) {
         if (auto elsewhere = relay_for(*m)) {
             reply_cache_.forget(machine);
@@ -52,12 +52,12 @@
 // A report that says what the last one of its machine said, and that one is the last that was heard of it.
 bool Leader::repeat_reply(const std::string& body, const http::Reply& reply) {
     auto o = protocol::outline_heartbeat(body);
-    if (!o || !authority() || !may_renew()) return false;
+    if (!o || !authority_.holds() || !authority_.may_renew_worker_leases()) return false;
     auto* r = reply_cache_.find(body, *o);
     if (!r) return false;
-    std::lock_guard lock(mutex_);
-    auto* m = cluster_state_.find(std::string(o->machine));
-    if (!m || m->sequence != r->sequence || !cluster_state_.quiet(*m)) return false;
+    std::lock_guard lock(state_.mutex);
+    auto* m = state_.cluster.find(std::string(o->machine));
+    if (!m || m->sequence != r->sequence || !state_.cluster.quiet(*m)) return false;
     r->sequence = m->sequence = m->heartbeat_sequence = o->sequence;
     m->last_heard = m->renewed = now();
     record_route(*m, "");
@@ -73,10 +73,10 @@
 // With the relay that passes it on, or none if it came here.
 protocol::PeerRelayed Leader::answer_heartbeat(const std::string& body, const std::string& relay_label,
                                                std::string& machine) {
-    if (!may_renew())
-        return refused(stopped_ ? relay::HeartbeatRejection::no_lease
-                                : relay::HeartbeatRejection::bound_over);
-    bool may = authority();
+    if (!authority_.may_renew_worker_leases())
+        return refused(authority_.ended() ? relay::HeartbeatRejection::no_lease
+                                          : relay::HeartbeatRejection::bound_over);
+    bool may = authority_.holds();
     protocol::Heartbeat report;
     try {
         report = reader_.read(body);
@@ -86,13 +86,13 @@
     }
     machine = report.machine;
     auto heard = apply_heartbeat(report, cluster::Via::heartbeat);
-    std::lock_guard lock(mutex_);
-    auto* m = cluster_state_.find(report.machine);
+    std::lock_guard lock(state_.mutex);
+    auto* m = state_.cluster.find(report.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
-    if (stopped_) return refused(relay::HeartbeatRejection::no_lease);
+    if (authority_.ended()) return refused(relay::HeartbeatRejection::no_lease);
     if (!heard.current || !m) return refused(relay::HeartbeatRejection::older);
     bool unreached = beyond_reach(*m);
-    if (unreached || !cluster_state_.renewable(*m, now())) {
+    if (unreached || !state_.cluster.renewable(*m, now())) {
         // It was not answered: should the same report come again, the lease counts from then.
         m->heartbeat_sequence = std::min(m->heartbeat_sequence, report.sequence - 1);
         probe(*m);
@@ -101,14 +101,14 @@
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again)
-        return {200, protocol::heartbeat_response(m->token, cluster_state_.answer(*m, now(), may)), false};
+        return {200, protocol::heartbeat_response(m->token, state_.cluster.answer(*m, now(), may)), false};
     record_route(*m, relay_label);
     if (!delegations_.delegated_to(m->id, relay_label))
         revoke(m->id);  // it has left the controller that heard it
-    auto commands = cluster_state_.answer(*m, now(), may);
+    auto commands = state_.cluster.answer(*m, now(), may);
     m->renewed = m->reconciled ? now() : std::max(m->renewed, now());
     if (!m->reconciled) m->answered = now();
-    bool quiet = commands.empty() && cluster_state_.quiet(*m);
+    bool quiet = commands.empty() && state_.cluster.quiet(*m);
     if (!relay_label.empty() && quiet)
         delegations_.delegate(m->id, relay_label);
     else
@@ -124,7 +124,7 @@
 }
 void Leader::revoke(const std::string& id) {
     auto until = delegations_.revoke(id);
-    auto* m = cluster_state_.find(id);
+    auto* m = state_.cluster.find(id);
     if (until && m) m->delegation_expiry = std::max(m->delegation_expiry, *until);
 }
 // The leader has most to do besides hearing, so others hear most machines: it sends quiet ones to them, a few
@@ -147,22 +147,22 @@
 void Leader::relay(const protocol::PeerRelay& q, http::Reply reply) {
     const auto& s = dependencies_.settings;
     protocol::PeerRelayAnswer a;
-    bool leads = loaded_ ? may_renew() : authority();
-    a.leads = q.leader_version == version_ && leads && s.op.hearing;
+    bool leads = loaded_ ? authority_.may_renew_worker_leases() : authority_.holds();
+    a.leads = q.leader_version == authority_.fencing_token() && leads && s.op.hearing;
     a.ready = a.leads && loaded_;
     auto send = [&] { reply({200, protocol::pack_peer(a), "application/msgpack"}); };
     if (!a.ready) return send();
     auto given_back = [this](const std::string& id, double until) {
-        if (auto* m = cluster_state_.find(id)) m->delegation_expiry = std::max(m->delegation_expiry, until);
+        if (auto* m = state_.cluster.find(id)) m->delegation_expiry = std::max(m->delegation_expiry, until);
     };
     if (!delegations_.heard(q.label, q.incarnation, q.number, q.answered, given_back))
         return reply({503, {}, "application/msgpack"});
     std::string machine;
     for (auto& body : q.reports) a.answers.push_back(answer_heartbeat(body, q.label, machine));
     {
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(state_.mutex);
         for (auto& h : q.heard) {
-            auto* m = cluster_state_.find(h.machine);
+            auto* m = state_.cluster.find(h.machine);
             if (!m || !delegations_.delegated_to(h.machine, q.label)) continue;
             m->last_heard = std::max(m->last_heard, now() - static_cast<double>(h.age_ms) / 1000);
             m->reach.shown(now());
@@ -174,7 +174,8 @@
     flush_all();
     // Within the time for which this leader itself may renew leases, which its successor counts on, and which
     // ends early enough for tasks that are cancelled.
-    double grant = std::max(0.0, std::min({s.report_s, keep_alive_, lease_renewal_deadline() - now()}));
+    double grant = std::max(0.0, std::min({s.report_s, authority_.renewal_after_expiry_s(),
+                                           authority_.lease_renewal_deadline() - now()}));
     a.grant_ms = static_cast<std::uint64_t>(grant * 1000);
     a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * election::drift));
     send();
@@ -183,17 +184,17 @@
 cluster::HeartbeatOutcome Leader::apply_heartbeat(const protocol::Heartbeat& r, cluster::Via via) {
     cluster::HeartbeatOutcome heard;
     {
-        std::lock_guard lock(mutex_);
-        if (auto* m = cluster_state_.find(r.machine); m && m->life == Machine::Life::booting)
+        std::lock_guard lock(state_.mutex);
+        if (auto* m = state_.cluster.find(r.machine); m && m->life == Machine::Life::booting)
             failure_detector_.booted(boots(*m));
         heard =
-            cluster_state_.apply_heartbeat(r, via, now(), [this](const std::string& id) -> cluster::JobSpec {
-                auto* e = table_.find(id);
+            state_.cluster.apply_heartbeat(r, via, now(), [this](const std::string& id) -> cluster::JobSpec {
+                auto* e = state_.jobs.find(id);
                 return e ? e->spec : nullptr;
             });
         for (auto& e : heard.ends) handle_end(e);
         for (auto& [task, machine] : heard.found) handle_found(task, machine);
-        if (auto* m = cluster_state_.find(r.machine); m && heard.fresh) {
+        if (auto* m = state_.cluster.find(r.machine); m && heard.fresh) {
             store_machine(*m);
             failure_detector_.heard_from(zone_of(*m), now());
             if (m->preemption_notice_until >= 0) handle_preemption_notice(*m);
@@ -203,7 +204,7 @@
         spdlog::info("leader: machine {} has seen the token of a later leader", r.machine);
         // Not from within what the worker's message set off: this object would be gone before it is done.
         auto version = r.token >> cluster::ClusterState::token_bits;
-        dependencies_.timers.after(0, guarded([this, version] { dependencies_.election.deposed(version); }));
+        dependencies_.timers.after(0, guarded_([this, version] { authority_.deposed_by(version); }));
         return heard;
     }
     check_reconciled();
@@ -217,7 +218,7 @@
 
 void Leader::check_reconciled() {
     if (loaded_ && !steps_.has("may place") && reconciliation_.may_place() &&
-        cluster_state_.any_reconciled()) {
+        state_.cluster.any_reconciled()) {
         steps_.over("may place");
         plan_soon();
     }
@@ -227,18 +228,18 @@
     plan_soon();
 }
 void Leader::types_changed() {
-    std::lock_guard lock(mutex_);
-    cluster_state_.set_types(dependencies_.types);
+    std::lock_guard lock(state_.mutex);
+    state_.cluster.set_types(dependencies_.types);
 }
 
 void Leader::handle_found(const protocol::TaskId& task, const std::string& machine) {
-    auto* e = table_.find(task.job);
-    auto* m = cluster_state_.find(machine);
+    auto* e = state_.jobs.find(task.job);
+    auto* m = state_.cluster.find(machine);
     auto it = m->tasks.find(task);
     if (!e || it == m->tasks.end()) return;  // of a job that is over: the cluster state stops it
     if (it->second.confirmed) locate(*e, task, *m, it->second.attempt);
-    if (e->cancelled) cluster_state_.cancel(*m, task, lease_renewal_deadline());
-    if (e->is_done(task.index)) cluster_state_.stop(*m, task, 0);
+    if (e->cancelled) state_.cluster.cancel(*m, task, authority_.lease_renewal_deadline());
+    if (e->is_done(task.index)) state_.cluster.stop(*m, task, 0);
 }
 
 // The task is on this machine. Attempts are numbered in the order of their starts, and one starts when the
@@ -247,7 +248,7 @@
 void Leader::locate(jobs::JobEntry& e, const protocol::TaskId& task, Machine& m, std::uint64_t attempt) {
     auto [a, fresh] = e.active.try_emplace(task.index, jobs::ActiveTask{m.id, attempt, zone_of(m)});
     if (fresh || a->second.machine == m.id) return;
-    auto* other = cluster_state_.find(a->second.machine);
+    auto* other = state_.cluster.find(a->second.machine);
     if (m.confirmed && other && other->confirmed)
         spdlog::error("task {} is on {} and on {}", task.str(), a->second.machine, m.id);
     else  // one of them has not said anything yet: what may be on it was told by the leader before
@@ -260,14 +261,14 @@
     if (auto old = older ? older->tasks.find(task) : m.tasks.end(); older && old != older->tasks.end()) {
         old->second.orphaned = true;
         ++e.orphans;
-        cluster_state_.stop(*older, task, 0);
+        state_.cluster.stop(*older, task, 0);
     }
 }
 
 void Leader::handle_end(const cluster::InstanceEnd& end) {
-    auto* e = table_.find(end.task.job);
+    auto* e = state_.jobs.find(end.task.job);
     if (!e) {
-        cluster_state_.stored(end.task.job);  // the job is over and stored
+        state_.cluster.stored(end.task.job);  // the job is over and stored
         return;
     }
     spdlog::debug("task {} attempt {} left {}: reported {} cause {}", end.task.str(), end.attempt,
@@ -276,7 +277,7 @@
     auto a = e->active.find(end.task.index);
     // The place is free if the cluster state holds nothing there any more: an old attempt that is reported as
     // exited once more says nothing about the one that came after it.
-    auto* there = cluster_state_.find(end.machine);
+    auto* there = state_.cluster.find(end.machine);
     bool ours = a != e->active.end() && a->second.machine == end.machine &&
                 !(there && there->tasks.contains(end.task));
     if (ours) e->active.erase(a);
@@ -294,12 +295,12 @@
         team_activity_.done(spec.team, e->done_count - before);
         e->failures = 0;
         e->not_before = 0;
-        if (auto* m = cluster_state_.find(end.machine)) m->error_jobs.clear();
+        if (auto* m = state_.cluster.find(end.machine)) m->error_jobs.clear();
         if (e->is_done(end.task.index) && !e->unstored.contains(end.task.index))
-            cluster_state_.stored(end.task.job, {end.task.index});
+            state_.cluster.stored(end.task.job, {end.task.index});
         return;
     }
-    if (end.cause == ExitCause::done) cluster_state_.stored(end.task.job, {end.task.index});
+    if (end.cause == ExitCause::done) state_.cluster.stored(end.task.job, {end.task.index});
     if (!ours) return;
     if (end.started) team_activity_.stopped(spec.team);
     switch (end.cause) {
@@ -309,7 +310,7 @@
         case ExitCause::no_room:
         case ExitCause::busy:
             // The cluster state of this machine was wrong: let reports mend it first.
-            if (auto* m = cluster_state_.find(end.machine))
+            if (auto* m = state_.cluster.find(end.machine))
                 m->quarantined_until = now() + dependencies_.settings.report_s;
             break;
         case ExitCause::unknown:
@@ -333,7 +334,7 @@
         e.not_before = now() + dependencies_.settings.report_s * std::pow(2.0, doublings);
         if (e.failed_on.size() > 8) e.failed_on.clear();
     }
-    auto* m = cluster_state_.find(end.machine);
+    auto* m = state_.cluster.find(end.machine);
     if (!m) return;
     m->error_jobs.insert(end.task.job);
     if (e.on_probation()) return;  // says more about the job than about the machine
@@ -350,14 +351,14 @@
 
 void Leader::stop_active(const std::string& id, jobs::JobEntry& e, double grace_s) {
     for (auto& [task, a] : e.active)
-        if (auto* m = cluster_state_.find(a.machine)) cluster_state_.stop(*m, {id, task}, grace_s);
+        if (auto* m = state_.cluster.find(a.machine)) state_.cluster.stop(*m, {id, task}, grace_s);
 }
 
 // A cancellation that this leader did not know when it was last complete was told after that.
 void Leader::cancel_active(const std::string& id, jobs::JobEntry& e) {
     for (auto& [task, a] : e.active)
-        if (auto* m = cluster_state_.find(a.machine))
-            cluster_state_.cancel(*m, {id, task}, lease_renewal_deadline());
+        if (auto* m = state_.cluster.find(a.machine))
+            state_.cluster.cancel(*m, {id, task}, authority_.lease_renewal_deadline());
 }
 
 void Leader::handle_preemption_notice(Machine& m) {
@@ -368,11 +369,11 @@
             stops.emplace_back(
                 id, std::min(scheduler::grace_of(*i.spec), std::max(0.0, m.preemption_notice_until - now())));
     for (auto& [id, grace] : stops) {
-        auto* e = table_.find(id.job);
+        auto* e = state_.jobs.find(id.job);
         if (e && e->spec->kind == JobKind::gang)
             stop_active(id.job, *e, grace);
         else
-            cluster_state_.stop(m, id, grace);
+            state_.cluster.stop(m, id, grace);
     }
     if (!stops.empty()) spdlog::info("machine {} has notice: {} tasks are moved", m.id, stops.size());
 }
@@ -380,8 +381,8 @@
 void Leader::flush_all() {
     std::vector<std::string> ids;
     {
-        std::lock_guard lock(mutex_);
-        ids = cluster_state_.to_flush();
+        std::lock_guard lock(state_.mutex);
+        ids = state_.cluster.to_flush();
     }
     bool idle = flushing_.empty();
     for (auto& id : ids) {
@@ -394,21 +395,21 @@
 // lease ran out meanwhile.
 void Leader::flush_some() {
     for (std::size_t k = 0; k < flushes_at_once && !flushing_.empty(); ++k) {
-        auto* m = cluster_state_.find(flushing_.front());
+        auto* m = state_.cluster.find(flushing_.front());
         flushing_.pop_front();
         if (m) flush(*m);
     }
-    if (!flushing_.empty()) dependencies_.timers.after(0, guarded([this] { flush_some(); }));
+    if (!flushing_.empty()) dependencies_.timers.after(0, guarded_([this] { flush_some(); }));
 }
 void Leader::flush(Machine& m) {
     std::vector<protocol::Command> commands;
     {
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(state_.mutex);
         if (m.agent_epoch == 0) {
             m.unsent = false;
             return;
         }
-        commands = cluster_state_.direct_now(m, now(), authority());
+        commands = state_.cluster.direct_now(m, now(), authority_.holds());
     }
     if (!commands.empty()) send_direct(m, std::move(commands));
 }
@@ -424,7 +425,7 @@
 }
 void Leader::probe_soon() {
     if (std::exchange(probes_armed_, true)) return;
-    dependencies_.timers.after(0, guarded([this] {
+    dependencies_.timers.after(0, guarded_([this] {
                                    probes_armed_ = false;
                                    send_probes();
                                }));
@@ -436,7 +437,7 @@
     bool waits = false;
     std::size_t left = to_probe_.size();
     for (std::size_t k = 0; k < flushes_at_once && probing_ < most && left > 0; --left) {
-        auto* m = cluster_state_.find(to_probe_.front());
+        auto* m = state_.cluster.find(to_probe_.front());
         to_probe_.pop_front();
         if (!m) continue;
         // It has been heard meanwhile, or was answered and will say so in its next report, half a second
@@ -462,7 +463,7 @@
     }
     if (waits && left == 0) {
         if (!std::exchange(asks_armed_, true))
-            dependencies_.timers.after(asks_.wait(now()), guarded([this] {
+            dependencies_.timers.after(asks_.wait(now()), guarded_([this] {
                                            asks_armed_ = false;
                                            probe_soon();
                                        }));
@@ -481,11 +482,11 @@
         dependencies_.settings.report_s * (probe ? probe_timeout_reports : direct_timeout_reports);
     dependencies_.http.send(
         m.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
-        guarded([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
+        guarded_([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
             if (r) reconciliation_.answered(now() - sent, now());
             if (probe) {
                 --probing_;
-                if (auto* m = cluster_state_.find(id)) m->probing = false;
+                if (auto* m = state_.cluster.find(id)) m->probing = false;
             }
             answered(id, commands, token, r);
             if (probe && !to_probe_.empty()) probe_soon();
@@ -498,26 +499,26 @@
     if (executed || refused) direct_heard_ = now();
     if (executed || refused) try {
             auto report = reader_.read(r->body);
-            auto* before = cluster_state_.find(id);
+            auto* before = state_.cluster.find(id);
             first_session = before && before->agent_epoch < report.agent_epoch;
             if (report.machine == id) apply_heartbeat(report, cluster::Via::direct);
             // What a relay would go on answering may not be the last word any more.
-            if (auto* m = cluster_state_.find(id); m && !cluster_state_.quiet(*m)) revoke(id);
+            if (auto* m = state_.cluster.find(id); m && !state_.cluster.quiet(*m)) revoke(id);
         } catch (const protocol::Malformed& x) {
             spdlog::info("machine {}: {}", id, x.what());
         }
-    std::lock_guard lock(mutex_);
-    auto* m = cluster_state_.find(id);
+    std::lock_guard lock(state_.mutex);
+    auto* m = state_.cluster.find(id);
     if (!m) return;
     if (executed || refused)
         m->reach.shown(now());
     else
         m->reach.ignored(now());
-    cluster_state_.direct_done(*m, commands, token, executed || refused);
+    state_.cluster.direct_done(*m, commands, token, executed || refused);
     // A 409 told the agent epoch: ask again at once, so that the machine settles.
     if (refused && first_session && !m->reconciled)
-        dependencies_.timers.after(0, guarded([this, id] {
-                                       if (auto* again = cluster_state_.find(id)) probe(*again);
+        dependencies_.timers.after(0, guarded_([this, id] {
+                                       if (auto* again = state_.cluster.find(id)) probe(*again);
                                    }));
 }
 
@@ -542,7 +543,7 @@
     double t = now();
     std::vector<Machine*> machines;
     std::vector<membership::Observation> seen;
-    for (auto& [id, m] : cluster_state_.machines()) {
+    for (auto& [id, m] : state_.cluster.machines()) {
         if (m.life != Machine::Life::up) continue;
         membership::Observation s{id,           m.route,      zone_of(m), reconciliation_.silence(m, t),
                                   m.last_heard, m.reconciled, m.known,    {}};
@@ -564,17 +565,17 @@
         if (failure_detector_.should_resign() && dependencies_.resign_leadership()) {
             spdlog::info("leader: {} of {} machines are silent, {} report to another controller: giving way",
                          self_suspicion->silent.size(), failure_detector_.up(), *elsewhere);
-            dependencies_.election.resign(dependencies_.settings.lease_s);
+            authority_.resign(dependencies_.settings.lease_s);
             return;
         }
     }
-    bool may = authority() && failure_detector_.may_evict();
+    bool may = authority_.holds() && failure_detector_.may_evict();
     std::size_t suspected = 0;
     for (std::size_t k = 0; k < machines.size(); ++k) {
         auto& m = *machines[k];
         auto verdict = failure_detector_.judge(seen[k]);
         {
-            std::lock_guard lock(mutex_);
+            std::lock_guard lock(state_.mutex);
             m.suspected = verdict != membership::Health::Alive || m.reach.lost();
             m.mute = m.reach.mute(t, dependencies_.settings.lease_s * mute_leases);
         }
@@ -584,11 +585,11 @@
         check_up(m, seen[k], verdict, may);
     }
     dependencies_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
-    for (auto& [id, m] : cluster_state_.machines()) {
+    for (auto& [id, m] : state_.cluster.machines()) {
         if (m.life == Machine::Life::marked_for_deletion) check_lease(m);
         if (m.life != Machine::Life::booting || !may || !failure_detector_.overdue(boots(m), zone_of(m), t))
             continue;
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(state_.mutex);
         mark_for_deletion(m, "does not come up");
     }
     check_reconciled();
@@ -604,8 +605,8 @@
     bool silent = now() - m.last_heard > s.lease_s || beyond_reach(m);
     if (over && silent && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
-        std::lock_guard lock(mutex_);
-        for (auto& e : cluster_state_.expire_lease(m)) handle_end(e);
+        std::lock_guard lock(state_.mutex);
+        for (auto& e : state_.cluster.expire_lease(m)) handle_end(e);
         plan_soon();
     }
     return over;
@@ -624,12 +625,12 @@
     // time for it is up. One that has not is asked again and again, without a pause; it was waited for then
     // until its lease was out, and nothing placed meanwhile.
     bool asked_now = m.reconciled && m.probing && !lease_over;
-    if (given_up && !asked_now && (may || (lease_over && authority()))) {
-        std::lock_guard lock(mutex_);
+    if (given_up && !asked_now && (may || (lease_over && authority_.holds()))) {
+        std::lock_guard lock(state_.mutex);
         failure_detector_.evicted(seen, t);
         mark_for_deletion(m, failure_detector_.evidence(seen).c_str());
     } else if (may && m.preemption_notice_until >= 0 && m.tasks.empty() && m.reconciled) {
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(state_.mutex);
         mark_for_deletion(m, "has notice and is empty");
     }
 }
@@ -653,9 +654,9 @@
 // Up to a call's most machines each, and several calls at once: after a wave of losses, places wait for it.
 void Leader::delete_marked_machines() {
     constexpr int most_calls = 4;
-    while (removing_ < most_calls && authority() && now() >= remove_retry_) {
+    while (removing_ < most_calls && authority_.holds() && now() >= remove_retry_) {
         std::vector<std::string> ids;
-        for (auto& [id, m] : cluster_state_.machines())
+        for (auto& [id, m] : state_.cluster.machines())
             if (m.life == Machine::Life::marked_for_deletion && m.deletable && !m.deleting &&
                 ids.size() < cloud::CloudClient::remove_most) {
                 ids.push_back(id);
@@ -663,26 +664,26 @@
             }
         if (ids.empty()) return;
         ++removing_;
-        dependencies_.cloud.remove(ids, guarded([this, ids](bool ok) { deleted(ids, ok); }));
+        dependencies_.cloud.remove(ids, guarded_([this, ids](bool ok) { deleted(ids, ok); }));
     }
 }
 void Leader::deleted(const std::vector<std::string>& ids, bool ok) {
     --removing_;
     if (!ok) {
         for (auto& id : ids)
-            if (auto* m = cluster_state_.find(id)) m->deleting = false;
+            if (auto* m = state_.cluster.find(id)) m->deleting = false;
         remove_retry_ = now() + dependencies_.settings.report_s / 3;
         return;
     }
     {
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(state_.mutex);
         for (auto& id : ids) {
-            if (!cluster_state_.find(id)) continue;
+            if (!state_.cluster.find(id)) continue;
             store_.remove(id);
             revoke(id);
             reply_cache_.forget(id);
             // Proof: by the time of the answer the machine and everything on it are gone.
-            for (auto& e : cluster_state_.removed(id)) handle_end(e);
+            for (auto& e : state_.cluster.removed(id)) handle_end(e);
         }
     }
     replicate_changes();
@@ -692,8 +693,8 @@
 }
 
 void Leader::drop_keys() {
-    if (dropping_ || keys_to_drop_.empty() || !authority()) return;
-    auto t = leader_txn();
+    if (dropping_ || keys_to_drop_.empty() || !authority_.holds()) return;
+    auto t = authority_.fenced_transaction();
     for (auto& k : keys_to_drop_) {
         if (t.changes.size() >= dependencies_.state.limits().txn_ops()) break;
         t.changes.push_back({k, std::nullopt, 0});
@@ -701,7 +702,7 @@
     std::vector<std::string> dropped;
     for (auto& ch : t.changes) dropped.push_back(ch.key);
     dropping_ = true;
-    dependencies_.state.txn(std::move(t), RequestPriority::background, guarded([this, dropped](TxnResult c) {
+    dependencies_.state.txn(std::move(t), RequestPriority::background, guarded_([this, dropped](TxnResult c) {
                                 dropping_ = false;
                                 if (c.status == TxnResult::Status::committed)
                                     for (auto& k : dropped) keys_to_drop_.erase(k);
@@ -718,22 +719,22 @@
     store_.put(m.id);
 }
 std::optional<protocol::MachineRecord> Leader::record_of(const std::string& id) {
-    auto* m = cluster_state_.find(id);
+    auto* m = state_.cluster.find(id);
     if (!m) return std::nullopt;
     return protocol::MachineRecord{m->addr, m->type, m->zone, m->spot,
                                    m->life == Machine::Life::marked_for_deletion};
 }
 void Leader::machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records) {
     {
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(state_.mutex);
         for (auto& [id, r] : records) {
-            auto* m = cluster_state_.find(id);
+            auto* m = state_.cluster.find(id);
             if (!m) continue;
             if (r.marked_for_deletion) m->deletable = true;
             if (m->stored) continue;
             m->stored = true;
             for (auto& [task, i] : m->tasks) i.ready = true;
-            cluster_state_.schedule_flush(*m);
+            state_.cluster.schedule_flush(*m);
         }
     }
     flush_all();
@@ -741,22 +742,22 @@
 }
 
 void Leader::list_hosts() {
-    if (listing_ || !authority()) return;
+    if (listing_ || !authority_.holds()) return;
     listing_ = true;
     last_list_ = now();
-    dependencies_.cloud.hosts(guarded([this](std::optional<std::vector<protocol::Host>> hosts) {
+    dependencies_.cloud.hosts(guarded_([this](std::optional<std::vector<protocol::Host>> hosts) {
         listing_ = false;
         if (!hosts) return;
         listed_once_ = true;
         std::vector<std::string> to_probe;
         {
-            std::lock_guard lock(mutex_);
+            std::lock_guard lock(state_.mutex);
             for (auto& h : *hosts) {
                 // The list lags: what is known to be gone stays gone.
-                if (cluster_state_.is_deleted(h.id)) continue;
-                auto* known = cluster_state_.find(h.id);
+                if (state_.cluster.is_deleted(h.id)) continue;
+                auto* known = state_.cluster.find(h.id);
                 auto& m = known ? *known
-                                : cluster_state_.add(h.id, h.addr, h.type, h.zone, h.spot,
+                                : state_.cluster.add(h.id, h.addr, h.type, h.zone, h.spot,
                                                      Machine::Life::booting, now());
                 if (!known) m.created = now() - h.age_s;
                 if (h.state == protocol::HostState::failed && m.life != Machine::Life::marked_for_deletion) {
@@ -768,7 +769,7 @@
             }
         }
         for (auto& id : to_probe)
-            if (auto* m = cluster_state_.find(id)) probe(*m);
+            if (auto* m = state_.cluster.find(id)) probe(*m);
     }));
 }
 
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -19,14 +19,14 @@
 }  // namespace
 
 void Leader::plan_soon() {
-    if (plan_wanted_ || stopped_) return;
+    if (plan_wanted_ || authority_.ended()) return;
     plan_wanted_ = true;
     // A plan that takes long leaves the processor to the loop for as long again and more: with thousands of
     // tasks waiting, plan upon plan kept reports waiting until machines that were well counted as silent.
     double rest = std::min(plan_took_ * plan_rest, dependencies_.settings.report_s);
     double gap = std::max(dependencies_.settings.report_s * plan_gap_reports, rest);
     double wait = std::max(0.0, last_plan_ + gap - now());
-    dependencies_.timers.after(wait, guarded([this] {
+    dependencies_.timers.after(wait, guarded_([this] {
                                    plan_wanted_ = false;
                                    plan();
                                }));
@@ -37,14 +37,14 @@
     return !e.cancelled && !e.awaiting() && !e.all_done() && now() >= e.not_before && e.orphans == 0;
 }
 bool Leader::anything_waits() {
-    return std::any_of(table_.all().begin(), table_.all().end(),
+    return std::any_of(state_.jobs.all().begin(), state_.jobs.all().end(),
                        [&](auto& j) { return may_wait(j.second) && j.second.any_waiting(); });
 }
 
 void Leader::plan() {
     // Unless the leader before told it, a new leader can't know what unreconciled machines hold, so neither a
     // task, a quota nor a zone is safe.
-    if (planning_ || !loaded_ || !authority() || !reconciliation_.may_place()) return;
+    if (planning_ || !loaded_ || !authority_.holds() || !reconciliation_.may_place()) return;
     auto plan = std::make_shared<Plan>();
     plan->with_capacity = reconciliation_.all_reconciled() &&
                           now() - last_capacity_ > dependencies_.settings.report_s * capacity_reports &&
@@ -58,20 +58,20 @@
         plan->fleet = rentals();
     }
     auto seed = random_();
-    auto done = guarded([this, plan] {
+    auto done = guarded_([this, plan] {
         planning_ = false;
         apply(*plan);
     });
     dependencies_.planner.submit([self = shared_from_this(), plan, seed, done]() -> event_loop::Task {
         std::mt19937_64 random(seed);
         {
-            std::lock_guard lock(self->mutex_);
+            std::lock_guard lock(self->state_.mutex);
             plan->in = self->snapshot();
         }
         plan->out = scheduler::plan(plan->in, self->dependencies_.settings, random);
         if (plan->with_capacity) {
             {
-                std::lock_guard lock(self->mutex_);
+                std::lock_guard lock(self->state_.mutex);
                 self->fill_capacity(*plan);
             }
             plan->capacity = autoscaler::plan(plan->fleet, self->dependencies_.settings);
@@ -81,10 +81,10 @@
 }
 
 std::size_t Leader::zone_of(const Machine& m) const {
-    return cluster_state_.pools()[m.pool].zone_index;
+    return state_.cluster.pools()[m.pool].zone_index;
 }
 scheduler::ZoneCounts Leader::zones_of(const jobs::JobEntry& e) const {
-    scheduler::ZoneCounts zones(cluster_state_.zones());
+    scheduler::ZoneCounts zones(state_.cluster.zones());
     for (auto& [task, a] : e.active) ++zones[a.zone];
     return zones;
 }
@@ -92,12 +92,12 @@
     scheduler::Input in;
     in.now = now();
     in.unix_now = dependencies_.timers.unix_time();
-    in.pools = cluster_state_.pools();
-    in.zones = cluster_state_.zones();
-    in.machines.reserve(cluster_state_.machines().size());
-    in.jobs.reserve(table_.all().size());
+    in.pools = state_.cluster.pools();
+    in.zones = state_.cluster.zones();
+    in.machines.reserve(state_.cluster.machines().size());
+    in.jobs.reserve(state_.jobs.all().size());
     std::unordered_map<const protocol::Job*, std::size_t> job_index;
-    for (auto& [id, e] : table_.all()) {
+    for (auto& [id, e] : state_.jobs.all()) {
         // Waits for other jobs: holds no part of a guarantee, displaces nobody, nothing is rented for it.
         if (e.awaiting() && e.active.empty()) continue;
         scheduler::JobView j;
@@ -119,7 +119,7 @@
         in.jobs.push_back(std::move(j));
     }
     cluster::Usage used;
-    for (auto& [id, m] : cluster_state_.machines()) {
+    for (auto& [id, m] : state_.cluster.machines()) {
         used.add(m);
         scheduler::MachineView v;
         v.id = id;
@@ -151,8 +151,8 @@
 autoscaler::Input Leader::rentals() const {
     autoscaler::Input in;
     in.types = dependencies_.types;
-    in.pools = cluster_state_.pools();
-    in.zones = cluster_state_.zones();
+    in.pools = state_.cluster.pools();
+    in.zones = state_.cluster.zones();
     for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.dark(z, now()));
     for (auto& [name, r] : rentals_)
         for (int k = 0; k < r.count; ++k) {
@@ -168,9 +168,9 @@
 }
 void Leader::fill_capacity(Plan& p) {
     auto& in = p.fleet;
-    in.others = cluster_state_.machines().size();
+    in.others = state_.cluster.machines().size();
     for (auto& v : p.in.machines) {
-        auto* m = cluster_state_.find(v.id);
+        auto* m = state_.cluster.find(v.id);
         if (!m || m->life == Machine::Life::marked_for_deletion || m->preemption_notice_until >= 0) continue;
         bool booting = m->life == Machine::Life::booting;
         bool suspected = m->is_suspect() && m->fit(p.in.now) && !m->has_orphaned_instance();
@@ -209,7 +209,7 @@
 void Leader::apply_starts(Plan& p) {
     auto& starts = p.out.starts;
     if (starts.empty()) return;  // most plans, and the sum walks the whole fleet
-    auto used = cluster::team_used(cluster_state_, dependencies_.settings.teams);
+    auto used = cluster::team_used(state_.cluster, dependencies_.settings.teams);
     for (std::size_t k = 0; k < starts.size();) {
         auto job = starts[k].job;
         auto& id = p.in.jobs[job].spec->id;
@@ -217,7 +217,7 @@
         std::size_t end = k + 1;
         if (gang)
             while (end < starts.size() && starts[end].job == job) ++end;
-        auto* e = table_.find(id);
+        auto* e = state_.jobs.find(id);
         auto team = std::find_if(dependencies_.settings.teams.begin(), dependencies_.settings.teams.end(),
                                  [&](auto& t) { return e && t.name == e->spec->team; });
         std::vector<std::pair<Machine*, std::uint32_t>> placed;
@@ -226,13 +226,13 @@
         auto attempt = attempts_.next();
         if (!attempt) return;  // the next plan starts the rest
         for (std::size_t i = k; ok && i < end; ++i) {
-            auto* m = cluster_state_.find(p.in.machines[starts[i].machine].id);
+            auto* m = state_.cluster.find(p.in.machines[starts[i].machine].id);
             auto task = starts[i].task;
             ok = m && may_start(*e, task, *m, zones) &&
                  scheduler::team_allows(*team, used[e->spec->team], e->spec->request);
             if (!ok) break;
             used[e->spec->team] += e->spec->request;
-            cluster_state_.place(*m, {id, task}, e->spec, *attempt, now());
+            state_.cluster.place(*m, {id, task}, e->spec, *attempt, now());
             e->active[task] = {m->id, *attempt, zone_of(*m)};
             ++zones[zone_of(*m)];
             placed.emplace_back(m, task);
@@ -257,7 +257,7 @@
 
 void Leader::apply(Plan& p) {
     plan_took_ = now() - last_plan_;
-    if (!authority()) return;
+    if (!authority_.holds()) return;
     dependencies_.metrics.plan_took(plan_took_);
     if (spdlog::should_log(spdlog::level::debug)) {
         std::array<std::size_t, 3> missing{};
@@ -278,7 +278,7 @@
             usable, whole, free.cpus, free.gpus);
     }
     {
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(state_.mutex);
         if (!reconciliation_.may_place()) return;
         apply_starts(p);
         bool stops = reconciliation_.all_reconciled();
@@ -286,15 +286,15 @@
             if (!stops) break;
             auto& i = p.in.instances[s.instance];
             auto& spec = *p.in.jobs[i.job].spec;
-            auto* m = cluster_state_.find(p.in.machines[i.machine].id);
+            auto* m = state_.cluster.find(p.in.machines[i.machine].id);
             if (!m || !m->tasks.contains({spec.id, i.task})) continue;
             spdlog::debug("task {}/{} is stopped for {}", spec.id, i.task, p.in.jobs[s.for_job].spec->id);
-            cluster_state_.stop(*m, {spec.id, i.task}, scheduler::grace_of(spec));
+            state_.cluster.stop(*m, {spec.id, i.task}, scheduler::grace_of(spec));
         }
         if (p.with_capacity)
-            for (auto& [id, m] : cluster_state_.machines()) m.draining = p.capacity.drains.contains(id);
+            for (auto& [id, m] : state_.cluster.machines()) m.draining = p.capacity.drains.contains(id);
         for (auto& id : p.capacity.returns) {
-            auto* m = cluster_state_.find(id);
+            auto* m = state_.cluster.find(id);
             if (m && m->tasks.empty() && (m->reconciled || m->life == Machine::Life::booting))
                 mark_for_deletion(*m, "is surplus");
         }
@@ -322,8 +322,9 @@
 
 void Leader::rent(const autoscaler::ScaleOutRequest& r) {
     // Names are never used again, by any controller: the version belongs to this leadership alone.
-    std::string name = "r-" + std::to_string(version_) + "-" + std::to_string(++rentals_made_);
-    auto& pool = cluster_state_.pools()[r.pool];
+    std::string name =
+        "r-" + std::to_string(authority_.fencing_token()) + "-" + std::to_string(++rentals_made_);
+    auto& pool = state_.cluster.pools()[r.pool];
     rentals_[name] = {r.pool, r.count, false};
     spdlog::info("renting {} {} {} in {} as {}", r.count, pool.spot ? "spot" : "ordinary", pool.type,
                  pool.zone, name);
@@ -332,11 +333,11 @@
 // Asked again under the same name until it is answered, so that nothing is rented twice.
 void Leader::ask_rental(const std::string& name) {
     auto& r = rentals_.at(name);
-    if (r.asking || !authority()) return;
+    if (r.asking || !authority_.holds()) return;
     r.asking = true;
-    auto& pool = cluster_state_.pools()[r.pool];
+    auto& pool = state_.cluster.pools()[r.pool];
     dependencies_.cloud.rent(name, pool.type, pool.zone, pool.spot, r.count,
-                             guarded([this, name](cloud::CreateMachinesResult out) {
+                             guarded_([this, name](cloud::CreateMachinesResult out) {
                                  auto it = rentals_.find(name);
                                  if (it == rentals_.end()) return;
                                  auto& r = it->second;
@@ -347,11 +348,11 @@
                                      refused_[r.pool] =
                                          now() + dependencies_.settings.report_s * refused_reports;
                                  {
-                                     std::lock_guard lock(mutex_);
-                                     auto pool = cluster_state_.pools()[r.pool];
+                                     std::lock_guard lock(state_.mutex);
+                                     auto pool = state_.cluster.pools()[r.pool];
                                      for (auto& id : out.machines)
-                                         if (!cluster_state_.is_deleted(id))
-                                             cluster_state_.add(id, "", pool.type, pool.zone, pool.spot,
+                                         if (!state_.cluster.is_deleted(id))
+                                             state_.cluster.add(id, "", pool.type, pool.zone, pool.spot,
                                                                 Machine::Life::booting, now());
                                  }
                                  rentals_.erase(it);
