--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -164,7 +164,7 @@
         protocol::TaskId task{t.job, t.index};
         auto* e = state_.jobs.find(t.job);
         state_.cluster.inherit(m, task, e ? e->spec : nullptr, t.attempt, now());
-        handle_found(task, id);
+        instances_.instance_found(task, id);
     }
 }
 std::optional<protocol::PeerMachineRow> Leader::row_of(const std::string& id) const {
@@ -294,14 +294,14 @@
         e.image = state_.cluster.image(e.spec->image);
         spdlog::debug("job {} of class {}: {} tasks, awaits {}, cancelled {}", id, e.spec->cls, e.spec->tasks,
                       e.awaits.size(), e.cancelled);
-        if (e.cancelled) cancel_active(id, e);
+        if (e.cancelled) instances_.cancel_active(id, e);
         return true;
     } catch (const protocol::Malformed& x) {
         spdlog::error("job {}: {}", id, x.what());
         // Its tasks must go all the same.
         if (auto* e = state_.jobs.find(id); e && !e->cancelled && protocol::says_cancelled(value)) {
             state_.jobs.cancel(id, version);
-            cancel_active(id, *e);
+            instances_.cancel_active(id, *e);
             return true;
         }
         return false;
@@ -321,7 +321,7 @@
         if (e && e->cancelled) return;
         state_.jobs.cancel(id, version);
         if (!e) return;  // its record is not read yet
-        cancel_active(id, *e);
+        instances_.cancel_active(id, *e);
     }
     flush_all();
 }
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -23,7 +23,9 @@
 #include "leader/attempt_numbers.hpp"
 #include "leader/authority.hpp"
 #include "leader/callback_guard.hpp"
+#include "leader/instance_tracker.hpp"
 #include "leader/leader_state.hpp"
+#include "leader/part_context.hpp"
 #include "leader/planner.hpp"
 #include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
@@ -124,12 +126,6 @@
     void send_direct(cluster::Machine& m, std::vector<protocol::Command> commands);
     void answered(const std::string& id, const std::vector<protocol::Command>& commands, std::uint64_t token,
                   const std::optional<http::Response>& r);
-    void handle_end(const cluster::InstanceEnd& e);
-    void handle_found(const protocol::TaskId& task, const std::string& machine);
-    void locate(jobs::JobEntry& e, const protocol::TaskId& task, cluster::Machine& m, std::uint64_t attempt);
-    void task_error(jobs::JobEntry& e, const cluster::InstanceEnd& end);
-    void stop_active(const std::string& id, jobs::JobEntry& e, double grace_s);
-    void cancel_active(const std::string& id, jobs::JobEntry& e);
     void check_machines();
     void check_up(cluster::Machine& m, const membership::Observation& seen, membership::Health verdict,
                   bool may);
@@ -200,6 +196,12 @@
     bool loaded_ = false, was_reconciled_ = false;
 
     LeaderState state_;
+    const PartContext part_context_{dependencies_.timers, dependencies_.settings, state_, authority_,
+                                    guarded_};
+    cluster::TeamActivity team_activity_;
+    InstanceTracker instances_{
+        part_context_, dependencies_.metrics, team_activity_,
+        [this](cluster::Machine& machine, const char* reason) { mark_for_deletion(machine, reason); }};
     machine_registry::MachineRegistry store_;
     kv::ListWatch job_watch_;
 
@@ -221,7 +223,6 @@
     bool ends_left_ = false;  // some wait for one of these
     bool planning_ = false, plan_wanted_ = false, store_wanted_ = false;
     double plan_took_ = 0;
-    cluster::TeamActivity team_activity_;
     double last_team_log_ = -1;
     static constexpr double never = -1e9;  // long before a leader begins
     double last_audit_ = 0;
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -2,7 +2,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 
 #include "leader/leader.hpp"
 
@@ -10,14 +9,12 @@
 using cluster::Machine;
 using kv::RequestPriority;
 using kv::TxnResult;
-using protocol::ExitCause;
 using protocol::JobKind;
 
 namespace {
 constexpr double probe_timeout_reports = 0.33, direct_timeout_reports = 0.7;
 constexpr double probe_sockets = 1.0 / 8;     // of all sockets
 constexpr double answered_reports = 1.0 / 4;  // in which a worker shows the token that it was answered with
-constexpr double sick_reports = 20;
 // Half of a worker's lease is left then; it goes round all controllers and comes back well within the first.
 constexpr double mute_leases = 1.0 / 2;
 constexpr std::size_t flushes_at_once = 16;
@@ -192,8 +189,8 @@
                 auto* e = state_.jobs.find(id);
                 return e ? e->spec : nullptr;
             });
-        for (auto& e : heard.ends) handle_end(e);
-        for (auto& [task, machine] : heard.found) handle_found(task, machine);
+        for (auto& e : heard.ends) instances_.instance_ended(e);
+        for (auto& [task, machine] : heard.found) instances_.instance_found(task, machine);
         if (auto* m = state_.cluster.find(r.machine); m && heard.fresh) {
             store_machine(*m);
             failure_detector_.heard_from(zone_of(*m), now());
@@ -232,135 +229,6 @@
     state_.cluster.set_types(dependencies_.types);
 }
 
-void Leader::handle_found(const protocol::TaskId& task, const std::string& machine) {
-    auto* e = state_.jobs.find(task.job);
-    auto* m = state_.cluster.find(machine);
-    auto it = m->tasks.find(task);
-    if (!e || it == m->tasks.end()) return;  // of a job that is over: the cluster state stops it
-    if (it->second.confirmed) locate(*e, task, *m, it->second.attempt);
-    if (e->cancelled) state_.cluster.cancel(*m, task, authority_.lease_renewal_deadline());
-    if (e->is_done(task.index)) state_.cluster.stop(*m, task, 0);
-}
-
-// The task is on this machine. Attempts are numbered in the order of their starts, and one starts when the
-// one before is proven gone: what shows the older one came late, if it is of another agent epoch or machine
-// by now. The newer one used to be stopped if it was heard second.
-void Leader::locate(jobs::JobEntry& e, const protocol::TaskId& task, Machine& m, std::uint64_t attempt) {
-    auto [a, fresh] = e.active.try_emplace(task.index, jobs::ActiveTask{m.id, attempt, zone_of(m)});
-    if (fresh || a->second.machine == m.id) return;
-    auto* other = state_.cluster.find(a->second.machine);
-    if (m.confirmed && other && other->confirmed)
-        spdlog::error("task {} is on {} and on {}", task.str(), a->second.machine, m.id);
-    else  // one of them has not said anything yet: what may be on it was told by the leader before
-        spdlog::info("task {} may be on {} and on {}", task.str(), a->second.machine, m.id);
-    auto* older = &m;
-    if (attempt > a->second.attempt) {
-        older = other;
-        a->second = {m.id, attempt, zone_of(m)};
-    }
-    if (auto old = older ? older->tasks.find(task) : m.tasks.end(); older && old != older->tasks.end()) {
-        old->second.orphaned = true;
-        ++e.orphans;
-        state_.cluster.stop(*older, task, 0);
-    }
-}
-
-void Leader::handle_end(const cluster::InstanceEnd& end) {
-    auto* e = state_.jobs.find(end.task.job);
-    if (!e) {
-        state_.cluster.stored(end.task.job);  // the job is over and stored
-        return;
-    }
-    spdlog::debug("task {} attempt {} left {}: reported {} cause {}", end.task.str(), end.attempt,
-                  end.machine, end.reported, static_cast<int>(end.cause));
-    if (end.orphaned) --e->orphans;
-    auto a = e->active.find(end.task.index);
-    // The place is free if the cluster state holds nothing there any more: an old attempt that is reported as
-    // exited once more says nothing about the one that came after it.
-    auto* there = state_.cluster.find(end.machine);
-    bool ours = a != e->active.end() && a->second.machine == end.machine &&
-                !(there && there->tasks.contains(end.task));
-    if (ours) e->active.erase(a);
-    auto& spec = *e->spec;
-    bool gang = spec.kind == JobKind::gang;
-    if (end.task.index >= spec.tasks) return;
-    if (end.cause == ExitCause::done && spec.kind != JobKind::service) {
-        // The tasks of a gang complete together: if one is done, all are.
-        auto before = e->done_count;
-        if (gang) {
-            for (std::uint32_t i = 0; i < spec.tasks; ++i) e->mark_done(i);
-        } else {
-            e->mark_done(end.task.index);
-        }
-        team_activity_.done(spec.team, e->done_count - before);
-        e->failures = 0;
-        e->not_before = 0;
-        if (auto* m = state_.cluster.find(end.machine)) m->error_jobs.clear();
-        if (e->is_done(end.task.index) && !e->unstored.contains(end.task.index))
-            state_.cluster.stored(end.task.job, {end.task.index});
-        return;
-    }
-    if (end.cause == ExitCause::done) state_.cluster.stored(end.task.job, {end.task.index});
-    if (!ours) return;
-    if (end.started) team_activity_.stopped(spec.team);
-    switch (end.cause) {
-        case ExitCause::error:
-            task_error(*e, end);
-            break;
-        case ExitCause::no_room:
-        case ExitCause::busy:
-            // The cluster state of this machine was wrong: let reports mend it first.
-            if (auto* m = state_.cluster.find(end.machine))
-                m->quarantined_until = now() + dependencies_.settings.report_s;
-            break;
-        case ExitCause::unknown:
-            e->not_before = now() + dependencies_.settings.report_s;
-            break;
-        default:
-            break;
-    }
-    // A gang that lost a task is stopped whole; its next attempt starts when all of the old one is gone.
-    if (gang && !e->all_done()) stop_active(end.task.job, *e, scheduler::grace_of(spec));
-}
-
-void Leader::task_error(jobs::JobEntry& e, const cluster::InstanceEnd& end) {
-    ++e.failures;
-    e.failed_on.insert(end.machine);
-    // The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on
-    // several machines gets pauses that grow, up to a bound, and holds nobody else up.
-    constexpr int most_doublings = 5;
-    if (e.on_probation()) {
-        int doublings = std::min(e.failures - jobs::JobEntry::patience - 1, most_doublings);
-        e.not_before = now() + dependencies_.settings.report_s * std::pow(2.0, doublings);
-        if (e.failed_on.size() > 8) e.failed_on.clear();
-    }
-    auto* m = state_.cluster.find(end.machine);
-    if (!m) return;
-    m->error_jobs.insert(end.task.job);
-    if (e.on_probation()) return;  // says more about the job than about the machine
-    if (m->error_jobs.size() < 2) {
-        m->quarantined_until = now() + dependencies_.settings.report_s * 2;
-        return;
-    }
-    spdlog::info("machine {} fails the tasks of {} jobs", m->id, m->error_jobs.size());
-    dependencies_.metrics.event("sick_machine");
-    m->quarantined_until = now() + dependencies_.settings.report_s * sick_reports;
-    m->error_jobs.clear();
-    if (m->tasks.empty()) mark_for_deletion(*m, "fails its tasks");
-}
-
-void Leader::stop_active(const std::string& id, jobs::JobEntry& e, double grace_s) {
-    for (auto& [task, a] : e.active)
-        if (auto* m = state_.cluster.find(a.machine)) state_.cluster.stop(*m, {id, task}, grace_s);
-}
-
-// A cancellation that this leader did not know when it was last complete was told after that.
-void Leader::cancel_active(const std::string& id, jobs::JobEntry& e) {
-    for (auto& [task, a] : e.active)
-        if (auto* m = state_.cluster.find(a.machine))
-            state_.cluster.cancel(*m, {id, task}, authority_.lease_renewal_deadline());
-}
-
 void Leader::handle_preemption_notice(Machine& m) {
     std::vector<std::pair<protocol::TaskId, double>> stops;
     for (auto& [id, i] : m.tasks)
@@ -371,7 +239,7 @@
     for (auto& [id, grace] : stops) {
         auto* e = state_.jobs.find(id.job);
         if (e && e->spec->kind == JobKind::gang)
-            stop_active(id.job, *e, grace);
+            instances_.stop_active(id.job, *e, grace);
         else
             state_.cluster.stop(m, id, grace);
     }
@@ -606,7 +474,7 @@
     if (over && silent && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
         std::lock_guard lock(state_.mutex);
-        for (auto& e : state_.cluster.expire_lease(m)) handle_end(e);
+        for (auto& e : state_.cluster.expire_lease(m)) instances_.instance_ended(e);
         plan_soon();
     }
     return over;
@@ -683,7 +551,7 @@
             revoke(id);
             reply_cache_.forget(id);
             // Proof: by the time of the answer the machine and everything on it are gone.
-            for (auto& e : state_.cluster.removed(id)) handle_end(e);
+            for (auto& e : state_.cluster.removed(id)) instances_.instance_ended(e);
         }
     }
     replicate_changes();
