--- /dev/null
+++ b/src/leader/delegations.cpp
@@ -0,0 +1,27 @@
+#include "leader/delegations.hpp"
+
+#include <algorithm>
+
+namespace coralhitch::leader {
+
+bool Delegations::take_relay_message(const protocol::PeerRelay& message) {
+    return table_.heard(message.label, message.incarnation, message.number, message.answered,
+                        [this](const std::string& machine_id, double renewed_until) {
+                            extend_expiry(machine_id, renewed_until);
+                        });
+}
+
+void Delegations::revoke(const std::string& machine_id) {
+    if (auto renewable_until = table_.revoke(machine_id)) extend_expiry(machine_id, *renewable_until);
+}
+
+double Delegations::last_possible_renewal(const cluster::Machine& machine) const {
+    return std::max(table_.renewed(machine.id, machine.renewed), machine.delegation_expiry);
+}
+
+void Delegations::extend_expiry(const std::string& machine_id, double until) {
+    if (auto* machine = cluster_.find(machine_id))
+        machine->delegation_expiry = std::max(machine->delegation_expiry, until);
+}
+
+}  // namespace coralhitch::leader
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -20,10 +20,6 @@
     double confirm_s = std::min(s.report_s / 3, relay::renewal_s(s) / 8);
     return {s.lease_s / 2, s.report_s / 60, s.report_s / 10, confirm_s, s.report_s};
 }
-// As many questions as the processor's share answers in so many report periods.
-double asked_at_once(const config::Settings& s, double reports) {
-    return std::max(1.0, config::questions_per_s(s) * s.report_s * reports);
-}
 }  // namespace
 
 Leader::Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed)
@@ -32,6 +28,9 @@
                  [this] { return job_watch_.complete_at(); }),
       random_(seed),
       state_(version, dependencies_.types, dependencies_.settings.value_kb),
+      failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
+                         dependencies_.settings.op.silence_reports, dependencies_.settings.peers.size()}),
+      reconciliation_(state_.cluster, dependencies_.settings.report_s),
       store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
              {[this](const std::string& id) { return record_of(id); },
               [this] { return authority_.begin_transaction(); },
@@ -61,11 +60,6 @@
                       jobs_changed();
                   }}),
       attempts_(dependencies_.state, version, [this] { return authority_.begin_transaction(); }),
-      asks_(config::questions_per_s(dependencies_.settings),
-            asked_at_once(dependencies_.settings, ask_reports)),
-      failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
-                         dependencies_.settings.op.silence_reports, dependencies_.settings.peers.size()}),
-      reconciliation_(state_.cluster, dependencies_.settings.report_s),
       steps_(dependencies_.timers),
       loader_(dependencies_.timers, dependencies_.state, dependencies_.settings, steps_,
               {dependencies_.settings.label,
@@ -79,25 +73,11 @@
               [this](const failover::GetResult& found) {
                   if (authority_.ended()) return;
                   take_all(found);
-                  if (dependencies_.settings.op.standby)
-                      replication_.start(found.record_version, found.inherits ? found.record : std::nullopt);
+                  start_replication_.begin(found.record_version,
+                                           found.inherits ? found.record : std::nullopt);
                   job_watch_.start(found.jobs.revision, found.jobs_listed_at);
                   loaded();
-              }),
-      replication_(dependencies_.timers, dependencies_.http, dependencies_.settings, dependencies_.state,
-                   version,
-                   {[this](const std::string& id) { return row_of(id); },
-                    [this] {
-                        std::vector<std::string> ids;
-                        for (auto& [id, m] : state_.cluster.machines()) ids.push_back(id);
-                        return ids;
-                    },
-                    [this] { return authority_.begin_transaction(); }, dependencies_.peer,
-                    [this] {
-                        if (!authority_.ended()) release_starts();
-                    }}) {
-    if (dependencies_.settings.op.standby) state_.cluster.hold_starts();
-}
+              }) {}
 
 void Leader::start() {
     guarded_.bind(weak_from_this());
@@ -125,7 +105,7 @@
         if (!state_.jobs.find(id)) {
             // Left over from a job that is over. One whose record can't be read is live and may be known to
             // other versions.
-            if (!live.contains(id)) keys_to_drop_.insert(e.key);
+            if (!live.contains(id)) stale_keys_.add(e.key);
             continue;
         }
         try {
@@ -167,44 +147,12 @@
         instances_.instance_found(task, id);
     }
 }
-std::optional<protocol::PeerMachineRow> Leader::row_of(const std::string& id) const {
-    auto it = state_.cluster.machines().find(id);
-    if (it == state_.cluster.machines().end()) return protocol::PeerMachineRow{id, false, true, 0, 0, {}};
-    auto& m = it->second;
-    if (m.life == Machine::Life::booting) return std::nullopt;
-    protocol::PeerMachineRow row{id, m.known || m.reconciled, false, m.agent_epoch, m.sequence, {}};
-    for (auto& [task, i] : m.tasks) row.tasks.push_back({task.job, task.index, i.attempt});
-    return row;
-}
 // The lines of all leaders together tell what each team got; bench/teams.py adds them up.
 void Leader::log_team_activity() {
     last_team_log_ = now();
     std::lock_guard lock(state_.mutex);
     if (auto text = team_activity_.tell(); !text.empty()) spdlog::info("teams: {}", text);
 }
-void Leader::replicate_changes() {
-    std::vector<std::string> ids;
-    {
-        std::lock_guard lock(state_.mutex);
-        ids = state_.cluster.dirty_machines();
-    }
-    if (dependencies_.settings.op.standby)
-        for (auto& id : ids) replication_.changed(id);
-}
-void Leader::release_starts() {
-    {
-        std::lock_guard lock(state_.mutex);
-        for (; !held_.empty() && replication_.told(held_.front().mark); held_.pop_front()) {
-            auto* m = state_.cluster.find(held_.front().machine);
-            if (!m) continue;
-            auto i = m->tasks.find(held_.front().task);
-            if (i == m->tasks.end()) continue;
-            i->second.told = true;
-            state_.cluster.schedule_flush(*m);
-        }
-    }
-    flush_all();
-}
 
 std::map<std::string, double> Leader::suspected() const {
     std::map<std::string, double> out;
@@ -260,16 +208,17 @@
     // With some of them placing can begin. Of the rest most reports lie waiting or come within a period: a
     // question costs three times as much as a report that is passed on. Those of which nothing is known hold
     // up all placing.
-    double at_once = asked_at_once(dependencies_.settings, ask_reports);
+    double at_once = CommandSender::probes_within(dependencies_.settings, CommandSender::first_probe_reports);
     auto stride =
         static_cast<std::size_t>(static_cast<double>(state_.cluster.machines().size()) / at_once) + 1;
     std::size_t n = 0;
     for (auto& [id, m] : state_.cluster.machines())
-        if (n++ % stride == 0) probe(m);
-    dependencies_.timers.after(dependencies_.settings.report_s * ask_reports, guarded_([this] {
+        if (n++ % stride == 0) commands_.probe(m);
+    dependencies_.timers.after(dependencies_.settings.report_s * CommandSender::first_probe_reports,
+                               guarded_([this] {
                                    for (bool known : {false, true})
                                        for (auto& [id, m] : state_.cluster.machines())
-                                           if (!m.reconciled && m.known == known) probe(m);
+                                           if (!m.reconciled && m.known == known) commands_.probe(m);
                                }));
     apply_early_heartbeats();
     tick();
@@ -311,7 +260,7 @@
 void Leader::jobs_changed() {
     plan_soon();
     read_ends();
-    flush_all();
+    commands_.flush_all();
 }
 
 void Leader::cancelled(const std::string& id, std::uint64_t version) {
@@ -323,7 +272,7 @@
         if (!e) return;  // its record is not read yet
         instances_.cancel_active(id, *e);
     }
-    flush_all();
+    commands_.flush_all();
 }
 
 std::optional<api::TaskCounts> Leader::counts(const std::string& id) {
@@ -377,10 +326,10 @@
     attempts_.extend();
     store_progress();
     store_.flush();
-    replicate_changes();
-    replication_.tick();
+    start_replication_.replicate_changes();
+    start_replication_.tick();
     delete_marked_machines();
-    drop_keys();
+    stale_keys_.remove_some();
     audit();
     if (now() - last_team_log_ > dependencies_.settings.lease_s) log_team_activity();
     if (now() - last_list_ > dependencies_.settings.list_lag_s) list_hosts();
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -2,7 +2,6 @@
 // rents. One object per leadership; it is dropped when leadership ends, and answers that come later find it
 // gone.
 #pragma once
-#include <deque>
 #include <memory>
 #include <mutex>
 #include <random>
@@ -15,7 +14,6 @@
 #include "cluster/cluster_state.hpp"
 #include "cluster/team_usage.hpp"
 #include "election/election.hpp"
-#include "event_loop/token_bucket.hpp"
 #include "failover/reconciliation.hpp"
 #include "failover/recovery_loader.hpp"
 #include "jobs/job_table.hpp"
@@ -23,20 +21,22 @@
 #include "leader/attempt_numbers.hpp"
 #include "leader/authority.hpp"
 #include "leader/callback_guard.hpp"
+#include "leader/command_sender.hpp"
+#include "leader/delegations.hpp"
 #include "leader/instance_tracker.hpp"
 #include "leader/leader_state.hpp"
 #include "leader/part_context.hpp"
 #include "leader/planner.hpp"
+#include "leader/stale_key_remover.hpp"
+#include "leader/start_replication.hpp"
 #include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
 #include "protocol/peer_messages.hpp"
-#include "relay/delegation_table.hpp"
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_rejections.hpp"
 #include "relay/reply_cache.hpp"
 #include "relay/worker_lease.hpp"
-#include "replication/replication_sender.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace coralhitch::leader {
@@ -74,7 +74,7 @@
     // Reports that another controller heard: each is answered as if it had come here.
     void relay(const protocol::PeerRelay& m, http::Reply reply);
     std::size_t lent() const { return delegations_.count(); }
-    const replication::ReplicationSender& replication() const { return replication_; }
+    const replication::ReplicationSender& replication() const { return start_replication_.sender(); }
     const failover::FailoverSteps& steps() const { return steps_; }
     bool suspects_itself() const { return failure_detector_.self_suspicion().has_value(); }
     std::optional<api::TaskCounts> counts(const std::string& id);
@@ -84,13 +84,11 @@
     std::map<std::string, double> suspected() const;
     void types_changed();
     void started_anew(const std::string& controller, std::uint64_t incarnation) {
-        replication_.started_anew(controller, incarnation);
+        start_replication_.controller_restarted(controller, incarnation);
     }
     void cancelled(const std::string& id, std::uint64_t version);
 
   private:
-    // A new leader asks most machines only then, if they have not been heard.
-    static constexpr double ask_reports = 1.0 / 10;
     struct Rental {
         std::size_t pool = 0;
         int count = 0;
@@ -115,17 +113,7 @@
                                            std::string& machine);
     std::optional<std::string> relay_for(cluster::Machine& m);
     void record_route(cluster::Machine& m, const std::string& route);
-    void revoke(const std::string& id);
-    void flush_all();
-    void flush_some();
-    void flush(cluster::Machine& m);
-    void probe(cluster::Machine& m);
-    void probe_soon();
-    void send_probes();
     void apply_early_heartbeats();
-    void send_direct(cluster::Machine& m, std::vector<protocol::Command> commands);
-    void answered(const std::string& id, const std::vector<protocol::Command>& commands, std::uint64_t token,
-                  const std::optional<http::Response>& r);
     void check_machines();
     void check_up(cluster::Machine& m, const membership::Observation& seen, membership::Health verdict,
                   bool may);
@@ -140,15 +128,10 @@
     void machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records);
     void delete_marked_machines();
     void deleted(const std::vector<std::string>& ids, bool ok);
-    void drop_keys();
     void list_hosts();
     void handle_preemption_notice(cluster::Machine& m);
 
-    // what others follow
-    std::optional<protocol::PeerMachineRow> row_of(const std::string& id) const;
-    void replicate_changes();
     void log_team_activity();
-    void release_starts();
 
     // jobs
     void store_soon();
@@ -199,24 +182,28 @@
     const PartContext part_context_{dependencies_.timers, dependencies_.settings, state_, authority_,
                                     guarded_};
     cluster::TeamActivity team_activity_;
+    Delegations delegations_{state_.cluster};
+    membership::FailureDetector failure_detector_;
+    failover::Reconciliation reconciliation_;
     InstanceTracker instances_{
         part_context_, dependencies_.metrics, team_activity_,
         [this](cluster::Machine& machine, const char* reason) { mark_for_deletion(machine, reason); }};
+    CommandSender commands_{
+        part_context_, dependencies_.http, delegations_, reconciliation_,
+        [this](const protocol::Heartbeat& status) { apply_heartbeat(status, cluster::Via::direct); }};
+    StartReplication start_replication_{part_context_, dependencies_.http, dependencies_.state,
+                                        dependencies_.peer, [this] { commands_.flush_all(); }};
+    StaleKeyRemover stale_keys_{part_context_, dependencies_.state};
     machine_registry::MachineRegistry store_;
     kv::ListWatch job_watch_;
 
     relay::HeartbeatQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
     AttemptNumbers attempts_;
     std::uint64_t rentals_made_ = 0;
-    std::deque<std::string> to_probe_, flushing_;
-    std::size_t probing_ = 0;
-    bool probes_armed_ = false, asks_armed_ = false;
-    double direct_heard_ = -1;  // when a machine last answered a direct command
     std::map<std::string, Rental> rentals_;
-    std::map<std::size_t, double> refused_;  // pools without capacity, until when
-    std::set<std::string> keys_to_drop_;
+    std::map<std::size_t, double> refused_;             // pools without capacity, until when
     std::set<std::string> reading_ends_, absent_ends_;  // of awaited jobs
-    bool dropping_ = false, listing_ = false, auditing_ = false;
+    bool listing_ = false, auditing_ = false;
     int removing_ = 0;
     int ends_under_way_ = 0,
         tidying_ = 0;         // transactions that store ends, of jobs that are done and of others
@@ -229,22 +216,11 @@
     double last_plan_ = -1, last_capacity_ = -1, last_list_ = never, remove_retry_ = 0;
     bool listed_once_ = false;
     protocol::HeartbeatReader reader_;
-    relay::DelegationTable delegations_;
     relay::ReplyCache reply_cache_;  // of machines that report here
     std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
-    event_loop::TokenBucket asks_;   // questions to machines that have not reconciled
-    membership::FailureDetector failure_detector_;
-    failover::Reconciliation reconciliation_;
     failover::FailoverSteps steps_;
     failover::RecoveryLoader loader_;
-    replication::ReplicationSender replication_;
-    struct Held {
-        std::uint64_t mark;  // of the change that showed the start
-        std::string machine;
-        protocol::TaskId task;
-    };
     std::vector<std::pair<std::string, protocol::TaskId>> started_now_;  // by the plan that is applied
-    std::deque<Held> held_;  // starts that those who follow may not have taken in yet
     event_loop::TimerId tick_timer_ = 0;
 };
 
--- a/src/leader/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -119,7 +119,7 @@
         state_.cluster.stored(id);
         // Its progress means nothing any more, and is dropped when there is time.
         if (auto* e = state_.jobs.find(id))
-            for (auto& [block, version] : e->blocks) keys_to_drop_.insert(keys::progress_of(id, block));
+            for (auto& [block, version] : e->blocks) stale_keys_.add(keys::progress_of(id, block));
         state_.jobs.erase(id, revision);
         state_.jobs.ended(id, state, dependencies_.timers.unix_time());
     }
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -12,12 +12,8 @@
 using protocol::JobKind;
 
 namespace {
-constexpr double probe_timeout_reports = 0.33, direct_timeout_reports = 0.7;
-constexpr double probe_sockets = 1.0 / 8;     // of all sockets
-constexpr double answered_reports = 1.0 / 4;  // in which a worker shows the token that it was answered with
 // Half of a worker's lease is left then; it goes round all controllers and comes back well within the first.
 constexpr double mute_leases = 1.0 / 2;
-constexpr std::size_t flushes_at_once = 16;
 // Of the machines that are up: how many report to the leader itself while others hear for it; how many it
 // sends to them in a tick; and for how many leases a machine is not sent again.
 constexpr double own_share = 0.1, redirected_share = 1.0 / 50, moved_leases = 4;
@@ -38,7 +34,7 @@
         reply_cache_.put(std::move(body), machine, m->sequence, a.body, now());
     }
     reply({a.status, std::move(a.body)});
-    if (m) flush(*m);
+    if (m) commands_.flush(*m);
 }
 // Its reports come, and nothing shows that anything sent to it arrives. Each answer would move the time at
 // which its lease is out, though none renews it: it never settled, and a new leader placed nothing for as
@@ -59,7 +55,7 @@
     m->last_heard = m->renewed = now();
     record_route(*m, "");
     failure_detector_.heard_from(zone_of(*m), now());
-    revoke(m->id);
+    delegations_.revoke(m->id);
     reply({200, r->answer});
     return true;
 }
@@ -92,7 +88,7 @@
     if (unreached || !state_.cluster.renewable(*m, now())) {
         // It was not answered: should the same report come again, the lease counts from then.
         m->heartbeat_sequence = std::min(m->heartbeat_sequence, report.sequence - 1);
-        probe(*m);
+        commands_.probe(*m);
         return refused(unreached ? relay::HeartbeatRejection::unreached
                                  : relay::HeartbeatRejection::stop_unsent);
     }
@@ -100,16 +96,16 @@
     if (heard.again)
         return {200, protocol::heartbeat_response(m->token, state_.cluster.answer(*m, now(), may)), false};
     record_route(*m, relay_label);
-    if (!delegations_.delegated_to(m->id, relay_label))
-        revoke(m->id);  // it has left the controller that heard it
+    if (!delegations_.table().delegated_to(m->id, relay_label))
+        delegations_.revoke(m->id);  // it has left the controller that heard it
     auto commands = state_.cluster.answer(*m, now(), may);
     m->renewed = m->reconciled ? now() : std::max(m->renewed, now());
     if (!m->reconciled) m->answered = now();
     bool quiet = commands.empty() && state_.cluster.quiet(*m);
     if (!relay_label.empty() && quiet)
-        delegations_.delegate(m->id, relay_label);
+        delegations_.table().delegate(m->id, relay_label);
     else
-        revoke(m->id);
+        delegations_.revoke(m->id);
     return {200, protocol::heartbeat_response(m->token, commands), quiet};
 }
 void Leader::record_route(Machine& m, const std::string& route) {
@@ -119,11 +115,6 @@
     m.reach.reported(now());
     m.mute = false;
 }
-void Leader::revoke(const std::string& id) {
-    auto until = delegations_.revoke(id);
-    auto* m = state_.cluster.find(id);
-    if (until && m) m->delegation_expiry = std::max(m->delegation_expiry, *until);
-}
 // The leader has most to do besides hearing, so others hear most machines: it sends quiet ones to them, a few
 // at a time, and none twice within some leases, in case that one can't be reached from there.
 std::optional<std::string> Leader::relay_for(Machine& m) {
@@ -135,7 +126,7 @@
         (m.moved >= 0 && t - m.moved < dependencies_.settings.lease_s * moved_leases))
         return std::nullopt;
     auto most = static_cast<std::size_t>(fleet * (1 - own_share) / peers) + 1;
-    auto to = delegations_.least(t, most);
+    auto to = delegations_.table().least(t, most);
     if (!to) return std::nullopt;
     m.moved = t;
     ++moved_;
@@ -149,18 +140,14 @@
     a.ready = a.leads && loaded_;
     auto send = [&] { reply({200, protocol::pack_peer(a), "application/msgpack"}); };
     if (!a.ready) return send();
-    auto given_back = [this](const std::string& id, double until) {
-        if (auto* m = state_.cluster.find(id)) m->delegation_expiry = std::max(m->delegation_expiry, until);
-    };
-    if (!delegations_.heard(q.label, q.incarnation, q.number, q.answered, given_back))
-        return reply({503, {}, "application/msgpack"});
+    if (!delegations_.take_relay_message(q)) return reply({503, {}, "application/msgpack"});
     std::string machine;
     for (auto& body : q.reports) a.answers.push_back(answer_heartbeat(body, q.label, machine));
     {
         std::lock_guard lock(state_.mutex);
         for (auto& h : q.heard) {
             auto* m = state_.cluster.find(h.machine);
-            if (!m || !delegations_.delegated_to(h.machine, q.label)) continue;
+            if (!m || !delegations_.table().delegated_to(h.machine, q.label)) continue;
             m->last_heard = std::max(m->last_heard, now() - static_cast<double>(h.age_ms) / 1000);
             m->reach.shown(now());
             m->reach.reported(now() - static_cast<double>(h.age_ms) / 1000);
@@ -168,13 +155,13 @@
             failure_detector_.heard_from(zone_of(*m), now());
         }
     }
-    flush_all();
+    commands_.flush_all();
     // Within the time for which this leader itself may renew leases, which its successor counts on, and which
     // ends early enough for tasks that are cancelled.
     double grant = std::max(0.0, std::min({s.report_s, authority_.renewal_after_expiry_s(),
                                            authority_.lease_renewal_deadline() - now()}));
     a.grant_ms = static_cast<std::uint64_t>(grant * 1000);
-    a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * election::drift));
+    a.recalled = delegations_.table().answer(q.label, now() + grant * (1 + 2 * election::drift));
     send();
 }
 
@@ -205,9 +192,9 @@
         return heard;
     }
     check_reconciled();
-    replicate_changes();
+    start_replication_.replicate_changes();
     if (heard.ends.empty() && heard.found.empty()) return heard;
-    flush_all();
+    commands_.flush_all();
     if (loaded_) store_soon();
     plan_soon();
     return heard;
@@ -246,150 +233,6 @@
     if (!stops.empty()) spdlog::info("machine {} has notice: {} tasks are moved", m.id, stops.size());
 }
 
-void Leader::flush_all() {
-    std::vector<std::string> ids;
-    {
-        std::lock_guard lock(state_.mutex);
-        ids = state_.cluster.to_flush();
-    }
-    bool idle = flushing_.empty();
-    for (auto& id : ids) {
-        revoke(id);
-        flushing_.push_back(std::move(id));
-    }
-    if (idle) flush_some();
-}
-// A few at a time: a plan may start a thousand tasks, and to send them all in one go took so long that the
-// lease ran out meanwhile.
-void Leader::flush_some() {
-    for (std::size_t k = 0; k < flushes_at_once && !flushing_.empty(); ++k) {
-        auto* m = state_.cluster.find(flushing_.front());
-        flushing_.pop_front();
-        if (m) flush(*m);
-    }
-    if (!flushing_.empty()) dependencies_.timers.after(0, guarded_([this] { flush_some(); }));
-}
-void Leader::flush(Machine& m) {
-    std::vector<protocol::Command> commands;
-    {
-        std::lock_guard lock(state_.mutex);
-        if (m.agent_epoch == 0) {
-            m.unsent = false;
-            return;
-        }
-        commands = state_.cluster.direct_now(m, now(), authority_.holds());
-    }
-    if (!commands.empty()) send_direct(m, std::move(commands));
-}
-// Asks for a report, and makes the worker take this leader's token. Only some at a time: a failover asks
-// hundreds, which must fit into the sockets and the processor's share.
-void Leader::probe(Machine& m) {
-    if (m.addr.empty()) return;
-    m.last_probe = now();
-    if (m.probing) return;
-    m.probing = true;
-    to_probe_.push_back(m.id);
-    probe_soon();
-}
-void Leader::probe_soon() {
-    if (std::exchange(probes_armed_, true)) return;
-    dependencies_.timers.after(0, guarded_([this] {
-                                   probes_armed_ = false;
-                                   send_probes();
-                               }));
-}
-// A few in each turn of the loop: a new leader of 5,000 machines that asked an eighth of its sockets' worth
-// of them in one go lost its lease over it, and so did the next.
-void Leader::send_probes() {
-    auto most = static_cast<std::size_t>(std::max(1.0, dependencies_.settings.sockets * probe_sockets));
-    bool waits = false;
-    std::size_t left = to_probe_.size();
-    for (std::size_t k = 0; k < flushes_at_once && probing_ < most && left > 0; --left) {
-        auto* m = state_.cluster.find(to_probe_.front());
-        to_probe_.pop_front();
-        if (!m) continue;
-        // It has been heard meanwhile, or was answered and will say so in its next report, half a second
-        // later: of the machines that a new leader must hear, the reports of most lie waiting when it begins.
-        double since = m->reconciled ? m->last_heard : m->answered;
-        if (since >= 0 &&
-            now() - since < dependencies_.settings.report_s * (m->reconciled ? 1.0 / 2 : answered_reports)) {
-            m->probing = false;
-            continue;
-        }
-        // While questions took all of a small share, reports that would have reconciled as many lay unread.
-        if (!m->reconciled && !asks_.has(now())) {
-            to_probe_.push_back(m->id);
-            waits = true;
-            continue;
-        }
-        if (!m->reconciled) asks_.take(now());
-        m->last_probe = now();
-        if (m->asked < 0) m->asked = now();
-        ++probing_;
-        ++k;
-        send_direct(*m, {});
-    }
-    if (waits && left == 0) {
-        if (!std::exchange(asks_armed_, true))
-            dependencies_.timers.after(asks_.wait(now()), guarded_([this] {
-                                           asks_armed_ = false;
-                                           probe_soon();
-                                       }));
-    } else if (probing_ < most && !to_probe_.empty()) {
-        probe_soon();
-    }
-}
-void Leader::send_direct(Machine& m, std::vector<protocol::Command> commands) {
-    auto token = m.token;
-    std::string id = m.id;
-    bool probe = commands.empty();
-    // Most workers are in their first agent epoch still: a good guess saves the question.
-    auto agent_epoch = std::max<std::uint64_t>(1, m.agent_epoch);
-    auto body = protocol::direct_commands(token, agent_epoch, commands);
-    double timeout =
-        dependencies_.settings.report_s * (probe ? probe_timeout_reports : direct_timeout_reports);
-    dependencies_.http.send(
-        m.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
-        guarded_([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
-            if (r) reconciliation_.answered(now() - sent, now());
-            if (probe) {
-                --probing_;
-                if (auto* m = state_.cluster.find(id)) m->probing = false;
-            }
-            answered(id, commands, token, r);
-            if (probe && !to_probe_.empty()) probe_soon();
-        }));
-}
-void Leader::answered(const std::string& id, const std::vector<protocol::Command>& commands,
-                      std::uint64_t token, const std::optional<http::Response>& r) {
-    bool executed = r && r->status == 200, refused = r && (r->status == 409 || r->status == 400);
-    bool first_session = false;
-    if (executed || refused) direct_heard_ = now();
-    if (executed || refused) try {
-            auto report = reader_.read(r->body);
-            auto* before = state_.cluster.find(id);
-            first_session = before && before->agent_epoch < report.agent_epoch;
-            if (report.machine == id) apply_heartbeat(report, cluster::Via::direct);
-            // What a relay would go on answering may not be the last word any more.
-            if (auto* m = state_.cluster.find(id); m && !state_.cluster.quiet(*m)) revoke(id);
-        } catch (const protocol::Malformed& x) {
-            spdlog::info("machine {}: {}", id, x.what());
-        }
-    std::lock_guard lock(state_.mutex);
-    auto* m = state_.cluster.find(id);
-    if (!m) return;
-    if (executed || refused)
-        m->reach.shown(now());
-    else
-        m->reach.ignored(now());
-    state_.cluster.direct_done(*m, commands, token, executed || refused);
-    // A 409 told the agent epoch: ask again at once, so that the machine settles.
-    if (refused && first_session && !m->reconciled)
-        dependencies_.timers.after(0, guarded_([this, id] {
-                                       if (auto* again = state_.cluster.find(id)) probe(*again);
-                                   }));
-}
-
 // How long ago it was rented, in nominal boot times of its type; 0: not known.
 double Leader::boots(const Machine& m) const {
     for (auto& type : dependencies_.types)
@@ -425,8 +268,10 @@
         seen.push_back(s);
     }
     double asked_s = dependencies_.settings.report_s * dependencies_.settings.op.silence_reports;
-    failure_detector_.look(seen,
-                           {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
+    failure_detector_.look(
+        seen,
+        {reconciliation_.behind(t), commands_.last_answer_at() && t - *commands_.last_answer_at() < asked_s},
+        t);
     if (auto& self_suspicion = failure_detector_.self_suspicion()) {
         auto elsewhere = dependencies_.heartbeats_seen_by_peers(self_suspicion->silent);
         failure_detector_.answered(elsewhere);
@@ -448,7 +293,7 @@
             m.mute = m.reach.mute(t, dependencies_.settings.lease_s * mute_leases);
         }
         // Each grant to its relay would move the time at which its lease is out, and it never was.
-        if (m.mute) revoke(m.id);
+        if (m.mute) delegations_.revoke(m.id);
         suspected += m.is_suspect();
         check_up(m, seen[k], verdict, may);
     }
@@ -468,7 +313,7 @@
 // too.
 bool Leader::check_lease(Machine& m) {
     const auto& s = dependencies_.settings;
-    double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.delegation_expiry);
+    double renewed = delegations_.last_possible_renewal(m);
     bool over = now() > renewed + s.lease_s * (1 + 2 * election::drift) + s.report_s / 3;
     bool silent = now() - m.last_heard > s.lease_s || beyond_reach(m);
     if (over && silent && (!m.tasks.empty() || !m.reconciled)) {
@@ -483,8 +328,9 @@
 void Leader::check_up(Machine& m, const membership::Observation& seen, membership::Health verdict, bool may) {
     double period = dependencies_.settings.report_s, t = now();
     bool due = m.reconciled ? failure_detector_.late(seen) && t - m.last_probe > period / 2
-                            : t - m.last_probe > period / 3 && t - m.created > period * ask_reports;
-    if (due) probe(m);
+                            : t - m.last_probe > period / 3 &&
+                                  t - m.created > period * CommandSender::first_probe_reports;
+    if (due) commands_.probe(m);
     bool given_up = verdict == membership::Health::Dead;
     // Who has been heard within a lease has nothing to be proven gone: seldom worth the question, each tick.
     bool look = given_up || beyond_reach(m) || t - m.last_heard > dependencies_.settings.lease_s;
@@ -511,7 +357,7 @@
                  m.tasks.size(), m.route.empty() ? dependencies_.settings.label : m.route);
     dependencies_.metrics.event("condemned");
     m.life = Machine::Life::marked_for_deletion;
-    revoke(m.id);  // no grant moves the time at which its lease is out
+    delegations_.revoke(m.id);  // no grant moves the time at which its lease is out
     if (!m.stored && !m.storing) {
         m.deletable = true;
         return;
@@ -548,35 +394,18 @@
         for (auto& id : ids) {
             if (!state_.cluster.find(id)) continue;
             store_.remove(id);
-            revoke(id);
+            delegations_.revoke(id);
             reply_cache_.forget(id);
             // Proof: by the time of the answer the machine and everything on it are gone.
             for (auto& e : state_.cluster.removed(id)) instances_.instance_ended(e);
         }
     }
-    replicate_changes();
+    start_replication_.replicate_changes();
     check_reconciled();
     plan_soon();
     delete_marked_machines();
 }
 
-void Leader::drop_keys() {
-    if (dropping_ || keys_to_drop_.empty() || !authority_.holds()) return;
-    auto t = authority_.fenced_transaction();
-    for (auto& k : keys_to_drop_) {
-        if (t.changes.size() >= dependencies_.state.limits().txn_ops()) break;
-        t.changes.push_back({k, std::nullopt, 0});
-    }
-    std::vector<std::string> dropped;
-    for (auto& ch : t.changes) dropped.push_back(ch.key);
-    dropping_ = true;
-    dependencies_.state.txn(std::move(t), RequestPriority::background, guarded_([this, dropped](TxnResult c) {
-                                dropping_ = false;
-                                if (c.status == TxnResult::Status::committed)
-                                    for (auto& k : dropped) keys_to_drop_.erase(k);
-                            }));
-}
-
 // A machine is stored, and that confirmed, before the first `run` goes to it: whoever leads next must know
 // where tasks may be.
 void Leader::store_machine(Machine& m) {
@@ -605,7 +434,7 @@
             state_.cluster.schedule_flush(*m);
         }
     }
-    flush_all();
+    commands_.flush_all();
     delete_marked_machines();
 }
 
@@ -637,7 +466,7 @@
             }
         }
         for (auto& id : to_probe)
-            if (auto* m = state_.cluster.find(id)) probe(*m);
+            if (auto* m = state_.cluster.find(id)) commands_.probe(*m);
     }));
 }
 
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -299,13 +299,12 @@
                 mark_for_deletion(*m, "is surplus");
         }
     }
-    replicate_changes();
+    start_replication_.replicate_changes();
     // The changes that show the starts of this plan were queued just now.
-    if (dependencies_.settings.op.standby)
-        for (auto& [machine, task] : started_now_) held_.push_back({replication_.mark(), machine, task});
+    for (auto& [machine, task] : started_now_) start_replication_.hold(machine, task);
     started_now_.clear();
-    replication_.hurry();
-    release_starts();
+    start_replication_.expedite();
+    start_replication_.release_starts();
     auto& n = p.out.counts;
     dependencies_.metrics.drawn("tasks", static_cast<double>(n.tasks));
     dependencies_.metrics.drawn("draws", static_cast<double>(n.draws));
--- /dev/null
+++ b/src/leader/start_replication.cpp
@@ -0,0 +1,80 @@
+#include "leader/start_replication.hpp"
+
+#include <utility>
+
+namespace coralhitch::leader {
+using cluster::Machine;
+
+StartReplication::StartReplication(const PartContext& context, http::Requester& http, kv::KvClient& kv,
+                                   const LatestPing& latest_ping, std::function<void()> flush_commands)
+    : settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      flush_commands_(std::move(flush_commands)),
+      sender_(context.timers, http, settings_, kv, authority_.fencing_token(), sender_hooks(latest_ping)) {
+    if (settings_.op.standby) state_.cluster.hold_starts();
+}
+
+replication::ReplicationSender::Hooks StartReplication::sender_hooks(const LatestPing& latest_ping) {
+    return {[this](const std::string& machine_id) { return row_of(machine_id); },
+            [this] { return machine_ids(); }, [this] { return authority_.begin_transaction(); }, latest_ping,
+            [this] {
+                if (!authority_.ended()) release_starts();
+            }};
+}
+
+void StartReplication::begin(std::uint64_t record_version,
+                             const std::optional<protocol::StandbyRecord>& inherited) {
+    if (settings_.op.standby) sender_.start(record_version, inherited);
+}
+
+void StartReplication::replicate_changes() {
+    std::vector<std::string> changed;
+    {
+        std::lock_guard lock(state_.mutex);
+        changed = state_.cluster.dirty_machines();
+    }
+    if (!settings_.op.standby) return;
+    for (auto& machine_id : changed) sender_.changed(machine_id);
+}
+
+void StartReplication::hold(const std::string& machine_id, const protocol::TaskId& task) {
+    if (settings_.op.standby) held_starts_.push_back({sender_.mark(), machine_id, task});
+}
+
+void StartReplication::release_starts() {
+    {
+        std::lock_guard lock(state_.mutex);
+        for (; !held_starts_.empty() && sender_.told(held_starts_.front().log_index);
+             held_starts_.pop_front()) {
+            auto* machine = state_.cluster.find(held_starts_.front().machine_id);
+            if (!machine) continue;
+            auto instance = machine->tasks.find(held_starts_.front().task);
+            if (instance == machine->tasks.end()) continue;
+            instance->second.told = true;
+            state_.cluster.schedule_flush(*machine);
+        }
+    }
+    flush_commands_();
+}
+
+std::optional<protocol::PeerMachineRow> StartReplication::row_of(const std::string& machine_id) const {
+    auto found = state_.cluster.machines().find(machine_id);
+    if (found == state_.cluster.machines().end())
+        return protocol::PeerMachineRow{machine_id, false, true, 0, 0, {}};
+    auto& machine = found->second;
+    if (machine.life == Machine::Life::booting) return std::nullopt;
+    protocol::PeerMachineRow row{
+        machine_id, machine.known || machine.reconciled, false, machine.agent_epoch, machine.sequence, {}};
+    for (auto& [task, instance] : machine.tasks)
+        row.tasks.push_back({task.job, task.index, instance.attempt});
+    return row;
+}
+
+std::vector<std::string> StartReplication::machine_ids() const {
+    std::vector<std::string> ids;
+    for (auto& [id, machine] : state_.cluster.machines()) ids.push_back(id);
+    return ids;
+}
+
+}  // namespace coralhitch::leader
