--- /dev/null
+++ b/src/leader/host_lister.cpp
@@ -0,0 +1,56 @@
+#include "leader/host_lister.hpp"
+
+namespace coralhitch::leader {
+using cluster::Machine;
+
+HostLister::HostLister(const PartContext& context, cloud::CloudClient& cloud, CommandSender& commands,
+                       MachineDeletion& deletion)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      guarded_(context.guarded),
+      cloud_(cloud),
+      commands_(commands),
+      deletion_(deletion) {}
+
+void HostLister::list_if_due() {
+    if (last_list_at_ && timers_.now() - *last_list_at_ <= settings_.list_lag_s) return;
+    if (in_flight_ || !authority_.holds()) return;
+    in_flight_ = true;
+    last_list_at_ = timers_.now();
+    cloud_.hosts(guarded_([this](std::optional<std::vector<protocol::Host>> hosts) {
+        in_flight_ = false;
+        if (!hosts) return;
+        has_listed_ = true;
+        listed(*hosts);
+    }));
+}
+
+void HostLister::listed(const std::vector<protocol::Host>& hosts) {
+    std::vector<std::string> running;
+    {
+        std::lock_guard lock(state_.mutex);
+        for (auto& host : hosts) take_host(host, running);
+    }
+    for (auto& id : running)
+        if (auto* machine = state_.cluster.find(id)) commands_.probe(*machine);
+}
+
+// `running`: gets the machine's id if the cloud says that it runs and it has not reported yet.
+void HostLister::take_host(const protocol::Host& host, std::vector<std::string>& running) {
+    if (state_.cluster.is_deleted(host.id)) return;
+    auto* known = state_.cluster.find(host.id);
+    auto& machine = known ? *known
+                          : state_.cluster.add(host.id, host.addr, host.type, host.zone, host.spot,
+                                               Machine::Life::booting, timers_.now());
+    if (!known) machine.created = timers_.now() - host.age_s;
+    if (host.state == protocol::HostState::failed && machine.life != Machine::Life::marked_for_deletion) {
+        deletion_.mark(machine, "has failed");
+    } else if (host.state == protocol::HostState::running && machine.life == Machine::Life::booting) {
+        if (machine.addr.empty()) machine.addr = host.addr;
+        running.push_back(host.id);
+    }
+}
+
+}  // namespace coralhitch::leader
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -31,12 +31,6 @@
       failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
                          dependencies_.settings.op.silence_reports, dependencies_.settings.peers.size()}),
       reconciliation_(state_.cluster, dependencies_.settings.report_s),
-      store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
-             {[this](const std::string& id) { return record_of(id); },
-              [this] { return authority_.begin_transaction(); },
-              [this](const std::vector<machine_registry::MachineRegistry::Record>& r) {
-                  if (!authority_.ended()) machines_stored(r);
-              }}),
       job_watch_(dependencies_.timers, dependencies_.state, keys::jobs, watch_pace(dependencies_.settings),
                  {[this](const std::vector<protocol::Event>& events, std::uint64_t reconciled) {
                       if (authority_.ended()) return;
@@ -115,7 +109,7 @@
             spdlog::error("progress {}: {}", e.key, x.what());
         }
     }
-    for (auto& [id, r] : store_.load(found.machines)) {
+    for (auto& [id, r] : machine_store_.load(found.machines)) {
         auto& m = state_.cluster.add(
             id, r.addr, r.type, r.zone, r.spot,
             r.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up, now());
@@ -154,14 +148,6 @@
     if (auto text = team_activity_.tell(); !text.empty()) spdlog::info("teams: {}", text);
 }
 
-std::map<std::string, double> Leader::suspected() const {
-    std::map<std::string, double> out;
-    for (auto& [id, m] : state_.cluster.machines())
-        if (m.life == Machine::Life::up &&
-            (m.suspected || (!m.reconciled && now() - m.last_heard > dependencies_.settings.report_s / 2)))
-            out.emplace(id, now() - m.last_heard + m.silent_before);
-    return out;
-}
 protocol::PeerImages Leader::images() const {
     protocol::PeerImages out;
     out.names.resize(state_.cluster.images().size());
@@ -319,20 +305,20 @@
     moved_ = 0;
     read_ends();
     reconciliation_.tick(now(), dependencies_.settings.report_s * tick_reports);
-    check_machines();
+    if (supervisor_.check()) check_reconciled();
     if (authority_.ended()) return;
     if (hand_over_tokens()) return;
     if (!authority_.holds()) return;
     attempts_.extend();
     store_progress();
-    store_.flush();
+    machine_store_.flush();
     start_replication_.replicate_changes();
     start_replication_.tick();
-    delete_marked_machines();
+    deletion_.delete_marked();
     stale_keys_.remove_some();
     audit();
     if (now() - last_team_log_ > dependencies_.settings.lease_s) log_team_activity();
-    if (now() - last_list_ > dependencies_.settings.list_lag_s) list_hosts();
+    hosts_.list_if_due();
     std::vector<std::string> names;
     for (auto& [name, r] : rentals_) names.push_back(name);
     for (auto& name : names) ask_rental(name);
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -23,13 +23,16 @@
 #include "leader/callback_guard.hpp"
 #include "leader/command_sender.hpp"
 #include "leader/delegations.hpp"
+#include "leader/host_lister.hpp"
 #include "leader/instance_tracker.hpp"
 #include "leader/leader_state.hpp"
+#include "leader/machine_deletion.hpp"
+#include "leader/machine_store.hpp"
+#include "leader/machine_supervisor.hpp"
 #include "leader/part_context.hpp"
 #include "leader/planner.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "leader/start_replication.hpp"
-#include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
 #include "protocol/peer_messages.hpp"
@@ -81,7 +84,7 @@
     std::vector<protocol::PeerCount> all_counts();
     protocol::PeerImages images() const;
     // Machines that should have been heard, and how long ago they were, seconds.
-    std::map<std::string, double> suspected() const;
+    std::map<std::string, double> suspected() const { return supervisor_.suspected(); }
     void types_changed();
     void started_anew(const std::string& controller, std::uint64_t incarnation) {
         start_replication_.controller_restarted(controller, incarnation);
@@ -114,22 +117,7 @@
     std::optional<std::string> relay_for(cluster::Machine& m);
     void record_route(cluster::Machine& m, const std::string& route);
     void apply_early_heartbeats();
-    void check_machines();
-    void check_up(cluster::Machine& m, const membership::Observation& seen, membership::Health verdict,
-                  bool may);
-    bool check_lease(cluster::Machine& m);
-    bool beyond_reach(const cluster::Machine& m) const;
-    membership::EvictionCost eviction_cost(const cluster::Machine& m) const;
-    double boots(const cluster::Machine& m) const;
-    void mark_for_deletion(cluster::Machine& m, const char* why);
     void check_reconciled();
-    void store_machine(cluster::Machine& m);
-    std::optional<protocol::MachineRecord> record_of(const std::string& id);
-    void machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records);
-    void delete_marked_machines();
-    void deleted(const std::vector<std::string>& ids, bool ok);
-    void list_hosts();
-    void handle_preemption_notice(cluster::Machine& m);
 
     void log_team_activity();
 
@@ -187,14 +175,36 @@
     failover::Reconciliation reconciliation_;
     InstanceTracker instances_{
         part_context_, dependencies_.metrics, team_activity_,
-        [this](cluster::Machine& machine, const char* reason) { mark_for_deletion(machine, reason); }};
+        [this](cluster::Machine& machine, const char* reason) { deletion_.mark(machine, reason); }};
     CommandSender commands_{
         part_context_, dependencies_.http, delegations_, reconciliation_,
         [this](const protocol::Heartbeat& status) { apply_heartbeat(status, cluster::Via::direct); }};
     StartReplication start_replication_{part_context_, dependencies_.http, dependencies_.state,
                                         dependencies_.peer, [this] { commands_.flush_all(); }};
     StaleKeyRemover stale_keys_{part_context_, dependencies_.state};
-    machine_registry::MachineRegistry store_;
+    MachineStore machine_store_{part_context_, dependencies_.state, [this] {
+                                    commands_.flush_all();
+                                    deletion_.delete_marked();
+                                }};
+    MachineDeletion deletion_{part_context_,
+                              dependencies_.cloud,
+                              dependencies_.metrics,
+                              delegations_,
+                              machine_store_,
+                              instances_,
+                              {[this](const std::string& machine_id) { reply_cache_.forget(machine_id); },
+                               [this] {
+                                   start_replication_.replicate_changes();
+                                   check_reconciled();
+                                   plan_soon();
+                               }}};
+    HostLister hosts_{part_context_, dependencies_.cloud, commands_, deletion_};
+    MachineSupervisor supervisor_{
+        part_context_,
+        dependencies_.metrics,
+        dependencies_.types,
+        {failure_detector_, reconciliation_, delegations_, instances_, commands_, deletion_},
+        {dependencies_.heartbeats_seen_by_peers, dependencies_.resign_leadership, [this] { plan_soon(); }}};
     kv::ListWatch job_watch_;
 
     relay::HeartbeatQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
@@ -203,18 +213,15 @@
     std::map<std::string, Rental> rentals_;
     std::map<std::size_t, double> refused_;             // pools without capacity, until when
     std::set<std::string> reading_ends_, absent_ends_;  // of awaited jobs
-    bool listing_ = false, auditing_ = false;
-    int removing_ = 0;
+    bool auditing_ = false;
     int ends_under_way_ = 0,
         tidying_ = 0;         // transactions that store ends, of jobs that are done and of others
     bool ends_left_ = false;  // some wait for one of these
     bool planning_ = false, plan_wanted_ = false, store_wanted_ = false;
     double plan_took_ = 0;
     double last_team_log_ = -1;
-    static constexpr double never = -1e9;  // long before a leader begins
     double last_audit_ = 0;
-    double last_plan_ = -1, last_capacity_ = -1, last_list_ = never, remove_retry_ = 0;
-    bool listed_once_ = false;
+    double last_plan_ = -1, last_capacity_ = -1;
     protocol::HeartbeatReader reader_;
     relay::ReplyCache reply_cache_;  // of machines that report here
     std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -296,7 +296,7 @@
         for (auto& id : p.capacity.returns) {
             auto* m = state_.cluster.find(id);
             if (m && m->tasks.empty() && (m->reconciled || m->life == Machine::Life::booting))
-                mark_for_deletion(*m, "is surplus");
+                deletion_.mark(*m, "is surplus");
         }
     }
     start_replication_.replicate_changes();
@@ -313,7 +313,7 @@
     dependencies_.metrics.drawn("packed", static_cast<double>(n.packed));
     dependencies_.metrics.drawn("preempted", static_cast<double>(n.preempted));
     // What an earlier leader rented last is in no report yet; the list may show it.
-    if (p.with_capacity && listed_once_)
+    if (p.with_capacity && hosts_.has_listed())
         for (auto& r : p.capacity.rents)
             for (int left = r.count; left > 0; left -= cloud::CloudClient::rent_most)
                 rent({r.pool, std::min(left, cloud::CloudClient::rent_most)});
--- /dev/null
+++ b/src/leader/machine_deletion.cpp
@@ -0,0 +1,85 @@
+#include "leader/machine_deletion.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+namespace coralhitch::leader {
+using cluster::Machine;
+
+namespace {
+// Several calls at once: after a wave of losses, quotas and places wait for the deletions.
+constexpr int most_calls = 4;
+constexpr double retry_reports = 1.0 / 3;
+}  // namespace
+
+MachineDeletion::MachineDeletion(const PartContext& context, cloud::CloudClient& cloud,
+                                 metrics::Metrics& metrics, Delegations& delegations, MachineStore& store,
+                                 InstanceTracker& instances, Hooks hooks)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      guarded_(context.guarded),
+      cloud_(cloud),
+      metrics_(metrics),
+      delegations_(delegations),
+      store_(store),
+      instances_(instances),
+      hooks_(std::move(hooks)) {}
+
+void MachineDeletion::mark(Machine& machine, const char* reason) {
+    if (machine.life == Machine::Life::marked_for_deletion) return;
+    spdlog::info(
+        "component=leader event=machine_marked_for_deletion machine={} reason=\"{}\" tasks={} "
+        "last_heartbeat_by={}",
+        machine.id, reason, machine.tasks.size(), machine.route.empty() ? settings_.label : machine.route);
+    metrics_.event("condemned");
+    machine.life = Machine::Life::marked_for_deletion;
+    delegations_.revoke(machine.id);  // a relay's grants would move the time at which its lease expires
+    if (!machine.stored && !machine.storing) {
+        machine.deletable = true;
+        return;
+    }
+    store_.update(machine.id);
+}
+
+void MachineDeletion::delete_marked() {
+    while (calls_in_flight_ < most_calls && authority_.holds() && timers_.now() >= retry_at_) {
+        std::vector<std::string> machine_ids;
+        for (auto& [id, machine] : state_.cluster.machines())
+            if (machine.life == Machine::Life::marked_for_deletion && machine.deletable &&
+                !machine.deleting && machine_ids.size() < cloud::CloudClient::remove_most) {
+                machine_ids.push_back(id);
+                machine.deleting = true;
+            }
+        if (machine_ids.empty()) return;
+        ++calls_in_flight_;
+        cloud_.remove(machine_ids, guarded_([this, machine_ids](bool ok) { answered(machine_ids, ok); }));
+    }
+}
+
+void MachineDeletion::answered(const std::vector<std::string>& machine_ids, bool ok) {
+    --calls_in_flight_;
+    if (!ok) {
+        for (auto& id : machine_ids)
+            if (auto* machine = state_.cluster.find(id)) machine->deleting = false;
+        retry_at_ = timers_.now() + settings_.report_s * retry_reports;
+        return;
+    }
+    {
+        std::lock_guard lock(state_.mutex);
+        for (auto& id : machine_ids) {
+            if (!state_.cluster.find(id)) continue;
+            store_.remove(id);
+            delegations_.revoke(id);
+            hooks_.machine_removed(id);
+            // Proof: by the time of the answer the machine and everything on it are gone.
+            for (auto& end : state_.cluster.removed(id)) instances_.instance_ended(end);
+        }
+    }
+    hooks_.call_done();
+    delete_marked();
+}
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/src/leader/machine_store.cpp
@@ -0,0 +1,51 @@
+#include "leader/machine_store.hpp"
+
+#include <utility>
+
+namespace coralhitch::leader {
+using cluster::Machine;
+
+MachineStore::MachineStore(const PartContext& context, kv::KvClient& kv, std::function<void()> confirmed)
+    : state_(context.state),
+      authority_(context.authority),
+      confirmed_(std::move(confirmed)),
+      registry_(context.timers, kv, context.settings,
+                {[this](const std::string& machine_id) { return record_of(machine_id); },
+                 [this] { return authority_.begin_transaction(); },
+                 [this](const std::vector<Record>& records) {
+                     if (!authority_.ended()) written(records);
+                 }}) {}
+
+void MachineStore::store_if_new(Machine& machine) {
+    // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
+    if (!machine.confirmed && machine.token_seen > 0) return;
+    if (machine.stored || machine.storing || machine.life != Machine::Life::up || machine.agent_epoch == 0)
+        return;
+    machine.storing = true;
+    registry_.put(machine.id);
+}
+
+std::optional<protocol::MachineRecord> MachineStore::record_of(const std::string& machine_id) {
+    auto* machine = state_.cluster.find(machine_id);
+    if (!machine) return std::nullopt;
+    return protocol::MachineRecord{machine->addr, machine->type, machine->zone, machine->spot,
+                                   machine->life == Machine::Life::marked_for_deletion};
+}
+
+void MachineStore::written(const std::vector<Record>& records) {
+    {
+        std::lock_guard lock(state_.mutex);
+        for (auto& [machine_id, record] : records) {
+            auto* machine = state_.cluster.find(machine_id);
+            if (!machine) continue;
+            if (record.marked_for_deletion) machine->deletable = true;
+            if (machine->stored) continue;
+            machine->stored = true;
+            for (auto& [task, instance] : machine->tasks) instance.ready = true;
+            state_.cluster.schedule_flush(*machine);
+        }
+    }
+    confirmed_();
+}
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/src/leader/machine_supervisor.cpp
@@ -0,0 +1,236 @@
+#include "leader/machine_supervisor.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "scheduler/scheduler.hpp"
+
+namespace coralhitch::leader {
+using cluster::Machine;
+using membership::EvictionCost;
+using membership::Health;
+using membership::Observation;
+using protocol::JobKind;
+
+namespace {
+// Half of a worker's lease is left then; it tries all controllers in turn and comes back well within the
+// first.
+constexpr double missing_heartbeat_leases = 1.0 / 2;
+// Report periods between two probes of a machine.
+constexpr double reconciled_probe_reports = 1.0 / 2, unreconciled_probe_reports = 1.0 / 3;
+// Report periods that pass after a lease's end before it counts as expired.
+constexpr double lease_margin_reports = 1.0 / 3;
+}  // namespace
+
+MachineSupervisor::MachineSupervisor(const PartContext& context, metrics::Metrics& metrics,
+                                     const std::vector<protocol::MachineType>& types, const Parts& parts,
+                                     Hooks hooks)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      metrics_(metrics),
+      types_(types),
+      parts_(parts),
+      hooks_(std::move(hooks)) {}
+
+bool MachineSupervisor::check() {
+    auto checked = observe();
+    double t = checked.at;
+    double recently_s = settings_.report_s * settings_.op.silence_reports;
+    auto last_answer_at = parts_.commands.last_answer_at();
+    parts_.failure_detector.look(
+        checked.observations,
+        {parts_.reconciliation.behind(t), last_answer_at && t - *last_answer_at < recently_s}, t);
+    if (resigns_if_isolated()) return false;
+    bool may_evict = authority_.holds() && parts_.failure_detector.may_evict();
+    check_up(checked, may_evict);
+    check_booting_and_marked(t, may_evict);
+    return true;
+}
+
+MachineSupervisor::Checked MachineSupervisor::observe() const {
+    Checked checked;
+    checked.at = now();
+    for (auto& [id, machine] : state_.cluster.machines()) {
+        if (machine.life != Machine::Life::up) continue;
+        checked.machines.push_back(&machine);
+        checked.observations.push_back(observe(machine, checked.at));
+    }
+    return checked;
+}
+
+Observation MachineSupervisor::observe(const Machine& machine, double at) const {
+    Observation observation{machine.id,
+                            machine.route,
+                            state_.zone_of(machine),
+                            parts_.reconciliation.silence(machine, at),
+                            machine.last_heard,
+                            machine.reconciled,
+                            machine.known,
+                            {}};
+    // What runs there goes on until its worker's lease expires, and that is reported. What was sent there and
+    // has not been reported would wait for as long.
+    if (machine.reconciled && machine.reach.lost() && !machine.has_reported_instances())
+        observation.unreached = at - machine.reach.shown_at() - settings_.report_s;
+    if (std::max(observation.silent, observation.unreached) > settings_.report_s / 2)
+        observation.eviction_cost = eviction_cost(machine);
+    return observation;
+}
+
+// Who would wait for a machine that is dead.
+EvictionCost MachineSupervisor::eviction_cost(const Machine& machine) const {
+    if (machine.tasks.empty()) return EvictionCost::nothing;
+    bool only_running_arrays = std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
+        auto& instance = entry.second;
+        return instance.spec && instance.spec->kind == JobKind::array && instance.running_since >= 0;
+    });
+    return only_running_arrays ? EvictionCost::work : EvictionCost::awaited;
+}
+
+// Whether the leader seems to be the one that is cut off, and has resigned for it.
+bool MachineSupervisor::resigns_if_isolated() {
+    auto& detector = parts_.failure_detector;
+    auto& suspicion = detector.self_suspicion();
+    if (!suspicion) return false;
+    auto seen_by_peers = hooks_.heartbeats_seen_by_peers(suspicion->silent);
+    detector.answered(seen_by_peers);
+    if (!detector.should_resign() || !hooks_.resign_leadership()) return false;
+    spdlog::info(
+        "component=leader event=resigned reason=isolated silent_machines={} machines={} "
+        "seen_by_peer={}",
+        suspicion->silent.size(), detector.up(), *seen_by_peers);
+    authority_.resign(settings_.lease_s);
+    return true;
+}
+
+void MachineSupervisor::check_up(const Checked& checked, bool may_evict) {
+    std::size_t suspected = 0;
+    for (std::size_t k = 0; k < checked.machines.size(); ++k) {
+        auto& machine = *checked.machines[k];
+        auto health = parts_.failure_detector.judge(checked.observations[k]);
+        {
+            std::lock_guard lock(state_.mutex);
+            machine.suspected = health != Health::Alive || machine.reach.lost();
+            machine.mute = machine.reach.mute(checked.at, settings_.lease_s * missing_heartbeat_leases);
+        }
+        // Each grant to its relay would move the time at which its lease expires, and it never did.
+        if (machine.mute) parts_.delegations.revoke(machine.id);
+        suspected += machine.is_suspect();
+        check_machine(machine, checked.observations[k], health, may_evict);
+    }
+    metrics_.gauge("machines_suspected", static_cast<double>(suspected));
+}
+
+void MachineSupervisor::check_booting_and_marked(double at, bool may_evict) {
+    for (auto& [id, machine] : state_.cluster.machines()) {
+        if (machine.life == Machine::Life::marked_for_deletion) check_lease(machine);
+        if (machine.life != Machine::Life::booting || !may_evict ||
+            !parts_.failure_detector.overdue(boot_times(machine), state_.zone_of(machine), at))
+            continue;
+        std::lock_guard lock(state_.mutex);
+        parts_.deletion.mark(machine, "does not come up");
+    }
+}
+
+void MachineSupervisor::check_machine(Machine& machine, const Observation& observation, Health health,
+                                      bool may_evict) {
+    double t = now();
+    probe_if_due(machine, observation);
+    bool dead = health == Health::Dead;
+    // A machine that has reported within a lease has nothing to be proven terminated: not worth it each tick.
+    bool look_at_lease =
+        dead || is_outbound_unreachable(machine) || t - machine.last_heard > settings_.lease_s;
+    bool lease_expired = look_at_lease && check_lease(machine);
+    // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
+    // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
+    // until its lease had expired, and nothing was placed meanwhile.
+    bool awaits_answer = machine.reconciled && machine.probing && !lease_expired;
+    if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
+        std::lock_guard lock(state_.mutex);
+        parts_.failure_detector.evicted(observation, t);
+        parts_.deletion.mark(machine, parts_.failure_detector.evidence(observation).c_str());
+    } else if (may_evict && machine.preemption_notice_until >= 0 && machine.tasks.empty() &&
+               machine.reconciled) {
+        std::lock_guard lock(state_.mutex);
+        parts_.deletion.mark(machine, "has notice and is empty");
+    }
+}
+
+void MachineSupervisor::probe_if_due(Machine& machine, const Observation& observation) {
+    double t = now(), since_probe = t - machine.last_probe;
+    bool due = machine.reconciled
+                   ? parts_.failure_detector.late(observation) &&
+                         since_probe > settings_.report_s * reconciled_probe_reports
+                   : since_probe > settings_.report_s * unreconciled_probe_reports &&
+                         t - machine.created > settings_.report_s * CommandSender::first_probe_reports;
+    if (due) parts_.commands.probe(machine);
+}
+
+// Whether the machine's lease has expired; what was on it is ended then. Proof by time: the worker kills its
+// tasks lease_s after it sent the last heartbeat that was answered. That heartbeat was sent before its
+// answer; an answer to a delayed heartbeat counts too, and a relay may have given it.
+bool MachineSupervisor::check_lease(Machine& machine) {
+    double renewed_at = parts_.delegations.last_possible_renewal(machine);
+    double lease_s = settings_.lease_s;
+    bool expired =
+        now() > renewed_at + lease_s * (1 + 2 * election::drift) + settings_.report_s * lease_margin_reports;
+    bool silent = now() - machine.last_heard > lease_s || is_outbound_unreachable(machine);
+    if (expired && silent && (!machine.tasks.empty() || !machine.reconciled)) {
+        spdlog::info("component=leader event=lease_expired machine={} tasks={}", machine.id,
+                     machine.tasks.size());
+        std::lock_guard lock(state_.mutex);
+        for (auto& end : state_.cluster.expire_lease(machine)) parts_.instances.instance_ended(end);
+        hooks_.request_plan();
+    }
+    return expired;
+}
+
+bool MachineSupervisor::is_outbound_unreachable(const Machine& machine) const {
+    return !machine.reconciled && machine.reach.lost() && now() > machine.renewed &&
+           !parts_.reconciliation.behind(now());
+}
+
+double MachineSupervisor::boot_times(const Machine& machine) const {
+    for (auto& type : types_)
+        if (type.name == machine.type && type.boot_s > 0) return (now() - machine.created) / type.boot_s;
+    return 0;
+}
+
+void MachineSupervisor::handle_preemption_notice(Machine& machine) {
+    struct Stop {
+        protocol::TaskId task;
+        double grace_s = 0;
+    };
+    std::vector<Stop> stops;
+    double left_s = std::max(0.0, machine.preemption_notice_until - now());
+    for (auto& [task, instance] : machine.tasks)
+        if (instance.spec && instance.confirmed && !instance.stop &&
+            (instance.spec->checkpoint_s > 0 || instance.spec->kind == JobKind::service))
+            stops.push_back({task, std::min(scheduler::grace_of(*instance.spec), left_s)});
+    for (auto& [task, grace_s] : stops) {
+        auto* job = state_.jobs.find(task.job);
+        if (job && job->spec->kind == JobKind::gang)
+            parts_.instances.stop_active(task.job, *job, grace_s);
+        else
+            state_.cluster.stop(machine, task, grace_s);
+    }
+    if (!stops.empty())
+        spdlog::info("component=leader event=preemption_notice machine={} stopped_tasks={}", machine.id,
+                     stops.size());
+}
+
+std::map<std::string, double> MachineSupervisor::suspected() const {
+    std::map<std::string, double> silent_s;
+    for (auto& [id, machine] : state_.cluster.machines()) {
+        if (machine.life != Machine::Life::up) continue;
+        double since_heartbeat = now() - machine.last_heard;
+        if (machine.suspected || (!machine.reconciled && since_heartbeat > settings_.report_s / 2))
+            silent_s.emplace(id, since_heartbeat + machine.silent_before);
+    }
+    return silent_s;
+}
+
+}  // namespace coralhitch::leader
