--- a/bench/takeovers.py
+++ b/bench/takeovers.py
@@ -13,6 +13,8 @@
 import statistics
 
 LINE = re.compile(r"\s*([\d.]+) (\S+) \d\d:\d\d:\d\d\.\d+ \w+ (.*)")
+# A machine that is evicted because nothing was heard from it, in the lines of today and of before.
+SILENT = re.compile(r'[ "](is silent|silence_s=)')
 STEPS = {"loaded": "leader: loaded", "first": "leader: may place after", "settled": "leader: all machines settled"}
 
 
@@ -22,7 +24,7 @@
         if not (m := LINE.match(line)):
             continue
         t, node, text = float(m[1]), m[2], m[3]
-        if " is silent" in text and t > after:
+        if SILENT.search(text) and t > after:
             silent += 1
         if t > after and text.startswith("election: won"):
             found.append({"at": t, "node": node, "silent": 0})
@@ -31,7 +33,7 @@
             for step, start in STEPS.items():
                 if text.startswith(start):
                     last.setdefault(step, t - last["at"])
-            if " is silent" in text and t - last["at"] < 15:
+            if SILENT.search(text) and t - last["at"] < 15:
                 last["silent"] += 1
     return found, silent
 
--- /dev/null
+++ b/src/leader/heartbeat_handler.cpp
@@ -0,0 +1,250 @@
+#include "leader/heartbeat_handler.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+namespace coralhitch::leader {
+using cluster::Machine;
+using relay::HeartbeatRejection;
+
+namespace {
+// Of the machines that are up: how many report to the leader itself while others relay; how many it sends to
+// them in a tick; and for how many leases a machine is not sent again.
+constexpr double own_share = 0.1, redirected_share = 1.0 / 50, redirect_pause_leases = 4;
+constexpr std::size_t early_heartbeats_per_turn = 16;
+}  // namespace
+
+HeartbeatHandler::HeartbeatHandler(const PartContext& context, relay::HeartbeatRejections& rejections,
+                                   const Parts& parts, Hooks hooks)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      guarded_(context.guarded),
+      rejections_(rejections),
+      parts_(parts),
+      hooks_(std::move(hooks)),
+      early_(rejections) {}
+
+void HeartbeatHandler::handle(relay::HeartbeatQueue::Report report) {
+    if (!parts_.recovery.loaded()) return early_.push(std::move(report));
+    auto& [body, reply, since] = report;
+    if (repeat_reply(body, reply)) return;
+    auto [answered, machine_id] = answer(body, "");
+    auto* machine = state_.cluster.find(machine_id);
+    if (answered.quiet && machine) {
+        if (auto relay_label = relay_for(*machine)) {
+            reply_cache_.forget(machine_id);
+            return reply({421, protocol::heartbeat_redirect(*relay_label)});
+        }
+        reply_cache_.put(std::move(body), machine_id, machine->sequence, answered.body, now());
+    }
+    reply({answered.status, std::move(answered.body)});
+    if (machine) parts_.commands.flush(*machine);
+}
+
+// Whether the heartbeat was answered as the last one of its machine was: it says the same, and that one is
+// the last that the machine sent.
+bool HeartbeatHandler::repeat_reply(const std::string& body, const http::Reply& reply) {
+    auto outline = protocol::outline_heartbeat(body);
+    if (!outline || !authority_.holds() || !authority_.may_renew_worker_leases()) return false;
+    auto* cached = reply_cache_.find(body, *outline);
+    if (!cached) return false;
+    std::lock_guard lock(state_.mutex);
+    auto* machine = state_.cluster.find(std::string(outline->machine));
+    if (!machine || machine->sequence != cached->sequence || !state_.cluster.quiet(*machine)) return false;
+    cached->sequence = machine->sequence = machine->heartbeat_sequence = outline->sequence;
+    machine->last_heard = machine->renewed = now();
+    record_route(*machine, "");
+    parts_.failure_detector.heard_from(state_.zone_of(*machine), now());
+    parts_.delegations.revoke(machine->id);
+    reply({200, cached->answer});
+    return true;
+}
+
+protocol::PeerRelayed HeartbeatHandler::reject(HeartbeatRejection reason) {
+    rejections_.note(reason);
+    return {};
+}
+
+// `relay_label`: the relay that passes it on; empty if it came here.
+HeartbeatHandler::Answer HeartbeatHandler::answer(const std::string& body, const std::string& relay_label) {
+    if (!authority_.may_renew_worker_leases())
+        return {reject(authority_.ended() ? HeartbeatRejection::no_lease : HeartbeatRejection::bound_over),
+                {}};
+    bool may_act = authority_.holds();
+    protocol::Heartbeat status;
+    try {
+        status = reader_.read(body);
+    } catch (const protocol::Malformed& malformed) {
+        spdlog::info("component=leader event=malformed_heartbeat error=\"{}\"", malformed.what());
+        return {{400, protocol::error_body(malformed.what()), false}, {}};
+    }
+    return {answer(status, relay_label, may_act), status.machine};
+}
+
+protocol::PeerRelayed HeartbeatHandler::answer(const protocol::Heartbeat& status,
+                                               const std::string& relay_label, bool may_act) {
+    auto outcome = apply(status, cluster::Via::heartbeat);
+    std::lock_guard lock(state_.mutex);
+    auto* machine = state_.cluster.find(status.machine);
+    // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
+    if (authority_.ended()) return reject(HeartbeatRejection::no_lease);
+    if (!outcome.current || !machine) return reject(HeartbeatRejection::older);
+    bool unreachable = parts_.supervisor.is_outbound_unreachable(*machine);
+    if (unreachable || !state_.cluster.renewable(*machine, now())) {
+        // It was not answered: should the same heartbeat come again, the lease counts from then.
+        machine->heartbeat_sequence = std::min(machine->heartbeat_sequence, status.sequence - 1);
+        parts_.commands.probe(*machine);
+        return reject(unreachable ? HeartbeatRejection::unreached : HeartbeatRejection::stop_unsent);
+    }
+    // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
+    if (outcome.again) {
+        auto commands = state_.cluster.answer(*machine, now(), may_act);
+        return {200, protocol::heartbeat_response(machine->token, commands), false};
+    }
+    return renew(*machine, relay_label, may_act);
+}
+
+// The 200 that renews the machine's lease, and who answers its heartbeats from now on.
+protocol::PeerRelayed HeartbeatHandler::renew(Machine& machine, const std::string& relay_label,
+                                              bool may_act) {
+    auto& delegations = parts_.delegations;
+    record_route(machine, relay_label);
+    if (!delegations.table().delegated_to(machine.id, relay_label))
+        delegations.revoke(machine.id);  // it has left the relay that answered it
+    auto commands = state_.cluster.answer(machine, now(), may_act);
+    machine.renewed = machine.reconciled ? now() : std::max(machine.renewed, now());
+    if (!machine.reconciled) machine.answered = now();
+    bool quiet = commands.empty() && state_.cluster.quiet(machine);
+    if (!relay_label.empty() && quiet)
+        delegations.table().delegate(machine.id, relay_label);
+    else
+        delegations.revoke(machine.id);
+    return {200, protocol::heartbeat_response(machine.token, commands), quiet};
+}
+
+void HeartbeatHandler::record_route(Machine& machine, const std::string& route) {
+    if (std::exchange(machine.heartbeat_route_known, true)) machine.reach.came(machine.route == route, now());
+    machine.route = route;
+    machine.suspected = machine.reach.lost();
+    machine.reach.reported(now());
+    machine.mute = false;
+}
+
+// The leader has most to do besides heartbeats, so relays answer most machines: it sends quiet ones to them,
+// a few at a time, and none twice within some leases, in case that one can't reach the relay.
+std::optional<std::string> HeartbeatHandler::relay_for(Machine& machine) {
+    double t = now(), machines_up = static_cast<double>(parts_.failure_detector.up());
+    auto& table = parts_.delegations.table();
+    auto relays = static_cast<double>(std::max<std::size_t>(1, settings_.peers.size()));
+    bool many_here = machines_up - static_cast<double>(table.count()) > machines_up * own_share;
+    bool many_redirected = static_cast<double>(redirected_since_tick_) > machines_up * redirected_share;
+    bool redirected_lately =
+        machine.moved >= 0 && t - machine.moved < settings_.lease_s * redirect_pause_leases;
+    if (!settings_.op.hearing || !many_here || many_redirected || redirected_lately) return std::nullopt;
+    auto most = static_cast<std::size_t>(machines_up * (1 - own_share) / relays) + 1;
+    auto relay_label = table.least(t, most);
+    if (!relay_label) return std::nullopt;
+    machine.moved = t;
+    ++redirected_since_tick_;
+    return relay_label;
+}
+
+void HeartbeatHandler::handle_relayed(const protocol::PeerRelay& message, const http::Reply& reply) {
+    protocol::PeerRelayAnswer relay_answer;
+    bool leads = parts_.recovery.loaded() ? authority_.may_renew_worker_leases() : authority_.holds();
+    relay_answer.leads =
+        message.leader_version == authority_.fencing_token() && leads && settings_.op.hearing;
+    relay_answer.ready = relay_answer.leads && parts_.recovery.loaded();
+    auto send = [&] { reply({200, protocol::pack_peer(relay_answer), "application/msgpack"}); };
+    if (!relay_answer.ready) return send();
+    if (!parts_.delegations.take_relay_message(message)) return reply({503, {}, "application/msgpack"});
+    for (auto& body : message.reports) relay_answer.answers.push_back(answer(body, message.label).reply);
+    apply_relay_heartbeats(message);
+    parts_.commands.flush_all();
+    double grant_s = relay_grant_s();
+    relay_answer.grant_ms = static_cast<std::uint64_t>(grant_s * 1000);
+    relay_answer.recalled =
+        parts_.delegations.table().answer(message.label, now() + grant_s * (1 + 2 * election::drift));
+    send();
+}
+
+// Heartbeats that the relay has answered itself: when each machine's last one came.
+void HeartbeatHandler::apply_relay_heartbeats(const protocol::PeerRelay& message) {
+    std::lock_guard lock(state_.mutex);
+    for (auto& heartbeat : message.heard) {
+        auto* machine = state_.cluster.find(heartbeat.machine);
+        if (!machine || !parts_.delegations.table().delegated_to(heartbeat.machine, message.label)) continue;
+        double came_at = now() - static_cast<double>(heartbeat.age_ms) / 1000;
+        machine->last_heard = std::max(machine->last_heard, came_at);
+        machine->reach.shown(now());
+        machine->reach.reported(came_at);
+        machine->suspected = machine->mute = false;
+        parts_.failure_detector.heard_from(state_.zone_of(*machine), now());
+    }
+}
+
+// For how long a relay may renew leases: within the time for which this leader itself may, which its
+// successor counts on, and which ends early enough for tasks that are cancelled.
+double HeartbeatHandler::relay_grant_s() const {
+    return std::max(0.0, std::min({settings_.report_s, authority_.renewal_after_expiry_s(),
+                                   authority_.lease_renewal_deadline() - now()}));
+}
+
+cluster::HeartbeatOutcome HeartbeatHandler::apply(const protocol::Heartbeat& status, cluster::Via via) {
+    auto outcome = apply_to_state(status, via);
+    if (outcome.deposed) {
+        auto fencing_token = status.token >> cluster::ClusterState::token_bits;
+        spdlog::info("component=leader event=deposed_by_heartbeat machine={} fencing_token={}",
+                     status.machine, fencing_token);
+        // Not from within what the worker's message set off: this object would be gone before it is done.
+        timers_.after(0, guarded_([this, fencing_token] { authority_.deposed_by(fencing_token); }));
+        return outcome;
+    }
+    parts_.recovery.check_reconciled();
+    parts_.start_replication.replicate_changes();
+    if (outcome.ends.empty() && outcome.found.empty()) return outcome;
+    parts_.commands.flush_all();
+    if (parts_.recovery.loaded()) hooks_.request_job_store();
+    hooks_.request_plan();
+    return outcome;
+}
+
+cluster::HeartbeatOutcome HeartbeatHandler::apply_to_state(const protocol::Heartbeat& status,
+                                                           cluster::Via via) {
+    std::lock_guard lock(state_.mutex);
+    auto* before = state_.cluster.find(status.machine);
+    if (before && before->life == Machine::Life::booting)
+        parts_.failure_detector.booted(parts_.supervisor.boot_times(*before));
+    auto job_spec = [this](const std::string& job_id) -> cluster::JobSpec {
+        auto* job = state_.jobs.find(job_id);
+        return job ? job->spec : nullptr;
+    };
+    auto outcome = state_.cluster.apply_heartbeat(status, via, now(), job_spec);
+    for (auto& end : outcome.ends) parts_.instances.instance_ended(end);
+    for (auto& [task, machine_id] : outcome.found) parts_.instances.instance_found(task, machine_id);
+    auto* machine = state_.cluster.find(status.machine);
+    if (!machine || !outcome.fresh) return outcome;
+    parts_.machine_store.store_if_new(*machine);
+    parts_.failure_detector.heard_from(state_.zone_of(*machine), now());
+    if (machine->preemption_notice_until >= 0) parts_.supervisor.handle_preemption_notice(*machine);
+    return outcome;
+}
+
+void HeartbeatHandler::handle_early() {
+    for (std::size_t handled = 0; handled < early_heartbeats_per_turn; ++handled) {
+        auto report = early_.next(now());
+        if (!report) break;
+        handle(std::move(*report));
+    }
+    if (!early_.empty()) timers_.after(0, guarded_([this] { handle_early(); }));
+}
+
+void HeartbeatHandler::stop() {
+    for (auto& report : early_.take()) report.reply({503, "{}"});
+}
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/src/leader/image_handover.cpp
@@ -0,0 +1,40 @@
+#include "leader/image_handover.hpp"
+
+#include <cstdint>
+#include <utility>
+#include <vector>
+
+namespace coralhitch::leader {
+
+protocol::PeerImages images_to_hand_over(const cluster::ClusterState& cluster) {
+    protocol::PeerImages images;
+    images.names.resize(cluster.images().size());
+    images.sizes.resize(images.names.size());
+    for (auto& [name, index] : cluster.images()) images.names[index] = name;
+    for (auto& [id, machine] : cluster.machines()) {
+        if (machine.cache.empty()) continue;
+        protocol::PeerMachineImages row{id, {}};
+        for (auto& [image, size_gb] : machine.cache) {
+            row.images.push_back(image);
+            images.sizes[image] = size_gb;
+        }
+        images.machines.push_back(std::move(row));
+    }
+    return images;
+}
+
+void recall_images(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over) {
+    std::vector<std::uint32_t> indices;  // here, by the index there
+    for (auto& name : handed_over.names) indices.push_back(cluster.image(name));
+    for (auto& row : handed_over.machines) {
+        auto* machine = cluster.find(row.machine);
+        if (!machine) continue;
+        std::vector<std::pair<std::uint32_t, double>> cache;
+        for (auto image : row.images)
+            if (image < indices.size() && image < handed_over.sizes.size())
+                cache.emplace_back(indices[image], handed_over.sizes[image]);
+        cluster.recall_cache(*machine, std::move(cache));
+    }
+}
+
+}  // namespace coralhitch::leader
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -8,8 +8,6 @@
 
 namespace coralhitch::leader {
 namespace keys = kv::keys;
-using cluster::Machine;
-using kv::RequestPriority;
 
 namespace {
 // Ratios to the report period, unless named otherwise.
@@ -20,6 +18,16 @@
     double confirm_s = std::min(s.report_s / 3, relay::renewal_s(s) / 8);
     return {s.lease_s / 2, s.report_s / 60, s.report_s / 10, confirm_s, s.report_s};
 }
+// What this controller knew before its claim; the rest of the evidence is read.
+replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies, std::uint64_t version) {
+    replication::ReplicaEvidence evidence;
+    evidence.label = dependencies.settings.label;
+    evidence.incarnation = dependencies.incarnation;
+    evidence.version = version;
+    evidence.chain = dependencies.election.chain();
+    evidence.copy = &dependencies.copy;
+    return evidence;
+}
 }  // namespace
 
 Leader::Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed)
@@ -31,6 +39,22 @@
       failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
                          dependencies_.settings.op.silence_reports, dependencies_.settings.peers.size()}),
       reconciliation_(state_.cluster, dependencies_.settings.report_s),
+      recovery_(part_context_, dependencies_.state, replica_evidence(dependencies_, version),
+                {failure_detector_, reconciliation_, instances_, commands_, machine_store_, stale_keys_},
+                {dependencies_.remembered, dependencies_.copy, dependencies_.suspected},
+                {[this](const std::string& job_id, std::uint64_t job_version, const std::string& record) {
+                     take_job(job_id, job_version, record);
+                 },
+                 [this](const failover::GetResult& stored) { stored_taken(stored); },
+                 [this] {
+                     last_audit_ = now();
+                     read_ends();
+                 },
+                 [this] {
+                     heartbeats_.handle_early();
+                     tick();
+                 },
+                 [this] { plan_soon(); }}),
       job_watch_(dependencies_.timers, dependencies_.state, keys::jobs, watch_pace(dependencies_.settings),
                  {[this](const std::vector<protocol::Event>& events, std::uint64_t reconciled) {
                       if (authority_.ended()) return;
@@ -53,94 +77,29 @@
                       }
                       jobs_changed();
                   }}),
-      attempts_(dependencies_.state, version, [this] { return authority_.begin_transaction(); }),
-      steps_(dependencies_.timers),
-      loader_(dependencies_.timers, dependencies_.state, dependencies_.settings, steps_,
-              {dependencies_.settings.label,
-               dependencies_.incarnation,
-               version,
-               {},
-               dependencies_.election.chain(),
-               false,
-               {},
-               &dependencies_.copy},
-              [this](const failover::GetResult& found) {
-                  if (authority_.ended()) return;
-                  take_all(found);
-                  start_replication_.begin(found.record_version,
-                                           found.inherits ? found.record : std::nullopt);
-                  job_watch_.start(found.jobs.revision, found.jobs_listed_at);
-                  loaded();
-              }) {}
+      attempts_(dependencies_.state, version, [this] { return authority_.begin_transaction(); }) {}
+
+void Leader::stored_taken(const failover::GetResult& stored) {
+    start_replication_.begin(stored.record_version, stored.inherits ? stored.record : std::nullopt);
+    job_watch_.start(stored.jobs.revision, stored.jobs_listed_at);
+}
+
+void Leader::types_changed() {
+    std::lock_guard lock(state_.mutex);
+    state_.cluster.set_types(dependencies_.types);
+}
 
 void Leader::start() {
     guarded_.bind(weak_from_this());
-    loader_.start();
+    recovery_.start();
 }
 void Leader::stop() {
     authority_.end();
     log_team_activity();
     dependencies_.timers.cancel(tick_timer_);
-    for (auto& report : early_.take()) report.reply({503, "{}"});
+    heartbeats_.stop();
 }
 
-void Leader::take_all(const failover::GetResult& found) {
-    std::lock_guard lock(state_.mutex);
-    std::set<std::string> live;
-    for (auto& e : found.jobs.entries) {
-        auto id = e.key.substr(keys::jobs.size());
-        take_job(id, e.version, e.value);
-        live.insert(std::move(id));
-    }
-    for (auto& e : found.progress.entries) {
-        auto rest = e.key.substr(keys::progress.size());
-        auto slash = rest.find('/');
-        auto id = rest.substr(0, slash);
-        if (!state_.jobs.find(id)) {
-            // Left over from a job that is over. One whose record can't be read is live and may be known to
-            // other versions.
-            if (!live.contains(id)) stale_keys_.add(e.key);
-            continue;
-        }
-        try {
-            state_.jobs.put_progress(id, slash == std::string::npos ? "" : rest.substr(slash + 1),
-                                     protocol::parse_bits(e.value), e.version);
-        } catch (const std::exception& x) {
-            spdlog::error("progress {}: {}", e.key, x.what());
-        }
-    }
-    for (auto& [id, r] : machine_store_.load(found.machines)) {
-        auto& m = state_.cluster.add(
-            id, r.addr, r.type, r.zone, r.spot,
-            r.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up, now());
-        m.stored = m.stored_before = true;
-        reconciliation_.expect(id);
-        if (found.inherits) inherit(id, m);
-        m.deletable = r.marked_for_deletion;
-        if (auto it = dependencies_.suspected.find(id); it != dependencies_.suspected.end() && m.known)
-            m.silent_before = it->second;
-        failure_detector_.heard_from(zone_of(m), now() - m.silent_before);
-        // The leader before may have gone on renewing leases for a while.
-        m.renewed = now() + authority_.renewal_after_expiry_s();
-    }
-}
-
-// The row says all that may be on the machine: see docs/standby.md. It is not used before it has reconciled.
-void Leader::inherit(const std::string& id, Machine& m) {
-    auto it = dependencies_.copy.rows.find(id);
-    // The leader before told all machines that were stored when it came to lead, and each one before the
-    // first `run` to it: of what it never told, or told to be gone, nothing is left.
-    m.known = it == dependencies_.copy.rows.end() || it->second.known;
-    if (it == dependencies_.copy.rows.end() || !m.known) return;
-    m.agent_epoch = it->second.agent_epoch;
-    m.sequence = it->second.sequence;
-    for (auto& t : it->second.tasks) {
-        protocol::TaskId task{t.job, t.index};
-        auto* e = state_.jobs.find(t.job);
-        state_.cluster.inherit(m, task, e ? e->spec : nullptr, t.attempt, now());
-        instances_.instance_found(task, id);
-    }
-}
 // The lines of all leaders together tell what each team got; bench/teams.py adds them up.
 void Leader::log_team_activity() {
     last_team_log_ = now();
@@ -148,77 +107,6 @@
     if (auto text = team_activity_.tell(); !text.empty()) spdlog::info("teams: {}", text);
 }
 
-protocol::PeerImages Leader::images() const {
-    protocol::PeerImages out;
-    out.names.resize(state_.cluster.images().size());
-    out.sizes.resize(out.names.size());
-    for (auto& [name, id] : state_.cluster.images()) out.names[id] = name;
-    for (auto& [id, m] : state_.cluster.machines()) {
-        if (m.cache.empty()) continue;
-        protocol::PeerMachineImages row{id, {}};
-        for (auto& [image, gb] : m.cache) {
-            row.images.push_back(image);
-            out.sizes[image] = gb;
-        }
-        out.machines.push_back(std::move(row));
-    }
-    return out;
-}
-// Reports show only the images of what is on a machine now. A new leader that knew no others sent tasks to
-// fetch them all over.
-void Leader::recall_images() {
-    std::lock_guard lock(state_.mutex);
-    auto& told = dependencies_.remembered;
-    std::vector<std::uint32_t> ids;
-    for (auto& name : told.names) ids.push_back(state_.cluster.image(name));
-    for (auto& row : told.machines) {
-        auto* m = state_.cluster.find(row.machine);
-        if (!m) continue;
-        std::vector<std::pair<std::uint32_t, double>> cache;
-        for (auto k : row.images)
-            if (k < ids.size() && k < told.sizes.size()) cache.emplace_back(ids[k], told.sizes[k]);
-        state_.cluster.recall_cache(*m, std::move(cache));
-    }
-}
-
-void Leader::loaded() {
-    loaded_ = true;
-    last_audit_ = now();
-    recall_images();
-    auto known = std::count_if(state_.cluster.machines().begin(), state_.cluster.machines().end(),
-                               [](auto& m) { return m.second.known; });
-    steps_.over("loaded", std::to_string(state_.jobs.all().size()) + " jobs and " +
-                              std::to_string(state_.cluster.machines().size()) + " machines, " +
-                              std::to_string(known) + " of them known");
-    read_ends();
-    // With some of them placing can begin. Of the rest most reports lie waiting or come within a period: a
-    // question costs three times as much as a report that is passed on. Those of which nothing is known hold
-    // up all placing.
-    double at_once = CommandSender::probes_within(dependencies_.settings, CommandSender::first_probe_reports);
-    auto stride =
-        static_cast<std::size_t>(static_cast<double>(state_.cluster.machines().size()) / at_once) + 1;
-    std::size_t n = 0;
-    for (auto& [id, m] : state_.cluster.machines())
-        if (n++ % stride == 0) commands_.probe(m);
-    dependencies_.timers.after(dependencies_.settings.report_s * CommandSender::first_probe_reports,
-                               guarded_([this] {
-                                   for (bool known : {false, true})
-                                       for (auto& [id, m] : state_.cluster.machines())
-                                           if (!m.reconciled && m.known == known) commands_.probe(m);
-                               }));
-    apply_early_heartbeats();
-    tick();
-}
-void Leader::apply_early_heartbeats() {
-    constexpr std::size_t at_once = 16;
-    for (std::size_t k = 0; k < at_once; ++k) {
-        auto report = early_.next(now());
-        if (!report) break;
-        handle_heartbeat(std::move(*report));
-    }
-    if (!early_.empty()) dependencies_.timers.after(0, guarded_([this] { apply_early_heartbeats(); }));
-}
-
 // Whether it was news.
 bool Leader::take_job(const std::string& id, std::uint64_t version, const std::string& value) {
     if (state_.jobs.knows(id, version)) return false;
@@ -262,7 +150,7 @@
 }
 
 std::optional<api::TaskCounts> Leader::counts(const std::string& id) {
-    if (!loaded_) return std::nullopt;
+    if (!recovery_.loaded()) return std::nullopt;
     auto* e = state_.jobs.find(id);
     return e ? std::optional(count(id, *e)) : std::nullopt;
 }
@@ -279,7 +167,7 @@
 
 std::vector<protocol::PeerCount> Leader::all_counts() {
     std::vector<protocol::PeerCount> out;
-    if (!loaded_) return out;
+    if (!recovery_.loaded()) return out;
     for (auto& [id, e] : state_.jobs.all()) {
         auto c = count(id, e);
         if (c.done + c.running > 0)
@@ -291,8 +179,7 @@
 // A later leadership's tokens begin above all of this one's.
 bool Leader::hand_over_tokens() {
     if (!state_.cluster.tokens_run_out()) return false;
-    spdlog::info(
-        "leader: a machine's token was raised so often that the next leadership's are near: resigning");
+    spdlog::info("component=leader event=resigned reason=tokens_exhausted");
     authority_.resign(0);
     return true;
 }
@@ -302,10 +189,10 @@
     tick_timer_ = dependencies_.timers.after(dependencies_.settings.report_s * tick_reports,
                                              guarded_([this] { tick(); }));
     absent_ends_.clear();
-    moved_ = 0;
+    heartbeats_.begin_tick();
     read_ends();
     reconciliation_.tick(now(), dependencies_.settings.report_s * tick_reports);
-    if (supervisor_.check()) check_reconciled();
+    if (supervisor_.check()) recovery_.check_reconciled();
     if (authority_.ended()) return;
     if (hand_over_tokens()) return;
     if (!authority_.holds()) return;
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -23,7 +23,9 @@
 #include "leader/callback_guard.hpp"
 #include "leader/command_sender.hpp"
 #include "leader/delegations.hpp"
+#include "leader/heartbeat_handler.hpp"
 #include "leader/host_lister.hpp"
+#include "leader/image_handover.hpp"
 #include "leader/instance_tracker.hpp"
 #include "leader/leader_state.hpp"
 #include "leader/machine_deletion.hpp"
@@ -31,6 +33,7 @@
 #include "leader/machine_supervisor.hpp"
 #include "leader/part_context.hpp"
 #include "leader/planner.hpp"
+#include "leader/recovery.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "leader/start_replication.hpp"
 #include "membership/failure_detector.hpp"
@@ -38,7 +41,6 @@
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_rejections.hpp"
-#include "relay/reply_cache.hpp"
 #include "relay/worker_lease.hpp"
 #include "scheduler/scheduler.hpp"
 
@@ -73,16 +75,20 @@
     void start();
     void stop();
 
-    void handle_heartbeat(relay::HeartbeatQueue::Report report);
-    // Reports that another controller heard: each is answered as if it had come here.
-    void relay(const protocol::PeerRelay& m, http::Reply reply);
+    void handle_heartbeat(relay::HeartbeatQueue::Report report) { heartbeats_.handle(std::move(report)); }
+    // Heartbeats that a relaying controller passes on.
+    void relay(const protocol::PeerRelay& message, const http::Reply& reply) {
+        heartbeats_.handle_relayed(message, reply);
+    }
+    // Machines whose heartbeats relaying controllers answer.
     std::size_t lent() const { return delegations_.count(); }
     const replication::ReplicationSender& replication() const { return start_replication_.sender(); }
-    const failover::FailoverSteps& steps() const { return steps_; }
+    const failover::FailoverSteps& steps() const { return recovery_.steps(); }
     bool suspects_itself() const { return failure_detector_.self_suspicion().has_value(); }
     std::optional<api::TaskCounts> counts(const std::string& id);
     std::vector<protocol::PeerCount> all_counts();
-    protocol::PeerImages images() const;
+    // The machines' image caches, for the next leader.
+    protocol::PeerImages images() const { return images_to_hand_over(state_.cluster); }
     // Machines that should have been heard, and how long ago they were, seconds.
     std::map<std::string, double> suspected() const { return supervisor_.suspected(); }
     void types_changed();
@@ -99,26 +105,12 @@
     };
     double now() const { return dependencies_.timers.now(); }
     api::TaskCounts count(const std::string& id, const jobs::JobEntry& e);
-    void inherit(const std::string& id, cluster::Machine& m);
-    void take_all(const failover::GetResult& found);
-    void loaded();
-    void recall_images();
+    void stored_taken(const failover::GetResult& stored);
     void jobs_changed();
     bool take_job(const std::string& id, std::uint64_t version, const std::string& value);
     void tick();
     bool hand_over_tokens();  // whether it has resigned
 
-    // machines
-    cluster::HeartbeatOutcome apply_heartbeat(const protocol::Heartbeat& r, cluster::Via via);
-    protocol::PeerRelayed refused(relay::HeartbeatRejection why);
-    bool repeat_reply(const std::string& body, const http::Reply& reply);
-    protocol::PeerRelayed answer_heartbeat(const std::string& body, const std::string& relay_label,
-                                           std::string& machine);
-    std::optional<std::string> relay_for(cluster::Machine& m);
-    void record_route(cluster::Machine& m, const std::string& route);
-    void apply_early_heartbeats();
-    void check_reconciled();
-
     void log_team_activity();
 
     // jobs
@@ -164,7 +156,6 @@
     Authority authority_;
     CallbackGuard guarded_{authority_};
     std::mt19937_64 random_;
-    bool loaded_ = false, was_reconciled_ = false;
 
     LeaderState state_;
     const PartContext part_context_{dependencies_.timers, dependencies_.settings, state_, authority_,
@@ -178,7 +169,7 @@
         [this](cluster::Machine& machine, const char* reason) { deletion_.mark(machine, reason); }};
     CommandSender commands_{
         part_context_, dependencies_.http, delegations_, reconciliation_,
-        [this](const protocol::Heartbeat& status) { apply_heartbeat(status, cluster::Via::direct); }};
+        [this](const protocol::Heartbeat& status) { heartbeats_.apply(status, cluster::Via::direct); }};
     StartReplication start_replication_{part_context_, dependencies_.http, dependencies_.state,
                                         dependencies_.peer, [this] { commands_.flush_all(); }};
     StaleKeyRemover stale_keys_{part_context_, dependencies_.state};
@@ -192,12 +183,13 @@
                               delegations_,
                               machine_store_,
                               instances_,
-                              {[this](const std::string& machine_id) { reply_cache_.forget(machine_id); },
+                              {[this](const std::string& machine_id) { heartbeats_.forget(machine_id); },
                                [this] {
                                    start_replication_.replicate_changes();
-                                   check_reconciled();
+                                   recovery_.check_reconciled();
                                    plan_soon();
                                }}};
+    Recovery recovery_;
     HostLister hosts_{part_context_, dependencies_.cloud, commands_, deletion_};
     MachineSupervisor supervisor_{
         part_context_,
@@ -205,9 +197,13 @@
         dependencies_.types,
         {failure_detector_, reconciliation_, delegations_, instances_, commands_, deletion_},
         {dependencies_.heartbeats_seen_by_peers, dependencies_.resign_leadership, [this] { plan_soon(); }}};
+    HeartbeatHandler heartbeats_{part_context_,
+                                 dependencies_.refusals,
+                                 {delegations_, failure_detector_, supervisor_, machine_store_, instances_,
+                                  commands_, start_replication_, recovery_},
+                                 {[this] { plan_soon(); }, [this] { store_soon(); }}};
     kv::ListWatch job_watch_;
 
-    relay::HeartbeatQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
     AttemptNumbers attempts_;
     std::uint64_t rentals_made_ = 0;
     std::map<std::string, Rental> rentals_;
@@ -222,11 +218,6 @@
     double last_team_log_ = -1;
     double last_audit_ = 0;
     double last_plan_ = -1, last_capacity_ = -1;
-    protocol::HeartbeatReader reader_;
-    relay::ReplyCache reply_cache_;  // of machines that report here
-    std::size_t moved_ = 0;          // machines that were sent elsewhere since the last tick
-    failover::FailoverSteps steps_;
-    failover::RecoveryLoader loader_;
     std::vector<std::pair<std::string, protocol::TaskId>> started_now_;  // by the plan that is applied
     event_loop::TimerId tick_timer_ = 0;
 };
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -44,7 +44,7 @@
 void Leader::plan() {
     // Unless the leader before told it, a new leader can't know what unreconciled machines hold, so neither a
     // task, a quota nor a zone is safe.
-    if (planning_ || !loaded_ || !authority_.holds() || !reconciliation_.may_place()) return;
+    if (planning_ || !recovery_.loaded() || !authority_.holds() || !reconciliation_.may_place()) return;
     auto plan = std::make_shared<Plan>();
     plan->with_capacity = reconciliation_.all_reconciled() &&
                           now() - last_capacity_ > dependencies_.settings.report_s * capacity_reports &&
--- /dev/null
+++ b/src/leader/recovery.cpp
@@ -0,0 +1,150 @@
+#include "leader/recovery.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+#include "kv/keys.hpp"
+#include "leader/image_handover.hpp"
+
+namespace coralhitch::leader {
+namespace keys = kv::keys;
+using cluster::Machine;
+
+Recovery::Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
+                   const Parts& parts, Inheritance inheritance, Hooks hooks)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      guarded_(context.guarded),
+      parts_(parts),
+      inheritance_(std::move(inheritance)),
+      hooks_(std::move(hooks)),
+      steps_(timers_),
+      loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::GetResult& stored) {
+          if (authority_.ended()) return;
+          take_stored(stored);
+          hooks_.stored_taken(stored);
+          finish_load();
+      }) {}
+
+void Recovery::take_stored(const failover::GetResult& stored) {
+    std::lock_guard lock(state_.mutex);
+    take_jobs(stored);
+    for (auto& [machine_id, record] : parts_.machine_store.load(stored.machines))
+        take_machine(machine_id, record, stored.inherits);
+}
+
+void Recovery::take_jobs(const failover::GetResult& stored) {
+    std::set<std::string> live;
+    for (auto& entry : stored.jobs.entries) {
+        auto job_id = entry.key.substr(keys::jobs.size());
+        hooks_.take_job(job_id, entry.version, entry.value);
+        live.insert(std::move(job_id));
+    }
+    for (auto& entry : stored.progress.entries) {
+        auto rest = entry.key.substr(keys::progress.size());
+        auto slash = rest.find('/');
+        auto job_id = rest.substr(0, slash);
+        if (!state_.jobs.find(job_id)) {
+            // Left over from a job that is over. One whose record can't be read is live and may be known to
+            // other versions.
+            if (!live.contains(job_id)) parts_.stale_keys.add(entry.key);
+            continue;
+        }
+        try {
+            state_.jobs.put_progress(job_id, slash == std::string::npos ? "" : rest.substr(slash + 1),
+                                     protocol::parse_bits(entry.value), entry.version);
+        } catch (const std::exception& error) {
+            spdlog::error("component=leader event=malformed_progress key={} error=\"{}\"", entry.key,
+                          error.what());
+        }
+    }
+}
+
+void Recovery::take_machine(const std::string& machine_id, const protocol::MachineRecord& record,
+                            bool inherits) {
+    auto life = record.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up;
+    auto& machine =
+        state_.cluster.add(machine_id, record.addr, record.type, record.zone, record.spot, life, now());
+    machine.stored = machine.stored_before = true;
+    parts_.reconciliation.expect(machine_id);
+    if (inherits) inherit(machine);
+    machine.deletable = record.marked_for_deletion;
+    auto silent = inheritance_.silent_machine_s.find(machine_id);
+    if (silent != inheritance_.silent_machine_s.end() && machine.known)
+        machine.silent_before = silent->second;
+    parts_.failure_detector.heard_from(state_.zone_of(machine), now() - machine.silent_before);
+    // The previous leader may have gone on renewing leases for a while.
+    machine.renewed = now() + authority_.renewal_after_expiry_s();
+}
+
+// The replica's row says all that may be on the machine: see docs/standby.md. The machine is not used before
+// it has reconciled. The previous leader replicated all machines that were stored when it came to lead, and
+// each other one before the first `run` to it: of what it never replicated, or as deleted, nothing is left.
+void Recovery::inherit(Machine& machine) {
+    auto& rows = inheritance_.replica.rows;
+    auto row = rows.find(machine.id);
+    machine.known = row == rows.end() || row->second.known;
+    if (row == rows.end() || !machine.known) return;
+    machine.agent_epoch = row->second.agent_epoch;
+    machine.sequence = row->second.sequence;
+    for (auto& instance : row->second.tasks) {
+        protocol::TaskId task{instance.job, instance.index};
+        auto* job = state_.jobs.find(instance.job);
+        state_.cluster.inherit(machine, task, job ? job->spec : nullptr, instance.attempt, now());
+        parts_.instances.instance_found(task, machine.id);
+    }
+}
+
+void Recovery::finish_load() {
+    loaded_ = true;
+    {
+        std::lock_guard lock(state_.mutex);
+        recall_images(state_.cluster, inheritance_.images);
+    }
+    auto& machines = state_.cluster.machines();
+    auto known =
+        std::count_if(machines.begin(), machines.end(), [](auto& entry) { return entry.second.known; });
+    steps_.over("loaded", std::to_string(state_.jobs.all().size()) + " jobs and " +
+                              std::to_string(machines.size()) + " machines, " + std::to_string(known) +
+                              " of them known");
+    hooks_.jobs_loaded();
+    probe_first();
+    hooks_.ready();
+}
+
+// With some of the machines placing can begin. Of the rest most heartbeats lie waiting or come within a
+// period: a probe costs three times as much as a heartbeat that is passed on. Those of which nothing is known
+// hold up all placing.
+void Recovery::probe_first() {
+    auto& machines = state_.cluster.machines();
+    double at_once = CommandSender::probes_within(settings_, CommandSender::first_probe_reports);
+    auto stride = static_cast<std::size_t>(static_cast<double>(machines.size()) / at_once) + 1;
+    std::size_t index = 0;
+    for (auto& [id, machine] : machines)
+        if (index++ % stride == 0) parts_.commands.probe(machine);
+    timers_.after(settings_.report_s * CommandSender::first_probe_reports, guarded_([this] {
+                      for (bool known : {false, true})
+                          for (auto& [id, machine] : state_.cluster.machines())
+                              if (!machine.reconciled && machine.known == known)
+                                  parts_.commands.probe(machine);
+                  }));
+}
+
+void Recovery::check_reconciled() {
+    if (loaded_ && !steps_.has("may place") && parts_.reconciliation.may_place() &&
+        state_.cluster.any_reconciled()) {
+        steps_.over("may place");
+        hooks_.request_plan();
+    }
+    if (all_reconciled_ || !parts_.reconciliation.all_reconciled()) return;
+    all_reconciled_ = true;
+    steps_.over("all machines settled");
+    hooks_.request_plan();
+}
+
+}  // namespace coralhitch::leader
