--- /dev/null
+++ b/tests/leader/delegations_test.cpp
@@ -0,0 +1,59 @@
+// Delegations: the last moment at which a relay can have renewed a machine's lease is never forgotten.
+#include "leader/delegations.hpp"
+
+#include <gtest/gtest.h>
+
+namespace coralhitch::leader {
+namespace {
+
+struct Bench {
+    Bench() {
+        machine.renewed = 10;
+        EXPECT_TRUE(take_message(1, 1));
+        delegations.table().delegate("vm-1", "controller-1");
+        delegations.table().answer("controller-1", 25);  // a grant until then
+    }
+    bool take_message(std::uint64_t incarnation, std::uint64_t number) {
+        protocol::PeerRelay message;
+        message.label = "controller-1";
+        message.incarnation = incarnation;
+        message.number = number;
+        return delegations.take_relay_message(message);
+    }
+    cluster::ClusterState cluster{7, {}};
+    cluster::Machine& machine =
+        cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, 0);
+    Delegations delegations{cluster};
+};
+
+TEST(Delegations, TheRelaysGrantCountsWhileItHasTheMachine) {
+    Bench bench;
+    EXPECT_EQ(bench.delegations.count(), 1u);
+    EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 25);
+}
+
+TEST(Delegations, TheRelaysGrantCountsAfterItsRevocation) {
+    Bench bench;
+    bench.delegations.revoke("vm-1");
+    EXPECT_EQ(bench.delegations.count(), 0u);
+    EXPECT_DOUBLE_EQ(bench.machine.delegation_expiry, 25);
+    EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 25);
+    bench.machine.renewed = 40;
+    EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 40);
+}
+
+TEST(Delegations, ARelayThatWasStartedAnewGivesItsMachinesBack) {
+    Bench bench;
+    EXPECT_TRUE(bench.take_message(2, 1));
+    EXPECT_EQ(bench.delegations.count(), 0u);
+    EXPECT_DOUBLE_EQ(bench.machine.delegation_expiry, 25);
+}
+
+TEST(Delegations, TellsWhetherARelaysMessageIsOlderThanOneBefore) {
+    Bench bench;
+    EXPECT_TRUE(bench.take_message(1, 3));
+    EXPECT_FALSE(bench.take_message(1, 2));
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/tests/leader/instance_tracker_test.cpp
@@ -0,0 +1,107 @@
+// InstanceTracker: which attempt stays, what becomes of a gang that lost a task, and when a machine is
+// blamed.
+#include "leader/instance_tracker.hpp"
+
+#include <gtest/gtest.h>
+
+#include "leader/leading_fixture.hpp"
+
+namespace coralhitch::leader {
+namespace {
+using protocol::ExitCause;
+
+struct Bench : LeadingFixture {
+    cluster::Machine& add_machine(const std::string& id) {
+        auto& machine =
+            state->cluster.add(id, "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, timers.now());
+        machine.confirmed = machine.reconciled = true;
+        machine.agent_epoch = 1;
+        return machine;
+    }
+    // An instance on this machine, as a report shows it.
+    cluster::Instance& show(const std::string& job, cluster::Machine& machine, std::uint32_t task,
+                            std::uint64_t attempt) {
+        auto& instance = state->cluster.place(machine, {job, task}, state->jobs.find(job)->spec, attempt, 0);
+        tracker.instance_found({job, task}, machine.id);
+        return instance;
+    }
+    // The instance leaves the machine for this reason.
+    void end(const std::string& job, cluster::Machine& machine, std::uint32_t task, ExitCause cause) {
+        cluster::InstanceEnd ended;
+        ended.machine = machine.id;
+        ended.task = {job, task};
+        ended.attempt = machine.tasks.at(ended.task).attempt;
+        ended.reported = true;
+        ended.cause = cause;
+        machine.tasks.erase(ended.task);
+        tracker.instance_ended(ended);
+    }
+    metrics::Metrics metrics;
+    cluster::TeamActivity team_activity;
+    std::vector<std::string> marked;
+    InstanceTracker tracker{*context, metrics, team_activity,
+                            [this](cluster::Machine& machine, const char*) { marked.push_back(machine.id); }};
+};
+
+TEST(InstanceTracker, KeepsTheNewerAttemptWhicheverIsReportedFirst) {
+    for (bool newer_first : {false, true}) {
+        Bench bench;
+        auto& job = bench.add_job("j-1", 1);
+        auto& older = bench.add_machine("vm-1");
+        auto& newer = bench.add_machine("vm-2");
+        if (newer_first) bench.show("j-1", newer, 0, 6);
+        bench.show("j-1", older, 0, 5);
+        if (!newer_first) bench.show("j-1", newer, 0, 6);
+        EXPECT_EQ(job.active.at(0).machine, "vm-2");
+        EXPECT_TRUE(older.tasks.at({"j-1", 0}).orphaned);
+        EXPECT_TRUE(older.tasks.at({"j-1", 0}).stop);
+        EXPECT_FALSE(newer.tasks.at({"j-1", 0}).stop);
+        EXPECT_EQ(job.orphans, 1);
+    }
+}
+
+TEST(InstanceTracker, StopsAGangThatLostATaskAsOne) {
+    Bench bench;
+    auto& job = bench.add_job("j-1", 2);
+    auto gang = std::make_shared<protocol::Job>(*job.spec);
+    gang->kind = protocol::JobKind::gang;
+    job.spec = gang;
+    auto& first = bench.add_machine("vm-1");
+    auto& second = bench.add_machine("vm-2");
+    bench.show("j-1", first, 0, 5);
+    auto& left = bench.show("j-1", second, 1, 5);
+    EXPECT_FALSE(left.stop);
+    bench.end("j-1", first, 0, ExitCause::unknown);
+    EXPECT_TRUE(left.stop);
+    EXPECT_FALSE(job.active.contains(0));
+    EXPECT_TRUE(job.active.contains(1)) << "its place is taken until it is proven terminated";
+}
+
+TEST(InstanceTracker, AnAttemptThatEndsOnceMoreFreesNoPlaceOfTheNext) {
+    Bench bench;
+    auto& job = bench.add_job("j-1", 1);
+    auto& machine = bench.add_machine("vm-1");
+    bench.show("j-1", machine, 0, 6);
+    cluster::InstanceEnd older{"vm-1", {"j-1", 0}, 5, true};
+    bench.tracker.instance_ended(older);
+    EXPECT_TRUE(job.active.contains(0));
+}
+
+TEST(InstanceTracker, BlamesAMachineThatFailsTheTasksOfSeveralJobs) {
+    Bench bench;
+    bench.add_job("j-1", 1);
+    bench.add_job("j-2", 1);
+    auto& machine = bench.add_machine("vm-1");
+    double now = bench.timers.now(), report_s = bench.settings.report_s;
+    bench.show("j-1", machine, 0, 5);
+    bench.end("j-1", machine, 0, ExitCause::error);
+    EXPECT_DOUBLE_EQ(machine.quarantined_until, now + report_s * 2);
+    EXPECT_TRUE(bench.marked.empty());
+    bench.show("j-2", machine, 0, 6);
+    bench.end("j-2", machine, 0, ExitCause::error);
+    EXPECT_DOUBLE_EQ(machine.quarantined_until, now + report_s * 20);
+    EXPECT_EQ(bench.marked, std::vector<std::string>{"vm-1"}) << "it is empty, so it goes";
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/tests/leader/machine_store_test.cpp
@@ -0,0 +1,68 @@
+// MachineStore: no task starts on a machine before the machine is stored.
+#include "leader/machine_store.hpp"
+
+#include <gtest/gtest.h>
+
+#include "leader/leading_fixture.hpp"
+
+namespace coralhitch::leader {
+namespace {
+
+struct Bench : LeadingFixture {
+    cluster::Machine& add_machine(std::uint64_t agent_epoch) {
+        auto& machine = state->cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up,
+                                           timers.now());
+        machine.agent_epoch = agent_epoch;
+        return machine;
+    }
+    int confirmed = 0;
+    MachineStore store{*context, kv, [this] { ++confirmed; }};
+};
+
+TEST(MachineStore, MakesInstancesReadyOnceTheirMachineIsStored) {
+    Bench bench;
+    auto& machine = bench.add_machine(1);
+    auto& job = bench.add_job("j-1", 1);
+    auto& instance = bench.state->cluster.place(machine, {"j-1", 0}, job.spec, 5, 0);
+    EXPECT_FALSE(instance.ready);
+    bench.store.store_if_new(machine);
+    EXPECT_TRUE(machine.storing);
+    EXPECT_FALSE(machine.stored);
+    bench.store.flush();
+    bench.wait(5);
+    EXPECT_TRUE(machine.stored);
+    EXPECT_TRUE(instance.ready);
+    EXPECT_EQ(bench.confirmed, 1);
+}
+
+TEST(MachineStore, StoresOnlyMachinesThatHaveReportedToThisLeadership) {
+    Bench bench;
+    auto& machine = bench.add_machine(0);
+    bench.store.store_if_new(machine);
+    EXPECT_FALSE(machine.storing) << "its agent has not reported";
+    machine.agent_epoch = 1;
+    machine.token_seen = 3;  // an earlier leader's: the machine may have been deleted meanwhile
+    bench.store.store_if_new(machine);
+    EXPECT_FALSE(machine.storing);
+    machine.confirmed = true;
+    bench.store.store_if_new(machine);
+    EXPECT_TRUE(machine.storing);
+}
+
+TEST(MachineStore, AllowsADeletionOnceItsMarkIsStored) {
+    Bench bench;
+    auto& machine = bench.add_machine(1);
+    bench.store.store_if_new(machine);
+    bench.store.flush();
+    bench.wait(5);
+    ASSERT_TRUE(machine.stored);
+    machine.life = cluster::Machine::Life::marked_for_deletion;
+    bench.store.update(machine.id);
+    bench.store.flush();
+    EXPECT_FALSE(machine.deletable);
+    bench.wait(5);
+    EXPECT_TRUE(machine.deletable);
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
