--- a/tests/golden_bytes.hpp
+++ b/tests/protocol/golden_bytes.hpp
@@ -1,5 +1,5 @@
-// What this program writes and reads, byte for byte: at the state service, between controllers, and to and
-// from users, workers, the cloud and the state service. Older versions run beside newer ones, and records
+// What this program writes and reads, byte for byte: at the key-value store, between controllers, and to and
+// from users, workers, the cloud and the key-value store. Older versions run beside newer ones, and records
 // live for ever. So a change of names in the code must not touch this file; a change of this file changes the
 // protocol.
 #pragma once
@@ -72,7 +72,7 @@
 inline constexpr std::string_view report_least =
     R"({"berth":"vm-2","addr":"10.1.0.2:9001","hull":"c4","reef":"b","driftwood":false,"watch":1,"tally":2,"helm":3,"shards":[]})";
 
-inline constexpr std::string_view report_answer =
+inline constexpr std::string_view heartbeat_response =
     R"({"helm":18446744073709551615,"orders":[{"launch":3,"shard":"j-7/0","verb":"run"},{"launch":9007199254740993,"shard":"j-000412/15","slack_s":1.5,"verb":"kill"},{"launch":5,"shard":"j-9/99999","verb":"clear"}]})";
 inline constexpr std::string_view report_answer_empty = R"({"helm":7,"orders":[]})";
 inline constexpr std::string_view direct_commands =
--- a/tests/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -3,11 +3,11 @@
 
 #include <functional>
 
-#include "golden_bytes.hpp"
-#include "wire/peer.hpp"
-#include "wire/peer_cancelled.hpp"
+#include "protocol/golden_bytes.hpp"
+#include "protocol/peer_cancellation_messages.hpp"
+#include "protocol/peer_messages.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 namespace {
 using golden::hex;
 using golden::unhex;
@@ -67,19 +67,23 @@
             .recalled = {"vm-9"}};
 }
 PeerFleet fleet() {
-    return {
-        .leader_version = 8,
-        .number = 3,
-        .rows =
-            {{.machine = "vm-1",
-              .known = true,
-              .gone = false,
-              .session = 5,
-              .sequence = 6,
-              .tasks = {{.job = "j-1", .index = 2, .attempt = 3}, {.job = "j-2", .index = 0, .attempt = 1}}},
-             {.machine = "vm-2", .known = false, .gone = true, .session = 11, .sequence = 12, .tasks = {}}},
-        .begun = 7,
-        .whole = true};
+    return {.leader_version = 8,
+            .number = 3,
+            .rows = {{.machine = "vm-1",
+                      .known = true,
+                      .gone = false,
+                      .agent_epoch = 5,
+                      .sequence = 6,
+                      .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
+                                {.job = "j-2", .index = 0, .attempt = 1}}},
+                     {.machine = "vm-2",
+                      .known = false,
+                      .gone = true,
+                      .agent_epoch = 11,
+                      .sequence = 12,
+                      .tasks = {}}},
+            .begun = 7,
+            .whole = true};
 }
 
 struct Message {
@@ -312,7 +316,7 @@
     EXPECT_EQ(first.machine, "vm-1");
     EXPECT_TRUE(first.known);
     EXPECT_FALSE(first.gone);
-    EXPECT_EQ(first.session, 5u);
+    EXPECT_EQ(first.agent_epoch, 5u);
     EXPECT_EQ(first.sequence, 6u);
     ASSERT_EQ(first.tasks.size(), 2u);
     EXPECT_EQ(first.tasks[0].job, "j-1");
@@ -324,7 +328,7 @@
     EXPECT_EQ(second.machine, "vm-2");
     EXPECT_FALSE(second.known);
     EXPECT_TRUE(second.gone);
-    EXPECT_EQ(second.session, 11u);
+    EXPECT_EQ(second.agent_epoch, 11u);
     EXPECT_EQ(second.sequence, 12u);
     EXPECT_TRUE(second.tasks.empty());
 }
@@ -371,7 +375,7 @@
     EXPECT_EQ(fleet.rows[0].machine, "vm-1");
     EXPECT_TRUE(fleet.rows[0].known);
     EXPECT_TRUE(fleet.rows[0].gone);
-    EXPECT_EQ(fleet.rows[0].session, 0u);
+    EXPECT_EQ(fleet.rows[0].agent_epoch, 0u);
     EXPECT_TRUE(fleet.rows[0].tasks.empty());
 }
 
@@ -394,4 +398,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
--- a/tests/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -1,20 +1,20 @@
-// Stored records, and messages to and from users, workers, the cloud and the state service, byte for byte:
+// Stored records, and messages to and from users, workers, the cloud and the key-value store, byte for byte:
 // that they are written as they were, and that each field read stands where it stood.
-#include "golden_bytes.hpp"
+#include "protocol/golden_bytes.hpp"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 #include <nlohmann/json.hpp>
 
-#include "cloud/client.hpp"
-#include "fake_timers.hpp"
-#include "jobs/table.hpp"
-#include "state/client.hpp"
-#include "state/keys.hpp"
-#include "wire/protocol.hpp"
+#include "cloud/cloud_client.hpp"
+#include "jobs/job_table.hpp"
+#include "kv/keys.hpp"
+#include "kv/kv_client.hpp"
+#include "protocol/protocol.hpp"
+#include "support/fake_timers.hpp"
 
-namespace coralhitch::wire {
+namespace coralhitch::protocol {
 namespace {
 using nlohmann::json;
 
@@ -27,10 +27,10 @@
     j.id = "j-000412";
     j.cls = "train";
     j.team = "vision";
-    j.kind = Kind::gang;
+    j.kind = JobKind::gang;
     j.priority = Priority::high;
     j.tasks = 16;
-    j.need = {.cpus = 8.5, .gpus = 1.5, .memory_gb = 64.75};
+    j.request = {.cpus = 8.5, .gpus = 1.5, .memory_gb = 64.75};
     j.image = "img-07";
     j.image_gb = 6.2;
     j.types = {"g8", "g16"};
@@ -64,9 +64,9 @@
     EXPECT_EQ(a.kind, b.kind);
     EXPECT_EQ(a.priority, b.priority);
     EXPECT_EQ(a.tasks, b.tasks);
-    EXPECT_EQ(a.need.cpus, b.need.cpus);
-    EXPECT_EQ(a.need.gpus, b.need.gpus);
-    EXPECT_EQ(a.need.memory_gb, b.need.memory_gb);
+    EXPECT_EQ(a.request.cpus, b.request.cpus);
+    EXPECT_EQ(a.request.gpus, b.request.gpus);
+    EXPECT_EQ(a.request.memory_gb, b.request.memory_gb);
     EXPECT_EQ(a.image, b.image);
     EXPECT_EQ(a.image_gb, b.image_gb);
     EXPECT_EQ(a.types, b.types);
@@ -109,8 +109,8 @@
     expect_same(parse_job(golden::submission), awaiting_job());
     expect_same(parse_job(golden::submission_least), least_job());
     EXPECT_EQ(job_id_of(golden::submission), "j-000412");
-    EXPECT_TRUE(names_awaits(golden::submission));
-    EXPECT_FALSE(names_awaits(golden::submission_least));
+    EXPECT_TRUE(names_dependencies(golden::submission));
+    EXPECT_FALSE(names_dependencies(golden::submission_least));
 }
 TEST(GoldenBytes, SubmissionWithNullsIsReadAsWithoutThem) {
     auto j = json::parse(golden::submission_least);
@@ -141,7 +141,7 @@
 }
 TEST(GoldenBytes, KindsHaveTheirWords) {
     for (auto [kind, word] :
-         {std::pair(Kind::array, "batch"), {Kind::gang, "gang"}, {Kind::service, "service"}}) {
+         {std::pair(JobKind::array, "batch"), {JobKind::gang, "gang"}, {JobKind::service, "service"}}) {
         auto job = least_job();
         job.kind = kind;
         auto body = with(golden::submission_least, "shape", word);
@@ -163,7 +163,7 @@
 }
 TEST(GoldenBytes, AmountsKeepTheirDigits) {
     auto job = least_job();
-    job.need = {.cpus = 0.1, .gpus = 1e-7, .memory_gb = 1e300};
+    job.request = {.cpus = 0.1, .gpus = 1e-7, .memory_gb = 1e300};
     job.image_gb = 1.0 / 3;
     auto body = submission(job);
     EXPECT_NE(body.find(R"("vcpus":0.1})"), std::string::npos) << body;
@@ -345,7 +345,7 @@
     EXPECT_TRUE(parse_bits(golden::bits_none).empty());
 }
 TEST(GoldenBytes, ProgressBlocksAreNamedAndCutAsBefore) {
-    jobs::Table table(1);  // 1 KB a value: blocks of 1024 tasks
+    jobs::JobTable table(1);  // 1 KB a value: blocks of 1024 tasks
     auto job = least_job();
     job.tasks = 3000;
     ASSERT_TRUE(table.put(job.id, 1, {job, 0, false}));
@@ -401,7 +401,7 @@
 }
 
 TEST(GoldenBytes, KeysAreAsBefore) {
-    namespace keys = state::keys;
+    namespace keys = kv::keys;
     EXPECT_EQ(keys::leader, "leader");
     EXPECT_EQ(keys::standby, "standby");
     EXPECT_EQ(keys::types, "types");
@@ -474,7 +474,7 @@
         const char* refusal;
     };
     auto job = [](auto& b) { parse_job(b); };
-    auto report = [](auto& b) { parse_report(b); };
+    auto report = [](auto& b) { parse_heartbeat(b); };
     auto hosts = [](auto& b) { parse_hosts(b); };
     auto types = [](auto& b) { parse_types(b); };
     auto page = [](auto& b) { parse_machine_page(b); };
@@ -516,75 +516,75 @@
 // ---- Workers
 
 std::vector<Command> commands_of_each_kind() {
-    return {{.op = Op::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
-            {.op = Op::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
-            {.op = Op::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
+    return {{.op = CommandKind::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
+            {.op = CommandKind::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
+            {.op = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
 }
 TEST(GoldenBytes, ReportAnswerIsWrittenAsBefore) {
-    EXPECT_EQ(report_answer(UINT64_MAX, commands_of_each_kind()), golden::report_answer);
-    EXPECT_EQ(report_answer(7, {}), golden::report_answer_empty);
+    EXPECT_EQ(heartbeat_response(UINT64_MAX, commands_of_each_kind()), golden::heartbeat_response);
+    EXPECT_EQ(heartbeat_response(7, {}), golden::report_answer_empty);
 }
 TEST(GoldenBytes, DirectCommandsAreWrittenAsBefore) {
     EXPECT_EQ(direct_commands(beyond_double, UINT64_MAX, commands_of_each_kind()), golden::direct_commands);
     EXPECT_EQ(direct_commands(7, 8, {}), golden::direct_commands_empty);
 }
 TEST(GoldenBytes, AnswerThatPointsElsewhereIsWrittenAsBefore) {
-    EXPECT_EQ(report_elsewhere("berth-2"), golden::elsewhere);
-    EXPECT_EQ(report_elsewhere(""), golden::elsewhere_unknown);
+    EXPECT_EQ(heartbeat_redirect("berth-2"), golden::elsewhere);
+    EXPECT_EQ(heartbeat_redirect(""), golden::elsewhere_unknown);
 }
 
-void expect_golden_report(const Report& r) {
+void expect_golden_report(const Heartbeat& r) {
     EXPECT_EQ(r.machine, "vm-1");
     EXPECT_EQ(r.addr, "10.1.0.1:9000");
     EXPECT_EQ(r.type, "g8");
     EXPECT_EQ(r.zone, "a");
     EXPECT_TRUE(r.spot);
-    EXPECT_EQ(r.session, beyond_double);
+    EXPECT_EQ(r.agent_epoch, beyond_double);
     EXPECT_EQ(r.sequence, UINT64_MAX);
     EXPECT_EQ(r.token, beyond_double + 2);
-    EXPECT_EQ(r.notice_s, 12.5);
+    EXPECT_EQ(r.preemption_notice_s, 12.5);
     ASSERT_EQ(r.tasks.size(), 2u);
     EXPECT_EQ(r.tasks[0].task, (TaskId{"j-7", 3}));
     EXPECT_EQ(r.tasks[0].attempt, beyond_double + 4);
     EXPECT_EQ(r.tasks[0].state, TaskState::exited);
-    EXPECT_EQ(r.tasks[0].cause, Cause::stopped);
+    EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
     EXPECT_EQ(r.tasks[1].task, (TaskId{"j-000412", 15}));
     EXPECT_EQ(r.tasks[1].attempt, 2u);
     EXPECT_EQ(r.tasks[1].state, TaskState::running);
-    EXPECT_EQ(r.tasks[1].cause, Cause::none);
+    EXPECT_EQ(r.tasks[1].cause, ExitCause::none);
     EXPECT_FALSE(r.tasks[1].saved);
 }
 TEST(GoldenBytes, ReportIsReadFieldByField) {
-    expect_golden_report(parse_report(golden::report));
-    ReportReader reader;
+    expect_golden_report(parse_heartbeat(golden::report));
+    HeartbeatReader reader;
     for (int time = 0; time < 2; ++time) expect_golden_report(reader.read(golden::report));
 }
 TEST(GoldenBytes, ReportWithoutTasksOrNoticeIsReadFieldByField) {
-    auto r = parse_report(golden::report_least);
+    auto r = parse_heartbeat(golden::report_least);
     EXPECT_EQ(r.machine, "vm-2");
     EXPECT_EQ(r.addr, "10.1.0.2:9001");
     EXPECT_EQ(r.type, "c4");
     EXPECT_EQ(r.zone, "b");
     EXPECT_FALSE(r.spot);
-    EXPECT_EQ(r.session, 1u);
+    EXPECT_EQ(r.agent_epoch, 1u);
     EXPECT_EQ(r.sequence, 2u);
     EXPECT_EQ(r.token, 3u);
-    EXPECT_FALSE(r.notice_s);
+    EXPECT_FALSE(r.preemption_notice_s);
     EXPECT_TRUE(r.tasks.empty());
 }
 TEST(GoldenBytes, EveryNeededFieldOfAReportIsCalledByItsNameWhenMissing) {
     auto whole = json::parse(golden::report_least);
     for (auto& [field, value] : whole.items()) {
         auto body = without(golden::report_least, field.c_str());
-        EXPECT_EQ(refusal([&] { parse_report(body); }), "field '" + field + "' is missing");
+        EXPECT_EQ(refusal([&] { parse_heartbeat(body); }), "field '" + field + "' is missing");
     }
 }
 TEST(GoldenBytes, OutlineOfAReportIsFound) {
-    auto o = outline_report(golden::report);
+    auto o = outline_heartbeat(golden::report);
     ASSERT_TRUE(o);
     EXPECT_EQ(o->machine, "vm-1");
-    EXPECT_EQ(o->session, beyond_double);
+    EXPECT_EQ(o->agent_epoch, beyond_double);
     EXPECT_EQ(o->sequence, UINT64_MAX);
     EXPECT_EQ(golden::report.substr(o->at, o->digits), "18446744073709551615");
 }
@@ -594,21 +594,21 @@
                                {TaskState::running, "running"},
                                {TaskState::saving, "flushing"},
                                {TaskState::exited, "exited"}}) {
-        auto r = parse_report(with(golden::report, "status", word, "/shards/1"));
+        auto r = parse_heartbeat(with(golden::report, "status", word, "/shards/1"));
         EXPECT_EQ(r.tasks.at(1).state, state) << word;
     }
 }
 TEST(GoldenBytes, CausesHaveTheirWords) {
-    for (auto [cause, word] : {std::pair(Cause::done, "done"),
-                               {Cause::stopped, "halted"},
-                               {Cause::peers, "mates_gone"},
-                               {Cause::alone, "incomplete"},
-                               {Cause::error, "error"},
-                               {Cause::no_room, "no_room"},
-                               {Cause::busy, "busy"},
-                               {Cause::unknown, "unknown"},
-                               {Cause::error, "a word of a later version"}}) {
-        auto r = parse_report(with(golden::report, "cause", word, "/shards/0"));
+    for (auto [cause, word] : {std::pair(ExitCause::done, "done"),
+                               {ExitCause::stopped, "halted"},
+                               {ExitCause::peers, "mates_gone"},
+                               {ExitCause::alone, "incomplete"},
+                               {ExitCause::error, "error"},
+                               {ExitCause::no_room, "no_room"},
+                               {ExitCause::busy, "busy"},
+                               {ExitCause::unknown, "unknown"},
+                               {ExitCause::error, "a word of a later version"}}) {
+        auto r = parse_heartbeat(with(golden::report, "cause", word, "/shards/0"));
         EXPECT_EQ(r.tasks.at(0).cause, cause) << word;
     }
 }
@@ -786,21 +786,21 @@
 };
 
 TEST_F(GoldenBytesRequests, GetOfAKey) {
-    state::Client client(timers_, http_, settings_);
+    kv::KvClient client(timers_, http_, settings_);
     http_.answer(200, golden::entry);
-    state::Found found;
-    client.get("leader", state::Rank::write, [&](auto f) { found = std::move(f); });
+    kv::GetResult found;
+    client.get("leader", kv::RequestPriority::write, [&](auto f) { found = std::move(f); });
     expect_sent({to("state", "GET", "/kv/leader")});
     ASSERT_TRUE(found.ok && found.entry);
     EXPECT_EQ(found.entry->key, "leader");
     EXPECT_EQ(found.entry->version, beyond_double);
 }
 TEST_F(GoldenBytesRequests, ListInPages) {
-    state::Client client(timers_, http_, settings_);
+    kv::KvClient client(timers_, http_, settings_);
     http_.answer(200, golden::entries);
     http_.answer(200, golden::entries_last);
-    state::Listed listed;
-    client.list("job/", state::Rank::write, [&](auto l) { listed = std::move(l); });
+    kv::ListResult listed;
+    client.list("job/", kv::RequestPriority::write, [&](auto l) { listed = std::move(l); });
     expect_sent({to("state", "GET", "/kv?starts=job/&limit=500"),
                  to("state", "GET", "/kv?starts=job/&since=job/j-2&limit=500")});
     EXPECT_TRUE(listed.ok);
@@ -809,13 +809,14 @@
     EXPECT_EQ(listed.entries[2].key, "job/j-3");
 }
 TEST_F(GoldenBytesRequests, TransactionsAndWhatBecomesOfThem) {
-    using S = state::Committed::Status;
-    state::Client client(timers_, http_, settings_);
+    using S = kv::TxnResult::Status;
+    kv::KvClient client(timers_, http_, settings_);
     http_.answer(200, golden::revision);
     http_.answer(409, golden::conflict);
-    std::vector<state::Committed> committed;
+    std::vector<kv::TxnResult> committed;
     for (int n = 0; n < 2; ++n)
-        client.txn(golden_txn(), state::Rank::write, [&](auto c) { committed.push_back(std::move(c)); });
+        client.txn(golden_txn(), kv::RequestPriority::write,
+                   [&](auto c) { committed.push_back(std::move(c)); });
     expect_sent({to("state", "POST", "/txn", golden::txn), to("state", "POST", "/txn", golden::txn)});
     ASSERT_EQ(committed.size(), 2u);
     EXPECT_EQ(committed[0].status, S::committed);
@@ -824,21 +825,21 @@
     EXPECT_TRUE(committed[1].failed_on("leader") && committed[1].failed_on("job/j-1"));
 }
 TEST_F(GoldenBytesRequests, Watch) {
-    state::Client client(timers_, http_, settings_);
+    kv::KvClient client(timers_, http_, settings_);
     http_.answer(200, golden::events);
-    state::Watched watched;
+    kv::WatchResult watched;
     client.watch("job/", 17, 1.5, [&](auto w) { watched = std::move(w); });
     expect_sent({to("state", "GET", "/watch?starts=job/&since=17&hold_ms=1500")});
-    EXPECT_EQ(watched.status, state::Watched::Status::ok);
+    EXPECT_EQ(watched.status, kv::WatchResult::Status::ok);
     EXPECT_EQ(watched.events.revision, UINT64_MAX);
     EXPECT_EQ(watched.events.events.size(), 2u);
 }
 TEST_F(GoldenBytesRequests, Leases) {
-    state::Client client(timers_, http_, settings_);
+    kv::KvClient client(timers_, http_, settings_);
     http_.answer(200, golden::lease);
     http_.answer(200, "{}");
     http_.answer(200, "{}");
-    state::LeaseAnswer created, renewed;
+    kv::LeaseResult created, renewed;
     bool ended = false;
     client.create_lease(1.5, [&](auto a) { created = a; });
     client.renew_lease(beyond_double, 1, [&](auto a) { renewed = a; });
@@ -846,13 +847,13 @@
     expect_sent({to("state", "POST", "/holds", golden::lease_request),
                  to("state", "POST", "/holds/9007199254740993/renew"),
                  to("state", "DELETE", "/holds/9007199254740993")});
-    EXPECT_EQ(created.status, state::LeaseAnswer::Status::ok);
+    EXPECT_EQ(created.status, kv::LeaseResult::Status::ok);
     EXPECT_EQ(created.id, beyond_double);
-    EXPECT_EQ(renewed.status, state::LeaseAnswer::Status::ok);
+    EXPECT_EQ(renewed.status, kv::LeaseResult::Status::ok);
     EXPECT_TRUE(ended);
 }
 TEST_F(GoldenBytesRequests, TypesAndHostsOfTheCloud) {
-    cloud::Client client(timers_, http_, settings_);
+    cloud::CloudClient client(timers_, http_, settings_);
     for (auto a : {golden::types, golden::hosts, golden::hosts_last}) http_.answer(200, a);
     std::optional<std::vector<MachineType>> types;
     std::optional<std::vector<Host>> hosts;
@@ -865,12 +866,12 @@
     EXPECT_EQ(hosts->size(), 3u);
 }
 TEST_F(GoldenBytesRequests, RentingAndDeletingMachines) {
-    using S = cloud::Rented::Status;
-    cloud::Client client(timers_, http_, settings_);
+    using S = cloud::CreateMachinesResult::Status;
+    cloud::CloudClient client(timers_, http_, settings_);
     http_.answer(200, golden::rented);
     http_.answer(503, R"({"error":"no capacity"})");
     http_.answer(200, "{}");
-    std::vector<cloud::Rented> rented;
+    std::vector<cloud::CreateMachinesResult> rented;
     auto keep = [&](auto r) { rented.push_back(std::move(r)); };
     bool removed = false;
     client.rent("r-1", "g8", "a", true, 3, keep);
@@ -887,4 +888,4 @@
 }
 
 }  // namespace
-}  // namespace coralhitch::wire
+}  // namespace coralhitch::protocol
