--- a/src/protocol/heartbeat_parser.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -1,12 +1,12 @@
-// Workers' reports, read without a tree of values: they are most of what a leader reads.
+// Heartbeats, read without a tree of values: they are most of what a leader reads.
 #include <charconv>
 
+#include "protocol/agent_api.hpp"
 #include "protocol/json_reader.hpp"
-#include "protocol/protocol.hpp"
 
 namespace coralhitch::protocol {
 namespace {
-using namespace fast;
+using reader::element;
 
 TaskId task_id(std::string_view s) {
     auto slash = s.rfind('/');
@@ -16,23 +16,23 @@
     if (ec != std::errc() || end != s.data() + s.size()) bad("shard", "is not a task id");
     return id;
 }
-TaskStatus task_report(const element& e) {
-    auto o = as_object(e, "shards");
+TaskStatus task_status(const element& e) {
+    auto o = reader::as_object(e, "shards");
     TaskStatus t;
-    t.task = task_id(text(o, "shard"));
-    t.attempt = count(o, "launch");
-    t.state = named(task_state_names, text(o, "status"), "status");
+    t.task = task_id(reader::text(o, "shard"));
+    t.attempt = reader::count(o, "launch");
+    t.state = named(task_state_names, reader::text(o, "status"), "status");
     element other;
     // A cause this program doesn't know still is an end of the task.
     if (t.state == TaskState::exited) {
         t.cause = ExitCause::error;
         std::string_view why;
-        if (find(o, "cause", other) && other.get(why) == simdjson::SUCCESS)
+        if (reader::find(o, "cause", other) && other.get(why) == simdjson::SUCCESS)
             for (auto& [value, name] : cause_names)
                 if (name == why) t.cause = value;
     }
     bool saved = false;
-    if (find(o, "saved", other) && other.get(saved) == simdjson::SUCCESS) t.saved = saved;
+    if (reader::find(o, "saved", other) && other.get(saved) == simdjson::SUCCESS) t.saved = saved;
     return t;
 }
 }  // namespace
@@ -44,23 +44,23 @@
 HeartbeatReader::~HeartbeatReader() = default;
 
 Heartbeat HeartbeatReader::read(std::string_view body) {
-    auto o = root(parser_->parser, body);
+    auto o = reader::root(parser_->parser, body);
     Heartbeat r;
-    r.machine = text(o, "berth");
-    r.addr = text(o, "addr");
-    r.type = text(o, "hull");
-    r.zone = text(o, "reef");
-    r.spot = flag(o, "driftwood");
-    r.agent_epoch = count(o, "watch");
-    r.sequence = count(o, "tally");
-    r.token = count(o, "helm");
+    r.machine = reader::text(o, "berth");
+    r.addr = reader::text(o, "addr");
+    r.type = reader::text(o, "hull");
+    r.zone = reader::text(o, "reef");
+    r.spot = reader::flag(o, "driftwood");
+    r.agent_epoch = reader::count(o, "watch");
+    r.sequence = reader::count(o, "tally");
+    r.token = reader::count(o, "helm");
     element e;
-    if (find(o, "warning_s", e)) {
+    if (reader::find(o, "warning_s", e)) {
         double s = 0;
         if (e.get(s) != simdjson::SUCCESS) bad("warning_s", "is not a number");
         r.preemption_notice_s = s;
     }
-    for (auto t : list(o, "shards")) r.tasks.push_back(task_report(t));
+    for (auto t : reader::list(o, "shards")) r.tasks.push_back(task_status(t));
     return r;
 }
 Heartbeat parse_heartbeat(std::string_view body) {
--- a/src/protocol/json_reader.hpp
+++ b/src/protocol/json_reader.hpp
@@ -1,4 +1,5 @@
-// JSON that comes often or long, read without a tree of our own. For the sources of this package only.
+// Reads JSON that comes often or is long, without building a tree of values: what a new leader reads first
+// took it longer that way than all it did with it. For the sources of this package only. Throws Malformed.
 #pragma once
 #include <simdjson.h>
 
@@ -8,7 +9,7 @@
 
 #include "protocol/names.hpp"
 
-namespace coralhitch::protocol::fast {
+namespace coralhitch::protocol::reader {
 
 using simdjson::dom::array;
 using simdjson::dom::element;
@@ -65,5 +66,11 @@
     if (e.get(o) != simdjson::SUCCESS) throw Malformed("not an object");
     return o;
 }
+// Whether a list says that it goes on after this page.
+inline bool more(const object& o) {
+    element e;
+    bool more = false;
+    return find(o, "more", e) && e.get(more) == simdjson::SUCCESS && more;
+}
 
-}  // namespace coralhitch::protocol::fast
+}  // namespace coralhitch::protocol::reader
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -6,7 +6,8 @@
 #include <string_view>
 #include <utility>
 
-#include "protocol/protocol.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::protocol {
 
