--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -8,11 +8,11 @@
 #include <nlohmann/json.hpp>
 
 #include "cloud/cloud_client.hpp"
+#include "support/fake_timers.hpp"
 #include "jobs/job_table.hpp"
-#include "kv/keys.hpp"
 #include "kv/kv_client.hpp"
+#include "kv/keys.hpp"
 #include "protocol/protocol.hpp"
-#include "support/fake_timers.hpp"
 
 namespace coralhitch::protocol {
 namespace {
@@ -191,6 +191,9 @@
         {"Shortened", golden::job_record_shortened, shortened({awaiting_job(), submitted, true})},
     };
 }
+void PrintTo(const StoredJob& j, std::ostream* out) {
+    *out << j.name;
+}
 class JobRecords : public testing::TestWithParam<StoredJob> {};
 
 TEST_P(JobRecords, AreWrittenAsBefore) {
@@ -223,6 +226,9 @@
     std::string_view golden;
     FinalRecord record;
 };
+void PrintTo(const StoredFinal& f, std::ostream* out) {
+    *out << f.name;
+}
 class FinalRecords : public testing::TestWithParam<StoredFinal> {};
 
 TEST_P(FinalRecords, AreWrittenAndReadAsBefore) {
@@ -815,8 +821,7 @@
     http_.answer(409, golden::conflict);
     std::vector<kv::TxnResult> committed;
     for (int n = 0; n < 2; ++n)
-        client.txn(golden_txn(), kv::RequestPriority::write,
-                   [&](auto c) { committed.push_back(std::move(c)); });
+        client.txn(golden_txn(), kv::RequestPriority::write, [&](auto c) { committed.push_back(std::move(c)); });
     expect_sent({to("state", "POST", "/txn", golden::txn), to("state", "POST", "/txn", golden::txn)});
     ASSERT_EQ(committed.size(), 2u);
     EXPECT_EQ(committed[0].status, S::committed);
