--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -384,9 +384,7 @@
     audit();
     if (now() - last_team_log_ > dependencies_.settings.lease_s) log_team_activity();
     if (now() - last_list_ > dependencies_.settings.list_lag_s) list_hosts();
-    std::vector<std::string> names;
-    for (auto& [name, r] : rentals_) names.push_back(name);
-    for (auto& name : names) ask_rental(name);
+    fleet_scaler_.retry_unanswered();
     plan_soon();
     dependencies_.metrics.gauge("jobs", static_cast<double>(state_.jobs.all().size()));
     dependencies_.metrics.gauge(
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -23,7 +23,9 @@
 #include "leader/attempt_numbers.hpp"
 #include "leader/authority.hpp"
 #include "leader/callback_guard.hpp"
+#include "leader/fleet_scaler.hpp"
 #include "leader/leader_state.hpp"
+#include "leader/part_context.hpp"
 #include "leader/planner.hpp"
 #include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
@@ -89,11 +91,6 @@
   private:
     // A new leader asks most machines only then, if they have not been heard.
     static constexpr double ask_reports = 1.0 / 10;
-    struct Rental {
-        std::size_t pool = 0;
-        int count = 0;
-        bool asking = false;
-    };
     double now() const { return dependencies_.timers.now(); }
     api::TaskCounts count(const std::string& id, const jobs::JobEntry& e);
     void inherit(const std::string& id, cluster::Machine& m);
@@ -182,14 +179,11 @@
     bool may_wait(const jobs::JobEntry& e) const;
     bool anything_waits();
     scheduler::Input snapshot();
-    autoscaler::Input rentals() const;
     void fill_capacity(Plan& p);
     void apply(Plan& p);
     void apply_starts(Plan& p);
     bool may_start(jobs::JobEntry& e, std::uint32_t task, cluster::Machine& m,
                    const scheduler::ZoneCounts& zones);
-    void rent(const autoscaler::ScaleOutRequest& r);
-    void ask_rental(const std::string& name);
     std::size_t zone_of(const cluster::Machine& m) const;
     scheduler::ZoneCounts zones_of(const jobs::JobEntry& e) const;
 
@@ -200,18 +194,19 @@
     bool loaded_ = false, was_reconciled_ = false;
 
     LeaderState state_;
+    const PartContext part_context_{dependencies_.timers, dependencies_.settings, state_, authority_,
+                                    guarded_};
+    FleetScaler fleet_scaler_{part_context_, dependencies_.cloud, dependencies_.types,
+                              [this](std::size_t zone) { return failure_detector_.dark(zone, now()); }};
     machine_registry::MachineRegistry store_;
     kv::ListWatch job_watch_;
 
     relay::HeartbeatQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
     AttemptNumbers attempts_;
-    std::uint64_t rentals_made_ = 0;
     std::deque<std::string> to_probe_, flushing_;
     std::size_t probing_ = 0;
     bool probes_armed_ = false, asks_armed_ = false;
     double direct_heard_ = -1;  // when a machine last answered a direct command
-    std::map<std::string, Rental> rentals_;
-    std::map<std::size_t, double> refused_;  // pools without capacity, until when
     std::set<std::string> keys_to_drop_;
     std::set<std::string> reading_ends_, absent_ends_;  // of awaited jobs
     bool dropping_ = false, listing_ = false, auditing_ = false;
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -14,7 +14,6 @@
 constexpr double plan_gap_reports = 1.0 / 12;
 constexpr double plan_rest = 3;  // from one plan to the next, in times of what the last one took
 constexpr double capacity_reports = 1.0 / 2;
-constexpr double refused_reports = 3;
 constexpr std::size_t tasks_per_plan = 64;
 }  // namespace
 
@@ -55,7 +54,7 @@
     last_plan_ = now();
     if (plan->with_capacity) {
         last_capacity_ = now();
-        plan->fleet = rentals();
+        plan->fleet = fleet_scaler_.autoscaler_input();
     }
     auto seed = random_();
     auto done = guarded_([this, plan] {
@@ -147,25 +146,6 @@
     return in;
 }
 
-// What was asked for and is not up yet counts as booting.
-autoscaler::Input Leader::rentals() const {
-    autoscaler::Input in;
-    in.types = dependencies_.types;
-    in.pools = state_.cluster.pools();
-    in.zones = state_.cluster.zones();
-    for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.dark(z, now()));
-    for (auto& [name, r] : rentals_)
-        for (int k = 0; k < r.count; ++k) {
-            autoscaler::MachineView v;
-            v.id = name;
-            v.pool = r.pool;
-            v.booting = true;
-            in.machines.push_back(std::move(v));
-        }
-    for (auto& [pool, until] : refused_)
-        if (until > now()) in.refused.insert(pool);
-    return in;
-}
 void Leader::fill_capacity(Plan& p) {
     auto& in = p.fleet;
     in.others = state_.cluster.machines().size();
@@ -314,49 +294,7 @@
     dependencies_.metrics.drawn("packed", static_cast<double>(n.packed));
     dependencies_.metrics.drawn("preempted", static_cast<double>(n.preempted));
     // What an earlier leader rented last is in no report yet; the list may show it.
-    if (p.with_capacity && listed_once_)
-        for (auto& r : p.capacity.rents)
-            for (int left = r.count; left > 0; left -= cloud::CloudClient::rent_most)
-                rent({r.pool, std::min(left, cloud::CloudClient::rent_most)});
-}
-
-void Leader::rent(const autoscaler::ScaleOutRequest& r) {
-    // Names are never used again, by any controller: the version belongs to this leadership alone.
-    std::string name =
-        "r-" + std::to_string(authority_.fencing_token()) + "-" + std::to_string(++rentals_made_);
-    auto& pool = state_.cluster.pools()[r.pool];
-    rentals_[name] = {r.pool, r.count, false};
-    spdlog::info("renting {} {} {} in {} as {}", r.count, pool.spot ? "spot" : "ordinary", pool.type,
-                 pool.zone, name);
-    ask_rental(name);
-}
-// Asked again under the same name until it is answered, so that nothing is rented twice.
-void Leader::ask_rental(const std::string& name) {
-    auto& r = rentals_.at(name);
-    if (r.asking || !authority_.holds()) return;
-    r.asking = true;
-    auto& pool = state_.cluster.pools()[r.pool];
-    dependencies_.cloud.rent(name, pool.type, pool.zone, pool.spot, r.count,
-                             guarded_([this, name](cloud::CreateMachinesResult out) {
-                                 auto it = rentals_.find(name);
-                                 if (it == rentals_.end()) return;
-                                 auto& r = it->second;
-                                 r.asking = false;
-                                 if (out.status == cloud::CreateMachinesResult::Status::failed)
-                                     return;  // the next tick asks again
-                                 if (static_cast<int>(out.machines.size()) < r.count)
-                                     refused_[r.pool] =
-                                         now() + dependencies_.settings.report_s * refused_reports;
-                                 {
-                                     std::lock_guard lock(state_.mutex);
-                                     auto pool = state_.cluster.pools()[r.pool];
-                                     for (auto& id : out.machines)
-                                         if (!state_.cluster.is_deleted(id))
-                                             state_.cluster.add(id, "", pool.type, pool.zone, pool.spot,
-                                                                Machine::Life::booting, now());
-                                 }
-                                 rentals_.erase(it);
-                             }));
+    if (p.with_capacity && listed_once_) fleet_scaler_.scale_out(p.capacity.rents);
 }
 
 }  // namespace coralhitch::leader
