--- a/src/leader/callback_guard.hpp
+++ b/src/leader/callback_guard.hpp
@@ -14,6 +14,9 @@
     // Once, before the first callback is made: the leader that owns the parts.
     void bind(std::weak_ptr<void> leader) { leader_ = std::move(leader); }
 
+    // Keeps the leader alive for as long as it is held: for work on another thread.
+    [[nodiscard]] std::shared_ptr<void> owner() const { return leader_.lock(); }
+
     template <class F>
     auto operator()(F f) const {
         return [leader = leader_, &authority = authority_, f = std::move(f)](auto&&... arguments) mutable {
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -30,7 +30,6 @@
     : dependencies_(std::move(context)),
       authority_(dependencies_.timers, dependencies_.settings, dependencies_.election, version,
                  [this] { return job_watch_.complete_at(); }),
-      random_(seed),
       state_(version, dependencies_.types, dependencies_.settings.value_kb),
       store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
              {[this](const std::string& id) { return record_of(id); },
@@ -95,7 +94,14 @@
                     [this] { return authority_.begin_transaction(); }, dependencies_.peer,
                     [this] {
                         if (!authority_.ended()) release_starts();
-                    }}) {
+                    }}),
+      plan_executor_(part_context_,
+                     {dependencies_.planner, fleet_scaler_, attempts_, reconciliation_, team_activity_,
+                      dependencies_.metrics},
+                     {[this] { return loaded_; }, [this] { return listed_once_; },
+                      [this](Machine& machine, const char* why) { mark_for_deletion(machine, why); },
+                      [this](const std::vector<StartedTask>& started) { replicate_starts(started); }},
+                     seed) {
     if (dependencies_.settings.op.standby) state_.cluster.hold_starts();
 }
 
@@ -191,6 +197,14 @@
     if (dependencies_.settings.op.standby)
         for (auto& id : ids) replication_.changed(id);
 }
+void Leader::replicate_starts(const std::vector<StartedTask>& started) {
+    replicate_changes();
+    // The changes that show the starts of this plan were queued just now.
+    if (dependencies_.settings.op.standby)
+        for (auto& [machine, task] : started) held_.push_back({replication_.mark(), machine, task});
+    replication_.hurry();
+    release_starts();
+}
 void Leader::release_starts() {
     {
         std::lock_guard lock(state_.mutex);
@@ -206,6 +220,9 @@
     flush_all();
 }
 
+std::size_t Leader::zone_of(const Machine& m) const {
+    return state_.cluster.pools()[m.pool].zone_index;
+}
 std::map<std::string, double> Leader::suspected() const {
     std::map<std::string, double> out;
     for (auto& [id, m] : state_.cluster.machines())
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -5,7 +5,6 @@
 #include <deque>
 #include <memory>
 #include <mutex>
-#include <random>
 #include <set>
 #include <unordered_map>
 
@@ -26,6 +25,7 @@
 #include "leader/fleet_scaler.hpp"
 #include "leader/leader_state.hpp"
 #include "leader/part_context.hpp"
+#include "leader/plan_executor.hpp"
 #include "leader/planner.hpp"
 #include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
@@ -150,6 +150,7 @@
     void replicate_changes();
     void log_team_activity();
     void release_starts();
+    void replicate_starts(const std::vector<StartedTask>& started);
 
     // jobs
     void store_soon();
@@ -166,31 +167,12 @@
     void stored_failed(const std::string& id, const kv::TxnResult& c);
     void read_block(const std::string& id, const std::string& block);
 
-    // plans
-    void plan_soon();
-    void plan();
-    struct Plan {
-        scheduler::Input in;
-        scheduler::Decisions out;
-        autoscaler::Input fleet;  // all but the machines, which the planner fills in
-        autoscaler::Decisions capacity;
-        bool with_capacity = false;
-    };
-    bool may_wait(const jobs::JobEntry& e) const;
-    bool anything_waits();
-    scheduler::Input snapshot();
-    void fill_capacity(Plan& p);
-    void apply(Plan& p);
-    void apply_starts(Plan& p);
-    bool may_start(jobs::JobEntry& e, std::uint32_t task, cluster::Machine& m,
-                   const scheduler::ZoneCounts& zones);
+    void plan_soon() { plan_executor_.request_plan(); }
     std::size_t zone_of(const cluster::Machine& m) const;
-    scheduler::ZoneCounts zones_of(const jobs::JobEntry& e) const;
 
     LeaderDependencies dependencies_;
     Authority authority_;
     CallbackGuard guarded_{authority_};
-    std::mt19937_64 random_;
     bool loaded_ = false, was_reconciled_ = false;
 
     LeaderState state_;
@@ -214,13 +196,12 @@
     int ends_under_way_ = 0,
         tidying_ = 0;         // transactions that store ends, of jobs that are done and of others
     bool ends_left_ = false;  // some wait for one of these
-    bool planning_ = false, plan_wanted_ = false, store_wanted_ = false;
-    double plan_took_ = 0;
+    bool store_wanted_ = false;
     cluster::TeamActivity team_activity_;
     double last_team_log_ = -1;
     static constexpr double never = -1e9;  // long before a leader begins
     double last_audit_ = 0;
-    double last_plan_ = -1, last_capacity_ = -1, last_list_ = never, remove_retry_ = 0;
+    double last_list_ = never, remove_retry_ = 0;
     bool listed_once_ = false;
     protocol::HeartbeatReader reader_;
     relay::DelegationTable delegations_;
@@ -237,8 +218,8 @@
         std::string machine;
         protocol::TaskId task;
     };
-    std::vector<std::pair<std::string, protocol::TaskId>> started_now_;  // by the plan that is applied
     std::deque<Held> held_;  // starts that those who follow may not have taken in yet
+    PlanExecutor plan_executor_;
     event_loop::TimerId tick_timer_ = 0;
 };
 
--- /dev/null
+++ b/src/leader/plan_executor.cpp
@@ -0,0 +1,251 @@
+#include "leader/plan_executor.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <array>
+
+#include "leader/plan_snapshot.hpp"
+
+namespace coralhitch::leader {
+using cluster::Machine;
+using protocol::JobKind;
+
+namespace {
+// Ratios to the report period.
+constexpr double plan_interval_reports = 1.0 / 12;
+constexpr double fleet_interval_reports = 1.0 / 2;
+// From the end of one plan to the next, in times of what it took.
+constexpr double idle_ratio = 3;
+}  // namespace
+
+PlanExecutor::PlanExecutor(const PartContext& context, const Parts& parts, Callbacks callbacks,
+                           std::uint64_t seed)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      guarded_(context.guarded),
+      parts_(parts),
+      callbacks_(std::move(callbacks)),
+      random_(seed) {}
+
+// A plan that takes long leaves the processor to the event loop for as long again and more: with thousands of
+// tasks waiting, plan upon plan kept heartbeats waiting until healthy machines counted as unreachable.
+double PlanExecutor::minimum_interval_s() const {
+    double idle_s = std::min(last_plan_s_ * idle_ratio, settings_.report_s);
+    return std::max(settings_.report_s * plan_interval_reports, idle_s);
+}
+
+void PlanExecutor::request_plan() {
+    if (requested_ || authority_.ended()) return;
+    requested_ = true;
+    double wait_s = std::max(0.0, last_plan_ + minimum_interval_s() - now());
+    timers_.after(wait_s, guarded_([this] {
+                      requested_ = false;
+                      begin_plan();
+                  }));
+}
+
+bool PlanExecutor::fleet_plan_due() const {
+    return parts_.reconciliation.all_reconciled() &&
+           now() - last_fleet_ > settings_.report_s * fleet_interval_reports &&
+           parts_.fleet_scaler.knows_machine_types();
+}
+
+void PlanExecutor::begin_plan() {
+    // Unless it was replicated from the previous leader, a new leader can't know what unreconciled machines
+    // hold, so neither a task, a quota nor a zone is safe.
+    if (computing_ || !callbacks_.loaded() || !authority_.holds() || !parts_.reconciliation.may_place())
+        return;
+    auto plan = std::make_shared<Plan>();
+    plan->with_fleet = fleet_plan_due();
+    // Most plans found nothing to place: each copied the whole fleet to see that.
+    if (!plan->with_fleet && !any_task_waits(state_, now())) return;
+    computing_ = true;
+    last_plan_ = now();
+    if (plan->with_fleet) {
+        last_fleet_ = now();
+        plan->fleet_in = parts_.fleet_scaler.autoscaler_input();
+    }
+    auto seed = random_();
+    auto done = guarded_([this, plan] {
+        computing_ = false;
+        apply(*plan);
+    });
+    // The leader must not go while the planner's thread reads its state.
+    parts_.planner.submit([this, leader = guarded_.owner(), plan, seed, done]() -> event_loop::Task {
+        compute(*plan, seed);
+        return done;
+    });
+}
+
+void PlanExecutor::compute(Plan& plan, std::uint64_t seed) const {
+    std::mt19937_64 random(seed);
+    {
+        std::lock_guard lock(state_.mutex);
+        plan.in = scheduler_input(state_, settings_.teams, {now(), timers_.unix_time()});
+    }
+    plan.out = scheduler::plan(plan.in, settings_, random);
+    if (!plan.with_fleet) return;
+    {
+        std::lock_guard lock(state_.mutex);
+        add_machines_and_demand(plan.fleet_in, state_, plan.in, plan.out, now());
+    }
+    plan.fleet_out = autoscaler::plan(plan.fleet_in, settings_);
+}
+
+void PlanExecutor::apply(const Plan& plan) {
+    last_plan_s_ = now() - last_plan_;
+    if (!authority_.holds()) return;
+    parts_.metrics.plan_took(last_plan_s_);
+    log_plan(plan);
+    std::vector<StartedTask> started;
+    {
+        std::lock_guard lock(state_.mutex);
+        if (!parts_.reconciliation.may_place()) return;
+        started = apply_starts(plan);
+        if (parts_.reconciliation.all_reconciled()) apply_stops(plan);
+        if (plan.with_fleet) apply_scale_in(plan);
+    }
+    callbacks_.plan_applied(started);
+    count_draws(plan.out.counts);
+    if (plan.with_fleet && callbacks_.machines_listed()) parts_.fleet_scaler.scale_out(plan.fleet_out.rents);
+}
+
+std::size_t PlanExecutor::group_size(const Plan& plan, std::size_t first) {
+    auto& starts = plan.out.starts;
+    auto job = starts[first].job;
+    if (plan.in.jobs[job].spec->kind != JobKind::gang) return 1;
+    auto other = std::find_if(starts.begin() + static_cast<std::ptrdiff_t>(first), starts.end(),
+                              [&](auto& start) { return start.job != job; });
+    return static_cast<std::size_t>(other - starts.begin()) - first;
+}
+
+std::vector<StartedTask> PlanExecutor::apply_starts(const Plan& plan) {
+    std::vector<StartedTask> started;
+    std::span<const scheduler::Start> starts = plan.out.starts;
+    if (starts.empty()) return started;  // most plans, and the sum walks the whole fleet
+    auto used = cluster::team_used(state_.cluster, settings_.teams);
+    for (std::size_t first = 0; first < starts.size();) {
+        auto count = group_size(plan, first);
+        auto attempt = parts_.attempts.next();
+        if (!attempt) break;  // the next plan starts the rest
+        start_group(plan, starts.subspan(first, count), *attempt, used, started);
+        first += count;
+    }
+    return started;
+}
+
+void PlanExecutor::start_group(const Plan& plan, std::span<const scheduler::Start> group,
+                               std::uint64_t attempt, TeamUsage& used, std::vector<StartedTask>& started) {
+    auto& planned = *plan.in.jobs[group.front().job].spec;
+    auto* job = state_.jobs.find(planned.id);
+    auto* team = job ? team_of(*job) : nullptr;
+    if (!team || (planned.kind == JobKind::gang && !job->active.empty())) return;
+    auto& spec = *job->spec;
+    auto zones = zone_counts(*job, state_.cluster.zones());
+    std::vector<PlacedTask> placed;
+    for (auto& start : group) {
+        auto* machine = state_.cluster.find(plan.in.machines[start.machine].id);
+        // No command was sent so far: all tasks of a gang or none.
+        if (!machine || !may_start(*job, start.task, *machine, zones) ||
+            !scheduler::team_allows(*team, used[spec.team], spec.request))
+            return undo(*job, placed, used);
+        used[spec.team] += spec.request;
+        state_.cluster.place(*machine, {spec.id, start.task}, job->spec, attempt, now());
+        job->active[start.task] = {machine->id, attempt, zone_of(*machine)};
+        ++zones[zone_of(*machine)];
+        placed.push_back({machine, start.task});
+    }
+    for (auto& [machine, task] : placed) {
+        started.push_back({machine->id, {spec.id, task}});
+        parts_.team_activity.started(spec.team);
+        spdlog::debug("component=leader event=task_placed task={}/{} attempt={} machine={}", spec.id, task,
+                      attempt, machine->id);
+    }
+}
+
+void PlanExecutor::undo(jobs::JobEntry& job, std::span<const PlacedTask> placed, TeamUsage& used) {
+    for (auto& [machine, task] : placed) {
+        machine->tasks.erase({job.spec->id, task});
+        job.active.erase(task);
+        used[job.spec->team] -= job.spec->request;
+    }
+}
+
+const config::Team* PlanExecutor::team_of(const jobs::JobEntry& job) const {
+    auto it = std::find_if(settings_.teams.begin(), settings_.teams.end(),
+                           [&](auto& team) { return team.name == job.spec->team; });
+    return it == settings_.teams.end() ? nullptr : &*it;
+}
+
+bool PlanExecutor::may_start(const jobs::JobEntry& job, std::uint32_t task, const Machine& machine,
+                             const scheduler::ZoneCounts& zones) const {
+    auto& spec = *job.spec;
+    bool waits = !job.cancelled && !job.awaiting() && job.orphans == 0 && !job.is_done(task) &&
+                 !job.active.contains(task);
+    return waits && machine.usable(now()) && !machine.has_orphaned_instance() &&
+           !machine.tasks.contains({spec.id, task}) && machine.free().fits(spec.request) &&
+           scheduler::type_allowed(spec, machine.type, machine.zone, machine.spot) &&
+           scheduler::zone_allowed(spec, zones, zone_of(machine));
+}
+
+void PlanExecutor::apply_stops(const Plan& plan) {
+    for (auto& stop : plan.out.stops) {
+        auto& instance = plan.in.instances[stop.instance];
+        auto& spec = *plan.in.jobs[instance.job].spec;
+        auto* machine = state_.cluster.find(plan.in.machines[instance.machine].id);
+        if (!machine || !machine->tasks.contains({spec.id, instance.task})) continue;
+        spdlog::debug("component=leader event=task_preempted task={}/{} for_job={}", spec.id, instance.task,
+                      plan.in.jobs[stop.for_job].spec->id);
+        state_.cluster.stop(*machine, {spec.id, instance.task}, scheduler::grace_of(spec));
+    }
+}
+
+void PlanExecutor::apply_scale_in(const Plan& plan) {
+    for (auto& [id, machine] : state_.cluster.machines())
+        machine.draining = plan.fleet_out.drains.contains(id);
+    for (auto& id : plan.fleet_out.returns) {
+        auto* machine = state_.cluster.find(id);
+        if (machine && machine->tasks.empty() &&
+            (machine->reconciled || machine->life == Machine::Life::booting))
+            callbacks_.mark_for_deletion(*machine, "is surplus");
+    }
+}
+
+std::size_t PlanExecutor::zone_of(const Machine& machine) const {
+    return state_.cluster.pools()[machine.pool].zone_index;
+}
+
+void PlanExecutor::log_plan(const Plan& plan) const {
+    if (!spdlog::should_log(spdlog::level::debug)) return;
+    std::array<std::size_t, 3> unplaced{};  // by the kind of the job
+    for (auto& [job, count] : plan.out.unplaced)
+        unplaced[static_cast<std::size_t>(plan.in.jobs[job].spec->kind)] += count;
+    std::size_t usable = 0, empty = 0;
+    protocol::Resources free;
+    for (auto& machine : plan.in.machines) {
+        if (!machine.usable) continue;
+        ++usable;
+        free += machine.free;
+        empty += machine.tasks == 0;
+    }
+    spdlog::debug(
+        "component=leader event=plan starts={} stops={} unplaced_array={} unplaced_gang={} "
+        "unplaced_service={} machines={} usable={} empty={} free_cpus={} free_gpus={}",
+        plan.out.starts.size(), plan.out.stops.size(), unplaced[0], unplaced[1], unplaced[2],
+        plan.in.machines.size(), usable, empty, free.cpus, free.gpus);
+}
+
+void PlanExecutor::count_draws(const scheduler::Counts& counts) {
+    auto& metrics = parts_.metrics;
+    metrics.drawn("tasks", static_cast<double>(counts.tasks));
+    metrics.drawn("draws", static_cast<double>(counts.draws));
+    metrics.drawn("redraws", static_cast<double>(counts.redraws));
+    metrics.drawn("fallbacks", static_cast<double>(counts.fallbacks));
+    metrics.drawn("packed", static_cast<double>(counts.packed));
+    metrics.drawn("preempted", static_cast<double>(counts.preempted));
+}
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/src/leader/plan_executor.hpp
@@ -0,0 +1,119 @@
+// Plans: decides when to make one, has it made on the planner's thread from a snapshot, and applies it.
+//
+// Owns when plans were made and how long they took. Applying one changes the cluster state and the job table
+// (starts and stops; every start is checked again, since heartbeats and cancellations have come in since the
+// snapshot), and goes on through the FleetScaler and the callbacks. Public functions are for the event loop's
+// thread; `compute` alone runs on the planner's, and only reads the state, under its mutex.
+#pragma once
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <random>
+#include <span>
+#include <string>
+#include <vector>
+
+#include "cluster/team_usage.hpp"
+#include "failover/reconciliation.hpp"
+#include "leader/attempt_numbers.hpp"
+#include "leader/fleet_scaler.hpp"
+#include "leader/part_context.hpp"
+#include "leader/planner.hpp"
+#include "metrics/metrics.hpp"
+#include "scheduler/scheduler.hpp"
+
+namespace coralhitch::leader {
+
+// A task that a plan has placed on a machine; no command was sent so far.
+struct StartedTask {
+    std::string machine;
+    protocol::TaskId task;
+};
+
+class PlanExecutor {
+  public:
+    // References to other parts of the leader; they must outlive this one.
+    struct Parts {
+        Planner& planner;
+        FleetScaler& fleet_scaler;
+        AttemptNumbers& attempts;
+        const failover::Reconciliation& reconciliation;
+        cluster::TeamActivity& team_activity;
+        metrics::Metrics& metrics;
+    };
+    struct Callbacks {
+        // Whether jobs and machines are loaded from the key-value store.
+        std::function<bool()> loaded;
+        // Whether the cloud has listed the machines since this leadership began. Before that, nothing is
+        // asked for: what an earlier leader asked for last is known from that list alone.
+        std::function<bool()> machines_listed;
+        // Called with the state's mutex held.
+        std::function<void(cluster::Machine&, const char* why)> mark_for_deletion;
+        // A plan was applied, and these are its starts, also if there are none. Sends what may be sent.
+        std::function<void(const std::vector<StartedTask>&)> plan_applied;
+    };
+    // `seed` is that of the random draws of the plans.
+    PlanExecutor(const PartContext& context, const Parts& parts, Callbacks callbacks, std::uint64_t seed);
+
+    // Makes a plan as soon as the minimum interval since the last one allows. Of several requests before then
+    // the first counts.
+    void request_plan();
+
+  private:
+    struct Plan {
+        scheduler::Input in;  // after the plan: with what it starts
+        scheduler::Decisions out;
+        // Whether the fleet is planned, too; if not, the two below stay empty.
+        bool with_fleet = false;
+        autoscaler::Input fleet_in;
+        autoscaler::Decisions fleet_out;
+    };
+    using TeamUsage = std::map<std::string, protocol::Resources>;
+    // A start of a plan that has been entered in the state.
+    struct PlacedTask {
+        cluster::Machine* machine = nullptr;
+        std::uint32_t task = 0;
+    };
+
+    [[nodiscard]] double now() const { return timers_.now(); }
+    [[nodiscard]] double minimum_interval_s() const;
+    [[nodiscard]] bool fleet_plan_due() const;
+    void begin_plan();
+    // On the planner's thread.
+    void compute(Plan& plan, std::uint64_t seed) const;
+
+    void apply(const Plan& plan);
+    // The three with the state's mutex held.
+    std::vector<StartedTask> apply_starts(const Plan& plan);
+    void apply_stops(const Plan& plan);
+    void apply_scale_in(const Plan& plan);
+    // How many starts from this index on go together: all of a gang, or one.
+    [[nodiscard]] static std::size_t group_size(const Plan& plan, std::size_t first);
+    // Enters all starts of the group in the state, or none.
+    void start_group(const Plan& plan, std::span<const scheduler::Start> group, std::uint64_t attempt,
+                     TeamUsage& used, std::vector<StartedTask>& started);
+    static void undo(jobs::JobEntry& job, std::span<const PlacedTask> placed, TeamUsage& used);
+    [[nodiscard]] const config::Team* team_of(const jobs::JobEntry& job) const;
+    [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
+                                 const cluster::Machine& machine, const scheduler::ZoneCounts& zones) const;
+    [[nodiscard]] std::size_t zone_of(const cluster::Machine& machine) const;
+    void log_plan(const Plan& plan) const;
+    void count_draws(const scheduler::Counts& counts);
+
+    event_loop::Timers& timers_;
+    const config::Settings& settings_;
+    LeaderState& state_;
+    const Authority& authority_;
+    const CallbackGuard& guarded_;
+    Parts parts_;
+    Callbacks callbacks_;
+    std::mt19937_64 random_;
+    bool requested_ = false;  // a timer is set that begins a plan
+    bool computing_ = false;  // one is with the planner
+    double last_plan_s_ = 0;  // how long the last one took, seconds
+    double last_plan_ = -1;   // when the last one began (steady seconds)
+    double last_fleet_ = -1;  // when the last one with the fleet began (steady seconds)
+};
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/src/leader/plan_snapshot.cpp
@@ -0,0 +1,146 @@
+#include "leader/plan_snapshot.hpp"
+
+#include <algorithm>
+#include <unordered_map>
+
+#include "cluster/team_usage.hpp"
+
+namespace coralhitch::leader {
+using cluster::Machine;
+using protocol::JobKind;
+
+namespace {
+constexpr std::size_t tasks_per_plan = 64;  // of one job that is neither a gang nor on probation
+
+// By the job's specification: its index in the scheduler's input.
+using JobIndex = std::unordered_map<const protocol::Job*, std::size_t>;
+
+// Tasks of the job that the plan may start.
+std::vector<std::uint32_t> tasks_to_start(jobs::JobEntry& job) {
+    if (job.on_probation() && !job.active.empty()) return {};
+    if (job.spec->kind == JobKind::gang) return job.waiting(job.spec->tasks);
+    return job.waiting(job.on_probation() ? 1 : tasks_per_plan);
+}
+
+scheduler::JobView view_of(jobs::JobEntry& job, std::size_t zones, double now) {
+    scheduler::JobView view;
+    view.spec = job.spec;
+    view.priority = job.priority;
+    view.submitted = job.ready;
+    view.due = job.due;
+    view.startable = may_start_tasks(job, now);
+    if (view.startable) view.waiting = tasks_to_start(job);
+    view.open = job.done.size() - job.done_count;
+    view.zones = zone_counts(job, zones);
+    view.active = static_cast<int>(job.active.size());
+    view.failed_on = job.failed_on;
+    view.image = job.image;
+    return view;
+}
+
+scheduler::MachineView view_of(const Machine& machine, double now) {
+    scheduler::MachineView view;
+    view.id = machine.id;
+    view.pool = machine.pool;
+    view.usable = machine.usable(now) && !machine.has_orphaned_instance();
+    view.draining = machine.draining;
+    view.free = machine.free();
+    view.tasks = static_cast<int>(machine.tasks.size());
+    view.images = machine.images;
+    return view;
+}
+
+// Adds the machine, and what is on it of the jobs of the input.
+void add_machine(scheduler::Input& in, const Machine& machine, const JobIndex& job_index) {
+    auto view = view_of(machine, in.now);
+    for (auto& [task, instance] : machine.tasks) {
+        auto it = job_index.find(instance.spec.get());
+        if (it == job_index.end()) continue;
+        if (instance.spec->kind == JobKind::service) ++view.services;
+        if (instance.state == protocol::TaskState::fetching && !instance.stop) {
+            auto image = in.jobs[it->second].image;
+            if (!scheduler::has_image(view, image)) view.coming.push_back(image);
+        }
+        in.instances.push_back({it->second, in.machines.size(), task.index,
+                                instance.stop || instance.state == protocol::TaskState::saving,
+                                instance.placed, instance.running_since});
+    }
+    in.machines.push_back(std::move(view));
+}
+}  // namespace
+
+bool may_start_tasks(const jobs::JobEntry& job, double now) {
+    return !job.cancelled && !job.awaiting() && !job.all_done() && now >= job.not_before && job.orphans == 0;
+}
+
+bool any_task_waits(LeaderState& state, double now) {
+    return std::any_of(state.jobs.all().begin(), state.jobs.all().end(), [&](auto& entry) {
+        return may_start_tasks(entry.second, now) && entry.second.any_waiting();
+    });
+}
+
+scheduler::ZoneCounts zone_counts(const jobs::JobEntry& job, std::size_t zones) {
+    scheduler::ZoneCounts counts(zones);
+    for (auto& [task, active] : job.active) ++counts[active.zone];
+    return counts;
+}
+
+scheduler::Input scheduler_input(LeaderState& state, const std::vector<config::Team>& teams,
+                                 const SnapshotTime& time) {
+    scheduler::Input in;
+    in.now = time.now;
+    in.unix_now = time.unix_now;
+    in.pools = state.cluster.pools();
+    in.zones = state.cluster.zones();
+    in.machines.reserve(state.cluster.machines().size());
+    in.jobs.reserve(state.jobs.all().size());
+    JobIndex job_index;
+    for (auto& [id, job] : state.jobs.all()) {
+        // Waits for other jobs: holds no part of a quota, preempts nobody, no machine is created for it.
+        if (job.awaiting() && job.active.empty()) continue;
+        job_index[job.spec.get()] = in.jobs.size();
+        in.jobs.push_back(view_of(job, in.zones, in.now));
+    }
+    cluster::Usage used;
+    for (auto& [id, machine] : state.cluster.machines()) {
+        used.add(machine);
+        add_machine(in, machine, job_index);
+    }
+    in.team_used = used.of(teams);
+    return in;
+}
+
+void add_machines_and_demand(autoscaler::Input& in, LeaderState& state, const scheduler::Input& planned,
+                             const scheduler::Decisions& decisions, double now) {
+    in.others = state.cluster.machines().size();
+    for (auto& view : planned.machines) {
+        auto* machine = state.cluster.find(view.id);
+        if (!machine || machine->life == Machine::Life::marked_for_deletion ||
+            machine->preemption_notice_until >= 0)
+            continue;
+        bool booting = machine->life == Machine::Life::booting;
+        bool suspected =
+            machine->is_suspect() && machine->fit(planned.now) && !machine->has_orphaned_instance();
+        if (!booting && !view.usable && !suspected) continue;
+        // With what the plan has just decided to start.
+        autoscaler::MachineView out;
+        out.id = view.id;
+        out.pool = view.pool;
+        out.booting = booting;
+        out.suspected = suspected;
+        out.free = view.free;
+        out.empty = machine->tasks.empty() && view.tasks == 0;
+        out.draining = view.draining;
+        out.tasks = view.tasks;
+        out.services = view.services;
+        out.idle_for = now - (booting ? machine->created : machine->idle_since);
+        in.machines.push_back(std::move(out));
+        --in.others;
+    }
+    for (auto& unplaced : decisions.unplaced) {
+        auto& job = planned.jobs[unplaced.job];
+        in.needs.push_back({job.spec.get(), unplaced.count, job.zones});
+    }
+}
+
+}  // namespace coralhitch::leader
