--- /dev/null
+++ b/src/leader/dependency_resolver.cpp
@@ -0,0 +1,51 @@
+#include "leader/dependency_resolver.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include "kv/keys.hpp"
+
+namespace coralhitch::leader {
+
+DependencyResolver::DependencyResolver(const PartContext& context, kv::KvClient& kv, JobStore& store,
+                                       std::function<void()> request_plan)
+    : state_(context.state),
+      guarded_(context.guarded),
+      kv_(kv),
+      store_(store),
+      request_plan_(std::move(request_plan)) {}
+
+void DependencyResolver::retry() {
+    tried_.clear();
+    resolve();
+}
+
+// With neither a live nor a final record the watch of the live jobs is behind.
+void DependencyResolver::resolve() {
+    constexpr std::size_t max_in_flight = 8;
+    for (auto& id : state_.jobs.awaits().ends_unknown()) {
+        if (in_flight_.size() >= max_in_flight) return;
+        if (tried_.contains(id) || !in_flight_.insert(id).second) continue;
+        kv_.get(kv::keys::final(id), kv::RequestPriority::write,
+                guarded_([this, id](kv::GetResult result) { answered(id, result); }));
+    }
+}
+
+void DependencyResolver::answered(const std::string& id, const kv::GetResult& result) {
+    in_flight_.erase(id);
+    tried_.insert(id);  // unless its end is entered below, the next tick asks again
+    if (!result.entry) return resolve();
+    try {
+        auto state = protocol::parse_final_record(result.entry->value).state;
+        {
+            std::lock_guard lock(state_.mutex);
+            state_.jobs.ended(id, state, std::nullopt);
+        }
+        request_plan_();
+        if (state == protocol::JobState::cancelled) store_.request_store();
+    } catch (const protocol::Malformed& error) {
+        spdlog::error("component=leader event=malformed_final_record job={} error=\"{}\"", id, error.what());
+    }
+    resolve();
+}
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/src/leader/job_store.cpp
@@ -0,0 +1,266 @@
+#include "leader/job_store.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "kv/keys.hpp"
+
+namespace coralhitch::leader {
+namespace keys = kv::keys;
+using kv::RequestPriority;
+using kv::TxnResult;
+using protocol::JobState;
+
+namespace {
+// Ratios to the report period.
+constexpr double store_delay_reports = 1.0 / 60;
+constexpr double progress_interval_reports = 1.0 / 6;  // tasks that end together are stored together
+constexpr double retry_reports = 1.0 / 10, rejected_retry_reports = 1.0 / 2;
+// Transactions in flight that store ends of jobs that are done: a lost answer holds up its own jobs only.
+constexpr int max_done_in_flight = 4;
+constexpr int max_cancelled_in_flight = 1;
+constexpr std::size_t changes_per_end = 2;  // the final record is put, the live one removed
+// Of all changes that the key-value store allows, one transaction takes at most those of so many seconds.
+constexpr double transaction_share_s = 0.2;
+constexpr double cancelled_delay_leases = 2;  // for which the end of a cancelled job may be put off
+}  // namespace
+
+JobStore::JobStore(const PartContext& context, kv::KvClient& kv, StaleKeyRemover& stale_keys,
+                   metrics::Metrics& metrics, Callbacks callbacks)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      guarded_(context.guarded),
+      kv_(kv),
+      stale_keys_(stale_keys),
+      metrics_(metrics),
+      callbacks_(std::move(callbacks)) {}
+
+// Ends come by the hundred: stored with each heartbeat, a walk over all jobs took a fifth of the processor's
+// share while a thousand jobs were live.
+void JobStore::request_store() {
+    if (std::exchange(store_requested_, true)) return;
+    timers_.after(settings_.report_s * store_delay_reports, guarded_([this] {
+                      store_requested_ = false;
+                      store_due();
+                  }));
+}
+
+void JobStore::store_due() {
+    if (!authority_.holds()) return;
+    auto due = state_.jobs.unstored(now(), callbacks_.may_place());
+    metrics_.gauge("ends_waiting", static_cast<double>(due.done.size()));
+    metrics_.gauge("cancelled_to_drop", static_cast<double>(due.cancelled.size()));
+    store_ends(due.done, JobState::done);
+    for (auto& id : due.progress) write_progress(id, *state_.jobs.find(id));
+    store_ends(due.cancelled, JobState::cancelled);
+}
+
+std::size_t JobStore::most_ends_per_transaction() const {
+    auto changes = std::min(static_cast<std::size_t>(settings_.state_write_rps * transaction_share_s),
+                            kv_.limits().txn_ops());
+    return std::max<std::size_t>(1, changes / changes_per_end);
+}
+
+// An end that a user waits for costs two changes. Those that come while the last ones are in flight go
+// together in the next transactions, oldest first; what waits here has no deadline, while what waits in the
+// client's queue is refused after a while and would begin anew, behind younger ones. The end of a cancelled
+// job can wait: its live record gives its users the same answer, and every version takes it for what it is.
+// It goes one transaction at a time with what no user waits for, unless that was put off for so long that the
+// table would grow.
+void JobStore::store_ends(const Ids& ids, JobState state) {
+    bool done = state == JobState::done;
+    int max_in_flight = done ? max_done_in_flight : max_cancelled_in_flight;
+    auto most = most_ends_per_transaction();
+    for (std::size_t first = 0; first < ids.size(); first += most) {
+        if (ends_in_flight(state) >= max_in_flight) {
+            ends_deferred_ = true;
+            return;
+        }
+        auto begin = ids.begin() + static_cast<std::ptrdiff_t>(first);
+        auto end = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), first + most));
+        double waited_s = now() - state_.jobs.find(*begin)->over_since;
+        bool overdue = waited_s > settings_.lease_s * cancelled_delay_leases;
+        write_ends({begin, end}, state,
+                   done || overdue ? RequestPriority::write : RequestPriority::background);
+    }
+}
+
+void JobStore::write_ends(const Ids& ids, JobState state, RequestPriority priority) {
+    auto transaction = authority_.fenced_transaction();
+    for (auto& id : ids) {
+        auto& job = *state_.jobs.find(id);
+        job.writing = true;
+        transaction.conditions.push_back({keys::job(id), job.version});  // fails if cancelled meanwhile
+        transaction.changes.push_back(
+            {keys::final(id), protocol::stored(protocol::FinalRecord{state, job.spec->tasks}), 0});
+        transaction.changes.push_back({keys::job(id), std::nullopt, 0});
+    }
+    ++ends_in_flight(state);
+    kv_.txn(std::move(transaction), priority, guarded_([this, ids, state](TxnResult result) {
+                --ends_in_flight(state);
+                ends_answered(ids, state, result);
+                bool committed = result.status == TxnResult::Status::committed;
+                if (std::exchange(ends_deferred_, false) || !committed) request_store();
+            }));
+}
+
+// One job that was cancelled, or ended by a transaction whose answer was lost, holds up all that are in its
+// transaction: only those that failed are read, the others go again at once without them.
+void JobStore::ends_answered(const Ids& ids, JobState state, const TxnResult& result) {
+    using Status = TxnResult::Status;
+    auto failed_on = [&](const std::string& id) { return result.failed_on(keys::job(id)); };
+    bool any_failed = std::any_of(ids.begin(), ids.end(), failed_on);
+    for (auto& id : ids) {
+        auto* job = state_.jobs.find(id);
+        if (!job) continue;
+        if (result.status == Status::committed) {
+            spdlog::debug("component=leader event=job_end_stored job={} tasks_done={} delay_s={:.2f}", id,
+                          job->done_count, now() - job->over_since);
+            end_stored(id, result.revision, state);
+        } else if (failed_on(id) || result.status == Status::unknown) {
+            // Cancelled by some controller, or stored by a transaction whose answer was lost: read, then
+            // decide. To write again without knowing costs the changes of the whole transaction.
+            read_job_record(id);
+        } else if (any_failed) {
+            job->writing = false;
+        } else {
+            write_failed(id, result);
+        }
+    }
+}
+
+// What awaited the job goes on at once: a short stage must not wait for the next heartbeat.
+void JobStore::end_stored(const std::string& id, std::uint64_t revision, JobState state) {
+    bool awaited = state_.jobs.awaits().awaited(id);
+    {
+        std::lock_guard lock(state_.mutex);
+        state_.cluster.stored(id);
+        // Its progress means nothing any more, and is removed when there is time.
+        if (auto* job = state_.jobs.find(id))
+            for (auto& [block, version] : job->blocks) stale_keys_.add(keys::progress_of(id, block));
+        state_.jobs.erase(id, revision);
+        state_.jobs.ended(id, state, timers_.unix_time());
+    }
+    if (state == JobState::cancelled) request_store();  // the jobs before it may leave now
+    if (awaited) callbacks_.request_plan();
+}
+
+JobStore::ProgressWrite JobStore::next_progress(const jobs::JobEntry& job) const {
+    ProgressWrite next;
+    auto& limits = kv_.limits();
+    for (auto task : job.unstored) {
+        auto block = state_.jobs.block_of(job, task, limits.value_bytes());
+        if (!next.blocks.contains(block) && next.blocks.size() >= limits.txn_ops()) continue;
+        next.blocks.insert(block);
+        next.tasks.insert(task);
+    }
+    return next;
+}
+
+void JobStore::write_progress(const std::string& id, jobs::JobEntry& job) {
+    job.writing = true;
+    auto transaction = authority_.fenced_transaction();
+    transaction.conditions.push_back({keys::job(id), job.version});
+    auto written = next_progress(job);
+    for (auto& block : written.blocks) {
+        // A block is written whole. One whose answer was lost may be carried out after newer ones, and would
+        // take out what they added, whose tasks the workers have been told to forget: it fails on the
+        // version.
+        auto stored = job.blocks.find(block);
+        auto key = keys::progress_of(id, block);
+        transaction.conditions.push_back({key, stored == job.blocks.end() ? 0 : stored->second});
+        transaction.changes.push_back(
+            {std::move(key), state_.jobs.block_value(job, block, kv_.limits().value_bytes()), 0});
+    }
+    kv_.txn(std::move(transaction), RequestPriority::write, guarded_([this, id, written](TxnResult result) {
+                if (result.status != TxnResult::Status::committed) return write_failed(id, result);
+                progress_stored(id, written, result.revision);
+            }));
+}
+
+void JobStore::progress_stored(const std::string& id, const ProgressWrite& written, std::uint64_t revision) {
+    std::lock_guard lock(state_.mutex);
+    auto* job = state_.jobs.find(id);
+    if (!job) return;
+    job->writing = false;
+    job->retry_at = now() + settings_.report_s * progress_interval_reports;
+    for (auto task : written.tasks) job->unstored.erase(task);
+    for (auto& block : written.blocks) job->blocks[block] = revision;
+    state_.cluster.stored(id, written.tasks);
+}
+
+void JobStore::write_failed(const std::string& id, const TxnResult& result) {
+    std::lock_guard lock(state_.mutex);
+    auto* job = state_.jobs.find(id);
+    if (!job) return;
+    job->writing = false;
+    // What was too large is written in smaller parts the next time; if it can't be, not without pause.
+    bool rejected = result.status == TxnResult::Status::rejected;
+    job->retry_at = now() + settings_.report_s * (rejected ? rejected_retry_reports : retry_reports);
+    if (result.status != TxnResult::Status::conflict) return;
+    if (result.failed_on(keys::job(id))) return read_job_record(id);
+    // A write whose answer was lost was carried out. Of several such blocks the next try shows the next.
+    auto progress = keys::progress_of(id, "");
+    for (auto& key : result.failed)
+        if (key.starts_with(progress)) {
+            job->writing = true;
+            return read_block_version(id, key.substr(progress.size()));
+        }
+}
+
+// This leader does not know what the live record says by now, or whether there is one.
+void JobStore::read_job_record(const std::string& id) {
+    state_.jobs.find(id)->writing = true;
+    kv_.get(keys::job(id), RequestPriority::write, guarded_([this, id](kv::GetResult result) {
+                std::lock_guard lock(state_.mutex);
+                auto* job = state_.jobs.find(id);
+                if (!job) return;
+                job->writing = false;
+                request_store();
+                if (!result.ok)
+                    job->retry_at = now() + settings_.report_s * retry_reports;
+                else if (result.entry)
+                    callbacks_.take_record(id, result.entry->version, result.entry->value);
+                else
+                    read_final_record(id);
+            }));
+}
+
+void JobStore::read_block_version(const std::string& id, const std::string& block) {
+    kv_.get(keys::progress_of(id, block), RequestPriority::write,
+            guarded_([this, id, block](kv::GetResult result) {
+                auto* job = state_.jobs.find(id);
+                if (!job) return;
+                job->writing = false;
+                if (result.ok && result.entry)
+                    job->blocks[block] = result.entry->version;
+                else if (result.ok)
+                    job->blocks.erase(block);
+            }));
+}
+
+// Only a leader removes the key, and only this one leads: a transaction whose answer was lost was executed.
+// Which of them, the final record says: the job may have been done, or cancelled in between.
+void JobStore::read_final_record(const std::string& id) {
+    state_.jobs.find(id)->writing = true;
+    kv_.get(keys::final(id), RequestPriority::write, guarded_([this, id](kv::GetResult result) {
+                auto* job = state_.jobs.find(id);
+                if (!job) return;
+                job->writing = false;
+                job->retry_at = now() + settings_.report_s * retry_reports;
+                if (!result.entry) return;
+                try {
+                    auto state = protocol::parse_final_record(result.entry->value).state;
+                    end_stored(id, job->version, state);
+                } catch (const protocol::Malformed& error) {
+                    spdlog::error("component=leader event=malformed_final_record job={} error=\"{}\"", id,
+                                  error.what());
+                }
+            }));
+}
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/src/leader/job_watcher.cpp
@@ -0,0 +1,152 @@
+#include "leader/job_watcher.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "kv/keys.hpp"
+#include "relay/worker_lease.hpp"
+
+namespace coralhitch::leader {
+namespace keys = kv::keys;
+using kv::RequestPriority;
+
+namespace {
+constexpr double audit_leases = 4;  // from one audit to the next
+
+// Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
+// enough that what an interruption leaves of the time for renewals is nearly all of it.
+kv::ListWatch::Pace watch_pace(const config::Settings& settings) {
+    double confirm_s = std::min(settings.report_s / 3, relay::renewal_s(settings) / 8);
+    return {settings.lease_s / 2, settings.report_s / 60, settings.report_s / 10, confirm_s,
+            settings.report_s};
+}
+std::string id_of(const std::string& key) {
+    return key.substr(keys::jobs.size());
+}
+}  // namespace
+
+JobWatcher::JobWatcher(const PartContext& context, kv::KvClient& kv, JobStore& store, Callbacks callbacks)
+    : timers_(context.timers),
+      settings_(context.settings),
+      state_(context.state),
+      authority_(context.authority),
+      guarded_(context.guarded),
+      kv_(kv),
+      store_(store),
+      callbacks_(std::move(callbacks)),
+      watch_(context.timers, kv, keys::jobs, watch_pace(context.settings),
+             {[this](const std::vector<protocol::Event>& events, std::uint64_t complete_revision) {
+                  changed(events, complete_revision);
+              },
+              [this](const kv::ListResult& all) { listed(all); }}) {}
+
+void JobWatcher::start(std::uint64_t revision, double listed_at) {
+    last_audit_ = timers_.now();
+    watch_.start(revision, listed_at);
+}
+
+void JobWatcher::changed(const std::vector<protocol::Event>& events, std::uint64_t complete_revision) {
+    if (authority_.ended()) return;
+    bool news = false;
+    {
+        std::lock_guard lock(state_.mutex);
+        for (auto& event : events)
+            if (event.value) news |= take_record(id_of(event.key), event.version, *event.value);
+        state_.jobs.seen_revision(complete_revision);
+    }
+    if (news) callbacks_.jobs_changed();
+}
+
+void JobWatcher::listed(const kv::ListResult& all) {
+    if (authority_.ended()) return;
+    {
+        std::lock_guard lock(state_.mutex);
+        for (auto& entry : all.entries) take_record(id_of(entry.key), entry.version, entry.value);
+    }
+    callbacks_.jobs_changed();
+}
+
+bool JobWatcher::take_record(const std::string& id, std::uint64_t version, const std::string& value) {
+    if (state_.jobs.knows(id, version)) return false;
+    try {
+        auto record = protocol::parse_job_record(value);
+        if (!state_.jobs.put(id, version, std::move(record))) return false;
+        auto& job = *state_.jobs.find(id);
+        job.image = state_.cluster.image(job.spec->image);
+        spdlog::debug("component=leader event=job_loaded job={} class={} tasks={} awaits={} cancelled={}", id,
+                      job.spec->cls, job.spec->tasks, job.awaits.size(), job.cancelled);
+        if (job.cancelled) callbacks_.cancel_active(id, job);
+        return true;
+    } catch (const protocol::Malformed& error) {
+        return malformed_record(id, version, value, error.what());
+    }
+}
+
+// The tasks of a job that was cancelled must go all the same.
+bool JobWatcher::malformed_record(const std::string& id, std::uint64_t version, const std::string& value,
+                                  const char* error) {
+    spdlog::error("component=leader event=malformed_job_record job={} error=\"{}\"", id, error);
+    auto* job = state_.jobs.find(id);
+    if (!job || job->cancelled || !protocol::says_cancelled(value)) return false;
+    state_.jobs.cancel(id, version);
+    callbacks_.cancel_active(id, *job);
+    return true;
+}
+
+bool JobWatcher::cancelled(const std::string& id, std::uint64_t version) {
+    std::lock_guard lock(state_.mutex);
+    auto* job = state_.jobs.find(id);
+    if (job && job->cancelled) return false;
+    state_.jobs.cancel(id, version);
+    if (!job) return false;  // its record is not read yet
+    callbacks_.cancel_active(id, *job);
+    return true;
+}
+
+// What the watch brings is all there is to know, as far as anyone can tell. A job that it lost would wait for
+// ever, though its user was answered that it is accepted: so what is stored is compared with the table.
+void JobWatcher::audit() {
+    if (auditing_ || !authority_.holds() || timers_.now() - last_audit_ < settings_.lease_s * audit_leases)
+        return;
+    auditing_ = true;
+    state_.jobs.listing(true);
+    last_audit_ = timers_.now();
+    kv_.list(keys::jobs, RequestPriority::background, guarded_([this](kv::ListResult stored) {
+                 auditing_ = false;
+                 state_.jobs.listing(false);
+                 if (stored.ok) compare(stored);
+             }));
+}
+
+void JobWatcher::compare(const kv::ListResult& stored) {
+    std::set<std::string> ids;
+    auto unknown = take_unknown(stored, ids);
+    std::size_t not_stored = 0;
+    // The end of such a job may have been stored by a transaction of this leader whose answer was lost.
+    for (auto& [id, job] : state_.jobs.all()) {
+        if (ids.contains(id) || job.version > stored.revision || job.writing) continue;
+        ++not_stored;
+        store_.read_final_record(id);
+    }
+    if (unknown + not_stored == 0) return;
+    spdlog::info("component=leader event=job_audit unknown={} not_stored={}", unknown, not_stored);
+    callbacks_.request_plan();
+}
+
+// Puts the ids of all jobs of the list into `ids`; how many of them the table did not have.
+std::size_t JobWatcher::take_unknown(const kv::ListResult& stored, std::set<std::string>& ids) {
+    std::lock_guard lock(state_.mutex);
+    std::size_t unknown = 0;
+    for (auto& entry : stored.entries) {
+        auto id = id_of(entry.key);
+        if (!state_.jobs.knows(id, entry.version)) {
+            ++unknown;
+            take_record(id, entry.version, entry.value);
+        }
+        ids.insert(std::move(id));
+    }
+    return unknown;
+}
+
+}  // namespace coralhitch::leader
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "kv/keys.hpp"
+#include "leader/task_counts.hpp"
 
 namespace coralhitch::leader {
 namespace keys = kv::keys;
@@ -14,12 +15,6 @@
 namespace {
 // Ratios to the report period, unless named otherwise.
 constexpr double tick_reports = 1.0 / 6;
-// Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
-// enough that what an interruption leaves of the time for renewals is nearly all of it.
-kv::ListWatch::Pace watch_pace(const config::Settings& s) {
-    double confirm_s = std::min(s.report_s / 3, relay::renewal_s(s) / 8);
-    return {s.lease_s / 2, s.report_s / 60, s.report_s / 10, confirm_s, s.report_s};
-}
 // As many questions as the processor's share answers in so many report periods.
 double asked_at_once(const config::Settings& s, double reports) {
     return std::max(1.0, config::questions_per_s(s) * s.report_s * reports);
@@ -29,7 +24,7 @@
 Leader::Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed)
     : dependencies_(std::move(context)),
       authority_(dependencies_.timers, dependencies_.settings, dependencies_.election, version,
-                 [this] { return job_watch_.complete_at(); }),
+                 [this] { return job_watcher_.complete_at(); }),
       state_(version, dependencies_.types, dependencies_.settings.value_kb),
       store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
              {[this](const std::string& id) { return record_of(id); },
@@ -37,28 +32,15 @@
               [this](const std::vector<machine_registry::MachineRegistry::Record>& r) {
                   if (!authority_.ended()) machines_stored(r);
               }}),
-      job_watch_(dependencies_.timers, dependencies_.state, keys::jobs, watch_pace(dependencies_.settings),
-                 {[this](const std::vector<protocol::Event>& events, std::uint64_t reconciled) {
-                      if (authority_.ended()) return;
-                      bool news = false;
-                      {
-                          std::lock_guard lock(state_.mutex);
-                          for (auto& e : events)
-                              if (e.value)
-                                  news |= take_job(e.key.substr(keys::jobs.size()), e.version, *e.value);
-                          state_.jobs.seen_revision(reconciled);
-                      }
-                      if (news) jobs_changed();
+      job_store_(part_context_, dependencies_.state, stale_keys_, dependencies_.metrics,
+                 {[this](const std::string& id, std::uint64_t version, const std::string& value) {
+                      job_watcher_.take_record(id, version, value);
                   },
-                  [this](const kv::ListResult& all) {
-                      if (authority_.ended()) return;
-                      {
-                          std::lock_guard lock(state_.mutex);
-                          for (auto& e : all.entries)
-                              take_job(e.key.substr(keys::jobs.size()), e.version, e.value);
-                      }
-                      jobs_changed();
-                  }}),
+                  [this] { plan_soon(); }, [this] { return reconciliation_.may_place(); }}),
+      job_watcher_(part_context_, dependencies_.state, job_store_,
+                   {[this](const std::string& id, jobs::JobEntry& job) { cancel_active(id, job); },
+                    [this] { jobs_changed(); }, [this] { plan_soon(); }}),
+      dependency_resolver_(part_context_, dependencies_.state, job_store_, [this] { plan_soon(); }),
       attempts_(dependencies_.state, version, [this] { return authority_.begin_transaction(); }),
       asks_(config::questions_per_s(dependencies_.settings),
             asked_at_once(dependencies_.settings, ask_reports)),
@@ -80,7 +62,7 @@
                   take_all(found);
                   if (dependencies_.settings.op.standby)
                       replication_.start(found.record_version, found.inherits ? found.record : std::nullopt);
-                  job_watch_.start(found.jobs.revision, found.jobs_listed_at);
+                  job_watcher_.start(found.jobs.revision, found.jobs_listed_at);
                   loaded();
               }),
       replication_(dependencies_.timers, dependencies_.http, dependencies_.settings, dependencies_.state,
@@ -121,7 +103,7 @@
     std::set<std::string> live;
     for (auto& e : found.jobs.entries) {
         auto id = e.key.substr(keys::jobs.size());
-        take_job(id, e.version, e.value);
+        job_watcher_.take_record(id, e.version, e.value);
         live.insert(std::move(id));
     }
     for (auto& e : found.progress.entries) {
@@ -131,7 +113,7 @@
         if (!state_.jobs.find(id)) {
             // Left over from a job that is over. One whose record can't be read is live and may be known to
             // other versions.
-            if (!live.contains(id)) keys_to_drop_.insert(e.key);
+            if (!live.contains(id)) stale_keys_.add(e.key);
             continue;
         }
         try {
@@ -220,9 +202,6 @@
     flush_all();
 }
 
-std::size_t Leader::zone_of(const Machine& m) const {
-    return state_.cluster.pools()[m.pool].zone_index;
-}
 std::map<std::string, double> Leader::suspected() const {
     std::map<std::string, double> out;
     for (auto& [id, m] : state_.cluster.machines())
@@ -266,14 +245,13 @@
 
 void Leader::loaded() {
     loaded_ = true;
-    last_audit_ = now();
     recall_images();
     auto known = std::count_if(state_.cluster.machines().begin(), state_.cluster.machines().end(),
                                [](auto& m) { return m.second.known; });
     steps_.over("loaded", std::to_string(state_.jobs.all().size()) + " jobs and " +
                               std::to_string(state_.cluster.machines().size()) + " machines, " +
                               std::to_string(known) + " of them known");
-    read_ends();
+    dependency_resolver_.resolve();
     // With some of them placing can begin. Of the rest most reports lie waiting or come within a period: a
     // question costs three times as much as a report that is passed on. Those of which nothing is known hold
     // up all placing.
@@ -301,73 +279,21 @@
     if (!early_.empty()) dependencies_.timers.after(0, guarded_([this] { apply_early_heartbeats(); }));
 }
 
-// Whether it was news.
-bool Leader::take_job(const std::string& id, std::uint64_t version, const std::string& value) {
-    if (state_.jobs.knows(id, version)) return false;
-    try {
-        auto record = protocol::parse_job_record(value);
-        if (!state_.jobs.put(id, version, std::move(record))) return false;
-        auto& e = *state_.jobs.find(id);
-        e.image = state_.cluster.image(e.spec->image);
-        spdlog::debug("job {} of class {}: {} tasks, awaits {}, cancelled {}", id, e.spec->cls, e.spec->tasks,
-                      e.awaits.size(), e.cancelled);
-        if (e.cancelled) cancel_active(id, e);
-        return true;
-    } catch (const protocol::Malformed& x) {
-        spdlog::error("job {}: {}", id, x.what());
-        // Its tasks must go all the same.
-        if (auto* e = state_.jobs.find(id); e && !e->cancelled && protocol::says_cancelled(value)) {
-            state_.jobs.cancel(id, version);
-            cancel_active(id, *e);
-            return true;
-        }
-        return false;
-    }
-}
-
 void Leader::jobs_changed() {
     plan_soon();
-    read_ends();
+    dependency_resolver_.resolve();
     flush_all();
 }
 
 void Leader::cancelled(const std::string& id, std::uint64_t version) {
-    {
-        std::lock_guard lock(state_.mutex);
-        auto* e = state_.jobs.find(id);
-        if (e && e->cancelled) return;
-        state_.jobs.cancel(id, version);
-        if (!e) return;  // its record is not read yet
-        cancel_active(id, *e);
-    }
-    flush_all();
+    if (job_watcher_.cancelled(id, version)) flush_all();
 }
 
 std::optional<api::TaskCounts> Leader::counts(const std::string& id) {
-    if (!loaded_) return std::nullopt;
-    auto* e = state_.jobs.find(id);
-    return e ? std::optional(count(id, *e)) : std::nullopt;
-}
-api::TaskCounts Leader::count(const std::string& id, const jobs::JobEntry& e) {
-    api::TaskCounts c{e.done_count, 0};
-    for (auto& [task, a] : e.active) {
-        auto* m = state_.cluster.find(a.machine);
-        if (!m) continue;
-        auto it = m->tasks.find({id, task});
-        if (it != m->tasks.end() && it->second.running_since >= 0) ++c.running;
-    }
-    return c;
+    return loaded_ ? task_counts(state_, id) : std::nullopt;
 }
-
 std::vector<protocol::PeerCount> Leader::all_counts() {
-    std::vector<protocol::PeerCount> out;
-    if (!loaded_) return out;
-    for (auto& [id, e] : state_.jobs.all()) {
-        auto c = count(id, e);
-        if (c.done + c.running > 0)
-            out.push_back({id, c.done, c.running});  // none is what is taken for unknown
-    }
-    return out;
+    return loaded_ ? all_task_counts(state_) : std::vector<protocol::PeerCount>{};
 }
 
 // A later leadership's tokens begin above all of this one's.
@@ -383,22 +309,21 @@
     if (authority_.ended()) return;
     tick_timer_ = dependencies_.timers.after(dependencies_.settings.report_s * tick_reports,
                                              guarded_([this] { tick(); }));
-    absent_ends_.clear();
     moved_ = 0;
-    read_ends();
+    dependency_resolver_.retry();
     reconciliation_.tick(now(), dependencies_.settings.report_s * tick_reports);
     check_machines();
     if (authority_.ended()) return;
     if (hand_over_tokens()) return;
     if (!authority_.holds()) return;
     attempts_.extend();
-    store_progress();
+    job_store_.store_due();
     store_.flush();
     replicate_changes();
     replication_.tick();
     delete_marked_machines();
-    drop_keys();
-    audit();
+    stale_keys_.remove_some();
+    job_watcher_.audit();
     if (now() - last_team_log_ > dependencies_.settings.lease_s) log_team_activity();
     if (now() - last_list_ > dependencies_.settings.list_lag_s) list_hosts();
     fleet_scaler_.retry_unanswered();
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -5,8 +5,6 @@
 #include <deque>
 #include <memory>
 #include <mutex>
-#include <set>
-#include <unordered_map>
 
 #include "api/user_api.hpp"
 #include "autoscaler/autoscaler.hpp"
@@ -18,15 +16,18 @@
 #include "failover/reconciliation.hpp"
 #include "failover/recovery_loader.hpp"
 #include "jobs/job_table.hpp"
-#include "kv/list_watch.hpp"
 #include "leader/attempt_numbers.hpp"
 #include "leader/authority.hpp"
 #include "leader/callback_guard.hpp"
+#include "leader/dependency_resolver.hpp"
 #include "leader/fleet_scaler.hpp"
+#include "leader/job_store.hpp"
+#include "leader/job_watcher.hpp"
 #include "leader/leader_state.hpp"
 #include "leader/part_context.hpp"
 #include "leader/plan_executor.hpp"
 #include "leader/planner.hpp"
+#include "leader/stale_key_remover.hpp"
 #include "machine_registry/machine_registry.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
@@ -92,13 +93,11 @@
     // A new leader asks most machines only then, if they have not been heard.
     static constexpr double ask_reports = 1.0 / 10;
     double now() const { return dependencies_.timers.now(); }
-    api::TaskCounts count(const std::string& id, const jobs::JobEntry& e);
     void inherit(const std::string& id, cluster::Machine& m);
     void take_all(const failover::GetResult& found);
     void loaded();
     void recall_images();
     void jobs_changed();
-    bool take_job(const std::string& id, std::uint64_t version, const std::string& value);
     void tick();
     bool hand_over_tokens();  // whether it has resigned
 
@@ -141,7 +140,6 @@
     void machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records);
     void delete_marked_machines();
     void deleted(const std::vector<std::string>& ids, bool ok);
-    void drop_keys();
     void list_hosts();
     void handle_preemption_notice(cluster::Machine& m);
 
@@ -152,23 +150,9 @@
     void release_starts();
     void replicate_starts(const std::vector<StartedTask>& started);
 
-    // jobs
-    void store_soon();
-    void store_progress();
-    void store_ends(const std::vector<std::string>& ids, protocol::JobState state);
-    void finish(const std::vector<std::string>& ids, protocol::JobState state, kv::RequestPriority rank);
-    void end_answered(const std::vector<std::string>& ids, protocol::JobState state, const kv::TxnResult& c);
-    void read_live(const std::string& id);
-    void store_blocks(const std::string& id, jobs::JobEntry& e);
-    void ended(const std::string& id, std::uint64_t revision, protocol::JobState state);
-    void read_end(const std::string& id);
-    void read_ends();
-    void audit();
-    void stored_failed(const std::string& id, const kv::TxnResult& c);
-    void read_block(const std::string& id, const std::string& block);
-
+    void store_soon() { job_store_.request_store(); }
     void plan_soon() { plan_executor_.request_plan(); }
-    std::size_t zone_of(const cluster::Machine& m) const;
+    std::size_t zone_of(const cluster::Machine& m) const { return state_.zone_of(m); }
 
     LeaderDependencies dependencies_;
     Authority authority_;
@@ -181,7 +165,10 @@
     FleetScaler fleet_scaler_{part_context_, dependencies_.cloud, dependencies_.types,
                               [this](std::size_t zone) { return failure_detector_.dark(zone, now()); }};
     machine_registry::MachineRegistry store_;
-    kv::ListWatch job_watch_;
+    StaleKeyRemover stale_keys_{part_context_, dependencies_.state};
+    JobStore job_store_;
+    JobWatcher job_watcher_;
+    DependencyResolver dependency_resolver_;
 
     relay::HeartbeatQueue early_{dependencies_.refusals};  // reports that came before the jobs were loaded
     AttemptNumbers attempts_;
@@ -189,18 +176,11 @@
     std::size_t probing_ = 0;
     bool probes_armed_ = false, asks_armed_ = false;
     double direct_heard_ = -1;  // when a machine last answered a direct command
-    std::set<std::string> keys_to_drop_;
-    std::set<std::string> reading_ends_, absent_ends_;  // of awaited jobs
-    bool dropping_ = false, listing_ = false, auditing_ = false;
+    bool listing_ = false;
     int removing_ = 0;
-    int ends_under_way_ = 0,
-        tidying_ = 0;         // transactions that store ends, of jobs that are done and of others
-    bool ends_left_ = false;  // some wait for one of these
-    bool store_wanted_ = false;
     cluster::TeamActivity team_activity_;
     double last_team_log_ = -1;
     static constexpr double never = -1e9;  // long before a leader begins
-    double last_audit_ = 0;
     double last_list_ = never, remove_retry_ = 0;
     bool listed_once_ = false;
     protocol::HeartbeatReader reader_;
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -692,23 +692,6 @@
     delete_marked_machines();
 }
 
-void Leader::drop_keys() {
-    if (dropping_ || keys_to_drop_.empty() || !authority_.holds()) return;
-    auto t = authority_.fenced_transaction();
-    for (auto& k : keys_to_drop_) {
-        if (t.changes.size() >= dependencies_.state.limits().txn_ops()) break;
-        t.changes.push_back({k, std::nullopt, 0});
-    }
-    std::vector<std::string> dropped;
-    for (auto& ch : t.changes) dropped.push_back(ch.key);
-    dropping_ = true;
-    dependencies_.state.txn(std::move(t), RequestPriority::background, guarded_([this, dropped](TxnResult c) {
-                                dropping_ = false;
-                                if (c.status == TxnResult::Status::committed)
-                                    for (auto& k : dropped) keys_to_drop_.erase(k);
-                            }));
-}
-
 // A machine is stored, and that confirmed, before the first `run` goes to it: whoever leads next must know
 // where tasks may be.
 void Leader::store_machine(Machine& m) {
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -154,8 +154,8 @@
             return undo(*job, placed, used);
         used[spec.team] += spec.request;
         state_.cluster.place(*machine, {spec.id, start.task}, job->spec, attempt, now());
-        job->active[start.task] = {machine->id, attempt, zone_of(*machine)};
-        ++zones[zone_of(*machine)];
+        job->active[start.task] = {machine->id, attempt, state_.zone_of(*machine)};
+        ++zones[state_.zone_of(*machine)];
         placed.push_back({machine, start.task});
     }
     for (auto& [machine, task] : placed) {
@@ -188,7 +188,7 @@
     return waits && machine.usable(now()) && !machine.has_orphaned_instance() &&
            !machine.tasks.contains({spec.id, task}) && machine.free().fits(spec.request) &&
            scheduler::type_allowed(spec, machine.type, machine.zone, machine.spot) &&
-           scheduler::zone_allowed(spec, zones, zone_of(machine));
+           scheduler::zone_allowed(spec, zones, state_.zone_of(machine));
 }
 
 void PlanExecutor::apply_stops(const Plan& plan) {
@@ -214,10 +214,6 @@
     }
 }
 
-std::size_t PlanExecutor::zone_of(const Machine& machine) const {
-    return state_.cluster.pools()[machine.pool].zone_index;
-}
-
 void PlanExecutor::log_plan(const Plan& plan) const {
     if (!spdlog::should_log(spdlog::level::debug)) return;
     std::array<std::size_t, 3> unplaced{};  // by the kind of the job
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -97,7 +97,6 @@
     [[nodiscard]] const config::Team* team_of(const jobs::JobEntry& job) const;
     [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
                                  const cluster::Machine& machine, const scheduler::ZoneCounts& zones) const;
-    [[nodiscard]] std::size_t zone_of(const cluster::Machine& machine) const;
     void log_plan(const Plan& plan) const;
     void count_draws(const scheduler::Counts& counts);
 
--- /dev/null
+++ b/src/leader/stale_key_remover.hpp
@@ -0,0 +1,29 @@
+// Keys at the key-value store that mean nothing any more, such as the progress of jobs that are over: removed
+// when there is time, some at a time, at the priority of what no user waits for.
+//
+// Owns the set of these keys. On the event loop's thread.
+#pragma once
+#include <set>
+#include <string>
+
+#include "kv/kv_client.hpp"
+#include "leader/part_context.hpp"
+
+namespace coralhitch::leader {
+
+class StaleKeyRemover {
+  public:
+    StaleKeyRemover(const PartContext& context, kv::KvClient& kv);
+    void add(const std::string& key) { keys_.insert(key); }
+    // Sends the next transaction, if one is due, none is under way and the leader may act. Each tick.
+    void remove_some();
+
+  private:
+    const Authority& authority_;
+    const CallbackGuard& guarded_;
+    kv::KvClient& kv_;
+    std::set<std::string> keys_;
+    bool in_flight_ = false;
+};
+
+}  // namespace coralhitch::leader
