--- /dev/null
+++ b/tests/leader/job_store_test.cpp
@@ -0,0 +1,172 @@
+// What is written about jobs, and what is known of them after a write whose answer was lost.
+#include "leader/job_store.hpp"
+
+#include <gtest/gtest.h>
+
+#include "leader/dependency_resolver.hpp"
+#include "leader/job_watcher.hpp"
+#include "leader/leading_fixture.hpp"
+
+namespace coralhitch::leader {
+namespace {
+using Fate = FakeKeyValueStore::Fate;
+namespace keys = kv::keys;
+
+struct Bench : LeadingFixture {
+    bool stored(const std::string& key) { return service.kv.contains(key); }
+    void complete(const std::string& id) {
+        auto& job = *state->jobs.find(id);
+        for (std::uint32_t task = 0; task < job.spec->tasks; ++task) job.mark_done(task);
+    }
+    // Stores what is due until nothing is left, some report periods at the most.
+    void store() {
+        for (int k = 0; k < 30; ++k) {
+            store_part.store_due();
+            wait(settings.report_s / 6);
+        }
+    }
+    void store_final(const std::string& id, protocol::JobState end) {
+        service.kv[keys::final(id)] = {nlohmann::json::parse(protocol::stored(protocol::FinalRecord{end, 1})),
+                                       ++service.revision};
+    }
+    metrics::Metrics metrics;
+    int plans = 0, changes = 0;
+    std::vector<std::string> cancelled;
+    StaleKeyRemover stale_keys{*context, kv};
+    JobStore store_part{*context,
+                        kv,
+                        stale_keys,
+                        metrics,
+                        {[this](const std::string& id, std::uint64_t version, const std::string& value) {
+                             watcher.take_record(id, version, value);
+                         },
+                         [this] { ++plans; }, [] { return true; }}};
+    JobWatcher watcher{*context,
+                       kv,
+                       store_part,
+                       {[this](const std::string& id, jobs::JobEntry&) { cancelled.push_back(id); },
+                        [this] { ++changes; }, [this] { ++plans; }}};
+    DependencyResolver resolver{*context, kv, store_part, [this] { ++plans; }};
+};
+
+TEST(JobStore, StoresTheEndOfAJobAndDropsItFromTheTable) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    bench.add_job("j-000001", 2);
+    bench.complete("j-000001");
+    bench.store();
+    EXPECT_EQ(bench.state->jobs.find("j-000001"), nullptr);
+    EXPECT_FALSE(bench.stored(keys::job("j-000001")));
+    ASSERT_TRUE(bench.stored(keys::final("j-000001")));
+    EXPECT_EQ(protocol::parse_final_record(bench.service.kv[keys::final("j-000001")].first.dump()).state,
+              protocol::JobState::done);
+}
+
+TEST(JobStore, StoresProgressOfAJobThatGoesOn) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    auto& job = bench.add_job("j-000001", 2);
+    job.mark_done(0);
+    bench.store();
+    EXPECT_TRUE(job.unstored.empty());
+    ASSERT_EQ(job.blocks.size(), 1u);
+    EXPECT_TRUE(bench.stored(keys::progress_of("j-000001", job.blocks.begin()->first)));
+    EXPECT_FALSE(job.writing);
+}
+
+TEST(JobStore, FindsOutThatAnEndWasStoredThoughItsAnswerWasLost) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    bench.add_job("j-000001", 1);
+    bench.complete("j-000001");
+    bench.service.fates = {Fate::lost_after};
+    bench.store();
+    EXPECT_EQ(bench.state->jobs.find("j-000001"), nullptr);
+    EXPECT_TRUE(bench.stored(keys::final("j-000001")));
+}
+
+TEST(JobStore, TakesInACancellationThatAnEndRunsInto) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    auto record = protocol::JobRecord{*bench.add_job("j-000001", 1).spec, 1, true};
+    bench.complete("j-000001");
+    bench.service.kv[keys::job("j-000001")] = {nlohmann::json::parse(protocol::stored(record)),
+                                               ++bench.service.revision};
+    bench.store();
+    EXPECT_EQ(bench.cancelled, std::vector<std::string>{"j-000001"});
+    EXPECT_EQ(protocol::parse_final_record(bench.service.kv[keys::final("j-000001")].first.dump()).state,
+              protocol::JobState::cancelled);
+}
+
+TEST(JobStore, WritesNothingOnceTheLeadershipHasEnded) {
+    Bench bench;
+    bench.add_job("j-000001", 1);
+    bench.complete("j-000001");
+    bench.authority->end();
+    bench.store();
+    EXPECT_FALSE(bench.stored(keys::final("j-000001")));
+}
+
+TEST(JobWatcher, CancelsAJobOnce) {
+    Bench bench;
+    auto& job = bench.add_job("j-000001", 1);
+    EXPECT_TRUE(bench.watcher.cancelled("j-000001", job.version + 1));
+    EXPECT_FALSE(bench.watcher.cancelled("j-000001", job.version + 1));
+    EXPECT_FALSE(bench.watcher.cancelled("not read yet", 9));
+    EXPECT_EQ(bench.cancelled, std::vector<std::string>{"j-000001"});
+}
+
+TEST(JobWatcher, StopsACancelledJobWhoseRecordCannotBeRead) {
+    Bench bench;
+    auto& job = bench.add_job("j-000001", 1);
+    EXPECT_FALSE(bench.watcher.take_record("j-000001", job.version + 1, R"({"cancelled":false})"));
+    EXPECT_TRUE(bench.cancelled.empty());
+    EXPECT_TRUE(bench.watcher.take_record("j-000001", job.version + 2, R"({"cancelled":true})"));
+    EXPECT_EQ(bench.cancelled, std::vector<std::string>{"j-000001"});
+}
+
+TEST(JobWatcher, AuditTakesInAJobThatTheWatchLost) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    bench.add_job("j-000001", 1);
+    protocol::JobRecord lost{*bench.state->jobs.find("j-000001")->spec, 1, false};
+    lost.job.id = "j-000002";
+    bench.service.kv[keys::job("j-000002")] = {nlohmann::json::parse(protocol::stored(lost)),
+                                               ++bench.service.revision};
+    bench.timers.run_until(bench.settings.lease_s * 5);
+    bench.watcher.audit();
+    bench.wait(1);
+    EXPECT_NE(bench.state->jobs.find("j-000002"), nullptr);
+    EXPECT_GT(bench.plans, 0);
+}
+
+TEST(DependencyResolver, ReleasesAJobWhoseDependencyIsDone) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    auto& job = bench.add_job("j-000002", 1, {"j-000001"});
+    bench.resolver.resolve();
+    bench.wait(1);
+    EXPECT_TRUE(job.awaiting()) << "no final record so far";
+    bench.store_final("j-000001", protocol::JobState::done);
+    bench.resolver.resolve();
+    bench.wait(1);
+    EXPECT_TRUE(job.awaiting()) << "it was read before";
+    bench.resolver.retry();
+    bench.wait(1);
+    EXPECT_FALSE(job.awaiting());
+    EXPECT_FALSE(job.cancelled);
+    EXPECT_EQ(bench.plans, 1);
+}
+
+TEST(DependencyResolver, CancelsAJobWhoseDependencyWasCancelled) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    auto& job = bench.add_job("j-000002", 1, {"j-000001"});
+    bench.store_final("j-000001", protocol::JobState::cancelled);
+    bench.resolver.resolve();
+    bench.wait(1);
+    EXPECT_TRUE(job.cancelled);
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/tests/leader/leading_fixture.hpp
@@ -0,0 +1,93 @@
+// A leadership that has just begun, for tests of the leader's parts: an election won at a key-value store in
+// memory, empty state, and the context that every part is given.
+#pragma once
+#include <spdlog/spdlog.h>
+
+#include <memory>
+#include <string>
+
+#include "kv/keys.hpp"
+#include "leader/part_context.hpp"
+#include "support/fake_key_value_store.hpp"
+
+namespace coralhitch::leader {
+
+// Answers requests for leases, which FakeKeyValueStore does not know; passes on all others.
+class FakeLeases : public http::Requester {
+  public:
+    FakeLeases(FakeTimers& timers, http::Requester& store) : timers_(timers), store_(store) {}
+    void send(const std::string& addr, http::Request request, double timeout, http::Result result) override {
+        if (addr.empty() && request.target.starts_with("/holds"))
+            timers_.after(0.01, [result] { result(http::Response{200, R"({"mooring":1})"}); });
+        else
+            store_.send(addr, std::move(request), timeout, std::move(result));
+    }
+
+  private:
+    FakeTimers& timers_;
+    http::Requester& store_;
+};
+
+struct LeadingFixture {
+    static config::Settings settings_of_one() {
+        config::Settings settings;
+        settings.label = "controller-0";
+        settings.cloud_addr = "cloud";
+        settings.report_s = 3;
+        settings.lease_s = 30;
+        settings.state_rps = 100;
+        settings.state_write_rps = 50;
+        settings.cloud_rps = 10;
+        settings.value_kb = settings.safe_value_kb = 16;
+        settings.txn_ops = 24;
+        return settings;
+    }
+    LeadingFixture() {
+        spdlog::set_level(spdlog::level::off);
+        election.start({[this](std::uint64_t token) { begin(token); }, [] {}});
+        wait(5);
+    }
+    void wait(double seconds) { timers.run_until(timers.now() + seconds); }
+    bool leads() const { return authority && authority->holds(); }
+    // Stores a live job, and enters it in the job table as if it had been read.
+    jobs::JobEntry& add_job(const std::string& id, std::uint32_t tasks,
+                            std::vector<std::string> awaits = {}) {
+        protocol::JobRecord record;
+        record.job.id = id;
+        record.job.cls = "batch";
+        record.job.team = "t";
+        record.job.image = "img";
+        record.job.request = {1, 0, 1};
+        record.job.tasks = tasks;
+        record.job.estimate_s = 10;
+        record.job.awaits = std::move(awaits);
+        service.kv[kv::keys::job(id)] = {nlohmann::json::parse(protocol::stored(record)), ++service.revision};
+        state->jobs.put(id, service.revision, record);
+        return *state->jobs.find(id);
+    }
+
+    FakeTimers timers;
+    FakeKeyValueStore service{timers};
+    FakeLeases network{timers, service};
+    config::Settings settings = settings_of_one();
+    kv::KvClient kv{timers, network, settings};
+    election::Election election{timers, kv, settings, 77, 1};
+    const std::vector<protocol::MachineType> types{{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a", "b"}}};
+    std::shared_ptr<int> leader = std::make_shared<int>();  // what callbacks keep alive
+    std::unique_ptr<Authority> authority;
+    std::unique_ptr<CallbackGuard> guarded;
+    std::unique_ptr<LeaderState> state;
+    std::unique_ptr<PartContext> context;
+
+  private:
+    void begin(std::uint64_t token) {
+        authority =
+            std::make_unique<Authority>(timers, settings, election, token, [this] { return timers.now(); });
+        guarded = std::make_unique<CallbackGuard>(*authority);
+        guarded->bind(leader);
+        state = std::make_unique<LeaderState>(token, types, settings.value_kb);
+        context = std::make_unique<PartContext>(PartContext{timers, settings, *state, *authority, *guarded});
+    }
+};
+
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -0,0 +1,71 @@
+// What the scheduler and the autoscaler get to see of the state.
+#include "leader/plan_snapshot.hpp"
+
+#include <gtest/gtest.h>
+
+#include "leader/leading_fixture.hpp"
+
+namespace coralhitch::leader {
+namespace {
+
+struct Bench : LeadingFixture {
+    scheduler::Input input() {
+        return scheduler_input(*state, settings.teams, {timers.now(), timers.unix_time()});
+    }
+};
+
+TEST(PlanSnapshot, LeavesOutJobsThatAwaitOthers) {
+    Bench bench;
+    bench.add_job("j-000001", 3);
+    bench.add_job("j-000002", 2, {"j-000001"});
+    auto in = bench.input();
+    ASSERT_EQ(in.jobs.size(), 1u);
+    EXPECT_EQ(in.jobs[0].spec->id, "j-000001");
+    EXPECT_EQ(in.jobs[0].waiting.size(), 3u);
+    EXPECT_TRUE(any_task_waits(*bench.state, bench.timers.now()));
+}
+
+TEST(PlanSnapshot, StartsNoTaskOfAJobThatMayNotStartAny) {
+    Bench bench;
+    auto& job = bench.add_job("j-000001", 3);
+    EXPECT_TRUE(may_start_tasks(job, bench.timers.now()));
+    job.not_before = bench.timers.now() + 1;
+    EXPECT_FALSE(may_start_tasks(job, bench.timers.now()));
+    EXPECT_TRUE(may_start_tasks(job, bench.timers.now() + 1));
+    job.not_before = 0;
+    job.orphans = 1;
+    EXPECT_FALSE(may_start_tasks(job, bench.timers.now()));
+    EXPECT_FALSE(any_task_waits(*bench.state, bench.timers.now()));
+    auto in = bench.input();
+    ASSERT_EQ(in.jobs.size(), 1u);
+    EXPECT_FALSE(in.jobs[0].startable);
+    EXPECT_TRUE(in.jobs[0].waiting.empty());
+}
+
+TEST(PlanSnapshot, TriesAJobOnProbationOneTaskAtATime) {
+    Bench bench;
+    auto& job = bench.add_job("j-000001", 3);
+    job.failures = jobs::JobEntry::patience + 1;
+    EXPECT_EQ(bench.input().jobs.at(0).waiting.size(), 1u);
+    job.active[0] = {"vm-1", 1, 0};
+    EXPECT_TRUE(bench.input().jobs.at(0).waiting.empty());
+}
+
+TEST(PlanSnapshot, CountsTheMachinesThatTheAutoscalerCannotRelyOn) {
+    Bench bench;
+    using Life = cluster::Machine::Life;
+    auto& cluster = bench.state->cluster;
+    cluster.add("vm-booting", "", "g4", "a", false, Life::booting, bench.timers.now());
+    cluster.add("vm-leaving", "", "g4", "a", false, Life::marked_for_deletion, bench.timers.now());
+    cluster.add("vm-unreconciled", "", "g4", "a", false, Life::up, bench.timers.now());
+    auto planned = bench.input();
+    autoscaler::Input in;
+    add_machines_and_demand(in, *bench.state, planned, {}, bench.timers.now());
+    ASSERT_EQ(in.machines.size(), 1u);
+    EXPECT_EQ(in.machines[0].id, "vm-booting");
+    EXPECT_TRUE(in.machines[0].booting);
+    EXPECT_EQ(in.others, 2u);
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
