--- /dev/null
+++ b/tests/leader/plan_executor_test.cpp
@@ -0,0 +1,137 @@
+// Plans are made when something waits, and what they start is checked again when they are applied.
+#include "leader/plan_executor.hpp"
+
+#include <gtest/gtest.h>
+
+#include "leader/leading_fixture.hpp"
+
+namespace coralhitch::leader {
+namespace {
+
+// Keeps the work until the test has it done: things can happen between a plan and its application.
+class HeldPlanner : public Planner {
+  public:
+    void submit(Work work) override { works.push_back(std::move(work)); }
+    void compute() {
+        for (auto& work : std::exchange(works, {})) results.push_back(work());
+    }
+    void apply() {
+        for (auto& result : std::exchange(results, {})) result();
+    }
+    std::vector<Work> works;
+    std::vector<event_loop::Task> results;
+};
+
+struct Bench : LeadingFixture {
+    Bench() {
+        settings.teams = {{"t", 1000, 1000, 100, 100}};
+        for (auto* id : {"vm-1", "vm-2"}) {
+            auto& machine =
+                state->cluster.add(id, "", "g4", "a", false, cluster::Machine::Life::up, timers.now());
+            machine.reconciled = machine.stored = true;
+            machine.agent_epoch = 1;
+            machine.total = types[0].room;
+        }
+    }
+    void plan() {
+        executor.request_plan();
+        wait(settings.report_s);
+        planner.compute();
+    }
+    std::size_t placed() {
+        std::size_t tasks = 0;
+        for (auto& [id, machine] : state->cluster.machines()) tasks += machine.tasks.size();
+        return tasks;
+    }
+    jobs::JobEntry& add_gang(const std::string& id, std::uint32_t tasks, double cpus) {
+        auto& job = add_job(id, tasks);
+        auto spec = *job.spec;
+        spec.kind = protocol::JobKind::gang;
+        spec.request = {cpus, 0, 1};
+        job.spec = std::make_shared<const protocol::Job>(spec);
+        return job;
+    }
+    HeldPlanner planner;
+    metrics::Metrics metrics;
+    std::vector<protocol::MachineType> no_types;  // so that no plan is one of the fleet, too
+    cloud::CloudClient cloud{timers, network, settings};
+    FleetScaler scaler{*context, cloud, no_types, [](std::size_t) { return false; }};
+    AttemptNumbers attempts{kv, authority->fencing_token(),
+                            [this] { return authority->begin_transaction(); }};
+    failover::Reconciliation reconciliation{state->cluster, settings.report_s};
+    cluster::TeamActivity team_activity;
+    bool loaded = true;
+    std::vector<StartedTask> started;
+    int applied = 0;
+    PlanExecutor executor{
+        *context,
+        {planner, scaler, attempts, reconciliation, team_activity, metrics},
+        {[this] { return loaded; }, [] { return true; }, [](cluster::Machine&, const char*) {},
+         [this](const std::vector<StartedTask>& tasks) {
+             ++applied;
+             started = tasks;
+         }},
+        1};
+};
+
+TEST(PlanExecutor, StartsWaitingTasks) {
+    Bench bench;
+    ASSERT_TRUE(bench.leads());
+    bench.add_job("j-000001", 3);
+    bench.plan();
+    bench.planner.apply();
+    EXPECT_EQ(bench.started.size(), 3u);
+    EXPECT_EQ(bench.placed(), 3u);
+    EXPECT_EQ(bench.state->jobs.find("j-000001")->active.size(), 3u);
+}
+
+TEST(PlanExecutor, MakesNoPlanIfNothingWaitsOrNothingIsLoaded) {
+    Bench bench;
+    bench.plan();
+    EXPECT_TRUE(bench.planner.results.empty());
+    bench.add_job("j-000001", 3);
+    bench.loaded = false;
+    bench.plan();
+    EXPECT_TRUE(bench.planner.results.empty());
+}
+
+TEST(PlanExecutor, ChecksStartsAgainWhenItAppliesThem) {
+    Bench bench;
+    bench.add_job("j-000001", 3);
+    bench.add_job("j-000002", 2);
+    bench.plan();
+    bench.state->jobs.cancel("j-000001", 1000);
+    bench.planner.apply();
+    EXPECT_EQ(bench.started.size(), 2u);
+    for (auto& start : bench.started) EXPECT_EQ(start.task.job, "j-000002");
+}
+
+TEST(PlanExecutor, StartsAllOfAGangOrNone) {
+    Bench bench;
+    bench.add_gang("j-000001", 2, 10);  // one task to a machine
+    bench.plan();
+    bench.state->cluster.find("vm-2")->suspected = true;
+    bench.planner.apply();
+    EXPECT_EQ(bench.applied, 1);
+    EXPECT_TRUE(bench.started.empty());
+    EXPECT_EQ(bench.placed(), 0u);
+    EXPECT_TRUE(bench.state->jobs.find("j-000001")->active.empty());
+
+    bench.state->cluster.find("vm-2")->suspected = false;
+    bench.plan();
+    bench.planner.apply();
+    EXPECT_EQ(bench.started.size(), 2u);
+}
+
+TEST(PlanExecutor, AppliesNothingOnceTheLeadershipHasEnded) {
+    Bench bench;
+    bench.add_job("j-000001", 3);
+    bench.plan();
+    bench.authority->end();
+    bench.planner.apply();
+    EXPECT_EQ(bench.applied, 0);
+    EXPECT_EQ(bench.placed(), 0u);
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
