--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -60,23 +60,22 @@
 void LiveJobs::read_all(std::vector<Question> batch) {
     state_.list(keys::jobs, kv::RequestPriority::read,
                 [this, batch = std::move(batch)](kv::ListResult l) mutable {
-                    if (l.ok) {
+                    if (l.ok()) {
                         jobs_.clear();
                         awaits_.clear();
                         for (auto& e : l.entries) take(e.key, e.version, &e.value);
                         revision_ = l.revision;
                     }
-                    answer(std::move(batch), l.ok);
+                    answer(std::move(batch), l.ok());
                 });
 }
 void LiveJobs::read_changes(std::vector<Question> batch) {
-    using S = kv::WatchResult::Status;
     state_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](kv::WatchResult w) mutable {
-        if (w.status == S::too_old) {
+        if (w.compacted()) {
             revision_ = 0;
             return read_all(std::move(batch));
         }
-        if (w.status != S::ok) return answer(std::move(batch), false);
+        if (!w.ok()) return answer(std::move(batch), false);
         dropped_ = 0;
         for (auto& e : w.events.events) take(e.key, e.version, e.value ? &*e.value : nullptr);
         auto since = std::exchange(revision_, std::max(revision_, w.events.revision));
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -115,7 +115,7 @@
 }
 void UserApi::send_read(const std::string& id, kv::RequestPriority rank) {
     state_.get(keys::final(id), rank, [this, id, rank](kv::GetResult f) {
-        Known k{f.ok, {}, {}};
+        Known k{f.ok(), {}, {}};
         if (f.entry) try {
                 k.final = protocol::parse_final_record(f.entry->value);
                 keep_final(id, *k.final);
@@ -177,7 +177,7 @@
             if (k.unknown()) return reply(refusal);
             answer_known(id, k, false, reply);
         },
-        kv::RequestPriority::accept);
+        kv::RequestPriority::submission);
 }
 
 void UserApi::submit(const std::string& body, http::Reply reply) {
@@ -217,7 +217,7 @@
             if (admission_.admit(s->job.team, timers_.now())) return look_up_awaited(s);
             refuse_for_now(s);
         },
-        kv::RequestPriority::accept);
+        kv::RequestPriority::submission);
 }
 
 // A repetition costs no change: users who looked closely repeated each submission at all controllers, and the
@@ -246,7 +246,7 @@
             if (auto it = storing_.find(id); it != storing_.end()) return it->second.push_back(s->reply);
             admit(s);
         },
-        kv::RequestPriority::accept);
+        kv::RequestPriority::submission);
 }
 void UserApi::admit(std::shared_ptr<Submission> s) {
     if (admission_.admit(s->job.team, timers_.now())) return store(s);
@@ -278,7 +278,7 @@
                 }
                 if (--s->asked == 0) judge_awaited(s);
             },
-            kv::RequestPriority::accept);
+            kv::RequestPriority::submission);
 }
 void UserApi::judge_awaited(std::shared_ptr<Submission> s) {
     if (!s->unknown.empty())
@@ -313,7 +313,7 @@
         if (others)
             for (auto& other : others.mapped()) refuse_unless_known(id, later(), other);
     };
-    state_.txn(std::move(t), kv::RequestPriority::accept, [this, id, s](kv::TxnResult c) {
+    state_.txn(std::move(t), kv::RequestPriority::submission, [this, id, s](kv::TxnResult c) {
         using S = kv::TxnResult::Status;
         if (c.status == S::committed)
             return s->reply(status(201, {id, s->cancelled ? JobState::cancelled : JobState::queued, {}, {}}));
@@ -354,8 +354,8 @@
 void UserApi::send_cancel(const std::string& id, http::Reply reply, int tries) {
     if (tries >= cancel_tries) return reply(later());
     // The record itself is needed, to be written again.
-    state_.get(keys::job(id), kv::RequestPriority::user, [this, id, reply, tries](kv::GetResult f) {
-        if (!f.ok) return reply(later());
+    state_.get(keys::job(id), kv::RequestPriority::cancellation, [this, id, reply, tries](kv::GetResult f) {
+        if (!f.ok()) return reply(later());
         if (f.entry) return store_cancelled(id, *f.entry, reply, tries);
         read_final(id, [this, id, reply](Known k) { answer(id, k, false, reply); });
     });
@@ -383,7 +383,7 @@
     if (value.size() > state_.limits().value_bytes())
         value = protocol::stored(protocol::shortened(std::move(record)));
     t.changes = {{keys::job(id), std::move(value), 0}};
-    state_.txn(std::move(t), kv::RequestPriority::user, [this, id, reply, tries](kv::TxnResult c) {
+    state_.txn(std::move(t), kv::RequestPriority::cancellation, [this, id, reply, tries](kv::TxnResult c) {
         using S = kv::TxnResult::Status;
         if (c.status == S::committed) {
             cluster_.cancelled(id, c.revision);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -26,8 +26,8 @@
 // After giving way, a controller keeps its leadership for this many worker leases, even if it hears nobody.
 constexpr double resign_leases = 4;
 constexpr std::pair<kv::RequestPriority, const char*> queue_names[] = {
-    {kv::RequestPriority::user, "cancellations"},
-    {kv::RequestPriority::accept, "acceptances"},
+    {kv::RequestPriority::cancellation, "cancellations"},
+    {kv::RequestPriority::submission, "acceptances"},
     {kv::RequestPriority::write, "writes"},
     {kv::RequestPriority::read, "looks"}};
 http::Response packed(std::string body) {
@@ -157,7 +157,7 @@
 // --- Health ---------------------------------------------------------------------------------------------
 
 bool Controller::state_ok() const {
-    return state_.answering() && timers_.now() - state_.last_answer() < settings_.report_s;
+    return state_.answered_within(settings_.report_s);
 }
 bool Controller::healthy() const {
     if (!state_seen_ || types_.empty()) return false;
@@ -183,7 +183,7 @@
         worse_since_ = timers_.now();
     heard_.tidy(timers_.now());
     state_.get(kv::keys::leader, kv::RequestPriority::lease,
-               [this](kv::GetResult f) { state_seen_ |= f.ok; });
+               [this](kv::GetResult f) { state_seen_ |= f.ok(); });
     users_.live_jobs().keep_up();
     if (sockets_ && sockets_->refused() > sockets_refused_) {
         sockets_refused_ = sockets_->refused();
@@ -373,7 +373,7 @@
         metrics_.gauge("sockets refused: " + name, static_cast<double>(use.refused));
     }
     metrics_.gauge("live_jobs", static_cast<double>(live.size()));
-    for (auto& [what, n] : state_.changes()) metrics_.gauge("state_changes_" + what, n);
+    for (auto& [what, n] : state_.changes_by_kind()) metrics_.gauge("state_changes_" + what, n);
     for (auto& [rank, name] : queue_names) {
         auto& q = state_.queue_counts(rank);
         auto of = std::string("queue_") + name;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -64,7 +64,7 @@
     if (role_ != Role::following) return;
     state_.get(kv::keys::leader, kv::RequestPriority::lease, [this](kv::GetResult f) {
         if (role_ != Role::following) return;
-        if (!f.ok) return retry_look();
+        if (!f.ok()) return retry_look();
         if (!f.entry) return vacant();
         vacant_since_ = -1;
         saw(*f.entry);
@@ -98,8 +98,8 @@
 void Election::follow(std::uint64_t revision) {
     state_.watch(kv::keys::leader, revision, ttl_, [this, revision](kv::WatchResult w) {
         if (role_ != Role::following) return;
-        if (w.status == kv::WatchResult::Status::too_old) return follow_late();
-        if (w.status != kv::WatchResult::Status::ok) return retry_look();
+        if (w.compacted()) return follow_late();
+        if (!w.ok()) return retry_look();
         std::uint64_t next = std::max(revision, w.events.revision);
         bool ended = false, again = false;
         for (auto& e : w.events.events) {
@@ -123,7 +123,7 @@
 void Election::follow_late() {
     state_.list(kv::keys::leader, kv::RequestPriority::lease, [this](kv::ListResult l) {
         if (role_ != Role::following) return;
-        bool same = l.ok && l.entries.size() == 1 && l.entries[0].version == leader_version_ &&
+        bool same = l.ok() && l.entries.size() == 1 && l.entries[0].version == leader_version_ &&
                     !chain_.links.empty() && chain_.links.back().version == leader_version_;
         if (!same) return retry_look();
         chain_.known_until = std::max(chain_.known_until, l.revision);
@@ -166,7 +166,7 @@
 void Election::check_claim(kv::LeaseResult lease) {
     state_.get(kv::keys::leader, kv::RequestPriority::lease, [this, lease](kv::GetResult f) {
         if (role_ != Role::campaigning) return;
-        if (f.ok && f.entry) {
+        if (f.ok() && f.entry) {
             try {
                 auto r = protocol::parse_leader_record(f.entry->value);
                 if (r.incarnation == incarnation_ && f.entry->lease == lease.id)
@@ -185,7 +185,7 @@
     version_ = version;
     vacant_since_ = -1;
     lease_ = lease.id;
-    authority_until_ = usable(lease.sent);
+    authority_until_ = usable(lease.sent_at);
     leader_ = settings_.label;
     leader_version_ = version;
     ++round_;
@@ -201,9 +201,9 @@
     auto round = round_;
     state_.renew_lease(lease_, ttl_ / 3, [this, round](kv::LeaseResult a) {
         if (round != round_ || role_ != Role::leading) return;
-        if (a.status == kv::LeaseResult::Status::gone) return lose();
+        if (a.status == kv::LeaseResult::Status::expired) return lose();
         bool ok = a.status == kv::LeaseResult::Status::ok;
-        if (ok) authority_until_ = std::max(authority_until_, usable(a.sent));
+        if (ok) authority_until_ = std::max(authority_until_, usable(a.sent_at));
         double next = ok ? ttl_ / renewals_per_ttl : ttl_ / (renewals_per_ttl * 4);
         timers_.after(next, [this, round] {
             if (round == round_ && role_ == Role::leading) renew();
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -45,7 +45,7 @@
 // Who followed the leader before.
 void RecoveryLoader::read_record() {
     state_.get(keys::standby, RequestPriority::write, guarded_([this](kv::GetResult f) {
-                   if (!f.ok) return again();
+                   if (!f.ok()) return again();
                    found_.record_version = f.entry ? f.entry->version : 0;
                    evidence_.record.reset();
                    if (f.entry) try {
@@ -59,8 +59,8 @@
 // Which leaders there were since this controller last knew.
 void RecoveryLoader::read_history() {
     state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::WatchResult w) {
-                     if (w.status == kv::WatchResult::Status::failed) return again();
-                     evidence_.history = w.status == kv::WatchResult::Status::ok;
+                     if (!w.ok() && !w.compacted()) return again();
+                     evidence_.history = w.ok();
                      evidence_.since.clear();
                      for (auto& e : w.events.events)
                          if (e.key == keys::leader && e.value && e.version != evidence_.version)
@@ -71,7 +71,7 @@
 void RecoveryLoader::list(const std::string& prefix, kv::ListResult GetResult::*into,
                           std::function<void()> then) {
     state_.list(prefix, RequestPriority::write, guarded_([this, into, then](kv::ListResult l) {
-                    if (!l.ok) return again();
+                    if (!l.ok()) return again();
                     found_.*into = std::move(l);
                     then();
                 }));
--- a/src/kv/kv_client.hpp
+++ b/src/kv/kv_client.hpp
@@ -1,142 +1,106 @@
-// The key-value store as the controllers use it, within this controller's share of the request budget.
+// Client of the consensus-backed key-value store, the only place where controllers keep state.
+//
+// All requests of this controller pass through one queue by priority and keep to this controller's share of
+// the store's request budget (request_queue.hpp, request_budget.hpp).
+//
+// Consistency: reads and transactions are linearizable. A key's version is the store's revision at which it
+// was last put, so versions only grow; a condition names the version that a key must have, 0 for "no such
+// key".
+//
+// Everything runs on the event loop's thread. Each callback is called exactly once, and never from within the
+// call that it was given to unless the transport answers at once. The client doesn't guard its callers'
+// lifetime: whoever may be gone by the time of the answer wraps its callback in an event_loop::LifetimeGuard.
+// No call throws for what the store does; see results.hpp for what can go wrong.
 #pragma once
-#include <array>
-#include <deque>
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
+#include <optional>
+#include <string>
 
 #include "config/settings.hpp"
 #include "event_loop/timers.hpp"
-#include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
+#include "kv/request_budget.hpp"
+#include "kv/request_queue.hpp"
+#include "kv/results.hpp"
+#include "kv/size_limits.hpp"
 #include "protocol/protocol.hpp"
 
 namespace coralhitch::kv {
 
-// Who goes first when the budget is short. Lease calls never wait; then come cancellations (user),
-// acceptances, the leader's own writes, and what is only read.
-enum class RequestPriority { lease, user, accept, write, read, background };
-inline constexpr std::size_t ranks = 6;
-
-// How long users wait for an answer (seconds): to a submission or cancellation, and to a question.
-inline constexpr double submission_timeout_s = 5, read_timeout_s = 2;
+class KvClient {
+  public:
+    using OnGet = std::function<void(GetResult)>;
+    using OnList = std::function<void(ListResult)>;
+    using OnWatch = std::function<void(WatchResult)>;
+    using OnTxn = std::function<void(TxnResult)>;
+    using OnLease = std::function<void(LeaseResult)>;
+    using OnLeaseEnded = std::function<void(bool ended)>;
 
-// What became of the calls of one rank in this controller's own queue.
-struct QueueCounts {
-    double sent = 0, refused = 0;             // refused: never sent, nobody would have waited for the answer
-    double waited_s = 0, longest_wait_s = 0;  // of those sent: in all, and the longest
-};
+    // Starts with a follower's share of the budget. The references must outlive the client, and the client
+    // its timers and requests.
+    KvClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
 
-struct GetResult {
-    bool ok = false;  // false: not answered; nothing is known
-    std::optional<protocol::Entry> entry;
-};
-struct ListResult {
-    bool ok = false;
-    std::vector<protocol::Entry> entries;
-    std::uint64_t revision = 0;  // of the first page: changes after it are found by watching from here
-};
-struct WatchResult {
-    enum class Status { ok, too_old, failed } status = Status::failed;
-    protocol::Events events;
-};
-struct TxnResult {
-    enum class Status {
-        committed,
-        conflict,  // a condition failed; nothing was changed
-        refused,   // not executed
-        rejected,  // never executed as it is: a value or the transaction is too large
-        unknown    // may have been executed, or may still be: read, then decide
-    } status = Status::unknown;
-    std::uint64_t revision = 0;
-    std::vector<std::string> failed;
-    bool failed_on(const std::string& key) const;
-    bool executed_never() const { return status == Status::refused || status == Status::rejected; }
-};
+    // Reads one key.
+    void get(const std::string& key, RequestPriority priority, OnGet on_get);
+    // Reads all keys with a prefix, page by page: not a snapshot, see ListResult::revision.
+    void list(const std::string& prefix, RequestPriority priority, OnList on_list);
+    // Executes a compare-and-swap transaction.
+    void txn(protocol::Txn transaction, RequestPriority priority, OnTxn on_txn);
 
-// How large a transaction and a value may be: what the settings promise, and less once the key-value store
-// has refused that. A refusal does not say what was too large, so the next transactions are split first; if
-// one with hardly any changes is refused still, its largest value was too large.
-class Limits {
-  public:
-    explicit Limits(const config::Settings& settings);
-    std::size_t txn_ops() const { return txn_ops_; }
-    std::size_t value_bytes() const { return value_bytes_; }
-    void refused(const protocol::Txn& t);
-    static constexpr std::size_t least_ops = 2, least_bytes = 256;
+    // Reads the changes to keys with a prefix since a store revision. The store waits up to `wait_s` seconds
+    // for the first one; with 0 it answers at once, and the answer proves that nothing else was committed
+    // before the request was sent. `timeout_s` is for an answer at once only; a quarter of the report period
+    // if absent.
+    void watch(const std::string& prefix, std::uint64_t since_revision, double wait_s, OnWatch on_watch,
+               std::optional<double> timeout_s = {});
 
-  private:
-    std::size_t promised_ops_, txn_ops_, value_bytes_;
-};
-struct LeaseResult {
-    enum class Status { ok, gone, failed } status = Status::failed;
-    std::uint64_t id = 0;
-    double sent = 0;  // steady time when the request went out
-};
+    // Leases: the store deletes a lease's keys when it was not renewed for its time to live.
+    void create_lease(double ttl_s, OnLease on_lease);
+    void renew_lease(std::uint64_t lease_id, double timeout_s, OnLease on_lease);
+    // Ends a lease before its time. `ended` is false if the store did not confirm it: it runs out by itself.
+    void end_lease(std::uint64_t lease_id, OnLeaseEnded on_ended);
 
-class KvClient {
-  public:
-    KvClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
+    // Takes the leader's share of the budget, or a follower's.
+    void set_leading(bool leading) { budget_.set_leading(leading); }
+    // Whether less than half of the changes allowed at once are left: a transaction that would only fail on a
+    // condition is then worth a read before.
+    [[nodiscard]] bool short_of_changes() { return budget_.short_of_changes(timers_.now()); }
+    // How large transactions and values may be now; to be asked for each transaction.
+    [[nodiscard]] const SizeLimits& limits() const { return limits_; }
 
-    void get(const std::string& key, RequestPriority rank, std::function<void(GetResult)> done);
-    void list(const std::string& prefix, RequestPriority rank, std::function<void(ListResult)> done);
-    void txn(protocol::Txn t, RequestPriority rank, std::function<void(TxnResult)> done);
-    // Changes since a revision; waits for one, unless `wait_s` is 0. For an answer at once the caller has
-    // `patience_s`, or as long as a user who asks.
-    void watch(const std::string& prefix, std::uint64_t since, double wait_s,
-               std::function<void(WatchResult)> done, std::optional<double> patience_s = {});
-    void create_lease(double ttl_s, std::function<void(LeaseResult)> done);
-    void renew_lease(std::uint64_t id, double timeout_s, std::function<void(LeaseResult)> done);
-    void end_lease(std::uint64_t id, std::function<void(bool)> done);
+    // Whether the latest answer or failure was an answer, and not longer than that many seconds ago.
+    [[nodiscard]] bool answered_within(double seconds) const;
 
-    // The leader writes most: it gets half of the requests and three fifths of the changes, the others share
-    // the rest.
-    void set_leading(bool leading);
-    // Whether less than half of the changes allowed at once are left: a change that would only fail on a
-    // condition is then worth a read before.
-    bool short_of_changes();
-    const QueueCounts& queue_counts(RequestPriority rank) const {
-        return counts_[static_cast<std::size_t>(rank)];
+    // For metrics, since the process began.
+    [[nodiscard]] const QueueCounts& queue_counts(RequestPriority priority) const {
+        return queue_.counts(priority);
     }
-    const Limits& limits() const { return limits_; }
-    // Changes sent so far, by what they are for (the first part of the key), and how many calls were refused
-    // with 400.
-    const std::map<std::string, double>& changes() const { return changes_; }
-    std::uint64_t rejections() const { return rejections_; }
-    bool answering() const { return answering_; }
-    double last_answer() const { return last_answer_; }
+    // Changes sent, by kind: the first part of the key.
+    [[nodiscard]] const std::map<std::string, double>& changes_by_kind() const { return changes_by_kind_; }
+    // Transactions that the store rejected as too large or malformed.
+    [[nodiscard]] std::uint64_t rejections() const { return rejections_; }
 
   private:
-    struct Call {
-        http::Request request;
-        double timeout = 0, deadline = 0, writes = 0;
-        http::Result result;
-        double queued = 0;  // steady time
-    };
-    double patience(RequestPriority rank) const;
-    bool hopeless(RequestPriority rank, const Call& call);
-    void refuse(RequestPriority rank, http::Result result);
-    void submit(RequestPriority rank, Call call);
-    void send(Call call);
-    void pump();
-    void list_page(std::string prefix, RequestPriority rank, std::shared_ptr<ListResult> acc,
-                   std::string after, std::function<void(ListResult)> done);
-    double timeout() const;
+    struct ListInProgress;
+    void send(PendingRequest request);
+    void list_page(std::shared_ptr<ListInProgress> list);
+    void count_changes(const protocol::Txn& transaction);
+    void handle_rejection(const protocol::Txn& transaction);
+    [[nodiscard]] double default_timeout_s() const;
 
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    event_loop::TokenBucket requests_, writes_;
-    event_loop::TokenBucket looks_;  // what single reads for users' questions may take of the requests
-    std::array<std::deque<Call>, ranks> queues_;
-    std::array<QueueCounts, ranks> counts_;
-    double changes_per_s_ = 0;
-    Limits limits_;
-    std::map<std::string, double> changes_;
+    RequestBudget budget_;
+    RequestQueue queue_;
+    SizeLimits limits_;
+    std::map<std::string, double> changes_by_kind_;
     std::uint64_t rejections_ = 0;
-    bool pump_armed_ = false;
-    bool answering_ = false;
-    double last_answer_ = -1;
+    bool latest_was_answered_ = false;
+    std::optional<double> last_answer_at_;  // steady time
 };
 
 }  // namespace coralhitch::kv
--- a/src/kv/list_watch.cpp
+++ b/src/kv/list_watch.cpp
@@ -5,49 +5,50 @@
 
 namespace coralhitch::kv {
 
-ListWatch::ListWatch(event_loop::Timers& timers, KvClient& state, std::string prefix, Pace pace,
-                     Events events)
+ListWatch::ListWatch(event_loop::Timers& timers, KvClient& kv, std::string prefix, Timing timing,
+                     Callbacks callbacks)
     : timers_(timers),
-      state_(state),
+      kv_(kv),
       prefix_(std::move(prefix)),
-      retry_s_(pace.retry_s),
-      events_(std::move(events)),
-      watch_{pace.wait_s, pace.gap_s, 0, 0},
-      confirm_{0, pace.confirm_s, pace.patience_s, 0} {}
+      retry_backoff_s_(timing.retry_backoff_s),
+      callbacks_(std::move(callbacks)),
+      watch_{timing.watch_wait_s, timing.watch_interval_s, 0, 0},
+      confirm_{0, timing.confirm_interval_s, timing.confirm_timeout_s, 0} {}
 
 void ListWatch::start(std::uint64_t revision, double listed_at) {
     watch_.revision = confirm_.revision = revision;
-    complete_at_ = listed_at;
-    read(watch_);
-    later(confirm_, confirm_.pause_s);
+    complete_until_ = listed_at;
+    read_changes(watch_);
+    schedule_read(confirm_, confirm_.interval_s);
 }
-void ListWatch::later(Reader& r, double pause_s) {
-    timers_.after(pause_s, guarded_([this, &r] { read(r); }));
+
+void ListWatch::schedule_read(Reader& reader, double delay_s) {
+    timers_.after(delay_s, guarded_([this, &reader] { read_changes(reader); }));
 }
 
-void ListWatch::read(Reader& r) {
-    double sent = timers_.now();
-    state_.watch(prefix_, r.revision, r.wait_s, guarded_([this, &r, sent](WatchResult w) {
-                     if (w.status == WatchResult::Status::too_old) return list(r);
-                     if (w.status != WatchResult::Status::ok) return later(r, retry_s_);
-                     r.revision = std::max(r.revision, w.events.revision);
-                     later(r, r.pause_s);
-                     events_.changed(w.events.events, std::min(watch_.revision, confirm_.revision));
-                     if (r.wait_s <= 0) complete_at_ = std::max(complete_at_, sent);
-                 }),
-                 r.patience_s);
+void ListWatch::read_changes(Reader& reader) {
+    double sent_at = timers_.now();
+    auto on_watch = [this, &reader, sent_at](WatchResult result) {
+        if (result.compacted()) return list_all(reader);
+        if (!result.ok()) return schedule_read(reader, retry_backoff_s_);
+        reader.revision = std::max(reader.revision, result.events.revision);
+        schedule_read(reader, reader.interval_s);
+        callbacks_.on_changes(result.events.events, std::min(watch_.revision, confirm_.revision));
+        if (reader.wait_s <= 0) complete_until_ = std::max(complete_until_, std::optional(sent_at));
+    };
+    kv_.watch(prefix_, reader.revision, reader.wait_s, guarded_(std::move(on_watch)), reader.timeout_s);
 }
 
-// Taken in several requests; the first says from which revision on changes are still to be read.
-void ListWatch::list(Reader& r) {
-    double sent = timers_.now();
-    state_.list(prefix_, RequestPriority::write, guarded_([this, &r, sent](ListResult l) {
-                    if (!l.ok) return later(r, retry_s_);
-                    r.revision = std::max(r.revision, l.revision);
-                    later(r, r.pause_s);
-                    events_.listed(l);
-                    complete_at_ = std::max(complete_at_, sent);
-                }));
+// Takes several requests; the first says from which revision on changes are still to be read.
+void ListWatch::list_all(Reader& reader) {
+    double sent_at = timers_.now();
+    kv_.list(prefix_, RequestPriority::write, guarded_([this, &reader, sent_at](ListResult result) {
+                 if (!result.ok()) return schedule_read(reader, retry_backoff_s_);
+                 reader.revision = std::max(reader.revision, result.revision);
+                 schedule_read(reader, reader.interval_s);
+                 callbacks_.on_listed(result);
+                 complete_until_ = std::max(complete_until_, std::optional(sent_at));
+             }));
 }
 
 }  // namespace coralhitch::kv
--- a/src/kv/list_watch.hpp
+++ b/src/kv/list_watch.hpp
@@ -1,12 +1,16 @@
-// Follows all keys with a prefix (list, then watch), and tells until when nothing of them can be missing.
+// Follows all keys with a prefix: a list, then a watch on the changes since (list-watch). It also says up to
+// which moment no committed change can be missing.
 //
-// A watch that waits brings changes soon, but proves nothing: it may be quiet because there was no change, or
-// because it waits through an outage, or through a refusal of this controller alone. So the changes are also
-// read, without waiting, every `confirm_s`. Such an answer shows all that was committed before its request
-// was sent; that moment is `complete_at`.
+// A watch that waits delivers changes soon but proves nothing: it may be quiet because there was no change,
+// or because it waits through an outage, or through one that hits this controller alone. So the changes are
+// also read without waiting, every `confirm_interval_s`. Such an answer holds all that was committed before
+// its request was sent; that moment is `complete_until`.
+//
+// Runs on the event loop's thread. Once it is destroyed, no callback is called any more.
 #pragma once
 #include <cstdint>
 #include <functional>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -18,47 +22,54 @@
 
 class ListWatch {
   public:
-    // Seconds.
-    struct Pace {
-        double wait_s = 0;      // a watch's
-        double gap_s = 0;       // between a watch and the next, so that changes come together
-        double retry_s = 0;     // after one that failed
-        double confirm_s = 0;   // between two reads of the changes
-        double patience_s = 0;  // for the answer to one: late is better than never
+    // All in seconds.
+    struct Timing {
+        double watch_wait_s = 0;        // how long the store may wait for a change
+        double watch_interval_s = 0;    // between a watch and the next, so that changes come together
+        double retry_backoff_s = 0;     // after a read that failed
+        double confirm_interval_s = 0;  // between two reads that don't wait
+        double confirm_timeout_s = 0;   // for the answer to one: a late one still proves something
     };
-    struct Events {
-        // The same change may come twice, and after newer ones of its key: go by the version. None up to
-        // `reconciled` comes any more.
-        std::function<void(const std::vector<protocol::Event>& events, std::uint64_t reconciled)> changed;
-        // Everything, since the changes were not kept for so long.
-        std::function<void(const ListResult& all)> listed;
+    struct Callbacks {
+        // The same change may come twice, and after newer ones of its key: compare versions. Every change up
+        // to store revision `delivered_until` has been delivered for the last time.
+        std::function<void(const std::vector<protocol::Event>& events, std::uint64_t delivered_until)>
+            on_changes;
+        // All keys, since the store no longer keeps the changes that are missing. Keys that are not among
+        // them were deleted.
+        std::function<void(const ListResult& all)> on_listed;
     };
-    ListWatch(event_loop::Timers& timers, KvClient& state, std::string prefix, Pace pace, Events events);
-    // Goes on from a list that was begun at that steady time.
+
+    // The references must outlive this object.
+    ListWatch(event_loop::Timers& timers, KvClient& kv, std::string prefix, Timing timing,
+              Callbacks callbacks);
+
+    // Follows the changes after `revision`, that of a list whose first request was sent at steady time
+    // `listed_at` (seconds). To be called once.
     void start(std::uint64_t revision, double listed_at);
 
-    // Steady time; all that was committed before it has been told. Long past before `start`; while changes
-    // are told, still that of the answers before.
-    double complete_at() const { return complete_at_; }
+    // Steady time in seconds: all that was committed before it has been delivered. Nothing before `start`;
+    // from within `on_changes` and `on_listed`, still that of the answers before.
+    [[nodiscard]] std::optional<double> complete_until() const { return complete_until_; }
 
   private:
     // Two readers of the same changes, each from its own revision on.
     struct Reader {
-        double wait_s = 0, pause_s = 0, patience_s = 0;
+        double wait_s = 0, interval_s = 0, timeout_s = 0;
         std::uint64_t revision = 0;
     };
-    void read(Reader& r);
-    void list(Reader& r);
-    void later(Reader& r, double pause_s);
+    void read_changes(Reader& reader);
+    void list_all(Reader& reader);
+    void schedule_read(Reader& reader, double delay_s);
 
     event_loop::Timers& timers_;
-    KvClient& state_;
+    KvClient& kv_;
     std::string prefix_;
-    double retry_s_;
-    Events events_;
+    double retry_backoff_s_;
+    Callbacks callbacks_;
     Reader watch_, confirm_;
-    double complete_at_ = -1e9;
-    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
+    std::optional<double> complete_until_;
+    event_loop::LifetimeGuard guarded_;  // last, so that it is destroyed first
 };
 
 }  // namespace coralhitch::kv
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <limits>
 
 #include "kv/keys.hpp"
 
@@ -16,7 +17,7 @@
 constexpr double tick_reports = 1.0 / 6;
 // Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
 // enough that what an interruption leaves of the time for renewals is nearly all of it.
-kv::ListWatch::Pace watch_pace(const config::Settings& s) {
+kv::ListWatch::Timing watch_pace(const config::Settings& s) {
     double confirm_s = std::min(s.report_s / 3, relay::renewal_s(s) / 8);
     return {s.lease_s / 2, s.report_s / 60, s.report_s / 10, confirm_s, s.report_s};
 }
@@ -27,8 +28,10 @@
 }  // namespace
 
 double Leader::lease_renewal_deadline() const {
-    return relay::lease_renewal_deadline(dependencies_.settings, dependencies_.election.ttl(),
-                                         job_watch_.complete_at(), dependencies_.election.authority_until());
+    return relay::lease_renewal_deadline(
+        dependencies_.settings, dependencies_.election.ttl(),
+        job_watch_.complete_until().value_or(-std::numeric_limits<double>::infinity()),
+        dependencies_.election.authority_until());
 }
 
 Leader::Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed)
--- a/src/leader/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -206,7 +206,7 @@
         keys::jobs, RequestPriority::background, guarded([this](kv::ListResult l) {
             auditing_ = false;
             table_.listing(false);
-            if (!l.ok) return;
+            if (!l.ok()) return;
             std::size_t missed = 0, left = 0;
             std::set<std::string> stored;
             {
@@ -263,7 +263,7 @@
                                 if (!e) return;
                                 e->writing = false;
                                 store_soon();
-                                if (!f.ok) {
+                                if (!f.ok()) {
                                     e->retry_at = now() + dependencies_.settings.report_s / 10;
                                 } else if (f.entry) {
                                     take_job(id, f.entry->version, f.entry->value);
@@ -279,9 +279,9 @@
                                 auto* e = table_.find(id);
                                 if (!e) return;
                                 e->writing = false;
-                                if (f.ok && f.entry)
+                                if (f.ok() && f.entry)
                                     e->blocks[block] = f.entry->version;
-                                else if (f.ok)
+                                else if (f.ok())
                                     e->blocks.erase(block);
                             }));
 }
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -200,7 +200,7 @@
     busy_ = true;
     state_.get(keys::machine_page(n), RequestPriority::write, guarded_([this, n](kv::GetResult f) {
                    busy_ = false;
-                   if (!f.ok) return later(settings_.report_s * retry_reports);
+                   if (!f.ok()) return later(settings_.report_s * retry_reports);
                    pages_[n].version = f.entry ? f.entry->version : 0;
                    pages_[n].unsure = false;
                    flush();
@@ -273,7 +273,7 @@
             p.version = held ? c.revision : 0;  // an empty page was dropped
         } else {
             p.dirty = true;
-            p.unsure = !c.executed_never();
+            p.unsure = !c.not_executed();
         }
     }
     if (ok) hooks_.stored(records);
--- a/src/relay/worker_lease.hpp
+++ b/src/relay/worker_lease.hpp
@@ -2,7 +2,7 @@
 //
 // A task of a cancelled job must be gone `cancel_s` after the cancellation was told, also if no command
 // reaches its machine. What ends it then is its worker's lease, `lease_s` after the sending of the last
-// report that was answered. A leader that is complete up to K (`kv::ListWatch::complete_at`) knows of
+// report that was answered. A leader that is complete up to K (`kv::ListWatch::complete_until`) knows of
 // every cancellation committed before K; one that it doesn't know was told after K. So with
 //
 //     K + renewal_s + lease_s (1 + 2 drift) + report_s / 2 <= K + cancel_s
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -256,7 +256,7 @@
                        send_all();
                        return hooks_.told();
                    }
-                   if (c.executed_never()) return write_later();
+                   if (c.not_executed()) return write_later();
                    read_record();
                }));
 }
@@ -271,7 +271,7 @@
     writing_ = true;
     state_.get(keys::standby, kv::RequestPriority::lease, guarded_([this](kv::GetResult f) {
                    writing_ = false;
-                   if (f.ok) {
+                   if (f.ok()) {
                        record_version_ = f.entry ? f.entry->version : 0;
                        if (f.entry) try {
                                auto r = protocol::parse_standby_record(f.entry->value);
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -105,11 +105,11 @@
                           {{1}, 20000, 24, 15000},
                           {{1, 1, 1}, 300, 24, 256}};
     for (auto& c : cases) {
-        kv::Limits limits(settings);
+        kv::SizeLimits limits(settings);
         for (auto n : c.changes) {
             protocol::Txn t;
             for (std::size_t k = 0; k < n; ++k) t.changes.push_back({"k", std::string(c.bytes, 'x'), 0});
-            limits.refused(t);
+            limits.shrink_after_rejection(t);
         }
         EXPECT_EQ(limits.txn_ops(), c.txn_ops) << c.bytes;
         EXPECT_EQ(limits.value_bytes(), c.value_bytes) << c.bytes;
--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -58,13 +58,14 @@
         bool listed = false;
         ListWatch w(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
                     {[](auto&, auto) {}, [&](auto&) { listed = true; }});
-        EXPECT_LT(w.complete_at(), 0);
+        EXPECT_FALSE(w.complete_until());
         w.start(5, 0);
         timers.run_until(20);
+        ASSERT_TRUE(w.complete_until());
         c.trouble(service);
         timers.run_until(28);
-        EXPECT_GE(28 - w.complete_at(), c.least) << c.name;
-        EXPECT_LE(28 - w.complete_at(), c.most) << c.name;
+        EXPECT_GE(28 - *w.complete_until(), c.least) << c.name;
+        EXPECT_LE(28 - *w.complete_until(), c.most) << c.name;
         EXPECT_EQ(listed, c.listed) << c.name;
     }
 }
--- a/tests/machine_registry/machine_registry_test.cpp
+++ b/tests/machine_registry/machine_registry_test.cpp
@@ -71,7 +71,7 @@
         service.kv = before.service.kv;
         service.revision = before.service.revision;
         kv::ListResult listed;
-        listed.ok = true;
+        listed.status = kv::ReadStatus::ok;
         for (auto& [k, v] : service.kv) listed.entries.push_back({k, v.first.dump(), v.second, 0});
         for (auto& [id, r] : store.load(listed)) {
             fleet[id] = r;
@@ -148,7 +148,7 @@
     b.add("vm-1");
     b.timers.run_until(1);
     kv::ListResult listed;
-    listed.ok = true;
+    listed.status = kv::ReadStatus::ok;
     auto& page = *b.service.kv.begin();
     listed.entries = {{kv::keys::machines + "vm-0",
                        R"({"addr":"10.1.0.2:9","type":"g4","zone":"z1","spot":true,"condemned":true})", 3, 0},
