--- /dev/null
+++ b/tests/kv/request_queue_test.cpp
@@ -0,0 +1,101 @@
+#include "kv/request_queue.hpp"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "support/fake_timers.hpp"
+
+namespace coralhitch::kv {
+namespace {
+
+// A queue with a share of 9 requests and 9 changes a second, and bursts of as many that have gathered.
+struct Bench {
+    Bench() {
+        (void)budget.has(0, {0, true});
+        timers.run_until(start);
+    }
+    static constexpr double start = 10;
+    void run_until(double seconds) { timers.run_until(start + seconds); }
+    FakeTimers timers;
+    config::Settings settings = [] {
+        config::Settings s;
+        s.report_s = 4;
+        s.nodes = 1;
+        s.state_rps = s.state_write_rps = 10;
+        return s;
+    }();
+    RequestBudget budget{settings};
+    std::vector<std::string> sent;
+    std::vector<int> refused;  // statuses
+    RequestQueue queue{timers, settings, budget,
+                       [this](PendingRequest request) { sent.push_back(request.request.target); }};
+
+    void submit(RequestPriority priority, const std::string& name, double changes = 0) {
+        queue.submit({.priority = priority,
+                      .request = {"GET", name, {}},
+                      .changes = changes,
+                      .on_response = [this](std::optional<http::Response> response) {
+                          refused.push_back(response ? response->status : 0);
+                      }});
+    }
+};
+
+TEST(RequestQueue, SendsByPriorityOnceTheBudgetIsShort) {
+    Bench b;
+    for (int k = 0; k < 9; ++k) b.submit(RequestPriority::background, "first");
+    b.sent.clear();
+    b.submit(RequestPriority::background, "background");
+    b.submit(RequestPriority::read, "read");
+    b.submit(RequestPriority::write, "write");
+    b.submit(RequestPriority::submission, "submission");
+    b.submit(RequestPriority::cancellation, "cancellation");
+    EXPECT_TRUE(b.sent.empty());
+    b.run_until(1);
+    EXPECT_EQ(b.sent,
+              (std::vector<std::string>{"cancellation", "submission", "write", "read", "background"}));
+}
+TEST(RequestQueue, SendsLeaseRequestsWithoutBudget) {
+    Bench b;
+    for (int k = 0; k < 9; ++k) b.submit(RequestPriority::write, "first");
+    b.submit(RequestPriority::lease, "lease");
+    EXPECT_EQ(b.sent.back(), "lease");
+    EXPECT_EQ(b.queue.counts(RequestPriority::write).sent, 9);
+}
+TEST(RequestQueue, ReservesChangesForALargeTransaction) {
+    Bench b;
+    b.submit(RequestPriority::write, "first", 9);
+    b.submit(RequestPriority::write, "large", 9);
+    b.submit(RequestPriority::background, "small", 1);
+    b.submit(RequestPriority::background, "read");
+    b.run_until(0.9);
+    EXPECT_EQ(b.sent, (std::vector<std::string>{"first"}));  // in order within a priority
+    b.run_until(1.2);
+    EXPECT_EQ(b.sent, (std::vector<std::string>{"first", "large", "small", "read"}));
+}
+TEST(RequestQueue, RefusesWhatCannotBeSentBeforeItsDeadline) {
+    Bench b;
+    b.submit(RequestPriority::write, "first", 9);
+    for (int k = 0; k < 5; ++k) b.submit(RequestPriority::submission, "submission", 9);
+    EXPECT_TRUE(b.refused.empty());  // answered from a timer
+    b.run_until(0.1);
+    EXPECT_EQ(b.refused, (std::vector<int>{429, 429, 429}));  // those behind 2.5 s worth of changes
+    EXPECT_EQ(b.queue.counts(RequestPriority::submission).refused, 3);
+    b.run_until(10);
+    EXPECT_EQ(b.queue.counts(RequestPriority::submission).sent, 2);
+    EXPECT_LE(b.queue.counts(RequestPriority::submission).longest_wait_s, 2.5);
+}
+TEST(RequestQueue, RefusesWhatHasWaitedForAReportPeriod) {
+    Bench b;
+    for (int k = 0; k < 60; ++k) b.submit(RequestPriority::background, "background", 1);
+    b.run_until(20);
+    auto& counts = b.queue.counts(RequestPriority::background);
+    EXPECT_EQ(counts.sent + counts.refused, 60);
+    EXPECT_GE(counts.refused, 60 - 9 * 5 - 1);
+    EXPECT_EQ(b.refused.size(), static_cast<std::size_t>(counts.refused));
+    EXPECT_LE(counts.longest_wait_s, 4);
+}
+
+}  // namespace
+}  // namespace coralhitch::kv
