--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -49,7 +49,7 @@
       users_(timers, state_, settings, *this),
       relay_(timers, http, settings, incarnation_, [this] { return relay_target(); }),
       reports_(relay_.refusals()),
-      cancellations_(timers, http, settings, [this] { return election_.leader_version(); }),
+      cancellations_(timers, http, settings, [this] { return election_.leader_fencing_token(); }),
       follower_(incarnation_),
       heard_(settings.report_s * heard_reports, settings.lease_s * copies_leases) {
     for (auto& p : settings.peers) peers_[p.label].peer = p;
@@ -211,8 +211,8 @@
 protocol::PeerPing Controller::own_ping(bool brief) {
     protocol::PeerPing p{settings_.label,
                          incarnation_,
-                         election_.leader_version(),
-                         election_.leader(),
+                         election_.leader_fencing_token(),
+                         election_.leader_label(),
                          state_ok(),
                          {},
                          {},
@@ -250,7 +250,7 @@
         counts_.clear();
         for (auto& c : counts) counts_[c.id] = {c.done, c.running};
     }
-    election_.peer_says(last.leader, last.leader_version);
+    election_.observe_leader(last.leader, last.leader_version);
 }
 void Controller::ping_peers() {
     auto ping = own_ping(false);
@@ -294,7 +294,7 @@
     auto value = protocol::stored_types(types_);
     if (value == stored_types_ || value.size() > state_.limits().value_bytes()) return;
     protocol::Txn t;
-    t.conditions = {{kv::keys::leader, election_.version()}};
+    t.conditions = {{kv::keys::leader, election_.fencing_token()}};
     t.changes = {{kv::keys::types, value, 0}};
     state_.txn(std::move(t), kv::RequestPriority::background, [this, value](kv::TxnResult c) {
         if (c.status == kv::TxnResult::Status::committed) stored_types_ = value;
@@ -491,15 +491,15 @@
 }
 // The leader, if its version takes reports from others.
 relay::Leadership Controller::relay_target() const {
-    auto it = peers_.find(election_.leader());
+    auto it = peers_.find(election_.leader_label());
     if (leader_ || !settings_.op.hearing || it == peers_.end() ||
         it->second.last.features < protocol::peer_features_relay)
         return {};
-    return {it->second.peer.addr, election_.leader_version()};
+    return {it->second.peer.addr, election_.leader_fencing_token()};
 }
 
 const config::Peer* Controller::leading_peer() const {
-    auto it = peers_.find(election_.leader());
+    auto it = peers_.find(election_.leader_label());
     return it == peers_.end() ? nullptr : &it->second.peer;
 }
 
@@ -526,7 +526,7 @@
 // To the others also if this one leads: its lease may be over without its knowing.
 void Controller::cancelled(const std::string& id, std::uint64_t version) {
     if (leader_) leader_->cancelled(id, version);
-    cancellations_.confirmed(id, version, leader_ ? election_.version() : 0);
+    cancellations_.confirmed(id, version, leader_ ? election_.fencing_token() : 0);
 }
 
 void Controller::serve_peer(http::Request r, http::Reply reply) {
@@ -573,7 +573,7 @@
             for (auto& m : q->more)
                 if (leader_) leader_->cancelled(m.id, m.version);
             return reply(packed(
-                protocol::pack_peer(protocol::PeerCancelledAnswer{leader_ ? election_.version() : 0})));
+                protocol::pack_peer(protocol::PeerCancelledAnswer{leader_ ? election_.fencing_token() : 0})));
         }
     } else {
         return reply({404, {}});
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -2,248 +2,261 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <utility>
+
 #include "kv/keys.hpp"
 
 namespace coralhitch::election {
+using kv::RequestPriority;
+
 namespace {
-// A margin for the time between a check of the clock and the act that follows it.
-constexpr double margin_ratio = 1.0 / 20;
-constexpr double renewals_per_ttl = 4;
-constexpr double defer_ttls = 1;
-constexpr std::size_t most_links = 16;
+// Ratios to the lease's time to live.
+constexpr double authority_margin_ratio = 1.0 / 20;  // between a look at the clock and the act that follows
+constexpr double renewal_interval_ratio = 1.0 / 4;
+constexpr double renewal_retry_ratio = 1.0 / 16;
+constexpr double max_deferral_ratio = 1;
 }  // namespace
 
-Election::Election(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
+Election::Election(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
                    std::uint64_t incarnation, std::uint64_t seed)
     : timers_(timers),
-      state_(state),
+      kv_(kv),
       settings_(settings),
       incarnation_(incarnation),
       random_(static_cast<std::minstd_rand::result_type>(seed)),
-      ttl_(settings.lease_s * settings.op.lease_ratio) {}
+      lease_ttl_s_(settings.lease_s * settings.op.lease_ratio) {}
 
-void Election::start(Events events) {
-    events_ = std::move(events);
-    look();
+void Election::start(Callbacks callbacks) {
+    callbacks_ = std::move(callbacks);
+    read_leader_key();
 }
 
-double Election::usable(double sent) const {
-    return sent + ttl_ * (1 - drift - margin_ratio);
+// --- Follower -------------------------------------------------------------------------------------------
+
+void Election::read_leader_key() {
+    if (role_ != Role::follower) return;
+    kv_.get(kv::keys::leader, RequestPriority::lease, [this](kv::GetResult result) {
+        if (role_ != Role::follower) return;
+        if (!result.ok()) return schedule_read();
+        if (!result.entry) return campaign_unless_deferring();
+        handle_leader_key(*result.entry);
+    });
 }
 
-void Election::retry_look() {
+void Election::schedule_read() {
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
-    timers_.after(ttl_ / 8 * jitter(random_), [this] { look(); });
+    timers_.after(lease_ttl_s_ / 8 * jitter(random_), [this] { read_leader_key(); });
 }
 
-// The same leadership again, or one that followed it. After a gap, what came before says nothing.
-void Election::link(std::uint64_t version, bool keeps_record) {
-    auto& links = chain_.links;
-    if (!links.empty() && links.back().version == version) return;
-    links.push_back({version, keeps_record});
-    if (links.size() > most_links) links.erase(links.begin());
-    chain_.known_until = version;
-}
-void Election::saw(const protocol::Entry& e) {
+void Election::handle_leader_key(const protocol::Entry& entry) {
+    key_absent_since_.reset();
     try {
-        auto r = protocol::parse_leader_record(e.value);
-        if (!chain_.links.empty() && chain_.links.back().version != e.version) chain_.links.clear();
-        link(e.version, r.keeps_record);
-        if (e.version >= leader_version_ && (leader_ != r.label || leader_version_ != e.version)) {
-            leader_ = r.label;
-            leader_version_ = e.version;
-            spdlog::info("election: {} leads with version {}", leader_, leader_version_);
+        auto record = protocol::parse_leader_record(entry.value);
+        handle_leader_record(entry, record);
+        // An earlier process of this controller held the key. It is dead, since this one runs in its place;
+        // what it sent and is still under way is fenced by token and condition.
+        if (is_previous_incarnation(record) && entry.lease) {
+            spdlog::info("component=election event=ending_lease_of_previous_incarnation");
+            return kv_.end_lease(entry.lease, [this](bool) { schedule_read(); });
         }
-    } catch (const protocol::Malformed& m) {
-        spdlog::error("election: leader record: {}", m.what());
+    } catch (const protocol::Malformed& error) {
+        spdlog::error("component=election event=leader_record_malformed error=\"{}\"", error.what());
     }
+    watch_leader_key(std::max(entry.version, history_.known_until_revision));
 }
 
-// Reads the key, then either campaigns or follows it.
-void Election::look() {
-    if (role_ != Role::following) return;
-    state_.get(kv::keys::leader, kv::RequestPriority::lease, [this](kv::GetResult f) {
-        if (role_ != Role::following) return;
-        if (!f.ok()) return retry_look();
-        if (!f.entry) return vacant();
-        vacant_since_ = -1;
-        saw(*f.entry);
-        try {
-            auto r = protocol::parse_leader_record(f.entry->value);
-            // An earlier process of this controller held the key. It is dead, since this one runs in its
-            // place; what it sent and is still under way is fenced by token and condition.
-            if (r.label == settings_.label && r.incarnation != incarnation_ && f.entry->lease) {
-                spdlog::info("election: ending the lease of this controller's earlier process");
-                return state_.end_lease(f.entry->lease, [this](bool) { retry_look(); });
-            }
-        } catch (const protocol::Malformed&) {
-        }
-        follow(std::max(f.entry->version, chain_.known_until));
-    });
+bool Election::is_previous_incarnation(const protocol::LeaderRecord& record) const {
+    return record.label == settings_.label && record.incarnation != incarnation_;
 }
 
-void Election::vacant() {
-    leader_.clear();
-    // One that is cut off from the workers would win as easily as one that hears them, and each leadership
-    // that comes to nothing costs their leases seconds. Only for a bounded time: whom it defers to may not be
-    // able to lead.
-    // That holds for one that gave way too: the one that it gave way to may have ended. Nobody led for ten
-    // seconds then, although it knew all that the other one had started.
-    if (vacant_since_ < 0) vacant_since_ = timers_.now();
-    bool others = timers_.now() < paused_until_ || (events_.defers && events_.defers());
-    if (others && timers_.now() - vacant_since_ < ttl_ * defer_ttls) return retry_look();
-    campaign();
+void Election::handle_leader_record(const protocol::Entry& entry, const protocol::LeaderRecord& record) {
+    history_.append_after_gap({entry.version, record.keeps_record});
+    bool known = leader_label_ == record.label && leader_fencing_token_ == entry.version;
+    if (entry.version < leader_fencing_token_ || known) return;
+    leader_label_ = record.label;
+    leader_fencing_token_ = entry.version;
+    spdlog::info("component=election event=leader_observed leader={} fencing_token={}", leader_label_,
+                 leader_fencing_token_);
 }
 
-void Election::follow(std::uint64_t revision) {
-    state_.watch(kv::keys::leader, revision, ttl_, [this, revision](kv::WatchResult w) {
-        if (role_ != Role::following) return;
-        if (w.compacted()) return follow_late();
-        if (!w.ok()) return retry_look();
-        std::uint64_t next = std::max(revision, w.events.revision);
-        bool ended = false, again = false;
-        for (auto& e : w.events.events) {
-            if (e.key != kv::keys::leader) continue;
-            ended = !e.value;
-            again |= e.value.has_value();
-            if (e.value) link(e.version, protocol::keeps_record(*e.value));
-        }
-        chain_.known_until = std::max(chain_.known_until, next);
-        if (again) return look();
-        // The claim makes sure that the key is gone, so it need not be read first. The version before reads
-        // it: while it is replaced controller by controller, those that are not to be stopped any more go
-        // first.
-        if (ended) return vacant();
-        follow(next);
+void Election::watch_leader_key(std::uint64_t since_revision) {
+    kv_.watch(kv::keys::leader, since_revision, lease_ttl_s_, [this, since_revision](kv::WatchResult result) {
+        if (role_ != Role::follower) return;
+        if (result.compacted()) return list_leader_key();
+        if (!result.ok()) return schedule_read();
+        handle_leader_events(since_revision, result.events);
     });
 }
 
-// The leader's key is older than the changes that the key-value store keeps: the list tells a revision to
-// watch from. Asked for by its version again and again, each watch was refused.
-void Election::follow_late() {
-    state_.list(kv::keys::leader, kv::RequestPriority::lease, [this](kv::ListResult l) {
-        if (role_ != Role::following) return;
-        bool same = l.ok() && l.entries.size() == 1 && l.entries[0].version == leader_version_ &&
-                    !chain_.links.empty() && chain_.links.back().version == leader_version_;
-        if (!same) return retry_look();
-        chain_.known_until = std::max(chain_.known_until, l.revision);
-        follow(chain_.known_until);
+void Election::handle_leader_events(std::uint64_t since_revision, const protocol::Events& events) {
+    std::uint64_t next_revision = std::max(since_revision, events.revision);
+    bool is_deleted = false, was_put = false;
+    for (const auto& event : events.events) {
+        if (event.key != kv::keys::leader) continue;
+        is_deleted = !event.value;
+        if (!event.value) continue;
+        was_put = true;
+        history_.append({event.version, protocol::keeps_record(*event.value)});
+    }
+    history_.extend_to(next_revision);
+    if (was_put) return read_leader_key();
+    // The claim's condition makes sure that the key is absent, so it need not be read first. Earlier versions
+    // read it: while a version is rolled out, controllers that run the new one already so win against those
+    // that are still to be stopped.
+    if (is_deleted) return campaign_unless_deferring();
+    watch_leader_key(next_revision);
+}
+
+// The leader's key is older than the changes that the store keeps: a list says from which revision to watch
+// on. Watched by the key's version again and again, each watch would be refused as compacted.
+void Election::list_leader_key() {
+    kv_.list(kv::keys::leader, RequestPriority::lease, [this](kv::ListResult result) {
+        if (role_ != Role::follower) return;
+        bool is_unchanged = result.ok() && result.entries.size() == 1 &&
+                            result.entries[0].version == leader_fencing_token_ &&
+                            history_.ends_with(leader_fencing_token_);
+        if (!is_unchanged) return schedule_read();
+        history_.extend_to(result.revision);
+        watch_leader_key(history_.known_until_revision);
     });
 }
 
+// --- Candidate ------------------------------------------------------------------------------------------
+
+// A controller that is cut off from the agents would win as easily as one that receives their heartbeats, and
+// each leadership that comes to nothing costs the agents' leases seconds. Deferring is bounded: whom it
+// defers to may not be able to lead. The bound holds for one that resigned, too: the controller that it
+// resigned for may have ended, and without the bound nobody led for ten seconds although this one knew all
+// that had been started.
+void Election::campaign_unless_deferring() {
+    leader_label_.clear();
+    double now = timers_.now();
+    if (!key_absent_since_) key_absent_since_ = now;
+    bool should_defer = (deferring_until_ && now < *deferring_until_) ||
+                        (callbacks_.should_defer && callbacks_.should_defer());
+    if (should_defer && now - *key_absent_since_ < lease_ttl_s_ * max_deferral_ratio) return schedule_read();
+    campaign();
+}
+
 void Election::campaign() {
-    role_ = Role::campaigning;
-    state_.create_lease(ttl_, [this](kv::LeaseResult lease) {
-        if (role_ != Role::campaigning) return;
-        if (lease.status != kv::LeaseResult::Status::ok) {
-            role_ = Role::following;
-            return retry_look();
-        }
-        claim(lease);
+    role_ = Role::candidate;
+    kv_.create_lease(lease_ttl_s_, [this](kv::LeaseResult lease) {
+        if (role_ != Role::candidate) return;
+        if (lease.status == kv::LeaseResult::Status::ok) return claim(lease);
+        role_ = Role::follower;
+        schedule_read();
     });
 }
 
 void Election::claim(kv::LeaseResult lease) {
-    protocol::Txn t;
-    t.conditions.push_back({kv::keys::leader, 0});
-    t.changes.push_back(
-        {kv::keys::leader,
-         protocol::stored(protocol::LeaderRecord{settings_.label, incarnation_, settings_.op.standby}),
-         lease.id});
-    state_.txn(std::move(t), kv::RequestPriority::lease, [this, lease](kv::TxnResult c) {
-        if (role_ != Role::campaigning) return;
-        if (c.status == kv::TxnResult::Status::committed) return win(c.revision, lease);
-        if (c.status == kv::TxnResult::Status::unknown) return check_claim(lease);
-        role_ = Role::following;
-        state_.end_lease(lease.id, [](bool) {});
-        if (c.status == kv::TxnResult::Status::conflict) return look();
-        retry_look();
+    protocol::LeaderRecord record{settings_.label, incarnation_, settings_.op.standby};
+    protocol::Txn transaction;
+    transaction.conditions.push_back({kv::keys::leader, 0});
+    transaction.changes.push_back({kv::keys::leader, protocol::stored(record), lease.id});
+    kv_.txn(std::move(transaction), RequestPriority::lease, [this, lease](kv::TxnResult result) {
+        using Status = kv::TxnResult::Status;
+        if (role_ != Role::candidate) return;
+        if (result.status == Status::committed) return become_leader(result.revision, lease);
+        if (result.status == Status::unknown) return resolve_unknown_claim(lease);
+        give_up_claim(lease.id);
+        if (result.status == Status::conflict) return read_leader_key();
+        schedule_read();
     });
 }
 
-// The answer to the claim was lost. The key tells whether it was executed; while it may still be, the lease
+// The answer to the claim was lost; the key tells whether it was executed. While it still may be, the lease
 // is ended first, so that a late claim finds no lease.
-void Election::check_claim(kv::LeaseResult lease) {
-    state_.get(kv::keys::leader, kv::RequestPriority::lease, [this, lease](kv::GetResult f) {
-        if (role_ != Role::campaigning) return;
-        if (f.ok() && f.entry) {
-            try {
-                auto r = protocol::parse_leader_record(f.entry->value);
-                if (r.incarnation == incarnation_ && f.entry->lease == lease.id)
-                    return win(f.entry->version, lease);
-            } catch (const protocol::Malformed&) {
-            }
-        }
-        role_ = Role::following;
-        state_.end_lease(lease.id, [](bool) {});
-        retry_look();
+void Election::resolve_unknown_claim(kv::LeaseResult lease) {
+    kv_.get(kv::keys::leader, RequestPriority::lease, [this, lease](kv::GetResult result) {
+        if (role_ != Role::candidate) return;
+        if (result.ok() && result.entry && is_own_claim(*result.entry, lease.id))
+            return become_leader(result.entry->version, lease);
+        give_up_claim(lease.id);
+        schedule_read();
     });
 }
 
-void Election::win(std::uint64_t version, kv::LeaseResult lease) {
-    role_ = Role::leading;
-    version_ = version;
-    vacant_since_ = -1;
-    lease_ = lease.id;
-    authority_until_ = usable(lease.sent_at);
-    leader_ = settings_.label;
-    leader_version_ = version;
-    ++round_;
-    chain_before_ = chain_;
-    link(version, settings_.op.standby);
-    state_.set_leading(true);
-    spdlog::info("election: won with version {}", version);
-    renew();
-    events_.won(version);
-}
-
-void Election::renew() {
-    auto round = round_;
-    state_.renew_lease(lease_, ttl_ / 3, [this, round](kv::LeaseResult a) {
-        if (round != round_ || role_ != Role::leading) return;
-        if (a.status == kv::LeaseResult::Status::expired) return lose();
-        bool ok = a.status == kv::LeaseResult::Status::ok;
-        if (ok) authority_until_ = std::max(authority_until_, usable(a.sent_at));
-        double next = ok ? ttl_ / renewals_per_ttl : ttl_ / (renewals_per_ttl * 4);
-        timers_.after(next, [this, round] {
-            if (round == round_ && role_ == Role::leading) renew();
+bool Election::is_own_claim(const protocol::Entry& entry, std::uint64_t lease_id) const try {
+    return protocol::parse_leader_record(entry.value).incarnation == incarnation_ && entry.lease == lease_id;
+} catch (const protocol::Malformed&) {
+    return false;
+}
+
+void Election::give_up_claim(std::uint64_t lease_id) {
+    role_ = Role::follower;
+    kv_.end_lease(lease_id, [](bool) {});
+}
+
+// --- Leader ---------------------------------------------------------------------------------------------
+
+void Election::become_leader(std::uint64_t version, kv::LeaseResult lease) {
+    role_ = Role::leader;
+    fencing_token_ = version;
+    key_absent_since_.reset();
+    lease_id_ = lease.id;
+    authority_expiry_ = authority_expiry_of(lease.sent_at);
+    leader_label_ = settings_.label;
+    leader_fencing_token_ = version;
+    ++leadership_round_;
+    history_before_claim_ = history_;
+    history_.append({version, settings_.op.standby});
+    kv_.set_leading(true);
+    spdlog::info("component=election event=elected fencing_token={}", version);
+    renew_lease();
+    callbacks_.on_elected(version);
+}
+
+double Election::authority_expiry_of(double lease_sent_at) const {
+    return lease_sent_at + lease_ttl_s_ * (1 - max_clock_drift - authority_margin_ratio);
+}
+
+void Election::renew_lease() {
+    kv_.renew_lease(lease_id_, lease_ttl_s_ / 3, [this, round = leadership_round_](kv::LeaseResult lease) {
+        if (round != leadership_round_ || role_ != Role::leader) return;
+        if (lease.status == kv::LeaseResult::Status::expired) return lose_leadership();
+        bool renewed = lease.status == kv::LeaseResult::Status::ok;
+        if (renewed) authority_expiry_ = std::max(authority_expiry_, authority_expiry_of(lease.sent_at));
+        double next_s = lease_ttl_s_ * (renewed ? renewal_interval_ratio : renewal_retry_ratio);
+        timers_.after(next_s, [this, round] {
+            if (round == leadership_round_ && role_ == Role::leader) renew_lease();
         });
     });
 }
 
-void Election::lose() {
-    if (role_ != Role::leading) return;
-    role_ = Role::following;
-    ++round_;
-    authority_until_ = 0;
-    leader_.clear();
-    state_.set_leading(false);
-    spdlog::info("election: leadership with version {} is lost", version_);
-    events_.lost();
-    look();
-}
-
-void Election::peer_says(const std::string& leader, std::uint64_t version) {
-    if (version <= leader_version_ || leader.empty()) return;
-    leader_ = leader;
-    leader_version_ = version;
-    // Versions only grow, so a newer leadership means that this one is over, whatever its lease says.
-    if (holding() && version > version_) {
-        lose();
-        leader_ = leader;
+void Election::lose_leadership() {
+    if (role_ != Role::leader) return;
+    role_ = Role::follower;
+    ++leadership_round_;
+    authority_expiry_ = 0;
+    leader_label_.clear();
+    kv_.set_leading(false);
+    spdlog::info("component=election event=leadership_lost fencing_token={}", fencing_token_);
+    callbacks_.on_leadership_lost();
+    read_leader_key();
+}
+
+void Election::observe_leader(const std::string& label, std::uint64_t fencing_token) {
+    if (fencing_token <= leader_fencing_token_ || label.empty()) return;
+    leader_label_ = label;
+    leader_fencing_token_ = fencing_token;
+    // Tokens only grow, so a newer leadership means that this one is over, whatever its lease says.
+    if (is_leader() && fencing_token > fencing_token_) {
+        lose_leadership();
+        leader_label_ = label;  // losing leadership has cleared it
     }
 }
 
-void Election::deposed(std::uint64_t version) {
-    if (role_ == Role::leading && version > version_) lose();
+void Election::step_down_if_superseded(std::uint64_t fencing_token) {
+    if (role_ == Role::leader && fencing_token > fencing_token_) lose_leadership();
 }
 
 void Election::resign(double pause_s) {
-    if (role_ != Role::leading) return;
-    paused_until_ = timers_.now() + pause_s;
-    auto id = lease_;
-    lose();
-    state_.end_lease(id, [](bool) {});
+    if (role_ != Role::leader) return;
+    deferring_until_ = timers_.now() + pause_s;
+    auto lease_id = lease_id_;
+    lose_leadership();
+    kv_.end_lease(lease_id, [](bool) {});
 }
 
 }  // namespace coralhitch::election
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -58,7 +58,7 @@
 }
 // Which leaders there were since this controller last knew.
 void RecoveryLoader::read_history() {
-    state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::WatchResult w) {
+    state_.watch(keys::leader, evidence_.chain.known_until_revision, 0, guarded_([this](kv::WatchResult w) {
                      if (!w.ok() && !w.compacted()) return again();
                      evidence_.history = w.ok();
                      evidence_.since.clear();
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -29,16 +29,16 @@
 
 double Leader::lease_renewal_deadline() const {
     return relay::lease_renewal_deadline(
-        dependencies_.settings, dependencies_.election.ttl(),
+        dependencies_.settings, dependencies_.election.lease_ttl_s(),
         job_watch_.complete_until().value_or(-std::numeric_limits<double>::infinity()),
-        dependencies_.election.authority_until());
+        dependencies_.election.authority_expiry());
 }
 
 Leader::Leader(LeaderDependencies context, std::uint64_t version, std::uint64_t seed)
     : dependencies_(std::move(context)),
       version_(version),
       random_(seed),
-      keep_alive_(relay::keep_alive_s(dependencies_.settings, dependencies_.election.ttl())),
+      keep_alive_(relay::keep_alive_s(dependencies_.settings, dependencies_.election.lease_ttl_s())),
       cluster_state_(version, dependencies_.types),
       table_(dependencies_.settings.value_kb),
       store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
@@ -82,7 +82,7 @@
                dependencies_.incarnation,
                version,
                {},
-               dependencies_.election.chain(),
+               dependencies_.election.history_before_claim(),
                false,
                {},
                &dependencies_.copy},
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -98,7 +98,7 @@
         };
     }
     double now() const { return dependencies_.timers.now(); }
-    bool authority() const { return !stopped_ && dependencies_.election.authority(); }
+    bool authority() const { return !stopped_ && dependencies_.election.may_act(); }
     api::TaskCounts count(const std::string& id, const jobs::JobEntry& e);
     void inherit(const std::string& id, cluster::Machine& m);
     void take_all(const failover::GetResult& found);
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -176,7 +176,7 @@
     // ends early enough for tasks that are cancelled.
     double grant = std::max(0.0, std::min({s.report_s, keep_alive_, lease_renewal_deadline() - now()}));
     a.grant_ms = static_cast<std::uint64_t>(grant * 1000);
-    a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * election::drift));
+    a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * election::max_clock_drift));
     send();
 }
 
@@ -203,7 +203,8 @@
         spdlog::info("leader: machine {} has seen the token of a later leader", r.machine);
         // Not from within what the worker's message set off: this object would be gone before it is done.
         auto version = r.token >> cluster::ClusterState::token_bits;
-        dependencies_.timers.after(0, guarded([this, version] { dependencies_.election.deposed(version); }));
+        dependencies_.timers.after(
+            0, guarded([this, version] { dependencies_.election.step_down_if_superseded(version); }));
         return heard;
     }
     check_reconciled();
@@ -600,7 +601,7 @@
 bool Leader::check_lease(Machine& m) {
     const auto& s = dependencies_.settings;
     double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.delegation_expiry);
-    bool over = now() > renewed + s.lease_s * (1 + 2 * election::drift) + s.report_s / 3;
+    bool over = now() > renewed + s.lease_s * (1 + 2 * election::max_clock_drift) + s.report_s / 3;
     bool silent = now() - m.last_heard > s.lease_s || beyond_reach(m);
     if (over && silent && (!m.tasks.empty() || !m.reconciled)) {
         spdlog::info("machine {}: its lease is out", m.id);
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -189,7 +189,7 @@
     // the leader counts on.
     for (auto& machine : a->recalled) reply_cache_.forget(machine);
     taken_in_ = number;
-    granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * election::drift);
+    granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * election::max_clock_drift);
     // What fills a message already gains nothing by waiting for more: at the rate of one full message in each
     // gap, the only relay of 4,000 machines fell behind when most reports had news.
     if (!waiting_.empty()) soon(waiting_.size() < most_reports ? gap_reports : 0);
--- a/src/relay/worker_lease.hpp
+++ b/src/relay/worker_lease.hpp
@@ -21,7 +21,8 @@
 
 // Seconds after the time up to which the leader is complete; 0 if the settings leave nothing.
 inline double renewal_s(const config::Settings& s) {
-    double left = s.cancel_s - s.lease_s * (1 + 2 * election::drift) - s.report_s * renewal_margin_reports;
+    double left =
+        s.cancel_s - s.lease_s * (1 + 2 * election::max_clock_drift) - s.report_s * renewal_margin_reports;
     return std::max(0.0, left);
 }
 // How long after its authority has run out a leader goes on renewing, without new commands: what its
--- a/src/replication/checks.cpp
+++ b/src/replication/checks.cpp
@@ -31,7 +31,7 @@
     return e.copy->version <= e.record->version;
 }
 bool history_known(const ReplicaEvidence& e) {
-    auto& l = e.chain.links;
+    auto& l = e.chain.leaderships;
     return e.history &&
            std::any_of(l.begin(), l.end(), [&](auto& k) { return k.version == e.record->version; });
 }
@@ -39,7 +39,7 @@
 // have started what it liked.
 bool nobody_between(const ReplicaEvidence& e) {
     auto keeps = [&](auto& l) { return l.version <= e.record->version || l.keeps_record; };
-    return std::all_of(e.chain.links.begin(), e.chain.links.end(), keeps) &&
+    return std::all_of(e.chain.leaderships.begin(), e.chain.leaderships.end(), keeps) &&
            std::all_of(e.since.begin(), e.since.end(), keeps);
 }
 
--- a/src/replication/checks.hpp
+++ b/src/replication/checks.hpp
@@ -18,9 +18,9 @@
     std::string label;  // of this controller
     std::uint64_t incarnation = 0, version = 0;
     std::optional<protocol::StandbyRecord> record;  // as stored
-    election::Election::Chain chain;                // leaderships seen before the claim
+    election::LeadershipHistory chain;              // leaderships seen before the claim
     bool history = false;                           // whether what came after the chain is known, and it is:
-    std::vector<election::Election::Link> since;    // leaderships up to the claim, own one left out
+    std::vector<election::ObservedLeadership> since;  // leaderships up to the claim, own one left out
     const ReplicaState* copy = nullptr;
 };
 
--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -1,4 +1,4 @@
-// Leadership under late, lost and repeated answers, with an injected clock and network.
+// Leader election under late, lost and repeated answers, with an injected clock and network.
 #include "election/election.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 #include "kv/keys.hpp"
 #include "support/fake_timers.hpp"
 
-namespace coralhitch::kv {
+namespace coralhitch::election {
 namespace {
 
 // A key-value store of one key. Requests can be refused, or their answers lost after they were executed.
@@ -17,14 +17,14 @@
     bool refuse = false, lose_txn_answer = false, lose_renewals = false;
     std::uint64_t version = 0, lease = 0, leases = 0, revision = 4;
     std::string value;
-    double end_at = -1;  // the key's lease ends then, and watches say so
+    std::optional<double> lease_ends_at;  // a watch reports then that the key is deleted
     int reads = 0;
 
     void send(const std::string&, http::Request r, double timeout, http::Result result) override {
-        if (r.target.starts_with("/watch") && end_at >= 0)
-            return void(timers_.after(end_at - timers_.now(), [this, result] {
+        if (r.target.starts_with("/watch") && lease_ends_at)
+            return void(timers_.after(*lease_ends_at - timers_.now(), [this, result] {
                 version = 0;
-                end_at = -1;
+                lease_ends_at.reset();
                 result(http::Response{200, R"({"epoch":9,"news":[{"drop":"leader","stamp":9}]})"});
             }));
         auto answer = execute(r);
@@ -75,8 +75,8 @@
         s.state_write_rps = 50;
         return s;
     }();
-    KvClient client{timers, service, settings};
-    election::Election election{timers, client, settings, 77, 1};
+    kv::KvClient client{timers, service, settings};
+    Election election{timers, client, settings, 77, 1};
     int won = 0, lost = 0;
     // The key as another process left it.
     void held_by(const std::string& label) {
@@ -90,90 +90,90 @@
     }
 };
 
-TEST(Election, WinsAnEmptyKeyAndTakesItsVersion) {
+TEST(Election, ClaimsAnAbsentKeyAndTakesItsVersionAsToken) {
     Bench b;
     b.start();
     b.timers.run_until(1);
-    EXPECT_TRUE(b.election.authority());
-    EXPECT_EQ(b.election.version(), b.service.version);
+    EXPECT_TRUE(b.election.may_act());
+    EXPECT_EQ(b.election.fencing_token(), b.service.version);
     EXPECT_EQ(b.won, 1);
 }
-TEST(Election, ALostAnswerIsResolvedByReading) {
+TEST(Election, ReadsTheKeyWhenTheAnswerToItsClaimIsLost) {
     Bench b;
-    b.service.lose_txn_answer = true;  // executed, but nobody was told
+    b.service.lose_txn_answer = true;  // executed, but not answered
     b.start();
     b.timers.run_until(5);
-    EXPECT_TRUE(b.election.holding());
-    EXPECT_EQ(b.election.version(), b.service.version);
+    EXPECT_TRUE(b.election.is_leader());
+    EXPECT_EQ(b.election.fencing_token(), b.service.version);
     EXPECT_EQ(b.won, 1);
 }
-TEST(Election, AuthorityEndsByTheSendingOfTheLastRenewal) {
+TEST(Election, MayActForTheLeaseFromTheSendingOfItsLastRenewal) {
     for (bool lost : {true, false}) {
         Bench b;
         b.start();
         b.timers.run_until(1);
         (lost ? b.service.lose_renewals : b.service.refuse) = true;
-        b.timers.run_until(1 + b.election.ttl());
-        EXPECT_TRUE(b.election.holding());     // nobody said that it is over
-        EXPECT_FALSE(b.election.authority());  // but it may be
+        b.timers.run_until(1 + b.election.lease_ttl_s());
+        EXPECT_TRUE(b.election.is_leader());  // no answer said that the lease has expired
+        EXPECT_FALSE(b.election.may_act());   // but it may have
         b.service.lose_renewals = b.service.refuse = false;
-        b.timers.run_until(2 + 2 * b.election.ttl());
-        EXPECT_TRUE(b.election.authority());
+        b.timers.run_until(2 + 2 * b.election.lease_ttl_s());
+        EXPECT_TRUE(b.election.may_act());
         EXPECT_EQ(b.lost, 0);
     }
 }
-TEST(Election, ALeaseThatIsGoneEndsLeadershipAndALaterOneHasAHigherVersion) {
+TEST(Election, LosesLeadershipWithItsLeaseAndWinsWithAHigherToken) {
     Bench b;
     b.start();
     b.timers.run_until(1);
-    auto first = b.election.version();
+    auto first = b.election.fencing_token();
     b.service.version = 0;
     b.timers.run_until(10);
     EXPECT_EQ(b.lost, 1);
     EXPECT_EQ(b.won, 2);
-    EXPECT_GT(b.election.version(), first);
+    EXPECT_GT(b.election.fencing_token(), first);
 }
-TEST(Election, FollowsAnotherLeaderAndBelievesANewerOne) {
+TEST(Election, FollowsTheLeaderWithTheNewestToken) {
     Bench b;
     b.held_by("berth-1");
     b.start();
     b.timers.run_until(1);
-    EXPECT_FALSE(b.election.holding());
-    EXPECT_EQ(b.election.leader(), "berth-1");
-    b.election.peer_says("berth-2", 2);  // older than what is known
-    EXPECT_EQ(b.election.leader(), "berth-1");
-    b.election.peer_says("berth-2", 8);
-    EXPECT_EQ(b.election.leader(), "berth-2");
+    EXPECT_FALSE(b.election.is_leader());
+    EXPECT_EQ(b.election.leader_label(), "berth-1");
+    b.election.observe_leader("berth-2", 2);  // older than what is known
+    EXPECT_EQ(b.election.leader_label(), "berth-1");
+    b.election.observe_leader("berth-2", 8);
+    EXPECT_EQ(b.election.leader_label(), "berth-2");
 }
-// A leader cut off from the key-value store hears of its successor from the workers: it stops heeding them.
+// A leader that is cut off from the key-value store learns of its successor from an agent's token.
 TEST(Election, StepsDownOnProofOfALaterLeadership) {
     for (auto [ahead, lost] : {std::pair(0, 0), {1, 1}}) {
         Bench b;
         b.start();
         b.timers.run_until(1);
         b.service.refuse = true;
-        b.election.deposed(b.election.version() + static_cast<std::uint64_t>(ahead));
+        b.election.step_down_if_superseded(b.election.fencing_token() + static_cast<std::uint64_t>(ahead));
         EXPECT_EQ(b.lost, lost);
-        EXPECT_EQ(b.election.holding(), lost == 0);
+        EXPECT_EQ(b.election.is_leader(), lost == 0);
     }
 }
-// A controller that is cut off from the workers leaves leadership to one that hears them, but not for ever:
-// that one may be unable to lead.
+// A controller that is cut off from the agents defers to one that receives their heartbeats, but not for
+// ever: that one may be unable to lead.
 TEST(Election, DefersForABoundedTime) {
     Bench b;
     bool defer = true;
     b.election.start({[&](std::uint64_t) { ++b.won; }, [] {}, [&] { return defer; }});
-    b.timers.run_until(b.election.ttl() * 0.9);
+    b.timers.run_until(b.election.lease_ttl_s() * 0.9);
     EXPECT_EQ(b.won, 0);
-    b.timers.run_until(b.election.ttl() * 1.5);
+    b.timers.run_until(b.election.lease_ttl_s() * 1.5);
     EXPECT_EQ(b.won, 1);
 }
-// While a version is replaced controller by controller, those that are new already must come before the old
-// ones, which read the key before they claim it.
-TEST(Election, ClaimsAtOnceWhenTheKeyIsSaidToBeGone) {
+// While a version is rolled out, controllers that run the new one already must win against the old ones,
+// which read the key before they claim it.
+TEST(Election, ClaimsWithoutAReadWhenTheWatchReportsTheDeletion) {
     Bench b;
     b.held_by("berth-1");
-    b.service.end_at = 2;
+    b.service.lease_ends_at = 2;
     b.start();
     b.timers.run_until(1.9);
     auto reads = b.service.reads;
@@ -181,14 +181,14 @@
     EXPECT_EQ(b.won, 1);
     EXPECT_EQ(b.service.reads, reads);
 }
-TEST(Election, EndsTheLeaseOfItsOwnEarlierProcess) {
+TEST(Election, EndsTheLeaseOfItsPreviousIncarnation) {
     Bench b;
     b.held_by("berth-0");
     b.start();
     b.timers.run_until(3);
-    EXPECT_TRUE(b.election.holding());
-    EXPECT_GT(b.election.version(), 3u);
+    EXPECT_TRUE(b.election.is_leader());
+    EXPECT_GT(b.election.fencing_token(), 3u);
 }
 
 }  // namespace
-}  // namespace coralhitch::kv
+}  // namespace coralhitch::election
