--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -44,7 +44,7 @@
       store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
              {[this](const std::string& id) { return record_of(id); },
               [this] { return authority() ? std::optional(leader_txn()) : std::nullopt; },
-              [this](const std::vector<machine_registry::MachineRegistry::Record>& r) {
+              [this](const std::vector<machine_registry::StoredMachine>& r) {
                   if (!stopped_) machines_stored(r);
               }}),
       job_watch_(dependencies_.timers, dependencies_.state, keys::jobs, watch_pace(dependencies_.settings),
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -147,7 +147,7 @@
     void check_reconciled();
     void store_machine(cluster::Machine& m);
     std::optional<protocol::MachineRecord> record_of(const std::string& id);
-    void machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records);
+    void machines_stored(const std::vector<machine_registry::StoredMachine>& records);
     void delete_marked_machines();
     void deleted(const std::vector<std::string>& ids, bool ok);
     void drop_keys();
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -724,7 +724,7 @@
     return protocol::MachineRecord{m->addr, m->type, m->zone, m->spot,
                                    m->life == Machine::Life::marked_for_deletion};
 }
-void Leader::machines_stored(const std::vector<machine_registry::MachineRegistry::Record>& records) {
+void Leader::machines_stored(const std::vector<machine_registry::StoredMachine>& records) {
     {
         std::lock_guard lock(mutex_);
         for (auto& [id, r] : records) {
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <charconv>
 #include <limits>
+#include <utility>
 
 #include "kv/keys.hpp"
 
@@ -12,274 +13,343 @@
 namespace keys = kv::keys;
 using kv::RequestPriority;
 using kv::TxnResult;
+using protocol::MachineRecord;
 
 namespace {
-// Of the largest value; the estimate of a record's size below need not be exact. Where values are small, a
-// fuller page saves changes, and a page that is refused all the same is split.
-constexpr double page_share = 0.6, small_page_share = 0.85;
-constexpr double small_value_kb = 4;
-constexpr std::size_t record_overhead = 32;
-// A transaction holds 64 KiB; conditions and names take some of it.
-constexpr std::size_t txn_bytes = 48 * 1024;
-// Ratios to the report period: machines that come up together are stored together, machines that are gone
-// leave their pages with the next write or after a while.
-constexpr double gap_reports = 1.0 / 20, tidy_reports = 1, retry_reports = 1.0 / 10,
-                 rejected_reports = 1.0 / 2;
+// How full a page may be, of the largest value. Record sizes are estimates (`bytes_of`). Where values are
+// small, fuller pages save changes, and a page that is rejected all the same is split.
+constexpr double max_fill_ratio = 0.6, max_fill_ratio_of_small_values = 0.85;
+constexpr double small_value_bytes = 4 * 1024;
+constexpr std::size_t record_overhead_bytes = 32;
+// A request body holds 64 KiB; conditions and keys take some of it.
+constexpr std::size_t max_txn_bytes = 48 * 1024;
+// In report periods. Machines that come up together are stored together; machines that are gone leave their
+// pages with the next write, or after the cleanup interval.
+constexpr double min_write_interval_reports = 1.0 / 20;
+constexpr double cleanup_interval_reports = 1;
+constexpr double retry_reports = 1.0 / 10;
+constexpr double retry_after_rejection_reports = 1.0 / 2;
 
 std::optional<std::size_t> page_number(const std::string& key) {
     if (!key.starts_with(keys::machine_pages)) return std::nullopt;
-    std::size_t n = 0;
-    auto* first = key.data() + keys::machine_pages.size();
-    auto* last = key.data() + key.size();
-    auto [end, ec] = std::from_chars(first, last, n);
-    if (ec != std::errc() || end != last) return std::nullopt;
-    return n;
+    std::size_t number = 0;
+    const auto* first = key.data() + keys::machine_pages.size();
+    const auto* last = key.data() + key.size();
+    auto [end, error] = std::from_chars(first, last, number);
+    if (error != std::errc() || end != last) return std::nullopt;
+    return number;
 }
-std::size_t bytes_of(const std::string& id, const protocol::MachineRecord& r) {
-    return id.size() + r.addr.size() + r.type.size() + r.zone.size() + record_overhead;
+
+std::size_t bytes_of(const std::string& id, const MachineRecord& record) {
+    return id.size() + record.addr.size() + record.type.size() + record.zone.size() + record_overhead_bytes;
 }
 }  // namespace
 
-MachineRegistry::MachineRegistry(event_loop::Timers& timers, kv::KvClient& state,
-                                 const config::Settings& settings, Hooks hooks)
-    : timers_(timers), state_(state), settings_(settings), hooks_(std::move(hooks)) {}
+MachineRegistry::MachineRegistry(event_loop::Timers& timers, kv::KvClient& kv,
+                                 const config::Settings& settings, Callbacks callbacks)
+    : timers_(timers), kv_(kv), settings_(settings), callbacks_(std::move(callbacks)) {}
+
+// --- Loading --------------------------------------------------------------------------------------------
+
+std::vector<StoredMachine> MachineRegistry::load(const kv::ListResult& listed) {
+    std::map<std::string, MachineRecord> all;
+    for (const auto& entry : listed.entries)
+        if (auto number = page_number(entry.key)) load_page(*number, entry, all);
+    for (const auto& entry : listed.entries)
+        if (!page_number(entry.key)) load_single_record(entry, all);
+    for (auto& [number, page] : pages_)
+        if (page.is_evacuating) page.has_new_records = page.has_removed = false;
 
-std::size_t MachineRegistry::page_bytes() const {
-    auto value = static_cast<double>(state_.limits().value_bytes());
-    return static_cast<std::size_t>(value * (value <= small_value_kb * 1024 ? small_page_share : page_share));
+    std::vector<StoredMachine> machines;
+    machines.reserve(all.size());
+    for (auto& [id, record] : all) machines.push_back({id, std::move(record)});
+    return machines;
 }
 
-std::vector<MachineRegistry::Record> MachineRegistry::load(const kv::ListResult& listed) {
-    std::map<std::string, protocol::MachineRecord> all;
-    auto take = [&](std::size_t n, const std::string& id, const protocol::MachineRecord& r) {
-        auto& p = pages_[n];
-        p.ids.insert(id);
-        p.bytes += bytes_of(id, r);
-        auto [it, fresh] = all.emplace(id, r);
-        auto [home, first] = page_of_.emplace(id, n);
-        if (fresh) return;
-        // Half moved by an earlier leader, or put into a second page by an older version. It stays where it
-        // was read first, and the page that it leaves is written after that one.
-        if (pages_[home->second].retiring) home->second = n;
-        if (it->second.marked_for_deletion != r.marked_for_deletion)
-            it->second.marked_for_deletion = pages_[home->second].dirty = true;
-        if (home->second == n || p.retiring) return;
-        p.ids.erase(id);
-        p.stale = true;
-    };
-    for (auto& e : listed.entries) {
-        auto n = page_number(e.key);
-        if (!n) continue;
-        auto& p = pages_[*n];
-        p.version = e.version;
-        p.retiring = e.value.size() > state_.limits().value_bytes();
-        try {
-            for (auto& [id, r] : protocol::parse_machine_page(e.value)) take(*n, id, r);
-        } catch (const protocol::Malformed& x) {
-            // Of another version, perhaps: left as it is, and taken for full.
-            spdlog::error("machine page {}: {}", e.key, x.what());
-            p.retiring = false;
-            p.bytes = std::numeric_limits<std::size_t>::max() / 2;
-        }
+void MachineRegistry::load_page(std::size_t number, const protocol::Entry& entry,
+                                std::map<std::string, MachineRecord>& all) {
+    auto& page = pages_[number];
+    page.version = entry.version;
+    page.is_evacuating = entry.value.size() > kv_.limits().value_bytes();
+    try {
+        for (auto& [id, record] : protocol::parse_machine_page(entry.value))
+            load_record(number, id, record, all);
+    } catch (const protocol::Malformed& error) {
+        // Of a later version, perhaps: taken for full and left as it is, since it may hold machines.
+        spdlog::error("component=machine_registry event=page_malformed key={} error=\"{}\"", entry.key,
+                      error.what());
+        page.is_evacuating = false;
+        page.bytes = std::numeric_limits<std::size_t>::max() / 2;
     }
-    for (auto& e : listed.entries) {
-        if (page_number(e.key)) continue;
-        old_keys_.insert(e.key);
-        try {
-            auto id = e.key.substr(keys::machines.size());
-            auto r = protocol::parse_machine_record(e.value);
-            if (page_of_.contains(id)) continue;
-            auto n = page_for(id, bytes_of(id, r));
-            take(n, id, r);
-            pages_[n].dirty = true;
-        } catch (const protocol::Malformed& x) {
-            spdlog::error("machine {}: {}", e.key, x.what());
-        }
+}
+
+// A record of the layout with a key for each machine. Its key is deleted once the record is in a page.
+void MachineRegistry::load_single_record(const protocol::Entry& entry,
+                                         std::map<std::string, MachineRecord>& all) {
+    old_keys_.insert(entry.key);
+    try {
+        auto id = entry.key.substr(keys::machines.size());
+        auto record = protocol::parse_machine_record(entry.value);
+        if (page_of_.contains(id)) return;
+        auto number = page_with_room(id, bytes_of(id, record));
+        load_record(number, id, record, all);
+        pages_[number].has_new_records = true;
+    } catch (const protocol::Malformed& error) {
+        spdlog::error("component=machine_registry event=record_malformed key={} error=\"{}\"", entry.key,
+                      error.what());
     }
-    for (auto& [n, p] : pages_)
-        if (p.retiring) p.dirty = p.stale = false;
-    return {all.begin(), all.end()};
 }
 
-std::size_t MachineRegistry::page_for(const std::string& id, std::size_t bytes) {
+void MachineRegistry::load_record(std::size_t number, const std::string& id, const MachineRecord& record,
+                                  std::map<std::string, MachineRecord>& all) {
+    auto& page = pages_[number];
+    page.machine_ids.insert(id);
+    page.bytes += bytes_of(id, record);
+    auto [known, is_new] = all.emplace(id, record);
+    auto home = page_of_.emplace(id, number).first;
+    if (is_new) return;
+    // Moved half-way by an earlier leader, or put into a second page by an older version. It stays in the
+    // page that was read first, unless that one is evacuating, and the page that it leaves is written later.
+    if (pages_[home->second].is_evacuating) home->second = number;
+    if (known->second.marked_for_deletion != record.marked_for_deletion)
+        known->second.marked_for_deletion = pages_[home->second].has_new_records = true;
+    if (home->second == number || page.is_evacuating) return;
+    page.machine_ids.erase(id);
+    page.has_removed = true;
+}
+
+// --- Pages and their sizes ------------------------------------------------------------------------------
+
+std::size_t MachineRegistry::max_page_bytes() const {
+    auto value_bytes = static_cast<double>(kv_.limits().value_bytes());
+    bool is_small = value_bytes <= small_value_bytes;
+    return static_cast<std::size_t>(value_bytes *
+                                    (is_small ? max_fill_ratio_of_small_values : max_fill_ratio));
+}
+
+// The machine's page, or the first one with room for it, which may be a new one.
+std::size_t MachineRegistry::page_with_room(const std::string& id, std::size_t bytes) const {
     if (auto it = page_of_.find(id); it != page_of_.end()) return it->second;
-    std::size_t n = 0;
-    for (;; ++n) {
-        auto it = pages_.find(n);
-        if (it == pages_.end()) return n;
-        if (!it->second.retiring && it->second.bytes + bytes <= page_bytes()) return n;
+    for (std::size_t number = 0;; ++number) {
+        auto it = pages_.find(number);
+        if (it == pages_.end()) return number;
+        if (!it->second.is_evacuating && it->second.bytes + bytes <= max_page_bytes()) return number;
     }
 }
 
-// After a refusal pages may hold less than they do.
-void MachineRegistry::retire_large() {
-    for (auto& [n, p] : pages_)
-        if (!p.retiring && p.version > 0 && p.ids.size() > 1 && p.bytes > page_bytes()) {
-            p.retiring = true;
-            p.dirty = p.stale = false;
+// After a rejection pages may hold less than they do.
+void MachineRegistry::shrink_pages() {
+    auto is_too_large = [this](const Page& page) {
+        return !page.is_evacuating && page.machine_ids.size() > 1 && page.bytes > max_page_bytes();
+    };
+    for (auto& [number, page] : pages_)
+        if (page.version > 0 && is_too_large(page)) {
+            page.is_evacuating = true;
+            page.has_new_records = page.has_removed = false;
         }
-    // The machines of one that was never stored just go elsewhere.
-    for (auto& [n, p] : pages_) {
-        if (p.retiring || p.version > 0 || p.bytes <= page_bytes() || p.ids.size() <= 1) continue;
-        auto ids = std::exchange(p.ids, {});
-        p.bytes = 0;
-        p.dirty = false;
-        p.stale = true;
-        for (auto& id : ids) page_of_.erase(id);
-        for (auto& id : ids) put(id);
-        return retire_large();
+    for (auto& [number, page] : pages_) {
+        if (page.version > 0 || !is_too_large(page)) continue;
+        move_to_other_pages(page);
+        return shrink_pages();  // there may be new pages, and these may be too large
     }
 }
-// Puts the machines of pages that retire into others; they are in both until that is confirmed.
-void MachineRegistry::move_on() {
-    for (auto& [n, p] : pages_) {
-        if (!p.retiring) continue;
+
+// A page that was never stored needs no evacuation.
+void MachineRegistry::move_to_other_pages(Page& page) {
+    auto ids = std::exchange(page.machine_ids, {});
+    page.bytes = 0;
+    page.has_new_records = false;
+    page.has_removed = true;
+    for (const auto& id : ids) page_of_.erase(id);
+    for (const auto& id : ids) put(id);
+}
+
+// Puts the machines of evacuating pages into others; they are in both until that is confirmed.
+void MachineRegistry::evacuate_pages() {
+    for (auto& [number, page] : pages_) {
+        if (!page.is_evacuating) continue;
         std::vector<std::string> ids;
-        for (auto& id : p.ids)
-            if (auto it = page_of_.find(id); it != page_of_.end() && it->second == n) ids.push_back(id);
-        for (auto& id : ids) {
+        for (const auto& id : page.machine_ids)
+            if (auto it = page_of_.find(id); it != page_of_.end() && it->second == number) ids.push_back(id);
+        for (const auto& id : ids) {
             page_of_.erase(id);
-            if (!hooks_.record(id)) continue;  // gone
-            unmoved_.insert(id);
+            if (!callbacks_.current_record(id)) continue;
+            unconfirmed_moves_.insert(id);
             put(id);
         }
-        if (!ids.empty()) return move_on();  // `put` may have made new pages
+        if (!ids.empty()) return evacuate_pages();  // there may be new pages
     }
 }
-bool MachineRegistry::moved(const Page& p) const {
-    return std::none_of(p.ids.begin(), p.ids.end(), [&](auto& id) { return unmoved_.contains(id); });
+
+bool MachineRegistry::is_evacuated(const Page& page) const {
+    return std::none_of(page.machine_ids.begin(), page.machine_ids.end(),
+                        [this](const auto& id) { return unconfirmed_moves_.contains(id); });
 }
 
 void MachineRegistry::put(const std::string& id) {
-    auto r = hooks_.record(id);
-    if (!r) return;
-    auto bytes = bytes_of(id, *r);
-    auto n = page_for(id, bytes);
-    auto& p = pages_[n];
-    if (p.ids.insert(id).second) p.bytes += bytes;
-    p.dirty = true;
-    page_of_[id] = n;
-    later(0);
+    auto record = callbacks_.current_record(id);
+    if (!record) return;
+    auto bytes = bytes_of(id, *record);
+    auto number = page_with_room(id, bytes);
+    auto& page = pages_[number];
+    if (page.machine_ids.insert(id).second) page.bytes += bytes;
+    page.has_new_records = true;
+    page_of_[id] = number;
+    schedule_flush(0);
 }
+
 void MachineRegistry::remove(const std::string& id) {
     auto it = page_of_.find(id);
     if (it == page_of_.end()) return;
-    unmoved_.erase(id);
-    auto& p = pages_[it->second];
-    p.ids.erase(id);
-    p.bytes -= std::min(p.bytes, record_overhead + id.size());  // counted again when the page is written
-    p.stale = true;
+    unconfirmed_moves_.erase(id);
+    auto& page = pages_[it->second];
+    page.machine_ids.erase(id);
+    // Its exact size is counted again when the page is written.
+    page.bytes -= std::min(page.bytes, record_overhead_bytes + id.size());
+    page.has_removed = true;
     page_of_.erase(it);
 }
 
-void MachineRegistry::later(double seconds) {
-    if (armed_) return;
-    armed_ = true;
-    timers_.after(seconds, guarded_([this] {
-                      armed_ = false;
+// --- Writing --------------------------------------------------------------------------------------------
+
+void MachineRegistry::schedule_flush(double delay_s) {
+    if (is_flush_scheduled_) return;
+    is_flush_scheduled_ = true;
+    timers_.after(delay_s, guarded_([this] {
+                      is_flush_scheduled_ = false;
                       flush();
                   }));
 }
+
+bool MachineRegistry::is_deletable(const Page& page) const {
+    return page.is_evacuating && page.version > 0 && is_evacuated(page);
+}
+
+bool MachineRegistry::is_anything_due() const {
+    if (!old_keys_.empty()) return true;
+    double since_cleanup_s = timers_.now() - last_cleanup_at_;
+    bool is_cleanup_due = since_cleanup_s > settings_.report_s * cleanup_interval_reports;
+    return std::any_of(pages_.begin(), pages_.end(), [&](const auto& entry) {
+        const Page& page = entry.second;
+        return page.has_new_records || (is_cleanup_due && page.has_removed) || is_deletable(page);
+    });
+}
+
 void MachineRegistry::flush() {
-    if (busy_) return;
-    move_on();
-    bool tidy = timers_.now() - last_tidy_ > settings_.report_s * tidy_reports;
-    bool due = !old_keys_.empty();
-    for (auto& [n, p] : pages_)
-        due = due || p.dirty || (tidy && p.stale) || (p.retiring && p.version > 0 && moved(p));
-    if (!due) return;
-    double wait = last_write_ + settings_.report_s * gap_reports - timers_.now();
-    if (last_write_ >= 0 && wait > 0) return later(wait);
-    for (auto& [n, p] : pages_)
-        if (p.unsure) return read_again(n);
-    write();
+    if (is_request_pending_) return;
+    evacuate_pages();
+    if (!is_anything_due()) return;
+    if (last_write_at_) {
+        double wait_s = *last_write_at_ + settings_.report_s * min_write_interval_reports - timers_.now();
+        if (wait_s > 0) return schedule_flush(wait_s);
+    }
+    for (const auto& [number, page] : pages_)
+        if (page.version_unknown) return read_version(number);
+    write_due_pages();
+}
+
+// The answer to a write was lost, or its condition failed: which version does the key have now?
+void MachineRegistry::read_version(std::size_t number) {
+    is_request_pending_ = true;
+    kv_.get(keys::machine_page(number), RequestPriority::write,
+            guarded_([this, number](kv::GetResult result) {
+                is_request_pending_ = false;
+                if (!result.ok()) return schedule_flush(settings_.report_s * retry_reports);
+                auto& page = pages_[number];
+                page.version = result.entry ? result.entry->version : 0;
+                page.version_unknown = false;
+                flush();
+            }));
 }
 
-// The answer to a write was lost, or its condition failed: what does the key hold now?
-void MachineRegistry::read_again(std::size_t n) {
-    busy_ = true;
-    state_.get(keys::machine_page(n), RequestPriority::write, guarded_([this, n](kv::GetResult f) {
-                   busy_ = false;
-                   if (!f.ok()) return later(settings_.report_s * retry_reports);
-                   pages_[n].version = f.entry ? f.entry->version : 0;
-                   pages_[n].unsure = false;
-                   flush();
-               }));
+// Pages with new records go before those that only hold machines that are gone, and evacuated pages.
+std::vector<std::size_t> MachineRegistry::pages_to_write() const {
+    std::vector<std::size_t> numbers;
+    for (const auto& [number, page] : pages_)
+        if (!page.is_evacuating && page.has_new_records) numbers.push_back(number);
+    for (const auto& [number, page] : pages_) {
+        bool is_due = page.is_evacuating ? is_deletable(page) : !page.has_new_records && page.has_removed;
+        if (is_due) numbers.push_back(number);
+    }
+    return numbers;
 }
 
-void MachineRegistry::write() {
-    auto t = hooks_.begin();
-    if (!t) return;  // the next tick of whoever leads tries again
-    std::vector<Written> pages;
-    std::vector<Record> records;
-    std::size_t bytes = 0;
-    bool urgent = false, left_over = false;
-    auto most = state_.limits().txn_ops();
-    // Pages that hold something new go before those that only hold machines that are gone.
-    std::vector<std::size_t> order;
-    for (bool first : {true, false})
-        for (auto& [n, p] : pages_)
-            if (p.retiring ? !first && p.version > 0 && moved(p) : first ? p.dirty : !p.dirty && p.stale)
-                order.push_back(n);
-    for (auto n : order) {
-        auto& p = pages_[n];
-        if (pages.size() >= most || bytes + page_bytes() > txn_bytes) {
-            left_over = true;
+void MachineRegistry::write_due_pages() {
+    auto transaction = callbacks_.begin_transaction();
+    if (!transaction) return;  // the next flush tries again
+    Batch batch;
+    batch.transaction = std::move(*transaction);
+    batch.is_complete = true;
+    for (auto number : pages_to_write()) {
+        if (batch.pages.size() >= kv_.limits().txn_ops() || batch.bytes + max_page_bytes() > max_txn_bytes) {
+            batch.is_complete = false;
             break;
         }
-        protocol::MachinePage page;
-        p.bytes = 0;
-        // Its machines are in other pages, or gone.
-        if (std::exchange(p.retiring, false)) p.ids.clear();
-        for (auto& id : p.ids)
-            if (auto r = hooks_.record(id)) {
-                p.bytes += bytes_of(id, *r);
-                page.emplace_back(id, *r);
-            }
-        bytes += p.bytes;
-        urgent = urgent || p.dirty;
-        p.dirty = p.stale = false;
-        t->conditions.push_back({keys::machine_page(n), p.version});
-        if (!page.empty())
-            t->changes.push_back({keys::machine_page(n), protocol::stored(page), 0});
-        else if (p.version > 0)
-            t->changes.push_back({keys::machine_page(n), std::nullopt, 0});
-        pages.push_back({n, !page.empty()});
-        records.insert(records.end(), page.begin(), page.end());
+        add_page(batch, number);
     }
-    if (!left_over)
-        for (auto it = old_keys_.begin(); it != old_keys_.end() && t->changes.size() < most;) {
-            t->changes.push_back({*it, std::nullopt, 0});
-            it = old_keys_.erase(it);
-        }
-    last_write_ = timers_.now();
-    if (!left_over) last_tidy_ = last_write_;
-    if (t->changes.empty()) return;
-    busy_ = true;
-    state_.txn(std::move(*t), urgent ? RequestPriority::write : RequestPriority::background,
-               guarded_([this, pages, records](TxnResult c) { written(pages, records, c); }));
+    // Only after all pages: an old key may go in the transaction that stores its record, but not before.
+    if (batch.is_complete) add_deletions_of_old_keys(batch.transaction);
+    last_write_at_ = timers_.now();
+    if (batch.is_complete) last_cleanup_at_ = *last_write_at_;
+    if (batch.transaction.changes.empty()) return;
+    is_request_pending_ = true;
+    auto priority = batch.is_urgent ? RequestPriority::write : RequestPriority::background;
+    kv_.txn(std::move(batch.transaction), priority,
+            guarded_([this, pages = std::move(batch.pages), machines = std::move(batch.machines)](
+                         TxnResult result) { handle_write(pages, machines, result); }));
 }
 
-void MachineRegistry::written(const std::vector<Written>& pages, const std::vector<Record>& records,
-                              const TxnResult& c) {
-    busy_ = false;
-    bool ok = c.status == TxnResult::Status::committed;
-    bool rejected = c.status == TxnResult::Status::rejected;
-    if (ok)
-        for (auto& [id, r] : records) unmoved_.erase(id);
-    for (auto [n, held] : pages) {
-        auto& p = pages_[n];
-        if (ok) {
-            p.version = held ? c.revision : 0;  // an empty page was dropped
-        } else {
-            p.dirty = true;
-            p.unsure = !c.not_executed();
+void MachineRegistry::add_page(Batch& batch, std::size_t number) {
+    auto& page = pages_[number];
+    // The machines of an evacuated page are in other pages, or gone: it is written as an empty one.
+    if (std::exchange(page.is_evacuating, false)) page.machine_ids.clear();
+    protocol::MachinePage records;
+    page.bytes = 0;
+    for (const auto& id : page.machine_ids)
+        if (auto record = callbacks_.current_record(id)) {
+            page.bytes += bytes_of(id, *record);
+            batch.machines.push_back({id, *record});
+            records.emplace_back(id, std::move(*record));
         }
+    batch.bytes += page.bytes;
+    batch.is_urgent = batch.is_urgent || page.has_new_records;
+    page.has_new_records = page.has_removed = false;
+
+    auto key = keys::machine_page(number);
+    batch.transaction.conditions.push_back({key, page.version});
+    if (!records.empty())
+        batch.transaction.changes.push_back({key, protocol::stored(records), 0});
+    else if (page.version > 0)
+        batch.transaction.changes.push_back({key, std::nullopt, 0});
+    batch.pages.push_back({number, records.empty()});
+}
+
+void MachineRegistry::add_deletions_of_old_keys(protocol::Txn& transaction) {
+    auto max_changes = kv_.limits().txn_ops();
+    for (auto it = old_keys_.begin(); it != old_keys_.end() && transaction.changes.size() < max_changes;) {
+        transaction.changes.push_back({*it, std::nullopt, 0});
+        it = old_keys_.erase(it);
+    }
+}
+
+void MachineRegistry::handle_write(const std::vector<PageWrite>& pages,
+                                   const std::vector<StoredMachine>& machines, const TxnResult& result) {
+    is_request_pending_ = false;
+    if (result.status == TxnResult::Status::committed) {
+        for (const auto& machine : machines) unconfirmed_moves_.erase(machine.id);
+        for (const auto& write : pages)
+            pages_[write.number].version = write.is_deletion ? 0 : result.revision;
+        callbacks_.on_stored(machines);
+        return flush();
+    }
+    for (const auto& write : pages) {
+        auto& page = pages_[write.number];
+        page.has_new_records = true;
+        page.version_unknown = !result.not_executed();
     }
-    if (ok) hooks_.stored(records);
-    if (ok) return flush();
-    if (rejected) retire_large();
-    later(settings_.report_s * (rejected ? rejected_reports : retry_reports));
+    bool is_rejected = result.status == TxnResult::Status::rejected;
+    if (is_rejected) shrink_pages();
+    schedule_flush(settings_.report_s * (is_rejected ? retry_after_rejection_reports : retry_reports));
 }
 
 }  // namespace coralhitch::machine_registry
--- a/tests/machine_registry/machine_registry_test.cpp
+++ b/tests/machine_registry/machine_registry_test.cpp
@@ -1,4 +1,4 @@
-// Pages of machines: what is confirmed is stored, whatever becomes of the answers.
+// The machine registry: what is confirmed is stored, whatever becomes of the answers.
 #include "machine_registry/machine_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,9 @@
 namespace {
 using nlohmann::json;
 
-std::set<std::string> machines_in(const FakeKeyValueStore& state) {
+std::set<std::string> machines_in(const FakeKeyValueStore& store) {
     std::set<std::string> out;
-    for (auto& [k, v] : state.kv)
+    for (auto& [k, v] : store.kv)
         if (k.starts_with(coralhitch::kv::keys::machine_pages))
             for (auto& row : v.first.value("machines", json::array())) out.insert(row[0].get<std::string>());
     return out;
@@ -42,46 +42,46 @@
     FakeKeyValueStore service{timers};
     config::Settings settings;
     kv::KvClient client{timers, service, settings};
-    std::map<std::string, protocol::MachineRecord> fleet;
+    std::map<std::string, protocol::MachineRecord> machines;
     std::set<std::string> confirmed;
     bool authority = true;
-    MachineRegistry store{timers,
-                          client,
-                          settings,
-                          {[this](const std::string& id) {
-                               auto it = fleet.find(id);
-                               return it == fleet.end() ? std::nullopt : std::optional(it->second);
-                           },
-                           [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
-                           [this](const std::vector<MachineRegistry::Record>& records) {
-                               for (auto& [id, r] : records)
-                                   if (fleet.contains(id)) confirmed.insert(id);
-                           }}};
+    MachineRegistry registry{timers,
+                             client,
+                             settings,
+                             {[this](const std::string& id) {
+                                  auto it = machines.find(id);
+                                  return it == machines.end() ? std::nullopt : std::optional(it->second);
+                              },
+                              [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
+                              [this](const std::vector<StoredMachine>& records) {
+                                  for (auto& [id, r] : records)
+                                      if (machines.contains(id)) confirmed.insert(id);
+                              }}};
     void add(const std::string& id) {
-        fleet[id] = {"10.1.0.1:9000", "g4", "z1", false, false};
-        store.put(id);
+        machines[id] = {"10.1.0.1:9000", "g4", "z1", false, false};
+        registry.put(id);
     }
-    void gone(const std::string& id) {
-        fleet.erase(id);
+    void terminate(const std::string& id) {
+        machines.erase(id);
         confirmed.erase(id);
-        store.remove(id);
+        registry.remove(id);
     }
-    // As a leader that takes over does.
-    void take_over(const Bench& before) {
+    // As a new leader does at failover.
+    void fail_over(const Bench& before) {
         service.kv = before.service.kv;
         service.revision = before.service.revision;
         kv::ListResult listed;
         listed.status = kv::ReadStatus::ok;
         for (auto& [k, v] : service.kv) listed.entries.push_back({k, v.first.dump(), v.second, 0});
-        for (auto& [id, r] : store.load(listed)) {
-            fleet[id] = r;
+        for (auto& [id, r] : registry.load(listed)) {
+            machines[id] = r;
             confirmed.insert(id);
         }
     }
-    // Through everything that becomes due, looking after each step.
+    // Through everything that becomes due, with a check after each step.
     void run_scenario(double seconds) {
         for (double t = 0; t < seconds; t += 0.05) {
-            if (static_cast<int>(t / 0.05) % 20 == 0) store.flush();
+            if (static_cast<int>(t / 0.05) % 20 == 0) registry.flush();
             timers.run_until(timers.now() + 0.05);
             expect_all_confirmed_stored();
         }
@@ -92,7 +92,7 @@
     }
 };
 
-TEST(MachineRegistry, AFleetCostsAFewChanges) {
+TEST(MachineRegistry, StoresManyMachinesInAFewChanges) {
     Bench b;
     for (int k = 0; k < 600; ++k) b.add("vm-" + std::to_string(100000 + k));
     b.timers.run_until(5);
@@ -116,19 +116,19 @@
         b.service.fates.assign(fates.begin(), fates.end());
         for (int k = 0; k < 12; ++k) {
             b.add("vm-" + std::to_string(k));
-            if (k % 4 == 3) b.gone("vm-" + std::to_string(k - 2));
+            if (k % 4 == 3) b.terminate("vm-" + std::to_string(k - 2));
             for (double t = 0; t < 1.5; t += 0.1) {
                 b.timers.run_until(b.timers.now() + 0.1);
                 b.expect_all_confirmed_stored();
             }
         }
         for (int k = 0; k < 10; ++k) {
-            b.store.flush();
+            b.registry.flush();
             b.timers.run_until(b.timers.now() + 5);
         }
         b.expect_all_confirmed_stored();
-        EXPECT_EQ(b.confirmed.size(), b.fleet.size());
-        EXPECT_EQ(machines_in(b.service).size(), b.fleet.size());
+        EXPECT_EQ(b.confirmed.size(), b.machines.size());
+        EXPECT_EQ(machines_in(b.service).size(), b.machines.size());
     }
 }
 TEST(MachineRegistry, WritesNothingWithoutAuthority) {
@@ -139,11 +139,11 @@
     EXPECT_TRUE(b.confirmed.empty());
     EXPECT_TRUE(b.service.kv.empty());
     b.authority = true;
-    b.store.flush();
+    b.registry.flush();
     b.timers.run_until(6);
     EXPECT_EQ(b.confirmed.size(), 1u);
 }
-TEST(MachineRegistry, ReadsPagesAndTheLayoutBeforeThem) {
+TEST(MachineRegistry, LoadsPagesAndTheLayoutWithAKeyForEachMachine) {
     Bench b;
     b.add("vm-1");
     b.timers.run_until(1);
@@ -156,10 +156,10 @@
     Bench next;
     next.service.kv = b.service.kv;
     next.service.kv[kv::keys::machines + "vm-0"] = {json::object(), 3};
-    for (auto& [id, r] : next.store.load(listed)) next.fleet[id] = r;
-    ASSERT_EQ(next.fleet.size(), 2u);
-    EXPECT_TRUE(next.fleet["vm-0"].marked_for_deletion);
-    next.store.flush();
+    for (auto& [id, r] : next.registry.load(listed)) next.machines[id] = r;
+    ASSERT_EQ(next.machines.size(), 2u);
+    EXPECT_TRUE(next.machines["vm-0"].marked_for_deletion);
+    next.registry.flush();
     next.timers.run_until(2);
     EXPECT_EQ(machines_in(next.service), (std::set<std::string>{"vm-0", "vm-1"}));
     EXPECT_FALSE(next.service.kv.contains(kv::keys::machines + "vm-0"));
@@ -167,7 +167,7 @@
 
 // Pages filled under a larger limit are split, into more than one transaction takes. No machine may be out of
 // the store at any moment, whatever becomes of the answers: the next leader would not look for tasks on it.
-TEST(MachineRegistry, LargePagesAreSplitAndNoMachineIsEverMissing) {
+TEST(MachineRegistry, SplitsLargePagesWithoutAMachineEverMissing) {
     using F = FakeKeyValueStore::Fate;
     const std::vector<F> cases[] = {{},
                                     {F::lost_after, F::late, F::never, F::answered, F::late, F::lost_after}};
@@ -176,29 +176,31 @@
         for (int k = 0; k < 600; ++k) before.add("vm-" + std::to_string(100000 + k));
         before.timers.run_until(5);
         Bench b(2, 8);
-        b.take_over(before);
+        b.fail_over(before);
         ASSERT_EQ(b.confirmed.size(), 600u);
         b.service.value_bytes = 2048;
         b.service.txn_ops = 8;
         b.service.fates.assign(fates.begin(), fates.end());
-        b.store.flush();
+        b.registry.flush();
         b.timers.run_until(0.3);
         b.expect_all_confirmed_stored();
-        for (int k = 0; k < 40; ++k) b.gone("vm-" + std::to_string(100007 + 11 * k));  // a wave, right then
+        for (int k = 0; k < 40; ++k)
+            b.terminate("vm-" + std::to_string(100007 + 11 * k));  // a wave, right then
         b.add("vm-200000");
         b.run_scenario(40);
         EXPECT_EQ(b.confirmed.size(), 561u);
         EXPECT_EQ(machines_in(b.service).size(), 561u);
         for (auto& [k, v] : b.service.kv) EXPECT_LE(v.first.dump().size(), 2048u) << k;
-        // One that takes over in the middle of it finds every machine, too: played by the checks above.
+        // A leader that fails over in the middle of it finds every machine, too: the checks above stand for
+        // it.
         Bench next(2, 8);
-        next.take_over(b);
-        EXPECT_EQ(next.fleet.size(), 561u);
+        next.fail_over(b);
+        EXPECT_EQ(next.machines.size(), 561u);
     }
 }
 // The limits may fall without notice, and lower than the settings say: what is refused is made smaller, and
 // refusals do not repeat for ever.
-TEST(MachineRegistry, ARefusedWriteIsMadeSmaller) {
+TEST(MachineRegistry, WritesSmallerPagesAfterARejection) {
     struct Case {
         std::size_t value_bytes, txn_ops;
     };
@@ -216,19 +218,19 @@
     }
 }
 // A page that can't be read may hold machines all the same: it is neither dropped as empty nor filled anew.
-TEST(MachineRegistry, APageThatCantBeReadIsLeftAlone) {
+TEST(MachineRegistry, LeavesAPageThatItCannotReadAsItIs) {
     for (std::size_t bytes : {10u, 4000u}) {
         Bench before;
         before.service.kv[kv::keys::machine_page(0)] = {json{{"later", std::string(bytes, 'x')}}, 2};
         Bench b(2, 8);
-        b.take_over(before);
+        b.fail_over(before);
         b.add("vm-1");
         b.run_scenario(12);
         EXPECT_EQ(b.service.kv[kv::keys::machine_page(0)].second, 2u) << bytes;
         EXPECT_EQ(b.service.kv.size(), 2u) << bytes;
     }
 }
-TEST(MachineRegistry, AMachineInTwoPagesIsOneAndCondemnedIfEitherSaysSo) {
+TEST(MachineRegistry, MergesAMachineInTwoPagesAndKeepsItsMarkForDeletion) {
     for (bool first : {true, false}) {
         Bench before;
         auto row = [](bool marked_for_deletion) {
@@ -237,15 +239,15 @@
         before.service.kv[kv::keys::machine_page(0)] = {row(first), 2};
         before.service.kv[kv::keys::machine_page(7)] = {row(!first), 3};
         Bench b;
-        b.take_over(before);
-        ASSERT_EQ(b.fleet.size(), 1u);
-        EXPECT_TRUE(b.fleet["vm-1"].marked_for_deletion);
+        b.fail_over(before);
+        ASSERT_EQ(b.machines.size(), 1u);
+        EXPECT_TRUE(b.machines["vm-1"].marked_for_deletion);
         b.run_scenario(12);
         Bench next;
-        next.take_over(b);
-        EXPECT_TRUE(next.fleet["vm-1"].marked_for_deletion);
+        next.fail_over(b);
+        EXPECT_TRUE(next.machines["vm-1"].marked_for_deletion);
         EXPECT_EQ(next.service.kv.size(), 1u);
-        b.gone("vm-1");
+        b.terminate("vm-1");
         b.run_scenario(12);
         EXPECT_TRUE(b.service.kv.empty());
     }
