--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 // Ratios to the lease's time to live.
-constexpr double authority_margin_ratio = 1.0 / 20;  // between a look at the clock and the act that follows
+constexpr double authority_margin_ratio = 1.0 / 20;  // between a check of the clock and the act that follows
 constexpr double renewal_interval_ratio = 1.0 / 4;
 constexpr double renewal_retry_ratio = 1.0 / 16;
 constexpr double max_deferral_ratio = 1;
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -3,9 +3,9 @@
 //
 // Why no two leaders act at once. The store counts a lease from the moment at which it executes the creation
 // or renewal, which is never before the request was sent. The leader counts from the sending, and acts only
-// until `sent_at + ttl`, less the drift of the clocks and a margin for the time between its look at the clock
-// and the act (`may_act`). So its authority ends before the store can delete its key, and nobody else can
-// claim the key before that.
+// until `sent_at + ttl`, less the drift of the clocks and a margin for the time between its check of the
+// clock and the act (`may_act`). The store may end a lease late, but never early. So its authority ends
+// before the store can delete its key, and nobody else can claim the key before that.
 //
 // What a leader sent while it had authority may still arrive later. That is fenced by the fencing token, the
 // version of the leader's key: versions only grow, agents ignore commands with a token lower than the highest
--- a/src/kv/kv_client.hpp
+++ b/src/kv/kv_client.hpp
@@ -3,9 +3,9 @@
 // All requests of this controller pass through one queue by priority and keep to this controller's share of
 // the store's request budget (request_queue.hpp, request_budget.hpp).
 //
-// Consistency: reads and transactions are linearizable. A key's version is the store's revision at which it
-// was last put, so versions only grow; a condition names the version that a key must have, 0 for "no such
-// key".
+// Consistency: the store is strongly consistent. A key's version is the store's revision at which it was last
+// put, so versions only grow; a condition names the version that a key must have, 0 for "no such key". A
+// request without an answer may have been executed, or may be executed later.
 //
 // Everything runs on the event loop's thread. Each callback is called exactly once, and never from within the
 // call that it was given to unless the transport answers at once. The client doesn't guard its callers'
@@ -57,7 +57,7 @@
     void watch(const std::string& prefix, std::uint64_t since_revision, double wait_s, OnWatch on_watch,
                std::optional<double> timeout_s = {});
 
-    // Leases: the store deletes a lease's keys when it was not renewed for its time to live.
+    // Leases: the store deletes a lease's keys when it was not renewed for its time to live, never earlier.
     void create_lease(double ttl_s, OnLease on_lease);
     void renew_lease(std::uint64_t lease_id, double timeout_s, OnLease on_lease);
     // Ends a lease before its time. `ended` is false if the store did not confirm it: it runs out by itself.
--- a/src/kv/request_queue.hpp
+++ b/src/kv/request_queue.hpp
@@ -18,7 +18,7 @@
 
 // Who goes first when the budget is short, from first to last.
 enum class RequestPriority {
-    lease,         // leases, the leader's key and watches: never queued, sent at once
+    lease,         // leases, the leader's key, the replicas' record, watches: never queued, sent at once
     cancellation,  // users' cancellations
     submission,    // users' submissions
     write,         // the leader's own writes, and reads that these depend on
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -107,9 +107,9 @@
     void store_end(const std::string& id) {
         auto it = service.kv.find(keys::job(id));
         if (it == service.kv.end()) return;
-        bool cancelled = it->second.first.dump().find("\"cancelled\":true") != std::string::npos;
+        bool cancelled = it->second.value.dump().find("\"cancelled\":true") != std::string::npos;
         protocol::Txn t;
-        t.conditions = {{keys::job(id), it->second.second}};
+        t.conditions = {{keys::job(id), it->second.version}};
         t.changes = {{keys::final(id),
                       protocol::stored(protocol::FinalRecord{
                           cancelled ? protocol::JobState::cancelled : protocol::JobState::done, 1}),
@@ -192,7 +192,7 @@
 TEST(UserApi, AnAcceptanceWhoseAnswerIsLostIsOneAcceptance) {
     for (bool cancelled_meanwhile : {false, true}) {
         Site s;
-        s.service.fates = {FakeKeyValueStore::Fate::lost_after};
+        s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
         auto* first = s.submit(0, "j-000001");
         s.timers.run_until(0.1);
         auto* read = s.query(1, "j-000001");
@@ -217,7 +217,7 @@
     Site s;
     s.submit(0, "j-000001");
     s.timers.run_until(1);
-    s.service.fates = {FakeKeyValueStore::Fate::lost_after};
+    s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
     auto* first = s.cancel(0, "j-000001");
     s.timers.run_until(1.1);
     auto* repeated = s.cancel(0, "j-000001");
@@ -244,19 +244,19 @@
     s.timers.run_until(20);
     for (int k = 0; k < jobs; ++k) s.store_end(id(k));
     s.timers.run_until(21);
-    s.service.asked.clear();
+    s.service.requests.clear();
     std::vector<Answer*> told;
     for (int round = 0; round < 20; ++round)
         for (int k = 0; k < jobs; ++k) told.push_back(s.query(0, id(k)));
     s.timers.run_until(22);
     for (auto* a : told) EXPECT_EQ(a->state, "done");
-    EXPECT_EQ(s.service.asked["kv"], 0);
+    EXPECT_EQ(s.service.requests["kv"], 0);
     // For the first question, for all others with the next one, and for all ends.
-    EXPECT_LE(s.service.asked["watch"], 3);
-    s.service.asked.clear();
+    EXPECT_LE(s.service.requests["watch"], 3);
+    s.service.requests.clear();
     for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
     s.timers.run_until(24);
-    EXPECT_EQ(s.service.asked["kv"] + s.service.asked["watch"] + s.service.asked["txn"], 0);
+    EXPECT_EQ(s.service.requests["kv"] + s.service.requests["watch"] + s.service.requests["txn"], 0);
 }
 
 // A repetition of what is known takes nothing from the changes that submissions wait for.
@@ -267,13 +267,13 @@
     s.timers.run_until(2);
     s.query(0, "j-000001");
     s.timers.run_until(3);
-    s.service.asked.clear();
+    s.service.requests.clear();
     for (int k = 0; k < 200; ++k) s.submit(0, "j-000001");
     s.timers.run_until(5);
-    EXPECT_EQ(s.service.asked["txn"], 0);
+    EXPECT_EQ(s.service.requests["txn"], 0);
     for (int k = 0; k < 100; ++k) s.cancel(0, "j-000001");
     s.timers.run_until(8);
-    EXPECT_EQ(s.service.asked["txn"], 1);
+    EXPECT_EQ(s.service.requests["txn"], 1);
     for (auto& a : s.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
 }
 
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -91,30 +91,6 @@
     s.cpu_share /= 2;
     EXPECT_DOUBLE_EQ(questions_per_s(s), questions / 2);
 }
-// What a refusal leads to: fewer changes at first, and when hardly any are left, smaller values.
-TEST(Limits, FallWithEachRefusalToABound) {
-    auto settings = parse_settings(good(), "f");
-    struct Case {
-        std::vector<std::size_t> changes;  // of each refused transaction, of values of so many bytes
-        std::size_t bytes, txn_ops, value_bytes;
-    };
-    const Case cases[] = {{{}, 0, 24, 16384},
-                          {{24}, 100, 12, 16384},
-                          {{24, 12, 6, 3}, 100, 2, 16384},
-                          {{24, 12, 6, 3, 2}, 8000, 24, 6000},
-                          {{1}, 20000, 24, 15000},
-                          {{1, 1, 1}, 300, 24, 256}};
-    for (auto& c : cases) {
-        kv::SizeLimits limits(settings);
-        for (auto n : c.changes) {
-            protocol::Txn t;
-            for (std::size_t k = 0; k < n; ++k) t.changes.push_back({"k", std::string(c.bytes, 'x'), 0});
-            limits.shrink_after_rejection(t);
-        }
-        EXPECT_EQ(limits.txn_ops(), c.txn_ops) << c.bytes;
-        EXPECT_EQ(limits.value_bytes(), c.value_bytes) << c.bytes;
-    }
-}
 TEST(Settings, ComplaintsNameFileAndField) {
     struct Case {
         const char *from, *to, *says;
--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 // A key-value store of one key. Requests can be refused, or their answers lost after they were executed.
-class FakeKeyValueStore : public http::Requester {
+class FakeLeaderKeyStore : public http::Requester {
   public:
-    explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
+    explicit FakeLeaderKeyStore(FakeTimers& t) : timers_(t) {}
     bool refuse = false, lose_txn_answer = false, lose_renewals = false;
     std::uint64_t version = 0, lease = 0, leases = 0, revision = 4;
     std::string value;
@@ -65,7 +65,7 @@
 
 struct Bench {
     FakeTimers timers;
-    FakeKeyValueStore service{timers};
+    FakeLeaderKeyStore service{timers};
     config::Settings settings = [] {
         config::Settings s;
         s.label = "berth-0";
--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -1,4 +1,4 @@
-// Until when a follower of changes knows all of them: what an answer proves, and what none does.
+// Until when a list-watch has delivered all changes: which answers prove it, and which don't.
 #include "kv/list_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -11,9 +11,9 @@
 namespace {
 using nlohmann::json;
 
-// Answers what it is told to; a watch that waits stays open until it is over.
-struct Service : http::Requester {
-    explicit Service(FakeTimers& t) : timers(t) {}
+// Answers as the test says; a watch that waits stays open for its whole wait.
+struct FakeWatchableStore : http::Requester {
+    explicit FakeWatchableStore(FakeTimers& t) : timers(t) {}
     void send(const std::string&, http::Request r, double timeout, http::Result result) override {
         bool list = r.target.starts_with("/kv?"), waits = !list && !r.target.ends_with("hold_ms=0");
         std::optional<http::Response> answer;
@@ -21,31 +21,31 @@
         if (!refuses && list)
             answer =
                 http::Response{200, json{{"entries", json::array()}, {"more", false}, {"epoch", 90}}.dump()};
-        if (!refuses && !list && r.target.find("since=90") == std::string::npos && too_old)
+        if (!refuses && !list && r.target.find("since=90") == std::string::npos && compacted)
             answer = http::Response{410, "{}"};
-        if (!answer && !silent)
+        if (!answer && !no_answer)
             answer = http::Response{200, json{{"epoch", 7}, {"news", json::array()}}.dump()};
         timers.after(answer ? waits ? 12.0 : delay : timeout, [answer, result] { result(answer); });
     }
     FakeTimers& timers;
-    bool refuses = false, too_old = false, silent = false;
+    bool refuses = false, compacted = false, no_answer = false;
     double delay = 0.01;
 };
 
-TEST(ListWatch, IsCompleteByAnswersToReadsOnly) {
+TEST(ListWatch, IsCompleteUntilTheLastConfirmingReadWasSent) {
     struct Case {
         const char* name;
-        void (*trouble)(Service&);
-        double least, most;  // how long ago it was complete, after 8 s of the trouble, s
+        void (*fault)(FakeWatchableStore&);
+        double least, most;  // how long ago it was complete, after 8 s of the fault, s
         bool listed;
     };
     const Case cases[] = {
-        {"none", [](Service&) {}, 0, 1.1, false},
-        {"slow: the sending counts", [](Service& s) { s.delay = 1; }, 1, 3.1, false},
-        {"slower than a user waits", [](Service& s) { s.delay = 2; }, 2, 5.1, false},
-        {"refused", [](Service& s) { s.refuses = true; }, 8, 9.1, false},
-        {"no answer, watches open", [](Service& s) { s.silent = true; }, 8, 9.1, false},
-        {"changes are not kept for so long", [](Service& s) { s.too_old = true; }, 0, 1.2, true},
+        {"none", [](FakeWatchableStore&) {}, 0, 1.1, false},
+        {"slow: the sending counts", [](FakeWatchableStore& s) { s.delay = 1; }, 1, 3.1, false},
+        {"slower than a user waits", [](FakeWatchableStore& s) { s.delay = 2; }, 2, 5.1, false},
+        {"refused", [](FakeWatchableStore& s) { s.refuses = true; }, 8, 9.1, false},
+        {"no answer, watches open", [](FakeWatchableStore& s) { s.no_answer = true; }, 8, 9.1, false},
+        {"changes are not kept for so long", [](FakeWatchableStore& s) { s.compacted = true; }, 0, 1.2, true},
     };
     for (auto& c : cases) {
         config::Settings settings;
@@ -53,7 +53,7 @@
         settings.nodes = 3;
         settings.state_rps = settings.state_write_rps = 200;
         FakeTimers timers;
-        Service service(timers);
+        FakeWatchableStore service(timers);
         KvClient client(timers, service, settings);
         bool listed = false;
         ListWatch w(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
@@ -62,7 +62,7 @@
         w.start(5, 0);
         timers.run_until(20);
         ASSERT_TRUE(w.complete_until());
-        c.trouble(service);
+        c.fault(service);
         timers.run_until(28);
         EXPECT_GE(28 - *w.complete_until(), c.least) << c.name;
         EXPECT_LE(28 - *w.complete_until(), c.most) << c.name;
--- a/tests/machine_registry/machine_registry_test.cpp
+++ b/tests/machine_registry/machine_registry_test.cpp
@@ -19,7 +19,7 @@
     std::set<std::string> out;
     for (auto& [k, v] : store.kv)
         if (k.starts_with(coralhitch::kv::keys::machine_pages))
-            for (auto& row : v.first.value("machines", json::array())) out.insert(row[0].get<std::string>());
+            for (auto& row : v.value.value("machines", json::array())) out.insert(row[0].get<std::string>());
     return out;
 }
 
@@ -72,7 +72,7 @@
         service.revision = before.service.revision;
         kv::ListResult listed;
         listed.status = kv::ReadStatus::ok;
-        for (auto& [k, v] : service.kv) listed.entries.push_back({k, v.first.dump(), v.second, 0});
+        for (auto& [k, v] : service.kv) listed.entries.push_back({k, v.value.dump(), v.version, 0});
         for (auto& [id, r] : registry.load(listed)) {
             machines[id] = r;
             confirmed.insert(id);
@@ -98,22 +98,23 @@
     b.timers.run_until(5);
     EXPECT_EQ(b.confirmed.size(), 600u);
     EXPECT_LE(b.service.changes, 10);
-    for (auto& [k, v] : b.service.kv) EXPECT_LE(v.first.dump().size(), 16u * 1024);
+    for (auto& [k, v] : b.service.kv) EXPECT_LE(v.value.dump().size(), 16u * 1024);
     b.expect_all_confirmed_stored();
 }
 // A write whose answer was lost may be executed late: it must fail then, or it would take machines that were
-// confirmed meanwhile out of their page, and the next leader would not look for tasks on them.
+// confirmed meanwhile out of their page, and the next leader would not ask for tasks on them.
 TEST(MachineRegistry, LostAndLateWritesNeverHideAConfirmedMachine) {
-    using F = FakeKeyValueStore::Fate;
-    const std::vector<F> cases[] = {{},
-                                    {F::lost_after},
-                                    {F::late},
-                                    {F::never},
-                                    {F::late, F::late, F::lost_after},
-                                    {F::answered, F::late, F::answered, F::late, F::never}};
+    using F = FakeKeyValueStore::TxnFate;
+    const std::vector<F> cases[] = {
+        {},
+        {F::answer_lost},
+        {F::executed_late},
+        {F::never_executed},
+        {F::executed_late, F::executed_late, F::answer_lost},
+        {F::answered, F::executed_late, F::answered, F::executed_late, F::never_executed}};
     for (auto& fates : cases) {
         Bench b;
-        b.service.fates.assign(fates.begin(), fates.end());
+        b.service.txn_fates.assign(fates.begin(), fates.end());
         for (int k = 0; k < 12; ++k) {
             b.add("vm-" + std::to_string(k));
             if (k % 4 == 3) b.terminate("vm-" + std::to_string(k - 2));
@@ -152,7 +153,7 @@
     auto& page = *b.service.kv.begin();
     listed.entries = {{kv::keys::machines + "vm-0",
                        R"({"addr":"10.1.0.2:9","type":"g4","zone":"z1","spot":true,"condemned":true})", 3, 0},
-                      {page.first, page.second.first.dump(), page.second.second, 0}};
+                      {page.first, page.second.value.dump(), page.second.version, 0}};
     Bench next;
     next.service.kv = b.service.kv;
     next.service.kv[kv::keys::machines + "vm-0"] = {json::object(), 3};
@@ -166,11 +167,12 @@
 }
 
 // Pages filled under a larger limit are split, into more than one transaction takes. No machine may be out of
-// the store at any moment, whatever becomes of the answers: the next leader would not look for tasks on it.
+// the store at any moment, whatever becomes of the answers: the next leader would not ask for tasks on it.
 TEST(MachineRegistry, SplitsLargePagesWithoutAMachineEverMissing) {
-    using F = FakeKeyValueStore::Fate;
-    const std::vector<F> cases[] = {{},
-                                    {F::lost_after, F::late, F::never, F::answered, F::late, F::lost_after}};
+    using F = FakeKeyValueStore::TxnFate;
+    const std::vector<F> cases[] = {
+        {},
+        {F::answer_lost, F::executed_late, F::never_executed, F::answered, F::executed_late, F::answer_lost}};
     for (auto& fates : cases) {
         Bench before;
         for (int k = 0; k < 600; ++k) before.add("vm-" + std::to_string(100000 + k));
@@ -180,7 +182,7 @@
         ASSERT_EQ(b.confirmed.size(), 600u);
         b.service.value_bytes = 2048;
         b.service.txn_ops = 8;
-        b.service.fates.assign(fates.begin(), fates.end());
+        b.service.txn_fates.assign(fates.begin(), fates.end());
         b.registry.flush();
         b.timers.run_until(0.3);
         b.expect_all_confirmed_stored();
@@ -190,7 +192,7 @@
         b.run_scenario(40);
         EXPECT_EQ(b.confirmed.size(), 561u);
         EXPECT_EQ(machines_in(b.service).size(), 561u);
-        for (auto& [k, v] : b.service.kv) EXPECT_LE(v.first.dump().size(), 2048u) << k;
+        for (auto& [k, v] : b.service.kv) EXPECT_LE(v.value.dump().size(), 2048u) << k;
         // A leader that fails over in the middle of it finds every machine, too: the checks above stand for
         // it.
         Bench next(2, 8);
@@ -226,7 +228,7 @@
         b.fail_over(before);
         b.add("vm-1");
         b.run_scenario(12);
-        EXPECT_EQ(b.service.kv[kv::keys::machine_page(0)].second, 2u) << bytes;
+        EXPECT_EQ(b.service.kv[kv::keys::machine_page(0)].version, 2u) << bytes;
         EXPECT_EQ(b.service.kv.size(), 2u) << bytes;
     }
 }
--- a/tests/support/fake_key_value_store.hpp
+++ b/tests/support/fake_key_value_store.hpp
@@ -1,4 +1,7 @@
-// A small key-value store for tests of single parts, on the injected clock.
+// A small consensus-backed key-value store in memory, for tests of single classes on the injected clock.
+//
+// Speaks the HTTP interface that the client uses: gets, lists in one page, watches that answer at once, and
+// compare-and-swap transactions. Has no leases. Not for the simulated cluster, which has a store of its own.
 #pragma once
 #include <deque>
 #include <functional>
@@ -11,33 +14,41 @@
 
 namespace coralhitch {
 
-// A key-value store in memory. A transaction's answer can be lost, with the transaction executed
-// at once, later or never.
 class FakeKeyValueStore : public http::Requester {
   public:
     explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
-    enum class Fate { answered, lost_after, late, never };
-    std::deque<Fate> fates;  // of the next transactions
-    std::map<std::string, std::pair<nlohmann::json, std::uint64_t>> kv;
+    // What becomes of a transaction. All but the first get no answer.
+    enum class TxnFate {
+        answered,
+        answer_lost,    // executed at once
+        executed_late,  // after the client's time-out
+        never_executed
+    };
+    struct StoredValue {
+        nlohmann::json value;
+        std::uint64_t version = 0;
+    };
+    std::deque<TxnFate> txn_fates;          // of the next transactions; answered if empty
+    std::map<std::string, StoredValue> kv;  // all keys; a test may change it between requests
     std::uint64_t revision = 4;
-    int changes = 0;
+    int changes = 0;                                        // executed so far
     std::function<double()> latency = [] { return 0.01; };  // from the execution to the answer, seconds
-    std::map<std::string, int> asked;                       // requests by kind: kv, list, watch, txn
-    // What goes to other addresses than the key-value store's, if the test answers that.
+    std::map<std::string, int> requests;                    // executed so far, by kind: kv, list, watch, txn
+    // Answers requests to other addresses than the store's, if set.
     std::function<void(const std::string& addr, const http::Request&, double timeout, http::Result)> others;
-    std::size_t value_bytes = 16 * 1024, txn_ops = 24;  // what is refused beyond, with 400
+    std::size_t value_bytes = 16 * 1024, txn_ops = 24;  // limits: what is larger is rejected with 400
 
     void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
         if (!addr.empty() && others) return others(addr, r, timeout, std::move(result));
-        auto fate = Fate::answered;
-        if (r.target == "/txn" && !fates.empty()) {
-            fate = fates.front();
-            fates.pop_front();
+        auto fate = TxnFate::answered;
+        if (r.target == "/txn" && !txn_fates.empty()) {
+            fate = txn_fates.front();
+            txn_fates.pop_front();
         }
         std::optional<http::Response> answer;
-        if (fate == Fate::answered || fate == Fate::lost_after) answer = execute(r);
-        if (fate == Fate::late) timers_.after(timeout * 1.4, [this, r] { execute(r); });
-        if (fate != Fate::answered) answer = std::nullopt;
+        if (fate == TxnFate::answered || fate == TxnFate::answer_lost) answer = execute(r);
+        if (fate == TxnFate::executed_late) timers_.after(timeout * 1.4, [this, r] { execute(r); });
+        if (fate != TxnFate::answered) answer = std::nullopt;
         timers_.after(answer ? latency() : timeout, [answer, result] { result(answer); });
     }
 
@@ -55,27 +66,27 @@
         auto prefix = target.substr(target.find("starts=") + 7);
         prefix.erase(std::min(prefix.size(), prefix.find('&')));
         nlohmann::json entries = nlohmann::json::array();
-        for (auto& [key, v] : kv)
+        for (auto& [key, stored] : kv)
             if (key.starts_with(prefix))
-                entries.push_back({{"path", key}, {"value", v.first}, {"stamp", v.second}});
+                entries.push_back({{"path", key}, {"value", stored.value}, {"stamp", stored.version}});
         return {200, nlohmann::json{{"entries", entries}, {"more", false}, {"epoch", revision}}.dump()};
     }
     http::Response execute(const http::Request& r) {
-        if (r.target.starts_with("/watch")) return ++asked["watch"], watch(r.target);
-        if (r.target.starts_with("/kv?")) return ++asked["list"], list(r.target);
-        ++asked[r.target == "/txn" ? "txn" : "kv"];
+        if (r.target.starts_with("/watch")) return ++requests["watch"], watch(r.target);
+        if (r.target.starts_with("/kv?")) return ++requests["list"], list(r.target);
+        ++requests[r.target == "/txn" ? "txn" : "kv"];
         if (r.target.starts_with("/kv/")) {
             auto it = kv.find(r.target.substr(4));
             if (it == kv.end()) return {404, nlohmann::json{{"epoch", revision}}.dump()};
-            return {
-                200,
-                nlohmann::json{{"path", it->first}, {"value", it->second.first}, {"stamp", it->second.second}}
-                    .dump()};
+            return {200,
+                    nlohmann::json{
+                        {"path", it->first}, {"value", it->second.value}, {"stamp", it->second.version}}
+                        .dump()};
         }
         auto j = nlohmann::json::parse(r.body);
         for (auto& c : j["if"]) {
             auto it = kv.find(c["path"]);
-            if ((it == kv.end() ? 0 : it->second.second) != c["stamp"].get<std::uint64_t>())
+            if ((it == kv.end() ? 0 : it->second.version) != c["stamp"].get<std::uint64_t>())
                 return {409, nlohmann::json{{"failed", {c["path"]}}, {"epoch", revision}}.dump()};
         }
         if (j["then"].size() > txn_ops) return {400, "{}"};
