--- a/src/leader/authority.cpp
+++ b/src/leader/authority.cpp
@@ -1,5 +1,6 @@
 #include "leader/authority.hpp"
 
+#include <limits>
 #include <utility>
 
 #include "kv/keys.hpp"
@@ -15,15 +16,17 @@
       election_(election),
       fencing_token_(fencing_token),
       cancellations_known_until_(std::move(cancellations_known_until)),
-      renewal_after_expiry_s_(relay::keep_alive_s(settings, election.ttl())) {}
+      renewal_after_expiry_s_(relay::keep_alive_s(settings, election.lease_ttl_s())) {}
 
 bool Authority::may_renew_worker_leases() const {
     return !ended_ && timers_.now() <= lease_renewal_deadline();
 }
 
 double Authority::lease_renewal_deadline() const {
-    return relay::lease_renewal_deadline(settings_, election_.ttl(), cancellations_known_until_(),
-                                         election_.authority_until());
+    constexpr double never = -std::numeric_limits<double>::infinity();
+    return relay::lease_renewal_deadline(settings_, election_.lease_ttl_s(),
+                                         cancellations_known_until_().value_or(never),
+                                         election_.authority_expiry());
 }
 
 protocol::Txn Authority::fenced_transaction() const {
--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -18,15 +18,16 @@
 
 class Authority {
   public:
-    // Steady seconds: all cancellations that were committed before then are known to this leader.
-    using CancellationsKnownUntil = std::function<double()>;
+    // Steady seconds: all cancellations that were committed before then are known to this leader. Nothing
+    // while the jobs are being loaded.
+    using CancellationsKnownUntil = std::function<std::optional<double>()>;
 
     // The references must outlive this object.
     Authority(event_loop::Timers& timers, const config::Settings& settings, election::Election& election,
               std::uint64_t fencing_token, CancellationsKnownUntil cancellations_known_until);
 
     // Whether this leader may act right now. Asked at every act: a timer may fire late.
-    [[nodiscard]] bool holds() const { return !ended_ && election_.authority(); }
+    [[nodiscard]] bool holds() const { return !ended_ && election_.may_act(); }
     // The version of the leader's key under which this leadership began; no later leadership has a lower one.
     [[nodiscard]] std::uint64_t fencing_token() const { return fencing_token_; }
 
@@ -49,7 +50,7 @@
     // Gives leadership up, and stays out of elections for so many seconds.
     void resign(double pause_s) { election_.resign(pause_s); }
     // A message proved that a later leadership exists, by its fencing token.
-    void deposed_by(std::uint64_t fencing_token) { election_.deposed(fencing_token); }
+    void deposed_by(std::uint64_t fencing_token) { election_.step_down_if_superseded(fencing_token); }
 
   private:
     event_loop::Timers& timers_;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -168,7 +168,7 @@
     double grant_s = relay_grant_s();
     relay_answer.grant_ms = static_cast<std::uint64_t>(grant_s * 1000);
     relay_answer.recalled =
-        parts_.delegations.table().answer(message.label, now() + grant_s * (1 + 2 * election::drift));
+        parts_.delegations.table().answer(message.label, now() + grant_s * (1 + 2 * election::max_clock_drift));
     send();
 }
 
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -221,7 +221,7 @@
                 if (!job) return;
                 job->writing = false;
                 request_store();
-                if (!result.ok)
+                if (!result.ok())
                     job->retry_at = now() + settings_.report_s * retry_reports;
                 else if (result.entry)
                     callbacks_.take_record(id, result.entry->version, result.entry->value);
@@ -236,9 +236,9 @@
                 auto* job = state_.jobs.find(id);
                 if (!job) return;
                 job->writing = false;
-                if (result.ok && result.entry)
+                if (result.ok() && result.entry)
                     job->blocks[block] = result.entry->version;
-                else if (result.ok)
+                else if (result.ok())
                     job->blocks.erase(block);
             }));
 }
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -19,7 +19,7 @@
     evidence.label = dependencies.settings.label;
     evidence.incarnation = dependencies.incarnation;
     evidence.version = version;
-    evidence.chain = dependencies.election.chain();
+    evidence.chain = dependencies.election.history_before_claim();
     evidence.copy = &dependencies.copy;
     return evidence;
 }
@@ -29,7 +29,7 @@
 Leader::Leader(LeaderDependencies dependencies, std::uint64_t version, std::uint64_t seed)
     : dependencies_(std::move(dependencies)),
       authority_(dependencies_.timers, dependencies_.settings, dependencies_.election, version,
-                 [this] { return job_watcher_.complete_at(); }),
+                 [this] { return job_watcher_.complete_until(); }),
       state_(version, dependencies_.types, dependencies_.settings.value_kb),
       failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
                          dependencies_.settings.op.silence_reports, dependencies_.settings.peers.size()}),
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -19,7 +19,7 @@
 
 class MachineStore {
   public:
-    using Record = machine_registry::MachineRegistry::Record;
+    using Record = machine_registry::StoredMachine;
 
     // `confirmed` is called after each confirmed write, without the mutex: commands and deletions that waited
     // for it are due.
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -176,7 +176,7 @@
     double renewed_at = parts_.delegations.last_possible_renewal(machine);
     double lease_s = settings_.lease_s;
     bool expired =
-        now() > renewed_at + lease_s * (1 + 2 * election::drift) + settings_.report_s * lease_margin_reports;
+        now() > renewed_at + lease_s * (1 + 2 * election::max_clock_drift) + settings_.report_s * lease_margin_reports;
     bool silent = now() - machine.last_heard > lease_s || is_outbound_unreachable(machine);
     if (expired && silent && (!machine.tasks.empty() || !machine.reconciled)) {
         spdlog::info("component=leader event=lease_expired machine={} tasks={}", machine.id,
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -797,7 +797,7 @@
     kv::GetResult found;
     client.get("leader", kv::RequestPriority::write, [&](auto f) { found = std::move(f); });
     expect_sent({to("state", "GET", "/kv/leader")});
-    ASSERT_TRUE(found.ok && found.entry);
+    ASSERT_TRUE(found.ok() && found.entry);
     EXPECT_EQ(found.entry->key, "leader");
     EXPECT_EQ(found.entry->version, beyond_double);
 }
@@ -809,7 +809,7 @@
     client.list("job/", kv::RequestPriority::write, [&](auto l) { listed = std::move(l); });
     expect_sent({to("state", "GET", "/kv?starts=job/&limit=500"),
                  to("state", "GET", "/kv?starts=job/&since=job/j-2&limit=500")});
-    EXPECT_TRUE(listed.ok);
+    EXPECT_TRUE(listed.ok());
     EXPECT_EQ(listed.revision, UINT64_MAX);
     ASSERT_EQ(listed.entries.size(), 3u);
     EXPECT_EQ(listed.entries[2].key, "job/j-3");
@@ -835,7 +835,7 @@
     kv::WatchResult watched;
     client.watch("job/", 17, 1.5, [&](auto w) { watched = std::move(w); });
     expect_sent({to("state", "GET", "/watch?starts=job/&since=17&hold_ms=1500")});
-    EXPECT_EQ(watched.status, kv::WatchResult::Status::ok);
+    EXPECT_EQ(watched.status, kv::ReadStatus::ok);
     EXPECT_EQ(watched.events.revision, UINT64_MAX);
     EXPECT_EQ(watched.events.events.size(), 2u);
 }
