--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -110,8 +110,8 @@
     m.id = id;
     m.token = base_;
     m.created = m.last_heard = m.idle_since = m.renewed = now;
-    m.reach.reported(now);
-    m.reach.shown(now);
+    m.reachability.record_renewable_heartbeat(now);
+    m.reachability.record_reached(now);
     m.life = life;
     m.addr = addr;
     m.type = type;
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -99,7 +99,7 @@
     std::uint64_t over = 0;
     bool unproven =
         false;  // the same, though its agent epoch was never heard: only its own answer counts now
-    membership::Reachability reach;
+    membership::Reachability reachability;
     bool heartbeat_route_known = false;   // a report, so that `route` says by which way
     bool has_reported_instances() const;  // shown by the machine itself
 
--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -80,7 +80,8 @@
     if (m.reconciled || m.life != Machine::Life::up) return now - m.last_heard;
     // One that no answer reaches does not settle, however often it is heard: its reports held up all placing
     // for as long as they came.
-    double silent = now - (m.reach.lost() ? m.reach.shown_at() : m.last_heard);
+    double silent =
+        now - (m.reachability.outbound_unreachable() ? m.reachability.last_reached_at() : m.last_heard);
     double asked = m.asked < 0 ? silent - report_s_ * unasked_reports : now - m.asked;
     if (behind(now)) return 0;
     bool goes_on = now - pace_at_ <= report_s_ * pace_reports;
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -158,7 +158,7 @@
         m.deletable = r.marked_for_deletion;
         if (auto it = dependencies_.suspected.find(id); it != dependencies_.suspected.end() && m.known)
             m.silent_before = it->second;
-        failure_detector_.heard_from(zone_of(m), now() - m.silent_before);
+        failure_detector_.record_heartbeat(zone_of(m), now() - m.silent_before);
         // The leader before may have gone on renewing leases for a while.
         m.renewed = now() + keep_alive_;
     }
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -47,7 +47,8 @@
 // which its lease is out, though none renews it: it never settled, and a new leader placed nothing for as
 // long as it went on. Until that time moves, answers cost nothing; from then on only a question reaches it.
 bool Leader::beyond_reach(const Machine& m) const {
-    return !m.reconciled && m.reach.lost() && now() > m.renewed && !reconciliation_.behind(now());
+    return !m.reconciled && m.reachability.outbound_unreachable() && now() > m.renewed &&
+           !reconciliation_.behind(now());
 }
 // A report that says what the last one of its machine said, and that one is the last that was heard of it.
 bool Leader::repeat_reply(const std::string& body, const http::Reply& reply) {
@@ -61,7 +62,7 @@
     r->sequence = m->sequence = m->heartbeat_sequence = o->sequence;
     m->last_heard = m->renewed = now();
     record_route(*m, "");
-    failure_detector_.heard_from(zone_of(*m), now());
+    failure_detector_.record_heartbeat(zone_of(*m), now());
     revoke(m->id);
     reply({200, r->answer});
     return true;
@@ -116,10 +117,11 @@
     return {200, protocol::heartbeat_response(m->token, commands), quiet};
 }
 void Leader::record_route(Machine& m, const std::string& route) {
-    if (std::exchange(m.heartbeat_route_known, true)) m.reach.came(m.route == route, now());
+    if (std::exchange(m.heartbeat_route_known, true))
+        m.reachability.record_heartbeat(m.route == route, now());
     m.route = route;
-    m.suspected = m.reach.lost();
-    m.reach.reported(now());
+    m.suspected = m.reachability.outbound_unreachable();
+    m.reachability.record_renewable_heartbeat(now());
     m.mute = false;
 }
 void Leader::revoke(const std::string& id) {
@@ -130,7 +132,7 @@
 // The leader has most to do besides hearing, so others hear most machines: it sends quiet ones to them, a few
 // at a time, and none twice within some leases, in case that one can't be reached from there.
 std::optional<std::string> Leader::relay_for(Machine& m) {
-    double t = now(), fleet = static_cast<double>(failure_detector_.up());
+    double t = now(), fleet = static_cast<double>(failure_detector_.machines_up());
     auto peers = static_cast<double>(std::max<std::size_t>(1, dependencies_.settings.peers.size()));
     bool enough_here = fleet - static_cast<double>(delegations_.count()) > fleet * own_share;
     if (!dependencies_.settings.op.hearing || !enough_here ||
@@ -165,10 +167,10 @@
             auto* m = cluster_state_.find(h.machine);
             if (!m || !delegations_.delegated_to(h.machine, q.label)) continue;
             m->last_heard = std::max(m->last_heard, now() - static_cast<double>(h.age_ms) / 1000);
-            m->reach.shown(now());
-            m->reach.reported(now() - static_cast<double>(h.age_ms) / 1000);
+            m->reachability.record_reached(now());
+            m->reachability.record_renewable_heartbeat(now() - static_cast<double>(h.age_ms) / 1000);
             m->suspected = m->mute = false;
-            failure_detector_.heard_from(zone_of(*m), now());
+            failure_detector_.record_heartbeat(zone_of(*m), now());
         }
     }
     flush_all();
@@ -185,7 +187,7 @@
     {
         std::lock_guard lock(mutex_);
         if (auto* m = cluster_state_.find(r.machine); m && m->life == Machine::Life::booting)
-            failure_detector_.booted(boots(*m));
+            failure_detector_.record_boot(boots(*m));
         heard =
             cluster_state_.apply_heartbeat(r, via, now(), [this](const std::string& id) -> cluster::JobSpec {
                 auto* e = table_.find(id);
@@ -195,7 +197,7 @@
         for (auto& [task, machine] : heard.found) handle_found(task, machine);
         if (auto* m = cluster_state_.find(r.machine); m && heard.fresh) {
             store_machine(*m);
-            failure_detector_.heard_from(zone_of(*m), now());
+            failure_detector_.record_heartbeat(zone_of(*m), now());
             if (m->preemption_notice_until >= 0) handle_preemption_notice(*m);
         }
     }
@@ -510,9 +512,9 @@
     auto* m = cluster_state_.find(id);
     if (!m) return;
     if (executed || refused)
-        m->reach.shown(now());
+        m->reachability.record_reached(now());
     else
-        m->reach.ignored(now());
+        m->reachability.record_unanswered_command(now());
     cluster_state_.direct_done(*m, commands, token, executed || refused);
     // A 409 told the agent epoch: ask again at once, so that the machine settles.
     if (refused && first_session && !m->reconciled)
@@ -530,12 +532,12 @@
 
 // Who would wait for a machine that is dead.
 membership::EvictionCost Leader::eviction_cost(const Machine& m) const {
-    if (m.tasks.empty()) return membership::EvictionCost::nothing;
+    if (m.tasks.empty()) return membership::EvictionCost::none;
     bool alone = std::all_of(m.tasks.begin(), m.tasks.end(), [](auto& t) {
         auto& i = t.second;
         return i.spec && i.spec->kind == JobKind::array && i.running_since >= 0;
     });
-    return alone ? membership::EvictionCost::work : membership::EvictionCost::awaited;
+    return alone ? membership::EvictionCost::own_work : membership::EvictionCost::others_wait;
 }
 
 void Leader::check_machines() {
@@ -548,22 +550,23 @@
                                   m.last_heard, m.reconciled, m.known,    {}};
         // What runs there goes on until its worker's lease is out, and that is reported. What was sent there
         // and is not seen would wait for as long.
-        if (m.reconciled && m.reach.lost() && !m.has_reported_instances())
-            s.unreached = t - m.reach.shown_at() - dependencies_.settings.report_s;
-        if (std::max(s.silent, s.unreached) > dependencies_.settings.report_s / 2)
+        if (m.reconciled && m.reachability.outbound_unreachable() && !m.has_reported_instances())
+            s.unreached_s = t - m.reachability.last_reached_at() - dependencies_.settings.report_s;
+        if (std::max(s.silence_s, s.unreached_s) > dependencies_.settings.report_s / 2)
             s.eviction_cost = eviction_cost(m);
         machines.push_back(&m);
         seen.push_back(s);
     }
     double asked_s = dependencies_.settings.report_s * dependencies_.settings.op.silence_reports;
-    failure_detector_.look(seen,
-                           {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
+    failure_detector_.observe(
+        seen, {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
     if (auto& self_suspicion = failure_detector_.self_suspicion()) {
-        auto elsewhere = dependencies_.heartbeats_seen_by_peers(self_suspicion->silent);
-        failure_detector_.answered(elsewhere);
+        auto elsewhere = dependencies_.heartbeats_seen_by_peers(self_suspicion->missed_heartbeats);
+        failure_detector_.set_heartbeats_seen_by_peers(elsewhere);
         if (failure_detector_.should_resign() && dependencies_.resign_leadership()) {
             spdlog::info("leader: {} of {} machines are silent, {} report to another controller: giving way",
-                         self_suspicion->silent.size(), failure_detector_.up(), *elsewhere);
+                         self_suspicion->missed_heartbeats.size(), failure_detector_.machines_up(),
+                         *elsewhere);
             dependencies_.election.resign(dependencies_.settings.lease_s);
             return;
         }
@@ -572,11 +575,11 @@
     std::size_t suspected = 0;
     for (std::size_t k = 0; k < machines.size(); ++k) {
         auto& m = *machines[k];
-        auto verdict = failure_detector_.judge(seen[k]);
+        auto verdict = failure_detector_.evaluate(seen[k]);
         {
             std::lock_guard lock(mutex_);
-            m.suspected = verdict != membership::Health::Alive || m.reach.lost();
-            m.mute = m.reach.mute(t, dependencies_.settings.lease_s * mute_leases);
+            m.suspected = verdict != membership::Health::alive || m.reachability.outbound_unreachable();
+            m.mute = m.reachability.inbound_unreachable(t, dependencies_.settings.lease_s * mute_leases);
         }
         // Each grant to its relay would move the time at which its lease is out, and it never was.
         if (m.mute) revoke(m.id);
@@ -586,7 +589,8 @@
     dependencies_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
     for (auto& [id, m] : cluster_state_.machines()) {
         if (m.life == Machine::Life::marked_for_deletion) check_lease(m);
-        if (m.life != Machine::Life::booting || !may || !failure_detector_.overdue(boots(m), zone_of(m), t))
+        if (m.life != Machine::Life::booting || !may ||
+            !failure_detector_.boot_overdue(boots(m), zone_of(m), t))
             continue;
         std::lock_guard lock(mutex_);
         mark_for_deletion(m, "does not come up");
@@ -613,10 +617,10 @@
 
 void Leader::check_up(Machine& m, const membership::Observation& seen, membership::Health verdict, bool may) {
     double period = dependencies_.settings.report_s, t = now();
-    bool due = m.reconciled ? failure_detector_.late(seen) && t - m.last_probe > period / 2
+    bool due = m.reconciled ? failure_detector_.missed_heartbeat(seen) && t - m.last_probe > period / 2
                             : t - m.last_probe > period / 3 && t - m.created > period * ask_reports;
     if (due) probe(m);
-    bool given_up = verdict == membership::Health::Dead;
+    bool given_up = verdict == membership::Health::dead;
     // Who has been heard within a lease has nothing to be proven gone: seldom worth the question, each tick.
     bool look = given_up || beyond_reach(m) || t - m.last_heard > dependencies_.settings.lease_s;
     bool lease_over = look && check_lease(m);
@@ -626,7 +630,7 @@
     bool asked_now = m.reconciled && m.probing && !lease_over;
     if (given_up && !asked_now && (may || (lease_over && authority()))) {
         std::lock_guard lock(mutex_);
-        failure_detector_.evicted(seen, t);
+        failure_detector_.record_eviction(seen, t);
         mark_for_deletion(m, failure_detector_.evidence(seen).c_str());
     } else if (may && m.preemption_notice_until >= 0 && m.tasks.empty() && m.reconciled) {
         std::lock_guard lock(mutex_);
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -153,7 +153,7 @@
     in.types = dependencies_.types;
     in.pools = cluster_state_.pools();
     in.zones = cluster_state_.zones();
-    for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.dark(z, now()));
+    for (std::size_t z = 0; z < in.zones; ++z) in.dark.push_back(failure_detector_.zone_silent(z, now()));
     for (auto& [name, r] : rentals_)
         for (int k = 0; k < r.count; ++k) {
             autoscaler::MachineView v;
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -8,256 +8,314 @@
 namespace coralhitch::membership {
 
 namespace {
-// Ratios to the report period, unless named otherwise.
-constexpr double late_reports = 1.27;
+// Names say the unit: `_reports` heartbeat periods, `_leases` agent leases, `_boots` nominal boot times.
+
+constexpr double missed_reports = 1.27;
 // Time for two direct commands to go unanswered.
-constexpr double unsettled_reports = 0.9;
-// Above this share of silent machines the leader doubts itself first.
-constexpr double doubt_share = 1.0 / 3;
-// Fewer machines than this share heard lately, of at least so many: nobody is heard.
-constexpr double deaf_share = 1.0 / 8;
-constexpr std::size_t deaf_fleet = 16, quiet_zone = 4, quiet_at_once = 8;
-// A worker that is well lets no more time pass between two reports.
-constexpr double between_reports = 1.25;
-// How long a worker takes to turn to another controller: its timeout, a pause and a report.
-constexpr double turn_reports = 2;
-constexpr double dark_reports = 2, dark_leases = 4;
-// In times of what others would be made to wait for: work that nobody else waits for has as much to lose.
-constexpr double work_patience = 2.5;
-// In worker leases: for what is on a machine, and for the machine itself, where a whole zone is quiet.
-// A new leader has no proof by time so soon, and does not know how long the zone was quiet before.
-constexpr double zone_tasks_leases = 1.1, zone_unsettled_leases = 2.0 / 3, zone_leases = 2, empty_leases = 1;
-// Waiting goes on where it is worth it: giving up costs so many report periods, boots and fetches included.
-constexpr double loss_reports = 4;
-constexpr double memory_leases = 8;
-// In nominal boot times: what a machine takes at the most as a rule, and when it is given up: after half as
-// long again as the slowest lately took. Each that comes up lets an older, slower one be forgotten by so
-// much.
-constexpr double usual_boots = 2, most_boots = 8, first_boots = 4, boots_kept = 0.95, overdue_ratio = 1.5;
+constexpr double unreconciled_reports = 0.9;
+// Above this share of silent machines the leader suspects itself first.
+constexpr double mass_silence_share = 1.0 / 3;
+// With recent heartbeats from fewer machines than this share, the leader, or a zone, is cut off.
+constexpr double isolated_share = 1.0 / 8;
+// Smaller fleets and zones say nothing of that; a zone of so many does at once.
+constexpr std::size_t min_isolated_fleet = 16, min_unreachable_zone = 4, min_unreachable_zone_at_once = 8;
+// An agent that is well lets no more time pass between two heartbeats.
+constexpr double max_interval_reports = 1.25;
+// How long an agent takes to turn to another controller: its timeout, a pause and a heartbeat.
+constexpr double reroute_reports = 2;
+constexpr double zone_silent_reports = 2, zone_silent_leases = 4;
+// In timeouts of machines that others wait for: work that nobody else waits for has as much to lose.
+constexpr double own_work_timeouts = 2.5;
+// Where a whole zone is unreachable: for what is on a machine, and for the machine itself. A new leader has
+// no proof by time so soon, and does not know for how long the zone was unreachable before.
+constexpr double zone_tasks_leases = 1.1, zone_unreconciled_leases = 2.0 / 3, zone_empty_leases = 2;
+constexpr double empty_leases = 1;
+// Waiting goes on while it is worth it: an eviction costs so much, boots and fetches included.
+constexpr double eviction_cost_reports = 4;
+constexpr double history_leases = 8;
+// What a machine takes at the most as a rule; what is never waited for; and what a new leader assumes of the
+// slowest one. A machine is given up after half as long again as the slowest lately took. Each that comes up
+// lets an older, slower one be forgotten by so much.
+constexpr double usual_boots = 2, max_boots = 8, initial_boots = 4, boots_retained = 0.95,
+                 overdue_ratio = 1.5;
 
 double share(std::size_t of, double ratio) {
     return static_cast<double>(of) * ratio;
 }
 }  // namespace
 
-FailureDetector::FailureDetector(const Limits& l)
-    : limits_(l),
-      wait_(l.report_s * l.silence_reports),
-      lately_(std::max(wait_ - l.report_s, l.report_s / 2)),
-      history_(l.lease_s * memory_leases),
-      slowest_boot_(first_boots) {}
+FailureDetector::FailureDetector(const FailureDetectorLimits& limits)
+    : limits_(limits),
+      base_timeout_s_(limits.report_s * limits.silence_reports),
+      recent_s_(std::max(base_timeout_s_ - limits.report_s, limits.report_s / 2)),
+      history_(limits.lease_s * history_leases),
+      slowest_boot_(initial_boots) {}
 
-// --- Heard ----------------------------------------------------------------------------------------------
+// --- Recording ------------------------------------------------------------------------------------------
 
-void FailureDetector::heard_from(std::size_t zone, double now) {
+void FailureDetector::record_heartbeat(std::size_t zone, double now) {
     if (zones_.size() <= zone) zones_.resize(zone + 1);
-    zones_[zone].heard = std::max(zones_[zone].heard, now);
+    auto& last = zones_[zone].last_heartbeat_at;
+    last = std::max(last.value_or(now), now);
 }
-bool FailureDetector::dark(std::size_t zone, double now) const {
-    if (zone >= zones_.size() || zones_[zone].heard < 0) return false;
-    double silent = now - zones_[zone].heard;
-    return silent > limits_.report_s * dark_reports && silent < limits_.lease_s * dark_leases;
+
+bool FailureDetector::zone_silent(std::size_t zone, double now) const {
+    if (zone >= zones_.size() || !zones_[zone].last_heartbeat_at) return false;
+    double silence_s = now - *zones_[zone].last_heartbeat_at;
+    return silence_s > limits_.report_s * zone_silent_reports &&
+           silence_s < limits_.lease_s * zone_silent_leases;
 }
 
-// --- Suspected ------------------------------------------------------------------------------------------
+// --- Suspicion ------------------------------------------------------------------------------------------
 
-// Counted no later than it could be given up: a new leader that is cut off from the workers must see that
+// No later than the machine could be evicted: a new leader that is cut off from the agents must see that
 // first.
-bool FailureDetector::late(const Observation& m) const {
-    return m.silent > limits_.report_s * (m.reconciled ? late_reports : unsettled_reports);
+bool FailureDetector::missed_heartbeat(const Observation& machine) const {
+    return machine.silence_s >
+           limits_.report_s * (machine.reconciled ? missed_reports : unreconciled_reports);
 }
 
-void FailureDetector::look(std::span<Observation> machines, const LeaderLoad& own, double now) {
-    // Many at once that no answer reaches: not they, but the way to them, or this leader, is at fault.
-    auto unreached = std::count_if(machines.begin(), machines.end(), [](auto& m) { return m.unreached > 0; });
-    if (static_cast<double>(unreached) < share(machines.size(), doubt_share))
-        for (auto& m : machines) m.silent = std::max(m.silent, m.unreached);
-    own_ = own;
-    doubt_.reset();
-    elsewhere_.reset();
-    while (!evictions_.empty() && now - evictions_.front() > limits_.lease_s) evictions_.pop_front();
-    for (auto& z : zones_) z.up = z.lately = 0;
-    up_ = machines.size();
-    longest_ = 0;
-    std::size_t heard = 0;
-    double first = 0;  // the longest silence that has only begun
-    for (auto& m : machines) {
-        if (zones_.size() <= m.zone) zones_.resize(m.zone + 1);
-        bool lately = m.silent < lately_;
-        heard += lately;
-        ++zones_[m.zone].up;
-        zones_[m.zone].lately += lately;
-        longest_ = std::max(longest_, m.silent);
-        if (m.silent < wait_ * 2) first = std::max(first, m.silent);
-    }
-    find_quiet_zones(now);
+void FailureDetector::observe(std::span<Observation> machines, const LeaderCondition& leader, double now) {
+    count_unreached_as_silent(machines);
+    start_observation(machines.size(), leader, now);
+    auto fleet = count_by_zone(machines);
+    find_unreachable_zones(now);
     find_lost_routes(machines, now);
-    learn(machines, now);
-
-    SelfSuspicion d;
-    std::size_t apart = 0, up_apart = 0, lately_apart = 0;  // of what no quiet zone explains
-    for (auto& m : machines) {
-        bool is_late = late(m);
-        if (is_late) d.silent.emplace(m.id, m.silent);
-        if (quiet(m.zone)) continue;
-        ++up_apart;
-        apart += is_late;
-        lately_apart += m.silent < lately_;
+    learn_from_returns(machines, now);
+    update_self_suspicion(machines, fleet);
+}
+
+// Many at once that nothing reaches: not they, but the way to them, or this leader, is at fault.
+void FailureDetector::count_unreached_as_silent(std::span<Observation> machines) const {
+    auto unreached = std::count_if(machines.begin(), machines.end(),
+                                   [](auto& machine) { return machine.unreached_s > 0; });
+    if (static_cast<double>(unreached) >= share(machines.size(), mass_silence_share)) return;
+    for (auto& machine : machines) machine.silence_s = std::max(machine.silence_s, machine.unreached_s);
+}
+
+void FailureDetector::start_observation(std::size_t machines, const LeaderCondition& leader, double now) {
+    leader_ = leader;
+    self_suspicion_.reset();
+    seen_by_peers_.reset();
+    while (!evictions_.empty() && now - evictions_.front() > limits_.lease_s) evictions_.pop_front();
+    for (auto& zone : zones_) zone.up = zone.recent = 0;
+    machines_up_ = machines;
+    longest_silence_s_ = 0;
+}
+
+FailureDetector::FleetCounts FailureDetector::count_by_zone(std::span<const Observation> machines) {
+    FleetCounts fleet;
+    for (auto& machine : machines) {
+        if (zones_.size() <= machine.zone) zones_.resize(machine.zone + 1);
+        bool recent = machine.silence_s < recent_s_;
+        fleet.recent += recent;
+        ++zones_[machine.zone].up;
+        zones_[machine.zone].recent += recent;
+        longest_silence_s_ = std::max(longest_silence_s_, machine.silence_s);
+        if (machine.silence_s < base_timeout_s_ * 2)
+            fleet.new_silence_s = std::max(fleet.new_silence_s, machine.silence_s);
     }
-    // Those given up a moment ago count as silent still. Otherwise a leader that is cut off from the workers
-    // would delete the fleet one by one, each time seeing only a few silent machines.
-    std::size_t gone = evictions_.size(), fleet = up_ + gone;
-    // While the first machine becomes due, more than half of a fleet that is well reports. A leader that
-    // hears next to none of many is cut off from them, or stood still, though less than a third is late yet:
-    // it used to delete those that fell silent first, dozens of machines that were well.
-    d.deaf = first > wait_ && fleet >= deaf_fleet && static_cast<double>(heard) < share(fleet, deaf_share);
-    if (d.deaf)
-        for (auto& m : machines)
-            if (m.silent >= lately_) d.silent.emplace(m.id, m.silent);
-    // That a third is silent shows in what is missing before a third is late: the first that became due used
-    // to be deleted, a tenth of the fleet, before their leader began to doubt.
-    bool missing =
-        first > wait_ && up_apart >= deaf_fleet &&
-        static_cast<double>(lately_apart) < share(up_apart, lately_ / limits_.report_s * (1 - doubt_share));
-    crowded_ = d.deaf || missing || static_cast<double>(apart + gone) > share(up_apart + gone, doubt_share);
-    bool many = static_cast<double>(d.silent.size() + gone) > share(fleet, doubt_share);
-    if (!own.behind && (d.deaf || missing || many)) doubt_ = std::move(d);
+    return fleet;
 }
 
-// Next to nothing is heard of a zone, while others are heard as usual: it was cut off. Its machines go on
-// with what they have, and a cut ends as a rule; deleted one after the other as each became due, 605 machines
-// were lost to a cut of ten seconds.
-void FailureDetector::find_quiet_zones(double now) {
-    quiet_.clear();
-    std::size_t lately = 0, up = 0;
-    for (std::size_t z = 0; z < zones_.size(); ++z) {
-        auto& zone = zones_[z];
-        // Of few machines it may be chance that none was heard for half a period.
-        bool long_enough = zone.up >= quiet_at_once || now - zone.heard > limits_.report_s;
-        if (zone.up >= quiet_zone && long_enough &&
-            static_cast<double>(zone.lately) <= share(zone.up, deaf_share)) {
-            quiet_.insert(z);
+// Next to no heartbeats come from a zone, while others send theirs as usual: it was cut off. Its machines go
+// on with what they have, and a cut ends as a rule; deleted one after the other as each became due, 605
+// machines were lost to a cut of ten seconds.
+void FailureDetector::find_unreachable_zones(double now) {
+    unreachable_zones_.clear();
+    std::size_t recent = 0, up = 0;  // in the other zones
+    for (std::size_t index = 0; index < zones_.size(); ++index) {
+        auto& zone = zones_[index];
+        // Of few machines it may be chance that none sent a heartbeat for half a period.
+        bool long_enough = zone.up >= min_unreachable_zone_at_once || !zone.last_heartbeat_at ||
+                           now - *zone.last_heartbeat_at > limits_.report_s;
+        if (zone.up >= min_unreachable_zone && long_enough &&
+            static_cast<double>(zone.recent) <= share(zone.up, isolated_share)) {
+            unreachable_zones_.insert(index);
         } else {
-            lately += zone.lately;
+            recent += zone.recent;
             up += zone.up;
         }
     }
-    // Of the rest, a quarter at least: otherwise it is the leader that hears nobody.
-    if (up == 0 || static_cast<double>(lately) < share(up, deaf_share * 2)) quiet_.clear();
+    // From the others, a quarter at least: otherwise it is the leader that receives nothing.
+    if (up == 0 || static_cast<double>(recent) < share(up, isolated_share * 2)) unreachable_zones_.clear();
 }
 
-// When a controller that hears machines ends or is cut off from them, or the leader is from those that report
-// to itself, they turn to another within some seconds. Fewer than a third of the fleet, they used to be
-// deleted before: 390 machines that were well, replicas on them, when a leader lost its workers while the
-// others went on hearing for it. So a machine is overdue only if others are heard the way it came.
+// When a controller that relays heartbeats ends or is cut off from the machines, or the leader is from those
+// that report to itself, they turn to another within some seconds. Fewer than a third of the fleet, they used
+// to be deleted before: 390 machines that were well, replicas on them, when a leader lost its agents while
+// the others went on relaying to it. So a machine is overdue only if others come through by the route it came
+// by.
 void FailureDetector::find_lost_routes(std::span<const Observation> machines, double now) {
-    std::map<std::string_view, double> latest;
-    for (auto& m : machines)
-        if (m.reconciled) {
-            auto& l = latest[m.route];
-            l = std::max(l, m.heard_at);
+    std::map<std::string_view, double> latest_by_route;
+    for (auto& machine : machines)
+        if (machine.reconciled) {
+            auto& latest = latest_by_route[machine.route];
+            latest = std::max(latest, machine.last_heartbeat_at);
         }
-    std::erase_if(lost_routes_, [&](auto& l) { return l.second < now; });
-    for (auto& m : machines)
-        if (m.reconciled && now - m.heard_at > wait_ &&
-            latest[m.route] <= m.heard_at + limits_.report_s * between_reports)
-            lost_routes_[std::string(m.route)] = now + limits_.report_s * turn_reports;
+    std::erase_if(lost_routes_, [&](auto& route) { return route.second < now; });
+    for (auto& machine : machines)
+        if (machine.reconciled && now - machine.last_heartbeat_at > base_timeout_s_ &&
+            latest_by_route[machine.route] <=
+                machine.last_heartbeat_at + limits_.report_s * max_interval_reports)
+            lost_routes_[std::string(machine.route)] = now + limits_.report_s * reroute_reports;
 }
 
-// HeartbeatHistory of single machines. One that is over tells how long such take.
-void FailureDetector::learn(std::span<const Observation> machines, double now) {
-    history_.forget_old(now);
+// Silences of single machines. One that is over tells how long such take.
+void FailureDetector::learn_from_returns(std::span<const Observation> machines, double now) {
+    history_.drop_expired(now);
     std::map<std::string, double, std::less<>> silent;
-    for (auto& m : machines) {
-        if (!m.reconciled || quiet(m.zone)) continue;
-        if (late(m)) {
-            silent.emplace(m.id, m.silent);
-        } else if (auto it = silent_.find(m.id); it != silent_.end()) {
-            history_.ended(it->second, now);
+    for (auto& machine : machines) {
+        if (!machine.reconciled || zone_unreachable(machine.zone)) continue;
+        if (missed_heartbeat(machine)) {
+            silent.emplace(machine.id, machine.silence_s);
+        } else if (auto it = silent_machines_.find(machine.id); it != silent_machines_.end()) {
+            history_.record_return(it->second, now);
         }
     }
-    silent_ = std::move(silent);
+    silent_machines_ = std::move(silent);
+}
+
+void FailureDetector::update_self_suspicion(std::span<const Observation> machines, const FleetCounts& fleet) {
+    SelfSuspicion suspicion;
+    std::size_t up = 0, missed = 0, recent = 0;  // of what no unreachable zone explains
+    for (auto& machine : machines) {
+        bool has_missed = missed_heartbeat(machine);
+        if (has_missed) suspicion.missed_heartbeats.emplace(machine.id, machine.silence_s);
+        if (zone_unreachable(machine.zone)) continue;
+        ++up;
+        missed += has_missed;
+        recent += machine.silence_s < recent_s_;
+    }
+    // Those evicted a moment ago count as silent still. Otherwise a leader that is cut off from the agents
+    // would delete the fleet one by one, each time seeing only a few silent machines.
+    std::size_t evicted = evictions_.size(), whole_fleet = machines_up_ + evicted;
+    bool silence_is_new = fleet.new_silence_s > base_timeout_s_;
+    // While the first machine becomes due, more than half of a fleet that is well reports. A leader that
+    // receives next to nothing from many is cut off from them, or stood still, though less than a third has
+    // missed a heartbeat yet: it used to delete those that fell silent first, dozens of machines that were
+    // well.
+    suspicion.isolated = silence_is_new && whole_fleet >= min_isolated_fleet &&
+                         static_cast<double>(fleet.recent) < share(whole_fleet, isolated_share);
+    if (suspicion.isolated)
+        for (auto& machine : machines)
+            if (machine.silence_s >= recent_s_)
+                suspicion.missed_heartbeats.emplace(machine.id, machine.silence_s);
+    // That a third is silent shows in what is missing before a third has missed a heartbeat: the first that
+    // became due used to be deleted, a tenth of the fleet, before their leader began to suspect itself.
+    bool third_missing =
+        silence_is_new && up >= min_isolated_fleet &&
+        static_cast<double>(recent) < share(up, recent_s_ / limits_.report_s * (1 - mass_silence_share));
+    mass_silence_ = suspicion.isolated || third_missing ||
+                    static_cast<double>(missed + evicted) > share(up + evicted, mass_silence_share);
+    bool many = static_cast<double>(suspicion.missed_heartbeats.size() + evicted) >
+                share(whole_fleet, mass_silence_share);
+    if (!leader_.behind && (suspicion.isolated || third_missing || many))
+        self_suspicion_ = std::move(suspicion);
 }
 
-// --- Asked ----------------------------------------------------------------------------------------------
+// --- Asking peers ---------------------------------------------------------------------------------------
 
-// Workers that get no answer turn to the other controllers, so these know: if they hear machines, one of them
-// should lead; if they hear none after the time a worker takes to turn to them, the machines are gone.
+// Agents that get no reply turn to the other controllers, so these know: if they receive heartbeats, one of
+// them should lead; if they receive none after the time an agent takes to turn to them, the machines are
+// gone.
 bool FailureDetector::should_resign() const {
-    if (!doubt_ || !elsewhere_ || *elsewhere_ == 0 || longest_ <= wait_) return false;
-    // What was given up a moment ago is silent here, too, and nobody is asked about it: a leader that had
-    // given up seven machines that hear nothing gave way for the sake of one more.
-    std::size_t gone = evictions_.size();
-    double enough = doubt_->deaf ? share(up_ + gone, deaf_share) : share(doubt_->silent.size() + gone, 0.5);
-    return static_cast<double>(*elsewhere_) >= enough;
+    if (!self_suspicion_ || !seen_by_peers_ || *seen_by_peers_ == 0 || longest_silence_s_ <= base_timeout_s_)
+        return false;
+    // What was evicted a moment ago is silent here, too, and no peer is asked about it: a leader that had
+    // evicted seven machines that nothing reaches resigned for the sake of one more.
+    std::size_t evicted = evictions_.size();
+    double enough = self_suspicion_->isolated
+                        ? share(machines_up_ + evicted, isolated_share)
+                        : share(self_suspicion_->missed_heartbeats.size() + evicted, 0.5);
+    return static_cast<double>(*seen_by_peers_) >= enough;
 }
 
-// --- Judged ---------------------------------------------------------------------------------------------
+// --- Evaluation -----------------------------------------------------------------------------------------
 
 bool FailureDetector::may_evict() const {
-    return !own_.behind && (!doubt_ || (elsewhere_ && *elsewhere_ * 2 < doubt_->silent.size()));
+    return !leader_.behind &&
+           (!self_suspicion_ ||
+            (seen_by_peers_ && *seen_by_peers_ * 2 < self_suspicion_->missed_heartbeats.size()));
 }
 
-double FailureDetector::patience(const Observation& m) const {
-    const auto& l = limits_;
-    double turn = l.report_s * turn_reports;
-    double wait = wait_ + (doubt_ && crowded_ ? turn : 0);
-    if (!m.reconciled) {
-        // Nothing is placed while it may hold anything, and one that is well answers a direct command at
-        // once. Not so if this leader reaches none itself, and hears only what others pass on: a worker may
-        // try every other controller in vain before it comes to one that hears it.
-        double unreconciled =
-            own_.reaches ? std::min(wait_, l.report_s * unsettled_reports)
-                         : wait_ + l.report_s + static_cast<double>(l.peers) * protocol::heartbeat_retry_s;
-        if (doubt_) unreconciled = std::max(unreconciled, wait_ + turn);
-        if (!m.known) return unreconciled;
-        wait = std::max(wait, unreconciled);  // it holds nothing up
+// Nothing is placed while such a machine may hold anything, and one that is well answers a direct command at
+// once. Not so if this leader reaches none itself, and receives only what others relay: an agent may try
+// every other controller in vain before it comes to one that receives its heartbeat.
+double FailureDetector::unreconciled_timeout_s() const {
+    double timeout_s = leader_.probes_answered
+                           ? std::min(base_timeout_s_, limits_.report_s * unreconciled_reports)
+                           : base_timeout_s_ + limits_.report_s +
+                                 static_cast<double>(limits_.peers) * protocol::heartbeat_retry_s;
+    if (self_suspicion_)
+        timeout_s = std::max(timeout_s, base_timeout_s_ + limits_.report_s * reroute_reports);
+    return timeout_s;
+}
+
+// Its tasks run on until its lease expires, and are then proven terminated without a deletion.
+double FailureDetector::unreachable_zone_timeout_s(const Observation& machine) const {
+    if (machine.eviction_cost == EvictionCost::none) return limits_.lease_s * zone_empty_leases;
+    return limits_.lease_s * (machine.reconciled ? zone_tasks_leases : zone_unreconciled_leases);
+}
+
+double FailureDetector::suspicion_timeout_s(const Observation& machine) const {
+    double reroute_s = limits_.report_s * reroute_reports;
+    double timeout_s = base_timeout_s_ + (self_suspicion_ && mass_silence_ ? reroute_s : 0);
+    if (!machine.reconciled) {
+        if (!machine.known_from_replica) return unreconciled_timeout_s();
+        timeout_s = std::max(timeout_s, unreconciled_timeout_s());  // it holds nothing up
     }
-    if (lost_routes_.contains(m.route)) wait += turn;
-    // Its tasks run on until its lease is out, and are then proven gone without a deletion.
-    if (quiet(m.zone))
-        return std::max(wait, l.lease_s * (m.eviction_cost == EvictionCost::nothing ? zone_leases
-                                           : m.reconciled                           ? zone_tasks_leases
-                                                                                    : zone_unsettled_leases));
-    if (m.eviction_cost == EvictionCost::nothing) return std::max(wait, l.lease_s * empty_leases);
-    if (m.eviction_cost == EvictionCost::work)
-        wait = std::max(wait, std::min(wait * work_patience, l.lease_s));
-    // As long as one that has been silent for so long is likely enough to speak.
-    if (m.silent >= wait && history_.speaks_within(m.silent, l.report_s) * loss_reports > 1)
-        return m.silent + l.report_s;
-    return wait;
+    if (lost_routes_.contains(machine.route)) timeout_s += reroute_s;
+    if (zone_unreachable(machine.zone)) return std::max(timeout_s, unreachable_zone_timeout_s(machine));
+    if (machine.eviction_cost == EvictionCost::none)
+        return std::max(timeout_s, limits_.lease_s * empty_leases);
+    if (machine.eviction_cost == EvictionCost::own_work)
+        timeout_s = std::max(timeout_s, std::min(timeout_s * own_work_timeouts, limits_.lease_s));
+    // As long as one that has been silent for so long is likely enough to return.
+    if (machine.silence_s >= timeout_s &&
+        history_.return_probability(machine.silence_s, limits_.report_s) * eviction_cost_reports > 1)
+        return machine.silence_s + limits_.report_s;
+    return timeout_s;
 }
-Health FailureDetector::judge(const Observation& m) const {
-    if (m.silent > limits_.report_s * unsettled_reports && m.silent > patience(m)) return Health::Dead;
-    return late(m) || quiet(m.zone) ? Health::Suspected : Health::Alive;
+
+Health FailureDetector::evaluate(const Observation& machine) const {
+    if (machine.silence_s > limits_.report_s * unreconciled_reports &&
+        machine.silence_s > suspicion_timeout_s(machine))
+        return Health::dead;
+    return missed_heartbeat(machine) || zone_unreachable(machine.zone) ? Health::suspected : Health::alive;
 }
-void FailureDetector::evicted(const Observation& m, double now) {
+
+void FailureDetector::record_eviction(const Observation& machine, double now) {
     evictions_.push_back(now);
-    if (m.reconciled && !quiet(m.zone)) history_.cut_short(m.silent, now);
-    silent_.erase(std::string(m.id));
+    if (machine.reconciled && !zone_unreachable(machine.zone))
+        history_.record_eviction(machine.silence_s, now);
+    silent_machines_.erase(std::string(machine.id));
 }
 
-std::string FailureDetector::evidence(const Observation& m) const {
-    static constexpr const char* stakes[] = {"nobody waits", "only its own work waits", "others wait"};
-    char text[160];
-    std::snprintf(text, sizeof text, "is silent for %.1f s, patience %.1f s, %s for it%s%s%s", m.silent,
-                  patience(m), stakes[static_cast<std::size_t>(m.eviction_cost)],
-                  m.reconciled ? "" : ", not settled", quiet(m.zone) ? ", its zone is quiet" : "",
-                  doubt_ ? ", no other hears it" : "");
+std::string FailureDetector::evidence(const Observation& machine) const {
+    static constexpr const char* costs[] = {"none", "own_work", "others_wait"};
+    char text[200];
+    std::snprintf(text, sizeof text,
+                  "silence_s=%.1f suspicion_timeout_s=%.1f eviction_cost=%s reconciled=%s "
+                  "zone_unreachable=%s not_seen_by_peers=%s",
+                  machine.silence_s, suspicion_timeout_s(machine),
+                  costs[static_cast<std::size_t>(machine.eviction_cost)],
+                  machine.reconciled ? "true" : "false", zone_unreachable(machine.zone) ? "true" : "false",
+                  self_suspicion_ ? "true" : "false");
     return text;
 }
 
-// --- Machines that boot ---------------------------------------------------------------------------------
+// --- Booting machines -----------------------------------------------------------------------------------
 
-// At times new machines come up several times as late. Given up after the usual time each of them was deleted
-// a moment before it would have come, and another rented that was no faster: 300 machines stood for 500
-// needed. A new leader knows nothing of that yet, so it begins patiently.
-void FailureDetector::booted(double boots) {
-    slowest_boot_ = std::clamp(std::max(boots, slowest_boot_ * boots_kept), usual_boots, most_boots);
+// At times new machines come up several times as late. Given up after the usual time, each of them was
+// deleted a moment before it would have come, and another rented that was no faster: 300 machines stood for
+// 500 needed. A new leader knows nothing of that yet, so it begins with a long time.
+void FailureDetector::record_boot(double boots) {
+    slowest_boot_ = std::clamp(std::max(boots, slowest_boot_ * boots_retained), usual_boots, max_boots);
 }
 // In a zone that is cut off it may be up, and is needed as soon as the cut ends.
-bool FailureDetector::overdue(double boots, std::size_t zone, double now) const {
-    return boots > slowest_boot_ * overdue_ratio && !dark(zone, now);
+bool FailureDetector::boot_overdue(double boots, std::size_t zone, double now) const {
+    return boots > slowest_boot_ * overdue_ratio && !zone_silent(zone, now);
 }
 
 }  // namespace coralhitch::membership
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,8 +1,11 @@
-// Who is alive? All judgement of machines, zones and routes, in the order in which it is made: heard,
-// suspected, asked, judged. Pure: the clock, and what was heard, are handed in.
+// Which machines, zones and routes are alive. All decisions about that, in the order in which they are made:
+// heartbeats are recorded, machines are suspected, peers are asked, machines are evaluated.
 //
-// Suspicion costs nothing that can't be taken back. A verdict deletes a machine and all that is on it, so it
-// weighs what that costs against what waiting costs. docs/membership.md argues the rules.
+// A suspicion costs nothing that can't be taken back. An eviction deletes a machine and all that is on it, so
+// it weighs what that costs against what waiting costs. docs/membership.md argues the rules.
+//
+// Pure: no I/O, and the clock is handed in. All times are seconds of the leader's clock. Not thread-safe:
+// used from the event loop only.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -15,109 +18,111 @@
 #include <vector>
 
 #include "membership/heartbeat_history.hpp"
+#include "membership/observation.hpp"
 
 namespace coralhitch::membership {
 
-struct Limits {
-    double report_s = 0, lease_s = 0;  // of workers, seconds
-    double silence_reports = 0;        // report periods of silence after which others wait too long
-    std::size_t peers = 0;             // other controllers
-};
-
-// Who pays if the machine is dead and it is waited for.
-enum class EvictionCost {
-    nothing,  // nobody: it holds no task
-    work,     // tasks that run and save by themselves: given up, they lose as much again
-    awaited,  // users of replicas, the other tasks of a gang, or a task that has not started
-};
-
-// A machine that is up, as seen at one moment.
-struct Observation {
-    std::string_view id, route;  // route: the controller through which it was heard; empty: the leader itself
-    std::size_t zone = 0;
-    double silent = 0;        // seconds, as far as that is the machine's fault
-    double heard_at = 0;      // on the leader's clock
-    bool reconciled = false;  // it has answered this leader
-    bool known = false;  // or the leader before told what may be on it; if neither, it holds up all placing
-    EvictionCost eviction_cost = EvictionCost::nothing;
-    double unreached = 0;  // seconds for which nothing showed that it is reached, though it is heard
+struct FailureDetectorLimits {
+    double report_s = 0;         // heartbeat period of the agents, seconds
+    double lease_s = 0;          // lease of the agents, seconds
+    double silence_reports = 0;  // heartbeat periods of silence after which others wait too long
+    std::size_t peers = 0;       // other controllers
 };
 
-// What the leader knows of itself.
-struct LeaderLoad {
-    bool behind = false;   // it has not the processor to hear in time
-    bool reaches = false;  // a machine answered its direct question lately
-};
-
-// Why the leader may be the one that is cut off. Others are asked before anything is given up.
+// Why the leader may be the one that is cut off. Peers are asked before any machine is evicted.
 struct SelfSuspicion {
-    bool deaf = false;                     // it hears next to nobody
-    std::map<std::string, double> silent;  // machines of which others are asked, and for how long, seconds
+    bool isolated = false;                            // it receives next to no heartbeats
+    std::map<std::string, double> missed_heartbeats;  // machines to ask the peers about; silence, seconds
 };
 
-enum class Health { Alive, Suspected, Dead };
+enum class Health { alive, suspected, dead };
 
 class FailureDetector {
   public:
-    explicit FailureDetector(const Limits& limits);
-
-    // --- Heard ---
-    void heard_from(std::size_t zone, double now);
-    // Nothing is heard from a zone where machines were up: it is cut off, rather than its machines all dead.
-    // For a bounded time, since a zone of few machines may really lose them all.
-    bool dark(std::size_t zone, double now) const;
-
-    // --- Suspected: once a tick, all machines that are up ---
-    // To be heard without being reached counts as silence.
-    void look(std::span<Observation> machines, const LeaderLoad& own, double now);
-    std::size_t up() const { return up_; }
-    const std::optional<SelfSuspicion>& self_suspicion() const { return doubt_; }
-    bool quiet(std::size_t zone) const { return quiet_.contains(zone); }
-    bool late(const Observation& m) const;  // it should have been heard by now: it is asked
-
-    // --- Asked: how many of the doubtful machines another controller hears; nothing if none answers ---
-    void answered(std::optional<std::size_t> elsewhere) { elsewhere_ = elsewhere; }
-    bool should_resign() const;
-
-    // --- Judged ---
-    // Whether verdicts may be carried out at all.
-    bool may_evict() const;
-    Health judge(const Observation& m) const;
-    // For how long a machine like this is waited for, seconds of silence.
-    double patience(const Observation& m) const;
-    void evicted(const Observation& m, double now);
-
-    // Machines that boot: a machine came up, or has not yet, after so many nominal boot times.
-    void booted(double boots);
-    bool overdue(double boots, std::size_t zone, double now) const;
-
-    // For the log: what speaks for a verdict.
-    std::string evidence(const Observation& m) const;
+    explicit FailureDetector(const FailureDetectorLimits& limits);
+
+    // --- Recording ---
+    // A heartbeat came from a machine of this zone. An earlier time than the last one changes nothing.
+    void record_heartbeat(std::size_t zone, double now);
+    // No heartbeat comes from a zone where machines were up: it is cut off, rather than its machines all
+    // dead. True for a bounded time only, since a zone of few machines may really lose them all.
+    [[nodiscard]] bool zone_silent(std::size_t zone, double now) const;
+
+    // --- Suspicion ---
+    // Once a tick, with all machines that are up. Raises the silence of those that nothing reaches to the
+    // time for which that is so, and replaces all that the last call found. Everything below refers to it.
+    void observe(std::span<Observation> machines, const LeaderCondition& leader, double now);
+    [[nodiscard]] std::size_t machines_up() const { return machines_up_; }
+    [[nodiscard]] const std::optional<SelfSuspicion>& self_suspicion() const { return self_suspicion_; }
+    // Next to no heartbeats come from this zone, while others send theirs as usual.
+    [[nodiscard]] bool zone_unreachable(std::size_t zone) const { return unreachable_zones_.contains(zone); }
+    // A heartbeat is overdue, so the machine is probed.
+    [[nodiscard]] bool missed_heartbeat(const Observation& machine) const;
+
+    // --- Asking peers ---
+    // From how many of `SelfSuspicion::missed_heartbeats` a peer has received heartbeats; nullopt if no peer
+    // answered. Valid until the next `observe`.
+    void set_heartbeats_seen_by_peers(std::optional<std::size_t> machines) { seen_by_peers_ = machines; }
+    // A peer receives the heartbeats that this leader misses, so it should lead.
+    [[nodiscard]] bool should_resign() const;
+
+    // --- Evaluation ---
+    // Whether machines may be evicted at all.
+    [[nodiscard]] bool may_evict() const;
+    [[nodiscard]] Health evaluate(const Observation& machine) const;
+    // After so many seconds of silence a machine like this is dead.
+    [[nodiscard]] double suspicion_timeout_s(const Observation& machine) const;
+    // The machine is to be deleted.
+    void record_eviction(const Observation& machine, double now);
+
+    // --- Booting machines; durations in nominal boot times of the machine type ---
+    // A machine came up after so long.
+    void record_boot(double boots);
+    // One that has not come up after so long is not expected any more.
+    [[nodiscard]] bool boot_overdue(double boots, std::size_t zone, double now) const;
+
+    // For the log, as key=value: what an eviction of this machine rests on.
+    [[nodiscard]] std::string evidence(const Observation& machine) const;
 
   private:
     struct Zone {
-        double heard = -1;
-        std::size_t up = 0, lately = 0;
+        std::optional<double> last_heartbeat_at;
+        std::size_t up = 0, recent = 0;  // machines that are up; those of them with a recent heartbeat
     };
-    void find_quiet_zones(double now);
+    // The whole fleet in the present observation.
+    struct FleetCounts {
+        std::size_t recent = 0;
+        double new_silence_s = 0;  // the longest silence that is no longer than twice the timeout
+    };
+
+    // The steps of `observe`, in this order.
+    void count_unreached_as_silent(std::span<Observation> machines) const;
+    void start_observation(std::size_t machines, const LeaderCondition& leader, double now);
+    FleetCounts count_by_zone(std::span<const Observation> machines);
+    void find_unreachable_zones(double now);
     void find_lost_routes(std::span<const Observation> machines, double now);
-    void learn(std::span<const Observation> machines, double now);
-
-    Limits limits_;
-    double wait_, lately_;  // seconds: for a machine that others wait for; in which half of all are heard
-    std::vector<Zone> zones_;
-    std::set<std::size_t> quiet_;
-    std::map<std::string, double, std::less<>>
-        lost_routes_;                                    // until when machines that came by it are waited for
-    std::deque<double> evictions_;                       // when machines were, lately
-    std::map<std::string, double, std::less<>> silent_;  // one by one, at the last look: for how long
+    void learn_from_returns(std::span<const Observation> machines, double now);
+    void update_self_suspicion(std::span<const Observation> machines, const FleetCounts& fleet);
+
+    [[nodiscard]] double unreconciled_timeout_s() const;
+    [[nodiscard]] double unreachable_zone_timeout_s(const Observation& machine) const;
+
+    FailureDetectorLimits limits_;
+    double base_timeout_s_;    // for a machine that others wait for
+    double recent_s_;          // half of a fleet that is well sent a heartbeat within this time
+    std::vector<Zone> zones_;  // by index
+    std::set<std::size_t> unreachable_zones_;
+    std::map<std::string, double, std::less<>> lost_routes_;      // until when machines get more time for it
+    std::deque<double> evictions_;                                // times of those within the last lease
+    std::map<std::string, double, std::less<>> silent_machines_;  // at the last observation; silence, seconds
     HeartbeatHistory history_;
-    std::optional<SelfSuspicion> doubt_;
-    std::optional<std::size_t> elsewhere_;
-    LeaderLoad own_;
-    std::size_t up_ = 0;
-    bool crowded_ = false;  // many are silent that no quiet zone explains
-    double longest_ = 0, slowest_boot_;
+    std::optional<SelfSuspicion> self_suspicion_;
+    std::optional<std::size_t> seen_by_peers_;
+    LeaderCondition leader_;
+    std::size_t machines_up_ = 0;
+    bool mass_silence_ = false;  // many machines are silent that no unreachable zone explains
+    double longest_silence_s_ = 0;
+    double slowest_boot_;  // nominal boot times
 };
 
 }  // namespace coralhitch::membership
