--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -166,7 +166,7 @@
     }
 }
 
-// The agent has forgotten them, as it was told once their outcome was stored.
+// The agent has forgotten them, as a `forget` command said once their outcome was stored.
 void HeartbeatApplication::drop_forgotten(const std::set<AttemptId>& reported) {
     std::erase_if(machine_.exited_tasks, [&](auto& entry) {
         return !reported.contains(entry.first) && entry.second.outcome_stored;
--- a/src/cluster/machine_commands.cpp
+++ b/src/cluster/machine_commands.cpp
@@ -131,10 +131,10 @@
 }
 
 bool nothing_pending(const Machine& machine) {
-    bool settled = machine.life == Machine::Life::up && machine.reconciled && machine.is_stored() &&
-                   !machine.preemption_deadline && !machine.flush_scheduled && machine.exited_tasks.empty() &&
-                   machine.token == machine.token_seen;
-    return settled && std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
+    bool idle = machine.life == Machine::Life::up && machine.reconciled && machine.is_stored() &&
+                !machine.preemption_deadline && !machine.flush_scheduled && machine.exited_tasks.empty() &&
+                machine.token == machine.token_seen;
+    return idle && std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
                auto& instance = entry.second;
                return instance.ever_reported && instance.spec && !instance.stop_requested &&
                       instance.run.direct_in_flight == 0;
--- /dev/null
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -0,0 +1,281 @@
+// What a report changes, and when a task counts as terminated.
+#include "cluster/heartbeat_application.hpp"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <functional>
+
+#include "cluster/cluster_state_fixture.hpp"
+
+namespace coralhitch::cluster {
+namespace {
+using protocol::CommandKind;
+using protocol::ExitCause;
+using protocol::TaskState;
+
+TEST(HeartbeatApplication, KeepsUnreportedTaskWhileItsRunMayStillArrive) {
+    ClusterStateFixture b;
+    auto sent = b.place_and_send_run();
+    b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), false);  // no answer: not a proof
+    EXPECT_TRUE(b.apply_heartbeat(b.base()).ends.empty());
+    EXPECT_EQ(b.machine().tasks.size(), 1u);
+    EXPECT_TRUE(b.reply_contains(CommandKind::start));  // wanted: sent again
+    EXPECT_DOUBLE_EQ(b.machine().free().gpus, 3);
+}
+
+TEST(HeartbeatApplication, EndsInstanceOnEachProofOfExit) {
+    struct Case {
+        const char* name;
+        std::function<std::vector<InstanceEnd>(ClusterStateFixture&)> proof;
+    };
+    const Case cases[] = {
+        {"reported as exited",
+         [](ClusterStateFixture& b) {
+             b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::stopped, true}};
+             return b.apply_heartbeat(b.base()).ends;
+         }},
+        {"a new agent epoch",
+         [](ClusterStateFixture& b) {
+             b.sequence = 0;
+             return b.apply_heartbeat(b.base(), ReportChannel::heartbeat, 2).ends;
+         }},
+        {"deletion answered", [](ClusterStateFixture& b) { return b.cluster_state.remove_deleted("vm-1"); }},
+        {"the lease has expired",
+         [](ClusterStateFixture& b) { return b.cluster_state.expire_lease(b.machine()); }},
+    };
+    for (auto& c : cases) {
+        ClusterStateFixture b;
+        b.place_and_send_run();
+        b.reported_tasks = {{task, 5, TaskState::running}};
+        EXPECT_TRUE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).ends.empty()) << c.name;
+        auto ends = c.proof(b);
+        ASSERT_EQ(ends.size(), 1u) << c.name;
+        EXPECT_EQ(ends[0].attempt, 5u) << c.name;
+    }
+}
+
+TEST(HeartbeatApplication, IgnoresOlderHeartbeat) {
+    ClusterStateFixture b;
+    b.place_and_send_run();
+    b.reported_tasks = {{task, 5, TaskState::running}};
+    b.sequence = 10;
+    b.apply_heartbeat(b.base());
+    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::done}};
+    b.sequence = 3;
+    auto outcome = b.apply_heartbeat(b.base());
+    EXPECT_FALSE(outcome.is_newer());
+    // A worker has one report under way: nobody waits for this one's answer.
+    EXPECT_FALSE(outcome.may_be_answered());
+    EXPECT_EQ(b.machine().tasks.size(), 1u);
+    b.sequence = 10;
+    outcome = b.apply_heartbeat(b.base());
+    // The newest once more: its sender may wait.
+    EXPECT_TRUE(outcome.is_repeated() && outcome.may_be_answered() && !outcome.is_newer());
+}
+
+// Copies of reports come well over a lease late, after any number of newer ones, also to a leader that has
+// received none of those.
+TEST(HeartbeatApplication, IgnoresLateCopiesOfTerminatedInstances) {
+    ClusterStateFixture b;  // a new leader: the machine was deleted under the one before, and is in no page
+    b.reported_tasks = {{task, 5, TaskState::running}};
+    EXPECT_TRUE(b.apply_heartbeat(b.base() - 1).is_terminated());
+    EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
+    // What it answers now counts.
+    EXPECT_FALSE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).is_terminated());
+    EXPECT_EQ(b.machine().tasks.size(), 1u);
+
+    ClusterStateFixture c;  // its lease was out: the task may run elsewhere by now
+    c.place_and_send_run();
+    c.reported_tasks = {{task, 5, TaskState::running}};
+    c.apply_heartbeat(c.base());
+    EXPECT_EQ(c.cluster_state.expire_lease(c.machine()).size(), 1u);
+    EXPECT_TRUE(c.apply_heartbeat(c.base()).is_terminated());
+    EXPECT_TRUE(c.machine().tasks.empty());
+    c.reported_tasks.clear();
+    EXPECT_TRUE(c.apply_heartbeat(c.base(), ReportChannel::heartbeat, 2).is_newer());
+
+    ClusterStateFixture d;  // the same, of a machine that this leader had no report of
+    d.store_by_earlier_leader();
+    d.cluster_state.expire_lease(d.machine());
+    d.reported_tasks = {{task, 5, TaskState::running}};
+    EXPECT_TRUE(d.apply_heartbeat(d.base()).is_terminated());
+    EXPECT_FALSE(d.apply_heartbeat(d.base(), ReportChannel::direct_reply).is_terminated());
+}
+
+// What a report from before this leader began shows takes up its resources, but is no evidence of where the
+// task is before the machine confirms it, and none against what is known from the replica.
+TEST(HeartbeatApplication, ConfirmsInstancesOnlyByReportsToThisLeader) {
+    struct Case {
+        const char* what;
+        std::function<void(ClusterStateFixture&)> then;
+        std::size_t found, ends;  // by it
+        bool there, confirmed;    // afterwards
+    };
+    const protocol::TaskStatus shown{task, 3, TaskState::running, ExitCause::none, false};
+    auto known_from_replica = [&](ClusterStateFixture& b, std::uint64_t attempt) {
+        b.store_by_earlier_leader();
+        b.machine().known_from_replica = true;
+        b.cluster_state.place_from_replica(b.machine(), task, b.spec, attempt, 0);
+    };
+    std::size_t found = 0, ends = 0;
+    auto apply = [&](ClusterStateFixture& b, std::uint64_t token,
+                     ReportChannel channel = ReportChannel::heartbeat, std::uint64_t agent_epoch = 1) {
+        auto o = b.apply_heartbeat(token, channel, agent_epoch);
+        found += o.found.size();
+        ends += o.ends.size();
+        return o;
+    };
+    auto old = [&](ClusterStateFixture& b) {
+        b.reported_tasks = {shown};
+        return apply(b, b.base() - 1);
+    };
+    const Case cases[] = {
+        {"it alone", [&](ClusterStateFixture& b) { b.store_by_earlier_leader(), old(b); }, 1, 0, true, false},
+        {"reported again in a direct reply",
+         [&](ClusterStateFixture& b) {
+             b.store_by_earlier_leader(), old(b), apply(b, b.base() - 1, ReportChannel::direct_reply);
+         },
+         2, 0, true, true},
+        {"shown again under this leader's token",
+         [&](ClusterStateFixture& b) { b.store_by_earlier_leader(), old(b), apply(b, b.base()); }, 2, 0, true,
+         true},
+        {"not reported under this leader's token",
+         [&](ClusterStateFixture& b) {
+             b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(), apply(b, b.base());
+         },
+         1, 0, false, false},
+        {"not reported in a direct reply",
+         [&](ClusterStateFixture& b) {
+             b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
+                 apply(b, 1, ReportChannel::direct_reply);
+         },
+         1, 0, false, false},
+        {"terminated by a new agent epoch",
+         [&](ClusterStateFixture& b) {
+             b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
+                 apply(b, 1, ReportChannel::heartbeat, 2);
+         },
+         1, 0, false, false},
+        {"exited",
+         [&](ClusterStateFixture& b) {
+             b.store_by_earlier_leader(), old(b), b.reported_tasks[0].state = TaskState::exited, apply(b, 1);
+         },
+         1, 1, false, false},
+        {"known from the replica", [&](ClusterStateFixture& b) { known_from_replica(b, 3), old(b); }, 0, 0,
+         true, true},
+        {"known from the replica that nothing is there",
+         [&](ClusterStateFixture& b) {
+             b.store_by_earlier_leader(), b.machine().known_from_replica = true, old(b);
+         },
+         0, 0, false, false},
+        {"of an earlier attempt than the one in the replica",
+         [&](ClusterStateFixture& b) {
+             known_from_replica(b, 5), old(b);
+             EXPECT_EQ(b.machine().tasks.at(task).attempt, 5u);
+         },
+         0, 0, true, true},
+        {"of a later agent epoch than one that is terminated",
+         [&](ClusterStateFixture& b) {
+             b.store_by_earlier_leader(), apply(b, b.base() - 1), b.cluster_state.expire_lease(b.machine()),
+                 b.reported_tasks = {shown};
+             EXPECT_TRUE(apply(b, b.base() - 1, ReportChannel::heartbeat, 2).is_terminated());
+         },
+         0, 0, false, false},
+        {"of a machine that only this leader stored",
+         [&](ClusterStateFixture& b) {
+             apply(b, b.base() - 1), b.machine().registration = Machine::Registration::stored;
+             EXPECT_TRUE(old(b).is_terminated());
+         },
+         0, 0, false, false},
+    };
+    for (auto& c : cases) {
+        ClusterStateFixture b;
+        found = ends = 0;
+        c.then(b);
+        EXPECT_EQ(found, c.found) << c.what;
+        EXPECT_EQ(ends, c.ends) << c.what;
+        auto* m = b.cluster_state.find("vm-1");
+        ASSERT_TRUE(m) << c.what;
+        EXPECT_EQ(m->tasks.contains(task), c.there) << c.what;
+        EXPECT_EQ(c.there && m->tasks.at(task).confirmed, c.confirmed) << c.what;
+    }
+}
+
+// A machine back under its name begins with low numbers: copies of its earlier life, received first, had made
+// a new leader refuse it until its lease was out.
+TEST(HeartbeatApplication, PrefersMachineOverReportsOfItsEarlierLife) {
+    struct Case {
+        std::uint64_t agent_epoch, sequence;  // of the earlier life
+        std::uint64_t token;  // below this leader's: the agent epoch asked for was not its own
+        ReportChannel channel;
+        bool fresh;
+    };
+    const Case cases[] = {
+        {1, 500, 0, ReportChannel::heartbeat, true},     {1, 500, 0, ReportChannel::direct_reply, true},
+        {3, 500, 1, ReportChannel::direct_reply, true},  {3, 500, 1, ReportChannel::heartbeat, false},
+        {1, 500, 1, ReportChannel::direct_reply, false}, {1, 500, 1, ReportChannel::heartbeat, false}};
+    for (auto& c : cases) {
+        ClusterStateFixture b;
+        b.store_by_earlier_leader();
+        b.reported_tasks = {{task, 3, TaskState::running, ExitCause::none, false}};
+        b.sequence = c.sequence;
+        b.apply_heartbeat(b.base() - 1, ReportChannel::heartbeat, c.agent_epoch);
+        b.sequence = 7;
+        b.reported_tasks.clear();
+        EXPECT_EQ(b.apply_heartbeat(b.base() - c.token, c.channel).is_newer(), c.fresh);
+        EXPECT_EQ(b.machine().sequence, c.fresh ? 8 : c.sequence + 1);
+        EXPECT_EQ(b.machine().tasks.empty(), c.fresh);
+        b.apply_heartbeat(b.base());
+        EXPECT_TRUE(b.machine().reconciled);
+        // From here on the larger is the newer.
+        b.sequence = 3;
+        EXPECT_FALSE(b.apply_heartbeat(b.base()).is_newer());
+    }
+}
+
+TEST(HeartbeatApplication, NeverPostponesPreemptionDeadline) {
+    ClusterStateFixture b;
+    b.store_by_earlier_leader();
+    b.preemption_notice_s = 90;
+    b.apply_heartbeat(b.base() - 1);
+    b.preemption_notice_s = 20;
+    b.apply_heartbeat(b.base());
+    EXPECT_DOUBLE_EQ(b.machine().preemption_deadline.value(), 20);
+    b.preemption_notice_s = 30;
+    b.apply_heartbeat(b.base());
+    EXPECT_DOUBLE_EQ(b.machine().preemption_deadline.value(), 20);
+}
+
+TEST(HeartbeatApplication, IgnoresLateHeartbeatOfDeletedMachine) {
+    ClusterStateFixture b;
+    b.place_and_send_run();
+    b.cluster_state.remove_deleted("vm-1");
+    EXPECT_TRUE(b.apply_heartbeat(b.base()).is_terminated());
+    EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
+}
+
+TEST(HeartbeatApplication, ReconcilesMachineOnlyByReportUnderThisLeadersToken) {
+    ClusterStateFixture b;
+    b.store_by_earlier_leader();
+    b.reported_tasks = {{task, 3, TaskState::running}};
+    auto outcome = b.apply_heartbeat(b.base() - 1);
+    EXPECT_EQ(outcome.found.size(), 1u);
+    EXPECT_FALSE(b.machine().reconciled);
+    b.apply_heartbeat(b.base());
+    EXPECT_TRUE(b.machine().reconciled);
+    b.sequence += 1;
+    EXPECT_TRUE(b.apply_heartbeat((version + 1) << ClusterState::token_bits).is_deposed());
+}
+
+TEST(HeartbeatApplication, StopsTasksOfUnknownJobs) {
+    ClusterStateFixture b;
+    b.store_by_earlier_leader();
+    b.reported_tasks = {{{"j-2", 0}, 3, TaskState::running}};
+    b.apply_heartbeat(b.base());
+    EXPECT_TRUE(b.machine().has_instance_of_unknown_job());
+    EXPECT_TRUE(b.reply_contains(CommandKind::stop));
+}
+
+}  // namespace
+}  // namespace coralhitch::cluster
--- /dev/null
+++ b/tests/cluster/team_activity_test.cpp
@@ -0,0 +1,22 @@
+// The summary of what became of the teams' tasks, in the form that bench/teams.py reads.
+#include "cluster/team_activity.hpp"
+
+#include <gtest/gtest.h>
+
+namespace coralhitch::cluster {
+namespace {
+
+TEST(TeamActivity, SummarizesSinceTheLastSummary) {
+    TeamActivity activity;
+    EXPECT_EQ(activity.take_summary(), "");
+    activity.started("b");
+    activity.started("a");
+    activity.started("a");
+    activity.completed("a", 3);
+    activity.stopped("b");
+    EXPECT_EQ(activity.take_summary(), "a 2 started 3 done 0 stopped, b 1 started 0 done 1 stopped");
+    EXPECT_EQ(activity.take_summary(), "");
+}
+
+}  // namespace
+}  // namespace coralhitch::cluster
