--- a/src/cluster/instance_end.hpp
+++ b/src/cluster/instance_end.hpp
@@ -24,8 +24,8 @@
 // The end of an instance that its agent did not report itself.
 InstanceEnd unreported_end(const Machine& machine, const protocol::TaskId& task, const Instance& instance);
 
-// Takes all instances from the machine. The caller names the proof. An instance that was never confirmed ends
-// without a word: nobody has relied on it.
+// Takes all instances from the machine. The caller names the proof. An instance that was never confirmed is
+// dropped without an end: nobody has relied on it.
 std::vector<InstanceEnd> terminate_all(Machine& machine);
 
 }  // namespace coralhitch::cluster
--- a/src/cluster/machine_commands.hpp
+++ b/src/cluster/machine_commands.hpp
@@ -28,7 +28,8 @@
     // agent; one without an answer may still arrive, minutes later.
     void complete_direct(Machine& machine, const std::vector<protocol::Command>& commands,
                          std::uint64_t token, bool answered);
-    // Requests a stop; one that is requested already may only be hurried. Returns whether anything changed.
+    // Requests a stop; the grace of one that is requested already may only be shortened. Returns whether
+    // anything changed.
     bool request_stop(Machine& machine, const protocol::TaskId& task, double grace_s);
 
   private:
--- a/tests/membership/failure_detector_test.cpp
+++ b/tests/membership/failure_detector_test.cpp
@@ -1,5 +1,5 @@
-// Who is suspected, whom others are asked about, and who is given up: the judgement alone, on fleets that are
-// played in a small model of reports and silences.
+// Which machines are suspected, which the peers are asked about, and which are evicted: the detector alone,
+// on fleets that a small model of heartbeats and silences plays.
 #include "membership/failure_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
         double heard(double t) const {  // the last report before t
             double last = std::floor((t - phase) / report) * report + phase;
             while (silent(last)) last -= report;
-            // It answers at once when it goes on: questions lay with it.
+            // It answers at once when it goes on: probes were waiting there.
             return t >= silent_at + silent_for ? std::max(last, silent_at + silent_for) : last;
         }
     };
@@ -42,11 +42,11 @@
     void silence(std::size_t from, std::size_t to, double at, double for_s) {
         for (std::size_t k = from; k < to; ++k) machines[k].silent_at = at, machines[k].silent_for = for_s;
     }
-    // Once a sixth of a period, as a leader looks. `elsewhere`: how many of the doubtful machines others
-    // hear.
+    // Once a sixth of a period, as a leader does. `seen_by_peers`: of how many of the machines asked about
+    // peers receive heartbeats.
     void run_scenario(
         double from, double until,
-        const std::function<std::optional<std::size_t>(const SelfSuspicion&)>& elsewhere = [](auto&) {
+        const std::function<std::optional<std::size_t>(const SelfSuspicion&)>& seen_by_peers = [](auto&) {
             return std::optional<std::size_t>(0);
         }) {
         for (double t = from; t < until; t += report / 6) {
@@ -62,7 +62,7 @@
             }
             detector.observe(seen, {false, true}, t);
             if (detector.self_suspicion())
-                detector.set_heartbeats_seen_by_peers(elsewhere(*detector.self_suspicion()));
+                detector.set_heartbeats_seen_by_peers(seen_by_peers(*detector.self_suspicion()));
             resigned |= detector.should_resign();
             for (std::size_t k = 0; k < up.size(); ++k) {
                 auto health = detector.evaluate(seen[k]);
@@ -85,14 +85,14 @@
     std::vector<Machine> machines;
     FailureDetector detector{limits};
     bool resigned = false;
-    std::size_t suspected = 0;  // looks at which a machine that is well was
+    std::size_t suspected = 0;  // evaluations that suspected a machine that is well
 };
 
 TEST(FailureDetector, EvictsDeadMachinesAndWaitsForThoseThatReturn) {
     struct Case {
         const char* name;
         std::function<void(FleetModel&)> what;
-        std::size_t least, most;  // given up
+        std::size_t least, most;  // evicted
         double by;                // at the latest so many seconds after they fell silent
     };
     auto zone = [](FleetModel& m, std::size_t z, double at, double for_s) {
@@ -154,7 +154,7 @@
     }
 }
 
-// Heard, but not reached: as if silent, unless that is so of many.
+// Heartbeats come, but nothing reaches the machine: as if silent, unless that is so of many.
 TEST(FailureDetector, EvictsSingleUnreachedMachinesButNotMany) {
     for (std::size_t unreached : {1u, 20u}) {
         FailureDetector detector(limits);
@@ -169,7 +169,7 @@
         EXPECT_EQ(detector.evaluate(seen[29]), Health::alive);
     }
 }
-// A wave of silences that end teaches how long such take; the dead are waited for no longer than that.
+// A wave of silences that end teaches how long such take; dead machines are waited for no longer than that.
 TEST(FailureDetector, WaitsLongerAfterSilencesThatEnded) {
     for (bool hung_before : {false, true}) {
         SCOPED_TRACE(hung_before);
@@ -182,7 +182,7 @@
             EXPECT_LT(m.gone(), 5u);
         else
             EXPECT_GT(m.gone(), 20u);
-        // Long afterwards nothing of it is believed any more.
+        // Long afterwards nothing of it counts any more.
         for (std::size_t k = 200; k < 240; ++k)
             m.machines[k].silent_at = 500, m.machines[k].silent_for = never;
         m.run_scenario(495, 540);
@@ -191,31 +191,32 @@
     }
 }
 
-// Many silent at once: the others are asked first, and nobody deletes a fleet that it alone can't hear.
+// Many silent at once: the peers are asked first, and no leader deletes a fleet that only it gets no
+// heartbeats from.
 TEST(FailureDetector, AsksPeersBeforeEvictingMany) {
     struct Case {
         const char* name;
         std::size_t silent;
-        std::optional<double> elsewhere;  // share of the doubtful ones that another controller hears
+        std::optional<double> seen_by_peers;  // share of the machines asked about that a peer hears from
         bool resigns;
         std::size_t least, most;
     };
     const Case cases[] = {
-        {"nobody is heard, and no other controller answers", 300, std::nullopt, false, 0, 0},
-        {"nobody is heard, another hears them", 300, 1.0, true, 0, 0},
-        {"half the fleet, another hears them", 150, 1.0, true, 0, 0},
-        {"half the fleet, nobody hears them: they are gone", 150, 0.0, false, 150, 150},
-        {"half the fleet, no other controller answers", 150, std::nullopt, false, 0, 0},
-        {"half the fleet, another hears a few of them", 150, 0.1, false, 150, 150},
-        {"a tenth, of which nobody is asked", 30, 1.0, false, 30, 30},
+        {"no heartbeats, and no peer answers", 300, std::nullopt, false, 0, 0},
+        {"no heartbeats, a peer receives them", 300, 1.0, true, 0, 0},
+        {"half the fleet, a peer receives its heartbeats", 150, 1.0, true, 0, 0},
+        {"half the fleet, no peer receives its heartbeats: it is dead", 150, 0.0, false, 150, 150},
+        {"half the fleet, no peer answers", 150, std::nullopt, false, 0, 0},
+        {"half the fleet, a peer receives a few of its heartbeats", 150, 0.1, false, 150, 150},
+        {"a tenth, about which no peer is asked", 30, 1.0, false, 30, 30},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         FleetModel m(300);
         m.silence(0, c.silent, 50, never);
         m.run_scenario(0, 80, [&](const SelfSuspicion& suspicion) -> std::optional<std::size_t> {
-            if (!c.elsewhere) return std::nullopt;
-            return static_cast<std::size_t>(*c.elsewhere *
+            if (!c.seen_by_peers) return std::nullopt;
+            return static_cast<std::size_t>(*c.seen_by_peers *
                                             static_cast<double>(suspicion.missed_heartbeats.size()));
         });
         EXPECT_EQ(m.resigned, c.resigns);
@@ -237,7 +238,7 @@
     EXPECT_EQ(m.gone(), 1u);
 }
 
-// What holds up all placing is not waited for; what was told by the leader before is.
+// What holds up all placing is not waited for; what is known from the replica is.
 TEST(FailureDetector, EvictsUnknownMachinesSooner) {
     for (bool known : {false, true}) {
         FleetModel m(60);
