--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -48,7 +48,7 @@
     std::vector<std::string> machine_ids;
     {
         std::lock_guard lock(state_.mutex);
-        machine_ids = state_.cluster.to_flush();
+        machine_ids = state_.cluster.take_machines_to_flush();
     }
     bool idle = flush_queue_.empty();
     for (auto& id : machine_ids) {
@@ -77,7 +77,7 @@
             machine.unsent = false;
             return;
         }
-        commands = state_.cluster.direct_now(machine, now(), authority_.holds());
+        commands = state_.cluster.take_direct_commands(machine, now(), authority_.holds());
     }
     if (!commands.empty()) send(machine, std::move(commands));
 }
@@ -85,7 +85,7 @@
 // Only some at a time: a failover probes hundreds, which must fit into the sockets and the processor's share.
 void CommandSender::probe(Machine& machine) {
     if (machine.addr.empty()) return;
-    machine.last_probe = now();
+    machine.last_probe_at = now();
     if (machine.probing) return;
     machine.probing = true;
     probe_queue_.push_back(machine.id);
@@ -133,14 +133,14 @@
 // It has reported meanwhile, or was answered and will say so in its next report, half a second later: of the
 // machines that a new leader must hear from, the reports of most lie waiting when it begins.
 bool CommandSender::needs_no_probe(const Machine& machine) const {
-    double since = machine.reconciled ? machine.last_heard : machine.answered;
+    double since = machine.reconciled ? machine.last_heartbeat_at : machine.answered;
     double recent_s = settings_.report_s * (machine.reconciled ? recent_reports : answered_reports);
-    return since >= 0 && now() - since < recent_s;
+    return since >= 0 && now() - *since < recent_s;
 }
 
 void CommandSender::send_probe(Machine& machine) {
     if (!machine.reconciled) probe_tokens_.take(now());
-    machine.last_probe = now();
+    machine.last_probe_at = now();
     if (machine.asked < 0) machine.asked = now();
     ++probes_in_flight_;
     send(machine, {});
@@ -182,10 +182,10 @@
     auto* machine = state_.cluster.find(sent.machine_id);
     if (!machine) return;
     if (reached)
-        machine->reach.shown(now());
+        machine->reachability.record_reached(now());
     else
-        machine->reach.ignored(now());
-    state_.cluster.direct_done(*machine, sent.commands, sent.token, reached);
+        machine->reachability.record_unanswered_command(now());
+    state_.cluster.complete_direct_commands(*machine, sent.commands, sent.token, reached);
     // The refusal told the agent epoch: probe again at once, so that the machine reconciles.
     if (reached && is_refused(*response) && new_epoch && !machine->reconciled)
         timers_.after(0, guarded_([this, id = sent.machine_id] {
@@ -203,7 +203,7 @@
         new_epoch = before && before->agent_epoch < status.agent_epoch;
         if (status.machine == machine_id) apply_status_(status);
         // The reply that a relay would go on giving may be out of date.
-        if (auto* machine = state_.cluster.find(machine_id); machine && !state_.cluster.quiet(*machine))
+        if (auto* machine = state_.cluster.find(machine_id); machine && !state_.cluster.nothing_pending(*machine))
             delegations_.revoke(machine_id);
     } catch (const protocol::Malformed& malformed) {
         spdlog::info("component=leader event=malformed_answer machine={} error=\"{}\"", machine_id,
--- a/src/leader/delegations.cpp
+++ b/src/leader/delegations.cpp
@@ -16,7 +16,7 @@
 }
 
 double Delegations::last_possible_renewal(const cluster::Machine& machine) const {
-    return std::max(table_.renewed(machine.id, machine.renewed), machine.delegation_expiry);
+    return std::max(table_.renewed(machine.id, machine.lease_renewed_at), machine.delegation_expiry);
 }
 
 void Delegations::extend_expiry(const std::string& machine_id, double until) {
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -26,7 +26,7 @@
     autoscaler::Input in;
     in.types = types_;
     in.pools = state_.cluster.pools();
-    in.zones = state_.cluster.zones();
+    in.zones = state_.cluster.zone_count();
     for (std::size_t zone = 0; zone < in.zones; ++zone) in.dark.push_back(zone_unreachable_(zone));
     for (auto& [name, request] : pending_)
         for (int k = 0; k < request.count; ++k) {
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -54,11 +54,11 @@
     if (!cached) return false;
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(std::string(outline->machine));
-    if (!machine || machine->sequence != cached->sequence || !state_.cluster.quiet(*machine)) return false;
+    if (!machine || machine->sequence != cached->sequence || !state_.cluster.nothing_pending(*machine)) return false;
     cached->sequence = machine->sequence = machine->heartbeat_sequence = outline->sequence;
-    machine->last_heard = machine->renewed = now();
+    machine->last_heartbeat_at = machine->lease_renewed_at = now();
     record_route(*machine, "");
-    parts_.failure_detector.heard_from(state_.zone_of(*machine), now());
+    parts_.failure_detector.record_heartbeat(state_.zone_of(*machine), now());
     parts_.delegations.revoke(machine->id);
     reply({200, cached->answer});
     return true;
@@ -87,22 +87,22 @@
 
 protocol::PeerRelayed HeartbeatHandler::answer(const protocol::Heartbeat& status,
                                                const std::string& relay_label, bool may_act) {
-    auto outcome = apply(status, cluster::Via::heartbeat);
+    auto outcome = apply(status, cluster::ReportChannel::heartbeat);
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(status.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
     if (authority_.ended()) return reject(HeartbeatRejection::no_lease);
-    if (!outcome.current || !machine) return reject(HeartbeatRejection::older);
+    if (!outcome.may_be_answered() || !machine) return reject(HeartbeatRejection::older);
     bool unreachable = parts_.supervisor.is_outbound_unreachable(*machine);
-    if (unreachable || !state_.cluster.renewable(*machine, now())) {
+    if (unreachable || !state_.cluster.may_renew_lease(*machine, now())) {
         // It was not answered: should the same heartbeat come again, the lease counts from then.
         machine->heartbeat_sequence = std::min(machine->heartbeat_sequence, status.sequence - 1);
         parts_.commands.probe(*machine);
         return reject(unreachable ? HeartbeatRejection::unreached : HeartbeatRejection::stop_unsent);
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
-    if (outcome.again) {
-        auto commands = state_.cluster.answer(*machine, now(), may_act);
+    if (outcome.is_repeated()) {
+        auto commands = state_.cluster.reply_commands(*machine, now(), may_act);
         return {200, protocol::heartbeat_response(machine->token, commands), false};
     }
     return renew(*machine, relay_label, may_act);
@@ -115,10 +115,10 @@
     record_route(machine, relay_label);
     if (!delegations.table().delegated_to(machine.id, relay_label))
         delegations.revoke(machine.id);  // it has left the relay that answered it
-    auto commands = state_.cluster.answer(machine, now(), may_act);
-    machine.renewed = machine.reconciled ? now() : std::max(machine.renewed, now());
+    auto commands = state_.cluster.reply_commands(machine, now(), may_act);
+    machine.lease_renewed_at = machine.reconciled ? now() : std::max(machine.lease_renewed_at, now());
     if (!machine.reconciled) machine.answered = now();
-    bool quiet = commands.empty() && state_.cluster.quiet(machine);
+    bool quiet = commands.empty() && state_.cluster.nothing_pending(machine);
     if (!relay_label.empty() && quiet)
         delegations.table().delegate(machine.id, relay_label);
     else
@@ -127,17 +127,17 @@
 }
 
 void HeartbeatHandler::record_route(Machine& machine, const std::string& route) {
-    if (std::exchange(machine.heartbeat_route_known, true)) machine.reach.came(machine.route == route, now());
+    if (std::exchange(machine.heartbeat_route_known, true)) machine.reachability.record_heartbeat(machine.route == route, now());
     machine.route = route;
-    machine.suspected = machine.reach.lost();
-    machine.reach.reported(now());
-    machine.mute = false;
+    machine.suspected = machine.reachability.outbound_unreachable();
+    machine.reachability.record_renewable_heartbeat(now());
+    machine.inbound_unreachable = false;
 }
 
 // The leader has most to do besides heartbeats, so relays answer most machines: it sends quiet ones to them,
 // a few at a time, and none twice within some leases, in case that one can't reach the relay.
 std::optional<std::string> HeartbeatHandler::relay_for(Machine& machine) {
-    double t = now(), machines_up = static_cast<double>(parts_.failure_detector.up());
+    double t = now(), machines_up = static_cast<double>(parts_.failure_detector.machines_up());
     auto& table = parts_.delegations.table();
     auto relays = static_cast<double>(std::max<std::size_t>(1, settings_.peers.size()));
     bool many_here = machines_up - static_cast<double>(table.count()) > machines_up * own_share;
@@ -179,11 +179,11 @@
         auto* machine = state_.cluster.find(heartbeat.machine);
         if (!machine || !parts_.delegations.table().delegated_to(heartbeat.machine, message.label)) continue;
         double came_at = now() - static_cast<double>(heartbeat.age_ms) / 1000;
-        machine->last_heard = std::max(machine->last_heard, came_at);
-        machine->reach.shown(now());
-        machine->reach.reported(came_at);
-        machine->suspected = machine->mute = false;
-        parts_.failure_detector.heard_from(state_.zone_of(*machine), now());
+        machine->last_heartbeat_at = std::max(machine->last_heartbeat_at, came_at);
+        machine->reachability.record_reached(now());
+        machine->reachability.record_renewable_heartbeat(came_at);
+        machine->suspected = machine->inbound_unreachable = false;
+        parts_.failure_detector.record_heartbeat(state_.zone_of(*machine), now());
     }
 }
 
@@ -194,9 +194,9 @@
                                    authority_.lease_renewal_deadline() - now()}));
 }
 
-cluster::HeartbeatOutcome HeartbeatHandler::apply(const protocol::Heartbeat& status, cluster::Via via) {
+cluster::HeartbeatOutcome HeartbeatHandler::apply(const protocol::Heartbeat& status, cluster::ReportChannel via) {
     auto outcome = apply_to_state(status, via);
-    if (outcome.deposed) {
+    if (outcome.is_deposed()) {
         auto fencing_token = status.token >> cluster::ClusterState::token_bits;
         spdlog::info("component=leader event=deposed_by_heartbeat machine={} fencing_token={}",
                      status.machine, fencing_token);
@@ -214,11 +214,11 @@
 }
 
 cluster::HeartbeatOutcome HeartbeatHandler::apply_to_state(const protocol::Heartbeat& status,
-                                                           cluster::Via via) {
+                                                           cluster::ReportChannel via) {
     std::lock_guard lock(state_.mutex);
     auto* before = state_.cluster.find(status.machine);
     if (before && before->life == Machine::Life::booting)
-        parts_.failure_detector.booted(parts_.supervisor.boot_times(*before));
+        parts_.failure_detector.record_boot(parts_.supervisor.boot_times(*before));
     auto job_spec = [this](const std::string& job_id) -> cluster::JobSpec {
         auto* job = state_.jobs.find(job_id);
         return job ? job->spec : nullptr;
@@ -227,10 +227,10 @@
     for (auto& end : outcome.ends) parts_.instances.instance_ended(end);
     for (auto& [task, machine_id] : outcome.found) parts_.instances.instance_found(task, machine_id);
     auto* machine = state_.cluster.find(status.machine);
-    if (!machine || !outcome.fresh) return outcome;
+    if (!machine || !outcome.is_newer()) return outcome;
     parts_.machine_store.store_if_new(*machine);
-    parts_.failure_detector.heard_from(state_.zone_of(*machine), now());
-    if (machine->preemption_notice_until >= 0) parts_.supervisor.handle_preemption_notice(*machine);
+    parts_.failure_detector.record_heartbeat(state_.zone_of(*machine), now());
+    if (machine->preemption_deadline) parts_.supervisor.handle_preemption_notice(*machine);
     return outcome;
 }
 
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -58,7 +58,7 @@
     void handle_relayed(const protocol::PeerRelay& message, const http::Reply& reply);
     // Takes in a status, which came in a heartbeat or as the answer to a direct request, and sets off what
     // follows from it.
-    cluster::HeartbeatOutcome apply(const protocol::Heartbeat& status, cluster::Via via);
+    cluster::HeartbeatOutcome apply(const protocol::Heartbeat& status, cluster::ReportChannel via);
 
     // The jobs are loaded: handles the heartbeats that came before, some in each turn of the loop.
     void handle_early();
@@ -82,7 +82,7 @@
     [[nodiscard]] protocol::PeerRelayed renew(cluster::Machine& machine, const std::string& relay_label,
                                               bool may_act);
     protocol::PeerRelayed reject(relay::HeartbeatRejection reason);
-    cluster::HeartbeatOutcome apply_to_state(const protocol::Heartbeat& status, cluster::Via via);
+    cluster::HeartbeatOutcome apply_to_state(const protocol::Heartbeat& status, cluster::ReportChannel via);
     void record_route(cluster::Machine& machine, const std::string& route);
     [[nodiscard]] std::optional<std::string> relay_for(cluster::Machine& machine);
     void apply_relay_heartbeats(const protocol::PeerRelay& message);
--- a/src/leader/image_handover.cpp
+++ b/src/leader/image_handover.cpp
@@ -8,9 +8,9 @@
 
 protocol::PeerImages images_to_hand_over(const cluster::ClusterState& cluster) {
     protocol::PeerImages images;
-    images.names.resize(cluster.images().size());
+    images.names.resize(cluster.image_numbers().size());
     images.sizes.resize(images.names.size());
-    for (auto& [name, index] : cluster.images()) images.names[index] = name;
+    for (auto& [name, index] : cluster.image_numbers()) images.names[index] = name;
     for (auto& [id, machine] : cluster.machines()) {
         if (machine.cache.empty()) continue;
         protocol::PeerMachineImages row{id, {}};
@@ -25,15 +25,15 @@
 
 void recall_images(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over) {
     std::vector<std::uint32_t> indices;  // here, by the index there
-    for (auto& name : handed_over.names) indices.push_back(cluster.image(name));
+    for (auto& name : handed_over.names) indices.push_back(cluster.image_number(name));
     for (auto& row : handed_over.machines) {
         auto* machine = cluster.find(row.machine);
         if (!machine) continue;
-        std::vector<std::pair<std::uint32_t, double>> cache;
+        std::vector<cluster::CachedImage> cache;
         for (auto image : row.images)
             if (image < indices.size() && image < handed_over.sizes.size())
                 cache.emplace_back(indices[image], handed_over.sizes[image]);
-        cluster.recall_cache(*machine, std::move(cache));
+        cluster.restore_image_cache(*machine, std::move(cache));
     }
 }
 
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -53,7 +53,7 @@
     if (inserted || active->second.machine == machine.id) return;
     auto* other = state_.cluster.find(active->second.machine);
     // If one of them has not reported to this leader, what may be on it is known from the previous leader.
-    bool proven = machine.confirmed && other && other->confirmed;
+    bool proven = machine.reported_to_this_leader && other && other->reported_to_this_leader;
     spdlog::log(proven ? spdlog::level::err : spdlog::level::info,
                 "component=leader event={} task={} machine={} other_machine={}",
                 proven ? "task_runs_twice" : "task_may_run_twice", task.str(), machine.id,
@@ -74,7 +74,7 @@
 void InstanceTracker::instance_ended(const cluster::InstanceEnd& end) {
     auto* job = state_.jobs.find(end.task.job);
     if (!job) {
-        state_.cluster.stored(end.task.job);  // the job is over and stored
+        state_.cluster.record_outcome_stored(end.task.job);  // the job is over and stored
         return;
     }
     spdlog::debug("component=leader event=instance_ended task={} attempt={} machine={} reported={} cause={}",
@@ -83,7 +83,7 @@
     bool was_active = release_place(*job, end);
     if (end.task.index >= job->spec->tasks) return;
     if (end.cause == ExitCause::done && job->spec->kind != JobKind::service) return task_done(*job, end);
-    if (end.cause == ExitCause::done) state_.cluster.stored(end.task.job, {end.task.index});
+    if (end.cause == ExitCause::done) state_.cluster.record_outcome_stored(end.task.job, {end.task.index});
     if (was_active) task_lost(*job, end);
 }
 
@@ -106,12 +106,12 @@
     } else {
         job.mark_done(end.task.index);
     }
-    team_activity_.done(job.spec->team, job.done_count - done_before);
+    team_activity_.completed(job.spec->team, job.done_count - done_before);
     job.failures = 0;
     job.not_before = 0;
     if (auto* machine = state_.cluster.find(end.machine)) machine->error_jobs.clear();
     if (job.is_done(end.task.index) && !job.unstored.contains(end.task.index))
-        state_.cluster.stored(end.task.job, {end.task.index});
+        state_.cluster.record_outcome_stored(end.task.job, {end.task.index});
 }
 
 // An active task ended before it was done.
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -138,7 +138,7 @@
     bool awaited = state_.jobs.awaits().awaited(id);
     {
         std::lock_guard lock(state_.mutex);
-        state_.cluster.stored(id);
+        state_.cluster.record_outcome_stored(id);
         // Its progress means nothing any more, and is removed when there is time.
         if (auto* job = state_.jobs.find(id))
             for (auto& [block, version] : job->blocks) stale_keys_.add(keys::progress_of(id, block));
@@ -190,7 +190,7 @@
     job->retry_at = now() + settings_.report_s * progress_interval_reports;
     for (auto task : written.tasks) job->unstored.erase(task);
     for (auto& block : written.blocks) job->blocks[block] = revision;
-    state_.cluster.stored(id, written.tasks);
+    state_.cluster.record_outcome_stored(id, written.tasks);
 }
 
 void JobStore::write_failed(const std::string& id, const TxnResult& result) {
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -73,7 +73,7 @@
         auto record = protocol::parse_job_record(value);
         if (!state_.jobs.put(id, version, std::move(record))) return false;
         auto& job = *state_.jobs.find(id);
-        job.image = state_.cluster.image(job.spec->image);
+        job.image = state_.cluster.image_number(job.spec->image);
         spdlog::debug("component=leader event=job_loaded job={} class={} tasks={} awaits={} cancelled={}", id,
                       job.spec->cls, job.spec->tasks, job.awaits.size(), job.cancelled);
         if (job.cancelled) callbacks_.cancel_active(id, job);
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -39,7 +39,7 @@
                  [this](Machine& machine, const char* reason) { deletion_.mark(machine, reason); }),
       commands_(
           context_, dependencies_.http, delegations_, reconciliation_,
-          [this](const protocol::Heartbeat& status) { heartbeats_.apply(status, cluster::Via::direct); }),
+          [this](const protocol::Heartbeat& status) { heartbeats_.apply(status, cluster::ReportChannel::direct_reply); }),
       start_replication_(context_, dependencies_.http, dependencies_.state, dependencies_.peer,
                          [this] { commands_.flush_all(); }),
       machine_store_(context_, dependencies_.state,
@@ -74,7 +74,7 @@
                    start_replication_, recovery_},
                   {[this] { plan_executor_.request_plan(); }, [this] { job_store_.request_store(); }}),
       fleet_scaler_(context_, dependencies_.cloud, dependencies_.types,
-                    [this](std::size_t zone) { return failure_detector_.dark(zone, now()); }),
+                    [this](std::size_t zone) { return failure_detector_.zone_silent(zone, now()); }),
       plan_executor_(context_,
                      {dependencies_.planner, fleet_scaler_, attempts_, reconciliation_, team_activity_,
                       dependencies_.metrics},
@@ -156,12 +156,12 @@
 void Leader::log_team_activity() {
     last_team_log_ = now();
     std::lock_guard lock(state_.mutex);
-    if (auto text = team_activity_.tell(); !text.empty()) spdlog::info("teams: {}", text);
+    if (auto text = team_activity_.take_summary(); !text.empty()) spdlog::info("teams: {}", text);
 }
 
 // Whether it has resigned: a later leadership's fencing tokens begin above all of this one's.
 bool Leader::resign_if_tokens_run_out() {
-    if (!state_.cluster.tokens_run_out()) return false;
+    if (!state_.cluster.tokens_nearly_exhausted()) return false;
     spdlog::info("component=leader event=resigned reason=tokens_exhausted");
     authority_.resign(0);
     return true;
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -75,7 +75,7 @@
             delegations_.revoke(id);
             hooks_.machine_removed(id);
             // Proof: by the time of the answer the machine and everything on it are gone.
-            for (auto& end : state_.cluster.removed(id)) instances_.instance_ended(end);
+            for (auto& end : state_.cluster.remove_deleted(id)) instances_.instance_ended(end);
         }
     }
     hooks_.call_done();
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -41,7 +41,7 @@
     double t = checked.at;
     double recently_s = settings_.report_s * settings_.op.silence_reports;
     auto last_answer_at = parts_.commands.last_answer_at();
-    parts_.failure_detector.look(
+    parts_.failure_detector.observe(
         checked.observations,
         {parts_.reconciliation.behind(t), last_answer_at && t - *last_answer_at < recently_s}, t);
     if (resigns_if_isolated()) return false;
@@ -67,27 +67,27 @@
                             machine.route,
                             state_.zone_of(machine),
                             parts_.reconciliation.silence(machine, at),
-                            machine.last_heard,
+                            machine.last_heartbeat_at,
                             machine.reconciled,
-                            machine.known,
+                            machine.known_from_replica,
                             {}};
     // What runs there goes on until its worker's lease expires, and that is reported. What was sent there and
     // has not been reported would wait for as long.
-    if (machine.reconciled && machine.reach.lost() && !machine.has_reported_instances())
-        observation.unreached = at - machine.reach.shown_at() - settings_.report_s;
-    if (std::max(observation.silent, observation.unreached) > settings_.report_s / 2)
+    if (machine.reconciled && machine.reachability.outbound_unreachable() && !machine.has_reported_instances())
+        observation.unreached_s = at - machine.reachability.last_reached_at() - settings_.report_s;
+    if (std::max(observation.silence_s, observation.unreached_s) > settings_.report_s / 2)
         observation.eviction_cost = eviction_cost(machine);
     return observation;
 }
 
 // Who would wait for a machine that is dead.
 EvictionCost MachineSupervisor::eviction_cost(const Machine& machine) const {
-    if (machine.tasks.empty()) return EvictionCost::nothing;
+    if (machine.tasks.empty()) return EvictionCost::none;
     bool only_running_arrays = std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
         auto& instance = entry.second;
-        return instance.spec && instance.spec->kind == JobKind::array && instance.running_since >= 0;
+        return instance.spec && instance.spec->kind == JobKind::array && instance.running_since.has_value();
     });
-    return only_running_arrays ? EvictionCost::work : EvictionCost::awaited;
+    return only_running_arrays ? EvictionCost::own_work : EvictionCost::others_wait;
 }
 
 // Whether the leader seems to be the one that is cut off, and has resigned for it.
@@ -110,14 +110,14 @@
     std::size_t suspected = 0;
     for (std::size_t k = 0; k < checked.machines.size(); ++k) {
         auto& machine = *checked.machines[k];
-        auto health = parts_.failure_detector.judge(checked.observations[k]);
+        auto health = parts_.failure_detector.evaluate(checked.observations[k]);
         {
             std::lock_guard lock(state_.mutex);
-            machine.suspected = health != Health::Alive || machine.reach.lost();
-            machine.mute = machine.reach.mute(checked.at, settings_.lease_s * missing_heartbeat_leases);
+            machine.suspected = health != Health::alive || machine.reachability.outbound_unreachable();
+            machine.inbound_unreachable = machine.reachability.inbound_unreachable(checked.at, settings_.lease_s * missing_heartbeat_leases);
         }
         // Each grant to its relay would move the time at which its lease expires, and it never did.
-        if (machine.mute) parts_.delegations.revoke(machine.id);
+        if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
         suspected += machine.is_suspect();
         check_machine(machine, checked.observations[k], health, may_evict);
     }
@@ -128,7 +128,7 @@
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.life == Machine::Life::marked_for_deletion) check_lease(machine);
         if (machine.life != Machine::Life::booting || !may_evict ||
-            !parts_.failure_detector.overdue(boot_times(machine), state_.zone_of(machine), at))
+            !parts_.failure_detector.boot_overdue(boot_times(machine), state_.zone_of(machine), at))
             continue;
         std::lock_guard lock(state_.mutex);
         parts_.deletion.mark(machine, "does not come up");
@@ -139,10 +139,10 @@
                                       bool may_evict) {
     double t = now();
     probe_if_due(machine, observation);
-    bool dead = health == Health::Dead;
+    bool dead = health == Health::dead;
     // A machine that has reported within a lease has nothing to be proven terminated: not worth it each tick.
     bool look_at_lease =
-        dead || is_outbound_unreachable(machine) || t - machine.last_heard > settings_.lease_s;
+        dead || is_outbound_unreachable(machine) || t - machine.last_heartbeat_at > settings_.lease_s;
     bool lease_expired = look_at_lease && check_lease(machine);
     // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
     // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
@@ -150,9 +150,9 @@
     bool awaits_answer = machine.reconciled && machine.probing && !lease_expired;
     if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
         std::lock_guard lock(state_.mutex);
-        parts_.failure_detector.evicted(observation, t);
+        parts_.failure_detector.record_eviction(observation, t);
         parts_.deletion.mark(machine, parts_.failure_detector.evidence(observation).c_str());
-    } else if (may_evict && machine.preemption_notice_until >= 0 && machine.tasks.empty() &&
+    } else if (may_evict && machine.preemption_deadline && machine.tasks.empty() &&
                machine.reconciled) {
         std::lock_guard lock(state_.mutex);
         parts_.deletion.mark(machine, "has notice and is empty");
@@ -160,12 +160,12 @@
 }
 
 void MachineSupervisor::probe_if_due(Machine& machine, const Observation& observation) {
-    double t = now(), since_probe = t - machine.last_probe;
+    double t = now(), since_probe = t - machine.last_probe_at;
     bool due = machine.reconciled
-                   ? parts_.failure_detector.late(observation) &&
+                   ? parts_.failure_detector.missed_heartbeat(observation) &&
                          since_probe > settings_.report_s * reconciled_probe_reports
                    : since_probe > settings_.report_s * unreconciled_probe_reports &&
-                         t - machine.created > settings_.report_s * CommandSender::first_probe_reports;
+                         t - machine.created_at > settings_.report_s * CommandSender::first_probe_reports;
     if (due) parts_.commands.probe(machine);
 }
 
@@ -177,7 +177,7 @@
     double lease_s = settings_.lease_s;
     bool expired =
         now() > renewed_at + lease_s * (1 + 2 * election::max_clock_drift) + settings_.report_s * lease_margin_reports;
-    bool silent = now() - machine.last_heard > lease_s || is_outbound_unreachable(machine);
+    bool silent = now() - machine.last_heartbeat_at > lease_s || is_outbound_unreachable(machine);
     if (expired && silent && (!machine.tasks.empty() || !machine.reconciled)) {
         spdlog::info("component=leader event=lease_expired machine={} tasks={}", machine.id,
                      machine.tasks.size());
@@ -189,13 +189,13 @@
 }
 
 bool MachineSupervisor::is_outbound_unreachable(const Machine& machine) const {
-    return !machine.reconciled && machine.reach.lost() && now() > machine.renewed &&
+    return !machine.reconciled && machine.reachability.outbound_unreachable() && now() > machine.lease_renewed_at &&
            !parts_.reconciliation.behind(now());
 }
 
 double MachineSupervisor::boot_times(const Machine& machine) const {
     for (auto& type : types_)
-        if (type.name == machine.type && type.boot_s > 0) return (now() - machine.created) / type.boot_s;
+        if (type.name == machine.type && type.boot_s > 0) return (now() - machine.created_at) / type.boot_s;
     return 0;
 }
 
@@ -205,7 +205,7 @@
         double grace_s = 0;
     };
     std::vector<Stop> stops;
-    double left_s = std::max(0.0, machine.preemption_notice_until - now());
+    double left_s = std::max(0.0, *machine.preemption_deadline - now());
     for (auto& [task, instance] : machine.tasks)
         if (instance.spec && instance.confirmed && !instance.stop &&
             (instance.spec->checkpoint_s > 0 || instance.spec->kind == JobKind::service))
@@ -226,9 +226,9 @@
     std::map<std::string, double> silent_s;
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.life != Machine::Life::up) continue;
-        double since_heartbeat = now() - machine.last_heard;
+        double since_heartbeat = now() - machine.last_heartbeat_at;
         if (machine.suspected || (!machine.reconciled && since_heartbeat > settings_.report_s / 2))
-            silent_s.emplace(id, since_heartbeat + machine.silent_before);
+            silent_s.emplace(id, since_heartbeat + machine.silence_hint_s);
     }
     return silent_s;
 }
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -126,7 +126,7 @@
     std::vector<StartedTask> started;
     std::span<const scheduler::Start> starts = plan.out.starts;
     if (starts.empty()) return started;  // most plans, and the sum walks the whole fleet
-    auto used = cluster::team_used(state_.cluster, settings_.teams);
+    auto used = cluster::team_usage(state_.cluster, settings_.teams);
     for (std::size_t first = 0; first < starts.size();) {
         auto count = group_size(plan, first);
         auto attempt = parts_.attempts.next();
@@ -144,7 +144,7 @@
     auto* team = job ? team_of(*job) : nullptr;
     if (!team || (planned.kind == JobKind::gang && !job->active.empty())) return;
     auto& spec = *job->spec;
-    auto zones = zone_counts(*job, state_.cluster.zones());
+    auto zones = zone_counts(*job, state_.cluster.zone_count());
     std::vector<PlacedTask> placed;
     for (auto& start : group) {
         auto* machine = state_.cluster.find(plan.in.machines[start.machine].id);
@@ -185,7 +185,7 @@
     auto& spec = *job.spec;
     bool waits = !job.cancelled && !job.awaiting() && job.orphans == 0 && !job.is_done(task) &&
                  !job.active.contains(task);
-    return waits && machine.usable(now()) && !machine.has_orphaned_instance() &&
+    return waits && machine.usable(now()) && !machine.has_instance_of_unknown_job() &&
            !machine.tasks.contains({spec.id, task}) && machine.free().fits(spec.request) &&
            scheduler::type_allowed(spec, machine.type, machine.zone, machine.spot) &&
            scheduler::zone_allowed(spec, zones, state_.zone_of(machine));
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -42,7 +42,7 @@
     scheduler::MachineView view;
     view.id = machine.id;
     view.pool = machine.pool;
-    view.usable = machine.usable(now) && !machine.has_orphaned_instance();
+    view.usable = machine.usable(now) && !machine.has_instance_of_unknown_job();
     view.draining = machine.draining;
     view.free = machine.free();
     view.tasks = static_cast<int>(machine.tasks.size());
@@ -91,7 +91,7 @@
     in.now = time.now;
     in.unix_now = time.unix_now;
     in.pools = state.cluster.pools();
-    in.zones = state.cluster.zones();
+    in.zones = state.cluster.zone_count();
     in.machines.reserve(state.cluster.machines().size());
     in.jobs.reserve(state.jobs.all().size());
     JobIndex job_index;
@@ -101,7 +101,7 @@
         job_index[job.spec.get()] = in.jobs.size();
         in.jobs.push_back(view_of(job, in.zones, in.now));
     }
-    cluster::Usage used;
+    cluster::TeamUsage used;
     for (auto& [id, machine] : state.cluster.machines()) {
         used.add(machine);
         add_machine(in, machine, job_index);
@@ -116,11 +116,11 @@
     for (auto& view : planned.machines) {
         auto* machine = state.cluster.find(view.id);
         if (!machine || machine->life == Machine::Life::marked_for_deletion ||
-            machine->preemption_notice_until >= 0)
+            machine->preemption_deadline)
             continue;
         bool booting = machine->life == Machine::Life::booting;
         bool suspected =
-            machine->is_suspect() && machine->fit(planned.now) && !machine->has_orphaned_instance();
+            machine->is_suspect() && machine->usable_unless_suspect(planned.now) && !machine->has_instance_of_unknown_job();
         if (!booting && !view.usable && !suspected) continue;
         // With what the plan has just decided to start.
         autoscaler::MachineView out;
@@ -133,7 +133,7 @@
         out.draining = view.draining;
         out.tasks = view.tasks;
         out.services = view.services;
-        out.idle_for = now - (booting ? machine->created : machine->idle_since);
+        out.idle_for = now - (booting ? machine->created_at : machine->idle_since);
         in.machines.push_back(std::move(out));
         --in.others;
     }
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -70,16 +70,16 @@
     auto life = record.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up;
     auto& machine =
         state_.cluster.add(machine_id, record.addr, record.type, record.zone, record.spot, life, now());
-    machine.stored = machine.stored_before = true;
+    machine.stored = machine.stored_by_earlier_leader = true;
     parts_.reconciliation.expect(machine_id);
     if (inherits) inherit(machine);
     machine.deletable = record.marked_for_deletion;
     auto silent = inheritance_.silent_machine_s.find(machine_id);
-    if (silent != inheritance_.silent_machine_s.end() && machine.known)
-        machine.silent_before = silent->second;
-    parts_.failure_detector.heard_from(state_.zone_of(machine), now() - machine.silent_before);
+    if (silent != inheritance_.silent_machine_s.end() && machine.known_from_replica)
+        machine.silence_hint_s = silent->second;
+    parts_.failure_detector.record_heartbeat(state_.zone_of(machine), now() - machine.silence_hint_s);
     // The previous leader may have gone on renewing leases for a while.
-    machine.renewed = now() + authority_.renewal_after_expiry_s();
+    machine.lease_renewed_at = now() + authority_.renewal_after_expiry_s();
 }
 
 // The replica's row says all that may be on the machine: see docs/standby.md. The machine is not used before
@@ -88,14 +88,14 @@
 void Recovery::inherit(Machine& machine) {
     auto& rows = inheritance_.replica.rows;
     auto row = rows.find(machine.id);
-    machine.known = row == rows.end() || row->second.known;
-    if (row == rows.end() || !machine.known) return;
+    machine.known_from_replica = row == rows.end() || row->second.known;
+    if (row == rows.end() || !machine.known_from_replica) return;
     machine.agent_epoch = row->second.agent_epoch;
     machine.sequence = row->second.sequence;
     for (auto& instance : row->second.tasks) {
         protocol::TaskId task{instance.job, instance.index};
         auto* job = state_.jobs.find(instance.job);
-        state_.cluster.inherit(machine, task, job ? job->spec : nullptr, instance.attempt, now());
+        state_.cluster.place_from_replica(machine, task, job ? job->spec : nullptr, instance.attempt, now());
         parts_.instances.instance_found(task, machine.id);
     }
 }
@@ -130,7 +130,7 @@
     timers_.after(settings_.report_s * CommandSender::first_probe_reports, guarded_([this] {
                       for (bool known : {false, true})
                           for (auto& [id, machine] : state_.cluster.machines())
-                              if (!machine.reconciled && machine.known == known)
+                              if (!machine.reconciled && machine.known_from_replica == known)
                                   parts_.commands.probe(machine);
                   }));
 }
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -12,7 +12,7 @@
       authority_(context.authority),
       flush_commands_(std::move(flush_commands)),
       sender_(context.timers, http, settings_, kv, authority_.fencing_token(), sender_hooks(latest_ping)) {
-    if (settings_.op.standby) state_.cluster.hold_starts();
+    if (settings_.op.standby) state_.cluster.hold_starts_until_replicated();
 }
 
 replication::ReplicationSender::Hooks StartReplication::sender_hooks(const LatestPing& latest_ping) {
@@ -32,7 +32,7 @@
     std::vector<std::string> changed;
     {
         std::lock_guard lock(state_.mutex);
-        changed = state_.cluster.dirty_machines();
+        changed = state_.cluster.take_machines_to_replicate();
     }
     if (!settings_.op.standby) return;
     for (auto& machine_id : changed) sender_.changed(machine_id);
@@ -65,7 +65,7 @@
     auto& machine = found->second;
     if (machine.life == Machine::Life::booting) return std::nullopt;
     protocol::PeerMachineRow row{
-        machine_id, machine.known || machine.reconciled, false, machine.agent_epoch, machine.sequence, {}};
+        machine_id, machine.known_from_replica || machine.reconciled, false, machine.agent_epoch, machine.sequence, {}};
     for (auto& [task, instance] : machine.tasks)
         row.tasks.push_back({task.job, task.index, instance.attempt});
     return row;
--- a/src/leader/task_counts.cpp
+++ b/src/leader/task_counts.cpp
@@ -9,7 +9,7 @@
         auto* machine = state.cluster.find(active.machine);
         if (!machine) continue;
         auto instance = machine->tasks.find({id, task});
-        if (instance != machine->tasks.end() && instance->second.running_since >= 0) ++counts.running;
+        if (instance != machine->tasks.end() && instance->second.running_since.has_value()) ++counts.running;
     }
     return counts;
 }
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -8,7 +8,7 @@
 
 struct Bench {
     Bench() {
-        machine.renewed = 10;
+        machine.lease_renewed_at = 10;
         EXPECT_TRUE(take_message(1, 1));
         delegations.table().delegate("vm-1", "controller-1");
         delegations.table().answer("controller-1", 25);  // a grant until then
@@ -38,7 +38,7 @@
     EXPECT_EQ(bench.delegations.count(), 0u);
     EXPECT_DOUBLE_EQ(bench.machine.delegation_expiry, 25);
     EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 25);
-    bench.machine.renewed = 40;
+    bench.machine.lease_renewed_at = 40;
     EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 40);
 }
 
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -14,7 +14,7 @@
     cluster::Machine& add_machine(const std::string& id) {
         auto& machine =
             state->cluster.add(id, "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, timers.now());
-        machine.confirmed = machine.reconciled = true;
+        machine.reported_to_this_leader = machine.reconciled = true;
         machine.agent_epoch = 1;
         return machine;
     }
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -44,7 +44,7 @@
     machine.token_seen = 3;  // an earlier leader's: the machine may have been deleted meanwhile
     bench.store.store_if_new(machine);
     EXPECT_FALSE(machine.storing);
-    machine.confirmed = true;
+    machine.reported_to_this_leader = true;
     bench.store.store_if_new(machine);
     EXPECT_TRUE(machine.storing);
 }
