--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -48,7 +48,7 @@
       cloud_(timers, http, settings),
       users_(timers, state_, settings, *this),
       relay_(timers, http, settings, incarnation_, [this] { return relay_target(); }),
-      reports_(relay_.refusals()),
+      reports_(relay_.rejections()),
       cancellations_(timers, http, settings, [this] { return election_.leader_version(); }),
       follower_(incarnation_),
       heard_(settings.report_s * heard_reports, settings.lease_s * copies_leases) {
@@ -89,13 +89,13 @@
             auto it = peers_.find(label);
             return it != peers_.end() && fresh(it->second) ? &it->second.last : nullptr;
         },
-        relay_.refusals()};
+        relay_.rejections()};
     for (auto& [id, since] : suspected_)
-        if (!heard_.since(id, since)) c.suspected.emplace(id, timers_.now() - since);
-    heard_.none_lately();
+        if (!heard_.seen_since(id, since)) c.suspected.emplace(id, timers_.now() - since);
+    heard_.reset_recent();
     leader_ = std::make_shared<leader::Leader>(std::move(c), version, random_());
     leader_->start();
-    for (auto& waiting : relay_.take_waiting()) queue_heartbeat(std::move(waiting));
+    for (auto& waiting : relay_.take_pending()) queue_heartbeat(std::move(waiting));
     metrics_.event("won");
     store_types();
 }
@@ -134,7 +134,7 @@
     // Just started, it can't know yet.
     bool young = settings_.op.standby && timers_.now() - started_ < settings_.report_s * know_reports;
     auto own = followed();
-    auto ours = heard_.lately(timers_.now());
+    auto ours = heard_.recent_count(timers_.now());
     for (auto& [label, p] : peers_) {
         if (young && !p.answered) return true;
         if (!fresh(p) || !p.last.state_ok || p.last.features < protocol::peer_features) continue;
@@ -181,7 +181,7 @@
         worse_since_ = -1;
     else if (worse_since_ < 0)
         worse_since_ = timers_.now();
-    heard_.tidy(timers_.now());
+    heard_.expire(timers_.now());
     state_.get(kv::keys::leader, kv::RequestPriority::lease,
                [this](kv::GetResult f) { state_seen_ |= f.ok; });
     users_.live_jobs().keep_up();
@@ -220,7 +220,7 @@
                          followed()};
     p.brief = brief;
     if (brief) return p;
-    heard_.each_lately(timers_.now(), [&](auto& machine, double ago_s) {
+    heard_.for_each_recent(timers_.now(), [&](auto& machine, double ago_s) {
         p.workers.push_back(machine);
         p.ages_ms.push_back(static_cast<std::uint32_t>(ago_s * 1000));
     });
@@ -348,11 +348,11 @@
     auto& live = users_.live_jobs();
     metrics_.gauge("questions", static_cast<double>(live.questions()));
     metrics_.gauge("question_requests", static_cast<double>(live.requests()));
-    metrics_.gauge("reports_repeated", static_cast<double>(relay_.repeated()));
-    metrics_.gauge("reports_relayed", static_cast<double>(relay_.relayed()));
-    metrics_.gauge("cancellations_told", static_cast<double>(cancellations_.size()));
-    metrics_.gauge("cancellations_repeated", static_cast<double>(cancellations_.repeated()));
-    metrics_.gauge("reports_dropped", static_cast<double>(relay_.dropped() + reports_.refused()));
+    metrics_.gauge("reports_repeated", static_cast<double>(relay_.answered_locally()));
+    metrics_.gauge("reports_relayed", static_cast<double>(relay_.forwarded()));
+    metrics_.gauge("cancellations_told", static_cast<double>(cancellations_.pending()));
+    metrics_.gauge("cancellations_repeated", static_cast<double>(cancellations_.resent()));
+    metrics_.gauge("reports_dropped", static_cast<double>(relay_.timed_out() + reports_.rejected()));
     metrics_.gauge("standby_rows", static_cast<double>(follower_.copy().rows.size()));
     metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->replication().members()) : 0);
     metrics_.gauge("standby_pieces", leader_ ? static_cast<double>(leader_->replication().pieces()) : 0);
@@ -361,10 +361,10 @@
         for (auto& [step, after] : leader_->steps().all())
             metrics_.gauge("takeover: " + std::string(step), after);
     metrics_.gauge("machines_lent", leader_ ? static_cast<double>(leader_->lent()) : 0);
-    for (std::size_t k = 0; k < relay::heartbeat_rejection_names.size(); ++k)
+    for (std::size_t k = 0; k < relay::heartbeat_rejection_labels.size(); ++k)
         metrics_.gauge(
-            "reports_refused: " + std::string(relay::heartbeat_rejection_names[k]),
-            static_cast<double>(relay_.refusals().count(static_cast<relay::HeartbeatRejection>(k))));
+            "reports_refused: " + std::string(relay::heartbeat_rejection_labels[k]),
+            static_cast<double>(relay_.rejections().count(static_cast<relay::HeartbeatRejection>(k))));
     for (std::size_t k = 0; sockets_ && k < http::peer_kinds; ++k) {
         auto name = std::string(http::peer_kind_names[k]);
         auto& use = sockets_->use(static_cast<http::PeerKind>(k));
@@ -453,44 +453,44 @@
 // Reports are most of the work. They are read as they come, but heard a few at a time in between: after a
 // failover, when every worker calls at once, users, health checks and the lease's renewal must not wait
 // behind all of them.
-void Controller::queue_heartbeat(relay::HeartbeatQueue::Report report) {
+void Controller::queue_heartbeat(relay::PendingHeartbeat report) {
     reports_.push(std::move(report));
     if (std::exchange(hearing_, true)) return;
     timers_.after(0, [this] { handle_queued_heartbeats(); });
 }
 void Controller::handle_queued_heartbeats() {
     for (std::size_t k = 0; k < reports_at_once; ++k) {
-        auto report = reports_.next(timers_.now());
+        auto report = reports_.pop(timers_.now());
         if (!report) break;
         handle_heartbeat(std::move(*report));
     }
     hearing_ = !reports_.empty();
     if (hearing_) timers_.after(0, [this] { handle_queued_heartbeats(); });
 }
-void Controller::handle_heartbeat(relay::HeartbeatQueue::Report report) {
+void Controller::handle_heartbeat(relay::PendingHeartbeat report) {
     if (leader_) return leader_->handle_heartbeat(std::move(report));
     auto& [body, reply, since] = report;
     // To read no more of it than its name leaves time for others: without a leader every worker calls each
     // second.
     if (auto o = protocol::outline_heartbeat(body)) {
-        heard_.note(o->machine, o->agent_epoch, o->sequence, timers_.now());
+        heard_.record(o->machine, o->agent_epoch, o->sequence, timers_.now());
     } else {
         try {
             auto r = protocol::parse_heartbeat(body);
-            heard_.note(r.machine, r.agent_epoch, r.sequence, timers_.now());
+            heard_.record(r.machine, r.agent_epoch, r.sequence, timers_.now());
         } catch (const protocol::Malformed& m) {
             spdlog::info("report: {}", m.what());
             return reply({400, protocol::error_body(m.what())});
         }
     }
-    if (relay_.offer(body, reply)) return;
+    if (relay_.try_accept(body, reply)) return;
     auto* peer = leading_peer();
-    relay_.refusals().note(peer ? relay::HeartbeatRejection::elsewhere
+    relay_.rejections().record(peer ? relay::HeartbeatRejection::redirected
                                 : relay::HeartbeatRejection::no_leader);
     reply({421, protocol::heartbeat_redirect(peer ? peer->label : "")});
 }
 // The leader, if its version takes reports from others.
-relay::Leadership Controller::relay_target() const {
+relay::LeaderEndpoint Controller::relay_target() const {
     auto it = peers_.find(election_.leader());
     if (leader_ || !settings_.op.hearing || it == peers_.end() ||
         it->second.last.features < protocol::peer_features_relay)
@@ -526,7 +526,7 @@
 // To the others also if this one leads: its lease may be over without its knowing.
 void Controller::cancelled(const std::string& id, std::uint64_t version) {
     if (leader_) leader_->cancelled(id, version);
-    cancellations_.confirmed(id, version, leader_ ? election_.version() : 0);
+    cancellations_.announce(id, version, leader_ ? election_.version() : 0);
 }
 
 void Controller::serve_peer(http::Request r, http::Reply reply) {
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -28,7 +28,7 @@
 
     // To be told in metrics and in the log; must live longer than this.
     void watch_sockets(const http::SocketBudget& sockets) { sockets_ = &sockets; }
-    relay::HeartbeatRejections& refusals() { return relay_.refusals(); }
+    relay::HeartbeatRejections& refusals() { return relay_.rejections(); }
 
     bool leads() const { return leader_ != nullptr; }
     bool healthy() const;
@@ -49,11 +49,11 @@
     std::string metrics_text();
     const PeerState* peer_with_state(const http::Request& r) const;
     void ask_peer(const http::Request& r, http::Response refusal, http::Reply reply);
-    void queue_heartbeat(relay::HeartbeatQueue::Report report);
+    void queue_heartbeat(relay::PendingHeartbeat report);
     void handle_queued_heartbeats();
-    void handle_heartbeat(relay::HeartbeatQueue::Report report);
+    void handle_heartbeat(relay::PendingHeartbeat report);
     bool others_may_serve() const;
-    relay::Leadership relay_target() const;
+    relay::LeaderEndpoint relay_target() const;
     void on_elected(std::uint64_t version);
     void on_lease_lost();
     void ping_peers();
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -17,7 +17,7 @@
 // Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
 // enough that what an interruption leaves of the time for renewals is nearly all of it.
 kv::ListWatch::Pace watch_pace(const config::Settings& s) {
-    double confirm_s = std::min(s.report_s / 3, relay::renewal_s(s) / 8);
+    double confirm_s = std::min(s.report_s / 3, relay::renewal_window_s(s) / 8);
     return {s.lease_s / 2, s.report_s / 60, s.report_s / 10, confirm_s, s.report_s};
 }
 // As many questions as the processor's share answers in so many report periods.
@@ -35,7 +35,7 @@
     : dependencies_(std::move(context)),
       version_(version),
       random_(seed),
-      keep_alive_(relay::keep_alive_s(dependencies_.settings, dependencies_.election.ttl())),
+      keep_alive_(relay::renewal_grace_s(dependencies_.settings, dependencies_.election.ttl())),
       cluster_state_(version, dependencies_.types),
       table_(dependencies_.settings.value_kb),
       store_(dependencies_.timers, dependencies_.state, dependencies_.settings,
@@ -113,7 +113,7 @@
     stopped_ = true;
     log_team_activity();
     dependencies_.timers.cancel(tick_timer_);
-    for (auto& report : early_.take()) report.reply({503, "{}"});
+    for (auto& report : early_.take_all()) report.reply({503, "{}"});
 }
 
 protocol::Txn Leader::leader_txn() const {
@@ -290,7 +290,7 @@
 void Leader::apply_early_heartbeats() {
     constexpr std::size_t at_once = 16;
     for (std::size_t k = 0; k < at_once; ++k) {
-        auto report = early_.next(now());
+        auto report = early_.pop(now());
         if (!report) break;
         handle_heartbeat(std::move(*report));
     }
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -65,7 +65,7 @@
     void start();
     void stop();
 
-    void handle_heartbeat(relay::HeartbeatQueue::Report report);
+    void handle_heartbeat(relay::PendingHeartbeat report);
     // Reports that another controller heard: each is answered as if it had come here.
     void relay(const protocol::PeerRelay& m, http::Reply reply);
     std::size_t lent() const { return delegations_.count(); }
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -26,7 +26,7 @@
 constexpr double own_share = 0.1, redirected_share = 1.0 / 50, moved_leases = 4;
 }  // namespace
 
-void Leader::handle_heartbeat(relay::HeartbeatQueue::Report report) {
+void Leader::handle_heartbeat(relay::PendingHeartbeat report) {
     if (!loaded_) return early_.push(std::move(report));
     auto& [body, reply, since] = report;
     if (repeat_reply(body, reply)) return;
@@ -63,19 +63,19 @@
     record_route(*m, "");
     failure_detector_.heard_from(zone_of(*m), now());
     revoke(m->id);
-    reply({200, r->answer});
+    reply({200, r->reply_body});
     return true;
 }
 protocol::PeerRelayed Leader::refused(relay::HeartbeatRejection why) {
-    dependencies_.refusals.note(why);
+    dependencies_.refusals.record(why);
     return {};
 }
 // With the relay that passes it on, or none if it came here.
 protocol::PeerRelayed Leader::answer_heartbeat(const std::string& body, const std::string& relay_label,
                                                std::string& machine) {
     if (!may_renew())
-        return refused(stopped_ ? relay::HeartbeatRejection::no_lease
-                                : relay::HeartbeatRejection::bound_over);
+        return refused(stopped_ ? relay::HeartbeatRejection::lease_lost
+                                : relay::HeartbeatRejection::renewal_deadline_passed);
     bool may = authority();
     protocol::Heartbeat report;
     try {
@@ -89,15 +89,15 @@
     std::lock_guard lock(mutex_);
     auto* m = cluster_state_.find(report.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
-    if (stopped_) return refused(relay::HeartbeatRejection::no_lease);
-    if (!heard.current || !m) return refused(relay::HeartbeatRejection::older);
+    if (stopped_) return refused(relay::HeartbeatRejection::lease_lost);
+    if (!heard.current || !m) return refused(relay::HeartbeatRejection::outdated);
     bool unreached = beyond_reach(*m);
     if (unreached || !cluster_state_.renewable(*m, now())) {
         // It was not answered: should the same report come again, the lease counts from then.
         m->heartbeat_sequence = std::min(m->heartbeat_sequence, report.sequence - 1);
         probe(*m);
-        return refused(unreached ? relay::HeartbeatRejection::unreached
-                                 : relay::HeartbeatRejection::stop_unsent);
+        return refused(unreached ? relay::HeartbeatRejection::outbound_unreachable
+                                 : relay::HeartbeatRejection::cancellation_unsent);
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (heard.again)
@@ -138,7 +138,7 @@
         (m.moved >= 0 && t - m.moved < dependencies_.settings.lease_s * moved_leases))
         return std::nullopt;
     auto most = static_cast<std::size_t>(fleet * (1 - own_share) / peers) + 1;
-    auto to = delegations_.least(t, most);
+    auto to = delegations_.least_loaded(t, most);
     if (!to) return std::nullopt;
     m.moved = t;
     ++moved_;
@@ -155,7 +155,7 @@
     auto given_back = [this](const std::string& id, double until) {
         if (auto* m = cluster_state_.find(id)) m->delegation_expiry = std::max(m->delegation_expiry, until);
     };
-    if (!delegations_.heard(q.label, q.incarnation, q.number, q.answered, given_back))
+    if (!delegations_.accept_message(q.label, q.incarnation, q.number, q.answered, given_back))
         return reply({503, {}, "application/msgpack"});
     std::string machine;
     for (auto& body : q.reports) a.answers.push_back(answer_heartbeat(body, q.label, machine));
@@ -176,7 +176,7 @@
     // ends early enough for tasks that are cancelled.
     double grant = std::max(0.0, std::min({s.report_s, keep_alive_, lease_renewal_deadline() - now()}));
     a.grant_ms = static_cast<std::uint64_t>(grant * 1000);
-    a.recalled = delegations_.answer(q.label, now() + grant * (1 + 2 * election::drift));
+    a.recalled = delegations_.extend(q.label, now() + grant * (1 + 2 * election::drift));
     send();
 }
 
@@ -599,7 +599,7 @@
 // too.
 bool Leader::check_lease(Machine& m) {
     const auto& s = dependencies_.settings;
-    double renewed = std::max(delegations_.renewed(m.id, m.renewed), m.delegation_expiry);
+    double renewed = std::max(delegations_.renewal_bound(m.id, m.renewed), m.delegation_expiry);
     bool over = now() > renewed + s.lease_s * (1 + 2 * election::drift) + s.report_s / 3;
     bool silent = now() - m.last_heard > s.lease_s || beyond_reach(m);
     if (over && silent && (!m.tasks.empty() || !m.reconciled)) {
--- a/src/relay/delegation_table.cpp
+++ b/src/relay/delegation_table.cpp
@@ -4,70 +4,83 @@
 
 namespace coralhitch::relay {
 
-bool DelegationTable::heard(const std::string& relay_label, std::uint64_t incarnation, std::uint64_t number,
-                            std::uint64_t answered, const GivenBack& given_back) {
-    auto& h = relays_[relay_label];
-    if (h.incarnation != incarnation) {
-        h.incarnation = incarnation;
-        h.number = 0;
-        h.revocations.clear();
-        std::erase_if(delegations_, [&](auto& l) {
-            if (l.second != relay_label) return false;
-            // What the process before answered last is still on its way.
-            given_back(l.first, h.grant_until);
-            return true;
-        });
-        h.machines = 0;
-    }
-    if (number <= h.number) return false;
-    h.number = number;
-    // A recall of number n goes with the answers to n and to all later messages.
-    while (!h.revocations.empty() && h.revocations.front().first <= answered) h.revocations.pop_front();
+void DelegationTable::reset(const std::string& relay_label, ReportRelay& relay, std::uint64_t incarnation,
+                            const ReturnedCallback& returned) {
+    relay.incarnation = incarnation;
+    relay.last_message = 0;
+    relay.revocations.clear();
+    std::erase_if(machine_relays_, [&](auto& entry) {
+        if (entry.second != relay_label) return false;
+        // The last answers of the previous process may still be on their way to workers.
+        returned(entry.first, relay.delegation_expiry);
+        return true;
+    });
+    relay.machines = 0;
+}
+
+bool DelegationTable::accept_message(const std::string& relay_label, std::uint64_t incarnation,
+                                     std::uint64_t number, std::uint64_t acknowledged,
+                                     const ReturnedCallback& returned) {
+    auto& relay = relays_[relay_label];
+    if (relay.incarnation != incarnation) reset(relay_label, relay, incarnation, returned);
+    if (number <= relay.last_message) return false;
+    relay.last_message = number;
+    // A revocation is in the answers to its first message and to all later ones.
+    while (!relay.revocations.empty() && relay.revocations.front().first_message <= acknowledged)
+        relay.revocations.pop_front();
     return true;
 }
+
 void DelegationTable::delegate(const std::string& machine, const std::string& relay_label) {
-    auto [it, fresh] = delegations_.try_emplace(machine, relay_label);
-    if (!fresh && it->second != relay_label) {
+    auto [it, added] = machine_relays_.try_emplace(machine, relay_label);
+    if (!added && it->second != relay_label) {
         revoke(machine);
-        delegations_[machine] = relay_label;
-        fresh = true;
+        machine_relays_[machine] = relay_label;
+        added = true;
     }
-    if (fresh) ++relays_[relay_label].machines;
+    if (added) ++relays_[relay_label].machines;
 }
+
 std::optional<double> DelegationTable::revoke(const std::string& machine) {
-    auto it = delegations_.find(machine);
-    if (it == delegations_.end()) return std::nullopt;
-    auto& h = relays_.at(it->second);
-    // The answer under way, to message `number`, may have left: the next one names it for certain.
-    h.revocations.emplace_back(h.number + 1, machine);
-    --h.machines;
-    delegations_.erase(it);
-    return h.grant_until;
+    auto it = machine_relays_.find(machine);
+    if (it == machine_relays_.end()) return std::nullopt;
+    auto& relay = relays_.at(it->second);
+    // The answer to `last_message` may have left already: the next one carries the revocation for certain.
+    relay.revocations.push_back({relay.last_message + 1, machine});
+    --relay.machines;
+    machine_relays_.erase(it);
+    return relay.delegation_expiry;
 }
+
 bool DelegationTable::delegated_to(const std::string& machine, const std::string& relay_label) const {
-    auto it = delegations_.find(machine);
-    return it != delegations_.end() && it->second == relay_label;
+    auto it = machine_relays_.find(machine);
+    return it != machine_relays_.end() && it->second == relay_label;
 }
-double DelegationTable::renewed(const std::string& machine, double own) const {
-    auto it = delegations_.find(machine);
-    return it == delegations_.end() ? own : std::max(own, relays_.at(it->second).grant_until);
+
+double DelegationTable::renewal_bound(const std::string& machine, double own_renewal) const {
+    auto it = machine_relays_.find(machine);
+    if (it == machine_relays_.end()) return own_renewal;
+    return std::max(own_renewal, relays_.at(it->second).delegation_expiry);
 }
-std::vector<std::string> DelegationTable::answer(const std::string& relay_label, double grant_until) {
-    auto& h = relays_[relay_label];
-    h.grant_until = std::max(h.grant_until, grant_until);
-    std::vector<std::string> out;
-    for (auto& [number, machine] : h.revocations) out.push_back(machine);
-    return out;
+
+std::vector<std::string> DelegationTable::extend(const std::string& relay_label, double delegation_expiry) {
+    auto& relay = relays_[relay_label];
+    relay.delegation_expiry = std::max(relay.delegation_expiry, delegation_expiry);
+    std::vector<std::string> revoked;
+    for (auto& revocation : relay.revocations) revoked.push_back(revocation.machine);
+    return revoked;
 }
+
 std::size_t DelegationTable::count(const std::string& relay_label) const {
     auto it = relays_.find(relay_label);
     return it == relays_.end() ? 0 : it->second.machines;
 }
-std::optional<std::string> DelegationTable::least(double now, std::size_t most) const {
+
+std::optional<std::string> DelegationTable::least_loaded(double now, std::size_t limit) const {
     std::optional<std::string> best;
-    for (auto& [label, h] : relays_) {
-        if (h.grant_until <= now || h.machines >= most) continue;
-        most = h.machines;
+    for (auto& [label, relay] : relays_) {
+        if (relay.delegation_expiry <= now || relay.machines >= limit) continue;
+        limit = relay.machines;
         best = label;
     }
     return best;
--- a/src/relay/delegation_table.hpp
+++ b/src/relay/delegation_table.hpp
@@ -1,11 +1,14 @@
-// The leader's side of hearing: which machines another controller may answer, and until when it can do so.
-// Bookkeeping only; times are of the leader's clock, in seconds.
+// The leader's bookkeeping of delegated machines: which relaying controller may answer repeated heartbeats of
+// which machine, and until when.
 //
-// What safety needs of it is one bound: the last moment at which a relay can have renewed a machine's lease
-// (`renewed`). A relay answers on its own only while its grant lasts, and a grant is counted at the relay
-// from the sending of the message that the grant answers, so it is over there before `grant_until` here. A
-// machine that is recalled is named in every answer until the relay says that it took one of them in; an
-// answer with a later grant names it too, so without the recall no later grant is held either.
+// Safety needs one bound from it: the last moment at which a relaying controller can have renewed a machine's
+// worker lease (`renewal_bound`). A relay answers on its own only until its delegation expires, and it counts
+// the delegation from the sending of the message that the leader answered, so it ends there before
+// `delegation_expiry` here. A revoked machine is named in every answer until the relay acknowledges one of
+// them; an answer that extends the delegation names it too, so no relay gets the extension without the
+// revocation.
+//
+// Not thread safe; times are seconds of the leader's clock.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -20,37 +23,52 @@
 
 class DelegationTable {
   public:
-    using GivenBack = std::function<void(const std::string& machine, double renewed_until)>;
-    // A message of a relay has come; the revocations that it took in need not be told again. One that was
-    // started anew remembers nothing, so its machines are given back. False if the message is older than one
-    // that came before.
-    bool heard(const std::string& relay_label, std::uint64_t incarnation, std::uint64_t number,
-               std::uint64_t answered, const GivenBack& given_back);
+    // A machine is no longer delegated; its former relay may have renewed its lease up to `renewal_bound`.
+    using ReturnedCallback = std::function<void(const std::string& machine, double renewal_bound)>;
+
+    // Message `number` of a relay has arrived; `acknowledged` is the last message whose answer it applied, so
+    // the revocations in that answer need not be repeated. A relay process that was restarted has lost its
+    // delegations: `returned` is called for each of its machines. False if a later message of this process
+    // arrived before.
+    [[nodiscard]] bool accept_message(const std::string& relay_label, std::uint64_t incarnation,
+                                      std::uint64_t number, std::uint64_t acknowledged,
+                                      const ReturnedCallback& returned);
+    // The relay may answer this machine's repeated heartbeats. Revoked from any other relay.
     void delegate(const std::string& machine, const std::string& relay_label);
-    // From now on its reports must come here. Returns until when the relay may still renew its lease;
-    // nothing if it was lent to nobody.
+    // From now on the machine's heartbeats must reach the leader. Returns until when its relay may still
+    // renew its lease; nothing if it was not delegated.
     std::optional<double> revoke(const std::string& machine);
-    bool delegated_to(const std::string& machine, const std::string& relay_label) const;
-    // The last moment at which a relay can have renewed this machine's lease; `own` if it is lent to none.
-    double renewed(const std::string& machine, double own) const;
+    [[nodiscard]] bool delegated_to(const std::string& machine, const std::string& relay_label) const;
+    // The last moment at which anybody can have renewed this machine's lease, given the leader's own last
+    // renewal.
+    [[nodiscard]] double renewal_bound(const std::string& machine, double own_renewal) const;
 
-    // For the answer to a relay: a grant that ends then, and what it must give back.
-    std::vector<std::string> answer(const std::string& relay_label, double grant_until);
-    std::size_t count(const std::string& relay_label) const;
-    std::size_t count() const { return delegations_.size(); }
-    // The relay with a grant that answers the fewest machines, if it answers less than `most`.
-    std::optional<std::string> least(double now, std::size_t most) const;
+    // Extends the relay's delegation in the answer to its message (never shortens it). Returns the machines
+    // whose revocation the same answer must carry.
+    [[nodiscard]] std::vector<std::string> extend(const std::string& relay_label, double delegation_expiry);
+    // Machines delegated to this relay, or to all.
+    [[nodiscard]] std::size_t count(const std::string& relay_label) const;
+    [[nodiscard]] std::size_t count() const { return machine_relays_.size(); }
+    // The relay with the fewest machines among those whose delegation has not expired and that have less than
+    // `limit`; nothing if there is none.
+    [[nodiscard]] std::optional<std::string> least_loaded(double now, std::size_t limit) const;
 
   private:
-    struct HeartbeatRelay {
-        std::uint64_t incarnation = 0, number = 0;
-        double grant_until = -1;
+    struct Revocation {
+        std::uint64_t first_message;  // carried by the answers to this and all later messages
+        std::string machine;
+    };
+    struct ReportRelay {
+        std::uint64_t incarnation = 0, last_message = 0;
+        double delegation_expiry = -1;  // before all time until the first extension
         std::size_t machines = 0;
-        std::deque<std::pair<std::uint64_t, std::string>>
-            revocations;  // each first told with this number or later
+        std::deque<Revocation> revocations;  // not acknowledged, oldest first
     };
-    std::map<std::string, HeartbeatRelay> relays_;
-    std::unordered_map<std::string, std::string> delegations_;  // machine to relay
+    void reset(const std::string& relay_label, ReportRelay& relay, std::uint64_t incarnation,
+               const ReturnedCallback& returned);
+
+    std::map<std::string, ReportRelay> relays_;                    // by label
+    std::unordered_map<std::string, std::string> machine_relays_;  // machine to relay label
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/heartbeat_queue.hpp
+++ b/src/relay/heartbeat_queue.hpp
@@ -1,10 +1,11 @@
-// Reports that have been read and wait for their turn at this controller.
+// Heartbeats that have been received and wait to be processed by this controller.
 //
-// A worker gives up `worker_patience_s` after it sent a report, and drops an answer that comes later. A queue
-// that serves the oldest first and lets them wait for all of that time answers, once it is behind, each
-// report just too late: the controller is busy, no worker is answered, and every lease runs out. So a report
-// waits for a share of that time only, which leaves the rest for the way and for the answer. Those that
-// waited longer are refused, unread; their workers, which wait still, turn to another controller at once.
+// A worker abandons a heartbeat `heartbeat_timeout_s` after it sent it and ignores a later answer. A queue
+// that serves the oldest first and lets each wait for all of that time answers, once it is behind, every
+// heartbeat just too late: the controller is busy, no worker gets an answer, and every worker lease expires.
+// So a heartbeat waits for a share of that time only, which leaves the rest for transit and processing. Those
+// that waited longer are rejected unread; their workers, which are still waiting, try another controller at
+// once.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -19,40 +20,42 @@
 
 namespace coralhitch::relay {
 
+// A heartbeat whose worker waits for the answer.
+struct PendingHeartbeat {
+    std::string body;  // as the worker sent it
+    http::Reply reply;
+    double received_at = 0;  // seconds of the injected clock
+};
+
 class HeartbeatQueue {
   public:
-    struct Report {
-        std::string body;
-        http::Reply reply;
-        double since = 0;  // when it was read, seconds of the injected clock
-    };
-    // Seconds.
-    static constexpr double longest_wait_s = protocol::heartbeat_timeout_s * 0.6;
+    static constexpr double max_wait_s = protocol::heartbeat_timeout_s * 0.6;
 
-    // `refusals` counts those that waited too long; it must outlive the queue.
-    explicit HeartbeatQueue(HeartbeatRejections& refusals) : refusals_(refusals) {}
-    void push(Report r) { waiting_.push_back(std::move(r)); }
-    // The one that waited longest of those whose workers can still be answered in time.
-    std::optional<Report> next(double now) {
+    // `rejections` counts those that waited too long; it must outlive the queue.
+    explicit HeartbeatQueue(HeartbeatRejections& rejections) : rejections_(rejections) {}
+    void push(PendingHeartbeat heartbeat) { waiting_.push_back(std::move(heartbeat)); }
+    // The oldest heartbeat whose worker can still be answered in time; older ones are rejected. A rejection
+    // may push further heartbeats.
+    [[nodiscard]] std::optional<PendingHeartbeat> pop(double now) {
         while (!waiting_.empty()) {
-            auto r = std::move(waiting_.front());
+            auto heartbeat = std::move(waiting_.front());
             waiting_.pop_front();
-            if (now - r.since <= longest_wait_s) return r;
-            ++refused_;
-            refusals_.note(HeartbeatRejection::late);
-            r.reply({503, "{}"});
+            if (now - heartbeat.received_at <= max_wait_s) return heartbeat;
+            ++rejected_;
+            rejections_.record(HeartbeatRejection::queue_timeout);
+            heartbeat.reply({503, "{}"});
         }
         return std::nullopt;
     }
-    bool empty() const { return waiting_.empty(); }
-    // All that wait, oldest first.
-    std::deque<Report> take() { return std::exchange(waiting_, {}); }
-    std::uint64_t refused() const { return refused_; }
+    [[nodiscard]] bool empty() const { return waiting_.empty(); }
+    // Removes and returns all that wait, oldest first.
+    [[nodiscard]] std::deque<PendingHeartbeat> take_all() { return std::exchange(waiting_, {}); }
+    [[nodiscard]] std::uint64_t rejected() const { return rejected_; }
 
   private:
-    HeartbeatRejections& refusals_;
-    std::deque<Report> waiting_;
-    std::uint64_t refused_ = 0;
+    HeartbeatRejections& rejections_;
+    std::deque<PendingHeartbeat> waiting_;
+    std::uint64_t rejected_ = 0;
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/heartbeat_rejections.cpp
+++ b/src/relay/heartbeat_rejections.cpp
@@ -4,22 +4,23 @@
 
 namespace coralhitch::relay {
 
-std::string HeartbeatRejections::since_logged() const {
-    std::string out;
+std::string HeartbeatRejections::summary() const {
+    std::string text;
     for (std::size_t k = 0; k < counts_.size(); ++k)
-        if (auto n = counts_[k] - told_[k]; n > 0)
-            out += (out.empty() ? "" : ", ") + std::to_string(n) + " " +
-                   std::string(heartbeat_rejection_names[k]);
-    return out;
+        if (auto count = counts_[k] - logged_counts_[k]; count > 0)
+            text += (text.empty() ? "" : ", ") + std::to_string(count) + " " +
+                    std::string(heartbeat_rejection_labels[k]);
+    return text;
 }
-void HeartbeatRejections::note(HeartbeatRejection why) {
-    ++counts_[static_cast<std::size_t>(why)];
-    double t = timers_.now();
-    if (logged_ >= 0 && t - logged_ < period_s_) return;
-    spdlog::info("reports refused since the last such line: {}", since_logged());
-    logged_ = t;
-    told_ = counts_;
-    ++lines_;
+
+void HeartbeatRejections::record(HeartbeatRejection reason) {
+    ++counts_[static_cast<std::size_t>(reason)];
+    double now = timers_.now();
+    if (last_logged_ && now - *last_logged_ < log_interval_s_) return;
+    spdlog::info("component=relay event=heartbeats_rejected reasons=\"{}\"", summary());
+    last_logged_ = now;
+    logged_counts_ = counts_;
+    ++log_lines_;
 }
 
 }  // namespace coralhitch::relay
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -7,201 +7,238 @@
 
 namespace coralhitch::relay {
 namespace {
-// Ratios to the report period.
-constexpr double log_reports = 2;  // between two lines of the log about reports refused
-constexpr double idle_reports =
-    1.0 / 10;  // a message goes at least so often: revocations and grants come with it
-constexpr double retry_reports = 1.0 / 5;  // after one that failed
-// A worker waits longer than its controller does for the leader: the answer must still find it waiting.
-constexpr double patience_share = 0.5;
-constexpr std::size_t most_reports = 96;     // in a message: the leader reads them in one go
-constexpr double held_share = 0.75;          // of that patience, while nobody leads
-constexpr double hold_ttls = 1.5;            // a failover as a rule takes no longer
-constexpr double message_share = 1.0 / 128;  // of the memory: what a message may hold
-// Read in full again after so many worker leases, whatever is repeated: what would otherwise hang on one
-// mistaken answer for ever is mended.
-constexpr double memory_leases = 4;
+// In report periods.
+constexpr double rejection_log_periods = 2;
+// A message is sent at least so often: its answer brings revocations and extends the delegation.
+constexpr double idle_send_periods = 1.0 / 10;
+constexpr double retry_periods = 1.0 / 5;  // after a failed message
+
+// Shares of the time for which a worker waits. It waits longer than its controller waits for the leader: the
+// answer must still find it waiting.
+constexpr double leader_timeout_share = 0.5;
+constexpr double failover_wait_share = 0.75;  // while there is no leader
+
+constexpr std::size_t max_batch_heartbeats = 96;      // the leader processes them in one go
+constexpr double max_batch_memory_share = 1.0 / 128;  // of the memory limit
+constexpr double failover_window_ttls = 1.5;  // in TTLs of the leader's lease; a failover rarely takes longer
+// In worker leases. A heartbeat is forwarded in full so often, whatever it repeats: a wrong reply, once
+// cached, would otherwise be given for ever.
+constexpr double max_reply_age_leases = 4;
 }  // namespace
 
 HeartbeatRelay::HeartbeatRelay(event_loop::Timers& timers, http::Requester& http,
                                const config::Settings& settings, std::uint64_t incarnation,
-                               std::function<Leadership()> lead)
+                               LeaderLookup leader_lookup)
     : timers_(timers),
       http_(http),
       settings_(settings),
       incarnation_(incarnation),
-      lead_(std::move(lead)),
-      refusals_(timers, settings.report_s * log_reports) {}
+      leader_lookup_(std::move(leader_lookup)),
+      rejections_(timers, settings.report_s * rejection_log_periods) {}
 HeartbeatRelay::~HeartbeatRelay() = default;
 
-void HeartbeatRelay::start() {
-    heed_leader();
-    if (link_ != Link::up) refuse_old(held_share);
-    if (!waiting_.empty() && !holds() && link_ == Link::down) refuse(waiting_);
-    timers_.after(settings_.report_s * idle_reports / 2, guarded_([this] { start(); }));
-    if (timers_.now() - last_sent_ >= settings_.report_s * idle_reports) send();
-}
-
-// Another leadership: its grants and what it knows of the machines are its own.
-void HeartbeatRelay::heed_leader() {
-    auto now = lead_();
-    if (now == leader_) return;
-    if (link_ == Link::up) interrupted();
-    leader_ = std::move(now);
-    link_ = leader_.addr.empty() ? Link::down : Link::trying;
-    granted_until_ = -1;
+void HeartbeatRelay::tick() {
+    refresh_leader();
+    if (connection_ != LeaderConnection::connected) reject_expired(failover_wait_share);
+    if (!waiting_.empty() && !within_failover_window() && connection_ == LeaderConnection::failed)
+        reject_all(waiting_);
+    timers_.after(settings_.report_s * idle_send_periods / 2, guarded_([this] { tick(); }));
+    if (!last_sent_ || timers_.now() - *last_sent_ >= settings_.report_s * idle_send_periods) send();
+}
+
+// Delegations and cached replies of a previous leadership don't hold for the next one.
+void HeartbeatRelay::refresh_leader() {
+    auto leader = leader_lookup_();
+    if (leader == leader_) return;
+    if (connection_ == LeaderConnection::connected) record_disconnect();
+    leader_ = std::move(leader);
+    connection_ = leader_.addr.empty() ? LeaderConnection::failed : LeaderConnection::untried;
+    delegation_expiry_.reset();
     reply_cache_.clear();
-    heard_.clear();
-    // Those that wait have been read by nobody: the next leader may as well take them.
-    soon();
+    unreported_heartbeats_.clear();
+    // The heartbeats that wait have been processed by nobody: the next leader may take them.
+    schedule_send();
 }
-// The leader has ended, as it seems. Until the next one takes what is sent its workers are kept waiting for
-// as long as they do: refused, all of a large fleet called every controller each second, and the next leader
-// came up so far behind that it lost its lease.
-void HeartbeatRelay::interrupted() {
-    up_until_ = timers_.now();
+
+// The leader seems to have ended. Until its successor accepts messages, workers are kept waiting for as long
+// as they do wait: when they were rejected, all workers of a large cluster called every controller each
+// second, and the next leader came up so far behind that it lost its lease.
+void HeartbeatRelay::record_disconnect() {
+    disconnected_at_ = timers_.now();
 }
-bool HeartbeatRelay::holds() const {
-    double ttl = settings_.lease_s * settings_.op.lease_ratio;
-    return settings_.op.hearing && up_until_ >= 0 && timers_.now() - up_until_ < ttl * hold_ttls;
+bool HeartbeatRelay::within_failover_window() const {
+    double ttl_s = settings_.lease_s * settings_.op.lease_ratio;
+    return settings_.op.hearing && disconnected_at_ &&
+           timers_.now() - *disconnected_at_ < ttl_s * failover_window_ttls;
 }
-void HeartbeatRelay::refuse_old(double share) {
+
+void HeartbeatRelay::reject_expired(double timeout_share) {
     while (!waiting_.empty() &&
-           timers_.now() - waiting_.front().since > protocol::heartbeat_timeout_s * share) {
-        refuse_late(waiting_.front());
+           timers_.now() - waiting_.front().received_at > protocol::heartbeat_timeout_s * timeout_share) {
+        reject_timed_out(waiting_.front());
         waiting_.pop_front();
     }
 }
-void HeartbeatRelay::refuse_late(const Waiting& report) {
-    refusals_.note(HeartbeatRejection::late);
-    ++dropped_;
-    report.reply({503, "{}"});
+void HeartbeatRelay::reject_timed_out(const PendingHeartbeat& heartbeat) {
+    rejections_.record(HeartbeatRejection::queue_timeout);
+    ++timed_out_;
+    heartbeat.reply({503, "{}"});
 }
-std::deque<HeartbeatQueue::Report> HeartbeatRelay::take_waiting() {
-    refuse_old(patience_share);
+void HeartbeatRelay::reject_all(Batch& heartbeats) {
+    for (auto& heartbeat : std::exchange(heartbeats, {})) {
+        rejections_.record(HeartbeatRejection::no_leader);
+        heartbeat.reply({503, "{}"});
+    }
+}
+
+std::deque<PendingHeartbeat> HeartbeatRelay::take_pending() {
+    reject_expired(leader_timeout_share);
     return std::exchange(waiting_, {});
 }
-void HeartbeatRelay::put_back(std::deque<Waiting> batch) {
-    for (auto w = batch.rbegin(); w != batch.rend(); ++w) waiting_.push_front(std::move(*w));
+void HeartbeatRelay::requeue(Batch batch) {
+    for (auto heartbeat = batch.rbegin(); heartbeat != batch.rend(); ++heartbeat)
+        waiting_.push_front(std::move(*heartbeat));
 }
-bool HeartbeatRelay::may_answer() const {
-    return timers_.now() < granted_until_;
+
+bool HeartbeatRelay::delegation_valid() const {
+    return delegation_expiry_ && timers_.now() < *delegation_expiry_;
 }
-void HeartbeatRelay::refuse(std::deque<Waiting>& waiting) {
-    for (auto& w : std::exchange(waiting, {})) {
-        refusals_.note(HeartbeatRejection::no_leader);
-        w.reply({503, "{}"});
-    }
+
+// The reply that may be given to this heartbeat here; null if it must go to the leader.
+const CachedReply* HeartbeatRelay::find_repeated(const std::string& body, double now) {
+    auto outline = protocol::outline_heartbeat(body);
+    if (!outline || connection_ != LeaderConnection::connected || !delegation_valid()) return nullptr;
+    auto* cached = reply_cache_.find(body, *outline);
+    if (!cached || now - cached->parsed_at >= settings_.lease_s * max_reply_age_leases) return nullptr;
+    cached->sequence = outline->sequence;
+    unreported_heartbeats_[std::string(outline->machine)] = now;
+    return cached;
 }
 
-bool HeartbeatRelay::offer(std::string& body, http::Reply& reply) {
-    heed_leader();
-    if (link_ == Link::down && !holds()) return false;
-    double t = timers_.now();
-    if (auto o = protocol::outline_heartbeat(body); o && link_ == Link::up && may_answer()) {
-        auto* r = reply_cache_.find(body, *o);
-        if (r && t - r->since < settings_.lease_s * memory_leases) {
-            r->sequence = o->sequence;
-            heard_[std::string(o->machine)] = t;
-            ++repeated_;
-            reply({200, r->answer});
-            return true;
-        }
+bool HeartbeatRelay::try_accept(std::string& body, http::Reply& reply) {
+    refresh_leader();
+    if (connection_ == LeaderConnection::failed && !within_failover_window()) return false;
+    double now = timers_.now();
+    if (auto* cached = find_repeated(body, now)) {
+        ++answered_locally_;
+        reply({200, cached->reply_body});
+        return true;
     }
-    waiting_.push_back({std::move(body), std::move(reply), t});
-    soon();
+    waiting_.push_back({std::move(body), std::move(reply), now});
+    schedule_send();
     return true;
 }
 
-void HeartbeatRelay::soon(double gap) {
-    if (busy_ || armed_) return;
-    armed_ = true;
-    double wait = std::max(0.0, last_sent_ + settings_.report_s * gap - timers_.now());
-    timers_.after(wait, guarded_([this] {
-                      armed_ = false;
+void HeartbeatRelay::schedule_send(double interval_periods) {
+    if (in_flight_ || send_scheduled_) return;
+    send_scheduled_ = true;
+    double delay_s =
+        last_sent_ ? std::max(0.0, *last_sent_ + settings_.report_s * interval_periods - timers_.now()) : 0;
+    timers_.after(delay_s, guarded_([this] {
+                      send_scheduled_ = false;
                       send();
                   }));
 }
 
-void HeartbeatRelay::send() {
-    heed_leader();
-    if (busy_ || leader_.addr.empty()) return;
-    double t = timers_.now();
-    if (link_ == Link::down && t - last_sent_ < settings_.report_s * retry_reports) return;
-    protocol::PeerRelay m{settings_.label, incarnation_, leader_.version, ++number_, taken_in_, {}, {}};
-    std::deque<Waiting> batch;
-    auto most_bytes = static_cast<std::size_t>(settings_.memory_mb * 1024 * 1024 * message_share);
+HeartbeatRelay::Batch HeartbeatRelay::next_batch(double now) {
+    Batch batch;
+    auto max_bytes = static_cast<std::size_t>(settings_.memory_mb * 1024 * 1024 * max_batch_memory_share);
     std::size_t bytes = 0;
-    while (!waiting_.empty() && batch.size() < most_reports && bytes <= most_bytes) {
-        auto w = std::move(waiting_.front());
+    while (!waiting_.empty() && batch.size() < max_batch_heartbeats && bytes <= max_bytes) {
+        auto heartbeat = std::move(waiting_.front());
         waiting_.pop_front();
-        if (t - w.since > protocol::heartbeat_timeout_s * patience_share) {
-            refuse_late(w);  // nobody waits for it by the time the leader has answered
+        if (now - heartbeat.received_at > protocol::heartbeat_timeout_s * leader_timeout_share) {
+            reject_timed_out(heartbeat);  // its worker will have stopped waiting when the leader answers
             continue;
         }
-        bytes += w.body.size();
-        m.reports.push_back(w.body);
-        batch.push_back(std::move(w));
+        bytes += heartbeat.body.size();
+        batch.push_back(std::move(heartbeat));
     }
-    for (auto& [machine, at] : heard_)
-        m.heard.push_back({machine, static_cast<std::uint64_t>(std::max(0.0, t - at) * 1000)});
-    heard_.clear();
-    relayed_ += batch.size();
-    busy_ = true;
-    last_sent_ = t;
-    auto shared = std::make_shared<std::deque<Waiting>>(std::move(batch));
+    return batch;
+}
+
+protocol::PeerRelay HeartbeatRelay::next_message(const Batch& batch, double now) {
+    protocol::PeerRelay message{
+        settings_.label, incarnation_, leader_.version, ++last_message_, acknowledged_message_, {}, {}};
+    for (auto& heartbeat : batch) message.reports.push_back(heartbeat.body);
+    for (auto& [machine, answered_at] : unreported_heartbeats_)
+        message.heard.push_back(
+            {machine, static_cast<std::uint64_t>(std::max(0.0, now - answered_at) * 1000)});
+    unreported_heartbeats_.clear();
+    return message;
+}
+
+void HeartbeatRelay::send() {
+    refresh_leader();
+    if (in_flight_ || leader_.addr.empty()) return;
+    double now = timers_.now();
+    if (connection_ == LeaderConnection::failed && last_sent_ &&
+        now - *last_sent_ < settings_.report_s * retry_periods)
+        return;
+    auto batch = next_batch(now);
+    auto message = next_message(batch, now);
+    forwarded_ += batch.size();
+    in_flight_ = true;
+    last_sent_ = now;
+    auto shared = std::make_shared<Batch>(std::move(batch));  // a callback must be copyable
     http_.send(
         leader_.addr,
-        {"POST", std::string(protocol::peer_relay_path), protocol::pack_peer(m), "application/msgpack"},
-        protocol::heartbeat_timeout_s * patience_share,
-        guarded_([this, number = number_, t, to = leader_, shared](std::optional<http::Response> r) {
-            answered(number, t, to, std::move(*shared), r);
+        {"POST", std::string(protocol::peer_relay_path), protocol::pack_peer(message), "application/msgpack"},
+        protocol::heartbeat_timeout_s * leader_timeout_share,
+        guarded_([this, number = message.number, now, receiver = leader_,
+                  shared](std::optional<http::Response> response) {
+            handle_answer(number, now, receiver, std::move(*shared), response);
         }));
 }
 
-void HeartbeatRelay::answered(std::uint64_t number, double sent, const Leadership& to,
-                              std::deque<Waiting> batch, const std::optional<http::Response>& r) {
-    busy_ = false;
-    heed_leader();
-    std::optional<protocol::PeerRelayAnswer> a;
-    if (r && r->status == 200) a = protocol::unpack_peer<protocol::PeerRelayAnswer>(r->body);
-    if (!a || !a->leads || !(to == leader_)) {
-        if (link_ == Link::up) interrupted();
-        if (to == leader_) link_ = Link::down;
-        // It says that it does not lead, or nothing at all: what it may have taken in it has not answered.
-        if (holds()) return put_back(std::move(batch));
-        if (to == leader_) refuse(waiting_);
-        return refuse(batch);
-    }
-    link_ = Link::up;
-    if (!a->ready) {
-        // It has only begun to lead: what waits is sent again, as long as its workers wait.
-        put_back(std::move(batch));
-        if (!waiting_.empty()) soon();
+// The receiver says that it does not lead, or did not answer: it has answered none of these heartbeats.
+void HeartbeatRelay::handle_failure(const LeaderEndpoint& receiver, Batch batch) {
+    if (connection_ == LeaderConnection::connected) record_disconnect();
+    if (receiver == leader_) connection_ = LeaderConnection::failed;
+    if (within_failover_window()) return requeue(std::move(batch));
+    if (receiver == leader_) reject_all(waiting_);
+    reject_all(batch);
+}
+
+void HeartbeatRelay::handle_answer(std::uint64_t number, double sent_at, const LeaderEndpoint& receiver,
+                                   Batch batch, const std::optional<http::Response>& response) {
+    in_flight_ = false;
+    refresh_leader();
+    std::optional<protocol::PeerRelayAnswer> answer;
+    if (response && response->status == 200)
+        answer = protocol::unpack_peer<protocol::PeerRelayAnswer>(response->body);
+    if (!answer || !answer->leads || receiver != leader_) return handle_failure(receiver, std::move(batch));
+    connection_ = LeaderConnection::connected;
+    if (!answer->ready) {
+        // It has only begun to lead: the heartbeats are sent again, as long as their workers wait.
+        requeue(std::move(batch));
+        if (!waiting_.empty()) schedule_send();
         return;
     }
-    for (std::size_t k = 0; k < batch.size() && k < a->answers.size(); ++k)
-        keep(std::move(batch[k]), a->answers[k]);
-    batch.erase(batch.begin(),
-                batch.begin() + static_cast<std::ptrdiff_t>(std::min(batch.size(), a->answers.size())));
-    refuse(batch);
-    // Recalls before the grant: one without the other would let a machine's lease be renewed for longer than
-    // the leader counts on.
-    for (auto& machine : a->recalled) reply_cache_.forget(machine);
-    taken_in_ = number;
-    granted_until_ = sent + static_cast<double>(a->grant_ms) / 1000 * (1 - 2 * election::drift);
-    // What fills a message already gains nothing by waiting for more: at the rate of one full message in each
-    // gap, the only relay of 4,000 machines fell behind when most reports had news.
-    if (!waiting_.empty()) soon(waiting_.size() < most_reports ? gap_reports : 0);
-}
-
-void HeartbeatRelay::keep(Waiting w, const protocol::PeerRelayed& a) {
-    auto o = protocol::outline_heartbeat(w.body);
-    if (o && a.status == 200 && a.quiet)
-        reply_cache_.put(std::move(w.body), std::string(o->machine), o->sequence, a.body, timers_.now());
-    else if (o)
-        reply_cache_.forget(o->machine);
-    w.reply({a.status, a.body});
+    auto answered = std::min(batch.size(), answer->answers.size());
+    for (std::size_t k = 0; k < answered; ++k) deliver(std::move(batch[k]), answer->answers[k]);
+    batch.erase(batch.begin(), batch.begin() + static_cast<std::ptrdiff_t>(answered));
+    reject_all(batch);
+    // Revocations before the extension: without them a machine's lease could be renewed for longer than the
+    // leader expects.
+    for (auto& machine : answer->recalled) reply_cache_.forget(machine);
+    acknowledged_message_ = number;
+    delegation_expiry_ = sent_at + static_cast<double>(answer->grant_ms) / 1000 * (1 - 2 * election::drift);
+    // A full batch gains nothing by waiting for more heartbeats: at one full message per interval, the only
+    // relay of 4,000 machines fell behind when most heartbeats were not repetitions.
+    if (!waiting_.empty()) schedule_send(waiting_.size() < max_batch_heartbeats ? batch_interval_periods : 0);
+}
+
+void HeartbeatRelay::deliver(PendingHeartbeat heartbeat, const protocol::PeerRelayed& answer) {
+    if (auto outline = protocol::outline_heartbeat(heartbeat.body)) {
+        std::string machine(outline->machine);  // the outline points into the body, which is moved
+        if (answer.status == 200 && answer.quiet)
+            reply_cache_.put(std::move(heartbeat.body), machine, outline->sequence, answer.body,
+                             timers_.now());
+        else
+            reply_cache_.forget(machine);
+    }
+    heartbeat.reply({answer.status, answer.body});
 }
 
 }  // namespace coralhitch::relay
--- a/src/relay/heartbeat_tracker.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -1,57 +1,78 @@
-// The newest report of each machine that came to this controller while another one led: what it says, in its
-// pings, of whom it hears. Copies of a report come late, from seconds to well over a lease, after any number
-// of newer ones; they must not pass for hearing, or a leader that is well gives way, and a dead machine lives
-// on.
+// Which machines have recently sent a heartbeat to this controller while another one led.
+//
+// The list goes out in this controller's pings; a leader that misses heartbeats compares it with its own view
+// before it fences machines or resigns. Delayed copies of a heartbeat can arrive seconds to several worker
+// leases late, after any number of newer ones. They must not count as a sign of life: a healthy leader would
+// resign, or a dead machine would be kept.
+//
+// Not thread safe; times are seconds of the injected clock.
 #pragma once
 #include <algorithm>
+#include <compare>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
-#include <utility>
 
 namespace coralhitch::relay {
 
 class HeartbeatTracker {
   public:
-    // Seconds: in which a machine counts as heard, and for which it is remembered what was heard.
-    HeartbeatTracker(double lately_s, double kept_s) : lately_s_(lately_s), kept_s_(kept_s) {}
+    // `recent_s`: for so long after its last heartbeat a machine counts as recently seen. `retention_s`: for
+    // so long the newest heartbeat of a machine is remembered, to recognise late copies.
+    HeartbeatTracker(double recent_s, double retention_s) : recent_s_(recent_s), retention_s_(retention_s) {}
 
-    void note(std::string_view machine, std::uint64_t agent_epoch, std::uint64_t sequence, double now) {
-        auto& h = heard_[std::string(machine)];
-        if (std::pair(agent_epoch, sequence) <= std::pair(h.agent_epoch, h.sequence)) return;
-        h = {now, now, agent_epoch, sequence};
+    // A heartbeat has arrived. Ignored unless it is newer, by agent epoch and sequence number, than all that
+    // came from this machine before.
+    void record(std::string_view machine, std::uint64_t agent_epoch, std::uint64_t sequence, double now) {
+        auto& entry = entries_[std::string(machine)];
+        Position position{agent_epoch, sequence};
+        if (position <= entry.newest) return;
+        entry = {now, now, position};
     }
-    bool since(const std::string& machine, double at) const {
-        auto it = heard_.find(machine);
-        return it != heard_.end() && it->second.at >= at;
+    // Whether the machine sent a new heartbeat at `since` or later.
+    [[nodiscard]] bool seen_since(const std::string& machine, double since) const {
+        auto it = entries_.find(machine);
+        return it != entries_.end() && it->second.last_seen && *it->second.last_seen >= since;
     }
-    std::size_t lately(double now) const {
-        auto n = std::count_if(heard_.begin(), heard_.end(), [&](auto& h) { return fresh(h.second, now); });
-        return static_cast<std::size_t>(n);
+    // Number of machines seen within `recent_s`.
+    [[nodiscard]] std::size_t recent_count(double now) const {
+        auto count = std::count_if(entries_.begin(), entries_.end(),
+                                   [&](auto& entry) { return recent(entry.second, now); });
+        return static_cast<std::size_t>(count);
     }
-    template <class F>
-    void each_lately(double now, F f) const {  // f(machine, seconds ago)
-        for (auto& [machine, h] : heard_)
-            if (fresh(h, now)) f(machine, now - h.at);
+    // Calls visit(machine, seconds since its last heartbeat) for each machine seen within `recent_s`.
+    template <class Visitor>
+    void for_each_recent(double now, Visitor visit) const {
+        for (auto& [machine, entry] : entries_)
+            if (recent(entry, now)) visit(machine, now - *entry.last_seen);
     }
-    // Before this controller leads: it hears otherwise then. What is newest stays known.
-    void none_lately() {
-        for (auto& [machine, h] : heard_) h.at = never;
+    // Called when this controller becomes the leader, whose heartbeats are recorded elsewhere: no machine
+    // counts as recently seen, but the newest heartbeats stay known.
+    void reset_recent() {
+        for (auto& [machine, entry] : entries_) entry.last_seen.reset();
     }
-    void tidy(double now) {
-        std::erase_if(heard_, [&](auto& h) { return now - h.second.noted > kept_s_; });
+    // Forgets machines whose last new heartbeat is older than `retention_s`.
+    void expire(double now) {
+        std::erase_if(entries_, [&](auto& entry) { return now - entry.second.recorded_at > retention_s_; });
     }
 
   private:
-    static constexpr double never = -1;
-    struct Report {
-        double at = never, noted = never;
+    struct Position {
         std::uint64_t agent_epoch = 0, sequence = 0;
+        auto operator<=>(const Position&) const = default;
     };
-    bool fresh(const Report& r, double now) const { return r.at > never && now - r.at <= lately_s_; }
-    double lately_s_, kept_s_;
-    std::unordered_map<std::string, Report> heard_;
+    struct Entry {
+        std::optional<double> last_seen;  // none after reset_recent()
+        double recorded_at = 0;
+        Position newest;
+    };
+    bool recent(const Entry& entry, double now) const {
+        return entry.last_seen && now - *entry.last_seen <= recent_s_;
+    }
+    double recent_s_, retention_s_;
+    std::unordered_map<std::string, Entry> entries_;  // by machine
 };
 
 }  // namespace coralhitch::relay
--- a/src/relay/reply_cache.cpp
+++ b/src/relay/reply_cache.cpp
@@ -2,24 +2,28 @@
 
 namespace coralhitch::relay {
 
-CachedReply* ReplyCache::find(std::string_view body, const protocol::HeartbeatOutline& o) {
-    auto it = by_machine_.find(o.machine);
+CachedReply* ReplyCache::find(std::string_view heartbeat, const protocol::HeartbeatOutline& outline) {
+    auto it = by_machine_.find(outline.machine);
     if (it == by_machine_.end()) return nullptr;
-    auto& r = it->second;
-    std::string_view old = r.body;
-    // A repetition has a higher sequence: an equal or lower one is a message that came late.
-    bool same = r.at == o.at && o.sequence > r.sequence && old.substr(0, r.at) == body.substr(0, o.at) &&
-                old.substr(r.at + r.digits) == body.substr(o.at + o.digits);
-    return same ? &r : nullptr;
+    auto& cached = it->second;
+    std::string_view previous = cached.heartbeat;
+    // A repetition has a higher sequence number: an equal or lower one is a message that arrived late.
+    bool repeats = cached.sequence_offset == outline.at && outline.sequence > cached.sequence &&
+                   previous.substr(0, cached.sequence_offset) == heartbeat.substr(0, outline.at) &&
+                   previous.substr(cached.sequence_offset + cached.sequence_digits) ==
+                       heartbeat.substr(outline.at + outline.digits);
+    return repeats ? &cached : nullptr;
 }
-void ReplyCache::put(std::string body, const std::string& machine, std::uint64_t sequence, std::string answer,
-                     double now) {
-    auto o = protocol::outline_heartbeat(body);
-    if (!o || o->machine != machine || o->sequence != sequence) return forget(machine);
-    CachedReply r{{}, o->at, o->digits, sequence, now, std::move(answer)};
-    r.body = std::move(body);
-    by_machine_.insert_or_assign(machine, std::move(r));
+
+void ReplyCache::put(std::string heartbeat, const std::string& machine, std::uint64_t sequence,
+                     std::string reply_body, double now) {
+    auto outline = protocol::outline_heartbeat(heartbeat);
+    if (!outline || outline->machine != machine || outline->sequence != sequence) return forget(machine);
+    CachedReply cached{{}, outline->at, outline->digits, sequence, now, std::move(reply_body)};
+    cached.heartbeat = std::move(heartbeat);  // last: the outline points into it
+    by_machine_.insert_or_assign(machine, std::move(cached));
 }
+
 void ReplyCache::forget(std::string_view machine) {
     if (auto it = by_machine_.find(machine); it != by_machine_.end()) by_machine_.erase(it);
 }
--- a/src/relay/reply_cache.hpp
+++ b/src/relay/reply_cache.hpp
@@ -1,8 +1,10 @@
-// Reports that repeat the last one of their machine. Most do: a worker reports every few seconds, and its
-// tasks change every few minutes. To read each of them took a leader more time than all it decided.
+// Recognises heartbeats that repeat the last one of their machine, and keeps the reply to give again.
 //
-// The whole text is kept and compared, but for the digits of the sequence: no hash, so no collisions to
-// argue about. A report has some hundred bytes for each task, so 10,000 machines take a few megabytes.
+// Most heartbeats do: a worker sends one every few seconds, and its tasks change every few minutes. Parsing
+// each of them took a leader more time than all its decisions.
+//
+// The whole text is kept and compared except for the digits of the sequence number: no hash, so no collisions
+// to argue about. A heartbeat has some hundred bytes for each task, so 10,000 machines take a few megabytes.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -16,24 +18,25 @@
 namespace coralhitch::relay {
 
 struct CachedReply {
-    std::string body;
-    std::size_t at = 0, digits = 0;  // of the sequence's digits
-    std::uint64_t sequence = 0;      // of the last report that said this
-    double since = 0;                // when it was read in full, seconds of the injected clock
-    std::string answer;              // body of the 200 that may be given again
+    std::string heartbeat;                                 // the text that was parsed in full
+    std::size_t sequence_offset = 0, sequence_digits = 0;  // where the sequence number stands in it
+    std::uint64_t sequence = 0;                            // of the last heartbeat with this content
+    double parsed_at = 0;                                  // seconds of the injected clock
+    std::string reply_body;                                // of the 200 that may be given again
 };
 
 class ReplyCache {
   public:
-    // The entry that this report repeats, with `sequence` still that of the report before; null if none.
-    CachedReply* find(std::string_view body, const protocol::HeartbeatOutline& outline);
-    // Of a report that was read in full as this machine's with this sequence. What its outline tells
-    // otherwise is not remembered.
-    void put(std::string body, const std::string& machine, std::uint64_t sequence, std::string answer,
-             double now);
+    // The entry that this heartbeat repeats, with `sequence` still that of the previous one, which the caller
+    // updates; null if there is none. Owned by the cache, valid until the next change of it.
+    [[nodiscard]] CachedReply* find(std::string_view heartbeat, const protocol::HeartbeatOutline& outline);
+    // Stores the reply to a heartbeat that was parsed in full as this machine's with this sequence number. If
+    // its outline says otherwise, the machine's entry is removed instead.
+    void put(std::string heartbeat, const std::string& machine, std::uint64_t sequence,
+             std::string reply_body, double now);
     void forget(std::string_view machine);
     void clear() { by_machine_.clear(); }
-    std::size_t size() const { return by_machine_.size(); }
+    [[nodiscard]] std::size_t size() const { return by_machine_.size(); }
 
   private:
     struct Hash {
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -26,7 +26,7 @@
         timers.after(0.01, [result, body] { result(http::Response{200, body}); });
     }
 };
-struct Bench {
+struct RelayFixture {
     FakeTimers timers;
     Peers peers{timers};
     config::Settings settings = [] {
@@ -41,21 +41,21 @@
     CancellationNotices notices{timers, peers, settings, [this] { return leadership; }};
 };
 
-TEST(CancellationNotices, AreToldToAllOnceIfTheLeaderTakesThem) {
-    Bench b;
+TEST(CancellationNotices, AreSentToAllOnceIfTheLeaderAcknowledges) {
+    RelayFixture b;
     b.peers.leads["one"] = 5;
-    b.notices.confirmed("j-1", 9, 0);
+    b.notices.announce("j-1", 9, 0);
     b.timers.run_until(60);
     EXPECT_EQ(b.peers.heard["one"].size(), 1u);
     EXPECT_EQ(b.peers.heard["two"].size(), 1u);
-    EXPECT_EQ(b.notices.size(), 0u);
+    EXPECT_EQ(b.notices.pending(), 0u);
 }
-TEST(CancellationNotices, AreRepeatedUntilTheLeaderHasThemAndToThatOfTheNextLeadership) {
-    Bench b;
+TEST(CancellationNotices, AreResentUntilTheLeaderOfTheNewestLeadershipAcknowledges) {
+    RelayFixture b;
     b.peers.leads["one"] = 5;
     b.peers.cut = {"one"};
-    b.notices.confirmed("j-1", 9, 0);
-    b.notices.confirmed("j-2", 10, 0);
+    b.notices.announce("j-1", 9, 0);
+    b.notices.announce("j-2", 10, 0);
     b.timers.run_until(4);
     EXPECT_TRUE(b.peers.heard["one"].empty());
     b.peers.cut.clear();
@@ -73,35 +73,35 @@
     b.timers.run_until(40);
     EXPECT_LE(b.peers.heard["two"].size(), told + 1);
 }
-TEST(CancellationNotices, AnOlderLeadershipsAnswerEndsNothing) {
-    Bench b;
+TEST(CancellationNotices, AreResentAfterAnAcknowledgementOfAnOlderLeadership) {
+    RelayFixture b;
     b.peers.leads["one"] = 4;
-    b.notices.confirmed("j-1", 9, 4);
+    b.notices.announce("j-1", 9, 4);
     b.timers.run_until(10);
     EXPECT_GT(b.peers.heard["two"].size(), 5u);
 }
-TEST(CancellationNotices, EndWithTheTimeInWhichTasksMayBeLeft) {
-    Bench b;
-    b.notices.confirmed("j-1", 9, 0);
+TEST(CancellationNotices, ExpireAfterCancelSeconds) {
+    RelayFixture b;
+    b.notices.announce("j-1", 9, 0);
     b.timers.run_until(46);
-    EXPECT_EQ(b.notices.size(), 0u);
+    EXPECT_EQ(b.notices.pending(), 0u);
     auto told = b.peers.heard["two"].size();
     EXPECT_LE(told, 1 + static_cast<std::size_t>(44 / 0.75));
     b.timers.run_until(200);
     EXPECT_EQ(b.peers.heard["two"].size(), told);
 }
-TEST(CancellationNotices, HoldABoundedNumberAndAMessageABoundedPart) {
-    Bench b;
-    for (int k = 0; k < 1000; ++k) b.notices.confirmed("j-" + std::to_string(k), 9, 0);
-    EXPECT_EQ(b.notices.size(), 20u);
+TEST(CancellationNotices, BoundTheirNumberAndTheMessageSize) {
+    RelayFixture b;
+    for (int k = 0; k < 1000; ++k) b.notices.announce("j-" + std::to_string(k), 9, 0);
+    EXPECT_EQ(b.notices.pending(), 20u);
     b.settings.memory_mb = 1000;
-    for (int k = 0; k < 1000; ++k) b.notices.confirmed("j-" + std::to_string(k), 9, 0);
+    for (int k = 0; k < 1000; ++k) b.notices.announce("j-" + std::to_string(k), 9, 0);
     b.peers.heard.clear();
     b.timers.run_until(1);
     ASSERT_EQ(b.peers.heard["one"].size(), 1u);
     EXPECT_EQ(b.peers.heard["one"][0].size(), 256u);
 }
-TEST(CancellationNotices, ReadWhatTheVersionBeforeSaysAndTheOtherWayRound) {
+TEST(CancellationNotices, AreCompatibleWithThePreviousVersion) {
     // The layout of the version before: id and version only, and an empty answer.
     msgpack::sbuffer old;
     msgpack::packer(old).pack_array(2).pack(std::string("j-1")).pack(9);
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -25,7 +25,7 @@
 }
 const std::string task = R"({"shard":"j-1/0","launch":3,"status":"running"})";
 
-TEST(ReplyCache, ARepetitionDiffersInItsSequenceAlone) {
+TEST(ReplyCache, FindsHeartbeatsThatDifferInSequenceOnly) {
     struct Case {
         const char* what;
         std::string body;
@@ -51,74 +51,75 @@
         {"nothing", "", false},
     };
     for (auto& c : cases) {
-        ReplyCache m;
-        m.put(report("vm-1", 9, task), "vm-1", 9, "answer", 0);
+        ReplyCache cache;
+        cache.put(report("vm-1", 9, task), "vm-1", 9, "answer", 0);
         auto o = protocol::outline_heartbeat(c.body);
-        EXPECT_EQ(o && m.find(c.body, *o), c.repeats) << c.what;
+        EXPECT_EQ(o && cache.find(c.body, *o), c.repeats) << c.what;
     }
     // Not what a full reading told: not remembered.
-    ReplyCache m;
-    m.put(report("vm-1", 9), "vm-2", 9, "answer", 0);
-    m.put(report("vm-1", 9), "vm-1", 8, "answer", 0);
-    EXPECT_EQ(m.size(), 0u);
+    ReplyCache cache;
+    cache.put(report("vm-1", 9), "vm-2", 9, "answer", 0);
+    cache.put(report("vm-1", 9), "vm-1", 8, "answer", 0);
+    EXPECT_EQ(cache.size(), 0u);
 }
 
 // What is told to others of whom this controller hears rests on reports that are newer than all before.
-TEST(HeartbeatTracker, ACopyIsNoHearing) {
-    HeartbeatTracker heard(5, 100);
-    heard.note("vm-1", 1, 10, 0);
-    heard.note("vm-2", 3, 10, 0);
-    EXPECT_EQ(heard.lately(4), 2u);
-    heard.note("vm-1", 1, 10, 10);  // the same again
-    heard.note("vm-1", 1, 9, 10);   // and an older one
-    heard.note("vm-2", 2, 99, 10);  // of an earlier agent epoch
-    EXPECT_EQ(heard.lately(10), 0u);
-    EXPECT_FALSE(heard.since("vm-1", 5));
-    heard.note("vm-1", 1, 11, 11);
-    heard.none_lately();
-    EXPECT_EQ(heard.lately(11), 0u);
-    heard.note("vm-1", 1, 11, 12);  // known still
-    EXPECT_EQ(heard.lately(12), 0u);
-    heard.tidy(112);
-    heard.note("vm-1", 1, 11, 112);  // after so long nothing is known of it
-    EXPECT_EQ(heard.lately(112), 1u);
+TEST(HeartbeatTracker, IgnoresLateCopies) {
+    HeartbeatTracker tracker(5, 100);
+    tracker.record("vm-1", 1, 10, 0);
+    tracker.record("vm-2", 3, 10, 0);
+    EXPECT_EQ(tracker.recent_count(4), 2u);
+    tracker.record("vm-1", 1, 10, 10);  // the same again
+    tracker.record("vm-1", 1, 9, 10);   // and an older one
+    tracker.record("vm-2", 2, 99, 10);  // of an earlier agent epoch
+    EXPECT_EQ(tracker.recent_count(10), 0u);
+    EXPECT_FALSE(tracker.seen_since("vm-1", 5));
+    tracker.record("vm-1", 1, 11, 11);
+    tracker.reset_recent();
+    EXPECT_EQ(tracker.recent_count(11), 0u);
+    tracker.record("vm-1", 1, 11, 12);  // known still
+    EXPECT_EQ(tracker.recent_count(12), 0u);
+    tracker.expire(112);
+    tracker.record("vm-1", 1, 11, 112);  // after so long nothing is known of it
+    EXPECT_EQ(tracker.recent_count(112), 1u);
 }
 
-TEST(DelegationTable, TheBoundOnRenewalsOutlastsEveryGrantThatMayBeHeld) {
-    DelegationTable l;
+TEST(DelegationTable, RenewalBoundCoversEveryDelegationInEffect) {
+    DelegationTable table;
     auto none = [](const std::string&, double) { ADD_FAILURE(); };
-    ASSERT_TRUE(l.heard("b", 1, 1, 0, none));
-    l.delegate("vm-1", "b");
-    EXPECT_TRUE(l.answer("b", 100).empty());
-    EXPECT_EQ(l.renewed("vm-1", 50), 100);
-    EXPECT_EQ(l.renewed("vm-2", 50), 50);
+    ASSERT_TRUE(table.accept_message("b", 1, 1, 0, none));
+    table.delegate("vm-1", "b");
+    EXPECT_TRUE(table.extend("b", 100).empty());
+    EXPECT_EQ(table.renewal_bound("vm-1", 50), 100);
+    EXPECT_EQ(table.renewal_bound("vm-2", 50), 50);
     // Recalled: it may still be answered under the last grant, not under a later one, since each answer that
     // carries a later one names it until one was taken in.
-    EXPECT_EQ(l.revoke("vm-1"), 100);
-    EXPECT_EQ(l.revoke("vm-1"), std::nullopt);
-    EXPECT_FALSE(l.delegated_to("vm-1", "b"));
-    EXPECT_FALSE(l.heard("b", 1, 1, 1, none)) << "a message that came late";
-    ASSERT_TRUE(l.heard("b", 1, 2, 1, none));
-    EXPECT_EQ(l.answer("b", 105), std::vector<std::string>{"vm-1"});
-    ASSERT_TRUE(l.heard("b", 1, 3, 1, none)) << "the answer to the second was lost";
-    EXPECT_EQ(l.answer("b", 106), std::vector<std::string>{"vm-1"});
-    ASSERT_TRUE(l.heard("b", 1, 4, 3, none));
-    EXPECT_TRUE(l.answer("b", 107).empty());
+    EXPECT_EQ(table.revoke("vm-1"), 100);
+    EXPECT_EQ(table.revoke("vm-1"), std::nullopt);
+    EXPECT_FALSE(table.delegated_to("vm-1", "b"));
+    EXPECT_FALSE(table.accept_message("b", 1, 1, 1, none)) << "a message that came late";
+    ASSERT_TRUE(table.accept_message("b", 1, 2, 1, none));
+    EXPECT_EQ(table.extend("b", 105), std::vector<std::string>{"vm-1"});
+    ASSERT_TRUE(table.accept_message("b", 1, 3, 1, none)) << "the answer to the second was lost";
+    EXPECT_EQ(table.extend("b", 106), std::vector<std::string>{"vm-1"});
+    ASSERT_TRUE(table.accept_message("b", 1, 4, 3, none));
+    EXPECT_TRUE(table.extend("b", 107).empty());
     // A relay that was started anew: its machines come back, with the bound of its last grant.
-    l.delegate("vm-3", "b");
+    table.delegate("vm-3", "b");
     std::vector<std::pair<std::string, double>> back;
-    ASSERT_TRUE(l.heard("b", 2, 1, 0, [&](auto& id, double until) { back.emplace_back(id, until); }));
+    ASSERT_TRUE(
+        table.accept_message("b", 2, 1, 0, [&](auto& id, double until) { back.emplace_back(id, until); }));
     EXPECT_EQ(back, (std::vector<std::pair<std::string, double>>{{"vm-3", 107}}));
-    EXPECT_EQ(l.count("b"), 0u);
+    EXPECT_EQ(table.count("b"), 0u);
     // A machine that turns from one relay to another is recalled from the first.
-    l.delegate("vm-4", "b");
-    ASSERT_TRUE(l.heard("c", 1, 1, 0, none));
-    l.delegate("vm-4", "c");
-    EXPECT_EQ(l.answer("b", 108), std::vector<std::string>{"vm-4"});
-    EXPECT_EQ(l.count("b"), 0u);
-    EXPECT_EQ(l.count("c"), 1u);
-    EXPECT_EQ(l.least(100, 5), "b");
-    EXPECT_EQ(l.least(200, 5), std::nullopt) << "no grant any more";
+    table.delegate("vm-4", "b");
+    ASSERT_TRUE(table.accept_message("c", 1, 1, 0, none));
+    table.delegate("vm-4", "c");
+    EXPECT_EQ(table.extend("b", 108), std::vector<std::string>{"vm-4"});
+    EXPECT_EQ(table.count("b"), 0u);
+    EXPECT_EQ(table.count("c"), 1u);
+    EXPECT_EQ(table.least_loaded(100, 5), "b");
+    EXPECT_EQ(table.least_loaded(200, 5), std::nullopt) << "no grant any more";
 }
 
 // Keeps what was sent to the leader; the test answers, late or not at all.
@@ -132,16 +133,16 @@
         sent.push_back({protocol::unpack_peer<protocol::PeerRelay>(r.body).value(), std::move(result)});
     }
 };
-struct Bench {
+struct RelayFixture {
     FakeTimers timers;
     Network net;
     config::Settings settings;
-    Leadership lead{"10.0.0.1:1", 5};
-    HeartbeatRelay relay_label;
+    LeaderEndpoint leader{"10.0.0.1:1", 5};
+    HeartbeatRelay relay;
     std::vector<int> statuses;
 
-    Bench() : settings(make()), relay_label(timers, net, settings, 1, [this] { return lead; }) {
-        relay_label.start();
+    RelayFixture() : settings(make()), relay(timers, net, settings, 1, [this] { return leader; }) {
+        relay.start();
     }
     static config::Settings make() {
         config::Settings s;
@@ -154,7 +155,7 @@
     // A worker's report; true if it was taken. Its answer's status, once there is one, goes to `statuses`.
     bool offer(std::string body) {
         http::Reply reply = [this](http::Response r) { statuses.push_back(r.status); };
-        return relay_label.offer(body, reply);
+        return relay.try_accept(body, reply);
     }
     void run(double seconds) { timers.run_until(timers.now() + seconds); }
     // Answers the oldest message: all its reports with 200.
@@ -171,7 +172,7 @@
         s.result(std::nullopt);
     }
 };
-protocol::PeerRelayAnswer grant(std::uint64_t ms, std::vector<std::string> recalled = {}) {
+protocol::PeerRelayAnswer extension(std::uint64_t ms, std::vector<std::string> recalled = {}) {
     protocol::PeerRelayAnswer a;
     a.ready = true;
     a.grant_ms = ms;
@@ -179,17 +180,17 @@
     return a;
 }
 
-TEST(HeartbeatRelay, AnswersRepetitionsItselfWhileItsGrantLasts) {
-    Bench b;
+TEST(HeartbeatRelay, AnswersRepeatedHeartbeatsWhileDelegationLasts) {
+    RelayFixture b;
     b.run(0.2);
-    b.answer(grant(6000));  // the first message, without reports
+    b.answer(extension(6000));  // the first message, without reports
     EXPECT_TRUE(b.offer(report("vm-1", 1)));
     EXPECT_TRUE(b.statuses.empty()) << "only the leader knows an answer";
     while (b.net.sent.empty() && b.timers.now() < 1) b.run(0.01);
     ASSERT_EQ(b.net.sent.size(), 1u);
     double sent = b.timers.now();
     b.run(0.3);
-    b.answer(grant(6000));
+    b.answer(extension(6000));
     EXPECT_EQ(b.statuses, std::vector<int>{200});
     b.run(1);
     EXPECT_TRUE(b.offer(report("vm-1", 2)));
@@ -203,28 +204,28 @@
     EXPECT_EQ(b.statuses.size(), before) << "the grant is over";
 }
 
-TEST(HeartbeatRelay, TakesRecallsAndLaterLeadershipsToHeart) {
+TEST(HeartbeatRelay, StopsAnsweringAfterRevocationOrNewLeadership) {
     struct Case {
         const char* what;
-        std::function<void(Bench&)> then;
+        std::function<void(RelayFixture&)> then;
         bool answers;
     };
     const Case cases[] = {
-        {"nothing", [](Bench& b) { b.answer(grant(6000)); }, true},
-        {"recalled", [](Bench& b) { b.answer(grant(6000, {"vm-1"})); }, false},
-        {"another machine recalled", [](Bench& b) { b.answer(grant(6000, {"vm-2"})); }, true},
-        {"a grant of nothing", [](Bench& b) { b.answer(grant(0)); }, false},
-        {"another leadership", [](Bench& b) { b.lead.version = 6; }, false},
-        {"the same controller leads no more", [](Bench& b) { b.lead = {}; }, false},
-        {"no answer, the grant before still lasts", [](Bench& b) { b.lose(); }, false},
+        {"nothing", [](RelayFixture& b) { b.answer(extension(6000)); }, true},
+        {"recalled", [](RelayFixture& b) { b.answer(extension(6000, {"vm-1"})); }, false},
+        {"another machine recalled", [](RelayFixture& b) { b.answer(extension(6000, {"vm-2"})); }, true},
+        {"a grant of nothing", [](RelayFixture& b) { b.answer(extension(0)); }, false},
+        {"another leadership", [](RelayFixture& b) { b.leader.version = 6; }, false},
+        {"the same controller leads no more", [](RelayFixture& b) { b.leader = {}; }, false},
+        {"no answer, the grant before still lasts", [](RelayFixture& b) { b.lose(); }, false},
     };
     for (auto& c : cases) {
-        Bench b;
+        RelayFixture b;
         b.run(0.2);
-        b.answer(grant(6000));
+        b.answer(extension(6000));
         b.offer(report("vm-1", 1));
         b.run(0.2);
-        b.answer(grant(6000));
+        b.answer(extension(6000));
         ASSERT_EQ(b.statuses.size(), 1u);
         b.run(0.65);  // the next message goes without a report, to fetch revocations
         ASSERT_EQ(b.net.sent.size(), 1u) << c.what;
@@ -236,30 +237,30 @@
 
 // Every report refused is counted by its reason, and the log tells so once in a while, however many there
 // are.
-TEST(HeartbeatRejections, AreCountedAndToldOnceInAWhile) {
+TEST(HeartbeatRejections, AreCountedAndLoggedAtALimitedRate) {
     spdlog::set_level(spdlog::level::off);
     FakeTimers timers;
-    HeartbeatRejections r(timers, 10);
-    r.note(HeartbeatRejection::late);
-    EXPECT_EQ(r.lines(), 1u);
-    for (int k = 0; k < 3; ++k) r.note(HeartbeatRejection::late);
-    r.note(HeartbeatRejection::sockets);
-    EXPECT_EQ(r.lines(), 1u);
-    EXPECT_EQ(r.since_logged(), "3 late, 1 sockets");
+    HeartbeatRejections rejections(timers, 10);
+    rejections.record(HeartbeatRejection::queue_timeout);
+    EXPECT_EQ(rejections.log_lines(), 1u);
+    for (int k = 0; k < 3; ++k) rejections.record(HeartbeatRejection::queue_timeout);
+    rejections.record(HeartbeatRejection::socket_limit);
+    EXPECT_EQ(rejections.log_lines(), 1u);
+    EXPECT_EQ(rejections.summary(), "3 late, 1 sockets");
     timers.run_until(10);
-    r.note(HeartbeatRejection::older);
-    EXPECT_EQ(r.lines(), 2u);
-    EXPECT_EQ(r.since_logged(), "");
-    EXPECT_EQ(r.count(HeartbeatRejection::late), 4u);
-    EXPECT_EQ(r.count(HeartbeatRejection::older), 1u);
-    EXPECT_EQ(r.count(HeartbeatRejection::no_lease), 0u);
+    rejections.record(HeartbeatRejection::outdated);
+    EXPECT_EQ(rejections.log_lines(), 2u);
+    EXPECT_EQ(rejections.summary(), "");
+    EXPECT_EQ(rejections.count(HeartbeatRejection::queue_timeout), 4u);
+    EXPECT_EQ(rejections.count(HeartbeatRejection::outdated), 1u);
+    EXPECT_EQ(rejections.count(HeartbeatRejection::lease_lost), 0u);
 }
 // While the first message has no answer two reports wait: for too long, or until it turns out that it is
 // lost.
-TEST(HeartbeatRejections, OfARelayNameTheirReason) {
+TEST(HeartbeatRelay, CountsRejectionsByReason) {
     for (auto [seconds, why] :
-         {std::pair(0.0, HeartbeatRejection::no_leader), {4.0, HeartbeatRejection::late}}) {
-        Bench b;
+         {std::pair(0.0, HeartbeatRejection::no_leader), {4.0, HeartbeatRejection::queue_timeout}}) {
+        RelayFixture b;
         b.settings.op.hearing = false;  // nothing is held for the next leader
         ASSERT_TRUE(b.offer("{}"));
         b.run(0.5);
@@ -268,51 +269,55 @@
         b.run(seconds);
         b.lose();
         EXPECT_EQ(b.statuses, (std::vector{503, 503}));
-        EXPECT_EQ(b.relay_label.refusals().count(why), 2u);
+        EXPECT_EQ(b.relay.rejections().count(why), 2u);
     }
 }
 
 // While nobody leads, or the leader does not answer, workers are kept waiting: refused, a whole fleet calls
 // each second.
-TEST(HeartbeatRelay, HoldsReportsOverATakeoverAndNoLonger) {
+TEST(HeartbeatRelay, KeepsHeartbeatsWaitingDuringAFailoverAndNoLonger) {
     struct Case {
         const char* what;
-        std::function<void(Bench&)> then;
+        std::function<void(RelayFixture&)> then;
         double offered_after;  // of the interruption
         bool taken;
         std::vector<int> statuses;  // 4.6 s after the interruption, of the report before it and the one after
     };
     const Case cases[] = {
         {"no answer, the next message gets through",
-         [](Bench& b) {
+         [](RelayFixture& b) {
              b.run(1.6);
              ASSERT_FALSE(b.net.sent.empty());
-             b.answer(grant(6000));
+             b.answer(extension(6000));
          },
          0.1,
          true,
          {200, 200}},
         {"no leader, then another",
-         [](Bench& b) {
-             b.lead = {};
+         [](RelayFixture& b) {
+             b.leader = {};
              b.run(1);
-             b.lead = {"10.0.0.2:1", 9};
+             b.leader = {"10.0.0.2:1", 9};
              b.run(0.6);
              ASSERT_FALSE(b.net.sent.empty());
              EXPECT_EQ(b.net.sent.front().message.leader_version, 9u);
-             b.answer(grant(6000));
+             b.answer(extension(6000));
          },
          0.1,
          true,
          {200, 200}},
-        {"no leader: not for longer than workers wait", [](Bench& b) { b.lead = {}; }, 0.1, true, {503, 503}},
-        {"a takeover takes no longer than this", [](Bench& b) { b.lead = {}; }, 4.55, false, {503}},
+        {"no leader: not for longer than workers wait",
+         [](RelayFixture& b) { b.leader = {}; },
+         0.1,
+         true,
+         {503, 503}},
+        {"a takeover takes no longer than this", [](RelayFixture& b) { b.leader = {}; }, 4.55, false, {503}},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.what);
-        Bench b;
+        RelayFixture b;
         b.run(0.2);
-        b.answer(grant(6000));
+        b.answer(extension(6000));
         b.offer(report("vm-1", 1));
         b.run(0.2);
         b.lose();
@@ -333,7 +338,7 @@
 }
 // A controller that gets more reports than it can read answers as many workers as it can read reports: what
 // it answers must still find its worker waiting.
-TEST(HeartbeatQueue, AnswersInTimeHoweverFarItIsBehind) {
+TEST(HeartbeatQueue, AnswersInTimeWhenOverloaded) {
     struct Case {
         double per_s, read_per_s;  // reports that come, and that can be read
         double way_s;              // from a worker to the queue and back
@@ -341,8 +346,8 @@
     const Case cases[] = {{50, 100, 0.1}, {150, 100, 0.1}, {300, 100, 0.5}, {2000, 100, 1}, {300, 100, 1.2}};
     for (auto& c : cases) {
         FakeTimers timers;
-        HeartbeatRejections refusals(timers, 60);
-        HeartbeatQueue queue(refusals);
+        HeartbeatRejections rejections(timers, 60);
+        HeartbeatQueue queue(rejections);
         std::size_t answered = 0, refused = 0, in_time = 0;
         double come = 0, read = 0;
         for (double t = 0; t < 60; t += 0.002) {
@@ -350,25 +355,25 @@
                 queue.push(
                     {"", [&, t](http::Response r) { (r.status == 200 ? answered : refused) += t >= 0; }, t});
             for (read += c.read_per_s * 0.002; read >= 1; --read)
-                if (auto r = queue.next(t)) {
+                if (auto r = queue.pop(t)) {
                     r->reply({200, ""});
-                    in_time += t + c.way_s - r->since < protocol::heartbeat_timeout_s;
+                    in_time += t + c.way_s - r->received_at < protocol::heartbeat_timeout_s;
                 }
             read = std::min(read, 1.0);
         }
         double most = std::min(c.per_s, c.read_per_s) * 60;
         EXPECT_EQ(answered, in_time) << c.per_s;
         EXPECT_GT(static_cast<double>(in_time), most * 0.9) << c.per_s;
-        EXPECT_EQ(refused, queue.refused());
-        EXPECT_EQ(refused, refusals.count(HeartbeatRejection::late));
+        EXPECT_EQ(refused, queue.rejected());
+        EXPECT_EQ(refused, rejections.count(HeartbeatRejection::queue_timeout));
         EXPECT_EQ(refused > 0, c.per_s > c.read_per_s) << c.per_s;
     }
 }
 // What is handed on keeps the time at which it was read.
-TEST(HeartbeatQueue, ARefusalMayBringTheNextReport) {
+TEST(HeartbeatQueue, AcceptsAPushDuringARejection) {
     FakeTimers timers;
-    HeartbeatRejections refusals(timers, 60);
-    HeartbeatQueue queue(refusals);
+    HeartbeatRejections rejections(timers, 60);
+    HeartbeatQueue queue(rejections);
     int statuses = 0;
     queue.push({"a",
                 [&](http::Response r) {
@@ -376,35 +381,35 @@
                     queue.push({"b", [](http::Response) {}, 100});
                 },
                 0});
-    auto next = queue.next(100);
+    auto next = queue.pop(100);
     ASSERT_TRUE(next);
     EXPECT_EQ(next->body, "b");
     EXPECT_EQ(statuses, 503);
     EXPECT_TRUE(queue.empty());
     queue.push({"c", [](http::Response) {}, 7});
-    auto rest = queue.take();
+    auto rest = queue.take_all();
     ASSERT_EQ(rest.size(), 1u);
-    EXPECT_EQ(rest.front().since, 7);
+    EXPECT_EQ(rest.front().received_at, 7);
     EXPECT_TRUE(queue.empty());
 }
 
 // One controller of three is down and another leads, so this one hears nine tenths of the fleet; half of the
 // reports have news, 0.43 a machine and second, as in a failover at the target's peak. The leader takes 20 ms
 // for each message.
-TEST(HeartbeatRelay, PassesOnWhatTheOnlyHearerOf8000MachinesHears) {
+TEST(HeartbeatRelay, ForwardsTheHeartbeatsOf8000MachinesAsTheOnlyRelay) {
     for (int machines : {4000, 8000}) {
         SCOPED_TRACE(machines);
-        Bench b;
+        RelayFixture b;
         b.settings.report_s = 3;
         b.run(0.2);
-        b.answer(grant(3000));
+        b.answer(extension(3000));
         constexpr double step_s = 0.02;
         double due = 0, per_step = machines * 0.9 * 0.43 / 2 * step_s;
         int sequence = 0;
         for (double t = 0; t < 10; t += step_s) {
             for (due += per_step; due >= 1; --due) b.offer(report("vm-1", ++sequence, task));
             b.run(step_s);
-            if (!b.net.sent.empty()) b.answer(grant(3000), false);
+            if (!b.net.sent.empty()) b.answer(extension(3000), false);
         }
         EXPECT_EQ(std::count(b.statuses.begin(), b.statuses.end(), 503), 0);
         EXPECT_GT(static_cast<double>(b.statuses.size()), machines * 0.9 * 0.43 / 2 * 9);
@@ -412,11 +417,11 @@
 }
 
 // A leader that is not ready yet is not asked again and again, however much waits.
-TEST(HeartbeatRelay, AsksALeaderThatIsNotReadyAtItsPace) {
-    Bench b;
+TEST(HeartbeatRelay, RetriesALeaderThatIsNotReadyAtALimitedRate) {
+    RelayFixture b;
     b.settings.report_s = 3;
     b.run(0.2);
-    b.answer(grant(3000));
+    b.answer(extension(3000));
     for (int k = 1; k <= 1000; ++k) b.offer(report("vm-1", k, task));
     int messages = 0;
     for (double t = 0; t < 1.5; t += 0.01) {
@@ -429,25 +434,25 @@
 }
 
 // What waits when this controller comes to lead itself is its own to answer.
-TEST(HeartbeatRelay, HandsOverWhatWaits) {
-    Bench b;
+TEST(HeartbeatRelay, HandsOverPendingHeartbeats) {
+    RelayFixture b;
     b.run(0.2);
-    b.answer(grant(6000));
+    b.answer(extension(6000));
     b.offer(report("vm-1", 1));
     b.run(0.2);
     b.lose();
-    b.lead = {};
+    b.leader = {};
     b.run(0.5);
-    auto waiting = b.relay_label.take_waiting();
+    auto waiting = b.relay.take_pending();
     ASSERT_EQ(waiting.size(), 1u);
-    EXPECT_LT(waiting.front().since, b.timers.now() - 0.6) << "its worker has waited since then";
+    EXPECT_LT(waiting.front().received_at, b.timers.now() - 0.6) << "its worker has waited since then";
     b.run(5);
     EXPECT_TRUE(b.statuses.empty());
 }
 
 // Whatever the settings: a task of a job that was cancelled right after the leader was last complete is gone
 // in time, if a report that came at the last moment was answered and no command ever arrives.
-TEST(Renewal, LeavesEachCancellationItsTime) {
+TEST(WorkerLease, RenewalEndsEarlyEnoughForEveryCancellation) {
     struct Case {
         double report_s, lease_s, cancel_s;
         bool some;  // whether anything is left after the authority's end
@@ -463,9 +468,9 @@
         double ttl = s.lease_s * s.op.lease_ratio, slow = 1 + 0.0005;
         double complete_at = 100, last = lease_renewal_deadline(s, ttl, complete_at, 1e9);
         EXPECT_LT((last - complete_at) * slow + s.lease_s * slow, s.cancel_s) << c.cancel_s;
-        EXPECT_EQ(keep_alive_s(s, ttl) > 0, c.some) << c.cancel_s;
+        EXPECT_EQ(renewal_grace_s(s, ttl) > 0, c.some) << c.cancel_s;
         // A successor counts on no more than the predecessor does, however complete that is.
-        EXPECT_LE(lease_renewal_deadline(s, ttl, 1e9, 50), 50 + keep_alive_s(s, ttl));
+        EXPECT_LE(lease_renewal_deadline(s, ttl, 1e9, 50), 50 + renewal_grace_s(s, ttl));
         // What was not complete for so long renews nothing, though its authority goes on.
         EXPECT_LE(last, complete_at + s.cancel_s - s.lease_s);
     }
