--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -1,4 +1,4 @@
-// To whom confirmed cancellations are told, how often and for how long, on an injected clock.
+// To whom confirmed cancellations are sent, how often and for how long, on an injected clock.
 #include "relay/cancellation_notices.hpp"
 
 #include <gtest/gtest.h>
@@ -15,18 +15,18 @@
     FakeTimers& timers;
     std::map<std::string, std::uint64_t> leads;  // by address, its leadership
     std::set<std::string> cut;
-    std::map<std::string, std::vector<std::vector<std::string>>> heard;  // by address, the jobs of each
+    std::map<std::string, std::vector<std::vector<std::string>>> received;  // by address, the jobs of each
     void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
         if (cut.contains(addr)) return void(timers.after(timeout, [result] { result({}); }));
         auto m = protocol::unpack_peer<protocol::PeerCancelledAgain>(r.body).value();
         std::vector<std::string> ids{m.id};
         for (auto& more : m.more) ids.push_back(more.id);
-        heard[addr].push_back(ids);
+        received[addr].push_back(ids);
         auto body = protocol::pack_peer(protocol::PeerCancelledAnswer{leads[addr]});
         timers.after(0.01, [result, body] { result(http::Response{200, body}); });
     }
 };
-struct RelayFixture {
+struct NoticesFixture {
     FakeTimers timers;
     Peers peers{timers};
     config::Settings settings = [] {
@@ -42,64 +42,64 @@
 };
 
 TEST(CancellationNotices, AreSentToAllOnceIfTheLeaderAcknowledges) {
-    RelayFixture b;
-    b.peers.leads["one"] = 5;
-    b.notices.announce("j-1", 9, 0);
-    b.timers.run_until(60);
-    EXPECT_EQ(b.peers.heard["one"].size(), 1u);
-    EXPECT_EQ(b.peers.heard["two"].size(), 1u);
-    EXPECT_EQ(b.notices.pending(), 0u);
+    NoticesFixture fixture;
+    fixture.peers.leads["one"] = 5;
+    fixture.notices.announce("j-1", 9, 0);
+    fixture.timers.run_until(60);
+    EXPECT_EQ(fixture.peers.received["one"].size(), 1u);
+    EXPECT_EQ(fixture.peers.received["two"].size(), 1u);
+    EXPECT_EQ(fixture.notices.pending(), 0u);
 }
 TEST(CancellationNotices, AreResentUntilTheLeaderOfTheNewestLeadershipAcknowledges) {
-    RelayFixture b;
-    b.peers.leads["one"] = 5;
-    b.peers.cut = {"one"};
-    b.notices.announce("j-1", 9, 0);
-    b.notices.announce("j-2", 10, 0);
-    b.timers.run_until(4);
-    EXPECT_TRUE(b.peers.heard["one"].empty());
-    b.peers.cut.clear();
-    b.timers.run_until(5);
-    ASSERT_EQ(b.peers.heard["one"].size(), 1u);
-    EXPECT_EQ(b.peers.heard["one"][0], (std::vector<std::string>{"j-1", "j-2"}));
-    b.timers.run_until(20);
-    EXPECT_EQ(b.peers.heard["one"].size(), 1u);
-    b.leadership = 8;  // that of the other one, which does not say so yet: it is loading
-    b.peers.leads["one"] = 0;
-    b.timers.run_until(23);
-    auto told = b.peers.heard["two"].size();
-    EXPECT_GT(told, 3u);
-    b.peers.leads["two"] = 8;
-    b.timers.run_until(40);
-    EXPECT_LE(b.peers.heard["two"].size(), told + 1);
+    NoticesFixture fixture;
+    fixture.peers.leads["one"] = 5;
+    fixture.peers.cut = {"one"};
+    fixture.notices.announce("j-1", 9, 0);
+    fixture.notices.announce("j-2", 10, 0);
+    fixture.timers.run_until(4);
+    EXPECT_TRUE(fixture.peers.received["one"].empty());
+    fixture.peers.cut.clear();
+    fixture.timers.run_until(5);
+    ASSERT_EQ(fixture.peers.received["one"].size(), 1u);
+    EXPECT_EQ(fixture.peers.received["one"][0], (std::vector<std::string>{"j-1", "j-2"}));
+    fixture.timers.run_until(20);
+    EXPECT_EQ(fixture.peers.received["one"].size(), 1u);
+    fixture.leadership = 8;  // that of the other one, which does not say so yet: it is loading
+    fixture.peers.leads["one"] = 0;
+    fixture.timers.run_until(23);
+    auto messages = fixture.peers.received["two"].size();
+    EXPECT_GT(messages, 3u);
+    fixture.peers.leads["two"] = 8;
+    fixture.timers.run_until(40);
+    EXPECT_LE(fixture.peers.received["two"].size(), messages + 1);
 }
 TEST(CancellationNotices, AreResentAfterAnAcknowledgementOfAnOlderLeadership) {
-    RelayFixture b;
-    b.peers.leads["one"] = 4;
-    b.notices.announce("j-1", 9, 4);
-    b.timers.run_until(10);
-    EXPECT_GT(b.peers.heard["two"].size(), 5u);
+    NoticesFixture fixture;
+    fixture.peers.leads["one"] = 4;
+    fixture.notices.announce("j-1", 9, 4);
+    fixture.timers.run_until(10);
+    EXPECT_GT(fixture.peers.received["two"].size(), 5u);
 }
 TEST(CancellationNotices, ExpireAfterCancelSeconds) {
-    RelayFixture b;
-    b.notices.announce("j-1", 9, 0);
-    b.timers.run_until(46);
-    EXPECT_EQ(b.notices.pending(), 0u);
-    auto told = b.peers.heard["two"].size();
-    EXPECT_LE(told, 1 + static_cast<std::size_t>(44 / 0.75));
-    b.timers.run_until(200);
-    EXPECT_EQ(b.peers.heard["two"].size(), told);
+    NoticesFixture fixture;
+    fixture.notices.announce("j-1", 9, 0);
+    fixture.timers.run_until(46);
+    EXPECT_EQ(fixture.notices.pending(), 0u);
+    auto messages = fixture.peers.received["two"].size();
+    EXPECT_LE(messages, 1 + static_cast<std::size_t>(44 / 0.75));
+    fixture.timers.run_until(200);
+    EXPECT_EQ(fixture.peers.received["two"].size(), messages);
 }
 TEST(CancellationNotices, BoundTheirNumberAndTheMessageSize) {
-    RelayFixture b;
-    for (int k = 0; k < 1000; ++k) b.notices.announce("j-" + std::to_string(k), 9, 0);
-    EXPECT_EQ(b.notices.pending(), 20u);
-    b.settings.memory_mb = 1000;
-    for (int k = 0; k < 1000; ++k) b.notices.announce("j-" + std::to_string(k), 9, 0);
-    b.peers.heard.clear();
-    b.timers.run_until(1);
-    ASSERT_EQ(b.peers.heard["one"].size(), 1u);
-    EXPECT_EQ(b.peers.heard["one"][0].size(), 256u);
+    NoticesFixture fixture;
+    for (int k = 0; k < 1000; ++k) fixture.notices.announce("j-" + std::to_string(k), 9, 0);
+    EXPECT_EQ(fixture.notices.pending(), 20u);
+    fixture.settings.memory_mb = 1000;
+    for (int k = 0; k < 1000; ++k) fixture.notices.announce("j-" + std::to_string(k), 9, 0);
+    fixture.peers.received.clear();
+    fixture.timers.run_until(1);
+    ASSERT_EQ(fixture.peers.received["one"].size(), 1u);
+    EXPECT_EQ(fixture.peers.received["one"][0].size(), 256u);
 }
 TEST(CancellationNotices, AreCompatibleWithThePreviousVersion) {
     // The layout of the version before: id and version only, and an empty answer.
--- /dev/null
+++ b/tests/relay/worker_lease_test.cpp
@@ -0,0 +1,36 @@
+// Until when worker leases may be renewed.
+#include "relay/worker_lease.hpp"
+
+#include <gtest/gtest.h>
+
+namespace coralhitch::relay {
+namespace {
+
+// Whatever the settings: a task of a job that was cancelled right after the leader was last complete is gone
+// in time, if a report that came at the last moment was answered and no command ever arrives.
+TEST(WorkerLease, RenewalEndsEarlyEnoughForEveryCancellation) {
+    struct Case {
+        double report_s, lease_s, cancel_s;
+        bool some;  // whether anything is left after the authority's end
+    };
+    const Case cases[] = {{3, 24, 44, true},      {3, 31, 61, true},  {6, 31, 51, true},
+                          {3, 24, 27, false},     {3, 24, 29, false}, {6, 31, 37, false},
+                          {0.5, 600, 601, false}, {10, 24, 300, true}};
+    for (auto& c : cases) {
+        config::Settings s;
+        s.report_s = c.report_s;
+        s.lease_s = c.lease_s;
+        s.cancel_s = c.cancel_s;
+        double ttl = s.lease_s * s.op.lease_ratio, slow = 1 + 0.0005;
+        double complete_at = 100, last = lease_renewal_deadline(s, ttl, complete_at, 1e9);
+        EXPECT_LT((last - complete_at) * slow + s.lease_s * slow, s.cancel_s) << c.cancel_s;
+        EXPECT_EQ(renewal_grace_s(s, ttl) > 0, c.some) << c.cancel_s;
+        // A successor counts on no more than the predecessor does, however complete that is.
+        EXPECT_LE(lease_renewal_deadline(s, ttl, 1e9, 50), 50 + renewal_grace_s(s, ttl));
+        // What was not complete for so long renews nothing, though its authority goes on.
+        EXPECT_LE(last, complete_at + s.cancel_s - s.lease_s);
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::relay
