--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -84,7 +84,7 @@
         [this] { return resign_leadership(); },
         incarnation_,
         {},
-        follower_.copy(),
+        follower_.replica(),
         [this](const std::string& label) -> const protocol::PeerPing* {
             auto it = peers_.find(label);
             return it != peers_.end() && fresh(it->second) ? &it->second.last : nullptr;
@@ -145,7 +145,7 @@
     return false;
 }
 std::uint64_t Controller::followed() const {
-    return follower_.copy().whole ? follower_.copy().version : 0;
+    return follower_.replica().complete ? follower_.replica().leader_version : 0;
 }
 bool Controller::resign_leadership() {
     if (last_resigned_ >= 0 && timers_.now() - last_resigned_ < settings_.lease_s * resign_leases)
@@ -353,10 +353,13 @@
     metrics_.gauge("cancellations_told", static_cast<double>(cancellations_.pending()));
     metrics_.gauge("cancellations_repeated", static_cast<double>(cancellations_.resent()));
     metrics_.gauge("reports_dropped", static_cast<double>(relay_.timed_out() + reports_.rejected()));
-    metrics_.gauge("standby_rows", static_cast<double>(follower_.copy().rows.size()));
-    metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->replication().members()) : 0);
-    metrics_.gauge("standby_pieces", leader_ ? static_cast<double>(leader_->replication().pieces()) : 0);
-    metrics_.gauge("standby_dropped", leader_ ? static_cast<double>(leader_->replication().dropped()) : 0);
+    metrics_.gauge("standby_rows", static_cast<double>(follower_.replica().machines.size()));
+    metrics_.gauge("standby_members",
+                   leader_ ? static_cast<double>(leader_->replication().in_sync_count()) : 0);
+    metrics_.gauge("standby_pieces",
+                   leader_ ? static_cast<double>(leader_->replication().batches_sent()) : 0);
+    metrics_.gauge("standby_dropped",
+                   leader_ ? static_cast<double>(leader_->replication().in_sync_sessions_ended()) : 0);
     if (leader_)
         for (auto& [step, after] : leader_->steps().all())
             metrics_.gauge("takeover: " + std::string(step), after);
@@ -486,7 +489,7 @@
     if (relay_.try_accept(body, reply)) return;
     auto* peer = leading_peer();
     relay_.rejections().record(peer ? relay::HeartbeatRejection::redirected
-                                : relay::HeartbeatRejection::no_leader);
+                                    : relay::HeartbeatRejection::no_leader);
     reply({421, protocol::heartbeat_redirect(peer ? peer->label : "")});
 }
 // The leader, if its version takes reports from others.
@@ -555,7 +558,7 @@
     } else if (r.target == protocol::peer_fleet_path) {
         // With its own standby switched off it has no part in that of others.
         if (auto piece = protocol::unpack_peer<protocol::PeerFleet>(r.body); piece && settings_.op.standby)
-            return reply(packed(protocol::pack_peer(follower_.take(std::move(*piece)))));
+            return reply(packed(protocol::pack_peer(follower_.apply(std::move(*piece)))));
     } else if (r.target == protocol::peer_images_path) {
         if (auto images = protocol::unpack_peer<protocol::PeerImages>(r.body)) {
             remembered_ = std::move(*images);
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -13,7 +13,7 @@
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_relay.hpp"
 #include "relay/heartbeat_tracker.hpp"
-#include "replication/replica_state.hpp"
+#include "replication/follower.hpp"
 
 namespace coralhitch::controller {
 
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -60,11 +60,11 @@
 void RecoveryLoader::read_history() {
     state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::WatchResult w) {
                      if (w.status == kv::WatchResult::Status::failed) return again();
-                     evidence_.history = w.status == kv::WatchResult::Status::ok;
-                     evidence_.since.clear();
+                     evidence_.history_complete = w.status == kv::WatchResult::Status::ok;
+                     evidence_.later_leaders.clear();
                      for (auto& e : w.events.events)
-                         if (e.key == keys::leader && e.value && e.version != evidence_.version)
-                             evidence_.since.push_back({e.version, protocol::keeps_record(*e.value)});
+                         if (e.key == keys::leader && e.value && e.version != evidence_.leader_version)
+                             evidence_.later_leaders.push_back({e.version, protocol::keeps_record(*e.value)});
                      list_all();
                  }));
 }
@@ -82,13 +82,13 @@
     list(keys::jobs, &GetResult::jobs, [this] {
         list(keys::progress, &GetResult::progress, [this] {
             list(keys::machines, &GetResult::machines, [this] {
-                auto wrong = replication::judge(evidence_);
+                auto wrong = replication::evaluate_eligibility(evidence_);
                 found_.inherits = settings_.op.standby && !wrong;
                 found_.record = evidence_.record;
                 steps_.over("all is read", found_.inherits
                                                ? "what the leader before knew is taken over"
                                                : "what the leader before knew is not known, since " +
-                                                     wrong.value_or("there is no standby"));
+                                                     (wrong ? std::string(wrong->failure) : "there is no standby"));
                 done_(std::move(found_));
             });
         });
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -12,7 +12,7 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
-#include "replication/checks.hpp"
+#include "replication/eligibility_checks.hpp"
 
 namespace coralhitch::failover {
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -166,11 +166,11 @@
 
 // The row says all that may be on the machine: see docs/standby.md. It is not used before it has reconciled.
 void Leader::inherit(const std::string& id, Machine& m) {
-    auto it = dependencies_.copy.rows.find(id);
+    auto it = dependencies_.copy.machines.find(id);
     // The leader before told all machines that were stored when it came to lead, and each one before the
     // first `run` to it: of what it never told, or told to be gone, nothing is left.
-    m.known = it == dependencies_.copy.rows.end() || it->second.known;
-    if (it == dependencies_.copy.rows.end() || !m.known) return;
+    m.known = it == dependencies_.copy.machines.end() || it->second.known;
+    if (it == dependencies_.copy.machines.end() || !m.known) return;
     m.agent_epoch = it->second.agent_epoch;
     m.sequence = it->second.sequence;
     for (auto& t : it->second.tasks) {
@@ -202,12 +202,12 @@
         ids = cluster_state_.dirty_machines();
     }
     if (dependencies_.settings.op.standby)
-        for (auto& id : ids) replication_.changed(id);
+        for (auto& id : ids) replication_.machine_changed(id);
 }
 void Leader::release_starts() {
     {
         std::lock_guard lock(mutex_);
-        for (; !held_.empty() && replication_.told(held_.front().mark); held_.pop_front()) {
+        for (; !held_.empty() && replication_.replicated(held_.front().mark); held_.pop_front()) {
             auto* m = cluster_state_.find(held_.front().machine);
             if (!m) continue;
             auto i = m->tasks.find(held_.front().task);
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -79,7 +79,7 @@
     std::map<std::string, double> suspected() const;
     void types_changed();
     void started_anew(const std::string& controller, std::uint64_t incarnation) {
-        replication_.started_anew(controller, incarnation);
+        replication_.follower_restarted(controller, incarnation);
     }
     void cancelled(const std::string& id, std::uint64_t version);
 
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -302,9 +302,9 @@
     replicate_changes();
     // The changes that show the starts of this plan were queued just now.
     if (dependencies_.settings.op.standby)
-        for (auto& [machine, task] : started_now_) held_.push_back({replication_.mark(), machine, task});
+        for (auto& [machine, task] : started_now_) held_.push_back({replication_.log_index(), machine, task});
     started_now_.clear();
-    replication_.hurry();
+    replication_.flush();
     release_starts();
     auto& n = p.out.counts;
     dependencies_.metrics.drawn("tasks", static_cast<double>(n.tasks));
--- /dev/null
+++ b/src/replication/eligibility_checks.hpp
@@ -0,0 +1,38 @@
+// Decides whether a new leader may take its replica for proof of what machines run. Pure functions.
+//
+// docs/standby.md argues each check; `eligibility_checks()` lists them in the order in which they are made.
+#pragma once
+#include <optional>
+#include <span>
+#include <vector>
+
+#include "election/election.hpp"
+#include "protocol/model.hpp"
+#include "replication/replica_state.hpp"
+
+namespace coralhitch::replication {
+
+// What the checks go by. All of it is read after the claim, except `replica` and `chain`.
+struct ReplicaEvidence {
+    std::string label;                              // of this controller
+    std::uint64_t incarnation = 0;                  // of this process
+    std::uint64_t leader_version = 0;               // of the leadership that was claimed
+    std::optional<protocol::StandbyRecord> record;  // the stored record of in-sync replicas
+    election::Election::Chain chain;                // leaderships seen before the claim
+    bool history_complete = false;                  // whether `later_leaders` leaves none out
+    std::vector<election::Election::Link>
+        later_leaders;                      // after `chain` and up to the claim, own one left out
+    const ReplicaState* replica = nullptr;  // not owned
+};
+
+struct EligibilityCheck {
+    const char* failure;  // what is wrong if it fails, for the log
+    bool (*passes)(const ReplicaEvidence&);
+};
+// A check may rely on those before it.
+std::span<const EligibilityCheck> eligibility_checks();
+
+// The first check that fails; null if the replica is proof.
+[[nodiscard]] const EligibilityCheck* evaluate_eligibility(const ReplicaEvidence& evidence);
+
+}  // namespace coralhitch::replication
--- /dev/null
+++ b/src/replication/in_sync_record.cpp
@@ -0,0 +1,99 @@
+#include "replication/in_sync_record.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "kv/keys.hpp"
+
+namespace coralhitch::replication {
+namespace {
+constexpr double retry_periods = 1.0 / 40;  // in report periods
+}  // namespace
+
+InSyncRecord::InSyncRecord(event_loop::Timers& timers, const config::Settings& settings, kv::KvClient& kv,
+                           std::uint64_t leader_version, Callbacks callbacks)
+    : timers_(timers),
+      settings_(settings),
+      kv_(kv),
+      leader_version_(leader_version),
+      callbacks_(std::move(callbacks)) {}
+
+void InSyncRecord::start(std::uint64_t record_version) {
+    started_ = true;
+    record_version_ = record_version;
+}
+
+bool InSyncRecord::may_name(const std::string& label) const {
+    return attempted_.contains(label) || std::any_of(confirmed_.begin(), confirmed_.end(),
+                                                     [&](auto& member) { return member.label == label; });
+}
+
+// One write at a time, each on the version last read, so that an unanswered one that is executed late cannot
+// name a follower that was removed since.
+void InSyncRecord::update() {
+    if (busy_ || !started_) return;
+    auto members = callbacks_.in_sync_members();
+    // Names of an unanswered write count until another write, on the version after it, is confirmed.
+    if (owned_ && members == confirmed_ && attempted_.empty()) return;
+    auto txn = callbacks_.begin_txn();
+    if (!txn) return retry_later();
+    txn->conditions.push_back({kv::keys::standby, record_version_});
+    txn->changes.push_back(
+        {kv::keys::standby, protocol::stored(protocol::StandbyRecord{leader_version_, members}), 0});
+    for (auto& member : members) attempted_.insert(member.label);
+    busy_ = true;
+    // With the priority of lease renewals: no start is sent before it is answered.
+    kv_.txn(std::move(*txn), kv::RequestPriority::lease,
+            guarded_([this, members](kv::TxnResult result) { handle_result(members, result); }));
+}
+
+void InSyncRecord::handle_result(const std::vector<Member>& members, const kv::TxnResult& result) {
+    busy_ = false;
+    if (result.status == kv::TxnResult::Status::committed) {
+        record_version_ = result.revision;
+        owned_ = true;
+        confirmed_ = members;
+        attempted_.clear();
+        update();
+        return callbacks_.on_committed();
+    }
+    if (result.executed_never()) return retry_later();
+    read_back();
+}
+
+void InSyncRecord::retry_later() {
+    if (std::exchange(busy_, true)) return;
+    timers_.after(settings_.report_s * retry_periods, guarded_([this] {
+                      busy_ = false;
+                      update();
+                  }));
+}
+
+// The result of a write is unknown: the stored record tells.
+void InSyncRecord::read_back() {
+    busy_ = true;
+    kv_.get(kv::keys::standby, kv::RequestPriority::lease, guarded_([this](kv::GetResult result) {
+                busy_ = false;
+                if (result.ok) {
+                    record_version_ = result.entry ? result.entry->version : 0;
+                    if (result.entry) handle_read(*result.entry);
+                }
+                retry_later();
+            }));
+}
+
+void InSyncRecord::handle_read(const protocol::Entry& entry) {
+    try {
+        auto record = protocol::parse_standby_record(entry.value);
+        if (record.version != leader_version_) return;
+        owned_ = true;
+        confirmed_ = record.members;
+        callbacks_.on_read_back();
+    } catch (const protocol::Malformed& error) {
+        spdlog::error("component=replication event=record_malformed error=\"{}\"", error.what());
+    }
+}
+
+}  // namespace coralhitch::replication
--- a/src/replication/replica_state.hpp
+++ b/src/replication/replica_state.hpp
@@ -1,7 +1,7 @@
-// What a controller that does not lead knows of the leader's machines, from the leader.
+// The replica of the leader's machines that a controller keeps while it follows.
 //
-// All of it is a hint until `replication::judge` says otherwise: a copy may be old, half received, or of a
-// leadership that others followed.
+// It is a hint until `replication::evaluate_eligibility` accepts it: a replica may be old, incomplete, or of
+// a leadership that others followed.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,24 +12,11 @@
 namespace coralhitch::replication {
 
 struct ReplicaState {
-    std::uint64_t version = 0;  // of the leadership that told it; 0: nothing is known
-    std::uint64_t number = 0;   // of the last piece taken
-    std::uint64_t begun = 0;    // the leadership that began it from nothing
-    bool whole = false;         // the leadership of `version` has told all
-    std::unordered_map<std::string, protocol::PeerMachineRow> rows;  // by machine
-};
-
-class Follower {
-  public:
-    explicit Follower(std::uint64_t incarnation) : incarnation_(incarnation) {}
-    // A piece of an earlier leadership, or one that comes after a later piece, is refused: it was held up on
-    // its way, and what it says may be over. So is one that goes on from another copy than is here.
-    protocol::PeerFleetAnswer take(protocol::PeerFleet piece);
-    const ReplicaState& copy() const { return copy_; }
-
-  private:
-    std::uint64_t incarnation_;
-    ReplicaState copy_;
+    std::uint64_t leader_version = 0;  // of the leadership that sent it; 0: nothing has been received
+    std::uint64_t last_batch = 0;      // number of the last batch applied
+    std::uint64_t base_version = 0;    // the leadership whose snapshot it began from
+    bool complete = false;             // the leadership of `leader_version` has sent all its machines
+    std::unordered_map<std::string, protocol::PeerMachineRow> machines;  // by id
 };
 
 }  // namespace coralhitch::replication
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -3,289 +3,222 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <string_view>
-
-#include "kv/keys.hpp"
+#include <utility>
 
 namespace coralhitch::replication {
-namespace keys = kv::keys;
-using kv::TxnResult;
-
 namespace {
-// Ratios to the report period, unless named otherwise.
-constexpr double gap_reports = 1.0 / 10;      // ends and the like are told together
-constexpr double patience_reports = 1.0 / 5;  // for how long a start waits for one that does not answer
-constexpr double again_share = 1.0 / 4;       // of the patience, after an answer that failed at once
-constexpr double begin_reports = 2;  // and how long one may take that is only beginning: nothing waits for it
-constexpr double least_pause_reports = 1.0 / 2;
-constexpr double write_again_reports = 1.0 / 40;
-// In a piece, so that no turn of the loop gets long. A new leader is so busy that each piece of a copy takes
-// a fifth of a second: in smaller pieces nobody was whole when it was killed a second after it began.
-constexpr std::size_t most_rows = 1024;
+// In report periods.
+constexpr double batch_interval_periods = 1.0 / 10;  // changes that no start waits for are sent together
+constexpr double in_sync_timeout_periods = 1.0 / 5;  // starts wait so long for a follower that fails
+constexpr double snapshot_timeout_periods = 2;       // no start waits for one that is not in sync yet
+constexpr double min_backoff_periods = 1.0 / 2;
+constexpr double retry_timeout_share = 1.0 / 4;  // of the timeout, after an answer that failed at once
+// In a batch, so that processing it does not block the event loop for long. A new leader is so busy that each
+// batch of a snapshot takes a fifth of a second: with smaller batches no follower was in sync when the leader
+// was killed a second after it began.
+constexpr std::size_t max_batch_machines = 1024;
 }  // namespace
 
 ReplicationSender::ReplicationSender(event_loop::Timers& timers, http::Requester& http,
-                                     const config::Settings& settings, kv::KvClient& state,
-                                     std::uint64_t version, Hooks hooks)
+                                     const config::Settings& settings, kv::KvClient& kv,
+                                     std::uint64_t leader_version, Callbacks callbacks)
     : timers_(timers),
       http_(http),
       settings_(settings),
-      state_(state),
-      version_(version),
-      hooks_(std::move(hooks)) {
-    for (auto& p : settings.peers) standbys_[p.label].peer = p;
+      leader_version_(leader_version),
+      callbacks_(std::move(callbacks)),
+      record_(timers, settings, kv, leader_version,
+              {[this] { return in_sync_members(); }, [this] { return callbacks_.begin_txn(); },
+               [this] {
+                   spdlog::info("component=replication event=record_stored in_sync={} peers={}",
+                                record_.confirmed_count(), sessions_.size());
+                   send_all();
+                   callbacks_.on_progress();
+               },
+               [this] { send_all(); }}) {
+    for (auto& peer : settings.peers) sessions_.try_emplace(peer.label, peer);
 }
 ReplicationSender::~ReplicationSender() = default;
 
-double ReplicationSender::patience(const Standby& s) const {
-    return settings_.report_s * (s.whole || counts(s) ? patience_reports : begin_reports);
-}
-
 void ReplicationSender::start(std::uint64_t record_version,
                               const std::optional<protocol::StandbyRecord>& inherited) {
-    started_ = true;
-    record_version_ = record_version;
+    record_.start(record_version);
     if (inherited)
-        for (auto& m : inherited->members) carry(m);
-    // Even if nobody follows: whoever is named in the record of an earlier leader would otherwise take itself
-    // for one that knows all starts.
-    write_record();
+        for (auto& member : inherited->members) resume(member);
+    // Even if nobody follows: whoever is named in the record of an earlier leader would otherwise believe
+    // that it knows all starts.
+    record_.update();
     tick();
 }
 
 void ReplicationSender::tick() {
-    if (!started_) return;
-    for (auto& [label, s] : standbys_) {
-        if (!s.following && timers_.now() >= s.retry_at && can_follow(label)) begin(s);
-        // One that has followed for long is not made to pay for what was before.
-        if (s.whole && timers_.now() - s.joined > settings_.lease_s) s.pause = 0;
+    if (!record_.started()) return;
+    for (auto& [label, session] : sessions_) {
+        if (session.may_retry(timers_.now()) && capable_peer(label, protocol::peer_features_follow))
+            begin_snapshot(session);
+        // A follower that has been in sync for long starts over with the shortest backoff.
+        if (session.in_sync() && timers_.now() - session.in_sync_since() > settings_.lease_s)
+            session.reset_backoff();
     }
-    soon();
+    schedule_send();
 }
 
-bool ReplicationSender::can_follow(const std::string& label) const {
-    auto* p = hooks_.peer(label);
-    return p && p->features >= protocol::peer_features_follow;
+// --- Sessions -------------------------------------------------------------------------------------------
+
+// The last ping of a controller whose software version has these features; null if there is none.
+const protocol::PeerPing* ReplicationSender::capable_peer(const std::string& label,
+                                                          std::uint64_t features) const {
+    auto* ping = callbacks_.last_ping(label);
+    return ping && ping->features >= features ? ping : nullptr;
 }
-// Its copy holds all that may be on the machines, as this leader's own did, and from here on it is told all
-// that changes. So it is named from the first record on: three leaders that were killed a second apart each
-// left nobody informed, since a copy from nothing takes longer.
-void ReplicationSender::carry(const protocol::StandbyRecord::Member& m) {
-    auto it = standbys_.find(m.label);
-    auto* p = hooks_.peer(m.label);
-    if (it == standbys_.end() || !p || p->incarnation != m.incarnation ||
-        p->features < protocol::peer_features_carry)
-        return;
-    auto& s = it->second;
-    s.following = s.whole = s.carried = s.greet = true;
-    s.incarnation = m.incarnation;
-    s.begun = m.begun;
-    s.joined = timers_.now();
-    ++s.round;
+
+void ReplicationSender::begin_snapshot(FollowerSession& session) {
+    session.begin_snapshot(callbacks_.all_machines());
+    send(session);
 }
-// A process that has just begun has nothing to be patient with: it can be whole again long before the one
-// before it would have been waited for.
-void ReplicationSender::started_anew(const std::string& label, std::uint64_t incarnation) {
-    auto it = standbys_.find(label);
-    if (!started_ || it == standbys_.end() || it->second.incarnation == incarnation) return;
-    auto& s = it->second;
-    leave(s, "it was started anew", false);
-    if (!s.following && can_follow(label)) begin(s);
-    s.incarnation = incarnation;
+
+// The follower's replica holds all that may run on the machines, as this leader's own did, and from now on it
+// gets all changes. So it is named from the first record on: when three leaders were killed a second apart,
+// none left an in-sync follower, since a snapshot takes longer.
+void ReplicationSender::resume(const protocol::StandbyRecord::Member& member) {
+    auto it = sessions_.find(member.label);
+    if (it == sessions_.end()) return;
+    auto* ping = capable_peer(member.label, protocol::peer_features_carry);
+    if (ping && ping->incarnation == member.incarnation) it->second.resume(member, timers_.now());
 }
 
-// From here on it is told all that changes. What it holds of an earlier time counts for nothing.
-void ReplicationSender::begin(Standby& s) {
-    s.following = true;
-    s.whole = s.busy = s.carried = s.greet = false;
-    s.begun = 0;
-    s.incarnation = 0;
-    s.told = 0;
-    s.waiting_since = -1;
-    s.queue.clear();
-    s.queued.clear();
-    ++s.round;
-    for (auto& id : hooks_.machines())
-        if (s.queued.insert(id).second) s.queue.emplace_back(1, id);  // none of it counts before all is told
-    send(s);
+// A new process gets its snapshot at once, without backoff: it can be in sync again long before a failing one
+// would be retried.
+void ReplicationSender::follower_restarted(const std::string& label, std::uint64_t incarnation) {
+    auto it = sessions_.find(label);
+    if (!record_.started() || it == sessions_.end() || it->second.incarnation() == incarnation) return;
+    auto& session = it->second;
+    end_session(session, "restarted", Backoff::none);
+    if (!session.active() && capable_peer(label, protocol::peer_features_follow)) begin_snapshot(session);
+    session.set_incarnation(incarnation);
 }
-void ReplicationSender::leave(Standby& s, const char* why, bool at_fault) {
-    if (!s.following) return;
-    spdlog::info("standby: {} does not follow any more: {}", s.peer.label, why);
-    if (s.whole) ++dropped_;
-    s.following = s.whole = s.busy = s.carried = false;
-    ++s.round;
-    if (at_fault)
-        s.pause = std::clamp(s.pause * 2, settings_.report_s * least_pause_reports, settings_.lease_s);
-    s.retry_at = timers_.now() + (at_fault ? s.pause : 0);
-    write_record();
+
+void ReplicationSender::end_session(FollowerSession& session, const char* reason, Backoff backoff) {
+    if (!session.active()) return;
+    spdlog::info("component=replication event=session_ended follower={} reason={}", session.peer().label,
+                 reason);
+    if (session.in_sync()) ++in_sync_sessions_ended_;
+    double delay_s =
+        backoff == Backoff::none
+            ? 0
+            : session.increase_backoff(settings_.report_s * min_backoff_periods, settings_.lease_s);
+    session.end(timers_.now() + delay_s);
+    record_.update();
 }
 
-void ReplicationSender::changed(const std::string& machine) {
-    ++marks_;
-    for (auto& [label, s] : standbys_)
-        if (s.following && s.queued.insert(machine).second) s.queue.emplace_back(marks_, machine);
-    soon();
+std::vector<FollowerSession::Member> ReplicationSender::in_sync_members() const {
+    std::vector<FollowerSession::Member> members;
+    for (auto& [label, session] : sessions_)
+        if (session.in_sync()) members.push_back(session.member());
+    return members;
 }
-void ReplicationSender::soon() {
-    if (std::exchange(armed_, true)) return;
-    timers_.after(settings_.report_s * gap_reports, guarded_([this] {
-                      armed_ = false;
-                      send_all();
-                  }));
+
+// --- Changes --------------------------------------------------------------------------------------------
+
+void ReplicationSender::machine_changed(const std::string& machine) {
+    ++log_index_;
+    for (auto& [label, session] : sessions_) session.enqueue(machine, log_index_);
+    schedule_send();
 }
-void ReplicationSender::hurry() {
-    urgent_ = marks_;
-    send_all();
+
+bool ReplicationSender::replicated(std::uint64_t log_index) const {
+    return record_.owned() && std::all_of(sessions_.begin(), sessions_.end(), [&](auto& entry) {
+               return entry.second.acknowledged() >= log_index || !record_.may_name(entry.first);
+           });
 }
-void ReplicationSender::send_all() {
-    for (auto& [label, s] : standbys_) send(s);
+
+void ReplicationSender::flush() {
+    urgent_index_ = log_index_;
+    send_all();
 }
 
-bool ReplicationSender::counts(const Standby& s) const {
-    return attempted_.contains(s.peer.label) || std::any_of(confirmed_.begin(), confirmed_.end(),
-                                                            [&](auto& m) { return m.label == s.peer.label; });
+void ReplicationSender::schedule_send() {
+    if (std::exchange(send_scheduled_, true)) return;
+    timers_.after(settings_.report_s * batch_interval_periods, guarded_([this] {
+                      send_scheduled_ = false;
+                      send_all();
+                  }));
 }
-bool ReplicationSender::told(std::uint64_t mark) const {
-    return ours_ && std::all_of(standbys_.begin(), standbys_.end(),
-                                [&](auto& s) { return s.second.told >= mark || !counts(s.second); });
+
+// --- Batches --------------------------------------------------------------------------------------------
+
+double ReplicationSender::answer_timeout_s(const FollowerSession& session) const {
+    bool starts_wait = session.in_sync() || record_.may_name(session.peer().label);
+    return settings_.report_s * (starts_wait ? in_sync_timeout_periods : snapshot_timeout_periods);
 }
 
-// One piece at a time. Its rows are as the machines are now, so it also tells what has changed since they
-// were queued.
-void ReplicationSender::send(Standby& s) {
-    // Not before the record is of this leadership: no copy is ever newer than the record.
-    if (!ours_ || !s.following || s.busy || (s.queue.empty() && s.whole && !s.greet)) return;
-    protocol::PeerFleet piece{version_, ++numbers_, {}, s.carried ? s.begun : 0, s.whole};
-    s.greet = false;
-    std::vector<std::string> ids;
-    while (!s.queue.empty() && piece.rows.size() < most_rows) {
-        auto id = std::move(s.queue.front().second);
-        s.queue.pop_front();
-        s.queued.erase(id);
-        if (auto row = hooks_.row(id)) piece.rows.push_back(std::move(*row));
-        ids.push_back(std::move(id));
-    }
-    auto upto = s.queue.empty() ? marks_ : s.queue.front().first - 1;
-    s.busy = true;
-    if (s.waiting_since < 0) s.waiting_since = timers_.now();
-    ++pieces_;
+void ReplicationSender::send_all() {
+    for (auto& [label, session] : sessions_) send(session);
+}
+
+void ReplicationSender::send(FollowerSession& session) {
+    // Not before the record is of this leadership: no replica may be newer than the record.
+    if (!record_.owned() || !session.ready_to_send()) return;
+    protocol::PeerFleet message{leader_version_,
+                                ++batches_sent_,
+                                {},
+                                session.resumed() ? session.base_version() : 0,
+                                session.in_sync()};
+    auto batch = session.next_batch(max_batch_machines, log_index_, timers_.now());
+    for (auto& machine : batch.machines)
+        if (auto row = callbacks_.machine_row(machine)) message.rows.push_back(std::move(*row));
     http_.send(
-        s.peer.addr,
-        {"POST", std::string(protocol::peer_fleet_path), protocol::pack_peer(piece), "application/msgpack"},
-        patience(s), guarded_([this, &s, round = s.round, upto, ids](std::optional<http::Response> r) {
-            answered(s, round, upto, ids, r);
+        session.peer().addr,
+        {"POST", std::string(protocol::peer_fleet_path), protocol::pack_peer(message), "application/msgpack"},
+        answer_timeout_s(session), guarded_([this, &session, batch](std::optional<http::Response> response) {
+            handle_answer(session, batch, response);
         }));
 }
 
-void ReplicationSender::answered(Standby& s, std::uint64_t round, std::uint64_t upto,
-                                 const std::vector<std::string>& ids,
-                                 const std::optional<http::Response>& r) {
-    if (round != s.round) return;
-    s.busy = false;
-    std::optional<protocol::PeerFleetAnswer> a;
-    if (r && r->status == 200) a = protocol::unpack_peer<protocol::PeerFleetAnswer>(r->body);
-    if (a && s.incarnation != 0 && a->incarnation != s.incarnation)
-        return started_anew(s.peer.label, a->incarnation);
-    if (a && !a->taken)
-        return s.carried && a->begun != s.begun ? leave(s, "it has another copy than the record says", false)
-                                                : leave(s, "it knows of a later leader");
-    if (!a) {
-        if (timers_.now() - s.waiting_since >= patience(s)) return leave(s, "it does not answer");
-        // Not taken, as far as is known: told again, before all else. What has changed once more meanwhile
-        // stands further back in the queue, where it would count too late for what it has to tell.
-        s.greet = s.whole;
-        std::unordered_set<std::string_view> again(ids.begin(), ids.end());
-        std::erase_if(s.queue, [&](auto& q) { return again.contains(q.second); });
-        for (auto& id : ids) {
-            s.queued.insert(id);
-            s.queue.emplace_front(s.told + 1, id);
-        }
-        timers_.after(patience(s) * again_share, guarded_([this, &s, round] {
-                          if (round == s.round) send(s);
-                      }));
-        return;
-    }
-    s.incarnation = a->incarnation;
-    s.begun = a->begun ? a->begun : version_;
-    s.waiting_since = -1;
-    s.told = std::max(s.told, upto);
-    if (s.queue.empty() && !s.whole) {
-        s.whole = s.greet = true;
-        s.joined = timers_.now();
-        write_record();
-    }
-    // A start may have come to wait while this piece was under way.
-    if (!s.whole || s.told < urgent_ || s.queue.size() >= most_rows) send(s);
-    if (!s.queue.empty()) soon();
-    hooks_.told();
+void ReplicationSender::handle_answer(FollowerSession& session, const FollowerSession::Batch& batch,
+                                      const std::optional<http::Response>& response) {
+    if (!session.is_current(batch.session)) return;
+    session.batch_finished();
+    std::optional<protocol::PeerFleetAnswer> answer;
+    if (response && response->status == 200)
+        answer = protocol::unpack_peer<protocol::PeerFleetAnswer>(response->body);
+    if (!answer) return handle_no_answer(session, batch);
+    if (session.incarnation() != 0 && answer->incarnation != session.incarnation())
+        return follower_restarted(session.peer().label, answer->incarnation);
+    if (!answer->taken) return handle_rejection(session, *answer);
+    handle_acknowledgement(session, batch, *answer);
+}
+
+void ReplicationSender::handle_no_answer(FollowerSession& session, const FollowerSession::Batch& batch) {
+    double timeout_s = answer_timeout_s(session);
+    if (timers_.now() - session.waiting_since().value_or(timers_.now()) >= timeout_s)
+        return end_session(session, "unreachable", Backoff::increase);
+    session.requeue(batch);
+    timers_.after(timeout_s * retry_timeout_share, guarded_([this, &session, number = batch.session] {
+                      if (session.is_current(number)) send(session);
+                  }));
 }
 
-// --- The record -----------------------------------------------------------------------------------------
-
-std::vector<ReplicationSender::Member> ReplicationSender::wanted() const {
-    std::vector<Member> out;
-    for (auto& [label, s] : standbys_)
-        if (s.following && s.whole) out.push_back({label, s.incarnation, s.begun});
-    return out;
-}
-// One write at a time, each on the version last seen, so that one which was not answered and is executed late
-// can't name somebody who was taken out since.
-void ReplicationSender::write_record() {
-    if (writing_ || !started_) return;
-    auto members = wanted();
-    // What a write that was not answered names counts until another write, on the version after it, is
-    // confirmed.
-    if (ours_ && members == confirmed_ && attempted_.empty()) return;
-    auto t = hooks_.begin();
-    if (!t) return write_later();
-    t->conditions.push_back({keys::standby, record_version_});
-    t->changes.push_back({keys::standby, protocol::stored(protocol::StandbyRecord{version_, members}), 0});
-    for (auto& m : members) attempted_.insert(m.label);
-    writing_ = true;
-    // No start is sent before it is answered, so it waits for nothing else.
-    state_.txn(std::move(*t), kv::RequestPriority::lease, guarded_([this, members](TxnResult c) {
-                   writing_ = false;
-                   if (c.status == TxnResult::Status::committed) {
-                       record_version_ = c.revision;
-                       ours_ = true;
-                       confirmed_ = members;
-                       attempted_.clear();
-                       spdlog::info("standby: {} of {} follow", confirmed_.size(), standbys_.size());
-                       write_record();
-                       send_all();
-                       return hooks_.told();
-                   }
-                   if (c.executed_never()) return write_later();
-                   read_record();
-               }));
+void ReplicationSender::handle_rejection(FollowerSession& session, const protocol::PeerFleetAnswer& answer) {
+    if (session.resumed() && answer.begun != session.base_version())
+        end_session(session, "replica_not_the_recorded_one", Backoff::none);
+    else
+        end_session(session, "later_leader", Backoff::increase);
 }
-void ReplicationSender::write_later() {
-    if (std::exchange(writing_, true)) return;
-    timers_.after(settings_.report_s * write_again_reports, guarded_([this] {
-                      writing_ = false;
-                      write_record();
-                  }));
-}
-void ReplicationSender::read_record() {
-    writing_ = true;
-    state_.get(keys::standby, kv::RequestPriority::lease, guarded_([this](kv::GetResult f) {
-                   writing_ = false;
-                   if (f.ok) {
-                       record_version_ = f.entry ? f.entry->version : 0;
-                       if (f.entry) try {
-                               auto r = protocol::parse_standby_record(f.entry->value);
-                               if (r.version == version_) {
-                                   ours_ = true;
-                                   confirmed_ = r.members;
-                                   send_all();
-                               }
-                           } catch (const protocol::Malformed& x) {
-                               spdlog::error("standby: record: {}", x.what());
-                           }
-                   }
-                   write_later();
-               }));
+
+void ReplicationSender::handle_acknowledgement(FollowerSession& session, const FollowerSession::Batch& batch,
+                                               const protocol::PeerFleetAnswer& answer) {
+    session.acknowledge(batch, answer, leader_version_);
+    if (session.snapshot_acknowledged()) {
+        session.set_in_sync(timers_.now());
+        record_.update();
+    }
+    // A start may have begun to wait while this batch was under way.
+    if (!session.in_sync() || session.acknowledged() < urgent_index_ ||
+        session.queue_size() >= max_batch_machines)
+        send(session);
+    if (session.queue_size() > 0) schedule_send();
+    callbacks_.on_progress();
 }
 
 }  // namespace coralhitch::replication
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -1,107 +1,108 @@
-// The leader's side of the standby: tells the others what its machines may hold, and knows when a start may
-// be sent.
+// The leader's side of replication: keeps followers' replicas of its machines up to date, and decides when a
+// start may be sent to a worker.
 //
-// A start is sent once every controller that the stored record names, or may come to name by a write under
-// way, has taken in a piece that shows it. One that lags is taken out of the record first, and that
-// confirmed. So whoever is named in the record knows each start that can have been sent.
+// A start may be sent once every controller that the stored record names, or may come to name by a write
+// under way, has acknowledged a batch that contains it. A follower that lags is removed from the record
+// first, and the removal confirmed. So whoever is named in the record knows every start that can have been
+// sent, and may take its replica for proof after a failover.
+//
+// `FollowerSession` holds the state of each follower, `InSyncRecord` the stored record.
+//
+// Not thread safe; all callbacks run on the event loop.
 #pragma once
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <map>
-#include <memory>
 #include <optional>
-#include <set>
 #include <string>
-#include <unordered_set>
 #include <vector>
 
 #include "config/settings.hpp"
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
+#include "http/message.hpp"
 #include "kv/kv_client.hpp"
 #include "protocol/peer_messages.hpp"
+#include "replication/follower_session.hpp"
+#include "replication/in_sync_record.hpp"
 
 namespace coralhitch::replication {
 
 class ReplicationSender {
   public:
-    struct Hooks {
-        // The machine as it is now; nothing if there is nothing to tell of it yet.
-        std::function<std::optional<protocol::PeerMachineRow>(const std::string& machine)> row;
-        std::function<std::vector<std::string>()> machines;
-        std::function<std::optional<protocol::Txn>()>
-            begin;  // under the leader's condition; none without authority
-        // What another controller last said of itself, if that is not long ago.
-        std::function<const protocol::PeerPing*(const std::string& label)> peer;
-        std::function<void()> told;  // `told` may say yes to more
+    struct Callbacks {
+        // The machine as it is now; nothing if there is nothing to replicate of it yet.
+        std::function<std::optional<protocol::PeerMachineRow>(const std::string& machine)> machine_row;
+        // Ids of all machines, for a snapshot.
+        std::function<std::vector<std::string>()> all_machines;
+        // A transaction on the condition that this leadership lasts; nothing without authority.
+        std::function<std::optional<protocol::Txn>()> begin_txn;
+        // The last ping of another controller; null if that is too long ago.
+        std::function<const protocol::PeerPing*(const std::string& label)> last_ping;
+        // `replicated` may be true for later log indexes than before.
+        std::function<void()> on_progress;
     };
+    // `leader_version`: of this leadership.
     ReplicationSender(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                      kv::KvClient& state, std::uint64_t version, Hooks hooks);
+                      kv::KvClient& kv, std::uint64_t leader_version, Callbacks callbacks);
     ~ReplicationSender();
     ReplicationSender(const ReplicationSender&) = delete;
     ReplicationSender& operator=(const ReplicationSender&) = delete;
 
-    // Once, with the version of the record's key as read after the claim; 0: there is none. `inherited`: the
-    // record itself, if this leader's own copy was proof; whom it names goes on from the copy that it has.
-    // Called before anything changes in the cluster state.
+    // Call once, before anything changes in the cluster state. `record_version`: of the record's key as read
+    // after the claim; 0: there is none. `inherited`: the record itself, if this leader's own replica was
+    // proof; the followers it names continue their replicas.
     void start(std::uint64_t record_version, const std::optional<protocol::StandbyRecord>& inherited);
-    // The controller is a process that was started just now.
-    void started_anew(const std::string& label, std::uint64_t incarnation);
-    void changed(const std::string& machine);
-    // What has changed up to now is below this mark.
-    std::uint64_t mark() const { return marks_; }
-    // Whether starts that changed a machine up to `mark` may be sent.
-    bool told(std::uint64_t mark) const;
-    void hurry();  // a start waits
-    void tick();   // now and then: whoever does not follow yet may begin to
-    std::size_t members() const { return confirmed_.size(); }
-    std::uint64_t pieces() const { return pieces_; }
-    std::uint64_t dropped() const { return dropped_; }
+    // The controller is now another process.
+    void follower_restarted(const std::string& label, std::uint64_t incarnation);
+    // A machine has changed, and is sent within a tenth of a report period.
+    void machine_changed(const std::string& machine);
+    // Index of the last change.
+    [[nodiscard]] std::uint64_t log_index() const { return log_index_; }
+    // Whether starts that are part of the changes up to this index may be sent.
+    [[nodiscard]] bool replicated(std::uint64_t log_index) const;
+    // Sends all changes at once: a start waits for them.
+    void flush();
+    // Begins sessions with controllers that may follow. Call periodically.
+    void tick();
+
+    // Followers named by the stored record.
+    [[nodiscard]] std::size_t in_sync_count() const { return record_.confirmed_count(); }
+    [[nodiscard]] std::uint64_t batches_sent() const { return batches_sent_; }
+    // Sessions that ended after they were in sync.
+    [[nodiscard]] std::uint64_t in_sync_sessions_ended() const { return in_sync_sessions_ended_; }
 
   private:
-    using Member = protocol::StandbyRecord::Member;
-    struct Standby {
-        config::Peer peer;
-        bool following = false, busy = false, whole = false;  // whole: it has taken in all machines once
-        std::uint64_t incarnation = 0, told = 0, round = 0;
-        std::uint64_t begun = 0;  // the leadership that began its copy from nothing
-        bool carried = false;     // by an earlier leader, whose copy it goes on from
-        bool greet = false;       // it is to be told that it has all
-        std::deque<std::pair<std::uint64_t, std::string>> queue;  // by mark
-        std::unordered_set<std::string> queued;
-        double waiting_since = -1, retry_at = 0, pause = 0, joined = 0;
-    };
-    void begin(Standby& s);
-    bool can_follow(const std::string& label) const;
-    void carry(const protocol::StandbyRecord::Member& m);
-    void leave(Standby& s, const char* why, bool at_fault = true);
-    void soon();
+    [[nodiscard]] const protocol::PeerPing* capable_peer(const std::string& label,
+                                                         std::uint64_t features) const;
+    void begin_snapshot(FollowerSession& session);
+    void resume(const protocol::StandbyRecord::Member& member);
+    enum class Backoff { none, increase };
+    void end_session(FollowerSession& session, const char* reason, Backoff backoff);
+    void schedule_send();
     void send_all();
-    void send(Standby& s);
-    void answered(Standby& s, std::uint64_t round, std::uint64_t upto, const std::vector<std::string>& ids,
-                  const std::optional<http::Response>& r);
-    bool counts(const Standby& s) const;
-    std::vector<Member> wanted() const;
-    void write_record();
-    void read_record();
-    void write_later();
-    double patience(const Standby& s) const;
+    void send(FollowerSession& session);
+    void handle_answer(FollowerSession& session, const FollowerSession::Batch& batch,
+                       const std::optional<http::Response>& response);
+    void handle_no_answer(FollowerSession& session, const FollowerSession::Batch& batch);
+    void handle_rejection(FollowerSession& session, const protocol::PeerFleetAnswer& answer);
+    void handle_acknowledgement(FollowerSession& session, const FollowerSession::Batch& batch,
+                                const protocol::PeerFleetAnswer& answer);
+    [[nodiscard]] std::vector<FollowerSession::Member> in_sync_members() const;
+    [[nodiscard]] double answer_timeout_s(const FollowerSession& session) const;
 
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    kv::KvClient& state_;
-    std::uint64_t version_;
-    Hooks hooks_;
-    std::map<std::string, Standby> standbys_;
-    std::uint64_t marks_ = 0, urgent_ = 0, numbers_ = 0, record_version_ = 0;
-    bool started_ = false, ours_ = false;  // ours: the record is confirmed to be of this leadership
-    bool writing_ = false, armed_ = false;
-    std::vector<Member> confirmed_;
-    std::set<std::string> attempted_;  // named by writes since the last one that was confirmed
-    std::uint64_t pieces_ = 0, dropped_ = 0;
-    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
+    std::uint64_t leader_version_;
+    Callbacks callbacks_;
+    std::map<std::string, FollowerSession> sessions_;  // by label, of all other controllers
+    InSyncRecord record_;
+    std::uint64_t log_index_ = 0;
+    std::uint64_t urgent_index_ = 0;  // a start waits for the changes up to this one
+    std::uint64_t batches_sent_ = 0, in_sync_sessions_ended_ = 0;
+    bool send_scheduled_ = false;
+    event_loop::LifetimeGuard guarded_;  // last, so that it is destroyed first
 };
 
 }  // namespace coralhitch::replication
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -7,7 +7,8 @@
 #include "cluster/cluster_state.hpp"
 #include "failover/reconciliation.hpp"
 #include "kv/keys.hpp"
-#include "replication/checks.hpp"
+#include "replication/eligibility_checks.hpp"
+#include "replication/follower.hpp"
 #include "replication/replication_sender.hpp"
 #include "scenarios/fault_scenarios.hpp"
 #include "support/fake_key_value_store.hpp"
@@ -20,7 +21,7 @@
     return {id, true, false, agent_epoch, 0, {}};
 }
 
-TEST(Follower, TakesPiecesInTheirOrderOfOneLeadershipAtATime) {
+TEST(Follower, AppliesBatchesInOrderOfOneLeadershipAtATime) {
     Follower f(9);
     struct Case {
         const char* name;
@@ -42,17 +43,17 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        auto a = f.take({c.version, c.number, {c.row}});
+        auto a = f.apply({c.version, c.number, {c.row}});
         EXPECT_EQ(a.taken, c.taken);
         EXPECT_EQ(a.incarnation, 9u);
-        EXPECT_EQ(f.copy().rows.size(), c.rows);
+        EXPECT_EQ(f.replica().machines.size(), c.rows);
     }
-    EXPECT_EQ(f.copy().version, 8u);
+    EXPECT_EQ(f.replica().leader_version, 8u);
 }
 
 // Each check, left out, would let a start that was sent go unnoticed: the rule in doubt is `ran_twice`.
-TEST(Checks, ACopyIsProofOnlyIfNothingCanBeMissingFromIt) {
-    ReplicaState copy{20, 7, 20, true, {}};
+TEST(EligibilityChecks, AcceptAReplicaOnlyIfNothingCanBeMissing) {
+    ReplicaState replica{20, 7, 20, true, {}};
     ReplicaEvidence good{"me",
                          3,
                          40,
@@ -60,7 +61,7 @@
                          {{{10, false}, {20, true}}, 25},
                          true,
                          {},
-                         &copy};
+                         &replica};
     struct Case {
         const char* name;
         std::function<void(ReplicaEvidence&)> change;
@@ -83,27 +84,28 @@
              e.record->members = {{"me", 2, 20}};
          },
          false},
-        {"the copy is of the leader before", [&](ReplicaEvidence& e) { e.copy = &older; }, false},
+        {"the copy is of the leader before", [&](ReplicaEvidence& e) { e.replica = &older; }, false},
         {"it goes on from the copy of a leader before, as the record says",
          [&](ReplicaEvidence& e) {
-             e.copy = &carried;
+             e.replica = &carried;
              goes_on_from(e, 10);
          },
          true},
         {"the leader of the record sent no start, and has told nothing",
          [&](ReplicaEvidence& e) {
-             e.copy = &older;
+             e.replica = &older;
              goes_on_from(e, 10);
          },
          true},
         {"a leader that came to nothing has wiped the copy that is meant",
          [&](ReplicaEvidence& e) { goes_on_from(e, 10); }, false},
-        {"it goes on from another copy than the record says", [&](ReplicaEvidence& e) { e.copy = &carried; },
-         false},
-        {"a leader without a record of its own has told more", [&](ReplicaEvidence& e) { e.copy = &later; },
-         false},
-        {"nothing was taken in", [](ReplicaEvidence& e) { e.copy = nullptr; }, false},
-        {"what came after the last watch is not known", [](ReplicaEvidence& e) { e.history = false; }, false},
+        {"it goes on from another copy than the record says",
+         [&](ReplicaEvidence& e) { e.replica = &carried; }, false},
+        {"a leader without a record of its own has told more",
+         [&](ReplicaEvidence& e) { e.replica = &later; }, false},
+        {"nothing was taken in", [](ReplicaEvidence& e) { e.replica = nullptr; }, false},
+        {"what came after the last watch is not known",
+         [](ReplicaEvidence& e) { e.history_complete = false; }, false},
         {"it was away, and saw only a later leader",
          [](ReplicaEvidence& e) {
              e.chain.links = {{30, true}};
@@ -121,12 +123,12 @@
          false},
         {"an old version led in between, found after the claim",
          [](ReplicaEvidence& e) {
-             e.since = {{30, false}};
+             e.later_leaders = {{30, false}};
          },
          false},
         {"two that keep records led in between, found after the claim",
          [](ReplicaEvidence& e) {
-             e.since = {{30, true}, {35, true}};
+             e.later_leaders = {{30, true}, {35, true}};
          },
          true},
     };
@@ -134,10 +136,10 @@
         SCOPED_TRACE(c.name);
         auto e = good;
         c.change(e);
-        auto wrong = judge(e);
-        EXPECT_EQ(!wrong, c.proof) << wrong.value_or("");
+        auto* failed = evaluate_eligibility(e);
+        EXPECT_EQ(!failed, c.proof) << (failed ? failed->failure : "");
     }
-    EXPECT_EQ(checks().size(), 6u);
+    EXPECT_EQ(eligibility_checks().size(), 6u);
 }
 
 struct Bench {
@@ -164,7 +166,7 @@
                 answer = http::Response{503, {}};
             } else if (!f.silent) {
                 auto piece = protocol::unpack_peer<protocol::PeerFleet>(r.body);
-                answer = http::Response{200, protocol::pack_peer(f.follower.take(std::move(*piece)))};
+                answer = http::Response{200, protocol::pack_peer(f.follower.apply(std::move(*piece)))};
             }
             timers.after(answer ? 0.01 : timeout, [answer, result] { result(answer); });
         };
@@ -191,7 +193,7 @@
     void ping(const std::string& label, std::uint64_t incarnation) {
         pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features, 0};
     }
-    ReplicationSender teller{
+    ReplicationSender sender{
         timers,
         service,
         settings,
@@ -207,65 +209,65 @@
          [this](const std::string& label) { return &pings[label]; }, [] {}}};
     std::uint64_t start(const std::string& id) {
         ++machines[id];
-        teller.changed(id);
-        teller.hurry();
-        return teller.mark();
+        sender.machine_changed(id);
+        sender.flush();
+        return sender.log_index();
     }
 };
 
-TEST(ReplicationSender, AStartWaitsForAllThatTheRecordNames) {
+TEST(ReplicationSender, HoldsStartsUntilAllRecordedFollowersAcknowledge) {
     Bench b;
     b.followers.at("y").silent = true;
-    b.teller.start(0, std::nullopt);
-    EXPECT_FALSE(b.teller.told(b.start("vm-1")));  // an earlier record may still stand
+    b.sender.start(0, std::nullopt);
+    EXPECT_FALSE(b.sender.replicated(b.start("vm-1")));  // an earlier record may still stand
     b.timers.run_until(1);
     EXPECT_EQ(b.named(), std::set<std::string>{"x"});
-    auto mark = b.start("vm-1");
-    EXPECT_FALSE(b.teller.told(mark));
+    auto log_index = b.start("vm-1");
+    EXPECT_FALSE(b.sender.replicated(log_index));
     b.timers.run_until(1.05);
-    EXPECT_TRUE(b.teller.told(mark));
-    EXPECT_EQ(b.followers.at("x").follower.copy().rows.at("vm-1").agent_epoch, b.machines["vm-1"]);
+    EXPECT_TRUE(b.sender.replicated(log_index));
+    EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch, b.machines["vm-1"]);
     // One that does not answer any more holds starts up until it is taken out, and no longer.
     b.followers.at("x").silent = true;
-    mark = b.start("vm-2");
-    for (double t = 1.1; !b.teller.told(mark) && t < 6; t += 0.01) {
+    log_index = b.start("vm-2");
+    for (double t = 1.1; !b.sender.replicated(log_index) && t < 6; t += 0.01) {
         b.timers.run_until(t);
-        if (b.teller.told(mark)) {
+        if (b.sender.replicated(log_index)) {
             EXPECT_TRUE(b.named().empty());
         }
     }
-    EXPECT_TRUE(b.teller.told(mark));
+    EXPECT_TRUE(b.sender.replicated(log_index));
     EXPECT_LT(b.timers.now(), 1.1 + 4.0 / 5 + 0.1);
 }
 
 // A write that names somebody and was not answered may be executed at any later time, until one on the
 // version after it is confirmed.
-TEST(ReplicationSender, WhoMayComeToBeNamedCounts) {
+TEST(ReplicationSender, WaitsForFollowersThatAnUnansweredWriteNames) {
     for (auto fate : {FakeKeyValueStore::Fate::lost_after, FakeKeyValueStore::Fate::late,
                       FakeKeyValueStore::Fate::never}) {
         SCOPED_TRACE(static_cast<int>(fate));
         Bench b;
         b.followers.at("y").silent = true;
         b.service.fates = {FakeKeyValueStore::Fate::answered, fate};  // the first names nobody
-        b.teller.start(0, std::nullopt);
+        b.sender.start(0, std::nullopt);
         for (double t = 0.1; t < 12; t += 0.05) {
             b.timers.run_until(t);
             if (t > 0.3) b.followers.at("x").silent = true;
-            auto mark = b.start("vm-1");
+            auto log_index = b.start("vm-1");
             bool knows =
-                b.followers.at("x").follower.copy().rows.at("vm-1").agent_epoch == b.machines["vm-1"];
-            if (!knows && b.teller.told(mark)) {
+                b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch == b.machines["vm-1"];
+            if (!knows && b.sender.replicated(log_index)) {
                 EXPECT_FALSE(b.named().contains("x")) << t;
             }
         }
         EXPECT_TRUE(b.named().empty());
-        EXPECT_TRUE(b.teller.told(b.teller.mark()));
+        EXPECT_TRUE(b.sender.replicated(b.sender.log_index()));
     }
 }
 
 // Three leaders killed a second apart: each names those that its predecessor named, from its first record on,
 // as long as each is the process, with the copy, that was meant.
-TEST(ReplicationSender, WhomTheLeaderBeforeNamedGoesOnFromItsCopy) {
+TEST(ReplicationSender, ResumesFollowersOfThePreviousLeader) {
     struct Case {
         const char* name;
         std::uint64_t incarnation, features, begun;  // of `x`: its process, its version, its copy
@@ -284,60 +286,61 @@
         b.pings["x"].features = c.features;
         auto& f = b.followers.at("x").follower = Follower(c.incarnation);
         b.followers.at("y").silent = true;
-        if (c.begun) f.take({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
-        b.teller.start(0, protocol::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
+        if (c.begun) f.apply({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
+        b.sender.start(0, protocol::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
         for (double t = 0; !b.service.kv.contains(kv::keys::standby); t += 0.001) b.timers.run_until(t);
         EXPECT_EQ(b.named().contains("x"), c.at_once);
-        auto mark = b.start("vm-2");
+        auto log_index = b.start("vm-2");
         for (double t = b.timers.now(); t < 0.8; t += 0.01) {
             b.timers.run_until(t);
-            b.teller.tick();
-            if (b.teller.told(mark) && b.named().contains("x")) {
-                EXPECT_EQ(f.copy().rows.at("vm-2").agent_epoch, b.machines["vm-2"]);
-                EXPECT_EQ(f.copy().begun, b.service.kv.at(kv::keys::standby).first["members"][0]["begun"]);
+            b.sender.tick();
+            if (b.sender.replicated(log_index) && b.named().contains("x")) {
+                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch, b.machines["vm-2"]);
+                EXPECT_EQ(f.replica().base_version,
+                          b.service.kv.at(kv::keys::standby).first["members"][0]["begun"]);
             }
         }
-        EXPECT_TRUE(b.teller.told(mark));
+        EXPECT_TRUE(b.sender.replicated(log_index));
         EXPECT_TRUE(b.named().contains("x"));  // by a full copy, if need be
-        EXPECT_EQ(f.copy().rows.contains("vm-9"), c.carried);
-        EXPECT_TRUE(f.copy().whole);
+        EXPECT_EQ(f.replica().machines.contains("vm-9"), c.carried);
+        EXPECT_TRUE(f.replica().complete);
     }
 }
 
 // It used to be left out for half a report period, longer than the next leader lived.
-TEST(ReplicationSender, AProcessThatWasStartedAnewIsToldAtOnce) {
+TEST(ReplicationSender, SendsASnapshotToARestartedFollowerAtOnce) {
     for (bool says_so : {true, false}) {
         SCOPED_TRACE(says_so);
         Bench b;
         b.followers.at("y").silent = true;
-        b.teller.start(0, std::nullopt);
+        b.sender.start(0, std::nullopt);
         b.timers.run_until(1);
         b.followers.at("x").follower = Follower(11);
         b.ping("x", 11);
         if (says_so)
-            b.teller.started_anew("x", 11);
+            b.sender.follower_restarted("x", 11);
         else
             b.start("vm-1");  // the answer tells
         b.timers.run_until(1.2);
         auto& members = b.service.kv.at(kv::keys::standby).first["members"];
         ASSERT_EQ(members.size(), 1u);
         EXPECT_EQ(members[0]["incarnation"], 11u);
-        EXPECT_EQ(b.followers.at("x").follower.copy().rows.size(), 2u);
+        EXPECT_EQ(b.followers.at("x").follower.replica().machines.size(), 2u);
     }
 }
 
 // Followers that fail, fall silent, begin anew, with hundreds of changes waiting: whatever counts as told is
 // known to all that the record names.
-TEST(ReplicationSender, WhatCountsAsToldIsKnownToAllThatAreNamed) {
+TEST(ReplicationSender, ReplicatedChangesAreOnAllRecordedFollowers) {
     std::size_t sent = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         SCOPED_TRACE(seed);
         Bench b;
         std::mt19937_64 random(seed);
         for (int k = 0; k < 700; ++k) b.machines["vm-" + std::to_string(1000 + k)] = 1;
-        b.teller.start(0, std::nullopt);
+        b.sender.start(0, std::nullopt);
         struct Start {
-            std::uint64_t mark;
+            std::uint64_t log_index;
             std::string machine;
             std::uint64_t agent_epoch;
         };
@@ -351,18 +354,18 @@
             }
             if (random() % 20 == 0)
                 b.service.fates.push_back(static_cast<FakeKeyValueStore::Fate>(random() % 4));
-            if (random() % 3 == 0) b.teller.tick();
+            if (random() % 3 == 0) b.sender.tick();
             for (std::size_t n = random() % 10 == 0 ? 500 : random() % 3; n > 0; --n) {
                 auto id = "vm-" + std::to_string(1000 + random() % 700);
-                auto mark = b.start(id);
-                starts.push_back({mark, id, b.machines[id]});
+                auto log_index = b.start(id);
+                starts.push_back({log_index, id, b.machines[id]});
             }
-            while (!starts.empty() && b.teller.told(starts.front().mark)) {
+            while (!starts.empty() && b.sender.replicated(starts.front().log_index)) {
                 auto s = starts.front();
                 starts.pop_front();
                 ++sent;
                 for (auto& label : b.named()) {
-                    auto& rows = b.followers.at(label).follower.copy().rows;
+                    auto& rows = b.followers.at(label).follower.replica().machines;
                     ASSERT_TRUE(rows.contains(s.machine)) << label << " step " << step;
                     ASSERT_GE(rows.at(s.machine).agent_epoch, s.agent_epoch) << label << " step " << step;
                 }
