--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -6,87 +6,103 @@
 using cluster::Machine;
 
 namespace {
-// A failover goes on as long as in so many report periods at least this share of what is left has reconciled.
-constexpr double pace_reports = 1.0 / 2, pace_share = 1.0 / 64;
-// A machine that was not even asked is given this much longer.
-constexpr double unasked_reports = 2;
-// Time for a direct command to go unanswered.
-constexpr double asked_reports = 1.0 / 2;
-constexpr double late_ticks = 3;
-// Of the machines that an earlier leader stored: so few that have not answered don't change what room there
-// is.
-constexpr std::size_t few_share = 16;
-// An answer is late after so many report periods; a leader is behind if most of some ten answers are.
-constexpr double late_reports = 1.0 / 8, late_most = 1.0 / 2, memory = 0.9;
+// Reconciliation makes progress as long as in so many report periods at least this share of the remaining
+// machines is reconciled.
+constexpr double progress_periods = 1.0 / 2, progress_share = 1.0 / 64;
+// A machine that was not probed yet is given this much longer, in report periods.
+constexpr double unprobed_periods = 2;
+// Time for a direct command to go unanswered, in report periods.
+constexpr double probe_timeout_periods = 1.0 / 2;
+constexpr double late_tick_intervals = 3;
+// One in so many of the expected machines: so few that are not reconciled hardly change the free resources.
+constexpr std::size_t few_divisor = 16;
+// An answer is late after so many report periods; the leader is overloaded if most of some ten answers are.
+constexpr double late_answer_periods = 1.0 / 8, overloaded_share = 1.0 / 2, late_share_decay = 0.9;
 }  // namespace
 
-void Reconciliation::expect(const std::string& id) {
-    unheard_.insert(id);
+void Reconciliation::expect(const std::string& machine) {
+    unreconciled_.insert(machine);
     ++expected_;
-    unknown_.insert(id);
+    unknown_.insert(machine);
 }
-bool Reconciliation::leave(std::set<std::string>& ids, bool (*leaves)(const Machine&)) const {
-    while (!ids.empty()) {
-        auto it = cluster_state_.machines().find(*ids.begin());
-        if (it != cluster_state_.machines().end() && !leaves(it->second)) return false;
-        ids.erase(ids.begin());
+
+// Whether all machines satisfy the predicate or are gone. Those in front that do are removed.
+bool Reconciliation::all_satisfy(std::set<std::string>& machines, Predicate satisfied) const {
+    while (!machines.empty()) {
+        auto it = cluster_state_.machines().find(*machines.begin());
+        if (it != cluster_state_.machines().end() && !satisfied(it->second)) return false;
+        machines.erase(machines.begin());
     }
     return true;
 }
-bool Reconciliation::may_place() const {
-    return leave(unknown_, [](const Machine& m) { return m.reconciled || m.known; });
+
+bool Reconciliation::placement_allowed() const {
+    return all_satisfy(unknown_, [](const Machine& machine) { return machine.reconciled || machine.known; });
 }
-bool Reconciliation::all_reconciled() const {
-    // One of which all is known and that is waited for holds nothing else up, nor do a few such: dozens that
-    // had died used to keep a leader from renting and displacing for ten seconds.
-    return leave(unheard_,
-                 [](const Machine& m) {
-                     return m.reconciled || m.life != Machine::Life::up || (m.known && m.suspected);
-                 }) ||
-           (few_left_ && may_place());
+
+bool Reconciliation::complete() const {
+    // A machine whose tasks are known and that is suspected to have failed holds nothing else up, nor do a
+    // few such: dozens of failed machines used to keep a leader from scaling out and preempting for ten
+    // seconds.
+    auto settled = [](const Machine& machine) {
+        return machine.reconciled || machine.life != Machine::Life::up ||
+               (machine.known && machine.suspected);
+    };
+    return all_satisfy(unreconciled_, settled) || (few_remaining_ && placement_allowed());
 }
 
-// A leader that did not even come to look in time has not come to hear either.
-void Reconciliation::tick(double now, double period) {
-    if (last_tick_ >= 0 && now - last_tick_ > period * late_ticks) pace_at_ = now;
-    last_tick_ = now;
-    std::size_t left = 0;
-    for (auto& id : unheard_) {
+std::size_t Reconciliation::remaining() const {
+    std::size_t count = 0;
+    for (auto& id : unreconciled_) {
         auto it = cluster_state_.machines().find(id);
-        left += it != cluster_state_.machines().end() && !it->second.reconciled;
+        count += it != cluster_state_.machines().end() && !it->second.reconciled;
     }
-    few_left_ = left * few_share <= expected_;
+    return count;
+}
+
+void Reconciliation::tick(double now, double interval_s) {
+    // A leader whose tick is late has not processed heartbeats in time either.
+    if (last_tick_ && now - *last_tick_ > interval_s * late_tick_intervals) progressed_at_ = now;
+    last_tick_ = now;
+    auto left = remaining();
+    few_remaining_ = left * few_divisor <= expected_;
     if (left == 0) return;
-    auto step = std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * pace_share));
-    if (left + step <= paced_.first)
-        pace_at_ = now;
-    else if (now - paced_.second < report_s_ * pace_reports)
+    auto step =
+        std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * progress_share));
+    if (left + step <= last_progress_.remaining)
+        progressed_at_ = now;
+    else if (now - last_progress_.at < report_s_ * progress_periods)
         return;
-    paced_ = {left, now};
+    last_progress_ = {left, now};
 }
 
-void Reconciliation::answered(double took, double now) {
-    late_share_ = late_share_ * memory + (took > report_s_ * late_reports ? 1 - memory : 0);
-    answered_at_ = now;
+void Reconciliation::record_answer(double latency_s, double now) {
+    bool late = latency_s > report_s_ * late_answer_periods;
+    late_share_ = late_share_ * late_share_decay + (late ? 1 - late_share_decay : 0);
+    last_answer_ = now;
+}
+bool Reconciliation::overloaded(double now) const {
+    return late_share_ > overloaded_share && last_answer_ &&
+           now - *last_answer_ <= report_s_ * progress_periods;
 }
-bool Reconciliation::behind(double now) const {
-    return late_share_ > late_most && now - answered_at_ <= report_s_ * pace_reports;
+bool Reconciliation::progressing(double now) const {
+    return progressed_at_ && now - *progressed_at_ <= report_s_ * progress_periods;
 }
 
-// One that has not reconciled may have answered long ago: while others settle, its answer may lie unread. New
-// leaders of 2,600 machines took 7 to 10 s to hear them all with the processor they had, and fenced up to 230
-// that were well; at 5,200 each thought itself deaf and gave way to the next.
-double Reconciliation::silence(const Machine& m, double now) const {
-    if (m.reconciled || m.life != Machine::Life::up) return now - m.last_heard;
-    // One that no answer reaches does not settle, however often it is heard: its reports held up all placing
-    // for as long as they came.
-    double silent = now - (m.reach.lost() ? m.reach.shown_at() : m.last_heard);
-    double asked = m.asked < 0 ? silent - report_s_ * unasked_reports : now - m.asked;
-    if (behind(now)) return 0;
-    bool goes_on = now - pace_at_ <= report_s_ * pace_reports;
-    double counted = std::min({silent, asked, goes_on ? now - pace_at_ : asked});
-    // The leader before had asked it too, in vain. It is given the time to answer this one.
-    return counted + (counted > report_s_ * asked_reports ? m.silent_before : 0);
+// A machine that is not reconciled may have answered long ago: while others are reconciled, its answer may
+// lie unread. New leaders of 2,600 machines took 7 to 10 s to process all reports with the processor time
+// they had, and fenced up to 230 healthy machines; at 5,200 each believed itself isolated and resigned in
+// favour of the next.
+double Reconciliation::attributable_silence_s(const Machine& machine, double now) const {
+    if (machine.reconciled || machine.life != Machine::Life::up) return now - machine.last_heard;
+    // A machine that no answer reaches is not reconciled, however often it reports: its heartbeats held up
+    // all placement for as long as they came.
+    double silent_s = now - (machine.reach.lost() ? machine.reach.shown_at() : machine.last_heard);
+    double probed_s = machine.asked < 0 ? silent_s - report_s_ * unprobed_periods : now - machine.asked;
+    if (overloaded(now)) return 0;
+    double counted_s = std::min({silent_s, probed_s, progressing(now) ? now - *progressed_at_ : probed_s});
+    // The previous leader had probed it too, in vain. It is given the time to answer this one.
+    return counted_s + (counted_s > report_s_ * probe_timeout_periods ? machine.silent_before : 0);
 }
 
 }  // namespace coralhitch::failover
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -1,10 +1,12 @@
-// Which of the machines that earlier leaders stored are still to be heard by a new one, and what may be done
-// before they are. Bookkeeping only; times are seconds of the leader's clock.
+// Tracks which of the stored machines a new leader has reconciled, that is, has received a report from under
+// its own token; and what the leader may do before that.
+//
+// Bookkeeping only, not thread safe; times are seconds of the leader's clock.
 #pragma once
 #include <cstdint>
+#include <optional>
 #include <set>
 #include <string>
-#include <utility>
 
 #include "cluster/cluster_state.hpp"
 
@@ -12,39 +14,50 @@
 
 class Reconciliation {
   public:
+    // `cluster_state` must outlive this. `report_s`: the report period.
     Reconciliation(const cluster::ClusterState& cluster_state, double report_s)
         : cluster_state_(cluster_state), report_s_(report_s) {}
-    // A machine that an earlier leader stored.
-    void expect(const std::string& id);
-    // Of each of them it is known what may be on it, from its report or from the leader before. Otherwise
-    // neither a task, a quota nor a zone is safe.
-    bool may_place() const;
-    // Each that may still answer has answered. Until then the cluster state lacks most of the room that there
-    // is: nothing is rented, returned or displaced for want of it.
-    bool all_reconciled() const;
+    // A machine that an earlier leader stored must be reconciled.
+    void expect(const std::string& machine);
+    // Whether tasks may be started: of each expected machine it is known what may run on it, from its report
+    // or from the replica. Otherwise neither a task, a quota nor a zone is safe.
+    [[nodiscard]] bool placement_allowed() const;
+    // Whether each machine that may still answer has answered. Until then the cluster state lacks most of the
+    // free resources: nothing is scaled out or in or preempted for want of them.
+    [[nodiscard]] bool complete() const;
 
-    // Once a tick, ticks being at most so far apart as a rule.
-    void tick(double now, double period);
-    // A machine answered what this leader asked it directly, so many seconds after it was asked.
-    void answered(double took, double now);
-    // Most answers come so late that they must have waited here: this leader has not the processor to hear in
-    // time. What it has not heard yet is no machine's fault, and that it hears late is no sign of being cut
-    // off.
-    bool behind(double now) const;
-    // How long nothing was heard of a machine, as far as that is the machine's fault.
-    double silence(const cluster::Machine& m, double now) const;
+    // Call periodically, as a rule every `interval_s`.
+    void tick(double now, double interval_s);
+    // A machine answered a direct command of this leader after `latency_s`.
+    void record_answer(double latency_s, double now);
+    // Whether most answers arrive so late that they must have waited here: this leader lacks the processor
+    // time to process heartbeats as they come. Missed heartbeats are then no machine's fault, and no sign
+    // that this leader is isolated.
+    [[nodiscard]] bool overloaded(double now) const;
+    // For how long nothing came from a machine, as far as that is the machine's fault. Seconds.
+    [[nodiscard]] double attributable_silence_s(const cluster::Machine& machine, double now) const;
 
   private:
-    bool leave(std::set<std::string>& ids, bool (*leaves)(const cluster::Machine&)) const;
+    using Predicate = bool (*)(const cluster::Machine&);
+    struct Progress {
+        std::size_t remaining = SIZE_MAX;  // machines not reconciled
+        double at = 0;
+    };
+    bool all_satisfy(std::set<std::string>& machines, Predicate satisfied) const;
+    std::size_t remaining() const;
+    bool progressing(double now) const;
+
     const cluster::ClusterState& cluster_state_;
     double report_s_;
     std::size_t expected_ = 0;
-    bool few_left_ = false;  // at the last tick
-    // Machines leave for good, those in front as soon as they are looked at.
-    mutable std::set<std::string> unheard_, unknown_;
-    std::pair<std::size_t, double> paced_{SIZE_MAX, -1};  // machines to be heard when last counted, and when
-    double pace_at_ = -1, last_tick_ = -1;                // when the reconciliation was last seen to go on
-    double late_share_ = 0, answered_at_ = -1;            // of the last answers, the newest counting most
+    bool few_remaining_ = false;  // at the last tick
+    // Machines leave these for good, as soon as all before them have left.
+    mutable std::set<std::string> unreconciled_, unknown_;
+    Progress last_progress_;               // when it last was as much as is asked for, or was counted anew
+    std::optional<double> progressed_at_;  // when the reconciliation last made progress
+    std::optional<double> last_tick_;
+    double late_share_ = 0;  // of the last answers, the newest counting most
+    std::optional<double> last_answer_;
 };
 
 }  // namespace coralhitch::failover
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -2,8 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
-#include <string_view>
+#include <utility>
 
 #include "kv/keys.hpp"
 
@@ -12,87 +11,88 @@
 using kv::RequestPriority;
 
 namespace {
-constexpr double again_reports = 1.0 / 10;
+constexpr double retry_periods = 1.0 / 10;  // in report periods
 }  // namespace
 
-void FailoverSteps::over(const char* step, const std::string& what) {
-    if (has(step)) return;
-    double t = timers_.now() - begun_;
-    all_.emplace_back(step, t);
-    spdlog::info("leader: {} after {:.2f} s{}{}", step, t, what.empty() ? "" : ": ", what);
-}
-bool FailoverSteps::has(const char* step) const {
-    return std::any_of(all_.begin(), all_.end(), [&](auto& s) { return std::string_view(s.first) == step; });
-}
-
-RecoveryLoader::RecoveryLoader(event_loop::Timers& timers, kv::KvClient& state,
-                               const config::Settings& settings, FailoverSteps& steps,
-                               replication::ReplicaEvidence evidence, std::function<void(GetResult)> done)
+RecoveryLoader::RecoveryLoader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
+                               FailoverSteps& steps, replication::ReplicaEvidence evidence,
+                               LoadedCallback on_loaded)
     : timers_(timers),
-      state_(state),
+      kv_(kv),
       settings_(settings),
       steps_(steps),
       evidence_(std::move(evidence)),
-      done_(std::move(done)) {}
+      on_loaded_(std::move(on_loaded)) {}
 
 void RecoveryLoader::start() {
     settings_.op.standby ? read_record() : list_all();
 }
-void RecoveryLoader::again() {
-    timers_.after(settings_.report_s * again_reports, guarded_([this] { start(); }));
+void RecoveryLoader::retry_later() {
+    timers_.after(settings_.report_s * retry_periods, guarded_([this] { start(); }));
 }
 
-// Who followed the leader before.
+// Which followers of the previous leader were in sync.
 void RecoveryLoader::read_record() {
-    state_.get(keys::standby, RequestPriority::write, guarded_([this](kv::GetResult f) {
-                   if (!f.ok) return again();
-                   found_.record_version = f.entry ? f.entry->version : 0;
-                   evidence_.record.reset();
-                   if (f.entry) try {
-                           evidence_.record = protocol::parse_standby_record(f.entry->value);
-                       } catch (const protocol::Malformed& x) {
-                           spdlog::error("standby: record: {}", x.what());
-                       }
-                   read_history();
-               }));
+    kv_.get(keys::standby, RequestPriority::write, guarded_([this](kv::GetResult result) {
+                if (!result.ok) return retry_later();
+                handle_record(result);
+                read_leader_history();
+            }));
 }
-// Which leaders there were since this controller last knew.
-void RecoveryLoader::read_history() {
-    state_.watch(keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::WatchResult w) {
-                     if (w.status == kv::WatchResult::Status::failed) return again();
-                     evidence_.history_complete = w.status == kv::WatchResult::Status::ok;
-                     evidence_.later_leaders.clear();
-                     for (auto& e : w.events.events)
-                         if (e.key == keys::leader && e.value && e.version != evidence_.leader_version)
-                             evidence_.later_leaders.push_back({e.version, protocol::keeps_record(*e.value)});
-                     list_all();
-                 }));
+void RecoveryLoader::handle_record(const kv::GetResult& result) {
+    recovered_.record_version = result.entry ? result.entry->version : 0;
+    evidence_.record.reset();
+    if (!result.entry) return;
+    try {
+        evidence_.record = protocol::parse_standby_record(result.entry->value);
+    } catch (const protocol::Malformed& error) {
+        spdlog::error("component=failover event=record_malformed error=\"{}\"", error.what());
+    }
 }
-void RecoveryLoader::list(const std::string& prefix, kv::ListResult GetResult::*into,
-                          std::function<void()> then) {
-    state_.list(prefix, RequestPriority::write, guarded_([this, into, then](kv::ListResult l) {
-                    if (!l.ok) return again();
-                    found_.*into = std::move(l);
-                    then();
-                }));
+
+// Which leaders there were since this controller's watch of the leader key last reported.
+void RecoveryLoader::read_leader_history() {
+    kv_.watch(
+        keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::WatchResult result) {
+            if (result.status == kv::WatchResult::Status::failed) return retry_later();
+            evidence_.history_complete = result.status == kv::WatchResult::Status::ok;
+            evidence_.later_leaders.clear();
+            for (auto& event : result.events.events)
+                if (event.key == keys::leader && event.value && event.version != evidence_.leader_version)
+                    evidence_.later_leaders.push_back({event.version, protocol::keeps_record(*event.value)});
+            list_all();
+        }));
 }
-// What is stored, by now for good: what the leader before may still write fails on its version.
+
+void RecoveryLoader::list(const std::string& prefix, kv::ListResult RecoveredState::*target,
+                          std::function<void()> next) {
+    kv_.list(prefix, RequestPriority::write, guarded_([this, target, next](kv::ListResult result) {
+                 if (!result.ok) return retry_later();
+                 recovered_.*target = std::move(result);
+                 next();
+             }));
+}
+
+// The stored state is final by now: what the previous leader may still write fails on its version.
 void RecoveryLoader::list_all() {
-    found_.jobs_listed_at = timers_.now();
-    list(keys::jobs, &GetResult::jobs, [this] {
-        list(keys::progress, &GetResult::progress, [this] {
-            list(keys::machines, &GetResult::machines, [this] {
-                auto wrong = replication::evaluate_eligibility(evidence_);
-                found_.inherits = settings_.op.standby && !wrong;
-                found_.record = evidence_.record;
-                steps_.over("all is read", found_.inherits
-                                               ? "what the leader before knew is taken over"
-                                               : "what the leader before knew is not known, since " +
-                                                     (wrong ? std::string(wrong->failure) : "there is no standby"));
-                done_(std::move(found_));
-            });
-        });
+    recovered_.jobs_listed_at = timers_.now();
+    list(keys::jobs, &RecoveredState::jobs, [this] {
+        list(keys::progress, &RecoveredState::progress,
+             [this] { list(keys::machines, &RecoveredState::machines, [this] { finish(); }); });
     });
 }
 
+void RecoveryLoader::finish() {
+    auto* failed = replication::evaluate_eligibility(evidence_);
+    recovered_.replica_eligible = settings_.op.standby && !failed;
+    recovered_.in_sync_record = evidence_.record;
+    std::string details = "replica_inherited=true";
+    if (!settings_.op.standby)
+        details = "replica_inherited=false reason=replication_disabled";
+    else if (failed)
+        details = std::string("replica_inherited=false reason=") + failed->failure;
+    steps_.complete(FailoverStep::state_read, details);
+    on_loaded_(std::move(recovered_));
+}
+
 }  // namespace coralhitch::failover
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -1,68 +1,58 @@
-// What a new leader reads after its claim, in the order in which docs/standby.md argues it, and what it may
-// take over from the leader before. Each step is logged, and kept for /metrics, with its time since the
-// claim.
+// Reads what a new leader needs after its claim, in the order that docs/standby.md argues, and decides
+// whether it may inherit the replica that it kept of the previous leader's machines.
+//
+// Not thread safe; all callbacks run on the event loop.
 #pragma once
+#include <cstdint>
 #include <functional>
-#include <memory>
+#include <optional>
 #include <string>
-#include <utility>
-#include <vector>
 
 #include "config/settings.hpp"
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
+#include "failover/failover_steps.hpp"
 #include "kv/kv_client.hpp"
 #include "replication/eligibility_checks.hpp"
 
 namespace coralhitch::failover {
 
-// The steps of a failover that are over.
-class FailoverSteps {
-  public:
-    explicit FailoverSteps(event_loop::Timers& timers) : timers_(timers), begun_(timers.now()) {}
-    void over(const char* step, const std::string& what = {});  // what: for the log
-    bool has(const char* step) const;
-    const std::vector<std::pair<const char*, double>>& all() const {
-        return all_;
-    }  // seconds since the claim
-
-  private:
-    event_loop::Timers& timers_;
-    double begun_;
-    std::vector<std::pair<const char*, double>> all_;
-};
-
-struct GetResult {
-    bool inherits = false;             // the copy of the leader before is proof
-    std::uint64_t record_version = 0;  // of the standby record's key; 0: there is none
-    std::optional<protocol::StandbyRecord> record;
+// The stored state as read after the claim.
+struct RecoveredState {
+    bool replica_eligible = false;     // this controller's replica is proof of what machines run
+    std::uint64_t record_version = 0;  // of the key of the record of in-sync replicas; 0: there is none
+    std::optional<protocol::StandbyRecord> in_sync_record;
     kv::ListResult jobs, progress, machines;
-    double jobs_listed_at = 0;  // steady time at which that list was begun
+    double jobs_listed_at = 0;  // steady time at which the list of jobs was requested
 };
 
 class RecoveryLoader {
   public:
-    // `evidence` as known before the claim is read on: label, incarnation, version, chain and copy.
-    RecoveryLoader(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
-                   FailoverSteps& steps, replication::ReplicaEvidence evidence,
-                   std::function<void(GetResult)> done);
+    using LoadedCallback = std::function<void(RecoveredState)>;
+    // `evidence` as known before the claim: label, incarnation, leader version, chain and replica. The rest
+    // is read. All references must outlive the loader; destroying it cancels the callback.
+    RecoveryLoader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
+                   FailoverSteps& steps, replication::ReplicaEvidence evidence, LoadedCallback on_loaded);
+    // Call once. Failed reads are retried from the beginning until all succeed.
     void start();
 
   private:
-    void again();
+    void retry_later();
     void read_record();
-    void read_history();
-    void list(const std::string& prefix, kv::ListResult GetResult::*into, std::function<void()> then);
+    void handle_record(const kv::GetResult& result);
+    void read_leader_history();
+    void list(const std::string& prefix, kv::ListResult RecoveredState::*target, std::function<void()> next);
     void list_all();
+    void finish();
 
     event_loop::Timers& timers_;
-    kv::KvClient& state_;
+    kv::KvClient& kv_;
     const config::Settings& settings_;
     FailoverSteps& steps_;
     replication::ReplicaEvidence evidence_;
-    std::function<void(GetResult)> done_;
-    GetResult found_;
-    event_loop::LifetimeGuard guarded_;  // last, so that it goes first
+    LoadedCallback on_loaded_;
+    RecoveredState recovered_;
+    event_loop::LifetimeGuard guarded_;  // last, so that it is destroyed first
 };
 
 }  // namespace coralhitch::failover
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -83,11 +83,12 @@
                false,
                {},
                &dependencies_.copy},
-              [this](const failover::GetResult& found) {
+              [this](const failover::RecoveredState& found) {
                   if (stopped_) return;
                   take_all(found);
                   if (dependencies_.settings.op.standby)
-                      replication_.start(found.record_version, found.inherits ? found.record : std::nullopt);
+                      replication_.start(found.record_version,
+                                         found.replica_eligible ? found.in_sync_record : std::nullopt);
                   job_watch_.start(found.jobs.revision, found.jobs_listed_at);
                   loaded();
               }),
@@ -123,7 +124,7 @@
     return t;
 }
 
-void Leader::take_all(const failover::GetResult& found) {
+void Leader::take_all(const failover::RecoveredState& found) {
     std::lock_guard lock(mutex_);
     std::set<std::string> live;
     for (auto& e : found.jobs.entries) {
@@ -154,7 +155,7 @@
             r.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up, now());
         m.stored = m.stored_before = true;
         reconciliation_.expect(id);
-        if (found.inherits) inherit(id, m);
+        if (found.replica_eligible) inherit(id, m);
         m.deletable = r.marked_for_deletion;
         if (auto it = dependencies_.suspected.find(id); it != dependencies_.suspected.end() && m.known)
             m.silent_before = it->second;
@@ -266,9 +267,9 @@
     recall_images();
     auto known = std::count_if(cluster_state_.machines().begin(), cluster_state_.machines().end(),
                                [](auto& m) { return m.second.known; });
-    steps_.over("loaded", std::to_string(table_.all().size()) + " jobs and " +
-                              std::to_string(cluster_state_.machines().size()) + " machines, " +
-                              std::to_string(known) + " of them known");
+    steps_.complete(failover::FailoverStep::loaded,
+                    "jobs=" + std::to_string(table_.all().size()) + " machines=" +
+                        std::to_string(cluster_state_.machines().size()) + " known=" + std::to_string(known));
     read_ends();
     // With some of them placing can begin. Of the rest most reports lie waiting or come within a period: a
     // question costs three times as much as a report that is passed on. Those of which nothing is known hold
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -101,7 +101,7 @@
     bool authority() const { return !stopped_ && dependencies_.election.authority(); }
     api::TaskCounts count(const std::string& id, const jobs::JobEntry& e);
     void inherit(const std::string& id, cluster::Machine& m);
-    void take_all(const failover::GetResult& found);
+    void take_all(const failover::RecoveredState& found);
     void loaded();
     void recall_images();
     void jobs_changed();
--- a/src/leader/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -33,7 +33,7 @@
 
 void Leader::store_progress() {
     if (!authority()) return;
-    auto due = table_.unstored(now(), reconciliation_.may_place());
+    auto due = table_.unstored(now(), reconciliation_.placement_allowed());
     dependencies_.metrics.gauge("ends_waiting", static_cast<double>(due.done.size()));
     dependencies_.metrics.gauge("cancelled_to_drop", static_cast<double>(due.cancelled.size()));
     store_ends(due.done, JobState::done);
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -47,7 +47,7 @@
 // which its lease is out, though none renews it: it never settled, and a new leader placed nothing for as
 // long as it went on. Until that time moves, answers cost nothing; from then on only a question reaches it.
 bool Leader::beyond_reach(const Machine& m) const {
-    return !m.reconciled && m.reach.lost() && now() > m.renewed && !reconciliation_.behind(now());
+    return !m.reconciled && m.reach.lost() && now() > m.renewed && !reconciliation_.overloaded(now());
 }
 // A report that says what the last one of its machine said, and that one is the last that was heard of it.
 bool Leader::repeat_reply(const std::string& body, const http::Reply& reply) {
@@ -216,14 +216,14 @@
 }
 
 void Leader::check_reconciled() {
-    if (loaded_ && !steps_.has("may place") && reconciliation_.may_place() &&
-        cluster_state_.any_reconciled()) {
-        steps_.over("may place");
+    if (loaded_ && !steps_.completed(failover::FailoverStep::placement_allowed) &&
+        reconciliation_.placement_allowed() && cluster_state_.any_reconciled()) {
+        steps_.complete(failover::FailoverStep::placement_allowed);
         plan_soon();
     }
-    if (was_reconciled_ || !reconciliation_.all_reconciled()) return;
+    if (was_reconciled_ || !reconciliation_.complete()) return;
     was_reconciled_ = true;
-    steps_.over("all machines settled");
+    steps_.complete(failover::FailoverStep::reconciled);
     plan_soon();
 }
 void Leader::types_changed() {
@@ -482,7 +482,7 @@
     dependencies_.http.send(
         m.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
         guarded([this, id, token, commands, probe, sent = now()](std::optional<http::Response> r) {
-            if (r) reconciliation_.answered(now() - sent, now());
+            if (r) reconciliation_.record_answer(now() - sent, now());
             if (probe) {
                 --probing_;
                 if (auto* m = cluster_state_.find(id)) m->probing = false;
@@ -544,8 +544,9 @@
     std::vector<membership::Observation> seen;
     for (auto& [id, m] : cluster_state_.machines()) {
         if (m.life != Machine::Life::up) continue;
-        membership::Observation s{id,           m.route,      zone_of(m), reconciliation_.silence(m, t),
-                                  m.last_heard, m.reconciled, m.known,    {}};
+        membership::Observation s{
+            id,           m.route,      zone_of(m), reconciliation_.attributable_silence_s(m, t),
+            m.last_heard, m.reconciled, m.known,    {}};
         // What runs there goes on until its worker's lease is out, and that is reported. What was sent there
         // and is not seen would wait for as long.
         if (m.reconciled && m.reach.lost() && !m.has_reported_instances())
@@ -556,8 +557,8 @@
         seen.push_back(s);
     }
     double asked_s = dependencies_.settings.report_s * dependencies_.settings.op.silence_reports;
-    failure_detector_.look(seen,
-                           {reconciliation_.behind(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
+    failure_detector_.look(
+        seen, {reconciliation_.overloaded(t), direct_heard_ >= 0 && t - direct_heard_ < asked_s}, t);
     if (auto& self_suspicion = failure_detector_.self_suspicion()) {
         auto elsewhere = dependencies_.heartbeats_seen_by_peers(self_suspicion->silent);
         failure_detector_.answered(elsewhere);
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -44,9 +44,9 @@
 void Leader::plan() {
     // Unless the leader before told it, a new leader can't know what unreconciled machines hold, so neither a
     // task, a quota nor a zone is safe.
-    if (planning_ || !loaded_ || !authority() || !reconciliation_.may_place()) return;
+    if (planning_ || !loaded_ || !authority() || !reconciliation_.placement_allowed()) return;
     auto plan = std::make_shared<Plan>();
-    plan->with_capacity = reconciliation_.all_reconciled() &&
+    plan->with_capacity = reconciliation_.complete() &&
                           now() - last_capacity_ > dependencies_.settings.report_s * capacity_reports &&
                           !dependencies_.types.empty();
     // Most plans found nothing to place: each copied the whole fleet to see that.
@@ -279,9 +279,9 @@
     }
     {
         std::lock_guard lock(mutex_);
-        if (!reconciliation_.may_place()) return;
+        if (!reconciliation_.placement_allowed()) return;
         apply_starts(p);
-        bool stops = reconciliation_.all_reconciled();
+        bool stops = reconciliation_.complete();
         for (auto& s : p.out.stops) {
             if (!stops) break;
             auto& i = p.in.instances[s.instance];
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -376,7 +376,7 @@
 }
 
 // Silence counts against a machine only while its leader keeps up with what it is told.
-TEST(Settling, SilenceCountsOnlyWhileTheLeaderKeepsUp) {
+TEST(Reconciliation, CountsSilenceOnlyWhileTheLeaderKeepsUp) {
     struct Case {
         const char* name;
         double settles_every, answers_after;  // 0: none settles any more; -1: no answers
@@ -393,29 +393,29 @@
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
         cluster::ClusterState p(7, types);
-        failover::Reconciliation settling(p, report);
+        failover::Reconciliation reconciliation(p, report);
         for (int k = 0; k < 60; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
             p.add(id, "a:1", "g", "z", false, cluster::Machine::Life::up, 0).asked = 0;
-            settling.expect(id);
+            reconciliation.expect(id);
         }
         double next = c.settles_every;
         int reconciled = 100;
         for (double t = 0; t <= 20; t += 0.5) {
             for (; next > 0 && next <= t; next += c.settles_every)
                 p.find("vm-" + std::to_string(reconciled++))->reconciled = true;
-            if (c.answers_after >= 0) settling.answered(c.answers_after, t);
-            settling.tick(t, 0.7);
+            if (c.answers_after >= 0) reconciliation.record_answer(c.answers_after, t);
+            reconciliation.tick(t, 0.7);
         }
-        EXPECT_NEAR(settling.silence(*p.find("vm-159"), 20), c.counted, 1);
-        EXPECT_FALSE(settling.may_place());
-        EXPECT_FALSE(settling.all_reconciled());
+        EXPECT_NEAR(reconciliation.attributable_silence_s(*p.find("vm-159"), 20), c.counted, 1);
+        EXPECT_FALSE(reconciliation.placement_allowed());
+        EXPECT_FALSE(reconciliation.complete());
     }
 }
 
 // A few machines of which all is known don't hold up what the others' room decides; one that is not known
 // does.
-TEST(Settling, AFewThatAreKnownHoldNothingUp) {
+TEST(Reconciliation, IsCompleteDespiteAFewKnownMachines) {
     struct Case {
         const char* name;
         int left;
@@ -429,21 +429,21 @@
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
         cluster::ClusterState p(7, types);
-        failover::Reconciliation settling(p, 4);
+        failover::Reconciliation reconciliation(p, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
             auto& m = p.add(id, "a:1", "g", "z", false, cluster::Machine::Life::up, 0);
             m.reconciled = k >= c.left;
             m.known = c.known;
-            settling.expect(id);
+            reconciliation.expect(id);
         }
-        settling.tick(1, 0.7);
-        EXPECT_EQ(settling.all_reconciled(), c.heard);
+        reconciliation.tick(1, 0.7);
+        EXPECT_EQ(reconciliation.complete(), c.heard);
     }
 }
 
 // What the leader before knew stays on the machine until a report under the new token shows otherwise.
-TEST(Inherited, TasksLeaveOnProofOnly) {
+TEST(ClusterState, KeepsInheritedTasksUntilProvenEnded) {
     struct Case {
         const char* name;
         std::uint64_t agent_epoch, token;
