--- /dev/null
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -0,0 +1,52 @@
+// Tasks that a new leader knows from its replica only.
+#include <gtest/gtest.h>
+
+#include "cluster/cluster_state.hpp"
+
+namespace coralhitch::cluster {
+namespace {
+
+// What the leader before knew stays on the machine until a report under the new token shows otherwise.
+TEST(ClusterState, KeepsInheritedTasksUntilProvenEnded) {
+    struct Case {
+        const char* name;
+        std::uint64_t agent_epoch, token;
+        bool shown;
+        std::size_t left, ends;
+    };
+    const std::uint64_t mine = 7ull << ClusterState::token_bits, before = mine - 5;
+    const Case cases[] = {
+        {"a report from before the takeover does not show it: its `run` may come yet", 3, before, false, 1,
+         0},
+        {"one under the new token does not show it", 3, mine, false, 0, 1},
+        {"one under the new token shows it", 3, mine, true, 1, 0},
+        {"a later session: all of the old one was killed", 4, before, false, 0, 1},
+        {"a report of an earlier session came late", 2, mine, false, 1, 0},
+    };
+    for (auto& c : cases) {
+        SCOPED_TRACE(c.name);
+        std::vector<protocol::MachineType> types;
+        ClusterState p(7, types);
+        auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
+        m.known = m.stored = true;
+        m.agent_epoch = 3;
+        auto spec = std::make_shared<protocol::Job>();
+        spec->id = "j-1";
+        p.inherit(m, {"j-1", 0}, spec, 11, 0);
+        protocol::Heartbeat r;
+        r.machine = "vm-1";
+        r.agent_epoch = c.agent_epoch;
+        r.sequence = 20;
+        r.token = c.token;
+        if (c.shown)
+            r.tasks.push_back(
+                {{"j-1", 0}, 11, protocol::TaskState::running, protocol::ExitCause::none, false});
+        auto heard = p.apply_heartbeat(r, Via::heartbeat, 1, [&](auto&) { return spec; });
+        EXPECT_EQ(m.tasks.size(), c.left);
+        EXPECT_EQ(heard.ends.size(), c.ends);
+        EXPECT_TRUE(heard.found.empty());
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::cluster
--- /dev/null
+++ b/tests/replication/in_sync_record_test.cpp
@@ -0,0 +1,99 @@
+// What the stored record of in-sync followers says, and who may come to be named by it.
+#include "replication/in_sync_record.hpp"
+
+#include <gtest/gtest.h>
+#include <spdlog/spdlog.h>
+
+#include "kv/keys.hpp"
+#include "support/fake_key_value_store.hpp"
+#include "support/fake_timers.hpp"
+
+namespace coralhitch::replication {
+namespace {
+
+struct RecordFixture {
+    RecordFixture() { spdlog::set_level(spdlog::level::off); }
+    static config::Settings settings_for() {
+        config::Settings s;
+        s.report_s = 4;
+        s.lease_s = 30;
+        s.state_rps = 100;
+        s.state_write_rps = 50;
+        s.value_kb = s.safe_value_kb = 16;
+        s.txn_ops = 8;
+        return s;
+    }
+    FakeTimers timers;
+    FakeKeyValueStore service{timers};
+    config::Settings settings = settings_for();
+    kv::KvClient client{timers, service, settings};
+    std::vector<InSyncRecord::Member> members;
+    bool authority = true;
+    int committed = 0;
+    InSyncRecord record{timers,
+                        settings,
+                        client,
+                        50,
+                        {[this] { return members; },
+                         [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
+                         [this] { ++committed; }, [] {}}};
+    std::size_t stored_members() {
+        auto it = service.kv.find(kv::keys::standby);
+        return it == service.kv.end() ? 0 : it->second.first["members"].size();
+    }
+};
+
+TEST(InSyncRecord, IsStoredEvenWithoutFollowers) {
+    RecordFixture fixture;
+    fixture.record.update();
+    fixture.timers.run_until(1);
+    EXPECT_FALSE(fixture.service.kv.contains(kv::keys::standby)) << "not started";
+    fixture.record.start(0);
+    fixture.record.update();
+    EXPECT_FALSE(fixture.record.owned());
+    fixture.timers.run_until(2);
+    EXPECT_TRUE(fixture.record.owned());
+    EXPECT_EQ(fixture.committed, 1);
+    EXPECT_TRUE(fixture.service.kv.contains(kv::keys::standby));
+}
+
+TEST(InSyncRecord, WaitsForAuthority) {
+    RecordFixture fixture;
+    fixture.authority = false;
+    fixture.record.start(0);
+    fixture.record.update();
+    fixture.timers.run_until(2);
+    EXPECT_FALSE(fixture.record.owned());
+    fixture.authority = true;
+    fixture.timers.run_until(3);
+    EXPECT_TRUE(fixture.record.owned());
+}
+
+// Who is named by a write without an answer may be named at any later time, until another write is confirmed.
+TEST(InSyncRecord, MayNameWhomAnUnansweredWriteNames) {
+    using Fate = FakeKeyValueStore::Fate;
+    for (auto fate : {Fate::lost_after, Fate::late, Fate::never}) {
+        SCOPED_TRACE(static_cast<int>(fate));
+        RecordFixture fixture;
+        fixture.service.fates = {Fate::answered, fate};
+        fixture.record.start(0);
+        fixture.record.update();
+        fixture.timers.run_until(1);
+        EXPECT_FALSE(fixture.record.may_name("x"));
+        fixture.members = {{"x", 1, 50}};
+        fixture.record.update();
+        EXPECT_TRUE(fixture.record.may_name("x"));
+        fixture.members.clear();  // out of sync while the write is under way
+        for (double t = 1; t < 30; t += 0.1) {
+            fixture.timers.run_until(t);
+            if (!fixture.record.may_name("x")) {
+                ASSERT_EQ(fixture.stored_members(), 0u) << t;
+            }
+        }
+        EXPECT_FALSE(fixture.record.may_name("x"));
+        EXPECT_EQ(fixture.record.confirmed_count(), 0u);
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::replication
--- /dev/null
+++ b/tests/replication/replication_sender_test.cpp
@@ -0,0 +1,257 @@
+// When starts may be sent, whatever followers and the key-value store do.
+#include "replication/replication_sender.hpp"
+
+#include <gtest/gtest.h>
+#include <spdlog/spdlog.h>
+
+#include <deque>
+#include <random>
+#include <set>
+
+#include "kv/keys.hpp"
+#include "replication/follower.hpp"
+#include "support/fake_key_value_store.hpp"
+#include "support/fake_timers.hpp"
+
+namespace coralhitch::replication {
+namespace {
+
+protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
+    return {id, true, false, agent_epoch, 0, {}};
+}
+
+struct Bench {
+    static config::Settings settings_for() {
+        config::Settings s;
+        s.report_s = 4;
+        s.lease_s = 30;
+        s.state_rps = 100;
+        s.state_write_rps = 50;
+        s.value_kb = s.safe_value_kb = 16;
+        s.txn_ops = 8;
+        s.peers = {{"x", "a", "x:1"}, {"y", "b", "y:1"}};
+        return s;
+    }
+    Bench() {
+        spdlog::set_level(spdlog::level::off);
+        ping("x", 1);
+        ping("y", 2);
+        service.others = [this](const std::string& addr, const http::Request& r, double timeout,
+                                http::Result result) {
+            auto& f = followers.at(addr.substr(0, 1));
+            std::optional<http::Response> answer;
+            if (!f.silent && f.fails) {
+                answer = http::Response{503, {}};
+            } else if (!f.silent) {
+                auto piece = protocol::unpack_peer<protocol::PeerFleet>(r.body);
+                answer = http::Response{200, protocol::pack_peer(f.follower.apply(std::move(*piece)))};
+            }
+            timers.after(answer ? 0.01 : timeout, [answer, result] { result(answer); });
+        };
+    }
+    struct Peer {
+        Follower follower;
+        bool silent = false, fails = false;
+    };
+    std::set<std::string> named() {
+        std::set<std::string> out;
+        auto it = service.kv.find(kv::keys::standby);
+        if (it != service.kv.end())
+            for (auto& m : it->second.first["members"]) out.insert(m["label"].get<std::string>());
+        return out;
+    }
+    FakeTimers timers;
+    FakeKeyValueStore service{timers};
+    config::Settings settings = settings_for();
+    kv::KvClient client{timers, service, settings};
+    std::map<std::string, Peer> followers{{"x", {Follower(1)}}, {"y", {Follower(2)}}};
+    std::map<std::string, std::uint64_t> machines{{"vm-1", 1}, {"vm-2", 1}};
+    bool authority = true;
+    std::map<std::string, protocol::PeerPing> pings;
+    void ping(const std::string& label, std::uint64_t incarnation) {
+        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features, 0};
+    }
+    ReplicationSender sender{
+        timers,
+        service,
+        settings,
+        client,
+        50,
+        {[this](const std::string& id) { return std::optional(row_of(id, machines.at(id))); },
+         [this] {
+             std::vector<std::string> ids;
+             for (auto& [id, s] : machines) ids.push_back(id);
+             return ids;
+         },
+         [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
+         [this](const std::string& label) { return &pings[label]; }, [] {}}};
+    std::uint64_t start(const std::string& id) {
+        ++machines[id];
+        sender.machine_changed(id);
+        sender.flush();
+        return sender.log_index();
+    }
+};
+
+TEST(ReplicationSender, HoldsStartsUntilAllRecordedFollowersAcknowledge) {
+    Bench b;
+    b.followers.at("y").silent = true;
+    b.sender.start(0, std::nullopt);
+    EXPECT_FALSE(b.sender.replicated(b.start("vm-1")));  // an earlier record may still stand
+    b.timers.run_until(1);
+    EXPECT_EQ(b.named(), std::set<std::string>{"x"});
+    auto log_index = b.start("vm-1");
+    EXPECT_FALSE(b.sender.replicated(log_index));
+    b.timers.run_until(1.05);
+    EXPECT_TRUE(b.sender.replicated(log_index));
+    EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch, b.machines["vm-1"]);
+    // One that does not answer any more holds starts up until it is taken out, and no longer.
+    b.followers.at("x").silent = true;
+    log_index = b.start("vm-2");
+    for (double t = 1.1; !b.sender.replicated(log_index) && t < 6; t += 0.01) {
+        b.timers.run_until(t);
+        if (b.sender.replicated(log_index)) {
+            EXPECT_TRUE(b.named().empty());
+        }
+    }
+    EXPECT_TRUE(b.sender.replicated(log_index));
+    EXPECT_LT(b.timers.now(), 1.1 + 4.0 / 5 + 0.1);
+}
+
+// A write that names somebody and was not answered may be executed at any later time, until one on the
+// version after it is confirmed.
+TEST(ReplicationSender, WaitsForFollowersThatAnUnansweredWriteNames) {
+    for (auto fate : {FakeKeyValueStore::Fate::lost_after, FakeKeyValueStore::Fate::late,
+                      FakeKeyValueStore::Fate::never}) {
+        SCOPED_TRACE(static_cast<int>(fate));
+        Bench b;
+        b.followers.at("y").silent = true;
+        b.service.fates = {FakeKeyValueStore::Fate::answered, fate};  // the first names nobody
+        b.sender.start(0, std::nullopt);
+        for (double t = 0.1; t < 12; t += 0.05) {
+            b.timers.run_until(t);
+            if (t > 0.3) b.followers.at("x").silent = true;
+            auto log_index = b.start("vm-1");
+            bool knows =
+                b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch == b.machines["vm-1"];
+            if (!knows && b.sender.replicated(log_index)) {
+                EXPECT_FALSE(b.named().contains("x")) << t;
+            }
+        }
+        EXPECT_TRUE(b.named().empty());
+        EXPECT_TRUE(b.sender.replicated(b.sender.log_index()));
+    }
+}
+
+// Three leaders killed a second apart: each names those that its predecessor named, from its first record on,
+// as long as each is the process, with the copy, that was meant.
+TEST(ReplicationSender, ResumesFollowersOfThePreviousLeader) {
+    struct Case {
+        const char* name;
+        std::uint64_t incarnation, features, begun;  // of `x`: its process, its version, its copy
+        bool at_once, carried;
+    };
+    const Case cases[] = {
+        {"it goes on", 1, protocol::peer_features, 40, true, true},
+        {"it was started anew", 3, protocol::peer_features, 0, false, false},
+        {"its version wipes its copy", 1, protocol::peer_features_follow, 40, false, false},
+        {"another leader has wiped its copy since", 1, protocol::peer_features, 45, true, false},
+    };
+    for (auto& c : cases) {
+        SCOPED_TRACE(c.name);
+        Bench b;
+        b.ping("x", c.incarnation);
+        b.pings["x"].features = c.features;
+        auto& f = b.followers.at("x").follower = Follower(c.incarnation);
+        b.followers.at("y").silent = true;
+        if (c.begun) f.apply({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
+        b.sender.start(0, protocol::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
+        for (double t = 0; !b.service.kv.contains(kv::keys::standby); t += 0.001) b.timers.run_until(t);
+        EXPECT_EQ(b.named().contains("x"), c.at_once);
+        auto log_index = b.start("vm-2");
+        for (double t = b.timers.now(); t < 0.8; t += 0.01) {
+            b.timers.run_until(t);
+            b.sender.tick();
+            if (b.sender.replicated(log_index) && b.named().contains("x")) {
+                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch, b.machines["vm-2"]);
+                EXPECT_EQ(f.replica().base_version,
+                          b.service.kv.at(kv::keys::standby).first["members"][0]["begun"]);
+            }
+        }
+        EXPECT_TRUE(b.sender.replicated(log_index));
+        EXPECT_TRUE(b.named().contains("x"));  // by a full copy, if need be
+        EXPECT_EQ(f.replica().machines.contains("vm-9"), c.carried);
+        EXPECT_TRUE(f.replica().complete);
+    }
+}
+
+// It used to be left out for half a report period, longer than the next leader lived.
+TEST(ReplicationSender, SendsASnapshotToARestartedFollowerAtOnce) {
+    for (bool says_so : {true, false}) {
+        SCOPED_TRACE(says_so);
+        Bench b;
+        b.followers.at("y").silent = true;
+        b.sender.start(0, std::nullopt);
+        b.timers.run_until(1);
+        b.followers.at("x").follower = Follower(11);
+        b.ping("x", 11);
+        if (says_so)
+            b.sender.follower_restarted("x", 11);
+        else
+            b.start("vm-1");  // the answer tells
+        b.timers.run_until(1.2);
+        auto& members = b.service.kv.at(kv::keys::standby).first["members"];
+        ASSERT_EQ(members.size(), 1u);
+        EXPECT_EQ(members[0]["incarnation"], 11u);
+        EXPECT_EQ(b.followers.at("x").follower.replica().machines.size(), 2u);
+    }
+}
+
+// Followers that fail, fall silent, begin anew, with hundreds of changes waiting: whatever counts as told is
+// known to all that the record names.
+TEST(ReplicationSender, ReplicatedChangesAreOnAllRecordedFollowers) {
+    std::size_t sent = 0;
+    for (std::uint64_t seed = 1; seed <= 60; ++seed) {
+        SCOPED_TRACE(seed);
+        Bench b;
+        std::mt19937_64 random(seed);
+        for (int k = 0; k < 700; ++k) b.machines["vm-" + std::to_string(1000 + k)] = 1;
+        b.sender.start(0, std::nullopt);
+        struct Start {
+            std::uint64_t log_index;
+            std::string machine;
+            std::uint64_t agent_epoch;
+        };
+        std::deque<Start> starts;
+        for (int step = 0; step < 250; ++step) {
+            b.timers.run_until(b.timers.now() + 0.01 * static_cast<double>(1 + random() % 30));
+            if (random() % 12 == 0) b.authority = random() % 3 != 0;
+            for (auto& [label, f] : b.followers) {
+                f.silent = f.silent ? random() % 5 != 0 : random() % 25 == 0;
+                f.fails = f.fails ? random() % 3 != 0 : random() % 8 == 0;
+            }
+            if (random() % 20 == 0)
+                b.service.fates.push_back(static_cast<FakeKeyValueStore::Fate>(random() % 4));
+            if (random() % 3 == 0) b.sender.tick();
+            for (std::size_t n = random() % 10 == 0 ? 500 : random() % 3; n > 0; --n) {
+                auto id = "vm-" + std::to_string(1000 + random() % 700);
+                auto log_index = b.start(id);
+                starts.push_back({log_index, id, b.machines[id]});
+            }
+            while (!starts.empty() && b.sender.replicated(starts.front().log_index)) {
+                auto s = starts.front();
+                starts.pop_front();
+                ++sent;
+                for (auto& label : b.named()) {
+                    auto& rows = b.followers.at(label).follower.replica().machines;
+                    ASSERT_TRUE(rows.contains(s.machine)) << label << " step " << step;
+                    ASSERT_GE(rows.at(s.machine).agent_epoch, s.agent_epoch) << label << " step " << step;
+                }
+            }
+        }
+    }
+    EXPECT_GT(sent, 10000u);
+}
+
+}  // namespace
+}  // namespace coralhitch::replication
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -1,4 +1,4 @@
-// The real controllers in simulated time, through troubles, against the simulated users' rules.
+// The real controllers in simulated time, through faults, against the simulated users' rules.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -16,7 +16,7 @@
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 
-const FaultKind troubles[] = {
+const FaultKind fault_kinds[] = {
     {"quiet", [](SimulatedCluster&, std::mt19937_64&) {}},
     {"leader crashes twice",
      [](SimulatedCluster& w, std::mt19937_64&) {
@@ -169,29 +169,30 @@
     }
 }
 
-class Troubles : public testing::TestWithParam<std::size_t> {
+class FailoverFaults : public testing::TestWithParam<std::size_t> {
   protected:
     void SetUp() override { spdlog::set_level(spdlog::level::off); }
 };
-INSTANTIATE_TEST_SUITE_P(Takeover, Troubles, testing::Range<std::size_t>(0, std::size(troubles)));
-TEST_P(Troubles, KeepTheRules) {
-    for (std::uint64_t seed : {1, 2, 3}) run_scenario(troubles[GetParam()], seed);
+INSTANTIATE_TEST_SUITE_P(EachKind, FailoverFaults, testing::Range<std::size_t>(0, std::size(fault_kinds)));
+TEST_P(FailoverFaults, KeepInvariants) {
+    for (std::uint64_t seed : {1, 2, 3}) run_scenario(fault_kinds[GetParam()], seed);
 }
-class AtRandom : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Takeover, AtRandom, testing::Range<std::uint64_t>(0, 4));
-TEST_P(AtRandom, KeepsTheRules) {
+class FailoverRandomFaults : public testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(EachSeed, FailoverRandomFaults, testing::Range<std::uint64_t>(0, 4));
+TEST_P(FailoverRandomFaults, KeepInvariants) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed = 10 + GetParam(); seed < 30; seed += 4)
-        run_scenario(std::end(troubles)[-1], seed);
+        run_scenario(std::end(fault_kinds)[-1], seed);
 }
 
-// A leader that no longer hears the workers must not take them for gone one by one: the other controllers
-// hear them, so one of these takes over, and the machines and what runs on them stay. Likewise a controller
-// that is cut off when it comes to lead: it fences unreconciled machines early, but must doubt itself first.
-// In a large fleet those that fall silent first are few, and must not be fenced before the rest is missed.
-// While the others hear for the leader it may as well go on leading, and fences none of the machines that
-// need some seconds to turn to them: few of them are heard before the first is overdue.
-TEST(Takeover, ALeaderCutOffFromTheWorkersFencesNone) {
+// A leader that no longer receives heartbeats must not take the workers for dead one by one: the other
+// controllers receive them, so one of these becomes the leader, and the machines and their tasks stay.
+// Likewise a controller that is cut off when it becomes the leader: it fences unreconciled machines early,
+// but must suspect itself first. In a large cluster those whose heartbeats are missed first are few, and must
+// not be fenced before the rest is missed. While the others relay heartbeats to the leader it may go on
+// leading, and fences none of the machines that need some seconds to turn to them: few of them are reported
+// before the first is overdue.
+TEST(FailoverScenario, FencesNoMachineWhenTheLeaderIsCutOffFromWorkers) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
         std::size_t machines;
@@ -234,9 +235,9 @@
     }
 }
 
-// A new leader that hears machines more slowly than it could fence them: their answers wait unread, which is
-// no fault of theirs. It used to delete those that came last.
-TEST(Takeover, ASlowLeaderFencesNone) {
+// A new leader that processes heartbeats more slowly than it could fence machines: their answers wait unread,
+// which is no fault of theirs. It used to delete those that came last.
+TEST(FailoverScenario, FencesNoMachineWhenTheLeaderIsSlow) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3, 4}) {
         Options o;
@@ -258,10 +259,10 @@
     }
 }
 
-// Heard, but not reached: after a start of all controllers its reports used to hold up every task for as long
-// as they came, since nobody could tell what was on it. And what is placed there while it is well otherwise
-// must not wait.
-TEST(Unreached, AMachineHoldsNothingUp) {
+// Its heartbeats arrive, but nothing reaches it: after a restart of all controllers they used to hold up
+// every task for as long as they came, since nobody could tell what ran there. And what is placed there while
+// it is otherwise healthy must not wait.
+TEST(FailoverScenario, StartsTasksDespiteAnUnreachableMachine) {
     spdlog::set_level(spdlog::level::off);
     for (bool cold : {true, false})
         for (std::uint64_t seed : {1, 2, 3}) {
@@ -285,7 +286,7 @@
 
 // A controller that has lost the key-value store and the others is left by the balancer, once; all of them
 // stay while nobody could serve, or one answer is late.
-TEST(Health, SaysWhoCanServe) {
+TEST(FailoverScenario, HealthTellsWhichControllersCanServe) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
         const char* name;
@@ -316,7 +317,7 @@
     }
 }
 
-TEST(Audit, AJobThatTheWatchMissedIsFound) {
+TEST(FailoverScenario, AuditFindsAJobThatTheWatchMissed) {
     spdlog::set_level(spdlog::level::off);
     // A watch that waits misses it: the next read of the changes has it. All that the leader reads of changes
     // does: only the audit can find it.
@@ -337,7 +338,7 @@
 }
 
 // A job submitted with a mistake costs its own tasks once, and a probe now and then; others are not held up.
-TEST(Takeover, AJobThatFailsEverywhereIsTriedOneTaskAtATime) {
+TEST(FailoverScenario, RetriesAJobThatFailsEverywhereOneTaskAtATime) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     w.at(2, [&w] {
@@ -355,7 +356,7 @@
 
 // Machines that boot several times as slowly as usual come up in the end, if they are not given up a moment
 // before, which a new leader is tempted to do: it has seen no boot yet.
-TEST(Takeover, LateMachinesAreWaitedForAlsoByANewLeader) {
+TEST(FailoverScenario, WaitsForSlowlyBootingMachinesAfterAFailover) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 0;
@@ -369,7 +370,7 @@
 }
 
 // What is submitted with jobs to await is judged by what these are, and a retry by what became of it.
-TEST(DependencyGraph, SubmissionsAreJudged) {
+TEST(DependencyScenario, AnswersSubmissionsByTheStateOfAwaitedJobs) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     w.at(2, [&w] {
@@ -423,7 +424,7 @@
 }
 // While the key-value store is away nobody can mark the jobs behind a cancelled one, and right after it there
 // may be no leader: whoever answers must work it out from the awaited jobs.
-TEST(DependencyGraph, CancellationReachesThroughAnOutageWithoutALeader) {
+TEST(DependencyScenario, CancelsDependentsDuringAnOutageWithoutALeader) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3}) {
         Options o;
@@ -447,7 +448,7 @@
 }
 // A controller that is cut off from the key-value store passes users' requests on, but a submission that
 // awaits jobs only to a version that knows of that: any other would store it as one that may start.
-TEST(DependencyGraph, AreNotPassedOnToAnOlderVersion) {
+TEST(DependencyScenario, ForwardsNoDependentJobToAnOlderVersion) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
         bool old_pings, awaits;
@@ -475,7 +476,7 @@
     }
 }
 // Hundreds of questions that hang on how one job ended share the read of it.
-TEST(DependencyGraph, AStormOfQuestionsReadsEachEndOnce) {
+TEST(DependencyScenario, SharesTheReadOfAnEndAmongManyQueries) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     w.at(2, [&w] {
@@ -494,7 +495,7 @@
     for (auto& b : w.broken) ADD_FAILURE() << b;
 }
 // The limits fall without notice, once to what was announced and once lower: everything goes on.
-TEST(Limits, MayFallAtAnyMoment) {
+TEST(FailoverScenario, ToleratesLimitsThatFallAtAnyMoment) {
     spdlog::set_level(spdlog::level::off);
     for (bool lower : {false, true})
         for (std::uint64_t seed : {1, 2}) {
