--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -44,11 +44,11 @@
     // A machine whose tasks are known and that is suspected to have failed holds nothing else up, nor do a
     // few such: dozens of failed machines used to keep a leader from scaling out and preempting for ten
     // seconds.
-    auto settled = [](const Machine& machine) {
+    auto not_awaited = [](const Machine& machine) {
         return machine.reconciled || machine.life != Machine::Life::up ||
                (machine.known && machine.suspected);
     };
-    return all_satisfy(unreconciled_, settled) || (few_remaining_ && placement_allowed());
+    return all_satisfy(unreconciled_, not_awaited) || (few_remaining_ && placement_allowed());
 }
 
 std::size_t Reconciliation::remaining() const {
--- a/tests/failover/reconciliation_test.cpp
+++ b/tests/failover/reconciliation_test.cpp
@@ -6,18 +6,18 @@
 namespace coralhitch::failover {
 namespace {
 
-// Silence counts against a machine only while its leader keeps up with what it is told.
+// Silence counts against a machine only while its leader keeps up with the heartbeats.
 TEST(Reconciliation, CountsSilenceOnlyWhileTheLeaderKeepsUp) {
     struct Case {
         const char* name;
-        double settles_every, answers_after;  // 0: none settles any more; -1: no answers
-        double counted;                       // of the last machine's silence, 20 s after it was asked
+        double reconciled_every, answers_after;  // 0: none is reconciled any more; -1: no answers
+        double counted;                          // of the last machine's silence, 20 s after it was asked
     };
     const double report = 4;
     const Case cases[] = {
-        {"nothing is heard", 0, -1, 20},
-        {"the others settle one after the other", 0.4, 0.01, 0},
-        {"none settles any more, answers come at once", 0, 0.01, 20},
+        {"nothing arrives", 0, -1, 20},
+        {"the others are reconciled one after the other", 0.4, 0.01, 0},
+        {"none is reconciled any more, answers come at once", 0, 0.01, 20},
         {"answers come late: they waited here", 0, 1.5, 0},
     };
     for (auto& c : cases) {
@@ -30,10 +30,10 @@
             p.add(id, "a:1", "g", "z", false, cluster::Machine::Life::up, 0).asked = 0;
             reconciliation.expect(id);
         }
-        double next = c.settles_every;
+        double next = c.reconciled_every;
         int reconciled = 100;
         for (double t = 0; t <= 20; t += 0.5) {
-            for (; next > 0 && next <= t; next += c.settles_every)
+            for (; next > 0 && next <= t; next += c.reconciled_every)
                 p.find("vm-" + std::to_string(reconciled++))->reconciled = true;
             if (c.answers_after >= 0) reconciliation.record_answer(c.answers_after, t);
             reconciliation.tick(t, 0.7);
@@ -44,13 +44,13 @@
     }
 }
 
-// A few machines of which all is known don't hold up what the others' room decides; one that is not known
-// does.
+// A few machines whose tasks are known don't hold up what depends on the others' free resources; one that is
+// unknown does.
 TEST(Reconciliation, IsCompleteDespiteAFewKnownMachines) {
     struct Case {
         const char* name;
         int left;
-        bool known, heard;
+        bool known, complete;
     };
     const Case cases[] = {{"a few, known", 3, true, true},
                           {"many, known", 8, true, false},
@@ -69,7 +69,7 @@
             reconciliation.expect(id);
         }
         reconciliation.tick(1, 0.7);
-        EXPECT_EQ(reconciliation.complete(), c.heard);
+        EXPECT_EQ(reconciliation.complete(), c.complete);
     }
 }
 
--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -8,7 +8,8 @@
 namespace coralhitch::replication {
 namespace {
 
-// Each check, left out, would let a start that was sent go unnoticed: the rule in doubt is `ran_twice`.
+// Without any one of the checks a start that was sent could go unnoticed: the invariant at risk is
+// `ran_twice`.
 TEST(EligibilityChecks, AcceptAReplicaOnlyIfNothingCanBeMissing) {
     ReplicaState replica{20, 7, 20, true, {}};
     ReplicaEvidence good{"me",
@@ -24,43 +25,43 @@
         std::function<void(ReplicaEvidence&)> change;
         bool proof;
     };
-    ReplicaState older{10, 7, 10, true, {}}, carried{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
-    auto goes_on_from = [](ReplicaEvidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
+    ReplicaState older{10, 7, 10, true, {}}, continued{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
+    auto continues_from = [](ReplicaEvidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
     const Case cases[] = {
-        {"all is well", [](ReplicaEvidence&) {}, true},
-        {"no record: the leader may never have waited for anybody",
+        {"all checks pass", [](ReplicaEvidence&) {}, true},
+        {"no record: the leader may never have waited for any follower",
          [](ReplicaEvidence& e) { e.record.reset(); }, false},
         {"the record is of this leadership", [](ReplicaEvidence& e) { e.record->version = 40; }, false},
-        {"it was taken out, and starts have gone without it since",
+        {"it was removed, and starts were sent without it since",
          [](ReplicaEvidence& e) {
              e.record->members = {{"other", 4, 20}};
          },
          false},
-        {"another process of this controller was named",
+        {"another process of this controller was recorded",
          [](ReplicaEvidence& e) {
              e.record->members = {{"me", 2, 20}};
          },
          false},
-        {"the copy is of the leader before", [&](ReplicaEvidence& e) { e.replica = &older; }, false},
-        {"it goes on from the copy of a leader before, as the record says",
+        {"the replica is of the previous leader", [&](ReplicaEvidence& e) { e.replica = &older; }, false},
+        {"it continues the replica of an earlier leader, as the record says",
          [&](ReplicaEvidence& e) {
-             e.replica = &carried;
-             goes_on_from(e, 10);
+             e.replica = &continued;
+             continues_from(e, 10);
          },
          true},
-        {"the leader of the record sent no start, and has told nothing",
+        {"the leader of the record sent no start, and has replicated nothing",
          [&](ReplicaEvidence& e) {
              e.replica = &older;
-             goes_on_from(e, 10);
+             continues_from(e, 10);
          },
          true},
-        {"a leader that came to nothing has wiped the copy that is meant",
-         [&](ReplicaEvidence& e) { goes_on_from(e, 10); }, false},
-        {"it goes on from another copy than the record says",
-         [&](ReplicaEvidence& e) { e.replica = &carried; }, false},
-        {"a leader without a record of its own has told more",
+        {"a leader that failed soon after has wiped the replica that is meant",
+         [&](ReplicaEvidence& e) { continues_from(e, 10); }, false},
+        {"it continues another replica than the record says",
+         [&](ReplicaEvidence& e) { e.replica = &continued; }, false},
+        {"a leader without a record of its own has replicated more",
          [&](ReplicaEvidence& e) { e.replica = &later; }, false},
-        {"nothing was taken in", [](ReplicaEvidence& e) { e.replica = nullptr; }, false},
+        {"nothing was received", [](ReplicaEvidence& e) { e.replica = nullptr; }, false},
         {"what came after the last watch is not known",
          [](ReplicaEvidence& e) { e.history_complete = false; }, false},
         {"it was away, and saw only a later leader",
--- a/tests/replication/follower_test.cpp
+++ b/tests/replication/follower_test.cpp
@@ -24,11 +24,11 @@
     const Case cases[] = {
         {"the first", 5, 3, row_of("vm-1"), true, 1},
         {"more", 5, 4, row_of("vm-2"), true, 2},
-        {"held up, and older than what came", 5, 2, gone, false, 2},
+        {"delayed, and older than what came", 5, 2, gone, false, 2},
         {"again", 5, 4, gone, false, 2},
         {"a machine is gone", 5, 6, gone, true, 1},
-        {"of the leader before, which woke", 4, 90, row_of("vm-7"), false, 1},
-        {"of the next leader: what came before is over", 8, 1, row_of("vm-3"), true, 1},
+        {"of the previous leader, which woke", 4, 90, row_of("vm-7"), false, 1},
+        {"of the next leader: what came before is dropped", 8, 1, row_of("vm-3"), true, 1},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -105,7 +105,7 @@
     b.timers.run_until(1.05);
     EXPECT_TRUE(b.sender.replicated(log_index));
     EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch, b.machines["vm-1"]);
-    // One that does not answer any more holds starts up until it is taken out, and no longer.
+    // A follower that no longer answers delays starts until it is removed from the record, and no longer.
     b.followers.at("x").silent = true;
     log_index = b.start("vm-2");
     for (double t = 1.1; !b.sender.replicated(log_index) && t < 6; t += 0.01) {
@@ -118,8 +118,8 @@
     EXPECT_LT(b.timers.now(), 1.1 + 4.0 / 5 + 0.1);
 }
 
-// A write that names somebody and was not answered may be executed at any later time, until one on the
-// version after it is confirmed.
+// An unanswered write that names a follower may be executed at any later time, until one on the version
+// after it is confirmed.
 TEST(ReplicationSender, WaitsForFollowersThatAnUnansweredWriteNames) {
     for (auto fate : {FakeKeyValueStore::Fate::lost_after, FakeKeyValueStore::Fate::late,
                       FakeKeyValueStore::Fate::never}) {
@@ -143,19 +143,19 @@
     }
 }
 
-// Three leaders killed a second apart: each names those that its predecessor named, from its first record on,
-// as long as each is the process, with the copy, that was meant.
+// Three leaders killed a second apart: each records the followers of its predecessor from its first record
+// on, as long as each is still the process, with the replica, that was recorded.
 TEST(ReplicationSender, ResumesFollowersOfThePreviousLeader) {
     struct Case {
         const char* name;
-        std::uint64_t incarnation, features, begun;  // of `x`: its process, its version, its copy
-        bool at_once, carried;
+        std::uint64_t incarnation, features, begun;  // of `x`: its process, its version, its replica
+        bool at_once, resumed;
     };
     const Case cases[] = {
-        {"it goes on", 1, protocol::peer_features, 40, true, true},
-        {"it was started anew", 3, protocol::peer_features, 0, false, false},
-        {"its version wipes its copy", 1, protocol::peer_features_follow, 40, false, false},
-        {"another leader has wiped its copy since", 1, protocol::peer_features, 45, true, false},
+        {"it resumes", 1, protocol::peer_features, 40, true, true},
+        {"it was restarted", 3, protocol::peer_features, 0, false, false},
+        {"its version cannot resume", 1, protocol::peer_features_follow, 40, false, false},
+        {"another leader has wiped its replica since", 1, protocol::peer_features, 45, true, false},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
@@ -179,13 +179,13 @@
             }
         }
         EXPECT_TRUE(b.sender.replicated(log_index));
-        EXPECT_TRUE(b.named().contains("x"));  // by a full copy, if need be
-        EXPECT_EQ(f.replica().machines.contains("vm-9"), c.carried);
+        EXPECT_TRUE(b.named().contains("x"));  // by a snapshot, if need be
+        EXPECT_EQ(f.replica().machines.contains("vm-9"), c.resumed);
         EXPECT_TRUE(f.replica().complete);
     }
 }
 
-// It used to be left out for half a report period, longer than the next leader lived.
+// It used to be left out for half a report period, longer than the next leader lasted.
 TEST(ReplicationSender, SendsASnapshotToARestartedFollowerAtOnce) {
     for (bool says_so : {true, false}) {
         SCOPED_TRACE(says_so);
@@ -198,7 +198,7 @@
         if (says_so)
             b.sender.follower_restarted("x", 11);
         else
-            b.start("vm-1");  // the answer tells
+            b.start("vm-1");  // the answer shows it
         b.timers.run_until(1.2);
         auto& members = b.service.kv.at(kv::keys::standby).first["members"];
         ASSERT_EQ(members.size(), 1u);
@@ -207,8 +207,8 @@
     }
 }
 
-// Followers that fail, fall silent, begin anew, with hundreds of changes waiting: whatever counts as told is
-// known to all that the record names.
+// Followers that fail, do not answer or restart, with hundreds of changes queued: whatever counts as
+// replicated is in the replicas of all that the record names.
 TEST(ReplicationSender, ReplicatedChangesAreOnAllRecordedFollowers) {
     std::size_t sent = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
