--- a/bench/takeovers.py
+++ b/bench/takeovers.py
@@ -13,7 +13,13 @@
 import statistics
 
 LINE = re.compile(r"\s*([\d.]+) (\S+) \d\d:\d\d:\d\d\.\d+ \w+ (.*)")
-STEPS = {"loaded": "leader: loaded", "first": "leader: may place after", "settled": "leader: all machines settled"}
+STEP = "component=failover event=step_completed step="
+# Of each step the line of today, then that of logs written before log lines had events.
+STEPS = {
+    "loaded": (STEP + "loaded ", "leader: loaded"),
+    "first": (STEP + "placement_allowed ", "leader: may place after"),
+    "settled": (STEP + "reconciled ", "leader: all machines settled"),
+}
 
 
 def takeovers(path, after):
