--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -33,7 +33,7 @@
 
 // Which followers of the previous leader were in sync.
 void RecoveryLoader::read_record() {
-    kv_.get(keys::standby, RequestPriority::write, guarded_([this](kv::GetResult result) {
+    kv_.get(keys::standby, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
                 if (!result.ok) return retry_later();
                 handle_record(result);
                 read_leader_history();
@@ -65,7 +65,7 @@
 }
 
 void RecoveryLoader::list(const std::string& prefix, kv::ListResult RecoveredState::*target,
-                          std::function<void()> next) {
+                          const std::function<void()>& next) {
     kv_.list(prefix, RequestPriority::write, guarded_([this, target, next](kv::ListResult result) {
                  if (!result.ok) return retry_later();
                  recovered_.*target = std::move(result);
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -41,7 +41,8 @@
     void read_record();
     void handle_record(const kv::GetResult& result);
     void read_leader_history();
-    void list(const std::string& prefix, kv::ListResult RecoveredState::*target, std::function<void()> next);
+    void list(const std::string& prefix, kv::ListResult RecoveredState::*target,
+              const std::function<void()>& next);
     void list_all();
     void finish();
 
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -186,7 +186,7 @@
         {"POST", std::string(protocol::peer_relay_path), protocol::pack_peer(message), "application/msgpack"},
         protocol::heartbeat_timeout_s * leader_timeout_share,
         guarded_([this, number = message.number, now, receiver = leader_,
-                  shared](std::optional<http::Response> response) {
+                  shared](const std::optional<http::Response>& response) {
             handle_answer(number, now, receiver, std::move(*shared), response);
         }));
 }
--- a/src/replication/in_sync_record.cpp
+++ b/src/replication/in_sync_record.cpp
@@ -46,7 +46,7 @@
     busy_ = true;
     // With the priority of lease renewals: no start is sent before it is answered.
     kv_.txn(std::move(*txn), kv::RequestPriority::lease,
-            guarded_([this, members](kv::TxnResult result) { handle_result(members, result); }));
+            guarded_([this, members](const kv::TxnResult& result) { handle_result(members, result); }));
 }
 
 void InSyncRecord::handle_result(const std::vector<Member>& members, const kv::TxnResult& result) {
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -170,7 +170,8 @@
     http_.send(
         session.peer().addr,
         {"POST", std::string(protocol::peer_fleet_path), protocol::pack_peer(message), "application/msgpack"},
-        answer_timeout_s(session), guarded_([this, &session, batch](std::optional<http::Response> response) {
+        answer_timeout_s(session),
+        guarded_([this, &session, batch](const std::optional<http::Response>& response) {
             handle_answer(session, batch, response);
         }));
 }
