--- a/src/leader/authority.cpp
+++ b/src/leader/authority.cpp
@@ -16,7 +16,7 @@
       election_(election),
       fencing_token_(fencing_token),
       cancellations_known_until_(std::move(cancellations_known_until)),
-      renewal_after_expiry_s_(relay::keep_alive_s(settings, election.lease_ttl_s())) {}
+      renewal_after_expiry_s_(relay::renewal_grace_s(settings, election.lease_ttl_s())) {}
 
 bool Authority::may_renew_worker_leases() const {
     return !ended_ && timers_.now() <= lease_renewal_deadline();
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -165,7 +165,7 @@
     http_.send(machine.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
                guarded_([this, sent = std::move(sent), request,
                          sent_at = now()](std::optional<http::Response> response) {
-                   if (response) reconciliation_.answered(now() - sent_at, now());
+                   if (response) reconciliation_.record_answer(now() - sent_at, now());
                    if (request == Request::probe) {
                        --probes_in_flight_;
                        if (auto* machine = state_.cluster.find(sent.machine_id)) machine->probing = false;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -28,7 +28,7 @@
       hooks_(std::move(hooks)),
       early_(rejections) {}
 
-void HeartbeatHandler::handle(relay::HeartbeatQueue::Report report) {
+void HeartbeatHandler::handle(relay::PendingHeartbeat report) {
     if (!parts_.recovery.loaded()) return early_.push(std::move(report));
     auto& [body, reply, since] = report;
     if (repeat_reply(body, reply)) return;
@@ -72,7 +72,7 @@
 // `relay_label`: the relay that passes it on; empty if it came here.
 HeartbeatHandler::Answer HeartbeatHandler::answer(const std::string& body, const std::string& relay_label) {
     if (!authority_.may_renew_worker_leases())
-        return {reject(authority_.ended() ? HeartbeatRejection::no_lease : HeartbeatRejection::bound_over),
+        return {reject(authority_.ended() ? HeartbeatRejection::lease_lost : HeartbeatRejection::renewal_deadline_passed),
                 {}};
     bool may_act = authority_.holds();
     protocol::Heartbeat status;
@@ -91,14 +91,14 @@
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(status.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
-    if (authority_.ended()) return reject(HeartbeatRejection::no_lease);
-    if (!outcome.may_be_answered() || !machine) return reject(HeartbeatRejection::older);
+    if (authority_.ended()) return reject(HeartbeatRejection::lease_lost);
+    if (!outcome.may_be_answered() || !machine) return reject(HeartbeatRejection::outdated);
     bool unreachable = parts_.supervisor.is_outbound_unreachable(*machine);
     if (unreachable || !state_.cluster.may_renew_lease(*machine, now())) {
         // It was not answered: should the same heartbeat come again, the lease counts from then.
         machine->heartbeat_sequence = std::min(machine->heartbeat_sequence, status.sequence - 1);
         parts_.commands.probe(*machine);
-        return reject(unreachable ? HeartbeatRejection::unreached : HeartbeatRejection::stop_unsent);
+        return reject(unreachable ? HeartbeatRejection::outbound_unreachable : HeartbeatRejection::cancellation_unsent);
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (outcome.is_repeated()) {
@@ -236,7 +236,7 @@
 
 void HeartbeatHandler::handle_early() {
     for (std::size_t handled = 0; handled < early_heartbeats_per_turn; ++handled) {
-        auto report = early_.next(now());
+        auto report = early_.pop(now());
         if (!report) break;
         handle(std::move(*report));
     }
@@ -244,7 +244,7 @@
 }
 
 void HeartbeatHandler::stop() {
-    for (auto& report : early_.take()) report.reply({503, "{}"});
+    for (auto& report : early_.take_all()) report.reply({503, "{}"});
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -53,7 +53,7 @@
                      Hooks hooks);
 
     // A heartbeat that came here; its reply is called now, or once the jobs are loaded.
-    void handle(relay::HeartbeatQueue::Report report);
+    void handle(relay::PendingHeartbeat report);
     // Heartbeats that a relay passes on: each is answered as if it had come here.
     void handle_relayed(const protocol::PeerRelay& message, const http::Reply& reply);
     // Takes in a status, which came in a heartbeat or as the answer to a direct request, and sets off what
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -55,7 +55,7 @@
                  {[this](const std::string& job_id, std::uint64_t job_version, const std::string& record) {
                       job_watcher_.take_record(job_id, job_version, record);
                   },
-                  [this] { plan_executor_.request_plan(); }, [this] { return reconciliation_.may_place(); }}),
+                  [this] { plan_executor_.request_plan(); }, [this] { return reconciliation_.placement_allowed(); }}),
       job_watcher_(
           context_, dependencies_.state, job_store_,
           {[this](const std::string& job_id, jobs::JobEntry& job) { instances_.cancel_active(job_id, job); },
@@ -84,7 +84,7 @@
     return {[this](const std::string& job_id, std::uint64_t version, const std::string& record) {
                 job_watcher_.take_record(job_id, version, record);
             },
-            [this](const failover::GetResult& stored) { stored_taken(stored); },
+            [this](const failover::RecoveredState& stored) { stored_taken(stored); },
             [this] { dependency_resolver_.resolve(); },
             [this] {
                 heartbeats_.handle_early();
@@ -111,7 +111,7 @@
     heartbeats_.stop();
 }
 
-void Leader::stored_taken(const failover::GetResult& stored) {
+void Leader::stored_taken(const failover::RecoveredState& stored) {
     start_replication_.begin(stored.record_version, stored.inherits ? stored.record : std::nullopt);
     job_watcher_.start(stored.jobs.revision, stored.jobs_listed_at);
 }
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -86,7 +86,7 @@
     void stop();
 
     // A heartbeat that came here; answered now, or once the jobs are loaded.
-    void handle_heartbeat(relay::HeartbeatQueue::Report report) { heartbeats_.handle(std::move(report)); }
+    void handle_heartbeat(relay::PendingHeartbeat report) { heartbeats_.handle(std::move(report)); }
     // Heartbeats that a relaying controller passes on.
     void relay(const protocol::PeerRelay& message, const http::Reply& reply) {
         heartbeats_.handle_relayed(message, reply);
@@ -121,7 +121,7 @@
     bool resign_if_tokens_run_out();
     void log_team_activity();
     void jobs_changed();
-    void stored_taken(const failover::GetResult& stored);
+    void stored_taken(const failover::RecoveredState& stored);
     void replicate_starts(const std::vector<StartedTask>& started);
     void deletion_done();
     Recovery::Hooks recovery_hooks();
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -24,21 +24,21 @@
       inheritance_(std::move(inheritance)),
       hooks_(std::move(hooks)),
       steps_(timers_),
-      loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::GetResult& stored) {
+      loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::RecoveredState& stored) {
           if (authority_.ended()) return;
           take_stored(stored);
           hooks_.stored_taken(stored);
           finish_load();
       }) {}
 
-void Recovery::take_stored(const failover::GetResult& stored) {
+void Recovery::take_stored(const failover::RecoveredState& stored) {
     std::lock_guard lock(state_.mutex);
     take_jobs(stored);
     for (auto& [machine_id, record] : parts_.machine_store.load(stored.machines))
         take_machine(machine_id, record, stored.inherits);
 }
 
-void Recovery::take_jobs(const failover::GetResult& stored) {
+void Recovery::take_jobs(const failover::RecoveredState& stored) {
     std::set<std::string> live;
     for (auto& entry : stored.jobs.entries) {
         auto job_id = entry.key.substr(keys::jobs.size());
@@ -109,9 +109,8 @@
     auto& machines = state_.cluster.machines();
     auto known =
         std::count_if(machines.begin(), machines.end(), [](auto& entry) { return entry.second.known; });
-    steps_.over("loaded", std::to_string(state_.jobs.all().size()) + " jobs and " +
-                              std::to_string(machines.size()) + " machines, " + std::to_string(known) +
-                              " of them known");
+    steps_.complete(failover::FailoverStep::loaded, "jobs=" + std::to_string(state_.jobs.all().size()) + " machines=" +
+                              std::to_string(machines.size()) + " known=" + std::to_string(known));
     hooks_.jobs_loaded();
     probe_first();
     hooks_.ready();
@@ -136,14 +135,14 @@
 }
 
 void Recovery::check_reconciled() {
-    if (loaded_ && !steps_.has("may place") && parts_.reconciliation.may_place() &&
+    if (loaded_ && !steps_.completed(failover::FailoverStep::placement_allowed) && parts_.reconciliation.may_place() &&
         state_.cluster.any_reconciled()) {
-        steps_.over("may place");
+        steps_.complete(failover::FailoverStep::placement_allowed);
         hooks_.request_plan();
     }
     if (all_reconciled_ || !parts_.reconciliation.all_reconciled()) return;
     all_reconciled_ = true;
-    steps_.over("all machines settled");
+    steps_.complete(failover::FailoverStep::reconciled);
     hooks_.request_plan();
 }
 
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -46,7 +46,7 @@
         std::function<void(const std::string& job_id, std::uint64_t version, const std::string& record)>
             take_job;
         // What was stored is taken in; nothing was sent to a machine yet.
-        std::function<void(const failover::GetResult& stored)> stored_taken;
+        std::function<void(const failover::RecoveredState& stored)> stored_taken;
         // The jobs are loaded: what ended while nobody led may be read.
         std::function<void()> jobs_loaded;
         // The first probes are under way: heartbeats are taken, and the ticks begin.
@@ -66,8 +66,8 @@
 
   private:
     [[nodiscard]] double now() const { return timers_.now(); }
-    void take_stored(const failover::GetResult& stored);
-    void take_jobs(const failover::GetResult& stored);
+    void take_stored(const failover::RecoveredState& stored);
+    void take_jobs(const failover::RecoveredState& stored);
     void take_machine(const std::string& machine_id, const protocol::MachineRecord& record, bool inherits);
     void inherit(cluster::Machine& machine);
     void finish_load();
--- /dev/null
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -0,0 +1,104 @@
+// When a new leader may rely on its replica.
+#include "replication/eligibility_checks.hpp"
+
+#include <gtest/gtest.h>
+
+#include <functional>
+
+namespace coralhitch::replication {
+namespace {
+
+// Without any one of the checks a start that was sent could go unnoticed: the invariant at risk is
+// `ran_twice`.
+TEST(EligibilityChecks, AcceptAReplicaOnlyIfNothingCanBeMissing) {
+    ReplicaState replica{20, 7, 20, true, {}};
+    ReplicaEvidence good{"me",
+                         3,
+                         40,
+                         protocol::StandbyRecord{20, {{"me", 3, 20}, {"other", 4, 20}}},
+                         {{{10, false}, {20, true}}, 25},
+                         true,
+                         {},
+                         &replica};
+    struct Case {
+        const char* name;
+        std::function<void(ReplicaEvidence&)> change;
+        bool proof;
+    };
+    ReplicaState older{10, 7, 10, true, {}}, continued{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
+    auto continues_from = [](ReplicaEvidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
+    const Case cases[] = {
+        {"all checks pass", [](ReplicaEvidence&) {}, true},
+        {"no record: the leader may never have waited for any follower",
+         [](ReplicaEvidence& e) { e.record.reset(); }, false},
+        {"the record is of this leadership", [](ReplicaEvidence& e) { e.record->version = 40; }, false},
+        {"it was removed, and starts were sent without it since",
+         [](ReplicaEvidence& e) {
+             e.record->members = {{"other", 4, 20}};
+         },
+         false},
+        {"another process of this controller was recorded",
+         [](ReplicaEvidence& e) {
+             e.record->members = {{"me", 2, 20}};
+         },
+         false},
+        {"the replica is of the previous leader", [&](ReplicaEvidence& e) { e.replica = &older; }, false},
+        {"it continues the replica of an earlier leader, as the record says",
+         [&](ReplicaEvidence& e) {
+             e.replica = &continued;
+             continues_from(e, 10);
+         },
+         true},
+        {"the leader of the record sent no start, and has replicated nothing",
+         [&](ReplicaEvidence& e) {
+             e.replica = &older;
+             continues_from(e, 10);
+         },
+         true},
+        {"a leader that failed soon after has wiped the replica that is meant",
+         [&](ReplicaEvidence& e) { continues_from(e, 10); }, false},
+        {"it continues another replica than the record says",
+         [&](ReplicaEvidence& e) { e.replica = &continued; }, false},
+        {"a leader without a record of its own has replicated more",
+         [&](ReplicaEvidence& e) { e.replica = &later; }, false},
+        {"nothing was received", [](ReplicaEvidence& e) { e.replica = nullptr; }, false},
+        {"what came after the last watch is not known",
+         [](ReplicaEvidence& e) { e.history_complete = false; }, false},
+        {"it was away, and saw only a later leader",
+         [](ReplicaEvidence& e) {
+             e.chain.links = {{30, true}};
+         },
+         false},
+        {"a leader that keeps a record won and ended before it started anything",
+         [](ReplicaEvidence& e) {
+             e.chain.links.push_back({30, true});
+         },
+         true},
+        {"an old version led in between",
+         [](ReplicaEvidence& e) {
+             e.chain.links.push_back({30, false});
+         },
+         false},
+        {"an old version led in between, found after the claim",
+         [](ReplicaEvidence& e) {
+             e.later_leaders = {{30, false}};
+         },
+         false},
+        {"two that keep records led in between, found after the claim",
+         [](ReplicaEvidence& e) {
+             e.later_leaders = {{30, true}, {35, true}};
+         },
+         true},
+    };
+    for (auto& c : cases) {
+        SCOPED_TRACE(c.name);
+        auto e = good;
+        c.change(e);
+        auto* failed = evaluate_eligibility(e);
+        EXPECT_EQ(!failed, c.proof) << (failed ? failed->failure : "");
+    }
+    EXPECT_EQ(eligibility_checks().size(), 6u);
+}
+
+}  // namespace
+}  // namespace coralhitch::replication
