--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -131,27 +131,27 @@
     ++dropped_;
     awaits_.remove(id, it->second.awaits);
     jobs_.erase(it);
-    awaits_.gone(id);
+    awaits_.mark_unresolved(id);
 }
 void LiveJobs::cancel_behind(const std::string& id) {
-    awaits_.each_behind(id, [&](auto& y) { return !std::exchange(jobs_.at(y).cancelled, true); });
+    awaits_.visit_dependents(id, [&](auto& y) { return !std::exchange(jobs_.at(y).cancelled, true); });
 }
 void LiveJobs::ended(const std::string& id, protocol::JobState state) {
-    if (!awaits_.ends_unknown().contains(id)) return;
+    if (!awaits_.unresolved().contains(id)) return;
     if (state == protocol::JobState::cancelled) cancel_behind(id);
-    for (auto& y : awaits_.ended(id)) std::erase(jobs_.at(y).awaits, id);
+    for (auto& y : awaits_.resolve(id)) std::erase(jobs_.at(y).awaits, id);
 }
 // Seldom are there any: the walk back from a job is only made while the end of some awaited job is unknown.
 std::vector<std::string> LiveJobs::unknown_before(const std::string& id) const {
     std::vector<std::string> todo{id}, out;
     std::set<std::string> seen{id};
-    while (!awaits_.ends_unknown().empty() && !todo.empty()) {
+    while (!awaits_.unresolved().empty() && !todo.empty()) {
         auto it = jobs_.find(todo.back());
         todo.pop_back();
         if (it == jobs_.end() || it->second.cancelled) continue;
         for (auto& a : it->second.awaits) {
             if (!seen.insert(a).second) continue;
-            if (awaits_.ends_unknown().contains(a))
+            if (awaits_.unresolved().contains(a))
                 out.push_back(a);
             else
                 todo.push_back(a);
--- /dev/null
+++ b/src/jobs/job_entry.cpp
@@ -0,0 +1,42 @@
+#include "jobs/job_entry.hpp"
+
+#include <algorithm>
+
+namespace coralhitch::jobs {
+
+bool JobEntry::restore_done(std::size_t task) {
+    if (task >= done.size() || done[task]) return false;
+    done[task] = true;
+    ++done_count;
+    return true;
+}
+
+bool JobEntry::mark_done(std::uint32_t task) {
+    if (!restore_done(task)) return false;
+    unstored_tasks.insert(task);
+    return true;
+}
+
+std::size_t JobEntry::active_open_count() const {
+    return static_cast<std::size_t>(
+        std::count_if(active.begin(), active.end(), [&](auto& entry) { return !done[entry.first]; }));
+}
+
+std::vector<std::uint32_t> JobEntry::pending_tasks(std::size_t limit) {
+    while (first_open_task < done.size() && done[first_open_task]) ++first_open_task;
+    std::vector<std::uint32_t> pending;
+    auto next_active = active.lower_bound(first_open_task);
+    for (std::uint32_t task = first_open_task; task < done.size() && pending.size() < limit; ++task) {
+        while (next_active != active.end() && next_active->first < task) ++next_active;
+        if (done[task] || (next_active != active.end() && next_active->first == task)) continue;
+        pending.push_back(task);
+    }
+    return pending;
+}
+
+// Asked for every job of every plan: the walk over the active tasks is made only if the counts leave it open.
+bool JobEntry::has_pending_tasks() const {
+    return open_count() > active.size() || (done_count > 0 && open_count() > active_open_count());
+}
+
+}  // namespace coralhitch::jobs
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -53,7 +53,7 @@
                           for (auto& e : events)
                               if (e.value)
                                   news |= take_job(e.key.substr(keys::jobs.size()), e.version, *e.value);
-                          table_.seen_revision(reconciled);
+                          table_.forget_ended_before(reconciled);
                       }
                       if (news) jobs_changed();
                   },
@@ -266,7 +266,7 @@
     recall_images();
     auto known = std::count_if(cluster_state_.machines().begin(), cluster_state_.machines().end(),
                                [](auto& m) { return m.second.known; });
-    steps_.over("loaded", std::to_string(table_.all().size()) + " jobs and " +
+    steps_.over("loaded", std::to_string(table_.entries().size()) + " jobs and " +
                               std::to_string(cluster_state_.machines().size()) + " machines, " +
                               std::to_string(known) + " of them known");
     read_ends();
@@ -299,14 +299,14 @@
 
 // Whether it was news.
 bool Leader::take_job(const std::string& id, std::uint64_t version, const std::string& value) {
-    if (table_.knows(id, version)) return false;
+    if (table_.has_version(id, version)) return false;
     try {
         auto record = protocol::parse_job_record(value);
         if (!table_.put(id, version, std::move(record))) return false;
         auto& e = *table_.find(id);
         e.image = cluster_state_.image(e.spec->image);
         spdlog::debug("job {} of class {}: {} tasks, awaits {}, cancelled {}", id, e.spec->cls, e.spec->tasks,
-                      e.awaits.size(), e.cancelled);
+                      e.unfinished_dependencies.size(), e.cancelled);
         if (e.cancelled) cancel_active(id, e);
         return true;
     } catch (const protocol::Malformed& x) {
@@ -358,7 +358,7 @@
 std::vector<protocol::PeerCount> Leader::all_counts() {
     std::vector<protocol::PeerCount> out;
     if (!loaded_) return out;
-    for (auto& [id, e] : table_.all()) {
+    for (auto& [id, e] : table_.entries()) {
         auto c = count(id, e);
         if (c.done + c.running > 0)
             out.push_back({id, c.done, c.running});  // none is what is taken for unknown
@@ -401,10 +401,10 @@
     for (auto& [name, r] : rentals_) names.push_back(name);
     for (auto& name : names) ask_rental(name);
     plan_soon();
-    dependencies_.metrics.gauge("jobs", static_cast<double>(table_.all().size()));
+    dependencies_.metrics.gauge("jobs", static_cast<double>(table_.entries().size()));
     dependencies_.metrics.gauge(
-        "awaiting", static_cast<double>(std::count_if(table_.all().begin(), table_.all().end(),
-                                                      [](auto& j) { return j.second.awaiting(); })));
+        "awaiting", static_cast<double>(std::count_if(table_.entries().begin(), table_.entries().end(),
+                                                      [](auto& j) { return j.second.is_blocked(); })));
     dependencies_.metrics.gauge("machines", static_cast<double>(cluster_state_.machines().size()));
 }
 
--- a/src/leader/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -33,12 +33,12 @@
 
 void Leader::store_progress() {
     if (!authority()) return;
-    auto due = table_.unstored(now(), reconciliation_.may_place());
-    dependencies_.metrics.gauge("ends_waiting", static_cast<double>(due.done.size()));
-    dependencies_.metrics.gauge("cancelled_to_drop", static_cast<double>(due.cancelled.size()));
-    store_ends(due.done, JobState::done);
+    auto due = table_.pending_writes(now(), reconciliation_.may_place());
+    dependencies_.metrics.gauge("ends_waiting", static_cast<double>(due.done_jobs.size()));
+    dependencies_.metrics.gauge("cancelled_to_drop", static_cast<double>(due.cancelled_jobs.size()));
+    store_ends(due.done_jobs, JobState::done);
     for (auto& id : due.progress) store_blocks(id, *table_.find(id));
-    store_ends(due.cancelled, JobState::cancelled);
+    store_ends(due.cancelled_jobs, JobState::cancelled);
 }
 
 // An end that a user waits for costs two changes. Those that come while the last ones are under way go
@@ -62,7 +62,7 @@
             return;
         }
         auto last = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), k + most));
-        double waited = now() - table_.find(ids[k])->over_since;
+        double waited = now() - *table_.find(ids[k])->storable_since;
         bool late = waited > settings.lease_s * tidy_leases;
         finish({ids.begin() + static_cast<std::ptrdiff_t>(k), last}, state,
                done || late ? RequestPriority::write : RequestPriority::background);
@@ -73,7 +73,7 @@
     auto t = leader_txn();
     for (auto& id : ids) {
         auto& e = *table_.find(id);
-        e.writing = true;
+        e.write_in_flight = true;
         t.conditions.push_back({keys::job(id), e.version});  // fails if it was cancelled meanwhile
         t.changes.push_back(
             {keys::final(id), protocol::stored(protocol::FinalRecord{state, e.spec->tasks}), 0});
@@ -98,14 +98,14 @@
         if (!e) continue;
         if (c.status == S::committed) {
             spdlog::debug("job {} is over after {} tasks, stored {:.2f} s later", id, e->done_count,
-                          now() - e->over_since);
+                          now() - e->storable_since.value_or(now()));
             ended(id, c.revision, state);
         } else if (c.failed_on(keys::job(id)) || c.status == S::unknown) {
             // Cancelled by some controller, or stored by a transaction whose answer was lost: read, then
             // decide. To write again without knowing costs the changes of the whole transaction.
             read_live(id);
         } else if (others) {
-            e->writing = false;
+            e->write_in_flight = false;
         } else {
             stored_failed(id, c);
         }
@@ -113,15 +113,16 @@
 }
 // The job's end is stored. What awaited it goes on at once: a short stage must not wait for the next report.
 void Leader::ended(const std::string& id, std::uint64_t revision, JobState state) {
-    bool awaited = table_.awaits().awaited(id);
+    bool awaited = table_.dependencies().has_dependents(id);
     {
         std::lock_guard lock(mutex_);
         cluster_state_.stored(id);
         // Its progress means nothing any more, and is dropped when there is time.
         if (auto* e = table_.find(id))
-            for (auto& [block, version] : e->blocks) keys_to_drop_.insert(keys::progress_of(id, block));
+            for (auto& [block, version] : e->block_versions)
+                keys_to_drop_.insert(keys::progress_of(id, block));
         table_.erase(id, revision);
-        table_.ended(id, state, dependencies_.timers.unix_time());
+        table_.apply_outcome(id, state, dependencies_.timers.unix_time());
     }
     if (state == JobState::cancelled) store_soon();  // the jobs before it may leave now
     if (awaited) plan_soon();
@@ -132,7 +133,7 @@
 // behind.
 void Leader::read_ends() {
     constexpr std::size_t at_once = 8;
-    for (auto& id : table_.awaits().ends_unknown()) {
+    for (auto& id : table_.dependencies().unresolved()) {
         if (reading_ends_.size() >= at_once) return;
         if (absent_ends_.contains(id) || !reading_ends_.insert(id).second) continue;
         dependencies_.state.get(
@@ -144,7 +145,7 @@
                     auto state = protocol::parse_final_record(f.entry->value).state;
                     {
                         std::lock_guard lock(mutex_);
-                        table_.ended(id, state, std::nullopt);
+                        table_.apply_outcome(id, state, std::nullopt);
                     }
                     plan_soon();
                     if (state == JobState::cancelled) store_soon();
@@ -157,14 +158,14 @@
 }
 
 void Leader::store_blocks(const std::string& id, jobs::JobEntry& e) {
-    e.writing = true;
+    e.write_in_flight = true;
     auto t = leader_txn();
     t.conditions.push_back({keys::job(id), e.version});
     std::set<std::uint32_t> tasks;
     std::set<std::string> blocks;
     auto& limits = dependencies_.state.limits();
-    for (auto task : e.unstored) {
-        auto b = table_.block_of(e, task, limits.value_bytes());
+    for (auto task : e.unstored_tasks) {
+        auto b = table_.progress_layout().block_of(e.done.size(), task, limits.value_bytes());
         if (!blocks.contains(b) && blocks.size() >= limits.txn_ops()) continue;
         blocks.insert(b);
         tasks.insert(task);
@@ -173,10 +174,11 @@
         // A block is written whole. One whose answer was lost may be carried out after newer ones, and would
         // take out what they added, whose tasks the machines have been told to forget: it fails on the
         // version.
-        auto known = e.blocks.find(b);
+        auto known = e.block_versions.find(b);
         auto key = keys::progress_of(id, b);
-        t.conditions.push_back({key, known == e.blocks.end() ? 0 : known->second});
-        t.changes.push_back({std::move(key), table_.block_value(e, b, limits.value_bytes()), 0});
+        t.conditions.push_back({key, known == e.block_versions.end() ? 0 : known->second});
+        t.changes.push_back(
+            {std::move(key), table_.progress_layout().encode(e.done, b, limits.value_bytes()), 0});
     }
     dependencies_.state.txn(
         std::move(t), RequestPriority::write, guarded([this, id, tasks, blocks](TxnResult c) {
@@ -184,11 +186,11 @@
             std::lock_guard lock(mutex_);
             auto* e = table_.find(id);
             if (!e) return;
-            e->writing = false;
-            e->retry_at =
+            e->write_in_flight = false;
+            e->write_retry_at =
                 now() + dependencies_.settings.report_s / 6;  // tasks that end together are stored together
-            for (auto task : tasks) e->unstored.erase(task);
-            for (auto& b : blocks) e->blocks[b] = c.revision;
+            for (auto task : tasks) e->unstored_tasks.erase(task);
+            for (auto& b : blocks) e->block_versions[b] = c.revision;
             cluster_state_.stored(id, tasks);
         }));
 }
@@ -200,12 +202,12 @@
     if (auditing_ || !authority() || now() - last_audit_ < dependencies_.settings.lease_s * audit_leases)
         return;
     auditing_ = true;
-    table_.listing(true);
+    table_.set_list_in_progress(true);
     last_audit_ = now();
     dependencies_.state.list(
         keys::jobs, RequestPriority::background, guarded([this](kv::ListResult l) {
             auditing_ = false;
-            table_.listing(false);
+            table_.set_list_in_progress(false);
             if (!l.ok) return;
             std::size_t missed = 0, left = 0;
             std::set<std::string> stored;
@@ -213,7 +215,7 @@
                 std::lock_guard lock(mutex_);
                 for (auto& e : l.entries) {
                     auto id = e.key.substr(keys::jobs.size());
-                    if (!table_.knows(id, e.version)) {
+                    if (!table_.has_version(id, e.version)) {
                         ++missed;
                         take_job(id, e.version, e.value);
                     }
@@ -221,10 +223,10 @@
                 }
             }
             // Its end may be stored by a transaction of this leader whose answer was lost.
-            for (auto& [id, e] : table_.all()) {
-                if (stored.contains(id) || e.version > l.revision || e.writing) continue;
+            for (auto& [id, e] : table_.entries()) {
+                if (stored.contains(id) || e.version > l.revision || e.write_in_flight) continue;
                 ++left;
-                e.writing = true;
+                e.write_in_flight = true;
                 read_end(id);
             }
             if (missed + left == 0) return;
@@ -237,17 +239,17 @@
     std::lock_guard lock(mutex_);
     auto* e = table_.find(id);
     if (!e) return;
-    e->writing = false;
+    e->write_in_flight = false;
     // What was too large is written in smaller parts the next time; if it can't be, not without pause.
     bool rejected = c.status == TxnResult::Status::rejected;
-    e->retry_at = now() + dependencies_.settings.report_s * (rejected ? 1.0 / 2 : 1.0 / 10);
+    e->write_retry_at = now() + dependencies_.settings.report_s * (rejected ? 1.0 / 2 : 1.0 / 10);
     if (c.status != TxnResult::Status::conflict) return;
     auto progress = keys::progress_of(id, "");
     if (!c.failed_on(keys::job(id))) {
         // A write whose answer was lost was carried out. Of several blocks the next try tells the next.
         for (auto& key : c.failed)
             if (key.starts_with(progress)) {
-                e->writing = true;
+                e->write_in_flight = true;
                 return read_block(id, key.substr(progress.size()));
             }
         return;
@@ -256,19 +258,19 @@
 }
 // What became of the live record, of which this leader does not know what it says by now.
 void Leader::read_live(const std::string& id) {
-    table_.find(id)->writing = true;
+    table_.find(id)->write_in_flight = true;
     dependencies_.state.get(keys::job(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
                                 std::lock_guard lock(mutex_);
                                 auto* e = table_.find(id);
                                 if (!e) return;
-                                e->writing = false;
+                                e->write_in_flight = false;
                                 store_soon();
                                 if (!f.ok) {
-                                    e->retry_at = now() + dependencies_.settings.report_s / 10;
+                                    e->write_retry_at = now() + dependencies_.settings.report_s / 10;
                                 } else if (f.entry) {
                                     take_job(id, f.entry->version, f.entry->value);
                                 } else {
-                                    e->writing = true;
+                                    e->write_in_flight = true;
                                     read_end(id);
                                 }
                             }));
@@ -278,11 +280,11 @@
                             guarded([this, id, block](kv::GetResult f) {
                                 auto* e = table_.find(id);
                                 if (!e) return;
-                                e->writing = false;
+                                e->write_in_flight = false;
                                 if (f.ok && f.entry)
-                                    e->blocks[block] = f.entry->version;
+                                    e->block_versions[block] = f.entry->version;
                                 else if (f.ok)
-                                    e->blocks.erase(block);
+                                    e->block_versions.erase(block);
                             }));
 }
 // Only a leader removes the key, and only this one leads: a transaction whose answer was lost was executed.
@@ -291,8 +293,8 @@
     dependencies_.state.get(keys::final(id), RequestPriority::write, guarded([this, id](kv::GetResult f) {
                                 auto* e = table_.find(id);
                                 if (!e) return;
-                                e->writing = false;
-                                e->retry_at = now() + dependencies_.settings.report_s / 10;
+                                e->write_in_flight = false;
+                                e->write_retry_at = now() + dependencies_.settings.report_s / 10;
                                 if (!f.entry) return;
                                 try {
                                     ended(id, e->version, protocol::parse_final_record(f.entry->value).state);
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -259,7 +259,7 @@
     }
     if (auto old = older ? older->tasks.find(task) : m.tasks.end(); older && old != older->tasks.end()) {
         old->second.orphaned = true;
-        ++e.orphans;
+        ++e.orphaned_instances;
         cluster_state_.stop(*older, task, 0);
     }
 }
@@ -272,7 +272,7 @@
     }
     spdlog::debug("task {} attempt {} left {}: reported {} cause {}", end.task.str(), end.attempt,
                   end.machine, end.reported, static_cast<int>(end.cause));
-    if (end.orphaned) --e->orphans;
+    if (end.orphaned) --e->orphaned_instances;
     auto a = e->active.find(end.task.index);
     // The place is free if the cluster state holds nothing there any more: an old attempt that is reported as
     // exited once more says nothing about the one that came after it.
@@ -292,10 +292,10 @@
             e->mark_done(end.task.index);
         }
         team_activity_.done(spec.team, e->done_count - before);
-        e->failures = 0;
-        e->not_before = 0;
+        e->consecutive_failures = 0;
+        e->backoff_until = 0;
         if (auto* m = cluster_state_.find(end.machine)) m->error_jobs.clear();
-        if (e->is_done(end.task.index) && !e->unstored.contains(end.task.index))
+        if (e->is_done(end.task.index) && !e->unstored_tasks.contains(end.task.index))
             cluster_state_.stored(end.task.job, {end.task.index});
         return;
     }
@@ -313,7 +313,7 @@
                 m->quarantined_until = now() + dependencies_.settings.report_s;
             break;
         case ExitCause::unknown:
-            e->not_before = now() + dependencies_.settings.report_s;
+            e->backoff_until = now() + dependencies_.settings.report_s;
             break;
         default:
             break;
@@ -323,20 +323,21 @@
 }
 
 void Leader::task_error(jobs::JobEntry& e, const cluster::InstanceEnd& end) {
-    ++e.failures;
+    ++e.consecutive_failures;
     e.failed_on.insert(end.machine);
     // The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on
     // several machines gets pauses that grow, up to a bound, and holds nobody else up.
     constexpr int most_doublings = 5;
-    if (e.on_probation()) {
-        int doublings = std::min(e.failures - jobs::JobEntry::patience - 1, most_doublings);
-        e.not_before = now() + dependencies_.settings.report_s * std::pow(2.0, doublings);
+    if (e.is_crash_looping()) {
+        int doublings =
+            std::min(e.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1, most_doublings);
+        e.backoff_until = now() + dependencies_.settings.report_s * std::pow(2.0, doublings);
         if (e.failed_on.size() > 8) e.failed_on.clear();
     }
     auto* m = cluster_state_.find(end.machine);
     if (!m) return;
     m->error_jobs.insert(end.task.job);
-    if (e.on_probation()) return;  // says more about the job than about the machine
+    if (e.is_crash_looping()) return;  // says more about the job than about the machine
     if (m->error_jobs.size() < 2) {
         m->quarantined_until = now() + dependencies_.settings.report_s * 2;
         return;
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -34,11 +34,12 @@
 
 // Whether the job may start tasks now, as far as it is up to the job.
 bool Leader::may_wait(const jobs::JobEntry& e) const {
-    return !e.cancelled && !e.awaiting() && !e.all_done() && now() >= e.not_before && e.orphans == 0;
+    return !e.cancelled && !e.is_blocked() && !e.all_done() && now() >= e.backoff_until &&
+           e.orphaned_instances == 0;
 }
 bool Leader::anything_waits() {
-    return std::any_of(table_.all().begin(), table_.all().end(),
-                       [&](auto& j) { return may_wait(j.second) && j.second.any_waiting(); });
+    return std::any_of(table_.entries().begin(), table_.entries().end(),
+                       [&](auto& j) { return may_wait(j.second) && j.second.has_pending_tasks(); });
 }
 
 void Leader::plan() {
@@ -85,7 +86,7 @@
 }
 scheduler::ZoneCounts Leader::zones_of(const jobs::JobEntry& e) const {
     scheduler::ZoneCounts zones(cluster_state_.zones());
-    for (auto& [task, a] : e.active) ++zones[a.zone];
+    for (auto& [task, a] : e.active) ++zones[a.zone_index];
     return zones;
 }
 scheduler::Input Leader::snapshot() {
@@ -95,22 +96,22 @@
     in.pools = cluster_state_.pools();
     in.zones = cluster_state_.zones();
     in.machines.reserve(cluster_state_.machines().size());
-    in.jobs.reserve(table_.all().size());
+    in.jobs.reserve(table_.entries().size());
     std::unordered_map<const protocol::Job*, std::size_t> job_index;
-    for (auto& [id, e] : table_.all()) {
+    for (auto& [id, e] : table_.entries()) {
         // Waits for other jobs: holds no part of a guarantee, displaces nobody, nothing is rented for it.
-        if (e.awaiting() && e.active.empty()) continue;
+        if (e.is_blocked() && e.active.empty()) continue;
         scheduler::JobView j;
         j.spec = e.spec;
         j.priority = e.priority;
-        j.submitted = e.ready;
-        j.due = e.due;
+        j.submitted = e.ready_at;
+        j.due = e.due_at;
         j.startable = may_wait(e);
         std::size_t most = e.spec->kind == JobKind::gang ? e.spec->tasks
-                           : e.on_probation()            ? 1
+                           : e.is_crash_looping()        ? 1
                                                          : tasks_per_plan;
-        if (j.startable && !(e.on_probation() && !e.active.empty())) j.waiting = e.waiting(most);
-        j.open = e.done.size() - e.done_count;
+        if (j.startable && !(e.is_crash_looping() && !e.active.empty())) j.waiting = e.pending_tasks(most);
+        j.open = e.open_count();
         j.zones = zones_of(e);
         j.active = static_cast<int>(e.active.size());
         j.failed_on = e.failed_on;
@@ -199,9 +200,10 @@
 bool Leader::may_start(jobs::JobEntry& e, std::uint32_t task, Machine& m,
                        const scheduler::ZoneCounts& zones) {
     auto& spec = *e.spec;
-    return !e.cancelled && !e.awaiting() && e.orphans == 0 && !e.is_done(task) && !e.active.contains(task) &&
-           m.usable(now()) && !m.has_orphaned_instance() && !m.tasks.contains({spec.id, task}) &&
-           m.free().fits(spec.request) && scheduler::type_allowed(spec, m.type, m.zone, m.spot) &&
+    return !e.cancelled && !e.is_blocked() && e.orphaned_instances == 0 && !e.is_done(task) &&
+           !e.active.contains(task) && m.usable(now()) && !m.has_orphaned_instance() &&
+           !m.tasks.contains({spec.id, task}) && m.free().fits(spec.request) &&
+           scheduler::type_allowed(spec, m.type, m.zone, m.spot) &&
            scheduler::zone_allowed(spec, zones, zone_of(m));
 }
 
