--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -5,55 +5,57 @@
 namespace coralhitch::api {
 
 namespace {
-constexpr double budget_use = 0.9;  // as the client of the key-value store keeps to
-// Of the burst, what a team leaves to others that have asked lately. Half of it took half a burst's time to
-// come back after an overload, in which the changes that there were went unused.
-constexpr double spare_part = 1.0 / 8;
+constexpr double write_budget_share = 0.9;  // the same as the client of the key-value store uses
+// Share of the burst that a team leaves to other active teams. Half of it was too much: after an overload,
+// half a burst's time passed until it was there again, in which available writes went unused.
+constexpr double reserve_share = 1.0 / 8;
 }  // namespace
 
-Admission::Admission(const config::Settings& s)
-    : rate_(s.state_write_rps * budget_use / changes_per_job / std::max(1.0, static_cast<double>(s.nodes))),
-      burst_(std::max(1.0, rate_ * s.lease_s * burst_leases)),
-      teams_(std::max(1.0, static_cast<double>(s.teams.size()))),
-      active_s_(s.lease_s),
-      all_(rate_, burst_) {}
-
-Admission::Part& Admission::part_of(const std::string& team) {
-    double burst = std::max(1.0, burst_ / teams_);
-    return parts_.try_emplace(team, Part{{rate_ / teams_, burst}, never}).first->second;
+Admission::Admission(const config::Settings& settings)
+    : rate_(settings.state_write_rps * write_budget_share / writes_per_job /
+            std::max(1.0, static_cast<double>(settings.nodes))),
+      burst_(std::max(1.0, rate_ * settings.lease_s * burst_leases)),
+      team_count_(std::max(1.0, static_cast<double>(settings.teams.size()))),
+      active_window_s_(settings.lease_s),
+      common_(rate_, burst_) {}
+
+Admission::TeamShare& Admission::share_of(const std::string& team) {
+    double burst = std::max(1.0, burst_ / team_count_);
+    return shares_.try_emplace(team, TeamShare{{rate_ / team_count_, burst}, {}}).first->second;
 }
 
-// What a team must leave to the others: nothing while no other has asked lately.
-double Admission::left_to_others(const std::string& team, double now) const {
-    bool others = std::any_of(parts_.begin(), parts_.end(), [&](auto& p) {
-        return p.first != team && now - p.second.asked_at <= active_s_;
+// The level at which the common bucket is empty for this team: a single job while no other team is active.
+double Admission::reserve_for_others(const std::string& team, double now) const {
+    bool others_active = std::any_of(shares_.begin(), shares_.end(), [&](auto& entry) {
+        auto& [name, share] = entry;
+        return name != team && share.last_request_at && now - *share.last_request_at <= active_window_s_;
     });
-    return others ? std::max(1.0, burst_ * spare_part) : 1;
+    return others_active ? std::max(1.0, burst_ * reserve_share) : 1;
 }
 
-bool Admission::has_place(const std::string& team, double now) {
-    return part_of(team).places.has(now) || all_.has(now, left_to_others(team, now));
+bool Admission::can_admit(const std::string& team, double now) {
+    return share_of(team).tokens.has(now) || common_.has(now, reserve_for_others(team, now));
 }
 
 bool Admission::admit(const std::string& team, double now) {
-    auto& part = part_of(team);
-    part.asked_at = now;
-    if (!has_place(team, now)) {
-        ++refused_;
+    auto& share = share_of(team);
+    share.last_request_at = now;
+    if (!can_admit(team, now)) {
+        ++rejected_;
         return false;
     }
-    if (part.places.has(now)) part.places.take(now);
-    all_.take(now);
+    if (share.tokens.has(now)) share.tokens.take(now);
+    common_.take(now);
     return true;
 }
 
-void Admission::give_back(const std::string& team, double now) {
-    part_of(team).places.take(now, -1);
-    all_.take(now, -1);
+void Admission::refund(const std::string& team, double now) {
+    share_of(team).tokens.take(now, -1);
+    common_.take(now, -1);
 }
 
 double Admission::retry_after_s(const std::string& team, double now) {
-    return std::min(part_of(team).places.wait(now), all_.wait(now, left_to_others(team, now)));
+    return std::min(share_of(team).tokens.wait(now), common_.wait(now, reserve_for_others(team, now)));
 }
 
 }  // namespace coralhitch::api
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -1,9 +1,12 @@
-// How many jobs a controller accepts: no more than the key-value store can store to their ends.
+// Admission control: how many jobs a controller accepts, no more than the key-value store can store to their
+// ends.
 //
-// An accepted job causes changes later, most of them by the leader. Accepted faster than those can be stored,
-// jobs would be done for their users minutes late, and the backlog would outlast the burst that caused it.
+// An accepted job causes writes later, most of them by the leader. If jobs were accepted faster than those
+// can be stored, users would see their jobs done minutes late, and the backlog would outlast the burst that
+// caused it.
 #pragma once
 #include <map>
+#include <optional>
 #include <string>
 
 #include "config/settings.hpp"
@@ -11,39 +14,44 @@
 
 namespace coralhitch::api {
 
+// `now` is in seconds of the injected steady clock everywhere.
 class Admission {
   public:
-    // Changes over a job's whole life with one task: accepted, its final record, its live record removed.
-    static constexpr double changes_per_job = 3;
-    // Accepted at once after a quiet time, in worker leases at the lasting rate.
+    // Writes over the whole life of a job with one task: its live record, its final record, the removal of
+    // the live record.
+    static constexpr double writes_per_job = 3;
+    // The burst accepted after an idle time, as the worker leases in which as much is accepted at the
+    // sustained rate.
     static constexpr double burst_leases = 1;
 
     explicit Admission(const config::Settings& settings);
-    // Takes a place for a job of this team, if there is one. Each team has an equal part for itself. Beyond
-    // it, a team may take what there is if no other asked within a worker's lease, otherwise only while more
-    // than half of the burst is there.
+    // Admits one job of a team, if possible. Each team has an equal share of the rate for itself. Beyond it,
+    // a team may use all of the common burst if no other team has asked within a worker's lease; otherwise it
+    // leaves a reserve to the others.
     bool admit(const std::string& team, double now);
-    // Whether it would; takes nothing.
-    bool has_place(const std::string& team, double now);
-    // The job was not accepted after all, and causes no changes.
-    void give_back(const std::string& team, double now);
+    // Whether `admit` would; changes nothing.
+    [[nodiscard]] bool can_admit(const std::string& team, double now);
+    // An admitted job was not accepted after all, and causes no writes.
+    void refund(const std::string& team, double now);
     // Seconds after which the team may try again.
-    double retry_after_s(const std::string& team, double now);
-    double refused() const { return refused_; }  // so far
+    [[nodiscard]] double retry_after_s(const std::string& team, double now);
+    // Jobs not admitted so far.
+    [[nodiscard]] double rejected_count() const { return rejected_; }
 
   private:
-    static constexpr double never = -1e9;
-    struct Part {
-        event_loop::TokenBucket places;
-        double asked_at;  // seconds of the injected clock
+    struct TeamShare {
+        event_loop::TokenBucket tokens;
+        std::optional<double> last_request_at;
     };
-    Part& part_of(const std::string& team);
-    double left_to_others(const std::string& team, double now) const;
-    double rate_, burst_;  // jobs a second, jobs
-    double teams_, active_s_;
-    event_loop::TokenBucket all_;
-    std::map<std::string, Part> parts_;
-    double refused_ = 0;
+    TeamShare& share_of(const std::string& team);
+    double reserve_for_others(const std::string& team, double now) const;
+
+    double rate_, burst_;  // jobs per second, jobs
+    double team_count_;
+    double active_window_s_;  // for which a team counts as active after its last request
+    event_loop::TokenBucket common_;
+    std::map<std::string, TeamShare> shares_;
+    double rejected_ = 0;
 };
 
 }  // namespace coralhitch::api
--- /dev/null
+++ b/src/api/cancellation_handler.hpp
@@ -0,0 +1,41 @@
+// Cancellations by users: marks the live record of a job as cancelled.
+//
+// All functions and callbacks run on the event loop's thread.
+#pragma once
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "api/cluster_queries.hpp"
+#include "api/job_reader.hpp"
+#include "api/job_status_responder.hpp"
+#include "http/message.hpp"
+#include "kv/kv_client.hpp"
+#include "protocol/protocol.hpp"
+
+namespace coralhitch::api {
+
+class CancellationHandler {
+  public:
+    CancellationHandler(kv::KvClient& kv, ClusterQueries& cluster, JobReader& reader,
+                        JobStatusResponder& responder)
+        : kv_(kv), cluster_(cluster), reader_(reader), responder_(responder) {}
+    // Answers with the job's state: cancelled, or final if it had ended before.
+    void cancel(const std::string& id, http::Reply reply);
+
+  private:
+    void answer_all(const std::string& id, const http::Response& response);
+    void read_record(const std::string& id, http::Reply reply, int attempt);
+    void store_cancelled(const std::string& id, const protocol::Entry& entry, http::Reply reply, int attempt);
+    protocol::Txn cancellation_txn(const std::string& id, const protocol::Entry& entry,
+                                   protocol::JobRecord record) const;
+
+    kv::KvClient& kv_;
+    ClusterQueries& cluster_;
+    JobReader& reader_;
+    JobStatusResponder& responder_;
+    // Cancellations in progress, by job, with all users who wait for their answer.
+    std::unordered_map<std::string, std::vector<http::Reply>> in_progress_;
+};
+
+}  // namespace coralhitch::api
--- /dev/null
+++ b/src/api/job_reader.cpp
@@ -0,0 +1,121 @@
+#include "api/job_reader.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <memory>
+#include <utility>
+
+#include "kv/keys.hpp"
+
+namespace coralhitch::api {
+namespace keys = kv::keys;
+
+namespace {
+constexpr int max_read_attempts = 4;
+constexpr std::size_t cached_finals_per_mb = 500;  // of the memory limit in the settings
+
+void log_unreadable_final(const std::string& id, const protocol::Malformed& error) {
+    spdlog::error("component=api event=unreadable_final_record job={} error=\"{}\"", id, error.what());
+}
+}  // namespace
+
+JobReader::JobReader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings)
+    : kv_(kv),
+      settings_(settings),
+      live_jobs_(timers, kv, settings, [this](const std::string& id, const std::string& record) {
+          try {
+              cache_final(id, protocol::parse_final_record(record));
+          } catch (const protocol::Malformed& error) {
+              log_unreadable_final(id, error);
+          }
+      }) {}
+
+// Evicts the oldest entry only. When all were dropped at once, every user who still asked for one of them
+// caused another read.
+void JobReader::cache_final(const std::string& id, const protocol::FinalRecord& record) {
+    if (!finals_.emplace(id, record).second) return;
+    finals_order_.push_back(id);
+    if (finals_order_.size() <= settings_.memory_mb * cached_finals_per_mb) return;
+    finals_.erase(finals_order_.front());
+    finals_order_.pop_front();
+}
+
+const protocol::FinalRecord* JobReader::cached_final(const std::string& id) const {
+    auto found = finals_.find(id);
+    return found == finals_.end() ? nullptr : &found->second;
+}
+
+bool JobReader::is_known_accepted(const std::string& id) const {
+    return cached_final(id) || live_jobs_.cached(id);
+}
+
+void JobReader::read(const std::string& id, Callback done, kv::RequestPriority priority) {
+    read_attempt(id, std::move(done), priority, 0);
+}
+
+void JobReader::read_attempt(const std::string& id, Callback done, kv::RequestPriority priority,
+                             int attempt) {
+    if (auto* record = cached_final(id)) return done(*record);
+    if (attempt >= max_read_attempts) return done(ReadFailed{});
+    live_jobs_.read(id, [this, id, done, priority, attempt](LiveJobs::ReadResult result) {
+        if (!result.ok) return done(ReadFailed{});
+        if (!result.live) return read_final(id, done, priority);
+        if (!result.unresolved_dependencies.empty())
+            return resolve_dependencies(id, result.unresolved_dependencies, done, priority, attempt);
+        done(*result.live);
+    });
+}
+
+// Whether the job is cancelled depends on how others ended, each of which is read once for all its
+// dependents.
+void JobReader::resolve_dependencies(const std::string& id, const std::vector<std::string>& dependencies,
+                                     Callback done, kv::RequestPriority priority, int attempt) {
+    auto remaining = std::make_shared<std::size_t>(dependencies.size());
+    for (auto& dependency : dependencies)
+        read_final(
+            dependency,
+            [this, id, dependency, done, priority, attempt, remaining](JobReadResult result) {
+                if (auto* record = std::get_if<protocol::FinalRecord>(&result))
+                    live_jobs_.apply_outcome(dependency, record->state);
+                if (--*remaining == 0) read_attempt(id, done, priority, attempt + 1);
+            },
+            priority);
+}
+
+// One read at a time for a job, however many ask: hundreds of jobs of a long pipeline may depend on how the
+// same one ended. A final record never changes, so those who joined while the read was in flight get it too;
+// that there is none is an answer only to those who asked before the request was sent.
+void JobReader::read_final(const std::string& id, Callback done, kv::RequestPriority priority) {
+    if (auto* record = cached_final(id)) return done(*record);
+    auto [read, first] = final_reads_.try_emplace(id);
+    (first ? read->second.waiting : read->second.joined).push_back(std::move(done));
+    if (first) send_final_read(id, priority);
+}
+
+void JobReader::send_final_read(const std::string& id, kv::RequestPriority priority) {
+    kv_.get(keys::final(id), priority, [this, id, priority](kv::GetResult response) {
+        auto result = parse_final(id, response);
+        auto read = std::move(final_reads_.extract(id).mapped());
+        if (!read.joined.empty() && std::holds_alternative<UnknownJob>(result)) {
+            final_reads_[id].waiting = std::exchange(read.joined, {});
+            send_final_read(id, priority);
+        }
+        for (auto* callbacks : {&read.waiting, &read.joined})
+            for (auto& done : *callbacks) done(result);
+    });
+}
+
+JobReadResult JobReader::parse_final(const std::string& id, const kv::GetResult& result) {
+    if (!result.ok) return ReadFailed{};
+    if (!result.entry) return UnknownJob{};
+    try {
+        auto record = protocol::parse_final_record(result.entry->value);
+        cache_final(id, record);
+        return record;
+    } catch (const protocol::Malformed& error) {
+        log_unreadable_final(id, error);
+        return ReadFailed{};
+    }
+}
+
+}  // namespace coralhitch::api
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <set>
 #include <utility>
 
 #include "kv/keys.hpp"
@@ -11,165 +12,185 @@
 namespace keys = kv::keys;
 
 namespace {
-constexpr double gap_reports = 1.0 / 20;  // between two requests: questions come together meanwhile
-constexpr double keep_up_leases = 0.5;    // changes in that time are far fewer than the service keeps
-constexpr std::size_t ends_together = 2;  // from so many on, one request for all instead of one each
+// Minimum interval between two requests, in heartbeat intervals: reads gather meanwhile.
+constexpr double min_interval_heartbeats = 1.0 / 20;
+// Interval of `refresh_if_stale`, in worker leases: the changes in that time are far fewer than the key-value
+// store keeps.
+constexpr double refresh_interval_leases = 0.5;
+// From so many jobs that ended together on, their final records are read with one request.
+constexpr std::size_t min_ends_for_bulk_read = 2;
 }  // namespace
 
-LiveJobs::LiveJobs(event_loop::Timers& timers, kv::KvClient& state, const config::Settings& settings,
-                   Ended ended)
-    : timers_(timers), state_(state), settings_(settings), told_ended_(std::move(ended)) {}
+LiveJobs::LiveJobs(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
+                   FinalRecordCallback on_final_record)
+    : timers_(timers), kv_(kv), settings_(settings), on_final_record_(std::move(on_final_record)) {}
 
-const LiveJobs::Live* LiveJobs::last_known(const std::string& id) const {
-    auto it = jobs_.find(id);
-    return it == jobs_.end() ? nullptr : &it->second;
+const LiveJob* LiveJobs::cached(const std::string& id) const {
+    auto found = jobs_.find(id);
+    return found == jobs_.end() ? nullptr : &found->second;
 }
 
-void LiveJobs::confirm(const std::string& id, Done done) {
-    ++questions_;
-    waiting_.push_back({id, std::move(done)});
-    ask_soon();
+void LiveJobs::read(const std::string& id, ReadCallback done) {
+    ++read_count_;
+    pending_reads_.push_back({id, std::move(done)});
+    schedule_request();
 }
-void LiveJobs::keep_up() {
-    if (last_ < 0 || timers_.now() - last_ < settings_.lease_s * keep_up_leases) return;
-    if (!asking_) ask();
+
+void LiveJobs::refresh_if_stale() {
+    if (!last_request_at_ || timers_.now() - *last_request_at_ < settings_.lease_s * refresh_interval_leases)
+        return;
+    if (!request_in_flight_) send_request();
 }
 
-void LiveJobs::ask_soon() {
-    if (asking_ || armed_ || waiting_.empty()) return;
-    double wait = last_ < 0 ? 0 : last_ + settings_.report_s * gap_reports - timers_.now();
-    if (wait <= 0) return ask();
-    armed_ = true;
-    timers_.after(wait, [this] {
-        armed_ = false;
-        if (!asking_) ask();
+void LiveJobs::schedule_request() {
+    if (request_in_flight_ || request_scheduled_ || pending_reads_.empty()) return;
+    double wait_s = last_request_at_
+                        ? *last_request_at_ + settings_.report_s * min_interval_heartbeats - timers_.now()
+                        : 0;
+    if (wait_s <= 0) return send_request();
+    request_scheduled_ = true;
+    timers_.after(wait_s, [this] {
+        request_scheduled_ = false;
+        if (!request_in_flight_) send_request();
     });
 }
-void LiveJobs::ask() {
-    asking_ = true;
-    last_ = timers_.now();
-    ++requests_;
-    // Only questions that came before the request is sent: an answer must not be older than its question.
-    auto batch = std::exchange(waiting_, {});
+
+void LiveJobs::send_request() {
+    request_in_flight_ = true;
+    last_request_at_ = timers_.now();
+    ++request_count_;
+    // Only reads that came before the request is sent: an answer must not be older than its question.
+    auto batch = std::exchange(pending_reads_, {});
     if (revision_ == 0)
         read_all(std::move(batch));
     else
         read_changes(std::move(batch));
 }
 
-void LiveJobs::read_all(std::vector<Question> batch) {
-    state_.list(keys::jobs, kv::RequestPriority::read,
-                [this, batch = std::move(batch)](kv::ListResult l) mutable {
-                    if (l.ok) {
-                        jobs_.clear();
-                        awaits_.clear();
-                        for (auto& e : l.entries) take(e.key, e.version, &e.value);
-                        revision_ = l.revision;
-                    }
-                    answer(std::move(batch), l.ok);
-                });
+void LiveJobs::read_all(Batch batch) {
+    kv_.list(keys::jobs, kv::RequestPriority::read,
+             [this, batch = std::move(batch)](kv::ListResult result) mutable {
+                 if (result.ok) {
+                     jobs_.clear();
+                     dependencies_.clear();
+                     for (auto& entry : result.entries) apply_entry(entry.key, entry.version, &entry.value);
+                     revision_ = result.revision;
+                 }
+                 answer(std::move(batch), result.ok);
+             });
 }
-void LiveJobs::read_changes(std::vector<Question> batch) {
-    using S = kv::WatchResult::Status;
-    state_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](kv::WatchResult w) mutable {
-        if (w.status == S::too_old) {
+
+void LiveJobs::read_changes(Batch batch) {
+    using Status = kv::WatchResult::Status;
+    kv_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](kv::WatchResult result) mutable {
+        if (result.status == Status::too_old) {
             revision_ = 0;
             return read_all(std::move(batch));
         }
-        if (w.status != S::ok) return answer(std::move(batch), false);
-        dropped_ = 0;
-        for (auto& e : w.events.events) take(e.key, e.version, e.value ? &*e.value : nullptr);
-        auto since = std::exchange(revision_, std::max(revision_, w.events.revision));
-        if (dropped_ < ends_together || !told_ended_) return answer(std::move(batch), true);
-        read_ends(std::move(batch), since);
+        if (result.status != Status::ok) return answer(std::move(batch), false);
+        removed_by_last_changes_ = 0;
+        for (auto& event : result.events.events)
+            apply_entry(event.key, event.version, event.value ? &*event.value : nullptr);
+        auto since = std::exchange(revision_, std::max(revision_, result.events.revision));
+        if (removed_by_last_changes_ < min_ends_for_bulk_read || !on_final_record_)
+            return answer(std::move(batch), true);
+        read_final_records(std::move(batch), since);
     });
 }
-// A job leaves in the transaction that stores its end: so the ends of all that left since a revision are
-// among the final records written since then, and one request brings them all. One by one they took most of
-// the requests left when jobs end by the score. Should it fail, those who ask read them singly.
-void LiveJobs::read_ends(std::vector<Question> batch, std::uint64_t since) {
-    ++requests_;
-    state_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](kv::WatchResult w) mutable {
-        for (auto& e : w.events.events)
-            if (e.value) told_ended_(e.key.substr(keys::finals.size()), *e.value);
+
+// A live record is removed by the transaction that stores the final one: so the final records of all jobs
+// removed since a revision are among those written since then, and one request brings them all. Read one by
+// one they took most of the remaining requests when many jobs ended together. If this request fails, they are
+// read one by one as they are needed.
+void LiveJobs::read_final_records(Batch batch, std::uint64_t since) {
+    ++request_count_;
+    kv_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](kv::WatchResult result) mutable {
+        for (auto& event : result.events.events)
+            if (event.value) on_final_record_(event.key.substr(keys::finals.size()), *event.value);
         answer(std::move(batch), true);
     });
 }
 
-void LiveJobs::take(const std::string& key, std::uint64_t version, const std::string* value) {
+void LiveJobs::answer(Batch batch, bool ok) {
+    request_in_flight_ = false;
+    for (auto& read : batch) {
+        auto* job = cached(read.id);
+        if (!ok || !job)
+            read.done({ok, {}, {}});
+        else
+            read.done({true, *job, unresolved_dependencies_of(read.id)});
+    }
+    schedule_request();
+}
+
+// `value`: the live record, null if it was removed.
+void LiveJobs::apply_entry(const std::string& key, std::uint64_t version, const std::string* value) {
     auto id = key.substr(keys::jobs.size());
-    auto it = jobs_.find(id);
+    auto previous = jobs_.find(id);
     // A list takes several requests, so its last pages may be ahead of the changes that are read next.
-    if (it != jobs_.end() && it->second.version > version) return;
-    if (!value) return drop(id);
-    Live live{version, false, {}};
+    if (previous != jobs_.end() && previous->second.version > version) return;
+    if (!value) return remove(id);
+    LiveJob job{version, false, {}};
     try {
-        auto r = protocol::parse_live_record(*value);
-        live.cancelled = r.cancelled;
-        live.awaits = std::move(r.awaits);
-    } catch (const protocol::Malformed& m) {
-        spdlog::error("job record {}: {}", id, m.what());
-        // Written by another version: a known job all the same. It was refused for ever.
-        live.cancelled = protocol::says_cancelled(*value);
+        auto record = protocol::parse_live_record(*value);
+        job.cancelled = record.cancelled;
+        job.dependencies = std::move(record.awaits);
+    } catch (const protocol::Malformed& error) {
+        spdlog::error("component=api event=unreadable_job_record job={} error=\"{}\"", id, error.what());
+        // Perhaps written by another version: it is live all the same. As an unknown job, it would be refused
+        // for good.
+        job.cancelled = protocol::says_cancelled(*value);
     }
-    if (it != jobs_.end()) {
+    if (previous != jobs_.end()) {
         // Written again, which only a cancellation does.
-        live.cancelled = live.cancelled || it->second.cancelled;
-        awaits_.remove(id, it->second.awaits);
+        job.cancelled = job.cancelled || previous->second.cancelled;
+        dependencies_.remove(id, previous->second.dependencies);
     }
-    awaits_.add(id, live.awaits, [&](auto& a) { return jobs_.contains(a); });
-    for (auto& a : live.awaits)
-        if (auto before = jobs_.find(a); before != jobs_.end())
-            live.cancelled = live.cancelled || before->second.cancelled;
-    bool cancelled = live.cancelled;
-    jobs_.insert_or_assign(id, std::move(live));
-    if (cancelled) cancel_behind(id);
+    dependencies_.add(id, job.dependencies, [&](auto& dependency) { return jobs_.contains(dependency); });
+    for (auto& dependency : job.dependencies)
+        if (auto* live = cached(dependency)) job.cancelled = job.cancelled || live->cancelled;
+    bool cancelled = job.cancelled;
+    jobs_.insert_or_assign(id, std::move(job));
+    if (cancelled) cancel_dependents(id);
 }
-void LiveJobs::drop(const std::string& id) {
-    auto it = jobs_.find(id);
-    if (it == jobs_.end()) return;
-    ++dropped_;
-    awaits_.remove(id, it->second.awaits);
-    jobs_.erase(it);
-    awaits_.mark_unresolved(id);
+
+void LiveJobs::remove(const std::string& id) {
+    auto found = jobs_.find(id);
+    if (found == jobs_.end()) return;
+    ++removed_by_last_changes_;
+    dependencies_.remove(id, found->second.dependencies);
+    jobs_.erase(found);
+    dependencies_.mark_unresolved(id);
 }
-void LiveJobs::cancel_behind(const std::string& id) {
-    awaits_.visit_dependents(id, [&](auto& y) { return !std::exchange(jobs_.at(y).cancelled, true); });
+
+void LiveJobs::cancel_dependents(const std::string& id) {
+    dependencies_.visit_dependents(
+        id, [&](auto& dependent) { return !std::exchange(jobs_.at(dependent).cancelled, true); });
 }
-void LiveJobs::ended(const std::string& id, protocol::JobState state) {
-    if (!awaits_.unresolved().contains(id)) return;
-    if (state == protocol::JobState::cancelled) cancel_behind(id);
-    for (auto& y : awaits_.resolve(id)) std::erase(jobs_.at(y).awaits, id);
+
+void LiveJobs::apply_outcome(const std::string& id, protocol::JobState state) {
+    if (!dependencies_.unresolved().contains(id)) return;
+    if (state == protocol::JobState::cancelled) cancel_dependents(id);
+    for (auto& dependent : dependencies_.resolve(id)) std::erase(jobs_.at(dependent).dependencies, id);
 }
-// Seldom are there any: the walk back from a job is only made while the end of some awaited job is unknown.
-std::vector<std::string> LiveJobs::unknown_before(const std::string& id) const {
-    std::vector<std::string> todo{id}, out;
-    std::set<std::string> seen{id};
-    while (!awaits_.unresolved().empty() && !todo.empty()) {
-        auto it = jobs_.find(todo.back());
-        todo.pop_back();
-        if (it == jobs_.end() || it->second.cancelled) continue;
-        for (auto& a : it->second.awaits) {
-            if (!seen.insert(a).second) continue;
-            if (awaits_.unresolved().contains(a))
-                out.push_back(a);
+
+// Walks back from a job, but only while there are unresolved dependencies at all, which is seldom.
+std::vector<std::string> LiveJobs::unresolved_dependencies_of(const std::string& id) const {
+    std::vector<std::string> stack{id}, unresolved;
+    std::set<std::string> visited{id};
+    while (!dependencies_.unresolved().empty() && !stack.empty()) {
+        auto* job = cached(stack.back());
+        stack.pop_back();
+        if (!job || job->cancelled) continue;
+        for (auto& dependency : job->dependencies) {
+            if (!visited.insert(dependency).second) continue;
+            if (dependencies_.unresolved().contains(dependency))
+                unresolved.push_back(dependency);
             else
-                todo.push_back(a);
+                stack.push_back(dependency);
         }
     }
-    return out;
-}
-
-void LiveJobs::answer(std::vector<Question> batch, bool ok) {
-    asking_ = false;
-    for (auto& q : batch) {
-        auto it = jobs_.find(q.id);
-        if (!ok || it == jobs_.end())
-            q.done({ok, {}, {}});
-        else
-            q.done({true, it->second, unknown_before(q.id)});
-    }
-    ask_soon();
+    return unresolved;
 }
 
 }  // namespace coralhitch::api
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -184,7 +184,7 @@
     heard_.tidy(timers_.now());
     state_.get(kv::keys::leader, kv::RequestPriority::lease,
                [this](kv::GetResult f) { state_seen_ |= f.ok; });
-    users_.live_jobs().keep_up();
+    users_.live_jobs().refresh_if_stale();
     if (sockets_ && sockets_->refused() > sockets_refused_) {
         sockets_refused_ = sockets_->refused();
         spdlog::info("sockets: {}", sockets_->text());
@@ -195,12 +195,13 @@
 
 // Once a lease, and only while something is refused: which line is the one that is too long.
 void Controller::log_queues() {
-    double refused = users_.admission().refused();
+    double refused = users_.admission().rejected_count();
     for (auto& [rank, name] : queue_names) refused += state_.queue_counts(rank).refused;
     if (refused <= refused_logged_ || timers_.now() - queues_logged_ < settings_.lease_s) return;
     queues_logged_ = timers_.now();
     refused_logged_ = refused;
-    spdlog::info("{} submissions put off so far; calls to the state service:", users_.admission().refused());
+    spdlog::info("{} submissions put off so far; calls to the state service:",
+                 users_.admission().rejected_count());
     for (auto& [rank, name] : queue_names) {
         auto& q = state_.queue_counts(rank);
         spdlog::info("  {}: {} sent, {} refused, waited {:.3f} s on average, {:.3f} s at most", name, q.sent,
@@ -346,8 +347,8 @@
 
 std::string Controller::metrics_text() {
     auto& live = users_.live_jobs();
-    metrics_.gauge("questions", static_cast<double>(live.questions()));
-    metrics_.gauge("question_requests", static_cast<double>(live.requests()));
+    metrics_.gauge("questions", static_cast<double>(live.read_count()));
+    metrics_.gauge("question_requests", static_cast<double>(live.request_count()));
     metrics_.gauge("reports_repeated", static_cast<double>(relay_.repeated()));
     metrics_.gauge("reports_relayed", static_cast<double>(relay_.relayed()));
     metrics_.gauge("cancellations_told", static_cast<double>(cancellations_.size()));
@@ -382,7 +383,7 @@
         metrics_.gauge(of + "_waited_s", q.waited_s);
         metrics_.gauge(of + "_longest_wait_s", q.longest_wait_s);
     }
-    metrics_.gauge("submissions_put_off", users_.admission().refused());
+    metrics_.gauge("submissions_put_off", users_.admission().rejected_count());
     metrics_.gauge("state_rejections", static_cast<double>(state_.rejections()));
     return metrics_.text();
 }
@@ -503,7 +504,7 @@
     return it == peers_.end() ? nullptr : &it->second.peer;
 }
 
-void Controller::counts(const std::string& id, std::function<void(std::optional<api::TaskCounts>)> done) {
+void Controller::task_counts(const std::string& id, TaskCountsCallback done) {
     if (leader_) return done(leader_->counts(id));
     // The leader's pings tell all of them: asking it for each poll took it more time than planning.
     if (counted_ >= 0 && timers_.now() - counted_ < settings_.report_s * ping_reports * 1.5) {
@@ -524,7 +525,7 @@
 }
 
 // To the others also if this one leads: its lease may be over without its knowing.
-void Controller::cancelled(const std::string& id, std::uint64_t version) {
+void Controller::notify_cancelled(const std::string& id, std::uint64_t version) {
     if (leader_) leader_->cancelled(id, version);
     cancellations_.confirmed(id, version, leader_ ? election_.version() : 0);
 }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -33,9 +33,9 @@
     bool leads() const { return leader_ != nullptr; }
     bool healthy() const;
 
-    const std::vector<protocol::MachineType>& types() const override { return types_; }
-    void counts(const std::string& id, std::function<void(std::optional<api::TaskCounts>)> done) override;
-    void cancelled(const std::string& id, std::uint64_t version) override;
+    const std::vector<protocol::MachineType>& machine_types() const override { return types_; }
+    void task_counts(const std::string& id, TaskCountsCallback done) override;
+    void notify_cancelled(const std::string& id, std::uint64_t version) override;
 
   private:
     struct PeerState {
--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -1,4 +1,4 @@
-// Many questions with one request: no answer may be older than its question.
+// LiveJobs: many reads share one request, and no answer is older than its question.
 #include "api/live_jobs.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace {
 using nlohmann::json;
 
-// A key-value store that keeps the last changes of job records, and can be told what becomes of each request.
+// A key-value store that keeps the latest changes of job records; a test sets the fate of each request.
 class FakeKeyValueStore : public http::Requester {
   public:
     explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
@@ -64,7 +64,7 @@
     std::vector<json> history_;
 };
 
-struct Bench {
+struct Fixture {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
     config::Settings settings = [] {
@@ -78,191 +78,192 @@
     }();
     kv::KvClient client{timers, service, settings};
     LiveJobs live{timers, client, settings};
-    std::vector<std::string> told;
+    std::vector<std::string> answers;
 
-    Bench() { service.put("j-100", false); }
+    Fixture() { service.put("j-100", false); }
     void ask(const std::string& id) {
-        live.confirm(id, [this](LiveJobs::Answer a) {
-            told.push_back(!a.ok                     ? "no answer"
-                           : !a.live                 ? "not live"
-                           : !a.ends_unknown.empty() ? "hangs on " + a.ends_unknown[0]
-                           : a.live->cancelled       ? "cancelled"
-                                                     : "live");
+        live.read(id, [this](LiveJobs::ReadResult result) {
+            answers.push_back(!result.ok     ? "no answer"
+                              : !result.live ? "not live"
+                              : !result.unresolved_dependencies.empty()
+                                  ? "depends on " + result.unresolved_dependencies[0]
+                              : result.live->cancelled ? "cancelled"
+                                                       : "live");
         });
     }
 };
 
 struct Case {
     const char* name;
-    std::function<void(Bench&)> play;
-    std::vector<std::string> told;
+    std::function<void(Fixture&)> run;
+    std::vector<std::string> answers;
 };
 const Case cases[] = {
-    {"what was accepted before the question", [](Bench& b) { b.ask("j-1"); }, {"live"}},
+    {"a job accepted before the read", [](Fixture& f) { f.ask("j-1"); }, {"live"}},
     {"a change since the last answer",
-     [](Bench& b) {
-         b.ask("j-1");
-         b.timers.run_until(1);
-         b.service.put("j-1", true);
-         b.ask("j-1");
+     [](Fixture& f) {
+         f.ask("j-1");
+         f.timers.run_until(1);
+         f.service.put("j-1", true);
+         f.ask("j-1");
      },
      {"live", "cancelled"}},
-    {"a change while a request is under way: the question after it waits for the next",
-     [](Bench& b) {
-         b.ask("j-1");
-         b.timers.run_until(0.005);
-         b.service.put("j-1", true);
-         b.ask("j-1");
+    {"a change while a request is in flight: a read after it waits for the next request",
+     [](Fixture& f) {
+         f.ask("j-1");
+         f.timers.run_until(0.005);
+         f.service.put("j-1", true);
+         f.ask("j-1");
      },
      {"live", "cancelled"}},
     {"a record that can't be read is of a known job",
-     [](Bench& b) {
-         b.service.put_unreadable("j-2");
-         b.ask("j-2");
+     [](Fixture& f) {
+         f.service.put_unreadable("j-2");
+         f.ask("j-2");
      },
      {"live"}},
-    {"a job that is over, and one that nobody submitted",
-     [](Bench& b) {
-         b.ask("j-1");
-         b.timers.run_until(1);
-         b.service.drop("j-1");
-         b.ask("j-1");
-         b.ask("j-9");
+    {"a job that has ended, and one that was never submitted",
+     [](Fixture& f) {
+         f.ask("j-1");
+         f.timers.run_until(1);
+         f.service.drop("j-1");
+         f.ask("j-1");
+         f.ask("j-9");
      },
      {"live", "not live", "not live"}},
-    {"refused: nothing is told, though much is known",
-     [](Bench& b) {
-         b.ask("j-1");
-         b.timers.run_until(1);
-         b.service.fate = FakeKeyValueStore::Fate::refused;
-         b.ask("j-1");
-         b.timers.run_until(2);
-         b.service.fate = FakeKeyValueStore::Fate::answered;
-         b.ask("j-1");
+    {"a refused request: no answer from the copy",
+     [](Fixture& f) {
+         f.ask("j-1");
+         f.timers.run_until(1);
+         f.service.fate = FakeKeyValueStore::Fate::refused;
+         f.ask("j-1");
+         f.timers.run_until(2);
+         f.service.fate = FakeKeyValueStore::Fate::answered;
+         f.ask("j-1");
      },
      {"live", "no answer", "live"}},
     {"a lost answer: its changes come again",
-     [](Bench& b) {
-         b.ask("j-1");
-         b.timers.run_until(1);
-         b.service.put("j-1", true);
-         b.service.fate = FakeKeyValueStore::Fate::lost;
-         b.ask("j-1");
-         b.timers.run_until(5);
-         b.service.fate = FakeKeyValueStore::Fate::answered;
-         b.ask("j-1");
+     [](Fixture& f) {
+         f.ask("j-1");
+         f.timers.run_until(1);
+         f.service.put("j-1", true);
+         f.service.fate = FakeKeyValueStore::Fate::lost;
+         f.ask("j-1");
+         f.timers.run_until(5);
+         f.service.fate = FakeKeyValueStore::Fate::answered;
+         f.ask("j-1");
      },
      {"live", "no answer", "cancelled"}},
     {"the changes are not kept any more: all is read again",
-     [](Bench& b) {
-         b.ask("j-1");
-         b.timers.run_until(1);
-         b.service.put("j-2", false);
-         b.service.drop("j-1");
-         b.service.forgotten = b.service.revision;
-         b.ask("j-1");
-         b.ask("j-2");
+     [](Fixture& f) {
+         f.ask("j-1");
+         f.timers.run_until(1);
+         f.service.put("j-2", false);
+         f.service.drop("j-1");
+         f.service.forgotten = f.service.revision;
+         f.ask("j-1");
+         f.ask("j-2");
      },
      {"live", "not live", "live"}},
-    {"behind a cancelled job, through others, whichever is known first; beside it not",
-     [](Bench& b) {
-         b.service.put("j-2", false, {"j-1"});
-         b.service.put("j-4", false, {"j-3", "j-100"});
-         b.ask("j-4");
-         b.timers.run_until(1);
-         b.service.put("j-3", false, {"j-2"});
-         b.service.put("j-5", false, {"j-100"});
-         b.service.put("j-1", true);
-         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) b.ask(id);
+    {"direct and transitive dependents of a cancelled job, whichever is known first; no other jobs",
+     [](Fixture& f) {
+         f.service.put("j-2", false, {"j-1"});
+         f.service.put("j-4", false, {"j-3", "j-100"});
+         f.ask("j-4");
+         f.timers.run_until(1);
+         f.service.put("j-3", false, {"j-2"});
+         f.service.put("j-5", false, {"j-100"});
+         f.service.put("j-1", true);
+         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) f.ask(id);
      },
-     {"hangs on j-3", "cancelled", "cancelled", "cancelled", "live"}},
-    {"behind one that is known to be cancelled already, read in a list or as a change",
-     [](Bench& b) {
-         b.service.put("j-1", true);
-         b.service.put("j-2", false, {"j-1"});
-         b.ask("j-2");
-         b.timers.run_until(1);
-         b.service.put("j-3", false, {"j-2"});
-         b.ask("j-3");
+     {"depends on j-3", "cancelled", "cancelled", "cancelled", "live"}},
+    {"dependents of a job known to be cancelled, read in a list or as a change",
+     [](Fixture& f) {
+         f.service.put("j-1", true);
+         f.service.put("j-2", false, {"j-1"});
+         f.ask("j-2");
+         f.timers.run_until(1);
+         f.service.put("j-3", false, {"j-2"});
+         f.ask("j-3");
      },
      {"cancelled", "cancelled"}},
-    {"an awaited job that is over decides by how it ended; others need not wait for that",
-     [](Bench& b) {
-         b.service.put("j-2", false, {"j-1"});
-         b.service.put("j-3", false, {"j-2"});
-         b.service.drop("j-1");
-         for (auto id : {"j-3", "j-100"}) b.ask(id);
-         b.timers.run_until(1);
-         b.live.ended("j-1", protocol::JobState::cancelled);
-         b.ask("j-3");
+    {"a dependency that has ended decides by its outcome; other reads need not wait for that",
+     [](Fixture& f) {
+         f.service.put("j-2", false, {"j-1"});
+         f.service.put("j-3", false, {"j-2"});
+         f.service.drop("j-1");
+         for (auto id : {"j-3", "j-100"}) f.ask(id);
+         f.timers.run_until(1);
+         f.live.apply_outcome("j-1", protocol::JobState::cancelled);
+         f.ask("j-3");
      },
-     {"hangs on j-1", "live", "cancelled"}},
-    {"one that was done holds nobody up, also after all was read again",
-     [](Bench& b) {
-         b.service.put("j-2", false, {"j-1"});
-         b.service.drop("j-1");
-         b.ask("j-2");
-         b.timers.run_until(1);
-         b.live.ended("j-1", protocol::JobState::done);
-         b.ask("j-2");
-         b.timers.run_until(2);
-         b.service.forgotten = b.service.revision + 1;
-         b.service.put("j-9", false);
-         b.ask("j-2");
+     {"depends on j-1", "live", "cancelled"}},
+    {"a dependency that was done blocks no read; after a new list its outcome is unknown again",
+     [](Fixture& f) {
+         f.service.put("j-2", false, {"j-1"});
+         f.service.drop("j-1");
+         f.ask("j-2");
+         f.timers.run_until(1);
+         f.live.apply_outcome("j-1", protocol::JobState::done);
+         f.ask("j-2");
+         f.timers.run_until(2);
+         f.service.forgotten = f.service.revision + 1;
+         f.service.put("j-9", false);
+         f.ask("j-2");
      },
-     {"hangs on j-1", "live", "hangs on j-1"}},
-    {"cancelled itself: what it awaited does not matter",
-     [](Bench& b) {
-         b.service.put("j-2", false, {"j-1"});
-         b.service.drop("j-1");
-         b.ask("j-2");
-         b.timers.run_until(1);
-         b.service.put("j-2", true);
-         b.ask("j-2");
+     {"depends on j-1", "live", "depends on j-1"}},
+    {"a cancelled job: its dependencies do not matter",
+     [](Fixture& f) {
+         f.service.put("j-2", false, {"j-1"});
+         f.service.drop("j-1");
+         f.ask("j-2");
+         f.timers.run_until(1);
+         f.service.put("j-2", true);
+         f.ask("j-2");
      },
-     {"hangs on j-1", "cancelled"}},
+     {"depends on j-1", "cancelled"}},
 };
 
-TEST(LiveJobs, NoAnswerIsOlderThanItsQuestion) {
+TEST(LiveJobs, NeverAnswersWithStateOlderThanTheRead) {
     for (auto& c : cases) {
-        Bench b;
-        b.service.put("j-1", false);
-        c.play(b);
-        b.timers.run_until(20);
-        EXPECT_EQ(b.told, c.told) << c.name;
+        Fixture f;
+        f.service.put("j-1", false);
+        c.run(f);
+        f.timers.run_until(20);
+        EXPECT_EQ(f.answers, c.answers) << c.name;
     }
 }
-TEST(LiveJobs, ManyQuestionsCostFewRequests) {
-    Bench b;
-    b.service.put("j-1", false);
+TEST(LiveJobs, SharesRequestsBetweenManyReads) {
+    Fixture f;
+    f.service.put("j-1", false);
     for (int k = 0; k < 1000; ++k) {
-        b.ask("j-1");
-        b.timers.run_until(k * 0.001);
+        f.ask("j-1");
+        f.timers.run_until(k * 0.001);
     }
-    b.timers.run_until(5);
-    EXPECT_EQ(b.told, std::vector<std::string>(1000, "live"));
-    EXPECT_LE(b.service.requests, 1 / (b.settings.report_s / 60) + 2);
+    f.timers.run_until(5);
+    EXPECT_EQ(f.answers, std::vector<std::string>(1000, "live"));
+    EXPECT_LE(f.service.requests, 1 / (f.settings.report_s / 60) + 2);
 }
 
 // A long chain and a wide join cost no stack and little time.
-TEST(LiveJobs, AChainOfThousandsIsCancelledAtItsRoot) {
-    Bench b;
+TEST(LiveJobs, CancelsAllDependentsInAChainOfThousands) {
+    Fixture f;
     constexpr int n = 5000;
     auto id = [](int k) { return "j-" + std::to_string(k); };
-    b.service.put(id(0), false);
+    f.service.put(id(0), false);
     std::vector<std::string> all;
     for (int k = 1; k < n; ++k) {
-        b.service.put(id(k), false, {id(k - 1)});
+        f.service.put(id(k), false, {id(k - 1)});
         all.push_back(id(k));
     }
-    b.service.put(id(n), false, all);
-    b.ask(id(n));
-    b.timers.run_until(1);
-    b.service.put(id(0), true);
-    b.ask(id(n));
-    b.ask(id(n - 1));
-    b.timers.run_until(2);
-    EXPECT_EQ(b.told, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
+    f.service.put(id(n), false, all);
+    f.ask(id(n));
+    f.timers.run_until(1);
+    f.service.put(id(0), true);
+    f.ask(id(n));
+    f.ask(id(n - 1));
+    f.timers.run_until(2);
+    EXPECT_EQ(f.answers, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
 }
 
 }  // namespace
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -1,4 +1,4 @@
-// The users' interface at several controllers that share one key-value store.
+// UserApi at several controllers that share one key-value store.
 #include "api/user_api.hpp"
 
 #include <gtest/gtest.h>
@@ -16,16 +16,14 @@
 using nlohmann::json;
 namespace keys = kv::keys;
 
-struct Cluster : ClusterQueries {
+struct FakeCluster : ClusterQueries {
     std::vector<protocol::MachineType> kinds{protocol::parse_types(
         R"({"hulls":[{"name":"g8","vcpus":96,"cards":8,"ram_gb":768,"cache_gb":200,"fetch_gb_per_s":1,)"
         R"("hourly":12,"spot_price":4,"startup_s":45,"reefs":["a"]}]})")};
-    std::vector<std::string> told_cancelled;
-    const std::vector<protocol::MachineType>& types() const override { return kinds; }
-    void counts(const std::string&, std::function<void(std::optional<TaskCounts>)> done) override {
-        done(TaskCounts{});
-    }
-    void cancelled(const std::string& id, std::uint64_t) override { told_cancelled.push_back(id); }
+    std::vector<std::string> notified;
+    const std::vector<protocol::MachineType>& machine_types() const override { return kinds; }
+    void task_counts(const std::string&, TaskCountsCallback done) override { done(TaskCounts{}); }
+    void notify_cancelled(const std::string& id, std::uint64_t) override { notified.push_back(id); }
 };
 
 std::string spec(const std::string& id, const std::string& team = "t1") {
@@ -37,9 +35,9 @@
         .dump();
 }
 
-// An answer with the times between which it was asked and told.
+// An answer, with the times of the question and of the answer.
 struct Answer {
-    double sent = 0, told = 0;
+    double sent = 0, answered = 0;
     int status = 0;
     std::string state;
     double retry_after_s = 0;
@@ -62,7 +60,7 @@
         s.teams = {{"t1"}, {"t2"}};
         return s;
     }();
-    Cluster cluster;
+    FakeCluster cluster;
     struct Node {
         kv::KvClient client;
         UserApi users;
@@ -119,77 +117,79 @@
     }
 };
 
-// How far along a job is. Done and withdrawn are both the last state: never one after the other.
-int rank(const Answer& a) {
+// How far along a job is. Done and cancelled are both final: never one after the other.
+int progress_rank(const Answer& a) {
     if (a.status == 404) return 0;
     return a.state == "pending" || a.state == "running" ? 1 : 2;
 }
 void expect_no_older_answer(const std::vector<Answer*>& all, const std::string& when) {
     for (auto* a : all)
         for (auto* b : all) {
-            if (a->status == 0 || b->status == 0 || a->shed() || b->shed() || b->sent <= a->told) continue;
-            EXPECT_GE(rank(*b), rank(*a)) << when << ": " << a->state << " told at " << a->told << ", "
-                                          << b->state << b->status << " for a question of " << b->sent;
-            if (rank(*a) == 2) {
+            if (a->status == 0 || b->status == 0 || a->shed() || b->shed() || b->sent <= a->answered)
+                continue;
+            EXPECT_GE(progress_rank(*b), progress_rank(*a))
+                << when << ": " << a->state << " answered at " << a->answered << ", " << b->state << b->status
+                << " for a question of " << b->sent;
+            if (progress_rank(*a) == 2) {
                 EXPECT_EQ(a->state, b->state) << when;
             }
         }
 }
 
-// Everybody asks everywhere each few milliseconds, and repeats the submission, while jobs are accepted,
-// called off at two controllers at once, and end somewhat before or after that.
-TEST(UserApi, NoCloseLookIsAnsweredWithSomethingOlder) {
+// Queries at all controllers every few milliseconds, and repeated submissions, while jobs are accepted,
+// cancelled at two controllers at once, and end somewhat before or after that.
+TEST(UserApi, NeverAnswersWithAnOlderStateUnderFrequentQueries) {
     const double ends_ms[] = {-100, -20, -8, -3, 0, 3, 8, 20, 60, 150, 400};
     Site s;
-    // Executed at once and answered later: an answer under way may be older than others already told.
+    // Executed at once and answered later: an answer in flight may be older than answers already given.
     std::minstd_rand random(7);
     s.service.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
-    struct Play {
+    struct JobRun {
         std::string id;
-        double from, called_off, ends;
+        double submitted, cancelled, ends;
         std::vector<Answer*> answers = {};
     };
-    std::vector<Play> plays;
+    std::vector<JobRun> runs;
     for (int k = 0; k < 44; ++k) {
-        double from = 1 + k * 0.25, off = from + 1;
-        plays.push_back({"j-" + std::to_string(100000 + k), from, off,
-                         off + ends_ms[static_cast<std::size_t>(k) % std::size(ends_ms)] / 1000});
+        double submitted = 1 + k * 0.25, cancelled = submitted + 1;
+        runs.push_back({"j-" + std::to_string(100000 + k), submitted, cancelled,
+                        cancelled + ends_ms[static_cast<std::size_t>(k) % std::size(ends_ms)] / 1000});
     }
-    constexpr double step = 0.009, looked_at = 1.8;
+    constexpr double step = 0.009, observed_s = 1.8;
     for (double now = 0.9; now < 15; now += step) {
         s.timers.run_until(now);
         auto at = [&](double t) { return now >= t && now < t + step; };
-        for (auto& p : plays) {
-            if (now < p.from || now > p.from + looked_at) continue;
-            if (at(p.called_off))
-                for (std::size_t n : {0, 2}) p.answers.push_back(s.cancel(n, p.id));
-            if (at(p.ends)) s.store_end(p.id);
-            bool repeat = at(p.from) || at(p.from + 0.3) || at(p.called_off + 0.05);
+        for (auto& run : runs) {
+            if (now < run.submitted || now > run.submitted + observed_s) continue;
+            if (at(run.cancelled))
+                for (std::size_t n : {0, 2}) run.answers.push_back(s.cancel(n, run.id));
+            if (at(run.ends)) s.store_end(run.id);
+            bool repeat = at(run.submitted) || at(run.submitted + 0.3) || at(run.cancelled + 0.05);
             for (std::size_t n : {0, 1, 2}) {
-                if (repeat) p.answers.push_back(s.submit(n, p.id));
-                p.answers.push_back(s.query(n, p.id));
+                if (repeat) run.answers.push_back(s.submit(n, run.id));
+                run.answers.push_back(s.query(n, run.id));
             }
         }
     }
     s.timers.run_until(20);
-    std::map<std::string, int> told;
-    for (auto& p : plays) {
-        expect_no_older_answer(p.answers, p.id);
+    std::map<std::string, int> state_counts;
+    for (auto& run : runs) {
+        expect_no_older_answer(run.answers, run.id);
         std::set<std::string> states;
-        for (auto* a : p.answers) {
-            EXPECT_NE(a->status, 0) << p.id;
+        for (auto* a : run.answers) {
+            EXPECT_NE(a->status, 0) << run.id;
             states.insert(a->state);
         }
-        EXPECT_EQ(states.contains("done") + states.contains("withdrawn"), 1) << p.id;
-        for (auto& state : states) ++told[state];
+        EXPECT_EQ(states.contains("done") + states.contains("withdrawn"), 1) << run.id;
+        for (auto& state : states) ++state_counts[state];
     }
-    EXPECT_GT(told["done"], 5);
-    EXPECT_GT(told["withdrawn"], 5);
-    EXPECT_GT(told["pending"], 30);
+    EXPECT_GT(state_counts["done"], 5);
+    EXPECT_GT(state_counts["withdrawn"], 5);
+    EXPECT_GT(state_counts["pending"], 30);
 }
 
 // The transaction is carried out at once and only its answer is lost; others read what it wrote.
-TEST(UserApi, AnAcceptanceWhoseAnswerIsLostIsOneAcceptance) {
+TEST(UserApi, AcceptsOnceWhenTheStoreAnswerIsLost) {
     for (bool cancelled_meanwhile : {false, true}) {
         Site s;
         s.service.fates = {FakeKeyValueStore::Fate::lost_after};
@@ -213,7 +213,7 @@
         EXPECT_EQ(s.service.changes, cancelled_meanwhile ? 2 : 1);
     }
 }
-TEST(UserApi, ACancellationWhoseAnswerIsLostIsRecognisedAndTold) {
+TEST(UserApi, NotifiesCancellationOnceWhenTheStoreAnswerIsLost) {
     Site s;
     s.submit(0, "j-000001");
     s.timers.run_until(1);
@@ -228,11 +228,11 @@
         EXPECT_EQ(a->state, "withdrawn");
     }
     EXPECT_EQ(s.service.changes, 2);
-    EXPECT_EQ(s.cluster.told_cancelled, std::vector<std::string>{"j-000001"});
+    EXPECT_EQ(s.cluster.notified, std::vector<std::string>{"j-000001"});
 }
 
-// Ends are read together, and no final state twice at one controller.
-TEST(UserApi, LooksShareReadsAndFinalStatesAreReadOnce) {
+// Ends are read with one request, and no final state twice at one controller.
+TEST(UserApi, SharesReadsBetweenQueriesAndReadsFinalStatesOnce) {
     Site s;
     constexpr int jobs = 60;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
@@ -245,13 +245,13 @@
     for (int k = 0; k < jobs; ++k) s.store_end(id(k));
     s.timers.run_until(21);
     s.service.asked.clear();
-    std::vector<Answer*> told;
+    std::vector<Answer*> answers;
     for (int round = 0; round < 20; ++round)
-        for (int k = 0; k < jobs; ++k) told.push_back(s.query(0, id(k)));
+        for (int k = 0; k < jobs; ++k) answers.push_back(s.query(0, id(k)));
     s.timers.run_until(22);
-    for (auto* a : told) EXPECT_EQ(a->state, "done");
+    for (auto* a : answers) EXPECT_EQ(a->state, "done");
     EXPECT_EQ(s.service.asked["kv"], 0);
-    // For the first question, for all others with the next one, and for all ends.
+    // For the first query, for all others together, and for all final records.
     EXPECT_LE(s.service.asked["watch"], 3);
     s.service.asked.clear();
     for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
@@ -259,8 +259,8 @@
     EXPECT_EQ(s.service.asked["kv"] + s.service.asked["watch"] + s.service.asked["txn"], 0);
 }
 
-// A repetition of what is known takes nothing from the changes that submissions wait for.
-TEST(UserApi, RepeatedSubmissionsAndCancellationsCostNoChange) {
+// A repeated request uses up none of the writes that submissions wait for.
+TEST(UserApi, RepeatedSubmissionsAndCancellationsCostNoWrite) {
     Site s;
     s.submit(0, "j-000001");
     for (int k = 0; k < 5; ++k) s.submit(0, "j-000001");
@@ -277,16 +277,16 @@
     for (auto& a : s.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
 }
 
-// What becomes of a stream of submissions at one controller after its reserve is used up: `factor` times what
+// The outcome of a stream of submissions at one controller after its burst is used up: `factor` times what
 // the key-value store can store, with one of another team among each twenty.
-struct Stream {
+struct SubmissionStream {
     double accepted = 0;  // of what can be stored
     double slowest = 0;   // answer in seconds
     int shed = 0, small_asked = 0, small_accepted = 0;
-    explicit Stream(double factor) {
+    explicit SubmissionStream(double factor) {
         Site s;
         auto& set = s.settings;
-        double capacity = set.state_write_rps * 0.9 / Admission::changes_per_job / set.nodes;
+        double capacity = set.state_write_rps * 0.9 / Admission::writes_per_job / set.nodes;
         constexpr double begin = 61, end = 121;
         int n = 0;
         for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
@@ -303,7 +303,7 @@
         for (auto& a : s.answers) {
             if (a->sent < begin) continue;
             EXPECT_NE(a->status, 0);
-            slowest = std::max(slowest, a->told - a->sent);
+            slowest = std::max(slowest, a->answered - a->sent);
             shed += a->shed();
             if (a->shed()) {
                 EXPECT_GE(a->retry_after_s, 1);
@@ -316,12 +316,12 @@
   private:
     std::vector<Answer*> small_accepted_;
 };
-// The jobs of a day's beginning come all at once, from one team: half of the reserve kept for teams that ask
-// for nothing put them off.
-TEST(Admission, ATeamAloneMayUseTheWholeReserveAndLeavesAPartToOthers) {
+// Many jobs of one team come at once at the beginning of a day: they must not be rejected for the sake of
+// teams that ask for nothing.
+TEST(Admission, LetsOneTeamUseTheWholeBurstUnlessOthersAreActive) {
     auto settings = Site().settings;
     settings.teams = {{"t1", 0, 0, 0, 0}, {"t2", 0, 0, 0, 0}};
-    double rate = settings.state_write_rps * 0.9 / Admission::changes_per_job / settings.nodes;
+    double rate = settings.state_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
     auto reserve = static_cast<int>(rate * settings.lease_s * Admission::burst_leases);
     for (bool other : {false, true}) {
         Admission admission(settings);
@@ -335,8 +335,8 @@
         EXPECT_TRUE(!other || admission.admit("t2", 1));
     }
 }
-TEST(UserApi, OverloadIsShedAtOnceAndFairlyBetweenTeams) {
-    Stream once(1), five(5);
+TEST(UserApi, RejectsOverloadAtOnceAndFairlyBetweenTeams) {
+    SubmissionStream once(1), five(5);
     EXPECT_GE(once.accepted, 0.9);
     EXPECT_GE(five.accepted, 0.9 * once.accepted);
     EXPECT_LE(five.accepted, 1.1);
@@ -344,8 +344,8 @@
     EXPECT_GT(five.shed, 0);
     EXPECT_GE(five.small_accepted, five.small_asked * 0.9) << "of the team that asks for little";
 }
-// Cancellations go before acceptances, which wait for the changes that are left.
-TEST(UserApi, CancellationsAreNotHeldUpBySubmissions) {
+// Cancellations go before acceptances, which wait for the writes that are left.
+TEST(UserApi, CancellationsDoNotWaitBehindSubmissions) {
     Site s;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
     for (int k = 0; k < 10; ++k) s.submit(0, id(k));
@@ -356,11 +356,11 @@
     s.timers.run_until(15);
     for (auto* a : cancelled) {
         EXPECT_EQ(a->state, "withdrawn");
-        EXPECT_LE(a->told - a->sent, 1);
+        EXPECT_LE(a->answered - a->sent, 1);
     }
     for (auto& a : s.answers) {
         EXPECT_NE(a->status, 0);
-        EXPECT_LE(a->told - a->sent, kv::submission_timeout_s);
+        EXPECT_LE(a->answered - a->sent, kv::submission_timeout_s);
     }
 }
 
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -3,7 +3,8 @@
 
 #include <gtest/gtest.h>
 
-#include "api/user_api.hpp"
+#include "api/submission_check.hpp"
+#include "kv/kv_client.hpp"
 
 namespace coralhitch::config {
 namespace {
@@ -212,7 +213,7 @@
         j.team = "t";
         j.request = {1, 1, 1};
         c.change(j);
-        EXPECT_EQ(api::judge(j, types, s).runnable, c.runnable) << c.name;
+        EXPECT_EQ(api::check_submission(j, types, s) == api::SubmissionCheck::runnable, c.runnable) << c.name;
     }
 }
 
