--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,88 +1,105 @@
 #include "cloud/cloud_client.hpp"
 
 #include <algorithm>
-#include <memory>
+#include <utility>
 
 namespace coralhitch::cloud {
 using protocol::Malformed;
 
-CloudClient::CloudClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& s)
+namespace {
+constexpr double budget_share = 0.7;  // the other controllers send requests now and then too
+constexpr double timeout_heartbeats = 2;
+constexpr double min_send_delay_s = 0.005;
+constexpr int page_size = 500;
+
+CreateMachinesResult parse_create_response(const std::optional<http::Response>& response) {
+    using Status = CreateMachinesResult::Status;
+    try {
+        if (response && response->status == 200)
+            return {Status::created, protocol::parse_rented(response->body)};
+        if (response && response->status == 503 && response->body.find("no capacity") != std::string::npos)
+            return {Status::no_capacity, {}};
+    } catch (const Malformed&) {
+    }
+    return {};
+}
+}  // namespace
+
+CloudClient::CloudClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings)
     : timers_(timers),
       http_(http),
-      settings_(s),
-      // The other controllers ask now and then too, hence not all of it.
-      bucket_(s.cloud_rps * 0.7, std::max(1.0, s.cloud_rps * 0.7)) {}
+      settings_(settings),
+      budget_(settings.cloud_rps * budget_share, std::max(1.0, settings.cloud_rps * budget_share)) {}
 
-void CloudClient::submit(http::Request r, bool urgent, http::Result done) {
-    Call c{std::move(r), std::move(done)};
-    if (urgent)
-        queue_.push_front(std::move(c));
+void CloudClient::enqueue(http::Request request, QueuePosition position, http::Result done) {
+    Call call{std::move(request), std::move(done)};
+    if (position == QueuePosition::front)
+        queue_.push_front(std::move(call));
     else
-        queue_.push_back(std::move(c));
-    pump();
+        queue_.push_back(std::move(call));
+    send_queued();
 }
-void CloudClient::pump() {
+
+void CloudClient::send_queued() {
     double now = timers_.now();
-    while (!queue_.empty() && bucket_.has(now)) {
-        bucket_.take(now);
-        auto c = std::move(queue_.front());
+    while (!queue_.empty() && budget_.has(now)) {
+        budget_.take(now);
+        auto call = std::move(queue_.front());
         queue_.pop_front();
-        http_.send(settings_.cloud_addr, std::move(c.request), settings_.report_s * 2, std::move(c.done));
+        http_.send(settings_.cloud_addr, std::move(call.request), settings_.report_s * timeout_heartbeats,
+                   std::move(call.done));
     }
-    if (queue_.empty() || armed_) return;
-    armed_ = true;
-    timers_.after(std::max(bucket_.wait(now), 0.005), [this] {
-        armed_ = false;
-        pump();
+    if (queue_.empty() || send_scheduled_) return;
+    send_scheduled_ = true;
+    timers_.after(std::max(budget_.wait(now), min_send_delay_s), [this] {
+        send_scheduled_ = false;
+        send_queued();
     });
 }
 
-void CloudClient::types(std::function<void(std::optional<std::vector<protocol::MachineType>>)> done) {
-    submit({"GET", std::string(protocol::paths::types), {}}, false, [done](std::optional<http::Response> r) {
-        try {
-            if (r && r->status == 200) return done(protocol::parse_types(r->body));
-        } catch (const Malformed&) {
-        }
-        done(std::nullopt);
-    });
+void CloudClient::list_machine_types(MachineTypesCallback done) {
+    enqueue({"GET", std::string(protocol::paths::types), {}}, QueuePosition::back,
+            [done](std::optional<http::Response> response) {
+                try {
+                    if (response && response->status == 200)
+                        return done(protocol::parse_types(response->body));
+                } catch (const Malformed&) {
+                }
+                done(std::nullopt);
+            });
 }
-void CloudClient::hosts(std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
-    host_page(std::make_shared<std::vector<protocol::Host>>(), "", std::move(done));
+
+void CloudClient::list_machines(MachinesCallback done) {
+    list_page(std::make_shared<Machines>(), "", std::move(done));
 }
-void CloudClient::host_page(std::shared_ptr<std::vector<protocol::Host>> acc, std::string after,
-                            std::function<void(std::optional<std::vector<protocol::Host>>)> done) {
-    submit({"GET", protocol::paths::host_list(after, 500), {}}, false,
-           [this, acc, done](std::optional<http::Response> r) {
-               try {
-                   if (!r || r->status != 200) return done(std::nullopt);
-                   auto page = protocol::parse_hosts(r->body);
-                   for (auto& h : page.hosts) acc->push_back(std::move(h));
-                   if (!page.more || acc->empty()) return done(std::move(*acc));
-                   host_page(acc, acc->back().id, done);
-               } catch (const Malformed&) {
-                   done(std::nullopt);
-               }
-           });
+
+// Reads the machines after the id `after`, and all further pages.
+void CloudClient::list_page(std::shared_ptr<Machines> listed, const std::string& after,
+                            MachinesCallback done) {
+    enqueue({"GET", protocol::paths::host_list(after, page_size), {}}, QueuePosition::back,
+            [this, listed, done](std::optional<http::Response> response) {
+                try {
+                    if (!response || response->status != 200) return done(std::nullopt);
+                    auto page = protocol::parse_hosts(response->body);
+                    for (auto& machine : page.hosts) listed->push_back(std::move(machine));
+                    if (!page.more || listed->empty()) return done(std::move(*listed));
+                    list_page(listed, listed->back().id, done);
+                } catch (const Malformed&) {
+                    done(std::nullopt);
+                }
+            });
 }
-void CloudClient::rent(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                       int count, std::function<void(CreateMachinesResult)> done) {
-    submit(
-        {"POST", std::string(protocol::paths::hosts), protocol::rent_request(name, type, zone, spot, count)},
-        false, [done](std::optional<http::Response> r) {
-            CreateMachinesResult out;
-            try {
-                if (r && r->status == 200)
-                    out = {CreateMachinesResult::Status::rented, protocol::parse_rented(r->body)};
-                else if (r && r->status == 503 && r->body.find("no capacity") != std::string::npos)
-                    out.status = CreateMachinesResult::Status::no_capacity;
-            } catch (const Malformed&) {
-            }
-            done(std::move(out));
-        });
+
+void CloudClient::create_machines(const CreateMachinesRequest& request, CreateMachinesCallback done) {
+    auto body = protocol::rent_request(request.name, request.type, request.zone, request.spot, request.count);
+    enqueue({"POST", std::string(protocol::paths::hosts), std::move(body)}, QueuePosition::back,
+            [done](std::optional<http::Response> response) { done(parse_create_response(response)); });
 }
-void CloudClient::remove(std::vector<std::string> machines, std::function<void(bool)> done) {
-    submit({"POST", std::string(protocol::paths::hosts_delete), protocol::delete_request(machines)}, true,
-           [done](std::optional<http::Response> r) { done(r && r->status == 200); });
+
+void CloudClient::delete_machines(const std::vector<std::string>& machines, DeleteMachinesCallback done) {
+    enqueue({"POST", std::string(protocol::paths::hosts_delete), protocol::delete_request(machines)},
+            QueuePosition::front,
+            [done](std::optional<http::Response> response) { done(response && response->status == 200); });
 }
 
 }  // namespace coralhitch::cloud
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -303,7 +303,7 @@
 }
 // From the cloud; while it does not answer, from what a leader stored last.
 void Controller::learn_types() {
-    cloud_.types([this](std::optional<std::vector<protocol::MachineType>> t) {
+    cloud_.list_machine_types([this](std::optional<std::vector<protocol::MachineType>> t) {
         bool known = t && !t->empty();
         if (known) {
             set_types(std::move(*t));
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -658,13 +658,13 @@
         std::vector<std::string> ids;
         for (auto& [id, m] : cluster_state_.machines())
             if (m.life == Machine::Life::marked_for_deletion && m.deletable && !m.deleting &&
-                ids.size() < cloud::CloudClient::remove_most) {
+                ids.size() < cloud::CloudClient::max_machines_per_delete) {
                 ids.push_back(id);
                 m.deleting = true;
             }
         if (ids.empty()) return;
         ++removing_;
-        dependencies_.cloud.remove(ids, guarded([this, ids](bool ok) { deleted(ids, ok); }));
+        dependencies_.cloud.delete_machines(ids, guarded([this, ids](bool ok) { deleted(ids, ok); }));
     }
 }
 void Leader::deleted(const std::vector<std::string>& ids, bool ok) {
@@ -745,7 +745,7 @@
     if (listing_ || !authority()) return;
     listing_ = true;
     last_list_ = now();
-    dependencies_.cloud.hosts(guarded([this](std::optional<std::vector<protocol::Host>> hosts) {
+    dependencies_.cloud.list_machines(guarded([this](std::optional<std::vector<protocol::Host>> hosts) {
         listing_ = false;
         if (!hosts) return;
         listed_once_ = true;
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -318,8 +318,8 @@
     // What an earlier leader rented last is in no report yet; the list may show it.
     if (p.with_capacity && listed_once_)
         for (auto& r : p.capacity.rents)
-            for (int left = r.count; left > 0; left -= cloud::CloudClient::rent_most)
-                rent({r.pool, std::min(left, cloud::CloudClient::rent_most)});
+            for (int left = r.count; left > 0; left -= cloud::CloudClient::max_machines_per_create)
+                rent({r.pool, std::min(left, cloud::CloudClient::max_machines_per_create)});
 }
 
 void Leader::rent(const autoscaler::ScaleOutRequest& r) {
@@ -337,27 +337,27 @@
     if (r.asking || !authority()) return;
     r.asking = true;
     auto& pool = cluster_state_.pools()[r.pool];
-    dependencies_.cloud.rent(name, pool.type, pool.zone, pool.spot, r.count,
-                             guarded([this, name](cloud::CreateMachinesResult out) {
-                                 auto it = rentals_.find(name);
-                                 if (it == rentals_.end()) return;
-                                 auto& r = it->second;
-                                 r.asking = false;
-                                 if (out.status == cloud::CreateMachinesResult::Status::failed)
-                                     return;  // the next tick asks again
-                                 if (static_cast<int>(out.machines.size()) < r.count)
-                                     refused_[r.pool] =
-                                         now() + dependencies_.settings.report_s * refused_reports;
-                                 {
-                                     std::lock_guard lock(mutex_);
-                                     auto pool = cluster_state_.pools()[r.pool];
-                                     for (auto& id : out.machines)
-                                         if (!cluster_state_.is_deleted(id))
-                                             cluster_state_.add(id, "", pool.type, pool.zone, pool.spot,
-                                                                Machine::Life::booting, now());
-                                 }
-                                 rentals_.erase(it);
-                             }));
+    dependencies_.cloud.create_machines(
+        {name, pool.type, pool.zone, pool.spot, r.count},
+        guarded([this, name](cloud::CreateMachinesResult out) {
+            auto it = rentals_.find(name);
+            if (it == rentals_.end()) return;
+            auto& r = it->second;
+            r.asking = false;
+            if (out.status == cloud::CreateMachinesResult::Status::failed)
+                return;  // the next tick asks again
+            if (static_cast<int>(out.machines.size()) < r.count)
+                refused_[r.pool] = now() + dependencies_.settings.report_s * refused_reports;
+            {
+                std::lock_guard lock(mutex_);
+                auto pool = cluster_state_.pools()[r.pool];
+                for (auto& id : out.machines)
+                    if (!cluster_state_.is_deleted(id))
+                        cluster_state_.add(id, "", pool.type, pool.zone, pool.spot, Machine::Life::booting,
+                                           now());
+            }
+            rentals_.erase(it);
+        }));
 }
 
 }  // namespace coralhitch::leader
