--- /dev/null
+++ b/tests/api/cancellation_handler_test.cpp
@@ -0,0 +1,50 @@
+// CancellationHandler, through the UserApi of several controllers.
+#include "api/cancellation_handler.hpp"
+
+#include <gtest/gtest.h>
+
+#include "api/user_api_fixture.hpp"
+
+namespace coralhitch::api {
+namespace {
+
+TEST(CancellationHandler, NotifiesLeaderOnceWhenTheStoreAnswerIsLost) {
+    UserApiCluster s;
+    s.submit(0, "j-000001");
+    s.timers.run_until(1);
+    s.service.fates = {FakeKeyValueStore::Fate::lost_after};
+    auto* first = s.cancel(0, "j-000001");
+    s.timers.run_until(1.1);
+    auto* repeated = s.cancel(0, "j-000001");
+    auto* elsewhere = s.cancel(1, "j-000001");
+    s.timers.run_until(10);
+    for (auto* a : {first, repeated, elsewhere}) {
+        EXPECT_EQ(a->status, 200);
+        EXPECT_EQ(a->state, "withdrawn");
+    }
+    EXPECT_EQ(s.service.changes, 2);
+    EXPECT_EQ(s.cluster.notified, std::vector<std::string>{"j-000001"});
+}
+
+// Cancellations go before acceptances, which wait for the writes that are left.
+TEST(CancellationHandler, DoesNotWaitBehindSubmissions) {
+    UserApiCluster s;
+    auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
+    for (int k = 0; k < 10; ++k) s.submit(0, id(k));
+    s.timers.run_until(5);
+    for (int k = 100; k < 300; ++k) s.submit(0, id(k));
+    std::vector<Answer*> cancelled;
+    for (int k = 0; k < 5; ++k) cancelled.push_back(s.cancel(0, id(k)));
+    s.timers.run_until(15);
+    for (auto* a : cancelled) {
+        EXPECT_EQ(a->state, "withdrawn");
+        EXPECT_LE(a->answered - a->sent, 1);
+    }
+    for (auto& a : s.answers) {
+        EXPECT_NE(a->status, 0);
+        EXPECT_LE(a->answered - a->sent, kv::submission_timeout_s);
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::api
--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -81,7 +81,7 @@
     std::vector<std::string> answers;
 
     Fixture() { service.put("j-100", false); }
-    void ask(const std::string& id) {
+    void read(const std::string& id) {
         live.read(id, [this](LiveJobs::ReadResult result) {
             answers.push_back(!result.ok     ? "no answer"
                               : !result.live ? "not live"
@@ -99,92 +99,92 @@
     std::vector<std::string> answers;
 };
 const Case cases[] = {
-    {"a job accepted before the read", [](Fixture& f) { f.ask("j-1"); }, {"live"}},
+    {"a job accepted before the read", [](Fixture& f) { f.read("j-1"); }, {"live"}},
     {"a change since the last answer",
      [](Fixture& f) {
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(1);
          f.service.put("j-1", true);
-         f.ask("j-1");
+         f.read("j-1");
      },
      {"live", "cancelled"}},
     {"a change while a request is in flight: a read after it waits for the next request",
      [](Fixture& f) {
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(0.005);
          f.service.put("j-1", true);
-         f.ask("j-1");
+         f.read("j-1");
      },
      {"live", "cancelled"}},
     {"a record that can't be read is of a known job",
      [](Fixture& f) {
          f.service.put_unreadable("j-2");
-         f.ask("j-2");
+         f.read("j-2");
      },
      {"live"}},
     {"a job that has ended, and one that was never submitted",
      [](Fixture& f) {
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(1);
          f.service.drop("j-1");
-         f.ask("j-1");
-         f.ask("j-9");
+         f.read("j-1");
+         f.read("j-9");
      },
      {"live", "not live", "not live"}},
     {"a refused request: no answer from the copy",
      [](Fixture& f) {
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(1);
          f.service.fate = FakeKeyValueStore::Fate::refused;
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(2);
          f.service.fate = FakeKeyValueStore::Fate::answered;
-         f.ask("j-1");
+         f.read("j-1");
      },
      {"live", "no answer", "live"}},
     {"a lost answer: its changes come again",
      [](Fixture& f) {
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(1);
          f.service.put("j-1", true);
          f.service.fate = FakeKeyValueStore::Fate::lost;
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(5);
          f.service.fate = FakeKeyValueStore::Fate::answered;
-         f.ask("j-1");
+         f.read("j-1");
      },
      {"live", "no answer", "cancelled"}},
     {"the changes are not kept any more: all is read again",
      [](Fixture& f) {
-         f.ask("j-1");
+         f.read("j-1");
          f.timers.run_until(1);
          f.service.put("j-2", false);
          f.service.drop("j-1");
          f.service.forgotten = f.service.revision;
-         f.ask("j-1");
-         f.ask("j-2");
+         f.read("j-1");
+         f.read("j-2");
      },
      {"live", "not live", "live"}},
     {"direct and transitive dependents of a cancelled job, whichever is known first; no other jobs",
      [](Fixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.put("j-4", false, {"j-3", "j-100"});
-         f.ask("j-4");
+         f.read("j-4");
          f.timers.run_until(1);
          f.service.put("j-3", false, {"j-2"});
          f.service.put("j-5", false, {"j-100"});
          f.service.put("j-1", true);
-         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) f.ask(id);
+         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) f.read(id);
      },
      {"depends on j-3", "cancelled", "cancelled", "cancelled", "live"}},
     {"dependents of a job known to be cancelled, read in a list or as a change",
      [](Fixture& f) {
          f.service.put("j-1", true);
          f.service.put("j-2", false, {"j-1"});
-         f.ask("j-2");
+         f.read("j-2");
          f.timers.run_until(1);
          f.service.put("j-3", false, {"j-2"});
-         f.ask("j-3");
+         f.read("j-3");
      },
      {"cancelled", "cancelled"}},
     {"a dependency that has ended decides by its outcome; other reads need not wait for that",
@@ -192,34 +192,34 @@
          f.service.put("j-2", false, {"j-1"});
          f.service.put("j-3", false, {"j-2"});
          f.service.drop("j-1");
-         for (auto id : {"j-3", "j-100"}) f.ask(id);
+         for (auto id : {"j-3", "j-100"}) f.read(id);
          f.timers.run_until(1);
          f.live.apply_outcome("j-1", protocol::JobState::cancelled);
-         f.ask("j-3");
+         f.read("j-3");
      },
      {"depends on j-1", "live", "cancelled"}},
     {"a dependency that was done blocks no read; after a new list its outcome is unknown again",
      [](Fixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.drop("j-1");
-         f.ask("j-2");
+         f.read("j-2");
          f.timers.run_until(1);
          f.live.apply_outcome("j-1", protocol::JobState::done);
-         f.ask("j-2");
+         f.read("j-2");
          f.timers.run_until(2);
          f.service.forgotten = f.service.revision + 1;
          f.service.put("j-9", false);
-         f.ask("j-2");
+         f.read("j-2");
      },
      {"depends on j-1", "live", "depends on j-1"}},
     {"a cancelled job: its dependencies do not matter",
      [](Fixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.drop("j-1");
-         f.ask("j-2");
+         f.read("j-2");
          f.timers.run_until(1);
          f.service.put("j-2", true);
-         f.ask("j-2");
+         f.read("j-2");
      },
      {"depends on j-1", "cancelled"}},
 };
@@ -237,7 +237,7 @@
     Fixture f;
     f.service.put("j-1", false);
     for (int k = 0; k < 1000; ++k) {
-        f.ask("j-1");
+        f.read("j-1");
         f.timers.run_until(k * 0.001);
     }
     f.timers.run_until(5);
@@ -257,11 +257,11 @@
         all.push_back(id(k));
     }
     f.service.put(id(n), false, all);
-    f.ask(id(n));
+    f.read(id(n));
     f.timers.run_until(1);
     f.service.put(id(0), true);
-    f.ask(id(n));
-    f.ask(id(n - 1));
+    f.read(id(n));
+    f.read(id(n - 1));
     f.timers.run_until(2);
     EXPECT_EQ(f.answers, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
 }
--- /dev/null
+++ b/tests/api/submission_handler_test.cpp
@@ -0,0 +1,88 @@
+// SubmissionHandler, through the UserApi of several controllers.
+#include "api/submission_handler.hpp"
+
+#include <gtest/gtest.h>
+
+#include "api/user_api_fixture.hpp"
+
+namespace coralhitch::api {
+namespace {
+
+// The transaction is carried out at once and only its answer is lost; others read what it wrote.
+TEST(SubmissionHandler, AcceptsOnceWhenTheStoreAnswerIsLost) {
+    for (bool cancelled_meanwhile : {false, true}) {
+        UserApiCluster s;
+        s.service.fates = {FakeKeyValueStore::Fate::lost_after};
+        auto* first = s.submit(0, "j-000001");
+        s.timers.run_until(0.1);
+        auto* read = s.query(1, "j-000001");
+        auto* retry = s.submit(1, "j-000001");
+        auto* same = s.submit(0, "j-000001");
+        s.timers.run_until(1);
+        if (cancelled_meanwhile) s.cancel(2, "j-000001");
+        s.timers.run_until(10);
+        auto* again = s.submit(0, "j-000001");
+        s.timers.run_until(12);
+        std::string now = cancelled_meanwhile ? "withdrawn" : "pending";
+        EXPECT_EQ(read->state, "pending");
+        EXPECT_EQ(retry->state, "pending");
+        for (auto* a : {first, same, again}) {
+            EXPECT_EQ(a->status, 200);
+            EXPECT_EQ(a->state, now);
+        }
+        EXPECT_EQ(s.service.changes, cancelled_meanwhile ? 2 : 1);
+    }
+}
+
+// The outcome of a stream of submissions at one controller after its burst is used up: `factor` times what
+// the key-value store can store, with one of another team among each twenty.
+struct SubmissionStream {
+    double accepted = 0;  // of what can be stored
+    double slowest = 0;   // answer in seconds
+    int rejected = 0, small_asked = 0, small_accepted = 0;
+    explicit SubmissionStream(double factor) {
+        UserApiCluster s;
+        auto& set = s.settings;
+        double capacity = set.state_write_rps * 0.9 / Admission::writes_per_job / set.nodes;
+        constexpr double begin = 61, end = 121;
+        int n = 0;
+        for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
+            s.timers.run_until(t);
+            bool small = t >= begin && ++n % 20 == 0;
+            s.submit(0, "j-" + std::to_string(100000 + s.answers.size()), small ? "t2" : "t1");
+            if (!small) continue;
+            ++small_asked;
+            auto* a = s.answers.back().get();
+            s.timers.run_until(t + 0.5 / (capacity * factor));
+            small_accepted_.push_back(a);
+        }
+        s.timers.run_until(end + 10);
+        for (auto& a : s.answers) {
+            if (a->sent < begin) continue;
+            EXPECT_NE(a->status, 0);
+            slowest = std::max(slowest, a->answered - a->sent);
+            rejected += a->rejected();
+            if (a->rejected()) {
+                EXPECT_GE(a->retry_after_s, 1);
+            }
+            accepted += (a->status == 201) / ((end - begin) * capacity);
+        }
+        for (auto* a : small_accepted_) small_accepted += a->status == 201;
+    }
+
+  private:
+    std::vector<Answer*> small_accepted_;
+};
+
+TEST(SubmissionHandler, RejectsOverloadAtOnceAndFairlyBetweenTeams) {
+    SubmissionStream once(1), five(5);
+    EXPECT_GE(once.accepted, 0.9);
+    EXPECT_GE(five.accepted, 0.9 * once.accepted);
+    EXPECT_LE(five.accepted, 1.1);
+    for (auto* stream : {&once, &five}) EXPECT_LE(stream->slowest, 1);
+    EXPECT_GT(five.rejected, 0);
+    EXPECT_GE(five.small_accepted, five.small_asked * 0.9) << "of the team that asks for little";
+}
+
+}  // namespace
+}  // namespace coralhitch::api
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -3,7 +3,6 @@
 
 #include <gtest/gtest.h>
 
-#include "api/submission_check.hpp"
 #include "kv/kv_client.hpp"
 
 namespace coralhitch::config {
@@ -163,59 +162,5 @@
         EXPECT_THROW(parse_operator(bad, "f"), BadSettings) << bad;
 }
 
-TEST(Submit, Verdicts) {
-    Settings s = parse_settings(good(), "f");
-    const std::vector<protocol::MachineType> types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1"}}};
-    struct Case {
-        const char* name;
-        std::function<void(protocol::Job&)> change;
-        bool runnable;
-    };
-    const Case cases[] = {
-        {"fits", [](auto&) {}, true},
-        {"unknown team", [](auto& j) { j.team = "x"; }, false},
-        {"too large for any type", [](auto& j) { j.request.gpus = 5; }, false},
-        {"fills a machine",
-         [](auto& j) {
-             j.request = {8, 4, 64};
-         },
-         true},
-        {"a type that does not exist", [](auto& j) { j.types = {"nope"}; }, false},
-        {"one of the types exists",
-         [](auto& j) {
-             j.types = {"nope", "g4"};
-         },
-         true},
-        {"no types allowed", [](auto& j) { j.types = std::vector<std::string>{}; }, false},
-        {"a zone that does not exist", [](auto& j) { j.zone = "z9"; }, false},
-        {"an array larger than the limit runs in turns", [](auto& j) { j.tasks = 1000; }, true},
-        {"a gang larger than the limit never runs",
-         [](auto& j) {
-             j.kind = protocol::JobKind::gang;
-             j.tasks = 17;
-         },
-         false},
-        {"a service at the limit",
-         [](auto& j) {
-             j.kind = protocol::JobKind::service;
-             j.tasks = 8;
-         },
-         true},
-        {"a service beyond the limit",
-         [](auto& j) {
-             j.kind = protocol::JobKind::service;
-             j.tasks = 9;
-         },
-         false},
-    };
-    for (auto& c : cases) {
-        protocol::Job j;
-        j.team = "t";
-        j.request = {1, 1, 1};
-        c.change(j);
-        EXPECT_EQ(api::check_submission(j, types, s) == api::SubmissionCheck::runnable, c.runnable) << c.name;
-    }
-}
-
 }  // namespace
 }  // namespace coralhitch::config
