--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -24,7 +24,7 @@
     waiting->second.push_back(std::move(reply));
     if (!first) return;
     read_record(
-        id, [this, id](http::Response response) { answer_all(id, response); }, 0);
+        id, [this, id](const http::Response& response) { answer_all(id, response); }, 0);
 }
 
 // That there is no such job is an answer only to the first, who asked before it was read: the others are to
@@ -35,19 +35,21 @@
         replies[i](i > 0 && response.status == 404 ? retry_later() : response);
 }
 
-void CancellationHandler::read_record(const std::string& id, http::Reply reply, int attempt) {
+void CancellationHandler::read_record(const std::string& id, const http::Reply& reply, int attempt) {
     if (attempt >= max_attempts) return reply(retry_later());
     // The copy of the live jobs does not do: the record itself is needed, to be written again.
-    kv_.get(keys::job(id), kv::RequestPriority::user, [this, id, reply, attempt](kv::GetResult result) {
-        if (!result.ok) return reply(retry_later());
-        if (result.entry) return store_cancelled(id, *result.entry, reply, attempt);
-        reader_.read_final(
-            id, [this, id, reply](JobReadResult ended) { responder_.reply_state(id, ended, reply); });
-    });
+    kv_.get(keys::job(id), kv::RequestPriority::user,
+            [this, id, reply, attempt](const kv::GetResult& result) {
+                if (!result.ok) return reply(retry_later());
+                if (result.entry) return store_cancelled(id, *result.entry, reply, attempt);
+                reader_.read_final(id, [this, id, reply](const JobReadResult& ended) {
+                    responder_.reply_state(id, ended, reply);
+                });
+            });
 }
 
 void CancellationHandler::store_cancelled(const std::string& id, const protocol::Entry& entry,
-                                          http::Reply reply, int attempt) {
+                                          const http::Reply& reply, int attempt) {
     protocol::JobRecord record;
     try {
         record = protocol::parse_job_record(entry.value);
@@ -61,7 +63,7 @@
         return reply(cancelled_job(id));
     }
     kv_.txn(cancellation_txn(id, entry, std::move(record)), kv::RequestPriority::user,
-            [this, id, reply, attempt](kv::TxnResult result) {
+            [this, id, reply, attempt](const kv::TxnResult& result) {
                 using Status = kv::TxnResult::Status;
                 if (result.status == Status::committed) {
                     cluster_.notify_cancelled(id, result.revision);
--- a/src/api/cancellation_handler.hpp
+++ b/src/api/cancellation_handler.hpp
@@ -25,8 +25,9 @@
 
   private:
     void answer_all(const std::string& id, const http::Response& response);
-    void read_record(const std::string& id, http::Reply reply, int attempt);
-    void store_cancelled(const std::string& id, const protocol::Entry& entry, http::Reply reply, int attempt);
+    void read_record(const std::string& id, const http::Reply& reply, int attempt);
+    void store_cancelled(const std::string& id, const protocol::Entry& entry, const http::Reply& reply,
+                         int attempt);
     protocol::Txn cancellation_txn(const std::string& id, const protocol::Entry& entry,
                                    protocol::JobRecord record) const;
 
--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -35,7 +35,7 @@
 void JobReader::cache_final(const std::string& id, const protocol::FinalRecord& record) {
     if (!finals_.emplace(id, record).second) return;
     finals_order_.push_back(id);
-    if (finals_order_.size() <= settings_.memory_mb * cached_finals_per_mb) return;
+    if (static_cast<double>(finals_order_.size()) <= settings_.memory_mb * cached_finals_per_mb) return;
     finals_.erase(finals_order_.front());
     finals_order_.pop_front();
 }
@@ -49,15 +49,15 @@
     return cached_final(id) || live_jobs_.cached(id);
 }
 
-void JobReader::read(const std::string& id, Callback done, kv::RequestPriority priority) {
-    read_attempt(id, std::move(done), priority, 0);
+void JobReader::read(const std::string& id, const Callback& done, kv::RequestPriority priority) {
+    read_attempt(id, done, priority, 0);
 }
 
-void JobReader::read_attempt(const std::string& id, Callback done, kv::RequestPriority priority,
+void JobReader::read_attempt(const std::string& id, const Callback& done, kv::RequestPriority priority,
                              int attempt) {
     if (auto* record = cached_final(id)) return done(*record);
     if (attempt >= max_read_attempts) return done(ReadFailed{});
-    live_jobs_.read(id, [this, id, done, priority, attempt](LiveJobs::ReadResult result) {
+    live_jobs_.read(id, [this, id, done, priority, attempt](const LiveJobs::ReadResult& result) {
         if (!result.ok) return done(ReadFailed{});
         if (!result.live) return read_final(id, done, priority);
         if (!result.unresolved_dependencies.empty())
@@ -69,12 +69,12 @@
 // Whether the job is cancelled depends on how others ended, each of which is read once for all its
 // dependents.
 void JobReader::resolve_dependencies(const std::string& id, const std::vector<std::string>& dependencies,
-                                     Callback done, kv::RequestPriority priority, int attempt) {
+                                     const Callback& done, kv::RequestPriority priority, int attempt) {
     auto remaining = std::make_shared<std::size_t>(dependencies.size());
     for (auto& dependency : dependencies)
         read_final(
             dependency,
-            [this, id, dependency, done, priority, attempt, remaining](JobReadResult result) {
+            [this, id, dependency, done, priority, attempt, remaining](const JobReadResult& result) {
                 if (auto* record = std::get_if<protocol::FinalRecord>(&result))
                     live_jobs_.apply_outcome(dependency, record->state);
                 if (--*remaining == 0) read_attempt(id, done, priority, attempt + 1);
@@ -93,7 +93,7 @@
 }
 
 void JobReader::send_final_read(const std::string& id, kv::RequestPriority priority) {
-    kv_.get(keys::final(id), priority, [this, id, priority](kv::GetResult response) {
+    kv_.get(keys::final(id), priority, [this, id, priority](const kv::GetResult& response) {
         auto result = parse_final(id, response);
         auto read = std::move(final_reads_.extract(id).mapped());
         if (!read.joined.empty() && std::holds_alternative<UnknownJob>(result)) {
--- a/src/api/job_reader.hpp
+++ b/src/api/job_reader.hpp
@@ -38,7 +38,8 @@
     JobReader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings);
     // Reads the state of a job. Reads for submissions have the priority of these, and do not wait behind
     // queries.
-    void read(const std::string& id, Callback done, kv::RequestPriority priority = kv::RequestPriority::read);
+    void read(const std::string& id, const Callback& done,
+              kv::RequestPriority priority = kv::RequestPriority::read);
     // Reads the final record only. `UnknownJob` says that there is none: the job may be live.
     void read_final(const std::string& id, Callback done,
                     kv::RequestPriority priority = kv::RequestPriority::read);
@@ -54,9 +55,9 @@
         std::vector<Callback> waiting;  // since before the request was sent
         std::vector<Callback> joined;   // while it was in flight
     };
-    void read_attempt(const std::string& id, Callback done, kv::RequestPriority priority, int attempt);
+    void read_attempt(const std::string& id, const Callback& done, kv::RequestPriority priority, int attempt);
     void resolve_dependencies(const std::string& id, const std::vector<std::string>& dependencies,
-                              Callback done, kv::RequestPriority priority, int attempt);
+                              const Callback& done, kv::RequestPriority priority, int attempt);
     void send_final_read(const std::string& id, kv::RequestPriority priority);
     JobReadResult parse_final(const std::string& id, const kv::GetResult& result);
     void cache_final(const std::string& id, const protocol::FinalRecord& record);
--- a/src/api/job_status_responder.cpp
+++ b/src/api/job_status_responder.cpp
@@ -8,23 +8,24 @@
 namespace coralhitch::api {
 using protocol::JobState;
 
-void JobStatusResponder::query(const std::string& id, http::Reply reply) {
+void JobStatusResponder::query(const std::string& id, const http::Reply& reply) {
     if (!protocol::valid_job_id(id)) return reply(no_such_job());
-    reader_.read(id, [this, id, reply](JobReadResult result) {
+    reader_.read(id, [this, id, reply](const JobReadResult& result) {
         respond(id, result, TaskCountsField::include, no_such_job(), reply);
     });
 }
 
-void JobStatusResponder::reply_state(const std::string& id, const JobReadResult& result, http::Reply reply) {
-    respond(id, result, TaskCountsField::omit, no_such_job(), std::move(reply));
+void JobStatusResponder::reply_state(const std::string& id, const JobReadResult& result,
+                                     const http::Reply& reply) {
+    respond(id, result, TaskCountsField::omit, no_such_job(), reply);
 }
 
-void JobStatusResponder::refuse_unless_accepted(const std::optional<std::string>& id, http::Response refusal,
-                                                http::Reply reply) {
-    if (!id) return reply(std::move(refusal));
+void JobStatusResponder::refuse_unless_accepted(const std::optional<std::string>& id,
+                                                const http::Response& refusal, const http::Reply& reply) {
+    if (!id) return reply(refusal);
     reader_.read(
         *id,
-        [this, id = *id, refusal, reply](JobReadResult result) {
+        [this, id = *id, refusal, reply](const JobReadResult& result) {
             respond(id, result, TaskCountsField::omit, refusal, reply);
         },
         kv::RequestPriority::accept);
@@ -32,11 +33,10 @@
 
 void JobStatusResponder::respond(const std::string& id, const JobReadResult& result,
                                  TaskCountsField counts_field, const http::Response& if_unknown,
-                                 http::Reply reply) {
+                                 const http::Reply& reply) {
     if (auto* record = std::get_if<protocol::FinalRecord>(&result))
         return respond_final(id, *record, counts_field, reply);
-    if (auto* live = std::get_if<LiveJob>(&result))
-        return respond_live(id, *live, counts_field, std::move(reply));
+    if (auto* live = std::get_if<LiveJob>(&result)) return respond_live(id, *live, counts_field, reply);
     if (std::holds_alternative<UnknownJob>(result)) return reply(if_unknown);
     reply(retry_later());
 }
@@ -52,7 +52,7 @@
 }
 
 void JobStatusResponder::respond_live(const std::string& id, const LiveJob& job, TaskCountsField counts_field,
-                                      http::Reply reply) {
+                                      const http::Reply& reply) {
     if (job.cancelled) return reply(cancelled_job(id));
     // The counts may be out of date, and are for display only. That the job is live has just been read from
     // the key-value store.
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -69,7 +69,7 @@
 
 void LiveJobs::read_all(Batch batch) {
     kv_.list(keys::jobs, kv::RequestPriority::read,
-             [this, batch = std::move(batch)](kv::ListResult result) mutable {
+             [this, batch = std::move(batch)](const kv::ListResult& result) mutable {
                  if (result.ok) {
                      jobs_.clear();
                      dependencies_.clear();
--- a/src/api/submission_handler.cpp
+++ b/src/api/submission_handler.cpp
@@ -50,7 +50,7 @@
 }
 
 // A job without dependencies.
-void SubmissionHandler::accept(SubmissionPtr submission) {
+void SubmissionHandler::accept(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     if (auto storing = repeated_.find(id); storing != repeated_.end())
         return storing->second.push_back(submission->reply);
@@ -60,18 +60,18 @@
     if (known || can_admit) return accept_if_unknown(submission);
     // It will be rejected, unless it is a repeated one, which a shared read of the live jobs tells. Reading
     // the final record as well, for each rejected submission, took most of the reads that queries waited for.
-    reader_.live_jobs().read(id, [this, id, submission](LiveJobs::ReadResult result) {
+    reader_.live_jobs().read(id, [this, id, submission](const LiveJobs::ReadResult& result) {
         if (!result.ok) return submission->reply(retry_later());
         if (result.live || reader_.cached_final(id)) return accept_if_unknown(submission);
         admit(submission);
     });
 }
 
-void SubmissionHandler::accept_if_unknown(SubmissionPtr submission) {
+void SubmissionHandler::accept_if_unknown(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     reader_.read(
         id,
-        [this, id, submission](JobReadResult result) {
+        [this, id, submission](const JobReadResult& result) {
             if (!std::holds_alternative<UnknownJob>(result))
                 return responder_.reply_state(id, result, submission->reply);
             if (auto storing = repeated_.find(id); storing != repeated_.end())
@@ -82,7 +82,7 @@
 }
 
 // A repeated submission is answered before the dependencies are checked.
-void SubmissionHandler::accept_with_dependencies(SubmissionPtr submission) {
+void SubmissionHandler::accept_with_dependencies(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     auto limit = max_dependencies(kv_.limits().txn_ops());
     if (submission->job.awaits.size() > limit)
@@ -90,7 +90,7 @@
             id, invalid_submission("awaits more than " + std::to_string(limit) + " jobs"), submission->reply);
     reader_.read(
         id,
-        [this, id, submission](JobReadResult result) {
+        [this, id, submission](const JobReadResult& result) {
             if (!std::holds_alternative<UnknownJob>(result))
                 return responder_.reply_state(id, result, submission->reply);
             if (admission_.admit(submission->job.team, timers_.now())) return read_dependencies(submission);
@@ -99,7 +99,7 @@
         kv::RequestPriority::accept);
 }
 
-void SubmissionHandler::admit(SubmissionPtr submission) {
+void SubmissionHandler::admit(const SubmissionPtr& submission) {
     if (admission_.admit(submission->job.team, timers_.now())) return store(submission);
     reject_overload(submission);
 }
@@ -110,7 +110,7 @@
 
 // The transaction that stores the job has what was read as its conditions: if a live dependency is cancelled
 // or ends before, nothing is stored and all dependencies are read again.
-void SubmissionHandler::read_dependencies(SubmissionPtr submission) {
+void SubmissionHandler::read_dependencies(const SubmissionPtr& submission) {
     submission->outstanding_reads = submission->job.awaits.size();
     submission->read_failed = submission->cancelled = false;
     submission->unknown_dependency.clear();
@@ -119,7 +119,7 @@
     for (auto& dependency : submission->job.awaits)
         reader_.read(
             dependency,
-            [this, submission, dependency](JobReadResult result) {
+            [this, submission, dependency](const JobReadResult& result) {
                 add_dependency(*submission, dependency, result);
                 if (--submission->outstanding_reads == 0) check_dependencies(submission);
             },
@@ -139,7 +139,7 @@
     }
 }
 
-void SubmissionHandler::check_dependencies(SubmissionPtr submission) {
+void SubmissionHandler::check_dependencies(const SubmissionPtr& submission) {
     if (!submission->unknown_dependency.empty())
         return responder_.refuse_unless_accepted(
             submission->job.id,
@@ -151,7 +151,7 @@
     store(submission);
 }
 
-void SubmissionHandler::store(SubmissionPtr submission) {
+void SubmissionHandler::store(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     protocol::JobRecord record{submission->job, timers_.unix_time(), submission->cancelled};
     // Dependencies that are done need not be stored, nor any if the job is cancelled.
@@ -167,7 +167,7 @@
     txn.changes = {{keys::job(id), std::move(value), 0}};
     hold_repeated_submissions(*submission);
     kv_.txn(std::move(txn), kv::RequestPriority::accept,
-            [this, submission](kv::TxnResult result) { handle_store_result(submission, result); });
+            [this, submission](const kv::TxnResult& result) { handle_store_result(submission, result); });
 }
 
 // From now until the submission is answered, those that repeat it are held in `repeated_`. They must not get
--- a/src/api/submission_handler.hpp
+++ b/src/api/submission_handler.hpp
@@ -47,15 +47,15 @@
     };
     using SubmissionPtr = std::shared_ptr<Submission>;
 
-    void accept(SubmissionPtr submission);
-    void accept_if_unknown(SubmissionPtr submission);
-    void accept_with_dependencies(SubmissionPtr submission);
-    void admit(SubmissionPtr submission);
+    void accept(const SubmissionPtr& submission);
+    void accept_if_unknown(const SubmissionPtr& submission);
+    void accept_with_dependencies(const SubmissionPtr& submission);
+    void admit(const SubmissionPtr& submission);
     void reject_overload(const SubmissionPtr& submission);
-    void read_dependencies(SubmissionPtr submission);
+    void read_dependencies(const SubmissionPtr& submission);
     void add_dependency(Submission& submission, const std::string& id, const JobReadResult& result);
-    void check_dependencies(SubmissionPtr submission);
-    void store(SubmissionPtr submission);
+    void check_dependencies(const SubmissionPtr& submission);
+    void store(const SubmissionPtr& submission);
     void hold_repeated_submissions(Submission& submission);
     void handle_store_result(const SubmissionPtr& submission, const kv::TxnResult& result);
 
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -35,7 +35,7 @@
 
     // Each calls `reply` exactly once, at once or later.
     void submit(const std::string& body, http::Reply reply) { submissions_.submit(body, std::move(reply)); }
-    void query(const std::string& id, http::Reply reply) { responder_.query(id, std::move(reply)); }
+    void query(const std::string& id, const http::Reply& reply) { responder_.query(id, reply); }
     void cancel(const std::string& id, http::Reply reply) { cancellations_.cancel(id, std::move(reply)); }
 
     LiveJobs& live_jobs() { return reader_.live_jobs(); }
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -57,9 +57,9 @@
     });
 }
 
-void CloudClient::list_machine_types(MachineTypesCallback done) {
+void CloudClient::list_machine_types(const MachineTypesCallback& done) {
     enqueue({"GET", std::string(protocol::paths::types), {}}, QueuePosition::back,
-            [done](std::optional<http::Response> response) {
+            [done](const std::optional<http::Response>& response) {
                 try {
                     if (response && response->status == 200)
                         return done(protocol::parse_types(response->body));
@@ -69,15 +69,15 @@
             });
 }
 
-void CloudClient::list_machines(MachinesCallback done) {
-    list_page(std::make_shared<Machines>(), "", std::move(done));
+void CloudClient::list_machines(const MachinesCallback& done) {
+    list_page(std::make_shared<Machines>(), "", done);
 }
 
 // Reads the machines after the id `after`, and all further pages.
-void CloudClient::list_page(std::shared_ptr<Machines> listed, const std::string& after,
-                            MachinesCallback done) {
+void CloudClient::list_page(const std::shared_ptr<Machines>& listed, const std::string& after,
+                            const MachinesCallback& done) {
     enqueue({"GET", protocol::paths::host_list(after, page_size), {}}, QueuePosition::back,
-            [this, listed, done](std::optional<http::Response> response) {
+            [this, listed, done](const std::optional<http::Response>& response) {
                 try {
                     if (!response || response->status != 200) return done(std::nullopt);
                     auto page = protocol::parse_hosts(response->body);
@@ -90,16 +90,18 @@
             });
 }
 
-void CloudClient::create_machines(const CreateMachinesRequest& request, CreateMachinesCallback done) {
+void CloudClient::create_machines(const CreateMachinesRequest& request, const CreateMachinesCallback& done) {
     auto body = protocol::rent_request(request.name, request.type, request.zone, request.spot, request.count);
     enqueue({"POST", std::string(protocol::paths::hosts), std::move(body)}, QueuePosition::back,
-            [done](std::optional<http::Response> response) { done(parse_create_response(response)); });
+            [done](const std::optional<http::Response>& response) { done(parse_create_response(response)); });
 }
 
-void CloudClient::delete_machines(const std::vector<std::string>& machines, DeleteMachinesCallback done) {
+void CloudClient::delete_machines(const std::vector<std::string>& machines,
+                                  const DeleteMachinesCallback& done) {
     enqueue({"POST", std::string(protocol::paths::hosts_delete), protocol::delete_request(machines)},
-            QueuePosition::front,
-            [done](std::optional<http::Response> response) { done(response && response->status == 200); });
+            QueuePosition::front, [done](const std::optional<http::Response>& response) {
+                done(response && response->status == 200);
+            });
 }
 
 }  // namespace coralhitch::cloud
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -52,10 +52,10 @@
     using DeleteMachinesCallback = std::function<void(bool deleted)>;
 
     CloudClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
-    void list_machine_types(MachineTypesCallback done);
-    void list_machines(MachinesCallback done);
-    void create_machines(const CreateMachinesRequest& request, CreateMachinesCallback done);
-    void delete_machines(const std::vector<std::string>& machines, DeleteMachinesCallback done);
+    void list_machine_types(const MachineTypesCallback& done);
+    void list_machines(const MachinesCallback& done);
+    void create_machines(const CreateMachinesRequest& request, const CreateMachinesCallback& done);
+    void delete_machines(const std::vector<std::string>& machines, const DeleteMachinesCallback& done);
 
   private:
     enum class QueuePosition { front, back };
@@ -66,7 +66,8 @@
     using Machines = std::vector<protocol::Host>;
     void enqueue(http::Request request, QueuePosition position, http::Result done);
     void send_queued();
-    void list_page(std::shared_ptr<Machines> listed, const std::string& after, MachinesCallback done);
+    void list_page(const std::shared_ptr<Machines>& listed, const std::string& after,
+                   const MachinesCallback& done);
 
     event_loop::Timers& timers_;
     http::Requester& http_;
