--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -22,7 +22,7 @@
 // With neither a live nor a final record the watch of the live jobs is behind.
 void DependencyResolver::resolve() {
     constexpr std::size_t max_in_flight = 8;
-    for (auto& id : state_.jobs.awaits().ends_unknown()) {
+    for (auto& id : state_.jobs.dependencies().unresolved()) {
         if (in_flight_.size() >= max_in_flight) return;
         if (tried_.contains(id) || !in_flight_.insert(id).second) continue;
         kv_.get(kv::keys::final(id), kv::RequestPriority::write,
@@ -38,7 +38,7 @@
         auto state = protocol::parse_final_record(result.entry->value).state;
         {
             std::lock_guard lock(state_.mutex);
-            state_.jobs.ended(id, state, std::nullopt);
+            state_.jobs.apply_outcome(id, state, std::nullopt);
         }
         request_plan_();
         if (state == protocol::JobState::cancelled) store_.request_store();
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -42,7 +42,7 @@
 }
 
 void FleetScaler::scale_out(std::span<const autoscaler::ScaleOutRequest> requests) {
-    constexpr int most = cloud::CloudClient::rent_most;
+    constexpr int most = cloud::CloudClient::max_machines_per_create;
     for (auto& wanted : requests)
         for (int left = wanted.count; left > 0; left -= most) request({wanted.pool, std::min(left, most)});
 }
@@ -69,7 +69,7 @@
     if (request.in_flight || !authority_.holds()) return;
     request.in_flight = true;
     auto& pool = state_.cluster.pools()[request.pool];
-    cloud_.rent(name, pool.type, pool.zone, pool.spot, request.count,
+    cloud_.create_machines({name, pool.type, pool.zone, pool.spot, request.count},
                 guarded_([this, name](cloud::CreateMachinesResult result) { answered(name, result); }));
 }
 
--- a/src/leader/fleet_scaler.hpp
+++ b/src/leader/fleet_scaler.hpp
@@ -31,7 +31,7 @@
     [[nodiscard]] autoscaler::Input autoscaler_input() const;
     // Machine types come from the cloud; without them nothing can be planned.
     [[nodiscard]] bool knows_machine_types() const { return !types_.empty(); }
-    // Asks for these machines, in calls of at most cloud::CloudClient::rent_most each.
+    // Asks for these machines, in calls of at most cloud::CloudClient::max_machines_per_create each.
     void scale_out(std::span<const autoscaler::ScaleOutRequest> requests);
     // Sends every request again that has no answer and is not under way. To be called each tick.
     void retry_unanswered();
--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -19,7 +19,7 @@
     if (in_flight_ || !authority_.holds()) return;
     in_flight_ = true;
     last_list_at_ = timers_.now();
-    cloud_.hosts(guarded_([this](std::optional<std::vector<protocol::Host>> hosts) {
+    cloud_.list_machines(guarded_([this](std::optional<std::vector<protocol::Host>> hosts) {
         in_flight_ = false;
         if (!hosts) return;
         has_listed_ = true;
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -66,7 +66,7 @@
     if (!older) return;
     if (auto instance = older->tasks.find(task); instance != older->tasks.end()) {
         instance->second.orphaned = true;
-        ++job.orphans;
+        ++job.orphaned_instances;
         state_.cluster.stop(*older, task, 0);
     }
 }
@@ -79,7 +79,7 @@
     }
     spdlog::debug("component=leader event=instance_ended task={} attempt={} machine={} reported={} cause={}",
                   end.task.str(), end.attempt, end.machine, end.reported, static_cast<int>(end.cause));
-    if (end.orphaned) --job->orphans;
+    if (end.orphaned) --job->orphaned_instances;
     bool was_active = release_place(*job, end);
     if (end.task.index >= job->spec->tasks) return;
     if (end.cause == ExitCause::done && job->spec->kind != JobKind::service) return task_done(*job, end);
@@ -107,10 +107,10 @@
         job.mark_done(end.task.index);
     }
     team_activity_.completed(job.spec->team, job.done_count - done_before);
-    job.failures = 0;
-    job.not_before = 0;
+    job.consecutive_failures = 0;
+    job.backoff_until = 0;
     if (auto* machine = state_.cluster.find(end.machine)) machine->error_jobs.clear();
-    if (job.is_done(end.task.index) && !job.unstored.contains(end.task.index))
+    if (job.is_done(end.task.index) && !job.unstored_tasks.contains(end.task.index))
         state_.cluster.record_outcome_stored(end.task.job, {end.task.index});
 }
 
@@ -128,7 +128,7 @@
                 machine->quarantined_until = now() + settings_.report_s;
             break;
         case ExitCause::unknown:
-            job.not_before = now() + settings_.report_s;
+            job.backoff_until = now() + settings_.report_s;
             break;
         default:
             break;
@@ -142,17 +142,17 @@
 // The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on several
 // machines gets pauses that grow, up to a bound, and holds nobody else up.
 void InstanceTracker::task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
-    ++job.failures;
+    ++job.consecutive_failures;
     job.failed_on.insert(end.machine);
-    if (job.on_probation()) {
-        int doublings = std::min(job.failures - jobs::JobEntry::patience - 1, most_doublings);
-        job.not_before = now() + settings_.report_s * std::pow(2.0, doublings);
+    if (job.is_crash_looping()) {
+        int doublings = std::min(job.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1, most_doublings);
+        job.backoff_until = now() + settings_.report_s * std::pow(2.0, doublings);
         if (job.failed_on.size() > most_failed_machines) job.failed_on.clear();
     }
     auto* machine = state_.cluster.find(end.machine);
     if (!machine) return;
     machine->error_jobs.insert(end.task.job);
-    if (job.on_probation()) return;  // says more about the job than about the machine
+    if (job.is_crash_looping()) return;  // says more about the job than about the machine
     blame_machine(*machine, end.task.job);
 }
 
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -51,12 +51,12 @@
 
 void JobStore::store_due() {
     if (!authority_.holds()) return;
-    auto due = state_.jobs.unstored(now(), callbacks_.may_place());
-    metrics_.gauge("ends_waiting", static_cast<double>(due.done.size()));
-    metrics_.gauge("cancelled_to_drop", static_cast<double>(due.cancelled.size()));
-    store_ends(due.done, JobState::done);
+    auto due = state_.jobs.pending_writes(now(), callbacks_.may_place());
+    metrics_.gauge("ends_waiting", static_cast<double>(due.done_jobs.size()));
+    metrics_.gauge("cancelled_to_drop", static_cast<double>(due.cancelled_jobs.size()));
+    store_ends(due.done_jobs, JobState::done);
     for (auto& id : due.progress) write_progress(id, *state_.jobs.find(id));
-    store_ends(due.cancelled, JobState::cancelled);
+    store_ends(due.cancelled_jobs, JobState::cancelled);
 }
 
 std::size_t JobStore::most_ends_per_transaction() const {
@@ -93,7 +93,7 @@
     auto transaction = authority_.fenced_transaction();
     for (auto& id : ids) {
         auto& job = *state_.jobs.find(id);
-        job.writing = true;
+        job.write_in_flight = true;
         transaction.conditions.push_back({keys::job(id), job.version});  // fails if cancelled meanwhile
         transaction.changes.push_back(
             {keys::final(id), protocol::stored(protocol::FinalRecord{state, job.spec->tasks}), 0});
@@ -119,14 +119,14 @@
         if (!job) continue;
         if (result.status == Status::committed) {
             spdlog::debug("component=leader event=job_end_stored job={} tasks_done={} delay_s={:.2f}", id,
-                          job->done_count, now() - job->over_since);
+                          job->done_count, now() - job->storable_since.value_or(now()));
             end_stored(id, result.revision, state);
         } else if (failed_on(id) || result.status == Status::unknown) {
             // Cancelled by some controller, or stored by a transaction whose answer was lost: read, then
             // decide. To write again without knowing costs the changes of the whole transaction.
             read_job_record(id);
         } else if (any_failed) {
-            job->writing = false;
+            job->write_in_flight = false;
         } else {
             write_failed(id, result);
         }
@@ -135,15 +135,15 @@
 
 // What awaited the job goes on at once: a short stage must not wait for the next heartbeat.
 void JobStore::end_stored(const std::string& id, std::uint64_t revision, JobState state) {
-    bool awaited = state_.jobs.awaits().awaited(id);
+    bool awaited = state_.jobs.dependencies().has_dependents(id);
     {
         std::lock_guard lock(state_.mutex);
         state_.cluster.record_outcome_stored(id);
         // Its progress means nothing any more, and is removed when there is time.
         if (auto* job = state_.jobs.find(id))
-            for (auto& [block, version] : job->blocks) stale_keys_.add(keys::progress_of(id, block));
+            for (auto& [block, version] : job->block_versions) stale_keys_.add(keys::progress_of(id, block));
         state_.jobs.erase(id, revision);
-        state_.jobs.ended(id, state, timers_.unix_time());
+        state_.jobs.apply_outcome(id, state, timers_.unix_time());
     }
     if (state == JobState::cancelled) request_store();  // the jobs before it may leave now
     if (awaited) callbacks_.request_plan();
@@ -152,8 +152,8 @@
 JobStore::ProgressWrite JobStore::next_progress(const jobs::JobEntry& job) const {
     ProgressWrite next;
     auto& limits = kv_.limits();
-    for (auto task : job.unstored) {
-        auto block = state_.jobs.block_of(job, task, limits.value_bytes());
+    for (auto task : job.unstored_tasks) {
+        auto block = state_.jobs.progress_layout().block_of(job.done.size(), task, limits.value_bytes());
         if (!next.blocks.contains(block) && next.blocks.size() >= limits.txn_ops()) continue;
         next.blocks.insert(block);
         next.tasks.insert(task);
@@ -162,7 +162,7 @@
 }
 
 void JobStore::write_progress(const std::string& id, jobs::JobEntry& job) {
-    job.writing = true;
+    job.write_in_flight = true;
     auto transaction = authority_.fenced_transaction();
     transaction.conditions.push_back({keys::job(id), job.version});
     auto written = next_progress(job);
@@ -170,11 +170,11 @@
         // A block is written whole. One whose answer was lost may be carried out after newer ones, and would
         // take out what they added, whose tasks the workers have been told to forget: it fails on the
         // version.
-        auto stored = job.blocks.find(block);
+        auto stored = job.block_versions.find(block);
         auto key = keys::progress_of(id, block);
-        transaction.conditions.push_back({key, stored == job.blocks.end() ? 0 : stored->second});
+        transaction.conditions.push_back({key, stored == job.block_versions.end() ? 0 : stored->second});
         transaction.changes.push_back(
-            {std::move(key), state_.jobs.block_value(job, block, kv_.limits().value_bytes()), 0});
+            {std::move(key), state_.jobs.progress_layout().encode(job.done, block, kv_.limits().value_bytes()), 0});
     }
     kv_.txn(std::move(transaction), RequestPriority::write, guarded_([this, id, written](TxnResult result) {
                 if (result.status != TxnResult::Status::committed) return write_failed(id, result);
@@ -186,10 +186,10 @@
     std::lock_guard lock(state_.mutex);
     auto* job = state_.jobs.find(id);
     if (!job) return;
-    job->writing = false;
-    job->retry_at = now() + settings_.report_s * progress_interval_reports;
-    for (auto task : written.tasks) job->unstored.erase(task);
-    for (auto& block : written.blocks) job->blocks[block] = revision;
+    job->write_in_flight = false;
+    job->write_retry_at = now() + settings_.report_s * progress_interval_reports;
+    for (auto task : written.tasks) job->unstored_tasks.erase(task);
+    for (auto& block : written.blocks) job->block_versions[block] = revision;
     state_.cluster.record_outcome_stored(id, written.tasks);
 }
 
@@ -197,32 +197,32 @@
     std::lock_guard lock(state_.mutex);
     auto* job = state_.jobs.find(id);
     if (!job) return;
-    job->writing = false;
+    job->write_in_flight = false;
     // What was too large is written in smaller parts the next time; if it can't be, not without pause.
     bool rejected = result.status == TxnResult::Status::rejected;
-    job->retry_at = now() + settings_.report_s * (rejected ? rejected_retry_reports : retry_reports);
+    job->write_retry_at = now() + settings_.report_s * (rejected ? rejected_retry_reports : retry_reports);
     if (result.status != TxnResult::Status::conflict) return;
     if (result.failed_on(keys::job(id))) return read_job_record(id);
     // A write whose answer was lost was carried out. Of several such blocks the next try shows the next.
     auto progress = keys::progress_of(id, "");
     for (auto& key : result.failed)
         if (key.starts_with(progress)) {
-            job->writing = true;
+            job->write_in_flight = true;
             return read_block_version(id, key.substr(progress.size()));
         }
 }
 
 // This leader does not know what the live record says by now, or whether there is one.
 void JobStore::read_job_record(const std::string& id) {
-    state_.jobs.find(id)->writing = true;
+    state_.jobs.find(id)->write_in_flight = true;
     kv_.get(keys::job(id), RequestPriority::write, guarded_([this, id](kv::GetResult result) {
                 std::lock_guard lock(state_.mutex);
                 auto* job = state_.jobs.find(id);
                 if (!job) return;
-                job->writing = false;
+                job->write_in_flight = false;
                 request_store();
                 if (!result.ok())
-                    job->retry_at = now() + settings_.report_s * retry_reports;
+                    job->write_retry_at = now() + settings_.report_s * retry_reports;
                 else if (result.entry)
                     callbacks_.take_record(id, result.entry->version, result.entry->value);
                 else
@@ -235,23 +235,23 @@
             guarded_([this, id, block](kv::GetResult result) {
                 auto* job = state_.jobs.find(id);
                 if (!job) return;
-                job->writing = false;
+                job->write_in_flight = false;
                 if (result.ok() && result.entry)
-                    job->blocks[block] = result.entry->version;
+                    job->block_versions[block] = result.entry->version;
                 else if (result.ok())
-                    job->blocks.erase(block);
+                    job->block_versions.erase(block);
             }));
 }
 
 // Only a leader removes the key, and only this one leads: a transaction whose answer was lost was executed.
 // Which of them, the final record says: the job may have been done, or cancelled in between.
 void JobStore::read_final_record(const std::string& id) {
-    state_.jobs.find(id)->writing = true;
+    state_.jobs.find(id)->write_in_flight = true;
     kv_.get(keys::final(id), RequestPriority::write, guarded_([this, id](kv::GetResult result) {
                 auto* job = state_.jobs.find(id);
                 if (!job) return;
-                job->writing = false;
-                job->retry_at = now() + settings_.report_s * retry_reports;
+                job->write_in_flight = false;
+                job->write_retry_at = now() + settings_.report_s * retry_reports;
                 if (!result.entry) return;
                 try {
                     auto state = protocol::parse_final_record(result.entry->value).state;
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -53,7 +53,7 @@
         std::lock_guard lock(state_.mutex);
         for (auto& event : events)
             if (event.value) news |= take_record(id_of(event.key), event.version, *event.value);
-        state_.jobs.seen_revision(complete_revision);
+        state_.jobs.forget_ended_before(complete_revision);
     }
     if (news) callbacks_.jobs_changed();
 }
@@ -68,14 +68,14 @@
 }
 
 bool JobWatcher::take_record(const std::string& id, std::uint64_t version, const std::string& value) {
-    if (state_.jobs.knows(id, version)) return false;
+    if (state_.jobs.has_version(id, version)) return false;
     try {
         auto record = protocol::parse_job_record(value);
         if (!state_.jobs.put(id, version, std::move(record))) return false;
         auto& job = *state_.jobs.find(id);
         job.image = state_.cluster.image_number(job.spec->image);
         spdlog::debug("component=leader event=job_loaded job={} class={} tasks={} awaits={} cancelled={}", id,
-                      job.spec->cls, job.spec->tasks, job.awaits.size(), job.cancelled);
+                      job.spec->cls, job.spec->tasks, job.unfinished_dependencies.size(), job.cancelled);
         if (job.cancelled) callbacks_.cancel_active(id, job);
         return true;
     } catch (const protocol::Malformed& error) {
@@ -110,11 +110,11 @@
     if (auditing_ || !authority_.holds() || timers_.now() - last_audit_ < settings_.lease_s * audit_leases)
         return;
     auditing_ = true;
-    state_.jobs.listing(true);
+    state_.jobs.set_list_in_progress(true);
     last_audit_ = timers_.now();
     kv_.list(keys::jobs, RequestPriority::background, guarded_([this](kv::ListResult stored) {
                  auditing_ = false;
-                 state_.jobs.listing(false);
+                 state_.jobs.set_list_in_progress(false);
                  if (stored.ok) compare(stored);
              }));
 }
@@ -124,8 +124,8 @@
     auto unknown = take_unknown(stored, ids);
     std::size_t not_stored = 0;
     // The end of such a job may have been stored by a transaction of this leader whose answer was lost.
-    for (auto& [id, job] : state_.jobs.all()) {
-        if (ids.contains(id) || job.version > stored.revision || job.writing) continue;
+    for (auto& [id, job] : state_.jobs.entries()) {
+        if (ids.contains(id) || job.version > stored.revision || job.write_in_flight) continue;
         ++not_stored;
         store_.read_final_record(id);
     }
@@ -140,7 +140,7 @@
     std::size_t unknown = 0;
     for (auto& entry : stored.entries) {
         auto id = id_of(entry.key);
-        if (!state_.jobs.knows(id, entry.version)) {
+        if (!state_.jobs.has_version(id, entry.version)) {
             ++unknown;
             take_record(id, entry.version, entry.value);
         }
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -195,9 +195,9 @@
 }
 
 void Leader::report_metrics() {
-    auto& jobs = state_.jobs.all();
+    auto& jobs = state_.jobs.entries();
     auto awaiting =
-        std::count_if(jobs.begin(), jobs.end(), [](auto& entry) { return entry.second.awaiting(); });
+        std::count_if(jobs.begin(), jobs.end(), [](auto& entry) { return entry.second.is_blocked(); });
     dependencies_.metrics.gauge("jobs", static_cast<double>(jobs.size()));
     dependencies_.metrics.gauge("awaiting", static_cast<double>(awaiting));
     dependencies_.metrics.gauge("machines", static_cast<double>(state_.cluster.machines().size()));
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -49,13 +49,13 @@
         std::vector<std::string> machine_ids;
         for (auto& [id, machine] : state_.cluster.machines())
             if (machine.life == Machine::Life::marked_for_deletion && machine.deletable &&
-                !machine.deleting && machine_ids.size() < cloud::CloudClient::remove_most) {
+                !machine.deleting && machine_ids.size() < cloud::CloudClient::max_machines_per_delete) {
                 machine_ids.push_back(id);
                 machine.deleting = true;
             }
         if (machine_ids.empty()) return;
         ++calls_in_flight_;
-        cloud_.remove(machine_ids, guarded_([this, machine_ids](bool ok) { answered(machine_ids, ok); }));
+        cloud_.delete_machines(machine_ids, guarded_([this, machine_ids](bool ok) { answered(machine_ids, ok); }));
     }
 }
 
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -183,7 +183,7 @@
 bool PlanExecutor::may_start(const jobs::JobEntry& job, std::uint32_t task, const Machine& machine,
                              const scheduler::ZoneCounts& zones) const {
     auto& spec = *job.spec;
-    bool waits = !job.cancelled && !job.awaiting() && job.orphans == 0 && !job.is_done(task) &&
+    bool waits = !job.cancelled && !job.is_blocked() && job.orphaned_instances == 0 && !job.is_done(task) &&
                  !job.active.contains(task);
     return waits && machine.usable(now()) && !machine.has_instance_of_unknown_job() &&
            !machine.tasks.contains({spec.id, task}) && machine.free().fits(spec.request) &&
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -17,20 +17,20 @@
 
 // Tasks of the job that the plan may start.
 std::vector<std::uint32_t> tasks_to_start(jobs::JobEntry& job) {
-    if (job.on_probation() && !job.active.empty()) return {};
-    if (job.spec->kind == JobKind::gang) return job.waiting(job.spec->tasks);
-    return job.waiting(job.on_probation() ? 1 : tasks_per_plan);
+    if (job.is_crash_looping() && !job.active.empty()) return {};
+    if (job.spec->kind == JobKind::gang) return job.pending_tasks(job.spec->tasks);
+    return job.pending_tasks(job.is_crash_looping() ? 1 : tasks_per_plan);
 }
 
 scheduler::JobView view_of(jobs::JobEntry& job, std::size_t zones, double now) {
     scheduler::JobView view;
     view.spec = job.spec;
     view.priority = job.priority;
-    view.submitted = job.ready;
-    view.due = job.due;
+    view.submitted = job.ready_at;
+    view.due = job.due_at;
     view.startable = may_start_tasks(job, now);
     if (view.startable) view.waiting = tasks_to_start(job);
-    view.open = job.done.size() - job.done_count;
+    view.open = job.open_count();
     view.zones = zone_counts(job, zones);
     view.active = static_cast<int>(job.active.size());
     view.failed_on = job.failed_on;
@@ -70,12 +70,12 @@
 }  // namespace
 
 bool may_start_tasks(const jobs::JobEntry& job, double now) {
-    return !job.cancelled && !job.awaiting() && !job.all_done() && now >= job.not_before && job.orphans == 0;
+    return !job.cancelled && !job.is_blocked() && !job.all_done() && now >= job.backoff_until && job.orphaned_instances == 0;
 }
 
 bool any_task_waits(LeaderState& state, double now) {
-    return std::any_of(state.jobs.all().begin(), state.jobs.all().end(), [&](auto& entry) {
-        return may_start_tasks(entry.second, now) && entry.second.any_waiting();
+    return std::any_of(state.jobs.entries().begin(), state.jobs.entries().end(), [&](auto& entry) {
+        return may_start_tasks(entry.second, now) && entry.second.has_pending_tasks();
     });
 }
 
@@ -93,11 +93,11 @@
     in.pools = state.cluster.pools();
     in.zones = state.cluster.zone_count();
     in.machines.reserve(state.cluster.machines().size());
-    in.jobs.reserve(state.jobs.all().size());
+    in.jobs.reserve(state.jobs.entries().size());
     JobIndex job_index;
-    for (auto& [id, job] : state.jobs.all()) {
+    for (auto& [id, job] : state.jobs.entries()) {
         // Waits for other jobs: holds no part of a quota, preempts nobody, no machine is created for it.
-        if (job.awaiting() && job.active.empty()) continue;
+        if (job.is_blocked() && job.active.empty()) continue;
         job_index[job.spec.get()] = in.jobs.size();
         in.jobs.push_back(view_of(job, in.zones, in.now));
     }
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -109,7 +109,7 @@
     auto& machines = state_.cluster.machines();
     auto known =
         std::count_if(machines.begin(), machines.end(), [](auto& entry) { return entry.second.known; });
-    steps_.complete(failover::FailoverStep::loaded, "jobs=" + std::to_string(state_.jobs.all().size()) + " machines=" +
+    steps_.complete(failover::FailoverStep::loaded, "jobs=" + std::to_string(state_.jobs.entries().size()) + " machines=" +
                               std::to_string(machines.size()) + " known=" + std::to_string(known));
     hooks_.jobs_loaded();
     probe_first();
--- a/src/leader/task_counts.cpp
+++ b/src/leader/task_counts.cpp
@@ -22,7 +22,7 @@
 
 std::vector<protocol::PeerCount> all_task_counts(LeaderState& state) {
     std::vector<protocol::PeerCount> all;
-    for (auto& [id, job] : state.jobs.all()) {
+    for (auto& [id, job] : state.jobs.entries()) {
         auto counts = count(state, id, job);
         if (counts.done + counts.running > 0) all.push_back({id, counts.done, counts.running});
     }
--- a/tests/leader/fleet_scaler_test.cpp
+++ b/tests/leader/fleet_scaler_test.cpp
@@ -56,10 +56,10 @@
 TEST(FleetScaler, SplitsWhatOneCallCannotTake) {
     Bench bench;
     ASSERT_TRUE(bench.leads());
-    std::vector<autoscaler::ScaleOutRequest> many{{0, cloud::CloudClient::rent_most + 7}};
+    std::vector<autoscaler::ScaleOutRequest> many{{0, cloud::CloudClient::max_machines_per_create + 7}};
     bench.scaler.scale_out(many);
     ASSERT_EQ(bench.bodies.size(), 2u);
-    EXPECT_EQ(bench.asked_for(0), cloud::CloudClient::rent_most);
+    EXPECT_EQ(bench.asked_for(0), cloud::CloudClient::max_machines_per_create);
     EXPECT_EQ(bench.asked_for(1), 7);
 }
 
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -56,7 +56,7 @@
         EXPECT_TRUE(older.tasks.at({"j-1", 0}).orphaned);
         EXPECT_TRUE(older.tasks.at({"j-1", 0}).stop);
         EXPECT_FALSE(newer.tasks.at({"j-1", 0}).stop);
-        EXPECT_EQ(job.orphans, 1);
+        EXPECT_EQ(job.orphaned_instances, 1);
     }
 }
 
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -68,10 +68,10 @@
     auto& job = bench.add_job("j-000001", 2);
     job.mark_done(0);
     bench.store();
-    EXPECT_TRUE(job.unstored.empty());
-    ASSERT_EQ(job.blocks.size(), 1u);
-    EXPECT_TRUE(bench.stored(keys::progress_of("j-000001", job.blocks.begin()->first)));
-    EXPECT_FALSE(job.writing);
+    EXPECT_TRUE(job.unstored_tasks.empty());
+    ASSERT_EQ(job.block_versions.size(), 1u);
+    EXPECT_TRUE(bench.stored(keys::progress_of("j-000001", job.block_versions.begin()->first)));
+    EXPECT_FALSE(job.write_in_flight);
 }
 
 TEST(JobStore, FindsOutThatAnEndWasStoredThoughItsAnswerWasLost) {
@@ -146,14 +146,14 @@
     auto& job = bench.add_job("j-000002", 1, {"j-000001"});
     bench.resolver.resolve();
     bench.wait(1);
-    EXPECT_TRUE(job.awaiting()) << "no final record so far";
+    EXPECT_TRUE(job.is_blocked()) << "no final record so far";
     bench.store_final("j-000001", protocol::JobState::done);
     bench.resolver.resolve();
     bench.wait(1);
-    EXPECT_TRUE(job.awaiting()) << "it was read before";
+    EXPECT_TRUE(job.is_blocked()) << "it was read before";
     bench.resolver.retry();
     bench.wait(1);
-    EXPECT_FALSE(job.awaiting());
+    EXPECT_FALSE(job.is_blocked());
     EXPECT_FALSE(job.cancelled);
     EXPECT_EQ(bench.plans, 1);
 }
--- a/tests/leader/plan_snapshot_test.cpp
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -29,11 +29,11 @@
     Bench bench;
     auto& job = bench.add_job("j-000001", 3);
     EXPECT_TRUE(may_start_tasks(job, bench.timers.now()));
-    job.not_before = bench.timers.now() + 1;
+    job.backoff_until = bench.timers.now() + 1;
     EXPECT_FALSE(may_start_tasks(job, bench.timers.now()));
     EXPECT_TRUE(may_start_tasks(job, bench.timers.now() + 1));
-    job.not_before = 0;
-    job.orphans = 1;
+    job.backoff_until = 0;
+    job.orphaned_instances = 1;
     EXPECT_FALSE(may_start_tasks(job, bench.timers.now()));
     EXPECT_FALSE(any_task_waits(*bench.state, bench.timers.now()));
     auto in = bench.input();
@@ -45,7 +45,7 @@
 TEST(PlanSnapshot, TriesAJobOnProbationOneTaskAtATime) {
     Bench bench;
     auto& job = bench.add_job("j-000001", 3);
-    job.failures = jobs::JobEntry::patience + 1;
+    job.consecutive_failures = jobs::JobEntry::crash_loop_threshold + 1;
     EXPECT_EQ(bench.input().jobs.at(0).waiting.size(), 1u);
     job.active[0] = {"vm-1", 1, 0};
     EXPECT_TRUE(bench.input().jobs.at(0).waiting.empty());
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -357,12 +357,15 @@
     ASSERT_TRUE(table.put(job.id, 1, {job, 0, false}));
     auto& e = *table.find(job.id);
     for (std::uint32_t task : {0u, 1023u, 1024u, 2999u}) e.mark_done(task);
-    EXPECT_EQ(table.block_of(e, 1023, 1024), "0");
-    EXPECT_EQ(table.block_of(e, 1024, 1024), "1");
-    EXPECT_EQ(table.block_of(e, 2999, 1024), "2");
-    EXPECT_EQ(table.block_of(e, 2999, 200), "from-2560");  // too large for a value now
-    EXPECT_EQ(table.block_value(e, "0", 1024), R"({"bits":"1)" + std::string(254, '0') + R"(8"})");
-    EXPECT_EQ(table.block_value(e, "from-2560", 200), R"({"bits":")" + std::string(109, '0') + R"(8"})");
+    EXPECT_EQ(table.progress_layout().block_of(e.done.size(), 1023, 1024), "0");
+    EXPECT_EQ(table.progress_layout().block_of(e.done.size(), 1024, 1024), "1");
+    EXPECT_EQ(table.progress_layout().block_of(e.done.size(), 2999, 1024), "2");
+    EXPECT_EQ(table.progress_layout().block_of(e.done.size(), 2999, 200),
+              "from-2560");  // too large for a value now
+    EXPECT_EQ(table.progress_layout().encode(e.done, "0", 1024),
+              R"({"bits":"1)" + std::string(254, '0') + R"(8"})");
+    EXPECT_EQ(table.progress_layout().encode(e.done, "from-2560", 200),
+              R"({"bits":")" + std::string(109, '0') + R"(8"})");
 }
 
 std::vector<MachineType> machine_types() {
@@ -862,8 +865,8 @@
     for (auto a : {golden::types, golden::hosts, golden::hosts_last}) http_.answer(200, a);
     std::optional<std::vector<MachineType>> types;
     std::optional<std::vector<Host>> hosts;
-    client.types([&](auto t) { types = std::move(t); });
-    client.hosts([&](auto h) { hosts = std::move(h); });
+    client.list_machine_types([&](auto t) { types = std::move(t); });
+    client.list_machines([&](auto h) { hosts = std::move(h); });
     expect_sent({to("cloud", "GET", "/flavors"), to("cloud", "GET", "/hosts?limit=500"),
                  to("cloud", "GET", "/hosts?limit=500&since=vm-2")});
     ASSERT_TRUE(types && hosts);
@@ -879,14 +882,14 @@
     std::vector<cloud::CreateMachinesResult> rented;
     auto keep = [&](auto r) { rented.push_back(std::move(r)); };
     bool removed = false;
-    client.rent("r-1", "g8", "a", true, 3, keep);
-    client.rent("r-2", "c4", "b", false, 50, keep);
-    client.remove({"vm-1", "vm-2"}, [&](bool ok) { removed = ok; });
+    client.create_machines({"r-1", "g8", "a", true, 3}, keep);
+    client.create_machines({"r-2", "c4", "b", false, 50}, keep);
+    client.delete_machines({"vm-1", "vm-2"}, [&](bool ok) { removed = ok; });
     expect_sent({to("cloud", "POST", "/hosts", golden::rent),
                  to("cloud", "POST", "/hosts", golden::rent_dear),
                  to("cloud", "POST", "/hosts/delete", golden::deletion)});
     ASSERT_EQ(rented.size(), 2u);
-    EXPECT_EQ(rented[0].status, S::rented);
+    EXPECT_EQ(rented[0].status, S::created);
     EXPECT_EQ(rented[0].machines, (std::vector<std::string>{"vm-1", "vm-2"}));
     EXPECT_EQ(rented[1].status, S::no_capacity);
     EXPECT_TRUE(removed);
