--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -6,6 +6,7 @@
 
 namespace coralhitch::controller {
 namespace paths = protocol::paths;
+using metrics::Metric;
 
 namespace {
 // Ratios to the report period.
@@ -29,7 +30,7 @@
     {kv::RequestPriority::user, "cancellations"},
     {kv::RequestPriority::accept, "acceptances"},
     {kv::RequestPriority::write, "writes"},
-    {kv::RequestPriority::read, "looks"}};
+    {kv::RequestPriority::read, "reads"}};
 http::Response packed(std::string body) {
     return {200, std::move(body), "application/msgpack"};
 }
@@ -96,11 +97,11 @@
     leader_ = std::make_shared<leader::Leader>(std::move(c), version, random_());
     leader_->start();
     for (auto& waiting : relay_.take_waiting()) queue_heartbeat(std::move(waiting));
-    metrics_.event("won");
+    metrics_.increment(Metric::elections_won);
     store_types();
 }
 void Controller::on_lease_lost() {
-    metrics_.event("lost");
+    metrics_.increment(Metric::leaderships_lost);
     if (leader_) remembered_ = leader_->images();
     if (leader_) leader_->stop();
     leader_.reset();
@@ -346,44 +347,45 @@
 
 std::string Controller::metrics_text() {
     auto& live = users_.live_jobs();
-    metrics_.gauge("questions", static_cast<double>(live.questions()));
-    metrics_.gauge("question_requests", static_cast<double>(live.requests()));
-    metrics_.gauge("reports_repeated", static_cast<double>(relay_.repeated()));
-    metrics_.gauge("reports_relayed", static_cast<double>(relay_.relayed()));
-    metrics_.gauge("cancellations_told", static_cast<double>(cancellations_.size()));
-    metrics_.gauge("cancellations_repeated", static_cast<double>(cancellations_.repeated()));
-    metrics_.gauge("reports_dropped", static_cast<double>(relay_.dropped() + reports_.refused()));
-    metrics_.gauge("standby_rows", static_cast<double>(follower_.copy().rows.size()));
-    metrics_.gauge("standby_members", leader_ ? static_cast<double>(leader_->replication().members()) : 0);
-    metrics_.gauge("standby_pieces", leader_ ? static_cast<double>(leader_->replication().pieces()) : 0);
-    metrics_.gauge("standby_dropped", leader_ ? static_cast<double>(leader_->replication().dropped()) : 0);
+    metrics_.set(Metric::job_status_queries, static_cast<double>(live.questions()));
+    metrics_.set(Metric::job_status_reads, static_cast<double>(live.requests()));
+    metrics_.set(Metric::heartbeats_answered_by_relay, static_cast<double>(relay_.repeated()));
+    metrics_.set(Metric::heartbeats_relayed, static_cast<double>(relay_.relayed()));
+    metrics_.set(Metric::cancellation_notices, static_cast<double>(cancellations_.size()));
+    metrics_.set(Metric::cancellation_notices_repeated, static_cast<double>(cancellations_.repeated()));
+    metrics_.set(Metric::heartbeats_expired, static_cast<double>(relay_.dropped() + reports_.refused()));
+    metrics_.set(Metric::replica_machines, static_cast<double>(follower_.copy().rows.size()));
+    metrics_.set(Metric::leader_replication_members,
+                 leader_ ? static_cast<double>(leader_->replication().members()) : 0);
+    metrics_.set(Metric::leader_replication_messages,
+                 leader_ ? static_cast<double>(leader_->replication().pieces()) : 0);
+    metrics_.set(Metric::leader_replication_members_dropped,
+                 leader_ ? static_cast<double>(leader_->replication().dropped()) : 0);
     if (leader_)
         for (auto& [step, after] : leader_->steps().all())
-            metrics_.gauge("takeover: " + std::string(step), after);
-    metrics_.gauge("machines_lent", leader_ ? static_cast<double>(leader_->lent()) : 0);
+            metrics_.set(Metric::leader_failover_step, std::string(step), after);
+    metrics_.set(Metric::leader_delegated_machines, leader_ ? static_cast<double>(leader_->lent()) : 0);
     for (std::size_t k = 0; k < relay::heartbeat_rejection_names.size(); ++k)
-        metrics_.gauge(
-            "reports_refused: " + std::string(relay::heartbeat_rejection_names[k]),
-            static_cast<double>(relay_.refusals().count(static_cast<relay::HeartbeatRejection>(k))));
+        metrics_.set(Metric::heartbeats_rejected, std::string(relay::heartbeat_rejection_names[k]),
+                     static_cast<double>(relay_.refusals().count(static_cast<relay::HeartbeatRejection>(k))));
     for (std::size_t k = 0; sockets_ && k < http::peer_kinds; ++k) {
         auto name = std::string(http::peer_kind_names[k]);
         auto& use = sockets_->use(static_cast<http::PeerKind>(k));
-        metrics_.gauge("sockets: " + name, static_cast<double>(use.used));
-        metrics_.gauge("sockets at most: " + name, static_cast<double>(use.peak));
-        metrics_.gauge("sockets refused: " + name, static_cast<double>(use.refused));
+        metrics_.set(Metric::sockets_used, name, static_cast<double>(use.used));
+        metrics_.set(Metric::sockets_used_peak, name, static_cast<double>(use.peak));
+        metrics_.set(Metric::sockets_refused, name, static_cast<double>(use.refused));
     }
-    metrics_.gauge("live_jobs", static_cast<double>(live.size()));
-    for (auto& [what, n] : state_.changes()) metrics_.gauge("state_changes_" + what, n);
+    metrics_.set(Metric::live_jobs, static_cast<double>(live.size()));
+    for (auto& [what, n] : state_.changes()) metrics_.set(Metric::kv_changes, what, n);
     for (auto& [rank, name] : queue_names) {
         auto& q = state_.queue_counts(rank);
-        auto of = std::string("queue_") + name;
-        metrics_.gauge(of + "_sent", q.sent);
-        metrics_.gauge(of + "_refused", q.refused);
-        metrics_.gauge(of + "_waited_s", q.waited_s);
-        metrics_.gauge(of + "_longest_wait_s", q.longest_wait_s);
+        metrics_.set(Metric::kv_requests_sent, name, q.sent);
+        metrics_.set(Metric::kv_requests_refused, name, q.refused);
+        metrics_.set(Metric::kv_request_wait, name, q.waited_s);
+        metrics_.set(Metric::kv_request_longest_wait, name, q.longest_wait_s);
     }
-    metrics_.gauge("submissions_put_off", users_.admission().refused());
-    metrics_.gauge("state_rejections", static_cast<double>(state_.rejections()));
+    metrics_.set(Metric::submissions_deferred, users_.admission().refused());
+    metrics_.set(Metric::kv_transactions_rejected, static_cast<double>(state_.rejections()));
     return metrics_.text();
 }
 
@@ -427,8 +429,8 @@
         if (r.method != "POST") return wrong(405, "wrong method");
         double begun = timers_.now();
         return users_.submit(r.body, [this, begun, reply](http::Response a) {
-            metrics_.submit_took(timers_.now() - begun);
-            metrics_.request("submit", a.status);
+            metrics_.observe_submission(timers_.now() - begun);
+            metrics_.count_request("submit", a.status);
             if (a.status >= 429) spdlog::debug("submission put off with {}", a.status);
             reply(std::move(a));
         });
@@ -437,7 +439,7 @@
     rest.erase(0, 1);
     auto counted = [this, reply](const char* route) {
         return [this, reply, route](http::Response a) {
-            metrics_.request(route, a.status);
+            metrics_.count_request(route, a.status);
             reply(std::move(a));
         };
     };
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -401,11 +401,13 @@
     for (auto& [name, r] : rentals_) names.push_back(name);
     for (auto& name : names) ask_rental(name);
     plan_soon();
-    dependencies_.metrics.gauge("jobs", static_cast<double>(table_.all().size()));
-    dependencies_.metrics.gauge(
-        "awaiting", static_cast<double>(std::count_if(table_.all().begin(), table_.all().end(),
-                                                      [](auto& j) { return j.second.awaiting(); })));
-    dependencies_.metrics.gauge("machines", static_cast<double>(cluster_state_.machines().size()));
+    dependencies_.metrics.set(metrics::Metric::leader_jobs, static_cast<double>(table_.all().size()));
+    dependencies_.metrics.set(
+        metrics::Metric::leader_jobs_with_pending_dependencies,
+        static_cast<double>(std::count_if(table_.all().begin(), table_.all().end(),
+                                          [](auto& j) { return j.second.awaiting(); })));
+    dependencies_.metrics.set(metrics::Metric::leader_machines,
+                              static_cast<double>(cluster_state_.machines().size()));
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/leader_jobs.cpp
+++ b/src/leader/leader_jobs.cpp
@@ -34,8 +34,10 @@
 void Leader::store_progress() {
     if (!authority()) return;
     auto due = table_.unstored(now(), reconciliation_.may_place());
-    dependencies_.metrics.gauge("ends_waiting", static_cast<double>(due.done.size()));
-    dependencies_.metrics.gauge("cancelled_to_drop", static_cast<double>(due.cancelled.size()));
+    dependencies_.metrics.set(metrics::Metric::leader_unstored_job_ends,
+                              static_cast<double>(due.done.size()));
+    dependencies_.metrics.set(metrics::Metric::leader_cancelled_jobs_to_remove,
+                              static_cast<double>(due.cancelled.size()));
     store_ends(due.done, JobState::done);
     for (auto& id : due.progress) store_blocks(id, *table_.find(id));
     store_ends(due.cancelled, JobState::cancelled);
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -342,7 +342,7 @@
         return;
     }
     spdlog::info("machine {} fails the tasks of {} jobs", m->id, m->error_jobs.size());
-    dependencies_.metrics.event("sick_machine");
+    dependencies_.metrics.increment(metrics::Metric::leader_machines_quarantined);
     m->quarantined_until = now() + dependencies_.settings.report_s * sick_reports;
     m->error_jobs.clear();
     if (m->tasks.empty()) mark_for_deletion(*m, "fails its tasks");
@@ -583,7 +583,7 @@
         suspected += m.is_suspect();
         check_up(m, seen[k], verdict, may);
     }
-    dependencies_.metrics.gauge("machines_suspected", static_cast<double>(suspected));
+    dependencies_.metrics.set(metrics::Metric::leader_suspected_machines, static_cast<double>(suspected));
     for (auto& [id, m] : cluster_state_.machines()) {
         if (m.life == Machine::Life::marked_for_deletion) check_lease(m);
         if (m.life != Machine::Life::booting || !may || !failure_detector_.overdue(boots(m), zone_of(m), t))
@@ -640,7 +640,7 @@
     if (m.life == Machine::Life::marked_for_deletion) return;
     spdlog::info("machine {} {}: it is to be deleted, {} tasks on it, last heard through {}", m.id, why,
                  m.tasks.size(), m.route.empty() ? dependencies_.settings.label : m.route);
-    dependencies_.metrics.event("condemned");
+    dependencies_.metrics.increment(metrics::Metric::leader_machines_marked_for_deletion);
     m.life = Machine::Life::marked_for_deletion;
     revoke(m.id);  // no grant moves the time at which its lease is out
     if (!m.stored && !m.storing) {
--- a/src/leader/leader_plans.cpp
+++ b/src/leader/leader_plans.cpp
@@ -258,7 +258,7 @@
 void Leader::apply(Plan& p) {
     plan_took_ = now() - last_plan_;
     if (!authority()) return;
-    dependencies_.metrics.plan_took(plan_took_);
+    dependencies_.metrics.observe_planning_round(plan_took_);
     if (spdlog::should_log(spdlog::level::debug)) {
         std::array<std::size_t, 3> missing{};
         for (auto& u : p.out.unplaced)
@@ -307,12 +307,13 @@
     replication_.hurry();
     release_starts();
     auto& n = p.out.counts;
-    dependencies_.metrics.drawn("tasks", static_cast<double>(n.tasks));
-    dependencies_.metrics.drawn("draws", static_cast<double>(n.draws));
-    dependencies_.metrics.drawn("redraws", static_cast<double>(n.redraws));
-    dependencies_.metrics.drawn("fallbacks", static_cast<double>(n.fallbacks));
-    dependencies_.metrics.drawn("packed", static_cast<double>(n.packed));
-    dependencies_.metrics.drawn("preempted", static_cast<double>(n.preempted));
+    dependencies_.metrics.increment(metrics::Metric::scheduler_tasks_placed, static_cast<double>(n.tasks));
+    dependencies_.metrics.increment(metrics::Metric::scheduler_draws, static_cast<double>(n.draws));
+    dependencies_.metrics.increment(metrics::Metric::scheduler_redraws, static_cast<double>(n.redraws));
+    dependencies_.metrics.increment(metrics::Metric::scheduler_fallbacks, static_cast<double>(n.fallbacks));
+    dependencies_.metrics.increment(metrics::Metric::scheduler_tasks_packed, static_cast<double>(n.packed));
+    dependencies_.metrics.increment(metrics::Metric::scheduler_tasks_preempted,
+                                    static_cast<double>(n.preempted));
     // What an earlier leader rented last is in no report yet; the list may show it.
     if (p.with_capacity && listed_once_)
         for (auto& r : p.capacity.rents)
