--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,17 +1,29 @@
-// One controller: its interfaces, its part in the election, and the leader's work while it leads.
+// One controller: puts its parts together, follows the election, and holds the leader object while it leads.
+//
+// Everything runs on the event loop's thread.
 #pragma once
-#include <map>
-#include <memory>
+#include <cstdint>
+#include <functional>
+#include <optional>
 #include <random>
-#include <unordered_map>
+#include <string>
+#include <vector>
 
 #include "api/user_api.hpp"
+#include "controller/health_monitor.hpp"
+#include "controller/heartbeat_intake.hpp"
+#include "controller/kv_reachability.hpp"
+#include "controller/local_leader.hpp"
+#include "controller/machine_type_catalog.hpp"
+#include "controller/metrics_exporter.hpp"
+#include "controller/overload_log.hpp"
+#include "controller/peer_message_handler.hpp"
+#include "controller/peer_monitor.hpp"
+#include "controller/task_count_service.hpp"
+#include "controller/user_router.hpp"
 #include "http/socket_budget.hpp"
 #include "leader/leader.hpp"
-#include "protocol/peer_messages.hpp"
 #include "relay/cancellation_notices.hpp"
-#include "relay/heartbeat_queue.hpp"
-#include "relay/heartbeat_relay.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "replication/replica_state.hpp"
 
@@ -19,58 +31,38 @@
 
 class Controller : public api::ClusterQueries {
   public:
+    // All references must outlive the controller. `seed`: of its random numbers, its incarnation among them.
     Controller(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                leader::Planner& planner, std::uint64_t seed);
     ~Controller() override;
+    Controller(const Controller&) = delete;
+    Controller& operator=(const Controller&) = delete;
+
+    // Stands for election and sends from now on. Once.
     void start();
-    void serve(http::Request request, http::Reply reply);       // users, workers, health, metrics
-    void serve_peer(http::Request request, http::Reply reply);  // the other controllers
+    // A request of a user, worker, load balancer or Prometheus. `reply` is called at once or later.
+    void serve(http::Request request, http::Reply reply);
+    // A request of another controller.
+    void serve_peer(http::Request request, http::Reply reply);
 
-    // To be told in metrics and in the log; must live longer than this.
-    void watch_sockets(const http::SocketBudget& sockets) { sockets_ = &sockets; }
-    relay::HeartbeatRejections& refusals() { return relay_.refusals(); }
+    // To be reported in metrics and in the log; `sockets` must outlive the controller.
+    void watch_sockets(const http::SocketBudget& sockets);
+    [[nodiscard]] relay::HeartbeatRejections& heartbeat_rejections() { return heartbeats_.rejections(); }
 
-    bool leads() const { return leader_ != nullptr; }
-    bool healthy() const;
+    [[nodiscard]] bool leads() const { return static_cast<bool>(leader_); }
+    [[nodiscard]] bool healthy() const { return health_.healthy(); }
 
-    const std::vector<protocol::MachineType>& types() const override { return types_; }
+    // What the user API needs to know of the cluster.
+    const std::vector<protocol::MachineType>& types() const override { return machine_types_.types(); }
     void counts(const std::string& id, std::function<void(std::optional<api::TaskCounts>)> done) override;
     void cancelled(const std::string& id, std::uint64_t version) override;
 
   private:
-    struct PeerState {
-        config::Peer peer;
-        protocol::PeerPing last;
-        double heard = -1, whole = -1;  // a ping, and one with its lists
-        bool answered = false;          // the first ping, or the connection failed
-    };
-    void user_route(const http::Request& r, const std::string& path, http::Reply reply);
-    void jobs_route(const http::Request& r, const std::string& path, http::Reply reply);
-    std::string metrics_text();
-    const PeerState* peer_with_state(const http::Request& r) const;
-    void ask_peer(const http::Request& r, http::Response refusal, http::Reply reply);
-    void queue_heartbeat(relay::HeartbeatQueue::Report report);
-    void handle_queued_heartbeats();
-    void handle_heartbeat(relay::HeartbeatQueue::Report report);
-    bool others_may_serve() const;
-    relay::Leadership relay_target() const;
     void on_elected(std::uint64_t version);
     void on_lease_lost();
-    void ping_peers();
-    void check_state();
-    void log_queues();
-    void heard_ping(protocol::PeerPing ping);
-    protocol::PeerPing own_ping(bool brief);
-    bool fresh(const PeerState& p) const;
-    std::optional<std::size_t> heartbeats_seen_by_peers(const std::map<std::string, double>& silent) const;
-    bool should_defer() const;
-    std::uint64_t followed() const;
+    [[nodiscard]] leader::LeaderDependencies leader_dependencies();
     bool resign_leadership();
-    bool state_ok() const;
-    void learn_types();
-    void set_types(std::vector<protocol::MachineType> types);
-    void store_types();
-    const config::Peer* leading_peer() const;
+    void check_periodically();
 
     event_loop::Timers& timers_;
     http::Requester& http_;
@@ -79,32 +71,27 @@
     std::mt19937_64 random_;
     std::uint64_t incarnation_;
     metrics::Metrics metrics_;
-    kv::KvClient state_;
+    std::optional<double> last_resigned_at_;  // steady seconds
+
+    // Each may refer to those before it.
+    kv::KvClient kv_;
+    KvReachability kv_reachability_;
     election::Election election_;
     cloud::CloudClient cloud_;
-    api::UserApi users_;
-    std::vector<protocol::MachineType> types_;
-    std::string stored_types_;
-    std::map<std::string, PeerState> peers_;
-    std::shared_ptr<leader::Leader> leader_;
-    double last_resigned_ = -1, started_ = 0;
-    relay::HeartbeatRelay relay_;
-    relay::HeartbeatQueue reports_;
+    LocalLeader leader_;
+    MachineTypeCatalog machine_types_;
+    replication::Follower replica_;
+    relay::HeartbeatTracker heartbeat_tracker_;
+    PeerMonitor peers_;
+    TaskCountService task_counts_;
+    HeartbeatIntake heartbeats_;
     relay::CancellationNotices cancellations_;
-    const http::SocketBudget* sockets_ = nullptr;
-    std::uint64_t sockets_refused_ = 0;  // when the log last told
-    bool hearing_ = false;
-    replication::Follower follower_;
-    std::unordered_map<std::string, api::TaskCounts> counts_;  // from the leader's last ping
-    double counted_ = -1;
-    protocol::PeerImages remembered_;  // from the leader, for when this one leads
-    // Machines that the leader suspected when it last said so, and since when.
-    std::map<std::string, double> suspected_;
-    std::uint64_t pings_ = 0;
-    relay::HeartbeatTracker heard_;
-    double worse_since_ = -1;  // that this one can't serve users, though others may
-    double queues_logged_ = -1, refused_logged_ = 0;
-    bool state_seen_ = false;
+    api::UserApi user_api_;
+    UserRouter users_;
+    PeerMessageHandler peer_messages_;
+    HealthMonitor health_;
+    MetricsExporter metrics_exporter_;
+    OverloadLog overload_log_;
 };
 
 }  // namespace coralhitch::controller
--- /dev/null
+++ b/src/controller/heartbeat_intake.cpp
@@ -0,0 +1,85 @@
+#include "controller/heartbeat_intake.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+namespace coralhitch::controller {
+namespace {
+constexpr std::size_t heartbeats_per_turn = 16;  // in between other events
+}  // namespace
+
+HeartbeatIntake::HeartbeatIntake(HeartbeatIntakeDependencies dependencies)
+    : dependencies_(dependencies),
+      relay_(dependencies.timers, dependencies.http, dependencies.settings, dependencies.incarnation,
+             [this] { return relay_target(); }),
+      queue_(relay_.refusals()) {}
+
+void HeartbeatIntake::accept(std::string body, http::Reply reply) {
+    enqueue({std::move(body), std::move(reply), dependencies_.timers.now()});
+}
+
+void HeartbeatIntake::take_back_from_relay() {
+    for (auto& waiting : relay_.take_waiting()) enqueue(std::move(waiting));
+}
+
+void HeartbeatIntake::enqueue(relay::HeartbeatQueue::Report heartbeat) {
+    queue_.push(std::move(heartbeat));
+    if (!scheduled_) schedule();
+}
+
+void HeartbeatIntake::schedule() {
+    scheduled_ = true;
+    dependencies_.timers.after(0, [this] { handle_some(); });
+}
+
+void HeartbeatIntake::handle_some() {
+    for (std::size_t k = 0; k < heartbeats_per_turn; ++k) {
+        auto heartbeat = queue_.next(dependencies_.timers.now());
+        if (!heartbeat) break;
+        handle(std::move(*heartbeat));
+    }
+    scheduled_ = false;
+    if (!queue_.empty()) schedule();
+}
+
+void HeartbeatIntake::handle(relay::HeartbeatQueue::Report heartbeat) {
+    if (dependencies_.leader) return dependencies_.leader->handle_heartbeat(std::move(heartbeat));
+    try {
+        record(heartbeat.body);
+    } catch (const protocol::Malformed& malformed) {
+        spdlog::info("component=controller event=heartbeat_malformed error=\"{}\"", malformed.what());
+        return heartbeat.reply({400, protocol::error_body(malformed.what())});
+    }
+    if (relay_.offer(heartbeat.body, heartbeat.reply)) return;
+    redirect(heartbeat.reply);
+}
+
+// Throws protocol::Malformed. To read no more of a heartbeat than whose it is leaves time for others: without
+// a leader every worker calls each second.
+void HeartbeatIntake::record(const std::string& body) {
+    const double now = dependencies_.timers.now();
+    if (auto outline = protocol::outline_heartbeat(body)) {
+        dependencies_.tracker.note(outline->machine, outline->agent_epoch, outline->sequence, now);
+        return;
+    }
+    auto heartbeat = protocol::parse_heartbeat(body);
+    dependencies_.tracker.note(heartbeat.machine, heartbeat.agent_epoch, heartbeat.sequence, now);
+}
+
+void HeartbeatIntake::redirect(const http::Reply& reply) {
+    auto* peer = dependencies_.peers.leading_peer();
+    rejections().note(peer ? relay::HeartbeatRejection::elsewhere : relay::HeartbeatRejection::no_leader);
+    reply({421, protocol::heartbeat_redirect(peer ? peer->config.label : "")});
+}
+
+// The leader, if its version takes heartbeats from others.
+relay::Leadership HeartbeatIntake::relay_target() const {
+    auto* peer = dependencies_.peers.leading_peer();
+    if (dependencies_.leader || !dependencies_.settings.op.hearing || !peer ||
+        peer->last_ping.features < protocol::peer_features_relay)
+        return {};
+    return {peer->config.addr, dependencies_.election.leader_version()};
+}
+
+}  // namespace coralhitch::controller
--- /dev/null
+++ b/src/controller/kv_queues.hpp
@@ -0,0 +1,18 @@
+// The key-value store client's queues that are shown to operators, with their names in metrics and log.
+#pragma once
+#include <array>
+
+#include "kv/kv_client.hpp"
+
+namespace coralhitch::controller {
+
+struct KvQueue {
+    kv::RequestPriority priority;
+    const char* name;
+};
+inline constexpr std::array<KvQueue, 4> kv_queues = {{{kv::RequestPriority::user, "cancellations"},
+                                                      {kv::RequestPriority::accept, "acceptances"},
+                                                      {kv::RequestPriority::write, "writes"},
+                                                      {kv::RequestPriority::read, "reads"}}};
+
+}  // namespace coralhitch::controller
--- /dev/null
+++ b/src/controller/machine_type_catalog.cpp
@@ -0,0 +1,64 @@
+#include "controller/machine_type_catalog.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+#include "kv/keys.hpp"
+
+namespace coralhitch::controller {
+namespace {
+// Heartbeat periods from an answer of the cloud to the next question, and from a failure to the next attempt.
+constexpr double refresh_periods = 20;
+constexpr double retry_periods = 1.0 / 2;
+}  // namespace
+
+void MachineTypeCatalog::refresh() {
+    cloud_.types([this](std::optional<std::vector<protocol::MachineType>> types) {
+        take_from_cloud(std::move(types));
+    });
+}
+
+void MachineTypeCatalog::take_from_cloud(std::optional<std::vector<protocol::MachineType>> types) {
+    const bool answered = types && !types->empty();
+    if (answered) {
+        set(std::move(*types));
+        store();
+    } else if (types_.empty()) {
+        load_stored();
+    }
+    const double delay_s = settings_.report_s * (answered ? refresh_periods : retry_periods);
+    timers_.after(delay_s, [this] { refresh(); });
+}
+
+void MachineTypeCatalog::load_stored() {
+    kv_.get(kv::keys::types, kv::RequestPriority::read, [this](kv::GetResult found) {
+        if (!found.entry || !types_.empty()) return;
+        try {
+            set(protocol::parse_types(found.entry->value));
+        } catch (const protocol::Malformed& malformed) {
+            spdlog::error("component=controller event=stored_machine_types_malformed error=\"{}\"",
+                          malformed.what());
+        }
+    });
+}
+
+void MachineTypeCatalog::set(std::vector<protocol::MachineType> types) {
+    if (types.empty()) return;
+    types_ = std::move(types);
+    if (leader_) leader_->types_changed();
+}
+
+void MachineTypeCatalog::store() {
+    if (!leader_ || types_.empty()) return;
+    auto value = protocol::stored_types(types_);
+    if (value == stored_value_ || value.size() > kv_.limits().value_bytes()) return;
+    protocol::Txn txn;
+    txn.conditions = {{kv::keys::leader, election_.version()}};
+    txn.changes = {{kv::keys::types, value, 0}};
+    kv_.txn(std::move(txn), kv::RequestPriority::background, [this, value](kv::TxnResult result) {
+        if (result.status == kv::TxnResult::Status::committed) stored_value_ = value;
+    });
+}
+
+}  // namespace coralhitch::controller
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -53,7 +53,7 @@
     user_limits.bulk_idle_s = settings.report_s * idle_reports;
     user_limits.lane = event_loop::Lane::ordinary;
     user_limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
-    user_limits.shed = [&] { controller.refusals().note(relay::HeartbeatRejection::sockets); };
+    user_limits.shed = [&] { controller.heartbeat_rejections().note(relay::HeartbeatRejection::sockets); };
     http::Server users(
         loop, settings.listen, std::move(user_limits),
         [&](http::Request r, http::Reply reply) { controller.serve(std::move(r), std::move(reply)); });
--- /dev/null
+++ b/src/controller/metrics_exporter.cpp
@@ -0,0 +1,81 @@
+#include "controller/metrics_exporter.hpp"
+
+#include "controller/kv_queues.hpp"
+
+namespace coralhitch::controller {
+using metrics::Metric;
+
+namespace {
+double to_double(std::uint64_t count) {
+    return static_cast<double>(count);
+}
+}  // namespace
+
+std::string MetricsExporter::text() {
+    collect_leader();
+    collect_user_api();
+    collect_heartbeats();
+    collect_sockets();
+    collect_kv();
+    metrics_.set(Metric::replica_machines, to_double(sources_.replica.copy().rows.size()));
+    return metrics_.text();
+}
+
+void MetricsExporter::collect_leader() {
+    const auto& leader = sources_.leader;
+    const auto set = [&](Metric metric, std::uint64_t count) { metrics_.set(metric, to_double(count)); };
+    set(Metric::leader_replication_members, leader ? leader->replication().members() : 0);
+    set(Metric::leader_replication_messages, leader ? leader->replication().pieces() : 0);
+    set(Metric::leader_replication_members_dropped, leader ? leader->replication().dropped() : 0);
+    set(Metric::leader_delegated_machines, leader ? leader->lent() : 0);
+    if (!leader) return;
+    for (auto& [step, after_s] : leader->steps().all())
+        metrics_.set(Metric::leader_failover_step, step, after_s);
+}
+
+void MetricsExporter::collect_user_api() {
+    const auto& live_jobs = sources_.user_api.live_jobs();
+    metrics_.set(Metric::live_jobs, to_double(live_jobs.size()));
+    metrics_.set(Metric::job_status_queries, to_double(live_jobs.questions()));
+    metrics_.set(Metric::job_status_reads, to_double(live_jobs.requests()));
+    metrics_.set(Metric::submissions_deferred, sources_.user_api.admission().refused());
+    metrics_.set(Metric::cancellation_notices, to_double(sources_.cancellations.size()));
+    metrics_.set(Metric::cancellation_notices_repeated, to_double(sources_.cancellations.repeated()));
+}
+
+void MetricsExporter::collect_heartbeats() {
+    const auto& relay = sources_.heartbeats.relay();
+    metrics_.set(Metric::heartbeats_answered_by_relay, to_double(relay.repeated()));
+    metrics_.set(Metric::heartbeats_relayed, to_double(relay.relayed()));
+    metrics_.set(Metric::heartbeats_expired, to_double(sources_.heartbeats.expired()));
+    const auto& rejections = sources_.heartbeats.rejections();
+    for (std::size_t k = 0; k < relay::heartbeat_rejection_names.size(); ++k)
+        metrics_.set(Metric::heartbeats_rejected, std::string(relay::heartbeat_rejection_names[k]),
+                     to_double(rejections.count(static_cast<relay::HeartbeatRejection>(k))));
+}
+
+void MetricsExporter::collect_sockets() {
+    if (!sockets_) return;
+    for (std::size_t k = 0; k < http::peer_kinds; ++k) {
+        const auto peer = std::string(http::peer_kind_names[k]);
+        const auto& use = sockets_->use(static_cast<http::PeerKind>(k));
+        metrics_.set(Metric::sockets_used, peer, to_double(use.used));
+        metrics_.set(Metric::sockets_used_peak, peer, to_double(use.peak));
+        metrics_.set(Metric::sockets_refused, peer, to_double(use.refused));
+    }
+}
+
+void MetricsExporter::collect_kv() {
+    for (auto& [key_space, changes] : sources_.kv.changes())
+        metrics_.set(Metric::kv_changes, key_space, changes);
+    for (auto& queue : kv_queues) {
+        const auto& counts = sources_.kv.queue_counts(queue.priority);
+        metrics_.set(Metric::kv_requests_sent, queue.name, counts.sent);
+        metrics_.set(Metric::kv_requests_refused, queue.name, counts.refused);
+        metrics_.set(Metric::kv_request_wait, queue.name, counts.waited_s);
+        metrics_.set(Metric::kv_request_longest_wait, queue.name, counts.longest_wait_s);
+    }
+    metrics_.set(Metric::kv_transactions_rejected, to_double(sources_.kv.rejections()));
+}
+
+}  // namespace coralhitch::controller
--- /dev/null
+++ b/src/controller/peer_message_handler.cpp
@@ -0,0 +1,83 @@
+#include "controller/peer_message_handler.hpp"
+
+#include <utility>
+
+#include "controller/peer_http.hpp"
+
+namespace coralhitch::controller {
+namespace {
+
+template <class Message>
+void reply_packed(const http::Reply& reply, const Message& message) {
+    reply(msgpack_response(protocol::pack_peer(message)));
+}
+
+void reply_malformed(const http::Reply& reply) {
+    reply({400, {}});
+}
+
+}  // namespace
+
+template <class Message, class Handle>
+void PeerMessageHandler::with_message(const http::Request& request, const http::Reply& reply, Handle handle) {
+    auto message = protocol::unpack_peer<Message>(request.body);
+    if (!message) return reply_malformed(reply);
+    handle(std::move(*message));
+}
+
+void PeerMessageHandler::serve(const http::Request& request, http::Reply reply) {
+    if (request.method != "POST") return reply({405, {}});
+    if (request.target == protocol::peer_ping_path) {
+        with_message<protocol::PeerPing>(request, reply, [&](protocol::PeerPing ping) {
+            reply_packed(reply, dependencies_.peers.answer_ping(std::move(ping)));
+        });
+    } else if (request.target == protocol::peer_user_path) {
+        with_message<protocol::PeerUserRequest>(request, reply, [&](const auto& forwarded) {
+            dependencies_.users.serve_forwarded(forwarded, reply);
+        });
+    } else if (request.target == protocol::peer_relay_path) {
+        with_message<protocol::PeerRelay>(request, reply,
+                                          [&](const auto& message) { relay_heartbeats(message, reply); });
+    } else if (request.target == protocol::peer_fleet_path) {
+        replicate(request, reply);
+    } else if (request.target == protocol::peer_images_path) {
+        with_message<protocol::PeerImages>(request, reply, [&](protocol::PeerImages image_caches) {
+            dependencies_.peers.set_image_caches(std::move(image_caches));
+            reply(msgpack_response({}));
+        });
+    } else if (request.target == protocol::peer_job_path) {
+        with_message<protocol::PeerJobQuery>(request, reply, [&](const auto& query) {
+            reply_packed(reply, dependencies_.task_counts.answer_peer(query));
+        });
+    } else if (request.target == protocol::peer_cancelled_path) {
+        with_message<protocol::PeerCancelledAgain>(
+            request, reply, [&](const auto& message) { reply_packed(reply, take_cancellations(message)); });
+    } else {
+        reply({404, {}});
+    }
+}
+
+void PeerMessageHandler::relay_heartbeats(const protocol::PeerRelay& message, http::Reply reply) const {
+    if (dependencies_.leader) return dependencies_.leader->relay(message, std::move(reply));
+    reply_packed(reply, protocol::PeerRelayAnswer{});
+}
+
+// With its own replica switched off, a controller has no part in that of others.
+void PeerMessageHandler::replicate(const http::Request& request, const http::Reply& reply) {
+    with_message<protocol::PeerFleet>(request, reply, [&](protocol::PeerFleet piece) {
+        if (!dependencies_.settings.op.standby) return reply_malformed(reply);
+        reply_packed(reply, dependencies_.replica.take(std::move(piece)));
+    });
+}
+
+protocol::PeerCancelledAnswer PeerMessageHandler::take_cancellations(
+    const protocol::PeerCancelledAgain& message) const {
+    const auto& leader = dependencies_.leader;
+    if (!leader) return {0};
+    leader->cancelled(message.id, message.version);
+    for (auto& notice : message.more)
+        if (leader) leader->cancelled(notice.id, notice.version);
+    return {leader ? dependencies_.election.version() : 0};
+}
+
+}  // namespace coralhitch::controller
--- /dev/null
+++ b/src/controller/peer_monitor.cpp
@@ -0,0 +1,223 @@
+#include "controller/peer_monitor.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "controller/peer_http.hpp"
+
+namespace coralhitch::controller {
+namespace {
+
+// In heartbeat periods.
+constexpr double ping_interval_periods = 1.0 / 2, ping_interval_while_suspecting_itself_periods = 1.0 / 6;
+constexpr double ping_recent_periods = 1.5;
+constexpr double relay_delay_periods = 1.0 / 10;   // a relay's heartbeats are known here so much later
+constexpr double startup_grace_periods = 1.0 / 5;  // for the others to answer the first ping
+
+constexpr std::uint64_t ping_rounds_per_image_caches = 3;  // caches change slowly
+
+std::uint32_t to_milliseconds(double seconds) {
+    return static_cast<std::uint32_t>(seconds * 1000);
+}
+
+}  // namespace
+
+PeerMonitor::PeerMonitor(PeerMonitorDependencies dependencies, TaskCountsReceived task_counts_received)
+    : dependencies_(std::move(dependencies)), task_counts_received_(std::move(task_counts_received)) {
+    for (auto& peer : dependencies_.settings.peers) peers_[peer.label].config = peer;
+}
+
+void PeerMonitor::start() {
+    started_at_ = dependencies_.timers.now();
+    ping_peers();
+}
+
+// --- Pings ----------------------------------------------------------------------------------------------
+
+void PeerMonitor::ping_peers() {
+    const double period_s = dependencies_.settings.report_s;
+    auto body = protocol::pack_peer(own_full_ping_with_leader_lists());
+    for (auto& [label, peer] : peers_)
+        dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_ping_path, body),
+                                period_s * ping_interval_periods,
+                                [this, &peer](std::optional<http::Response> response) {
+                                    peer.responded = true;
+                                    if (!response || response->status != 200) return;
+                                    if (auto ping = protocol::unpack_peer<protocol::PeerPing>(response->body))
+                                        handle_ping(std::move(*ping));
+                                });
+    const auto& leader = dependencies_.leader;
+    if (leader && ping_rounds_as_leader_++ % ping_rounds_per_image_caches == 0) send_image_caches();
+    // A leader that suspects itself of being cut off goes by what the others say, while leases run out.
+    const bool urgent = leader && leader->suspects_itself();
+    const double interval_periods =
+        urgent ? ping_interval_while_suspecting_itself_periods : ping_interval_periods;
+    dependencies_.timers.after(period_s * interval_periods, [this] { ping_peers(); });
+}
+
+void PeerMonitor::send_image_caches() {
+    auto body = protocol::pack_peer(dependencies_.leader->images());
+    for (auto& [label, peer] : peers_)
+        dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_images_path, body),
+                                dependencies_.settings.report_s * ping_interval_periods,
+                                [](std::optional<http::Response>) {});
+}
+
+protocol::PeerPing PeerMonitor::own_ping(bool brief) const {
+    protocol::PeerPing ping;
+    ping.label = dependencies_.settings.label;
+    ping.incarnation = dependencies_.incarnation;
+    ping.leader_version = dependencies_.election.leader_version();
+    ping.leader = dependencies_.election.leader();
+    ping.state_ok = dependencies_.kv_reachability.reachable();
+    ping.features = protocol::peer_features;
+    ping.followed = replicated_leadership();
+    ping.brief = brief;
+    if (brief) return ping;
+    dependencies_.heartbeats.each_lately(dependencies_.timers.now(), [&](auto& machine, double age_s) {
+        ping.workers.push_back(machine);
+        ping.ages_ms.push_back(to_milliseconds(age_s));
+    });
+    return ping;
+}
+
+protocol::PeerPing PeerMonitor::own_full_ping_with_leader_lists() const {
+    auto ping = own_ping(false);
+    if (!dependencies_.leader) return ping;
+    ping.counts = dependencies_.leader->all_counts();
+    for (auto& [machine, silent_s] : dependencies_.leader->suspected()) {
+        ping.silent.push_back(machine);
+        ping.silent_ms.push_back(to_milliseconds(silent_s));
+    }
+    return ping;
+}
+
+protocol::PeerPing PeerMonitor::answer_ping(protocol::PeerPing ping) {
+    // Never brief to a leader: when it suspects itself it goes by whose heartbeats the others receive, and
+    // has little time.
+    const bool brief = ping.features >= protocol::peer_features_brief && ping.leader != ping.label;
+    handle_ping(std::move(ping));
+    return own_ping(brief);
+}
+
+void PeerMonitor::handle_ping(protocol::PeerPing ping) {
+    auto it = peers_.find(ping.label);
+    if (it == peers_.end()) return;
+    auto& peer = it->second;
+    const auto task_counts = std::exchange(ping.counts, {});
+    const bool restarted = peer.last_ping.incarnation != ping.incarnation;
+    const bool brief = ping.brief;
+    if (brief && !restarted) {
+        ping.workers = std::move(peer.last_ping.workers);
+        ping.ages_ms = std::move(peer.last_ping.ages_ms);
+    }
+    peer.last_ping = std::move(ping);
+    const auto& last_ping = peer.last_ping;
+    const bool from_leader = last_ping.leader == last_ping.label;
+    peer.last_ping_at = dependencies_.timers.now();
+    if (!brief) peer.last_full_ping_at = peer.last_ping_at;
+    if (from_leader && !brief) take_suspicions(last_ping);
+    if (restarted && dependencies_.leader)
+        dependencies_.leader->started_anew(last_ping.label, last_ping.incarnation);
+    if (from_leader && !task_counts.empty()) task_counts_received_(task_counts);
+    dependencies_.election.peer_says(last_ping.leader, last_ping.leader_version);
+}
+
+void PeerMonitor::take_suspicions(const protocol::PeerPing& leader_ping) {
+    suspected_since_.clear();
+    const auto count = std::min(leader_ping.silent.size(), leader_ping.silent_ms.size());
+    for (std::size_t k = 0; k < count; ++k)
+        suspected_since_[leader_ping.silent[k]] =
+            dependencies_.timers.now() - leader_ping.silent_ms[k] / 1000.0;
+}
+
+// --- What follows from pings ----------------------------------------------------------------------------
+
+bool PeerMonitor::is_recent(const Peer& peer) const {
+    return peer.last_ping_at && dependencies_.timers.now() - *peer.last_ping_at <
+                                    dependencies_.settings.report_s * ping_recent_periods;
+}
+
+const PeerMonitor::Peer* PeerMonitor::leading_peer() const {
+    auto it = peers_.find(dependencies_.election.leader());
+    return it == peers_.end() ? nullptr : &it->second;
+}
+
+const PeerMonitor::Peer* PeerMonitor::peer_that_reaches_kv(std::uint64_t minimum_features) const {
+    for (auto& [label, peer] : peers_)
+        if (is_recent(peer) && peer.last_ping.state_ok && peer.last_ping.features >= minimum_features)
+            return &peer;
+    return nullptr;
+}
+
+bool PeerMonitor::any_reachable() const {
+    return std::any_of(peers_.begin(), peers_.end(), [&](auto& entry) { return is_recent(entry.second); });
+}
+
+const protocol::PeerPing* PeerMonitor::recent_ping(const std::string& label) const {
+    auto it = peers_.find(label);
+    return it != peers_.end() && is_recent(it->second) ? &it->second.last_ping : nullptr;
+}
+
+std::optional<std::size_t> PeerMonitor::heartbeats_seen_by_peers(
+    const std::map<std::string, double>& silent_s) const {
+    std::optional<std::size_t> most;
+    for (auto& [label, peer] : peers_)
+        if (is_recent(peer) && peer.last_ping.state_ok)
+            most = std::max(most.value_or(0), heartbeats_seen_by(peer, silent_s));
+    return most;
+}
+
+// What another controller received before the machine fell silent here says nothing: leaders used to resign
+// because of a network cut that silenced the same machines for all of them.
+std::size_t PeerMonitor::heartbeats_seen_by(const Peer& peer,
+                                            const std::map<std::string, double>& silent_s) const {
+    const auto& machines = peer.last_ping.workers;
+    const auto& ages_ms = peer.last_ping.ages_ms;  // empty from an older version: all count
+    const double since_ping_s = dependencies_.timers.now() - peer.last_full_ping_at.value_or(0);
+    const double slack_s = dependencies_.settings.report_s * relay_delay_periods;
+    std::size_t seen = 0;
+    for (std::size_t k = 0; k < machines.size(); ++k) {
+        auto it = silent_s.find(machines[k]);
+        if (it == silent_s.end()) continue;
+        if (k >= ages_ms.size() || ages_ms[k] / 1000.0 + since_ping_s + slack_s < it->second) ++seen;
+    }
+    return seen;
+}
+
+// True if another controller that could lead has a replica of a later leadership, or one of the same and
+// clearly more machines that report to it. A leader that was restarted used to win before those that had
+// followed it, since its lease ends about when it is back. Nobody defers to an older version: it is about to
+// be stopped and replaced. Of two controllers, at most one defers to the other.
+bool PeerMonitor::should_defer() const {
+    const double now = dependencies_.timers.now();
+    // Just started, it can't know yet.
+    const bool just_started = dependencies_.settings.op.standby &&
+                              now - started_at_ < dependencies_.settings.report_s * startup_grace_periods;
+    const auto own_replica = replicated_leadership();
+    const auto own_machines = dependencies_.heartbeats.lately(now);
+    for (auto& [label, peer] : peers_) {
+        if (just_started && !peer.responded) return true;
+        const auto& ping = peer.last_ping;
+        if (!is_recent(peer) || !ping.state_ok || ping.features < protocol::peer_features) continue;
+        const auto machines = ping.workers.size();
+        if (ping.followed > own_replica && machines * 2 >= own_machines) return true;
+        if (ping.followed == own_replica && machines > 2 * own_machines) return true;
+    }
+    return false;
+}
+
+std::uint64_t PeerMonitor::replicated_leadership() const {
+    const auto& replica = dependencies_.replica.copy();
+    return replica.whole ? replica.version : 0;
+}
+
+std::map<std::string, double> PeerMonitor::inherited_suspicions() const {
+    std::map<std::string, double> silent_s;
+    for (auto& [machine, since] : suspected_since_)
+        if (!dependencies_.heartbeats.since(machine, since))
+            silent_s.emplace(machine, dependencies_.timers.now() - since);
+    return silent_s;
+}
+
+}  // namespace coralhitch::controller
