--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -1,7 +1,8 @@
+// The `coralhitch` process: reads its command line and settings, builds the network, the planner and one
+// controller, and runs the event loop until the process is killed.
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
-#include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
 #include <cstdlib>
@@ -18,83 +19,131 @@
 namespace {
 using namespace coralhitch;
 
-// Ratios to the report period, from which workers differ by a quarter: after the first a worker that has not
-// reported has gone elsewhere or hangs, after the second its connection is closed in any case.
-constexpr double quiet_reports = 1.5, idle_reports = 4;
+// In heartbeat periods, from which workers differ by a quarter: after the first a worker that has not sent a
+// heartbeat has gone to another controller or hangs, after the second its connection is closed in any case.
+constexpr double worker_quiet_periods = 1.5, worker_idle_periods = 4;
+
+// Parts of the memory that one message may take.
+constexpr double response_memory_share = 1.0 / 8;
+constexpr double peer_message_memory_share = 1.0 / 32;
+
+struct CommandLine {
+    std::string settings_file, operator_file;
+    bool only_check = false;
+};
 
 void set_up_log() {
     auto log = std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_mt>());
     log->set_pattern("%H:%M:%S.%e %l %v");
     const char* level = std::getenv("LOG_LEVEL");
-    std::string name = level ? level : "info";
+    const std::string name = level ? level : "info";
     log->set_level(name == "error"   ? spdlog::level::err
                    : name == "debug" ? spdlog::level::debug
                                      : spdlog::level::info);
     spdlog::set_default_logger(log);
 }
 
-int serve(const config::Settings& settings) {
-    ::signal(SIGPIPE, SIG_IGN);
+std::uint64_t random_seed() {
+    std::random_device device;
+    const std::uint64_t high = device();
+    return (high << 32) ^ device();
+}
+
+std::size_t memory_share_bytes(const config::Settings& settings, double share) {
+    return static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 * share);
+}
+
+http::ClientLimits client_limits(const config::Settings& settings, http::SocketBudget& sockets) {
+    http::ClientLimits limits;
+    limits.budget = &sockets;
+    limits.response = memory_share_bytes(settings, response_memory_share);
+    limits.bulk = [](const std::string& path) { return path == protocol::paths::commands; };
+    return limits;
+}
+
+// For users and workers. `on_worker_refused`: a worker's connection got no socket.
+http::ServerLimits public_server_limits(const config::Settings& settings, http::SocketBudget& sockets,
+                                        std::function<void()> on_worker_refused) {
+    http::ServerLimits limits;
+    limits.budget = &sockets;
+    limits.bulk_quiet_s = settings.report_s * worker_quiet_periods;
+    limits.bulk_idle_s = settings.report_s * worker_idle_periods;
+    limits.lane = event_loop::Lane::ordinary;
+    limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
+    limits.shed = std::move(on_worker_refused);
+    return limits;
+}
+
+http::ServerLimits peer_server_limits(const config::Settings& settings, http::SocketBudget& sockets) {
+    http::ServerLimits limits;
+    limits.budget = &sockets;
+    limits.kind = http::PeerKind::controller;
+    // What controllers send each other grows with jobs and machines, beyond what a user may send.
+    limits.message.body = memory_share_bytes(settings, peer_message_memory_share);
+    return limits;
+}
+
+void log_start(const config::Settings& settings) {
+    spdlog::info("component=controller event=listening controller={} zone={} address={}", settings.label,
+                 settings.zone, settings.listen);
+    const double needed = config::share_expected(settings);
+    if (settings.cpu_share < needed)
+        spdlog::warn("component=controller event=core_share_too_small core_share={:.3f} needed={:.3f}",
+                     settings.cpu_share, needed);
+}
+
+// Does not return while the process lives; throws if an address can't be bound.
+void run_controller(const config::Settings& settings) {
+    ::signal(SIGPIPE, SIG_IGN);  // a peer that closed its connection is an error of that connection alone
     event_loop::EventLoop loop;
     http::SocketBudget sockets(static_cast<std::size_t>(settings.sockets * http::usable_sockets),
                                http::controller_shares);
-    http::ClientLimits client_limits;
-    client_limits.budget = &sockets;
-    client_limits.response = static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 / 8);
-    client_limits.bulk = [](const std::string& path) { return path == protocol::paths::commands; };
-    http::Client client(loop, client_limits);
+    http::Client client(loop, client_limits(settings, sockets));
     leader::ThreadPlanner planner(loop);
-    std::random_device device;
-    std::uint64_t seed = (std::uint64_t{device()} << 32) ^ device();
-    controller::Controller controller(loop, client, settings, planner, seed);
-    http::ServerLimits user_limits;
-    user_limits.budget = &sockets;
-    user_limits.bulk_quiet_s = settings.report_s * quiet_reports;
-    user_limits.bulk_idle_s = settings.report_s * idle_reports;
-    user_limits.lane = event_loop::Lane::ordinary;
-    user_limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
-    user_limits.shed = [&] { controller.heartbeat_rejections().note(relay::HeartbeatRejection::sockets); };
-    http::Server users(
-        loop, settings.listen, std::move(user_limits),
-        [&](http::Request r, http::Reply reply) { controller.serve(std::move(r), std::move(reply)); });
-    http::ServerLimits peer_limits;
-    peer_limits.budget = &sockets;
-    peer_limits.kind = http::PeerKind::controller;
-    // What controllers tell each other grows with jobs and machines, beyond what a user may send.
-    peer_limits.message.body = static_cast<std::size_t>(settings.memory_mb * 1024 * 1024 / 32);
-    http::Server peers(loop, settings.peer_listen, peer_limits, [&](http::Request r, http::Reply reply) {
-        controller.serve_peer(std::move(r), std::move(reply));
-    });
-    spdlog::info("{} of {}: listening on {}", settings.label, settings.zone, settings.listen);
-    if (double expected = config::share_expected(settings); settings.cpu_share < expected)
-        spdlog::warn(
-            "limits.core_share is {:.3f}: to hear as many workers as there are sockets for takes {:.3f}",
-            settings.cpu_share, expected);
+    controller::Controller controller(loop, client, settings, planner, random_seed());
+
+    const auto on_worker_refused = [&] {
+        controller.heartbeat_rejections().note(relay::HeartbeatRejection::sockets);
+    };
+    http::Server public_server(loop, settings.listen,
+                               public_server_limits(settings, sockets, on_worker_refused),
+                               [&](http::Request request, http::Reply reply) {
+                                   controller.serve(std::move(request), std::move(reply));
+                               });
+    http::Server peer_server(loop, settings.peer_listen, peer_server_limits(settings, sockets),
+                             [&](http::Request request, http::Reply reply) {
+                                 controller.serve_peer(std::move(request), std::move(reply));
+                             });
+    log_start(settings);
     controller.watch_sockets(sockets);
     controller.start();
     loop.run();
-    return 0;
 }
+
+void run(const CommandLine& command_line) {
+    auto settings = config::load_settings(command_line.settings_file);
+    if (!command_line.operator_file.empty()) settings.op = config::load_operator(command_line.operator_file);
+    if (command_line.only_check)
+        std::cout << "settings are fine\n";
+    else
+        run_controller(settings);
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
     CLI::App app("coralhitch: a cluster scheduler");
-    std::string file, operator_file;
-    bool check = false;
-    app.add_option("--config", file, "the platform's settings (TOML)")->required();
-    app.add_option("--operator", operator_file, "operators' own settings (protobuf text format)");
-    app.add_flag("--check", check, "check the settings and exit");
-    app.set_version_flag("--version", std::string(coralhitch::controller::version));
+    CommandLine command_line;
+    app.add_option("--config", command_line.settings_file, "the platform's settings (TOML)")->required();
+    app.add_option("--operator", command_line.operator_file,
+                   "operators' own settings (protobuf text format)");
+    app.add_flag("--check", command_line.only_check, "check the settings and exit");
+    app.set_version_flag("--version", std::string(controller::version));
     CLI11_PARSE(app, argc, argv);
     set_up_log();
     try {
-        auto settings = coralhitch::config::load_settings(file);
-        if (!operator_file.empty()) settings.op = coralhitch::config::load_operator(operator_file);
-        if (check) {
-            std::cout << "settings are fine\n";
-            return 0;
-        }
-        return serve(settings);
+        run(command_line);
+        return 0;
     } catch (const std::exception& e) {
         std::cerr << "coralhitch: " << e.what() << "\n";
         return 1;
