--- a/tests/controller/controller_fixture.hpp
+++ b/tests/controller/controller_fixture.hpp
@@ -12,6 +12,20 @@
 
 inline const std::string controller_test_peer_addr = "10.1.0.2:7000";
 
+// A worker's heartbeat, without tasks.
+inline std::string heartbeat_of(const std::string& machine) {
+    return nlohmann::json{{"berth", machine},
+                          {"addr", "10.9.0.1:9000"},
+                          {"hull", "g8"},
+                          {"reef", "a"},
+                          {"driftwood", false},
+                          {"watch", 1},
+                          {"tally", 1},
+                          {"helm", 0},
+                          {"shards", nlohmann::json::array()}}
+        .dump();
+}
+
 // The key-value store with leases that are never refused; pings to the peer are kept, nobody else answers.
 class ControllerTestNetwork : public http::Requester {
   public:
--- /dev/null
+++ b/tests/controller/parts_fixture.hpp
@@ -0,0 +1,93 @@
+// The parts of a controller that does not lead, on an injected clock, without the controller around them. The
+// key-value store, the cloud and peers answer as the test says; nothing is elected.
+#pragma once
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <map>
+#include <span>
+#include <string>
+#include <vector>
+
+#include "controller/controller_fixture.hpp"
+#include "controller/kv_reachability.hpp"
+#include "controller/local_leader.hpp"
+#include "controller/peer_monitor.hpp"
+
+namespace coralhitch::controller {
+
+// Answers at once. What a handler leaves unanswered (nothing) counts as a failed connection.
+class PartsTestNetwork : public http::Requester {
+  public:
+    struct Sent {
+        std::string addr;
+        http::Request request;
+    };
+    using Handler = std::function<std::optional<http::Response>(const http::Request&)>;
+    void send(const std::string& addr, http::Request request, double, http::Result result) override {
+        sent.push_back({addr, request});
+        auto& handler = addr.empty() ? key_value_store : addr == cloud_addr ? cloud : peer;
+        result(handler ? handler(request) : std::nullopt);
+    }
+    [[nodiscard]] std::size_t sent_to(std::string_view path) const {
+        return static_cast<std::size_t>(std::count_if(
+            sent.begin(), sent.end(), [&](auto& message) { return message.request.target == path; }));
+    }
+    std::string cloud_addr;
+    Handler key_value_store, cloud, peer;
+    std::vector<Sent> sent;
+};
+
+// The cloud's list of machine types, and the stored one: one type of this name.
+inline std::string machine_types_body(const std::string& name) {
+    protocol::MachineType type;
+    type.name = name;
+    type.zones = {"a"};
+    return protocol::stored_types(std::span(&type, 1));
+}
+
+struct PartsFixture {
+    PartsFixture() {
+        spdlog::set_level(spdlog::level::off);
+        network.cloud_addr = settings.cloud_addr;
+    }
+    // A key-value store that holds nothing but these.
+    void key_value_store_answers(std::map<std::string, nlohmann::json> values = {}) {
+        network.key_value_store = [values](const http::Request& request) {
+            auto it = values.find(request.target.substr(std::string("/kv/").size()));
+            if (it == values.end()) return http::Response{404, R"({"epoch":4})"};
+            return http::Response{
+                200, nlohmann::json{{"path", it->first}, {"value", it->second}, {"stamp", 4}}.dump()};
+        };
+    }
+    void key_value_store_is_down() { network.key_value_store = nullptr; }
+    // A read, so that reachability follows from its answer.
+    void read_key_value_store() {
+        kv.get("leader", kv::RequestPriority::lease, [](kv::GetResult) {});
+    }
+    // A ping of the only peer, a follower that reaches the key-value store.
+    [[nodiscard]] static protocol::PeerPing ping_of_peer() {
+        protocol::PeerPing ping;
+        ping.label = "berth-1";
+        ping.incarnation = 77;
+        ping.state_ok = true;
+        ping.features = protocol::peer_features;
+        return ping;
+    }
+    void receive(const protocol::PeerPing& ping) { static_cast<void>(peers.answer_ping(ping)); }
+
+    FakeTimers timers;
+    PartsTestNetwork network;
+    config::Settings settings = ControllerFixture::default_settings();  // report_s is 3
+    kv::KvClient kv{timers, network, settings};
+    KvReachability kv_reachability{timers, kv, settings};
+    election::Election election{timers, kv, settings, 1, 1};
+    LocalLeader leader;
+    replication::Follower replica{1};
+    relay::HeartbeatTracker tracker{9, 248};
+    std::vector<protocol::PeerCount> received_counts;
+    PeerMonitor peers{{timers, network, settings, election, kv_reachability, leader, tracker, replica, 1},
+                      [this](auto& counts) { received_counts = counts; }};
+};
+
+}  // namespace coralhitch::controller
--- /dev/null
+++ b/tests/controller/peer_monitor_test.cpp
@@ -0,0 +1,191 @@
+#include "controller/peer_monitor.hpp"
+
+#include <gtest/gtest.h>
+
+#include "controller/parts_fixture.hpp"
+
+namespace coralhitch::controller {
+namespace {
+
+class PeerMonitorTest : public testing::Test, public PartsFixture {
+  protected:
+    // Seconds; the pings before are answered by nobody.
+    void start_and_wait(double until) {
+        peers.start();
+        timers.run_until(until);
+    }
+};
+
+TEST_F(PeerMonitorTest, PingsEveryHalfHeartbeatPeriod) {
+    start_and_wait(3.1);
+    EXPECT_EQ(network.sent_to(protocol::peer_ping_path), 3u);
+    EXPECT_EQ(network.sent_to(protocol::peer_images_path), 0u) << "only a leader sends image caches";
+}
+
+TEST_F(PeerMonitorTest, TakesInTheAnswerToItsPing) {
+    network.peer = [](const http::Request&) {
+        return http::Response{200, protocol::pack_peer(ping_of_peer()), "application/msgpack"};
+    };
+    peers.start();
+    ASSERT_TRUE(peers.recent_ping("berth-1"));
+    EXPECT_EQ(peers.recent_ping("berth-1")->incarnation, 77u);
+}
+
+TEST_F(PeerMonitorTest, ForgetsAPingAfterOneAndAHalfHeartbeatPeriods) {
+    receive(ping_of_peer());
+    timers.run_until(4.4);
+    EXPECT_TRUE(peers.recent_ping("berth-1"));
+    EXPECT_TRUE(peers.any_reachable());
+    timers.run_until(4.6);
+    EXPECT_FALSE(peers.recent_ping("berth-1"));
+    EXPECT_FALSE(peers.any_reachable());
+}
+
+TEST_F(PeerMonitorTest, IgnoresControllersThatAreNotInTheSettings) {
+    auto ping = ping_of_peer();
+    ping.label = "berth-9";
+    receive(ping);
+    EXPECT_FALSE(peers.recent_ping("berth-9"));
+    EXPECT_FALSE(peers.any_reachable());
+}
+
+TEST_F(PeerMonitorTest, KnowsTheLeaderFromPings) {
+    EXPECT_FALSE(peers.leading_peer());
+    auto ping = ping_of_peer();
+    ping.leader = ping.label;
+    ping.leader_version = 5;
+    receive(ping);
+    ASSERT_TRUE(peers.leading_peer());
+    EXPECT_EQ(peers.leading_peer()->config.label, "berth-1");
+}
+
+TEST_F(PeerMonitorTest, FindsAPeerThatReachesTheKeyValueStoreByItsFeatures) {
+    auto ping = ping_of_peer();
+    ping.features = 0;
+    receive(ping);
+    EXPECT_TRUE(peers.peer_that_reaches_kv(0));
+    EXPECT_FALSE(peers.peer_that_reaches_kv(protocol::peer_features_awaits));
+    ping.state_ok = false;
+    receive(ping);
+    EXPECT_FALSE(peers.peer_that_reaches_kv(0));
+}
+
+TEST_F(PeerMonitorTest, DefersJustAfterItsStartUntilPeersHaveResponded) {
+    network.peer = [](const http::Request&) { return std::nullopt; };
+    EXPECT_TRUE(peers.should_defer());
+    peers.start();
+    EXPECT_FALSE(peers.should_defer()) << "a connection that failed is a response";
+}
+
+TEST_F(PeerMonitorTest, DefersToALaterReplica) {
+    start_and_wait(1);
+    auto ping = ping_of_peer();
+    ping.followed = 5;
+    receive(ping);
+    EXPECT_TRUE(peers.should_defer());
+    ping.state_ok = false;
+    receive(ping);
+    EXPECT_FALSE(peers.should_defer()) << "it can't be elected";
+    ping.state_ok = true;
+    ping.features = protocol::peer_features - 1;
+    receive(ping);
+    EXPECT_FALSE(peers.should_defer()) << "an older version is about to be replaced";
+}
+
+TEST_F(PeerMonitorTest, DoesNotDeferToALaterReplicaThatFewMachinesReportTo) {
+    start_and_wait(1);
+    for (int k = 0; k < 10; ++k) tracker.note("vm-" + std::to_string(k), 1, 1, timers.now());
+    auto ping = ping_of_peer();
+    ping.followed = 5;
+    ping.workers = {"vm-0", "vm-1", "vm-2", "vm-3"};
+    receive(ping);
+    EXPECT_FALSE(peers.should_defer());
+    ping.workers.push_back("vm-4");
+    receive(ping);
+    EXPECT_TRUE(peers.should_defer());
+}
+
+TEST_F(PeerMonitorTest, DefersToAnEqualReplicaWithMoreThanTwiceTheMachines) {
+    start_and_wait(1);
+    tracker.note("vm-0", 1, 1, timers.now());
+    auto ping = ping_of_peer();
+    ping.workers = {"vm-1", "vm-2"};
+    receive(ping);
+    EXPECT_FALSE(peers.should_defer());
+    ping.workers.push_back("vm-3");
+    receive(ping);
+    EXPECT_TRUE(peers.should_defer());
+}
+
+TEST_F(PeerMonitorTest, CountsOnlyHeartbeatsThatPeersReceivedSinceTheMachineFellSilent) {
+    timers.run_until(20);
+    EXPECT_FALSE(peers.heartbeats_seen_by_peers({{"vm-0", 10}})) << "no peer pings";
+    auto ping = ping_of_peer();
+    ping.workers = {"vm-0", "vm-1", "vm-2"};
+    ping.ages_ms = {1000, 12000, 1000};
+    receive(ping);
+    // vm-1's heartbeat came there before it fell silent here, vm-2 is not asked for.
+    EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 10}, {"vm-1", 10}}), 1u);
+    // With a delay of 0.3 s for relayed ones.
+    EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 1.2}}), 0u);
+    EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 1.4}}), 1u);
+}
+
+TEST_F(PeerMonitorTest, KeepsTheListsOfThePingBeforeABriefOne) {
+    auto ping = ping_of_peer();
+    ping.workers = {"vm-0"};
+    ping.ages_ms = {0};
+    receive(ping);
+    timers.run_until(2);
+    auto brief = ping_of_peer();
+    brief.brief = true;
+    receive(brief);
+    // The age counts on from the full ping.
+    EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.2}}), 0u);
+    EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 1u);
+    brief.incarnation = 78;
+    receive(brief);
+    EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 0u) << "a restarted peer has no lists yet";
+}
+
+TEST_F(PeerMonitorTest, AnswersALeaderInFullAndOthersBriefly) {
+    tracker.note("vm-0", 1, 1, timers.now());
+    auto ping = ping_of_peer();
+    EXPECT_TRUE(peers.answer_ping(ping).brief);
+    EXPECT_TRUE(peers.answer_ping(ping).workers.empty());
+    ping.leader = ping.label;
+    ping.leader_version = 5;
+    auto answer = peers.answer_ping(ping);
+    EXPECT_FALSE(answer.brief);
+    EXPECT_EQ(answer.workers, std::vector<std::string>{"vm-0"});
+    ping.leader.clear();
+    ping.features = protocol::peer_features_brief - 1;
+    EXPECT_FALSE(peers.answer_ping(ping).brief) << "an older version can't read a brief one";
+}
+
+TEST_F(PeerMonitorTest, InheritsSuspicionsOfTheLeaderExceptOfMachinesHeardSince) {
+    timers.run_until(100);
+    auto ping = ping_of_peer();
+    ping.leader = ping.label;
+    ping.leader_version = 5;
+    ping.silent = {"vm-0", "vm-1"};
+    ping.silent_ms = {8000, 9000};
+    receive(ping);
+    timers.run_until(101);
+    tracker.note("vm-1", 1, 1, timers.now());
+    EXPECT_EQ(peers.inherited_suspicions(), (std::map<std::string, double>{{"vm-0", 9}}));
+}
+
+TEST_F(PeerMonitorTest, HandsOnTaskCountsOfTheLeaderOnly) {
+    auto ping = ping_of_peer();
+    ping.counts = {{"job-1", 2, 3}};
+    receive(ping);
+    EXPECT_TRUE(received_counts.empty());
+    ping.leader = ping.label;
+    receive(ping);
+    ASSERT_EQ(received_counts.size(), 1u);
+    EXPECT_EQ(received_counts[0].running, 3u);
+}
+
+}  // namespace
+}  // namespace coralhitch::controller
--- a/tests/controller/peer_ping_size_test.cpp
+++ b/tests/controller/peer_ping_size_test.cpp
@@ -15,23 +15,10 @@
     std::snprintf(name, sizeof name, "vm-%06zu", k);
     return name;
 }
-std::string report_of(std::size_t k) {
-    return nlohmann::json{{"berth", machine_name(k)},
-                          {"addr", "10.9.0.1:9000"},
-                          {"hull", "g8"},
-                          {"reef", "a"},
-                          {"driftwood", false},
-                          {"watch", 1},
-                          {"tally", 1},
-                          {"helm", 0},
-                          {"shards", nlohmann::json::array()}}
-        .dump();
-}
-
 TEST(PeerPingSize, NamesAll8000MachinesThatReportToAFollower) {
     ControllerFixture fixture;
     for (std::size_t k = 0; k < machine_count; ++k)
-        fixture.controller.serve({"POST", "/hello", report_of(k)}, [](http::Response) {});
+        fixture.controller.serve({"POST", "/hello", heartbeat_of(machine_name(k))}, [](http::Response) {});
     fixture.timers.run_until(0.5);
     std::optional<protocol::PeerPing> answer;
     fixture.controller.serve_peer(
--- a/tests/support/fake_timers.hpp
+++ b/tests/support/fake_timers.hpp
@@ -15,6 +15,11 @@
         return next_;
     }
     void cancel(event_loop::TimerId) override {}
+    // The process had no processor until then: all that was due runs late.
+    void run_late(double t) {
+        now_ = t;
+        run_until(t);
+    }
     void run_until(double t) {
         while (!tasks_.empty() && tasks_.begin()->first.first <= t) {
             auto node = tasks_.extract(tasks_.begin());
