--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -53,7 +53,8 @@
 }
 
 double Admission::retry_after_s(const std::string& team, double now) {
-    return std::min(part_of(team).places.wait(now), all_.wait(now, left_to_others(team, now)));
+    return std::min(part_of(team).places.seconds_until_available(now),
+                    all_.seconds_until_available(now, left_to_others(team, now)));
 }
 
 }  // namespace coralhitch::api
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -31,7 +31,7 @@
     }
     if (queue_.empty() || armed_) return;
     armed_ = true;
-    timers_.after(std::max(bucket_.wait(now), 0.005), [this] {
+    timers_.after(std::max(bucket_.seconds_until_available(now), 0.005), [this] {
         armed_ = false;
         pump();
     });
--- a/src/event_loop/event_loop.cpp
+++ b/src/event_loop/event_loop.cpp
@@ -1,83 +1,101 @@
 #include "event_loop/event_loop.hpp"
 
-#include <sys/epoll.h>
 #include <sys/eventfd.h>
 #include <time.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <cmath>
 #include <system_error>
-#include <utility>
 
 namespace coralhitch::event_loop {
 namespace {
-double read_clock(clockid_t id) {
-    timespec t{};
-    clock_gettime(id, &t);
-    return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
-}
-// Few at a time, so that timers, the lease's renewal among them, wait for little work.
-constexpr std::size_t most_events = 1024, most_ordinary = 32, most_bulk = 16;
-[[noreturn]] void fail(const char* what) {
-    throw std::system_error(errno, std::generic_category(), what);
+
+constexpr std::size_t max_events_per_wait = 1024;
+// Few, so that timers, the lease's renewal among them, wait for little work.
+constexpr std::size_t ordinary_events_per_turn = 32, bulk_events_per_turn = 16;
+constexpr double max_wait_ms = 60000;
+
+double read_clock_s(clockid_t clock) {
+    timespec time{};
+    clock_gettime(clock, &time);
+    return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
-}  // namespace
 
-void Fd::reset(int fd) {
-    if (fd_ >= 0) ::close(fd_);
-    fd_ = fd;
+[[noreturn]] void throw_system_error(const char* what) {
+    throw std::system_error(errno, std::generic_category(), what);
 }
 
+}  // namespace
+
 EventLoop::EventLoop()
     : epoll_(epoll_create1(EPOLL_CLOEXEC)),
       wake_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
-      events_(most_events) {
-    if (!epoll_) fail("epoll_create1");
-    if (!wake_) fail("eventfd");
-    refresh();
+      event_buffer_(max_events_per_wait) {
+    if (!epoll_) throw_system_error("epoll_create1");
+    if (!wake_) throw_system_error("eventfd");
+    refresh_now();
     watch(wake_.get(), EPOLLIN, [this](std::uint32_t) {
-        std::uint64_t n;
-        while (::read(wake_.get(), &n, sizeof n) > 0) {
+        std::uint64_t count;
+        while (::read(wake_.get(), &count, sizeof count) > 0) {
         }
     });
 }
-void EventLoop::refresh() {
-    now_ = now();
-}
+
+// --- Clock and timers -----------------------------------------------------------------------------------
+
 double EventLoop::now() const {
-    return read_clock(CLOCK_MONOTONIC);
+    return read_clock_s(CLOCK_MONOTONIC);
 }
 double EventLoop::unix_time() const {
-    return read_clock(CLOCK_REALTIME);
+    return read_clock_s(CLOCK_REALTIME);
+}
+void EventLoop::refresh_now() {
+    now_ = now();
 }
 
 TimerId EventLoop::after(double seconds, Task task) {
-    TimerId id = next_id_++;
-    double due = now() + std::max(0.0, seconds);
-    timers_.emplace(std::pair{due, id}, std::move(task));
-    due_.emplace(id, due);
+    const TimerId id = next_timer_id_++;
+    const double due = now() + std::max(0.0, seconds);
+    timers_.emplace(DueTime{due, id}, std::move(task));
+    due_times_.emplace(id, due);
     return id;
 }
+
 void EventLoop::cancel(TimerId id) {
-    auto it = due_.find(id);
-    if (it == due_.end()) return;
+    auto it = due_times_.find(id);
+    if (it == due_times_.end()) return;
     timers_.erase({it->second, id});
-    due_.erase(it);
+    due_times_.erase(it);
 }
+
+void EventLoop::run_due_timers() {
+    while (!timers_.empty() && timers_.begin()->first.first <= now_) {
+        // Taken out first: the task may set and cancel timers.
+        auto timer = timers_.extract(timers_.begin());
+        due_times_.erase(timer.key().second);
+        timer.mapped()();
+    }
+}
+
+// --- Descriptors ----------------------------------------------------------------------------------------
+
+void EventLoop::control_epoll(int operation, int fd, std::uint32_t events, const char* what) {
+    epoll_event event{};
+    event.events = events;
+    event.data.fd = fd;
+    if (epoll_ctl(epoll_.get(), operation, fd, &event) < 0) throw_system_error(what);
+}
+
 void EventLoop::watch(int fd, std::uint32_t events, Handler handler) {
-    auto w = std::make_shared<WatchResult>(WatchResult{std::move(handler), ++generation_, Lane::urgent, 0});
-    epoll_event e{};
-    e.events = events;
-    e.data.fd = fd;
-    if (epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &e) < 0) fail("epoll_ctl add");
-    watched_[fd] = std::move(w);
-}
-void EventLoop::change(int fd, std::uint32_t events) {
-    epoll_event e{};
-    e.events = events;
-    e.data.fd = fd;
-    if (epoll_ctl(epoll_.get(), EPOLL_CTL_MOD, fd, &e) < 0) fail("epoll_ctl mod");
+    auto descriptor = std::make_shared<WatchedDescriptor>(
+        WatchedDescriptor{std::move(handler), ++last_generation_, Lane::urgent, 0});
+    control_epoll(EPOLL_CTL_ADD, fd, events, "epoll_ctl add");
+    watched_[fd] = std::move(descriptor);
+}
+void EventLoop::set_events(int fd, std::uint32_t events) {
+    control_epoll(EPOLL_CTL_MOD, fd, events, "epoll_ctl mod");
 }
 void EventLoop::set_lane(int fd, Lane lane) {
     watched_.at(fd)->lane = lane;
@@ -85,74 +103,80 @@
 void EventLoop::unwatch(int fd) {
     watched_.erase(fd);
 }
+
+// Fetches everything that is ready: urgent events are handled now, the others queued, each descriptor once.
+void EventLoop::wait_for_events(int timeout_ms) {
+    const int count =
+        epoll_wait(epoll_.get(), event_buffer_.data(), static_cast<int>(event_buffer_.size()), timeout_ms);
+    if (count < 0 && errno != EINTR) throw_system_error("epoll_wait");
+    refresh_now();
+    const auto newest_generation = last_generation_;
+    for (int i = 0; i < count; ++i)
+        handle_event(event_buffer_[static_cast<std::size_t>(i)], newest_generation);
+}
+
+// A handler may close a descriptor whose number is used again within this turn: an event that was fetched
+// before that is not the new descriptor's, whose generation is later than all that were fetched.
+void EventLoop::handle_event(const epoll_event& event, std::uint64_t newest_generation) {
+    const int fd = event.data.fd;
+    auto it = watched_.find(fd);
+    if (it == watched_.end() || it->second->generation > newest_generation) return;
+    const auto descriptor = it->second;  // its handler may unwatch it
+    if (descriptor->lane == Lane::urgent) return descriptor->handler(event.events);
+    if (descriptor->pending_events == 0) (descriptor->lane == Lane::bulk ? bulk_ : ordinary_).push_back(fd);
+    descriptor->pending_events |= event.events;
+}
+
+void EventLoop::run_lane(std::deque<int>& queue, std::size_t limit) {
+    for (std::size_t k = 0; k < limit && !queue.empty(); ++k) {
+        auto it = watched_.find(queue.front());
+        queue.pop_front();
+        // Closed meanwhile, and perhaps its number used again: the new descriptor is queued by itself.
+        if (it == watched_.end() || it->second->pending_events == 0) continue;
+        const auto descriptor = it->second;  // its handler may unwatch it
+        descriptor->handler(std::exchange(descriptor->pending_events, 0));
+    }
+}
+
+// --- Posted tasks ---------------------------------------------------------------------------------------
+
 void EventLoop::post(Task task) {
     {
-        std::lock_guard lock(mutex_);
+        std::lock_guard lock(posted_mutex_);
         posted_.push_back(std::move(task));
     }
-    std::uint64_t one = 1;
-    [[maybe_unused]] auto n = ::write(wake_.get(), &one, sizeof one);
+    const std::uint64_t one = 1;
+    [[maybe_unused]] auto written = ::write(wake_.get(), &one, sizeof one);
 }
-void EventLoop::run_posted() {
-    std::vector<Task> work;
+
+void EventLoop::run_posted_tasks() {
+    std::vector<Task> tasks;
     {
-        std::lock_guard lock(mutex_);
-        work.swap(posted_);
+        std::lock_guard lock(posted_mutex_);
+        tasks.swap(posted_);
     }
-    for (auto& t : work) t();
+    for (auto& task : tasks) task();
 }
-void EventLoop::run_due() {
-    while (!timers_.empty() && timers_.begin()->first.first <= now_) {
-        auto node = timers_.extract(timers_.begin());
-        due_.erase(node.key().second);
-        node.mapped()();
-    }
-}
-// All that is ready is asked for: what is urgent is handled now, the rest stands in line, once each.
-void EventLoop::wait(int wait_ms) {
-    int n = epoll_wait(epoll_.get(), events_.data(), static_cast<int>(events_.size()), wait_ms);
-    if (n < 0 && errno != EINTR) fail("epoll_wait");
-    refresh();
-    // A handler may close a descriptor whose number is used again within this round; the generation tells an
-    // event of the old one from the new one's.
-    std::uint64_t round = generation_;
-    for (int i = 0; i < n; ++i) {
-        auto& e = events_[static_cast<std::size_t>(i)];
-        auto it = watched_.find(e.data.fd);
-        if (it == watched_.end() || it->second->generation > round) continue;
-        auto keep = it->second;
-        if (keep->lane == Lane::urgent) {
-            keep->handler(e.events);
-        } else {
-            if (keep->ready == 0) (keep->lane == Lane::bulk ? bulk_ : ordinary_).push_back(e.data.fd);
-            keep->ready |= e.events;
-        }
-    }
-}
-void EventLoop::run_lane(std::deque<int>& line, std::size_t most) {
-    for (std::size_t k = 0; k < most && !line.empty(); ++k) {
-        auto it = watched_.find(line.front());
-        line.pop_front();
-        // Closed meanwhile, and perhaps its number used again: that one stands in line itself.
-        if (it == watched_.end() || it->second->ready == 0) continue;
-        auto keep = it->second;
-        keep->handler(std::exchange(keep->ready, 0));
-    }
+
+// --- The loop -------------------------------------------------------------------------------------------
+
+// For epoll_wait: 0 while events are queued, -1 (no limit) without timers.
+int EventLoop::milliseconds_until_next_task() {
+    if (!ordinary_.empty() || !bulk_.empty()) return 0;
+    if (timers_.empty()) return -1;
+    refresh_now();
+    const double left_s = timers_.begin()->first.first - now_;
+    return left_s <= 0 ? 0 : static_cast<int>(std::min(std::ceil(left_s * 1000), max_wait_ms));
 }
+
 void EventLoop::run() {
     while (!stopped_) {
-        int wait_ms = ordinary_.empty() && bulk_.empty() ? -1 : 0;
-        if (wait_ms != 0 && !timers_.empty()) {
-            refresh();
-            double left = timers_.begin()->first.first - now_;
-            wait_ms = left <= 0 ? 0 : static_cast<int>(std::min(std::ceil(left * 1000), 60000.0));
-        }
-        wait(wait_ms);
-        run_lane(ordinary_, most_ordinary);
-        run_lane(bulk_, most_bulk);
-        run_posted();
-        refresh();
-        run_due();
+        wait_for_events(milliseconds_until_next_task());
+        run_lane(ordinary_, ordinary_events_per_turn);
+        run_lane(bulk_, bulk_events_per_turn);
+        run_posted_tasks();
+        refresh_now();
+        run_due_timers();
     }
 }
 
--- a/src/event_loop/lifetime_guard.hpp
+++ b/src/event_loop/lifetime_guard.hpp
@@ -5,12 +5,16 @@
 
 namespace coralhitch::event_loop {
 
+// A member of the object that makes callbacks: `timers.after(1, guarded_([this] { ... }))`. Declared as the
+// object's last member, so that it is destroyed first, before what callbacks use. Not thread-safe: callbacks
+// run on the thread that destroys the object.
 class LifetimeGuard {
   public:
-    template <class F>
-    auto operator()(F f) const {
-        return [alive = std::weak_ptr<int>(alive_), f = std::move(f)](auto&&... a) mutable {
-            if (!alive.expired()) f(std::forward<decltype(a)>(a)...);
+    // Wraps a callback; its arguments are passed on, its result is dropped.
+    template <class Callback>
+    [[nodiscard]] auto operator()(Callback callback) const {
+        return [alive = std::weak_ptr<int>(alive_), callback = std::move(callback)](auto&&... args) mutable {
+            if (!alive.expired()) callback(std::forward<decltype(args)>(args)...);
         };
     }
 
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -156,7 +156,7 @@
     std::uint32_t want = always_ | (pending() ? EPOLLOUT : 0u);
     if (want != events_) {
         events_ = want;
-        loop_.change(fd_.get(), want);
+        loop_.set_events(fd_.get(), want);
     }
     return State::open;
 }
--- a/src/kv/kv_client.cpp
+++ b/src/kv/kv_client.cpp
@@ -80,7 +80,7 @@
     double ahead = call.writes;
     for (auto r : {RequestPriority::user, RequestPriority::accept})
         for (auto& c : queues_[static_cast<std::size_t>(r)]) ahead += c.writes;
-    return writes_.time_for(timers_.now(), ahead) > patience(rank);
+    return writes_.seconds_to_drain(timers_.now(), ahead) > patience(rank);
 }
 void KvClient::refuse(RequestPriority rank, http::Result result) {
     ++counts_[static_cast<std::size_t>(rank)].refused;
@@ -117,8 +117,9 @@
             bool look = static_cast<RequestPriority>(rank) == RequestPriority::read;
             if (!requests_.has(now) || !writes_.has(now, c.writes) || (look && !looks_.has(now))) {
                 changes_wanted = changes_wanted || c.writes > 0;
-                double w = std::max(requests_.wait(now), writes_.wait(now, c.writes));
-                if (look) w = std::max(w, looks_.wait(now));
+                double w = std::max(requests_.seconds_until_available(now),
+                                    writes_.seconds_until_available(now, c.writes));
+                if (look) w = std::max(w, looks_.seconds_until_available(now));
                 wait = wait < 0 ? w : std::min(wait, w);
                 break;
             }
--- a/src/leader/leader_machines.cpp
+++ b/src/leader/leader_machines.cpp
@@ -463,7 +463,7 @@
     }
     if (waits && left == 0) {
         if (!std::exchange(asks_armed_, true))
-            dependencies_.timers.after(asks_.wait(now()), guarded_([this] {
+            dependencies_.timers.after(asks_.seconds_until_available(now()), guarded_([this] {
                                            asks_armed_ = false;
                                            probe_soon();
                                        }));
