--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -148,7 +148,7 @@
 
 void CommandSender::wait_for_probe_tokens() {
     if (std::exchange(waits_for_tokens_, true)) return;
-    timers_.after(probe_tokens_.wait(now()), guarded_([this] {
+    timers_.after(probe_tokens_.seconds_until_available(now()), guarded_([this] {
                       waits_for_tokens_ = false;
                       schedule_probes();
                   }));
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -163,7 +163,7 @@
     }
     spdlog::info("component=leader event=machine_quarantined machine={} failed_jobs={} last_job={}",
                  machine.id, machine.error_jobs.size(), job_id);
-    metrics_.event("sick_machine");
+    metrics_.increment(metrics::Metric::leader_machines_quarantined);
     machine.quarantined_until = now() + settings_.report_s * many_failures_quarantine_reports;
     machine.error_jobs.clear();
     if (machine.tasks.empty()) mark_for_deletion_(machine, "fails its tasks");
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -52,8 +52,8 @@
 void JobStore::store_due() {
     if (!authority_.holds()) return;
     auto due = state_.jobs.pending_writes(now(), callbacks_.may_place());
-    metrics_.gauge("ends_waiting", static_cast<double>(due.done_jobs.size()));
-    metrics_.gauge("cancelled_to_drop", static_cast<double>(due.cancelled_jobs.size()));
+    metrics_.set(metrics::Metric::leader_unstored_job_ends, static_cast<double>(due.done_jobs.size()));
+    metrics_.set(metrics::Metric::leader_cancelled_jobs_to_remove, static_cast<double>(due.cancelled_jobs.size()));
     store_ends(due.done_jobs, JobState::done);
     for (auto& id : due.progress) write_progress(id, *state_.jobs.find(id));
     store_ends(due.cancelled_jobs, JobState::cancelled);
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -198,9 +198,9 @@
     auto& jobs = state_.jobs.entries();
     auto awaiting =
         std::count_if(jobs.begin(), jobs.end(), [](auto& entry) { return entry.second.is_blocked(); });
-    dependencies_.metrics.gauge("jobs", static_cast<double>(jobs.size()));
-    dependencies_.metrics.gauge("awaiting", static_cast<double>(awaiting));
-    dependencies_.metrics.gauge("machines", static_cast<double>(state_.cluster.machines().size()));
+    dependencies_.metrics.set(metrics::Metric::leader_jobs, static_cast<double>(jobs.size()));
+    dependencies_.metrics.set(metrics::Metric::leader_jobs_with_pending_dependencies, static_cast<double>(awaiting));
+    dependencies_.metrics.set(metrics::Metric::leader_machines, static_cast<double>(state_.cluster.machines().size()));
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -34,7 +34,7 @@
         "component=leader event=machine_marked_for_deletion machine={} reason=\"{}\" tasks={} "
         "last_heartbeat_by={}",
         machine.id, reason, machine.tasks.size(), machine.route.empty() ? settings_.label : machine.route);
-    metrics_.event("condemned");
+    metrics_.increment(metrics::Metric::leader_machines_marked_for_deletion);
     machine.life = Machine::Life::marked_for_deletion;
     delegations_.revoke(machine.id);  // a relay's grants would move the time at which its lease expires
     if (!machine.stored && !machine.storing) {
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -121,7 +121,7 @@
         suspected += machine.is_suspect();
         check_machine(machine, checked.observations[k], health, may_evict);
     }
-    metrics_.gauge("machines_suspected", static_cast<double>(suspected));
+    metrics_.set(metrics::Metric::leader_suspected_machines, static_cast<double>(suspected));
 }
 
 void MachineSupervisor::check_booting_and_marked(double at, bool may_evict) {
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -98,7 +98,7 @@
 void PlanExecutor::apply(const Plan& plan) {
     last_plan_s_ = now() - last_plan_;
     if (!authority_.holds()) return;
-    parts_.metrics.plan_took(last_plan_s_);
+    parts_.metrics.observe_planning_round(last_plan_s_);
     log_plan(plan);
     std::vector<StartedTask> started;
     {
@@ -236,12 +236,12 @@
 
 void PlanExecutor::count_draws(const scheduler::Counts& counts) {
     auto& metrics = parts_.metrics;
-    metrics.drawn("tasks", static_cast<double>(counts.tasks));
-    metrics.drawn("draws", static_cast<double>(counts.draws));
-    metrics.drawn("redraws", static_cast<double>(counts.redraws));
-    metrics.drawn("fallbacks", static_cast<double>(counts.fallbacks));
-    metrics.drawn("packed", static_cast<double>(counts.packed));
-    metrics.drawn("preempted", static_cast<double>(counts.preempted));
+    metrics.increment(metrics::Metric::scheduler_tasks_placed, static_cast<double>(counts.tasks));
+    metrics.increment(metrics::Metric::scheduler_draws, static_cast<double>(counts.draws));
+    metrics.increment(metrics::Metric::scheduler_redraws, static_cast<double>(counts.redraws));
+    metrics.increment(metrics::Metric::scheduler_fallbacks, static_cast<double>(counts.fallbacks));
+    metrics.increment(metrics::Metric::scheduler_tasks_packed, static_cast<double>(counts.packed));
+    metrics.increment(metrics::Metric::scheduler_tasks_preempted, static_cast<double>(counts.preempted));
 }
 
 }  // namespace coralhitch::leader
