--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -58,7 +58,7 @@
     if (auto* record = cached_final(id)) return done(*record);
     if (attempt >= max_read_attempts) return done(ReadFailed{});
     live_jobs_.read(id, [this, id, done, priority, attempt](const LiveJobs::ReadResult& result) {
-        if (!result.ok()) return done(ReadFailed{});
+        if (!result.ok) return done(ReadFailed{});
         if (!result.live) return read_final(id, done, priority);
         if (!result.unresolved_dependencies.empty())
             return resolve_dependencies(id, result.unresolved_dependencies, done, priority, attempt);
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -81,13 +81,12 @@
 }
 
 void LiveJobs::read_changes(Batch batch) {
-    using Status = kv::WatchResult::Status;
     kv_.watch(keys::jobs, revision_, 0, [this, batch = std::move(batch)](kv::WatchResult result) mutable {
-        if (result.status == Status::too_old) {
+        if (result.compacted()) {
             revision_ = 0;
             return read_all(std::move(batch));
         }
-        if (result.status != Status::ok) return answer(std::move(batch), false);
+        if (!result.ok()) return answer(std::move(batch), false);
         removed_by_last_changes_ = 0;
         for (auto& event : result.events.events)
             apply_entry(event.key, event.version, event.value ? &*event.value : nullptr);
--- a/src/api/submission_handler.cpp
+++ b/src/api/submission_handler.cpp
@@ -61,7 +61,7 @@
     // It will be rejected, unless it is a repeated one, which a shared read of the live jobs tells. Reading
     // the final record as well, for each rejected submission, took most of the reads that queries waited for.
     reader_.live_jobs().read(id, [this, id, submission](const LiveJobs::ReadResult& result) {
-        if (!result.ok()) return submission->reply(retry_later());
+        if (!result.ok) return submission->reply(retry_later());
         if (result.live || reader_.cached_final(id)) return accept_if_unknown(submission);
         admit(submission);
     });
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -51,7 +51,7 @@
     }
     if (queue_.empty() || send_scheduled_) return;
     send_scheduled_ = true;
-    timers_.after(std::max(budget_.wait(now), min_send_delay_s), [this] {
+    timers_.after(std::max(budget_.seconds_until_available(now), min_send_delay_s), [this] {
         send_scheduled_ = false;
         send_queued();
     });
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -40,7 +40,7 @@
              [this](auto& counts) { task_counts_.set_all(counts); }),
       task_counts_(timers, http, settings, leader_, peers_),
       heartbeats_({timers, http, settings, election_, leader_, peers_, heartbeat_tracker_, incarnation_}),
-      cancellations_(timers, http, settings, [this] { return election_.leader_version(); }),
+      cancellations_(timers, http, settings, [this] { return election_.leader_fencing_token(); }),
       user_api_(timers, kv_, settings, *this),
       users_({timers, http, settings, user_api_, metrics_, kv_reachability_, peers_}),
       peer_messages_({settings, election_, leader_, peers_, users_, task_counts_, replica_}),
@@ -67,7 +67,7 @@
 }
 
 void Controller::check_periodically() {
-    heartbeat_tracker_.tidy(timers_.now());
+    heartbeat_tracker_.expire(timers_.now());
     health_.check();
     user_api_.live_jobs().refresh_if_stale();
     overload_log_.update();
@@ -79,7 +79,7 @@
 void Controller::on_elected(std::uint64_t version) {
     auto dependencies = leader_dependencies();
     // The leader keeps its own account; what is kept here says only whose heartbeats came since it led.
-    heartbeat_tracker_.none_lately();
+    heartbeat_tracker_.reset_recent();
     leader_.begin(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
     heartbeats_.take_back_from_relay();
     metrics_.increment(metrics::Metric::elections_won);
@@ -104,7 +104,7 @@
             .resign_leadership = [this] { return resign_leadership(); },
             .incarnation = incarnation_,
             .suspected = peers_.inherited_suspicions(),
-            .copy = replica_.copy(),
+            .copy = replica_.replica(),
             .peer = [this](const std::string& label) { return peers_.recent_ping(label); },
             .refusals = heartbeats_.rejections()};
 }
@@ -159,7 +159,7 @@
 // The other controllers are notified also if this one leads: its lease may have expired without its knowing.
 void Controller::notify_cancelled(const std::string& id, std::uint64_t version) {
     if (leader_) leader_->cancelled(id, version);
-    cancellations_.announce(id, version, leader_ ? election_.version() : 0);
+    cancellations_.announce(id, version, leader_ ? election_.fencing_token() : 0);
 }
 
 }  // namespace coralhitch::controller
--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -35,7 +35,7 @@
 
 void HeartbeatIntake::handle_some() {
     for (std::size_t k = 0; k < heartbeats_per_turn; ++k) {
-        auto heartbeat = queue_.next(dependencies_.timers.now());
+        auto heartbeat = queue_.pop(dependencies_.timers.now());
         if (!heartbeat) break;
         handle(std::move(*heartbeat));
     }
@@ -60,16 +60,16 @@
 void HeartbeatIntake::record(const std::string& body) {
     const double now = dependencies_.timers.now();
     if (auto outline = protocol::outline_heartbeat(body)) {
-        dependencies_.tracker.note(outline->machine, outline->agent_epoch, outline->sequence, now);
+        dependencies_.tracker.record(outline->machine, outline->agent_epoch, outline->sequence, now);
         return;
     }
     auto heartbeat = protocol::parse_heartbeat(body);
-    dependencies_.tracker.note(heartbeat.machine, heartbeat.agent_epoch, heartbeat.sequence, now);
+    dependencies_.tracker.record(heartbeat.machine, heartbeat.agent_epoch, heartbeat.sequence, now);
 }
 
 void HeartbeatIntake::redirect(const http::Reply& reply) {
     auto* peer = dependencies_.peers.leading_peer();
-    rejections().note(peer ? relay::HeartbeatRejection::redirected : relay::HeartbeatRejection::no_leader);
+    rejections().record(peer ? relay::HeartbeatRejection::redirected : relay::HeartbeatRejection::no_leader);
     reply({421, protocol::heartbeat_redirect(peer ? peer->config.label : "")});
 }
 
@@ -79,7 +79,7 @@
     if (dependencies_.leader || !dependencies_.settings.op.hearing || !peer ||
         peer->last_ping.features < protocol::peer_features_relay)
         return {};
-    return {peer->config.addr, dependencies_.election.leader_version()};
+    return {peer->config.addr, dependencies_.election.leader_fencing_token()};
 }
 
 }  // namespace coralhitch::controller
--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -48,7 +48,7 @@
     [[nodiscard]] relay::HeartbeatRejections& rejections() { return relay_.rejections(); }
     [[nodiscard]] const relay::HeartbeatRelay& relay() const { return relay_; }
     // So far: those whose workers had stopped waiting, in this queue and at the relay.
-    [[nodiscard]] std::uint64_t expired() const { return relay_.timed_out() + queue_.refused(); }
+    [[nodiscard]] std::uint64_t expired() const { return relay_.timed_out() + queue_.rejected(); }
 
   private:
     void enqueue(relay::PendingHeartbeat heartbeat);
--- a/src/controller/kv_reachability.hpp
+++ b/src/controller/kv_reachability.hpp
@@ -12,7 +12,7 @@
     KvReachability(const event_loop::Timers& timers, const kv::KvClient& kv, const config::Settings& settings)
         : timers_(timers), kv_(kv), settings_(settings) {}
     [[nodiscard]] bool reachable() const {
-        return kv_.answering() && timers_.now() - kv_.last_answer() < settings_.report_s;
+        return kv_.answered_within(settings_.report_s);
     }
 
   private:
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -103,7 +103,7 @@
     controller::Controller controller(loop, client, settings, planner, random_seed());
 
     const auto on_worker_refused = [&] {
-        controller.heartbeat_rejections().note(relay::HeartbeatRejection::socket_limit);
+        controller.heartbeat_rejections().record(relay::HeartbeatRejection::socket_limit);
     };
     http::Server public_server(loop, settings.listen,
                                public_server_limits(settings, sockets, on_worker_refused),
--- a/src/controller/metrics_exporter.cpp
+++ b/src/controller/metrics_exporter.cpp
@@ -17,7 +17,7 @@
     collect_heartbeats();
     collect_sockets();
     collect_kv();
-    metrics_.set(Metric::replica_machines, to_double(sources_.replica.copy().rows.size()));
+    metrics_.set(Metric::replica_machines, to_double(sources_.replica.replica().machines.size()));
     return metrics_.text();
 }
 
@@ -30,23 +30,23 @@
     set(Metric::leader_delegated_machines, leader ? leader->lent() : 0);
     if (!leader) return;
     for (auto& [step, after_s] : leader->steps().all())
-        metrics_.set(Metric::leader_failover_step, step, after_s);
+        metrics_.set(Metric::leader_failover_step, std::string(step), after_s);
 }
 
 void MetricsExporter::collect_user_api() {
     const auto& live_jobs = sources_.user_api.live_jobs();
     metrics_.set(Metric::live_jobs, to_double(live_jobs.size()));
-    metrics_.set(Metric::job_status_queries, to_double(live_jobs.questions()));
-    metrics_.set(Metric::job_status_reads, to_double(live_jobs.requests()));
+    metrics_.set(Metric::job_status_queries, to_double(live_jobs.read_count()));
+    metrics_.set(Metric::job_status_reads, to_double(live_jobs.request_count()));
     metrics_.set(Metric::submissions_deferred, sources_.user_api.admission().rejected_count());
-    metrics_.set(Metric::cancellation_notices, to_double(sources_.cancellations.size()));
-    metrics_.set(Metric::cancellation_notices_repeated, to_double(sources_.cancellations.repeated()));
+    metrics_.set(Metric::cancellation_notices, to_double(sources_.cancellations.pending()));
+    metrics_.set(Metric::cancellation_notices_repeated, to_double(sources_.cancellations.resent()));
 }
 
 void MetricsExporter::collect_heartbeats() {
     const auto& relay = sources_.heartbeats.relay();
-    metrics_.set(Metric::heartbeats_answered_by_relay, to_double(relay.repeated()));
-    metrics_.set(Metric::heartbeats_relayed, to_double(relay.relayed()));
+    metrics_.set(Metric::heartbeats_answered_by_relay, to_double(relay.answered_locally()));
+    metrics_.set(Metric::heartbeats_relayed, to_double(relay.forwarded()));
     metrics_.set(Metric::heartbeats_expired, to_double(sources_.heartbeats.expired()));
     const auto& rejections = sources_.heartbeats.rejections();
     for (std::size_t k = 0; k < relay::heartbeat_rejection_labels.size(); ++k)
@@ -66,7 +66,7 @@
 }
 
 void MetricsExporter::collect_kv() {
-    for (auto& [key_space, changes] : sources_.kv.changes())
+    for (auto& [key_space, changes] : sources_.kv.changes_by_kind())
         metrics_.set(Metric::kv_changes, key_space, changes);
     for (auto& queue : kv_queues) {
         const auto& counts = sources_.kv.queue_counts(queue.priority);
--- a/src/controller/metrics_exporter.hpp
+++ b/src/controller/metrics_exporter.hpp
@@ -11,7 +11,7 @@
 #include "kv/kv_client.hpp"
 #include "metrics/metrics.hpp"
 #include "relay/cancellation_notices.hpp"
-#include "replication/replica_state.hpp"
+#include "replication/follower.hpp"
 
 namespace coralhitch::controller {
 
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -66,7 +66,7 @@
 void PeerMessageHandler::replicate(const http::Request& request, const http::Reply& reply) {
     with_message<protocol::PeerFleet>(request, reply, [&](protocol::PeerFleet piece) {
         if (!dependencies_.settings.op.standby) return reply_malformed(reply);
-        reply_packed(reply, dependencies_.replica.take(std::move(piece)));
+        reply_packed(reply, dependencies_.replica.apply(std::move(piece)));
     });
 }
 
@@ -77,7 +77,7 @@
     leader->cancelled(message.id, message.version);
     for (auto& notice : message.more)
         if (leader) leader->cancelled(notice.id, notice.version);
-    return {leader ? dependencies_.election.version() : 0};
+    return {leader ? dependencies_.election.fencing_token() : 0};
 }
 
 }  // namespace coralhitch::controller
--- a/src/controller/peer_message_handler.hpp
+++ b/src/controller/peer_message_handler.hpp
@@ -14,7 +14,7 @@
 #include "http/message.hpp"
 #include "protocol/peer_cancellation_messages.hpp"
 #include "protocol/peer_messages.hpp"
-#include "replication/replica_state.hpp"
+#include "replication/follower.hpp"
 
 namespace coralhitch::controller {
 
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -67,14 +67,14 @@
     protocol::PeerPing ping;
     ping.label = dependencies_.settings.label;
     ping.incarnation = dependencies_.incarnation;
-    ping.leader_version = dependencies_.election.leader_version();
-    ping.leader = dependencies_.election.leader();
+    ping.leader_version = dependencies_.election.leader_fencing_token();
+    ping.leader = dependencies_.election.leader_label();
     ping.state_ok = dependencies_.kv_reachability.reachable();
     ping.features = protocol::peer_features;
     ping.followed = replicated_leadership();
     ping.brief = brief;
     if (brief) return ping;
-    dependencies_.heartbeats.each_lately(dependencies_.timers.now(), [&](auto& machine, double age_s) {
+    dependencies_.heartbeats.for_each_recent(dependencies_.timers.now(), [&](auto& machine, double age_s) {
         ping.workers.push_back(machine);
         ping.ages_ms.push_back(to_milliseconds(age_s));
     });
@@ -120,7 +120,7 @@
     if (restarted && dependencies_.leader)
         dependencies_.leader->started_anew(last_ping.label, last_ping.incarnation);
     if (from_leader && !task_counts.empty()) task_counts_received_(task_counts);
-    dependencies_.election.peer_says(last_ping.leader, last_ping.leader_version);
+    dependencies_.election.observe_leader(last_ping.leader, last_ping.leader_version);
 }
 
 void PeerMonitor::take_suspicions(const protocol::PeerPing& leader_ping) {
@@ -139,7 +139,7 @@
 }
 
 const PeerMonitor::Peer* PeerMonitor::leading_peer() const {
-    auto it = peers_.find(dependencies_.election.leader());
+    auto it = peers_.find(dependencies_.election.leader_label());
     return it == peers_.end() ? nullptr : &it->second;
 }
 
@@ -195,7 +195,7 @@
     const bool just_started = dependencies_.settings.op.standby &&
                               now - started_at_ < dependencies_.settings.report_s * startup_grace_periods;
     const auto own_replica = replicated_leadership();
-    const auto own_machines = dependencies_.heartbeats.lately(now);
+    const auto own_machines = dependencies_.heartbeats.recent_count(now);
     for (auto& [label, peer] : peers_) {
         if (just_started && !peer.responded) return true;
         const auto& ping = peer.last_ping;
@@ -208,14 +208,14 @@
 }
 
 std::uint64_t PeerMonitor::replicated_leadership() const {
-    const auto& replica = dependencies_.replica.copy();
-    return replica.whole ? replica.version : 0;
+    const auto& replica = dependencies_.replica.replica();
+    return replica.complete ? replica.leader_version : 0;
 }
 
 std::map<std::string, double> PeerMonitor::inherited_suspicions() const {
     std::map<std::string, double> silent_s;
     for (auto& [machine, since] : suspected_since_)
-        if (!dependencies_.heartbeats.since(machine, since))
+        if (!dependencies_.heartbeats.seen_since(machine, since))
             silent_s.emplace(machine, dependencies_.timers.now() - since);
     return silent_s;
 }
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -23,7 +23,7 @@
 #include "http/message.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_tracker.hpp"
-#include "replication/replica_state.hpp"
+#include "replication/follower.hpp"
 
 namespace coralhitch::controller {
 
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -34,7 +34,7 @@
 // Which followers of the previous leader were in sync.
 void RecoveryLoader::read_record() {
     kv_.get(keys::standby, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
-                if (!result.ok) return retry_later();
+                if (!result.ok()) return retry_later();
                 handle_record(result);
                 read_leader_history();
             }));
@@ -53,9 +53,9 @@
 // Which leaders there were since this controller's watch of the leader key last reported.
 void RecoveryLoader::read_leader_history() {
     kv_.watch(
-        keys::leader, evidence_.chain.known_until, 0, guarded_([this](kv::WatchResult result) {
-            if (result.status == kv::WatchResult::Status::failed) return retry_later();
-            evidence_.history_complete = result.status == kv::WatchResult::Status::ok;
+        keys::leader, evidence_.chain.known_until_revision, 0, guarded_([this](kv::WatchResult result) {
+            if (!result.ok() && !result.compacted()) return retry_later();
+            evidence_.history_complete = result.ok();
             evidence_.later_leaders.clear();
             for (auto& event : result.events.events)
                 if (event.key == keys::leader && event.value && event.version != evidence_.leader_version)
@@ -67,7 +67,7 @@
 void RecoveryLoader::list(const std::string& prefix, kv::ListResult RecoveredState::*target,
                           const std::function<void()>& next) {
     kv_.list(prefix, RequestPriority::write, guarded_([this, target, next](kv::ListResult result) {
-                 if (!result.ok) return retry_later();
+                 if (!result.ok()) return retry_later();
                  recovered_.*target = std::move(result);
                  next();
              }));
--- a/src/kv/request_budget.cpp
+++ b/src/kv/request_budget.cpp
@@ -41,8 +41,8 @@
 }
 
 double RequestBudget::wait_s(double now, const RequestCost& cost) {
-    double wait = std::max(requests_.seconds_until_available(now), changes_.wait(now, cost.changes));
-    return cost.is_user_read ? std::max(wait, user_reads_.wait(now)) : wait;
+    double wait = std::max(requests_.seconds_until_available(now), changes_.seconds_until_available(now, cost.changes));
+    return cost.is_user_read ? std::max(wait, user_reads_.seconds_until_available(now)) : wait;
 }
 
 void RequestBudget::take(double now, const RequestCost& cost) {
@@ -52,7 +52,7 @@
 }
 
 double RequestBudget::seconds_for_changes(double now, double changes) {
-    return changes_.time_for(now, changes);
+    return changes_.seconds_to_drain(now, changes);
 }
 
 bool RequestBudget::short_of_changes(double now) {
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -74,7 +74,7 @@
     {
         std::lock_guard lock(state_.mutex);
         if (machine.agent_epoch == 0) {
-            machine.unsent = false;
+            machine.flush_scheduled = false;
             return;
         }
         commands = state_.cluster.take_direct_commands(machine, now(), authority_.holds());
@@ -133,15 +133,15 @@
 // It has reported meanwhile, or was answered and will say so in its next report, half a second later: of the
 // machines that a new leader must hear from, the reports of most lie waiting when it begins.
 bool CommandSender::needs_no_probe(const Machine& machine) const {
-    double since = machine.reconciled ? machine.last_heartbeat_at : machine.answered;
+    std::optional<double> since = machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
     double recent_s = settings_.report_s * (machine.reconciled ? recent_reports : answered_reports);
-    return since >= 0 && now() - *since < recent_s;
+    return since && now() - *since < recent_s;
 }
 
 void CommandSender::send_probe(Machine& machine) {
     if (!machine.reconciled) probe_tokens_.take(now());
     machine.last_probe_at = now();
-    if (machine.asked < 0) machine.asked = now();
+    if (!machine.first_probed_at) machine.first_probed_at = now();
     ++probes_in_flight_;
     send(machine, {});
 }
--- a/src/leader/delegations.cpp
+++ b/src/leader/delegations.cpp
@@ -5,7 +5,7 @@
 namespace coralhitch::leader {
 
 bool Delegations::take_relay_message(const protocol::PeerRelay& message) {
-    return table_.heard(message.label, message.incarnation, message.number, message.answered,
+    return table_.accept_message(message.label, message.incarnation, message.number, message.answered,
                         [this](const std::string& machine_id, double renewed_until) {
                             extend_expiry(machine_id, renewed_until);
                         });
@@ -16,7 +16,7 @@
 }
 
 double Delegations::last_possible_renewal(const cluster::Machine& machine) const {
-    return std::max(table_.renewed(machine.id, machine.lease_renewed_at), machine.delegation_expiry);
+    return std::max(table_.renewal_bound(machine.id, machine.lease_renewed_at), machine.delegation_expiry);
 }
 
 void Delegations::extend_expiry(const std::string& machine_id, double until) {
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -60,12 +60,12 @@
     record_route(*machine, "");
     parts_.failure_detector.record_heartbeat(state_.zone_of(*machine), now());
     parts_.delegations.revoke(machine->id);
-    reply({200, cached->answer});
+    reply({200, cached->reply_body});
     return true;
 }
 
 protocol::PeerRelayed HeartbeatHandler::reject(HeartbeatRejection reason) {
-    rejections_.note(reason);
+    rejections_.record(reason);
     return {};
 }
 
@@ -117,7 +117,7 @@
         delegations.revoke(machine.id);  // it has left the relay that answered it
     auto commands = state_.cluster.reply_commands(machine, now(), may_act);
     machine.lease_renewed_at = machine.reconciled ? now() : std::max(machine.lease_renewed_at, now());
-    if (!machine.reconciled) machine.answered = now();
+    if (!machine.reconciled) machine.unreconciled_reply_at = now();
     bool quiet = commands.empty() && state_.cluster.nothing_pending(machine);
     if (!relay_label.empty() && quiet)
         delegations.table().delegate(machine.id, relay_label);
@@ -143,12 +143,12 @@
     bool many_here = machines_up - static_cast<double>(table.count()) > machines_up * own_share;
     bool many_redirected = static_cast<double>(redirected_since_tick_) > machines_up * redirected_share;
     bool redirected_lately =
-        machine.moved >= 0 && t - machine.moved < settings_.lease_s * redirect_pause_leases;
+        machine.redirected_at && t - *machine.redirected_at < settings_.lease_s * redirect_pause_leases;
     if (!settings_.op.hearing || !many_here || many_redirected || redirected_lately) return std::nullopt;
     auto most = static_cast<std::size_t>(machines_up * (1 - own_share) / relays) + 1;
-    auto relay_label = table.least(t, most);
+    auto relay_label = table.least_loaded(t, most);
     if (!relay_label) return std::nullopt;
-    machine.moved = t;
+    machine.redirected_at = t;
     ++redirected_since_tick_;
     return relay_label;
 }
@@ -168,7 +168,7 @@
     double grant_s = relay_grant_s();
     relay_answer.grant_ms = static_cast<std::uint64_t>(grant_s * 1000);
     relay_answer.recalled =
-        parts_.delegations.table().answer(message.label, now() + grant_s * (1 + 2 * election::max_clock_drift));
+        parts_.delegations.table().extend(message.label, now() + grant_s * (1 + 2 * election::max_clock_drift));
     send();
 }
 
--- a/src/leader/image_handover.cpp
+++ b/src/leader/image_handover.cpp
@@ -12,9 +12,9 @@
     images.sizes.resize(images.names.size());
     for (auto& [name, index] : cluster.image_numbers()) images.names[index] = name;
     for (auto& [id, machine] : cluster.machines()) {
-        if (machine.cache.empty()) continue;
+        if (machine.image_cache.entries().empty()) continue;
         protocol::PeerMachineImages row{id, {}};
-        for (auto& [image, size_gb] : machine.cache) {
+        for (auto& [image, size_gb] : machine.image_cache.entries()) {
             row.images.push_back(image);
             images.sizes[image] = size_gb;
         }
@@ -32,7 +32,7 @@
         std::vector<cluster::CachedImage> cache;
         for (auto image : row.images)
             if (image < indices.size() && image < handed_over.sizes.size())
-                cache.emplace_back(indices[image], handed_over.sizes[image]);
+                cache.push_back({indices[image], handed_over.sizes[image]});
         cluster.restore_image_cache(*machine, std::move(cache));
     }
 }
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -11,6 +11,7 @@
 #include <string>
 
 #include "cluster/cluster_state.hpp"
+#include "cluster/team_activity.hpp"
 #include "cluster/team_usage.hpp"
 #include "jobs/job_table.hpp"
 #include "leader/part_context.hpp"
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -82,7 +82,7 @@
         }
         auto begin = ids.begin() + static_cast<std::ptrdiff_t>(first);
         auto end = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), first + most));
-        double waited_s = now() - state_.jobs.find(*begin)->over_since;
+        double waited_s = now() - *state_.jobs.find(*begin)->storable_since;
         bool overdue = waited_s > settings_.lease_s * cancelled_delay_leases;
         write_ends({begin, end}, state,
                    done || overdue ? RequestPriority::write : RequestPriority::background);
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -115,7 +115,7 @@
     kv_.list(keys::jobs, RequestPriority::background, guarded_([this](kv::ListResult stored) {
                  auditing_ = false;
                  state_.jobs.set_list_in_progress(false);
-                 if (stored.ok) compare(stored);
+                 if (stored.ok()) compare(stored);
              }));
 }
 
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -5,6 +5,7 @@
 // through a callback. Used by the event loop's thread alone.
 #pragma once
 #include <functional>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -29,8 +30,8 @@
 
     // Follows all changes after a list of the jobs: of that revision, read from that steady time on.
     void start(std::uint64_t revision, double listed_at);
-    // Steady seconds: all changes that were committed before then are in the job table.
-    [[nodiscard]] double complete_at() const { return watch_.complete_until(); }
+    // Steady seconds: all changes that were committed before then are in the job table; nothing before `start`.
+    [[nodiscard]] std::optional<double> complete_until() const { return watch_.complete_until(); }
 
     // Takes in a job's stored record; whether it was news. With the state's mutex held.
     bool take_record(const std::string& id, std::uint64_t version, const std::string& value);
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -18,9 +18,9 @@
     replication::ReplicaEvidence evidence;
     evidence.label = dependencies.settings.label;
     evidence.incarnation = dependencies.incarnation;
-    evidence.version = version;
+    evidence.leader_version = version;
     evidence.chain = dependencies.election.history_before_claim();
-    evidence.copy = &dependencies.copy;
+    evidence.replica = &dependencies.copy;
     return evidence;
 }
 }  // namespace
@@ -112,7 +112,7 @@
 }
 
 void Leader::stored_taken(const failover::RecoveredState& stored) {
-    start_replication_.begin(stored.record_version, stored.inherits ? stored.record : std::nullopt);
+    start_replication_.begin(stored.record_version, stored.replica_eligible ? stored.in_sync_record : std::nullopt);
     job_watcher_.start(stored.jobs.revision, stored.jobs_listed_at);
 }
 
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -37,8 +37,8 @@
     metrics_.increment(metrics::Metric::leader_machines_marked_for_deletion);
     machine.life = Machine::Life::marked_for_deletion;
     delegations_.revoke(machine.id);  // a relay's grants would move the time at which its lease expires
-    if (!machine.stored && !machine.storing) {
-        machine.deletable = true;
+    if (machine.registration == Machine::Registration::none) {
+        machine.allow_deletion();
         return;
     }
     store_.update(machine.id);
@@ -48,10 +48,9 @@
     while (calls_in_flight_ < most_calls && authority_.holds() && timers_.now() >= retry_at_) {
         std::vector<std::string> machine_ids;
         for (auto& [id, machine] : state_.cluster.machines())
-            if (machine.life == Machine::Life::marked_for_deletion && machine.deletable &&
-                !machine.deleting && machine_ids.size() < cloud::CloudClient::max_machines_per_delete) {
+            if (machine.life == Machine::Life::marked_for_deletion && machine.deletion == Machine::Deletion::allowed && machine_ids.size() < cloud::CloudClient::max_machines_per_delete) {
                 machine_ids.push_back(id);
-                machine.deleting = true;
+                machine.deletion = Machine::Deletion::requested;
             }
         if (machine_ids.empty()) return;
         ++calls_in_flight_;
@@ -63,7 +62,7 @@
     --calls_in_flight_;
     if (!ok) {
         for (auto& id : machine_ids)
-            if (auto* machine = state_.cluster.find(id)) machine->deleting = false;
+            if (auto* machine = state_.cluster.find(id)) machine->deletion = Machine::Deletion::allowed;
         retry_at_ = timers_.now() + settings_.report_s * retry_reports;
         return;
     }
--- a/src/leader/machine_store.cpp
+++ b/src/leader/machine_store.cpp
@@ -19,9 +19,9 @@
 void MachineStore::store_if_new(Machine& machine) {
     // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
     if (!machine.reported_to_this_leader && machine.token_seen > 0) return;
-    if (machine.stored || machine.storing || machine.life != Machine::Life::up || machine.agent_epoch == 0)
+    if (machine.registration != Machine::Registration::none || machine.life != Machine::Life::up || machine.agent_epoch == 0)
         return;
-    machine.storing = true;
+    machine.registration = Machine::Registration::write_pending;
     registry_.put(machine.id);
 }
 
@@ -38,10 +38,10 @@
         for (auto& [machine_id, record] : records) {
             auto* machine = state_.cluster.find(machine_id);
             if (!machine) continue;
-            if (record.marked_for_deletion) machine->deletable = true;
-            if (machine->stored) continue;
-            machine->stored = true;
-            for (auto& [task, instance] : machine->tasks) instance.ready = true;
+            if (record.marked_for_deletion) machine->allow_deletion();
+            if (machine->is_stored()) continue;
+            machine->registration = Machine::Registration::stored;
+            for (auto& [task, instance] : machine->tasks) instance.machine_stored = true;
             state_.cluster.schedule_flush(*machine);
         }
     }
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -43,7 +43,7 @@
     auto last_answer_at = parts_.commands.last_answer_at();
     parts_.failure_detector.observe(
         checked.observations,
-        {parts_.reconciliation.behind(t), last_answer_at && t - *last_answer_at < recently_s}, t);
+        {parts_.reconciliation.overloaded(t), last_answer_at && t - *last_answer_at < recently_s}, t);
     if (resigns_if_isolated()) return false;
     bool may_evict = authority_.holds() && parts_.failure_detector.may_evict();
     check_up(checked, may_evict);
@@ -66,7 +66,7 @@
     Observation observation{machine.id,
                             machine.route,
                             state_.zone_of(machine),
-                            parts_.reconciliation.silence(machine, at),
+                            parts_.reconciliation.attributable_silence_s(machine, at),
                             machine.last_heartbeat_at,
                             machine.reconciled,
                             machine.known_from_replica,
@@ -95,13 +95,13 @@
     auto& detector = parts_.failure_detector;
     auto& suspicion = detector.self_suspicion();
     if (!suspicion) return false;
-    auto seen_by_peers = hooks_.heartbeats_seen_by_peers(suspicion->silent);
-    detector.answered(seen_by_peers);
+    auto seen_by_peers = hooks_.heartbeats_seen_by_peers(suspicion->missed_heartbeats);
+    detector.set_heartbeats_seen_by_peers(seen_by_peers);
     if (!detector.should_resign() || !hooks_.resign_leadership()) return false;
     spdlog::info(
         "component=leader event=resigned reason=isolated silent_machines={} machines={} "
         "seen_by_peer={}",
-        suspicion->silent.size(), detector.up(), *seen_by_peers);
+        suspicion->missed_heartbeats.size(), detector.machines_up(), *seen_by_peers);
     authority_.resign(settings_.lease_s);
     return true;
 }
@@ -190,7 +190,7 @@
 
 bool MachineSupervisor::is_outbound_unreachable(const Machine& machine) const {
     return !machine.reconciled && machine.reachability.outbound_unreachable() && now() > machine.lease_renewed_at &&
-           !parts_.reconciliation.behind(now());
+           !parts_.reconciliation.overloaded(now());
 }
 
 double MachineSupervisor::boot_times(const Machine& machine) const {
@@ -207,7 +207,7 @@
     std::vector<Stop> stops;
     double left_s = std::max(0.0, *machine.preemption_deadline - now());
     for (auto& [task, instance] : machine.tasks)
-        if (instance.spec && instance.confirmed && !instance.stop &&
+        if (instance.spec && instance.confirmed && !instance.stop_requested &&
             (instance.spec->checkpoint_s > 0 || instance.spec->kind == JobKind::service))
             stops.push_back({task, std::min(scheduler::grace_of(*instance.spec), left_s)});
     for (auto& [task, grace_s] : stops) {
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -48,7 +48,7 @@
 }
 
 bool PlanExecutor::fleet_plan_due() const {
-    return parts_.reconciliation.all_reconciled() &&
+    return parts_.reconciliation.complete() &&
            now() - last_fleet_ > settings_.report_s * fleet_interval_reports &&
            parts_.fleet_scaler.knows_machine_types();
 }
@@ -56,7 +56,7 @@
 void PlanExecutor::begin_plan() {
     // Unless it was replicated from the previous leader, a new leader can't know what unreconciled machines
     // hold, so neither a task, a quota nor a zone is safe.
-    if (computing_ || !callbacks_.loaded() || !authority_.holds() || !parts_.reconciliation.may_place())
+    if (computing_ || !callbacks_.loaded() || !authority_.holds() || !parts_.reconciliation.placement_allowed())
         return;
     auto plan = std::make_shared<Plan>();
     plan->with_fleet = fleet_plan_due();
@@ -103,9 +103,9 @@
     std::vector<StartedTask> started;
     {
         std::lock_guard lock(state_.mutex);
-        if (!parts_.reconciliation.may_place()) return;
+        if (!parts_.reconciliation.placement_allowed()) return;
         started = apply_starts(plan);
-        if (parts_.reconciliation.all_reconciled()) apply_stops(plan);
+        if (parts_.reconciliation.complete()) apply_stops(plan);
         if (plan.with_fleet) apply_scale_in(plan);
     }
     callbacks_.plan_applied(started);
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -14,6 +14,7 @@
 #include <string>
 #include <vector>
 
+#include "cluster/team_activity.hpp"
 #include "cluster/team_usage.hpp"
 #include "failover/reconciliation.hpp"
 #include "leader/attempt_numbers.hpp"
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -46,7 +46,7 @@
     view.draining = machine.draining;
     view.free = machine.free();
     view.tasks = static_cast<int>(machine.tasks.size());
-    view.images = machine.images;
+    view.images = machine.image_cache.images();
     return view;
 }
 
@@ -57,13 +57,13 @@
         auto it = job_index.find(instance.spec.get());
         if (it == job_index.end()) continue;
         if (instance.spec->kind == JobKind::service) ++view.services;
-        if (instance.state == protocol::TaskState::fetching && !instance.stop) {
+        if (instance.state == protocol::TaskState::fetching && !instance.stop_requested) {
             auto image = in.jobs[it->second].image;
             if (!scheduler::has_image(view, image)) view.coming.push_back(image);
         }
         in.instances.push_back({it->second, in.machines.size(), task.index,
-                                instance.stop || instance.state == protocol::TaskState::saving,
-                                instance.placed, instance.running_since});
+                                instance.stop_requested || instance.state == protocol::TaskState::saving,
+                                instance.placed_at, instance.running_since.value_or(-1)});
     }
     in.machines.push_back(std::move(view));
 }
@@ -81,7 +81,7 @@
 
 scheduler::ZoneCounts zone_counts(const jobs::JobEntry& job, std::size_t zones) {
     scheduler::ZoneCounts counts(zones);
-    for (auto& [task, active] : job.active) ++counts[active.zone];
+    for (auto& [task, active] : job.active) ++counts[active.zone_index];
     return counts;
 }
 
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -35,7 +35,7 @@
     std::lock_guard lock(state_.mutex);
     take_jobs(stored);
     for (auto& [machine_id, record] : parts_.machine_store.load(stored.machines))
-        take_machine(machine_id, record, stored.inherits);
+        take_machine(machine_id, record, stored.replica_eligible);
 }
 
 void Recovery::take_jobs(const failover::RecoveredState& stored) {
@@ -70,10 +70,11 @@
     auto life = record.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up;
     auto& machine =
         state_.cluster.add(machine_id, record.addr, record.type, record.zone, record.spot, life, now());
-    machine.stored = machine.stored_by_earlier_leader = true;
+    machine.registration = Machine::Registration::stored;
+    machine.stored_by_earlier_leader = true;
     parts_.reconciliation.expect(machine_id);
     if (inherits) inherit(machine);
-    machine.deletable = record.marked_for_deletion;
+    if (record.marked_for_deletion) machine.allow_deletion();
     auto silent = inheritance_.silent_machine_s.find(machine_id);
     if (silent != inheritance_.silent_machine_s.end() && machine.known_from_replica)
         machine.silence_hint_s = silent->second;
@@ -86,7 +87,7 @@
 // it has reconciled. The previous leader replicated all machines that were stored when it came to lead, and
 // each other one before the first `run` to it: of what it never replicated, or as deleted, nothing is left.
 void Recovery::inherit(Machine& machine) {
-    auto& rows = inheritance_.replica.rows;
+    auto& rows = inheritance_.replica.machines;
     auto row = rows.find(machine.id);
     machine.known_from_replica = row == rows.end() || row->second.known;
     if (row == rows.end() || !machine.known_from_replica) return;
@@ -108,7 +109,7 @@
     }
     auto& machines = state_.cluster.machines();
     auto known =
-        std::count_if(machines.begin(), machines.end(), [](auto& entry) { return entry.second.known; });
+        std::count_if(machines.begin(), machines.end(), [](auto& entry) { return entry.second.known_from_replica; });
     steps_.complete(failover::FailoverStep::loaded, "jobs=" + std::to_string(state_.jobs.entries().size()) + " machines=" +
                               std::to_string(machines.size()) + " known=" + std::to_string(known));
     hooks_.jobs_loaded();
@@ -135,12 +136,12 @@
 }
 
 void Recovery::check_reconciled() {
-    if (loaded_ && !steps_.completed(failover::FailoverStep::placement_allowed) && parts_.reconciliation.may_place() &&
+    if (loaded_ && !steps_.completed(failover::FailoverStep::placement_allowed) && parts_.reconciliation.placement_allowed() &&
         state_.cluster.any_reconciled()) {
         steps_.complete(failover::FailoverStep::placement_allowed);
         hooks_.request_plan();
     }
-    if (all_reconciled_ || !parts_.reconciliation.all_reconciled()) return;
+    if (all_reconciled_ || !parts_.reconciliation.complete()) return;
     all_reconciled_ = true;
     steps_.complete(failover::FailoverStep::reconciled);
     hooks_.request_plan();
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -11,11 +11,11 @@
       state_(context.state),
       authority_(context.authority),
       flush_commands_(std::move(flush_commands)),
-      sender_(context.timers, http, settings_, kv, authority_.fencing_token(), sender_hooks(latest_ping)) {
+      sender_(context.timers, http, settings_, kv, authority_.fencing_token(), sender_callbacks(latest_ping)) {
     if (settings_.op.standby) state_.cluster.hold_starts_until_replicated();
 }
 
-replication::ReplicationSender::Hooks StartReplication::sender_hooks(const LatestPing& latest_ping) {
+replication::ReplicationSender::Callbacks StartReplication::sender_callbacks(const LatestPing& latest_ping) {
     return {[this](const std::string& machine_id) { return row_of(machine_id); },
             [this] { return machine_ids(); }, [this] { return authority_.begin_transaction(); }, latest_ping,
             [this] {
@@ -35,23 +35,23 @@
         changed = state_.cluster.take_machines_to_replicate();
     }
     if (!settings_.op.standby) return;
-    for (auto& machine_id : changed) sender_.changed(machine_id);
+    for (auto& machine_id : changed) sender_.machine_changed(machine_id);
 }
 
 void StartReplication::hold(const std::string& machine_id, const protocol::TaskId& task) {
-    if (settings_.op.standby) held_starts_.push_back({sender_.mark(), machine_id, task});
+    if (settings_.op.standby) held_starts_.push_back({sender_.log_index(), machine_id, task});
 }
 
 void StartReplication::release_starts() {
     {
         std::lock_guard lock(state_.mutex);
-        for (; !held_starts_.empty() && sender_.told(held_starts_.front().log_index);
+        for (; !held_starts_.empty() && sender_.replicated(held_starts_.front().log_index);
              held_starts_.pop_front()) {
             auto* machine = state_.cluster.find(held_starts_.front().machine_id);
             if (!machine) continue;
             auto instance = machine->tasks.find(held_starts_.front().task);
             if (instance == machine->tasks.end()) continue;
-            instance->second.told = true;
+            instance->second.replicated = true;
             state_.cluster.schedule_flush(*machine);
         }
     }
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -38,13 +38,13 @@
     // acknowledged.
     void hold(const std::string& machine_id, const protocol::TaskId& task);
     // Starts wait: the queue is sent now.
-    void expedite() { sender_.hurry(); }
+    void expedite() { sender_.flush(); }
     // Sends the held starts that all others have acknowledged, and whatever else is due to machines.
     void release_starts();
     // To be called each tick: controllers that do not follow yet may begin to.
     void tick() { sender_.tick(); }
     void controller_restarted(const std::string& label, std::uint64_t incarnation) {
-        sender_.started_anew(label, incarnation);
+        sender_.follower_restarted(label, incarnation);
     }
     [[nodiscard]] const replication::ReplicationSender& sender() const { return sender_; }
 
@@ -56,7 +56,7 @@
     };
     [[nodiscard]] std::optional<protocol::PeerMachineRow> row_of(const std::string& machine_id) const;
     [[nodiscard]] std::vector<std::string> machine_ids() const;
-    [[nodiscard]] replication::ReplicationSender::Hooks sender_hooks(const LatestPing& latest_ping);
+    [[nodiscard]] replication::ReplicationSender::Callbacks sender_callbacks(const LatestPing& latest_ping);
 
     const config::Settings& settings_;
     LeaderState& state_;
--- a/src/replication/eligibility_checks.cpp
+++ b/src/replication/eligibility_checks.cpp
@@ -36,7 +36,7 @@
 }
 
 bool leaders_since_record_known(const ReplicaEvidence& evidence) {
-    auto& links = evidence.chain.links;
+    auto& links = evidence.chain.leaderships;
     return evidence.history_complete && std::any_of(links.begin(), links.end(), [&](auto& link) {
                return link.version == evidence.record->version;
            });
@@ -46,7 +46,7 @@
 // leader may have started tasks that no record tells of.
 bool leaders_since_record_keep_records(const ReplicaEvidence& evidence) {
     auto harmless = [&](auto& link) { return link.version <= evidence.record->version || link.keeps_record; };
-    return std::all_of(evidence.chain.links.begin(), evidence.chain.links.end(), harmless) &&
+    return std::all_of(evidence.chain.leaderships.begin(), evidence.chain.leaderships.end(), harmless) &&
            std::all_of(evidence.later_leaders.begin(), evidence.later_leaders.end(), harmless);
 }
 
--- a/src/replication/in_sync_record.cpp
+++ b/src/replication/in_sync_record.cpp
@@ -59,7 +59,7 @@
         update();
         return callbacks_.on_committed();
     }
-    if (result.executed_never()) return retry_later();
+    if (result.not_executed()) return retry_later();
     read_back();
 }
 
@@ -76,7 +76,7 @@
     busy_ = true;
     kv_.get(kv::keys::standby, kv::RequestPriority::lease, guarded_([this](kv::GetResult result) {
                 busy_ = false;
-                if (result.ok) {
+                if (result.ok()) {
                     record_version_ = result.entry ? result.entry->version : 0;
                     if (result.entry) handle_read(*result.entry);
                 }
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -27,10 +27,10 @@
     EXPECT_FALSE(instance.ready);
     bench.store.store_if_new(machine);
     EXPECT_TRUE(machine.storing);
-    EXPECT_FALSE(machine.stored);
+    EXPECT_FALSE(machine.is_stored());
     bench.store.flush();
     bench.wait(5);
-    EXPECT_TRUE(machine.stored);
+    EXPECT_TRUE(machine.is_stored());
     EXPECT_TRUE(instance.ready);
     EXPECT_EQ(bench.confirmed, 1);
 }
@@ -55,7 +55,7 @@
     bench.store.store_if_new(machine);
     bench.store.flush();
     bench.wait(5);
-    ASSERT_TRUE(machine.stored);
+    ASSERT_TRUE(machine.is_stored());
     machine.life = cluster::Machine::Life::marked_for_deletion;
     bench.store.update(machine.id);
     bench.store.flush();
