--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -55,7 +55,8 @@
 }
 
 double Admission::retry_after_s(const std::string& team, double now) {
-    return std::min(share_of(team).tokens.seconds_until_available(now), common_.seconds_until_available(now, reserve_for_others(team, now)));
+    return std::min(share_of(team).tokens.seconds_until_available(now),
+                    common_.seconds_until_available(now, reserve_for_others(team, now)));
 }
 
 }  // namespace coralhitch::api
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -53,7 +53,9 @@
     [[nodiscard]] bool healthy() const { return health_.healthy(); }
 
     // What the user API needs to know of the cluster.
-    const std::vector<protocol::MachineType>& machine_types() const override { return machine_types_.types(); }
+    const std::vector<protocol::MachineType>& machine_types() const override {
+        return machine_types_.types();
+    }
     void task_counts(const std::string& id, TaskCountsCallback done) override;
     void notify_cancelled(const std::string& id, std::uint64_t version) override;
 
--- a/src/controller/metrics_exporter.cpp
+++ b/src/controller/metrics_exporter.cpp
@@ -26,7 +26,8 @@
     const auto set = [&](Metric metric, std::uint64_t count) { metrics_.set(metric, to_double(count)); };
     set(Metric::leader_replication_members, leader ? leader->replication().in_sync_count() : 0);
     set(Metric::leader_replication_messages, leader ? leader->replication().batches_sent() : 0);
-    set(Metric::leader_replication_members_dropped, leader ? leader->replication().in_sync_sessions_ended() : 0);
+    set(Metric::leader_replication_members_dropped,
+        leader ? leader->replication().in_sync_sessions_ended() : 0);
     set(Metric::leader_delegated_machines, leader ? leader->lent() : 0);
     if (!leader) return;
     for (auto& [step, after_s] : leader->steps().all())
--- a/src/controller/overload_log.cpp
+++ b/src/controller/overload_log.cpp
@@ -32,7 +32,8 @@
         return;
     requests_logged_at_ = timers_.now();
     logged_refused_requests_ = refused;
-    spdlog::info("component=controller event=requests_refused submissions_deferred={}", admission_.rejected_count());
+    spdlog::info("component=controller event=requests_refused submissions_deferred={}",
+                 admission_.rejected_count());
     for (auto& queue : kv_queues) {
         const auto& counts = kv_.queue_counts(queue.priority);
         spdlog::info(
--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -37,7 +37,8 @@
 }
 
 bool Reconciliation::placement_allowed() const {
-    return all_satisfy(unknown_, [](const Machine& machine) { return machine.reconciled || machine.known_from_replica; });
+    return all_satisfy(
+        unknown_, [](const Machine& machine) { return machine.reconciled || machine.known_from_replica; });
 }
 
 bool Reconciliation::complete() const {
@@ -97,8 +98,11 @@
     if (machine.reconciled || machine.life != Machine::Life::up) return now - machine.last_heartbeat_at;
     // A machine that no answer reaches is not reconciled, however often it reports: its heartbeats held up
     // all placement for as long as they came.
-    double silent_s = now - (machine.reachability.outbound_unreachable() ? machine.reachability.last_reached_at() : machine.last_heartbeat_at);
-    double probed_s = !machine.first_probed_at ? silent_s - report_s_ * unprobed_periods : now - *machine.first_probed_at;
+    double silent_s =
+        now - (machine.reachability.outbound_unreachable() ? machine.reachability.last_reached_at()
+                                                           : machine.last_heartbeat_at);
+    double probed_s =
+        !machine.first_probed_at ? silent_s - report_s_ * unprobed_periods : now - *machine.first_probed_at;
     if (overloaded(now)) return 0;
     double counted_s = std::min({silent_s, probed_s, progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
--- a/src/kv/request_budget.cpp
+++ b/src/kv/request_budget.cpp
@@ -41,7 +41,8 @@
 }
 
 double RequestBudget::wait_s(double now, const RequestCost& cost) {
-    double wait = std::max(requests_.seconds_until_available(now), changes_.seconds_until_available(now, cost.changes));
+    double wait =
+        std::max(requests_.seconds_until_available(now), changes_.seconds_until_available(now, cost.changes));
     return cost.is_user_read ? std::max(wait, user_reads_.seconds_until_available(now)) : wait;
 }
 
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -133,7 +133,8 @@
 // It has reported meanwhile, or was answered and will say so in its next report, half a second later: of the
 // machines that a new leader must hear from, the reports of most lie waiting when it begins.
 bool CommandSender::needs_no_probe(const Machine& machine) const {
-    std::optional<double> since = machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
+    std::optional<double> since =
+        machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
     double recent_s = settings_.report_s * (machine.reconciled ? recent_reports : answered_reports);
     return since && now() - *since < recent_s;
 }
@@ -203,7 +204,8 @@
         new_epoch = before && before->agent_epoch < status.agent_epoch;
         if (status.machine == machine_id) apply_status_(status);
         // The reply that a relay would go on giving may be out of date.
-        if (auto* machine = state_.cluster.find(machine_id); machine && !state_.cluster.nothing_pending(*machine))
+        if (auto* machine = state_.cluster.find(machine_id);
+            machine && !state_.cluster.nothing_pending(*machine))
             delegations_.revoke(machine_id);
     } catch (const protocol::Malformed& malformed) {
         spdlog::info("component=leader event=malformed_answer machine={} error=\"{}\"", machine_id,
--- a/src/leader/delegations.cpp
+++ b/src/leader/delegations.cpp
@@ -6,9 +6,9 @@
 
 bool Delegations::take_relay_message(const protocol::PeerRelay& message) {
     return table_.accept_message(message.label, message.incarnation, message.number, message.answered,
-                        [this](const std::string& machine_id, double renewed_until) {
-                            extend_expiry(machine_id, renewed_until);
-                        });
+                                 [this](const std::string& machine_id, double renewed_until) {
+                                     extend_expiry(machine_id, renewed_until);
+                                 });
 }
 
 void Delegations::revoke(const std::string& machine_id) {
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -69,8 +69,9 @@
     if (request.in_flight || !authority_.holds()) return;
     request.in_flight = true;
     auto& pool = state_.cluster.pools()[request.pool];
-    cloud_.create_machines({name, pool.type, pool.zone, pool.spot, request.count},
-                guarded_([this, name](cloud::CreateMachinesResult result) { answered(name, result); }));
+    cloud_.create_machines(
+        {name, pool.type, pool.zone, pool.spot, request.count},
+        guarded_([this, name](cloud::CreateMachinesResult result) { answered(name, result); }));
 }
 
 void FleetScaler::answered(const std::string& name, const cloud::CreateMachinesResult& result) {
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -54,7 +54,8 @@
     if (!cached) return false;
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(std::string(outline->machine));
-    if (!machine || machine->sequence != cached->sequence || !state_.cluster.nothing_pending(*machine)) return false;
+    if (!machine || machine->sequence != cached->sequence || !state_.cluster.nothing_pending(*machine))
+        return false;
     cached->sequence = machine->sequence = machine->heartbeat_sequence = outline->sequence;
     machine->last_heartbeat_at = machine->lease_renewed_at = now();
     record_route(*machine, "");
@@ -72,7 +73,8 @@
 // `relay_label`: the relay that passes it on; empty if it came here.
 HeartbeatHandler::Answer HeartbeatHandler::answer(const std::string& body, const std::string& relay_label) {
     if (!authority_.may_renew_worker_leases())
-        return {reject(authority_.ended() ? HeartbeatRejection::lease_lost : HeartbeatRejection::renewal_deadline_passed),
+        return {reject(authority_.ended() ? HeartbeatRejection::lease_lost
+                                          : HeartbeatRejection::renewal_deadline_passed),
                 {}};
     bool may_act = authority_.holds();
     protocol::Heartbeat status;
@@ -98,7 +100,8 @@
         // It was not answered: should the same heartbeat come again, the lease counts from then.
         machine->heartbeat_sequence = std::min(machine->heartbeat_sequence, status.sequence - 1);
         parts_.commands.probe(*machine);
-        return reject(unreachable ? HeartbeatRejection::outbound_unreachable : HeartbeatRejection::cancellation_unsent);
+        return reject(unreachable ? HeartbeatRejection::outbound_unreachable
+                                  : HeartbeatRejection::cancellation_unsent);
     }
     // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
     if (outcome.is_repeated()) {
@@ -127,7 +130,8 @@
 }
 
 void HeartbeatHandler::record_route(Machine& machine, const std::string& route) {
-    if (std::exchange(machine.heartbeat_route_known, true)) machine.reachability.record_heartbeat(machine.route == route, now());
+    if (std::exchange(machine.heartbeat_route_known, true))
+        machine.reachability.record_heartbeat(machine.route == route, now());
     machine.route = route;
     machine.suspected = machine.reachability.outbound_unreachable();
     machine.reachability.record_renewable_heartbeat(now());
@@ -167,8 +171,8 @@
     parts_.commands.flush_all();
     double grant_s = relay_grant_s();
     relay_answer.grant_ms = static_cast<std::uint64_t>(grant_s * 1000);
-    relay_answer.recalled =
-        parts_.delegations.table().extend(message.label, now() + grant_s * (1 + 2 * election::max_clock_drift));
+    relay_answer.recalled = parts_.delegations.table().extend(
+        message.label, now() + grant_s * (1 + 2 * election::max_clock_drift));
     send();
 }
 
@@ -194,7 +198,8 @@
                                    authority_.lease_renewal_deadline() - now()}));
 }
 
-cluster::HeartbeatOutcome HeartbeatHandler::apply(const protocol::Heartbeat& status, cluster::ReportChannel via) {
+cluster::HeartbeatOutcome HeartbeatHandler::apply(const protocol::Heartbeat& status,
+                                                  cluster::ReportChannel via) {
     auto outcome = apply_to_state(status, via);
     if (outcome.is_deposed()) {
         auto fencing_token = status.token >> cluster::ClusterState::token_bits;
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -145,7 +145,8 @@
     ++job.consecutive_failures;
     job.failed_on.insert(end.machine);
     if (job.is_crash_looping()) {
-        int doublings = std::min(job.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1, most_doublings);
+        int doublings =
+            std::min(job.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1, most_doublings);
         job.backoff_until = now() + settings_.report_s * std::pow(2.0, doublings);
         if (job.failed_on.size() > most_failed_machines) job.failed_on.clear();
     }
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -53,7 +53,8 @@
     if (!authority_.holds()) return;
     auto due = state_.jobs.pending_writes(now(), callbacks_.may_place());
     metrics_.set(metrics::Metric::leader_unstored_job_ends, static_cast<double>(due.done_jobs.size()));
-    metrics_.set(metrics::Metric::leader_cancelled_jobs_to_remove, static_cast<double>(due.cancelled_jobs.size()));
+    metrics_.set(metrics::Metric::leader_cancelled_jobs_to_remove,
+                 static_cast<double>(due.cancelled_jobs.size()));
     store_ends(due.done_jobs, JobState::done);
     for (auto& id : due.progress) write_progress(id, *state_.jobs.find(id));
     store_ends(due.cancelled_jobs, JobState::cancelled);
@@ -174,7 +175,8 @@
         auto key = keys::progress_of(id, block);
         transaction.conditions.push_back({key, stored == job.block_versions.end() ? 0 : stored->second});
         transaction.changes.push_back(
-            {std::move(key), state_.jobs.progress_layout().encode(job.done, block, kv_.limits().value_bytes()), 0});
+            {std::move(key),
+             state_.jobs.progress_layout().encode(job.done, block, kv_.limits().value_bytes()), 0});
     }
     kv_.txn(std::move(transaction), RequestPriority::write, guarded_([this, id, written](TxnResult result) {
                 if (result.status != TxnResult::Status::committed) return write_failed(id, result);
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -30,7 +30,8 @@
 
     // Follows all changes after a list of the jobs: of that revision, read from that steady time on.
     void start(std::uint64_t revision, double listed_at);
-    // Steady seconds: all changes that were committed before then are in the job table; nothing before `start`.
+    // Steady seconds: all changes that were committed before then are in the job table; nothing before
+    // `start`.
     [[nodiscard]] std::optional<double> complete_until() const { return watch_.complete_until(); }
 
     // Takes in a job's stored record; whether it was news. With the state's mutex held.
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -37,9 +37,10 @@
       attempts_(dependencies_.state, version, [this] { return authority_.begin_transaction(); }),
       instances_(context_, dependencies_.metrics, team_activity_,
                  [this](Machine& machine, const char* reason) { deletion_.mark(machine, reason); }),
-      commands_(
-          context_, dependencies_.http, delegations_, reconciliation_,
-          [this](const protocol::Heartbeat& status) { heartbeats_.apply(status, cluster::ReportChannel::direct_reply); }),
+      commands_(context_, dependencies_.http, delegations_, reconciliation_,
+                [this](const protocol::Heartbeat& status) {
+                    heartbeats_.apply(status, cluster::ReportChannel::direct_reply);
+                }),
       start_replication_(context_, dependencies_.http, dependencies_.state, dependencies_.peer,
                          [this] { commands_.flush_all(); }),
       machine_store_(context_, dependencies_.state,
@@ -55,7 +56,8 @@
                  {[this](const std::string& job_id, std::uint64_t job_version, const std::string& record) {
                       job_watcher_.take_record(job_id, job_version, record);
                   },
-                  [this] { plan_executor_.request_plan(); }, [this] { return reconciliation_.placement_allowed(); }}),
+                  [this] { plan_executor_.request_plan(); },
+                  [this] { return reconciliation_.placement_allowed(); }}),
       job_watcher_(
           context_, dependencies_.state, job_store_,
           {[this](const std::string& job_id, jobs::JobEntry& job) { instances_.cancel_active(job_id, job); },
@@ -112,7 +114,8 @@
 }
 
 void Leader::stored_taken(const failover::RecoveredState& stored) {
-    start_replication_.begin(stored.record_version, stored.replica_eligible ? stored.in_sync_record : std::nullopt);
+    start_replication_.begin(stored.record_version,
+                             stored.replica_eligible ? stored.in_sync_record : std::nullopt);
     job_watcher_.start(stored.jobs.revision, stored.jobs_listed_at);
 }
 
@@ -199,8 +202,10 @@
     auto awaiting =
         std::count_if(jobs.begin(), jobs.end(), [](auto& entry) { return entry.second.is_blocked(); });
     dependencies_.metrics.set(metrics::Metric::leader_jobs, static_cast<double>(jobs.size()));
-    dependencies_.metrics.set(metrics::Metric::leader_jobs_with_pending_dependencies, static_cast<double>(awaiting));
-    dependencies_.metrics.set(metrics::Metric::leader_machines, static_cast<double>(state_.cluster.machines().size()));
+    dependencies_.metrics.set(metrics::Metric::leader_jobs_with_pending_dependencies,
+                              static_cast<double>(awaiting));
+    dependencies_.metrics.set(metrics::Metric::leader_machines,
+                              static_cast<double>(state_.cluster.machines().size()));
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -48,13 +48,16 @@
     while (calls_in_flight_ < most_calls && authority_.holds() && timers_.now() >= retry_at_) {
         std::vector<std::string> machine_ids;
         for (auto& [id, machine] : state_.cluster.machines())
-            if (machine.life == Machine::Life::marked_for_deletion && machine.deletion == Machine::Deletion::allowed && machine_ids.size() < cloud::CloudClient::max_machines_per_delete) {
+            if (machine.life == Machine::Life::marked_for_deletion &&
+                machine.deletion == Machine::Deletion::allowed &&
+                machine_ids.size() < cloud::CloudClient::max_machines_per_delete) {
                 machine_ids.push_back(id);
                 machine.deletion = Machine::Deletion::requested;
             }
         if (machine_ids.empty()) return;
         ++calls_in_flight_;
-        cloud_.delete_machines(machine_ids, guarded_([this, machine_ids](bool ok) { answered(machine_ids, ok); }));
+        cloud_.delete_machines(machine_ids,
+                               guarded_([this, machine_ids](bool ok) { answered(machine_ids, ok); }));
     }
 }
 
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -73,7 +73,8 @@
                             {}};
     // What runs there goes on until its worker's lease expires, and that is reported. What was sent there and
     // has not been reported would wait for as long.
-    if (machine.reconciled && machine.reachability.outbound_unreachable() && !machine.has_reported_instances())
+    if (machine.reconciled && machine.reachability.outbound_unreachable() &&
+        !machine.has_reported_instances())
         observation.unreached_s = at - machine.reachability.last_reached_at() - settings_.report_s;
     if (std::max(observation.silence_s, observation.unreached_s) > settings_.report_s / 2)
         observation.eviction_cost = eviction_cost(machine);
@@ -114,7 +115,8 @@
         {
             std::lock_guard lock(state_.mutex);
             machine.suspected = health != Health::alive || machine.reachability.outbound_unreachable();
-            machine.inbound_unreachable = machine.reachability.inbound_unreachable(checked.at, settings_.lease_s * missing_heartbeat_leases);
+            machine.inbound_unreachable = machine.reachability.inbound_unreachable(
+                checked.at, settings_.lease_s * missing_heartbeat_leases);
         }
         // Each grant to its relay would move the time at which its lease expires, and it never did.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
@@ -152,8 +154,7 @@
         std::lock_guard lock(state_.mutex);
         parts_.failure_detector.record_eviction(observation, t);
         parts_.deletion.mark(machine, parts_.failure_detector.evidence(observation).c_str());
-    } else if (may_evict && machine.preemption_deadline && machine.tasks.empty() &&
-               machine.reconciled) {
+    } else if (may_evict && machine.preemption_deadline && machine.tasks.empty() && machine.reconciled) {
         std::lock_guard lock(state_.mutex);
         parts_.deletion.mark(machine, "has notice and is empty");
     }
@@ -175,8 +176,8 @@
 bool MachineSupervisor::check_lease(Machine& machine) {
     double renewed_at = parts_.delegations.last_possible_renewal(machine);
     double lease_s = settings_.lease_s;
-    bool expired =
-        now() > renewed_at + lease_s * (1 + 2 * election::max_clock_drift) + settings_.report_s * lease_margin_reports;
+    bool expired = now() > renewed_at + lease_s * (1 + 2 * election::max_clock_drift) +
+                               settings_.report_s * lease_margin_reports;
     bool silent = now() - machine.last_heartbeat_at > lease_s || is_outbound_unreachable(machine);
     if (expired && silent && (!machine.tasks.empty() || !machine.reconciled)) {
         spdlog::info("component=leader event=lease_expired machine={} tasks={}", machine.id,
@@ -189,8 +190,8 @@
 }
 
 bool MachineSupervisor::is_outbound_unreachable(const Machine& machine) const {
-    return !machine.reconciled && machine.reachability.outbound_unreachable() && now() > machine.lease_renewed_at &&
-           !parts_.reconciliation.overloaded(now());
+    return !machine.reconciled && machine.reachability.outbound_unreachable() &&
+           now() > machine.lease_renewed_at && !parts_.reconciliation.overloaded(now());
 }
 
 double MachineSupervisor::boot_times(const Machine& machine) const {
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -56,7 +56,8 @@
 void PlanExecutor::begin_plan() {
     // Unless it was replicated from the previous leader, a new leader can't know what unreconciled machines
     // hold, so neither a task, a quota nor a zone is safe.
-    if (computing_ || !callbacks_.loaded() || !authority_.holds() || !parts_.reconciliation.placement_allowed())
+    if (computing_ || !callbacks_.loaded() || !authority_.holds() ||
+        !parts_.reconciliation.placement_allowed())
         return;
     auto plan = std::make_shared<Plan>();
     plan->with_fleet = fleet_plan_due();
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -70,7 +70,8 @@
 }  // namespace
 
 bool may_start_tasks(const jobs::JobEntry& job, double now) {
-    return !job.cancelled && !job.is_blocked() && !job.all_done() && now >= job.backoff_until && job.orphaned_instances == 0;
+    return !job.cancelled && !job.is_blocked() && !job.all_done() && now >= job.backoff_until &&
+           job.orphaned_instances == 0;
 }
 
 bool any_task_waits(LeaderState& state, double now) {
@@ -115,12 +116,11 @@
     in.others = state.cluster.machines().size();
     for (auto& view : planned.machines) {
         auto* machine = state.cluster.find(view.id);
-        if (!machine || machine->life == Machine::Life::marked_for_deletion ||
-            machine->preemption_deadline)
+        if (!machine || machine->life == Machine::Life::marked_for_deletion || machine->preemption_deadline)
             continue;
         bool booting = machine->life == Machine::Life::booting;
-        bool suspected =
-            machine->is_suspect() && machine->usable_unless_suspect(planned.now) && !machine->has_instance_of_unknown_job();
+        bool suspected = machine->is_suspect() && machine->usable_unless_suspect(planned.now) &&
+                         !machine->has_instance_of_unknown_job();
         if (!booting && !view.usable && !suspected) continue;
         // With what the plan has just decided to start.
         autoscaler::MachineView out;
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -108,10 +108,11 @@
         recall_images(state_.cluster, inheritance_.images);
     }
     auto& machines = state_.cluster.machines();
-    auto known =
-        std::count_if(machines.begin(), machines.end(), [](auto& entry) { return entry.second.known_from_replica; });
-    steps_.complete(failover::FailoverStep::loaded, "jobs=" + std::to_string(state_.jobs.entries().size()) + " machines=" +
-                              std::to_string(machines.size()) + " known=" + std::to_string(known));
+    auto known = std::count_if(machines.begin(), machines.end(),
+                               [](auto& entry) { return entry.second.known_from_replica; });
+    steps_.complete(failover::FailoverStep::loaded, "jobs=" + std::to_string(state_.jobs.entries().size()) +
+                                                        " machines=" + std::to_string(machines.size()) +
+                                                        " known=" + std::to_string(known));
     hooks_.jobs_loaded();
     probe_first();
     hooks_.ready();
@@ -136,8 +137,8 @@
 }
 
 void Recovery::check_reconciled() {
-    if (loaded_ && !steps_.completed(failover::FailoverStep::placement_allowed) && parts_.reconciliation.placement_allowed() &&
-        state_.cluster.any_reconciled()) {
+    if (loaded_ && !steps_.completed(failover::FailoverStep::placement_allowed) &&
+        parts_.reconciliation.placement_allowed() && state_.cluster.any_reconciled()) {
         steps_.complete(failover::FailoverStep::placement_allowed);
         hooks_.request_plan();
     }
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -11,7 +11,8 @@
       state_(context.state),
       authority_(context.authority),
       flush_commands_(std::move(flush_commands)),
-      sender_(context.timers, http, settings_, kv, authority_.fencing_token(), sender_callbacks(latest_ping)) {
+      sender_(context.timers, http, settings_, kv, authority_.fencing_token(),
+              sender_callbacks(latest_ping)) {
     if (settings_.op.standby) state_.cluster.hold_starts_until_replicated();
 }
 
@@ -64,8 +65,12 @@
         return protocol::PeerMachineRow{machine_id, false, true, 0, 0, {}};
     auto& machine = found->second;
     if (machine.life == Machine::Life::booting) return std::nullopt;
-    protocol::PeerMachineRow row{
-        machine_id, machine.known_from_replica || machine.reconciled, false, machine.agent_epoch, machine.sequence, {}};
+    protocol::PeerMachineRow row{machine_id,
+                                 machine.known_from_replica || machine.reconciled,
+                                 false,
+                                 machine.agent_epoch,
+                                 machine.sequence,
+                                 {}};
     for (auto& [task, instance] : machine.tasks)
         row.tasks.push_back({task.job, task.index, instance.attempt});
     return row;
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -223,7 +223,8 @@
     // leader expects.
     for (auto& machine : answer->recalled) reply_cache_.forget(machine);
     acknowledged_message_ = number;
-    delegation_expiry_ = sent_at + static_cast<double>(answer->grant_ms) / 1000 * (1 - 2 * election::max_clock_drift);
+    delegation_expiry_ =
+        sent_at + static_cast<double>(answer->grant_ms) / 1000 * (1 - 2 * election::max_clock_drift);
     // A full batch gains nothing by waiting for more heartbeats: at one full message per interval, the only
     // relay of 4,000 machines fell behind when most heartbeats were not repetitions.
     if (!waiting_.empty()) schedule_send(waiting_.size() < max_batch_heartbeats ? batch_interval_periods : 0);
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -18,7 +18,7 @@
     std::uint64_t incarnation = 0;                  // of this process
     std::uint64_t leader_version = 0;               // of the leadership that was claimed
     std::optional<protocol::StandbyRecord> record;  // the stored record of in-sync replicas
-    election::LeadershipHistory chain;                // leaderships seen before the claim
+    election::LeadershipHistory chain;              // leaderships seen before the claim
     bool history_complete = false;                  // whether `later_leaders` leaves none out
     std::vector<election::ObservedLeadership>
         later_leaders;                      // after `chain` and up to the claim, own one left out
--- a/tests/api/cancellation_handler_test.cpp
+++ b/tests/api/cancellation_handler_test.cpp
@@ -12,7 +12,7 @@
     UserApiCluster s;
     s.submit(0, "j-000001");
     s.timers.run_until(1);
-    s.service.fates = {FakeKeyValueStore::Fate::lost_after};
+    s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
     auto* first = s.cancel(0, "j-000001");
     s.timers.run_until(1.1);
     auto* repeated = s.cancel(0, "j-000001");
--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -12,7 +12,7 @@
 TEST(SubmissionHandler, AcceptsOnceWhenTheStoreAnswerIsLost) {
     for (bool cancelled_meanwhile : {false, true}) {
         UserApiCluster s;
-        s.service.fates = {FakeKeyValueStore::Fate::lost_after};
+        s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
         auto* first = s.submit(0, "j-000001");
         s.timers.run_until(0.1);
         auto* read = s.query(1, "j-000001");
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -105,9 +105,9 @@
     void store_end(const std::string& id) {
         auto it = service.kv.find(keys::job(id));
         if (it == service.kv.end()) return;
-        bool cancelled = it->second.first.dump().find("\"cancelled\":true") != std::string::npos;
+        bool cancelled = it->second.value.dump().find("\"cancelled\":true") != std::string::npos;
         protocol::Txn t;
-        t.conditions = {{keys::job(id), it->second.second}};
+        t.conditions = {{keys::job(id), it->second.version}};
         t.changes = {{keys::final(id),
                       protocol::stored(protocol::FinalRecord{
                           cancelled ? protocol::JobState::cancelled : protocol::JobState::done, 1}),
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -96,19 +96,19 @@
     s.timers.run_until(20);
     for (int k = 0; k < jobs; ++k) s.store_end(id(k));
     s.timers.run_until(21);
-    s.service.asked.clear();
+    s.service.requests.clear();
     std::vector<Answer*> answers;
     for (int round = 0; round < 20; ++round)
         for (int k = 0; k < jobs; ++k) answers.push_back(s.query(0, id(k)));
     s.timers.run_until(22);
     for (auto* a : answers) EXPECT_EQ(a->state, "done");
-    EXPECT_EQ(s.service.asked["kv"], 0);
+    EXPECT_EQ(s.service.requests["kv"], 0);
     // For the first query, for all others together, and for all final records.
-    EXPECT_LE(s.service.asked["watch"], 3);
-    s.service.asked.clear();
+    EXPECT_LE(s.service.requests["watch"], 3);
+    s.service.requests.clear();
     for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
     s.timers.run_until(24);
-    EXPECT_EQ(s.service.asked["kv"] + s.service.asked["watch"] + s.service.asked["txn"], 0);
+    EXPECT_EQ(s.service.requests["kv"] + s.service.requests["watch"] + s.service.requests["txn"], 0);
 }
 
 // A repeated request uses up none of the writes that submissions wait for.
@@ -119,13 +119,13 @@
     s.timers.run_until(2);
     s.query(0, "j-000001");
     s.timers.run_until(3);
-    s.service.asked.clear();
+    s.service.requests.clear();
     for (int k = 0; k < 200; ++k) s.submit(0, "j-000001");
     s.timers.run_until(5);
-    EXPECT_EQ(s.service.asked["txn"], 0);
+    EXPECT_EQ(s.service.requests["txn"], 0);
     for (int k = 0; k < 100; ++k) s.cancel(0, "j-000001");
     s.timers.run_until(8);
-    EXPECT_EQ(s.service.asked["txn"], 1);
+    EXPECT_EQ(s.service.requests["txn"], 1);
     for (auto& a : s.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
 }
 
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -28,11 +28,12 @@
         std::vector<protocol::MachineType> types;
         ClusterState p(7, types);
         auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
-        m.known = m.stored = true;
+        m.known_from_replica = true;
+        m.registration = Machine::Registration::stored;
         m.agent_epoch = 3;
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
-        p.inherit(m, {"j-1", 0}, spec, 11, 0);
+        p.place_from_replica(m, {"j-1", 0}, spec, 11, 0);
         protocol::Heartbeat r;
         r.machine = "vm-1";
         r.agent_epoch = c.agent_epoch;
@@ -41,7 +42,7 @@
         if (c.shown)
             r.tasks.push_back(
                 {{"j-1", 0}, 11, protocol::TaskState::running, protocol::ExitCause::none, false});
-        auto heard = p.apply_heartbeat(r, Via::heartbeat, 1, [&](auto&) { return spec; });
+        auto heard = p.apply_heartbeat(r, ReportChannel::heartbeat, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found.empty());
--- a/tests/controller/heartbeat_intake_test.cpp
+++ b/tests/controller/heartbeat_intake_test.cpp
@@ -26,7 +26,7 @@
     ASSERT_EQ(responses.size(), 1u);
     EXPECT_EQ(responses[0].status, 421);
     EXPECT_EQ(rejected(relay::HeartbeatRejection::no_leader), 1u);
-    EXPECT_EQ(tracker.lately(0), 1u);
+    EXPECT_EQ(tracker.recent_count(0), 1u);
 }
 
 TEST_F(HeartbeatIntakeTest, NamesALeaderThatTakesNoRelayedHeartbeats) {
@@ -48,7 +48,7 @@
     timers.run_until(0);
     ASSERT_EQ(responses.size(), 1u);
     EXPECT_EQ(responses[0].status, 400);
-    EXPECT_EQ(tracker.lately(0), 0u);
+    EXPECT_EQ(tracker.recent_count(0), 0u);
 }
 
 // Sixteen, then other events, then the next.
@@ -66,7 +66,7 @@
 
 TEST_F(HeartbeatIntakeTest, CountsHeartbeatsWhoseWorkersNoLongerWait) {
     accept(heartbeat_of("vm-0"));
-    timers.run_late(relay::HeartbeatQueue::longest_wait_s + 0.1);
+    timers.run_late(relay::HeartbeatQueue::max_wait_s + 0.1);
     ASSERT_EQ(responses.size(), 1u);
     EXPECT_EQ(responses[0].status, 503);
     EXPECT_EQ(intake.expired(), 1u);
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -14,7 +14,7 @@
 class EmptyCluster : public api::ClusterQueries {
   public:
     const std::vector<protocol::MachineType>& machine_types() const override { return types_; }
-    void counts(const std::string&, std::function<void(std::optional<api::TaskCounts>)> done) override {
+    void task_counts(const std::string&, api::ClusterQueries::TaskCountsCallback done) override {
         done(std::nullopt);
     }
     void notify_cancelled(const std::string&, std::uint64_t) override {}
@@ -138,7 +138,7 @@
     EXPECT_TRUE(protocol::unpack_peer<protocol::PeerFleetAnswer>(
                     serve_peer("POST", protocol::peer_fleet_path, body).body)
                     ->taken);
-    EXPECT_EQ(replica.copy().version, 5u);
+    EXPECT_EQ(replica.replica().leader_version, 5u);
     settings.op.standby = false;
     EXPECT_EQ(serve_peer("POST", protocol::peer_fleet_path, body).status, 400);
 }
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -99,7 +99,8 @@
     };
     const Case cases[] = {
         {"no authority", [](Bench& b) { b.authority = false; }},
-        {"no answer", [](Bench& b) { b.service.txn_fates.assign(1000, FakeKeyValueStore::TxnFate::never_executed); }},
+        {"no answer",
+         [](Bench& b) { b.service.txn_fates.assign(1000, FakeKeyValueStore::TxnFate::never_executed); }},
         {"another leads", [](Bench& b) { b.claim(); }},
     };
     for (auto& c : cases) {
--- a/tests/leader/authority_test.cpp
+++ b/tests/leader/authority_test.cpp
@@ -56,7 +56,7 @@
     EXPECT_TRUE(bench.authority->holds());
     EXPECT_TRUE(bench.authority->begin_transaction());
     bench.network.cut = true;
-    double until = bench.election.authority_until();
+    double until = bench.election.authority_expiry();
     bench.timers.run_until(until - 0.01);
     EXPECT_TRUE(bench.authority->holds());
     bench.timers.run_until(until);
@@ -68,7 +68,7 @@
     Bench bench;
     ASSERT_TRUE(bench.authority);
     bench.network.cut = true;
-    double until = bench.election.authority_until();
+    double until = bench.election.authority_expiry();
     double after = bench.authority->renewal_after_expiry_s();
     ASSERT_GT(after, 0);
     bench.timers.run_until(until + after - 0.01);
@@ -101,11 +101,11 @@
     ASSERT_EQ(transaction.conditions.size(), 1u);
     EXPECT_EQ(transaction.conditions[0].key, kv::keys::leader);
     EXPECT_EQ(transaction.conditions[0].version, bench.authority->fencing_token());
-    EXPECT_EQ(bench.authority->fencing_token(), bench.service.kv[kv::keys::leader].second);
+    EXPECT_EQ(bench.authority->fencing_token(), bench.service.kv[kv::keys::leader].version);
 
     transaction.changes.push_back({"some/key", std::nullopt, 0});
     std::optional<kv::TxnResult::Status> status;
-    bench.service.kv[kv::keys::leader].second = ++bench.service.revision;  // another controller claims it
+    bench.service.kv[kv::keys::leader].version = ++bench.service.revision;  // another controller claims it
     bench.kv.txn(std::move(transaction), kv::RequestPriority::write,
                  [&](const kv::TxnResult& result) { status = result.status; });
     bench.timers.run_until(bench.timers.now() + 1);
@@ -116,7 +116,7 @@
     Bench bench;
     ASSERT_TRUE(bench.authority);
     bench.authority->end();
-    EXPECT_TRUE(bench.election.authority());
+    EXPECT_TRUE(bench.election.may_act());
     EXPECT_TRUE(bench.authority->ended());
     EXPECT_FALSE(bench.authority->holds());
     EXPECT_FALSE(bench.authority->begin_transaction());
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -11,7 +11,7 @@
         machine.lease_renewed_at = 10;
         EXPECT_TRUE(take_message(1, 1));
         delegations.table().delegate("vm-1", "controller-1");
-        delegations.table().answer("controller-1", 25);  // a grant until then
+        (void)delegations.table().extend("controller-1", 25);  // a grant until then
     }
     bool take_message(std::uint64_t incarnation, std::uint64_t number) {
         protocol::PeerRelay message;
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -54,8 +54,8 @@
         if (!newer_first) bench.show("j-1", newer, 0, 6);
         EXPECT_EQ(job.active.at(0).machine, "vm-2");
         EXPECT_TRUE(older.tasks.at({"j-1", 0}).orphaned);
-        EXPECT_TRUE(older.tasks.at({"j-1", 0}).stop);
-        EXPECT_FALSE(newer.tasks.at({"j-1", 0}).stop);
+        EXPECT_TRUE(older.tasks.at({"j-1", 0}).stop_requested);
+        EXPECT_FALSE(newer.tasks.at({"j-1", 0}).stop_requested);
         EXPECT_EQ(job.orphaned_instances, 1);
     }
 }
@@ -70,9 +70,9 @@
     auto& second = bench.add_machine("vm-2");
     bench.show("j-1", first, 0, 5);
     auto& left = bench.show("j-1", second, 1, 5);
-    EXPECT_FALSE(left.stop);
+    EXPECT_FALSE(left.stop_requested);
     bench.end("j-1", first, 0, ExitCause::unknown);
-    EXPECT_TRUE(left.stop);
+    EXPECT_TRUE(left.stop_requested);
     EXPECT_FALSE(job.active.contains(0));
     EXPECT_TRUE(job.active.contains(1)) << "its place is taken until it is proven terminated";
 }
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -9,7 +9,7 @@
 
 namespace coralhitch::leader {
 namespace {
-using Fate = FakeKeyValueStore::Fate;
+using TxnFate = FakeKeyValueStore::TxnFate;
 namespace keys = kv::keys;
 
 struct Bench : LeadingFixture {
@@ -58,7 +58,7 @@
     EXPECT_EQ(bench.state->jobs.find("j-000001"), nullptr);
     EXPECT_FALSE(bench.stored(keys::job("j-000001")));
     ASSERT_TRUE(bench.stored(keys::final("j-000001")));
-    EXPECT_EQ(protocol::parse_final_record(bench.service.kv[keys::final("j-000001")].first.dump()).state,
+    EXPECT_EQ(protocol::parse_final_record(bench.service.kv[keys::final("j-000001")].value.dump()).state,
               protocol::JobState::done);
 }
 
@@ -79,7 +79,7 @@
     ASSERT_TRUE(bench.leads());
     bench.add_job("j-000001", 1);
     bench.complete("j-000001");
-    bench.service.fates = {Fate::lost_after};
+    bench.service.txn_fates = {TxnFate::answer_lost};
     bench.store();
     EXPECT_EQ(bench.state->jobs.find("j-000001"), nullptr);
     EXPECT_TRUE(bench.stored(keys::final("j-000001")));
@@ -94,7 +94,7 @@
                                                ++bench.service.revision};
     bench.store();
     EXPECT_EQ(bench.cancelled, std::vector<std::string>{"j-000001"});
-    EXPECT_EQ(protocol::parse_final_record(bench.service.kv[keys::final("j-000001")].first.dump()).state,
+    EXPECT_EQ(protocol::parse_final_record(bench.service.kv[keys::final("j-000001")].value.dump()).state,
               protocol::JobState::cancelled);
 }
 
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -24,14 +24,14 @@
     auto& machine = bench.add_machine(1);
     auto& job = bench.add_job("j-1", 1);
     auto& instance = bench.state->cluster.place(machine, {"j-1", 0}, job.spec, 5, 0);
-    EXPECT_FALSE(instance.ready);
+    EXPECT_FALSE(instance.machine_stored);
     bench.store.store_if_new(machine);
-    EXPECT_TRUE(machine.storing);
+    EXPECT_TRUE(machine.registration == cluster::Machine::Registration::write_pending);
     EXPECT_FALSE(machine.is_stored());
     bench.store.flush();
     bench.wait(5);
     EXPECT_TRUE(machine.is_stored());
-    EXPECT_TRUE(instance.ready);
+    EXPECT_TRUE(instance.machine_stored);
     EXPECT_EQ(bench.confirmed, 1);
 }
 
@@ -39,14 +39,15 @@
     Bench bench;
     auto& machine = bench.add_machine(0);
     bench.store.store_if_new(machine);
-    EXPECT_FALSE(machine.storing) << "its agent has not reported";
+    EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending)
+        << "its agent has not reported";
     machine.agent_epoch = 1;
     machine.token_seen = 3;  // an earlier leader's: the machine may have been deleted meanwhile
     bench.store.store_if_new(machine);
-    EXPECT_FALSE(machine.storing);
+    EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending);
     machine.reported_to_this_leader = true;
     bench.store.store_if_new(machine);
-    EXPECT_TRUE(machine.storing);
+    EXPECT_TRUE(machine.registration == cluster::Machine::Registration::write_pending);
 }
 
 TEST(MachineStore, AllowsADeletionOnceItsMarkIsStored) {
@@ -59,9 +60,9 @@
     machine.life = cluster::Machine::Life::marked_for_deletion;
     bench.store.update(machine.id);
     bench.store.flush();
-    EXPECT_FALSE(machine.deletable);
+    EXPECT_FALSE(machine.deletion == cluster::Machine::Deletion::allowed);
     bench.wait(5);
-    EXPECT_TRUE(machine.deletable);
+    EXPECT_TRUE(machine.deletion == cluster::Machine::Deletion::allowed);
 }
 
 }  // namespace
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -28,7 +28,8 @@
         for (auto* id : {"vm-1", "vm-2"}) {
             auto& machine =
                 state->cluster.add(id, "", "g4", "a", false, cluster::Machine::Life::up, timers.now());
-            machine.reconciled = machine.registration = Machine::Registration::stored;
+            machine.reconciled = true;
+            machine.registration = cluster::Machine::Registration::stored;
             machine.agent_epoch = 1;
             machine.total = types[0].room;
         }
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -4,8 +4,8 @@
 #include <functional>
 
 #include "protocol/golden_bytes.hpp"
-#include "protocol/peer_messages.hpp"
 #include "protocol/peer_cancellation_messages.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace coralhitch::protocol {
 namespace {
@@ -67,19 +67,23 @@
             .recalled = {"vm-9"}};
 }
 PeerFleet fleet() {
-    return {
-        .leader_version = 8,
-        .number = 3,
-        .rows =
-            {{.machine = "vm-1",
-              .known = true,
-              .gone = false,
-              .agent_epoch = 5,
-              .sequence = 6,
-              .tasks = {{.job = "j-1", .index = 2, .attempt = 3}, {.job = "j-2", .index = 0, .attempt = 1}}},
-             {.machine = "vm-2", .known = false, .gone = true, .agent_epoch = 11, .sequence = 12, .tasks = {}}},
-        .begun = 7,
-        .whole = true};
+    return {.leader_version = 8,
+            .number = 3,
+            .rows = {{.machine = "vm-1",
+                      .known = true,
+                      .gone = false,
+                      .agent_epoch = 5,
+                      .sequence = 6,
+                      .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
+                                {.job = "j-2", .index = 0, .attempt = 1}}},
+                     {.machine = "vm-2",
+                      .known = false,
+                      .gone = true,
+                      .agent_epoch = 11,
+                      .sequence = 12,
+                      .tasks = {}}},
+            .begun = 7,
+            .whole = true};
 }
 
 struct Message {
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -8,11 +8,11 @@
 #include <nlohmann/json.hpp>
 
 #include "cloud/cloud_client.hpp"
-#include "support/fake_timers.hpp"
 #include "jobs/job_table.hpp"
-#include "kv/kv_client.hpp"
 #include "kv/keys.hpp"
+#include "kv/kv_client.hpp"
 #include "protocol/protocol.hpp"
+#include "support/fake_timers.hpp"
 
 namespace coralhitch::protocol {
 namespace {
@@ -824,7 +824,8 @@
     http_.answer(409, golden::conflict);
     std::vector<kv::TxnResult> committed;
     for (int n = 0; n < 2; ++n)
-        client.txn(golden_txn(), kv::RequestPriority::write, [&](auto c) { committed.push_back(std::move(c)); });
+        client.txn(golden_txn(), kv::RequestPriority::write,
+                   [&](auto c) { committed.push_back(std::move(c)); });
     expect_sent({to("state", "POST", "/txn", golden::txn), to("state", "POST", "/txn", golden::txn)});
     ASSERT_EQ(committed.size(), 2u);
     EXPECT_EQ(committed[0].status, S::committed);
--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -66,17 +66,17 @@
          [](ReplicaEvidence& e) { e.history_complete = false; }, false},
         {"it was away, and saw only a later leader",
          [](ReplicaEvidence& e) {
-             e.chain.links = {{30, true}};
+             e.chain.leaderships = {{30, true}};
          },
          false},
         {"a leader that keeps a record won and ended before it started anything",
          [](ReplicaEvidence& e) {
-             e.chain.links.push_back({30, true});
+             e.chain.leaderships.push_back({30, true});
          },
          true},
         {"an old version led in between",
          [](ReplicaEvidence& e) {
-             e.chain.links.push_back({30, false});
+             e.chain.leaderships.push_back({30, false});
          },
          false},
         {"an old version led in between, found after the claim",
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -39,7 +39,7 @@
                          [this] { ++committed; }, [] {}}};
     std::size_t stored_members() {
         auto it = service.kv.find(kv::keys::standby);
-        return it == service.kv.end() ? 0 : it->second.first["members"].size();
+        return it == service.kv.end() ? 0 : it->second.value["members"].size();
     }
 };
 
@@ -71,11 +71,11 @@
 
 // Who is named by a write without an answer may be named at any later time, until another write is confirmed.
 TEST(InSyncRecord, MayNameWhomAnUnansweredWriteNames) {
-    using Fate = FakeKeyValueStore::Fate;
-    for (auto fate : {Fate::lost_after, Fate::late, Fate::never}) {
+    using TxnFate = FakeKeyValueStore::TxnFate;
+    for (auto fate : {TxnFate::answer_lost, TxnFate::executed_late, TxnFate::never_executed}) {
         SCOPED_TRACE(static_cast<int>(fate));
         RecordFixture fixture;
-        fixture.service.fates = {Fate::answered, fate};
+        fixture.service.txn_fates = {TxnFate::answered, fate};
         fixture.record.start(0);
         fixture.record.update();
         fixture.timers.run_until(1);
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -57,7 +57,7 @@
         std::set<std::string> out;
         auto it = service.kv.find(kv::keys::standby);
         if (it != service.kv.end())
-            for (auto& m : it->second.first["members"]) out.insert(m["label"].get<std::string>());
+            for (auto& m : it->second.value["members"]) out.insert(m["label"].get<std::string>());
         return out;
     }
     FakeTimers timers;
@@ -121,12 +121,12 @@
 // An unanswered write that names a follower may be executed at any later time, until one on the version
 // after it is confirmed.
 TEST(ReplicationSender, WaitsForFollowersThatAnUnansweredWriteNames) {
-    for (auto fate : {FakeKeyValueStore::Fate::lost_after, FakeKeyValueStore::Fate::late,
-                      FakeKeyValueStore::Fate::never}) {
+    for (auto fate : {FakeKeyValueStore::TxnFate::answer_lost, FakeKeyValueStore::TxnFate::executed_late,
+                      FakeKeyValueStore::TxnFate::never_executed}) {
         SCOPED_TRACE(static_cast<int>(fate));
         Bench b;
         b.followers.at("y").silent = true;
-        b.service.fates = {FakeKeyValueStore::Fate::answered, fate};  // the first names nobody
+        b.service.txn_fates = {FakeKeyValueStore::TxnFate::answered, fate};  // the first names nobody
         b.sender.start(0, std::nullopt);
         for (double t = 0.1; t < 12; t += 0.05) {
             b.timers.run_until(t);
@@ -175,7 +175,7 @@
             if (b.sender.replicated(log_index) && b.named().contains("x")) {
                 EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch, b.machines["vm-2"]);
                 EXPECT_EQ(f.replica().base_version,
-                          b.service.kv.at(kv::keys::standby).first["members"][0]["begun"]);
+                          b.service.kv.at(kv::keys::standby).value["members"][0]["begun"]);
             }
         }
         EXPECT_TRUE(b.sender.replicated(log_index));
@@ -200,7 +200,7 @@
         else
             b.start("vm-1");  // the answer shows it
         b.timers.run_until(1.2);
-        auto& members = b.service.kv.at(kv::keys::standby).first["members"];
+        auto& members = b.service.kv.at(kv::keys::standby).value["members"];
         ASSERT_EQ(members.size(), 1u);
         EXPECT_EQ(members[0]["incarnation"], 11u);
         EXPECT_EQ(b.followers.at("x").follower.replica().machines.size(), 2u);
@@ -231,7 +231,7 @@
                 f.fails = f.fails ? random() % 3 != 0 : random() % 8 == 0;
             }
             if (random() % 20 == 0)
-                b.service.fates.push_back(static_cast<FakeKeyValueStore::Fate>(random() % 4));
+                b.service.txn_fates.push_back(static_cast<FakeKeyValueStore::TxnFate>(random() % 4));
             if (random() % 3 == 0) b.sender.tick();
             for (std::size_t n = random() % 10 == 0 ? 500 : random() % 3; n > 0; --n) {
                 auto id = "vm-" + std::to_string(1000 + random() % 700);
