--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -37,7 +37,8 @@
 void PeerMonitor::ping_peers() {
     const double period_s = dependencies_.settings.report_s;
     auto body = protocol::pack_peer(own_full_ping_with_leader_lists());
-    for (auto& [label, peer] : peers_)
+    for (auto& entry : peers_) {
+        auto& peer = entry.second;
         dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_ping_path, body),
                                 period_s * ping_interval_periods,
                                 [this, &peer](std::optional<http::Response> response) {
@@ -46,6 +47,7 @@
                                     if (auto ping = protocol::unpack_peer<protocol::PeerPing>(response->body))
                                         handle_ping(std::move(*ping));
                                 });
+    }
     const auto& leader = dependencies_.leader;
     if (leader && ping_rounds_as_leader_++ % ping_rounds_per_image_caches == 0) send_image_caches();
     // A leader that suspects itself of being cut off goes by what the others say, while leases run out.
