--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -48,7 +48,7 @@
     try {
         record(heartbeat.body);
     } catch (const protocol::Malformed& malformed) {
-        spdlog::info("component=controller event=heartbeat_malformed error=\"{}\"", malformed.what());
+        spdlog::info("component=controller event=malformed_heartbeat error=\"{}\"", malformed.what());
         return heartbeat.reply({400, protocol::error_body(malformed.what())});
     }
     if (relay_.try_accept(heartbeat.body, heartbeat.reply)) return;
