--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -145,7 +145,7 @@
     std::string failure_, stage_ = "start";
     json last_users_ = json::object(), last_infrastructure_ = json::object(), snapshot_,
          result_ = json::object();
-    double began_ = 0, deadline_ = 0, fill_began_ = 0, next_progress_ = 0;
+    double began_ = 0, deadline_ = 0, fill_began_ = 0;
     std::size_t level_ = 0;  // tasks that are to run once it is filled
     std::uint64_t most_memory_ = 0;
 };
@@ -259,7 +259,7 @@
 void Driver::ask_metrics(std::uint32_t k, std::shared_ptr<json> out, std::function<void()> done) {
     if (controllers_[k].down) return done();
     http_.send(experiment_.controller_addr(k), {"GET", std::string(protocol::paths::metrics), {}}, answer_s,
-               [this, k, out, done](std::optional<http::Response> r) {
+               [k, out, done](std::optional<http::Response> r) {
                    if (r && r->status == 200) {
                        auto& row = (*out)["controllers"][Experiment::label(k)];
                        row["requests"] = by_label(r->body, "coralhitch_requests_total", "route");
