--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -1,4 +1,4 @@
-// Reads what a new leader needs after its claim, in the order that docs/standby.md argues, and decides
+// Reads what a new leader needs after its claim, in the order that docs/replication.md argues, and decides
 // whether it may inherit the replica that it kept of the previous leader's machines.
 //
 // Not thread safe; all callbacks run on the event loop.
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -83,7 +83,7 @@
     machine.lease_renewed_at = now() + authority_.renewal_after_expiry_s();
 }
 
-// The replica's row says all that may be on the machine: see docs/standby.md. The machine is not used before
+// The replica's row says all that may be on the machine: see docs/replication.md. The machine is not used before
 // it has reconciled. The previous leader replicated all machines that were stored when it came to lead, and
 // each other one before the first `run` to it: of what it never replicated, or as deleted, nothing is left.
 void Recovery::inherit(Machine& machine) {
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -3,7 +3,7 @@
 //
 // Owns the loader, the steps of the failover, and whether the jobs are loaded. Fills the cluster state and
 // the job table once, with what is stored; afterwards only looks at them. What may be done before all
-// machines have reconciled is failover::Reconciliation's to say; see docs/standby.md.
+// machines have reconciled is failover::Reconciliation's to say; see docs/replication.md.
 //
 // On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold it.
 #pragma once
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -1,6 +1,6 @@
 // Decides whether a new leader may take its replica for proof of what machines run. Pure functions.
 //
-// docs/standby.md argues each check; `eligibility_checks()` lists them in the order in which they are made.
+// docs/replication.md argues each check; `eligibility_checks()` lists them in the order in which they are made.
 #pragma once
 #include <optional>
 #include <span>
