--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -1,11 +1,11 @@
-// Plain values that every package shares. The names used on the wire live in protocol.cpp only.
+// Plain values that every package shares. Their names on the wire are only in the .cpp files of this package
+// and in protocol/names.hpp.
 #pragma once
 #include <compare>
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 namespace coralhitch::protocol {
@@ -13,6 +13,7 @@
 enum class JobKind { array, gang, service };
 enum class Priority { low, normal, high, production };
 
+// One task of a job: its index from 0.
 struct TaskId {
     std::string job;
     std::uint32_t index = 0;
@@ -20,17 +21,22 @@
     std::string str() const { return job + "/" + std::to_string(index); }
 };
 
+// What a task requests, or what a machine offers.
 struct Resources {
     double cpus = 0, gpus = 0, memory_gb = 0;
-    Resources& operator+=(const Resources& o) {
-        cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
+    Resources& operator+=(const Resources& other) {
+        cpus += other.cpus;
+        gpus += other.gpus;
+        memory_gb += other.memory_gb;
         return *this;
     }
-    Resources& operator-=(const Resources& o) {
-        cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
+    Resources& operator-=(const Resources& other) {
+        cpus -= other.cpus;
+        gpus -= other.gpus;
+        memory_gb -= other.memory_gb;
         return *this;
     }
-    Resources times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
+    Resources times(double count) const { return {cpus * count, gpus * count, memory_gb * count}; }
     // Sums of decimal amounts carry rounding; a task that fills a machine exactly still fits.
     bool fits(const Resources& request) const {
         constexpr double slack = 1e-6;
@@ -39,8 +45,9 @@
     }
 };
 
+// A job as its user described it.
 struct Job {
-    std::string id, cls, team;
+    std::string id, job_class, team;
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
@@ -50,49 +57,65 @@
     std::optional<std::vector<std::string>> types;
     std::optional<std::string> zone;
     bool one_zone = false, spread = false, spot = false;
-    double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+    double estimated_run_s = 0, checkpoint_interval_s = 0;
+    double checkpoint_save_s = 0;  // how long a task takes to save one
     std::optional<double> deadline_s;
-    std::vector<std::string> awaits;  // jobs to be done before any task of this one starts; each once
+    std::vector<std::string> dependencies;  // jobs to be done before any task of this one starts; each once
 };
 
 enum class JobState { queued, running, done, cancelled };
 
+// What a user is told of a job.
 struct JobStatus {
     std::string id;
     JobState state = JobState::queued;
     std::optional<std::uint64_t> done, running;
 };
 
-enum class TaskState { fetching, waiting, running, saving, exited };
-enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+enum class TaskState { fetching, waiting, running, checkpointing, exited };
+enum class ExitCause {
+    none,
+    done,
+    stopped,
+    gang_member_lost,  // another task of its gang has disappeared
+    gang_incomplete,   // its gang was not complete in time
+    error,
+    insufficient_resources,  // the start was refused
+    other_attempt_present,   // the start was refused: the machine has this task with another attempt number
+    unknown
+};
 
+// A task as the agent reports it.
 struct TaskStatus {
     TaskId task;
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
-    ExitCause cause = ExitCause::none;
-    bool saved = false;
+    ExitCause cause = ExitCause::none;  // none: it has not exited
+    bool saved = false;                 // it had stored a checkpoint when it exited
 };
 
+// An agent's periodic message. `token`: the highest fencing token that it has seen.
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
     std::uint64_t agent_epoch = 0, sequence = 0, token = 0;
-    std::optional<double> preemption_notice_s;
+    std::optional<double> preemption_notice_s;  // a spot instance is taken back in so many seconds
     std::vector<TaskStatus> tasks;
 };
 
 enum class CommandKind { start, stop, forget };
+// What a worker is to do with one task; `grace_s` is for stops.
 struct Command {
-    CommandKind op = CommandKind::start;
+    CommandKind kind = CommandKind::start;
     TaskId task;
     std::uint64_t attempt = 0;
     double grace_s = 0;
 };
 
+// A machine type of the cloud. Prices are by the hour.
 struct MachineType {
     std::string name;
-    Resources room;
+    Resources capacity;
     double cache_gb = 0, fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
     std::vector<std::string> zones;
 };
@@ -105,9 +128,10 @@
     Resources total;
     double fetch_gb_per_s = 0;  // 0: not known
 };
-using Images = std::vector<std::uint32_t>;  // sorted; a number for each image's name
+using ImageIds = std::vector<std::uint32_t>;  // sorted; a number for each image's name
 
 enum class HostState { booting, running, failed };
+// A machine as the cloud lists it.
 struct Host {
     std::string id, addr, type, zone;
     bool spot = false;
@@ -115,37 +139,47 @@
     double age_s = 0;
 };
 
-// The stored form of things: what the controllers keep at the key-value store.
+// What the controllers keep at the key-value store; see protocol/records.hpp.
+
+// A live job.
 struct JobRecord {
     Job job;
     double submitted = 0;  // unix seconds
     bool cancelled = false;
 };
+// How a job has ended.
 struct FinalRecord {
     JobState state = JobState::done;
     std::uint32_t tasks = 0;
 };
+// A machine that may hold tasks.
 struct MachineRecord {
     std::string addr, type, zone;
     bool spot = false;
     bool marked_for_deletion = false;  // a deletion was asked for: never to be used again
 };
-using MachinePage = std::vector<std::pair<std::string, MachineRecord>>;  // by machine id
+struct StoredMachine {
+    std::string id;
+    MachineRecord record;
+};
+using MachinePage = std::vector<StoredMachine>;  // many machines in one stored value
+// The value of the leader's key.
 struct LeaderRecord {
     std::string label;
     std::uint64_t incarnation = 0;
-    // It stores a record of who follows it before its first `run`. Versions that don't, say nothing.
-    bool keeps_record = false;
+    // This leader stores `InSyncReplicas` before its first start. Versions that do not store it leave this
+    // out.
+    bool stores_in_sync_replicas = false;
 };
-// Who has taken in every start that may have been sent under this leadership, or before it.
-struct StandbyRecord {
+// Which controllers have acknowledged every start that can have been sent under a leadership, or before it.
+struct InSyncReplicas {
     struct Member {
         std::string label;
-        std::uint64_t incarnation = 0;  // of its process
-        std::uint64_t begun = 0;        // the leadership under which its copy was begun from nothing
+        std::uint64_t incarnation = 0;   // of its process
+        std::uint64_t base_version = 0;  // the leadership whose snapshot its replica began from
         bool operator==(const Member&) const = default;
     };
-    std::uint64_t version = 0;  // of the leader's key
+    std::uint64_t leader_version = 0;  // of the leader's key
     std::vector<Member> members;
 };
 
