--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -36,8 +36,8 @@
             dependencies_.users.serve_forwarded(forwarded, reply);
         });
     } else if (request.target == protocol::peer_relay_path) {
-        with_message<protocol::PeerRelay>(request, reply,
-                                          [&](const auto& message) { relay_heartbeats(message, reply); });
+        with_message<protocol::RelayRequest>(request, reply,
+                                             [&](const auto& message) { relay_heartbeats(message, reply); });
     } else if (request.target == protocol::peer_fleet_path) {
         replicate(request, reply);
     } else if (request.target == protocol::peer_images_path) {
@@ -57,9 +57,9 @@
     }
 }
 
-void PeerMessageHandler::relay_heartbeats(const protocol::PeerRelay& message, http::Reply reply) const {
+void PeerMessageHandler::relay_heartbeats(const protocol::RelayRequest& message, http::Reply reply) const {
     if (dependencies_.leader) return dependencies_.leader->relay(message, std::move(reply));
-    reply_packed(reply, protocol::PeerRelayAnswer{});
+    reply_packed(reply, protocol::RelayResponse{});
 }
 
 // With its own replica switched off, a controller has no part in that of others.
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -34,7 +34,7 @@
     if (repeat_reply(body, reply)) return;
     auto [answered, machine_id] = answer(body, "");
     auto* machine = state_.cluster.find(machine_id);
-    if (answered.quiet && machine) {
+    if (answered.nothing_pending && machine) {
         if (auto relay_label = relay_for(*machine)) {
             reply_cache_.forget(machine_id);
             return reply({421, protocol::heartbeat_redirect(*relay_label)});
@@ -65,7 +65,7 @@
     return true;
 }
 
-protocol::PeerRelayed HeartbeatHandler::reject(HeartbeatRejection reason) {
+protocol::RelayedReply HeartbeatHandler::reject(HeartbeatRejection reason) {
     rejections_.record(reason);
     return {};
 }
@@ -87,8 +87,8 @@
     return {answer(status, relay_label, may_act), status.machine};
 }
 
-protocol::PeerRelayed HeartbeatHandler::answer(const protocol::Heartbeat& status,
-                                               const std::string& relay_label, bool may_act) {
+protocol::RelayedReply HeartbeatHandler::answer(const protocol::Heartbeat& status,
+                                                const std::string& relay_label, bool may_act) {
     auto outcome = apply(status, cluster::ReportChannel::heartbeat);
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(status.machine);
@@ -112,8 +112,8 @@
 }
 
 // The 200 that renews the machine's lease, and who answers its heartbeats from now on.
-protocol::PeerRelayed HeartbeatHandler::renew(Machine& machine, const std::string& relay_label,
-                                              bool may_act) {
+protocol::RelayedReply HeartbeatHandler::renew(Machine& machine, const std::string& relay_label,
+                                               bool may_act) {
     auto& delegations = parts_.delegations;
     record_route(machine, relay_label);
     if (!delegations.table().delegated_to(machine.id, relay_label))
@@ -157,29 +157,29 @@
     return relay_label;
 }
 
-void HeartbeatHandler::handle_relayed(const protocol::PeerRelay& message, const http::Reply& reply) {
-    protocol::PeerRelayAnswer relay_answer;
+void HeartbeatHandler::handle_relayed(const protocol::RelayRequest& message, const http::Reply& reply) {
+    protocol::RelayResponse relay_answer;
     bool leads = parts_.recovery.loaded() ? authority_.may_renew_worker_leases() : authority_.holds();
-    relay_answer.leads =
+    relay_answer.is_leader =
         message.leader_version == authority_.fencing_token() && leads && settings_.op.hearing;
-    relay_answer.ready = relay_answer.leads && parts_.recovery.loaded();
+    relay_answer.ready = relay_answer.is_leader && parts_.recovery.loaded();
     auto send = [&] { reply({200, protocol::pack_peer(relay_answer), "application/msgpack"}); };
     if (!relay_answer.ready) return send();
     if (!parts_.delegations.take_relay_message(message)) return reply({503, {}, "application/msgpack"});
-    for (auto& body : message.reports) relay_answer.answers.push_back(answer(body, message.label).reply);
+    for (auto& body : message.heartbeats) relay_answer.replies.push_back(answer(body, message.label).reply);
     apply_relay_heartbeats(message);
     parts_.commands.flush_all();
     double grant_s = relay_grant_s();
-    relay_answer.grant_ms = static_cast<std::uint64_t>(grant_s * 1000);
-    relay_answer.recalled = parts_.delegations.table().extend(
+    relay_answer.delegation_ms = static_cast<std::uint64_t>(grant_s * 1000);
+    relay_answer.revoked = parts_.delegations.table().extend(
         message.label, now() + grant_s * (1 + 2 * election::max_clock_drift));
     send();
 }
 
 // Heartbeats that the relay has answered itself: when each machine's last one came.
-void HeartbeatHandler::apply_relay_heartbeats(const protocol::PeerRelay& message) {
+void HeartbeatHandler::apply_relay_heartbeats(const protocol::RelayRequest& message) {
     std::lock_guard lock(state_.mutex);
-    for (auto& heartbeat : message.heard) {
+    for (auto& heartbeat : message.answered_heartbeats) {
         auto* machine = state_.cluster.find(heartbeat.machine);
         if (!machine || !parts_.delegations.table().delegated_to(heartbeat.machine, message.label)) continue;
         double came_at = now() - static_cast<double>(heartbeat.age_ms) / 1000;
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -88,7 +88,7 @@
     // A heartbeat that came here; answered now, or once the jobs are loaded.
     void handle_heartbeat(relay::PendingHeartbeat report) { heartbeats_.handle(std::move(report)); }
     // Heartbeats that a relaying controller passes on.
-    void relay(const protocol::PeerRelay& message, const http::Reply& reply) {
+    void relay(const protocol::RelayRequest& message, const http::Reply& reply) {
         heartbeats_.handle_relayed(message, reply);
     }
     // Machines whose heartbeats relaying controllers answer.
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -86,36 +86,37 @@
     MSGPACK_DEFINE(known, done, running)
 };
 
-// From a controller that hears workers for the leader. One at a time; each carries the next number.
-struct PeerHeard {
+// From a relay to the leader. One at a time; each carries the next sequence number.
+struct AnsweredHeartbeat {
     std::string machine;
-    std::uint64_t age_ms = 0;  // since its report came, at the time of sending
+    std::uint64_t age_ms = 0;  // since its heartbeat came, at the time of sending
     MSGPACK_DEFINE(machine, age_ms)
 };
-struct PeerRelay {
+struct RelayRequest {
     std::string label;
     std::uint64_t incarnation = 0;
     std::uint64_t leader_version = 0;  // of the leadership that it is meant for
-    std::uint64_t number = 0;
-    std::uint64_t answered = 0;        // the number of the last of these whose answer was taken in
-    std::vector<std::string> reports;  // as the workers sent them; each worker waits for its answer
-    std::vector<PeerHeard> heard;      // machines that repeated their last report, and were answered
-    MSGPACK_DEFINE(label, incarnation, leader_version, number, answered, reports, heard)
-};
-struct PeerRelayed {
+    std::uint64_t sequence_number = 0;
+    std::uint64_t acknowledged_sequence_number = 0;  // of the last request whose response the relay applied
+    std::vector<std::string> heartbeats;  // as the workers sent them; each worker waits for its answer
+    std::vector<AnsweredHeartbeat> answered_heartbeats;  // repeated the last one, answered by the relay
+    MSGPACK_DEFINE(label, incarnation, leader_version, sequence_number, acknowledged_sequence_number,
+                   heartbeats, answered_heartbeats)
+};
+struct RelayedReply {
     int status = 503;
     std::string body;
-    // Nothing is to be said to this machine: while the grant lasts, the same answer may be given to a report
-    // that repeats this one.
-    bool quiet = false;
-    MSGPACK_DEFINE(status, body, quiet)
-};
-struct PeerRelayAnswer {
-    bool leads = false, ready = false;  // ready: reports are taken; otherwise they may be sent again
-    std::uint64_t grant_ms = 0;         // counted from the sending of what this answers
-    std::vector<PeerRelayed> answers;   // of each report
-    std::vector<std::string> recalled;  // machines whose next report must come here; applied last
-    MSGPACK_DEFINE(leads, ready, grant_ms, answers, recalled)
+    // While the delegation is valid, the relay may give the same answer to a heartbeat that repeats this one.
+    bool nothing_pending = false;
+    MSGPACK_DEFINE(status, body, nothing_pending)
+};
+struct RelayResponse {
+    bool is_leader = false;
+    bool ready = false;                 // the heartbeats were handled; otherwise they may be sent again
+    std::uint64_t delegation_ms = 0;    // counted from the sending of the request
+    std::vector<RelayedReply> replies;  // to each of the request's heartbeats
+    std::vector<std::string> revoked;   // machines whose next heartbeat must be relayed; applied last
+    MSGPACK_DEFINE(is_leader, ready, delegation_ms, replies, revoked)
 };
 
 // From the leader to a controller that follows it: what its machines may hold. A row says all of its machine,
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -119,8 +119,9 @@
 }
 
 TEST_F(PeerMessageHandlerTest, TakesNoHeartbeatsOrCancellationsUnlessItLeads) {
-    auto relayed = serve_peer("POST", protocol::peer_relay_path, protocol::pack_peer(protocol::PeerRelay{}));
-    EXPECT_FALSE(protocol::unpack_peer<protocol::PeerRelayAnswer>(relayed.body)->leads);
+    auto relayed =
+        serve_peer("POST", protocol::peer_relay_path, protocol::pack_peer(protocol::RelayRequest{}));
+    EXPECT_FALSE(protocol::unpack_peer<protocol::RelayResponse>(relayed.body)->is_leader);
     auto cancelled = serve_peer("POST", protocol::peer_cancelled_path,
                                 protocol::pack_peer(protocol::PeerCancelled{"job-1", 3}));
     EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancelledAnswer>(cancelled.body)->taken_by, 0u);
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -49,26 +49,27 @@
             .silent_ms = {},
             .brief = true};
 }
-PeerRelay relayed_reports() {
-    return {.label = "berth-1",
-            .incarnation = 7,
-            .leader_version = 8,
-            .number = 9,
-            .answered = 5,
-            .reports = {R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"},
-            .heard = {{.machine = "vm-3", .age_ms = 250}, {.machine = "vm-4", .age_ms = 65536}}};
+RelayRequest relayed_reports() {
+    return {
+        .label = "berth-1",
+        .incarnation = 7,
+        .leader_version = 8,
+        .sequence_number = 9,
+        .acknowledged_sequence_number = 5,
+        .heartbeats = {R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"},
+        .answered_heartbeats = {{.machine = "vm-3", .age_ms = 250}, {.machine = "vm-4", .age_ms = 65536}}};
 }
-PeerRelayAnswer relay_answer() {
-    return {.leads = true,
+RelayResponse relay_answer() {
+    return {.is_leader = true,
             .ready = false,
-            .grant_ms = 1500,
-            .answers = {{.status = 200, .body = R"({"helm":8,"orders":[]})", .quiet = true},
-                        {.status = 409, .body = "{}", .quiet = false}},
-            .recalled = {"vm-9"}};
+            .delegation_ms = 1500,
+            .replies = {{.status = 200, .body = R"({"helm":8,"orders":[]})", .nothing_pending = true},
+                        {.status = 409, .body = "{}", .nothing_pending = false}},
+            .revoked = {"vm-9"}};
 }
 PeerFleet fleet() {
     return {.leader_version = 8,
-            .number = 3,
+            .sequence_number = 3,
             .rows = {{.machine = "vm-1",
                       .known = true,
                       .gone = false,
@@ -281,37 +282,37 @@
     EXPECT_TRUE(i.machines[1].images.empty());
 }
 TEST(GoldenBytes, RelayIsReadFieldByField) {
-    auto r = read<PeerRelay>(golden::peer_relay);
+    auto r = read<RelayRequest>(golden::peer_relay);
     EXPECT_EQ(r.label, "berth-1");
     EXPECT_EQ(r.incarnation, 7u);
     EXPECT_EQ(r.leader_version, 8u);
-    EXPECT_EQ(r.number, 9u);
-    EXPECT_EQ(r.answered, 5u);
-    EXPECT_EQ(r.reports, (std::vector<std::string>{R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"}));
-    ASSERT_EQ(r.heard.size(), 2u);
-    EXPECT_EQ(r.heard[0].machine, "vm-3");
-    EXPECT_EQ(r.heard[0].age_ms, 250u);
-    EXPECT_EQ(r.heard[1].machine, "vm-4");
-    EXPECT_EQ(r.heard[1].age_ms, 65536u);
+    EXPECT_EQ(r.sequence_number, 9u);
+    EXPECT_EQ(r.acknowledged_sequence_number, 5u);
+    EXPECT_EQ(r.heartbeats, (std::vector<std::string>{R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"}));
+    ASSERT_EQ(r.answered_heartbeats.size(), 2u);
+    EXPECT_EQ(r.answered_heartbeats[0].machine, "vm-3");
+    EXPECT_EQ(r.answered_heartbeats[0].age_ms, 250u);
+    EXPECT_EQ(r.answered_heartbeats[1].machine, "vm-4");
+    EXPECT_EQ(r.answered_heartbeats[1].age_ms, 65536u);
 }
 TEST(GoldenBytes, RelayAnswerIsReadFieldByField) {
-    auto a = read<PeerRelayAnswer>(golden::peer_relay_answer);
-    EXPECT_TRUE(a.leads);
+    auto a = read<RelayResponse>(golden::peer_relay_answer);
+    EXPECT_TRUE(a.is_leader);
     EXPECT_FALSE(a.ready);
-    EXPECT_EQ(a.grant_ms, 1500u);
-    ASSERT_EQ(a.answers.size(), 2u);
-    EXPECT_EQ(a.answers[0].status, 200);
-    EXPECT_EQ(a.answers[0].body, R"({"helm":8,"orders":[]})");
-    EXPECT_TRUE(a.answers[0].quiet);
-    EXPECT_EQ(a.answers[1].status, 409);
-    EXPECT_EQ(a.answers[1].body, "{}");
-    EXPECT_FALSE(a.answers[1].quiet);
-    EXPECT_EQ(a.recalled, std::vector<std::string>{"vm-9"});
+    EXPECT_EQ(a.delegation_ms, 1500u);
+    ASSERT_EQ(a.replies.size(), 2u);
+    EXPECT_EQ(a.replies[0].status, 200);
+    EXPECT_EQ(a.replies[0].body, R"({"helm":8,"orders":[]})");
+    EXPECT_TRUE(a.replies[0].nothing_pending);
+    EXPECT_EQ(a.replies[1].status, 409);
+    EXPECT_EQ(a.replies[1].body, "{}");
+    EXPECT_FALSE(a.replies[1].nothing_pending);
+    EXPECT_EQ(a.revoked, std::vector<std::string>{"vm-9"});
 }
 TEST(GoldenBytes, FleetIsReadFieldByField) {
     auto f = read<PeerFleet>(golden::peer_fleet);
     EXPECT_EQ(f.leader_version, 8u);
-    EXPECT_EQ(f.number, 3u);
+    EXPECT_EQ(f.sequence_number, 3u);
     EXPECT_EQ(f.begun, 7u);
     EXPECT_TRUE(f.whole);
     ASSERT_EQ(f.rows.size(), 2u);
@@ -357,17 +358,17 @@
     EXPECT_EQ(ping.counts[0].id, "j-1");
     EXPECT_EQ(ping.counts[0].done, 3u);
     EXPECT_EQ(ping.counts[0].running, 0u);
-    auto relay = read<PeerRelayAnswer>(
+    auto relay = read<RelayResponse>(
         "94"
         "c3"
         "c3"
         "05"
         "91"
         "92ccc8a27b7d");
-    ASSERT_EQ(relay.answers.size(), 1u);
-    EXPECT_EQ(relay.answers[0].status, 200);
-    EXPECT_EQ(relay.answers[0].body, "{}");
-    EXPECT_FALSE(relay.answers[0].quiet);
+    ASSERT_EQ(relay.replies.size(), 1u);
+    EXPECT_EQ(relay.replies[0].status, 200);
+    EXPECT_EQ(relay.replies[0].body, "{}");
+    EXPECT_FALSE(relay.replies[0].nothing_pending);
     auto fleet = read<PeerFleet>(
         "93"
         "08"
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -65,9 +65,11 @@
 }
 
 TEST(MessageSize, OfAMessageThatPassesReportsOn) {
-    PeerRelay relay;
-    relay.reports.assign(96, std::string(1900, 'x'));  // relay::ReportRelay's most_reports, 17 ends in each
-    for (std::size_t k = 0; k < machine_count; ++k) relay.heard.push_back({name("vm-%06zu", k), 70000});
+    RelayRequest relay;
+    relay.heartbeats.assign(96,
+                            std::string(1900, 'x'));  // relay::ReportRelay's most_reports, 17 ends in each
+    for (std::size_t k = 0; k < machine_count; ++k)
+        relay.answered_heartbeats.push_back({name("vm-%06zu", k), 70000});
     EXPECT_LT(packed_bytes("96 reports passed on, 8,000 repeated", relay), body_limit / 4);
 }
 
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -16,12 +16,12 @@
 // Keeps what was sent to the leader; the test answers, late or not at all.
 struct Network : http::Requester {
     struct Sent {
-        protocol::PeerRelay message;
+        protocol::RelayRequest message;
         http::Result result;
     };
     std::deque<Sent> sent;
     void send(const std::string&, http::Request r, double, http::Result result) override {
-        sent.push_back({protocol::unpack_peer<protocol::PeerRelay>(r.body).value(), std::move(result)});
+        sent.push_back({protocol::unpack_peer<protocol::RelayRequest>(r.body).value(), std::move(result)});
     }
 };
 struct RelayFixture {
@@ -50,11 +50,11 @@
     }
     void run(double seconds) { timers.run_until(timers.now() + seconds); }
     // Answers the oldest message: all its reports with 200.
-    void answer(protocol::PeerRelayAnswer a, bool quiet = true) {
+    void answer(protocol::RelayResponse a, bool quiet = true) {
         auto s = std::move(net.sent.front());
         net.sent.pop_front();
-        a.leads = true;
-        for (std::size_t k = 0; k < s.message.reports.size(); ++k) a.answers.push_back({200, "{}", quiet});
+        a.is_leader = true;
+        for (std::size_t k = 0; k < s.message.heartbeats.size(); ++k) a.replies.push_back({200, "{}", quiet});
         s.result(http::Response{200, protocol::pack_peer(a), "application/msgpack"});
     }
     void lose() {
@@ -63,11 +63,11 @@
         s.result(std::nullopt);
     }
 };
-protocol::PeerRelayAnswer extension(std::uint64_t ms, std::vector<std::string> recalled = {}) {
-    protocol::PeerRelayAnswer a;
+protocol::RelayResponse extension(std::uint64_t ms, std::vector<std::string> recalled = {}) {
+    protocol::RelayResponse a;
     a.ready = true;
-    a.grant_ms = ms;
-    a.recalled = std::move(recalled);
+    a.delegation_ms = ms;
+    a.revoked = std::move(recalled);
     return a;
 }
 
