--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -38,7 +38,7 @@
     } else if (request.target == protocol::peer_relay_path) {
         with_message<protocol::RelayRequest>(request, reply,
                                              [&](const auto& message) { relay_heartbeats(message, reply); });
-    } else if (request.target == protocol::peer_fleet_path) {
+    } else if (request.target == protocol::peer_replication_path) {
         replicate(request, reply);
     } else if (request.target == protocol::peer_images_path) {
         with_message<protocol::PeerImages>(request, reply, [&](protocol::PeerImages image_caches) {
@@ -64,7 +64,7 @@
 
 // With its own replica switched off, a controller has no part in that of others.
 void PeerMessageHandler::replicate(const http::Request& request, const http::Reply& reply) {
-    with_message<protocol::PeerFleet>(request, reply, [&](protocol::PeerFleet piece) {
+    with_message<protocol::ReplicationRequest>(request, reply, [&](protocol::ReplicationRequest piece) {
         if (!dependencies_.settings.op.standby) return reply_malformed(reply);
         reply_packed(reply, dependencies_.replica.apply(std::move(piece)));
     });
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -89,7 +89,7 @@
 void Recovery::inherit(Machine& machine) {
     auto& rows = inheritance_.replica.machines;
     auto row = rows.find(machine.id);
-    machine.known_from_replica = row == rows.end() || row->second.known;
+    machine.known_from_replica = row == rows.end() || row->second.tasks_known;
     if (row == rows.end() || !machine.known_from_replica) return;
     machine.agent_epoch = row->second.agent_epoch;
     machine.sequence = row->second.sequence;
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -59,18 +59,18 @@
     flush_commands_();
 }
 
-std::optional<protocol::PeerMachineRow> StartReplication::row_of(const std::string& machine_id) const {
+std::optional<protocol::ReplicatedMachine> StartReplication::row_of(const std::string& machine_id) const {
     auto found = state_.cluster.machines().find(machine_id);
     if (found == state_.cluster.machines().end())
-        return protocol::PeerMachineRow{machine_id, false, true, 0, 0, {}};
+        return protocol::ReplicatedMachine{machine_id, false, true, 0, 0, {}};
     auto& machine = found->second;
     if (machine.life == Machine::Life::booting) return std::nullopt;
-    protocol::PeerMachineRow row{machine_id,
-                                 machine.known_from_replica || machine.reconciled,
-                                 false,
-                                 machine.agent_epoch,
-                                 machine.sequence,
-                                 {}};
+    protocol::ReplicatedMachine row{machine_id,
+                                    machine.known_from_replica || machine.reconciled,
+                                    false,
+                                    machine.agent_epoch,
+                                    machine.sequence,
+                                    {}};
     for (auto& [task, instance] : machine.tasks)
         row.tasks.push_back({task.job, task.index, instance.attempt});
     return row;
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -15,7 +15,7 @@
 inline constexpr std::string_view peer_job_path = "/peer/job";
 inline constexpr std::string_view peer_cancelled_path = "/peer/cancelled";
 inline constexpr std::string_view peer_relay_path = "/peer/relay";
-inline constexpr std::string_view peer_fleet_path = "/peer/fleet";
+inline constexpr std::string_view peer_replication_path = "/peer/fleet";
 
 // Tasks of a live job, as the leader counts them.
 struct PeerCount {
@@ -119,37 +119,36 @@
     MSGPACK_DEFINE(is_leader, ready, delegation_ms, replies, revoked)
 };
 
-// From the leader to a controller that follows it: what its machines may hold. A row says all of its machine,
-// as of the sending; it replaces what an earlier piece said.
-struct PeerPlaced {
+// From the leader to a follower: what its machines may hold. Each machine is as of the sending, and replaces
+// what an earlier request said of it.
+struct ReplicatedTask {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     MSGPACK_DEFINE(job, index, attempt)
 };
-struct PeerMachineRow {
+struct ReplicatedMachine {
     std::string machine;
-    bool known = false;  // it holds these tasks at the most; otherwise anything may be on it
-    bool gone = false;   // it was deleted
-    std::uint64_t agent_epoch = 0, sequence = 0;  // of the last report that the leader heard
-    std::vector<PeerPlaced> tasks;
-    MSGPACK_DEFINE(machine, known, gone, agent_epoch, sequence, tasks)
+    bool tasks_known = false;  // it holds no others than `tasks`; otherwise anything may be on it
+    bool deleted = false;
+    std::uint64_t agent_epoch = 0, sequence = 0;  // of the last heartbeat that the leader received
+    std::vector<ReplicatedTask> tasks;
+    MSGPACK_DEFINE(machine, tasks_known, deleted, agent_epoch, sequence, tasks)
 };
-struct PeerFleet {
+struct ReplicationRequest {
     std::uint64_t leader_version = 0;
-    std::uint64_t number = 0;  // of this piece, growing; pieces of lower numbers that come later are refused
-    std::vector<PeerMachineRow> rows;
-    // The leadership under which the copy was begun that these rows go on from; 0: they begin one.
-    std::uint64_t begun = 0;
-    bool whole = false;  // all has been told by now, in this piece and those before
-    MSGPACK_DEFINE(leader_version, number, rows, begun, whole)
-};
-struct PeerFleetAnswer {
-    bool taken = false;
-    std::uint64_t incarnation =
-        0;                    // of the process that took it: another one knows nothing of what came before
-    std::uint64_t begun = 0;  // the leadership under which its copy was begun; 0: none, or it does not say
-    MSGPACK_DEFINE(taken, incarnation, begun)
+    std::uint64_t sequence_number = 0;  // grows; a lower one that comes later is rejected
+    std::vector<ReplicatedMachine> rows;
+    // The leadership whose snapshot the replica began from that these rows continue; 0: they begin a new one.
+    std::uint64_t base_version = 0;
+    bool snapshot_complete = false;  // with this request the follower has all machines
+    MSGPACK_DEFINE(leader_version, sequence_number, rows, base_version, snapshot_complete)
+};
+struct ReplicationResponse {
+    bool applied = false;
+    std::uint64_t incarnation = 0;   // of the process that applied it: another one has no replica
+    std::uint64_t base_version = 0;  // of its replica; 0: it has none, or is of a version that does not say
+    MSGPACK_DEFINE(applied, incarnation, base_version)
 };
 
 template <class T>
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -159,34 +159,34 @@
 void ReplicationSender::send(FollowerSession& session) {
     // Not before the record is of this leadership: no replica may be newer than the record.
     if (!record_.owned() || !session.ready_to_send()) return;
-    protocol::PeerFleet message{leader_version_,
-                                ++batches_sent_,
-                                {},
-                                session.resumed() ? session.base_version() : 0,
-                                session.in_sync()};
+    protocol::ReplicationRequest message{leader_version_,
+                                         ++batches_sent_,
+                                         {},
+                                         session.resumed() ? session.base_version() : 0,
+                                         session.in_sync()};
     auto batch = session.next_batch(max_batch_machines, log_index_, timers_.now());
     for (auto& machine : batch.machines)
         if (auto row = callbacks_.machine_row(machine)) message.rows.push_back(std::move(*row));
-    http_.send(
-        session.peer().addr,
-        {"POST", std::string(protocol::peer_fleet_path), protocol::pack_peer(message), "application/msgpack"},
-        answer_timeout_s(session),
-        guarded_([this, &session, batch](const std::optional<http::Response>& response) {
-            handle_answer(session, batch, response);
-        }));
+    http_.send(session.peer().addr,
+               {"POST", std::string(protocol::peer_replication_path), protocol::pack_peer(message),
+                "application/msgpack"},
+               answer_timeout_s(session),
+               guarded_([this, &session, batch](const std::optional<http::Response>& response) {
+                   handle_answer(session, batch, response);
+               }));
 }
 
 void ReplicationSender::handle_answer(FollowerSession& session, const FollowerSession::Batch& batch,
                                       const std::optional<http::Response>& response) {
     if (!session.is_current(batch.session)) return;
     session.batch_finished();
-    std::optional<protocol::PeerFleetAnswer> answer;
+    std::optional<protocol::ReplicationResponse> answer;
     if (response && response->status == 200)
-        answer = protocol::unpack_peer<protocol::PeerFleetAnswer>(response->body);
+        answer = protocol::unpack_peer<protocol::ReplicationResponse>(response->body);
     if (!answer) return handle_no_answer(session, batch);
     if (session.incarnation() != 0 && answer->incarnation != session.incarnation())
         return follower_restarted(session.peer().label, answer->incarnation);
-    if (!answer->taken) return handle_rejection(session, *answer);
+    if (!answer->applied) return handle_rejection(session, *answer);
     handle_acknowledgement(session, batch, *answer);
 }
 
@@ -200,15 +200,16 @@
                   }));
 }
 
-void ReplicationSender::handle_rejection(FollowerSession& session, const protocol::PeerFleetAnswer& answer) {
-    if (session.resumed() && answer.begun != session.base_version())
+void ReplicationSender::handle_rejection(FollowerSession& session,
+                                         const protocol::ReplicationResponse& answer) {
+    if (session.resumed() && answer.base_version != session.base_version())
         end_session(session, "replica_not_the_recorded_one", Backoff::none);
     else
         end_session(session, "later_leader", Backoff::increase);
 }
 
 void ReplicationSender::handle_acknowledgement(FollowerSession& session, const FollowerSession::Batch& batch,
-                                               const protocol::PeerFleetAnswer& answer) {
+                                               const protocol::ReplicationResponse& answer) {
     session.acknowledge(batch, answer, leader_version_);
     if (session.snapshot_acknowledged()) {
         session.set_in_sync(timers_.now());
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -32,7 +32,7 @@
   public:
     struct Callbacks {
         // The machine as it is now; nothing if there is nothing to replicate of it yet.
-        std::function<std::optional<protocol::PeerMachineRow>(const std::string& machine)> machine_row;
+        std::function<std::optional<protocol::ReplicatedMachine>(const std::string& machine)> machine_row;
         // Ids of all machines, for a snapshot.
         std::function<std::vector<std::string>()> all_machines;
         // A transaction on the condition that this leadership lasts; nothing without authority.
@@ -85,9 +85,9 @@
     void handle_answer(FollowerSession& session, const FollowerSession::Batch& batch,
                        const std::optional<http::Response>& response);
     void handle_no_answer(FollowerSession& session, const FollowerSession::Batch& batch);
-    void handle_rejection(FollowerSession& session, const protocol::PeerFleetAnswer& answer);
+    void handle_rejection(FollowerSession& session, const protocol::ReplicationResponse& answer);
     void handle_acknowledgement(FollowerSession& session, const FollowerSession::Batch& batch,
-                                const protocol::PeerFleetAnswer& answer);
+                                const protocol::ReplicationResponse& answer);
     [[nodiscard]] std::vector<FollowerSession::Member> in_sync_members() const;
     [[nodiscard]] double answer_timeout_s(const FollowerSession& session) const;
 
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -114,7 +114,7 @@
     EXPECT_EQ(serve_peer("POST", "/peer/unknown").status, 404);
     for (auto path : {protocol::peer_ping_path, protocol::peer_user_path, protocol::peer_images_path,
                       protocol::peer_job_path, protocol::peer_cancelled_path, protocol::peer_relay_path,
-                      protocol::peer_fleet_path})
+                      protocol::peer_replication_path})
         EXPECT_EQ(serve_peer("POST", path, "\xc1").status, 400) << path;
 }
 
@@ -134,14 +134,14 @@
 }
 
 TEST_F(PeerMessageHandlerTest, ReplicatesUnlessItsOwnReplicaIsSwitchedOff) {
-    protocol::PeerFleet piece{5, 1, {}, 0, true};
+    protocol::ReplicationRequest piece{5, 1, {}, 0, true};
     auto body = protocol::pack_peer(piece);
-    EXPECT_TRUE(protocol::unpack_peer<protocol::PeerFleetAnswer>(
-                    serve_peer("POST", protocol::peer_fleet_path, body).body)
-                    ->taken);
+    EXPECT_TRUE(protocol::unpack_peer<protocol::ReplicationResponse>(
+                    serve_peer("POST", protocol::peer_replication_path, body).body)
+                    ->applied);
     EXPECT_EQ(replica.replica().leader_version, 5u);
     settings.op.standby = false;
-    EXPECT_EQ(serve_peer("POST", protocol::peer_fleet_path, body).status, 400);
+    EXPECT_EQ(serve_peer("POST", protocol::peer_replication_path, body).status, 400);
 }
 
 }  // namespace
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -67,24 +67,24 @@
                         {.status = 409, .body = "{}", .nothing_pending = false}},
             .revoked = {"vm-9"}};
 }
-PeerFleet fleet() {
+ReplicationRequest fleet() {
     return {.leader_version = 8,
             .sequence_number = 3,
             .rows = {{.machine = "vm-1",
-                      .known = true,
-                      .gone = false,
+                      .tasks_known = true,
+                      .deleted = false,
                       .agent_epoch = 5,
                       .sequence = 6,
                       .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
                                 {.job = "j-2", .index = 0, .attempt = 1}}},
                      {.machine = "vm-2",
-                      .known = false,
-                      .gone = true,
+                      .tasks_known = false,
+                      .deleted = true,
                       .agent_epoch = 11,
                       .sequence = 12,
                       .tasks = {}}},
-            .begun = 7,
-            .whole = true};
+            .base_version = 7,
+            .snapshot_complete = true};
 }
 
 struct Message {
@@ -131,7 +131,7 @@
         message("RelayAnswer", peer_relay_answer, peer_relay_answer_unset, relay_answer()),
         message("Fleet", peer_fleet, peer_fleet_unset, fleet()),
         message("FleetAnswer", peer_fleet_answer, peer_fleet_answer_unset,
-                PeerFleetAnswer{.taken = true, .incarnation = 9, .begun = 8}),
+                ReplicationResponse{.applied = true, .incarnation = 9, .base_version = 8}),
     };
 }
 
@@ -310,16 +310,16 @@
     EXPECT_EQ(a.revoked, std::vector<std::string>{"vm-9"});
 }
 TEST(GoldenBytes, FleetIsReadFieldByField) {
-    auto f = read<PeerFleet>(golden::peer_fleet);
+    auto f = read<ReplicationRequest>(golden::peer_fleet);
     EXPECT_EQ(f.leader_version, 8u);
     EXPECT_EQ(f.sequence_number, 3u);
-    EXPECT_EQ(f.begun, 7u);
-    EXPECT_TRUE(f.whole);
+    EXPECT_EQ(f.base_version, 7u);
+    EXPECT_TRUE(f.snapshot_complete);
     ASSERT_EQ(f.rows.size(), 2u);
     auto &first = f.rows[0], &second = f.rows[1];
     EXPECT_EQ(first.machine, "vm-1");
-    EXPECT_TRUE(first.known);
-    EXPECT_FALSE(first.gone);
+    EXPECT_TRUE(first.tasks_known);
+    EXPECT_FALSE(first.deleted);
     EXPECT_EQ(first.agent_epoch, 5u);
     EXPECT_EQ(first.sequence, 6u);
     ASSERT_EQ(first.tasks.size(), 2u);
@@ -330,17 +330,17 @@
     EXPECT_EQ(first.tasks[1].index, 0u);
     EXPECT_EQ(first.tasks[1].attempt, 1u);
     EXPECT_EQ(second.machine, "vm-2");
-    EXPECT_FALSE(second.known);
-    EXPECT_TRUE(second.gone);
+    EXPECT_FALSE(second.tasks_known);
+    EXPECT_TRUE(second.deleted);
     EXPECT_EQ(second.agent_epoch, 11u);
     EXPECT_EQ(second.sequence, 12u);
     EXPECT_TRUE(second.tasks.empty());
 }
 TEST(GoldenBytes, FleetAnswerIsReadFieldByField) {
-    auto a = read<PeerFleetAnswer>(golden::peer_fleet_answer);
-    EXPECT_TRUE(a.taken);
+    auto a = read<ReplicationResponse>(golden::peer_fleet_answer);
+    EXPECT_TRUE(a.applied);
     EXPECT_EQ(a.incarnation, 9u);
-    EXPECT_EQ(a.begun, 8u);
+    EXPECT_EQ(a.base_version, 8u);
 }
 
 // What stands within messages grows at its end, too.
@@ -369,7 +369,7 @@
     EXPECT_EQ(relay.replies[0].status, 200);
     EXPECT_EQ(relay.replies[0].body, "{}");
     EXPECT_FALSE(relay.replies[0].nothing_pending);
-    auto fleet = read<PeerFleet>(
+    auto fleet = read<ReplicationRequest>(
         "93"
         "08"
         "03"
@@ -377,8 +377,8 @@
         "93a4766d2d31c3c3");
     ASSERT_EQ(fleet.rows.size(), 1u);
     EXPECT_EQ(fleet.rows[0].machine, "vm-1");
-    EXPECT_TRUE(fleet.rows[0].known);
-    EXPECT_TRUE(fleet.rows[0].gone);
+    EXPECT_TRUE(fleet.rows[0].tasks_known);
+    EXPECT_TRUE(fleet.rows[0].deleted);
     EXPECT_EQ(fleet.rows[0].agent_epoch, 0u);
     EXPECT_TRUE(fleet.rows[0].tasks.empty());
 }
@@ -390,7 +390,7 @@
     EXPECT_EQ(peer_job_path, "/peer/job");
     EXPECT_EQ(peer_cancelled_path, "/peer/cancelled");
     EXPECT_EQ(peer_relay_path, "/peer/relay");
-    EXPECT_EQ(peer_fleet_path, "/peer/fleet");
+    EXPECT_EQ(peer_replication_path, "/peer/fleet");
 }
 TEST(GoldenBytes, FeaturesHaveTheirNumbers) {
     EXPECT_EQ(peer_features_awaits, 1u);
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -40,9 +40,9 @@
 }
 
 TEST(MessageSize, OfAPieceOfWhatFollowersAreTold) {
-    PeerFleet piece;
+    ReplicationRequest piece;
     for (std::size_t k = 0; k < 1024; ++k) {  // replication::ReplicationSender's max_batch_machines
-        PeerMachineRow row{name("vm-%06zu", k), true, false, 1, 70000, {}};
+        ReplicatedMachine row{name("vm-%06zu", k), true, false, 1, 70000, {}};
         for (std::uint32_t t = 0; t < tasks_per_machine; ++t)
             row.tasks.push_back({name("j-%09zu", k), 70000 + t, version << 20});
         piece.rows.push_back(std::move(row));
--- a/tests/replication/follower_session_test.cpp
+++ b/tests/replication/follower_session_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t no_limit = 100;
 
-protocol::PeerFleetAnswer applied(std::uint64_t incarnation = 1) {
+protocol::ReplicationResponse applied(std::uint64_t incarnation = 1) {
     return {true, incarnation, 0};
 }
 
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -16,7 +16,7 @@
 namespace coralhitch::replication {
 namespace {
 
-protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
+protocol::ReplicatedMachine row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
     return {id, true, false, agent_epoch, 0, {}};
 }
 
@@ -43,7 +43,7 @@
             if (!f.silent && f.fails) {
                 answer = http::Response{503, {}};
             } else if (!f.silent) {
-                auto piece = protocol::unpack_peer<protocol::PeerFleet>(r.body);
+                auto piece = protocol::unpack_peer<protocol::ReplicationRequest>(r.body);
                 answer = http::Response{200, protocol::pack_peer(f.follower.apply(std::move(*piece)))};
             }
             timers.after(answer ? 0.01 : timeout, [answer, result] { result(answer); });
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -36,7 +36,7 @@
     std::function<void(SimulatedCluster&, std::size_t leader)> what;
 };
 const FaultAtMessage faults[] = {
-    {"a start is replicated", [](auto& r) { return r.target == protocol::peer_fleet_path; },
+    {"a start is replicated", [](auto& r) { return r.target == protocol::peer_replication_path; },
      [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent", runs, [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent, and the next leader ends before it has reconciled", runs,
@@ -53,7 +53,7 @@
     {"a start is sent, and the leader stands still, then goes on", runs,
      [](SimulatedCluster& w, std::size_t l) { w.stand_still(l, 14); }},
     {"a start is replicated to a follower that is cut off, its messages held",
-     [](auto& r) { return r.target == protocol::peer_fleet_path; },
+     [](auto& r) { return r.target == protocol::peer_replication_path; },
      [](SimulatedCluster& w, std::size_t l) {
          w.cut("10.0.0." + std::to_string((l + 1) % 3 + 1), "10.", 25, true);
          w.at(w.now() + 4, [&w, l] { w.crash(l, 5); });
@@ -71,7 +71,7 @@
      }},
     // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
     {"a start is replicated, reaches nobody, and the leader ends while machines hang",
-     [](auto& r) { return r.target == protocol::peer_fleet_path; },
+     [](auto& r) { return r.target == protocol::peer_replication_path; },
      [](SimulatedCluster& w, std::size_t l) {
          for (std::size_t k = 0; k < 12; k += 2) w.hang(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
