--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -77,7 +77,7 @@
 relay::LeaderEndpoint HeartbeatIntake::relay_target() const {
     auto* peer = dependencies_.peers.leading_peer();
     if (dependencies_.leader || !dependencies_.settings.op.hearing || !peer ||
-        peer->last_ping.features < protocol::peer_features_relay)
+        peer->last_ping.features < protocol::peer_features::relay)
         return {};
     return {peer->config.addr, dependencies_.election.leader_fencing_token()};
 }
--- a/src/controller/task_count_service.cpp
+++ b/src/controller/task_count_service.cpp
@@ -11,7 +11,7 @@
 constexpr double query_timeout_periods = 1.0 / 10;
 }  // namespace
 
-void TaskCountService::set_all(const std::vector<protocol::PeerCount>& counts) {
+void TaskCountService::set_all(const std::vector<protocol::PeerTaskCounts>& counts) {
     received_at_ = timers_.now();
     counts_.clear();
     for (auto& count : counts) counts_[count.id] = {count.done, count.running};
--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -42,7 +42,8 @@
 const PeerMonitor::Peer* UserRouter::peer_to_forward_to(const http::Request& request) const {
     if (dependencies_.kv_reachability.reachable()) return nullptr;
     const bool has_dependencies = request.method == "POST" && protocol::names_dependencies(request.body);
-    return dependencies_.peers.peer_that_reaches_kv(has_dependencies ? protocol::peer_features_awaits : 0);
+    return dependencies_.peers.peer_that_reaches_kv(has_dependencies ? protocol::peer_features::dependencies
+                                                                     : 0);
 }
 
 // `fallback`: answered if the peer does not.
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -151,8 +151,8 @@
     return recovery_.loaded() ? task_counts(state_, id) : std::nullopt;
 }
 
-std::vector<protocol::PeerCount> Leader::all_counts() {
-    return recovery_.loaded() ? all_task_counts(state_) : std::vector<protocol::PeerCount>{};
+std::vector<protocol::PeerTaskCounts> Leader::all_counts() {
+    return recovery_.loaded() ? all_task_counts(state_) : std::vector<protocol::PeerTaskCounts>{};
 }
 
 // The lines of all leaders together tell what each team got; bench/teams.py adds them up.
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -101,7 +101,7 @@
     // Nothing if the job is not live, or jobs are not loaded.
     std::optional<api::TaskCounts> counts(const std::string& id);
     // Of all live jobs with tasks that run or are done.
-    std::vector<protocol::PeerCount> all_counts();
+    std::vector<protocol::PeerTaskCounts> all_counts();
     // The machines' image caches, for the next leader.
     protocol::PeerImages images() const { return images_to_hand_over(state_.cluster); }
     // Machines whose heartbeats are missing, and for how long, seconds.
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -18,35 +18,40 @@
 inline constexpr std::string_view peer_replication_path = "/peer/fleet";
 
 // Tasks of a live job, as the leader counts them.
-struct PeerCount {
+struct PeerTaskCounts {
     std::string id;
     std::uint64_t done = 0, running = 0;
     MSGPACK_DEFINE(id, done, running)
 };
-inline constexpr std::uint64_t peer_features_awaits = 1;  // jobs that await others
-inline constexpr std::uint64_t peer_features_relay = 2;   // takes reports that another controller heard
-inline constexpr std::uint64_t peer_features_follow = 3;  // takes what the leader tells of its machines
-inline constexpr std::uint64_t peer_features_carry = 4;   // goes on from the copy of the leader before
-inline constexpr std::uint64_t peer_features_brief = 5;   // takes answers to pings that leave out the lists
-inline constexpr std::uint64_t peer_features = peer_features_brief;
+// What a version can do, as a level: each includes those before it.
+namespace peer_features {
+inline constexpr std::uint64_t dependencies = 1;      // jobs that depend on others
+inline constexpr std::uint64_t relay = 2;             // as the leader, takes relayed heartbeats
+inline constexpr std::uint64_t replication = 3;       // follows the leader with a replica
+inline constexpr std::uint64_t replica_handover = 4;  // continues the previous leader's replica
+inline constexpr std::uint64_t brief_pings = 5;       // reads answers to pings that omit the lists
+inline constexpr std::uint64_t latest = brief_pings;
+}  // namespace peer_features
 
 struct PeerPing {
     std::string label;
     std::uint64_t incarnation = 0;
     std::uint64_t leader_version = 0;  // the newest leadership the sender knows of
     std::string leader;
-    bool state_ok = false;             // the key-value store answered the sender lately
-    std::vector<std::string> workers;  // machines that lately reported to the sender, which does not lead
-    std::vector<PeerCount> counts;     // of all live jobs, from a leader
-    std::uint64_t features = 0;        // what its version can do: a sender that says nothing is an old one
-    std::uint64_t followed = 0;        // the last leadership that told it all that its machines hold
-    std::vector<std::uint32_t> ages_ms{};  // since each of `workers` reported; an older version says nothing
-    // From a leader: machines that it has not heard when it should have, and for how long.
-    std::vector<std::string> silent{};
-    std::vector<std::uint32_t> silent_ms{};
-    bool brief = false;  // an answer: `workers` and the lists after it are as in the sender's last ping
-    MSGPACK_DEFINE(label, incarnation, leader_version, leader, state_ok, workers, counts, features, followed,
-                   ages_ms, silent, silent_ms, brief)
+    bool kv_reachable = false;                    // the key-value store answered the sender lately
+    std::vector<std::string> reporting_machines;  // whose heartbeats came lately to the sender, a follower
+    std::vector<PeerTaskCounts> task_counts;      // of all live jobs, from a leader
+    std::uint64_t features = 0;               // see peer_features::latest; 0: a version before there were any
+    std::uint64_t replicated_leadership = 0;  // the last one of which the sender has a complete replica
+    // Since the last heartbeat of each of `reporting_machines`; empty from an older version.
+    std::vector<std::uint32_t> heartbeat_ages_ms{};
+    // From a leader: machines that it suspects, and since how long each has missed heartbeats.
+    std::vector<std::string> suspected{};
+    std::vector<std::uint32_t> suspected_silence_ms{};
+    bool lists_omitted = false;  // an answer: its lists are as in the sender's last ping
+    MSGPACK_DEFINE(label, incarnation, leader_version, leader, kv_reachable, reporting_machines, task_counts,
+                   features, replicated_leadership, heartbeat_ages_ms, suspected, suspected_silence_ms,
+                   lists_omitted)
 };
 // A user's request that its controller can't decide, since it does not reach the key-value store.
 struct PeerUserRequest {
@@ -152,10 +157,10 @@
 };
 
 template <class T>
-std::string pack_peer(const T& v) {
-    msgpack::sbuffer b;
-    msgpack::pack(b, v);
-    return {b.data(), b.size()};
+std::string pack_peer(const T& message) {
+    msgpack::sbuffer buffer;
+    msgpack::pack(buffer, message);
+    return {buffer.data(), buffer.size()};
 }
 template <class T>
 std::optional<T> unpack_peer(std::string_view bytes) {
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -54,7 +54,7 @@
 void ReplicationSender::tick() {
     if (!record_.started()) return;
     for (auto& [label, session] : sessions_) {
-        if (session.may_retry(timers_.now()) && capable_peer(label, protocol::peer_features_follow))
+        if (session.may_retry(timers_.now()) && capable_peer(label, protocol::peer_features::replication))
             begin_snapshot(session);
         // A follower that has been in sync for long starts over with the shortest backoff.
         if (session.in_sync() && timers_.now() - session.in_sync_since() > settings_.lease_s)
@@ -83,7 +83,7 @@
 void ReplicationSender::resume(const protocol::StandbyRecord::Member& member) {
     auto it = sessions_.find(member.label);
     if (it == sessions_.end()) return;
-    auto* ping = capable_peer(member.label, protocol::peer_features_carry);
+    auto* ping = capable_peer(member.label, protocol::peer_features::replica_handover);
     if (ping && ping->incarnation == member.incarnation) it->second.resume(member, timers_.now());
 }
 
@@ -94,7 +94,8 @@
     if (!record_.started() || it == sessions_.end() || it->second.incarnation() == incarnation) return;
     auto& session = it->second;
     end_session(session, "restarted", Backoff::none);
-    if (!session.active() && capable_peer(label, protocol::peer_features_follow)) begin_snapshot(session);
+    if (!session.active() && capable_peer(label, protocol::peer_features::replication))
+        begin_snapshot(session);
     session.set_incarnation(incarnation);
 }
 
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -70,8 +70,8 @@
         protocol::PeerPing ping;
         ping.label = "berth-1";
         ping.incarnation = 77;
-        ping.state_ok = true;
-        ping.features = protocol::peer_features;
+        ping.kv_reachable = true;
+        ping.features = protocol::peer_features::latest;
         return ping;
     }
     void receive(const protocol::PeerPing& ping) { static_cast<void>(peers.answer_ping(ping)); }
@@ -85,7 +85,7 @@
     LocalLeader leader;
     replication::Follower replica{1};
     relay::HeartbeatTracker tracker{9, 248};
-    std::vector<protocol::PeerCount> received_counts;
+    std::vector<protocol::PeerTaskCounts> received_counts;
     PeerMonitor peers{{timers, network, settings, election, kv_reachability, leader, tracker, replica, 1},
                       [this](auto& counts) { received_counts = counts; }};
 };
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -20,34 +20,35 @@
 }
 
 PeerPing ping() {
-    return {.label = "berth-1",
-            .incarnation = UINT64_MAX,
-            .leader_version = 1ull << 60,
-            .leader = "berth-2",
-            .state_ok = true,
-            .workers = {"vm-1", "vm-2"},
-            .counts = {{.id = "j-1", .done = 3, .running = 300}, {.id = "j-2", .done = 70000, .running = 4}},
-            .features = 5,
-            .followed = 129,
-            .ages_ms = {100, 70000},
-            .silent = {"vm-3"},
-            .silent_ms = {UINT32_MAX},
-            .brief = false};
+    return {
+        .label = "berth-1",
+        .incarnation = UINT64_MAX,
+        .leader_version = 1ull << 60,
+        .leader = "berth-2",
+        .kv_reachable = true,
+        .reporting_machines = {"vm-1", "vm-2"},
+        .task_counts = {{.id = "j-1", .done = 3, .running = 300}, {.id = "j-2", .done = 70000, .running = 4}},
+        .features = 5,
+        .replicated_leadership = 129,
+        .heartbeat_ages_ms = {100, 70000},
+        .suspected = {"vm-3"},
+        .suspected_silence_ms = {UINT32_MAX},
+        .lists_omitted = false};
 }
 PeerPing brief_ping() {
     return {.label = "berth-1",
             .incarnation = 7,
             .leader_version = 8,
             .leader = "berth-2",
-            .state_ok = false,
-            .workers = {},
-            .counts = {},
+            .kv_reachable = false,
+            .reporting_machines = {},
+            .task_counts = {},
             .features = 5,
-            .followed = 6,
-            .ages_ms = {},
-            .silent = {},
-            .silent_ms = {},
-            .brief = true};
+            .replicated_leadership = 6,
+            .heartbeat_ages_ms = {},
+            .suspected = {},
+            .suspected_silence_ms = {},
+            .lists_omitted = true};
 }
 RelayRequest relayed_reports() {
     return {
@@ -196,21 +197,21 @@
     EXPECT_EQ(p.incarnation, UINT64_MAX);
     EXPECT_EQ(p.leader_version, 1ull << 60);
     EXPECT_EQ(p.leader, "berth-2");
-    EXPECT_TRUE(p.state_ok);
-    EXPECT_EQ(p.workers, (std::vector<std::string>{"vm-1", "vm-2"}));
-    ASSERT_EQ(p.counts.size(), 2u);
-    EXPECT_EQ(p.counts[0].id, "j-1");
-    EXPECT_EQ(p.counts[0].done, 3u);
-    EXPECT_EQ(p.counts[0].running, 300u);
-    EXPECT_EQ(p.counts[1].id, "j-2");
-    EXPECT_EQ(p.counts[1].done, 70000u);
-    EXPECT_EQ(p.counts[1].running, 4u);
+    EXPECT_TRUE(p.kv_reachable);
+    EXPECT_EQ(p.reporting_machines, (std::vector<std::string>{"vm-1", "vm-2"}));
+    ASSERT_EQ(p.task_counts.size(), 2u);
+    EXPECT_EQ(p.task_counts[0].id, "j-1");
+    EXPECT_EQ(p.task_counts[0].done, 3u);
+    EXPECT_EQ(p.task_counts[0].running, 300u);
+    EXPECT_EQ(p.task_counts[1].id, "j-2");
+    EXPECT_EQ(p.task_counts[1].done, 70000u);
+    EXPECT_EQ(p.task_counts[1].running, 4u);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.followed, 129u);
-    EXPECT_EQ(p.ages_ms, (std::vector<std::uint32_t>{100, 70000}));
-    EXPECT_EQ(p.silent, std::vector<std::string>{"vm-3"});
-    EXPECT_EQ(p.silent_ms, std::vector<std::uint32_t>{UINT32_MAX});
-    EXPECT_FALSE(p.brief);
+    EXPECT_EQ(p.replicated_leadership, 129u);
+    EXPECT_EQ(p.heartbeat_ages_ms, (std::vector<std::uint32_t>{100, 70000}));
+    EXPECT_EQ(p.suspected, std::vector<std::string>{"vm-3"});
+    EXPECT_EQ(p.suspected_silence_ms, std::vector<std::uint32_t>{UINT32_MAX});
+    EXPECT_FALSE(p.lists_omitted);
 }
 TEST(GoldenBytes, BriefPingIsReadFieldByField) {
     auto p = read<PeerPing>(golden::peer_ping_brief);
@@ -218,12 +219,12 @@
     EXPECT_EQ(p.incarnation, 7u);
     EXPECT_EQ(p.leader_version, 8u);
     EXPECT_EQ(p.leader, "berth-2");
-    EXPECT_FALSE(p.state_ok);
+    EXPECT_FALSE(p.kv_reachable);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.followed, 6u);
-    EXPECT_TRUE(p.brief);
-    EXPECT_TRUE(p.workers.empty() && p.counts.empty() && p.ages_ms.empty() && p.silent.empty() &&
-                p.silent_ms.empty());
+    EXPECT_EQ(p.replicated_leadership, 6u);
+    EXPECT_TRUE(p.lists_omitted);
+    EXPECT_TRUE(p.reporting_machines.empty() && p.task_counts.empty() && p.heartbeat_ages_ms.empty() &&
+                p.suspected.empty() && p.suspected_silence_ms.empty());
 }
 TEST(GoldenBytes, UserRequestIsReadFieldByField) {
     auto r = read<PeerUserRequest>(golden::peer_user_request);
@@ -354,10 +355,10 @@
         "90"
         "91"
         "92a36a2d3103");
-    ASSERT_EQ(ping.counts.size(), 1u);
-    EXPECT_EQ(ping.counts[0].id, "j-1");
-    EXPECT_EQ(ping.counts[0].done, 3u);
-    EXPECT_EQ(ping.counts[0].running, 0u);
+    ASSERT_EQ(ping.task_counts.size(), 1u);
+    EXPECT_EQ(ping.task_counts[0].id, "j-1");
+    EXPECT_EQ(ping.task_counts[0].done, 3u);
+    EXPECT_EQ(ping.task_counts[0].running, 0u);
     auto relay = read<RelayResponse>(
         "94"
         "c3"
@@ -393,12 +394,12 @@
     EXPECT_EQ(peer_replication_path, "/peer/fleet");
 }
 TEST(GoldenBytes, FeaturesHaveTheirNumbers) {
-    EXPECT_EQ(peer_features_awaits, 1u);
-    EXPECT_EQ(peer_features_relay, 2u);
-    EXPECT_EQ(peer_features_follow, 3u);
-    EXPECT_EQ(peer_features_carry, 4u);
-    EXPECT_EQ(peer_features_brief, 5u);
-    EXPECT_EQ(peer_features, 5u);
+    EXPECT_EQ(peer_features::dependencies, 1u);
+    EXPECT_EQ(peer_features::relay, 2u);
+    EXPECT_EQ(peer_features::replication, 3u);
+    EXPECT_EQ(peer_features::replica_handover, 4u);
+    EXPECT_EQ(peer_features::brief_pings, 5u);
+    EXPECT_EQ(peer_features::latest, 5u);
 }
 
 }  // namespace
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -30,12 +30,13 @@
 TEST(MessageSize, OfAPingThatNamesAllMachinesTwice) {
     PeerPing ping;
     for (std::size_t k = 0; k < machine_count; ++k) {
-        ping.workers.push_back(name("vm-%06zu", k));
-        ping.ages_ms.push_back(70000);
-        ping.silent.push_back(name("vm-%06zu", k));
-        ping.silent_ms.push_back(70000);
+        ping.reporting_machines.push_back(name("vm-%06zu", k));
+        ping.heartbeat_ages_ms.push_back(70000);
+        ping.suspected.push_back(name("vm-%06zu", k));
+        ping.suspected_silence_ms.push_back(70000);
     }
-    for (std::size_t k = 0; k < live_jobs; ++k) ping.counts.push_back({name("j-%09zu", k), 70000, 70000});
+    for (std::size_t k = 0; k < live_jobs; ++k)
+        ping.task_counts.push_back({name("j-%09zu", k), 70000, 70000});
     EXPECT_LT(packed_bytes("ping, 8,000 heard and 8,000 silent", ping), body_limit / 8);
 }
 
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -172,7 +172,7 @@
 }
 
 TEST(Peer, RoundTripsAndRefusesNoise) {
-    PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features};
+    PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features::latest};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
     ASSERT_TRUE(back);
     ASSERT_EQ(back->counts.size(), 1u);
@@ -182,7 +182,7 @@
     auto told = unpack_peer<PeerImages>(pack_peer(images));
     ASSERT_TRUE(told && told->machines.size() == 1);
     EXPECT_EQ(told->machines[0].images, (std::vector<std::uint32_t>{1, 0}));
-    EXPECT_EQ(back->features, peer_features);
+    EXPECT_EQ(back->features, peer_features::latest);
     EXPECT_FALSE(unpack_peer<PeerPing>("{\"label\":1}"));
     EXPECT_FALSE(unpack_peer<PeerPing>(""));
 }
@@ -194,7 +194,7 @@
     std::string leader;
     bool state_ok = false;
     std::vector<std::string> workers;
-    std::vector<PeerCount> counts;
+    std::vector<PeerTaskCounts> counts;
     MSGPACK_DEFINE(label, incarnation, leader_version, leader, state_ok, workers, counts)
 };
 TEST(Peer, OldAndNewVersionsUnderstandEachOther) {
@@ -207,7 +207,7 @@
     ASSERT_TRUE(ping);
     EXPECT_EQ(ping->label, "berth-1");
     EXPECT_EQ(ping->leader_version, 8u);
-    ASSERT_EQ(ping->counts.size(), 1u);
+    ASSERT_EQ(ping->task_counts.size(), 1u);
     EXPECT_EQ(ping->features, 0u);  // unknown means old
     auto back = unpack_peer<OldPing>(pack_peer(PeerPing{"a", 1, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
     ASSERT_TRUE(back);
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -69,7 +69,7 @@
     bool authority = true;
     std::map<std::string, protocol::PeerPing> pings;
     void ping(const std::string& label, std::uint64_t incarnation) {
-        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features, 0};
+        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features::latest, 0};
     }
     ReplicationSender sender{
         timers,
@@ -152,10 +152,10 @@
         bool at_once, resumed;
     };
     const Case cases[] = {
-        {"it resumes", 1, protocol::peer_features, 40, true, true},
-        {"it was restarted", 3, protocol::peer_features, 0, false, false},
-        {"its version cannot resume", 1, protocol::peer_features_follow, 40, false, false},
-        {"another leader has wiped its replica since", 1, protocol::peer_features, 45, true, false},
+        {"it resumes", 1, protocol::peer_features::latest, 40, true, true},
+        {"it was restarted", 3, protocol::peer_features::latest, 0, false, false},
+        {"its version cannot resume", 1, protocol::peer_features::replication, 40, false, false},
+        {"another leader has wiped its replica since", 1, protocol::peer_features::latest, 45, true, false},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
