--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -49,8 +49,8 @@
         with_message<protocol::PeerJobQuery>(request, reply, [&](const auto& query) {
             reply_packed(reply, dependencies_.task_counts.answer_peer(query));
         });
-    } else if (request.target == protocol::peer_cancelled_path) {
-        with_message<protocol::PeerCancelledAgain>(
+    } else if (request.target == protocol::peer_cancellation_path) {
+        with_message<protocol::PeerCancellationBatch>(
             request, reply, [&](const auto& message) { reply_packed(reply, take_cancellations(message)); });
     } else {
         reply({404, {}});
@@ -70,8 +70,8 @@
     });
 }
 
-protocol::PeerCancelledAnswer PeerMessageHandler::take_cancellations(
-    const protocol::PeerCancelledAgain& message) const {
+protocol::PeerCancellationResponse PeerMessageHandler::take_cancellations(
+    const protocol::PeerCancellationBatch& message) const {
     const auto& leader = dependencies_.leader;
     if (!leader) return {0};
     leader->cancelled(message.id, message.version);
--- a/src/controller/peer_message_handler.hpp
+++ b/src/controller/peer_message_handler.hpp
@@ -41,8 +41,8 @@
     static void with_message(const http::Request& request, const http::Reply& reply, Handle handle);
     void relay_heartbeats(const protocol::RelayRequest& message, http::Reply reply) const;
     void replicate(const http::Request& request, const http::Reply& reply);
-    [[nodiscard]] protocol::PeerCancelledAnswer take_cancellations(
-        const protocol::PeerCancelledAgain& message) const;
+    [[nodiscard]] protocol::PeerCancellationResponse take_cancellations(
+        const protocol::PeerCancellationBatch& message) const;
 
     PeerMessageHandlerDependencies dependencies_;
 };
--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -55,7 +55,7 @@
         dependencies_.settings.report_s * forward_timeout_periods,
         [fallback = std::move(fallback), reply](std::optional<http::Response> response) {
             if (!response || response->status != 200) return reply(fallback);
-            auto answer = protocol::unpack_peer<protocol::PeerUserAnswer>(response->body);
+            auto answer = protocol::unpack_peer<protocol::PeerUserResponse>(response->body);
             if (!answer) return reply(fallback);
             reply({answer->status, std::move(answer->body), "application/json", answer->retry_after_s});
         });
@@ -63,7 +63,7 @@
 
 void UserRouter::serve_forwarded(const protocol::PeerUserRequest& forwarded, http::Reply reply) {
     serve_here({forwarded.method, forwarded.target, forwarded.body}, [reply](http::Response response) {
-        protocol::PeerUserAnswer answer{response.status, std::move(response.body), response.retry_after_s};
+        protocol::PeerUserResponse answer{response.status, std::move(response.body), response.retry_after_s};
         reply(msgpack_response(protocol::pack_peer(answer)));
     });
 }
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -13,7 +13,7 @@
 inline constexpr std::string_view peer_user_path = "/peer/user";
 inline constexpr std::string_view peer_images_path = "/peer/images";
 inline constexpr std::string_view peer_job_path = "/peer/job";
-inline constexpr std::string_view peer_cancelled_path = "/peer/cancelled";
+inline constexpr std::string_view peer_cancellation_path = "/peer/cancelled";
 inline constexpr std::string_view peer_relay_path = "/peer/relay";
 inline constexpr std::string_view peer_replication_path = "/peer/fleet";
 
@@ -58,7 +58,7 @@
     std::string method, target, body;
     MSGPACK_DEFINE(method, target, body)
 };
-struct PeerUserAnswer {
+struct PeerUserResponse {
     int status = 503;
     std::string body;
     double retry_after_s = 0;
@@ -68,7 +68,7 @@
     std::string id;
     MSGPACK_DEFINE(id)
 };
-struct PeerCancelled {
+struct PeerCancellation {
     std::string id;
     std::uint64_t version = 0;
     MSGPACK_DEFINE(id, version)
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -41,7 +41,7 @@
         EXPECT_TRUE(answer) << method << " " << path;
         return answer.value_or(http::Response{0, {}});
     }
-    void peer_answers(const protocol::PeerUserAnswer& answer) {
+    void peer_answers(const protocol::PeerUserResponse& answer) {
         network.peer = [answer](const http::Request&) {
             return msgpack_response(protocol::pack_peer(answer));
         };
@@ -101,7 +101,7 @@
     auto body = protocol::pack_peer(protocol::PeerUserRequest{"POST", jobs_path, "{"});
     auto response = serve_peer("POST", protocol::peer_user_path, body);
     EXPECT_EQ(response.status, 200);
-    auto answer = protocol::unpack_peer<protocol::PeerUserAnswer>(response.body);
+    auto answer = protocol::unpack_peer<protocol::PeerUserResponse>(response.body);
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->status, 400);
     EXPECT_EQ(network.sent_to(protocol::peer_user_path), 0u);
@@ -113,7 +113,7 @@
     EXPECT_EQ(serve_peer("GET", protocol::peer_ping_path).status, 405);
     EXPECT_EQ(serve_peer("POST", "/peer/unknown").status, 404);
     for (auto path : {protocol::peer_ping_path, protocol::peer_user_path, protocol::peer_images_path,
-                      protocol::peer_job_path, protocol::peer_cancelled_path, protocol::peer_relay_path,
+                      protocol::peer_job_path, protocol::peer_cancellation_path, protocol::peer_relay_path,
                       protocol::peer_replication_path})
         EXPECT_EQ(serve_peer("POST", path, "\xc1").status, 400) << path;
 }
@@ -122,9 +122,9 @@
     auto relayed =
         serve_peer("POST", protocol::peer_relay_path, protocol::pack_peer(protocol::RelayRequest{}));
     EXPECT_FALSE(protocol::unpack_peer<protocol::RelayResponse>(relayed.body)->is_leader);
-    auto cancelled = serve_peer("POST", protocol::peer_cancelled_path,
-                                protocol::pack_peer(protocol::PeerCancelled{"job-1", 3}));
-    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancelledAnswer>(cancelled.body)->taken_by, 0u);
+    auto cancelled = serve_peer("POST", protocol::peer_cancellation_path,
+                                protocol::pack_peer(protocol::PeerCancellation{"job-1", 3}));
+    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancellationResponse>(cancelled.body)->taken_by, 0u);
 }
 
 TEST_F(PeerMessageHandlerTest, KeepsTheImageCachesOfTheLeader) {
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -111,18 +111,18 @@
                                 .target = "/api/jobs",
                                 .body = R"({"id":"j-1","cohort":"train","crew":"vision"})"}),
         message("UserAnswer", peer_user_answer, peer_user_answer_unset,
-                PeerUserAnswer{.status = 202, .body = "{}", .retry_after_s = 1.5}),
+                PeerUserResponse{.status = 202, .body = "{}", .retry_after_s = 1.5}),
         message("JobQuery", peer_job_query, peer_job_query_unset, PeerJobQuery{.id = "j-000412"}),
         message("JobCounts", peer_job_counts, peer_job_counts_unset,
                 PeerJobCounts{.known = true, .done = 3, .running = 4}),
         message("Cancelled", peer_cancelled, peer_cancelled_unset,
-                PeerCancelled{.id = "j-1", .version = (1ull << 53) + 1}),
+                PeerCancellation{.id = "j-1", .version = (1ull << 53) + 1}),
         message("CancelledAgain", peer_cancelled_again, peer_cancelled_again_unset,
-                PeerCancelledAgain{.id = "j-1",
-                                   .version = 7,
-                                   .more = {{.id = "j-2", .version = 8}, {.id = "j-3", .version = 9}}}),
+                PeerCancellationBatch{.id = "j-1",
+                                      .version = 7,
+                                      .more = {{.id = "j-2", .version = 8}, {.id = "j-3", .version = 9}}}),
         message("CancelledAnswer", peer_cancelled_answer, peer_cancelled_answer_unset,
-                PeerCancelledAnswer{.taken_by = 12}),
+                PeerCancellationResponse{.taken_by = 12}),
         message("Images", peer_images, peer_images_unset,
                 PeerImages{
                     .names = {"img-1", "img-2"},
@@ -233,7 +233,7 @@
     EXPECT_EQ(r.body, R"({"id":"j-1","cohort":"train","crew":"vision"})");
 }
 TEST(GoldenBytes, UserAnswerIsReadFieldByField) {
-    auto a = read<PeerUserAnswer>(golden::peer_user_answer);
+    auto a = read<PeerUserResponse>(golden::peer_user_answer);
     EXPECT_EQ(a.status, 202);
     EXPECT_EQ(a.body, "{}");
     EXPECT_EQ(a.retry_after_s, 1.5);
@@ -246,10 +246,10 @@
     EXPECT_EQ(c.running, 4u);
 }
 TEST(GoldenBytes, CancellationsAreReadFieldByField) {
-    auto one = read<PeerCancelled>(golden::peer_cancelled);
+    auto one = read<PeerCancellation>(golden::peer_cancelled);
     EXPECT_EQ(one.id, "j-1");
     EXPECT_EQ(one.version, (1ull << 53) + 1);
-    auto again = read<PeerCancelledAgain>(golden::peer_cancelled_again);
+    auto again = read<PeerCancellationBatch>(golden::peer_cancelled_again);
     EXPECT_EQ(again.id, "j-1");
     EXPECT_EQ(again.version, 7u);
     ASSERT_EQ(again.more.size(), 2u);
@@ -257,20 +257,20 @@
     EXPECT_EQ(again.more[0].version, 8u);
     EXPECT_EQ(again.more[1].id, "j-3");
     EXPECT_EQ(again.more[1].version, 9u);
-    EXPECT_EQ(read<PeerCancelledAnswer>(golden::peer_cancelled_answer).taken_by, 12u);
+    EXPECT_EQ(read<PeerCancellationResponse>(golden::peer_cancelled_answer).taken_by, 12u);
 }
 // Both go to the same path.
 TEST(GoldenBytes, SingleAndRepeatedCancellationsAreReadAsEachOther) {
-    auto again = read<PeerCancelledAgain>(golden::peer_cancelled);
+    auto again = read<PeerCancellationBatch>(golden::peer_cancelled);
     EXPECT_EQ(again.id, "j-1");
     EXPECT_EQ(again.version, (1ull << 53) + 1);
     EXPECT_TRUE(again.more.empty());
-    auto one = read<PeerCancelled>(golden::peer_cancelled_again);
+    auto one = read<PeerCancellation>(golden::peer_cancelled_again);
     EXPECT_EQ(one.id, "j-1");
     EXPECT_EQ(one.version, 7u);
 }
 TEST(GoldenBytes, CancellationAnsweredByAnOlderVersionSaysNothing) {
-    for (const char* old : {"", "{}"}) EXPECT_FALSE(unpack_peer<PeerCancelledAnswer>(old)) << old;
+    for (const char* old : {"", "{}"}) EXPECT_FALSE(unpack_peer<PeerCancellationResponse>(old)) << old;
 }
 TEST(GoldenBytes, ImagesAreReadFieldByField) {
     auto i = read<PeerImages>(golden::peer_images);
@@ -389,7 +389,7 @@
     EXPECT_EQ(peer_user_path, "/peer/user");
     EXPECT_EQ(peer_images_path, "/peer/images");
     EXPECT_EQ(peer_job_path, "/peer/job");
-    EXPECT_EQ(peer_cancelled_path, "/peer/cancelled");
+    EXPECT_EQ(peer_cancellation_path, "/peer/cancelled");
     EXPECT_EQ(peer_relay_path, "/peer/relay");
     EXPECT_EQ(peer_replication_path, "/peer/fleet");
 }
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -216,9 +216,9 @@
     EXPECT_EQ(pack_peer(*unpack_peer<OldPing>(old)), old);
     // These are as they were.
     EXPECT_EQ(pack_peer(PeerUserRequest{"GET", "/", ""}), std::string("\x93\xa3GET\xa1/\xa0", 8));
-    EXPECT_EQ(pack_peer(PeerUserAnswer{200, "{}", 1}), std::string("\x93\xcc\xc8\xa2{}\x01", 7));
+    EXPECT_EQ(pack_peer(PeerUserResponse{200, "{}", 1}), std::string("\x93\xcc\xc8\xa2{}\x01", 7));
     EXPECT_EQ(pack_peer(PeerJobQuery{"j-1"}), std::string("\x91\xa3j-1", 5));
-    EXPECT_EQ(pack_peer(PeerCancelled{"j-1", 7}), std::string("\x92\xa3j-1\x07", 6));
+    EXPECT_EQ(pack_peer(PeerCancellation{"j-1", 7}), std::string("\x92\xa3j-1\x07", 6));
     EXPECT_EQ(pack_peer(PeerJobCounts{true, 3, 4}), std::string("\x93\xc3\x03\x04", 4));
     EXPECT_EQ(pack_peer(PeerImages{{"i"}, {1}, {{"vm-1", {0}}}}),
               std::string("\x93\x91\xa1i\x91\x01\x91\x92\xa4vm-1\x91\0", 15));
