--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -41,8 +41,8 @@
     bool kv_reachable = false;                    // the key-value store answered the sender lately
     std::vector<std::string> reporting_machines;  // whose heartbeats came lately to the sender, a follower
     std::vector<PeerTaskCounts> task_counts;      // of all live jobs, from a leader
-    std::uint64_t features = 0;               // see peer_features::latest; 0: a version before there were any
-    std::uint64_t replicated_leadership = 0;  // the last one of which the sender has a complete replica
+    std::uint64_t features = 0;                   // a level of the above; 0: an older version
+    std::uint64_t replicated_leadership = 0;      // the last one of which the sender has a complete replica
     // Since the last heartbeat of each of `reporting_machines`; empty from an older version.
     std::vector<std::uint32_t> heartbeat_ages_ms{};
     // From a leader: machines that it suspects, and since how long each has missed heartbeats.
