--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -81,7 +81,7 @@
     auto value = protocol::stored(record);
     // The record was stored when larger values were allowed.
     if (value.size() > kv_.limits().value_bytes())
-        value = protocol::stored(protocol::shortened(std::move(record)));
+        value = protocol::stored(protocol::compact_cancelled_record(std::move(record)));
     protocol::Txn txn;
     txn.conditions = {{keys::job(id), entry.version}};
     txn.changes = {{keys::job(id), std::move(value), 0}};
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -138,7 +138,7 @@
         spdlog::error("component=api event=unreadable_job_record job={} error=\"{}\"", id, error.what());
         // Perhaps written by another version: it is live all the same. As an unknown job, it would be refused
         // for good.
-        job.cancelled = protocol::says_cancelled(*value);
+        job.cancelled = protocol::is_cancelled_record(*value);
     }
     if (previous != jobs_.end()) {
         // Written again, which only a cancellation does.
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -71,7 +71,7 @@
 }
 
 void Election::handle_leader_record(const protocol::Entry& entry, const protocol::LeaderRecord& record) {
-    history_.append_after_gap({entry.version, record.keeps_record});
+    history_.append_after_gap({entry.version, record.stores_in_sync_replicas});
     bool known = leader_label_ == record.label && leader_fencing_token_ == entry.version;
     if (entry.version < leader_fencing_token_ || known) return;
     leader_label_ = record.label;
@@ -97,7 +97,7 @@
         is_deleted = !event.value;
         if (!event.value) continue;
         was_put = true;
-        history_.append({event.version, protocol::keeps_record(*event.value)});
+        history_.append({event.version, protocol::stores_in_sync_replicas(*event.value)});
     }
     history_.extend_to(next_revision);
     if (was_put) return read_leader_key();
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -33,7 +33,7 @@
 
 // Which followers of the previous leader were in sync.
 void RecoveryLoader::read_record() {
-    kv_.get(keys::standby, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
+    kv_.get(keys::in_sync_replicas, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
                 if (!result.ok()) return retry_later();
                 handle_record(result);
                 read_leader_history();
@@ -44,7 +44,7 @@
     evidence_.record.reset();
     if (!result.entry) return;
     try {
-        evidence_.record = protocol::parse_standby_record(result.entry->value);
+        evidence_.record = protocol::parse_in_sync_replicas(result.entry->value);
     } catch (const protocol::Malformed& error) {
         spdlog::error("component=failover event=record_malformed error=\"{}\"", error.what());
     }
@@ -59,7 +59,8 @@
             evidence_.later_leaders.clear();
             for (auto& event : result.events.events)
                 if (event.key == keys::leader && event.value && event.version != evidence_.leader_version)
-                    evidence_.later_leaders.push_back({event.version, protocol::keeps_record(*event.value)});
+                    evidence_.later_leaders.push_back(
+                        {event.version, protocol::stores_in_sync_replicas(*event.value)});
             list_all();
         }));
 }
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -88,7 +88,7 @@
                                   const char* error) {
     spdlog::error("component=leader event=malformed_job_record job={} error=\"{}\"", id, error);
     auto* job = state_.jobs.find(id);
-    if (!job || job->cancelled || !protocol::says_cancelled(value)) return false;
+    if (!job || job->cancelled || !protocol::is_cancelled_record(value)) return false;
     state_.jobs.cancel(id, version);
     callbacks_.cancel_active(id, *job);
     return true;
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -25,7 +25,7 @@
 }
 
 void StartReplication::begin(std::uint64_t record_version,
-                             const std::optional<protocol::StandbyRecord>& inherited) {
+                             const std::optional<protocol::InSyncReplicas>& inherited) {
     if (settings_.op.standby) sender_.start(record_version, inherited);
 }
 
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -28,10 +28,10 @@
     StartReplication(const PartContext& context, http::Requester& http, kv::KvClient& kv,
                      const LatestPing& latest_ping, std::function<void()> flush_commands);
 
-    // Once, with the standby record's version as read after the claim (0: there is none) and the record
+    // Once, with the in-sync record's version as read after the claim (0: there is none) and the record
     // itself if this leader's own copy was proof; before anything changes in the cluster state. Does nothing
     // if starts are not replicated.
-    void begin(std::uint64_t record_version, const std::optional<protocol::StandbyRecord>& inherited);
+    void begin(std::uint64_t record_version, const std::optional<protocol::InSyncReplicas>& inherited);
     // Queues the machines that have changed since the last call.
     void replicate_changes();
     // The start of this task, whose machine was among the last changes queued, is sent once they are
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -134,18 +134,19 @@
 struct LeaderRecord {
     std::string label;
     std::uint64_t incarnation = 0;
-    // It stores a record of who follows it before its first `run`. Versions that don't, say nothing.
-    bool keeps_record = false;
+    // This leader stores `InSyncReplicas` before its first start. Versions that do not store it leave this
+    // out.
+    bool stores_in_sync_replicas = false;
 };
-// Who has taken in every start that may have been sent under this leadership, or before it.
-struct StandbyRecord {
+// Which controllers have acknowledged every start that can have been sent under a leadership, or before it.
+struct InSyncReplicas {
     struct Member {
         std::string label;
-        std::uint64_t incarnation = 0;  // of its process
-        std::uint64_t begun = 0;        // the leadership under which its copy was begun from nothing
+        std::uint64_t incarnation = 0;   // of its process
+        std::uint64_t base_version = 0;  // the leadership whose snapshot its replica began from
         bool operator==(const Member&) const = default;
     };
-    std::uint64_t version = 0;  // of the leader's key
+    std::uint64_t leader_version = 0;  // of the leader's key
     std::vector<Member> members;
 };
 
--- a/src/replication/follower_session.cpp
+++ b/src/replication/follower_session.cpp
@@ -21,7 +21,7 @@
     state_ = State::in_sync;
     resumed_ = announce_complete_ = true;
     incarnation_ = member.incarnation;
-    base_version_ = member.begun;
+    base_version_ = member.base_version;
     in_sync_since_ = now;
     ++session_;
 }
--- a/src/replication/follower_session.hpp
+++ b/src/replication/follower_session.hpp
@@ -21,7 +21,7 @@
 
 class FollowerSession {
   public:
-    using Member = protocol::StandbyRecord::Member;
+    using Member = protocol::InSyncReplicas::Member;
     enum class State {
         inactive,      // nothing is sent
         snapshotting,  // has not acknowledged all machines yet
--- a/src/replication/in_sync_record.cpp
+++ b/src/replication/in_sync_record.cpp
@@ -39,9 +39,9 @@
     if (owned_ && members == confirmed_ && attempted_.empty()) return;
     auto txn = callbacks_.begin_txn();
     if (!txn) return retry_later();
-    txn->conditions.push_back({kv::keys::standby, record_version_});
-    txn->changes.push_back(
-        {kv::keys::standby, protocol::stored(protocol::StandbyRecord{leader_version_, members}), 0});
+    txn->conditions.push_back({kv::keys::in_sync_replicas, record_version_});
+    txn->changes.push_back({kv::keys::in_sync_replicas,
+                            protocol::stored(protocol::InSyncReplicas{leader_version_, members}), 0});
     for (auto& member : members) attempted_.insert(member.label);
     busy_ = true;
     // With the priority of lease renewals: no start is sent before it is answered.
@@ -74,7 +74,7 @@
 // The result of a write is unknown: the stored record tells.
 void InSyncRecord::read_back() {
     busy_ = true;
-    kv_.get(kv::keys::standby, kv::RequestPriority::lease, guarded_([this](kv::GetResult result) {
+    kv_.get(kv::keys::in_sync_replicas, kv::RequestPriority::lease, guarded_([this](kv::GetResult result) {
                 busy_ = false;
                 if (result.ok()) {
                     record_version_ = result.entry ? result.entry->version : 0;
@@ -86,8 +86,8 @@
 
 void InSyncRecord::handle_read(const protocol::Entry& entry) {
     try {
-        auto record = protocol::parse_standby_record(entry.value);
-        if (record.version != leader_version_) return;
+        auto record = protocol::parse_in_sync_replicas(entry.value);
+        if (record.leader_version != leader_version_) return;
         owned_ = true;
         confirmed_ = record.members;
         callbacks_.on_read_back();
--- a/src/replication/in_sync_record.hpp
+++ b/src/replication/in_sync_record.hpp
@@ -23,7 +23,7 @@
 
 class InSyncRecord {
   public:
-    using Member = protocol::StandbyRecord::Member;
+    using Member = protocol::InSyncReplicas::Member;
     struct Callbacks {
         // Who is to be named: the followers in sync at present.
         std::function<std::vector<Member>()> in_sync_members;
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -41,7 +41,7 @@
 ReplicationSender::~ReplicationSender() = default;
 
 void ReplicationSender::start(std::uint64_t record_version,
-                              const std::optional<protocol::StandbyRecord>& inherited) {
+                              const std::optional<protocol::InSyncReplicas>& inherited) {
     record_.start(record_version);
     if (inherited)
         for (auto& member : inherited->members) resume(member);
@@ -80,7 +80,7 @@
 // The follower's replica holds all that may run on the machines, as this leader's own did, and from now on it
 // gets all changes. So it is named from the first record on: when three leaders were killed a second apart,
 // none left an in-sync follower, since a snapshot takes longer.
-void ReplicationSender::resume(const protocol::StandbyRecord::Member& member) {
+void ReplicationSender::resume(const protocol::InSyncReplicas::Member& member) {
     auto it = sessions_.find(member.label);
     if (it == sessions_.end()) return;
     auto* ping = capable_peer(member.label, protocol::peer_features::replica_handover);
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -52,7 +52,7 @@
     // Call once, before anything changes in the cluster state. `record_version`: of the record's key as read
     // after the claim; 0: there is none. `inherited`: the record itself, if this leader's own replica was
     // proof; the followers it names continue their replicas.
-    void start(std::uint64_t record_version, const std::optional<protocol::StandbyRecord>& inherited);
+    void start(std::uint64_t record_version, const std::optional<protocol::InSyncReplicas>& inherited);
     // The controller is now another process.
     void follower_restarted(const std::string& label, std::uint64_t incarnation);
     // A machine has changed, and is sent within a tenth of a report period.
@@ -76,7 +76,7 @@
     [[nodiscard]] const protocol::PeerPing* capable_peer(const std::string& label,
                                                          std::uint64_t features) const;
     void begin_snapshot(FollowerSession& session);
-    void resume(const protocol::StandbyRecord::Member& member);
+    void resume(const protocol::InSyncReplicas::Member& member);
     enum class Backoff { none, increase };
     void end_session(FollowerSession& session, const char* reason, Backoff backoff);
     void schedule_send();
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -188,7 +188,8 @@
         {"Cancelled", golden::job_record_cancelled, {full_job(), submitted, true}},
         {"Awaits", golden::job_record_awaits, {awaiting_job(), submitted, false}},
         {"AwaitsCancelled", golden::job_record_awaits_cancelled, {awaiting_job(), submitted, true}},
-        {"Shortened", golden::job_record_shortened, shortened({awaiting_job(), submitted, true})},
+        {"Shortened", golden::job_record_shortened,
+         compact_cancelled_record({awaiting_job(), submitted, true})},
     };
 }
 void PrintTo(const StoredJob& j, std::ostream* out) {
@@ -210,15 +211,15 @@
     auto live = parse_live_record(GetParam().golden);
     EXPECT_EQ(live.cancelled, GetParam().record.cancelled);
     EXPECT_EQ(live.awaits, GetParam().record.job.awaits);
-    EXPECT_EQ(says_cancelled(GetParam().golden), GetParam().record.cancelled);
+    EXPECT_EQ(is_cancelled_record(GetParam().golden), GetParam().record.cancelled);
 }
 INSTANTIATE_TEST_SUITE_P(GoldenBytes, JobRecords, testing::ValuesIn(stored_jobs()),
                          [](auto& info) { return std::string(info.param.name); });
 
 TEST(GoldenBytes, CancellationIsSeenInARecordThatCannotBeReadOtherwise) {
-    EXPECT_TRUE(says_cancelled(R"({"cancelled":true,"job":7})"));
-    EXPECT_FALSE(says_cancelled(R"({"cancelled":false})"));
-    EXPECT_FALSE(says_cancelled(R"({"withdrawn":true})"));
+    EXPECT_TRUE(is_cancelled_record(R"({"cancelled":true,"job":7})"));
+    EXPECT_FALSE(is_cancelled_record(R"({"cancelled":false})"));
+    EXPECT_FALSE(is_cancelled_record(R"({"withdrawn":true})"));
 }
 
 struct StoredFinal {
@@ -285,56 +286,58 @@
 }
 
 TEST(GoldenBytes, LeaderRecordIsWrittenAsBefore) {
-    EXPECT_EQ(stored(LeaderRecord{.label = "berth-0", .incarnation = UINT64_MAX, .keeps_record = false}),
-              golden::leader_old);
-    EXPECT_EQ(stored(LeaderRecord{.label = "berth-1", .incarnation = beyond_double, .keeps_record = true}),
+    EXPECT_EQ(
+        stored(LeaderRecord{.label = "berth-0", .incarnation = UINT64_MAX, .stores_in_sync_replicas = false}),
+        golden::leader_old);
+    EXPECT_EQ(stored(LeaderRecord{
+                  .label = "berth-1", .incarnation = beyond_double, .stores_in_sync_replicas = true}),
               golden::leader);
 }
 TEST(GoldenBytes, LeaderRecordIsReadFieldByField) {
     auto old = parse_leader_record(golden::leader_old);
     EXPECT_EQ(old.label, "berth-0");
     EXPECT_EQ(old.incarnation, UINT64_MAX);
-    EXPECT_FALSE(old.keeps_record);
-    EXPECT_FALSE(keeps_record(golden::leader_old));
+    EXPECT_FALSE(old.stores_in_sync_replicas);
+    EXPECT_FALSE(stores_in_sync_replicas(golden::leader_old));
     auto now = parse_leader_record(golden::leader);
     EXPECT_EQ(now.label, "berth-1");
     EXPECT_EQ(now.incarnation, beyond_double);
-    EXPECT_TRUE(now.keeps_record);
-    EXPECT_TRUE(keeps_record(golden::leader));
+    EXPECT_TRUE(now.stores_in_sync_replicas);
+    EXPECT_TRUE(stores_in_sync_replicas(golden::leader));
 }
 TEST(GoldenBytes, LeaderRecordThatSaysFalseOrCannotBeReadKeepsNoRecord) {
-    EXPECT_FALSE(keeps_record(with(golden::leader, "standby", false)));
-    EXPECT_FALSE(keeps_record(R"({"label":"berth-1","standby":true})"));
+    EXPECT_FALSE(stores_in_sync_replicas(with(golden::leader, "standby", false)));
+    EXPECT_FALSE(stores_in_sync_replicas(R"({"label":"berth-1","standby":true})"));
 }
 
-TEST(GoldenBytes, StandbyRecordIsWrittenAsBefore) {
-    StandbyRecord r{.version = beyond_double,
-                    .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .begun = 11},
-                                {.label = "berth-2", .incarnation = 5, .begun = 12}}};
+TEST(GoldenBytes, InSyncReplicasIsWrittenAsBefore) {
+    InSyncReplicas r{.leader_version = beyond_double,
+                     .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .base_version = 11},
+                                 {.label = "berth-2", .incarnation = 5, .base_version = 12}}};
     EXPECT_EQ(stored(r), golden::standby);
-    EXPECT_EQ(stored(StandbyRecord{.version = 7, .members = {}}), golden::standby_nobody);
+    EXPECT_EQ(stored(InSyncReplicas{.leader_version = 7, .members = {}}), golden::standby_nobody);
 }
-TEST(GoldenBytes, StandbyRecordIsReadFieldByField) {
-    auto r = parse_standby_record(golden::standby);
-    EXPECT_EQ(r.version, beyond_double);
+TEST(GoldenBytes, InSyncReplicasIsReadFieldByField) {
+    auto r = parse_in_sync_replicas(golden::standby);
+    EXPECT_EQ(r.leader_version, beyond_double);
     ASSERT_EQ(r.members.size(), 2u);
     EXPECT_EQ(r.members[0].label, "berth-0");
     EXPECT_EQ(r.members[0].incarnation, UINT64_MAX);
-    EXPECT_EQ(r.members[0].begun, 11u);
+    EXPECT_EQ(r.members[0].base_version, 11u);
     EXPECT_EQ(r.members[1].label, "berth-2");
     EXPECT_EQ(r.members[1].incarnation, 5u);
-    EXPECT_EQ(r.members[1].begun, 12u);
-    auto nobody = parse_standby_record(golden::standby_nobody);
-    EXPECT_EQ(nobody.version, 7u);
+    EXPECT_EQ(r.members[1].base_version, 12u);
+    auto nobody = parse_in_sync_replicas(golden::standby_nobody);
+    EXPECT_EQ(nobody.leader_version, 7u);
     EXPECT_TRUE(nobody.members.empty());
 }
 // A version that carried nothing over began each copy itself.
-TEST(GoldenBytes, StandbyRecordOfAnOlderVersionWasBegunUnderItsOwnLeadership) {
-    auto r = parse_standby_record(golden::standby_old);
+TEST(GoldenBytes, InSyncReplicasOfAnOlderVersionWasBegunUnderItsOwnLeadership) {
+    auto r = parse_in_sync_replicas(golden::standby_old);
     ASSERT_EQ(r.members.size(), 1u);
     EXPECT_EQ(r.members[0].label, "berth-2");
     EXPECT_EQ(r.members[0].incarnation, 5u);
-    EXPECT_EQ(r.members[0].begun, 7u);
+    EXPECT_EQ(r.members[0].base_version, 7u);
 }
 
 TEST(GoldenBytes, ProgressBitsAreWrittenAndReadAsBefore) {
@@ -412,7 +415,7 @@
 TEST(GoldenBytes, KeysAreAsBefore) {
     namespace keys = kv::keys;
     EXPECT_EQ(keys::leader, "leader");
-    EXPECT_EQ(keys::standby, "standby");
+    EXPECT_EQ(keys::in_sync_replicas, "standby");
     EXPECT_EQ(keys::types, "types");
     EXPECT_EQ(keys::jobs, "job/");
     EXPECT_EQ(keys::finals, "final/");
@@ -514,7 +517,7 @@
          "field 'machines' holds something that is not a machine"},
         {R"({"machines":[[1,"","","",true,true]]})", page,
          "field 'machines' holds something that is not a machine"},
-        {with(golden::standby, "members", {7}), [](auto& b) { parse_standby_record(b); },
+        {with(golden::standby, "members", {7}), [](auto& b) { parse_in_sync_replicas(b); },
          "field 'members' holds something that is not a member"},
         {with(golden::bits, "bits", 7), bits, "field 'bits' is not a string"},
         {with(golden::bits, "bits", "x"), bits, "field 'bits' is not hexadecimal"},
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -127,7 +127,7 @@
     j["id"] = "j-" + std::string(62, '1');
     auto record = parse_job_record(stored(JobRecord{parse_job(j.dump()), 12.5, true}));
     EXPECT_GT(stored(record).size(), 2048u);
-    auto brief = stored(shortened(record));
+    auto brief = stored(compact_cancelled_record(record));
     EXPECT_LT(brief.size(), 1024u);
     auto back = parse_job_record(brief);
     EXPECT_TRUE(back.cancelled);
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -38,7 +38,7 @@
                          [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
                          [this] { ++committed; }, [] {}}};
     std::size_t stored_members() {
-        auto it = service.kv.find(kv::keys::standby);
+        auto it = service.kv.find(kv::keys::in_sync_replicas);
         return it == service.kv.end() ? 0 : it->second.value["members"].size();
     }
 };
@@ -47,14 +47,14 @@
     RecordFixture fixture;
     fixture.record.update();
     fixture.timers.run_until(1);
-    EXPECT_FALSE(fixture.service.kv.contains(kv::keys::standby)) << "not started";
+    EXPECT_FALSE(fixture.service.kv.contains(kv::keys::in_sync_replicas)) << "not started";
     fixture.record.start(0);
     fixture.record.update();
     EXPECT_FALSE(fixture.record.owned());
     fixture.timers.run_until(2);
     EXPECT_TRUE(fixture.record.owned());
     EXPECT_EQ(fixture.committed, 1);
-    EXPECT_TRUE(fixture.service.kv.contains(kv::keys::standby));
+    EXPECT_TRUE(fixture.service.kv.contains(kv::keys::in_sync_replicas));
 }
 
 TEST(InSyncRecord, WaitsForAuthority) {
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -55,7 +55,7 @@
     };
     std::set<std::string> named() {
         std::set<std::string> out;
-        auto it = service.kv.find(kv::keys::standby);
+        auto it = service.kv.find(kv::keys::in_sync_replicas);
         if (it != service.kv.end())
             for (auto& m : it->second.value["members"]) out.insert(m["label"].get<std::string>());
         return out;
@@ -165,8 +165,9 @@
         auto& f = b.followers.at("x").follower = Follower(c.incarnation);
         b.followers.at("y").silent = true;
         if (c.begun) f.apply({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
-        b.sender.start(0, protocol::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
-        for (double t = 0; !b.service.kv.contains(kv::keys::standby); t += 0.001) b.timers.run_until(t);
+        b.sender.start(0, protocol::InSyncReplicas{40, {{"x", 1, 40}, {"y", 7, 40}}});
+        for (double t = 0; !b.service.kv.contains(kv::keys::in_sync_replicas); t += 0.001)
+            b.timers.run_until(t);
         EXPECT_EQ(b.named().contains("x"), c.at_once);
         auto log_index = b.start("vm-2");
         for (double t = b.timers.now(); t < 0.8; t += 0.01) {
@@ -175,7 +176,7 @@
             if (b.sender.replicated(log_index) && b.named().contains("x")) {
                 EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch, b.machines["vm-2"]);
                 EXPECT_EQ(f.replica().base_version,
-                          b.service.kv.at(kv::keys::standby).value["members"][0]["begun"]);
+                          b.service.kv.at(kv::keys::in_sync_replicas).value["members"][0]["begun"]);
             }
         }
         EXPECT_TRUE(b.sender.replicated(log_index));
@@ -200,7 +201,7 @@
         else
             b.start("vm-1");  // the answer shows it
         b.timers.run_until(1.2);
-        auto& members = b.service.kv.at(kv::keys::standby).value["members"];
+        auto& members = b.service.kv.at(kv::keys::in_sync_replicas).value["members"];
         ASSERT_EQ(members.size(), 1u);
         EXPECT_EQ(members[0]["incarnation"], 11u);
         EXPECT_EQ(b.followers.at("x").follower.replica().machines.size(), 2u);
