--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -233,7 +233,7 @@
     for (auto& command : commands) {
         Key key{command.task, command.attempt};
         auto it = tasks_.find(key);
-        switch (command.op) {
+        switch (command.kind) {
             case protocol::CommandKind::start:
                 if (it == tasks_.end()) start(key);
                 break;
@@ -255,7 +255,7 @@
     auto same = tasks_.lower_bound({key.first, 0});
     for (; same != tasks_.end() && same->first.first == key.first; ++same)
         if (same->second.state != protocol::TaskState::exited) {
-            tasks_[key] = {protocol::TaskState::exited, protocol::ExitCause::busy, 0, {}};
+            tasks_[key] = {protocol::TaskState::exited, protocol::ExitCause::other_attempt_present, 0, {}};
             return changed();
         }
     tasks_[key] = {};
@@ -290,7 +290,7 @@
                              static_cast<double>(site_.experiment().slots())};
     for (auto& [other, task] : tasks_)
         if (task.state != protocol::TaskState::exited) free -= task.request;
-    if (!free.fits(spec->request)) return end(key, protocol::ExitCause::no_room);
+    if (!free.fits(spec->request)) return end(key, protocol::ExitCause::insufficient_resources);
     it->second.request = spec->request;
     it->second.timer =
         site_.loop().after(image_ready_after(*spec), guard_([this, key, spec = *spec] { ready(key, spec); }));
@@ -304,7 +304,7 @@
         spec.kind == protocol::JobKind::gang ? protocol::TaskState::waiting : protocol::TaskState::running;
     changed();
     if (spec.kind == protocol::JobKind::gang)
-        end_later(key, site_.experiment().worker.gang_wait_s, protocol::ExitCause::alone);
+        end_later(key, site_.experiment().worker.gang_wait_s, protocol::ExitCause::gang_incomplete);
     if (spec.kind == protocol::JobKind::array)
         end_later(key, spec.run_s * uniform(site_.random(), 0.5, 1.5), protocol::ExitCause::done);
 }
@@ -330,7 +330,7 @@
          it != tasks_.end() && it->first.first.job == job; ++it)
         if (it->first.second == attempt && it->second.state == protocol::TaskState::running)
             lost.push_back(it->first);
-    for (auto& key : lost) end(key, protocol::ExitCause::peers);
+    for (auto& key : lost) end(key, protocol::ExitCause::gang_member_lost);
 }
 void HollowWorker::end(const Key& key, protocol::ExitCause cause, std::optional<double> when) {
     auto it = tasks_.find(key);
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -54,7 +54,7 @@
     struct Job {
         protocol::Job job;
         TaskSpec spec;
-        std::string phase, cls;
+        std::string phase, job_class;
         double first_tried = 0, all_done = -1;
         bool accepted = false, over = false, cancel = false, cancel_asked = false;
         std::set<std::uint32_t> begun;
--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -77,7 +77,7 @@
 protocol::Txn CancellationHandler::cancellation_txn(const std::string& id, const protocol::Entry& entry,
                                                     protocol::JobRecord record) const {
     record.cancelled = true;
-    record.job.awaits.clear();  // versions that know no dependencies can't read a record with any
+    record.job.dependencies.clear();  // versions that know no dependencies can't read a record with any
     auto value = protocol::stored(record);
     // The record was stored when larger values were allowed.
     if (value.size() > kv_.limits().value_bytes())
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -133,7 +133,7 @@
     try {
         auto record = protocol::parse_live_record(*value);
         job.cancelled = record.cancelled;
-        job.dependencies = std::move(record.awaits);
+        job.dependencies = std::move(record.dependencies);
     } catch (const protocol::Malformed& error) {
         spdlog::error("component=api event=unreadable_job_record job={} error=\"{}\"", id, error.what());
         // Perhaps written by another version: it is live all the same. As an unknown job, it would be refused
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -142,7 +142,7 @@
     for (auto& r : c.rows("objectives")) {
         Objective o;
         o.kind = r.text("kind");
-        if (r.has("class")) o.cls = r.text("class");
+        if (r.has("class")) o.job_class = r.text("class");
         if (r.has("within_s")) o.within_s = r.number("within_s", 0);
         if (r.has("share")) o.share = r.number("share", 0);
         s.objectives.push_back(o);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -19,7 +19,7 @@
     double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // a maximum of 0: no limit
 };
 struct Objective {
-    std::string kind, cls;
+    std::string kind, job_class;
     double within_s = 0, share = 0;
 };
 struct Operator {
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -121,8 +121,8 @@
         case ExitCause::error:
             task_failed(job, end);
             break;
-        case ExitCause::no_room:
-        case ExitCause::busy:
+        case ExitCause::insufficient_resources:
+        case ExitCause::other_attempt_present:
             // The cluster state of this machine was wrong: let reports mend it first.
             if (auto* machine = state_.cluster.find(end.machine))
                 machine->quarantined_until = now() + settings_.report_s;
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -75,7 +75,8 @@
         auto& job = *state_.jobs.find(id);
         job.image = state_.cluster.image_number(job.spec->image);
         spdlog::debug("component=leader event=job_loaded job={} class={} tasks={} awaits={} cancelled={}", id,
-                      job.spec->cls, job.spec->tasks, job.unfinished_dependencies.size(), job.cancelled);
+                      job.spec->job_class, job.spec->tasks, job.unfinished_dependencies.size(),
+                      job.cancelled);
         if (job.cancelled) callbacks_.cancel_active(id, job);
         return true;
     } catch (const protocol::Malformed& error) {
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -209,7 +209,7 @@
     double left_s = std::max(0.0, *machine.preemption_deadline - now());
     for (auto& [task, instance] : machine.tasks)
         if (instance.spec && instance.confirmed && !instance.stop_requested &&
-            (instance.spec->checkpoint_s > 0 || instance.spec->kind == JobKind::service))
+            (instance.spec->checkpoint_interval_s > 0 || instance.spec->kind == JobKind::service))
             stops.push_back({task, std::min(scheduler::grace_of(*instance.spec), left_s)});
     for (auto& [task, grace_s] : stops) {
         auto* job = state_.jobs.find(task.job);
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -61,9 +61,10 @@
             auto image = in.jobs[it->second].image;
             if (!scheduler::has_image(view, image)) view.coming.push_back(image);
         }
-        in.instances.push_back({it->second, in.machines.size(), task.index,
-                                instance.stop_requested || instance.state == protocol::TaskState::saving,
-                                instance.placed_at, instance.running_since.value_or(-1)});
+        in.instances.push_back(
+            {it->second, in.machines.size(), task.index,
+             instance.stop_requested || instance.state == protocol::TaskState::checkpointing,
+             instance.placed_at, instance.running_since.value_or(-1)});
     }
     in.machines.push_back(std::move(view));
 }
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -17,9 +17,9 @@
     json a = json::array();
     for (auto& t : types)
         a.push_back(json{{"name", t.name},
-                         {"vcpus", t.room.cpus},
-                         {"cards", t.room.gpus},
-                         {"ram_gb", t.room.memory_gb},
+                         {"vcpus", t.capacity.cpus},
+                         {"cards", t.capacity.gpus},
+                         {"ram_gb", t.capacity.memory_gb},
                          {"cache_gb", t.cache_gb},
                          {"fetch_gb_per_s", t.fetch_gb_per_s},
                          {"hourly", t.price},
@@ -29,7 +29,7 @@
     return fields::dumped(json{{"hulls", a}});
 }
 std::string stored(const JobRecord& r) {
-    auto* field = r.job.awaits.empty() ? job_field : awaiting_field;
+    auto* field = r.job.dependencies.empty() ? job_field : awaiting_field;
     return fields::dumped(
         json{{field, job_json(r.job)}, {"submitted", r.submitted}, {"cancelled", r.cancelled}});
 }
@@ -74,7 +74,7 @@
 LiveRecord parse_live_record(std::string_view v) {
     json j = fields::parse_object(v);
     LiveRecord r{fields::flag(j, "cancelled"), {}};
-    if (auto* awaiting = fields::find(j, awaiting_field)) r.awaits = dependencies_of(*awaiting);
+    if (auto* awaiting = fields::find(j, awaiting_field)) r.dependencies = dependencies_of(*awaiting);
     return r;
 }
 bool is_cancelled_record(std::string_view v) {
@@ -83,9 +83,9 @@
     return c && c->is_boolean() && c->get<bool>();
 }
 JobRecord compact_cancelled_record(JobRecord r) {
-    r.job.cls = r.job.image = "-";
+    r.job.job_class = r.job.image = "-";
     r.job.types.reset();
-    r.job.awaits.clear();
+    r.job.dependencies.clear();
     return r;
 }
 FinalRecord parse_final_record(std::string_view v) {
--- a/src/protocol/records.hpp
+++ b/src/protocol/records.hpp
@@ -24,7 +24,7 @@
 // What an answer about a live job needs of its record.
 struct LiveRecord {
     bool cancelled = false;
-    std::vector<std::string> awaits;
+    std::vector<std::string> dependencies;
 };
 LiveRecord parse_live_record(std::string_view v);
 bool is_cancelled_record(std::string_view v);  // of a record that may be unreadable otherwise
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -63,7 +63,7 @@
 
 bool JobOrder::pressed(std::size_t job) const {
     auto& view = in_.jobs[job];
-    return view.due - view.spec->estimate_s - in_.unix_now < settings_.report_s * pressed_reports;
+    return view.due - view.spec->estimated_run_s - in_.unix_now < settings_.report_s * pressed_reports;
 }
 
 bool JobOrder::patient(std::size_t job) const {
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -48,7 +48,7 @@
     }
     bool reply_contains(protocol::CommandKind kind) {
         for (auto& c : cluster_state.reply_commands(machine(), 0, true))
-            if (c.op == kind) return true;
+            if (c.kind == kind) return true;
         return false;
     }
 };
--- a/tests/jobs/progress_layout_test.cpp
+++ b/tests/jobs/progress_layout_test.cpp
@@ -14,7 +14,7 @@
     protocol::JobRecord r;
     r.job.id = "j";
     r.job.priority = protocol::Priority::low;
-    r.job.estimate_s = 10;
+    r.job.estimated_run_s = 10;
     r.job.tasks = tasks;
     r.submitted = 100;
     return r;
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -54,13 +54,13 @@
                             std::vector<std::string> awaits = {}) {
         protocol::JobRecord record;
         record.job.id = id;
-        record.job.cls = "batch";
+        record.job.job_class = "batch";
         record.job.team = "t";
         record.job.image = "img";
         record.job.request = {1, 0, 1};
         record.job.tasks = tasks;
-        record.job.estimate_s = 10;
-        record.job.awaits = std::move(awaits);
+        record.job.estimated_run_s = 10;
+        record.job.dependencies = std::move(awaits);
         service.kv[kv::keys::job(id)] = {nlohmann::json::parse(protocol::stored(record)), ++service.revision};
         state->jobs.put(id, service.revision, record);
         return *state->jobs.find(id);
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -31,7 +31,7 @@
             machine.reconciled = true;
             machine.registration = cluster::Machine::Registration::stored;
             machine.agent_epoch = 1;
-            machine.total = types[0].room;
+            machine.total = types[0].capacity;
         }
     }
     void plan() {
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -25,7 +25,7 @@
 Job full_job() {
     Job j;
     j.id = "j-000412";
-    j.cls = "train";
+    j.job_class = "train";
     j.team = "vision";
     j.kind = JobKind::gang;
     j.priority = Priority::high;
@@ -38,28 +38,28 @@
     j.one_zone = true;
     j.spread = false;
     j.spot = true;
-    j.estimate_s = 240.125;
-    j.checkpoint_s = 30.25;
-    j.save_s = 4;
+    j.estimated_run_s = 240.125;
+    j.checkpoint_interval_s = 30.25;
+    j.checkpoint_save_s = 4;
     j.deadline_s = 900;
     return j;
 }
 Job awaiting_job() {
     auto j = full_job();
-    j.awaits = {"j-000411", "j-1"};
+    j.dependencies = {"j-000411", "j-1"};
     return j;
 }
 Job least_job() {
     Job j;
     j.id = "j-1";
-    j.cls = "c";
+    j.job_class = "c";
     j.team = "t";
     j.image = "i";
     return j;
 }
 void expect_same(const Job& a, const Job& b) {
     EXPECT_EQ(a.id, b.id);
-    EXPECT_EQ(a.cls, b.cls);
+    EXPECT_EQ(a.job_class, b.job_class);
     EXPECT_EQ(a.team, b.team);
     EXPECT_EQ(a.kind, b.kind);
     EXPECT_EQ(a.priority, b.priority);
@@ -74,11 +74,11 @@
     EXPECT_EQ(a.one_zone, b.one_zone);
     EXPECT_EQ(a.spread, b.spread);
     EXPECT_EQ(a.spot, b.spot);
-    EXPECT_EQ(a.estimate_s, b.estimate_s);
-    EXPECT_EQ(a.checkpoint_s, b.checkpoint_s);
-    EXPECT_EQ(a.save_s, b.save_s);
+    EXPECT_EQ(a.estimated_run_s, b.estimated_run_s);
+    EXPECT_EQ(a.checkpoint_interval_s, b.checkpoint_interval_s);
+    EXPECT_EQ(a.checkpoint_save_s, b.checkpoint_save_s);
     EXPECT_EQ(a.deadline_s, b.deadline_s);
-    EXPECT_EQ(a.awaits, b.awaits);
+    EXPECT_EQ(a.dependencies, b.dependencies);
 }
 // A golden message with one field set to something else; `at`: of an object within it.
 std::string with(std::string_view golden, const char* field, const json& value, const char* at = "") {
@@ -210,7 +210,7 @@
 TEST_P(JobRecords, AreReadAsFarAsAnswersNeedThem) {
     auto live = parse_live_record(GetParam().golden);
     EXPECT_EQ(live.cancelled, GetParam().record.cancelled);
-    EXPECT_EQ(live.awaits, GetParam().record.job.awaits);
+    EXPECT_EQ(live.dependencies, GetParam().record.job.dependencies);
     EXPECT_EQ(is_cancelled_record(GetParam().golden), GetParam().record.cancelled);
 }
 INSTANTIATE_TEST_SUITE_P(GoldenBytes, JobRecords, testing::ValuesIn(stored_jobs()),
@@ -373,7 +373,7 @@
 
 std::vector<MachineType> machine_types() {
     return {{.name = "g8",
-             .room = {.cpus = 96, .gpus = 8, .memory_gb = 768},
+             .capacity = {.cpus = 96, .gpus = 8, .memory_gb = 768},
              .cache_gb = 200.5,
              .fetch_gb_per_s = 1.25,
              .price = 12.5,
@@ -381,7 +381,7 @@
              .boot_s = 45,
              .zones = {"a", "b"}},
             {.name = "c4",
-             .room = {.cpus = 4, .gpus = 0, .memory_gb = 16},
+             .capacity = {.cpus = 4, .gpus = 0, .memory_gb = 16},
              .cache_gb = 20,
              .fetch_gb_per_s = 0.5,
              .price = 1.5,
@@ -400,9 +400,9 @@
     for (std::size_t k = 0; k < types.size(); ++k) {
         auto &t = types[k], &x = expected[k];
         EXPECT_EQ(t.name, x.name);
-        EXPECT_EQ(t.room.cpus, x.room.cpus);
-        EXPECT_EQ(t.room.gpus, x.room.gpus);
-        EXPECT_EQ(t.room.memory_gb, x.room.memory_gb);
+        EXPECT_EQ(t.capacity.cpus, x.capacity.cpus);
+        EXPECT_EQ(t.capacity.gpus, x.capacity.gpus);
+        EXPECT_EQ(t.capacity.memory_gb, x.capacity.memory_gb);
         EXPECT_EQ(t.cache_gb, x.cache_gb);
         EXPECT_EQ(t.fetch_gb_per_s, x.fetch_gb_per_s);
         EXPECT_EQ(t.price, x.price);
@@ -528,9 +528,9 @@
 // ---- Workers
 
 std::vector<Command> commands_of_each_kind() {
-    return {{.op = CommandKind::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
-            {.op = CommandKind::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
-            {.op = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
+    return {{.kind = CommandKind::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
+            {.kind = CommandKind::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
+            {.kind = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
 }
 TEST(GoldenBytes, ReportAnswerIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_response(UINT64_MAX, commands_of_each_kind()), golden::heartbeat_response);
@@ -604,7 +604,7 @@
     for (auto [state, word] : {std::pair(TaskState::fetching, "fetching"),
                                {TaskState::waiting, "waiting"},
                                {TaskState::running, "running"},
-                               {TaskState::saving, "flushing"},
+                               {TaskState::checkpointing, "flushing"},
                                {TaskState::exited, "exited"}}) {
         auto r = parse_heartbeat(with(golden::report, "status", word, "/shards/1"));
         EXPECT_EQ(r.tasks.at(1).state, state) << word;
@@ -613,11 +613,11 @@
 TEST(GoldenBytes, CausesHaveTheirWords) {
     for (auto [cause, word] : {std::pair(ExitCause::done, "done"),
                                {ExitCause::stopped, "halted"},
-                               {ExitCause::peers, "mates_gone"},
-                               {ExitCause::alone, "incomplete"},
+                               {ExitCause::gang_member_lost, "mates_gone"},
+                               {ExitCause::gang_incomplete, "incomplete"},
                                {ExitCause::error, "error"},
-                               {ExitCause::no_room, "no_room"},
-                               {ExitCause::busy, "busy"},
+                               {ExitCause::insufficient_resources, "no_room"},
+                               {ExitCause::other_attempt_present, "busy"},
                                {ExitCause::unknown, "unknown"},
                                {ExitCause::error, "a word of a later version"}}) {
         auto r = parse_heartbeat(with(golden::report, "cause", word, "/shards/0"));
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -80,7 +80,7 @@
     for (std::size_t k = 0; k < 50; ++k) {
         MachineType t;
         t.name = name("type-%zu", k);
-        t.room = {96, 8, 768};
+        t.capacity = {96, 8, 768};
         t.cache_gb = 200;
         t.fetch_gb_per_s = 1;
         t.price = 12.25;
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -86,14 +86,14 @@
     for (auto& c : {Case{nullptr, {}}, Case{nlohmann::json::array(), {}}, Case{{"j-2"}, {"j-2"}},
                     Case{{"j-2", "j-1", "j-2"}, {"j-1", "j-2"}}}) {
         auto j = good_job();
-        EXPECT_TRUE(parse_job(j.dump()).awaits.empty());
+        EXPECT_TRUE(parse_job(j.dump()).dependencies.empty());
         j["awaits"] = c.value;
         auto job = parse_job(j.dump());
-        EXPECT_EQ(job.awaits, c.awaits);
+        EXPECT_EQ(job.dependencies, c.awaits);
         EXPECT_EQ(names_dependencies(j.dump()), !c.value.is_null());
         auto record = stored(JobRecord{job, 1, false});
-        EXPECT_EQ(parse_job_record(record).job.awaits, c.awaits);
-        EXPECT_EQ(parse_live_record(record).awaits, c.awaits);
+        EXPECT_EQ(parse_job_record(record).job.dependencies, c.awaits);
+        EXPECT_EQ(parse_live_record(record).dependencies, c.awaits);
         // The version before reads `job`, and must not find one that it would start at once.
         EXPECT_EQ(nlohmann::json::parse(record).contains("job"), c.awaits.empty());
     }
