--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -457,7 +457,7 @@
                              {"workers", e.workers},
                              {"tasks_per_worker", e.tasks_per_worker},
                              {"controllers", e.controllers},
-                             {"report_s", e.worker.report_s},
+                             {"report_s", e.worker.heartbeat_interval_s},
                              {"lease_s", e.worker.lease_s},
                              {"zones", e.zones},
                              {"state_rps", e.state.rps},
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -109,7 +109,8 @@
     in_flight_ = true;
     changed_ = false;
     last_sent_ = now;
-    regular_due_ = now + e.worker.report_s * uniform(site_.random(), 1 - report_spread, 1 + report_spread);
+    regular_due_ =
+        now + e.worker.heartbeat_interval_s * uniform(site_.random(), 1 - report_spread, 1 + report_spread);
     // Its own timer, since the lease may end while an answer is awaited.
     client_.send(to, std::move(r), protocol::heartbeat_timeout_s,
                  guard_([this, now, agent_epoch = session_](std::optional<http::Response> response) {
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -44,9 +44,10 @@
 
 void LiveJobs::schedule_request() {
     if (request_in_flight_ || request_scheduled_ || pending_reads_.empty()) return;
-    double wait_s = last_request_at_
-                        ? *last_request_at_ + settings_.report_s * min_interval_heartbeats - timers_.now()
-                        : 0;
+    double wait_s =
+        last_request_at_
+            ? *last_request_at_ + settings_.heartbeat_interval_s * min_interval_heartbeats - timers_.now()
+            : 0;
     if (wait_s <= 0) return send_request();
     request_scheduled_ = true;
     timers_.after(wait_s, [this] {
--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -27,7 +27,7 @@
     } else if (types_.empty()) {
         load_stored();
     }
-    const double delay_s = settings_.report_s * (answered ? refresh_periods : retry_periods);
+    const double delay_s = settings_.heartbeat_interval_s * (answered ? refresh_periods : retry_periods);
     timers_.after(delay_s, [this] { refresh(); });
 }
 
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -66,8 +66,8 @@
                                         std::function<void()> on_worker_refused) {
     http::ServerLimits limits;
     limits.budget = &sockets;
-    limits.bulk_quiet_s = settings.report_s * worker_quiet_periods;
-    limits.bulk_idle_s = settings.report_s * worker_idle_periods;
+    limits.bulk_quiet_s = settings.heartbeat_interval_s * worker_quiet_periods;
+    limits.bulk_idle_s = settings.heartbeat_interval_s * worker_idle_periods;
     limits.lane = event_loop::Lane::ordinary;
     limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
     limits.shed = std::move(on_worker_refused);
@@ -86,7 +86,7 @@
 void log_start(const config::Settings& settings) {
     spdlog::info("component=controller event=listening controller={} zone={} address={}", settings.label,
                  settings.zone, settings.listen);
-    const double needed = config::share_expected(settings);
+    const double needed = config::expected_cpu_share(settings);
     if (settings.cpu_share < needed)
         spdlog::warn("component=controller event=core_share_too_small core_share={:.3f} needed={:.3f}",
                      settings.cpu_share, needed);
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -35,7 +35,7 @@
 // --- Pings ----------------------------------------------------------------------------------------------
 
 void PeerMonitor::ping_peers() {
-    const double period_s = dependencies_.settings.report_s;
+    const double period_s = dependencies_.settings.heartbeat_interval_s;
     auto body = protocol::pack_peer(own_full_ping_with_leader_lists());
     for (auto& entry : peers_) {
         auto& peer = entry.second;
@@ -61,7 +61,7 @@
     auto body = protocol::pack_peer(dependencies_.leader->images());
     for (auto& [label, peer] : peers_)
         dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_images_path, body),
-                                dependencies_.settings.report_s * ping_interval_periods,
+                                dependencies_.settings.heartbeat_interval_s * ping_interval_periods,
                                 [](std::optional<http::Response>) {});
 }
 
@@ -137,7 +137,7 @@
 
 bool PeerMonitor::is_recent(const Peer& peer) const {
     return peer.last_ping_at && dependencies_.timers.now() - *peer.last_ping_at <
-                                    dependencies_.settings.report_s * ping_recent_periods;
+                                    dependencies_.settings.heartbeat_interval_s * ping_recent_periods;
 }
 
 const PeerMonitor::Peer* PeerMonitor::leading_peer() const {
@@ -177,7 +177,7 @@
     const auto& machines = peer.last_ping.reporting_machines;
     const auto& ages_ms = peer.last_ping.heartbeat_ages_ms;  // empty from an older version: all count
     const double since_ping_s = dependencies_.timers.now() - peer.last_full_ping_at.value_or(0);
-    const double slack_s = dependencies_.settings.report_s * relay_delay_periods;
+    const double slack_s = dependencies_.settings.heartbeat_interval_s * relay_delay_periods;
     std::size_t seen = 0;
     for (std::size_t k = 0; k < machines.size(); ++k) {
         auto it = silent_s.find(machines[k]);
@@ -194,8 +194,9 @@
 bool PeerMonitor::should_defer() const {
     const double now = dependencies_.timers.now();
     // Just started, it can't know yet.
-    const bool just_started = dependencies_.settings.op.standby &&
-                              now - started_at_ < dependencies_.settings.report_s * startup_grace_periods;
+    const bool just_started =
+        dependencies_.settings.op.standby &&
+        now - started_at_ < dependencies_.settings.heartbeat_interval_s * startup_grace_periods;
     const auto own_replica = replicated_leadership();
     const auto own_machines = dependencies_.heartbeats.recent_count(now);
     for (auto& [label, peer] : peers_) {
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -28,7 +28,7 @@
     settings_.op.standby ? read_record() : list_all();
 }
 void RecoveryLoader::retry_later() {
-    timers_.after(settings_.report_s * retry_periods, guarded_([this] { start(); }));
+    timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] { start(); }));
 }
 
 // Which followers of the previous leader were in sync.
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -194,7 +194,7 @@
 // For how long a relay may renew leases: within the time for which this leader itself may, which its
 // successor counts on, and which ends early enough for tasks that are cancelled.
 double HeartbeatHandler::relay_grant_s() const {
-    return std::max(0.0, std::min({settings_.report_s, authority_.renewal_after_expiry_s(),
+    return std::max(0.0, std::min({settings_.heartbeat_interval_s, authority_.renewal_after_expiry_s(),
                                    authority_.lease_renewal_deadline() - now()}));
 }
 
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -17,9 +17,9 @@
 // Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
 // enough that what an interruption leaves of the time for renewals is nearly all of it.
 kv::ListWatch::Timing watch_pace(const config::Settings& settings) {
-    double confirm_s = std::min(settings.report_s / 3, relay::renewal_window_s(settings) / 8);
-    return {settings.lease_s / 2, settings.report_s / 60, settings.report_s / 10, confirm_s,
-            settings.report_s};
+    double confirm_s = std::min(settings.heartbeat_interval_s / 3, relay::renewal_window_s(settings) / 8);
+    return {settings.lease_s / 2, settings.heartbeat_interval_s / 60, settings.heartbeat_interval_s / 10,
+            confirm_s, settings.heartbeat_interval_s};
 }
 std::string id_of(const std::string& key) {
     return key.substr(keys::jobs.size());
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -128,7 +128,7 @@
     std::size_t index = 0;
     for (auto& [id, machine] : machines)
         if (index++ % stride == 0) parts_.commands.probe(machine);
-    timers_.after(settings_.report_s * CommandSender::first_probe_reports, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * CommandSender::first_probe_reports, guarded_([this] {
                       for (bool known : {false, true})
                           for (auto& [id, machine] : state_.cluster.machines())
                               if (!machine.reconciled && machine.known_from_replica == known)
--- a/src/relay/cancellation_notices.cpp
+++ b/src/relay/cancellation_notices.cpp
@@ -30,7 +30,7 @@
     for (auto& peer : settings_.peers)
         http_.send(
             peer.addr, {"POST", std::string(protocol::peer_cancellation_path), body, "application/msgpack"},
-            settings_.report_s, guarded_([this, message](std::optional<http::Response> response) {
+            settings_.heartbeat_interval_s, guarded_([this, message](std::optional<http::Response> response) {
                 if (!response || response->status != 200) return;
                 // A controller of the previous version answers without a body: it is notified again.
                 auto answer = protocol::unpack_peer<protocol::PeerCancellationResponse>(response->body);
@@ -49,7 +49,7 @@
 
 void CancellationNotices::schedule_resend() {
     if (std::exchange(resend_scheduled_, true)) return;
-    timers_.after(settings_.report_s * resend_interval_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * resend_interval_periods, guarded_([this] {
                       resend_scheduled_ = false;
                       resend();
                   }));
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -34,7 +34,7 @@
       settings_(settings),
       incarnation_(incarnation),
       leader_lookup_(std::move(leader_lookup)),
-      rejections_(timers, settings.report_s * rejection_log_periods) {}
+      rejections_(timers, settings.heartbeat_interval_s * rejection_log_periods) {}
 HeartbeatRelay::~HeartbeatRelay() = default;
 
 void HeartbeatRelay::tick() {
@@ -42,8 +42,9 @@
     if (connection_ != LeaderConnection::connected) reject_expired(failover_wait_share);
     if (!waiting_.empty() && !within_failover_window() && connection_ == LeaderConnection::failed)
         reject_all(waiting_);
-    timers_.after(settings_.report_s * idle_send_periods / 2, guarded_([this] { tick(); }));
-    if (!last_sent_ || timers_.now() - *last_sent_ >= settings_.report_s * idle_send_periods) send();
+    timers_.after(settings_.heartbeat_interval_s * idle_send_periods / 2, guarded_([this] { tick(); }));
+    if (!last_sent_ || timers_.now() - *last_sent_ >= settings_.heartbeat_interval_s * idle_send_periods)
+        send();
 }
 
 // Delegations and cached replies of a previous leadership don't hold for the next one.
@@ -133,7 +134,9 @@
     if (in_flight_ || send_scheduled_) return;
     send_scheduled_ = true;
     double delay_s =
-        last_sent_ ? std::max(0.0, *last_sent_ + settings_.report_s * interval_periods - timers_.now()) : 0;
+        last_sent_
+            ? std::max(0.0, *last_sent_ + settings_.heartbeat_interval_s * interval_periods - timers_.now())
+            : 0;
     timers_.after(delay_s, guarded_([this] {
                       send_scheduled_ = false;
                       send();
@@ -173,7 +176,7 @@
     if (in_flight_ || leader_.addr.empty()) return;
     double now = timers_.now();
     if (connection_ == LeaderConnection::failed && last_sent_ &&
-        now - *last_sent_ < settings_.report_s * retry_periods)
+        now - *last_sent_ < settings_.heartbeat_interval_s * retry_periods)
         return;
     auto batch = next_batch(now);
     auto message = next_message(batch, now);
--- a/src/replication/in_sync_record.cpp
+++ b/src/replication/in_sync_record.cpp
@@ -65,7 +65,7 @@
 
 void InSyncRecord::retry_later() {
     if (std::exchange(busy_, true)) return;
-    timers_.after(settings_.report_s * retry_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] {
                       busy_ = false;
                       update();
                   }));
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -104,10 +104,10 @@
     spdlog::info("component=replication event=session_ended follower={} reason={}", session.peer().label,
                  reason);
     if (session.in_sync()) ++in_sync_sessions_ended_;
-    double delay_s =
-        backoff == Backoff::none
-            ? 0
-            : session.increase_backoff(settings_.report_s * min_backoff_periods, settings_.lease_s);
+    double delay_s = backoff == Backoff::none
+                         ? 0
+                         : session.increase_backoff(settings_.heartbeat_interval_s * min_backoff_periods,
+                                                    settings_.lease_s);
     session.end(timers_.now() + delay_s);
     record_.update();
 }
@@ -140,7 +140,7 @@
 
 void ReplicationSender::schedule_send() {
     if (std::exchange(send_scheduled_, true)) return;
-    timers_.after(settings_.report_s * batch_interval_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * batch_interval_periods, guarded_([this] {
                       send_scheduled_ = false;
                       send_all();
                   }));
@@ -150,7 +150,8 @@
 
 double ReplicationSender::answer_timeout_s(const FollowerSession& session) const {
     bool starts_wait = session.in_sync() || record_.may_name(session.peer().label);
-    return settings_.report_s * (starts_wait ? in_sync_timeout_periods : snapshot_timeout_periods);
+    return settings_.heartbeat_interval_s *
+           (starts_wait ? in_sync_timeout_periods : snapshot_timeout_periods);
 }
 
 void ReplicationSender::send_all() {
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -36,7 +36,8 @@
     double age = plan_.in.now - instance.placed;
     double lost = spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : ran;
     // Fetching the image again, and a start that counts for little if it is stopped soon after.
-    return lost + spec.checkpoint_save_s + std::max(0.0, plan_.settings.report_s * young_reports - age);
+    return lost + spec.checkpoint_save_s +
+           std::max(0.0, plan_.settings.heartbeat_interval_s * young_reports - age);
 }
 
 // How long a task of the job fetches its image there.
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -50,10 +50,10 @@
     config::Settings settings = [] {
         config::Settings s;
         s.nodes = 3;
-        s.report_s = 5;
+        s.heartbeat_interval_s = 5;
         s.lease_s = 31;
-        s.state_rps = 250;
-        s.state_write_rps = 50;
+        s.kv_rps = 250;
+        s.kv_write_rps = 50;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 24;
         s.memory_mb = 100;
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -78,7 +78,7 @@
 
     FakeTimers timers;
     PartsTestNetwork network;
-    config::Settings settings = ControllerFixture::default_settings();  // report_s is 3
+    config::Settings settings = ControllerFixture::default_settings();  // heartbeat_interval_s is 3
     kv::KvClient kv{timers, network, settings};
     KvReachability kv_reachability{timers, kv, settings};
     election::Election election{timers, kv, settings, 1, 1};
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -22,7 +22,7 @@
     void store() {
         for (int k = 0; k < 30; ++k) {
             store_part.store_due();
-            wait(settings.report_s / 6);
+            wait(settings.heartbeat_interval_s / 6);
         }
     }
     void store_final(const std::string& id, protocol::JobState end) {
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -33,10 +33,10 @@
         config::Settings settings;
         settings.label = "controller-0";
         settings.cloud_addr = "cloud";
-        settings.report_s = 3;
+        settings.heartbeat_interval_s = 3;
         settings.lease_s = 30;
-        settings.state_rps = 100;
-        settings.state_write_rps = 50;
+        settings.kv_rps = 100;
+        settings.kv_write_rps = 50;
         settings.cloud_rps = 10;
         settings.value_kb = settings.safe_value_kb = 16;
         settings.txn_ops = 24;
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -36,7 +36,7 @@
     }
     void plan() {
         executor.request_plan();
-        wait(settings.report_s);
+        wait(settings.heartbeat_interval_s);
         planner.compute();
     }
     std::size_t placed() {
@@ -59,7 +59,7 @@
     FleetScaler scaler{*context, cloud, no_types, [](std::size_t) { return false; }};
     AttemptNumbers attempts{kv, authority->fencing_token(),
                             [this] { return authority->begin_transaction(); }};
-    failover::Reconciliation reconciliation{state->cluster, settings.report_s};
+    failover::Reconciliation reconciliation{state->cluster, settings.heartbeat_interval_s};
     cluster::TeamActivity team_activity;
     bool loaded = true;
     std::vector<StartedTask> started;
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -778,10 +778,10 @@
 class GoldenBytesRequests : public testing::Test {
   protected:
     GoldenBytesRequests() {
-        settings_.state_addr = "state";
+        settings_.kv_addr = "state";
         settings_.cloud_addr = "cloud";
-        settings_.report_s = 1;
-        settings_.state_rps = settings_.state_write_rps = settings_.cloud_rps = 1000;
+        settings_.heartbeat_interval_s = 1;
+        settings_.kv_rps = settings_.kv_write_rps = settings_.cloud_rps = 1000;
         settings_.safe_value_kb = 16;
         settings_.txn_ops = 24;
     }
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -31,7 +31,7 @@
     Peers peers{timers};
     config::Settings settings = [] {
         config::Settings s;
-        s.report_s = 3;
+        s.heartbeat_interval_s = 3;
         s.cancel_s = 44;
         s.memory_mb = 1;
         s.peers = {{"berth-1", "a", "one"}, {"berth-2", "b", "two"}};
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -38,7 +38,7 @@
     static config::Settings make() {
         config::Settings s;
         s.label = "b";
-        s.report_s = 6;
+        s.heartbeat_interval_s = 6;
         s.lease_s = 30;
         s.memory_mb = 100;
         return s;
@@ -221,7 +221,7 @@
     for (int machines : {4000, 8000}) {
         SCOPED_TRACE(machines);
         RelayFixture fixture;
-        fixture.settings.report_s = 3;
+        fixture.settings.heartbeat_interval_s = 3;
         fixture.run(0.2);
         fixture.answer(extension(3000));
         constexpr double step_s = 0.02;
@@ -240,7 +240,7 @@
 // A leader that is not ready yet is retried at a limited rate, however many heartbeats wait.
 TEST(HeartbeatRelay, RetriesALeaderThatIsNotReadyAtALimitedRate) {
     RelayFixture fixture;
-    fixture.settings.report_s = 3;
+    fixture.settings.heartbeat_interval_s = 3;
     fixture.run(0.2);
     fixture.answer(extension(3000));
     for (int k = 1; k <= 1000; ++k) fixture.offer(heartbeat_body("vm-1", k, task));
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -15,10 +15,10 @@
     RecordFixture() { spdlog::set_level(spdlog::level::off); }
     static config::Settings settings_for() {
         config::Settings s;
-        s.report_s = 4;
+        s.heartbeat_interval_s = 4;
         s.lease_s = 30;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
+        s.kv_rps = 100;
+        s.kv_write_rps = 50;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 8;
         return s;
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -23,10 +23,10 @@
 struct Bench {
     static config::Settings settings_for() {
         config::Settings s;
-        s.report_s = 4;
+        s.heartbeat_interval_s = 4;
         s.lease_s = 30;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
+        s.kv_rps = 100;
+        s.kv_write_rps = 50;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 8;
         s.peers = {{"x", "a", "x:1"}, {"y", "b", "y:1"}};
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -19,7 +19,7 @@
 // before having renewed leases for as long as `cancel_s` allows. Some report periods are for the plan and the
 // start.
 double given_back_s(const Options& o) {
-    return o.cancel_s + 2 * o.report_s;
+    return o.cancel_s + 2 * o.heartbeat_interval_s;
 }
 
 // Both teams are at their limits. Their machines are away while the jobs are cancelled, and the leader
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -97,7 +97,8 @@
     w.cloud_down(o.lease_s * 3);
     w.at(from + 4, [&w] { w.cancel("j-2"); });
     std::size_t kept_by_leader = 0;
-    w.at(from + o.lease_s + o.report_s * 1.5, [&] { kept_by_leader = on_machines(w, "j-1", "b"); });
+    w.at(from + o.lease_s + o.heartbeat_interval_s * 1.5,
+         [&] { kept_by_leader = on_machines(w, "j-1", "b"); });
     w.run_until(from + o.lease_s * 3);
     // Nobody but these was to lose anything.
     EXPECT_EQ(lapsed(w, "a"), 0u);
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -13,7 +13,7 @@
 
 config::Settings settings() {
     config::Settings s;
-    s.report_s = 3;
+    s.heartbeat_interval_s = 3;
     s.teams = {{"a", 0, 0, 4, 8}, {"b", 0, 0, 4, 0}, {"free", 0, 0, 0, 0}};
     return s;
 }
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -135,7 +135,7 @@
 struct Options {
     std::uint64_t seed = 1;
     std::size_t machines = 6;
-    double report_s = 3, lease_s = 24, cancel_s = 44;
+    double heartbeat_interval_s = 3, lease_s = 24, cancel_s = 44;
     double gpus_max = 12;      // limit of team `tight`
     double free_gpus_max = 0;  // of team `free`; 0: none
     double waits_s = 90;       // a job may wait for so long with room and quota, once the troubles are over
