--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -225,13 +225,14 @@
         return v;
     };
     if (p.has_lease_ratio()) o.lease_ratio = range("lease_ratio", p.lease_ratio(), 0.02, 0.5);
-    if (p.has_silence_reports()) o.silence_reports = range("silence_reports", p.silence_reports(), 1.5, 100);
+    if (p.has_silence_reports())
+        o.suspicion_timeout_periods = range("silence_reports", p.silence_reports(), 1.5, 100);
     if (p.has_draws()) o.draws = static_cast<std::uint32_t>(range("draws", p.draws(), 2, 64));
     if (p.has_draw_rounds())
         o.draw_rounds = static_cast<std::uint32_t>(range("draw_rounds", p.draw_rounds(), 1, 64));
     if (p.has_reserve_ratio()) o.reserve_ratio = range("reserve_ratio", p.reserve_ratio(), 0, 10);
     if (p.has_max_machines()) o.max_machines = p.max_machines();
-    if (p.has_hearing()) o.hearing = p.hearing();
+    if (p.has_hearing()) o.relay_heartbeats = p.hearing();
     if (p.has_standby()) o.standby = p.standby();
     if (p.has_idle_boots()) o.idle_boots = range("idle_boots", p.idle_boots(), 0.1, 1000);
     return o;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -24,14 +24,14 @@
 };
 struct Operator {
     double lease_ratio = 0.1;
-    double silence_reports = 1.6;
+    double suspicion_timeout_periods = 1.6;
     std::uint32_t draws = 2;
     std::uint32_t draw_rounds = 4;
     double reserve_ratio = 0.3;
     std::uint32_t max_machines = 0;
     double idle_boots = 0.5;
-    bool hearing = true;
-    bool standby = true;
+    bool relay_heartbeats = true;
+    bool replicate_starts = true;
 };
 struct Settings {
     std::string label, zone, listen, peer_listen;
--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -76,7 +76,7 @@
 // The leader, if its version takes heartbeats from others.
 relay::LeaderEndpoint HeartbeatIntake::relay_target() const {
     auto* peer = dependencies_.peers.leading_peer();
-    if (dependencies_.leader || !dependencies_.settings.op.hearing || !peer ||
+    if (dependencies_.leader || !dependencies_.settings.op.relay_heartbeats || !peer ||
         peer->last_ping.features < protocol::peer_features::relay)
         return {};
     return {peer->config.addr, dependencies_.election.leader_fencing_token()};
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -65,7 +65,7 @@
 // With its own replica switched off, a controller has no part in that of others.
 void PeerMessageHandler::replicate(const http::Request& request, const http::Reply& reply) {
     with_message<protocol::ReplicationRequest>(request, reply, [&](protocol::ReplicationRequest piece) {
-        if (!dependencies_.settings.op.standby) return reply_malformed(reply);
+        if (!dependencies_.settings.op.replicate_starts) return reply_malformed(reply);
         reply_packed(reply, dependencies_.replica.apply(std::move(piece)));
     });
 }
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -195,7 +195,7 @@
     const double now = dependencies_.timers.now();
     // Just started, it can't know yet.
     const bool just_started =
-        dependencies_.settings.op.standby &&
+        dependencies_.settings.op.replicate_starts &&
         now - started_at_ < dependencies_.settings.heartbeat_interval_s * startup_grace_periods;
     const auto own_replica = replicated_leadership();
     const auto own_machines = dependencies_.heartbeats.recent_count(now);
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -150,7 +150,7 @@
 }
 
 void Election::claim(kv::LeaseResult lease) {
-    protocol::LeaderRecord record{settings_.label, incarnation_, settings_.op.standby};
+    protocol::LeaderRecord record{settings_.label, incarnation_, settings_.op.replicate_starts};
     protocol::Txn transaction;
     transaction.conditions.push_back({kv::keys::leader, 0});
     transaction.changes.push_back({kv::keys::leader, protocol::stored(record), lease.id});
@@ -200,7 +200,7 @@
     leader_fencing_token_ = version;
     ++leadership_round_;
     history_before_claim_ = history_;
-    history_.append({version, settings_.op.standby});
+    history_.append({version, settings_.op.replicate_starts});
     kv_.set_leading(true);
     spdlog::info("component=election event=elected fencing_token={}", version);
     renew_lease();
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -25,7 +25,7 @@
       on_loaded_(std::move(on_loaded)) {}
 
 void RecoveryLoader::start() {
-    settings_.op.standby ? read_record() : list_all();
+    settings_.op.replicate_starts ? read_record() : list_all();
 }
 void RecoveryLoader::retry_later() {
     timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] { start(); }));
@@ -85,10 +85,10 @@
 
 void RecoveryLoader::finish() {
     auto* failed = replication::evaluate_eligibility(evidence_);
-    recovered_.replica_eligible = settings_.op.standby && !failed;
+    recovered_.replica_eligible = settings_.op.replicate_starts && !failed;
     recovered_.in_sync_record = evidence_.record;
     std::string details = "replica_inherited=true";
-    if (!settings_.op.standby)
+    if (!settings_.op.replicate_starts)
         details = "replica_inherited=false reason=replication_disabled";
     else if (failed)
         details = std::string("replica_inherited=false reason=") + failed->failure;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -148,7 +148,8 @@
     bool many_redirected = static_cast<double>(redirected_since_tick_) > machines_up * redirected_share;
     bool redirected_lately =
         machine.redirected_at && t - *machine.redirected_at < settings_.lease_s * redirect_pause_leases;
-    if (!settings_.op.hearing || !many_here || many_redirected || redirected_lately) return std::nullopt;
+    if (!settings_.op.relay_heartbeats || !many_here || many_redirected || redirected_lately)
+        return std::nullopt;
     auto most = static_cast<std::size_t>(machines_up * (1 - own_share) / relays) + 1;
     auto relay_label = table.least_loaded(t, most);
     if (!relay_label) return std::nullopt;
@@ -161,7 +162,7 @@
     protocol::RelayResponse relay_answer;
     bool leads = parts_.recovery.loaded() ? authority_.may_renew_worker_leases() : authority_.holds();
     relay_answer.is_leader =
-        message.leader_version == authority_.fencing_token() && leads && settings_.op.hearing;
+        message.leader_version == authority_.fencing_token() && leads && settings_.op.relay_heartbeats;
     relay_answer.ready = relay_answer.is_leader && parts_.recovery.loaded();
     auto send = [&] { reply({200, protocol::pack_peer(relay_answer), "application/msgpack"}); };
     if (!relay_answer.ready) return send();
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -39,7 +39,7 @@
 bool MachineSupervisor::check() {
     auto checked = observe();
     double t = checked.at;
-    double recently_s = settings_.heartbeat_interval_s * settings_.op.silence_reports;
+    double recently_s = settings_.heartbeat_interval_s * settings_.op.suspicion_timeout_periods;
     auto last_answer_at = parts_.commands.last_answer_at();
     parts_.failure_detector.observe(
         checked.observations,
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -24,7 +24,7 @@
     // What another controller last said of itself, if that is not long ago; else null.
     using LatestPing = std::function<const protocol::PeerPing*(const std::string& label)>;
 
-    // Makes the cluster state hold starts back, if they are replicated at all (settings.op.standby).
+    // Makes the cluster state hold starts back, if they are replicated at all (settings.op.replicate_starts).
     StartReplication(const PartContext& context, http::Requester& http, kv::KvClient& kv,
                      const LatestPing& latest_ping, std::function<void()> flush_commands);
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -46,7 +46,7 @@
 
 FailureDetector::FailureDetector(const FailureDetectorLimits& limits)
     : limits_(limits),
-      base_timeout_s_(limits.heartbeat_interval_s * limits.silence_reports),
+      base_timeout_s_(limits.heartbeat_interval_s * limits.suspicion_timeout_periods),
       recent_s_(std::max(base_timeout_s_ - limits.heartbeat_interval_s, limits.heartbeat_interval_s / 2)),
       history_(limits.lease_s * history_leases),
       slowest_boot_(initial_boots) {}
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -69,7 +69,7 @@
 }
 bool HeartbeatRelay::within_failover_window() const {
     double ttl_s = settings_.lease_s * settings_.op.lease_ratio;
-    return settings_.op.hearing && disconnected_at_ &&
+    return settings_.op.relay_heartbeats && disconnected_at_ &&
            timers_.now() - *disconnected_at_ < ttl_s * failover_window_ttls;
 }
 
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -140,7 +140,7 @@
                     serve_peer("POST", protocol::peer_replication_path, body).body)
                     ->applied);
     EXPECT_EQ(replica.replica().leader_version, 5u);
-    settings.op.standby = false;
+    settings.op.replicate_starts = false;
     EXPECT_EQ(serve_peer("POST", protocol::peer_replication_path, body).status, 400);
 }
 
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -134,7 +134,7 @@
     for (auto [seconds, why] :
          {std::pair(0.0, HeartbeatRejection::no_leader), {4.0, HeartbeatRejection::queue_timeout}}) {
         RelayFixture fixture;
-        fixture.settings.op.hearing = false;  // nothing is held for the next leader
+        fixture.settings.op.relay_heartbeats = false;  // nothing is held for the next leader
         ASSERT_TRUE(fixture.offer("{}"));
         fixture.run(0.5);
         ASSERT_EQ(fixture.net.sent.size(), 1u);
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -149,7 +149,7 @@
     auto [after, warm] = GetParam();
     Options o;
     o.machines = 8;
-    if (!warm) o.without_standby = {0, 1, 2};
+    if (!warm) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-2", "service", 8, 0); });
     w.run_until(29.5);
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -96,7 +96,7 @@
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 2;
-    o.without_standby = {0, 1, 2};  // nothing is known of the machines but what they say
+    o.without_replication = {0, 1, 2};  // nothing is known of the machines but what they say
     SimulatedCluster w(o);
     keep_machines(w);
     w.at(4, [&w] { w.submit("j-1", "service", 1, 0); });
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -157,10 +157,10 @@
 // answered and others not. Afterwards nothing is placed before each machine has said what is left there.
 struct Away {
     const char* name;
-    double back_s;  // when they are back for a moment, after they went; 0: they aren't
-    double for_s;   // that moment
-    double away_s;  // in all
-    bool standby;   // whether they know of what was where, before
+    double back_s;    // when they are back for a moment, after they went; 0: they aren't
+    double for_s;     // that moment
+    double away_s;    // in all
+    bool replicated;  // whether they know of what was where, before
 };
 const Away aways[] = {
     {"throughout", 0, 0, 32, true},
@@ -175,7 +175,7 @@
     auto c = GetParam();
     Options o;
     o.machines = 9;
-    if (!c.standby) o.without_standby = {0, 1, 2};
+    if (!c.replicated) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 400);
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -88,7 +88,7 @@
     Options o;
     o.seed = seed;
     o.machines = 12;
-    o.without_standby = std::move(without);
+    o.without_replication = std::move(without);
     SimulatedCluster w(o);
     work(w, 110);
     std::mt19937_64 random(seed);
@@ -172,10 +172,10 @@
 // One dead machine of many used to hold up the first start until it was proven gone.
 TEST(ReplicationScenario, StartsTasksDespiteADeadMachine) {
     spdlog::set_level(spdlog::level::off);
-    for (bool standby : {true, false}) {
+    for (bool replicated : {true, false}) {
         Options o;
         o.machines = 5;
-        if (!standby) o.without_standby = {0, 1, 2};
+        if (!replicated) o.without_replication = {0, 1, 2};
         SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "service", 18, 0); });
         w.run_until(30);
@@ -186,7 +186,8 @@
         w.crash(lead(w), 60);
         w.at(30.1, [&w] { w.submit("j-2", "batch", 1, 2); });
         w.run_until(50);
-        EXPECT_EQ(!w.jobs["j-2"].tasks_done.empty(), standby);  // its user may have asked the dead controller
+        EXPECT_EQ(!w.jobs["j-2"].tasks_done.empty(),
+                  replicated);  // its user may have asked the dead controller
         for (auto& b : w.broken) ADD_FAILURE() << b;
     }
 }
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -64,8 +64,8 @@
         s.cancel_s = options_.cancel_s;
         s.gang_wait_s = 50;
         s.gang_peer_s = 5;
-        s.op.hearing = options_.hearing;
-        s.op.standby = !options_.without_standby.contains(k);
+        s.op.relay_heartbeats = options_.relay_heartbeats;
+        s.op.replicate_starts = !options_.without_replication.contains(k);
         s.kv_rps = 200;
         s.kv_write_rps = options_.write_rps;
         s.value_kb = options_.value_kb;
