--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -111,131 +111,178 @@
     return out.str();
 }
 
-}  // namespace
-
-Settings parse_settings(const std::string& text, const std::string& file) {
-    toml::table root;
+toml::table parse_toml(const std::string& text, const std::string& file) {
     try {
-        root = toml::parse(text);
-    } catch (const toml::parse_error& e) {
-        throw BadSettings(file + ": line " + std::to_string(e.source().begin.line) + ": " +
-                          std::string(e.description()));
+        return toml::parse(text);
+    } catch (const toml::parse_error& error) {
+        throw BadSettings(file + ": line " + std::to_string(error.source().begin.line) + ": " +
+                          std::string(error.description()));
     }
-    Table t(&root, file, "");
-    Settings s;
-    s.label = t.text("label");
-    s.zone = t.text("domain");
-    s.listen = t.addr("public_addr");
-    s.peer_listen = t.addr("peer_listen");
-    for (auto& p : t.rows("seeds"))
-        s.peers.push_back({p.text("label"), p.text("domain"), p.addr("peer_addr")});
-    auto endpoints = t.sub("endpoints");
-    s.cloud_addr = endpoints.addr("cloud");
-    s.kv_addr = endpoints.addr("state");
-    auto c = t.sub("cluster");
-    s.nodes = c.count("nodes", 1);
-    s.zones = c.texts("zones");
-    s.max_clock_skew_s = c.number("skew_ms", 0) / 1000;
-    for (auto& r : c.rows("teams"))
-        s.teams.push_back({r.text("name"), r.number("cpus", 0), r.number("cpus_max", 0), r.number("gpus", 0),
-                           r.number("gpus_max", 0)});
-    for (auto& r : c.rows("objectives")) {
-        Objective o;
-        o.kind = r.text("kind");
-        if (r.has("class")) o.job_class = r.text("class");
-        if (r.has("within_s")) o.within_s = r.number("within_s", 0);
-        if (r.has("share")) o.share = r.number("share", 0);
-        s.objectives.push_back(o);
-    }
-    auto w = c.sub("workers");
-    s.heartbeat_interval_s = w.number("report_s", 0, true);
-    s.lease_s = w.number("lease_s", 0, true);
-    s.gang_wait_s = w.number("gang_wait_s", 0);
-    s.gang_peer_s = w.number("gang_peer_s", 0);
-    s.cancel_s = w.number("cancel_s", 0, true);
+}
+
+void read_controllers(const Table& root, Settings& settings) {
+    settings.label = root.text("label");
+    settings.zone = root.text("domain");
+    settings.listen = root.addr("public_addr");
+    settings.peer_listen = root.addr("peer_listen");
+    for (auto& seed : root.rows("seeds"))
+        settings.peers.push_back({seed.text("label"), seed.text("domain"), seed.addr("peer_addr")});
+    auto endpoints = root.sub("endpoints");
+    settings.cloud_addr = endpoints.addr("cloud");
+    settings.kv_addr = endpoints.addr("state");
+}
+
+Objective read_objective(const Table& row) {
+    Objective objective;
+    objective.kind = row.text("kind");
+    if (row.has("class")) objective.job_class = row.text("class");
+    if (row.has("within_s")) objective.within_s = row.number("within_s", 0);
+    if (row.has("share")) objective.share = row.number("share", 0);
+    return objective;
+}
+
+void read_cluster(const Table& cluster, Settings& settings) {
+    settings.nodes = cluster.count("nodes", 1);
+    settings.zones = cluster.texts("zones");
+    settings.max_clock_skew_s = cluster.number("skew_ms", 0) / 1000;
+    for (auto& row : cluster.rows("teams"))
+        settings.teams.push_back({row.text("name"), row.number("cpus", 0), row.number("cpus_max", 0),
+                                  row.number("gpus", 0), row.number("gpus_max", 0)});
+    for (auto& row : cluster.rows("objectives")) settings.objectives.push_back(read_objective(row));
+}
+
+void read_workers(const Table& workers, const std::string& file, Settings& settings) {
+    settings.heartbeat_interval_s = workers.number("report_s", 0, true);
+    settings.lease_s = workers.number("lease_s", 0, true);
+    settings.gang_wait_s = workers.number("gang_wait_s", 0);
+    settings.gang_peer_s = workers.number("gang_peer_s", 0);
+    settings.cancel_s = workers.number("cancel_s", 0, true);
     // What ends the tasks of a cancelled job on a machine that no command reaches is its worker's lease. With
     // less time than this nobody could renew one without breaking the rule.
-    if (s.cancel_s < s.lease_s + s.heartbeat_interval_s)
+    if (settings.cancel_s < settings.lease_s + settings.heartbeat_interval_s)
         throw BadSettings(file + ": field 'cluster.workers.cancel_s' must be at least lease_s + report_s");
-    auto st = c.sub("state");
-    s.kv_rps = st.number("rps", 0, true);
-    s.kv_write_rps = st.number("write_rps", 0, true);
-    s.value_kb = st.number("value_kb", 0, true);
-    s.txn_ops = st.count("txn_ops", 2);
-    s.safe_value_kb = s.value_kb;
-    if (st.has("next")) {
-        auto next = st.sub("next");
-        auto lower = [&](const char* key, double& v) {
-            if (next.has(key)) v = std::min(v, next.number(key, 0, true));
-        };
-        lower("rps", s.kv_rps);
-        lower("write_rps", s.kv_write_rps);
-        lower("value_kb", s.safe_value_kb);
-        if (next.has("txn_ops")) s.txn_ops = std::min(s.txn_ops, next.count("txn_ops", 2));
-    }
-    auto cl = c.sub("cloud");
-    s.cloud_rps = cl.number("rps", 0, true);
-    s.list_lag_s = cl.number("list_lag_s", 0);
-    auto l = c.sub("limits");
-    // Below or beyond these somebody has mistaken the unit.
-    s.cpu_share = l.number_within("core_share", 1e-4, 1024);
-    s.memory_mb = l.number_within("memory_mb", 8, 16e6);
-    s.sockets = l.count("sockets", 16);
-    return s;
 }
-double status_queries_per_s(const Settings& s) {
-    constexpr double question_cost_s = 2.5e-4, part = 1.0 / 2;
-    return s.cpu_share * part / question_cost_s;
+
+void read_kv_limits(const Table& limits, Settings& settings) {
+    settings.kv_rps = limits.number("rps", 0, true);
+    settings.kv_write_rps = limits.number("write_rps", 0, true);
+    settings.value_kb = limits.number("value_kb", 0, true);
+    settings.txn_ops = limits.count("txn_ops", 2);
+    settings.safe_value_kb = settings.value_kb;
+    if (!limits.has("next")) return;
+    auto next = limits.sub("next");
+    auto lower = [&](const char* key, double& limit) {
+        if (next.has(key)) limit = std::min(limit, next.number(key, 0, true));
+    };
+    lower("rps", settings.kv_rps);
+    lower("write_rps", settings.kv_write_rps);
+    lower("value_kb", settings.safe_value_kb);
+    if (next.has("txn_ops")) settings.txn_ops = std::min(settings.txn_ops, next.count("txn_ops", 2));
 }
-double expected_cpu_share(const Settings& s) {
-    // As many workers as there are sockets for them, each report and its answer at what they were seen to
-    // cost.
-    constexpr double report_cost_s = 1e-4, workers = 0.7;
-    return s.sockets * workers / s.heartbeat_interval_s * report_cost_s;
+
+void read_own_limits(const Table& limits, Settings& settings) {
+    // Below or beyond these somebody has mistaken the unit.
+    settings.cpu_share = limits.number_within("core_share", 1e-4, 1024);
+    settings.memory_mb = limits.number_within("memory_mb", 8, 16e6);
+    settings.sockets = limits.count("sockets", 16);
+}
+
+}  // namespace
+
+Settings parse_settings(const std::string& text, const std::string& file) {
+    auto parsed = parse_toml(text, file);
+    Table root(&parsed, file, "");
+    Settings settings;
+    read_controllers(root, settings);
+    auto cluster = root.sub("cluster");
+    read_cluster(cluster, settings);
+    read_workers(cluster.sub("workers"), file, settings);
+    read_kv_limits(cluster.sub("state"), settings);
+    auto cloud = cluster.sub("cloud");
+    settings.cloud_rps = cloud.number("rps", 0, true);
+    settings.list_lag_s = cloud.number("list_lag_s", 0);
+    read_own_limits(cluster.sub("limits"), settings);
+    return settings;
 }
 Settings load_settings(const std::string& file) {
     return parse_settings(read_file(file), file);
 }
 
+double status_queries_per_s(const Settings& settings) {
+    constexpr double query_cost_s = 2.5e-4, query_share = 1.0 / 2;
+    return settings.cpu_share * query_share / query_cost_s;
+}
+double expected_cpu_share(const Settings& settings) {
+    // As many workers as there are sockets for them, each heartbeat and its answer at what they were measured
+    // to cost.
+    constexpr double heartbeat_cost_s = 1e-4, worker_socket_ratio = 0.7;
+    return settings.sockets * worker_socket_ratio / settings.heartbeat_interval_s * heartbeat_cost_s;
+}
+
 namespace {
-class Complaints : public google::protobuf::io::ErrorCollector {
+
+class FirstError : public google::protobuf::io::ErrorCollector {
   public:
     void AddError(int line, int column, const std::string& message) override {
-        if (first.empty())
-            first = "line " + std::to_string(line + 1) + ", column " + std::to_string(column + 1) + ": " +
-                    message;
+        if (text.empty())
+            text = "line " + std::to_string(line + 1) + ", column " + std::to_string(column + 1) + ": " +
+                   message;
     }
-    std::string first;
+    std::string text;
 };
+
+struct Range {
+    double least, most;
+};
+double within(const std::string& file, const char* field, double value, Range range) {
+    if (value >= range.least && value <= range.most) return value;
+    std::ostringstream error;
+    error << file << ": field '" << field << "' must be from " << range.least << " to " << range.most;
+    throw BadSettings(error.str());
+}
+
+// Fields under the names that they had before; see operator.proto.
+void read_former_names(const OperatorSettings& fields, const std::string& file, Range suspicion_timeout,
+                       Operator& op) {
+    if (fields.has_silence_reports())
+        op.suspicion_timeout_periods =
+            within(file, "silence_reports", fields.silence_reports(), suspicion_timeout);
+    if (fields.has_hearing()) op.relay_heartbeats = fields.hearing();
+    if (fields.has_standby()) op.replicate_starts = fields.standby();
+}
+
+Operator read_operator(const OperatorSettings& fields, const std::string& file) {
+    constexpr Range suspicion_timeout{1.5, 100};
+    Operator op;
+    read_former_names(fields, file, suspicion_timeout, op);
+    auto number = [&](const char* field, double value, Range range) {
+        return within(file, field, value, range);
+    };
+    if (fields.has_lease_ratio()) op.lease_ratio = number("lease_ratio", fields.lease_ratio(), {0.02, 0.5});
+    if (fields.has_suspicion_timeout_periods())
+        op.suspicion_timeout_periods =
+            number("suspicion_timeout_periods", fields.suspicion_timeout_periods(), suspicion_timeout);
+    if (fields.has_draws()) op.draws = static_cast<std::uint32_t>(number("draws", fields.draws(), {2, 64}));
+    if (fields.has_draw_rounds())
+        op.draw_rounds = static_cast<std::uint32_t>(number("draw_rounds", fields.draw_rounds(), {1, 64}));
+    if (fields.has_reserve_ratio())
+        op.reserve_ratio = number("reserve_ratio", fields.reserve_ratio(), {0, 10});
+    if (fields.has_max_machines()) op.max_machines = fields.max_machines();
+    if (fields.has_relay_heartbeats()) op.relay_heartbeats = fields.relay_heartbeats();
+    if (fields.has_replicate_starts()) op.replicate_starts = fields.replicate_starts();
+    if (fields.has_idle_boots()) op.idle_boots = number("idle_boots", fields.idle_boots(), {0.1, 1000});
+    return op;
+}
+
 }  // namespace
 
 Operator parse_operator(const std::string& text, const std::string& file) {
-    OperatorSettings p;
-    Complaints complaints;
+    OperatorSettings fields;
+    FirstError error;
     google::protobuf::TextFormat::Parser parser;
-    parser.RecordErrorsTo(&complaints);
-    if (!parser.ParseFromString(text, &p)) throw BadSettings(file + ": " + complaints.first);
-    Operator o;
-    auto range = [&](const char* field, double v, double least, double most) {
-        if (!(v >= least && v <= most)) {
-            std::ostringstream m;
-            m << file << ": field '" << field << "' must be from " << least << " to " << most;
-            throw BadSettings(m.str());
-        }
-        return v;
-    };
-    if (p.has_lease_ratio()) o.lease_ratio = range("lease_ratio", p.lease_ratio(), 0.02, 0.5);
-    if (p.has_silence_reports())
-        o.suspicion_timeout_periods = range("silence_reports", p.silence_reports(), 1.5, 100);
-    if (p.has_draws()) o.draws = static_cast<std::uint32_t>(range("draws", p.draws(), 2, 64));
-    if (p.has_draw_rounds())
-        o.draw_rounds = static_cast<std::uint32_t>(range("draw_rounds", p.draw_rounds(), 1, 64));
-    if (p.has_reserve_ratio()) o.reserve_ratio = range("reserve_ratio", p.reserve_ratio(), 0, 10);
-    if (p.has_max_machines()) o.max_machines = p.max_machines();
-    if (p.has_hearing()) o.relay_heartbeats = p.hearing();
-    if (p.has_standby()) o.standby = p.standby();
-    if (p.has_idle_boots()) o.idle_boots = range("idle_boots", p.idle_boots(), 0.1, 1000);
-    return o;
+    parser.RecordErrorsTo(&error);
+    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file + ": " + error.text);
+    return read_operator(fields, file);
 }
 Operator load_operator(const std::string& file) {
     return parse_operator(read_file(file), file);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -7,21 +7,26 @@
 
 namespace coralhitch::config {
 
+// A file of settings that can't be used.
 struct BadSettings : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+// Another controller.
 struct Peer {
     std::string label, zone, addr;
 };
+// A team's guaranteed quota and hard limit.
 struct Team {
     std::string name;
     double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // a maximum of 0: no limit
 };
+// A service-level objective: what share of the jobs of a kind and class must start or end within how long.
 struct Objective {
     std::string kind, job_class;
     double within_s = 0, share = 0;
 };
+// Operators' own settings with their defaults; operator.proto says what each does.
 struct Operator {
     double lease_ratio = 0.1;
     double suspicion_timeout_periods = 1.6;
@@ -33,6 +38,7 @@
     bool relay_heartbeats = true;
     bool replicate_starts = true;
 };
+// The platform's settings. Names follow the field's terms; the parser maps them from those in the file.
 struct Settings {
     std::string label, zone, listen, peer_listen;
     std::vector<Peer> peers;
@@ -55,15 +61,17 @@
     Operator op;
 };
 
+// These throw BadSettings, with one line that names file and field. `file`: only for that line.
 Settings parse_settings(const std::string& text, const std::string& file);
-// How many questions a second, each on a connection of its own, take half of the processor, at what they were
-// seen to cost: 0.25 ms, packets included.
-double status_queries_per_s(const Settings& s);
-// The share of a core with which a controller hears as many workers as it has sockets for, and does little
-// else.
-double expected_cpu_share(const Settings& s);
 Settings load_settings(const std::string& file);
 Operator parse_operator(const std::string& text, const std::string& file);
 Operator load_operator(const std::string& file);
 
+// How many status queries a second, each on a connection of its own, take half of the processor, at their
+// measured cost: 0.25 ms, packets included.
+double status_queries_per_s(const Settings& settings);
+// The share of a core with which a controller handles the heartbeats of as many workers as it has sockets
+// for, and does little else.
+double expected_cpu_share(const Settings& settings);
+
 }  // namespace coralhitch::config
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -137,6 +137,39 @@
          {"draws: 1", "lease_ratio: 0.9", "nonsense: 1", "draws: \"x\"", "reserve_ratio: -1"})
         EXPECT_THROW(parse_operator(bad, "f"), BadSettings) << bad;
 }
+// Renamed fields are read under both names for a release; a file may hold both during an upgrade.
+TEST(Operator, RelayHeartbeatsIsReadUnderBothNames) {
+    EXPECT_TRUE(parse_operator("", "f").relay_heartbeats);
+    EXPECT_FALSE(parse_operator("relay_heartbeats: false", "f").relay_heartbeats);
+    EXPECT_FALSE(parse_operator("hearing: false", "f").relay_heartbeats);
+    EXPECT_TRUE(parse_operator("relay_heartbeats: true hearing: false", "f").relay_heartbeats);
+    EXPECT_FALSE(parse_operator("hearing: true relay_heartbeats: false", "f").relay_heartbeats);
+}
+TEST(Operator, ReplicateStartsIsReadUnderBothNames) {
+    EXPECT_TRUE(parse_operator("", "f").replicate_starts);
+    EXPECT_FALSE(parse_operator("replicate_starts: false", "f").replicate_starts);
+    EXPECT_FALSE(parse_operator("standby: false", "f").replicate_starts);
+    EXPECT_TRUE(parse_operator("replicate_starts: true standby: false", "f").replicate_starts);
+    EXPECT_FALSE(parse_operator("standby: true replicate_starts: false", "f").replicate_starts);
+}
+TEST(Operator, SuspicionTimeoutPeriodsIsReadUnderBothNames) {
+    EXPECT_DOUBLE_EQ(parse_operator("", "f").suspicion_timeout_periods, 1.6);
+    EXPECT_DOUBLE_EQ(parse_operator("suspicion_timeout_periods: 3", "f").suspicion_timeout_periods, 3);
+    EXPECT_DOUBLE_EQ(parse_operator("silence_reports: 4", "f").suspicion_timeout_periods, 4);
+    EXPECT_DOUBLE_EQ(
+        parse_operator("suspicion_timeout_periods: 3 silence_reports: 4", "f").suspicion_timeout_periods, 3);
+    for (const char* field : {"suspicion_timeout_periods", "silence_reports"}) {
+        for (const char* bad : {": 1.4", ": 101"}) {
+            try {
+                parse_operator(std::string(field) + bad, "f");
+                ADD_FAILURE() << field << bad;
+            } catch (const BadSettings& error) {
+                EXPECT_NE(std::string(error.what()).find(std::string("'") + field + "'"), std::string::npos)
+                    << error.what();
+            }
+        }
+    }
+}
 
 }  // namespace
 }  // namespace coralhitch::config
