--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -310,7 +310,7 @@
         if (auto record = callbacks_.current_record(id)) {
             page.bytes += bytes_of(id, *record);
             batch.machines.push_back({id, *record});
-            records.emplace_back(id, std::move(*record));
+            records.push_back({id, std::move(*record)});
         }
     batch.bytes += page.bytes;
     batch.is_urgent = batch.is_urgent || page.has_new_records;
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -1,11 +1,11 @@
-// Plain values that every package shares. The names used on the wire live in protocol.cpp only.
+// Plain values that every package shares. Their names on the wire are only in the .cpp files of this package
+// and in protocol/names.hpp.
 #pragma once
 #include <compare>
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 namespace coralhitch::protocol {
@@ -13,6 +13,7 @@
 enum class JobKind { array, gang, service };
 enum class Priority { low, normal, high, production };
 
+// One task of a job: its index from 0.
 struct TaskId {
     std::string job;
     std::uint32_t index = 0;
@@ -20,17 +21,22 @@
     std::string str() const { return job + "/" + std::to_string(index); }
 };
 
+// What a task requests, or what a machine offers.
 struct Resources {
     double cpus = 0, gpus = 0, memory_gb = 0;
-    Resources& operator+=(const Resources& o) {
-        cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
+    Resources& operator+=(const Resources& other) {
+        cpus += other.cpus;
+        gpus += other.gpus;
+        memory_gb += other.memory_gb;
         return *this;
     }
-    Resources& operator-=(const Resources& o) {
-        cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
+    Resources& operator-=(const Resources& other) {
+        cpus -= other.cpus;
+        gpus -= other.gpus;
+        memory_gb -= other.memory_gb;
         return *this;
     }
-    Resources times(double n) const { return {cpus * n, gpus * n, memory_gb * n}; }
+    Resources times(double count) const { return {cpus * count, gpus * count, memory_gb * count}; }
     // Sums of decimal amounts carry rounding; a task that fills a machine exactly still fits.
     bool fits(const Resources& request) const {
         constexpr double slack = 1e-6;
@@ -39,6 +45,7 @@
     }
 };
 
+// A job as its user described it.
 struct Job {
     std::string id, job_class, team;
     JobKind kind = JobKind::array;
@@ -58,6 +65,7 @@
 
 enum class JobState { queued, running, done, cancelled };
 
+// What a user is told of a job.
 struct JobStatus {
     std::string id;
     JobState state = JobState::queued;
@@ -77,23 +85,26 @@
     unknown
 };
 
+// A task as the agent reports it.
 struct TaskStatus {
     TaskId task;
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
-    ExitCause cause = ExitCause::none;
-    bool saved = false;
+    ExitCause cause = ExitCause::none;  // none: it has not exited
+    bool saved = false;                 // it had stored a checkpoint when it exited
 };
 
+// An agent's periodic message. `token`: the highest fencing token that it has seen.
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
     std::uint64_t agent_epoch = 0, sequence = 0, token = 0;
-    std::optional<double> preemption_notice_s;
+    std::optional<double> preemption_notice_s;  // a spot instance is taken back in so many seconds
     std::vector<TaskStatus> tasks;
 };
 
 enum class CommandKind { start, stop, forget };
+// What a worker is to do with one task; `grace_s` is for stops.
 struct Command {
     CommandKind kind = CommandKind::start;
     TaskId task;
@@ -101,6 +112,7 @@
     double grace_s = 0;
 };
 
+// A machine type of the cloud. Prices are by the hour.
 struct MachineType {
     std::string name;
     Resources capacity;
@@ -119,6 +131,7 @@
 using ImageIds = std::vector<std::uint32_t>;  // sorted; a number for each image's name
 
 enum class HostState { booting, running, failed };
+// A machine as the cloud lists it.
 struct Host {
     std::string id, addr, type, zone;
     bool spot = false;
@@ -126,22 +139,31 @@
     double age_s = 0;
 };
 
-// The stored form of things: what the controllers keep at the key-value store.
+// What the controllers keep at the key-value store; see protocol/records.hpp.
+
+// A live job.
 struct JobRecord {
     Job job;
     double submitted = 0;  // unix seconds
     bool cancelled = false;
 };
+// How a job has ended.
 struct FinalRecord {
     JobState state = JobState::done;
     std::uint32_t tasks = 0;
 };
+// A machine that may hold tasks.
 struct MachineRecord {
     std::string addr, type, zone;
     bool spot = false;
     bool marked_for_deletion = false;  // a deletion was asked for: never to be used again
 };
-using MachinePage = std::vector<std::pair<std::string, MachineRecord>>;  // by machine id
+struct StoredMachine {
+    std::string id;
+    MachineRecord record;
+};
+using MachinePage = std::vector<StoredMachine>;  // many machines in one stored value
+// The value of the leader's key.
 struct LeaderRecord {
     std::string label;
     std::uint64_t incarnation = 0;
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -7,144 +7,156 @@
 using nlohmann::json;
 
 namespace {
-// The job of a record. Versions that know nothing of awaited jobs would start one that awaits others at once;
+// The job of a record. Versions without dependencies would start one that has any at once;
 // they refuse a record without the first name, and leave the job alone.
 constexpr const char* job_field = "job";
 constexpr const char* awaiting_field = "awaiting_job";
+
+constexpr std::size_t bits_per_digit = 4;  // of stored bits, the lowest first
+
+StoredMachine stored_machine(const json& row) {
+    constexpr std::size_t text_columns = 4, columns = 6;  // the flags follow the texts
+    if (!row.is_array() || row.size() < columns) bad("machines", "holds something that is not a machine");
+    for (std::size_t k = 0; k < columns; ++k)
+        if (k < text_columns ? !row[k].is_string() : !row[k].is_boolean())
+            bad("machines", "holds something that is not a machine");
+    return {row[0].get<std::string>(),
+            {row[1].get<std::string>(), row[2].get<std::string>(), row[3].get<std::string>(),
+             row[4].get<bool>(), row[5].get<bool>()}};
+}
+
 }  // namespace
 
 std::string stored_types(std::span<const MachineType> types) {
-    json a = json::array();
-    for (auto& t : types)
-        a.push_back(json{{"name", t.name},
-                         {"vcpus", t.capacity.cpus},
-                         {"cards", t.capacity.gpus},
-                         {"ram_gb", t.capacity.memory_gb},
-                         {"cache_gb", t.cache_gb},
-                         {"fetch_gb_per_s", t.fetch_gb_per_s},
-                         {"hourly", t.price},
-                         {"spot_price", t.spot_price},
-                         {"startup_s", t.boot_s},
-                         {"reefs", t.zones}});
-    return fields::dumped(json{{"hulls", a}});
-}
-std::string stored(const JobRecord& r) {
-    auto* field = r.job.dependencies.empty() ? job_field : awaiting_field;
-    return fields::dumped(
-        json{{field, job_json(r.job)}, {"submitted", r.submitted}, {"cancelled", r.cancelled}});
-}
-std::string stored(const FinalRecord& r) {
-    return fields::dumped(json{{"state", name_of(job_state_names, r.state)}, {"tasks", r.tasks}});
-}
-std::string stored(const MachinePage& p) {
     json rows = json::array();
-    for (auto& [id, r] : p)
-        rows.push_back(json::array({id, r.addr, r.type, r.zone, r.spot, r.marked_for_deletion}));
+    for (auto& type : types)
+        rows.push_back(json{{"name", type.name},
+                            {"vcpus", type.capacity.cpus},
+                            {"cards", type.capacity.gpus},
+                            {"ram_gb", type.capacity.memory_gb},
+                            {"cache_gb", type.cache_gb},
+                            {"fetch_gb_per_s", type.fetch_gb_per_s},
+                            {"hourly", type.price},
+                            {"spot_price", type.spot_price},
+                            {"startup_s", type.boot_s},
+                            {"reefs", type.zones}});
+    return fields::dumped(json{{"hulls", rows}});
+}
+std::string stored(const JobRecord& record) {
+    auto* field = record.job.dependencies.empty() ? job_field : awaiting_field;
+    return fields::dumped(json{
+        {field, job_json(record.job)}, {"submitted", record.submitted}, {"cancelled", record.cancelled}});
+}
+std::string stored(const FinalRecord& record) {
+    return fields::dumped(json{{"state", name_of(job_state_names, record.state)}, {"tasks", record.tasks}});
+}
+std::string stored(const MachinePage& page) {
+    json rows = json::array();
+    for (auto& [id, record] : page)
+        rows.push_back(json::array(
+            {id, record.addr, record.type, record.zone, record.spot, record.marked_for_deletion}));
     return fields::dumped(json{{"machines", std::move(rows)}});
 }
-std::string stored(const LeaderRecord& r) {
-    json j{{"label", r.label}, {"incarnation", r.incarnation}};
-    if (r.stores_in_sync_replicas) j["standby"] = true;
-    return fields::dumped(j);
+std::string stored(const LeaderRecord& record) {
+    json object{{"label", record.label}, {"incarnation", record.incarnation}};
+    if (record.stores_in_sync_replicas) object["standby"] = true;
+    return fields::dumped(object);
 }
-std::string stored(const InSyncReplicas& r) {
+std::string stored(const InSyncReplicas& replicas) {
     json members = json::array();
-    for (auto& m : r.members)
-        members.push_back(
-            json{{"label", m.label}, {"incarnation", m.incarnation}, {"begun", m.base_version}});
-    return fields::dumped(json{{"version", r.leader_version}, {"members", members}});
+    for (auto& member : replicas.members)
+        members.push_back(json{
+            {"label", member.label}, {"incarnation", member.incarnation}, {"begun", member.base_version}});
+    return fields::dumped(json{{"version", replicas.leader_version}, {"members", members}});
 }
 std::string stored_bits(const std::vector<bool>& bits) {
-    constexpr char digits[] = "0123456789abcdef";
-    std::string hex((bits.size() + 3) / 4, '0');
+    constexpr std::string_view digits = "0123456789abcdef";
+    std::string hex((bits.size() + bits_per_digit - 1) / bits_per_digit, '0');
     for (std::size_t i = 0; i < hex.size(); ++i) {
-        unsigned v = 0;
-        for (std::size_t k = 0; k < 4; ++k)
-            if (i * 4 + k < bits.size() && bits[i * 4 + k]) v |= 1u << k;
-        hex[i] = digits[v];
+        unsigned value = 0;
+        for (std::size_t k = 0; k < bits_per_digit; ++k) {
+            const auto bit = i * bits_per_digit + k;
+            if (bit < bits.size() && bits[bit]) value |= 1U << k;
+        }
+        hex[i] = digits[value];
     }
     return fields::dumped(json{{"bits", hex}});
 }
-JobRecord parse_job_record(std::string_view v) {
-    json j = fields::parse_object(v);
-    auto* awaiting = fields::find(j, awaiting_field);
-    return {job_of(awaiting ? *awaiting : fields::need(j, job_field)), fields::amount(j, "submitted"),
-            fields::flag(j, "cancelled")};
-}
-LiveRecord parse_live_record(std::string_view v) {
-    json j = fields::parse_object(v);
-    LiveRecord r{fields::flag(j, "cancelled"), {}};
-    if (auto* awaiting = fields::find(j, awaiting_field)) r.dependencies = dependencies_of(*awaiting);
-    return r;
-}
-bool is_cancelled_record(std::string_view v) {
-    json j = json::parse(v, nullptr, false);
-    auto* c = j.is_object() ? fields::find(j, "cancelled") : nullptr;
-    return c && c->is_boolean() && c->get<bool>();
-}
-JobRecord compact_cancelled_record(JobRecord r) {
-    r.job.job_class = r.job.image = "-";
-    r.job.types.reset();
-    r.job.dependencies.clear();
-    return r;
-}
-FinalRecord parse_final_record(std::string_view v) {
-    json j = fields::parse_object(v);
-    return {named(job_state_names, fields::text(j, "state"), "state"),
-            static_cast<std::uint32_t>(fields::count(j, "tasks"))};
-}
-MachineRecord parse_machine_record(std::string_view v) {
-    json j = fields::parse_object(v);
-    return {fields::text(j, "addr"), fields::text(j, "type"), fields::text(j, "zone"),
-            fields::flag(j, "spot"), fields::flag(j, "condemned")};
-}
-MachinePage parse_machine_page(std::string_view v) {
-    json j = fields::parse_object(v);
-    MachinePage p;
-    for (auto& row : fields::list(j, "machines")) {
-        if (!row.is_array() || row.size() < 6) bad("machines", "holds something that is not a machine");
-        for (std::size_t k = 0; k < 6; ++k)
-            if (k < 4 ? !row[k].is_string() : !row[k].is_boolean())
-                bad("machines", "holds something that is not a machine");
-        p.emplace_back(row[0].get<std::string>(),
-                       MachineRecord{row[1].get<std::string>(), row[2].get<std::string>(),
-                                     row[3].get<std::string>(), row[4].get<bool>(), row[5].get<bool>()});
-    }
-    return p;
-}
-LeaderRecord parse_leader_record(std::string_view v) {
-    json j = fields::parse_object(v);
-    return {fields::text(j, "label"), fields::count(j, "incarnation"),
-            j.contains("standby") && fields::flag(j, "standby")};
-}
-bool stores_in_sync_replicas(std::string_view v) {
+
+JobRecord parse_job_record(std::string_view text) {
+    json object = fields::parse_object(text);
+    auto* awaiting = fields::find(object, awaiting_field);
+    return {job_of(awaiting ? *awaiting : fields::need(object, job_field)),
+            fields::amount(object, "submitted"), fields::flag(object, "cancelled")};
+}
+LiveRecord parse_live_record(std::string_view text) {
+    json object = fields::parse_object(text);
+    LiveRecord record{fields::flag(object, "cancelled"), {}};
+    if (auto* awaiting = fields::find(object, awaiting_field))
+        record.dependencies = dependencies_of(*awaiting);
+    return record;
+}
+bool is_cancelled_record(std::string_view text) {
+    json object = json::parse(text, nullptr, false);
+    auto* cancelled = object.is_object() ? fields::find(object, "cancelled") : nullptr;
+    return cancelled && cancelled->is_boolean() && cancelled->get<bool>();
+}
+JobRecord compact_cancelled_record(JobRecord record) {
+    record.job.job_class = record.job.image = "-";
+    record.job.types.reset();
+    record.job.dependencies.clear();
+    return record;
+}
+FinalRecord parse_final_record(std::string_view text) {
+    json object = fields::parse_object(text);
+    return {named(job_state_names, fields::text(object, "state"), "state"),
+            static_cast<std::uint32_t>(fields::count(object, "tasks"))};
+}
+MachineRecord parse_machine_record(std::string_view text) {
+    json object = fields::parse_object(text);
+    return {fields::text(object, "addr"), fields::text(object, "type"), fields::text(object, "zone"),
+            fields::flag(object, "spot"), fields::flag(object, "condemned")};
+}
+MachinePage parse_machine_page(std::string_view text) {
+    json object = fields::parse_object(text);
+    MachinePage page;
+    for (auto& row : fields::list(object, "machines")) page.push_back(stored_machine(row));
+    return page;
+}
+LeaderRecord parse_leader_record(std::string_view text) {
+    json object = fields::parse_object(text);
+    return {fields::text(object, "label"), fields::count(object, "incarnation"),
+            object.contains("standby") && fields::flag(object, "standby")};
+}
+bool stores_in_sync_replicas(std::string_view leader_record) {
     try {
-        return parse_leader_record(v).stores_in_sync_replicas;
+        return parse_leader_record(leader_record).stores_in_sync_replicas;
     } catch (const Malformed&) {
         return false;
     }
 }
-InSyncReplicas parse_in_sync_replicas(std::string_view v) {
-    json j = fields::parse_object(v);
-    InSyncReplicas r{fields::count(j, "version"), {}};
-    for (auto& m : fields::list(j, "members")) {
-        if (!m.is_object()) bad("members", "holds something that is not a member");
-        // Versions before copies were carried over name only whom they told all themselves.
-        r.members.push_back({fields::text(m, "label"), fields::count(m, "incarnation"),
-                             m.contains("begun") ? fields::count(m, "begun") : r.leader_version});
+InSyncReplicas parse_in_sync_replicas(std::string_view text) {
+    json object = fields::parse_object(text);
+    InSyncReplicas replicas{fields::count(object, "version"), {}};
+    for (auto& member : fields::list(object, "members")) {
+        if (!member.is_object()) bad("members", "holds something that is not a member");
+        // Versions before replicas were handed over name only those that they sent a snapshot themselves.
+        replicas.members.push_back(
+            {fields::text(member, "label"), fields::count(member, "incarnation"),
+             member.contains("begun") ? fields::count(member, "begun") : replicas.leader_version});
     }
-    return r;
-}
-std::vector<bool> parse_bits(std::string_view v) {
-    json j = fields::parse_object(v);
-    auto& b = fields::need(j, "bits");
-    if (!b.is_string()) bad("bits", "is not a string");
-    auto& hex = b.get_ref<const std::string&>();
-    std::vector<bool> bits(hex.size() * 4);
+    return replicas;
+}
+std::vector<bool> parse_bits(std::string_view text) {
+    json object = fields::parse_object(text);
+    auto& value = fields::need(object, "bits");
+    if (!value.is_string()) bad("bits", "is not a string");
+    auto& hex = value.get_ref<const std::string&>();
+    std::vector<bool> bits(hex.size() * bits_per_digit);
     for (std::size_t i = 0; i < hex.size(); ++i) {
-        int d = hex[i] >= 'a' ? hex[i] - 'a' + 10 : hex[i] - '0';
-        if (d < 0 || d > 15) bad("bits", "is not hexadecimal");
-        for (std::size_t k = 0; k < 4; ++k) bits[i * 4 + k] = (d >> k) & 1;
+        int digit = hex[i] >= 'a' ? hex[i] - 'a' + 10 : hex[i] - '0';
+        if (digit < 0 || digit > 15) bad("bits", "is not hexadecimal");
+        for (std::size_t k = 0; k < bits_per_digit; ++k) bits[i * bits_per_digit + k] = (digit >> k) & 1;
     }
     return bits;
 }
