--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/records.hpp"
 #include "scale/outside.hpp"
 
 namespace coralhitch::scale {
--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -11,7 +11,7 @@
 #include <iostream>
 
 #include "http/address.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/user_api.hpp"
 #include "scale/process.hpp"
 #include "scale/role.hpp"
 
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "protocol/agent_api.hpp"
 #include "scale/http_bytes.hpp"
 #include "scale/outside.hpp"
 
--- a/scale/outside.cpp
+++ b/scale/outside.cpp
@@ -2,6 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/malformed.hpp"
 #include "protocol/names.hpp"
 
 namespace coralhitch::scale::outside {
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "protocol/user_api.hpp"
 #include "scale/http_bytes.hpp"
 #include "scale/outside.hpp"
 #include "scale/role.hpp"
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -8,6 +8,7 @@
 
 #include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
+#include "protocol/model.hpp"
 #include "scale/balancer.hpp"
 #include "scale/experiment.hpp"
 #include "scale/histogram.hpp"
--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -6,6 +6,9 @@
 
 #include "api/responses.hpp"
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::api {
 namespace keys = kv::keys;
--- a/src/api/submission_handler.cpp
+++ b/src/api/submission_handler.cpp
@@ -7,6 +7,9 @@
 #include "api/responses.hpp"
 #include "api/submission_check.hpp"
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::api {
 namespace keys = kv::keys;
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/malformed.hpp"
+
 namespace coralhitch::cloud {
 using protocol::Malformed;
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -2,6 +2,9 @@
 
 #include <utility>
 
+#include "protocol/agent_api.hpp"
+#include "protocol/user_api.hpp"
+
 namespace coralhitch::controller {
 namespace paths = protocol::paths;
 
--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -4,6 +4,11 @@
 
 #include <utility>
 
+#include "protocol/agent_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/user_api.hpp"
+
 namespace coralhitch::controller {
 namespace {
 constexpr std::size_t heartbeats_per_turn = 16;  // in between other events
--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -5,6 +5,10 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::controller {
 namespace {
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -15,6 +15,7 @@
 #include "http/client.hpp"
 #include "http/server.hpp"
 #include "http/socket_budget.hpp"
+#include "protocol/agent_api.hpp"
 
 namespace {
 using namespace coralhitch;
--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "controller/peer_http.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::controller {
 namespace paths = protocol::paths;
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -5,6 +5,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::failover {
 namespace keys = kv::keys;
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -13,6 +13,7 @@
 #include "event_loop/timers.hpp"
 #include "failover/failover_steps.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/model.hpp"
 #include "replication/eligibility_checks.hpp"
 
 namespace coralhitch::failover {
--- a/src/kv/kv_client.cpp
+++ b/src/kv/kv_client.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/malformed.hpp"
+
 namespace coralhitch::kv {
 namespace {
 using protocol::Malformed;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -5,6 +5,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/malformed.hpp"
+#include "protocol/user_api.hpp"
+
 namespace coralhitch::leader {
 using cluster::Machine;
 using relay::HeartbeatRejection;
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 #include "relay/worker_lease.hpp"
 
 namespace coralhitch::leader {
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -46,6 +46,7 @@
 #include "leader/start_replication.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_rejections.hpp"
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -4,6 +4,7 @@
 #include <unordered_map>
 
 #include "cluster/team_usage.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 using cluster::Machine;
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -8,6 +8,7 @@
 
 #include "kv/keys.hpp"
 #include "leader/image_handover.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 namespace keys = kv::keys;
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -14,6 +14,7 @@
 
 #include "kv/kv_client.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/replication_sender.hpp"
 
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -8,6 +8,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::machine_registry {
 namespace keys = kv::keys;
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
 
 namespace coralhitch::membership {
 
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "election/election.hpp"
+#include "protocol/agent_api.hpp"
 
 namespace coralhitch::relay {
 namespace {
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -22,6 +22,8 @@
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/follower_session.hpp"
 #include "replication/in_sync_record.hpp"
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <numeric>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Priority;
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Resources;
--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -5,6 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
+#include "protocol/model.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::api {
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -8,6 +8,10 @@
 
 #include "api/user_api.hpp"
 #include "kv/keys.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
 
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "cluster/cluster_state.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 
--- a/tests/cluster/image_cache_test.cpp
+++ b/tests/cluster/image_cache_test.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 
 #include "cluster/cluster_state_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 namespace {
--- a/tests/controller/controller_fixture.hpp
+++ b/tests/controller/controller_fixture.hpp
@@ -6,6 +6,7 @@
 #include <string>
 
 #include "controller/controller.hpp"
+#include "protocol/peer_messages.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::controller {
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -13,6 +13,9 @@
 #include "controller/kv_reachability.hpp"
 #include "controller/local_leader.hpp"
 #include "controller/peer_monitor.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::controller {
 
--- a/tests/controller/peer_ping_size_test.cpp
+++ b/tests/controller/peer_ping_size_test.cpp
@@ -4,6 +4,7 @@
 
 #include "controller/controller_fixture.hpp"
 #include "kv/keys.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace coralhitch::controller {
 namespace {
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -5,6 +5,10 @@
 #include "controller/parts_fixture.hpp"
 #include "controller/peer_http.hpp"
 #include "controller/peer_message_handler.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_cancellation_messages.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::controller {
 namespace {
--- a/tests/jobs/job_table_test.cpp
+++ b/tests/jobs/job_table_test.cpp
@@ -5,6 +5,8 @@
 
 #include <functional>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::jobs {
 namespace {
 using protocol::JobState;
--- a/tests/jobs/progress_layout_test.cpp
+++ b/tests/jobs/progress_layout_test.cpp
@@ -6,6 +6,8 @@
 #include <stdexcept>
 
 #include "jobs/job_table.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::jobs {
 namespace {
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -5,6 +5,7 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::leader {
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -5,6 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "leader/leading_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 namespace {
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -6,6 +6,8 @@
 #include "leader/dependency_resolver.hpp"
 #include "leader/job_watcher.hpp"
 #include "leader/leading_fixture.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 namespace {
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -8,6 +8,8 @@
 
 #include "kv/keys.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::leader {
--- a/tests/machine_registry/machine_registry_test.cpp
+++ b/tests/machine_registry/machine_registry_test.cpp
@@ -9,6 +9,8 @@
 #include <nlohmann/json.hpp>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::machine_registry {
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -11,7 +11,13 @@
 #include "jobs/job_table.hpp"
 #include "kv/keys.hpp"
 #include "kv/kv_client.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::protocol {
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -4,8 +4,9 @@
 
 #include <cstdio>
 
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::protocol {
 namespace {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -1,11 +1,15 @@
 // Tables of messages: what is taken, what is refused, and that nothing is lost on the way.
-#include "protocol/protocol.hpp"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
+#include "protocol/agent_api.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::protocol {
 namespace {
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -5,6 +5,8 @@
 
 #include <set>
 
+#include "protocol/peer_cancellation_messages.hpp"
+#include "protocol/peer_messages.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::relay {
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -7,6 +7,7 @@
 #include <deque>
 
 #include "config/settings.hpp"
+#include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_bodies.hpp"
 #include "support/fake_timers.hpp"
 
--- a/tests/replication/follower_test.cpp
+++ b/tests/replication/follower_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/peer_messages.hpp"
+
 namespace coralhitch::replication {
 namespace {
 
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -9,6 +9,9 @@
 #include <set>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_messages.hpp"
 #include "replication/follower.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -6,6 +6,7 @@
 
 #include <sstream>
 
+#include "protocol/agent_api.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -1,4 +1,5 @@
 // Jobs that are cancelled in the seconds in which one controller's work changes hands.
+#include "protocol/agent_api.hpp"
 #include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -1,5 +1,6 @@
 // Two troubles that meet: a scripted case for each, with the order of messages fixed. docs/testing.md lists
 // them.
+#include "protocol/agent_api.hpp"
 #include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -3,6 +3,8 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/kv_client.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/kv_api.hpp"
 #include "simulation/simulated_cluster.hpp"
 #include "support/fake_key_value_store.hpp"
 
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -5,6 +5,7 @@
 
 #include <random>
 
+#include "protocol/agent_api.hpp"
 #include "protocol/peer_messages.hpp"
 #include "scenarios/fault_scenarios.hpp"
 
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "autoscaler/autoscaler.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::scheduler {
 namespace {
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -14,7 +14,6 @@
 #include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
 #include "leader/planner.hpp"
-#include "protocol/protocol.hpp"
 #include "simulation/message_digest.hpp"
 
 namespace coralhitch::controller {
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -2,6 +2,8 @@
 #include <algorithm>
 
 #include "controller/controller.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/peer_messages.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
