--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -100,7 +100,7 @@
     auto& c = site_.counts();
     double now = site_.loop().now();
     auto to = e.controller_addr(controller_);
-    http::Request r{"POST", std::string(protocol::paths::report), report()};
+    http::Request r{"POST", std::string(protocol::paths::heartbeat), report()};
     auto bytes = request_bytes(to, r);
     ++c.reports;
     c.report_bytes += bytes;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -137,7 +137,7 @@
         reply({405, protocol::error_body("wrong method")});
         return false;
     };
-    if (path == paths::report) {
+    if (path == paths::heartbeat) {
         if (check_method("POST")) heartbeats_.accept(std::move(request.body), std::move(reply));
     } else if (path.starts_with(paths::jobs)) {
         users_.serve(request, std::move(reply));
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -70,7 +70,7 @@
     limits.bulk_quiet_s = settings.heartbeat_interval_s * worker_quiet_periods;
     limits.bulk_idle_s = settings.heartbeat_interval_s * worker_idle_periods;
     limits.lane = event_loop::Lane::ordinary;
-    limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
+    limits.bulk = [](const std::string& path) { return path == protocol::paths::heartbeat; };
     limits.shed = std::move(on_worker_refused);
     return limits;
 }
--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -9,52 +9,52 @@
 
 namespace {
 // Most responses hold none.
-std::string orders(std::span<const Command> commands) {
+std::string command_list(std::span<const Command> commands) {
     if (commands.empty()) return "[]";
-    json out = json::array();
-    for (auto& c : commands) {
-        json o{{"verb", name_of(command_names, c.kind)}, {"shard", c.task.str()}, {"launch", c.attempt}};
-        if (c.kind == CommandKind::stop) o["slack_s"] = c.grace_s;
-        out.push_back(std::move(o));
+    json list = json::array();
+    for (auto& command : commands) {
+        json object{{"verb", name_of(command_names, command.kind)},
+                    {"shard", command.task.str()},
+                    {"launch", command.attempt}};
+        if (command.kind == CommandKind::stop) object["slack_s"] = command.grace_s;
+        list.push_back(std::move(object));
     }
-    return fields::dumped(out);
+    return fields::dumped(list);
 }
 }  // namespace
 
 std::optional<HeartbeatOutline> outline_heartbeat(std::string_view body) {
-    constexpr std::string_view machine_field = "\"berth\":", session_field = "\"watch\":",
+    constexpr std::string_view machine_field = "\"berth\":", agent_epoch_field = "\"watch\":",
                                sequence_field = "\"tally\":";
+    constexpr auto npos = std::string_view::npos;
     auto value_at = [&](std::string_view field) {
-        auto p = body.find(field);
-        if (p == std::string_view::npos) return p;
-        return body.find_first_not_of(' ', p + field.size());
+        auto position = body.find(field);
+        return position == npos ? npos : body.find_first_not_of(' ', position + field.size());
     };
-    HeartbeatOutline o;
-    auto m = value_at(machine_field);
-    if (m == std::string_view::npos || body[m] != '"') return std::nullopt;
-    auto end = body.find('"', ++m);
-    auto agent_epoch = value_at(session_field);
-    o.at = value_at(sequence_field);
-    if (end == std::string_view::npos || agent_epoch == std::string_view::npos ||
-        o.at == std::string_view::npos)
-        return std::nullopt;
+    auto machine_at = value_at(machine_field);
+    if (machine_at == npos || body[machine_at] != '"') return std::nullopt;
+    auto machine_end = body.find('"', ++machine_at);
+    auto agent_epoch_at = value_at(agent_epoch_field);
+    HeartbeatOutline outline;
+    outline.sequence_offset = value_at(sequence_field);
+    if (machine_end == npos || agent_epoch_at == npos || outline.sequence_offset == npos) return std::nullopt;
     auto* text_end = body.data() + body.size();
-    if (std::from_chars(body.data() + agent_epoch, text_end, o.agent_epoch).ec != std::errc())
+    if (std::from_chars(body.data() + agent_epoch_at, text_end, outline.agent_epoch).ec != std::errc())
         return std::nullopt;
-    o.machine = body.substr(m, end - m);
-    auto [last, ec] = std::from_chars(body.data() + o.at, text_end, o.sequence);
-    o.digits = static_cast<std::size_t>(last - body.data()) - o.at;
+    outline.machine = body.substr(machine_at, machine_end - machine_at);
+    auto [last, error] = std::from_chars(body.data() + outline.sequence_offset, text_end, outline.sequence);
+    outline.sequence_digits = static_cast<std::size_t>(last - body.data()) - outline.sequence_offset;
     // An escape would make the name another one.
-    if (ec != std::errc() || o.machine.find('\\') != std::string_view::npos) return std::nullopt;
-    return o;
+    if (error != std::errc() || outline.machine.find('\\') != npos) return std::nullopt;
+    return outline;
 }
 std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands) {
-    return R"({"helm":)" + std::to_string(token) + R"(,"orders":)" + orders(commands) + '}';
+    return R"({"helm":)" + std::to_string(token) + R"(,"orders":)" + command_list(commands) + '}';
 }
 std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
                             std::span<const Command> commands) {
     return R"({"helm":)" + std::to_string(token) + R"(,"watch":)" + std::to_string(agent_epoch) +
-           R"(,"orders":)" + orders(commands) + '}';
+           R"(,"orders":)" + command_list(commands) + '}';
 }
 std::string heartbeat_redirect(std::string_view label) {
     return label.empty() ? "{}" : fields::dumped(json{{"harbor", label}});
--- a/src/protocol/cloud_api.cpp
+++ b/src/protocol/cloud_api.cpp
@@ -8,67 +8,69 @@
 
 namespace paths {
 std::string host_list(std::string_view after, int limit) {
-    std::string p = "/hosts?limit=" + std::to_string(limit);
-    if (!after.empty()) p += "&since=" + std::string(after);
-    return p;
+    std::string path = "/hosts?limit=" + std::to_string(limit);
+    if (!after.empty()) path += "&since=" + std::string(after);
+    return path;
 }
 }  // namespace paths
 
 namespace {
-MachineType type_of(const json& e) {
-    MachineType t;
-    t.name = fields::text(e, "name");
-    t.capacity = {fields::amount(e, "vcpus"), fields::amount(e, "cards"), fields::amount(e, "ram_gb")};
-    t.cache_gb = fields::amount(e, "cache_gb");
-    t.fetch_gb_per_s = fields::amount(e, "fetch_gb_per_s");
-    t.price = fields::amount(e, "hourly");
-    t.spot_price = fields::amount(e, "spot_price");
-    t.boot_s = fields::amount(e, "startup_s");
-    t.zones = fields::texts(fields::list(e, "reefs"), "reefs");
-    return t;
+MachineType read_machine_type(const json& row) {
+    MachineType type;
+    type.name = fields::text(row, "name");
+    type.capacity = {fields::amount(row, "vcpus"), fields::amount(row, "cards"),
+                     fields::amount(row, "ram_gb")};
+    type.cache_gb = fields::amount(row, "cache_gb");
+    type.fetch_gb_per_s = fields::amount(row, "fetch_gb_per_s");
+    type.price = fields::amount(row, "hourly");
+    type.spot_price = fields::amount(row, "spot_price");
+    type.boot_s = fields::amount(row, "startup_s");
+    type.zones = fields::texts(fields::list(row, "reefs"), "reefs");
+    return type;
+}
+Host read_host(const reader::element& element) {
+    auto row = reader::as_object(element, "berths");
+    Host host;
+    host.id = reader::text(row, "id");
+    reader::element addr;
+    std::string_view addr_text;
+    if (reader::find(row, "addr", addr) && addr.get(addr_text) == simdjson::SUCCESS) host.addr = addr_text;
+    host.type = reader::text(row, "hull");
+    host.zone = reader::text(row, "reef");
+    host.spot = reader::flag(row, "driftwood");
+    host.state = named(host_state_names, reader::text(row, "status"), "status");
+    host.age_s = reader::amount(row, "age_s");
+    return host;
 }
 }  // namespace
 
 std::vector<MachineType> parse_types(std::string_view body) {
-    std::vector<MachineType> out;
-    json j = fields::parse_object(body);
-    for (auto& e : fields::list(j, "hulls")) out.push_back(type_of(e));
-    return out;
+    std::vector<MachineType> types;
+    json object = fields::parse_object(body);
+    for (auto& row : fields::list(object, "hulls")) types.push_back(read_machine_type(row));
+    return types;
 }
 std::string rent_request(std::string_view name, std::string_view type, std::string_view zone, bool spot,
-                         int n) {
+                         int count) {
     return fields::dumped(
-        json{{"charter", name}, {"hull", type}, {"reef", zone}, {"driftwood", spot}, {"how_many", n}});
+        json{{"charter", name}, {"hull", type}, {"reef", zone}, {"driftwood", spot}, {"how_many", count}});
 }
 std::vector<std::string> parse_rented(std::string_view body) {
-    json j = fields::parse_object(body);
-    return fields::texts(fields::list(j, "berths"), "berths");
+    json object = fields::parse_object(body);
+    return fields::texts(fields::list(object, "berths"), "berths");
 }
 std::string delete_request(std::span<const std::string> machines) {
-    json a = json::array();
-    for (auto& m : machines) a.push_back(m);
-    return fields::dumped(json{{"berths", a}});
+    json ids = json::array();
+    for (auto& id : machines) ids.push_back(id);
+    return fields::dumped(json{{"berths", ids}});
 }
 
 HostPage parse_hosts(std::string_view body) {
-    simdjson::dom::parser p;
-    auto o = reader::root(p, body);
+    simdjson::dom::parser parser;
+    auto object = reader::root(parser, body);
     HostPage page;
-    for (auto e : reader::list(o, "berths")) {
-        auto row = reader::as_object(e, "berths");
-        Host h;
-        h.id = reader::text(row, "id");
-        reader::element addr;
-        std::string_view a;
-        if (reader::find(row, "addr", addr) && addr.get(a) == simdjson::SUCCESS) h.addr = a;
-        h.type = reader::text(row, "hull");
-        h.zone = reader::text(row, "reef");
-        h.spot = reader::flag(row, "driftwood");
-        h.state = named(host_state_names, reader::text(row, "status"), "status");
-        h.age_s = reader::amount(row, "age_s");
-        page.hosts.push_back(std::move(h));
-    }
-    page.more = reader::more(o);
+    for (auto element : reader::list(object, "berths")) page.hosts.push_back(read_host(element));
+    page.more = reader::more(object);
     return page;
 }
 
--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -8,32 +8,35 @@
 namespace {
 using reader::element;
 
-TaskId task_id(std::string_view s) {
-    auto slash = s.rfind('/');
+TaskId task_id(std::string_view text) {
+    auto slash = text.rfind('/');
     if (slash == std::string_view::npos) bad("shard", "is not a task id");
-    TaskId id{std::string(s.substr(0, slash)), 0};
-    auto [end, ec] = std::from_chars(s.data() + slash + 1, s.data() + s.size(), id.index);
-    if (ec != std::errc() || end != s.data() + s.size()) bad("shard", "is not a task id");
+    TaskId id{std::string(text.substr(0, slash)), 0};
+    auto* text_end = text.data() + text.size();
+    auto [end, error] = std::from_chars(text.data() + slash + 1, text_end, id.index);
+    if (error != std::errc() || end != text_end) bad("shard", "is not a task id");
     return id;
 }
-TaskStatus task_status(const element& e) {
-    auto o = reader::as_object(e, "shards");
-    TaskStatus t;
-    t.task = task_id(reader::text(o, "shard"));
-    t.attempt = reader::count(o, "launch");
-    t.state = named(task_state_names, reader::text(o, "status"), "status");
-    element other;
-    // A cause this program doesn't know still is an end of the task.
-    if (t.state == TaskState::exited) {
-        t.cause = ExitCause::error;
-        std::string_view why;
-        if (reader::find(o, "cause", other) && other.get(why) == simdjson::SUCCESS)
-            for (auto& [value, name] : cause_names)
-                if (name == why) t.cause = value;
-    }
+// A cause this program doesn't know still is an end of the task.
+ExitCause exit_cause(const reader::object& task) {
+    element field;
+    std::string_view text;
+    if (reader::find(task, "cause", field) && field.get(text) == simdjson::SUCCESS)
+        for (auto& [cause, name] : cause_names)
+            if (name == text) return cause;
+    return ExitCause::error;
+}
+TaskStatus task_status(const element& row) {
+    auto task = reader::as_object(row, "shards");
+    TaskStatus status;
+    status.task = task_id(reader::text(task, "shard"));
+    status.attempt = reader::count(task, "launch");
+    status.state = named(task_state_names, reader::text(task, "status"), "status");
+    if (status.state == TaskState::exited) status.cause = exit_cause(task);
+    element field;
     bool saved = false;
-    if (reader::find(o, "saved", other) && other.get(saved) == simdjson::SUCCESS) t.saved = saved;
-    return t;
+    if (reader::find(task, "saved", field) && field.get(saved) == simdjson::SUCCESS) status.saved = saved;
+    return status;
 }
 }  // namespace
 
@@ -44,24 +47,24 @@
 HeartbeatReader::~HeartbeatReader() = default;
 
 Heartbeat HeartbeatReader::read(std::string_view body) {
-    auto o = reader::root(parser_->parser, body);
-    Heartbeat r;
-    r.machine = reader::text(o, "berth");
-    r.addr = reader::text(o, "addr");
-    r.type = reader::text(o, "hull");
-    r.zone = reader::text(o, "reef");
-    r.spot = reader::flag(o, "driftwood");
-    r.agent_epoch = reader::count(o, "watch");
-    r.sequence = reader::count(o, "tally");
-    r.token = reader::count(o, "helm");
-    element e;
-    if (reader::find(o, "warning_s", e)) {
-        double s = 0;
-        if (e.get(s) != simdjson::SUCCESS) bad("warning_s", "is not a number");
-        r.preemption_notice_s = s;
+    auto object = reader::root(parser_->parser, body);
+    Heartbeat heartbeat;
+    heartbeat.machine = reader::text(object, "berth");
+    heartbeat.addr = reader::text(object, "addr");
+    heartbeat.type = reader::text(object, "hull");
+    heartbeat.zone = reader::text(object, "reef");
+    heartbeat.spot = reader::flag(object, "driftwood");
+    heartbeat.agent_epoch = reader::count(object, "watch");
+    heartbeat.sequence = reader::count(object, "tally");
+    heartbeat.token = reader::count(object, "helm");
+    element notice;
+    if (reader::find(object, "warning_s", notice)) {
+        double seconds = 0;
+        if (notice.get(seconds) != simdjson::SUCCESS) bad("warning_s", "is not a number");
+        heartbeat.preemption_notice_s = seconds;
     }
-    for (auto t : reader::list(o, "shards")) r.tasks.push_back(task_status(t));
-    return r;
+    for (auto row : reader::list(object, "shards")) heartbeat.tasks.push_back(task_status(row));
+    return heartbeat;
 }
 Heartbeat parse_heartbeat(std::string_view body) {
     return HeartbeatReader().read(body);
--- a/src/protocol/json_fields.cpp
+++ b/src/protocol/json_fields.cpp
@@ -6,61 +6,61 @@
 using nlohmann::json;
 
 json parse_object(std::string_view body) {
-    json j = json::parse(body, nullptr, false);
-    if (j.is_discarded()) throw Malformed("not JSON");
-    if (!j.is_object()) throw Malformed("not an object");
-    return j;
+    json object = json::parse(body, nullptr, false);
+    if (object.is_discarded()) throw Malformed("not JSON");
+    if (!object.is_object()) throw Malformed("not an object");
+    return object;
 }
-const json* find(const json& j, const char* field) {
-    auto it = j.find(field);
-    return it == j.end() || it->is_null() ? nullptr : &*it;
+const json* find(const json& object, const char* field) {
+    auto it = object.find(field);
+    return it == object.end() || it->is_null() ? nullptr : &*it;
 }
-const json& need(const json& j, const char* field) {
-    auto* v = find(j, field);
-    if (!v) bad(field, "is missing");
-    return *v;
+const json& need(const json& object, const char* field) {
+    auto* value = find(object, field);
+    if (!value) bad(field, "is missing");
+    return *value;
 }
-std::string text(const json& j, const char* field) {
-    auto& v = need(j, field);
-    if (!v.is_string()) bad(field, "is not a string");
-    auto s = v.get<std::string>();
-    if (s.empty()) bad(field, "is empty");
-    if (s.size() > max_text) bad(field, "is too long");
-    return s;
+std::string text(const json& object, const char* field) {
+    auto& value = need(object, field);
+    if (!value.is_string()) bad(field, "is not a string");
+    auto string = value.get<std::string>();
+    if (string.empty()) bad(field, "is empty");
+    if (string.size() > max_text) bad(field, "is too long");
+    return string;
 }
-bool flag(const json& j, const char* field) {
-    auto& v = need(j, field);
-    if (!v.is_boolean()) bad(field, "is not true or false");
-    return v.get<bool>();
+bool flag(const json& object, const char* field) {
+    auto& value = need(object, field);
+    if (!value.is_boolean()) bad(field, "is not true or false");
+    return value.get<bool>();
 }
-double as_amount(const json& v, const char* field) {
-    if (!v.is_number()) bad(field, "is not a number");
-    double d = v.get<double>();
-    if (!std::isfinite(d)) bad(field, "is not finite");
-    if (d < 0) bad(field, "is negative");
-    return d;
+double as_amount(const json& value, const char* field) {
+    if (!value.is_number()) bad(field, "is not a number");
+    auto number = value.get<double>();
+    if (!std::isfinite(number)) bad(field, "is not finite");
+    if (number < 0) bad(field, "is negative");
+    return number;
 }
-double amount(const json& j, const char* field) {
-    return as_amount(need(j, field), field);
+double amount(const json& object, const char* field) {
+    return as_amount(need(object, field), field);
 }
-std::uint64_t count(const json& j, const char* field) {
-    auto& v = need(j, field);
-    if (!v.is_number_unsigned()) bad(field, "is not a count");
-    return v.get<std::uint64_t>();
+std::uint64_t count(const json& object, const char* field) {
+    auto& value = need(object, field);
+    if (!value.is_number_unsigned()) bad(field, "is not a count");
+    return value.get<std::uint64_t>();
 }
-const json& list(const json& j, const char* field) {
-    auto& v = need(j, field);
-    if (!v.is_array()) bad(field, "is not a list");
-    return v;
+const json& list(const json& object, const char* field) {
+    auto& value = need(object, field);
+    if (!value.is_array()) bad(field, "is not a list");
+    return value;
 }
-std::vector<std::string> texts(const json& v, const char* field) {
-    if (!v.is_array()) bad(field, "is not a list");
-    std::vector<std::string> out;
-    for (auto& e : v) {
-        if (!e.is_string()) bad(field, "holds something that is not a string");
-        out.push_back(e.get<std::string>());
+std::vector<std::string> texts(const json& value, const char* field) {
+    if (!value.is_array()) bad(field, "is not a list");
+    std::vector<std::string> strings;
+    for (auto& element : value) {
+        if (!element.is_string()) bad(field, "holds something that is not a string");
+        strings.push_back(element.get<std::string>());
     }
-    return out;
+    return strings;
 }
 std::string dumped(const json& value) {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
--- a/src/protocol/kv_api.cpp
+++ b/src/protocol/kv_api.cpp
@@ -17,9 +17,9 @@
     return "/kv/" + std::string(key);
 }
 std::string kv_list(std::string_view prefix, std::string_view after, int limit) {
-    std::string p = "/kv?starts=" + std::string(prefix);
-    if (!after.empty()) p += "&since=" + std::string(after);
-    return p + "&limit=" + std::to_string(limit);
+    std::string path = "/kv?starts=" + std::string(prefix);
+    if (!after.empty()) path += "&since=" + std::string(after);
+    return path + "&limit=" + std::to_string(limit);
 }
 std::string watch(std::string_view prefix, std::uint64_t since, std::uint64_t wait_ms) {
     return "/watch?starts=" + std::string(prefix) + "&since=" + std::to_string(since) +
@@ -34,34 +34,37 @@
 }  // namespace paths
 
 Entry parse_entry(std::string_view body) {
-    json j = fields::parse_object(body);
-    Entry e{fields::text(j, "path"), fields::dumped(fields::need(j, "value")), fields::count(j, "stamp"), 0};
-    if (auto* l = fields::find(j, "mooring"); l && l->is_number_unsigned()) e.lease = l->get<std::uint64_t>();
-    return e;
+    json object = fields::parse_object(body);
+    Entry entry{fields::text(object, "path"), fields::dumped(fields::need(object, "value")),
+                fields::count(object, "stamp"), 0};
+    if (auto* lease = fields::find(object, "mooring"); lease && lease->is_number_unsigned())
+        entry.lease = lease->get<std::uint64_t>();
+    return entry;
 }
 // Values are JSON texts of this program: they go in as they are.
 std::string txn_request(const Txn& transaction) {
-    std::string out = R"({"if":[)";
-    for (auto& c : transaction.conditions) {
-        if (out.back() == '}') out += ',';
-        out += R"({"path":)" + fields::dumped(c.key) + R"(,"stamp":)" + std::to_string(c.version) + '}';
+    std::string text = R"({"if":[)";
+    for (auto& condition : transaction.conditions) {
+        if (text.back() == '}') text += ',';
+        text += R"({"path":)" + fields::dumped(condition.key);
+        text += R"(,"stamp":)" + std::to_string(condition.version) + '}';
     }
-    out += R"(],"then":[)";
-    for (auto& c : transaction.changes) {
-        if (out.back() == '}') out += ',';
-        out += (c.value ? R"({"put":)" : R"({"drop":)") + fields::dumped(c.key);
-        if (c.value) out += R"(,"value":)" + *c.value;
-        if (c.value && c.lease) out += R"(,"mooring":)" + std::to_string(c.lease);
-        out += '}';
+    text += R"(],"then":[)";
+    for (auto& change : transaction.changes) {
+        if (text.back() == '}') text += ',';
+        text += (change.value ? R"({"put":)" : R"({"drop":)") + fields::dumped(change.key);
+        if (change.value) text += R"(,"value":)" + *change.value;
+        if (change.value && change.lease) text += R"(,"mooring":)" + std::to_string(change.lease);
+        text += '}';
     }
-    return out + "]}";
+    return text + "]}";
 }
 std::uint64_t parse_revision(std::string_view body) {
     return fields::count(fields::parse_object(body), "epoch");
 }
 Conflict parse_conflict(std::string_view body) {
-    json j = fields::parse_object(body);
-    return {fields::texts(fields::list(j, "failed"), "failed")};
+    json object = fields::parse_object(body);
+    return {fields::texts(fields::list(object, "failed"), "failed")};
 }
 std::string lease_request(std::uint64_t ttl_ms) {
     return fields::dumped(json{{"ttl_ms", ttl_ms}});
@@ -71,37 +74,37 @@
 }
 
 EntryPage parse_entries(std::string_view body) {
-    simdjson::dom::parser p;
-    auto o = reader::root(p, body);
+    simdjson::dom::parser parser;
+    auto object = reader::root(parser, body);
     EntryPage page;
-    for (auto e : reader::list(o, "entries")) {
-        auto row = reader::as_object(e, "entries");
+    for (auto element : reader::list(object, "entries")) {
+        auto row = reader::as_object(element, "entries");
         page.entries.push_back({reader::text(row, "path"), value_of(row), reader::count(row, "stamp"), 0});
     }
-    page.more = reader::more(o);
-    page.revision = reader::count(o, "epoch");
+    page.more = reader::more(object);
+    page.revision = reader::count(object, "epoch");
     return page;
 }
 
 Events parse_events(std::string_view body) {
-    simdjson::dom::parser p;
-    auto o = reader::root(p, body);
-    Events out;
-    out.revision = reader::count(o, "epoch");
-    for (auto e : reader::list(o, "news")) {
-        auto row = reader::as_object(e, "news");
-        Event v;
+    simdjson::dom::parser parser;
+    auto object = reader::root(parser, body);
+    Events events;
+    events.revision = reader::count(object, "epoch");
+    for (auto element : reader::list(object, "news")) {
+        auto row = reader::as_object(element, "news");
+        Event event;
         reader::element put;
         if (reader::find(row, "put", put)) {
-            v.key = reader::text(row, "put");
-            v.value = value_of(row);
+            event.key = reader::text(row, "put");
+            event.value = value_of(row);
         } else {
-            v.key = reader::text(row, "drop");
+            event.key = reader::text(row, "drop");
         }
-        v.version = reader::count(row, "stamp");
-        out.events.push_back(std::move(v));
+        event.version = reader::count(row, "stamp");
+        events.events.push_back(std::move(event));
     }
-    return out;
+    return events;
 }
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -4,7 +4,6 @@
 #include <array>
 #include <string>
 #include <string_view>
-#include <utility>
 
 #include "protocol/malformed.hpp"
 #include "protocol/model.hpp"
@@ -14,12 +13,19 @@
 // Strings that are stored or used in keys stay short, so that no record can pass the key-value store's limit.
 inline constexpr std::size_t max_text = 512;
 
+// Complains about a field of a message or record.
 [[noreturn]] inline void bad(const char* field, const char* what) {
     throw Malformed(std::string("field '") + field + "' " + what);
 }
 
+// The protocol's word for a value of an enum.
+template <class E>
+struct Name {
+    E value;
+    std::string_view name;
+};
 template <class E, std::size_t N>
-using Names = std::array<std::pair<E, std::string_view>, N>;
+using Names = std::array<Name<E>, N>;
 
 inline constexpr Names<JobKind, 3> kind_names{
     {{JobKind::array, "batch"}, {JobKind::gang, "gang"}, {JobKind::service, "service"}}};
@@ -49,16 +55,18 @@
 inline constexpr Names<HostState, 3> host_state_names{
     {{HostState::booting, "booting"}, {HostState::running, "running"}, {HostState::failed, "failed"}}};
 
+// Empty if it has none.
 template <class E, std::size_t N>
-std::string_view name_of(const Names<E, N>& names, E e) {
-    for (auto& [value, name] : names)
-        if (value == e) return name;
+std::string_view name_of(const Names<E, N>& names, E value) {
+    for (auto& entry : names)
+        if (entry.value == value) return entry.name;
     return {};
 }
+// Throws Malformed, with the field's name, if no value is called so.
 template <class E, std::size_t N>
 E named(const Names<E, N>& names, const std::string& text, const char* field) {
-    for (auto& [value, name] : names)
-        if (name == text) return value;
+    for (auto& entry : names)
+        if (entry.name == text) return entry.value;
     throw Malformed(std::string("field '") + field + "' has an unknown value");
 }
 
--- a/src/relay/reply_cache.cpp
+++ b/src/relay/reply_cache.cpp
@@ -8,10 +8,11 @@
     auto& cached = it->second;
     std::string_view previous = cached.heartbeat;
     // A repetition has a higher sequence number: an equal or lower one is a message that arrived late.
-    bool repeats = cached.sequence_offset == outline.at && outline.sequence > cached.sequence &&
-                   previous.substr(0, cached.sequence_offset) == heartbeat.substr(0, outline.at) &&
-                   previous.substr(cached.sequence_offset + cached.sequence_digits) ==
-                       heartbeat.substr(outline.at + outline.digits);
+    bool repeats =
+        cached.sequence_offset == outline.sequence_offset && outline.sequence > cached.sequence &&
+        previous.substr(0, cached.sequence_offset) == heartbeat.substr(0, outline.sequence_offset) &&
+        previous.substr(cached.sequence_offset + cached.sequence_digits) ==
+            heartbeat.substr(outline.sequence_offset + outline.sequence_digits);
     return repeats ? &cached : nullptr;
 }
 
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -636,7 +636,7 @@
     EXPECT_EQ(paths::cancel, "/cancel");
     EXPECT_EQ(paths::health, "/healthz");
     EXPECT_EQ(paths::metrics, "/metrics");
-    EXPECT_EQ(paths::report, "/hello");
+    EXPECT_EQ(paths::heartbeat, "/hello");
     EXPECT_EQ(paths::commands, "/do");
     EXPECT_EQ(paths::inspect, "/inspect");
     EXPECT_EQ(paths::types, "/flavors");
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -31,7 +31,7 @@
             bool met = false;
             // The end is stored a moment after the report that tells it.
             w.sent = [&](auto&, auto&, const http::Request& r) {
-                bool meets = after < 0 ? r.target == protocol::paths::report &&
+                bool meets = after < 0 ? r.target == protocol::paths::heartbeat &&
                                              r.body.find("\"done\"") != std::string::npos
                                        : ends(r, "j-1");
                 if (!meets || std::exchange(met, true)) return;
