--- a/src/relay/reply_cache.cpp
+++ b/src/relay/reply_cache.cpp
@@ -20,7 +20,8 @@
                      std::string reply_body, double now) {
     auto outline = protocol::outline_heartbeat(heartbeat);
     if (!outline || outline->machine != machine || outline->sequence != sequence) return forget(machine);
-    CachedReply cached{{}, outline->at, outline->digits, sequence, now, std::move(reply_body)};
+    CachedReply cached{{},  outline->sequence_offset, outline->sequence_digits, sequence,
+                       now, std::move(reply_body)};
     cached.heartbeat = std::move(heartbeat);  // last: the outline points into it
     by_machine_.insert_or_assign(machine, std::move(cached));
 }
