--- a/scale/balancer.cpp
+++ b/scale/balancer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "protocol/protocol.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/records.hpp"
 #include "scale/outside.hpp"
 
 namespace coralhitch::scale {
@@ -23,7 +25,7 @@
     protocol::MachineType t;
     t.name = "hollow";
     double n = experiment_.slots();
-    t.room = {n, 0, n};
+    t.capacity = {n, 0, n};
     t.cache_gb = experiment_.worker.cache_gb;
     t.fetch_gb_per_s = experiment_.worker.fetch_gb_per_s;
     t.price = 1;
--- a/scale/cloud.hpp
+++ b/scale/cloud.hpp
@@ -9,7 +9,7 @@
 #include "event_loop/timers.hpp"
 #include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 #include "scale/experiment.hpp"
 
 namespace coralhitch::scale {
--- a/scale/driver.cpp
+++ b/scale/driver.cpp
@@ -11,7 +11,7 @@
 #include <iostream>
 
 #include "http/address.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/user_api.hpp"
 #include "scale/process.hpp"
 #include "scale/role.hpp"
 
@@ -457,7 +457,7 @@
                              {"workers", e.workers},
                              {"tasks_per_worker", e.tasks_per_worker},
                              {"controllers", e.controllers},
-                             {"report_s", e.worker.report_s},
+                             {"report_s", e.worker.heartbeat_interval_s},
                              {"lease_s", e.worker.lease_s},
                              {"zones", e.zones},
                              {"state_rps", e.state.rps},
--- a/scale/experiment.cpp
+++ b/scale/experiment.cpp
@@ -137,7 +137,7 @@
 
 void check(const Experiment& e) {
     if (e.phases.empty()) throw Refused("field 'phases' must hold at least one phase");
-    if (e.worker.cancel_s < e.worker.lease_s + e.worker.report_s)
+    if (e.worker.cancel_s < e.worker.lease_s + e.worker.heartbeat_interval_s)
         throw Refused("field 'worker.cancel_s' must be at least lease_s + report_s");
     for (auto& f : e.faults) {
         if (f.at_s >= e.phases_s()) throw Refused("fault '" + f.name + "' comes after the last phase");
@@ -198,7 +198,7 @@
     f.count("port_base", e.port_base, 0, 60000);
     f.list("zones", e.zones);
     sub(f, "worker", [&](Fields& w) {
-        w.number("report_s", e.worker.report_s, 0.5);
+        w.number("report_s", e.worker.heartbeat_interval_s, 0.5);
         w.number("lease_s", e.worker.lease_s, 1);
         w.number("gang_wait_s", e.worker.gang_wait_s, 1);
         w.number("gang_peer_s", e.worker.gang_peer_s, 0.5);
@@ -339,7 +339,7 @@
         o << "[[cluster.teams]]\nname = \"team-tight\"\ncpus = 0.0\ncpus_max = " << load.tight_cpus
           << "\ngpus = 0.0\ngpus_max = 0.0\n";
     o << "[[cluster.objectives]]\nkind = \"wait\"\nclass = \"urgent\"\nwithin_s = 4.8\nshare = 0.9\n";
-    o << "[cluster.workers]\nreport_s = " << worker.report_s << "\nlease_s = " << worker.lease_s
+    o << "[cluster.workers]\nreport_s = " << worker.heartbeat_interval_s << "\nlease_s = " << worker.lease_s
       << "\ngang_wait_s = " << worker.gang_wait_s << "\ngang_peer_s = " << worker.gang_peer_s
       << "\ncancel_s = " << worker.cancel_s << "\n[cluster.state]\nrps = " << state.rps
       << "\nwrite_rps = " << state.write_rps << "\nvalue_kb = " << state.value_kb
--- a/scale/experiment.hpp
+++ b/scale/experiment.hpp
@@ -14,7 +14,7 @@
 };
 
 struct WorkerSettings {
-    double report_s = 3, lease_s = 31, gang_wait_s = 50, gang_peer_s = 5, cancel_s = 61;
+    double heartbeat_interval_s = 3, lease_s = 31, gang_wait_s = 50, gang_peer_s = 5, cancel_s = 61;
     double boot_s = 2, fetch_gb_per_s = 10, cache_gb = 50;
 };
 struct LoadSettings {
--- a/scale/histogram.hpp
+++ b/scale/histogram.hpp
@@ -13,9 +13,9 @@
 
 class Latencies {
   public:
-    void observe(const std::string& phase, const std::string& cls, const std::string& measure,
+    void observe(const std::string& phase, const std::string& job_class, const std::string& measure,
                  double seconds) {
-        auto& h = histograms_[phase + "/" + cls + "/" + measure];
+        auto& h = histograms_[phase + "/" + job_class + "/" + measure];
         if (!h.histogram) h.histogram = std::make_unique<prometheus::Histogram>(boundaries());
         h.histogram->Observe(seconds);
         h.most = std::max(h.most, seconds);
--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "protocol/agent_api.hpp"
 #include "scale/http_bytes.hpp"
 #include "scale/outside.hpp"
 
@@ -99,7 +100,7 @@
     auto& c = site_.counts();
     double now = site_.loop().now();
     auto to = e.controller_addr(controller_);
-    http::Request r{"POST", std::string(protocol::paths::report), report()};
+    http::Request r{"POST", std::string(protocol::paths::heartbeat), report()};
     auto bytes = request_bytes(to, r);
     ++c.reports;
     c.report_bytes += bytes;
@@ -109,7 +110,8 @@
     in_flight_ = true;
     changed_ = false;
     last_sent_ = now;
-    regular_due_ = now + e.worker.report_s * uniform(site_.random(), 1 - report_spread, 1 + report_spread);
+    regular_due_ =
+        now + e.worker.heartbeat_interval_s * uniform(site_.random(), 1 - report_spread, 1 + report_spread);
     // Its own timer, since the lease may end while an answer is awaited.
     client_.send(to, std::move(r), protocol::heartbeat_timeout_s,
                  guard_([this, now, agent_epoch = session_](std::optional<http::Response> response) {
@@ -233,7 +235,7 @@
     for (auto& command : commands) {
         Key key{command.task, command.attempt};
         auto it = tasks_.find(key);
-        switch (command.op) {
+        switch (command.kind) {
             case protocol::CommandKind::start:
                 if (it == tasks_.end()) start(key);
                 break;
@@ -255,7 +257,7 @@
     auto same = tasks_.lower_bound({key.first, 0});
     for (; same != tasks_.end() && same->first.first == key.first; ++same)
         if (same->second.state != protocol::TaskState::exited) {
-            tasks_[key] = {protocol::TaskState::exited, protocol::ExitCause::busy, 0, {}};
+            tasks_[key] = {protocol::TaskState::exited, protocol::ExitCause::other_attempt_present, 0, {}};
             return changed();
         }
     tasks_[key] = {};
@@ -290,7 +292,7 @@
                              static_cast<double>(site_.experiment().slots())};
     for (auto& [other, task] : tasks_)
         if (task.state != protocol::TaskState::exited) free -= task.request;
-    if (!free.fits(spec->request)) return end(key, protocol::ExitCause::no_room);
+    if (!free.fits(spec->request)) return end(key, protocol::ExitCause::insufficient_resources);
     it->second.request = spec->request;
     it->second.timer =
         site_.loop().after(image_ready_after(*spec), guard_([this, key, spec = *spec] { ready(key, spec); }));
@@ -304,7 +306,7 @@
         spec.kind == protocol::JobKind::gang ? protocol::TaskState::waiting : protocol::TaskState::running;
     changed();
     if (spec.kind == protocol::JobKind::gang)
-        end_later(key, site_.experiment().worker.gang_wait_s, protocol::ExitCause::alone);
+        end_later(key, site_.experiment().worker.gang_wait_s, protocol::ExitCause::gang_incomplete);
     if (spec.kind == protocol::JobKind::array)
         end_later(key, spec.run_s * uniform(site_.random(), 0.5, 1.5), protocol::ExitCause::done);
 }
@@ -330,7 +332,7 @@
          it != tasks_.end() && it->first.first.job == job; ++it)
         if (it->first.second == attempt && it->second.state == protocol::TaskState::running)
             lost.push_back(it->first);
-    for (auto& key : lost) end(key, protocol::ExitCause::peers);
+    for (auto& key : lost) end(key, protocol::ExitCause::gang_member_lost);
 }
 void HollowWorker::end(const Key& key, protocol::ExitCause cause, std::optional<double> when) {
     auto it = tasks_.find(key);
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -10,7 +10,7 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 #include "scale/experiment.hpp"
 #include "scale/observed.hpp"
 
--- a/scale/infrastructure.cpp
+++ b/scale/infrastructure.cpp
@@ -1,6 +1,7 @@
 // The process that holds the key-value store and the cloud.
 #include <spdlog/spdlog.h>
 
+#include "protocol/model.hpp"
 #include "scale/cloud.hpp"
 #include "scale/outside.hpp"
 #include "scale/role.hpp"
--- a/scale/outside.cpp
+++ b/scale/outside.cpp
@@ -2,6 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/malformed.hpp"
 #include "protocol/names.hpp"
 
 namespace coralhitch::scale::outside {
@@ -63,7 +65,7 @@
     if (!j.contains("orders")) return out;
     for (auto& o : j["orders"]) {
         Command c;
-        c.op = named(op_names, o.value("verb", ""), "verb");
+        c.kind = named(command_names, o.value("verb", ""), "verb");
         c.task = task_id(o.value("shard", ""));
         c.attempt = o.value("launch", std::uint64_t{0});
         c.grace_s = o.value("slack_s", 0.0);
--- a/scale/outside.hpp
+++ b/scale/outside.hpp
@@ -6,7 +6,8 @@
 #include <string_view>
 #include <vector>
 
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::scale::outside {
 
--- a/scale/state_service.hpp
+++ b/scale/state_service.hpp
@@ -10,7 +10,7 @@
 #include "event_loop/timers.hpp"
 #include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
 #include "scale/experiment.hpp"
 
 namespace coralhitch::scale {
--- a/scale/tests/checker_test.cpp
+++ b/scale/tests/checker_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::verification {
 namespace {
 
@@ -157,7 +159,7 @@
      [](Checker& c) {
          begin(c, job("j-1", 1));
          auto j = job("j-2", 1);
-         j.awaits = {"j-1"};
+         j.dependencies = {"j-1"};
          begin(c, j);
          c.started(1, "a1", {"j-2", 0});
      }},
--- a/scale/tests/state_service_test.cpp
+++ b/scale/tests/state_service_test.cpp
@@ -4,6 +4,7 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/kv_api.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::scale {
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
+#include "protocol/user_api.hpp"
 #include "scale/http_bytes.hpp"
 #include "scale/outside.hpp"
 #include "scale/role.hpp"
@@ -114,9 +115,9 @@
     j.image = "img-" + std::to_string(random_() % l.images);
     j.image_gb = l.image_gb;
     j.spot = true;
-    j.cls = kind == protocol::JobKind::service ? "service"
-            : kind == protocol::JobKind::gang  ? "gang"
-                                               : "array";
+    j.job_class = kind == protocol::JobKind::service ? "service"
+                  : kind == protocol::JobKind::gang  ? "gang"
+                                                     : "array";
     return j;
 }
 // Spread over some seconds, and over no more of the key-value store's changes than half.
@@ -126,7 +127,7 @@
     Job j;
     j.job = new_job(protocol::JobKind::service, tasks);
     j.job.priority = protocol::Priority::high;
-    j.cls = j.job.cls;
+    j.job_class = j.job.job_class;
     submit(std::move(j));
     double jobs = experiment_.base_tasks() / experiment_.load.service_tasks;
     double pause = std::max(spread_services_s / std::max(1.0, jobs), 2 / experiment_.state.write_rps);
@@ -149,16 +150,16 @@
     Job j;
     j.job = new_job(gang ? protocol::JobKind::gang : protocol::JobKind::array,
                     gang ? l.gang_sizes[random_() % l.gang_sizes.size()] : l.array_tasks);
-    j.cls = j.job.cls;
+    j.job_class = j.job.job_class;
     if (share(random_) < l.urgent_share) {
         j.job.priority = protocol::Priority::production;
-        j.cls = j.job.cls = "urgent";
+        j.job_class = j.job.job_class = "urgent";
     } else if (!gang && l.tight_cpus > 0 && random_() % (l.teams + 1) == 0) {
         j.job.team = "team-tight";
-        j.cls = j.job.cls = "tight";
+        j.job_class = j.job.job_class = "tight";
     }
     j.spec.run_s = experiment_.turnover_run_s();
-    j.job.estimate_s = j.spec.run_s;
+    j.job.estimated_run_s = j.spec.run_s;
     j.cancel = share(random_) < l.cancel_share;
     submit(std::move(j));
 }
@@ -207,7 +208,7 @@
         if (response && (response->status == 200 || response->status == 201)) {
             j.accepted = true;
             ++counts_.accepted;
-            latencies_.observe(j.phase, j.cls, "accepted", now - j.first_tried);
+            latencies_.observe(j.phase, j.job_class, "accepted", now - j.first_tried);
             judge_later([this, id](double) { checker_.accepted(id); });
             loop_.after(experiment_.load.poll_s, [this, id] { poll(id); });
             if (j.cancel)
@@ -252,8 +253,8 @@
     }
     ++counts_.done;
     double now = loop_.now();
-    latencies_.observe(j.phase, j.cls, "done", now - j.first_tried);
-    if (j.all_done >= 0) latencies_.observe(j.phase, j.cls, "told_done_after", now - j.all_done);
+    latencies_.observe(j.phase, j.job_class, "done", now - j.first_tried);
+    if (j.all_done >= 0) latencies_.observe(j.phase, j.job_class, "told_done_after", now - j.all_done);
 }
 void UserApi::ask_cancel(const std::string& id) {
     auto& j = jobs_.at(id);
@@ -267,7 +268,7 @@
         submit_timeout_s, [this, id, asked](std::optional<http::Response> r) {
             if (r && r->status == 200) {
                 auto& j = jobs_.at(id);
-                latencies_.observe(j.phase, j.cls, "cancel", loop_.now() - asked);
+                latencies_.observe(j.phase, j.job_class, "cancel", loop_.now() - asked);
                 return told(id, *r, j.over);
             }
             loop_.after(least_retry_s, [this, id] { ask_cancel(id); });
@@ -318,7 +319,7 @@
     auto& j = jobs_.at(o.task.job);
     if (!j.begun.insert(o.task.index).second) return;
     ++tasks_begun_;
-    latencies_.observe(j.phase, j.cls, "begun", o.t - j.first_tried);
+    latencies_.observe(j.phase, j.job_class, "begun", o.t - j.first_tried);
 }
 void UserApi::apply(const Observed& o) {
     switch (o.what) {
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -8,6 +8,7 @@
 
 #include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
+#include "protocol/model.hpp"
 #include "scale/balancer.hpp"
 #include "scale/experiment.hpp"
 #include "scale/histogram.hpp"
@@ -54,7 +55,7 @@
     struct Job {
         protocol::Job job;
         TaskSpec spec;
-        std::string phase, cls;
+        std::string phase, job_class;
         double first_tried = 0, all_done = -1;
         bool accepted = false, over = false, cancel = false, cancel_asked = false;
         std::set<std::uint32_t> begun;
--- a/scale/workers.cpp
+++ b/scale/workers.cpp
@@ -4,6 +4,7 @@
 #include <cstdlib>
 #include <set>
 
+#include "protocol/model.hpp"
 #include "scale/hollow_worker.hpp"
 #include "scale/outside.hpp"
 #include "scale/role.hpp"
--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 Admission::Admission(const config::Settings& settings)
-    : rate_(settings.state_write_rps * write_budget_share / writes_per_job /
+    : rate_(settings.kv_write_rps * write_budget_share / writes_per_job /
             std::max(1.0, static_cast<double>(settings.nodes))),
       burst_(std::max(1.0, rate_ * settings.lease_s * burst_leases)),
       team_count_(std::max(1.0, static_cast<double>(settings.teams.size()))),
--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -6,6 +6,9 @@
 
 #include "api/responses.hpp"
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::api {
 namespace keys = kv::keys;
@@ -77,11 +80,11 @@
 protocol::Txn CancellationHandler::cancellation_txn(const std::string& id, const protocol::Entry& entry,
                                                     protocol::JobRecord record) const {
     record.cancelled = true;
-    record.job.awaits.clear();  // versions that know no dependencies can't read a record with any
+    record.job.dependencies.clear();  // versions that know no dependencies can't read a record with any
     auto value = protocol::stored(record);
     // The record was stored when larger values were allowed.
     if (value.size() > kv_.limits().value_bytes())
-        value = protocol::stored(protocol::shortened(std::move(record)));
+        value = protocol::stored(protocol::compact_cancelled_record(std::move(record)));
     protocol::Txn txn;
     txn.conditions = {{keys::job(id), entry.version}};
     txn.changes = {{keys::job(id), std::move(value), 0}};
--- a/src/api/cancellation_handler.hpp
+++ b/src/api/cancellation_handler.hpp
@@ -11,7 +11,8 @@
 #include "api/job_status_responder.hpp"
 #include "http/message.hpp"
 #include "kv/kv_client.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::api {
 
--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -6,6 +6,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::api {
 namespace keys = kv::keys;
--- a/src/api/job_reader.hpp
+++ b/src/api/job_reader.hpp
@@ -21,7 +21,7 @@
 #include "config/settings.hpp"
 #include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::api {
 
--- a/src/api/job_status_responder.cpp
+++ b/src/api/job_status_responder.cpp
@@ -4,6 +4,7 @@
 #include <variant>
 
 #include "api/responses.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::api {
 using protocol::JobState;
--- a/src/api/job_status_responder.hpp
+++ b/src/api/job_status_responder.hpp
@@ -6,6 +6,7 @@
 #include "api/cluster_queries.hpp"
 #include "api/job_reader.hpp"
 #include "http/message.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::api {
 
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -7,6 +7,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::api {
 namespace keys = kv::keys;
@@ -44,9 +46,10 @@
 
 void LiveJobs::schedule_request() {
     if (request_in_flight_ || request_scheduled_ || pending_reads_.empty()) return;
-    double wait_s = last_request_at_
-                        ? *last_request_at_ + settings_.report_s * min_interval_heartbeats - timers_.now()
-                        : 0;
+    double wait_s =
+        last_request_at_
+            ? *last_request_at_ + settings_.heartbeat_interval_s * min_interval_heartbeats - timers_.now()
+            : 0;
     if (wait_s <= 0) return send_request();
     request_scheduled_ = true;
     timers_.after(wait_s, [this] {
@@ -133,12 +136,12 @@
     try {
         auto record = protocol::parse_live_record(*value);
         job.cancelled = record.cancelled;
-        job.dependencies = std::move(record.awaits);
+        job.dependencies = std::move(record.dependencies);
     } catch (const protocol::Malformed& error) {
         spdlog::error("component=api event=unreadable_job_record job={} error=\"{}\"", id, error.what());
         // Perhaps written by another version: it is live all the same. As an unknown job, it would be refused
         // for good.
-        job.cancelled = protocol::says_cancelled(*value);
+        job.cancelled = protocol::is_cancelled_record(*value);
     }
     if (previous != jobs_.end()) {
         // Written again, which only a cancellation does.
--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -23,6 +23,7 @@
 #include "event_loop/timers.hpp"
 #include "jobs/dependency_graph.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::api {
 
--- a/src/api/responses.cpp
+++ b/src/api/responses.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <string>
 
+#include "protocol/user_api.hpp"
+
 namespace coralhitch::api {
 
 namespace {
--- a/src/api/responses.hpp
+++ b/src/api/responses.hpp
@@ -3,7 +3,7 @@
 #include <string_view>
 
 #include "http/message.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::api {
 
--- a/src/api/submission_check.cpp
+++ b/src/api/submission_check.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 bool fits_type(const protocol::Job& job, const protocol::MachineType& type) {
-    return type.room.fits(job.request) && std::any_of(type.zones.begin(), type.zones.end(), [&](auto& zone) {
-               return scheduler::type_allowed(job, type.name, zone, false);
-           });
+    return type.capacity.fits(job.request) &&
+           std::any_of(type.zones.begin(), type.zones.end(),
+                       [&](auto& zone) { return scheduler::type_allowed(job, type.name, zone, false); });
 }
 }  // namespace
 
--- a/src/api/submission_check.hpp
+++ b/src/api/submission_check.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::api {
 
--- a/src/api/submission_handler.cpp
+++ b/src/api/submission_handler.cpp
@@ -7,6 +7,9 @@
 #include "api/responses.hpp"
 #include "api/submission_check.hpp"
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::api {
 namespace keys = kv::keys;
@@ -45,7 +48,7 @@
     auto submission = std::make_shared<Submission>();
     submission->job = std::move(job);
     submission->reply = std::move(reply);
-    if (submission->job.awaits.empty()) return accept(submission);
+    if (submission->job.dependencies.empty()) return accept(submission);
     accept_with_dependencies(submission);
 }
 
@@ -85,7 +88,7 @@
 void SubmissionHandler::accept_with_dependencies(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     auto limit = max_dependencies(kv_.limits().txn_ops());
-    if (submission->job.awaits.size() > limit)
+    if (submission->job.dependencies.size() > limit)
         return responder_.refuse_unless_accepted(
             id, invalid_submission("awaits more than " + std::to_string(limit) + " jobs"), submission->reply);
     reader_.read(
@@ -111,12 +114,12 @@
 // The transaction that stores the job has what was read as its conditions: if a live dependency is cancelled
 // or ends before, nothing is stored and all dependencies are read again.
 void SubmissionHandler::read_dependencies(const SubmissionPtr& submission) {
-    submission->outstanding_reads = submission->job.awaits.size();
+    submission->outstanding_reads = submission->job.dependencies.size();
     submission->read_failed = submission->cancelled = false;
     submission->unknown_dependency.clear();
     submission->unfinished_dependencies.clear();
     submission->conditions.clear();
-    for (auto& dependency : submission->job.awaits)
+    for (auto& dependency : submission->job.dependencies)
         reader_.read(
             dependency,
             [this, submission, dependency](const JobReadResult& result) {
@@ -155,7 +158,7 @@
     auto& id = submission->job.id;
     protocol::JobRecord record{submission->job, timers_.unix_time(), submission->cancelled};
     // Dependencies that are done need not be stored, nor any if the job is cancelled.
-    record.job.awaits =
+    record.job.dependencies =
         submission->cancelled ? std::vector<std::string>{} : submission->unfinished_dependencies;
     auto value = protocol::stored(record);
     if (value.size() > kv_.limits().value_bytes())
--- a/src/api/submission_handler.hpp
+++ b/src/api/submission_handler.hpp
@@ -20,7 +20,8 @@
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
 #include "kv/kv_client.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::api {
 
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -98,11 +98,12 @@
         double best_cost = 0;
         for (std::size_t p = 0; p < pools.size(); ++p) {
             auto* t = rented_type_[p];
-            if (!t || !pools[p] || dark(p) != in_dark || !t->room.fits(job.request) ||
+            if (!t || !pools[p] || dark(p) != in_dark || !t->capacity.fits(job.request) ||
                 in_.refused.contains(p))
                 continue;
-            double holds = t->room.gpus > 0 && job.request.gpus > 0 ? t->room.gpus / job.request.gpus : 1;
-            if (job.request.cpus > 0) holds = std::min(holds, t->room.cpus / job.request.cpus);
+            double holds =
+                t->capacity.gpus > 0 && job.request.gpus > 0 ? t->capacity.gpus / job.request.gpus : 1;
+            if (job.request.cpus > 0) holds = std::min(holds, t->capacity.cpus / job.request.cpus);
             double cost = (pool(p).spot ? t->spot_price : t->price) / std::max(1.0, std::floor(holds));
             bool better = !best || cost < best_cost - 1e-9 ||
                           (cost < best_cost + 1e-9 &&
@@ -113,7 +114,7 @@
         }
         if (!best) return false;
         ++per_zone_[pool(*best).zone_index];
-        (in_dark ? dark_bins_ : bins_).push_back({*best, rented_type_[*best]->room, nullptr});
+        (in_dark ? dark_bins_ : bins_).push_back({*best, rented_type_[*best]->capacity, nullptr});
         return true;
     }
     // Free room, in whole machines, and what it should be.
@@ -128,8 +129,8 @@
         protocol::Resources sum, largest;
         for (auto& t : settings_.teams) sum += {t.cpus, t.gpus, 0};
         for (auto& t : in_.types) {
-            largest.cpus = std::max(largest.cpus, t.room.cpus);
-            largest.gpus = std::max(largest.gpus, t.room.gpus);
+            largest.cpus = std::max(largest.cpus, t.capacity.cpus);
+            largest.gpus = std::max(largest.gpus, t.capacity.gpus);
         }
         double cpus = largest.cpus > 0 ? sum.cpus / largest.cpus : 0;
         double gpus = largest.gpus > 0 ? sum.gpus / largest.gpus : 0;
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/malformed.hpp"
+
 namespace coralhitch::cloud {
 using protocol::Malformed;
 
@@ -46,8 +49,8 @@
         budget_.take(now);
         auto call = std::move(queue_.front());
         queue_.pop_front();
-        http_.send(settings_.cloud_addr, std::move(call.request), settings_.report_s * timeout_heartbeats,
-                   std::move(call.done));
+        http_.send(settings_.cloud_addr, std::move(call.request),
+                   settings_.heartbeat_interval_s * timeout_heartbeats, std::move(call.done));
     }
     if (queue_.empty() || send_scheduled_) return;
     send_scheduled_ = true;
--- a/src/cluster/image_cache.cpp
+++ b/src/cluster/image_cache.cpp
@@ -19,7 +19,7 @@
 
 void ImageCache::drop_what_does_not_fit(double capacity_gb) {
     double left_gb = capacity_gb;
-    protocol::Images images;
+    protocol::ImageIds images;
     std::size_t kept = 0;
     // The last used is kept in any case: a task runs with it.
     for (auto entry = entries_.rbegin(); entry != entries_.rend() && (kept == 0 || left_gb >= entry->size_gb);
@@ -29,7 +29,8 @@
     }
     entries_.erase(entries_.begin(), entries_.end() - static_cast<std::ptrdiff_t>(kept));
     std::sort(images.begin(), images.end());
-    if (!images_ || *images_ != images) images_ = std::make_shared<const protocol::Images>(std::move(images));
+    if (!images_ || *images_ != images)
+        images_ = std::make_shared<const protocol::ImageIds>(std::move(images));
 }
 
 }  // namespace coralhitch::cluster
--- a/src/cluster/image_cache.hpp
+++ b/src/cluster/image_cache.hpp
@@ -38,12 +38,12 @@
 
     const std::vector<CachedImage>& entries() const { return entries_; }  // least recently used first
     // Their numbers, sorted; null before the first use. Replaced, never changed: plans hold on to it.
-    const std::shared_ptr<const protocol::Images>& images() const { return images_; }
+    const std::shared_ptr<const protocol::ImageIds>& images() const { return images_; }
 
   private:
     void drop_what_does_not_fit(double capacity_gb);
     std::vector<CachedImage> entries_;
-    std::shared_ptr<const protocol::Images> images_;
+    std::shared_ptr<const protocol::ImageIds> images_;
 };
 
 }  // namespace coralhitch::cluster
--- a/src/cluster/machine_commands.cpp
+++ b/src/cluster/machine_commands.cpp
@@ -32,7 +32,7 @@
 void append_stop(std::vector<Command>& commands, const protocol::TaskId& task, Instance& instance,
                  double now) {
     // One that saves its work already, within its grace, needs no other command.
-    bool stopping = instance.state == TaskState::saving && instance.grace_s > 0;
+    bool stopping = instance.state == TaskState::checkpointing && instance.grace_s > 0;
     if (!instance.ever_reported || stopping) return;
     commands.push_back({CommandKind::stop, task, instance.attempt, instance.spec ? instance.grace_s : 0});
     if (!instance.stop_sent_at) instance.stop_sent_at = now;
@@ -107,7 +107,7 @@
         if (!answered) run.unacknowledged_token = std::max(run.unacknowledged_token, token);
     };
     for (auto& command : commands) {
-        if (command.op != CommandKind::start) continue;
+        if (command.kind != CommandKind::start) continue;
         if (auto it = machine.tasks.find(command.task);
             it != machine.tasks.end() && it->second.attempt == command.attempt)
             complete(it->second.run);
--- a/src/cluster/machine_pools.cpp
+++ b/src/cluster/machine_pools.cpp
@@ -16,7 +16,7 @@
 void MachinePools::apply_type(protocol::Pool& pool) const {
     auto it = types_.find(pool.type);
     if (it == types_.end()) return;
-    pool.total = it->second.room;
+    pool.total = it->second.capacity;
     pool.fetch_gb_per_s = it->second.fetch_gb_per_s;
 }
 
--- a/src/cluster/team_usage.hpp
+++ b/src/cluster/team_usage.hpp
@@ -7,6 +7,7 @@
 
 #include "cluster/cluster_state.hpp"
 #include "config/settings.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -131,35 +131,35 @@
         s.peers.push_back({p.text("label"), p.text("domain"), p.addr("peer_addr")});
     auto endpoints = t.sub("endpoints");
     s.cloud_addr = endpoints.addr("cloud");
-    s.state_addr = endpoints.addr("state");
+    s.kv_addr = endpoints.addr("state");
     auto c = t.sub("cluster");
     s.nodes = c.count("nodes", 1);
     s.zones = c.texts("zones");
-    s.clock_off_s = c.number("skew_ms", 0) / 1000;
+    s.max_clock_skew_s = c.number("skew_ms", 0) / 1000;
     for (auto& r : c.rows("teams"))
         s.teams.push_back({r.text("name"), r.number("cpus", 0), r.number("cpus_max", 0), r.number("gpus", 0),
                            r.number("gpus_max", 0)});
     for (auto& r : c.rows("objectives")) {
         Objective o;
         o.kind = r.text("kind");
-        if (r.has("class")) o.cls = r.text("class");
+        if (r.has("class")) o.job_class = r.text("class");
         if (r.has("within_s")) o.within_s = r.number("within_s", 0);
         if (r.has("share")) o.share = r.number("share", 0);
         s.objectives.push_back(o);
     }
     auto w = c.sub("workers");
-    s.report_s = w.number("report_s", 0, true);
+    s.heartbeat_interval_s = w.number("report_s", 0, true);
     s.lease_s = w.number("lease_s", 0, true);
     s.gang_wait_s = w.number("gang_wait_s", 0);
     s.gang_peer_s = w.number("gang_peer_s", 0);
     s.cancel_s = w.number("cancel_s", 0, true);
     // What ends the tasks of a cancelled job on a machine that no command reaches is its worker's lease. With
     // less time than this nobody could renew one without breaking the rule.
-    if (s.cancel_s < s.lease_s + s.report_s)
+    if (s.cancel_s < s.lease_s + s.heartbeat_interval_s)
         throw BadSettings(file + ": field 'cluster.workers.cancel_s' must be at least lease_s + report_s");
     auto st = c.sub("state");
-    s.state_rps = st.number("rps", 0, true);
-    s.state_write_rps = st.number("write_rps", 0, true);
+    s.kv_rps = st.number("rps", 0, true);
+    s.kv_write_rps = st.number("write_rps", 0, true);
     s.value_kb = st.number("value_kb", 0, true);
     s.txn_ops = st.count("txn_ops", 2);
     s.safe_value_kb = s.value_kb;
@@ -168,8 +168,8 @@
         auto lower = [&](const char* key, double& v) {
             if (next.has(key)) v = std::min(v, next.number(key, 0, true));
         };
-        lower("rps", s.state_rps);
-        lower("write_rps", s.state_write_rps);
+        lower("rps", s.kv_rps);
+        lower("write_rps", s.kv_write_rps);
         lower("value_kb", s.safe_value_kb);
         if (next.has("txn_ops")) s.txn_ops = std::min(s.txn_ops, next.count("txn_ops", 2));
     }
@@ -183,15 +183,15 @@
     s.sockets = l.count("sockets", 16);
     return s;
 }
-double questions_per_s(const Settings& s) {
+double status_queries_per_s(const Settings& s) {
     constexpr double question_cost_s = 2.5e-4, part = 1.0 / 2;
     return s.cpu_share * part / question_cost_s;
 }
-double share_expected(const Settings& s) {
+double expected_cpu_share(const Settings& s) {
     // As many workers as there are sockets for them, each report and its answer at what they were seen to
     // cost.
     constexpr double report_cost_s = 1e-4, workers = 0.7;
-    return s.sockets * workers / s.report_s * report_cost_s;
+    return s.sockets * workers / s.heartbeat_interval_s * report_cost_s;
 }
 Settings load_settings(const std::string& file) {
     return parse_settings(read_file(file), file);
@@ -225,13 +225,14 @@
         return v;
     };
     if (p.has_lease_ratio()) o.lease_ratio = range("lease_ratio", p.lease_ratio(), 0.02, 0.5);
-    if (p.has_silence_reports()) o.silence_reports = range("silence_reports", p.silence_reports(), 1.5, 100);
+    if (p.has_silence_reports())
+        o.suspicion_timeout_periods = range("silence_reports", p.silence_reports(), 1.5, 100);
     if (p.has_draws()) o.draws = static_cast<std::uint32_t>(range("draws", p.draws(), 2, 64));
     if (p.has_draw_rounds())
         o.draw_rounds = static_cast<std::uint32_t>(range("draw_rounds", p.draw_rounds(), 1, 64));
     if (p.has_reserve_ratio()) o.reserve_ratio = range("reserve_ratio", p.reserve_ratio(), 0, 10);
     if (p.has_max_machines()) o.max_machines = p.max_machines();
-    if (p.has_hearing()) o.hearing = p.hearing();
+    if (p.has_hearing()) o.relay_heartbeats = p.hearing();
     if (p.has_standby()) o.standby = p.standby();
     if (p.has_idle_boots()) o.idle_boots = range("idle_boots", p.idle_boots(), 0.1, 1000);
     return o;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -2,6 +2,9 @@
 
 #include <utility>
 
+#include "protocol/agent_api.hpp"
+#include "protocol/user_api.hpp"
+
 namespace coralhitch::controller {
 namespace paths = protocol::paths;
 
@@ -34,7 +37,8 @@
       cloud_(timers, http, settings),
       machine_types_(timers, cloud_, kv_, election_, settings, leader_),
       replica_(incarnation_),
-      heartbeat_tracker_(settings.report_s * recent_heartbeat_periods, settings.lease_s * late_copy_leases),
+      heartbeat_tracker_(settings.heartbeat_interval_s * recent_heartbeat_periods,
+                         settings.lease_s * late_copy_leases),
       peers_({timers, http, settings, election_, kv_reachability_, leader_, heartbeat_tracker_, replica_,
               incarnation_},
              [this](auto& counts) { task_counts_.set_all(counts); }),
@@ -71,7 +75,7 @@
     health_.check();
     user_api_.live_jobs().refresh_if_stale();
     overload_log_.update();
-    timers_.after(settings_.report_s * check_interval_periods, [this] { check_periodically(); });
+    timers_.after(settings_.heartbeat_interval_s * check_interval_periods, [this] { check_periodically(); });
 }
 
 // --- Leadership -----------------------------------------------------------------------------------------
@@ -133,7 +137,7 @@
         reply({405, protocol::error_body("wrong method")});
         return false;
     };
-    if (path == paths::report) {
+    if (path == paths::heartbeat) {
         if (check_method("POST")) heartbeats_.accept(std::move(request.body), std::move(reply));
     } else if (path.starts_with(paths::jobs)) {
         users_.serve(request, std::move(reply));
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -23,6 +23,7 @@
 #include "controller/user_router.hpp"
 #include "http/socket_budget.hpp"
 #include "leader/leader.hpp"
+#include "protocol/model.hpp"
 #include "relay/cancellation_notices.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "replication/follower.hpp"
--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -11,7 +11,7 @@
 bool HealthMonitor::healthy() const {
     if (!kv_has_answered_ || machine_types_.types().empty()) return false;
     return kv_reachability_.reachable() || !unable_since_ ||
-           timers_.now() - *unable_since_ < settings_.report_s * unhealthy_after_periods;
+           timers_.now() - *unable_since_ < settings_.heartbeat_interval_s * unhealthy_after_periods;
 }
 
 // A controller that no other one pings either is the one that is cut off, as far as it can know: the balancer
--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -4,6 +4,11 @@
 
 #include <utility>
 
+#include "protocol/agent_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/user_api.hpp"
+
 namespace coralhitch::controller {
 namespace {
 constexpr std::size_t heartbeats_per_turn = 16;  // in between other events
@@ -76,8 +81,8 @@
 // The leader, if its version takes heartbeats from others.
 relay::LeaderEndpoint HeartbeatIntake::relay_target() const {
     auto* peer = dependencies_.peers.leading_peer();
-    if (dependencies_.leader || !dependencies_.settings.op.hearing || !peer ||
-        peer->last_ping.features < protocol::peer_features_relay)
+    if (dependencies_.leader || !dependencies_.settings.op.relay_heartbeats || !peer ||
+        peer->last_ping.features < protocol::peer_features::relay)
         return {};
     return {peer->config.addr, dependencies_.election.leader_fencing_token()};
 }
--- a/src/controller/kv_reachability.hpp
+++ b/src/controller/kv_reachability.hpp
@@ -11,7 +11,7 @@
   public:
     KvReachability(const event_loop::Timers& timers, const kv::KvClient& kv, const config::Settings& settings)
         : timers_(timers), kv_(kv), settings_(settings) {}
-    [[nodiscard]] bool reachable() const { return kv_.answered_within(settings_.report_s); }
+    [[nodiscard]] bool reachable() const { return kv_.answered_within(settings_.heartbeat_interval_s); }
 
   private:
     const event_loop::Timers& timers_;
--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -5,6 +5,10 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::controller {
 namespace {
@@ -27,7 +31,7 @@
     } else if (types_.empty()) {
         load_stored();
     }
-    const double delay_s = settings_.report_s * (answered ? refresh_periods : retry_periods);
+    const double delay_s = settings_.heartbeat_interval_s * (answered ? refresh_periods : retry_periods);
     timers_.after(delay_s, [this] { refresh(); });
 }
 
--- a/src/controller/machine_type_catalog.hpp
+++ b/src/controller/machine_type_catalog.hpp
@@ -14,6 +14,7 @@
 #include "election/election.hpp"
 #include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::controller {
 
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -15,6 +15,7 @@
 #include "http/client.hpp"
 #include "http/server.hpp"
 #include "http/socket_budget.hpp"
+#include "protocol/agent_api.hpp"
 
 namespace {
 using namespace coralhitch;
@@ -66,10 +67,10 @@
                                         std::function<void()> on_worker_refused) {
     http::ServerLimits limits;
     limits.budget = &sockets;
-    limits.bulk_quiet_s = settings.report_s * worker_quiet_periods;
-    limits.bulk_idle_s = settings.report_s * worker_idle_periods;
+    limits.bulk_quiet_s = settings.heartbeat_interval_s * worker_quiet_periods;
+    limits.bulk_idle_s = settings.heartbeat_interval_s * worker_idle_periods;
     limits.lane = event_loop::Lane::ordinary;
-    limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
+    limits.bulk = [](const std::string& path) { return path == protocol::paths::heartbeat; };
     limits.shed = std::move(on_worker_refused);
     return limits;
 }
@@ -86,7 +87,7 @@
 void log_start(const config::Settings& settings) {
     spdlog::info("component=controller event=listening controller={} zone={} address={}", settings.label,
                  settings.zone, settings.listen);
-    const double needed = config::share_expected(settings);
+    const double needed = config::expected_cpu_share(settings);
     if (settings.cpu_share < needed)
         spdlog::warn("component=controller event=core_share_too_small core_share={:.3f} needed={:.3f}",
                      settings.cpu_share, needed);
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -36,9 +36,9 @@
             dependencies_.users.serve_forwarded(forwarded, reply);
         });
     } else if (request.target == protocol::peer_relay_path) {
-        with_message<protocol::PeerRelay>(request, reply,
-                                          [&](const auto& message) { relay_heartbeats(message, reply); });
-    } else if (request.target == protocol::peer_fleet_path) {
+        with_message<protocol::RelayRequest>(request, reply,
+                                             [&](const auto& message) { relay_heartbeats(message, reply); });
+    } else if (request.target == protocol::peer_replication_path) {
         replicate(request, reply);
     } else if (request.target == protocol::peer_images_path) {
         with_message<protocol::PeerImages>(request, reply, [&](protocol::PeerImages image_caches) {
@@ -49,29 +49,29 @@
         with_message<protocol::PeerJobQuery>(request, reply, [&](const auto& query) {
             reply_packed(reply, dependencies_.task_counts.answer_peer(query));
         });
-    } else if (request.target == protocol::peer_cancelled_path) {
-        with_message<protocol::PeerCancelledAgain>(
+    } else if (request.target == protocol::peer_cancellation_path) {
+        with_message<protocol::PeerCancellationBatch>(
             request, reply, [&](const auto& message) { reply_packed(reply, take_cancellations(message)); });
     } else {
         reply({404, {}});
     }
 }
 
-void PeerMessageHandler::relay_heartbeats(const protocol::PeerRelay& message, http::Reply reply) const {
+void PeerMessageHandler::relay_heartbeats(const protocol::RelayRequest& message, http::Reply reply) const {
     if (dependencies_.leader) return dependencies_.leader->relay(message, std::move(reply));
-    reply_packed(reply, protocol::PeerRelayAnswer{});
+    reply_packed(reply, protocol::RelayResponse{});
 }
 
 // With its own replica switched off, a controller has no part in that of others.
 void PeerMessageHandler::replicate(const http::Request& request, const http::Reply& reply) {
-    with_message<protocol::PeerFleet>(request, reply, [&](protocol::PeerFleet piece) {
-        if (!dependencies_.settings.op.standby) return reply_malformed(reply);
+    with_message<protocol::ReplicationRequest>(request, reply, [&](protocol::ReplicationRequest piece) {
+        if (!dependencies_.settings.op.replicate_starts) return reply_malformed(reply);
         reply_packed(reply, dependencies_.replica.apply(std::move(piece)));
     });
 }
 
-protocol::PeerCancelledAnswer PeerMessageHandler::take_cancellations(
-    const protocol::PeerCancelledAgain& message) const {
+protocol::PeerCancellationResponse PeerMessageHandler::take_cancellations(
+    const protocol::PeerCancellationBatch& message) const {
     const auto& leader = dependencies_.leader;
     if (!leader) return {0};
     leader->cancelled(message.id, message.version);
--- a/src/controller/peer_message_handler.hpp
+++ b/src/controller/peer_message_handler.hpp
@@ -39,10 +39,10 @@
     // Reads the body as a Message and hands it on; answers 400 if it is none.
     template <class Message, class Handle>
     static void with_message(const http::Request& request, const http::Reply& reply, Handle handle);
-    void relay_heartbeats(const protocol::PeerRelay& message, http::Reply reply) const;
+    void relay_heartbeats(const protocol::RelayRequest& message, http::Reply reply) const;
     void replicate(const http::Request& request, const http::Reply& reply);
-    [[nodiscard]] protocol::PeerCancelledAnswer take_cancellations(
-        const protocol::PeerCancelledAgain& message) const;
+    [[nodiscard]] protocol::PeerCancellationResponse take_cancellations(
+        const protocol::PeerCancellationBatch& message) const;
 
     PeerMessageHandlerDependencies dependencies_;
 };
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -35,7 +35,7 @@
 // --- Pings ----------------------------------------------------------------------------------------------
 
 void PeerMonitor::ping_peers() {
-    const double period_s = dependencies_.settings.report_s;
+    const double period_s = dependencies_.settings.heartbeat_interval_s;
     auto body = protocol::pack_peer(own_full_ping_with_leader_lists());
     for (auto& entry : peers_) {
         auto& peer = entry.second;
@@ -61,7 +61,7 @@
     auto body = protocol::pack_peer(dependencies_.leader->images());
     for (auto& [label, peer] : peers_)
         dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_images_path, body),
-                                dependencies_.settings.report_s * ping_interval_periods,
+                                dependencies_.settings.heartbeat_interval_s * ping_interval_periods,
                                 [](std::optional<http::Response>) {});
 }
 
@@ -71,14 +71,14 @@
     ping.incarnation = dependencies_.incarnation;
     ping.leader_version = dependencies_.election.leader_fencing_token();
     ping.leader = dependencies_.election.leader_label();
-    ping.state_ok = dependencies_.kv_reachability.reachable();
-    ping.features = protocol::peer_features;
-    ping.followed = replicated_leadership();
-    ping.brief = brief;
+    ping.kv_reachable = dependencies_.kv_reachability.reachable();
+    ping.features = protocol::peer_features::latest;
+    ping.replicated_leadership = replicated_leadership();
+    ping.lists_omitted = brief;
     if (brief) return ping;
     dependencies_.heartbeats.for_each_recent(dependencies_.timers.now(), [&](auto& machine, double age_s) {
-        ping.workers.push_back(machine);
-        ping.ages_ms.push_back(to_milliseconds(age_s));
+        ping.reporting_machines.push_back(machine);
+        ping.heartbeat_ages_ms.push_back(to_milliseconds(age_s));
     });
     return ping;
 }
@@ -86,10 +86,10 @@
 protocol::PeerPing PeerMonitor::own_full_ping_with_leader_lists() const {
     auto ping = own_ping(false);
     if (!dependencies_.leader) return ping;
-    ping.counts = dependencies_.leader->all_counts();
+    ping.task_counts = dependencies_.leader->all_counts();
     for (auto& [machine, silent_s] : dependencies_.leader->suspected()) {
-        ping.silent.push_back(machine);
-        ping.silent_ms.push_back(to_milliseconds(silent_s));
+        ping.suspected.push_back(machine);
+        ping.suspected_silence_ms.push_back(to_milliseconds(silent_s));
     }
     return ping;
 }
@@ -97,7 +97,7 @@
 protocol::PeerPing PeerMonitor::answer_ping(protocol::PeerPing ping) {
     // Never brief to a leader: when it suspects itself it goes by whose heartbeats the others receive, and
     // has little time.
-    const bool brief = ping.features >= protocol::peer_features_brief && ping.leader != ping.label;
+    const bool brief = ping.features >= protocol::peer_features::brief_pings && ping.leader != ping.label;
     handle_ping(std::move(ping));
     return own_ping(brief);
 }
@@ -106,12 +106,12 @@
     auto it = peers_.find(ping.label);
     if (it == peers_.end()) return;
     auto& peer = it->second;
-    const auto task_counts = std::exchange(ping.counts, {});
+    const auto task_counts = std::exchange(ping.task_counts, {});
     const bool restarted = peer.last_ping.incarnation != ping.incarnation;
-    const bool brief = ping.brief;
+    const bool brief = ping.lists_omitted;
     if (brief && !restarted) {
-        ping.workers = std::move(peer.last_ping.workers);
-        ping.ages_ms = std::move(peer.last_ping.ages_ms);
+        ping.reporting_machines = std::move(peer.last_ping.reporting_machines);
+        ping.heartbeat_ages_ms = std::move(peer.last_ping.heartbeat_ages_ms);
     }
     peer.last_ping = std::move(ping);
     const auto& last_ping = peer.last_ping;
@@ -127,17 +127,17 @@
 
 void PeerMonitor::take_suspicions(const protocol::PeerPing& leader_ping) {
     suspected_since_.clear();
-    const auto count = std::min(leader_ping.silent.size(), leader_ping.silent_ms.size());
+    const auto count = std::min(leader_ping.suspected.size(), leader_ping.suspected_silence_ms.size());
     for (std::size_t k = 0; k < count; ++k)
-        suspected_since_[leader_ping.silent[k]] =
-            dependencies_.timers.now() - leader_ping.silent_ms[k] / 1000.0;
+        suspected_since_[leader_ping.suspected[k]] =
+            dependencies_.timers.now() - leader_ping.suspected_silence_ms[k] / 1000.0;
 }
 
 // --- What follows from pings ----------------------------------------------------------------------------
 
 bool PeerMonitor::is_recent(const Peer& peer) const {
     return peer.last_ping_at && dependencies_.timers.now() - *peer.last_ping_at <
-                                    dependencies_.settings.report_s * ping_recent_periods;
+                                    dependencies_.settings.heartbeat_interval_s * ping_recent_periods;
 }
 
 const PeerMonitor::Peer* PeerMonitor::leading_peer() const {
@@ -147,7 +147,7 @@
 
 const PeerMonitor::Peer* PeerMonitor::peer_that_reaches_kv(std::uint64_t minimum_features) const {
     for (auto& [label, peer] : peers_)
-        if (is_recent(peer) && peer.last_ping.state_ok && peer.last_ping.features >= minimum_features)
+        if (is_recent(peer) && peer.last_ping.kv_reachable && peer.last_ping.features >= minimum_features)
             return &peer;
     return nullptr;
 }
@@ -165,7 +165,7 @@
     const std::map<std::string, double>& silent_s) const {
     std::optional<std::size_t> most;
     for (auto& [label, peer] : peers_)
-        if (is_recent(peer) && peer.last_ping.state_ok)
+        if (is_recent(peer) && peer.last_ping.kv_reachable)
             most = std::max(most.value_or(0), heartbeats_seen_by(peer, silent_s));
     return most;
 }
@@ -174,10 +174,10 @@
 // because of a network cut that silenced the same machines for all of them.
 std::size_t PeerMonitor::heartbeats_seen_by(const Peer& peer,
                                             const std::map<std::string, double>& silent_s) const {
-    const auto& machines = peer.last_ping.workers;
-    const auto& ages_ms = peer.last_ping.ages_ms;  // empty from an older version: all count
+    const auto& machines = peer.last_ping.reporting_machines;
+    const auto& ages_ms = peer.last_ping.heartbeat_ages_ms;  // empty from an older version: all count
     const double since_ping_s = dependencies_.timers.now() - peer.last_full_ping_at.value_or(0);
-    const double slack_s = dependencies_.settings.report_s * relay_delay_periods;
+    const double slack_s = dependencies_.settings.heartbeat_interval_s * relay_delay_periods;
     std::size_t seen = 0;
     for (std::size_t k = 0; k < machines.size(); ++k) {
         auto it = silent_s.find(machines[k]);
@@ -194,17 +194,19 @@
 bool PeerMonitor::should_defer() const {
     const double now = dependencies_.timers.now();
     // Just started, it can't know yet.
-    const bool just_started = dependencies_.settings.op.standby &&
-                              now - started_at_ < dependencies_.settings.report_s * startup_grace_periods;
+    const bool just_started =
+        dependencies_.settings.op.replicate_starts &&
+        now - started_at_ < dependencies_.settings.heartbeat_interval_s * startup_grace_periods;
     const auto own_replica = replicated_leadership();
     const auto own_machines = dependencies_.heartbeats.recent_count(now);
     for (auto& [label, peer] : peers_) {
         if (just_started && !peer.responded) return true;
         const auto& ping = peer.last_ping;
-        if (!is_recent(peer) || !ping.state_ok || ping.features < protocol::peer_features) continue;
-        const auto machines = ping.workers.size();
-        if (ping.followed > own_replica && machines * 2 >= own_machines) return true;
-        if (ping.followed == own_replica && machines > 2 * own_machines) return true;
+        if (!is_recent(peer) || !ping.kv_reachable || ping.features < protocol::peer_features::latest)
+            continue;
+        const auto machines = ping.reporting_machines.size();
+        if (ping.replicated_leadership > own_replica && machines * 2 >= own_machines) return true;
+        if (ping.replicated_leadership == own_replica && machines > 2 * own_machines) return true;
     }
     return false;
 }
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -49,7 +49,7 @@
         bool responded = false;  // to a ping of this controller, or the connection failed
     };
     // The task counts of all live jobs, from a ping of the leader.
-    using TaskCountsReceived = std::function<void(const std::vector<protocol::PeerCount>&)>;
+    using TaskCountsReceived = std::function<void(const std::vector<protocol::PeerTaskCounts>&)>;
 
     PeerMonitor(PeerMonitorDependencies dependencies, TaskCountsReceived task_counts_received);
     PeerMonitor(const PeerMonitor&) = delete;  // callbacks refer to it
@@ -63,7 +63,7 @@
     // The controller that leads, as far as this one knows; null if that is unknown or this one.
     [[nodiscard]] const Peer* leading_peer() const;
     // A controller that reaches the key-value store and is of a version with these features
-    // (protocol::peer_features_...); null if there is none.
+    // (protocol::peer_features::...); null if there is none.
     [[nodiscard]] const Peer* peer_that_reaches_kv(std::uint64_t minimum_features) const;
     // Whether any other controller has pinged lately.
     [[nodiscard]] bool any_reachable() const;
--- a/src/controller/task_count_service.cpp
+++ b/src/controller/task_count_service.cpp
@@ -11,14 +11,14 @@
 constexpr double query_timeout_periods = 1.0 / 10;
 }  // namespace
 
-void TaskCountService::set_all(const std::vector<protocol::PeerCount>& counts) {
+void TaskCountService::set_all(const std::vector<protocol::PeerTaskCounts>& counts) {
     received_at_ = timers_.now();
     counts_.clear();
     for (auto& count : counts) counts_[count.id] = {count.done, count.running};
 }
 
 bool TaskCountService::is_recent() const {
-    return received_at_ && timers_.now() - *received_at_ < settings_.report_s * recent_periods;
+    return received_at_ && timers_.now() - *received_at_ < settings_.heartbeat_interval_s * recent_periods;
 }
 
 void TaskCountService::query(const std::string& job, Done done) const {
@@ -33,7 +33,8 @@
     if (!peer) return done(std::nullopt);
     auto body = protocol::pack_peer(protocol::PeerJobQuery{job});
     http_.send(peer->config.addr, msgpack_request(protocol::peer_job_path, std::move(body)),
-               settings_.report_s * query_timeout_periods, [done](std::optional<http::Response> response) {
+               settings_.heartbeat_interval_s * query_timeout_periods,
+               [done](std::optional<http::Response> response) {
                    if (!response || response->status != 200) return done(std::nullopt);
                    auto counts = protocol::unpack_peer<protocol::PeerJobCounts>(response->body);
                    if (!counts || !counts->known) return done(std::nullopt);
--- a/src/controller/task_count_service.hpp
+++ b/src/controller/task_count_service.hpp
@@ -29,7 +29,7 @@
         : timers_(timers), http_(http), settings_(settings), leader_(leader), peers_(peers) {}
 
     // All live jobs' counts, as the leader says them now.
-    void set_all(const std::vector<protocol::PeerCount>& counts);
+    void set_all(const std::vector<protocol::PeerTaskCounts>& counts);
     // Calls `done` at once or when the leader has answered.
     void query(const std::string& job, Done done) const;
     // The answer to another controller's query; unknown if this controller does not lead.
--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "controller/peer_http.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::controller {
 namespace paths = protocol::paths;
@@ -42,7 +43,8 @@
 const PeerMonitor::Peer* UserRouter::peer_to_forward_to(const http::Request& request) const {
     if (dependencies_.kv_reachability.reachable()) return nullptr;
     const bool has_dependencies = request.method == "POST" && protocol::names_dependencies(request.body);
-    return dependencies_.peers.peer_that_reaches_kv(has_dependencies ? protocol::peer_features_awaits : 0);
+    return dependencies_.peers.peer_that_reaches_kv(has_dependencies ? protocol::peer_features::dependencies
+                                                                     : 0);
 }
 
 // `fallback`: answered if the peer does not.
@@ -51,10 +53,10 @@
     auto body = protocol::pack_peer(protocol::PeerUserRequest{request.method, request.target, request.body});
     dependencies_.http.send(
         peer.addr, msgpack_request(protocol::peer_user_path, std::move(body)),
-        dependencies_.settings.report_s * forward_timeout_periods,
+        dependencies_.settings.heartbeat_interval_s * forward_timeout_periods,
         [fallback = std::move(fallback), reply](std::optional<http::Response> response) {
             if (!response || response->status != 200) return reply(fallback);
-            auto answer = protocol::unpack_peer<protocol::PeerUserAnswer>(response->body);
+            auto answer = protocol::unpack_peer<protocol::PeerUserResponse>(response->body);
             if (!answer) return reply(fallback);
             reply({answer->status, std::move(answer->body), "application/json", answer->retry_after_s});
         });
@@ -62,7 +64,7 @@
 
 void UserRouter::serve_forwarded(const protocol::PeerUserRequest& forwarded, http::Reply reply) {
     serve_here({forwarded.method, forwarded.target, forwarded.body}, [reply](http::Response response) {
-        protocol::PeerUserAnswer answer{response.status, std::move(response.body), response.retry_after_s};
+        protocol::PeerUserResponse answer{response.status, std::move(response.body), response.retry_after_s};
         reply(msgpack_response(protocol::pack_peer(answer)));
     });
 }
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -6,6 +6,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::election {
 using kv::RequestPriority;
@@ -71,7 +73,7 @@
 }
 
 void Election::handle_leader_record(const protocol::Entry& entry, const protocol::LeaderRecord& record) {
-    history_.append_after_gap({entry.version, record.keeps_record});
+    history_.append_after_gap({entry.version, record.stores_in_sync_replicas});
     bool known = leader_label_ == record.label && leader_fencing_token_ == entry.version;
     if (entry.version < leader_fencing_token_ || known) return;
     leader_label_ = record.label;
@@ -97,7 +99,7 @@
         is_deleted = !event.value;
         if (!event.value) continue;
         was_put = true;
-        history_.append({event.version, protocol::keeps_record(*event.value)});
+        history_.append({event.version, protocol::stores_in_sync_replicas(*event.value)});
     }
     history_.extend_to(next_revision);
     if (was_put) return read_leader_key();
@@ -150,7 +152,7 @@
 }
 
 void Election::claim(kv::LeaseResult lease) {
-    protocol::LeaderRecord record{settings_.label, incarnation_, settings_.op.standby};
+    protocol::LeaderRecord record{settings_.label, incarnation_, settings_.op.replicate_starts};
     protocol::Txn transaction;
     transaction.conditions.push_back({kv::keys::leader, 0});
     transaction.changes.push_back({kv::keys::leader, protocol::stored(record), lease.id});
@@ -200,7 +202,7 @@
     leader_fencing_token_ = version;
     ++leadership_round_;
     history_before_claim_ = history_;
-    history_.append({version, settings_.op.standby});
+    history_.append({version, settings_.op.replicate_starts});
     kv_.set_leading(true);
     spdlog::info("component=election event=elected fencing_token={}", version);
     renew_lease();
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -23,6 +23,8 @@
 #include "election/leadership_history.hpp"
 #include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::election {
 
--- a/src/election/leadership_history.hpp
+++ b/src/election/leadership_history.hpp
@@ -12,7 +12,7 @@
 struct ObservedLeadership {
     std::uint64_t version = 0;  // of the leader's key: its fencing token
     // Whether this leader stores who replicates from it before its first start, see protocol::LeaderRecord.
-    bool keeps_record = false;
+    bool stores_in_sync_replicas = false;
 };
 
 struct LeadershipHistory {
--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -72,22 +72,22 @@
         std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * progress_share));
     if (left + step <= last_progress_.remaining)
         progressed_at_ = now;
-    else if (now - last_progress_.at < report_s_ * progress_periods)
+    else if (now - last_progress_.at < heartbeat_interval_s_ * progress_periods)
         return;
     last_progress_ = {left, now};
 }
 
 void Reconciliation::record_answer(double latency_s, double now) {
-    bool late = latency_s > report_s_ * late_answer_periods;
+    bool late = latency_s > heartbeat_interval_s_ * late_answer_periods;
     late_share_ = late_share_ * late_share_decay + (late ? 1 - late_share_decay : 0);
     last_answer_ = now;
 }
 bool Reconciliation::overloaded(double now) const {
     return late_share_ > overloaded_share && last_answer_ &&
-           now - *last_answer_ <= report_s_ * progress_periods;
+           now - *last_answer_ <= heartbeat_interval_s_ * progress_periods;
 }
 bool Reconciliation::progressing(double now) const {
-    return progressed_at_ && now - *progressed_at_ <= report_s_ * progress_periods;
+    return progressed_at_ && now - *progressed_at_ <= heartbeat_interval_s_ * progress_periods;
 }
 
 // A machine that is not reconciled may have answered long ago: while others are reconciled, its answer may
@@ -101,12 +101,13 @@
     double silent_s =
         now - (machine.reachability.outbound_unreachable() ? machine.reachability.last_reached_at()
                                                            : machine.last_heartbeat_at);
-    double probed_s =
-        !machine.first_probed_at ? silent_s - report_s_ * unprobed_periods : now - *machine.first_probed_at;
+    double probed_s = !machine.first_probed_at ? silent_s - heartbeat_interval_s_ * unprobed_periods
+                                               : now - *machine.first_probed_at;
     if (overloaded(now)) return 0;
     double counted_s = std::min({silent_s, probed_s, progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
-    return counted_s + (counted_s > report_s_ * probe_timeout_periods ? machine.silence_hint_s : 0);
+    return counted_s +
+           (counted_s > heartbeat_interval_s_ * probe_timeout_periods ? machine.silence_hint_s : 0);
 }
 
 }  // namespace coralhitch::failover
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -14,9 +14,9 @@
 
 class Reconciliation {
   public:
-    // `cluster_state` must outlive this. `report_s`: the report period.
-    Reconciliation(const cluster::ClusterState& cluster_state, double report_s)
-        : cluster_state_(cluster_state), report_s_(report_s) {}
+    // `cluster_state` must outlive this. `heartbeat_interval_s`: the report period.
+    Reconciliation(const cluster::ClusterState& cluster_state, double heartbeat_interval_s)
+        : cluster_state_(cluster_state), heartbeat_interval_s_(heartbeat_interval_s) {}
     // A machine that an earlier leader stored must be reconciled.
     void expect(const std::string& machine);
     // Whether tasks may be started: of each expected machine it is known what may run on it, from its report
@@ -48,7 +48,7 @@
     bool progressing(double now) const;
 
     const cluster::ClusterState& cluster_state_;
-    double report_s_;
+    double heartbeat_interval_s_;
     std::size_t expected_ = 0;
     bool few_remaining_ = false;  // at the last tick
     // Machines leave these for good, as soon as all before them have left.
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -5,6 +5,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::failover {
 namespace keys = kv::keys;
@@ -25,15 +27,15 @@
       on_loaded_(std::move(on_loaded)) {}
 
 void RecoveryLoader::start() {
-    settings_.op.standby ? read_record() : list_all();
+    settings_.op.replicate_starts ? read_record() : list_all();
 }
 void RecoveryLoader::retry_later() {
-    timers_.after(settings_.report_s * retry_periods, guarded_([this] { start(); }));
+    timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] { start(); }));
 }
 
 // Which followers of the previous leader were in sync.
 void RecoveryLoader::read_record() {
-    kv_.get(keys::standby, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
+    kv_.get(keys::in_sync_replicas, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
                 if (!result.ok()) return retry_later();
                 handle_record(result);
                 read_leader_history();
@@ -44,7 +46,7 @@
     evidence_.record.reset();
     if (!result.entry) return;
     try {
-        evidence_.record = protocol::parse_standby_record(result.entry->value);
+        evidence_.record = protocol::parse_in_sync_replicas(result.entry->value);
     } catch (const protocol::Malformed& error) {
         spdlog::error("component=failover event=record_malformed error=\"{}\"", error.what());
     }
@@ -59,7 +61,8 @@
             evidence_.later_leaders.clear();
             for (auto& event : result.events.events)
                 if (event.key == keys::leader && event.value && event.version != evidence_.leader_version)
-                    evidence_.later_leaders.push_back({event.version, protocol::keeps_record(*event.value)});
+                    evidence_.later_leaders.push_back(
+                        {event.version, protocol::stores_in_sync_replicas(*event.value)});
             list_all();
         }));
 }
@@ -84,10 +87,10 @@
 
 void RecoveryLoader::finish() {
     auto* failed = replication::evaluate_eligibility(evidence_);
-    recovered_.replica_eligible = settings_.op.standby && !failed;
+    recovered_.replica_eligible = settings_.op.replicate_starts && !failed;
     recovered_.in_sync_record = evidence_.record;
     std::string details = "replica_inherited=true";
-    if (!settings_.op.standby)
+    if (!settings_.op.replicate_starts)
         details = "replica_inherited=false reason=replication_disabled";
     else if (failed)
         details = std::string("replica_inherited=false reason=") + failed->failure;
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -13,6 +13,7 @@
 #include "event_loop/timers.hpp"
 #include "failover/failover_steps.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/model.hpp"
 #include "replication/eligibility_checks.hpp"
 
 namespace coralhitch::failover {
@@ -21,7 +22,7 @@
 struct RecoveredState {
     bool replica_eligible = false;     // this controller's replica is proof of what machines run
     std::uint64_t record_version = 0;  // of the key of the record of in-sync replicas; 0: there is none
-    std::optional<protocol::StandbyRecord> in_sync_record;
+    std::optional<protocol::InSyncReplicas> in_sync_record;
     kv::ListResult jobs, progress, machines;
     double jobs_listed_at = 0;  // steady time at which the list of jobs was requested
 };
--- a/src/jobs/job_entry.hpp
+++ b/src/jobs/job_entry.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::jobs {
 
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -37,7 +37,7 @@
     job.done.resize(record.job.tasks);
     job.priority = record.job.priority;
     if (record.job.deadline_s) job.due_at = job.submitted_at + *record.job.deadline_s;
-    job.unfinished_dependencies.insert(record.job.awaits.begin(), record.job.awaits.end());
+    job.unfinished_dependencies.insert(record.job.dependencies.begin(), record.job.dependencies.end());
     job.spec = std::make_shared<const protocol::Job>(std::move(record.job));
     link_dependencies(id, job);
     return true;
@@ -64,7 +64,7 @@
         for (auto& dependency_id : job.unfinished_dependencies) {
             auto* dependency = find(dependency_id);
             if (!dependency) continue;
-            double due_at = job.due_at - job.spec->estimate_s;
+            double due_at = job.due_at - job.spec->estimated_run_s;
             if (dependency->priority >= job.priority && dependency->due_at <= due_at) continue;
             dependency->priority = std::max(dependency->priority, job.priority);
             dependency->due_at = std::min(dependency->due_at, due_at);
--- a/src/jobs/job_table.hpp
+++ b/src/jobs/job_table.hpp
@@ -19,7 +19,7 @@
 #include "jobs/dependency_graph.hpp"
 #include "jobs/job_entry.hpp"
 #include "jobs/progress_layout.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::jobs {
 
--- a/src/jobs/progress_layout.cpp
+++ b/src/jobs/progress_layout.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <string_view>
 
-#include "protocol/protocol.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::jobs {
 
--- a/src/kv/keys.hpp
+++ b/src/kv/keys.hpp
@@ -9,8 +9,9 @@
 namespace coralhitch::kv::keys {
 
 // Single keys.
-inline const std::string leader = "leader";      // held under the leader's lease; its version: fencing token
-inline const std::string standby = "standby";    // the replicas that know every start that may have been sent
+inline const std::string leader = "leader";  // held under the leader's lease; its version: fencing token
+inline const std::string in_sync_replicas =
+    "standby";                                   // the replicas that know every start that may have been sent
 inline const std::string attempts = "attempts";  // rewritten to advance the revision; its value means nothing
 inline const std::string types =
     "types";  // machine types, for controllers that start while the cloud is down
--- a/src/kv/kv_client.cpp
+++ b/src/kv/kv_client.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/malformed.hpp"
+
 namespace coralhitch::kv {
 namespace {
 using protocol::Malformed;
@@ -83,7 +85,7 @@
       limits_(settings) {}
 
 double KvClient::default_timeout_s() const {
-    return settings_.report_s / 2;
+    return settings_.heartbeat_interval_s / 2;
 }
 
 bool KvClient::answered_within(double seconds) const {
@@ -91,7 +93,7 @@
 }
 
 void KvClient::send(PendingRequest request) {
-    http_.send(settings_.state_addr, std::move(request.request), request.timeout_s,
+    http_.send(settings_.kv_addr, std::move(request.request), request.timeout_s,
                [this, on_response = std::move(request.on_response)](Response response) {
                    latest_was_answered_ = response && response->status < 500;
                    if (latest_was_answered_) last_answer_at_ = timers_.now();
--- a/src/kv/kv_client.hpp
+++ b/src/kv/kv_client.hpp
@@ -26,7 +26,7 @@
 #include "kv/request_queue.hpp"
 #include "kv/results.hpp"
 #include "kv/size_limits.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::kv {
 
--- a/src/kv/list_watch.hpp
+++ b/src/kv/list_watch.hpp
@@ -17,6 +17,7 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::kv {
 
--- a/src/kv/request_budget.cpp
+++ b/src/kv/request_budget.cpp
@@ -26,9 +26,9 @@
 }
 
 void RequestBudget::set_leading(bool leading) {
-    double requests = settings_.state_rps * share_of(settings_, leading, leader_request_share) * usable_ratio;
+    double requests = settings_.kv_rps * share_of(settings_, leading, leader_request_share) * usable_ratio;
     double changes =
-        settings_.state_write_rps * share_of(settings_, leading, leader_change_share) * usable_ratio;
+        settings_.kv_write_rps * share_of(settings_, leading, leader_change_share) * usable_ratio;
     user_reads_.set_rate(requests * user_read_ratio, std::max(1.0, requests * user_read_ratio));
     changes_per_s_ = changes;
     requests_.set_rate(requests, std::max(1.0, requests));
--- a/src/kv/request_queue.cpp
+++ b/src/kv/request_queue.cpp
@@ -18,7 +18,7 @@
     : timers_(timers), settings_(settings), budget_(budget), send_(std::move(send)) {}
 
 double RequestQueue::max_wait_s(RequestPriority priority) const {
-    double general = settings_.report_s * max_wait_reports;
+    double general = settings_.heartbeat_interval_s * max_wait_reports;
     if (priority == RequestPriority::cancellation || priority == RequestPriority::submission)
         return std::min(general, submission_timeout_s * user_wait_ratio);
     if (priority == RequestPriority::read) return std::min(general, read_timeout_s * user_wait_ratio);
--- a/src/kv/results.hpp
+++ b/src/kv/results.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::kv {
 
--- a/src/kv/size_limits.hpp
+++ b/src/kv/size_limits.hpp
@@ -8,7 +8,7 @@
 #include <cstddef>
 
 #include "config/settings.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::kv {
 
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -12,6 +12,7 @@
 
 #include "event_loop/lifetime_guard.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -12,7 +12,7 @@
 #include "config/settings.hpp"
 #include "election/election.hpp"
 #include "event_loop/timers.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/malformed.hpp"
+
 namespace coralhitch::leader {
 using cluster::Machine;
 
@@ -28,7 +30,7 @@
 }  // namespace
 
 double CommandSender::probes_within(const config::Settings& settings, double reports) {
-    return std::max(1.0, config::questions_per_s(settings) * settings.report_s * reports);
+    return std::max(1.0, config::status_queries_per_s(settings) * settings.heartbeat_interval_s * reports);
 }
 
 CommandSender::CommandSender(const PartContext& context, http::Requester& http, Delegations& delegations,
@@ -42,7 +44,7 @@
       delegations_(delegations),
       reconciliation_(reconciliation),
       apply_status_(std::move(apply_status)),
-      probe_tokens_(config::questions_per_s(settings_), probes_within(settings_, first_probe_reports)) {}
+      probe_tokens_(config::status_queries_per_s(settings_), probes_within(settings_, first_probe_reports)) {}
 
 void CommandSender::flush_all() {
     std::vector<std::string> machine_ids;
@@ -135,7 +137,8 @@
 bool CommandSender::needs_no_probe(const Machine& machine) const {
     std::optional<double> since =
         machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
-    double recent_s = settings_.report_s * (machine.reconciled ? recent_reports : answered_reports);
+    double recent_s =
+        settings_.heartbeat_interval_s * (machine.reconciled ? recent_reports : answered_reports);
     return since && now() - *since < recent_s;
 }
 
@@ -161,8 +164,8 @@
     // Most workers are in their first agent epoch still: a good guess saves the question.
     auto agent_epoch = std::max<std::uint64_t>(1, machine.agent_epoch);
     auto body = protocol::direct_commands(sent.token, agent_epoch, sent.commands);
-    double timeout =
-        settings_.report_s * (request == Request::probe ? probe_timeout_reports : command_timeout_reports);
+    double timeout = settings_.heartbeat_interval_s *
+                     (request == Request::probe ? probe_timeout_reports : command_timeout_reports);
     http_.send(machine.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
                guarded_([this, sent = std::move(sent), request,
                          sent_at = now()](std::optional<http::Response> response) {
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -20,7 +20,8 @@
 #include "http/message.hpp"
 #include "leader/delegations.hpp"
 #include "leader/part_context.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/delegations.cpp
+++ b/src/leader/delegations.cpp
@@ -4,8 +4,9 @@
 
 namespace coralhitch::leader {
 
-bool Delegations::take_relay_message(const protocol::PeerRelay& message) {
-    return table_.accept_message(message.label, message.incarnation, message.number, message.answered,
+bool Delegations::take_relay_message(const protocol::RelayRequest& message) {
+    return table_.accept_message(message.label, message.incarnation, message.sequence_number,
+                                 message.acknowledged_sequence_number,
                                  [this](const std::string& machine_id, double renewed_until) {
                                      extend_expiry(machine_id, renewed_until);
                                  });
--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -3,6 +3,9 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -81,7 +81,8 @@
     request.in_flight = false;
     if (result.status == cloud::CreateMachinesResult::Status::failed) return;  // the next tick asks again
     if (static_cast<int>(result.machines.size()) < request.count)
-        pools_without_capacity_[request.pool] = timers_.now() + settings_.report_s * no_capacity_reports;
+        pools_without_capacity_[request.pool] =
+            timers_.now() + settings_.heartbeat_interval_s * no_capacity_reports;
     {
         std::lock_guard lock(state_.mutex);
         auto pool = state_.cluster.pools()[request.pool];
--- a/src/leader/fleet_scaler.hpp
+++ b/src/leader/fleet_scaler.hpp
@@ -15,6 +15,7 @@
 #include "autoscaler/autoscaler.hpp"
 #include "cloud/cloud_client.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -5,6 +5,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/malformed.hpp"
+#include "protocol/user_api.hpp"
+
 namespace coralhitch::leader {
 using cluster::Machine;
 using relay::HeartbeatRejection;
@@ -34,7 +37,7 @@
     if (repeat_reply(body, reply)) return;
     auto [answered, machine_id] = answer(body, "");
     auto* machine = state_.cluster.find(machine_id);
-    if (answered.quiet && machine) {
+    if (answered.nothing_pending && machine) {
         if (auto relay_label = relay_for(*machine)) {
             reply_cache_.forget(machine_id);
             return reply({421, protocol::heartbeat_redirect(*relay_label)});
@@ -65,7 +68,7 @@
     return true;
 }
 
-protocol::PeerRelayed HeartbeatHandler::reject(HeartbeatRejection reason) {
+protocol::RelayedReply HeartbeatHandler::reject(HeartbeatRejection reason) {
     rejections_.record(reason);
     return {};
 }
@@ -87,8 +90,8 @@
     return {answer(status, relay_label, may_act), status.machine};
 }
 
-protocol::PeerRelayed HeartbeatHandler::answer(const protocol::Heartbeat& status,
-                                               const std::string& relay_label, bool may_act) {
+protocol::RelayedReply HeartbeatHandler::answer(const protocol::Heartbeat& status,
+                                                const std::string& relay_label, bool may_act) {
     auto outcome = apply(status, cluster::ReportChannel::heartbeat);
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(status.machine);
@@ -112,8 +115,8 @@
 }
 
 // The 200 that renews the machine's lease, and who answers its heartbeats from now on.
-protocol::PeerRelayed HeartbeatHandler::renew(Machine& machine, const std::string& relay_label,
-                                              bool may_act) {
+protocol::RelayedReply HeartbeatHandler::renew(Machine& machine, const std::string& relay_label,
+                                               bool may_act) {
     auto& delegations = parts_.delegations;
     record_route(machine, relay_label);
     if (!delegations.table().delegated_to(machine.id, relay_label))
@@ -148,7 +151,8 @@
     bool many_redirected = static_cast<double>(redirected_since_tick_) > machines_up * redirected_share;
     bool redirected_lately =
         machine.redirected_at && t - *machine.redirected_at < settings_.lease_s * redirect_pause_leases;
-    if (!settings_.op.hearing || !many_here || many_redirected || redirected_lately) return std::nullopt;
+    if (!settings_.op.relay_heartbeats || !many_here || many_redirected || redirected_lately)
+        return std::nullopt;
     auto most = static_cast<std::size_t>(machines_up * (1 - own_share) / relays) + 1;
     auto relay_label = table.least_loaded(t, most);
     if (!relay_label) return std::nullopt;
@@ -157,29 +161,29 @@
     return relay_label;
 }
 
-void HeartbeatHandler::handle_relayed(const protocol::PeerRelay& message, const http::Reply& reply) {
-    protocol::PeerRelayAnswer relay_answer;
+void HeartbeatHandler::handle_relayed(const protocol::RelayRequest& message, const http::Reply& reply) {
+    protocol::RelayResponse relay_answer;
     bool leads = parts_.recovery.loaded() ? authority_.may_renew_worker_leases() : authority_.holds();
-    relay_answer.leads =
-        message.leader_version == authority_.fencing_token() && leads && settings_.op.hearing;
-    relay_answer.ready = relay_answer.leads && parts_.recovery.loaded();
+    relay_answer.is_leader =
+        message.leader_version == authority_.fencing_token() && leads && settings_.op.relay_heartbeats;
+    relay_answer.ready = relay_answer.is_leader && parts_.recovery.loaded();
     auto send = [&] { reply({200, protocol::pack_peer(relay_answer), "application/msgpack"}); };
     if (!relay_answer.ready) return send();
     if (!parts_.delegations.take_relay_message(message)) return reply({503, {}, "application/msgpack"});
-    for (auto& body : message.reports) relay_answer.answers.push_back(answer(body, message.label).reply);
+    for (auto& body : message.heartbeats) relay_answer.replies.push_back(answer(body, message.label).reply);
     apply_relay_heartbeats(message);
     parts_.commands.flush_all();
     double grant_s = relay_grant_s();
-    relay_answer.grant_ms = static_cast<std::uint64_t>(grant_s * 1000);
-    relay_answer.recalled = parts_.delegations.table().extend(
+    relay_answer.delegation_ms = static_cast<std::uint64_t>(grant_s * 1000);
+    relay_answer.revoked = parts_.delegations.table().extend(
         message.label, now() + grant_s * (1 + 2 * election::max_clock_drift));
     send();
 }
 
 // Heartbeats that the relay has answered itself: when each machine's last one came.
-void HeartbeatHandler::apply_relay_heartbeats(const protocol::PeerRelay& message) {
+void HeartbeatHandler::apply_relay_heartbeats(const protocol::RelayRequest& message) {
     std::lock_guard lock(state_.mutex);
-    for (auto& heartbeat : message.heard) {
+    for (auto& heartbeat : message.answered_heartbeats) {
         auto* machine = state_.cluster.find(heartbeat.machine);
         if (!machine || !parts_.delegations.table().delegated_to(heartbeat.machine, message.label)) continue;
         double came_at = now() - static_cast<double>(heartbeat.age_ms) / 1000;
@@ -194,7 +198,7 @@
 // For how long a relay may renew leases: within the time for which this leader itself may, which its
 // successor counts on, and which ends early enough for tasks that are cancelled.
 double HeartbeatHandler::relay_grant_s() const {
-    return std::max(0.0, std::min({settings_.report_s, authority_.renewal_after_expiry_s(),
+    return std::max(0.0, std::min({settings_.heartbeat_interval_s, authority_.renewal_after_expiry_s(),
                                    authority_.lease_renewal_deadline() - now()}));
 }
 
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -24,8 +24,9 @@
 #include "leader/recovery.hpp"
 #include "leader/start_replication.hpp"
 #include "membership/failure_detector.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
-#include "protocol/protocol.hpp"
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_rejections.hpp"
 #include "relay/reply_cache.hpp"
@@ -55,7 +56,7 @@
     // A heartbeat that came here; its reply is called now, or once the jobs are loaded.
     void handle(relay::PendingHeartbeat report);
     // Heartbeats that a relay passes on: each is answered as if it had come here.
-    void handle_relayed(const protocol::PeerRelay& message, const http::Reply& reply);
+    void handle_relayed(const protocol::RelayRequest& message, const http::Reply& reply);
     // Takes in a status, which came in a heartbeat or as the answer to a direct request, and sets off what
     // follows from it.
     cluster::HeartbeatOutcome apply(const protocol::Heartbeat& status, cluster::ReportChannel via);
@@ -71,21 +72,21 @@
 
   private:
     struct Answer {
-        protocol::PeerRelayed reply;
+        protocol::RelayedReply reply;
         std::string machine_id;  // empty if the heartbeat was not read
     };
     [[nodiscard]] double now() const { return timers_.now(); }
     [[nodiscard]] bool repeat_reply(const std::string& body, const http::Reply& reply);
     [[nodiscard]] Answer answer(const std::string& body, const std::string& relay_label);
-    [[nodiscard]] protocol::PeerRelayed answer(const protocol::Heartbeat& status,
-                                               const std::string& relay_label, bool may_act);
-    [[nodiscard]] protocol::PeerRelayed renew(cluster::Machine& machine, const std::string& relay_label,
-                                              bool may_act);
-    protocol::PeerRelayed reject(relay::HeartbeatRejection reason);
+    [[nodiscard]] protocol::RelayedReply answer(const protocol::Heartbeat& status,
+                                                const std::string& relay_label, bool may_act);
+    [[nodiscard]] protocol::RelayedReply renew(cluster::Machine& machine, const std::string& relay_label,
+                                               bool may_act);
+    protocol::RelayedReply reject(relay::HeartbeatRejection reason);
     cluster::HeartbeatOutcome apply_to_state(const protocol::Heartbeat& status, cluster::ReportChannel via);
     void record_route(cluster::Machine& machine, const std::string& route);
     [[nodiscard]] std::optional<std::string> relay_for(cluster::Machine& machine);
-    void apply_relay_heartbeats(const protocol::PeerRelay& message);
+    void apply_relay_heartbeats(const protocol::RelayRequest& message);
     [[nodiscard]] double relay_grant_s() const;
 
     event_loop::Timers& timers_;
--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -15,6 +15,7 @@
 #include "leader/command_sender.hpp"
 #include "leader/machine_deletion.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -121,14 +121,14 @@
         case ExitCause::error:
             task_failed(job, end);
             break;
-        case ExitCause::no_room:
-        case ExitCause::busy:
+        case ExitCause::insufficient_resources:
+        case ExitCause::other_attempt_present:
             // The cluster state of this machine was wrong: let reports mend it first.
             if (auto* machine = state_.cluster.find(end.machine))
-                machine->quarantined_until = now() + settings_.report_s;
+                machine->quarantined_until = now() + settings_.heartbeat_interval_s;
             break;
         case ExitCause::unknown:
-            job.backoff_until = now() + settings_.report_s;
+            job.backoff_until = now() + settings_.heartbeat_interval_s;
             break;
         default:
             break;
@@ -147,7 +147,7 @@
     if (job.is_crash_looping()) {
         int doublings =
             std::min(job.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1, most_doublings);
-        job.backoff_until = now() + settings_.report_s * std::pow(2.0, doublings);
+        job.backoff_until = now() + settings_.heartbeat_interval_s * std::pow(2.0, doublings);
         if (job.failed_on.size() > most_failed_machines) job.failed_on.clear();
     }
     auto* machine = state_.cluster.find(end.machine);
@@ -159,13 +159,13 @@
 
 void InstanceTracker::blame_machine(Machine& machine, const std::string& job_id) {
     if (machine.error_jobs.size() < 2) {
-        machine.quarantined_until = now() + settings_.report_s * one_failure_quarantine_reports;
+        machine.quarantined_until = now() + settings_.heartbeat_interval_s * one_failure_quarantine_reports;
         return;
     }
     spdlog::info("component=leader event=machine_quarantined machine={} failed_jobs={} last_job={}",
                  machine.id, machine.error_jobs.size(), job_id);
     metrics_.increment(metrics::Metric::leader_machines_quarantined);
-    machine.quarantined_until = now() + settings_.report_s * many_failures_quarantine_reports;
+    machine.quarantined_until = now() + settings_.heartbeat_interval_s * many_failures_quarantine_reports;
     machine.error_jobs.clear();
     if (machine.tasks.empty()) mark_for_deletion_(machine, "fails its tasks");
 }
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -16,6 +16,7 @@
 #include "jobs/job_table.hpp"
 #include "leader/part_context.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -6,6 +6,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 namespace keys = kv::keys;
@@ -43,7 +45,7 @@
 // share while a thousand jobs were live.
 void JobStore::request_store() {
     if (std::exchange(store_requested_, true)) return;
-    timers_.after(settings_.report_s * store_delay_reports, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * store_delay_reports, guarded_([this] {
                       store_requested_ = false;
                       store_due();
                   }));
@@ -61,7 +63,7 @@
 }
 
 std::size_t JobStore::most_ends_per_transaction() const {
-    auto changes = std::min(static_cast<std::size_t>(settings_.state_write_rps * transaction_share_s),
+    auto changes = std::min(static_cast<std::size_t>(settings_.kv_write_rps * transaction_share_s),
                             kv_.limits().txn_ops());
     return std::max<std::size_t>(1, changes / changes_per_end);
 }
@@ -189,7 +191,7 @@
     auto* job = state_.jobs.find(id);
     if (!job) return;
     job->write_in_flight = false;
-    job->write_retry_at = now() + settings_.report_s * progress_interval_reports;
+    job->write_retry_at = now() + settings_.heartbeat_interval_s * progress_interval_reports;
     for (auto task : written.tasks) job->unstored_tasks.erase(task);
     for (auto& block : written.blocks) job->block_versions[block] = revision;
     state_.cluster.record_outcome_stored(id, written.tasks);
@@ -202,7 +204,8 @@
     job->write_in_flight = false;
     // What was too large is written in smaller parts the next time; if it can't be, not without pause.
     bool rejected = result.status == TxnResult::Status::rejected;
-    job->write_retry_at = now() + settings_.report_s * (rejected ? rejected_retry_reports : retry_reports);
+    job->write_retry_at =
+        now() + settings_.heartbeat_interval_s * (rejected ? rejected_retry_reports : retry_reports);
     if (result.status != TxnResult::Status::conflict) return;
     if (result.failed_on(keys::job(id))) return read_job_record(id);
     // A write whose answer was lost was carried out. Of several such blocks the next try shows the next.
@@ -224,7 +227,7 @@
                 job->write_in_flight = false;
                 request_store();
                 if (!result.ok())
-                    job->write_retry_at = now() + settings_.report_s * retry_reports;
+                    job->write_retry_at = now() + settings_.heartbeat_interval_s * retry_reports;
                 else if (result.entry)
                     callbacks_.take_record(id, result.entry->version, result.entry->value);
                 else
@@ -253,7 +256,7 @@
                 auto* job = state_.jobs.find(id);
                 if (!job) return;
                 job->write_in_flight = false;
-                job->write_retry_at = now() + settings_.report_s * retry_reports;
+                job->write_retry_at = now() + settings_.heartbeat_interval_s * retry_reports;
                 if (!result.entry) return;
                 try {
                     auto state = protocol::parse_final_record(result.entry->value).state;
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -14,6 +14,7 @@
 #include "leader/part_context.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 #include "relay/worker_lease.hpp"
 
 namespace coralhitch::leader {
@@ -17,9 +19,9 @@
 // Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
 // enough that what an interruption leaves of the time for renewals is nearly all of it.
 kv::ListWatch::Timing watch_pace(const config::Settings& settings) {
-    double confirm_s = std::min(settings.report_s / 3, relay::renewal_window_s(settings) / 8);
-    return {settings.lease_s / 2, settings.report_s / 60, settings.report_s / 10, confirm_s,
-            settings.report_s};
+    double confirm_s = std::min(settings.heartbeat_interval_s / 3, relay::renewal_window_s(settings) / 8);
+    return {settings.lease_s / 2, settings.heartbeat_interval_s / 60, settings.heartbeat_interval_s / 10,
+            confirm_s, settings.heartbeat_interval_s};
 }
 std::string id_of(const std::string& key) {
     return key.substr(keys::jobs.size());
@@ -75,7 +77,8 @@
         auto& job = *state_.jobs.find(id);
         job.image = state_.cluster.image_number(job.spec->image);
         spdlog::debug("component=leader event=job_loaded job={} class={} tasks={} awaits={} cancelled={}", id,
-                      job.spec->cls, job.spec->tasks, job.unfinished_dependencies.size(), job.cancelled);
+                      job.spec->job_class, job.spec->tasks, job.unfinished_dependencies.size(),
+                      job.cancelled);
         if (job.cancelled) callbacks_.cancel_active(id, job);
         return true;
     } catch (const protocol::Malformed& error) {
@@ -88,7 +91,7 @@
                                   const char* error) {
     spdlog::error("component=leader event=malformed_job_record job={} error=\"{}\"", id, error);
     auto* job = state_.jobs.find(id);
-    if (!job || job->cancelled || !protocol::says_cancelled(value)) return false;
+    if (!job || job->cancelled || !protocol::is_cancelled_record(value)) return false;
     state_.jobs.cancel(id, version);
     callbacks_.cancel_active(id, *job);
     return true;
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -14,6 +14,7 @@
 #include "kv/list_watch.hpp"
 #include "leader/job_store.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -31,9 +31,10 @@
       authority_(dependencies_.timers, dependencies_.settings, dependencies_.election, version,
                  [this] { return job_watcher_.complete_until(); }),
       state_(version, dependencies_.types, dependencies_.settings.value_kb),
-      failure_detector_({dependencies_.settings.report_s, dependencies_.settings.lease_s,
-                         dependencies_.settings.op.silence_reports, dependencies_.settings.peers.size()}),
-      reconciliation_(state_.cluster, dependencies_.settings.report_s),
+      failure_detector_({dependencies_.settings.heartbeat_interval_s, dependencies_.settings.lease_s,
+                         dependencies_.settings.op.suspicion_timeout_periods,
+                         dependencies_.settings.peers.size()}),
+      reconciliation_(state_.cluster, dependencies_.settings.heartbeat_interval_s),
       attempts_(dependencies_.state, version, [this] { return authority_.begin_transaction(); }),
       instances_(context_, dependencies_.metrics, team_activity_,
                  [this](Machine& machine, const char* reason) { deletion_.mark(machine, reason); }),
@@ -151,8 +152,8 @@
     return recovery_.loaded() ? task_counts(state_, id) : std::nullopt;
 }
 
-std::vector<protocol::PeerCount> Leader::all_counts() {
-    return recovery_.loaded() ? all_task_counts(state_) : std::vector<protocol::PeerCount>{};
+std::vector<protocol::PeerTaskCounts> Leader::all_counts() {
+    return recovery_.loaded() ? all_task_counts(state_) : std::vector<protocol::PeerTaskCounts>{};
 }
 
 // The lines of all leaders together tell what each team got; bench/teams.py adds them up.
@@ -174,10 +175,11 @@
 void Leader::tick() {
     if (authority_.ended()) return;
     auto& settings = dependencies_.settings;
-    tick_timer_ = dependencies_.timers.after(settings.report_s * tick_reports, guarded_([this] { tick(); }));
+    tick_timer_ = dependencies_.timers.after(settings.heartbeat_interval_s * tick_reports,
+                                             guarded_([this] { tick(); }));
     heartbeats_.begin_tick();
     dependency_resolver_.retry();
-    reconciliation_.tick(now(), settings.report_s * tick_reports);
+    reconciliation_.tick(now(), settings.heartbeat_interval_s * tick_reports);
     if (supervisor_.check()) recovery_.check_reconciled();
     if (authority_.ended()) return;
     if (resign_if_tokens_run_out()) return;
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -46,6 +46,7 @@
 #include "leader/start_replication.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_rejections.hpp"
@@ -88,7 +89,7 @@
     // A heartbeat that came here; answered now, or once the jobs are loaded.
     void handle_heartbeat(relay::PendingHeartbeat report) { heartbeats_.handle(std::move(report)); }
     // Heartbeats that a relaying controller passes on.
-    void relay(const protocol::PeerRelay& message, const http::Reply& reply) {
+    void relay(const protocol::RelayRequest& message, const http::Reply& reply) {
         heartbeats_.handle_relayed(message, reply);
     }
     // Machines whose heartbeats relaying controllers answer.
@@ -101,7 +102,7 @@
     // Nothing if the job is not live, or jobs are not loaded.
     std::optional<api::TaskCounts> counts(const std::string& id);
     // Of all live jobs with tasks that run or are done.
-    std::vector<protocol::PeerCount> all_counts();
+    std::vector<protocol::PeerTaskCounts> all_counts();
     // The machines' image caches, for the next leader.
     protocol::PeerImages images() const { return images_to_hand_over(state_.cluster); }
     // Machines whose heartbeats are missing, and for how long, seconds.
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -10,6 +10,7 @@
 
 #include "cluster/cluster_state.hpp"
 #include "jobs/job_table.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -66,7 +66,7 @@
     if (!ok) {
         for (auto& id : machine_ids)
             if (auto* machine = state_.cluster.find(id)) machine->deletion = Machine::Deletion::allowed;
-        retry_at_ = timers_.now() + settings_.report_s * retry_reports;
+        retry_at_ = timers_.now() + settings_.heartbeat_interval_s * retry_reports;
         return;
     }
     {
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -14,6 +14,7 @@
 #include "kv/kv_client.hpp"
 #include "leader/part_context.hpp"
 #include "machine_registry/machine_registry.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -39,7 +39,7 @@
 bool MachineSupervisor::check() {
     auto checked = observe();
     double t = checked.at;
-    double recently_s = settings_.report_s * settings_.op.silence_reports;
+    double recently_s = settings_.heartbeat_interval_s * settings_.op.suspicion_timeout_periods;
     auto last_answer_at = parts_.commands.last_answer_at();
     parts_.failure_detector.observe(
         checked.observations,
@@ -75,8 +75,9 @@
     // has not been reported would wait for as long.
     if (machine.reconciled && machine.reachability.outbound_unreachable() &&
         !machine.has_reported_instances())
-        observation.unreached_s = at - machine.reachability.last_reached_at() - settings_.report_s;
-    if (std::max(observation.silence_s, observation.unreached_s) > settings_.report_s / 2)
+        observation.unreached_s =
+            at - machine.reachability.last_reached_at() - settings_.heartbeat_interval_s;
+    if (std::max(observation.silence_s, observation.unreached_s) > settings_.heartbeat_interval_s / 2)
         observation.eviction_cost = eviction_cost(machine);
     return observation;
 }
@@ -164,9 +165,10 @@
     double t = now(), since_probe = t - machine.last_probe_at;
     bool due = machine.reconciled
                    ? parts_.failure_detector.missed_heartbeat(observation) &&
-                         since_probe > settings_.report_s * reconciled_probe_reports
-                   : since_probe > settings_.report_s * unreconciled_probe_reports &&
-                         t - machine.created_at > settings_.report_s * CommandSender::first_probe_reports;
+                         since_probe > settings_.heartbeat_interval_s * reconciled_probe_reports
+                   : since_probe > settings_.heartbeat_interval_s * unreconciled_probe_reports &&
+                         t - machine.created_at >
+                             settings_.heartbeat_interval_s * CommandSender::first_probe_reports;
     if (due) parts_.commands.probe(machine);
 }
 
@@ -177,7 +179,7 @@
     double renewed_at = parts_.delegations.last_possible_renewal(machine);
     double lease_s = settings_.lease_s;
     bool expired = now() > renewed_at + lease_s * (1 + 2 * election::max_clock_drift) +
-                               settings_.report_s * lease_margin_reports;
+                               settings_.heartbeat_interval_s * lease_margin_reports;
     bool silent = now() - machine.last_heartbeat_at > lease_s || is_outbound_unreachable(machine);
     if (expired && silent && (!machine.tasks.empty() || !machine.reconciled)) {
         spdlog::info("component=leader event=lease_expired machine={} tasks={}", machine.id,
@@ -209,7 +211,7 @@
     double left_s = std::max(0.0, *machine.preemption_deadline - now());
     for (auto& [task, instance] : machine.tasks)
         if (instance.spec && instance.confirmed && !instance.stop_requested &&
-            (instance.spec->checkpoint_s > 0 || instance.spec->kind == JobKind::service))
+            (instance.spec->checkpoint_interval_s > 0 || instance.spec->kind == JobKind::service))
             stops.push_back({task, std::min(scheduler::grace_of(*instance.spec), left_s)});
     for (auto& [task, grace_s] : stops) {
         auto* job = state_.jobs.find(task.job);
@@ -228,7 +230,8 @@
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.life != Machine::Life::up) continue;
         double since_heartbeat = now() - machine.last_heartbeat_at;
-        if (machine.suspected || (!machine.reconciled && since_heartbeat > settings_.report_s / 2))
+        if (machine.suspected ||
+            (!machine.reconciled && since_heartbeat > settings_.heartbeat_interval_s / 2))
             silent_s.emplace(id, since_heartbeat + machine.silence_hint_s);
     }
     return silent_s;
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -23,6 +23,7 @@
 #include "leader/part_context.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -33,8 +33,8 @@
 // A plan that takes long leaves the processor to the event loop for as long again and more: with thousands of
 // tasks waiting, plan upon plan kept heartbeats waiting until healthy machines counted as unreachable.
 double PlanExecutor::minimum_interval_s() const {
-    double idle_s = std::min(last_plan_s_ * idle_ratio, settings_.report_s);
-    return std::max(settings_.report_s * plan_interval_reports, idle_s);
+    double idle_s = std::min(last_plan_s_ * idle_ratio, settings_.heartbeat_interval_s);
+    return std::max(settings_.heartbeat_interval_s * plan_interval_reports, idle_s);
 }
 
 void PlanExecutor::request_plan() {
@@ -49,7 +49,7 @@
 
 bool PlanExecutor::fleet_plan_due() const {
     return parts_.reconciliation.complete() &&
-           now() - last_fleet_ > settings_.report_s * fleet_interval_reports &&
+           now() - last_fleet_ > settings_.heartbeat_interval_s * fleet_interval_reports &&
            parts_.fleet_scaler.knows_machine_types();
 }
 
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -22,6 +22,7 @@
 #include "leader/part_context.hpp"
 #include "leader/planner.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace coralhitch::leader {
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -4,6 +4,7 @@
 #include <unordered_map>
 
 #include "cluster/team_usage.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 using cluster::Machine;
@@ -61,9 +62,10 @@
             auto image = in.jobs[it->second].image;
             if (!scheduler::has_image(view, image)) view.coming.push_back(image);
         }
-        in.instances.push_back({it->second, in.machines.size(), task.index,
-                                instance.stop_requested || instance.state == protocol::TaskState::saving,
-                                instance.placed_at, instance.running_since.value_or(-1)});
+        in.instances.push_back(
+            {it->second, in.machines.size(), task.index,
+             instance.stop_requested || instance.state == protocol::TaskState::checkpointing,
+             instance.placed_at, instance.running_since.value_or(-1)});
     }
     in.machines.push_back(std::move(view));
 }
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -8,6 +8,7 @@
 
 #include "kv/keys.hpp"
 #include "leader/image_handover.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 namespace keys = kv::keys;
@@ -89,7 +90,7 @@
 void Recovery::inherit(Machine& machine) {
     auto& rows = inheritance_.replica.machines;
     auto row = rows.find(machine.id);
-    machine.known_from_replica = row == rows.end() || row->second.known;
+    machine.known_from_replica = row == rows.end() || row->second.tasks_known;
     if (row == rows.end() || !machine.known_from_replica) return;
     machine.agent_epoch = row->second.agent_epoch;
     machine.sequence = row->second.sequence;
@@ -128,7 +129,7 @@
     std::size_t index = 0;
     for (auto& [id, machine] : machines)
         if (index++ % stride == 0) parts_.commands.probe(machine);
-    timers_.after(settings_.report_s * CommandSender::first_probe_reports, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * CommandSender::first_probe_reports, guarded_([this] {
                       for (bool known : {false, true})
                           for (auto& [id, machine] : state_.cluster.machines())
                               if (!machine.reconciled && machine.known_from_replica == known)
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -20,6 +20,7 @@
 #include "leader/part_context.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "membership/failure_detector.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/replica_state.hpp"
 
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -13,7 +13,7 @@
       flush_commands_(std::move(flush_commands)),
       sender_(context.timers, http, settings_, kv, authority_.fencing_token(),
               sender_callbacks(latest_ping)) {
-    if (settings_.op.standby) state_.cluster.hold_starts_until_replicated();
+    if (settings_.op.replicate_starts) state_.cluster.hold_starts_until_replicated();
 }
 
 replication::ReplicationSender::Callbacks StartReplication::sender_callbacks(const LatestPing& latest_ping) {
@@ -25,8 +25,8 @@
 }
 
 void StartReplication::begin(std::uint64_t record_version,
-                             const std::optional<protocol::StandbyRecord>& inherited) {
-    if (settings_.op.standby) sender_.start(record_version, inherited);
+                             const std::optional<protocol::InSyncReplicas>& inherited) {
+    if (settings_.op.replicate_starts) sender_.start(record_version, inherited);
 }
 
 void StartReplication::replicate_changes() {
@@ -35,12 +35,12 @@
         std::lock_guard lock(state_.mutex);
         changed = state_.cluster.take_machines_to_replicate();
     }
-    if (!settings_.op.standby) return;
+    if (!settings_.op.replicate_starts) return;
     for (auto& machine_id : changed) sender_.machine_changed(machine_id);
 }
 
 void StartReplication::hold(const std::string& machine_id, const protocol::TaskId& task) {
-    if (settings_.op.standby) held_starts_.push_back({sender_.log_index(), machine_id, task});
+    if (settings_.op.replicate_starts) held_starts_.push_back({sender_.log_index(), machine_id, task});
 }
 
 void StartReplication::release_starts() {
@@ -59,18 +59,18 @@
     flush_commands_();
 }
 
-std::optional<protocol::PeerMachineRow> StartReplication::row_of(const std::string& machine_id) const {
+std::optional<protocol::ReplicatedMachine> StartReplication::row_of(const std::string& machine_id) const {
     auto found = state_.cluster.machines().find(machine_id);
     if (found == state_.cluster.machines().end())
-        return protocol::PeerMachineRow{machine_id, false, true, 0, 0, {}};
+        return protocol::ReplicatedMachine{machine_id, false, true, 0, 0, {}};
     auto& machine = found->second;
     if (machine.life == Machine::Life::booting) return std::nullopt;
-    protocol::PeerMachineRow row{machine_id,
-                                 machine.known_from_replica || machine.reconciled,
-                                 false,
-                                 machine.agent_epoch,
-                                 machine.sequence,
-                                 {}};
+    protocol::ReplicatedMachine row{machine_id,
+                                    machine.known_from_replica || machine.reconciled,
+                                    false,
+                                    machine.agent_epoch,
+                                    machine.sequence,
+                                    {}};
     for (auto& [task, instance] : machine.tasks)
         row.tasks.push_back({task.job, task.index, instance.attempt});
     return row;
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -14,6 +14,7 @@
 
 #include "kv/kv_client.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/replication_sender.hpp"
 
@@ -24,14 +25,14 @@
     // What another controller last said of itself, if that is not long ago; else null.
     using LatestPing = std::function<const protocol::PeerPing*(const std::string& label)>;
 
-    // Makes the cluster state hold starts back, if they are replicated at all (settings.op.standby).
+    // Makes the cluster state hold starts back, if they are replicated at all (settings.op.replicate_starts).
     StartReplication(const PartContext& context, http::Requester& http, kv::KvClient& kv,
                      const LatestPing& latest_ping, std::function<void()> flush_commands);
 
-    // Once, with the standby record's version as read after the claim (0: there is none) and the record
+    // Once, with the in-sync record's version as read after the claim (0: there is none) and the record
     // itself if this leader's own copy was proof; before anything changes in the cluster state. Does nothing
     // if starts are not replicated.
-    void begin(std::uint64_t record_version, const std::optional<protocol::StandbyRecord>& inherited);
+    void begin(std::uint64_t record_version, const std::optional<protocol::InSyncReplicas>& inherited);
     // Queues the machines that have changed since the last call.
     void replicate_changes();
     // The start of this task, whose machine was among the last changes queued, is sent once they are
@@ -54,7 +55,7 @@
         std::string machine_id;
         protocol::TaskId task;
     };
-    [[nodiscard]] std::optional<protocol::PeerMachineRow> row_of(const std::string& machine_id) const;
+    [[nodiscard]] std::optional<protocol::ReplicatedMachine> row_of(const std::string& machine_id) const;
     [[nodiscard]] std::vector<std::string> machine_ids() const;
     [[nodiscard]] replication::ReplicationSender::Callbacks sender_callbacks(const LatestPing& latest_ping);
 
--- a/src/leader/task_counts.cpp
+++ b/src/leader/task_counts.cpp
@@ -20,8 +20,8 @@
     return job ? std::optional(count(state, id, *job)) : std::nullopt;
 }
 
-std::vector<protocol::PeerCount> all_task_counts(LeaderState& state) {
-    std::vector<protocol::PeerCount> all;
+std::vector<protocol::PeerTaskCounts> all_task_counts(LeaderState& state) {
+    std::vector<protocol::PeerTaskCounts> all;
     for (auto& [id, job] : state.jobs.entries()) {
         auto counts = count(state, id, job);
         if (counts.done + counts.running > 0) all.push_back({id, counts.done, counts.running});
--- a/src/leader/task_counts.hpp
+++ b/src/leader/task_counts.hpp
@@ -14,6 +14,6 @@
 // Of one job; nothing if it is not live.
 [[nodiscard]] std::optional<api::TaskCounts> task_counts(LeaderState& state, const std::string& id);
 // Of all live jobs, but for those with neither: that is what is assumed of a job without counts.
-[[nodiscard]] std::vector<protocol::PeerCount> all_task_counts(LeaderState& state);
+[[nodiscard]] std::vector<protocol::PeerTaskCounts> all_task_counts(LeaderState& state);
 
 }  // namespace coralhitch::leader
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -8,6 +8,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::machine_registry {
 namespace keys = kv::keys;
@@ -228,7 +230,7 @@
 bool MachineRegistry::is_anything_due() const {
     if (!old_keys_.empty()) return true;
     double since_cleanup_s = timers_.now() - last_cleanup_at_;
-    bool is_cleanup_due = since_cleanup_s > settings_.report_s * cleanup_interval_reports;
+    bool is_cleanup_due = since_cleanup_s > settings_.heartbeat_interval_s * cleanup_interval_reports;
     return std::any_of(pages_.begin(), pages_.end(), [&](const auto& entry) {
         const Page& page = entry.second;
         return page.has_new_records || (is_cleanup_due && page.has_removed) || is_deletable(page);
@@ -240,7 +242,8 @@
     evacuate_pages();
     if (!is_anything_due()) return;
     if (last_write_at_) {
-        double wait_s = *last_write_at_ + settings_.report_s * min_write_interval_reports - timers_.now();
+        double wait_s =
+            *last_write_at_ + settings_.heartbeat_interval_s * min_write_interval_reports - timers_.now();
         if (wait_s > 0) return schedule_flush(wait_s);
     }
     for (const auto& [number, page] : pages_)
@@ -254,7 +257,7 @@
     kv_.get(keys::machine_page(number), RequestPriority::write,
             guarded_([this, number](kv::GetResult result) {
                 is_request_pending_ = false;
-                if (!result.ok()) return schedule_flush(settings_.report_s * retry_reports);
+                if (!result.ok()) return schedule_flush(settings_.heartbeat_interval_s * retry_reports);
                 auto& page = pages_[number];
                 page.version = result.entry ? result.entry->version : 0;
                 page.version_unknown = false;
@@ -309,7 +312,7 @@
         if (auto record = callbacks_.current_record(id)) {
             page.bytes += bytes_of(id, *record);
             batch.machines.push_back({id, *record});
-            records.emplace_back(id, std::move(*record));
+            records.push_back({id, std::move(*record)});
         }
     batch.bytes += page.bytes;
     batch.is_urgent = batch.is_urgent || page.has_new_records;
@@ -349,7 +352,8 @@
     }
     bool is_rejected = result.status == TxnResult::Status::rejected;
     if (is_rejected) shrink_pages();
-    schedule_flush(settings_.report_s * (is_rejected ? retry_after_rejection_reports : retry_reports));
+    schedule_flush(settings_.heartbeat_interval_s *
+                   (is_rejected ? retry_after_rejection_reports : retry_reports));
 }
 
 }  // namespace coralhitch::machine_registry
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -29,6 +29,8 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::machine_registry {
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
 
 namespace coralhitch::membership {
 
@@ -46,8 +46,8 @@
 
 FailureDetector::FailureDetector(const FailureDetectorLimits& limits)
     : limits_(limits),
-      base_timeout_s_(limits.report_s * limits.silence_reports),
-      recent_s_(std::max(base_timeout_s_ - limits.report_s, limits.report_s / 2)),
+      base_timeout_s_(limits.heartbeat_interval_s * limits.suspicion_timeout_periods),
+      recent_s_(std::max(base_timeout_s_ - limits.heartbeat_interval_s, limits.heartbeat_interval_s / 2)),
       history_(limits.lease_s * history_leases),
       slowest_boot_(initial_boots) {}
 
@@ -62,7 +62,7 @@
 bool FailureDetector::zone_silent(std::size_t zone, double now) const {
     if (zone >= zones_.size() || !zones_[zone].last_heartbeat_at) return false;
     double silence_s = now - *zones_[zone].last_heartbeat_at;
-    return silence_s > limits_.report_s * zone_silent_reports &&
+    return silence_s > limits_.heartbeat_interval_s * zone_silent_reports &&
            silence_s < limits_.lease_s * zone_silent_leases;
 }
 
@@ -72,7 +72,7 @@
 // first.
 bool FailureDetector::missed_heartbeat(const Observation& machine) const {
     return machine.silence_s >
-           limits_.report_s * (machine.reconciled ? missed_reports : unreconciled_reports);
+           limits_.heartbeat_interval_s * (machine.reconciled ? missed_reports : unreconciled_reports);
 }
 
 void FailureDetector::observe(std::span<Observation> machines, const LeaderCondition& leader, double now) {
@@ -128,7 +128,7 @@
         auto& zone = zones_[index];
         // Of few machines it may be chance that none sent a heartbeat for half a period.
         bool long_enough = zone.up >= min_unreachable_zone_at_once || !zone.last_heartbeat_at ||
-                           now - *zone.last_heartbeat_at > limits_.report_s;
+                           now - *zone.last_heartbeat_at > limits_.heartbeat_interval_s;
         if (zone.up >= min_unreachable_zone && long_enough &&
             static_cast<double>(zone.recent) <= share(zone.up, isolated_share)) {
             unreachable_zones_.insert(index);
@@ -157,8 +157,8 @@
     for (auto& machine : machines)
         if (machine.reconciled && now - machine.last_heartbeat_at > base_timeout_s_ &&
             latest_by_route[machine.route] <=
-                machine.last_heartbeat_at + limits_.report_s * max_interval_reports)
-            lost_routes_[std::string(machine.route)] = now + limits_.report_s * reroute_reports;
+                machine.last_heartbeat_at + limits_.heartbeat_interval_s * max_interval_reports)
+            lost_routes_[std::string(machine.route)] = now + limits_.heartbeat_interval_s * reroute_reports;
 }
 
 // Silences of single machines. One that is over tells how long such take.
@@ -203,9 +203,9 @@
                 suspicion.missed_heartbeats.emplace(machine.id, machine.silence_s);
     // That a third is silent shows in what is missing before a third has missed a heartbeat: the first that
     // became due used to be deleted, a tenth of the fleet, before their leader began to suspect itself.
-    bool third_missing =
-        silence_is_new && up >= min_isolated_fleet &&
-        static_cast<double>(recent) < share(up, recent_s_ / limits_.report_s * (1 - mass_silence_share));
+    bool third_missing = silence_is_new && up >= min_isolated_fleet &&
+                         static_cast<double>(recent) <
+                             share(up, recent_s_ / limits_.heartbeat_interval_s * (1 - mass_silence_share));
     mass_silence_ = suspicion.isolated || third_missing ||
                     static_cast<double>(missed + evicted) > share(up + evicted, mass_silence_share);
     bool many = static_cast<double>(suspicion.missed_heartbeats.size() + evicted) >
@@ -244,11 +244,11 @@
 // every other controller in vain before it comes to one that receives its heartbeat.
 double FailureDetector::unreconciled_timeout_s() const {
     double timeout_s = leader_.probes_answered
-                           ? std::min(base_timeout_s_, limits_.report_s * unreconciled_reports)
-                           : base_timeout_s_ + limits_.report_s +
+                           ? std::min(base_timeout_s_, limits_.heartbeat_interval_s * unreconciled_reports)
+                           : base_timeout_s_ + limits_.heartbeat_interval_s +
                                  static_cast<double>(limits_.peers) * protocol::heartbeat_retry_s;
     if (self_suspicion_)
-        timeout_s = std::max(timeout_s, base_timeout_s_ + limits_.report_s * reroute_reports);
+        timeout_s = std::max(timeout_s, base_timeout_s_ + limits_.heartbeat_interval_s * reroute_reports);
     return timeout_s;
 }
 
@@ -259,7 +259,7 @@
 }
 
 double FailureDetector::suspicion_timeout_s(const Observation& machine) const {
-    double reroute_s = limits_.report_s * reroute_reports;
+    double reroute_s = limits_.heartbeat_interval_s * reroute_reports;
     double timeout_s = base_timeout_s_ + (self_suspicion_ && mass_silence_ ? reroute_s : 0);
     if (!machine.reconciled) {
         if (!machine.known_from_replica) return unreconciled_timeout_s();
@@ -273,13 +273,14 @@
         timeout_s = std::max(timeout_s, std::min(timeout_s * own_work_timeouts, limits_.lease_s));
     // As long as one that has been silent for so long is likely enough to return.
     if (machine.silence_s >= timeout_s &&
-        history_.return_probability(machine.silence_s, limits_.report_s) * eviction_cost_reports > 1)
-        return machine.silence_s + limits_.report_s;
+        history_.return_probability(machine.silence_s, limits_.heartbeat_interval_s) * eviction_cost_reports >
+            1)
+        return machine.silence_s + limits_.heartbeat_interval_s;
     return timeout_s;
 }
 
 Health FailureDetector::evaluate(const Observation& machine) const {
-    if (machine.silence_s > limits_.report_s * unreconciled_reports &&
+    if (machine.silence_s > limits_.heartbeat_interval_s * unreconciled_reports &&
         machine.silence_s > suspicion_timeout_s(machine))
         return Health::dead;
     return missed_heartbeat(machine) || zone_unreachable(machine.zone) ? Health::suspected : Health::alive;
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -23,10 +23,10 @@
 namespace coralhitch::membership {
 
 struct FailureDetectorLimits {
-    double report_s = 0;         // heartbeat period of the agents, seconds
-    double lease_s = 0;          // lease of the agents, seconds
-    double silence_reports = 0;  // heartbeat periods of silence after which others wait too long
-    std::size_t peers = 0;       // other controllers
+    double heartbeat_interval_s = 0;       // heartbeat period of the agents, seconds
+    double lease_s = 0;                    // lease of the agents, seconds
+    double suspicion_timeout_periods = 0;  // heartbeat periods of silence after which others wait too long
+    std::size_t peers = 0;                 // other controllers
 };
 
 // Why the leader may be the one that is cut off. Peers are asked before any machine is evicted.
--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -15,7 +15,7 @@
 namespace coralhitch::protocol {
 
 namespace paths {
-inline constexpr std::string_view report = "/hello";
+inline constexpr std::string_view heartbeat = "/hello";
 inline constexpr std::string_view commands = "/do";
 inline constexpr std::string_view inspect = "/inspect";
 }  // namespace paths
@@ -48,7 +48,7 @@
 struct HeartbeatOutline {
     std::string_view machine;  // part of the body
     std::uint64_t agent_epoch = 0, sequence = 0;
-    std::size_t at = 0, digits = 0;  // of the sequence number's digits in the body
+    std::size_t sequence_offset = 0, sequence_digits = 0;  // where its digits stand in the body
 };
 // Found without reading the rest; nothing if the text is laid out in a way that this does not expect.
 std::optional<HeartbeatOutline> outline_heartbeat(std::string_view body);
--- a/src/protocol/cloud_api.cpp
+++ b/src/protocol/cloud_api.cpp
@@ -18,7 +18,7 @@
 MachineType type_of(const json& e) {
     MachineType t;
     t.name = fields::text(e, "name");
-    t.room = {fields::amount(e, "vcpus"), fields::amount(e, "cards"), fields::amount(e, "ram_gb")};
+    t.capacity = {fields::amount(e, "vcpus"), fields::amount(e, "cards"), fields::amount(e, "ram_gb")};
     t.cache_gb = fields::amount(e, "cache_gb");
     t.fetch_gb_per_s = fields::amount(e, "fetch_gb_per_s");
     t.price = fields::amount(e, "hourly");
--- a/src/protocol/job_json.cpp
+++ b/src/protocol/job_json.cpp
@@ -14,7 +14,7 @@
 
 json job_json(const Job& b) {
     json j{{"id", b.id},
-           {"cohort", b.cls},
+           {"cohort", b.job_class},
            {"crew", b.team},
            {"shape", name_of(kind_names, b.kind)},
            {"rank", name_of(priority_names, b.priority)},
@@ -27,13 +27,13 @@
            {"together", b.one_zone},
            {"scatter", b.spread},
            {"driftwood", b.spot},
-           {"reckon_s", b.estimate_s},
-           {"anchor_s", b.checkpoint_s},
-           {"stow_s", b.save_s}};
+           {"reckon_s", b.estimated_run_s},
+           {"anchor_s", b.checkpoint_interval_s},
+           {"stow_s", b.checkpoint_save_s}};
     if (b.types) j["hulls"] = *b.types;
     if (b.zone) j["reef"] = *b.zone;
     if (b.deadline_s) j["tide_s"] = *b.deadline_s;
-    if (!b.awaits.empty()) j[dependencies_field] = b.awaits;
+    if (!b.dependencies.empty()) j[dependencies_field] = b.dependencies;
     return j;
 }
 
@@ -52,7 +52,7 @@
     Job b;
     b.id = fields::text(j, "id");
     if (!valid_job_id(b.id)) bad("id", "is not of the form j-000412");
-    b.cls = fields::text(j, "cohort");
+    b.job_class = fields::text(j, "cohort");
     b.team = fields::text(j, "crew");
     b.kind = named(kind_names, fields::text(j, "shape"), "shape");
     b.priority = named(priority_names, fields::text(j, "rank"), "rank");
@@ -68,11 +68,11 @@
     b.one_zone = fields::flag(j, "together");
     b.spread = fields::flag(j, "scatter");
     b.spot = fields::flag(j, "driftwood");
-    b.estimate_s = fields::amount(j, "reckon_s");
-    b.checkpoint_s = fields::amount(j, "anchor_s");
-    b.save_s = fields::amount(j, "stow_s");
+    b.estimated_run_s = fields::amount(j, "reckon_s");
+    b.checkpoint_interval_s = fields::amount(j, "anchor_s");
+    b.checkpoint_save_s = fields::amount(j, "stow_s");
     if (auto* v = fields::find(j, "tide_s")) b.deadline_s = fields::as_amount(*v, "tide_s");
-    b.awaits = dependencies_of(j);
+    b.dependencies = dependencies_of(j);
     return b;
 }
 bool has_dependencies(const json& object) {
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -40,7 +40,7 @@
 };
 
 struct Job {
-    std::string id, cls, team;
+    std::string id, job_class, team;
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
@@ -50,9 +50,10 @@
     std::optional<std::vector<std::string>> types;
     std::optional<std::string> zone;
     bool one_zone = false, spread = false, spot = false;
-    double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+    double estimated_run_s = 0, checkpoint_interval_s = 0;
+    double checkpoint_save_s = 0;  // how long a task takes to save one
     std::optional<double> deadline_s;
-    std::vector<std::string> awaits;  // jobs to be done before any task of this one starts; each once
+    std::vector<std::string> dependencies;  // jobs to be done before any task of this one starts; each once
 };
 
 enum class JobState { queued, running, done, cancelled };
@@ -63,8 +64,18 @@
     std::optional<std::uint64_t> done, running;
 };
 
-enum class TaskState { fetching, waiting, running, saving, exited };
-enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+enum class TaskState { fetching, waiting, running, checkpointing, exited };
+enum class ExitCause {
+    none,
+    done,
+    stopped,
+    gang_member_lost,  // another task of its gang has disappeared
+    gang_incomplete,   // its gang was not complete in time
+    error,
+    insufficient_resources,  // the start was refused
+    other_attempt_present,   // the start was refused: the machine has this task with another attempt number
+    unknown
+};
 
 struct TaskStatus {
     TaskId task;
@@ -84,7 +95,7 @@
 
 enum class CommandKind { start, stop, forget };
 struct Command {
-    CommandKind op = CommandKind::start;
+    CommandKind kind = CommandKind::start;
     TaskId task;
     std::uint64_t attempt = 0;
     double grace_s = 0;
@@ -92,7 +103,7 @@
 
 struct MachineType {
     std::string name;
-    Resources room;
+    Resources capacity;
     double cache_gb = 0, fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
     std::vector<std::string> zones;
 };
@@ -105,7 +116,7 @@
     Resources total;
     double fetch_gb_per_s = 0;  // 0: not known
 };
-using Images = std::vector<std::uint32_t>;  // sorted; a number for each image's name
+using ImageIds = std::vector<std::uint32_t>;  // sorted; a number for each image's name
 
 enum class HostState { booting, running, failed };
 struct Host {
@@ -134,18 +145,19 @@
 struct LeaderRecord {
     std::string label;
     std::uint64_t incarnation = 0;
-    // It stores a record of who follows it before its first `run`. Versions that don't, say nothing.
-    bool keeps_record = false;
+    // This leader stores `InSyncReplicas` before its first start. Versions that do not store it leave this
+    // out.
+    bool stores_in_sync_replicas = false;
 };
-// Who has taken in every start that may have been sent under this leadership, or before it.
-struct StandbyRecord {
+// Which controllers have acknowledged every start that can have been sent under a leadership, or before it.
+struct InSyncReplicas {
     struct Member {
         std::string label;
-        std::uint64_t incarnation = 0;  // of its process
-        std::uint64_t begun = 0;        // the leadership under which its copy was begun from nothing
+        std::uint64_t incarnation = 0;   // of its process
+        std::uint64_t base_version = 0;  // the leadership whose snapshot its replica began from
         bool operator==(const Member&) const = default;
     };
-    std::uint64_t version = 0;  // of the leader's key
+    std::uint64_t leader_version = 0;  // of the leader's key
     std::vector<Member> members;
 };
 
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -34,17 +34,17 @@
 inline constexpr Names<TaskState, 5> task_state_names{{{TaskState::fetching, "fetching"},
                                                        {TaskState::waiting, "waiting"},
                                                        {TaskState::running, "running"},
-                                                       {TaskState::saving, "flushing"},
+                                                       {TaskState::checkpointing, "flushing"},
                                                        {TaskState::exited, "exited"}}};
 inline constexpr Names<ExitCause, 8> cause_names{{{ExitCause::done, "done"},
                                                   {ExitCause::stopped, "halted"},
-                                                  {ExitCause::peers, "mates_gone"},
-                                                  {ExitCause::alone, "incomplete"},
+                                                  {ExitCause::gang_member_lost, "mates_gone"},
+                                                  {ExitCause::gang_incomplete, "incomplete"},
                                                   {ExitCause::error, "error"},
-                                                  {ExitCause::no_room, "no_room"},
-                                                  {ExitCause::busy, "busy"},
+                                                  {ExitCause::insufficient_resources, "no_room"},
+                                                  {ExitCause::other_attempt_present, "busy"},
                                                   {ExitCause::unknown, "unknown"}}};
-inline constexpr Names<CommandKind, 3> op_names{
+inline constexpr Names<CommandKind, 3> command_names{
     {{CommandKind::start, "run"}, {CommandKind::stop, "kill"}, {CommandKind::forget, "clear"}}};
 inline constexpr Names<HostState, 3> host_state_names{
     {{HostState::booting, "booting"}, {HostState::running, "running"}, {HostState::failed, "failed"}}};
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -13,47 +13,52 @@
 inline constexpr std::string_view peer_user_path = "/peer/user";
 inline constexpr std::string_view peer_images_path = "/peer/images";
 inline constexpr std::string_view peer_job_path = "/peer/job";
-inline constexpr std::string_view peer_cancelled_path = "/peer/cancelled";
+inline constexpr std::string_view peer_cancellation_path = "/peer/cancelled";
 inline constexpr std::string_view peer_relay_path = "/peer/relay";
-inline constexpr std::string_view peer_fleet_path = "/peer/fleet";
+inline constexpr std::string_view peer_replication_path = "/peer/fleet";
 
 // Tasks of a live job, as the leader counts them.
-struct PeerCount {
+struct PeerTaskCounts {
     std::string id;
     std::uint64_t done = 0, running = 0;
     MSGPACK_DEFINE(id, done, running)
 };
-inline constexpr std::uint64_t peer_features_awaits = 1;  // jobs that await others
-inline constexpr std::uint64_t peer_features_relay = 2;   // takes reports that another controller heard
-inline constexpr std::uint64_t peer_features_follow = 3;  // takes what the leader tells of its machines
-inline constexpr std::uint64_t peer_features_carry = 4;   // goes on from the copy of the leader before
-inline constexpr std::uint64_t peer_features_brief = 5;   // takes answers to pings that leave out the lists
-inline constexpr std::uint64_t peer_features = peer_features_brief;
+// What a version can do, as a level: each includes those before it.
+namespace peer_features {
+inline constexpr std::uint64_t dependencies = 1;      // jobs that depend on others
+inline constexpr std::uint64_t relay = 2;             // as the leader, takes relayed heartbeats
+inline constexpr std::uint64_t replication = 3;       // follows the leader with a replica
+inline constexpr std::uint64_t replica_handover = 4;  // continues the previous leader's replica
+inline constexpr std::uint64_t brief_pings = 5;       // reads answers to pings that omit the lists
+inline constexpr std::uint64_t latest = brief_pings;
+}  // namespace peer_features
 
 struct PeerPing {
     std::string label;
     std::uint64_t incarnation = 0;
     std::uint64_t leader_version = 0;  // the newest leadership the sender knows of
     std::string leader;
-    bool state_ok = false;             // the key-value store answered the sender lately
-    std::vector<std::string> workers;  // machines that lately reported to the sender, which does not lead
-    std::vector<PeerCount> counts;     // of all live jobs, from a leader
-    std::uint64_t features = 0;        // what its version can do: a sender that says nothing is an old one
-    std::uint64_t followed = 0;        // the last leadership that told it all that its machines hold
-    std::vector<std::uint32_t> ages_ms{};  // since each of `workers` reported; an older version says nothing
-    // From a leader: machines that it has not heard when it should have, and for how long.
-    std::vector<std::string> silent{};
-    std::vector<std::uint32_t> silent_ms{};
-    bool brief = false;  // an answer: `workers` and the lists after it are as in the sender's last ping
-    MSGPACK_DEFINE(label, incarnation, leader_version, leader, state_ok, workers, counts, features, followed,
-                   ages_ms, silent, silent_ms, brief)
+    bool kv_reachable = false;                    // the key-value store answered the sender lately
+    std::vector<std::string> reporting_machines;  // whose heartbeats came lately to the sender, a follower
+    std::vector<PeerTaskCounts> task_counts;      // of all live jobs, from a leader
+    std::uint64_t features = 0;                   // a level of the above; 0: an older version
+    std::uint64_t replicated_leadership = 0;      // the last one of which the sender has a complete replica
+    // Since the last heartbeat of each of `reporting_machines`; empty from an older version.
+    std::vector<std::uint32_t> heartbeat_ages_ms{};
+    // From a leader: machines that it suspects, and since how long each has missed heartbeats.
+    std::vector<std::string> suspected{};
+    std::vector<std::uint32_t> suspected_silence_ms{};
+    bool lists_omitted = false;  // an answer: its lists are as in the sender's last ping
+    MSGPACK_DEFINE(label, incarnation, leader_version, leader, kv_reachable, reporting_machines, task_counts,
+                   features, replicated_leadership, heartbeat_ages_ms, suspected, suspected_silence_ms,
+                   lists_omitted)
 };
 // A user's request that its controller can't decide, since it does not reach the key-value store.
 struct PeerUserRequest {
     std::string method, target, body;
     MSGPACK_DEFINE(method, target, body)
 };
-struct PeerUserAnswer {
+struct PeerUserResponse {
     int status = 503;
     std::string body;
     double retry_after_s = 0;
@@ -63,7 +68,7 @@
     std::string id;
     MSGPACK_DEFINE(id)
 };
-struct PeerCancelled {
+struct PeerCancellation {
     std::string id;
     std::uint64_t version = 0;
     MSGPACK_DEFINE(id, version)
@@ -86,76 +91,76 @@
     MSGPACK_DEFINE(known, done, running)
 };
 
-// From a controller that hears workers for the leader. One at a time; each carries the next number.
-struct PeerHeard {
+// From a relay to the leader. One at a time; each carries the next sequence number.
+struct AnsweredHeartbeat {
     std::string machine;
-    std::uint64_t age_ms = 0;  // since its report came, at the time of sending
+    std::uint64_t age_ms = 0;  // since its heartbeat came, at the time of sending
     MSGPACK_DEFINE(machine, age_ms)
 };
-struct PeerRelay {
+struct RelayRequest {
     std::string label;
     std::uint64_t incarnation = 0;
     std::uint64_t leader_version = 0;  // of the leadership that it is meant for
-    std::uint64_t number = 0;
-    std::uint64_t answered = 0;        // the number of the last of these whose answer was taken in
-    std::vector<std::string> reports;  // as the workers sent them; each worker waits for its answer
-    std::vector<PeerHeard> heard;      // machines that repeated their last report, and were answered
-    MSGPACK_DEFINE(label, incarnation, leader_version, number, answered, reports, heard)
-};
-struct PeerRelayed {
+    std::uint64_t sequence_number = 0;
+    std::uint64_t acknowledged_sequence_number = 0;  // of the last request whose response the relay applied
+    std::vector<std::string> heartbeats;  // as the workers sent them; each worker waits for its answer
+    std::vector<AnsweredHeartbeat> answered_heartbeats;  // repeated the last one, answered by the relay
+    MSGPACK_DEFINE(label, incarnation, leader_version, sequence_number, acknowledged_sequence_number,
+                   heartbeats, answered_heartbeats)
+};
+struct RelayedReply {
     int status = 503;
     std::string body;
-    // Nothing is to be said to this machine: while the grant lasts, the same answer may be given to a report
-    // that repeats this one.
-    bool quiet = false;
-    MSGPACK_DEFINE(status, body, quiet)
-};
-struct PeerRelayAnswer {
-    bool leads = false, ready = false;  // ready: reports are taken; otherwise they may be sent again
-    std::uint64_t grant_ms = 0;         // counted from the sending of what this answers
-    std::vector<PeerRelayed> answers;   // of each report
-    std::vector<std::string> recalled;  // machines whose next report must come here; applied last
-    MSGPACK_DEFINE(leads, ready, grant_ms, answers, recalled)
+    // While the delegation is valid, the relay may give the same answer to a heartbeat that repeats this one.
+    bool nothing_pending = false;
+    MSGPACK_DEFINE(status, body, nothing_pending)
+};
+struct RelayResponse {
+    bool is_leader = false;
+    bool ready = false;                 // the heartbeats were handled; otherwise they may be sent again
+    std::uint64_t delegation_ms = 0;    // counted from the sending of the request
+    std::vector<RelayedReply> replies;  // to each of the request's heartbeats
+    std::vector<std::string> revoked;   // machines whose next heartbeat must be relayed; applied last
+    MSGPACK_DEFINE(is_leader, ready, delegation_ms, replies, revoked)
 };
 
-// From the leader to a controller that follows it: what its machines may hold. A row says all of its machine,
-// as of the sending; it replaces what an earlier piece said.
-struct PeerPlaced {
+// From the leader to a follower: what its machines may hold. Each machine is as of the sending, and replaces
+// what an earlier request said of it.
+struct ReplicatedTask {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     MSGPACK_DEFINE(job, index, attempt)
 };
-struct PeerMachineRow {
+struct ReplicatedMachine {
     std::string machine;
-    bool known = false;  // it holds these tasks at the most; otherwise anything may be on it
-    bool gone = false;   // it was deleted
-    std::uint64_t agent_epoch = 0, sequence = 0;  // of the last report that the leader heard
-    std::vector<PeerPlaced> tasks;
-    MSGPACK_DEFINE(machine, known, gone, agent_epoch, sequence, tasks)
+    bool tasks_known = false;  // it holds no others than `tasks`; otherwise anything may be on it
+    bool deleted = false;
+    std::uint64_t agent_epoch = 0, sequence = 0;  // of the last heartbeat that the leader received
+    std::vector<ReplicatedTask> tasks;
+    MSGPACK_DEFINE(machine, tasks_known, deleted, agent_epoch, sequence, tasks)
 };
-struct PeerFleet {
+struct ReplicationRequest {
     std::uint64_t leader_version = 0;
-    std::uint64_t number = 0;  // of this piece, growing; pieces of lower numbers that come later are refused
-    std::vector<PeerMachineRow> rows;
-    // The leadership under which the copy was begun that these rows go on from; 0: they begin one.
-    std::uint64_t begun = 0;
-    bool whole = false;  // all has been told by now, in this piece and those before
-    MSGPACK_DEFINE(leader_version, number, rows, begun, whole)
-};
-struct PeerFleetAnswer {
-    bool taken = false;
-    std::uint64_t incarnation =
-        0;                    // of the process that took it: another one knows nothing of what came before
-    std::uint64_t begun = 0;  // the leadership under which its copy was begun; 0: none, or it does not say
-    MSGPACK_DEFINE(taken, incarnation, begun)
+    std::uint64_t sequence_number = 0;  // grows; a lower one that comes later is rejected
+    std::vector<ReplicatedMachine> rows;
+    // The leadership whose snapshot the replica began from that these rows continue; 0: they begin a new one.
+    std::uint64_t base_version = 0;
+    bool snapshot_complete = false;  // with this request the follower has all machines
+    MSGPACK_DEFINE(leader_version, sequence_number, rows, base_version, snapshot_complete)
+};
+struct ReplicationResponse {
+    bool applied = false;
+    std::uint64_t incarnation = 0;   // of the process that applied it: another one has no replica
+    std::uint64_t base_version = 0;  // of its replica; 0: it has none, or is of a version that does not say
+    MSGPACK_DEFINE(applied, incarnation, base_version)
 };
 
 template <class T>
-std::string pack_peer(const T& v) {
-    msgpack::sbuffer b;
-    msgpack::pack(b, v);
-    return {b.data(), b.size()};
+std::string pack_peer(const T& message) {
+    msgpack::sbuffer buffer;
+    msgpack::pack(buffer, message);
+    return {buffer.data(), buffer.size()};
 }
 template <class T>
 std::optional<T> unpack_peer(std::string_view bytes) {
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -17,9 +17,9 @@
     json a = json::array();
     for (auto& t : types)
         a.push_back(json{{"name", t.name},
-                         {"vcpus", t.room.cpus},
-                         {"cards", t.room.gpus},
-                         {"ram_gb", t.room.memory_gb},
+                         {"vcpus", t.capacity.cpus},
+                         {"cards", t.capacity.gpus},
+                         {"ram_gb", t.capacity.memory_gb},
                          {"cache_gb", t.cache_gb},
                          {"fetch_gb_per_s", t.fetch_gb_per_s},
                          {"hourly", t.price},
@@ -29,7 +29,7 @@
     return fields::dumped(json{{"hulls", a}});
 }
 std::string stored(const JobRecord& r) {
-    auto* field = r.job.awaits.empty() ? job_field : awaiting_field;
+    auto* field = r.job.dependencies.empty() ? job_field : awaiting_field;
     return fields::dumped(
         json{{field, job_json(r.job)}, {"submitted", r.submitted}, {"cancelled", r.cancelled}});
 }
@@ -44,14 +44,15 @@
 }
 std::string stored(const LeaderRecord& r) {
     json j{{"label", r.label}, {"incarnation", r.incarnation}};
-    if (r.keeps_record) j["standby"] = true;
+    if (r.stores_in_sync_replicas) j["standby"] = true;
     return fields::dumped(j);
 }
-std::string stored(const StandbyRecord& r) {
+std::string stored(const InSyncReplicas& r) {
     json members = json::array();
     for (auto& m : r.members)
-        members.push_back(json{{"label", m.label}, {"incarnation", m.incarnation}, {"begun", m.begun}});
-    return fields::dumped(json{{"version", r.version}, {"members", members}});
+        members.push_back(
+            json{{"label", m.label}, {"incarnation", m.incarnation}, {"begun", m.base_version}});
+    return fields::dumped(json{{"version", r.leader_version}, {"members", members}});
 }
 std::string stored_bits(const std::vector<bool>& bits) {
     constexpr char digits[] = "0123456789abcdef";
@@ -73,18 +74,18 @@
 LiveRecord parse_live_record(std::string_view v) {
     json j = fields::parse_object(v);
     LiveRecord r{fields::flag(j, "cancelled"), {}};
-    if (auto* awaiting = fields::find(j, awaiting_field)) r.awaits = dependencies_of(*awaiting);
+    if (auto* awaiting = fields::find(j, awaiting_field)) r.dependencies = dependencies_of(*awaiting);
     return r;
 }
-bool says_cancelled(std::string_view v) {
+bool is_cancelled_record(std::string_view v) {
     json j = json::parse(v, nullptr, false);
     auto* c = j.is_object() ? fields::find(j, "cancelled") : nullptr;
     return c && c->is_boolean() && c->get<bool>();
 }
-JobRecord shortened(JobRecord r) {
-    r.job.cls = r.job.image = "-";
+JobRecord compact_cancelled_record(JobRecord r) {
+    r.job.job_class = r.job.image = "-";
     r.job.types.reset();
-    r.job.awaits.clear();
+    r.job.dependencies.clear();
     return r;
 }
 FinalRecord parse_final_record(std::string_view v) {
@@ -116,21 +117,21 @@
     return {fields::text(j, "label"), fields::count(j, "incarnation"),
             j.contains("standby") && fields::flag(j, "standby")};
 }
-bool keeps_record(std::string_view v) {
+bool stores_in_sync_replicas(std::string_view v) {
     try {
-        return parse_leader_record(v).keeps_record;
+        return parse_leader_record(v).stores_in_sync_replicas;
     } catch (const Malformed&) {
         return false;
     }
 }
-StandbyRecord parse_standby_record(std::string_view v) {
+InSyncReplicas parse_in_sync_replicas(std::string_view v) {
     json j = fields::parse_object(v);
-    StandbyRecord r{fields::count(j, "version"), {}};
+    InSyncReplicas r{fields::count(j, "version"), {}};
     for (auto& m : fields::list(j, "members")) {
         if (!m.is_object()) bad("members", "holds something that is not a member");
         // Versions before copies were carried over name only whom they told all themselves.
         r.members.push_back({fields::text(m, "label"), fields::count(m, "incarnation"),
-                             m.contains("begun") ? fields::count(m, "begun") : r.version});
+                             m.contains("begun") ? fields::count(m, "begun") : r.leader_version});
     }
     return r;
 }
--- a/src/protocol/records.hpp
+++ b/src/protocol/records.hpp
@@ -16,7 +16,7 @@
 std::string stored(const FinalRecord& r);
 std::string stored(const MachinePage& p);
 std::string stored(const LeaderRecord& r);
-std::string stored(const StandbyRecord& r);
+std::string stored(const InSyncReplicas& r);
 std::string stored_bits(const std::vector<bool>& bits);
 // As the cloud lists them: `parse_types` reads it.
 std::string stored_types(std::span<const MachineType> types);
@@ -24,19 +24,19 @@
 // What an answer about a live job needs of its record.
 struct LiveRecord {
     bool cancelled = false;
-    std::vector<std::string> awaits;
+    std::vector<std::string> dependencies;
 };
 LiveRecord parse_live_record(std::string_view v);
-bool says_cancelled(std::string_view v);  // of a record that may be unreadable otherwise
+bool is_cancelled_record(std::string_view v);  // of a record that may be unreadable otherwise
 // The record of a cancelled job without what may be long and only matters to starts: a cancellation must be
 // storable where the record was stored under a larger limit.
-JobRecord shortened(JobRecord r);
+JobRecord compact_cancelled_record(JobRecord r);
 FinalRecord parse_final_record(std::string_view v);
 MachineRecord parse_machine_record(std::string_view v);  // of the layout before there were pages
 MachinePage parse_machine_page(std::string_view v);
 LeaderRecord parse_leader_record(std::string_view v);
-bool keeps_record(std::string_view leader_record);  // false if it can't be read
-StandbyRecord parse_standby_record(std::string_view v);
+bool stores_in_sync_replicas(std::string_view leader_record);  // false if it can't be read
+InSyncReplicas parse_in_sync_replicas(std::string_view v);
 std::vector<bool> parse_bits(std::string_view v);
 
 }  // namespace coralhitch::protocol
--- a/src/relay/cancellation_notices.cpp
+++ b/src/relay/cancellation_notices.cpp
@@ -17,7 +17,7 @@
 
 void CancellationNotices::announce(const std::string& job_id, std::uint64_t version,
                                    std::uint64_t acknowledged_by) {
-    send(protocol::pack_peer(protocol::PeerCancelled{job_id, version}), {job_id, version, {}});
+    send(protocol::pack_peer(protocol::PeerCancellation{job_id, version}), {job_id, version, {}});
     if (static_cast<double>(notices_.size() + 1) > settings_.memory_mb * notices_per_mb && !notices_.empty())
         notices_.pop_front();
     notices_.push_back({job_id, version, acknowledged_by, timers_.now() + settings_.cancel_s});
@@ -26,19 +26,19 @@
 
 // To all: the controller that this one takes for the leader may have lost its lease, and the next leader is
 // not known here yet.
-void CancellationNotices::send(const std::string& body, const protocol::PeerCancelledAgain& message) {
+void CancellationNotices::send(const std::string& body, const protocol::PeerCancellationBatch& message) {
     for (auto& peer : settings_.peers)
-        http_.send(peer.addr,
-                   {"POST", std::string(protocol::peer_cancelled_path), body, "application/msgpack"},
-                   settings_.report_s, guarded_([this, message](std::optional<http::Response> response) {
-                       if (!response || response->status != 200) return;
-                       // A controller of the previous version answers without a body: it is notified again.
-                       auto answer = protocol::unpack_peer<protocol::PeerCancelledAnswer>(response->body);
-                       if (answer && answer->taken_by > 0) acknowledge(message, answer->taken_by);
-                   }));
+        http_.send(
+            peer.addr, {"POST", std::string(protocol::peer_cancellation_path), body, "application/msgpack"},
+            settings_.heartbeat_interval_s, guarded_([this, message](std::optional<http::Response> response) {
+                if (!response || response->status != 200) return;
+                // A controller of the previous version answers without a body: it is notified again.
+                auto answer = protocol::unpack_peer<protocol::PeerCancellationResponse>(response->body);
+                if (answer && answer->taken_by > 0) acknowledge(message, answer->taken_by);
+            }));
 }
 
-void CancellationNotices::acknowledge(const protocol::PeerCancelledAgain& message,
+void CancellationNotices::acknowledge(const protocol::PeerCancellationBatch& message,
                                       std::uint64_t leader_version) {
     std::set<std::string> job_ids{message.id};
     for (auto& more : message.more) job_ids.insert(more.id);
@@ -49,15 +49,15 @@
 
 void CancellationNotices::schedule_resend() {
     if (std::exchange(resend_scheduled_, true)) return;
-    timers_.after(settings_.report_s * resend_interval_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * resend_interval_periods, guarded_([this] {
                       resend_scheduled_ = false;
                       resend();
                   }));
 }
 
-protocol::PeerCancelledAgain CancellationNotices::unacknowledged() const {
+protocol::PeerCancellationBatch CancellationNotices::unacknowledged() const {
     auto leader_version = leader_version_();
-    protocol::PeerCancelledAgain message;
+    protocol::PeerCancellationBatch message;
     std::size_t count = 0;
     for (auto& notice : notices_) {
         if (notice.acknowledged_by > 0 && notice.acknowledged_by >= leader_version) continue;
--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -43,11 +43,11 @@
         std::uint64_t version, acknowledged_by;
         double expiry;  // steady time
     };
-    void send(const std::string& body, const protocol::PeerCancelledAgain& message);
+    void send(const std::string& body, const protocol::PeerCancellationBatch& message);
     void resend();
     void schedule_resend();
-    [[nodiscard]] protocol::PeerCancelledAgain unacknowledged() const;
-    void acknowledge(const protocol::PeerCancelledAgain& message, std::uint64_t leader_version);
+    [[nodiscard]] protocol::PeerCancellationBatch unacknowledged() const;
+    void acknowledge(const protocol::PeerCancellationBatch& message, std::uint64_t leader_version);
 
     event_loop::Timers& timers_;
     http::Requester& http_;
--- a/src/relay/heartbeat_queue.hpp
+++ b/src/relay/heartbeat_queue.hpp
@@ -15,7 +15,7 @@
 #include <utility>
 
 #include "http/message.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
 #include "relay/heartbeat_rejections.hpp"
 
 namespace coralhitch::relay {
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "election/election.hpp"
+#include "protocol/agent_api.hpp"
 
 namespace coralhitch::relay {
 namespace {
@@ -34,7 +35,7 @@
       settings_(settings),
       incarnation_(incarnation),
       leader_lookup_(std::move(leader_lookup)),
-      rejections_(timers, settings.report_s * rejection_log_periods) {}
+      rejections_(timers, settings.heartbeat_interval_s * rejection_log_periods) {}
 HeartbeatRelay::~HeartbeatRelay() = default;
 
 void HeartbeatRelay::tick() {
@@ -42,8 +43,9 @@
     if (connection_ != LeaderConnection::connected) reject_expired(failover_wait_share);
     if (!waiting_.empty() && !within_failover_window() && connection_ == LeaderConnection::failed)
         reject_all(waiting_);
-    timers_.after(settings_.report_s * idle_send_periods / 2, guarded_([this] { tick(); }));
-    if (!last_sent_ || timers_.now() - *last_sent_ >= settings_.report_s * idle_send_periods) send();
+    timers_.after(settings_.heartbeat_interval_s * idle_send_periods / 2, guarded_([this] { tick(); }));
+    if (!last_sent_ || timers_.now() - *last_sent_ >= settings_.heartbeat_interval_s * idle_send_periods)
+        send();
 }
 
 // Delegations and cached replies of a previous leadership don't hold for the next one.
@@ -68,7 +70,7 @@
 }
 bool HeartbeatRelay::within_failover_window() const {
     double ttl_s = settings_.lease_s * settings_.op.lease_ratio;
-    return settings_.op.hearing && disconnected_at_ &&
+    return settings_.op.relay_heartbeats && disconnected_at_ &&
            timers_.now() - *disconnected_at_ < ttl_s * failover_window_ttls;
 }
 
@@ -133,7 +135,9 @@
     if (in_flight_ || send_scheduled_) return;
     send_scheduled_ = true;
     double delay_s =
-        last_sent_ ? std::max(0.0, *last_sent_ + settings_.report_s * interval_periods - timers_.now()) : 0;
+        last_sent_
+            ? std::max(0.0, *last_sent_ + settings_.heartbeat_interval_s * interval_periods - timers_.now())
+            : 0;
     timers_.after(delay_s, guarded_([this] {
                       send_scheduled_ = false;
                       send();
@@ -157,12 +161,12 @@
     return batch;
 }
 
-protocol::PeerRelay HeartbeatRelay::next_message(const Batch& batch, double now) {
-    protocol::PeerRelay message{
+protocol::RelayRequest HeartbeatRelay::next_message(const Batch& batch, double now) {
+    protocol::RelayRequest message{
         settings_.label, incarnation_, leader_.version, ++last_message_, acknowledged_message_, {}, {}};
-    for (auto& heartbeat : batch) message.reports.push_back(heartbeat.body);
+    for (auto& heartbeat : batch) message.heartbeats.push_back(heartbeat.body);
     for (auto& [machine, answered_at] : unreported_heartbeats_)
-        message.heard.push_back(
+        message.answered_heartbeats.push_back(
             {machine, static_cast<std::uint64_t>(std::max(0.0, now - answered_at) * 1000)});
     unreported_heartbeats_.clear();
     return message;
@@ -173,7 +177,7 @@
     if (in_flight_ || leader_.addr.empty()) return;
     double now = timers_.now();
     if (connection_ == LeaderConnection::failed && last_sent_ &&
-        now - *last_sent_ < settings_.report_s * retry_periods)
+        now - *last_sent_ < settings_.heartbeat_interval_s * retry_periods)
         return;
     auto batch = next_batch(now);
     auto message = next_message(batch, now);
@@ -185,7 +189,7 @@
         leader_.addr,
         {"POST", std::string(protocol::peer_relay_path), protocol::pack_peer(message), "application/msgpack"},
         protocol::heartbeat_timeout_s * leader_timeout_share,
-        guarded_([this, number = message.number, now, receiver = leader_,
+        guarded_([this, number = message.sequence_number, now, receiver = leader_,
                   shared](const std::optional<http::Response>& response) {
             handle_answer(number, now, receiver, std::move(*shared), response);
         }));
@@ -204,10 +208,11 @@
                                    Batch batch, const std::optional<http::Response>& response) {
     in_flight_ = false;
     refresh_leader();
-    std::optional<protocol::PeerRelayAnswer> answer;
+    std::optional<protocol::RelayResponse> answer;
     if (response && response->status == 200)
-        answer = protocol::unpack_peer<protocol::PeerRelayAnswer>(response->body);
-    if (!answer || !answer->leads || receiver != leader_) return handle_failure(receiver, std::move(batch));
+        answer = protocol::unpack_peer<protocol::RelayResponse>(response->body);
+    if (!answer || !answer->is_leader || receiver != leader_)
+        return handle_failure(receiver, std::move(batch));
     connection_ = LeaderConnection::connected;
     if (!answer->ready) {
         // It has only begun to lead: the heartbeats are sent again, as long as their workers wait.
@@ -215,25 +220,25 @@
         if (!waiting_.empty()) schedule_send();
         return;
     }
-    auto answered = std::min(batch.size(), answer->answers.size());
-    for (std::size_t k = 0; k < answered; ++k) deliver(std::move(batch[k]), answer->answers[k]);
+    auto answered = std::min(batch.size(), answer->replies.size());
+    for (std::size_t k = 0; k < answered; ++k) deliver(std::move(batch[k]), answer->replies[k]);
     batch.erase(batch.begin(), batch.begin() + static_cast<std::ptrdiff_t>(answered));
     reject_all(batch);
     // Revocations before the extension: without them a machine's lease could be renewed for longer than the
     // leader expects.
-    for (auto& machine : answer->recalled) reply_cache_.forget(machine);
+    for (auto& machine : answer->revoked) reply_cache_.forget(machine);
     acknowledged_message_ = number;
     delegation_expiry_ =
-        sent_at + static_cast<double>(answer->grant_ms) / 1000 * (1 - 2 * election::max_clock_drift);
+        sent_at + static_cast<double>(answer->delegation_ms) / 1000 * (1 - 2 * election::max_clock_drift);
     // A full batch gains nothing by waiting for more heartbeats: at one full message per interval, the only
     // relay of 4,000 machines fell behind when most heartbeats were not repetitions.
     if (!waiting_.empty()) schedule_send(waiting_.size() < max_batch_heartbeats ? batch_interval_periods : 0);
 }
 
-void HeartbeatRelay::deliver(PendingHeartbeat heartbeat, const protocol::PeerRelayed& answer) {
+void HeartbeatRelay::deliver(PendingHeartbeat heartbeat, const protocol::RelayedReply& answer) {
     if (auto outline = protocol::outline_heartbeat(heartbeat.body)) {
         std::string machine(outline->machine);  // the outline points into the body, which is moved
-        if (answer.status == 200 && answer.quiet)
+        if (answer.status == 200 && answer.nothing_pending)
             reply_cache_.put(std::move(heartbeat.body), machine, outline->sequence, answer.body,
                              timers_.now());
         else
--- a/src/relay/heartbeat_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -84,11 +84,11 @@
     void schedule_send(double interval_periods = batch_interval_periods);
     void send();
     Batch next_batch(double now);
-    protocol::PeerRelay next_message(const Batch& batch, double now);
+    protocol::RelayRequest next_message(const Batch& batch, double now);
     void handle_answer(std::uint64_t number, double sent_at, const LeaderEndpoint& receiver, Batch batch,
                        const std::optional<http::Response>& response);
     void handle_failure(const LeaderEndpoint& receiver, Batch batch);
-    void deliver(PendingHeartbeat heartbeat, const protocol::PeerRelayed& answer);
+    void deliver(PendingHeartbeat heartbeat, const protocol::RelayedReply& answer);
 
     event_loop::Timers& timers_;
     http::Requester& http_;
--- a/src/relay/reply_cache.cpp
+++ b/src/relay/reply_cache.cpp
@@ -8,10 +8,11 @@
     auto& cached = it->second;
     std::string_view previous = cached.heartbeat;
     // A repetition has a higher sequence number: an equal or lower one is a message that arrived late.
-    bool repeats = cached.sequence_offset == outline.at && outline.sequence > cached.sequence &&
-                   previous.substr(0, cached.sequence_offset) == heartbeat.substr(0, outline.at) &&
-                   previous.substr(cached.sequence_offset + cached.sequence_digits) ==
-                       heartbeat.substr(outline.at + outline.digits);
+    bool repeats =
+        cached.sequence_offset == outline.sequence_offset && outline.sequence > cached.sequence &&
+        previous.substr(0, cached.sequence_offset) == heartbeat.substr(0, outline.sequence_offset) &&
+        previous.substr(cached.sequence_offset + cached.sequence_digits) ==
+            heartbeat.substr(outline.sequence_offset + outline.sequence_digits);
     return repeats ? &cached : nullptr;
 }
 
@@ -19,7 +20,8 @@
                      std::string reply_body, double now) {
     auto outline = protocol::outline_heartbeat(heartbeat);
     if (!outline || outline->machine != machine || outline->sequence != sequence) return forget(machine);
-    CachedReply cached{{}, outline->at, outline->digits, sequence, now, std::move(reply_body)};
+    CachedReply cached{{},  outline->sequence_offset, outline->sequence_digits, sequence,
+                       now, std::move(reply_body)};
     cached.heartbeat = std::move(heartbeat);  // last: the outline points into it
     by_machine_.insert_or_assign(machine, std::move(cached));
 }
--- a/src/relay/reply_cache.hpp
+++ b/src/relay/reply_cache.hpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
 
 namespace coralhitch::relay {
 
--- a/src/relay/worker_lease.hpp
+++ b/src/relay/worker_lease.hpp
@@ -6,7 +6,7 @@
 // (`kv::ListWatch::complete_at`) knows every cancellation committed before K; one that it does not know was
 // confirmed after K. So with
 //
-//     K + renewal_window_s + lease_s (1 + 2 drift) + report_s / 2 <= K + cancel_s
+//     K + renewal_window_s + lease_s (1 + 2 drift) + heartbeat_interval_s / 2 <= K + cancel_s
 //
 // no heartbeat that was answered before K + renewal_window_s keeps its task too long. The half report period
 // covers clock drift in between and the worker's own timers.
@@ -24,13 +24,14 @@
 // leave nothing.
 inline double renewal_window_s(const config::Settings& settings) {
     double left = settings.cancel_s - settings.lease_s * (1 + 2 * election::max_clock_drift) -
-                  settings.report_s * renewal_margin_periods;
+                  settings.heartbeat_interval_s * renewal_margin_periods;
     return std::max(0.0, left);
 }
 // For how many seconds after its authority has expired a leader goes on renewing leases, without sending new
 // commands. Its successor relies on this bound. `ttl_s`: of the leader's own lease.
 inline double renewal_grace_s(const config::Settings& settings, double ttl_s) {
-    return std::max(0.0, renewal_window_s(settings) - ttl_s - settings.report_s * renewal_margin_periods);
+    return std::max(
+        0.0, renewal_window_s(settings) - ttl_s - settings.heartbeat_interval_s * renewal_margin_periods);
 }
 // The steady time after which nothing that this leader answers, or lets relaying controllers answer, renews a
 // lease. `complete_at`, `authority_until`: steady times.
--- a/src/replication/eligibility_checks.cpp
+++ b/src/replication/eligibility_checks.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 bool record_stored(const ReplicaEvidence& evidence) {
-    return evidence.record && evidence.record->version < evidence.leader_version;
+    return evidence.record && evidence.record->leader_version < evidence.leader_version;
 }
 
 // The previous leader sent no start that this process had not acknowledged before. Another process of this
 // controller does not count: its replica was lost with it.
-const protocol::StandbyRecord::Member* own_member(const ReplicaEvidence& evidence) {
+const protocol::InSyncReplicas::Member* own_member(const ReplicaEvidence& evidence) {
     for (auto& member : evidence.record->members)
         if (member.label == evidence.label && member.incarnation == evidence.incarnation) return &member;
     return nullptr;
@@ -26,26 +26,28 @@
 // one that the record means.
 bool same_replica_as_record(const ReplicaEvidence& evidence) {
     return evidence.replica && evidence.replica->base_version != 0 &&
-           evidence.replica->base_version == own_member(evidence)->begun;
+           evidence.replica->base_version == own_member(evidence)->base_version;
 }
 
 // A leader replicates nothing before its record is stored, so a replica is never newer than the record,
 // except for what a leader of an earlier software version sent.
 bool replica_not_newer_than_record(const ReplicaEvidence& evidence) {
-    return evidence.replica->leader_version <= evidence.record->version;
+    return evidence.replica->leader_version <= evidence.record->leader_version;
 }
 
 bool leaders_since_record_known(const ReplicaEvidence& evidence) {
     auto& links = evidence.chain.leaderships;
     return evidence.history_complete && std::any_of(links.begin(), links.end(), [&](auto& link) {
-               return link.version == evidence.record->version;
+               return link.version == evidence.record->leader_version;
            });
 }
 
 // Leaders in between that keep a record would have replaced this one before their first start. Any other
 // leader may have started tasks that no record tells of.
 bool leaders_since_record_keep_records(const ReplicaEvidence& evidence) {
-    auto harmless = [&](auto& link) { return link.version <= evidence.record->version || link.keeps_record; };
+    auto harmless = [&](auto& link) {
+        return link.version <= evidence.record->leader_version || link.stores_in_sync_replicas;
+    };
     return std::all_of(evidence.chain.leaderships.begin(), evidence.chain.leaderships.end(), harmless) &&
            std::all_of(evidence.later_leaders.begin(), evidence.later_leaders.end(), harmless);
 }
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -4,27 +4,27 @@
 
 namespace coralhitch::replication {
 
-bool Follower::outdated(const protocol::PeerFleet& batch) const {
+bool Follower::outdated(const protocol::ReplicationRequest& batch) const {
     return batch.leader_version < replica_.leader_version ||
-           (batch.leader_version == replica_.leader_version && batch.number <= replica_.last_batch);
+           (batch.leader_version == replica_.leader_version && batch.sequence_number <= replica_.last_batch);
 }
 
 // Turns to a later leadership: it continues this replica, or begins a new one. False if it means to continue
 // another replica.
-bool Follower::follow_leader(const protocol::PeerFleet& batch) {
-    if (batch.begun != 0 && batch.begun != replica_.base_version) return false;
-    if (batch.begun == 0) replica_ = {0, 0, batch.leader_version, false, {}};
+bool Follower::follow_leader(const protocol::ReplicationRequest& batch) {
+    if (batch.base_version != 0 && batch.base_version != replica_.base_version) return false;
+    if (batch.base_version == 0) replica_ = {0, 0, batch.leader_version, false, {}};
     replica_.leader_version = batch.leader_version;
     return true;
 }
 
-protocol::PeerFleetAnswer Follower::apply(protocol::PeerFleet batch) {
+protocol::ReplicationResponse Follower::apply(protocol::ReplicationRequest batch) {
     if (outdated(batch) || (batch.leader_version > replica_.leader_version && !follow_leader(batch)))
         return {false, incarnation_, replica_.base_version};
-    replica_.last_batch = batch.number;
-    replica_.complete |= batch.whole;
+    replica_.last_batch = batch.sequence_number;
+    replica_.complete |= batch.snapshot_complete;
     for (auto& row : batch.rows) {
-        if (row.gone) {
+        if (row.deleted) {
             replica_.machines.erase(row.machine);
         } else {
             auto id = row.machine;
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -16,12 +16,12 @@
     // Applies a batch. Rejected (`taken` false in the answer) is a batch of an earlier leadership or one that
     // arrives after a later batch: it was delayed, and its contents may be outdated. So is one that continues
     // another replica than this one.
-    protocol::PeerFleetAnswer apply(protocol::PeerFleet batch);
+    protocol::ReplicationResponse apply(protocol::ReplicationRequest batch);
     [[nodiscard]] const ReplicaState& replica() const { return replica_; }
 
   private:
-    [[nodiscard]] bool outdated(const protocol::PeerFleet& batch) const;
-    [[nodiscard]] bool follow_leader(const protocol::PeerFleet& batch);
+    [[nodiscard]] bool outdated(const protocol::ReplicationRequest& batch) const;
+    [[nodiscard]] bool follow_leader(const protocol::ReplicationRequest& batch);
 
     std::uint64_t incarnation_;
     ReplicaState replica_;
--- a/src/replication/follower_session.cpp
+++ b/src/replication/follower_session.cpp
@@ -21,7 +21,7 @@
     state_ = State::in_sync;
     resumed_ = announce_complete_ = true;
     incarnation_ = member.incarnation;
-    base_version_ = member.begun;
+    base_version_ = member.base_version;
     in_sync_since_ = now;
     ++session_;
 }
@@ -74,10 +74,10 @@
     }
 }
 
-void FollowerSession::acknowledge(const Batch& batch, const protocol::PeerFleetAnswer& answer,
+void FollowerSession::acknowledge(const Batch& batch, const protocol::ReplicationResponse& answer,
                                   std::uint64_t leader_version) {
     incarnation_ = answer.incarnation;
-    base_version_ = answer.begun ? answer.begun : leader_version;
+    base_version_ = answer.base_version ? answer.base_version : leader_version;
     waiting_since_.reset();
     acknowledged_ = std::max(acknowledged_, batch.last_index);
 }
--- a/src/replication/follower_session.hpp
+++ b/src/replication/follower_session.hpp
@@ -21,7 +21,7 @@
 
 class FollowerSession {
   public:
-    using Member = protocol::StandbyRecord::Member;
+    using Member = protocol::InSyncReplicas::Member;
     enum class State {
         inactive,      // nothing is sent
         snapshotting,  // has not acknowledged all machines yet
@@ -60,7 +60,7 @@
     // It failed: its machines are sent again before all others.
     void requeue(const Batch& batch);
     // The follower has applied it. `leader_version`: of this leadership.
-    void acknowledge(const Batch& batch, const protocol::PeerFleetAnswer& answer,
+    void acknowledge(const Batch& batch, const protocol::ReplicationResponse& answer,
                      std::uint64_t leader_version);
     [[nodiscard]] bool snapshot_acknowledged() const {
         return state_ == State::snapshotting && queue_.empty();
--- a/src/replication/in_sync_record.cpp
+++ b/src/replication/in_sync_record.cpp
@@ -6,6 +6,8 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::replication {
 namespace {
@@ -39,9 +41,9 @@
     if (owned_ && members == confirmed_ && attempted_.empty()) return;
     auto txn = callbacks_.begin_txn();
     if (!txn) return retry_later();
-    txn->conditions.push_back({kv::keys::standby, record_version_});
-    txn->changes.push_back(
-        {kv::keys::standby, protocol::stored(protocol::StandbyRecord{leader_version_, members}), 0});
+    txn->conditions.push_back({kv::keys::in_sync_replicas, record_version_});
+    txn->changes.push_back({kv::keys::in_sync_replicas,
+                            protocol::stored(protocol::InSyncReplicas{leader_version_, members}), 0});
     for (auto& member : members) attempted_.insert(member.label);
     busy_ = true;
     // With the priority of lease renewals: no start is sent before it is answered.
@@ -65,7 +67,7 @@
 
 void InSyncRecord::retry_later() {
     if (std::exchange(busy_, true)) return;
-    timers_.after(settings_.report_s * retry_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] {
                       busy_ = false;
                       update();
                   }));
@@ -74,7 +76,7 @@
 // The result of a write is unknown: the stored record tells.
 void InSyncRecord::read_back() {
     busy_ = true;
-    kv_.get(kv::keys::standby, kv::RequestPriority::lease, guarded_([this](kv::GetResult result) {
+    kv_.get(kv::keys::in_sync_replicas, kv::RequestPriority::lease, guarded_([this](kv::GetResult result) {
                 busy_ = false;
                 if (result.ok()) {
                     record_version_ = result.entry ? result.entry->version : 0;
@@ -86,8 +88,8 @@
 
 void InSyncRecord::handle_read(const protocol::Entry& entry) {
     try {
-        auto record = protocol::parse_standby_record(entry.value);
-        if (record.version != leader_version_) return;
+        auto record = protocol::parse_in_sync_replicas(entry.value);
+        if (record.leader_version != leader_version_) return;
         owned_ = true;
         confirmed_ = record.members;
         callbacks_.on_read_back();
--- a/src/replication/in_sync_record.hpp
+++ b/src/replication/in_sync_record.hpp
@@ -17,13 +17,14 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/kv_api.hpp"
 #include "protocol/model.hpp"
 
 namespace coralhitch::replication {
 
 class InSyncRecord {
   public:
-    using Member = protocol::StandbyRecord::Member;
+    using Member = protocol::InSyncReplicas::Member;
     struct Callbacks {
         // Who is to be named: the followers in sync at present.
         std::function<std::vector<Member>()> in_sync_members;
--- a/src/replication/replica_state.hpp
+++ b/src/replication/replica_state.hpp
@@ -16,7 +16,7 @@
     std::uint64_t last_batch = 0;      // number of the last batch applied
     std::uint64_t base_version = 0;    // the leadership whose snapshot it began from
     bool complete = false;             // the leadership of `leader_version` has sent all its machines
-    std::unordered_map<std::string, protocol::PeerMachineRow> machines;  // by id
+    std::unordered_map<std::string, protocol::ReplicatedMachine> machines;  // by id
 };
 
 }  // namespace coralhitch::replication
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -41,7 +41,7 @@
 ReplicationSender::~ReplicationSender() = default;
 
 void ReplicationSender::start(std::uint64_t record_version,
-                              const std::optional<protocol::StandbyRecord>& inherited) {
+                              const std::optional<protocol::InSyncReplicas>& inherited) {
     record_.start(record_version);
     if (inherited)
         for (auto& member : inherited->members) resume(member);
@@ -54,7 +54,7 @@
 void ReplicationSender::tick() {
     if (!record_.started()) return;
     for (auto& [label, session] : sessions_) {
-        if (session.may_retry(timers_.now()) && capable_peer(label, protocol::peer_features_follow))
+        if (session.may_retry(timers_.now()) && capable_peer(label, protocol::peer_features::replication))
             begin_snapshot(session);
         // A follower that has been in sync for long starts over with the shortest backoff.
         if (session.in_sync() && timers_.now() - session.in_sync_since() > settings_.lease_s)
@@ -80,10 +80,10 @@
 // The follower's replica holds all that may run on the machines, as this leader's own did, and from now on it
 // gets all changes. So it is named from the first record on: when three leaders were killed a second apart,
 // none left an in-sync follower, since a snapshot takes longer.
-void ReplicationSender::resume(const protocol::StandbyRecord::Member& member) {
+void ReplicationSender::resume(const protocol::InSyncReplicas::Member& member) {
     auto it = sessions_.find(member.label);
     if (it == sessions_.end()) return;
-    auto* ping = capable_peer(member.label, protocol::peer_features_carry);
+    auto* ping = capable_peer(member.label, protocol::peer_features::replica_handover);
     if (ping && ping->incarnation == member.incarnation) it->second.resume(member, timers_.now());
 }
 
@@ -94,7 +94,8 @@
     if (!record_.started() || it == sessions_.end() || it->second.incarnation() == incarnation) return;
     auto& session = it->second;
     end_session(session, "restarted", Backoff::none);
-    if (!session.active() && capable_peer(label, protocol::peer_features_follow)) begin_snapshot(session);
+    if (!session.active() && capable_peer(label, protocol::peer_features::replication))
+        begin_snapshot(session);
     session.set_incarnation(incarnation);
 }
 
@@ -103,10 +104,10 @@
     spdlog::info("component=replication event=session_ended follower={} reason={}", session.peer().label,
                  reason);
     if (session.in_sync()) ++in_sync_sessions_ended_;
-    double delay_s =
-        backoff == Backoff::none
-            ? 0
-            : session.increase_backoff(settings_.report_s * min_backoff_periods, settings_.lease_s);
+    double delay_s = backoff == Backoff::none
+                         ? 0
+                         : session.increase_backoff(settings_.heartbeat_interval_s * min_backoff_periods,
+                                                    settings_.lease_s);
     session.end(timers_.now() + delay_s);
     record_.update();
 }
@@ -139,7 +140,7 @@
 
 void ReplicationSender::schedule_send() {
     if (std::exchange(send_scheduled_, true)) return;
-    timers_.after(settings_.report_s * batch_interval_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * batch_interval_periods, guarded_([this] {
                       send_scheduled_ = false;
                       send_all();
                   }));
@@ -149,7 +150,8 @@
 
 double ReplicationSender::answer_timeout_s(const FollowerSession& session) const {
     bool starts_wait = session.in_sync() || record_.may_name(session.peer().label);
-    return settings_.report_s * (starts_wait ? in_sync_timeout_periods : snapshot_timeout_periods);
+    return settings_.heartbeat_interval_s *
+           (starts_wait ? in_sync_timeout_periods : snapshot_timeout_periods);
 }
 
 void ReplicationSender::send_all() {
@@ -159,34 +161,34 @@
 void ReplicationSender::send(FollowerSession& session) {
     // Not before the record is of this leadership: no replica may be newer than the record.
     if (!record_.owned() || !session.ready_to_send()) return;
-    protocol::PeerFleet message{leader_version_,
-                                ++batches_sent_,
-                                {},
-                                session.resumed() ? session.base_version() : 0,
-                                session.in_sync()};
+    protocol::ReplicationRequest message{leader_version_,
+                                         ++batches_sent_,
+                                         {},
+                                         session.resumed() ? session.base_version() : 0,
+                                         session.in_sync()};
     auto batch = session.next_batch(max_batch_machines, log_index_, timers_.now());
     for (auto& machine : batch.machines)
         if (auto row = callbacks_.machine_row(machine)) message.rows.push_back(std::move(*row));
-    http_.send(
-        session.peer().addr,
-        {"POST", std::string(protocol::peer_fleet_path), protocol::pack_peer(message), "application/msgpack"},
-        answer_timeout_s(session),
-        guarded_([this, &session, batch](const std::optional<http::Response>& response) {
-            handle_answer(session, batch, response);
-        }));
+    http_.send(session.peer().addr,
+               {"POST", std::string(protocol::peer_replication_path), protocol::pack_peer(message),
+                "application/msgpack"},
+               answer_timeout_s(session),
+               guarded_([this, &session, batch](const std::optional<http::Response>& response) {
+                   handle_answer(session, batch, response);
+               }));
 }
 
 void ReplicationSender::handle_answer(FollowerSession& session, const FollowerSession::Batch& batch,
                                       const std::optional<http::Response>& response) {
     if (!session.is_current(batch.session)) return;
     session.batch_finished();
-    std::optional<protocol::PeerFleetAnswer> answer;
+    std::optional<protocol::ReplicationResponse> answer;
     if (response && response->status == 200)
-        answer = protocol::unpack_peer<protocol::PeerFleetAnswer>(response->body);
+        answer = protocol::unpack_peer<protocol::ReplicationResponse>(response->body);
     if (!answer) return handle_no_answer(session, batch);
     if (session.incarnation() != 0 && answer->incarnation != session.incarnation())
         return follower_restarted(session.peer().label, answer->incarnation);
-    if (!answer->taken) return handle_rejection(session, *answer);
+    if (!answer->applied) return handle_rejection(session, *answer);
     handle_acknowledgement(session, batch, *answer);
 }
 
@@ -200,15 +202,16 @@
                   }));
 }
 
-void ReplicationSender::handle_rejection(FollowerSession& session, const protocol::PeerFleetAnswer& answer) {
-    if (session.resumed() && answer.begun != session.base_version())
+void ReplicationSender::handle_rejection(FollowerSession& session,
+                                         const protocol::ReplicationResponse& answer) {
+    if (session.resumed() && answer.base_version != session.base_version())
         end_session(session, "replica_not_the_recorded_one", Backoff::none);
     else
         end_session(session, "later_leader", Backoff::increase);
 }
 
 void ReplicationSender::handle_acknowledgement(FollowerSession& session, const FollowerSession::Batch& batch,
-                                               const protocol::PeerFleetAnswer& answer) {
+                                               const protocol::ReplicationResponse& answer) {
     session.acknowledge(batch, answer, leader_version_);
     if (session.snapshot_acknowledged()) {
         session.set_in_sync(timers_.now());
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -22,6 +22,8 @@
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
 #include "kv/kv_client.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/follower_session.hpp"
 #include "replication/in_sync_record.hpp"
@@ -32,7 +34,7 @@
   public:
     struct Callbacks {
         // The machine as it is now; nothing if there is nothing to replicate of it yet.
-        std::function<std::optional<protocol::PeerMachineRow>(const std::string& machine)> machine_row;
+        std::function<std::optional<protocol::ReplicatedMachine>(const std::string& machine)> machine_row;
         // Ids of all machines, for a snapshot.
         std::function<std::vector<std::string>()> all_machines;
         // A transaction on the condition that this leadership lasts; nothing without authority.
@@ -52,7 +54,7 @@
     // Call once, before anything changes in the cluster state. `record_version`: of the record's key as read
     // after the claim; 0: there is none. `inherited`: the record itself, if this leader's own replica was
     // proof; the followers it names continue their replicas.
-    void start(std::uint64_t record_version, const std::optional<protocol::StandbyRecord>& inherited);
+    void start(std::uint64_t record_version, const std::optional<protocol::InSyncReplicas>& inherited);
     // The controller is now another process.
     void follower_restarted(const std::string& label, std::uint64_t incarnation);
     // A machine has changed, and is sent within a tenth of a report period.
@@ -76,7 +78,7 @@
     [[nodiscard]] const protocol::PeerPing* capable_peer(const std::string& label,
                                                          std::uint64_t features) const;
     void begin_snapshot(FollowerSession& session);
-    void resume(const protocol::StandbyRecord::Member& member);
+    void resume(const protocol::InSyncReplicas::Member& member);
     enum class Backoff { none, increase };
     void end_session(FollowerSession& session, const char* reason, Backoff backoff);
     void schedule_send();
@@ -85,9 +87,9 @@
     void handle_answer(FollowerSession& session, const FollowerSession::Batch& batch,
                        const std::optional<http::Response>& response);
     void handle_no_answer(FollowerSession& session, const FollowerSession::Batch& batch);
-    void handle_rejection(FollowerSession& session, const protocol::PeerFleetAnswer& answer);
+    void handle_rejection(FollowerSession& session, const protocol::ReplicationResponse& answer);
     void handle_acknowledgement(FollowerSession& session, const FollowerSession::Batch& batch,
-                                const protocol::PeerFleetAnswer& answer);
+                                const protocol::ReplicationResponse& answer);
     [[nodiscard]] std::vector<FollowerSession::Member> in_sync_members() const;
     [[nodiscard]] double answer_timeout_s(const FollowerSession& session) const;
 
--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -37,7 +37,7 @@
 }
 
 bool GangPlacer::gathers(const JobView& job) const {
-    return plan_.in.unix_now - job.submitted >= plan_.settings.report_s * gather_reports;
+    return plan_.in.unix_now - job.submitted >= plan_.settings.heartbeat_interval_s * gather_reports;
 }
 
 // Its team's smaller jobs would take each place under the limit that comes free.
--- a/src/scheduler/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -3,6 +3,7 @@
 #include <compare>
 #include <vector>
 
+#include "protocol/model.hpp"
 #include "scheduler/machine_choice.hpp"
 #include "scheduler/preemption.hpp"
 
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <numeric>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Priority;
@@ -63,13 +65,14 @@
 
 bool JobOrder::pressed(std::size_t job) const {
     auto& view = in_.jobs[job];
-    return view.due - view.spec->estimate_s - in_.unix_now < settings_.report_s * pressed_reports;
+    return view.due - view.spec->estimated_run_s - in_.unix_now <
+           settings_.heartbeat_interval_s * pressed_reports;
 }
 
 bool JobOrder::patient(std::size_t job) const {
     auto& view = in_.jobs[job];
     if (view.spec->kind == JobKind::service || pressed(job)) return false;
-    return in_.unix_now - view.submitted < settings_.report_s * patience_reports;
+    return in_.unix_now - view.submitted < settings_.heartbeat_interval_s * patience_reports;
 }
 
 bool JobOrder::goes_before(std::size_t a, std::size_t b) const {
--- a/src/scheduler/machine_choice.cpp
+++ b/src/scheduler/machine_choice.cpp
@@ -2,6 +2,7 @@
 
 #include <limits>
 
+#include "protocol/model.hpp"
 #include "scheduler/two_choices.hpp"
 
 namespace coralhitch::scheduler {
--- a/src/scheduler/plan_state.hpp
+++ b/src/scheduler/plan_state.hpp
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
+#include "protocol/model.hpp"
 #include "scheduler/job_order.hpp"
 #include "scheduler/rules.hpp"
 #include "scheduler/types.hpp"
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Resources;
@@ -34,9 +36,10 @@
     auto& spec = *plan_.in.jobs[instance.job].spec;
     double ran = instance.running_since >= 0 ? plan_.in.now - instance.running_since : 0;
     double age = plan_.in.now - instance.placed;
-    double lost = spec.checkpoint_s > 0 ? spec.save_s : ran;
+    double lost = spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : ran;
     // Fetching the image again, and a start that counts for little if it is stopped soon after.
-    return lost + spec.save_s + std::max(0.0, plan_.settings.report_s * young_reports - age);
+    return lost + spec.checkpoint_save_s +
+           std::max(0.0, plan_.settings.heartbeat_interval_s * young_reports - age);
 }
 
 // How long a task of the job fetches its image there.
--- a/src/scheduler/rules.cpp
+++ b/src/scheduler/rules.cpp
@@ -45,7 +45,7 @@
 }
 double grace_of(const protocol::Job& job) {
     // Half as long again as the owner says, so that a slow machine still saves.
-    return job.checkpoint_s > 0 ? job.save_s * 1.5 + 1 : 0;
+    return job.checkpoint_interval_s > 0 ? job.checkpoint_save_s * 1.5 + 1 : 0;
 }
 double largest_share(const Resources& request, const Resources& total) {
     double s = 0;
--- a/src/scheduler/rules.hpp
+++ b/src/scheduler/rules.hpp
@@ -4,6 +4,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
+#include "protocol/model.hpp"
 #include "scheduler/types.hpp"
 
 namespace coralhitch::scheduler {
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "protocol/model.hpp"
 #include "scheduler/gang_placer.hpp"
 #include "scheduler/plan_state.hpp"
 #include "scheduler/preemption.hpp"
--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -12,7 +12,7 @@
 
 namespace coralhitch::scheduler {
 
-using protocol::Images;
+using protocol::ImageIds;
 using protocol::Pool;
 
 struct MachineView {
@@ -21,11 +21,11 @@
     bool usable = false;
     bool draining = false;  // surplus: used only if there is no room elsewhere
     protocol::Resources free;
-    int tasks = 0, services = 0;           // services: those of `tasks` that run until they are cancelled
-    std::shared_ptr<const Images> images;  // null: none
-    std::vector<std::uint32_t> coming;     // images that it fetches, this plan's starts included
-    protocol::Resources soon;              // free, and what is being stopped
-    protocol::Resources reserved;          // of `soon`, kept for tasks that wait for places being emptied
+    int tasks = 0, services = 0;             // services: those of `tasks` that run until they are cancelled
+    std::shared_ptr<const ImageIds> images;  // null: none
+    std::vector<std::uint32_t> coming;       // images that it fetches, this plan's starts included
+    protocol::Resources soon;                // free, and what is being stopped
+    protocol::Resources reserved;            // of `soon`, kept for tasks that wait for places being emptied
 };
 struct InstanceView {
     std::size_t job = 0, machine = 0;
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -79,7 +79,7 @@
         rule(now, "ran_twice " + task.str() + " on " + machine + " and " + on->second);
         remove(o, task.index);
     }
-    for (auto& before : o.job.awaits)
+    for (auto& before : o.job.dependencies)
         if (!jobs_.contains(before) || !is_done(before))
             rule(now, "too_early " + task.str() + " before " + before);
     check_quota(now, o.job, task.str());
--- a/tests/api/admission_test.cpp
+++ b/tests/api/admission_test.cpp
@@ -13,7 +13,7 @@
 TEST(Admission, LetsOneTeamUseTheWholeBurstUnlessOthersAreActive) {
     auto settings = UserApiCluster().settings;
     settings.teams = {{"t1", 0, 0, 0, 0}, {"t2", 0, 0, 0, 0}};
-    double rate = settings.state_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
+    double rate = settings.kv_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
     auto reserve = static_cast<int>(rate * settings.lease_s * Admission::burst_leases);
     for (bool other : {false, true}) {
         Admission admission(settings);
