--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -5,6 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
+#include "protocol/model.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::api {
@@ -70,10 +71,10 @@
     config::Settings settings = [] {
         config::Settings s;
         s.nodes = 3;
-        s.report_s = 3;
+        s.heartbeat_interval_s = 3;
         s.lease_s = 24;
-        s.state_rps = 200;
-        s.state_write_rps = 40;
+        s.kv_rps = 200;
+        s.kv_write_rps = 40;
         return s;
     }();
     kv::KvClient client{timers, service, settings};
@@ -242,7 +243,7 @@
     }
     f.timers.run_until(5);
     EXPECT_EQ(f.answers, std::vector<std::string>(1000, "live"));
-    EXPECT_LE(f.service.requests, 1 / (f.settings.report_s / 60) + 2);
+    EXPECT_LE(f.service.requests, 1 / (f.settings.heartbeat_interval_s / 60) + 2);
 }
 
 // A long chain and a wide join cost no stack and little time.
--- a/tests/api/submission_check_test.cpp
+++ b/tests/api/submission_check_test.cpp
@@ -5,6 +5,8 @@
 
 #include <functional>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::api {
 namespace {
 
--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -43,7 +43,7 @@
     explicit SubmissionStream(double factor) {
         UserApiCluster s;
         auto& set = s.settings;
-        double capacity = set.state_write_rps * 0.9 / Admission::writes_per_job / set.nodes;
+        double capacity = set.kv_write_rps * 0.9 / Admission::writes_per_job / set.nodes;
         constexpr double begin = 61, end = 121;
         int n = 0;
         for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -8,6 +8,10 @@
 
 #include "api/user_api.hpp"
 #include "kv/keys.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
 
@@ -50,10 +54,10 @@
     config::Settings settings = [] {
         config::Settings s;
         s.nodes = 3;
-        s.report_s = 5;
+        s.heartbeat_interval_s = 5;
         s.lease_s = 31;
-        s.state_rps = 250;
-        s.state_write_rps = 50;
+        s.kv_rps = 250;
+        s.kv_write_rps = 50;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 24;
         s.memory_mb = 100;
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "cluster/cluster_state.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 
@@ -48,7 +49,7 @@
     }
     bool reply_contains(protocol::CommandKind kind) {
         for (auto& c : cluster_state.reply_commands(machine(), 0, true))
-            if (c.op == kind) return true;
+            if (c.kind == kind) return true;
         return false;
     }
 };
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -7,6 +7,7 @@
 #include <functional>
 
 #include "cluster/cluster_state_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 namespace {
--- a/tests/cluster/image_cache_test.cpp
+++ b/tests/cluster/image_cache_test.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 
 #include "cluster/cluster_state_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 namespace {
@@ -31,7 +32,7 @@
             specs.push_back(j);
             b.apply_heartbeat(b.base());
         }
-        protocol::Images expected;
+        protocol::ImageIds expected;
         for (int image : c.there)
             expected.push_back(b.cluster_state.image_number("img-" + std::to_string(image)));
         std::sort(expected.begin(), expected.end());
@@ -53,7 +54,7 @@
         ASSERT_TRUE(b.machine().image_cache.images());
         // 100 GB: of the recalled ones only the last used fits.
         EXPECT_EQ(*b.machine().image_cache.images(),
-                  protocol::Images{b.cluster_state.image_number(newer ? "img" : "older")});
+                  protocol::ImageIds{b.cluster_state.image_number(newer ? "img" : "older")});
     }
 }
 
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -2,6 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "cluster/cluster_state.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 namespace {
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -7,6 +7,7 @@
 #include <functional>
 
 #include "cluster/cluster_state_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::cluster {
 namespace {
@@ -150,7 +151,7 @@
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(
         b.reply_contains(CommandKind::start));  // this answer may reach the worker up to a few seconds later
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::no_room}};
+    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::insufficient_resources}};
     b.apply_heartbeat(b.base(), ReportChannel::direct_reply);  // a direct answer overtakes it
     EXPECT_FALSE(b.reply_contains(CommandKind::forget));
     b.apply_heartbeat(b.base());
--- a/tests/cluster/team_usage_test.cpp
+++ b/tests/cluster/team_usage_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::cluster {
 namespace {
 
@@ -10,7 +12,7 @@
 TEST(TeamUsage, CountsUnknownJobsAgainstEachTeam) {
     std::vector<protocol::MachineType> types(1);
     types[0].name = "g";
-    types[0].room = {16, 4, 64};
+    types[0].capacity = {16, 4, 64};
     ClusterState p(7, types);
     auto spec = std::make_shared<protocol::Job>();
     spec->id = "j-1";
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -73,7 +73,7 @@
     };
     for (auto& c : cases) {
         auto s = parse_settings(good() + c.next, "f");
-        EXPECT_EQ(s.state_write_rps, c.write_rps);
+        EXPECT_EQ(s.kv_write_rps, c.write_rps);
         EXPECT_EQ(s.safe_value_kb, c.safe_value_kb);
         EXPECT_EQ(s.txn_ops, c.txn_ops);
         EXPECT_EQ(s.value_kb, 16);
@@ -81,15 +81,15 @@
 }
 TEST(Settings, TheShareExpectedGrowsWithTheWorkersThatMayCall) {
     auto s = parse_settings(good(), "f");
-    double all = share_expected(s), questions = questions_per_s(s);
+    double all = expected_cpu_share(s), questions = status_queries_per_s(s);
     EXPECT_GT(questions, 0);
     EXPECT_GT(all, 0);
     s.sockets *= 2;
-    EXPECT_DOUBLE_EQ(share_expected(s), 2 * all);
-    s.report_s *= 4;
-    EXPECT_DOUBLE_EQ(share_expected(s), all / 2);
+    EXPECT_DOUBLE_EQ(expected_cpu_share(s), 2 * all);
+    s.heartbeat_interval_s *= 4;
+    EXPECT_DOUBLE_EQ(expected_cpu_share(s), all / 2);
     s.cpu_share /= 2;
-    EXPECT_DOUBLE_EQ(questions_per_s(s), questions / 2);
+    EXPECT_DOUBLE_EQ(status_queries_per_s(s), questions / 2);
 }
 TEST(Settings, ComplaintsNameFileAndField) {
     struct Case {
--- a/tests/controller/controller_fixture.hpp
+++ b/tests/controller/controller_fixture.hpp
@@ -6,6 +6,7 @@
 #include <string>
 
 #include "controller/controller.hpp"
+#include "protocol/peer_messages.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::controller {
@@ -64,11 +65,11 @@
         s.peers = {{"berth-1", "b", controller_test_peer_addr}};
         s.cloud_addr = "10.2.0.2:8443";
         s.zones = {"a", "b"};
-        s.report_s = 3;
+        s.heartbeat_interval_s = 3;
         s.lease_s = 31;
         s.cancel_s = 60;
-        s.state_rps = 1500;
-        s.state_write_rps = 600;
+        s.kv_rps = 1500;
+        s.kv_write_rps = 600;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 24;
         s.cloud_rps = 20;
--- a/tests/controller/health_monitor_test.cpp
+++ b/tests/controller/health_monitor_test.cpp
@@ -33,7 +33,7 @@
     health.check();
     key_value_store_is_down();
     auto ping = ping_of_peer();
-    ping.state_ok = false;
+    ping.kv_reachable = false;
     for (double t = 1; t <= 20; ++t) {
         timers.run_until(t);
         receive(ping);
--- a/tests/controller/heartbeat_intake_test.cpp
+++ b/tests/controller/heartbeat_intake_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "controller/parts_fixture.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace coralhitch::controller {
 namespace {
@@ -33,7 +34,7 @@
     auto ping = ping_of_peer();
     ping.leader = ping.label;
     ping.leader_version = 5;
-    ping.features = protocol::peer_features_relay - 1;
+    ping.features = protocol::peer_features::relay - 1;
     receive(ping);
     accept(heartbeat_of("vm-0"));
     timers.run_until(0);
--- a/tests/controller/machine_type_catalog_test.cpp
+++ b/tests/controller/machine_type_catalog_test.cpp
@@ -4,6 +4,7 @@
 
 #include "cloud/cloud_client.hpp"
 #include "controller/parts_fixture.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::controller {
 namespace {
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -13,6 +13,9 @@
 #include "controller/kv_reachability.hpp"
 #include "controller/local_leader.hpp"
 #include "controller/peer_monitor.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::controller {
 
@@ -70,22 +73,22 @@
         protocol::PeerPing ping;
         ping.label = "berth-1";
         ping.incarnation = 77;
-        ping.state_ok = true;
-        ping.features = protocol::peer_features;
+        ping.kv_reachable = true;
+        ping.features = protocol::peer_features::latest;
         return ping;
     }
     void receive(const protocol::PeerPing& ping) { static_cast<void>(peers.answer_ping(ping)); }
 
     FakeTimers timers;
     PartsTestNetwork network;
-    config::Settings settings = ControllerFixture::default_settings();  // report_s is 3
+    config::Settings settings = ControllerFixture::default_settings();  // heartbeat_interval_s is 3
     kv::KvClient kv{timers, network, settings};
     KvReachability kv_reachability{timers, kv, settings};
     election::Election election{timers, kv, settings, 1, 1};
     LocalLeader leader;
     replication::Follower replica{1};
     relay::HeartbeatTracker tracker{9, 248};
-    std::vector<protocol::PeerCount> received_counts;
+    std::vector<protocol::PeerTaskCounts> received_counts;
     PeerMonitor peers{{timers, network, settings, election, kv_reachability, leader, tracker, replica, 1},
                       [this](auto& counts) { received_counts = counts; }};
 };
--- a/tests/controller/peer_monitor_test.cpp
+++ b/tests/controller/peer_monitor_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "controller/parts_fixture.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace coralhitch::controller {
 namespace {
@@ -64,8 +65,8 @@
     ping.features = 0;
     receive(ping);
     EXPECT_TRUE(peers.peer_that_reaches_kv(0));
-    EXPECT_FALSE(peers.peer_that_reaches_kv(protocol::peer_features_awaits));
-    ping.state_ok = false;
+    EXPECT_FALSE(peers.peer_that_reaches_kv(protocol::peer_features::dependencies));
+    ping.kv_reachable = false;
     receive(ping);
     EXPECT_FALSE(peers.peer_that_reaches_kv(0));
 }
@@ -80,14 +81,14 @@
 TEST_F(PeerMonitorTest, DefersToALaterReplica) {
     start_and_wait(1);
     auto ping = ping_of_peer();
-    ping.followed = 5;
+    ping.replicated_leadership = 5;
     receive(ping);
     EXPECT_TRUE(peers.should_defer());
-    ping.state_ok = false;
+    ping.kv_reachable = false;
     receive(ping);
     EXPECT_FALSE(peers.should_defer()) << "it can't be elected";
-    ping.state_ok = true;
-    ping.features = protocol::peer_features - 1;
+    ping.kv_reachable = true;
+    ping.features = protocol::peer_features::latest - 1;
     receive(ping);
     EXPECT_FALSE(peers.should_defer()) << "an older version is about to be replaced";
 }
@@ -96,11 +97,11 @@
     start_and_wait(1);
     for (int k = 0; k < 10; ++k) tracker.record("vm-" + std::to_string(k), 1, 1, timers.now());
     auto ping = ping_of_peer();
-    ping.followed = 5;
-    ping.workers = {"vm-0", "vm-1", "vm-2", "vm-3"};
+    ping.replicated_leadership = 5;
+    ping.reporting_machines = {"vm-0", "vm-1", "vm-2", "vm-3"};
     receive(ping);
     EXPECT_FALSE(peers.should_defer());
-    ping.workers.push_back("vm-4");
+    ping.reporting_machines.push_back("vm-4");
     receive(ping);
     EXPECT_TRUE(peers.should_defer());
 }
@@ -109,10 +110,10 @@
     start_and_wait(1);
     tracker.record("vm-0", 1, 1, timers.now());
     auto ping = ping_of_peer();
-    ping.workers = {"vm-1", "vm-2"};
+    ping.reporting_machines = {"vm-1", "vm-2"};
     receive(ping);
     EXPECT_FALSE(peers.should_defer());
-    ping.workers.push_back("vm-3");
+    ping.reporting_machines.push_back("vm-3");
     receive(ping);
     EXPECT_TRUE(peers.should_defer());
 }
@@ -121,8 +122,8 @@
     timers.run_until(20);
     EXPECT_FALSE(peers.heartbeats_seen_by_peers({{"vm-0", 10}})) << "no peer pings";
     auto ping = ping_of_peer();
-    ping.workers = {"vm-0", "vm-1", "vm-2"};
-    ping.ages_ms = {1000, 12000, 1000};
+    ping.reporting_machines = {"vm-0", "vm-1", "vm-2"};
+    ping.heartbeat_ages_ms = {1000, 12000, 1000};
     receive(ping);
     // vm-1's heartbeat came there before it fell silent here, vm-2 is not asked for.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 10}, {"vm-1", 10}}), 1u);
@@ -133,12 +134,12 @@
 
 TEST_F(PeerMonitorTest, KeepsTheListsOfThePingBeforeABriefOne) {
     auto ping = ping_of_peer();
-    ping.workers = {"vm-0"};
-    ping.ages_ms = {0};
+    ping.reporting_machines = {"vm-0"};
+    ping.heartbeat_ages_ms = {0};
     receive(ping);
     timers.run_until(2);
     auto brief = ping_of_peer();
-    brief.brief = true;
+    brief.lists_omitted = true;
     receive(brief);
     // The age counts on from the full ping.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.2}}), 0u);
@@ -151,16 +152,16 @@
 TEST_F(PeerMonitorTest, AnswersALeaderInFullAndOthersBriefly) {
     tracker.record("vm-0", 1, 1, timers.now());
     auto ping = ping_of_peer();
-    EXPECT_TRUE(peers.answer_ping(ping).brief);
-    EXPECT_TRUE(peers.answer_ping(ping).workers.empty());
+    EXPECT_TRUE(peers.answer_ping(ping).lists_omitted);
+    EXPECT_TRUE(peers.answer_ping(ping).reporting_machines.empty());
     ping.leader = ping.label;
     ping.leader_version = 5;
     auto answer = peers.answer_ping(ping);
-    EXPECT_FALSE(answer.brief);
-    EXPECT_EQ(answer.workers, std::vector<std::string>{"vm-0"});
+    EXPECT_FALSE(answer.lists_omitted);
+    EXPECT_EQ(answer.reporting_machines, std::vector<std::string>{"vm-0"});
     ping.leader.clear();
-    ping.features = protocol::peer_features_brief - 1;
-    EXPECT_FALSE(peers.answer_ping(ping).brief) << "an older version can't read a brief one";
+    ping.features = protocol::peer_features::brief_pings - 1;
+    EXPECT_FALSE(peers.answer_ping(ping).lists_omitted) << "an older version can't read a brief one";
 }
 
 TEST_F(PeerMonitorTest, InheritsSuspicionsOfTheLeaderExceptOfMachinesHeardSince) {
@@ -168,8 +169,8 @@
     auto ping = ping_of_peer();
     ping.leader = ping.label;
     ping.leader_version = 5;
-    ping.silent = {"vm-0", "vm-1"};
-    ping.silent_ms = {8000, 9000};
+    ping.suspected = {"vm-0", "vm-1"};
+    ping.suspected_silence_ms = {8000, 9000};
     receive(ping);
     timers.run_until(101);
     tracker.record("vm-1", 1, 1, timers.now());
@@ -178,7 +179,7 @@
 
 TEST_F(PeerMonitorTest, HandsOnTaskCountsOfTheLeaderOnly) {
     auto ping = ping_of_peer();
-    ping.counts = {{"job-1", 2, 3}};
+    ping.task_counts = {{"job-1", 2, 3}};
     receive(ping);
     EXPECT_TRUE(received_counts.empty());
     ping.leader = ping.label;
--- a/tests/controller/peer_ping_size_test.cpp
+++ b/tests/controller/peer_ping_size_test.cpp
@@ -4,6 +4,7 @@
 
 #include "controller/controller_fixture.hpp"
 #include "kv/keys.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace coralhitch::controller {
 namespace {
@@ -31,8 +32,8 @@
             EXPECT_LT(static_cast<double>(r.body.size()), fixture.settings.memory_mb * 1024 * 1024 / 32);
         });
     ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->workers.size(), machine_count);
-    EXPECT_EQ(answer->ages_ms.size(), machine_count);
+    EXPECT_EQ(answer->reporting_machines.size(), machine_count);
+    EXPECT_EQ(answer->heartbeat_ages_ms.size(), machine_count);
 }
 
 // The next leader knows of these that their heartbeats were missing before it began.
@@ -49,8 +50,8 @@
     ASSERT_TRUE(fixture.controller.leads());
     ASSERT_TRUE(fixture.network.ping);
     RecordProperty("bytes", static_cast<int>(fixture.network.ping_bytes));
-    EXPECT_EQ(fixture.network.ping->silent.size(), machine_count);
-    EXPECT_EQ(fixture.network.ping->silent_ms.size(), machine_count);
+    EXPECT_EQ(fixture.network.ping->suspected.size(), machine_count);
+    EXPECT_EQ(fixture.network.ping->suspected_silence_ms.size(), machine_count);
 }
 
 }  // namespace
--- a/tests/controller/task_count_service_test.cpp
+++ b/tests/controller/task_count_service_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "controller/parts_fixture.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace coralhitch::controller {
 namespace {
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -5,6 +5,10 @@
 #include "controller/parts_fixture.hpp"
 #include "controller/peer_http.hpp"
 #include "controller/peer_message_handler.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_cancellation_messages.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::controller {
 namespace {
@@ -41,7 +45,7 @@
         EXPECT_TRUE(answer) << method << " " << path;
         return answer.value_or(http::Response{0, {}});
     }
-    void peer_answers(const protocol::PeerUserAnswer& answer) {
+    void peer_answers(const protocol::PeerUserResponse& answer) {
         network.peer = [answer](const http::Request&) {
             return msgpack_response(protocol::pack_peer(answer));
         };
@@ -101,7 +105,7 @@
     auto body = protocol::pack_peer(protocol::PeerUserRequest{"POST", jobs_path, "{"});
     auto response = serve_peer("POST", protocol::peer_user_path, body);
     EXPECT_EQ(response.status, 200);
-    auto answer = protocol::unpack_peer<protocol::PeerUserAnswer>(response.body);
+    auto answer = protocol::unpack_peer<protocol::PeerUserResponse>(response.body);
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->status, 400);
     EXPECT_EQ(network.sent_to(protocol::peer_user_path), 0u);
@@ -113,17 +117,18 @@
     EXPECT_EQ(serve_peer("GET", protocol::peer_ping_path).status, 405);
     EXPECT_EQ(serve_peer("POST", "/peer/unknown").status, 404);
     for (auto path : {protocol::peer_ping_path, protocol::peer_user_path, protocol::peer_images_path,
-                      protocol::peer_job_path, protocol::peer_cancelled_path, protocol::peer_relay_path,
-                      protocol::peer_fleet_path})
+                      protocol::peer_job_path, protocol::peer_cancellation_path, protocol::peer_relay_path,
+                      protocol::peer_replication_path})
         EXPECT_EQ(serve_peer("POST", path, "\xc1").status, 400) << path;
 }
 
 TEST_F(PeerMessageHandlerTest, TakesNoHeartbeatsOrCancellationsUnlessItLeads) {
-    auto relayed = serve_peer("POST", protocol::peer_relay_path, protocol::pack_peer(protocol::PeerRelay{}));
-    EXPECT_FALSE(protocol::unpack_peer<protocol::PeerRelayAnswer>(relayed.body)->leads);
-    auto cancelled = serve_peer("POST", protocol::peer_cancelled_path,
-                                protocol::pack_peer(protocol::PeerCancelled{"job-1", 3}));
-    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancelledAnswer>(cancelled.body)->taken_by, 0u);
+    auto relayed =
+        serve_peer("POST", protocol::peer_relay_path, protocol::pack_peer(protocol::RelayRequest{}));
+    EXPECT_FALSE(protocol::unpack_peer<protocol::RelayResponse>(relayed.body)->is_leader);
+    auto cancelled = serve_peer("POST", protocol::peer_cancellation_path,
+                                protocol::pack_peer(protocol::PeerCancellation{"job-1", 3}));
+    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancellationResponse>(cancelled.body)->taken_by, 0u);
 }
 
 TEST_F(PeerMessageHandlerTest, KeepsTheImageCachesOfTheLeader) {
@@ -133,14 +138,14 @@
 }
 
 TEST_F(PeerMessageHandlerTest, ReplicatesUnlessItsOwnReplicaIsSwitchedOff) {
-    protocol::PeerFleet piece{5, 1, {}, 0, true};
+    protocol::ReplicationRequest piece{5, 1, {}, 0, true};
     auto body = protocol::pack_peer(piece);
-    EXPECT_TRUE(protocol::unpack_peer<protocol::PeerFleetAnswer>(
-                    serve_peer("POST", protocol::peer_fleet_path, body).body)
-                    ->taken);
+    EXPECT_TRUE(protocol::unpack_peer<protocol::ReplicationResponse>(
+                    serve_peer("POST", protocol::peer_replication_path, body).body)
+                    ->applied);
     EXPECT_EQ(replica.replica().leader_version, 5u);
-    settings.op.standby = false;
-    EXPECT_EQ(serve_peer("POST", protocol::peer_fleet_path, body).status, 400);
+    settings.op.replicate_starts = false;
+    EXPECT_EQ(serve_peer("POST", protocol::peer_replication_path, body).status, 400);
 }
 
 }  // namespace
--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -69,10 +69,10 @@
     config::Settings settings = [] {
         config::Settings s;
         s.label = "berth-0";
-        s.report_s = 3;
+        s.heartbeat_interval_s = 3;
         s.lease_s = 30;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
+        s.kv_rps = 100;
+        s.kv_write_rps = 50;
         return s;
     }();
     kv::KvClient client{timers, service, settings};
--- a/tests/failover/reconciliation_test.cpp
+++ b/tests/failover/reconciliation_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::failover {
 namespace {
 
--- a/tests/jobs/job_table_test.cpp
+++ b/tests/jobs/job_table_test.cpp
@@ -5,6 +5,8 @@
 
 #include <functional>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::jobs {
 namespace {
 using protocol::JobState;
@@ -20,10 +22,10 @@
 protocol::JobRecord record(const JobSpec& s, std::uint32_t tasks = 1) {
     protocol::JobRecord r;
     r.job.id = s.id;
-    r.job.awaits = s.awaits;
+    r.job.dependencies = s.awaits;
     r.job.priority = s.priority;
     r.job.deadline_s = s.deadline_s;
-    r.job.estimate_s = 10;
+    r.job.estimated_run_s = 10;
     r.job.tasks = tasks;
     r.submitted = 100;
     r.cancelled = s.cancelled;
--- a/tests/jobs/progress_layout_test.cpp
+++ b/tests/jobs/progress_layout_test.cpp
@@ -6,6 +6,8 @@
 #include <stdexcept>
 
 #include "jobs/job_table.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::jobs {
 namespace {
@@ -14,7 +16,7 @@
     protocol::JobRecord r;
     r.job.id = "j";
     r.job.priority = protocol::Priority::low;
-    r.job.estimate_s = 10;
+    r.job.estimated_run_s = 10;
     r.job.tasks = tasks;
     r.submitted = 100;
     return r;
--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -49,9 +49,9 @@
     };
     for (auto& c : cases) {
         config::Settings settings;
-        settings.report_s = 3;
+        settings.heartbeat_interval_s = 3;
         settings.nodes = 3;
-        settings.state_rps = settings.state_write_rps = 200;
+        settings.kv_rps = settings.kv_write_rps = 200;
         FakeTimers timers;
         FakeWatchableStore service(timers);
         KvClient client(timers, service, settings);
--- a/tests/kv/request_budget_test.cpp
+++ b/tests/kv/request_budget_test.cpp
@@ -8,8 +8,8 @@
 config::Settings settings_for(std::uint32_t nodes) {
     config::Settings s;
     s.nodes = nodes;
-    s.state_rps = 200;
-    s.state_write_rps = 100;
+    s.kv_rps = 200;
+    s.kv_write_rps = 100;
     return s;
 }
 
--- a/tests/kv/request_queue_test.cpp
+++ b/tests/kv/request_queue_test.cpp
@@ -21,9 +21,9 @@
     FakeTimers timers;
     config::Settings settings = [] {
         config::Settings s;
-        s.report_s = 4;
+        s.heartbeat_interval_s = 4;
         s.nodes = 1;
-        s.state_rps = s.state_write_rps = 10;
+        s.kv_rps = s.kv_write_rps = 10;
         return s;
     }();
     RequestBudget budget{settings};
--- a/tests/kv/size_limits_test.cpp
+++ b/tests/kv/size_limits_test.cpp
@@ -5,6 +5,8 @@
 #include <string>
 #include <vector>
 
+#include "protocol/kv_api.hpp"
+
 namespace coralhitch::kv {
 namespace {
 
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -5,6 +5,7 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::leader {
@@ -13,9 +14,9 @@
 struct Bench {
     static config::Settings settings_of_one() {
         config::Settings s;
-        s.report_s = 3;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
+        s.heartbeat_interval_s = 3;
+        s.kv_rps = 100;
+        s.kv_write_rps = 50;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 24;
         return s;
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/peer_messages.hpp"
+
 namespace coralhitch::leader {
 namespace {
 
@@ -14,10 +16,10 @@
         (void)delegations.table().extend("controller-1", 25);  // a grant until then
     }
     bool take_message(std::uint64_t incarnation, std::uint64_t number) {
-        protocol::PeerRelay message;
+        protocol::RelayRequest message;
         message.label = "controller-1";
         message.incarnation = incarnation;
-        message.number = number;
+        message.sequence_number = number;
         return delegations.take_relay_message(message);
     }
     cluster::ClusterState cluster{7, {}};
--- a/tests/leader/fleet_scaler_test.cpp
+++ b/tests/leader/fleet_scaler_test.cpp
@@ -49,7 +49,7 @@
     bench.answer = http::Response{200, R"({"berths":["vm-1"]})"};  // of two
     bench.scaler.scale_out(bench.two);
     EXPECT_EQ(bench.scaler.autoscaler_input().refused, std::set<std::size_t>{0});
-    bench.wait(bench.settings.report_s * 3 + 0.1);
+    bench.wait(bench.settings.heartbeat_interval_s * 3 + 0.1);
     EXPECT_TRUE(bench.scaler.autoscaler_input().refused.empty());
 }
 
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -5,6 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "leader/leading_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 namespace {
@@ -92,14 +93,14 @@
     bench.add_job("j-1", 1);
     bench.add_job("j-2", 1);
     auto& machine = bench.add_machine("vm-1");
-    double now = bench.timers.now(), report_s = bench.settings.report_s;
+    double now = bench.timers.now(), heartbeat_interval_s = bench.settings.heartbeat_interval_s;
     bench.show("j-1", machine, 0, 5);
     bench.end("j-1", machine, 0, ExitCause::error);
-    EXPECT_DOUBLE_EQ(machine.quarantined_until, now + report_s * 2);
+    EXPECT_DOUBLE_EQ(machine.quarantined_until, now + heartbeat_interval_s * 2);
     EXPECT_TRUE(bench.marked.empty());
     bench.show("j-2", machine, 0, 6);
     bench.end("j-2", machine, 0, ExitCause::error);
-    EXPECT_DOUBLE_EQ(machine.quarantined_until, now + report_s * 20);
+    EXPECT_DOUBLE_EQ(machine.quarantined_until, now + heartbeat_interval_s * 20);
     EXPECT_EQ(bench.marked, std::vector<std::string>{"vm-1"}) << "it is empty, so it goes";
 }
 
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -6,6 +6,8 @@
 #include "leader/dependency_resolver.hpp"
 #include "leader/job_watcher.hpp"
 #include "leader/leading_fixture.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 namespace {
@@ -22,7 +24,7 @@
     void store() {
         for (int k = 0; k < 30; ++k) {
             store_part.store_due();
-            wait(settings.report_s / 6);
+            wait(settings.heartbeat_interval_s / 6);
         }
     }
     void store_final(const std::string& id, protocol::JobState end) {
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -8,6 +8,8 @@
 
 #include "kv/keys.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::leader {
@@ -33,10 +35,10 @@
         config::Settings settings;
         settings.label = "controller-0";
         settings.cloud_addr = "cloud";
-        settings.report_s = 3;
+        settings.heartbeat_interval_s = 3;
         settings.lease_s = 30;
-        settings.state_rps = 100;
-        settings.state_write_rps = 50;
+        settings.kv_rps = 100;
+        settings.kv_write_rps = 50;
         settings.cloud_rps = 10;
         settings.value_kb = settings.safe_value_kb = 16;
         settings.txn_ops = 24;
@@ -54,13 +56,13 @@
                             std::vector<std::string> awaits = {}) {
         protocol::JobRecord record;
         record.job.id = id;
-        record.job.cls = "batch";
+        record.job.job_class = "batch";
         record.job.team = "t";
         record.job.image = "img";
         record.job.request = {1, 0, 1};
         record.job.tasks = tasks;
-        record.job.estimate_s = 10;
-        record.job.awaits = std::move(awaits);
+        record.job.estimated_run_s = 10;
+        record.job.dependencies = std::move(awaits);
         service.kv[kv::keys::job(id)] = {nlohmann::json::parse(protocol::stored(record)), ++service.revision};
         state->jobs.put(id, service.revision, record);
         return *state->jobs.find(id);
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "leader/leading_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 namespace {
@@ -31,12 +32,12 @@
             machine.reconciled = true;
             machine.registration = cluster::Machine::Registration::stored;
             machine.agent_epoch = 1;
-            machine.total = types[0].room;
+            machine.total = types[0].capacity;
         }
     }
     void plan() {
         executor.request_plan();
-        wait(settings.report_s);
+        wait(settings.heartbeat_interval_s);
         planner.compute();
     }
     std::size_t placed() {
@@ -59,7 +60,7 @@
     FleetScaler scaler{*context, cloud, no_types, [](std::size_t) { return false; }};
     AttemptNumbers attempts{kv, authority->fencing_token(),
                             [this] { return authority->begin_transaction(); }};
-    failover::Reconciliation reconciliation{state->cluster, settings.report_s};
+    failover::Reconciliation reconciliation{state->cluster, settings.heartbeat_interval_s};
     cluster::TeamActivity team_activity;
     bool loaded = true;
     std::vector<StartedTask> started;
--- a/tests/machine_registry/machine_registry_test.cpp
+++ b/tests/machine_registry/machine_registry_test.cpp
@@ -9,6 +9,8 @@
 #include <nlohmann/json.hpp>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::machine_registry {
@@ -26,9 +28,9 @@
 struct Bench {
     static config::Settings settings_for(double safe_value_kb, std::uint32_t txn_ops) {
         config::Settings s;
-        s.report_s = 4;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
+        s.heartbeat_interval_s = 4;
+        s.kv_rps = 100;
+        s.kv_write_rps = 50;
         s.value_kb = 16;
         s.safe_value_kb = safe_value_kb;
         s.txn_ops = txn_ops;
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -20,70 +20,72 @@
 }
 
 PeerPing ping() {
-    return {.label = "berth-1",
-            .incarnation = UINT64_MAX,
-            .leader_version = 1ull << 60,
-            .leader = "berth-2",
-            .state_ok = true,
-            .workers = {"vm-1", "vm-2"},
-            .counts = {{.id = "j-1", .done = 3, .running = 300}, {.id = "j-2", .done = 70000, .running = 4}},
-            .features = 5,
-            .followed = 129,
-            .ages_ms = {100, 70000},
-            .silent = {"vm-3"},
-            .silent_ms = {UINT32_MAX},
-            .brief = false};
+    return {
+        .label = "berth-1",
+        .incarnation = UINT64_MAX,
+        .leader_version = 1ull << 60,
+        .leader = "berth-2",
+        .kv_reachable = true,
+        .reporting_machines = {"vm-1", "vm-2"},
+        .task_counts = {{.id = "j-1", .done = 3, .running = 300}, {.id = "j-2", .done = 70000, .running = 4}},
+        .features = 5,
+        .replicated_leadership = 129,
+        .heartbeat_ages_ms = {100, 70000},
+        .suspected = {"vm-3"},
+        .suspected_silence_ms = {UINT32_MAX},
+        .lists_omitted = false};
 }
 PeerPing brief_ping() {
     return {.label = "berth-1",
             .incarnation = 7,
             .leader_version = 8,
             .leader = "berth-2",
-            .state_ok = false,
-            .workers = {},
-            .counts = {},
+            .kv_reachable = false,
+            .reporting_machines = {},
+            .task_counts = {},
             .features = 5,
-            .followed = 6,
-            .ages_ms = {},
-            .silent = {},
-            .silent_ms = {},
-            .brief = true};
+            .replicated_leadership = 6,
+            .heartbeat_ages_ms = {},
+            .suspected = {},
+            .suspected_silence_ms = {},
+            .lists_omitted = true};
 }
-PeerRelay relayed_reports() {
-    return {.label = "berth-1",
-            .incarnation = 7,
-            .leader_version = 8,
-            .number = 9,
-            .answered = 5,
-            .reports = {R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"},
-            .heard = {{.machine = "vm-3", .age_ms = 250}, {.machine = "vm-4", .age_ms = 65536}}};
+RelayRequest relayed_reports() {
+    return {
+        .label = "berth-1",
+        .incarnation = 7,
+        .leader_version = 8,
+        .sequence_number = 9,
+        .acknowledged_sequence_number = 5,
+        .heartbeats = {R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"},
+        .answered_heartbeats = {{.machine = "vm-3", .age_ms = 250}, {.machine = "vm-4", .age_ms = 65536}}};
 }
-PeerRelayAnswer relay_answer() {
-    return {.leads = true,
+RelayResponse relay_answer() {
+    return {.is_leader = true,
             .ready = false,
-            .grant_ms = 1500,
-            .answers = {{.status = 200, .body = R"({"helm":8,"orders":[]})", .quiet = true},
-                        {.status = 409, .body = "{}", .quiet = false}},
-            .recalled = {"vm-9"}};
+            .delegation_ms = 1500,
+            .replies = {{.status = 200, .body = R"({"helm":8,"orders":[]})", .nothing_pending = true},
+                        {.status = 409, .body = "{}", .nothing_pending = false}},
+            .revoked = {"vm-9"}};
 }
-PeerFleet fleet() {
+ReplicationRequest fleet() {
     return {.leader_version = 8,
-            .number = 3,
+            .sequence_number = 3,
             .rows = {{.machine = "vm-1",
-                      .known = true,
-                      .gone = false,
+                      .tasks_known = true,
+                      .deleted = false,
                       .agent_epoch = 5,
                       .sequence = 6,
                       .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
                                 {.job = "j-2", .index = 0, .attempt = 1}}},
                      {.machine = "vm-2",
-                      .known = false,
-                      .gone = true,
+                      .tasks_known = false,
+                      .deleted = true,
                       .agent_epoch = 11,
                       .sequence = 12,
                       .tasks = {}}},
-            .begun = 7,
-            .whole = true};
+            .base_version = 7,
+            .snapshot_complete = true};
 }
 
 struct Message {
@@ -109,18 +111,18 @@
                                 .target = "/api/jobs",
                                 .body = R"({"id":"j-1","cohort":"train","crew":"vision"})"}),
         message("UserAnswer", peer_user_answer, peer_user_answer_unset,
-                PeerUserAnswer{.status = 202, .body = "{}", .retry_after_s = 1.5}),
+                PeerUserResponse{.status = 202, .body = "{}", .retry_after_s = 1.5}),
         message("JobQuery", peer_job_query, peer_job_query_unset, PeerJobQuery{.id = "j-000412"}),
         message("JobCounts", peer_job_counts, peer_job_counts_unset,
                 PeerJobCounts{.known = true, .done = 3, .running = 4}),
         message("Cancelled", peer_cancelled, peer_cancelled_unset,
-                PeerCancelled{.id = "j-1", .version = (1ull << 53) + 1}),
+                PeerCancellation{.id = "j-1", .version = (1ull << 53) + 1}),
         message("CancelledAgain", peer_cancelled_again, peer_cancelled_again_unset,
-                PeerCancelledAgain{.id = "j-1",
-                                   .version = 7,
-                                   .more = {{.id = "j-2", .version = 8}, {.id = "j-3", .version = 9}}}),
+                PeerCancellationBatch{.id = "j-1",
+                                      .version = 7,
+                                      .more = {{.id = "j-2", .version = 8}, {.id = "j-3", .version = 9}}}),
         message("CancelledAnswer", peer_cancelled_answer, peer_cancelled_answer_unset,
-                PeerCancelledAnswer{.taken_by = 12}),
+                PeerCancellationResponse{.taken_by = 12}),
         message("Images", peer_images, peer_images_unset,
                 PeerImages{
                     .names = {"img-1", "img-2"},
@@ -130,7 +132,7 @@
         message("RelayAnswer", peer_relay_answer, peer_relay_answer_unset, relay_answer()),
         message("Fleet", peer_fleet, peer_fleet_unset, fleet()),
         message("FleetAnswer", peer_fleet_answer, peer_fleet_answer_unset,
-                PeerFleetAnswer{.taken = true, .incarnation = 9, .begun = 8}),
+                ReplicationResponse{.applied = true, .incarnation = 9, .base_version = 8}),
     };
 }
 
@@ -195,21 +197,21 @@
     EXPECT_EQ(p.incarnation, UINT64_MAX);
     EXPECT_EQ(p.leader_version, 1ull << 60);
     EXPECT_EQ(p.leader, "berth-2");
-    EXPECT_TRUE(p.state_ok);
-    EXPECT_EQ(p.workers, (std::vector<std::string>{"vm-1", "vm-2"}));
-    ASSERT_EQ(p.counts.size(), 2u);
-    EXPECT_EQ(p.counts[0].id, "j-1");
-    EXPECT_EQ(p.counts[0].done, 3u);
-    EXPECT_EQ(p.counts[0].running, 300u);
-    EXPECT_EQ(p.counts[1].id, "j-2");
-    EXPECT_EQ(p.counts[1].done, 70000u);
-    EXPECT_EQ(p.counts[1].running, 4u);
+    EXPECT_TRUE(p.kv_reachable);
+    EXPECT_EQ(p.reporting_machines, (std::vector<std::string>{"vm-1", "vm-2"}));
+    ASSERT_EQ(p.task_counts.size(), 2u);
+    EXPECT_EQ(p.task_counts[0].id, "j-1");
+    EXPECT_EQ(p.task_counts[0].done, 3u);
+    EXPECT_EQ(p.task_counts[0].running, 300u);
+    EXPECT_EQ(p.task_counts[1].id, "j-2");
+    EXPECT_EQ(p.task_counts[1].done, 70000u);
+    EXPECT_EQ(p.task_counts[1].running, 4u);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.followed, 129u);
-    EXPECT_EQ(p.ages_ms, (std::vector<std::uint32_t>{100, 70000}));
-    EXPECT_EQ(p.silent, std::vector<std::string>{"vm-3"});
-    EXPECT_EQ(p.silent_ms, std::vector<std::uint32_t>{UINT32_MAX});
-    EXPECT_FALSE(p.brief);
+    EXPECT_EQ(p.replicated_leadership, 129u);
+    EXPECT_EQ(p.heartbeat_ages_ms, (std::vector<std::uint32_t>{100, 70000}));
+    EXPECT_EQ(p.suspected, std::vector<std::string>{"vm-3"});
+    EXPECT_EQ(p.suspected_silence_ms, std::vector<std::uint32_t>{UINT32_MAX});
+    EXPECT_FALSE(p.lists_omitted);
 }
 TEST(GoldenBytes, BriefPingIsReadFieldByField) {
     auto p = read<PeerPing>(golden::peer_ping_brief);
@@ -217,12 +219,12 @@
     EXPECT_EQ(p.incarnation, 7u);
     EXPECT_EQ(p.leader_version, 8u);
     EXPECT_EQ(p.leader, "berth-2");
-    EXPECT_FALSE(p.state_ok);
+    EXPECT_FALSE(p.kv_reachable);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.followed, 6u);
-    EXPECT_TRUE(p.brief);
-    EXPECT_TRUE(p.workers.empty() && p.counts.empty() && p.ages_ms.empty() && p.silent.empty() &&
-                p.silent_ms.empty());
+    EXPECT_EQ(p.replicated_leadership, 6u);
+    EXPECT_TRUE(p.lists_omitted);
+    EXPECT_TRUE(p.reporting_machines.empty() && p.task_counts.empty() && p.heartbeat_ages_ms.empty() &&
+                p.suspected.empty() && p.suspected_silence_ms.empty());
 }
 TEST(GoldenBytes, UserRequestIsReadFieldByField) {
     auto r = read<PeerUserRequest>(golden::peer_user_request);
@@ -231,7 +233,7 @@
     EXPECT_EQ(r.body, R"({"id":"j-1","cohort":"train","crew":"vision"})");
 }
 TEST(GoldenBytes, UserAnswerIsReadFieldByField) {
-    auto a = read<PeerUserAnswer>(golden::peer_user_answer);
+    auto a = read<PeerUserResponse>(golden::peer_user_answer);
     EXPECT_EQ(a.status, 202);
     EXPECT_EQ(a.body, "{}");
     EXPECT_EQ(a.retry_after_s, 1.5);
@@ -244,10 +246,10 @@
     EXPECT_EQ(c.running, 4u);
 }
 TEST(GoldenBytes, CancellationsAreReadFieldByField) {
-    auto one = read<PeerCancelled>(golden::peer_cancelled);
+    auto one = read<PeerCancellation>(golden::peer_cancelled);
     EXPECT_EQ(one.id, "j-1");
     EXPECT_EQ(one.version, (1ull << 53) + 1);
-    auto again = read<PeerCancelledAgain>(golden::peer_cancelled_again);
+    auto again = read<PeerCancellationBatch>(golden::peer_cancelled_again);
     EXPECT_EQ(again.id, "j-1");
     EXPECT_EQ(again.version, 7u);
     ASSERT_EQ(again.more.size(), 2u);
@@ -255,20 +257,20 @@
     EXPECT_EQ(again.more[0].version, 8u);
     EXPECT_EQ(again.more[1].id, "j-3");
     EXPECT_EQ(again.more[1].version, 9u);
-    EXPECT_EQ(read<PeerCancelledAnswer>(golden::peer_cancelled_answer).taken_by, 12u);
+    EXPECT_EQ(read<PeerCancellationResponse>(golden::peer_cancelled_answer).taken_by, 12u);
 }
 // Both go to the same path.
 TEST(GoldenBytes, SingleAndRepeatedCancellationsAreReadAsEachOther) {
-    auto again = read<PeerCancelledAgain>(golden::peer_cancelled);
+    auto again = read<PeerCancellationBatch>(golden::peer_cancelled);
     EXPECT_EQ(again.id, "j-1");
     EXPECT_EQ(again.version, (1ull << 53) + 1);
     EXPECT_TRUE(again.more.empty());
-    auto one = read<PeerCancelled>(golden::peer_cancelled_again);
+    auto one = read<PeerCancellation>(golden::peer_cancelled_again);
     EXPECT_EQ(one.id, "j-1");
     EXPECT_EQ(one.version, 7u);
 }
 TEST(GoldenBytes, CancellationAnsweredByAnOlderVersionSaysNothing) {
-    for (const char* old : {"", "{}"}) EXPECT_FALSE(unpack_peer<PeerCancelledAnswer>(old)) << old;
+    for (const char* old : {"", "{}"}) EXPECT_FALSE(unpack_peer<PeerCancellationResponse>(old)) << old;
 }
 TEST(GoldenBytes, ImagesAreReadFieldByField) {
     auto i = read<PeerImages>(golden::peer_images);
@@ -281,44 +283,44 @@
     EXPECT_TRUE(i.machines[1].images.empty());
 }
 TEST(GoldenBytes, RelayIsReadFieldByField) {
-    auto r = read<PeerRelay>(golden::peer_relay);
+    auto r = read<RelayRequest>(golden::peer_relay);
     EXPECT_EQ(r.label, "berth-1");
     EXPECT_EQ(r.incarnation, 7u);
     EXPECT_EQ(r.leader_version, 8u);
-    EXPECT_EQ(r.number, 9u);
-    EXPECT_EQ(r.answered, 5u);
-    EXPECT_EQ(r.reports, (std::vector<std::string>{R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"}));
-    ASSERT_EQ(r.heard.size(), 2u);
-    EXPECT_EQ(r.heard[0].machine, "vm-3");
-    EXPECT_EQ(r.heard[0].age_ms, 250u);
-    EXPECT_EQ(r.heard[1].machine, "vm-4");
-    EXPECT_EQ(r.heard[1].age_ms, 65536u);
+    EXPECT_EQ(r.sequence_number, 9u);
+    EXPECT_EQ(r.acknowledged_sequence_number, 5u);
+    EXPECT_EQ(r.heartbeats, (std::vector<std::string>{R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"}));
+    ASSERT_EQ(r.answered_heartbeats.size(), 2u);
+    EXPECT_EQ(r.answered_heartbeats[0].machine, "vm-3");
+    EXPECT_EQ(r.answered_heartbeats[0].age_ms, 250u);
+    EXPECT_EQ(r.answered_heartbeats[1].machine, "vm-4");
+    EXPECT_EQ(r.answered_heartbeats[1].age_ms, 65536u);
 }
 TEST(GoldenBytes, RelayAnswerIsReadFieldByField) {
-    auto a = read<PeerRelayAnswer>(golden::peer_relay_answer);
-    EXPECT_TRUE(a.leads);
+    auto a = read<RelayResponse>(golden::peer_relay_answer);
+    EXPECT_TRUE(a.is_leader);
     EXPECT_FALSE(a.ready);
-    EXPECT_EQ(a.grant_ms, 1500u);
-    ASSERT_EQ(a.answers.size(), 2u);
-    EXPECT_EQ(a.answers[0].status, 200);
-    EXPECT_EQ(a.answers[0].body, R"({"helm":8,"orders":[]})");
-    EXPECT_TRUE(a.answers[0].quiet);
-    EXPECT_EQ(a.answers[1].status, 409);
-    EXPECT_EQ(a.answers[1].body, "{}");
-    EXPECT_FALSE(a.answers[1].quiet);
-    EXPECT_EQ(a.recalled, std::vector<std::string>{"vm-9"});
+    EXPECT_EQ(a.delegation_ms, 1500u);
+    ASSERT_EQ(a.replies.size(), 2u);
+    EXPECT_EQ(a.replies[0].status, 200);
+    EXPECT_EQ(a.replies[0].body, R"({"helm":8,"orders":[]})");
+    EXPECT_TRUE(a.replies[0].nothing_pending);
+    EXPECT_EQ(a.replies[1].status, 409);
+    EXPECT_EQ(a.replies[1].body, "{}");
+    EXPECT_FALSE(a.replies[1].nothing_pending);
+    EXPECT_EQ(a.revoked, std::vector<std::string>{"vm-9"});
 }
 TEST(GoldenBytes, FleetIsReadFieldByField) {
-    auto f = read<PeerFleet>(golden::peer_fleet);
+    auto f = read<ReplicationRequest>(golden::peer_fleet);
     EXPECT_EQ(f.leader_version, 8u);
-    EXPECT_EQ(f.number, 3u);
-    EXPECT_EQ(f.begun, 7u);
-    EXPECT_TRUE(f.whole);
+    EXPECT_EQ(f.sequence_number, 3u);
+    EXPECT_EQ(f.base_version, 7u);
+    EXPECT_TRUE(f.snapshot_complete);
     ASSERT_EQ(f.rows.size(), 2u);
     auto &first = f.rows[0], &second = f.rows[1];
     EXPECT_EQ(first.machine, "vm-1");
-    EXPECT_TRUE(first.known);
-    EXPECT_FALSE(first.gone);
+    EXPECT_TRUE(first.tasks_known);
+    EXPECT_FALSE(first.deleted);
     EXPECT_EQ(first.agent_epoch, 5u);
     EXPECT_EQ(first.sequence, 6u);
     ASSERT_EQ(first.tasks.size(), 2u);
@@ -329,17 +331,17 @@
     EXPECT_EQ(first.tasks[1].index, 0u);
     EXPECT_EQ(first.tasks[1].attempt, 1u);
     EXPECT_EQ(second.machine, "vm-2");
-    EXPECT_FALSE(second.known);
-    EXPECT_TRUE(second.gone);
+    EXPECT_FALSE(second.tasks_known);
+    EXPECT_TRUE(second.deleted);
     EXPECT_EQ(second.agent_epoch, 11u);
     EXPECT_EQ(second.sequence, 12u);
     EXPECT_TRUE(second.tasks.empty());
 }
 TEST(GoldenBytes, FleetAnswerIsReadFieldByField) {
-    auto a = read<PeerFleetAnswer>(golden::peer_fleet_answer);
-    EXPECT_TRUE(a.taken);
+    auto a = read<ReplicationResponse>(golden::peer_fleet_answer);
+    EXPECT_TRUE(a.applied);
     EXPECT_EQ(a.incarnation, 9u);
-    EXPECT_EQ(a.begun, 8u);
+    EXPECT_EQ(a.base_version, 8u);
 }
 
 // What stands within messages grows at its end, too.
@@ -353,22 +355,22 @@
         "90"
         "91"
         "92a36a2d3103");
-    ASSERT_EQ(ping.counts.size(), 1u);
-    EXPECT_EQ(ping.counts[0].id, "j-1");
-    EXPECT_EQ(ping.counts[0].done, 3u);
-    EXPECT_EQ(ping.counts[0].running, 0u);
-    auto relay = read<PeerRelayAnswer>(
+    ASSERT_EQ(ping.task_counts.size(), 1u);
+    EXPECT_EQ(ping.task_counts[0].id, "j-1");
+    EXPECT_EQ(ping.task_counts[0].done, 3u);
+    EXPECT_EQ(ping.task_counts[0].running, 0u);
+    auto relay = read<RelayResponse>(
         "94"
         "c3"
         "c3"
         "05"
         "91"
         "92ccc8a27b7d");
-    ASSERT_EQ(relay.answers.size(), 1u);
-    EXPECT_EQ(relay.answers[0].status, 200);
-    EXPECT_EQ(relay.answers[0].body, "{}");
-    EXPECT_FALSE(relay.answers[0].quiet);
-    auto fleet = read<PeerFleet>(
+    ASSERT_EQ(relay.replies.size(), 1u);
+    EXPECT_EQ(relay.replies[0].status, 200);
+    EXPECT_EQ(relay.replies[0].body, "{}");
+    EXPECT_FALSE(relay.replies[0].nothing_pending);
+    auto fleet = read<ReplicationRequest>(
         "93"
         "08"
         "03"
@@ -376,8 +378,8 @@
         "93a4766d2d31c3c3");
     ASSERT_EQ(fleet.rows.size(), 1u);
     EXPECT_EQ(fleet.rows[0].machine, "vm-1");
-    EXPECT_TRUE(fleet.rows[0].known);
-    EXPECT_TRUE(fleet.rows[0].gone);
+    EXPECT_TRUE(fleet.rows[0].tasks_known);
+    EXPECT_TRUE(fleet.rows[0].deleted);
     EXPECT_EQ(fleet.rows[0].agent_epoch, 0u);
     EXPECT_TRUE(fleet.rows[0].tasks.empty());
 }
@@ -387,17 +389,17 @@
     EXPECT_EQ(peer_user_path, "/peer/user");
     EXPECT_EQ(peer_images_path, "/peer/images");
     EXPECT_EQ(peer_job_path, "/peer/job");
-    EXPECT_EQ(peer_cancelled_path, "/peer/cancelled");
+    EXPECT_EQ(peer_cancellation_path, "/peer/cancelled");
     EXPECT_EQ(peer_relay_path, "/peer/relay");
-    EXPECT_EQ(peer_fleet_path, "/peer/fleet");
+    EXPECT_EQ(peer_replication_path, "/peer/fleet");
 }
 TEST(GoldenBytes, FeaturesHaveTheirNumbers) {
-    EXPECT_EQ(peer_features_awaits, 1u);
-    EXPECT_EQ(peer_features_relay, 2u);
-    EXPECT_EQ(peer_features_follow, 3u);
-    EXPECT_EQ(peer_features_carry, 4u);
-    EXPECT_EQ(peer_features_brief, 5u);
-    EXPECT_EQ(peer_features, 5u);
+    EXPECT_EQ(peer_features::dependencies, 1u);
+    EXPECT_EQ(peer_features::relay, 2u);
+    EXPECT_EQ(peer_features::replication, 3u);
+    EXPECT_EQ(peer_features::replica_handover, 4u);
+    EXPECT_EQ(peer_features::brief_pings, 5u);
+    EXPECT_EQ(peer_features::latest, 5u);
 }
 
 }  // namespace
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -11,7 +11,13 @@
 #include "jobs/job_table.hpp"
 #include "kv/keys.hpp"
 #include "kv/kv_client.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::protocol {
@@ -25,7 +31,7 @@
 Job full_job() {
     Job j;
     j.id = "j-000412";
-    j.cls = "train";
+    j.job_class = "train";
     j.team = "vision";
     j.kind = JobKind::gang;
     j.priority = Priority::high;
@@ -38,28 +44,28 @@
     j.one_zone = true;
     j.spread = false;
     j.spot = true;
-    j.estimate_s = 240.125;
-    j.checkpoint_s = 30.25;
-    j.save_s = 4;
+    j.estimated_run_s = 240.125;
+    j.checkpoint_interval_s = 30.25;
+    j.checkpoint_save_s = 4;
     j.deadline_s = 900;
     return j;
 }
 Job awaiting_job() {
     auto j = full_job();
-    j.awaits = {"j-000411", "j-1"};
+    j.dependencies = {"j-000411", "j-1"};
     return j;
 }
 Job least_job() {
     Job j;
     j.id = "j-1";
-    j.cls = "c";
+    j.job_class = "c";
     j.team = "t";
     j.image = "i";
     return j;
 }
 void expect_same(const Job& a, const Job& b) {
     EXPECT_EQ(a.id, b.id);
-    EXPECT_EQ(a.cls, b.cls);
+    EXPECT_EQ(a.job_class, b.job_class);
     EXPECT_EQ(a.team, b.team);
     EXPECT_EQ(a.kind, b.kind);
     EXPECT_EQ(a.priority, b.priority);
@@ -74,11 +80,11 @@
     EXPECT_EQ(a.one_zone, b.one_zone);
     EXPECT_EQ(a.spread, b.spread);
     EXPECT_EQ(a.spot, b.spot);
-    EXPECT_EQ(a.estimate_s, b.estimate_s);
-    EXPECT_EQ(a.checkpoint_s, b.checkpoint_s);
-    EXPECT_EQ(a.save_s, b.save_s);
+    EXPECT_EQ(a.estimated_run_s, b.estimated_run_s);
+    EXPECT_EQ(a.checkpoint_interval_s, b.checkpoint_interval_s);
+    EXPECT_EQ(a.checkpoint_save_s, b.checkpoint_save_s);
     EXPECT_EQ(a.deadline_s, b.deadline_s);
-    EXPECT_EQ(a.awaits, b.awaits);
+    EXPECT_EQ(a.dependencies, b.dependencies);
 }
 // A golden message with one field set to something else; `at`: of an object within it.
 std::string with(std::string_view golden, const char* field, const json& value, const char* at = "") {
@@ -188,7 +194,8 @@
         {"Cancelled", golden::job_record_cancelled, {full_job(), submitted, true}},
         {"Awaits", golden::job_record_awaits, {awaiting_job(), submitted, false}},
         {"AwaitsCancelled", golden::job_record_awaits_cancelled, {awaiting_job(), submitted, true}},
-        {"Shortened", golden::job_record_shortened, shortened({awaiting_job(), submitted, true})},
+        {"Shortened", golden::job_record_shortened,
+         compact_cancelled_record({awaiting_job(), submitted, true})},
     };
 }
 void PrintTo(const StoredJob& j, std::ostream* out) {
@@ -209,16 +216,16 @@
 TEST_P(JobRecords, AreReadAsFarAsAnswersNeedThem) {
     auto live = parse_live_record(GetParam().golden);
     EXPECT_EQ(live.cancelled, GetParam().record.cancelled);
-    EXPECT_EQ(live.awaits, GetParam().record.job.awaits);
-    EXPECT_EQ(says_cancelled(GetParam().golden), GetParam().record.cancelled);
+    EXPECT_EQ(live.dependencies, GetParam().record.job.dependencies);
+    EXPECT_EQ(is_cancelled_record(GetParam().golden), GetParam().record.cancelled);
 }
 INSTANTIATE_TEST_SUITE_P(GoldenBytes, JobRecords, testing::ValuesIn(stored_jobs()),
                          [](auto& info) { return std::string(info.param.name); });
 
 TEST(GoldenBytes, CancellationIsSeenInARecordThatCannotBeReadOtherwise) {
-    EXPECT_TRUE(says_cancelled(R"({"cancelled":true,"job":7})"));
-    EXPECT_FALSE(says_cancelled(R"({"cancelled":false})"));
-    EXPECT_FALSE(says_cancelled(R"({"withdrawn":true})"));
+    EXPECT_TRUE(is_cancelled_record(R"({"cancelled":true,"job":7})"));
+    EXPECT_FALSE(is_cancelled_record(R"({"cancelled":false})"));
+    EXPECT_FALSE(is_cancelled_record(R"({"withdrawn":true})"));
 }
 
 struct StoredFinal {
@@ -267,17 +274,17 @@
 TEST(GoldenBytes, MachinePageIsReadFieldByField) {
     auto p = parse_machine_page(golden::machine_page);
     ASSERT_EQ(p.size(), 2u);
-    EXPECT_EQ(p[0].first, "vm-1");
-    expect_same(p[0].second, spot_machine());
-    EXPECT_EQ(p[1].first, "vm-2");
-    expect_same(p[1].second, marked_machine());
+    EXPECT_EQ(p[0].id, "vm-1");
+    expect_same(p[0].record, spot_machine());
+    EXPECT_EQ(p[1].id, "vm-2");
+    expect_same(p[1].record, marked_machine());
     EXPECT_TRUE(parse_machine_page(golden::machine_page_empty).empty());
 }
 TEST(GoldenBytes, MachinePageOfALaterVersionIsRead) {
     auto p =
         parse_machine_page(R"({"machines":[["vm-1","10.1.0.1:9000","g8","a",true,false,"more"]],"more":1})");
     ASSERT_EQ(p.size(), 1u);
-    expect_same(p[0].second, spot_machine());
+    expect_same(p[0].record, spot_machine());
 }
 TEST(GoldenBytes, MachineRecordOfTheOldLayoutIsRead) {
     expect_same(parse_machine_record(golden::machine_spot), spot_machine());
@@ -285,56 +292,58 @@
 }
 
 TEST(GoldenBytes, LeaderRecordIsWrittenAsBefore) {
-    EXPECT_EQ(stored(LeaderRecord{.label = "berth-0", .incarnation = UINT64_MAX, .keeps_record = false}),
-              golden::leader_old);
-    EXPECT_EQ(stored(LeaderRecord{.label = "berth-1", .incarnation = beyond_double, .keeps_record = true}),
+    EXPECT_EQ(
+        stored(LeaderRecord{.label = "berth-0", .incarnation = UINT64_MAX, .stores_in_sync_replicas = false}),
+        golden::leader_old);
+    EXPECT_EQ(stored(LeaderRecord{
+                  .label = "berth-1", .incarnation = beyond_double, .stores_in_sync_replicas = true}),
               golden::leader);
 }
 TEST(GoldenBytes, LeaderRecordIsReadFieldByField) {
     auto old = parse_leader_record(golden::leader_old);
     EXPECT_EQ(old.label, "berth-0");
     EXPECT_EQ(old.incarnation, UINT64_MAX);
-    EXPECT_FALSE(old.keeps_record);
-    EXPECT_FALSE(keeps_record(golden::leader_old));
+    EXPECT_FALSE(old.stores_in_sync_replicas);
+    EXPECT_FALSE(stores_in_sync_replicas(golden::leader_old));
     auto now = parse_leader_record(golden::leader);
     EXPECT_EQ(now.label, "berth-1");
     EXPECT_EQ(now.incarnation, beyond_double);
-    EXPECT_TRUE(now.keeps_record);
-    EXPECT_TRUE(keeps_record(golden::leader));
+    EXPECT_TRUE(now.stores_in_sync_replicas);
+    EXPECT_TRUE(stores_in_sync_replicas(golden::leader));
 }
 TEST(GoldenBytes, LeaderRecordThatSaysFalseOrCannotBeReadKeepsNoRecord) {
-    EXPECT_FALSE(keeps_record(with(golden::leader, "standby", false)));
-    EXPECT_FALSE(keeps_record(R"({"label":"berth-1","standby":true})"));
+    EXPECT_FALSE(stores_in_sync_replicas(with(golden::leader, "standby", false)));
+    EXPECT_FALSE(stores_in_sync_replicas(R"({"label":"berth-1","standby":true})"));
 }
 
-TEST(GoldenBytes, StandbyRecordIsWrittenAsBefore) {
-    StandbyRecord r{.version = beyond_double,
-                    .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .begun = 11},
-                                {.label = "berth-2", .incarnation = 5, .begun = 12}}};
+TEST(GoldenBytes, InSyncReplicasIsWrittenAsBefore) {
+    InSyncReplicas r{.leader_version = beyond_double,
+                     .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .base_version = 11},
+                                 {.label = "berth-2", .incarnation = 5, .base_version = 12}}};
     EXPECT_EQ(stored(r), golden::standby);
-    EXPECT_EQ(stored(StandbyRecord{.version = 7, .members = {}}), golden::standby_nobody);
+    EXPECT_EQ(stored(InSyncReplicas{.leader_version = 7, .members = {}}), golden::standby_nobody);
 }
-TEST(GoldenBytes, StandbyRecordIsReadFieldByField) {
-    auto r = parse_standby_record(golden::standby);
-    EXPECT_EQ(r.version, beyond_double);
+TEST(GoldenBytes, InSyncReplicasIsReadFieldByField) {
+    auto r = parse_in_sync_replicas(golden::standby);
+    EXPECT_EQ(r.leader_version, beyond_double);
     ASSERT_EQ(r.members.size(), 2u);
     EXPECT_EQ(r.members[0].label, "berth-0");
     EXPECT_EQ(r.members[0].incarnation, UINT64_MAX);
-    EXPECT_EQ(r.members[0].begun, 11u);
+    EXPECT_EQ(r.members[0].base_version, 11u);
     EXPECT_EQ(r.members[1].label, "berth-2");
     EXPECT_EQ(r.members[1].incarnation, 5u);
-    EXPECT_EQ(r.members[1].begun, 12u);
-    auto nobody = parse_standby_record(golden::standby_nobody);
-    EXPECT_EQ(nobody.version, 7u);
+    EXPECT_EQ(r.members[1].base_version, 12u);
+    auto nobody = parse_in_sync_replicas(golden::standby_nobody);
+    EXPECT_EQ(nobody.leader_version, 7u);
     EXPECT_TRUE(nobody.members.empty());
 }
 // A version that carried nothing over began each copy itself.
-TEST(GoldenBytes, StandbyRecordOfAnOlderVersionWasBegunUnderItsOwnLeadership) {
-    auto r = parse_standby_record(golden::standby_old);
+TEST(GoldenBytes, InSyncReplicasOfAnOlderVersionWasBegunUnderItsOwnLeadership) {
+    auto r = parse_in_sync_replicas(golden::standby_old);
     ASSERT_EQ(r.members.size(), 1u);
     EXPECT_EQ(r.members[0].label, "berth-2");
     EXPECT_EQ(r.members[0].incarnation, 5u);
-    EXPECT_EQ(r.members[0].begun, 7u);
+    EXPECT_EQ(r.members[0].base_version, 7u);
 }
 
 TEST(GoldenBytes, ProgressBitsAreWrittenAndReadAsBefore) {
@@ -370,7 +379,7 @@
 
 std::vector<MachineType> machine_types() {
     return {{.name = "g8",
-             .room = {.cpus = 96, .gpus = 8, .memory_gb = 768},
+             .capacity = {.cpus = 96, .gpus = 8, .memory_gb = 768},
              .cache_gb = 200.5,
              .fetch_gb_per_s = 1.25,
              .price = 12.5,
@@ -378,7 +387,7 @@
              .boot_s = 45,
              .zones = {"a", "b"}},
             {.name = "c4",
-             .room = {.cpus = 4, .gpus = 0, .memory_gb = 16},
+             .capacity = {.cpus = 4, .gpus = 0, .memory_gb = 16},
              .cache_gb = 20,
              .fetch_gb_per_s = 0.5,
              .price = 1.5,
@@ -397,9 +406,9 @@
     for (std::size_t k = 0; k < types.size(); ++k) {
         auto &t = types[k], &x = expected[k];
         EXPECT_EQ(t.name, x.name);
-        EXPECT_EQ(t.room.cpus, x.room.cpus);
-        EXPECT_EQ(t.room.gpus, x.room.gpus);
-        EXPECT_EQ(t.room.memory_gb, x.room.memory_gb);
+        EXPECT_EQ(t.capacity.cpus, x.capacity.cpus);
+        EXPECT_EQ(t.capacity.gpus, x.capacity.gpus);
+        EXPECT_EQ(t.capacity.memory_gb, x.capacity.memory_gb);
         EXPECT_EQ(t.cache_gb, x.cache_gb);
         EXPECT_EQ(t.fetch_gb_per_s, x.fetch_gb_per_s);
         EXPECT_EQ(t.price, x.price);
@@ -412,7 +421,7 @@
 TEST(GoldenBytes, KeysAreAsBefore) {
     namespace keys = kv::keys;
     EXPECT_EQ(keys::leader, "leader");
-    EXPECT_EQ(keys::standby, "standby");
+    EXPECT_EQ(keys::in_sync_replicas, "standby");
     EXPECT_EQ(keys::types, "types");
     EXPECT_EQ(keys::jobs, "job/");
     EXPECT_EQ(keys::finals, "final/");
@@ -514,7 +523,7 @@
          "field 'machines' holds something that is not a machine"},
         {R"({"machines":[[1,"","","",true,true]]})", page,
          "field 'machines' holds something that is not a machine"},
-        {with(golden::standby, "members", {7}), [](auto& b) { parse_standby_record(b); },
+        {with(golden::standby, "members", {7}), [](auto& b) { parse_in_sync_replicas(b); },
          "field 'members' holds something that is not a member"},
         {with(golden::bits, "bits", 7), bits, "field 'bits' is not a string"},
         {with(golden::bits, "bits", "x"), bits, "field 'bits' is not hexadecimal"},
@@ -525,9 +534,9 @@
 // ---- Workers
 
 std::vector<Command> commands_of_each_kind() {
-    return {{.op = CommandKind::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
-            {.op = CommandKind::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
-            {.op = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
+    return {{.kind = CommandKind::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
+            {.kind = CommandKind::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
+            {.kind = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
 }
 TEST(GoldenBytes, ReportAnswerIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_response(UINT64_MAX, commands_of_each_kind()), golden::heartbeat_response);
@@ -601,7 +610,7 @@
     for (auto [state, word] : {std::pair(TaskState::fetching, "fetching"),
                                {TaskState::waiting, "waiting"},
                                {TaskState::running, "running"},
-                               {TaskState::saving, "flushing"},
+                               {TaskState::checkpointing, "flushing"},
                                {TaskState::exited, "exited"}}) {
         auto r = parse_heartbeat(with(golden::report, "status", word, "/shards/1"));
         EXPECT_EQ(r.tasks.at(1).state, state) << word;
@@ -610,11 +619,11 @@
 TEST(GoldenBytes, CausesHaveTheirWords) {
     for (auto [cause, word] : {std::pair(ExitCause::done, "done"),
                                {ExitCause::stopped, "halted"},
-                               {ExitCause::peers, "mates_gone"},
-                               {ExitCause::alone, "incomplete"},
+                               {ExitCause::gang_member_lost, "mates_gone"},
+                               {ExitCause::gang_incomplete, "incomplete"},
                                {ExitCause::error, "error"},
-                               {ExitCause::no_room, "no_room"},
-                               {ExitCause::busy, "busy"},
+                               {ExitCause::insufficient_resources, "no_room"},
+                               {ExitCause::other_attempt_present, "busy"},
                                {ExitCause::unknown, "unknown"},
                                {ExitCause::error, "a word of a later version"}}) {
         auto r = parse_heartbeat(with(golden::report, "cause", word, "/shards/0"));
@@ -627,7 +636,7 @@
     EXPECT_EQ(paths::cancel, "/cancel");
     EXPECT_EQ(paths::health, "/healthz");
     EXPECT_EQ(paths::metrics, "/metrics");
-    EXPECT_EQ(paths::report, "/hello");
+    EXPECT_EQ(paths::heartbeat, "/hello");
     EXPECT_EQ(paths::commands, "/do");
     EXPECT_EQ(paths::inspect, "/inspect");
     EXPECT_EQ(paths::types, "/flavors");
@@ -775,10 +784,10 @@
 class GoldenBytesRequests : public testing::Test {
   protected:
     GoldenBytesRequests() {
-        settings_.state_addr = "state";
+        settings_.kv_addr = "state";
         settings_.cloud_addr = "cloud";
-        settings_.report_s = 1;
-        settings_.state_rps = settings_.state_write_rps = settings_.cloud_rps = 1000;
+        settings_.heartbeat_interval_s = 1;
+        settings_.kv_rps = settings_.kv_write_rps = settings_.cloud_rps = 1000;
         settings_.safe_value_kb = 16;
         settings_.txn_ops = 24;
     }
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -4,8 +4,9 @@
 
 #include <cstdio>
 
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::protocol {
 namespace {
@@ -30,19 +31,20 @@
 TEST(MessageSize, OfAPingThatNamesAllMachinesTwice) {
     PeerPing ping;
     for (std::size_t k = 0; k < machine_count; ++k) {
-        ping.workers.push_back(name("vm-%06zu", k));
-        ping.ages_ms.push_back(70000);
-        ping.silent.push_back(name("vm-%06zu", k));
-        ping.silent_ms.push_back(70000);
+        ping.reporting_machines.push_back(name("vm-%06zu", k));
+        ping.heartbeat_ages_ms.push_back(70000);
+        ping.suspected.push_back(name("vm-%06zu", k));
+        ping.suspected_silence_ms.push_back(70000);
     }
-    for (std::size_t k = 0; k < live_jobs; ++k) ping.counts.push_back({name("j-%09zu", k), 70000, 70000});
+    for (std::size_t k = 0; k < live_jobs; ++k)
+        ping.task_counts.push_back({name("j-%09zu", k), 70000, 70000});
     EXPECT_LT(packed_bytes("ping, 8,000 heard and 8,000 silent", ping), body_limit / 8);
 }
 
 TEST(MessageSize, OfAPieceOfWhatFollowersAreTold) {
-    PeerFleet piece;
+    ReplicationRequest piece;
     for (std::size_t k = 0; k < 1024; ++k) {  // replication::ReplicationSender's max_batch_machines
-        PeerMachineRow row{name("vm-%06zu", k), true, false, 1, 70000, {}};
+        ReplicatedMachine row{name("vm-%06zu", k), true, false, 1, 70000, {}};
         for (std::uint32_t t = 0; t < tasks_per_machine; ++t)
             row.tasks.push_back({name("j-%09zu", k), 70000 + t, version << 20});
         piece.rows.push_back(std::move(row));
@@ -65,9 +67,11 @@
 }
 
 TEST(MessageSize, OfAMessageThatPassesReportsOn) {
-    PeerRelay relay;
-    relay.reports.assign(96, std::string(1900, 'x'));  // relay::ReportRelay's most_reports, 17 ends in each
-    for (std::size_t k = 0; k < machine_count; ++k) relay.heard.push_back({name("vm-%06zu", k), 70000});
+    RelayRequest relay;
+    relay.heartbeats.assign(96,
+                            std::string(1900, 'x'));  // relay::ReportRelay's most_reports, 17 ends in each
+    for (std::size_t k = 0; k < machine_count; ++k)
+        relay.answered_heartbeats.push_back({name("vm-%06zu", k), 70000});
     EXPECT_LT(packed_bytes("96 reports passed on, 8,000 repeated", relay), body_limit / 4);
 }
 
@@ -77,7 +81,7 @@
     for (std::size_t k = 0; k < 50; ++k) {
         MachineType t;
         t.name = name("type-%zu", k);
-        t.room = {96, 8, 768};
+        t.capacity = {96, 8, 768};
         t.cache_gb = 200;
         t.fetch_gb_per_s = 1;
         t.price = 12.25;
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -1,11 +1,15 @@
 // Tables of messages: what is taken, what is refused, and that nothing is lost on the way.
-#include "protocol/protocol.hpp"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
+#include "protocol/agent_api.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/malformed.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
+#include "protocol/records.hpp"
+#include "protocol/user_api.hpp"
 
 namespace coralhitch::protocol {
 namespace {
@@ -86,14 +90,14 @@
     for (auto& c : {Case{nullptr, {}}, Case{nlohmann::json::array(), {}}, Case{{"j-2"}, {"j-2"}},
                     Case{{"j-2", "j-1", "j-2"}, {"j-1", "j-2"}}}) {
         auto j = good_job();
-        EXPECT_TRUE(parse_job(j.dump()).awaits.empty());
+        EXPECT_TRUE(parse_job(j.dump()).dependencies.empty());
         j["awaits"] = c.value;
         auto job = parse_job(j.dump());
-        EXPECT_EQ(job.awaits, c.awaits);
+        EXPECT_EQ(job.dependencies, c.awaits);
         EXPECT_EQ(names_dependencies(j.dump()), !c.value.is_null());
         auto record = stored(JobRecord{job, 1, false});
-        EXPECT_EQ(parse_job_record(record).job.awaits, c.awaits);
-        EXPECT_EQ(parse_live_record(record).awaits, c.awaits);
+        EXPECT_EQ(parse_job_record(record).job.dependencies, c.awaits);
+        EXPECT_EQ(parse_live_record(record).dependencies, c.awaits);
         // The version before reads `job`, and must not find one that it would start at once.
         EXPECT_EQ(nlohmann::json::parse(record).contains("job"), c.awaits.empty());
     }
@@ -127,7 +131,7 @@
     j["id"] = "j-" + std::string(62, '1');
     auto record = parse_job_record(stored(JobRecord{parse_job(j.dump()), 12.5, true}));
     EXPECT_GT(stored(record).size(), 2048u);
-    auto brief = stored(shortened(record));
+    auto brief = stored(compact_cancelled_record(record));
     EXPECT_LT(brief.size(), 1024u);
     auto back = parse_job_record(brief);
     EXPECT_TRUE(back.cancelled);
@@ -172,17 +176,17 @@
 }
 
 TEST(Peer, RoundTripsAndRefusesNoise) {
-    PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features};
+    PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features::latest};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
     ASSERT_TRUE(back);
-    ASSERT_EQ(back->counts.size(), 1u);
-    EXPECT_EQ(back->counts[0].running, 4u);
+    ASSERT_EQ(back->task_counts.size(), 1u);
+    EXPECT_EQ(back->task_counts[0].running, 4u);
     EXPECT_EQ(back->leader_version, 1ull << 60);
     PeerImages images{{"img-1", "img-2"}, {5, 7}, {{"vm-1", {1, 0}}}};
     auto told = unpack_peer<PeerImages>(pack_peer(images));
     ASSERT_TRUE(told && told->machines.size() == 1);
     EXPECT_EQ(told->machines[0].images, (std::vector<std::uint32_t>{1, 0}));
-    EXPECT_EQ(back->features, peer_features);
+    EXPECT_EQ(back->features, peer_features::latest);
     EXPECT_FALSE(unpack_peer<PeerPing>("{\"label\":1}"));
     EXPECT_FALSE(unpack_peer<PeerPing>(""));
 }
@@ -194,7 +198,7 @@
     std::string leader;
     bool state_ok = false;
     std::vector<std::string> workers;
-    std::vector<PeerCount> counts;
+    std::vector<PeerTaskCounts> counts;
     MSGPACK_DEFINE(label, incarnation, leader_version, leader, state_ok, workers, counts)
 };
 TEST(Peer, OldAndNewVersionsUnderstandEachOther) {
@@ -207,18 +211,18 @@
     ASSERT_TRUE(ping);
     EXPECT_EQ(ping->label, "berth-1");
     EXPECT_EQ(ping->leader_version, 8u);
-    ASSERT_EQ(ping->counts.size(), 1u);
+    ASSERT_EQ(ping->task_counts.size(), 1u);
     EXPECT_EQ(ping->features, 0u);  // unknown means old
     auto back = unpack_peer<OldPing>(pack_peer(PeerPing{"a", 1, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
-    EXPECT_EQ(back->counts.at(0).done, 5u);
+    EXPECT_EQ(back->task_counts.at(0).done, 5u);
     EXPECT_EQ(pack_peer(*unpack_peer<OldPing>(old)), old);
     // These are as they were.
     EXPECT_EQ(pack_peer(PeerUserRequest{"GET", "/", ""}), std::string("\x93\xa3GET\xa1/\xa0", 8));
-    EXPECT_EQ(pack_peer(PeerUserAnswer{200, "{}", 1}), std::string("\x93\xcc\xc8\xa2{}\x01", 7));
+    EXPECT_EQ(pack_peer(PeerUserResponse{200, "{}", 1}), std::string("\x93\xcc\xc8\xa2{}\x01", 7));
     EXPECT_EQ(pack_peer(PeerJobQuery{"j-1"}), std::string("\x91\xa3j-1", 5));
-    EXPECT_EQ(pack_peer(PeerCancelled{"j-1", 7}), std::string("\x92\xa3j-1\x07", 6));
+    EXPECT_EQ(pack_peer(PeerCancellation{"j-1", 7}), std::string("\x92\xa3j-1\x07", 6));
     EXPECT_EQ(pack_peer(PeerJobCounts{true, 3, 4}), std::string("\x93\xc3\x03\x04", 4));
     EXPECT_EQ(pack_peer(PeerImages{{"i"}, {1}, {{"vm-1", {0}}}}),
               std::string("\x93\x91\xa1i\x91\x01\x91\x92\xa4vm-1\x91\0", 15));
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -5,6 +5,8 @@
 
 #include <set>
 
+#include "protocol/peer_cancellation_messages.hpp"
+#include "protocol/peer_messages.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::relay {
@@ -18,11 +20,11 @@
     std::map<std::string, std::vector<std::vector<std::string>>> received;  // by address, the jobs of each
     void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
         if (cut.contains(addr)) return void(timers.after(timeout, [result] { result({}); }));
-        auto m = protocol::unpack_peer<protocol::PeerCancelledAgain>(r.body).value();
+        auto m = protocol::unpack_peer<protocol::PeerCancellationBatch>(r.body).value();
         std::vector<std::string> ids{m.id};
         for (auto& more : m.more) ids.push_back(more.id);
         received[addr].push_back(ids);
-        auto body = protocol::pack_peer(protocol::PeerCancelledAnswer{leads[addr]});
+        auto body = protocol::pack_peer(protocol::PeerCancellationResponse{leads[addr]});
         timers.after(0.01, [result, body] { result(http::Response{200, body}); });
     }
 };
@@ -31,7 +33,7 @@
     Peers peers{timers};
     config::Settings settings = [] {
         config::Settings s;
-        s.report_s = 3;
+        s.heartbeat_interval_s = 3;
         s.cancel_s = 44;
         s.memory_mb = 1;
         s.peers = {{"berth-1", "a", "one"}, {"berth-2", "b", "two"}};
@@ -105,11 +107,11 @@
     // The layout of the version before: id and version only, and an empty answer.
     msgpack::sbuffer old;
     msgpack::packer(old).pack_array(2).pack(std::string("j-1")).pack(9);
-    auto m = protocol::unpack_peer<protocol::PeerCancelledAgain>({old.data(), old.size()});
+    auto m = protocol::unpack_peer<protocol::PeerCancellationBatch>({old.data(), old.size()});
     ASSERT_TRUE(m);
     EXPECT_TRUE(m->id == "j-1" && m->version == 9 && m->more.empty());
-    EXPECT_FALSE(protocol::unpack_peer<protocol::PeerCancelledAnswer>(""));
-    auto now = protocol::pack_peer(protocol::PeerCancelledAgain{"j-1", 9, {{"j-2", 10}}});
+    EXPECT_FALSE(protocol::unpack_peer<protocol::PeerCancellationResponse>(""));
+    auto now = protocol::pack_peer(protocol::PeerCancellationBatch{"j-1", 9, {{"j-2", 10}}});
     auto read = msgpack::unpack(now.data(), now.size()).get().as<std::tuple<std::string, std::uint64_t>>();
     EXPECT_EQ(std::get<0>(read), "j-1");
 }
--- a/tests/relay/heartbeat_queue_test.cpp
+++ b/tests/relay/heartbeat_queue_test.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 
+#include "protocol/agent_api.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::relay {
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -7,6 +7,7 @@
 #include <deque>
 
 #include "config/settings.hpp"
+#include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_bodies.hpp"
 #include "support/fake_timers.hpp"
 
@@ -16,12 +17,12 @@
 // Keeps what was sent to the leader; the test answers, late or not at all.
 struct Network : http::Requester {
     struct Sent {
-        protocol::PeerRelay message;
+        protocol::RelayRequest message;
         http::Result result;
     };
     std::deque<Sent> sent;
     void send(const std::string&, http::Request r, double, http::Result result) override {
-        sent.push_back({protocol::unpack_peer<protocol::PeerRelay>(r.body).value(), std::move(result)});
+        sent.push_back({protocol::unpack_peer<protocol::RelayRequest>(r.body).value(), std::move(result)});
     }
 };
 struct RelayFixture {
@@ -38,7 +39,7 @@
     static config::Settings make() {
         config::Settings s;
         s.label = "b";
-        s.report_s = 6;
+        s.heartbeat_interval_s = 6;
         s.lease_s = 30;
         s.memory_mb = 100;
         return s;
@@ -50,11 +51,11 @@
     }
     void run(double seconds) { timers.run_until(timers.now() + seconds); }
     // Answers the oldest message: all its reports with 200.
-    void answer(protocol::PeerRelayAnswer a, bool quiet = true) {
+    void answer(protocol::RelayResponse a, bool quiet = true) {
         auto s = std::move(net.sent.front());
         net.sent.pop_front();
-        a.leads = true;
-        for (std::size_t k = 0; k < s.message.reports.size(); ++k) a.answers.push_back({200, "{}", quiet});
+        a.is_leader = true;
+        for (std::size_t k = 0; k < s.message.heartbeats.size(); ++k) a.replies.push_back({200, "{}", quiet});
         s.result(http::Response{200, protocol::pack_peer(a), "application/msgpack"});
     }
     void lose() {
@@ -63,11 +64,11 @@
         s.result(std::nullopt);
     }
 };
-protocol::PeerRelayAnswer extension(std::uint64_t ms, std::vector<std::string> recalled = {}) {
-    protocol::PeerRelayAnswer a;
+protocol::RelayResponse extension(std::uint64_t ms, std::vector<std::string> recalled = {}) {
+    protocol::RelayResponse a;
     a.ready = true;
-    a.grant_ms = ms;
-    a.recalled = std::move(recalled);
+    a.delegation_ms = ms;
+    a.revoked = std::move(recalled);
     return a;
 }
 
@@ -134,7 +135,7 @@
     for (auto [seconds, why] :
          {std::pair(0.0, HeartbeatRejection::no_leader), {4.0, HeartbeatRejection::queue_timeout}}) {
         RelayFixture fixture;
-        fixture.settings.op.hearing = false;  // nothing is held for the next leader
+        fixture.settings.op.relay_heartbeats = false;  // nothing is held for the next leader
         ASSERT_TRUE(fixture.offer("{}"));
         fixture.run(0.5);
         ASSERT_EQ(fixture.net.sent.size(), 1u);
@@ -221,7 +222,7 @@
     for (int machines : {4000, 8000}) {
         SCOPED_TRACE(machines);
         RelayFixture fixture;
-        fixture.settings.report_s = 3;
+        fixture.settings.heartbeat_interval_s = 3;
         fixture.run(0.2);
         fixture.answer(extension(3000));
         constexpr double step_s = 0.02;
@@ -240,7 +241,7 @@
 // A leader that is not ready yet is retried at a limited rate, however many heartbeats wait.
 TEST(HeartbeatRelay, RetriesALeaderThatIsNotReadyAtALimitedRate) {
     RelayFixture fixture;
-    fixture.settings.report_s = 3;
+    fixture.settings.heartbeat_interval_s = 3;
     fixture.run(0.2);
     fixture.answer(extension(3000));
     for (int k = 1; k <= 1000; ++k) fixture.offer(heartbeat_body("vm-1", k, task));
--- a/tests/relay/reply_cache_test.cpp
+++ b/tests/relay/reply_cache_test.cpp
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/agent_api.hpp"
 #include "relay/heartbeat_bodies.hpp"
 
 namespace coralhitch::relay {
--- a/tests/relay/worker_lease_test.cpp
+++ b/tests/relay/worker_lease_test.cpp
@@ -10,7 +10,7 @@
 // in time, if a report that came at the last moment was answered and no command ever arrives.
 TEST(WorkerLease, RenewalEndsEarlyEnoughForEveryCancellation) {
     struct Case {
-        double report_s, lease_s, cancel_s;
+        double heartbeat_interval_s, lease_s, cancel_s;
         bool some;  // whether anything is left after the authority's end
     };
     const Case cases[] = {{3, 24, 44, true},      {3, 31, 61, true},  {6, 31, 51, true},
@@ -18,7 +18,7 @@
                           {0.5, 600, 601, false}, {10, 24, 300, true}};
     for (auto& c : cases) {
         config::Settings s;
-        s.report_s = c.report_s;
+        s.heartbeat_interval_s = c.heartbeat_interval_s;
         s.lease_s = c.lease_s;
         s.cancel_s = c.cancel_s;
         double ttl = s.lease_s * s.op.lease_ratio, slow = 1 + 0.0005;
--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -5,6 +5,8 @@
 
 #include <functional>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::replication {
 namespace {
 
@@ -15,7 +17,7 @@
     ReplicaEvidence good{"me",
                          3,
                          40,
-                         protocol::StandbyRecord{20, {{"me", 3, 20}, {"other", 4, 20}}},
+                         protocol::InSyncReplicas{20, {{"me", 3, 20}, {"other", 4, 20}}},
                          {{{10, false}, {20, true}}, 25},
                          true,
                          {},
@@ -26,12 +28,15 @@
         bool proof;
     };
     ReplicaState older{10, 7, 10, true, {}}, continued{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
-    auto continues_from = [](ReplicaEvidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
+    auto continues_from = [](ReplicaEvidence& e, std::uint64_t begun) {
+        e.record->members[0].base_version = begun;
+    };
     const Case cases[] = {
         {"all checks pass", [](ReplicaEvidence&) {}, true},
         {"no record: the leader may never have waited for any follower",
          [](ReplicaEvidence& e) { e.record.reset(); }, false},
-        {"the record is of this leadership", [](ReplicaEvidence& e) { e.record->version = 40; }, false},
+        {"the record is of this leadership", [](ReplicaEvidence& e) { e.record->leader_version = 40; },
+         false},
         {"it was removed, and starts were sent without it since",
          [](ReplicaEvidence& e) {
              e.record->members = {{"other", 4, 20}};
--- a/tests/replication/follower_session_test.cpp
+++ b/tests/replication/follower_session_test.cpp
@@ -3,12 +3,14 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/peer_messages.hpp"
+
 namespace coralhitch::replication {
 namespace {
 
 constexpr std::size_t no_limit = 100;
 
-protocol::PeerFleetAnswer applied(std::uint64_t incarnation = 1) {
+protocol::ReplicationResponse applied(std::uint64_t incarnation = 1) {
     return {true, incarnation, 0};
 }
 
--- a/tests/replication/follower_test.cpp
+++ b/tests/replication/follower_test.cpp
@@ -3,10 +3,12 @@
 
 #include <gtest/gtest.h>
 
+#include "protocol/peer_messages.hpp"
+
 namespace coralhitch::replication {
 namespace {
 
-protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
+protocol::ReplicatedMachine row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
     return {id, true, false, agent_epoch, 0, {}};
 }
 
@@ -15,12 +17,12 @@
     struct Case {
         const char* name;
         std::uint64_t version, number;
-        protocol::PeerMachineRow row;
+        protocol::ReplicatedMachine row;
         bool taken;
         std::size_t rows;
     };
     auto gone = row_of("vm-1");
-    gone.gone = true;
+    gone.deleted = true;
     const Case cases[] = {
         {"the first", 5, 3, row_of("vm-1"), true, 1},
         {"more", 5, 4, row_of("vm-2"), true, 2},
@@ -33,7 +35,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         auto a = f.apply({c.version, c.number, {c.row}});
-        EXPECT_EQ(a.taken, c.taken);
+        EXPECT_EQ(a.applied, c.taken);
         EXPECT_EQ(a.incarnation, 9u);
         EXPECT_EQ(f.replica().machines.size(), c.rows);
     }
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -5,6 +5,7 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
 
@@ -15,10 +16,10 @@
     RecordFixture() { spdlog::set_level(spdlog::level::off); }
     static config::Settings settings_for() {
         config::Settings s;
-        s.report_s = 4;
+        s.heartbeat_interval_s = 4;
         s.lease_s = 30;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
+        s.kv_rps = 100;
+        s.kv_write_rps = 50;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 8;
         return s;
@@ -38,7 +39,7 @@
                          [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
                          [this] { ++committed; }, [] {}}};
     std::size_t stored_members() {
-        auto it = service.kv.find(kv::keys::standby);
+        auto it = service.kv.find(kv::keys::in_sync_replicas);
         return it == service.kv.end() ? 0 : it->second.value["members"].size();
     }
 };
@@ -47,14 +48,14 @@
     RecordFixture fixture;
     fixture.record.update();
     fixture.timers.run_until(1);
-    EXPECT_FALSE(fixture.service.kv.contains(kv::keys::standby)) << "not started";
+    EXPECT_FALSE(fixture.service.kv.contains(kv::keys::in_sync_replicas)) << "not started";
     fixture.record.start(0);
     fixture.record.update();
     EXPECT_FALSE(fixture.record.owned());
     fixture.timers.run_until(2);
     EXPECT_TRUE(fixture.record.owned());
     EXPECT_EQ(fixture.committed, 1);
-    EXPECT_TRUE(fixture.service.kv.contains(kv::keys::standby));
+    EXPECT_TRUE(fixture.service.kv.contains(kv::keys::in_sync_replicas));
 }
 
 TEST(InSyncRecord, WaitsForAuthority) {
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -9,6 +9,9 @@
 #include <set>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_messages.hpp"
 #include "replication/follower.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
@@ -16,17 +19,17 @@
 namespace coralhitch::replication {
 namespace {
 
-protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
+protocol::ReplicatedMachine row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
     return {id, true, false, agent_epoch, 0, {}};
 }
 
 struct Bench {
     static config::Settings settings_for() {
         config::Settings s;
-        s.report_s = 4;
+        s.heartbeat_interval_s = 4;
         s.lease_s = 30;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
+        s.kv_rps = 100;
+        s.kv_write_rps = 50;
         s.value_kb = s.safe_value_kb = 16;
         s.txn_ops = 8;
         s.peers = {{"x", "a", "x:1"}, {"y", "b", "y:1"}};
@@ -43,7 +46,7 @@
             if (!f.silent && f.fails) {
                 answer = http::Response{503, {}};
             } else if (!f.silent) {
-                auto piece = protocol::unpack_peer<protocol::PeerFleet>(r.body);
+                auto piece = protocol::unpack_peer<protocol::ReplicationRequest>(r.body);
                 answer = http::Response{200, protocol::pack_peer(f.follower.apply(std::move(*piece)))};
             }
             timers.after(answer ? 0.01 : timeout, [answer, result] { result(answer); });
@@ -55,7 +58,7 @@
     };
     std::set<std::string> named() {
         std::set<std::string> out;
-        auto it = service.kv.find(kv::keys::standby);
+        auto it = service.kv.find(kv::keys::in_sync_replicas);
         if (it != service.kv.end())
             for (auto& m : it->second.value["members"]) out.insert(m["label"].get<std::string>());
         return out;
@@ -69,7 +72,7 @@
     bool authority = true;
     std::map<std::string, protocol::PeerPing> pings;
     void ping(const std::string& label, std::uint64_t incarnation) {
-        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features, 0};
+        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features::latest, 0};
     }
     ReplicationSender sender{
         timers,
@@ -152,10 +155,10 @@
         bool at_once, resumed;
     };
     const Case cases[] = {
-        {"it resumes", 1, protocol::peer_features, 40, true, true},
-        {"it was restarted", 3, protocol::peer_features, 0, false, false},
-        {"its version cannot resume", 1, protocol::peer_features_follow, 40, false, false},
-        {"another leader has wiped its replica since", 1, protocol::peer_features, 45, true, false},
+        {"it resumes", 1, protocol::peer_features::latest, 40, true, true},
+        {"it was restarted", 3, protocol::peer_features::latest, 0, false, false},
+        {"its version cannot resume", 1, protocol::peer_features::replication, 40, false, false},
+        {"another leader has wiped its replica since", 1, protocol::peer_features::latest, 45, true, false},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
@@ -165,8 +168,9 @@
         auto& f = b.followers.at("x").follower = Follower(c.incarnation);
         b.followers.at("y").silent = true;
         if (c.begun) f.apply({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
-        b.sender.start(0, protocol::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
-        for (double t = 0; !b.service.kv.contains(kv::keys::standby); t += 0.001) b.timers.run_until(t);
+        b.sender.start(0, protocol::InSyncReplicas{40, {{"x", 1, 40}, {"y", 7, 40}}});
+        for (double t = 0; !b.service.kv.contains(kv::keys::in_sync_replicas); t += 0.001)
+            b.timers.run_until(t);
         EXPECT_EQ(b.named().contains("x"), c.at_once);
         auto log_index = b.start("vm-2");
         for (double t = b.timers.now(); t < 0.8; t += 0.01) {
@@ -175,7 +179,7 @@
             if (b.sender.replicated(log_index) && b.named().contains("x")) {
                 EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch, b.machines["vm-2"]);
                 EXPECT_EQ(f.replica().base_version,
-                          b.service.kv.at(kv::keys::standby).value["members"][0]["begun"]);
+                          b.service.kv.at(kv::keys::in_sync_replicas).value["members"][0]["begun"]);
             }
         }
         EXPECT_TRUE(b.sender.replicated(log_index));
@@ -200,7 +204,7 @@
         else
             b.start("vm-1");  // the answer shows it
         b.timers.run_until(1.2);
-        auto& members = b.service.kv.at(kv::keys::standby).value["members"];
+        auto& members = b.service.kv.at(kv::keys::in_sync_replicas).value["members"];
         ASSERT_EQ(members.size(), 1u);
         EXPECT_EQ(members[0]["incarnation"], 11u);
         EXPECT_EQ(b.followers.at("x").follower.replica().machines.size(), 2u);
--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -6,6 +6,7 @@
 
 #include <sstream>
 
+#include "protocol/agent_api.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -48,7 +49,8 @@
   public:
     void keep(SimulatedCluster& w, double until) {
         w.sent = [this, &w, until](const std::string& from, const std::string&, const http::Request& r) {
-            bool shows = r.target == protocol::paths::report && r.body.find("running") != std::string::npos;
+            bool shows =
+                r.target == protocol::paths::heartbeat && r.body.find("running") != std::string::npos;
             if (shows && w.now() < until) kept_[from] = r;
         };
     }
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -198,21 +198,23 @@
         std::size_t machines;
         bool new_leader;
         std::uint64_t seed;
-        bool hearing;
+        bool relay_heartbeats;
     };
     std::vector<Case> cases;
-    for (bool hearing : {false, true}) {
+    for (bool relay_heartbeats : {false, true}) {
         // Of eight machines a new leader that is cut off learns late that half report elsewhere: with seed 1
         // one worker came to the controller that could lead a second before it did, was sent back, and lost
         // its lease.
-        cases.insert(cases.end(), {{8, false, 1, hearing}, {8, true, 2, hearing}, {8, true, 3, hearing}});
-        for (std::uint64_t seed : {1, 2, 3, 4}) cases.push_back({60, false, seed, hearing});
+        cases.insert(cases.end(), {{8, false, 1, relay_heartbeats},
+                                   {8, true, 2, relay_heartbeats},
+                                   {8, true, 3, relay_heartbeats}});
+        for (std::uint64_t seed : {1, 2, 3, 4}) cases.push_back({60, false, seed, relay_heartbeats});
     }
     for (auto& c : cases) {
         SCOPED_TRACE(std::to_string(c.machines) + " machines, seed " + std::to_string(c.seed) +
-                     (c.hearing ? ", others hear for the leader" : ""));
+                     (c.relay_heartbeats ? ", others relay to the leader" : ""));
         Options o;
-        o.hearing = c.hearing;
+        o.relay_heartbeats = c.relay_heartbeats;
         o.machines = c.machines;
         o.seed = c.seed;
         SimulatedCluster w(o);
@@ -227,7 +229,7 @@
             if ((k == first) != c.new_leader) w.cut("10.0.0." + std::to_string(k + 1), "10.1.", 40, false);
         if (c.new_leader) w.crash(first, 1);
         w.run_until(90);
-        if (!c.hearing) {
+        if (!c.relay_heartbeats) {
             EXPECT_EQ(lead(w) == first, c.new_leader);
         }
         EXPECT_EQ(w.starts, before);  // nothing had to start again
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -61,7 +61,7 @@
     Options o;
     o.machines = 2;
     o.boot_s = machine_up_s;
-    if (!c.warm) o.without_standby = {0, 1, 2};
+    if (!c.warm) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
     w.run_until(25);
@@ -116,7 +116,7 @@
         Options o;
         o.machines = 2;
         o.boot_s = machine_up_s;
-        if (!warm) o.without_standby = {0, 1, 2};
+        if (!warm) o.without_replication = {0, 1, 2};
         SimulatedCluster w(o);
         w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
         w.run_until(25);
@@ -158,7 +158,7 @@
         o.machines = 2;
         o.boot_s = machine_up_s;
         o.gpus_max = 4;
-        if (!warm) o.without_standby = {0, 1, 2};
+        if (!warm) o.without_replication = {0, 1, 2};
         SimulatedCluster w(o);
         w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
         w.run_until(25);
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -1,4 +1,5 @@
 // Jobs that are cancelled in the seconds in which one controller's work changes hands.
+#include "protocol/agent_api.hpp"
 #include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
@@ -149,7 +150,7 @@
     auto [after, warm] = GetParam();
     Options o;
     o.machines = 8;
-    if (!warm) o.without_standby = {0, 1, 2};
+    if (!warm) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-2", "service", 8, 0); });
     w.run_until(29.5);
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -1,4 +1,5 @@
 // Transactions that are carried out at once while their answers are lost.
+#include "protocol/agent_api.hpp"
 #include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -19,7 +19,7 @@
 // before having renewed leases for as long as `cancel_s` allows. Some report periods are for the plan and the
 // start.
 double given_back_s(const Options& o) {
-    return o.cancel_s + 2 * o.report_s;
+    return o.cancel_s + 2 * o.heartbeat_interval_s;
 }
 
 // Both teams are at their limits. Their machines are away while the jobs are cancelled, and the leader
@@ -54,7 +54,7 @@
     Options o;
     o.machines = 13;  // the tasks are on eight of them at most
     o.gpus_max = o.free_gpus_max = 4;
-    if (!c.warm) o.without_standby = {0, 1, 2};
+    if (!c.warm) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(1.9, [&w] {  // keeps the machines
         w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
@@ -101,7 +101,7 @@
     Options o;
     o.machines = 4;
     o.gpus_max = 6;
-    if (!GetParam()) o.without_standby = {0, 1, 2};
+    if (!GetParam()) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-1", "gang", 2, 25, {{"crew", "tight"}, {"cards", 3.0}}); });
     w.at(2, [&w] { w.submit("j-9", "service", 4, 0, {{"cards", 1.0}}); });
@@ -139,7 +139,7 @@
     Options o;
     o.machines = 5;
     o.gpus_max = 5;
-    if (!warm) o.without_standby = {0, 1, 2};
+    if (!warm) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 5, 300, {{"crew", "tight"}, {"driftwood", false}});
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -1,5 +1,6 @@
 // Two troubles that meet: a scripted case for each, with the order of messages fixed. docs/testing.md lists
 // them.
+#include "protocol/agent_api.hpp"
 #include "scenarios/fault_combinations_support.hpp"
 
 namespace coralhitch::simulation {
@@ -96,13 +97,14 @@
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 2;
-    o.without_standby = {0, 1, 2};  // nothing is known of the machines but what they say
+    o.without_replication = {0, 1, 2};  // nothing is known of the machines but what they say
     SimulatedCluster w(o);
     keep_machines(w);
     w.at(4, [&w] { w.submit("j-1", "service", 1, 0); });
     std::map<std::string, http::Request> showed;  // the last report of each machine with the task
     w.sent = [&](auto& from, auto&, auto& r) {
-        if (r.target == protocol::paths::report && r.body.find("j-1/") != std::string::npos && w.now() < 25)
+        if (r.target == protocol::paths::heartbeat && r.body.find("j-1/") != std::string::npos &&
+            w.now() < 25)
             showed[from] = r;
     };
     w.run_until(25);
@@ -151,7 +153,7 @@
     w.sent = [&](auto& from, auto& to, auto& r) {
         if (r.target == protocol::paths::commands && r.body.find("run") != std::string::npos && w.now() < 43)
             held.emplace(to, r);
-        if (r.target != protocol::paths::report || w.now() < 43 || !met.empty() || !held.contains(from))
+        if (r.target != protocol::paths::heartbeat || w.now() < 43 || !met.empty() || !held.contains(from))
             return;
         met = from;
         w.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
@@ -378,7 +380,7 @@
     std::set<std::string> crashed;
     if (at_report)
         w.sent = [&](auto&, auto&, auto& r) {
-            if (r.target != protocol::paths::report || r.body.find("exited") == std::string::npos) return;
+            if (r.target != protocol::paths::heartbeat || r.body.find("exited") == std::string::npos) return;
             auto ended = std::to_string(w.jobs["j-1"].tasks_done.size());
             if (!crashed.insert(ended).second) return;
             w.at(w.now() + 0.012, [&w] { w.crash(lead(w), 0.1); });
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -64,7 +64,7 @@
     // Those that are cut off can't be deleted either: only the time proves anything. The bound is that of
     // docs/design.md for a new leader, with two report periods for the plan and the start.
     bool cut_off = c.loss == Loss::zone_cut_off;
-    double proven_s = o.cancel_s + 2 * o.report_s, away_s = cut_off ? proven_s + 10 : 40;
+    double proven_s = o.cancel_s + 2 * o.heartbeat_interval_s, away_s = cut_off ? proven_s + 10 : 40;
     if (cut_off) w.cloud_down(away_s);
     std::size_t lost = 0;
     for (std::size_t k = 0; k < w.workers.size(); ++k) {
@@ -105,7 +105,7 @@
     w.at(8, [&w] { w.submit("j-1", "service", 6, 0); });
     w.run_until(30);
     ASSERT_EQ(on_machines(w, "j-1"), 6u);
-    double proven_s = o.cancel_s + 2 * o.report_s;
+    double proven_s = o.cancel_s + 2 * o.heartbeat_interval_s;
     w.cloud_down(proven_s + 10);
     w.cut("10.0.", w.workers[GetParam()]->addr, proven_s + 10, false);
     w.run_until(30 + proven_s);
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -3,6 +3,8 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/kv_client.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/kv_api.hpp"
 #include "simulation/simulated_cluster.hpp"
 #include "support/fake_key_value_store.hpp"
 
@@ -29,7 +31,7 @@
             bool met = false;
             // The end is stored a moment after the report that tells it.
             w.sent = [&](auto&, auto&, const http::Request& r) {
-                bool meets = after < 0 ? r.target == protocol::paths::report &&
+                bool meets = after < 0 ? r.target == protocol::paths::heartbeat &&
                                              r.body.find("\"done\"") != std::string::npos
                                        : ends(r, "j-1");
                 if (!meets || std::exchange(met, true)) return;
@@ -98,7 +100,7 @@
         EXPECT_EQ(told, (std::set<std::string>{"done"}));
         EXPECT_EQ(w.starts, 3u);
         // It is read what became of the first, so that no second one is spent on a job that has ended.
-        EXPECT_EQ(written, late < o.report_s / 2 ? 1u : 2u);
+        EXPECT_EQ(written, late < o.heartbeat_interval_s / 2 ? 1u : 2u);
         EXPECT_FALSE(w.stored("job/j-1"));
         EXPECT_TRUE(w.jobs["j-2"].done && w.jobs["j-3"].done);
         for (auto& b : w.broken) ADD_FAILURE() << b;
@@ -163,9 +165,9 @@
     FakeKeyValueStore service(timers);
     config::Settings s;
     s.nodes = 3;
-    s.report_s = 5;
-    s.state_rps = 250;
-    s.state_write_rps = 50;
+    s.heartbeat_interval_s = 5;
+    s.kv_rps = 250;
+    s.kv_write_rps = 50;
     s.txn_ops = 24;
     s.safe_value_kb = 16;
     kv::KvClient client(timers, service, s);
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -97,7 +97,8 @@
     w.cloud_down(o.lease_s * 3);
     w.at(from + 4, [&w] { w.cancel("j-2"); });
     std::size_t kept_by_leader = 0;
-    w.at(from + o.lease_s + o.report_s * 1.5, [&] { kept_by_leader = on_machines(w, "j-1", "b"); });
+    w.at(from + o.lease_s + o.heartbeat_interval_s * 1.5,
+         [&] { kept_by_leader = on_machines(w, "j-1", "b"); });
     w.run_until(from + o.lease_s * 3);
     // Nobody but these was to lose anything.
     EXPECT_EQ(lapsed(w, "a"), 0u);
@@ -156,10 +157,10 @@
 // answered and others not. Afterwards nothing is placed before each machine has said what is left there.
 struct Away {
     const char* name;
-    double back_s;  // when they are back for a moment, after they went; 0: they aren't
-    double for_s;   // that moment
-    double away_s;  // in all
-    bool standby;   // whether they know of what was where, before
+    double back_s;    // when they are back for a moment, after they went; 0: they aren't
+    double for_s;     // that moment
+    double away_s;    // in all
+    bool replicated;  // whether they know of what was where, before
 };
 const Away aways[] = {
     {"throughout", 0, 0, 32, true},
@@ -174,7 +175,7 @@
     auto c = GetParam();
     Options o;
     o.machines = 9;
-    if (!c.standby) o.without_standby = {0, 1, 2};
+    if (!c.replicated) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 400);
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -5,6 +5,7 @@
 
 #include <random>
 
+#include "protocol/agent_api.hpp"
 #include "protocol/peer_messages.hpp"
 #include "scenarios/fault_scenarios.hpp"
 
@@ -36,7 +37,7 @@
     std::function<void(SimulatedCluster&, std::size_t leader)> what;
 };
 const FaultAtMessage faults[] = {
-    {"a start is replicated", [](auto& r) { return r.target == protocol::peer_fleet_path; },
+    {"a start is replicated", [](auto& r) { return r.target == protocol::peer_replication_path; },
      [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent", runs, [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent, and the next leader ends before it has reconciled", runs,
@@ -53,7 +54,7 @@
     {"a start is sent, and the leader stands still, then goes on", runs,
      [](SimulatedCluster& w, std::size_t l) { w.stand_still(l, 14); }},
     {"a start is replicated to a follower that is cut off, its messages held",
-     [](auto& r) { return r.target == protocol::peer_fleet_path; },
+     [](auto& r) { return r.target == protocol::peer_replication_path; },
      [](SimulatedCluster& w, std::size_t l) {
          w.cut("10.0.0." + std::to_string((l + 1) % 3 + 1), "10.", 25, true);
          w.at(w.now() + 4, [&w, l] { w.crash(l, 5); });
@@ -71,7 +72,7 @@
      }},
     // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
     {"a start is replicated, reaches nobody, and the leader ends while machines hang",
-     [](auto& r) { return r.target == protocol::peer_fleet_path; },
+     [](auto& r) { return r.target == protocol::peer_replication_path; },
      [](SimulatedCluster& w, std::size_t l) {
          for (std::size_t k = 0; k < 12; k += 2) w.hang(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
@@ -88,7 +89,7 @@
     Options o;
     o.seed = seed;
     o.machines = 12;
-    o.without_standby = std::move(without);
+    o.without_replication = std::move(without);
     SimulatedCluster w(o);
     work(w, 110);
     std::mt19937_64 random(seed);
@@ -172,10 +173,10 @@
 // One dead machine of many used to hold up the first start until it was proven gone.
 TEST(ReplicationScenario, StartsTasksDespiteADeadMachine) {
     spdlog::set_level(spdlog::level::off);
-    for (bool standby : {true, false}) {
+    for (bool replicated : {true, false}) {
         Options o;
         o.machines = 5;
-        if (!standby) o.without_standby = {0, 1, 2};
+        if (!replicated) o.without_replication = {0, 1, 2};
         SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "service", 18, 0); });
         w.run_until(30);
@@ -186,7 +187,8 @@
         w.crash(lead(w), 60);
         w.at(30.1, [&w] { w.submit("j-2", "batch", 1, 2); });
         w.run_until(50);
-        EXPECT_EQ(!w.jobs["j-2"].tasks_done.empty(), standby);  // its user may have asked the dead controller
+        EXPECT_EQ(!w.jobs["j-2"].tasks_done.empty(),
+                  replicated);  // its user may have asked the dead controller
         for (auto& b : w.broken) ADD_FAILURE() << b;
     }
 }
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "autoscaler/autoscaler.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::scheduler {
 namespace {
@@ -13,7 +14,7 @@
 
 config::Settings settings() {
     config::Settings s;
-    s.report_s = 3;
+    s.heartbeat_interval_s = 3;
     s.teams = {{"a", 0, 0, 4, 8}, {"b", 0, 0, 4, 0}, {"free", 0, 0, 0, 0}};
     return s;
 }
@@ -245,7 +246,7 @@
         Input in;
         in.now = 1000;
         in.machines = {machine("m0"), machine("m1")};
-        in.machines[1].images = std::make_shared<const Images>(Images{7});
+        in.machines[1].images = std::make_shared<const ImageIds>(ImageIds{7});
         in.jobs.push_back(job("j-1", JobKind::array, 1, 4));
         in.jobs[0].image = 7;
         edit(in.jobs[0]).image_gb = 6;
@@ -285,8 +286,8 @@
 // A fetch takes most of the time allowed for a start, and fetches share the rate.
 TEST(Plan, DrawsFromTheMachinesNearestToHavingTheImage) {
     const Images other{3}, same{7};
-    auto having = [](MachineView m, const Images& images, const Images& coming) {
-        m.images = std::make_shared<const Images>(images);
+    auto having = [](MachineView m, const ImageIds& images, const ImageIds& coming) {
+        m.images = std::make_shared<const ImageIds>(images);
         m.coming = coming;
         return m;
     };
@@ -320,7 +321,7 @@
         Input in;
         in.unix_now = 1000;
         in.machines = {machine("m0")};
-        in.machines[0].images = std::make_shared<const Images>(Images{7});
+        in.machines[0].images = std::make_shared<const ImageIds>(ImageIds{7});
         for (std::uint32_t k = 0; k < 2; ++k) {
             in.jobs.push_back(job("j-" + std::to_string(k), c.kind, 1, 4));
             in.jobs[k].submitted = in.unix_now - c.age + k;
@@ -337,7 +338,7 @@
         for (std::size_t k = 0; k < 8; ++k) {
             in.machines.push_back(machine("m" + std::to_string(k), k % 2));
             // The other zone has it on fewer machines than the gang needs.
-            if (k % 2 == with || k < 4) in.machines[k].images = std::make_shared<const Images>(Images{7});
+            if (k % 2 == with || k < 4) in.machines[k].images = std::make_shared<const ImageIds>(ImageIds{7});
         }
         in.jobs.push_back(job("j-1", JobKind::gang, 4, 4));
         edit(in.jobs[0]).one_zone = true;
@@ -393,13 +394,13 @@
         in.unix_now = 1000;
         in.machines = {machine("m1")};
         in.machines[0].free = {1, 1, 1};
-        in.machines[0].images = std::make_shared<const Images>(Images{1});
+        in.machines[0].images = std::make_shared<const ImageIds>(ImageIds{1});
         in.jobs = {job("j-1", JobKind::array, 1, 1), job("j-2", JobKind::array, 1, 1)};
         in.jobs[0].submitted = in.jobs[1].submitted = 999;
         in.jobs[0].image = 1;
         in.jobs[1].image = 2;
         edit(in.jobs[0]).priority = c.other;
-        edit(in.jobs[1]).estimate_s = 5;
+        edit(in.jobs[1]).estimated_run_s = 5;
         in.jobs[1].due = c.due;
         auto out = run(in);
         ASSERT_EQ(out.starts.size(), 1u);
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -54,20 +54,20 @@
         for (std::size_t p = 0; p < 3; ++p)
             if (p != k)
                 s.peers.push_back({"berth-" + std::to_string(p), zones[p % 2], host(addr_of(p)) + ":8081"});
-        s.state_addr = state_addr;
+        s.kv_addr = state_addr;
         s.cloud_addr = cloud_addr;
         s.nodes = 3;
         s.zones = zones;
         s.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
-        s.report_s = options_.report_s;
+        s.heartbeat_interval_s = options_.heartbeat_interval_s;
         s.lease_s = options_.lease_s;
         s.cancel_s = options_.cancel_s;
         s.gang_wait_s = 50;
         s.gang_peer_s = 5;
-        s.op.hearing = options_.hearing;
-        s.op.standby = !options_.without_standby.contains(k);
-        s.state_rps = 200;
-        s.state_write_rps = options_.write_rps;
+        s.op.relay_heartbeats = options_.relay_heartbeats;
+        s.op.replicate_starts = !options_.without_replication.contains(k);
+        s.kv_rps = 200;
+        s.kv_write_rps = options_.write_rps;
         s.value_kb = options_.value_kb;
         s.safe_value_kb = std::min(options_.value_kb, options_.next_value_kb);
         s.txn_ops = std::min(options_.txn_ops, options_.next_txn_ops);
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -14,7 +14,6 @@
 #include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
 #include "leader/planner.hpp"
-#include "protocol/protocol.hpp"
 #include "simulation/message_digest.hpp"
 
 namespace coralhitch::controller {
@@ -135,16 +134,16 @@
 struct Options {
     std::uint64_t seed = 1;
     std::size_t machines = 6;
-    double report_s = 3, lease_s = 24, cancel_s = 44;
+    double heartbeat_interval_s = 3, lease_s = 24, cancel_s = 44;
     double gpus_max = 12;      // limit of team `tight`
     double free_gpus_max = 0;  // of team `free`; 0: none
     double waits_s = 90;       // a job may wait for so long with room and quota, once the troubles are over
     double boot_s = 1;         // what a machine takes; the nominal time is 5 s
     std::set<std::size_t>
-        without_standby;     // controllers of a version, or with settings, that know no standby
-    bool hearing = true;     // controllers that do not lead hear workers for the one that does
-    double hear_s = 0;       // what a controller takes for each message of a worker; the next ones wait
-    bool old_pings = false;  // what controllers say of themselves is as the version before says it
+        without_replication;       // controllers of a version, or with settings, that do not replicate
+    bool relay_heartbeats = true;  // followers relay heartbeats to the leader
+    double hear_s = 0;             // what a controller takes for each message of a worker; the next ones wait
+    bool old_pings = false;        // what controllers say of themselves is as the version before says it
     // The key-value store's limits, and what they fall to without notice, if they do.
     double value_kb = 16, next_value_kb = 16;
     std::uint32_t txn_ops = 8, next_txn_ops = 8;
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -2,6 +2,8 @@
 #include <algorithm>
 
 #include "controller/controller.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/peer_messages.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -49,10 +51,10 @@
     if (sent) at(now_, [this, from, to, r] { sent(from, to, r); });
     if (now_ < copies_until_ && random_() % 4 == 0) {
         double late = std::uniform_real_distribution<double>(0.05, copies_late_)(random_);
-        auto again = r.target == protocol::paths::report ? addr_of(random_() % 3) : to;
+        auto again = r.target == protocol::paths::heartbeat ? addr_of(random_() % 3) : to;
         at(now_ + late, [this, from, again, r] { deliver(from, again, r, [](http::Response) {}); });
     }
-    if (now_ < keep_copies_until_ && r.target == protocol::paths::report && kept_.size() < 200 &&
+    if (now_ < keep_copies_until_ && r.target == protocol::paths::heartbeat && kept_.size() < 200 &&
         random_() % 3 == 0)
         kept_.emplace_back(from, r);
     auto done = std::make_shared<bool>(false);
@@ -127,7 +129,7 @@
             });
         }
         if (to == n.settings.peer_listen) return n.controller->serve_peer(std::move(r), std::move(reply));
-        if (r.target == protocol::paths::report)
+        if (r.target == protocol::paths::heartbeat)
             return in_turn(n, [&n, r, reply] { n.controller->serve(r, reply); });
         return n.controller->serve(std::move(r), std::move(reply));
     }
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -86,7 +86,7 @@
             command(w, j["orders"]);
             if (higher) return again(0.5);
         }
-        again(options_.report_s * std::uniform_real_distribution<double>(0.75, 1.25)(random_));
+        again(options_.heartbeat_interval_s * std::uniform_real_distribution<double>(0.75, 1.25)(random_));
     });
 }
 http::Response SimulatedCluster::direct(Worker& w, const http::Request& r) {
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -3,6 +3,8 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
