--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -274,17 +274,17 @@
 TEST(GoldenBytes, MachinePageIsReadFieldByField) {
     auto p = parse_machine_page(golden::machine_page);
     ASSERT_EQ(p.size(), 2u);
-    EXPECT_EQ(p[0].first, "vm-1");
-    expect_same(p[0].second, spot_machine());
-    EXPECT_EQ(p[1].first, "vm-2");
-    expect_same(p[1].second, marked_machine());
+    EXPECT_EQ(p[0].id, "vm-1");
+    expect_same(p[0].record, spot_machine());
+    EXPECT_EQ(p[1].id, "vm-2");
+    expect_same(p[1].record, marked_machine());
     EXPECT_TRUE(parse_machine_page(golden::machine_page_empty).empty());
 }
 TEST(GoldenBytes, MachinePageOfALaterVersionIsRead) {
     auto p =
         parse_machine_page(R"({"machines":[["vm-1","10.1.0.1:9000","g8","a",true,false,"more"]],"more":1})");
     ASSERT_EQ(p.size(), 1u);
-    expect_same(p[0].second, spot_machine());
+    expect_same(p[0].record, spot_machine());
 }
 TEST(GoldenBytes, MachineRecordOfTheOldLayoutIsRead) {
     expect_same(parse_machine_record(golden::machine_spot), spot_machine());
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -179,8 +179,8 @@
     PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features::latest};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
     ASSERT_TRUE(back);
-    ASSERT_EQ(back->counts.size(), 1u);
-    EXPECT_EQ(back->counts[0].running, 4u);
+    ASSERT_EQ(back->task_counts.size(), 1u);
+    EXPECT_EQ(back->task_counts[0].running, 4u);
     EXPECT_EQ(back->leader_version, 1ull << 60);
     PeerImages images{{"img-1", "img-2"}, {5, 7}, {{"vm-1", {1, 0}}}};
     auto told = unpack_peer<PeerImages>(pack_peer(images));
@@ -216,7 +216,7 @@
     auto back = unpack_peer<OldPing>(pack_peer(PeerPing{"a", 1, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
-    EXPECT_EQ(back->counts.at(0).done, 5u);
+    EXPECT_EQ(back->task_counts.at(0).done, 5u);
     EXPECT_EQ(pack_peer(*unpack_peer<OldPing>(old)), old);
     // These are as they were.
     EXPECT_EQ(pack_peer(PeerUserRequest{"GET", "/", ""}), std::string("\x93\xa3GET\xa1/\xa0", 8));
