--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -216,7 +216,7 @@
     auto back = unpack_peer<OldPing>(pack_peer(PeerPing{"a", 1, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
-    EXPECT_EQ(back->task_counts.at(0).done, 5u);
+    EXPECT_EQ(back->counts.at(0).done, 5u);
     EXPECT_EQ(pack_peer(*unpack_peer<OldPing>(old)), old);
     // These are as they were.
     EXPECT_EQ(pack_peer(PeerUserRequest{"GET", "/", ""}), std::string("\x93\xa3GET\xa1/\xa0", 8));
