--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -28,7 +28,8 @@
     auto x = protocol::outline_heartbeat(a), y = protocol::outline_heartbeat(b);
     if (!x || !y) return false;
     auto rest = [](const std::string& s, const protocol::HeartbeatOutline& o) {
-        return std::pair{std::string_view(s).substr(0, o.at), std::string_view(s).substr(o.at + o.digits)};
+        return std::pair{std::string_view(s).substr(0, o.sequence_offset),
+                         std::string_view(s).substr(o.sequence_offset + o.sequence_digits)};
     };
     return rest(a, *x) == rest(b, *y);
 }
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -604,7 +604,7 @@
     EXPECT_EQ(o->machine, "vm-1");
     EXPECT_EQ(o->agent_epoch, beyond_double);
     EXPECT_EQ(o->sequence, UINT64_MAX);
-    EXPECT_EQ(golden::report.substr(o->at, o->digits), "18446744073709551615");
+    EXPECT_EQ(golden::report.substr(o->sequence_offset, o->sequence_digits), "18446744073709551615");
 }
 TEST(GoldenBytes, TaskStatesHaveTheirWords) {
     for (auto [state, word] : {std::pair(TaskState::fetching, "fetching"),
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -285,7 +285,7 @@
 }
 // A fetch takes most of the time allowed for a start, and fetches share the rate.
 TEST(Plan, DrawsFromTheMachinesNearestToHavingTheImage) {
-    const Images other{3}, same{7};
+    const ImageIds other{3}, same{7};
     auto having = [](MachineView m, const ImageIds& images, const ImageIds& coming) {
         m.images = std::make_shared<const ImageIds>(images);
         m.coming = coming;
