--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -22,7 +22,7 @@
 
 // A worker drops the response to a heartbeat that comes later than this after it was sent, seconds.
 inline constexpr double heartbeat_timeout_s = 4;
-// And has then turned to the next controller.
+// By then it has turned to the next controller, seconds.
 inline constexpr double heartbeat_retry_s = heartbeat_timeout_s + 1;
 
 // Throws Malformed.
@@ -43,8 +43,8 @@
     std::unique_ptr<Parser> parser_;
 };
 
-// What tells two heartbeats of a machine apart that say the same: where the sequence number stands in the
-// text.
+// What tells two heartbeats of a machine apart that have the same content: the sequence number, and where it
+// stands in the text.
 struct HeartbeatOutline {
     std::string_view machine;  // part of the body
     std::uint64_t agent_epoch = 0, sequence = 0;
@@ -55,7 +55,7 @@
 
 // The body of a 200 to a heartbeat. `token`: the fencing token.
 std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands);
-// The body of a 421: report to that controller instead; an empty label if none is known.
+// The body of a 421: send heartbeats to that controller instead; an empty label if none is known.
 std::string heartbeat_redirect(std::string_view label);
 // The body of commands that are sent to a machine's own address.
 std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -17,7 +17,11 @@
 struct TaskId {
     std::string job;
     std::uint32_t index = 0;
-    auto operator<=>(const TaskId&) const = default;
+    bool operator==(const TaskId&) const = default;
+    std::strong_ordering operator<=>(const TaskId& other) const {
+        const auto by_job = job <=> other.job;
+        return std::is_neq(by_job) ? by_job : index <=> other.index;
+    }
     std::string str() const { return job + "/" + std::to_string(index); }
 };
 
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -1,4 +1,6 @@
-// What controllers say to each other, in msgpack. Fields are only ever added at the end.
+// Messages between controllers, in msgpack. Each is an array of its fields in their order, without their
+// names: a field may be renamed, but is only ever added at the end, with a default that an older sender
+// means.
 #pragma once
 #include <cstdint>
 #include <msgpack.hpp>
@@ -9,6 +11,7 @@
 
 namespace coralhitch::protocol {
 
+// Paths of the peers' HTTP servers. Their texts are what versions before this one use.
 inline constexpr std::string_view peer_ping_path = "/peer/ping";
 inline constexpr std::string_view peer_user_path = "/peer/user";
 inline constexpr std::string_view peer_images_path = "/peer/images";
@@ -23,6 +26,7 @@
     std::uint64_t done = 0, running = 0;
     MSGPACK_DEFINE(id, done, running)
 };
+
 // What a version can do, as a level: each includes those before it.
 namespace peer_features {
 inline constexpr std::uint64_t dependencies = 1;      // jobs that depend on others
@@ -33,6 +37,7 @@
 inline constexpr std::uint64_t latest = brief_pings;
 }  // namespace peer_features
 
+// What a controller says of itself several times in a heartbeat period, and in answer to a peer's ping.
 struct PeerPing {
     std::string label;
     std::uint64_t incarnation = 0;
@@ -53,32 +58,37 @@
                    features, replicated_leadership, heartbeat_ages_ms, suspected, suspected_silence_ms,
                    lists_omitted)
 };
-// A user's request that its controller can't decide, since it does not reach the key-value store.
+
+// A user's request that its controller forwards, since it does not reach the key-value store itself.
 struct PeerUserRequest {
     std::string method, target, body;
     MSGPACK_DEFINE(method, target, body)
 };
+// What its user is to get. `retry_after_s`: the header of this name; 0: none.
 struct PeerUserResponse {
     int status = 503;
     std::string body;
     double retry_after_s = 0;
     MSGPACK_DEFINE(status, body, retry_after_s)
 };
+// Asks the leader for the counts of one job; answered by PeerJobCounts.
 struct PeerJobQuery {
     std::string id;
     MSGPACK_DEFINE(id)
 };
+// A confirmed cancellation, so that the leader need not wait for its watch.
 struct PeerCancellation {
-    std::string id;
-    std::uint64_t version = 0;
+    std::string id;             // of the job
+    std::uint64_t version = 0;  // of its record, which says since then that it is cancelled
     MSGPACK_DEFINE(id, version)
 };
-// Which images the machines have cached, from the leader: whoever leads next can't learn it from reports.
+// Which images the machines have cached, from the leader: whoever leads next can't learn it from heartbeats.
 struct PeerMachineImages {
     std::string machine;
-    std::vector<std::uint32_t> images;  // places in `names`, the last used last
+    std::vector<std::uint32_t> images;  // positions in `PeerImages::names`, the most recently used last
     MSGPACK_DEFINE(machine, images)
 };
+// All machines of the leader; images are named once.
 struct PeerImages {
     std::vector<std::string> names;
     std::vector<double> sizes;  // GB, of each name
@@ -86,17 +96,19 @@
     MSGPACK_DEFINE(names, sizes, machines)
 };
 struct PeerJobCounts {
-    bool known = false;
+    bool known = false;  // the answering controller leads and has the job
     std::uint64_t done = 0, running = 0;
     MSGPACK_DEFINE(known, done, running)
 };
 
-// From a relay to the leader. One at a time; each carries the next sequence number.
+// A machine that repeated its last heartbeat and was answered by the relay, under a delegation.
 struct AnsweredHeartbeat {
     std::string machine;
     std::uint64_t age_ms = 0;  // since its heartbeat came, at the time of sending
     MSGPACK_DEFINE(machine, age_ms)
 };
+// From a relay to the leader: heartbeats that it received. One at a time; each carries the next sequence
+// number.
 struct RelayRequest {
     std::string label;
     std::uint64_t incarnation = 0;
@@ -108,6 +120,7 @@
     MSGPACK_DEFINE(label, incarnation, leader_version, sequence_number, acknowledged_sequence_number,
                    heartbeats, answered_heartbeats)
 };
+// The leader's reply to one relayed heartbeat, as the worker is to get it.
 struct RelayedReply {
     int status = 503;
     std::string body;
@@ -115,6 +128,7 @@
     bool nothing_pending = false;
     MSGPACK_DEFINE(status, body, nothing_pending)
 };
+// The leader's response to a RelayRequest.
 struct RelayResponse {
     bool is_leader = false;
     bool ready = false;                 // the heartbeats were handled; otherwise they may be sent again
@@ -124,14 +138,14 @@
     MSGPACK_DEFINE(is_leader, ready, delegation_ms, replies, revoked)
 };
 
-// From the leader to a follower: what its machines may hold. Each machine is as of the sending, and replaces
-// what an earlier request said of it.
+// A task that a machine may hold.
 struct ReplicatedTask {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     MSGPACK_DEFINE(job, index, attempt)
 };
+// A machine of the leader's as of the sending; replaces what an earlier request said of it.
 struct ReplicatedMachine {
     std::string machine;
     bool tasks_known = false;  // it holds no others than `tasks`; otherwise anything may be on it
@@ -140,6 +154,7 @@
     std::vector<ReplicatedTask> tasks;
     MSGPACK_DEFINE(machine, tasks_known, deleted, agent_epoch, sequence, tasks)
 };
+// From the leader to a follower: machines that have changed, or a part of a snapshot of all.
 struct ReplicationRequest {
     std::uint64_t leader_version = 0;
     std::uint64_t sequence_number = 0;  // grows; a lower one that comes later is rejected
@@ -149,6 +164,7 @@
     bool snapshot_complete = false;  // with this request the follower has all machines
     MSGPACK_DEFINE(leader_version, sequence_number, rows, base_version, snapshot_complete)
 };
+// The follower's response to a ReplicationRequest.
 struct ReplicationResponse {
     bool applied = false;
     std::uint64_t incarnation = 0;   // of the process that applied it: another one has no replica
@@ -156,12 +172,14 @@
     MSGPACK_DEFINE(applied, incarnation, base_version)
 };
 
+// The bytes of a message.
 template <class T>
 std::string pack_peer(const T& message) {
     msgpack::sbuffer buffer;
     msgpack::pack(buffer, message);
     return {buffer.data(), buffer.size()};
 }
+// Nothing if these are not the bytes of such a message.
 template <class T>
 std::optional<T> unpack_peer(std::string_view bytes) {
     try {
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -316,14 +316,14 @@
     EXPECT_FALSE(stores_in_sync_replicas(R"({"label":"berth-1","standby":true})"));
 }
 
-TEST(GoldenBytes, InSyncReplicasIsWrittenAsBefore) {
+TEST(GoldenBytes, InSyncReplicasAreWrittenAsBefore) {
     InSyncReplicas r{.leader_version = beyond_double,
                      .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .base_version = 11},
                                  {.label = "berth-2", .incarnation = 5, .base_version = 12}}};
     EXPECT_EQ(stored(r), golden::standby);
     EXPECT_EQ(stored(InSyncReplicas{.leader_version = 7, .members = {}}), golden::standby_nobody);
 }
-TEST(GoldenBytes, InSyncReplicasIsReadFieldByField) {
+TEST(GoldenBytes, InSyncReplicasAreReadFieldByField) {
     auto r = parse_in_sync_replicas(golden::standby);
     EXPECT_EQ(r.leader_version, beyond_double);
     ASSERT_EQ(r.members.size(), 2u);
@@ -338,7 +338,7 @@
     EXPECT_TRUE(nobody.members.empty());
 }
 // A version that carried nothing over began each copy itself.
-TEST(GoldenBytes, InSyncReplicasOfAnOlderVersionWasBegunUnderItsOwnLeadership) {
+TEST(GoldenBytes, InSyncReplicasOfAnOlderVersionBeganUnderItsOwnLeadership) {
     auto r = parse_in_sync_replicas(golden::standby_old);
     ASSERT_EQ(r.members.size(), 1u);
     EXPECT_EQ(r.members[0].label, "berth-2");
