--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -274,17 +274,17 @@
 TEST(GoldenBytes, MachinePageIsReadFieldByField) {
     auto p = parse_machine_page(golden::machine_page);
     ASSERT_EQ(p.size(), 2u);
-    EXPECT_EQ(p[0].first, "vm-1");
-    expect_same(p[0].second, spot_machine());
-    EXPECT_EQ(p[1].first, "vm-2");
-    expect_same(p[1].second, marked_machine());
+    EXPECT_EQ(p[0].id, "vm-1");
+    expect_same(p[0].record, spot_machine());
+    EXPECT_EQ(p[1].id, "vm-2");
+    expect_same(p[1].record, marked_machine());
     EXPECT_TRUE(parse_machine_page(golden::machine_page_empty).empty());
 }
 TEST(GoldenBytes, MachinePageOfALaterVersionIsRead) {
     auto p =
         parse_machine_page(R"({"machines":[["vm-1","10.1.0.1:9000","g8","a",true,false,"more"]],"more":1})");
     ASSERT_EQ(p.size(), 1u);
-    expect_same(p[0].second, spot_machine());
+    expect_same(p[0].record, spot_machine());
 }
 TEST(GoldenBytes, MachineRecordOfTheOldLayoutIsRead) {
     expect_same(parse_machine_record(golden::machine_spot), spot_machine());
@@ -316,14 +316,14 @@
     EXPECT_FALSE(stores_in_sync_replicas(R"({"label":"berth-1","standby":true})"));
 }
 
-TEST(GoldenBytes, InSyncReplicasIsWrittenAsBefore) {
+TEST(GoldenBytes, InSyncReplicasAreWrittenAsBefore) {
     InSyncReplicas r{.leader_version = beyond_double,
                      .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .base_version = 11},
                                  {.label = "berth-2", .incarnation = 5, .base_version = 12}}};
     EXPECT_EQ(stored(r), golden::standby);
     EXPECT_EQ(stored(InSyncReplicas{.leader_version = 7, .members = {}}), golden::standby_nobody);
 }
-TEST(GoldenBytes, InSyncReplicasIsReadFieldByField) {
+TEST(GoldenBytes, InSyncReplicasAreReadFieldByField) {
     auto r = parse_in_sync_replicas(golden::standby);
     EXPECT_EQ(r.leader_version, beyond_double);
     ASSERT_EQ(r.members.size(), 2u);
@@ -338,7 +338,7 @@
     EXPECT_TRUE(nobody.members.empty());
 }
 // A version that carried nothing over began each copy itself.
-TEST(GoldenBytes, InSyncReplicasOfAnOlderVersionWasBegunUnderItsOwnLeadership) {
+TEST(GoldenBytes, InSyncReplicasOfAnOlderVersionBeganUnderItsOwnLeadership) {
     auto r = parse_in_sync_replicas(golden::standby_old);
     ASSERT_EQ(r.members.size(), 1u);
     EXPECT_EQ(r.members[0].label, "berth-2");
@@ -604,7 +604,7 @@
     EXPECT_EQ(o->machine, "vm-1");
     EXPECT_EQ(o->agent_epoch, beyond_double);
     EXPECT_EQ(o->sequence, UINT64_MAX);
-    EXPECT_EQ(golden::report.substr(o->at, o->digits), "18446744073709551615");
+    EXPECT_EQ(golden::report.substr(o->sequence_offset, o->sequence_digits), "18446744073709551615");
 }
 TEST(GoldenBytes, TaskStatesHaveTheirWords) {
     for (auto [state, word] : {std::pair(TaskState::fetching, "fetching"),
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -179,8 +179,8 @@
     PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features::latest};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
     ASSERT_TRUE(back);
-    ASSERT_EQ(back->counts.size(), 1u);
-    EXPECT_EQ(back->counts[0].running, 4u);
+    ASSERT_EQ(back->task_counts.size(), 1u);
+    EXPECT_EQ(back->task_counts[0].running, 4u);
     EXPECT_EQ(back->leader_version, 1ull << 60);
     PeerImages images{{"img-1", "img-2"}, {5, 7}, {{"vm-1", {1, 0}}}};
     auto told = unpack_peer<PeerImages>(pack_peer(images));
