--- a/tests/check_digests.sh
+++ b/tests/check_digests.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Plays fault scenarios and compares the hash of all their messages with the recorded ones: a change that is meant
+# Runs fault scenarios and compares the hash of all their messages with the recorded ones: a change that is meant
 # to change no behaviour leaves every one of them equal.
 #
 #   tests/check_digests.sh BINARY [SEEDS]      compares the first SEEDS of each kind (default: all recorded)
 #   tests/check_digests.sh BINARY --write      records them anew; the commit says which behaviour has changed
 #
-# BINARY is coralhitch_fault_scenarios. Up to DIGEST_JOBS (default: all processors) plays run side by side.
+# BINARY is coralhitch_fault_scenarios. Up to DIGEST_JOBS (default: all processors) runs go on side by side.
 set -euo pipefail
 binary=$1 seeds=${2:-300}
 cd "$(dirname "$0")/digests"
@@ -16,8 +16,8 @@
 [[ $seeds =~ ^[1-9][0-9]*$ ]] || { echo "check_digests.sh: not a number of seeds: $seeds" >&2; exit 2; }
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
-# name, then the options that play it; the first seed is 1
-kinds=("random --size 12" "pairs --size 12 --meetings" "machines-40 --size 40")
+# name, then the options that run it; the first seed is 1
+kinds=("random --size 12" "pairs --size 12 --combinations" "machines-40 --size 40")
 step=10
 for kind in "${kinds[@]}"; do
     read -r name options <<<"$kind"
@@ -25,8 +25,8 @@
         count=$((seeds - first + 1 < step ? seeds - first + 1 : step))
         echo "$work/$name.$(printf %06d "$first") --digest --from $first --seeds $count $options"
     done
-done >"$work/plays"
-xargs -a "$work/plays" -P "${DIGEST_JOBS:-$(nproc)}" -L1 bash -c 'out=$1; shift; "$0" "$@" >"$out"' "$binary"
+done >"$work/runs"
+xargs -a "$work/runs" -P "${DIGEST_JOBS:-$(nproc)}" -L1 bash -c 'out=$1; shift; "$0" "$@" >"$out"' "$binary"
 differ=0
 for kind in "${kinds[@]}"; do
     read -r name _ <<<"$kind"
--- a/tests/scenarios/fault_scenarios_main.cpp
+++ b/tests/scenarios/fault_scenarios_main.cpp
@@ -1,5 +1,5 @@
-// Plays of seeds by hand: coralhitch_fault_scenarios --from 1 --seeds 10000 [--meetings] [--size 12]
-// [--no-shrink]
+// Runs fault scenarios from seeds by hand:
+// coralhitch_fault_scenarios --from 1 --seeds 10000 [--combinations] [--size 12] [--no-shrink]
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -13,11 +13,13 @@
     CLI::App app("plays random failures of controllers, machines and networks against the rules");
     std::uint64_t from = 1, seeds = 100;
     std::size_t size = 12;
-    bool whole = false, meetings = false, digest = false;
+    bool whole = false, combinations = false, digest = false;
     app.add_option("--from", from, "the first seed");
     app.add_option("--seeds", seeds, "how many");
     app.add_option("--size", size, "machines at the start")->check(CLI::Range(4, 10000));
-    app.add_flag("--meetings", meetings, "two kinds of trouble that meet; says how often each pair did");
+    // The former name is read for one release more.
+    app.add_flag("--combinations,--meetings", combinations,
+                 "pairs of faults that follow each other or overlap; says how often each pair of kinds did");
     app.add_flag("--no-shrink", whole, "print all faults of a play that fails");
     app.add_flag("--digest", digest,
                  "print a hash of all messages of each play, a line a seed, and nothing else");
@@ -27,8 +29,8 @@
     std::map<std::string, std::size_t> met;
     Counts counts;
     for (auto seed = from; seed < from + seeds; ++seed) {
-        auto faults = meetings ? draw_fault_pairs(seed, size) : draw_faults(seed, size);
-        for (std::size_t k = 0; meetings && k + 1 < faults.size(); k += 2)
+        auto faults = combinations ? draw_fault_pairs(seed, size) : draw_faults(seed, size);
+        for (std::size_t k = 0; combinations && k + 1 < faults.size(); k += 2)
             ++met[name(faults[k]) + " / " + name(faults[k + 1])];
         auto bad = run_scenario(seed, size, faults, &counts);
         if (digest) {
@@ -47,7 +49,7 @@
     }
     if (digest) return 0;
     for (auto& [pair, n] : met) std::printf("%6zu  %s\n", n, pair.c_str());
-    if (meetings) std::printf("%zu of %zu pairs met\n", met.size(), pairs);
+    if (combinations) std::printf("%zu of %zu pairs met\n", met.size(), pairs);
     std::printf("%zu answers, %zu starts, %zu after a confirmed cancellation\n", counts.answers,
                 counts.starts, counts.starts_cancelled);
     std::printf("%zu of %llu plays failed\n", failed, static_cast<unsigned long long>(seeds));
