--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -89,11 +89,11 @@
          w.cloud_down(40);
      }},
 };
-class OldReports : public testing::TestWithParam<Meanwhile> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, OldReports, testing::ValuesIn(meanwhiles));
+class OldHeartbeats : public testing::TestWithParam<Meanwhile> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, OldHeartbeats, testing::ValuesIn(meanwhiles));
 // The new leader, which nobody has told anything, moved tasks that ran, gangs whole, because an old report
 // that it heard first showed one of them elsewhere and the next report of that machine did not.
-TEST_P(OldReports, AtTheNextLeaderMoveNothing) {
+TEST_P(OldHeartbeats, MoveNothingAtTheNextLeader) {
     ErrorLog log;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         Options o;
@@ -130,7 +130,7 @@
 }
 
 // Machines back under their names begin with low numbers. The copies of their earlier lives come first.
-TEST(OldReports, OfAnEarlierLifeDoNotShutAMachineOut) {
+TEST(OldHeartbeats, OfAnEarlierIncarnationDoNotShutAMachineOut) {
     ErrorLog log;
     SimulatedCluster w({});
     Copies copies;
@@ -154,10 +154,10 @@
 
 // The leader's direct `run`s are held up for some seconds and the leader ends, so that they arrive before the
 // next one leads, as it begins, or after its own commands.
-class HeldRun : public testing::TestWithParam<std::tuple<double, bool>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, HeldRun,
+class DelayedStart : public testing::TestWithParam<std::tuple<double, bool>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStart,
                          testing::Combine(testing::Values(2.0, 5.0, 6.0, 7.0, 9.0, 16.0), testing::Bool()));
-TEST_P(HeldRun, OfALeaderThatEnded) {
+TEST_P(DelayedStart, OfACrashedLeaderBreaksNoRule) {
     ErrorLog log;
     auto [late_s, all] = GetParam();
     SimulatedCluster w({});
@@ -199,10 +199,10 @@
     {"cancelled while it ran", 60, 5, false},
     {"cancelled while it ran, and the kill comes last", 60, 5, true},
 };
-class HeldRunOfTheSameLeader : public testing::TestWithParam<std::tuple<Over, double>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, HeldRunOfTheSameLeader,
+class DelayedStartOfTheSameLeader : public testing::TestWithParam<std::tuple<Over, double>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStartOfTheSameLeader,
                          testing::Combine(testing::ValuesIn(overs), testing::Values(3.0, 7.0, 12.0, 16.0)));
-TEST_P(HeldRunOfTheSameLeader, StartsNothingThatIsOver) {
+TEST_P(DelayedStartOfTheSameLeader, StartsNothingThatHasEnded) {
     ErrorLog log;
     auto [over, late_s] = GetParam();
     SimulatedCluster w({});
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -286,7 +286,7 @@
 
 // A controller that has lost the key-value store and the others is left by the balancer, once; all of them
 // stay while nobody could serve, or one answer is late.
-TEST(FailoverScenario, HealthTellsWhichControllersCanServe) {
+TEST(FailoverScenario, HealthReportsWhichControllersCanServe) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
         const char* name;
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -53,9 +53,9 @@
 // A new machine is up at once. The leader ends right after the first `run` was sent there, and from then on
 // nobody reaches the machine for most of a lease, nor can it be deleted. Whoever leads next knows of it from
 // what is stored: it counts what runs there, although the old machines have room by then.
-class FirstRun : public testing::TestWithParam<Boot> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, FirstRun, testing::ValuesIn(boots));
-TEST_P(FirstRun, IsOnAMachineThatTheNextLeaderKnows) {
+class FirstStart : public testing::TestWithParam<Boot> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boots));
+TEST_P(FirstStart, IsOnMachineKnownToNextLeader) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
@@ -110,7 +110,7 @@
 // A new machine reports while the write that names it stays without an answer, is never carried out before
 // the leader ends, and is then too late. The cloud lists the machine and no page names it: nothing ran there,
 // and the next leader uses it.
-TEST(Meeting, AMachineThatOnlyTheCloudNamesIsTakenIn) {
+TEST(FaultCombination, AdoptsMachineThatOnlyTheCloudLists) {
     spdlog::set_level(spdlog::level::off);
     for (bool warm : {true, false}) {
         Options o;
@@ -151,7 +151,7 @@
 
 // A page names a machine that the cloud does not list: it is gone, which only its lease or a deletion proves.
 // Its place and its team's limit stay taken until then, and its task goes on elsewhere afterwards.
-TEST(Meeting, AMachineThatOnlyAPageNamesIsProvenGone) {
+TEST(FaultCombination, ProvesTerminationOfMachineThatOnlyAPageNames) {
     spdlog::set_level(spdlog::level::off);
     for (bool warm : {true, false}) {
         Options o;
@@ -190,7 +190,7 @@
 
 // The machine is up, reports and works before its rental is answered: the answer is lost, and asked for again
 // under the same name, or the leader ends meanwhile. It is one machine for all, and its task stays there.
-TEST(Meeting, UpBeforeTheRentalIsAnswered) {
+TEST(FaultCombination, CountsMachineOnceWhenUpBeforeScaleOutIsAnswered) {
     spdlog::set_level(spdlog::level::off);
     for (bool ends : {false, true}) {
         Options o;
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -31,7 +31,7 @@
 }
 
 // The confirming controller's notice is lost, and the leader's watch does not say it either.
-TEST(Meeting, ANoticeOfACancellationThatIsLostIsRepeated) {
+TEST(FaultCombination, LostCancellationNoticeIsRepeated) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     fill(w);
@@ -51,12 +51,12 @@
 
 // Between the end of a lease and the first decision of the next leader. What leads next may have listed the
 // jobs before or after; its watch says nothing of it, and the notice may come before it has read them.
-class BetweenTwoLeaders : public testing::TestWithParam<std::tuple<double, std::size_t>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, BetweenTwoLeaders,
+class CancellationBetweenLeaders : public testing::TestWithParam<std::tuple<double, std::size_t>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationBetweenLeaders,
                          testing::Combine(testing::Values(0.01, 0.5, 1.0, 1.5, 1.9, 2.1, 2.2, 2.3, 2.4, 2.5,
                                                           2.6, 2.8, 3.2),
                                           testing::Values(1, 2)));
-TEST_P(BetweenTwoLeaders, CancelledTasksGoWithTheFirstDecision) {
+TEST_P(CancellationBetweenLeaders, StopsTasksWithTheFirstDecision) {
     spdlog::set_level(spdlog::level::off);
     auto [after, through] = GetParam();
     SimulatedCluster w({});
@@ -78,9 +78,9 @@
 
 // The same at each moment of a failover that is slow to read: the first notice comes while the list is read,
 // and what the list says is older.
-class WhileTheNextOneReads : public testing::TestWithParam<double> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, WhileTheNextOneReads, testing::Range(0.0, 1.2, 0.1));
-TEST_P(WhileTheNextOneReads, TheNoticeIsNotLost) {
+class CancellationWhileNextLeaderReads : public testing::TestWithParam<double> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationWhileNextLeaderReads, testing::Range(0.0, 1.2, 0.1));
+TEST_P(CancellationWhileNextLeaderReads, IsNotLost) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     fill(w);
@@ -109,11 +109,11 @@
 
 // The relays change their leader: reports that they hold go to the next one, commands reach no machine soon
 // after, and the cloud deletes nothing. No answer may give a cancelled task more than its time.
-class RelaysChangeTheirLeader : public testing::TestWithParam<std::tuple<double, double>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, RelaysChangeTheirLeader,
+class RelaysThatChangeLeader : public testing::TestWithParam<std::tuple<double, double>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, RelaysThatChangeLeader,
                          testing::Combine(testing::Values(0.1, 1.5, 2.3, 3.0),
                                           testing::Values(0.2, 1.0, 3.0)));
-TEST_P(RelaysChangeTheirLeader, NoLeaseIsRenewedForACancelledTask) {
+TEST_P(RelaysThatChangeLeader, RenewNoLeaseForACancelledTask) {
     spdlog::set_level(spdlog::level::off);
     auto [after, cut_after] = GetParam();
     Options o;
@@ -141,10 +141,10 @@
 
 // Starts of the leader that ends are held up on their way, the next one starts the rest, and the job is
 // cancelled before, between or after.
-class StartsOfEither : public testing::TestWithParam<std::tuple<double, bool>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, StartsOfEither,
+class StartsOfTwoLeaders : public testing::TestWithParam<std::tuple<double, bool>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, StartsOfTwoLeaders,
                          testing::Combine(testing::Values(0.05, 0.5, 2.2, 2.8, 4.0, 7.0), testing::Bool()));
-TEST_P(StartsOfEither, AreGoneOnceTheyHaveCome) {
+TEST_P(StartsOfTwoLeaders, AreStoppedOnceTheyArrive) {
     spdlog::set_level(spdlog::level::off);
     auto [after, warm] = GetParam();
     Options o;
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -8,10 +8,10 @@
 constexpr double at_once = 1e-6;
 
 // Each kind of the controllers' own transactions, a third of the time, over leaders that end.
-class LostAnswers : public testing::TestWithParam<const char*> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, LostAnswers,
+class LostTransactionAnswers : public testing::TestWithParam<const char*> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, LostTransactionAnswers,
                          testing::Values("leader", "standby", "mach/page/", "prog/", "types"));
-TEST_P(LostAnswers, ChangeNothing) {
+TEST_P(LostTransactionAnswers, ChangeNothing) {
     spdlog::set_level(spdlog::level::off);
     std::string kind = GetParam();
     SimulatedCluster w({});
@@ -35,7 +35,7 @@
 
 // A claim succeeds, its answer is lost, and its claimer reaches the key-value store no more for a while: it
 // does not act as a leader, and another one leads once the lease is out that nobody renews.
-TEST(Meeting, AClaimThatSucceededUnknownHoldsUpNobodyLongerThanALease) {
+TEST(FaultCombination, LostAnswerToClaimDelaysElectionByOneLeaseAtMost) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     w.at(2, [&w] {
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -85,12 +85,12 @@
     });
 }
 
-class Midsts : public testing::TestWithParam<Midst> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, Midsts, testing::ValuesIn(midsts));
+class InvalidRequestDuringFault : public testing::TestWithParam<Midst> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, InvalidRequestDuringFault, testing::ValuesIn(midsts));
 
 // Every node, in trouble: refused as it is without trouble, or 503; never accepted. Nothing of it is stored,
 // and once the trouble is over each is refused with its own code.
-TEST_P(Midsts, WhatCannotRunIsNeverAccepted) {
+TEST_P(InvalidRequestDuringFault, IsNeverAccepted) {
     spdlog::set_level(spdlog::level::off);
     auto meets = GetParam().meets;
     SimulatedCluster w({});
@@ -142,7 +142,7 @@
 
 // The submission of an unfinished job is repeated with other bodies, good and bad, and jobs that are done are
 // cancelled: the job stays as it was first accepted, and no answer is a refusal.
-TEST_P(Midsts, AnOddRequestChangesNoJob) {
+TEST_P(InvalidRequestDuringFault, ChangesNoJob) {
     spdlog::set_level(spdlog::level::off);
     auto meets = GetParam().meets;
     SimulatedCluster w({});
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -46,9 +46,9 @@
     {"cut off", Away::cut_off, -0.5, true},
     {"cut off, late change", Away::cut_off, 9, false},
 };
-class EveryTeamAtItsLimit : public testing::TestWithParam<Limits> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, EveryTeamAtItsLimit, testing::ValuesIn(limits));
-TEST_P(EveryTeamAtItsLimit, StartsNothingBeforeTheProofAndWaitsNoLonger) {
+class TeamsAtTheirLimits : public testing::TestWithParam<Limits> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limits));
+TEST_P(TeamsAtTheirLimits, StartNothingBeforeProofOfTerminationAndWaitNoLonger) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
@@ -94,9 +94,9 @@
 
 // A gang is over for its user when one of its tasks has ended; those on a machine that hangs are still there.
 // The next leader knows of the job only that it is done, and must not fill the team's limit beside them.
-class DoneButThere : public testing::TestWithParam<bool> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, DoneButThere, testing::Bool());
-TEST_P(DoneButThere, CountsForItsTeam) {
+class DoneGangStillOnMachine : public testing::TestWithParam<bool> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, DoneGangStillOnMachine, testing::Bool());
+TEST_P(DoneGangStillOnMachine, CountsForItsTeam) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 4;
@@ -130,10 +130,10 @@
 
 // A cancellation falls into the spell in which a new leader can't ask some machines of a team at its limit:
 // whether it comes before or after the new one has listed the jobs, what is there counts.
-class SpellOfAChange : public testing::TestWithParam<std::tuple<double, bool>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, SpellOfAChange,
+class CancellationDuringFailover : public testing::TestWithParam<std::tuple<double, bool>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationDuringFailover,
                          testing::Combine(testing::Values(0.05, 1.0, 2.2, 2.6, 3.2, 5.0), testing::Bool()));
-TEST_P(SpellOfAChange, CountsWhatIsLeftOfTheCancelled) {
+TEST_P(CancellationDuringFailover, CountsRemainingTasksForTheirTeam) {
     spdlog::set_level(spdlog::level::off);
     auto [cancelled_after, warm] = GetParam();
     Options o;
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -28,9 +28,9 @@
     {"the leader ends meanwhile", 14, 31.0, false, true, false},
     {"the lease is out before the outage", 14, 34.0, false, false, false},
 };
-class RefusedAlone : public testing::TestWithParam<HeartbeatRejection> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, RefusedAlone, testing::ValuesIn(refusals));
-TEST_P(RefusedAlone, CancelledTasksAreGoneInTime) {
+class RefusedLeader : public testing::TestWithParam<HeartbeatRejection> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, RefusedLeader, testing::ValuesIn(refusals));
+TEST_P(RefusedLeader, StopsCancelledTasksInTime) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     SimulatedCluster w({});
@@ -68,7 +68,7 @@
 
 // A transaction without an answer is carried out late, after newer ones of the same leader: what these stored
 // of tasks that are done must not be lost, since their machines have been told to forget them.
-TEST(Meeting, ALateTransactionTakesNothingBack) {
+TEST(FaultCombination, LateTransactionLosesNoProgress) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 1;
@@ -92,7 +92,7 @@
 
 // An old report arrives after newer ones, at a leader that has heard nothing newer of that machine: what it
 // shows has moved on since, and what runs elsewhere must go on.
-TEST(Meeting, AnOldReportStopsNothingThatRunsElsewhere) {
+TEST(FaultCombination, OldHeartbeatStopsNothingThatRunsElsewhere) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 2;
@@ -135,7 +135,7 @@
 // A `run` is held up on its way to a machine that hears nobody, and its job is cancelled meanwhile. It
 // arrives between a report and the answer to it, and then the machine is cut off altogether: an answer that
 // renews its lease would leave the task there for a lease more.
-TEST(Meeting, AHeldUpRunOfACancelledJobIsNotGivenALeaseMore) {
+TEST(FaultCombination, DelayedStartOfCancelledJobGetsNoLeaseRenewal) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 12;
@@ -170,7 +170,7 @@
 // Each kind of transaction of the controllers, again and again without an answer and carried out after newer
 // ones, over leaders that end and are back at once.
 class LateTransactions : public testing::TestWithParam<const char*> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, LateTransactions,
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, LateTransactions,
                          testing::Values("leader", "standby", "mach/page/", "job/", "prog/", "final/",
                                          "types", ""));
 TEST_P(LateTransactions, BreakNoRule) {
@@ -199,10 +199,10 @@
 // A leader ends while machines with long tasks can't be reached, or don't hear the new leader, for longer
 // than a lease, and can't be deleted: their places, quota and zone stay taken until their leases are out, and
 // everything goes on.
-class Unreachable : public testing::TestWithParam<std::tuple<bool, double>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, Unreachable,
+class UnreachableMachines : public testing::TestWithParam<std::tuple<bool, double>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, UnreachableMachines,
                          testing::Combine(testing::Bool(), testing::Values(12.0, 22.0, 40.0)));
-TEST_P(Unreachable, TasksCountUntilTheyAreProvenGone) {
+TEST_P(UnreachableMachines, CountAsUsedUntilProvenTerminated) {
     spdlog::set_level(spdlog::level::off);
     auto [both_ways, for_s] = GetParam();
     Options o;
@@ -236,7 +236,7 @@
 
 // Workers can't open connections to any controller, while direct commands still reach them: their answers
 // show them well, but every lease that ends kills what was started there since.
-TEST(Meeting, NothingNewGoesToAMachineThatOnlyAnswersCommands) {
+TEST(FaultCombination, StartsNothingOnInboundUnreachableMachines) {
     spdlog::set_level(spdlog::level::off);
     for (bool crash : {false, true}) {
         Options o;
@@ -274,7 +274,7 @@
 
 // Controllers hand over and back within moments, all end, one returns; what the first life of one sent comes
 // later.
-TEST(Meeting, HandoversThereAndBack) {
+TEST(FaultCombination, KeepsAllRulesWhenLeadershipAlternates) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Options o;
@@ -300,7 +300,7 @@
 
 // The key-value store answers slowly, up to the edge of a leader's lease, while users cancel and ask, refuses
 // the leader alone in between, and is then out for all.
-TEST(Meeting, ASlowStateServiceAtTheEdgeOfALease) {
+TEST(FaultCombination, KeepsAllRulesWhenKeyValueStoreIsSlowAtTheEdgeOfALease) {
     spdlog::set_level(spdlog::level::off);
     for (double by : {0.6, 1.2, 1.6}) {
         SimulatedCluster w({});
@@ -318,7 +318,7 @@
 // A leader is cut from the key-value store and from the other controllers, while workers and users still
 // reach it, and jobs are cancelled through the new one: the old one says nothing older, and keeps no task too
 // long.
-TEST(Meeting, ALeaderAloneTellsNothingOlder) {
+TEST(FaultCombination, IsolatedLeaderAnswersNothingOlder) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     w.at(2, [&w] {
@@ -360,10 +360,10 @@
 
 // Jobs of two or three tasks that end far apart, and the leader ends in between, or right when an end was
 // reported to it alone.
-class EndsFarApart : public testing::TestWithParam<std::tuple<const char*, bool>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, EndsFarApart,
+class TaskEndsFarApart : public testing::TestWithParam<std::tuple<const char*, bool>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, TaskEndsFarApart,
                          testing::Combine(testing::Values("batch", "gang"), testing::Bool()));
-TEST_P(EndsFarApart, AreStoredOnce) {
+TEST_P(TaskEndsFarApart, AreStoredOnce) {
     spdlog::set_level(spdlog::level::off);
     auto [shape, at_report] = GetParam();
     Options o;
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -39,9 +39,9 @@
 // Machines of the zone with tasks of a job bound to it go, and the leader may end a moment later. What is
 // left there counts until it is proven gone; then all of it goes on, in one zone again, within the time for
 // which anything may wait.
-class BoundToAZone : public testing::TestWithParam<Bound> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, BoundToAZone, testing::ValuesIn(bound_jobs));
-TEST_P(BoundToAZone, GoesOnAfterALossOfMachines) {
+class ZoneBoundJob : public testing::TestWithParam<Bound> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs));
+TEST_P(ZoneBoundJob, RestartsAfterLossOfMachines) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
@@ -93,9 +93,9 @@
 
 // One machine is cut off and can't be deleted, the leader stays: only the end of its lease proves anything,
 // whoever answered it until then. What was there goes on elsewhere within that time.
-class OneCutOff : public testing::TestWithParam<std::size_t> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, OneCutOff, testing::Range<std::size_t>(0, 6));
-TEST_P(OneCutOff, GoesOnElsewhereOnceTheLeaseIsOut) {
+class PartitionedMachine : public testing::TestWithParam<std::size_t> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, PartitionedMachine, testing::Range<std::size_t>(0, 6));
+TEST_P(PartitionedMachine, HasItsTasksRestartedOnceItsLeaseExpires) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     SimulatedCluster w(o);
@@ -119,10 +119,10 @@
 // More than twice the work that there is room for with all that the cloud gives, of each rank. Machines
 // die, hang and are cut off, leaders end and a part is cancelled meanwhile. The urgent work is not behind the
 // rest, and once the troubles are over everything is served: nothing waits with room and quota.
-class MoreWorkThanRoom : public testing::TestWithParam<std::tuple<int, bool>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, MoreWorkThanRoom,
+class Overload : public testing::TestWithParam<std::tuple<int, bool>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, Overload,
                          testing::Combine(testing::Values(1, 2, 3), testing::Bool()));
-TEST_P(MoreWorkThanRoom, LeavesNothingWaitingWithRoom) {
+TEST_P(Overload, LeavesNothingWaitingThatFits) {
     spdlog::set_level(spdlog::level::off);
     auto [seed, slow] = GetParam();
     Options o;
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // In parts, so that they can be played side by side. `coralhitch_fault_scenarios` plays more by hand.
-class Plays : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Seeds, Plays, testing::Range<std::uint64_t>(0, 16));
-TEST_P(Plays, KeepTheRulesWhateverFails) {
+class FaultScenario : public testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(RandomSeeds, FaultScenario, testing::Range<std::uint64_t>(0, 16));
+TEST_P(FaultScenario, KeepsAllRulesUnderRandomFaults) {
     spdlog::set_level(spdlog::level::off);
     constexpr std::uint64_t each = 15 / seeds_part;
     for (auto seed = 1 + GetParam() * each; seed <= (1 + GetParam()) * each; ++seed) {
@@ -21,16 +21,16 @@
 }
 
 // Each pair of troubles once, a few in each play.
-class Meetings : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Pairs, Meetings, testing::Range<std::uint64_t>(0, 16));
-TEST_P(Meetings, KeepTheRules) {
+class FaultPairs : public testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(AllPairs, FaultPairs, testing::Range<std::uint64_t>(0, 16));
+TEST_P(FaultPairs, KeepAllRules) {
     spdlog::set_level(spdlog::level::off);
     for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seeds_part)
         for (auto& b : run_scenario(seed, 12, draw_fault_pairs(seed, 12)))
             ADD_FAILURE() << "meeting " << seed << ": " << b;
 }
 
-TEST(Pairs, AreAllDrawn) {
+TEST(FaultPairs, AreAllDrawn) {
     std::set<std::string> met;
     for (std::uint64_t seed = 0; seed < pair_seeds; ++seed) {
         auto faults = draw_fault_pairs(seed, 12);
@@ -40,7 +40,7 @@
     EXPECT_EQ(met.size(), pairs);
 }
 
-TEST(Size, AWorldOf8000MachinesHasAnAddressForEach) {
+TEST(SimulatedCluster, GivesEachOf8000MachinesAnAddress) {
     spdlog::set_level(spdlog::level::off);
     Options options;
     options.machines = 8000;
@@ -52,7 +52,7 @@
 }
 
 // The checker sees what is wrong, and a failing play shrinks to what it needs.
-TEST(Shrinking, KeepsWhatThePlayNeeds) {
+TEST(FaultScenario, ShrinksToTheFaultsItNeeds) {
     spdlog::set_level(spdlog::level::off);
     std::vector<Fault> faults;
     for (int k = 0; k < 6; ++k) faults.push_back({20.0 + 10 * k, FaultKind::crash, 3, 1, 0.2, false});
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -18,7 +18,7 @@
 
 // The end of a job's last task meets a cancellation at one node, at two or at all, before, while and after
 // its transaction is carried out: one of both wins in the store, and all nodes tell that one from then on.
-TEST(JobEnds, OneOfCancellationAndEndWins) {
+TEST(JobEnd, OrCancellationWinsOnAllControllers) {
     spdlog::set_level(spdlog::level::off);
     std::set<std::string> won;
     for (std::size_t nodes : {1u, 2u, 3u})
@@ -60,7 +60,7 @@
 
 // The transaction of an end is carried out and its answer lost, or late, while other nodes read what it
 // wrote, and the job is submitted again: it ends once, and nobody hears anything else.
-TEST(JobEnds, CarriedOutWithTheAnswerLost) {
+TEST(JobEnd, IsStoredOnceWhenTheAnswerIsLost) {
     spdlog::set_level(spdlog::level::off);
     for (double late : {-1.0, 1.0, 4.0, 9.0}) {
         SCOPED_TRACE(std::to_string(late));
@@ -112,9 +112,9 @@
 // keeps the three seconds in which users expect it, but those simulated here report only once a period, which
 // alone may take longer. With ends of cancelled jobs at the rank of the others each of 24 seeds took 2.31 s
 // or more.
-class JobEndsWithFewChanges : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsWithFewChanges, testing::Values(1, 2, 3));
-TEST_P(JobEndsWithFewChanges, AreStoredInTime) {
+class JobEndsUnderWriteLimit : public testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3));
+TEST_P(JobEndsUnderWriteLimit, AreStoredInTime) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.seed = GetParam();
@@ -158,7 +158,7 @@
 
 // A transaction with many changes waits until the budget has room for it. Small ones of lower ranks used to
 // take what gathered meanwhile.
-TEST(StateClient, SmallChangesDontOvertakeLargeOnes) {
+TEST(KvClientBudget, SmallChangesDoNotOvertakeLargeOnes) {
     FakeTimers timers;
     FakeKeyValueStore service(timers);
     config::Settings s;
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -79,9 +79,9 @@
     {"the leader is outside", false, false},
     {"the leader is outside, packets held", false, true},
 };
-class CutZone : public testing::TestWithParam<ZoneCut> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, CutZone, testing::ValuesIn(zone_cuts));
-TEST_P(CutZone, KeepsItsTasksForTheTimeThatIsAllowedAndNoLonger) {
+class PartitionedZone : public testing::TestWithParam<ZoneCut> {};
+INSTANTIATE_TEST_SUITE_P(Liveness, PartitionedZone, testing::ValuesIn(zone_cuts));
+TEST_P(PartitionedZone, KeepsItsTasksForTheAllowedTimeOnly) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
@@ -124,9 +124,9 @@
     {"inside an outage", 12, 4},
     {"back at once inside an outage", 12, 0.2},
 };
-class TenLeaders : public testing::TestWithParam<Changes> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, TenLeaders, testing::ValuesIn(changes));
-TEST_P(TenLeaders, LoseNoWorkersLease) {
+class TenLeaderChanges : public testing::TestWithParam<Changes> {};
+INSTANTIATE_TEST_SUITE_P(Liveness, TenLeaderChanges, testing::ValuesIn(changes));
+TEST_P(TenLeaderChanges, ExpireNoWorkerLease) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
@@ -167,9 +167,9 @@
     {"but for a moment", 16, 2, 36, true},
     {"but for a moment, and know nothing", 16, 2, 36, false},
 };
-class NoController : public testing::TestWithParam<Away> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, NoController, testing::ValuesIn(aways));
-TEST_P(NoController, IsSurvivedByWhatWasAnswered) {
+class ControllerOutage : public testing::TestWithParam<Away> {};
+INSTANTIATE_TEST_SUITE_P(Liveness, ControllerOutage, testing::ValuesIn(aways));
+TEST_P(ControllerOutage, KeepsTasksWhoseHeartbeatsWereAnswered) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
     Options o;
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // The checker itself: a command that breaks a rule on purpose must be seen.
-TEST(CheckerOfStarts, SeesATaskStartedTwice) {
+TEST(RulesOfSimulatedCluster, DetectATaskStartedTwice) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     w.at(2, [&w] { w.submit("j-1", "service", 1, 0); });
@@ -19,7 +19,7 @@
     ASSERT_FALSE(w.broken.empty());
     EXPECT_NE(w.broken[0].find("ran_twice"), std::string::npos);
 }
-TEST(CheckerOfStarts, SeesACancelledTaskThatStays) {
+TEST(RulesOfSimulatedCluster, DetectACancelledTaskThatStays) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     for (const char* id : {"j-1", "j-2"}) w.at(2, [&w, id] { w.submit(id, "service", 1, 0); });
@@ -35,7 +35,7 @@
 
 // A cut to one machine, named by its address, keeps away what it says and what is said to it, and nobody
 // else's.
-TEST(WorldOfTests, CutsOneMachineOff) {
+TEST(SimulatedCluster, PartitionsOneMachine) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 12;  // 10.1.0.1 and 10.1.0.10 to 10.1.0.12
@@ -132,9 +132,9 @@
          w.cancel("j-3");
      }},
 };
-class Checker : public testing::TestWithParam<Broken> {};
-INSTANTIATE_TEST_SUITE_P(Rules, Checker, testing::ValuesIn(broken));
-TEST_P(Checker, SeesWhatIsBrokenOnPurpose) {
+class RulesOfSimulatedCluster : public testing::TestWithParam<Broken> {};
+INSTANTIATE_TEST_SUITE_P(EachRule, RulesOfSimulatedCluster, testing::ValuesIn(broken));
+TEST_P(RulesOfSimulatedCluster, DetectEachDeliberateBreach) {
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.gpus_max = 2;
@@ -218,9 +218,9 @@
       {"", submission, 11, 12, 200, "withdrawn"}},
      nullptr},
 };
-class Histories : public testing::TestWithParam<History> {};
-INSTANTIATE_TEST_SUITE_P(Rules, Histories, testing::ValuesIn(histories));
-TEST_P(Histories, AreHeldAgainstWhatWasReceivedBefore) {
+class AnswerHistories : public testing::TestWithParam<History> {};
+INSTANTIATE_TEST_SUITE_P(Rules, AnswerHistories, testing::ValuesIn(histories));
+TEST_P(AnswerHistories, AreCheckedAgainstAnswersReceivedBefore) {
     spdlog::set_level(spdlog::level::off);
     auto& h = GetParam();
     SimulatedCluster w({});
@@ -240,7 +240,7 @@
 }
 
 // A start after a confirmed cancellation that was on its way is counted, and no rule.
-TEST(CheckerOfStarts, CountsThoseAfterACancellation) {
+TEST(RulesOfSimulatedCluster, CountStartsAfterAConfirmedCancellation) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     for (const char* id : {"j-1", "j-2"}) w.at(2, [&w, id] { w.submit(id, "service", 1, 0); });
