--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -6,6 +6,7 @@
 
 #include <sstream>
 
+#include "scenarios/parameter_names.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -90,7 +91,7 @@
      }},
 };
 class OldHeartbeats : public testing::TestWithParam<Meanwhile> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, OldHeartbeats, testing::ValuesIn(meanwhiles));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, OldHeartbeats, testing::ValuesIn(meanwhiles), NameOfCase());
 // The new leader, which nobody has told anything, moved tasks that ran, gangs whole, because an old report
 // that it heard first showed one of them elsewhere and the next report of that machine did not.
 TEST_P(OldHeartbeats, MoveNothingAtTheNextLeader) {
@@ -156,7 +157,13 @@
 // next one leads, as it begins, or after its own commands.
 class DelayedStart : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStart,
-                         testing::Combine(testing::Values(2.0, 5.0, 6.0, 7.0, 9.0, 16.0), testing::Bool()));
+                         testing::Combine(testing::Values(2.0, 5.0, 6.0, 7.0, 9.0, 16.0), testing::Bool()),
+                         [](auto& info) {
+                             auto late_s = std::get<0>(info.param);
+                             auto all = std::get<1>(info.param);
+                             return "By" + seconds_name(late_s) +
+                                    (all ? "AllControllersCrash" : "LeaderCrashes");
+                         });
 TEST_P(DelayedStart, OfACrashedLeaderBreaksNoRule) {
     ErrorLog log;
     auto [late_s, all] = GetParam();
@@ -201,7 +208,12 @@
 };
 class DelayedStartOfTheSameLeader : public testing::TestWithParam<std::tuple<Over, double>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStartOfTheSameLeader,
-                         testing::Combine(testing::ValuesIn(overs), testing::Values(3.0, 7.0, 12.0, 16.0)));
+                         testing::Combine(testing::ValuesIn(overs), testing::Values(3.0, 7.0, 12.0, 16.0)),
+                         [](auto& info) {
+                             auto over = std::get<0>(info.param);
+                             auto late_s = std::get<1>(info.param);
+                             return camel_case(over.name) + "By" + seconds_name(late_s);
+                         });
 TEST_P(DelayedStartOfTheSameLeader, StartsNothingThatHasEnded) {
     ErrorLog log;
     auto [over, late_s] = GetParam();
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -2,6 +2,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
+#include "scenarios/parameter_names.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -173,12 +174,14 @@
   protected:
     void SetUp() override { spdlog::set_level(spdlog::level::off); }
 };
-INSTANTIATE_TEST_SUITE_P(EachKind, FailoverFaults, testing::Range<std::size_t>(0, std::size(fault_kinds)));
+INSTANTIATE_TEST_SUITE_P(EachKind, FailoverFaults, testing::Range<std::size_t>(0, std::size(fault_kinds)),
+                         [](auto& info) { return camel_case(fault_kinds[info.param].name); });
 TEST_P(FailoverFaults, KeepInvariants) {
     for (std::uint64_t seed : {1, 2, 3}) run_scenario(fault_kinds[GetParam()], seed);
 }
 class FailoverRandomFaults : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(EachSeed, FailoverRandomFaults, testing::Range<std::uint64_t>(0, 4));
+INSTANTIATE_TEST_SUITE_P(EachSeed, FailoverRandomFaults, testing::Range<std::uint64_t>(0, 4),
+                         Numbered{"Part"});
 TEST_P(FailoverRandomFaults, KeepInvariants) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed = 10 + GetParam(); seed < 30; seed += 4)
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -1,5 +1,6 @@
 // New machines get work at once while writes lag, and the leader ends.
 #include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -54,7 +55,7 @@
 // nobody reaches the machine for most of a lease, nor can it be deleted. Whoever leads next knows of it from
 // what is stored: it counts what runs there, although the old machines have room by then.
 class FirstStart : public testing::TestWithParam<Boot> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boots));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boots), NameOfCase());
 TEST_P(FirstStart, IsOnMachineKnownToNextLeader) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -1,5 +1,6 @@
 // Jobs that are cancelled in the seconds in which one controller's work changes hands.
 #include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -55,7 +56,13 @@
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationBetweenLeaders,
                          testing::Combine(testing::Values(0.01, 0.5, 1.0, 1.5, 1.9, 2.1, 2.2, 2.3, 2.4, 2.5,
                                                           2.6, 2.8, 3.2),
-                                          testing::Values(1, 2)));
+                                          testing::Values(1, 2)),
+                         [](auto& info) {
+                             auto after = std::get<0>(info.param);
+                             auto through = std::get<1>(info.param);
+                             return "After" + seconds_name(after) + "ThroughController" +
+                                    std::to_string(through) + "FromLeader";
+                         });
 TEST_P(CancellationBetweenLeaders, StopsTasksWithTheFirstDecision) {
     spdlog::set_level(spdlog::level::off);
     auto [after, through] = GetParam();
@@ -79,7 +86,8 @@
 // The same at each moment of a failover that is slow to read: the first notice comes while the list is read,
 // and what the list says is older.
 class CancellationWhileNextLeaderReads : public testing::TestWithParam<double> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationWhileNextLeaderReads, testing::Range(0.0, 1.2, 0.1));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationWhileNextLeaderReads, testing::Range(0.0, 1.2, 0.1),
+                         [](auto& info) { return "After" + seconds_name(info.param); });
 TEST_P(CancellationWhileNextLeaderReads, IsNotLost) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
@@ -110,9 +118,13 @@
 // The relays change their leader: reports that they hold go to the next one, commands reach no machine soon
 // after, and the cloud deletes nothing. No answer may give a cancelled task more than its time.
 class RelaysThatChangeLeader : public testing::TestWithParam<std::tuple<double, double>> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, RelaysThatChangeLeader,
-                         testing::Combine(testing::Values(0.1, 1.5, 2.3, 3.0),
-                                          testing::Values(0.2, 1.0, 3.0)));
+INSTANTIATE_TEST_SUITE_P(
+    FaultCombinations, RelaysThatChangeLeader,
+    testing::Combine(testing::Values(0.1, 1.5, 2.3, 3.0), testing::Values(0.2, 1.0, 3.0)), [](auto& info) {
+        auto after = std::get<0>(info.param);
+        auto cut_after = std::get<1>(info.param);
+        return "After" + seconds_name(after) + "PartitionedAfter" + seconds_name(cut_after);
+    });
 TEST_P(RelaysThatChangeLeader, RenewNoLeaseForACancelledTask) {
     spdlog::set_level(spdlog::level::off);
     auto [after, cut_after] = GetParam();
@@ -143,7 +155,13 @@
 // cancelled before, between or after.
 class StartsOfTwoLeaders : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, StartsOfTwoLeaders,
-                         testing::Combine(testing::Values(0.05, 0.5, 2.2, 2.8, 4.0, 7.0), testing::Bool()));
+                         testing::Combine(testing::Values(0.05, 0.5, 2.2, 2.8, 4.0, 7.0), testing::Bool()),
+                         [](auto& info) {
+                             auto after = std::get<0>(info.param);
+                             auto warm = std::get<1>(info.param);
+                             return "After" + seconds_name(after) +
+                                    (warm ? "WithReplicas" : "WithoutReplicas");
+                         });
 TEST_P(StartsOfTwoLeaders, AreStoppedOnceTheyArrive) {
     spdlog::set_level(spdlog::level::off);
     auto [after, warm] = GetParam();
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -1,5 +1,6 @@
 // Transactions that are carried out at once while their answers are lost.
 #include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -10,7 +11,8 @@
 // Each kind of the controllers' own transactions, a third of the time, over leaders that end.
 class LostTransactionAnswers : public testing::TestWithParam<const char*> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, LostTransactionAnswers,
-                         testing::Values("leader", "standby", "mach/page/", "prog/", "types"));
+                         testing::Values("leader", "standby", "mach/page/", "prog/", "types"),
+                         [](auto& info) { return camel_case(info.param); });
 TEST_P(LostTransactionAnswers, ChangeNothing) {
     spdlog::set_level(spdlog::level::off);
     std::string kind = GetParam();
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -2,6 +2,7 @@
 #include <array>
 
 #include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -86,7 +87,8 @@
 }
 
 class InvalidRequestDuringFault : public testing::TestWithParam<Midst> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, InvalidRequestDuringFault, testing::ValuesIn(midsts));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, InvalidRequestDuringFault, testing::ValuesIn(midsts),
+                         NameOfCase());
 
 // Every node, in trouble: refused as it is without trouble, or 503; never accepted. Nothing of it is stored,
 // and once the trouble is over each is refused with its own code.
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -1,5 +1,6 @@
 // Teams at their limits while jobs are cancelled or end on machines that don't answer, and leaders change.
 #include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -47,7 +48,7 @@
     {"cut off, late change", Away::cut_off, 9, false},
 };
 class TeamsAtTheirLimits : public testing::TestWithParam<Limits> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limits));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limits), NameOfCase());
 TEST_P(TeamsAtTheirLimits, StartNothingBeforeProofOfTerminationAndWaitNoLonger) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
@@ -95,7 +96,8 @@
 // A gang is over for its user when one of its tasks has ended; those on a machine that hangs are still there.
 // The next leader knows of the job only that it is done, and must not fill the team's limit beside them.
 class DoneGangStillOnMachine : public testing::TestWithParam<bool> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, DoneGangStillOnMachine, testing::Bool());
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, DoneGangStillOnMachine, testing::Bool(),
+                         [](auto& info) { return info.param ? "WithReplicas" : "WithoutReplicas"; });
 TEST_P(DoneGangStillOnMachine, CountsForItsTeam) {
     spdlog::set_level(spdlog::level::off);
     Options o;
@@ -132,7 +134,13 @@
 // whether it comes before or after the new one has listed the jobs, what is there counts.
 class CancellationDuringFailover : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationDuringFailover,
-                         testing::Combine(testing::Values(0.05, 1.0, 2.2, 2.6, 3.2, 5.0), testing::Bool()));
+                         testing::Combine(testing::Values(0.05, 1.0, 2.2, 2.6, 3.2, 5.0), testing::Bool()),
+                         [](auto& info) {
+                             auto cancelled_after = std::get<0>(info.param);
+                             auto warm = std::get<1>(info.param);
+                             return "After" + seconds_name(cancelled_after) +
+                                    (warm ? "WithReplicas" : "WithoutReplicas");
+                         });
 TEST_P(CancellationDuringFailover, CountsRemainingTasksForTheirTeam) {
     spdlog::set_level(spdlog::level::off);
     auto [cancelled_after, warm] = GetParam();
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -1,6 +1,7 @@
 // Two troubles that meet: a scripted case for each, with the order of messages fixed. docs/testing.md lists
 // them.
 #include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -29,7 +30,7 @@
     {"the lease is out before the outage", 14, 34.0, false, false, false},
 };
 class RefusedLeader : public testing::TestWithParam<HeartbeatRejection> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, RefusedLeader, testing::ValuesIn(refusals));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, RefusedLeader, testing::ValuesIn(refusals), NameOfCase());
 TEST_P(RefusedLeader, StopsCancelledTasksInTime) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
@@ -172,7 +173,11 @@
 class LateTransactions : public testing::TestWithParam<const char*> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, LateTransactions,
                          testing::Values("leader", "standby", "mach/page/", "job/", "prog/", "final/",
-                                         "types", ""));
+                                         "types", ""),
+                         [](auto& info) {
+                             std::string key_prefix = info.param;
+                             return key_prefix.empty() ? "AnyKey" : camel_case(key_prefix);
+                         });
 TEST_P(LateTransactions, BreakNoRule) {
     spdlog::set_level(spdlog::level::off);
     std::string kind = GetParam();
@@ -201,7 +206,12 @@
 // everything goes on.
 class UnreachableMachines : public testing::TestWithParam<std::tuple<bool, double>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, UnreachableMachines,
-                         testing::Combine(testing::Bool(), testing::Values(12.0, 22.0, 40.0)));
+                         testing::Combine(testing::Bool(), testing::Values(12.0, 22.0, 40.0)),
+                         [](auto& info) {
+                             auto both_ways = std::get<0>(info.param);
+                             auto for_s = std::get<1>(info.param);
+                             return (both_ways ? "BothWaysFor" : "OutboundFor") + seconds_name(for_s);
+                         });
 TEST_P(UnreachableMachines, CountAsUsedUntilProvenTerminated) {
     spdlog::set_level(spdlog::level::off);
     auto [both_ways, for_s] = GetParam();
@@ -362,7 +372,11 @@
 // reported to it alone.
 class TaskEndsFarApart : public testing::TestWithParam<std::tuple<const char*, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, TaskEndsFarApart,
-                         testing::Combine(testing::Values("batch", "gang"), testing::Bool()));
+                         testing::Combine(testing::Values("batch", "gang"), testing::Bool()), [](auto& info) {
+                             auto shape = std::get<0>(info.param);
+                             auto at_report = std::get<1>(info.param);
+                             return camel_case(shape) + (at_report ? "AtEachHeartbeat" : "AtFixedTimes");
+                         });
 TEST_P(TaskEndsFarApart, AreStoredOnce) {
     spdlog::set_level(spdlog::level::off);
     auto [shape, at_report] = GetParam();
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -3,6 +3,7 @@
 #include <array>
 
 #include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -40,7 +41,7 @@
 // left there counts until it is proven gone; then all of it goes on, in one zone again, within the time for
 // which anything may wait.
 class ZoneBoundJob : public testing::TestWithParam<Bound> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs), NameOfCase());
 TEST_P(ZoneBoundJob, RestartsAfterLossOfMachines) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
@@ -94,7 +95,8 @@
 // One machine is cut off and can't be deleted, the leader stays: only the end of its lease proves anything,
 // whoever answered it until then. What was there goes on elsewhere within that time.
 class PartitionedMachine : public testing::TestWithParam<std::size_t> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, PartitionedMachine, testing::Range<std::size_t>(0, 6));
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, PartitionedMachine, testing::Range<std::size_t>(0, 6),
+                         Numbered{"Machine"});
 TEST_P(PartitionedMachine, HasItsTasksRestartedOnceItsLeaseExpires) {
     spdlog::set_level(spdlog::level::off);
     Options o;
@@ -121,7 +123,11 @@
 // rest, and once the troubles are over everything is served: nothing waits with room and quota.
 class Overload : public testing::TestWithParam<std::tuple<int, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, Overload,
-                         testing::Combine(testing::Values(1, 2, 3), testing::Bool()));
+                         testing::Combine(testing::Values(1, 2, 3), testing::Bool()), [](auto& info) {
+                             auto seed = std::get<0>(info.param);
+                             auto slow = std::get<1>(info.param);
+                             return "Seed" + std::to_string(seed) + (slow ? "SlowHeartbeats" : "");
+                         });
 TEST_P(Overload, LeavesNothingWaitingThatFits) {
     spdlog::set_level(spdlog::level::off);
     auto [seed, slow] = GetParam();
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -4,13 +4,14 @@
 #include <spdlog/spdlog.h>
 
 #include "http/address.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
 // In parts, so that they can be played side by side. `coralhitch_fault_scenarios` plays more by hand.
 class FaultScenario : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(RandomSeeds, FaultScenario, testing::Range<std::uint64_t>(0, 16));
+INSTANTIATE_TEST_SUITE_P(RandomSeeds, FaultScenario, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultScenario, KeepsAllRulesUnderRandomFaults) {
     spdlog::set_level(spdlog::level::off);
     constexpr std::uint64_t each = 15 / seeds_part;
@@ -22,7 +23,7 @@
 
 // Each pair of troubles once, a few in each play.
 class FaultPairs : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(AllPairs, FaultPairs, testing::Range<std::uint64_t>(0, 16));
+INSTANTIATE_TEST_SUITE_P(AllPairs, FaultPairs, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultPairs, KeepAllRules) {
     spdlog::set_level(spdlog::level::off);
     for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seeds_part)
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/kv_client.hpp"
+#include "scenarios/parameter_names.hpp"
 #include "simulation/simulated_cluster.hpp"
 #include "support/fake_key_value_store.hpp"
 
@@ -113,7 +114,7 @@
 // alone may take longer. With ends of cancelled jobs at the rank of the others each of 24 seeds took 2.31 s
 // or more.
 class JobEndsUnderWriteLimit : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3), Numbered{"Seed"});
 TEST_P(JobEndsUnderWriteLimit, AreStoredInTime) {
     spdlog::set_level(spdlog::level::off);
     Options o;
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
+#include "scenarios/parameter_names.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -80,7 +81,7 @@
     {"the leader is outside, packets held", false, true},
 };
 class PartitionedZone : public testing::TestWithParam<ZoneCut> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, PartitionedZone, testing::ValuesIn(zone_cuts));
+INSTANTIATE_TEST_SUITE_P(Liveness, PartitionedZone, testing::ValuesIn(zone_cuts), NameOfCase());
 TEST_P(PartitionedZone, KeepsItsTasksForTheAllowedTimeOnly) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
@@ -125,7 +126,7 @@
     {"back at once inside an outage", 12, 0.2},
 };
 class TenLeaderChanges : public testing::TestWithParam<Changes> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, TenLeaderChanges, testing::ValuesIn(changes));
+INSTANTIATE_TEST_SUITE_P(Liveness, TenLeaderChanges, testing::ValuesIn(changes), NameOfCase());
 TEST_P(TenLeaderChanges, ExpireNoWorkerLease) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
@@ -168,7 +169,7 @@
     {"but for a moment, and know nothing", 16, 2, 36, false},
 };
 class ControllerOutage : public testing::TestWithParam<Away> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, ControllerOutage, testing::ValuesIn(aways));
+INSTANTIATE_TEST_SUITE_P(Liveness, ControllerOutage, testing::ValuesIn(aways), NameOfCase());
 TEST_P(ControllerOutage, KeepsTasksWhoseHeartbeatsWereAnswered) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
--- /dev/null
+++ b/tests/scenarios/parameter_names.hpp
@@ -0,0 +1,54 @@
+// Readable names for the cases of parameterised tests.
+#pragma once
+#include <gtest/gtest.h>
+
+#include <cctype>
+#include <cstdio>
+#include <string>
+#include <string_view>
+
+namespace coralhitch::simulation {
+
+// The words of a description in camel case; whatever a test's name may not contain separates words.
+inline std::string camel_case(std::string_view words) {
+    std::string name;
+    bool word_begins = true;
+    for (char character : words) {
+        bool allowed = std::isalnum(static_cast<unsigned char>(character)) != 0;
+        if (allowed) {
+            auto upper = static_cast<char>(std::toupper(static_cast<unsigned char>(character)));
+            name += word_begins ? upper : character;
+        }
+        word_begins = !allowed;
+    }
+    return name;
+}
+
+// 2.5 gives "2p5s", -0.5 "Minus0p5s".
+inline std::string seconds_name(double seconds) {
+    constexpr std::size_t longest = 32;
+    char digits[longest];
+    std::snprintf(digits, sizeof digits, "%.3g", seconds < 0 ? -seconds : seconds);
+    std::string name = seconds < 0 ? "Minus" : "";
+    for (const char* digit = digits; *digit != '\0'; ++digit) name += *digit == '.' ? 'p' : *digit;
+    return name + "s";
+}
+
+// For cases that have a field `name`.
+struct NameOfCase {
+    template <class Case>
+    std::string operator()(const testing::TestParamInfo<Case>& info) const {
+        return camel_case(info.param.name);
+    }
+};
+
+// For cases that are numbers, with what they count.
+struct Numbered {
+    const char* what;
+    template <class Number>
+    std::string operator()(const testing::TestParamInfo<Number>& info) const {
+        return what + std::to_string(info.param);
+    }
+};
+
+}  // namespace coralhitch::simulation
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -7,6 +7,7 @@
 
 #include "protocol/peer_messages.hpp"
 #include "scenarios/fault_scenarios.hpp"
+#include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
@@ -116,7 +117,8 @@
     void SetUp() override { spdlog::set_level(spdlog::level::off); }
     const FaultAtMessage& fault() const { return faults[GetParam()]; }
 };
-INSTANTIATE_TEST_SUITE_P(AtEachMessage, ReplicationFaults, testing::Range<std::size_t>(0, std::size(faults)));
+INSTANTIATE_TEST_SUITE_P(AtEachMessage, ReplicationFaults, testing::Range<std::size_t>(0, std::size(faults)),
+                         [](auto& info) { return camel_case(faults[info.param].name); });
 TEST_P(ReplicationFaults, KeepInvariants) {
     const char* more = std::getenv("CORALHITCH_SEEDS");  // by hand
     std::uint64_t seeds = more ? std::stoull(more) : 16 / seeds_part;
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
+#include "scenarios/parameter_names.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -133,7 +134,8 @@
      }},
 };
 class RulesOfSimulatedCluster : public testing::TestWithParam<Broken> {};
-INSTANTIATE_TEST_SUITE_P(EachRule, RulesOfSimulatedCluster, testing::ValuesIn(broken));
+INSTANTIATE_TEST_SUITE_P(EachRule, RulesOfSimulatedCluster, testing::ValuesIn(broken),
+                         [](auto& info) { return camel_case(info.param.rule); });
 TEST_P(RulesOfSimulatedCluster, DetectEachDeliberateBreach) {
     spdlog::set_level(spdlog::level::off);
     Options o;
@@ -219,7 +221,7 @@
      nullptr},
 };
 class AnswerHistories : public testing::TestWithParam<History> {};
-INSTANTIATE_TEST_SUITE_P(Rules, AnswerHistories, testing::ValuesIn(histories));
+INSTANTIATE_TEST_SUITE_P(Rules, AnswerHistories, testing::ValuesIn(histories), NameOfCase());
 TEST_P(AnswerHistories, AreCheckedAgainstAnswersReceivedBefore) {
     spdlog::set_level(spdlog::level::off);
     auto& h = GetParam();
