--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -29,8 +29,8 @@
     std::shared_ptr<spdlog::logger> before_;
 };
 
-void expect_unbroken(const SimulatedCluster& w) {
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+void expect_no_violations(const SimulatedCluster& w) {
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 // Where each task of a job is.
 std::map<std::string, std::string> places(const SimulatedCluster& w, const std::string& job) {
@@ -48,7 +48,7 @@
 class Copies {
   public:
     void keep(SimulatedCluster& w, double until) {
-        w.sent = [this, &w, until](const std::string& from, const std::string&, const http::Request& r) {
+        w.on_message = [this, &w, until](const std::string& from, const std::string&, const http::Request& r) {
             bool shows = r.target == protocol::paths::report && r.body.find("running") != std::string::npos;
             if (shows && w.now() < until) kept_[from] = r;
         };
@@ -78,16 +78,16 @@
      [](SimulatedCluster& w) {
          auto on = places(w, "j-1").begin()->second;
          for (std::size_t k = 0; k < w.workers.size(); ++k)
-             if (w.workers[k]->id == on) w.die(k);
+             if (w.workers[k]->id == on) w.crash_machine(k);
      }},
     {"three machines are in their next session",
      [](SimulatedCluster& w) {
-         for (std::size_t k : {0, 2, 4}) w.reboot(k, false);
+         for (std::size_t k : {0, 2, 4}) w.reboot_machine(k, false);
      }},
     {"three machines are cut off for longer than a lease",
      [](SimulatedCluster& w) {
-         for (std::size_t k : {0, 2, 4}) w.cut("10.1.0." + std::to_string(k + 1), "10.0.", 40, false);
-         w.cloud_down(40);
+         for (std::size_t k : {0, 2, 4}) w.partition("10.1.0." + std::to_string(k + 1), "10.0.", 40, false);
+         w.start_cloud_outage(40);
      }},
 };
 class OldHeartbeats : public testing::TestWithParam<Meanwhile> {};
@@ -124,8 +124,8 @@
         w.cancel("j-3");
         w.run_until(300);
         EXPECT_TRUE(w.jobs["j-1"].done && w.jobs["j-2"].done && w.jobs["j-3"].cancelled);
-        EXPECT_EQ(w.done_again, 0u);
-        expect_unbroken(w);
+        EXPECT_EQ(w.restarts_of_done_tasks, 0u);
+        expect_no_violations(w);
     }
     EXPECT_EQ(log.text(), "");
 }
@@ -138,14 +138,14 @@
     copies.keep(w, 40);
     w.at(2, [&w] { w.submit("j-1", "batch", 6, 100); });
     w.run_until(40);
-    for (std::size_t k = 0; k < 6; ++k) w.reboot(k, true);
+    for (std::size_t k = 0; k < 6; ++k) w.reboot_machine(k, true);
     end_all(w);
     copies.deliver(w, 40.2, 52);
     w.run_until(60);  // less than a lease later
     EXPECT_EQ(places(w, "j-1").size(), 6u);
     w.run_until(220);
     EXPECT_TRUE(w.jobs["j-1"].done);
-    expect_unbroken(w);
+    expect_no_violations(w);
     EXPECT_EQ(log.text(), "");
 }
 
@@ -173,7 +173,7 @@
         w.submit("j-1", "batch", 6, 30, {{"crew", "tight"}});
         w.submit("j-2", "gang", 3, 30, {{"together", true}});
     });
-    w.late_command = [&, late_s = late_s, all = all](auto&, auto& r) {
+    w.command_delay = [&, late_s = late_s, all = all](auto&, auto& r) {
         if (!has(r, "run")) return 0.0;
         if (w.now() < 20 || w.now() > 24) return 0.0;
         if (!std::exchange(held, true))
@@ -186,8 +186,8 @@
     w.run_until(150);
     EXPECT_TRUE(held);
     EXPECT_TRUE(w.jobs["j-1"].done && w.jobs["j-2"].done);
-    EXPECT_EQ(w.done_again, 0u);
-    expect_unbroken(w);
+    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
+    expect_no_violations(w);
     EXPECT_EQ(log.text(), "");
 }
 
@@ -220,7 +220,7 @@
     SimulatedCluster w({});
     bool held = false;
     w.at(20, [&w, s = over.run_s] { w.submit("j-1", "batch", 1, s); });
-    w.late_command = [&, over = over, late_s = late_s](auto&, auto& r) {
+    w.command_delay = [&, over = over, late_s = late_s](auto&, auto& r) {
         if (has(r, "\"kill\"") && over.stop_too) return late_s + 1;
         if (!has(r, "\"run\"") || std::exchange(held, true)) return 0.0;
         if (over.cancel_after > 0) w.at(w.now() + over.cancel_after, [&w] { w.cancel("j-1"); });
@@ -233,9 +233,9 @@
     EXPECT_LE(w.starts, 1u);
     EXPECT_EQ(w.starts, starts);  // nothing by then that was not there before the last ones arrived
     EXPECT_TRUE(places(w, "j-1").empty());
-    EXPECT_EQ(w.done_again, 0u);
+    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
     EXPECT_TRUE(over.cancel_after > 0 ? w.jobs["j-1"].cancelled : w.jobs["j-1"].done);
-    expect_unbroken(w);
+    expect_no_violations(w);
     EXPECT_EQ(log.text(), "");
 }
 
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -13,7 +13,7 @@
     std::function<void(SimulatedCluster&, std::mt19937_64&)> plan;
 };
 
-std::size_t lead(SimulatedCluster& w) {
+std::size_t leader_of(SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 
@@ -21,7 +21,7 @@
     {"quiet", [](SimulatedCluster&, std::mt19937_64&) {}},
     {"leader crashes twice",
      [](SimulatedCluster& w, std::mt19937_64&) {
-         for (double t : {40.0, 55.0}) w.at(t, [&w] { w.crash(lead(w), 6); });
+         for (double t : {40.0, 55.0}) w.at(t, [&w] { w.crash(leader_of(w), 6); });
      }},
     {"all crash together",
      [](SimulatedCluster& w, std::mt19937_64&) {
@@ -31,59 +31,59 @@
      }},
     {"leader cut from the state service, packets held",
      [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.cut("10.0.0." + std::to_string(lead(w) + 1), "10.2.0.1", 30, true); });
+         w.at(40, [&w] { w.partition("10.0.0." + std::to_string(leader_of(w) + 1), "10.2.0.1", 30, true); });
      }},
     {"leader refused by the state service alone",
-     [](SimulatedCluster& w, std::mt19937_64&) { w.at(40, [&w] { w.refuse_state(lead(w), 40); }); }},
+     [](SimulatedCluster& w, std::mt19937_64&) { w.at(40, [&w] { w.refuse_at_key_value_store(leader_of(w), 40); }); }},
     {"leader cut from the workers, packets held",
      [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.cut("10.0.0." + std::to_string(lead(w) + 1), "10.1.", 30, true); });
+         w.at(40, [&w] { w.partition("10.0.0." + std::to_string(leader_of(w) + 1), "10.1.", 30, true); });
      }},
     {"leader cut from all, packets held, machines hang over the takeover",
      [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] {
-             w.cut("10.0.0." + std::to_string(lead(w) + 1), "10.", 35, true);
-             w.hang(1, 20);
-             w.hang(2, 33);
+             w.partition("10.0.0." + std::to_string(leader_of(w) + 1), "10.", 35, true);
+             w.hang_machine(1, 20);
+             w.hang_machine(2, 33);
          });
      }},
     {"state outage, then all crash",
      [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.state_down(20); });
+         w.at(40, [&w] { w.start_key_value_store_outage(20); });
          w.at(57, [&w] {
              for (std::size_t k = 0; k < 3; ++k) w.crash(k, 5);
          });
      }},
     {"machines die while the cloud is down and the leader crashes",
      [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(38, [&w] { w.cloud_down(50); });
+         w.at(38, [&w] { w.start_cloud_outage(50); });
          w.at(40, [&w] {
-             w.die(0);
-             w.die(3);
+             w.crash_machine(0);
+             w.crash_machine(3);
          });
-         w.at(42, [&w] { w.crash(lead(w), 8); });
+         w.at(42, [&w] { w.crash(leader_of(w), 8); });
      }},
     {"rolling restart while machines hang",
      [](SimulatedCluster& w, std::mt19937_64&) {
          for (std::size_t k = 0; k < 3; ++k)
              w.at(40 + 8.0 * static_cast<double>(k), [&w, k] { w.crash(k, 3); });
-         w.at(44, [&w] { w.hang(0, 15); });
-         w.at(50, [&w] { w.hang(4, 40); });
+         w.at(44, [&w] { w.hang_machine(0, 15); });
+         w.at(50, [&w] { w.hang_machine(4, 40); });
      }},
     {"leader stands still, its clocks run on, twice",
      [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.stand_still(lead(w), 12); });
-         w.at(60, [&w] { w.stand_still(lead(w), 30); });
+         w.at(40, [&w] { w.freeze(leader_of(w), 12); });
+         w.at(60, [&w] { w.freeze(leader_of(w), 30); });
      }},
     {"leader stands still through a state outage, another controller crashes",
      [](SimulatedCluster& w, std::mt19937_64&) {
          w.at(40, [&w] {
-             w.state_down(14);
-             w.stand_still(lead(w), 15);
-             w.crash((lead(w) + 1) % 3, 6);
+             w.start_key_value_store_outage(14);
+             w.freeze(leader_of(w), 15);
+             w.crash((leader_of(w) + 1) % 3, 6);
          });
      }},
-    {"a machine fails every task", [](SimulatedCluster& w, std::mt19937_64&) { w.workers[0]->sick = true; }},
+    {"a machine fails every task", [](SimulatedCluster& w, std::mt19937_64&) { w.workers[0]->fails_every_task = true; }},
     {"anything, at random times",
      [](SimulatedCluster& w, std::mt19937_64& random) {
          for (int k = 0; k < 8; ++k) {
@@ -95,17 +95,17 @@
                      case 0:
                          return w.crash(which % 3, s / 3);
                      case 1:
-                         return w.hang(which, s);
+                         return w.hang_machine(which, s);
                      case 2:
-                         return w.die(which);
+                         return w.crash_machine(which);
                      case 3:
-                         return w.state_down(s / 2);
+                         return w.start_key_value_store_outage(s / 2);
                      case 4:
-                         return w.cloud_down(s);
+                         return w.start_cloud_outage(s);
                      case 5:
-                         return w.stand_still(which % 3, s);
+                         return w.freeze(which % 3, s);
                      default:
-                         return w.cut("10.0.0." + std::to_string(which % 3 + 1),
+                         return w.partition("10.0.0." + std::to_string(which % 3 + 1),
                                       which % 2 ? "10.1." : "10.2.0.1", s, true);
                  }
              });
@@ -161,7 +161,7 @@
     w.at(45, [&w, id] { w.cancel(id(111)); });
     trouble.plan(w, random);
     w.run_until(340);
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+    for (auto& b : w.violations) ADD_FAILURE() << b;
     EXPECT_GT(w.starts, 20u);
     for (auto& [job, told] : w.jobs) {
         EXPECT_TRUE(told.accepted) << job;
@@ -213,9 +213,9 @@
     }
     for (auto& c : cases) {
         SCOPED_TRACE(std::to_string(c.machines) + " machines, seed " + std::to_string(c.seed) +
-                     (c.hearing ? ", others hear for the leader" : ""));
+                     (c.relay_heartbeats ? ", others hear for the leader" : ""));
         Options o;
-        o.hearing = c.hearing;
+        o.relay_heartbeats = c.relay_heartbeats;
         o.machines = c.machines;
         o.seed = c.seed;
         SimulatedCluster w(o);
@@ -225,16 +225,16 @@
             });
         w.run_until(40);
         std::size_t before = w.starts;
-        auto first = lead(w);
+        auto first = leader_of(w);
         for (std::size_t k = 0; k < 3; ++k)
-            if ((k == first) != c.new_leader) w.cut("10.0.0." + std::to_string(k + 1), "10.1.", 40, false);
+            if ((k == first) != c.new_leader) w.partition("10.0.0." + std::to_string(k + 1), "10.1.", 40, false);
         if (c.new_leader) w.crash(first, 1);
         w.run_until(90);
-        if (!c.hearing) {
-            EXPECT_EQ(lead(w) == first, c.new_leader);
+        if (!c.relay_heartbeats) {
+            EXPECT_EQ(leader_of(w) == first, c.new_leader);
         }
         EXPECT_EQ(w.starts, before);  // nothing had to start again
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
     }
 }
 
@@ -246,19 +246,19 @@
         Options o;
         o.seed = seed;
         o.machines = 90;
-        o.hear_s = seed < 4 ? 0.025 : 0.04;
+        o.heartbeat_processing_s = seed < 4 ? 0.025 : 0.04;
         SimulatedCluster w(o);
         for (std::size_t k = 0; k < 70; ++k)
             w.at(2, [&w, k] {
                 w.submit("j-" + std::to_string(k + 1), "service", 4, 0, {{"driftwood", false}});
             });
-        for (double t : {50.0, 75.0, 100.0}) w.at(t, [&w] { w.crash(lead(w), 3); });
+        for (double t : {50.0, 75.0, 100.0}) w.at(t, [&w] { w.crash(leader_of(w), 3); });
         w.run_until(49);
-        auto before = w.starts, gone = w.deleted;
+        auto before = w.starts, gone = w.machines_deleted_with_tasks;
         w.run_until(130);
-        EXPECT_EQ(w.deleted, gone);
+        EXPECT_EQ(w.machines_deleted_with_tasks, gone);
         EXPECT_EQ(w.starts, before);
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
     }
 }
 
@@ -274,7 +274,7 @@
             o.seed = seed;
             SimulatedCluster w(o);
             w.at(5, [&w] { w.submit("j-1", "service", 3, 0); });
-            w.at(40, [&w] { w.cut_one_way("10.0.", w.workers[0]->addr, 90); });
+            w.at(40, [&w] { w.partition_one_way("10.0.", w.workers[0]->addr, 90); });
             if (cold)
                 w.at(41, [&w] {
                     for (std::size_t k = 0; k < 3; ++k) w.crash(k, 1);
@@ -283,7 +283,7 @@
                 w.at(50, [&w, k] { w.submit("j-" + std::to_string(10 + k), "batch", 2, 4); });
             w.run_until(85);
             for (int k = 0; k < 8; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(10 + k)].done) << k;
-            for (auto& b : w.broken) ADD_FAILURE() << b;
+            for (auto& b : w.violations) ADD_FAILURE() << b;
         }
 }
 
@@ -300,15 +300,15 @@
         {"all is well", [](SimulatedCluster&) {}, true, true},
         {"one has its workers only",
          [](SimulatedCluster& w) {
-             w.cut("10.0.0.1", "10.2.0.1", 30, false);
-             w.cut("10.0.0.1", "10.0.", 30, false);
+             w.partition("10.0.0.1", "10.2.0.1", 30, false);
+             w.partition("10.0.0.1", "10.0.", 30, false);
          },
          false, true},
-        {"one is refused by the state service", [](SimulatedCluster& w) { w.refuse_state(0, 30); }, false,
+        {"one is refused by the state service", [](SimulatedCluster& w) { w.refuse_at_key_value_store(0, 30); }, false,
          true},
-        {"nobody has the state service", [](SimulatedCluster& w) { w.state_down(30); }, true, true},
+        {"nobody has the state service", [](SimulatedCluster& w) { w.start_key_value_store_outage(30); }, true, true},
         {"one answer was refused",
-         [](SimulatedCluster& w) { w.at(w.now() + 9.2, [&w] { w.refuse_state(0, 0.7); }); }, true, true},
+         [](SimulatedCluster& w) { w.at(w.now() + 9.2, [&w] { w.refuse_at_key_value_store(0, 0.7); }); }, true, true},
     };
     for (auto& c : cases) {
         SimulatedCluster w({});
@@ -327,8 +327,8 @@
     for (bool all : {false, true}) {
         SimulatedCluster w({});
         w.run_until(9);
-        auto leader = lead(w);
-        w.no_users(leader);
+        auto leader = leader_of(w);
+        w.remove_from_load_balancer(leader);
         if (all)
             w.hide_from(leader, "j-7");
         else
@@ -336,7 +336,7 @@
         w.at(10, [&w] { w.submit("j-7", "batch", 2, 4); });
         w.run_until(all ? 130 : 25);
         EXPECT_TRUE(w.jobs["j-7"].done);
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
     }
 }
 
@@ -354,7 +354,7 @@
     w.cancel("j-1");
     w.run_until(160);
     EXPECT_TRUE(w.jobs["j-1"].cancelled);
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 
 // Machines that boot several times as slowly as usual come up in the end, if they are not given up a moment
@@ -366,10 +366,10 @@
     o.boot_s = 22;  // more than four nominal times
     SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-1", "batch", 4, 5); });
-    w.at(16, [&w] { w.crash(lead(w), 6); });
+    w.at(16, [&w] { w.crash(leader_of(w), 6); });
     w.run_until(60);
     EXPECT_TRUE(w.jobs["j-1"].done);
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 
 // What is submitted with jobs to await is judged by what these are, and a retry by what became of it.
@@ -418,7 +418,7 @@
         EXPECT_EQ(status, c.status) << c.id << " " << c.awaits;
         EXPECT_NE(body.find(c.says), std::string::npos) << c.id << ": " << body;
     }
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 // Behind job `first`, each awaits the one before it.
 void submit_chain(SimulatedCluster& w, int first, int end, double run_s) {
@@ -442,10 +442,10 @@
         w.cancel("j-10");
         w.run_until(30.2);  // told, and hardly anything else
         ASSERT_TRUE(w.jobs["j-10"].cancelled);
-        w.state_down(o.cancel_s + 1);
-        w.at(30.2 + o.cancel_s, [&w] { w.crash(lead(w), 4); });
+        w.start_key_value_store_outage(o.cancel_s + 1);
+        w.at(30.2 + o.cancel_s, [&w] { w.crash(leader_of(w), 4); });
         w.run_until(120);
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
         for (int k = 11; k < 30; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(k)].cancelled) << k;
     }
 }
@@ -454,28 +454,28 @@
 TEST(DependencyScenario, ForwardsNoDependentJobToAnOlderVersion) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
-        bool old_pings, awaits;
+        bool pings_of_previous_version, awaits;
         int status;
     };
     for (auto& c :
          {Case{false, false, 201}, Case{false, true, 201}, Case{true, false, 201}, Case{true, true, 503}}) {
         Options o;
-        o.old_pings = c.old_pings;
+        o.pings_of_previous_version = c.pings_of_previous_version;
         SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "batch", 1, 300); });
         w.run_until(20);
-        auto cut = (lead(w) + 1) % 3;
-        w.refuse_state(cut, 60);
+        auto cut = (leader_of(w) + 1) % 3;
+        w.refuse_at_key_value_store(cut, 60);
         w.run_until(30);
         auto spec = w.jobs["j-1"].spec;
         spec["id"] = "j-2";
         if (c.awaits) spec["awaits"] = {"j-1"};
         w.jobs["j-2"].spec = spec;
         int status = 0;
-        w.post_to(cut, spec.dump(), [&](http::Response r) { status = r.status; });
+        w.post_job_to(cut, spec.dump(), [&](http::Response r) { status = r.status; });
         w.run_until(60);
-        EXPECT_EQ(status, c.status) << c.old_pings << c.awaits;
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        EXPECT_EQ(status, c.status) << c.pings_of_previous_version << c.awaits;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
     }
 }
 // Hundreds of questions that hang on how one job ended share the read of it.
@@ -491,11 +491,11 @@
     for (std::size_t k = 0; k < 3; ++k) w.crash(k, 1);  // whoever answers starts with nothing
     w.run_until(31.2);
     w.reads.clear();
-    for (int k = 0; k < 5; ++k) w.poll_all();
+    for (int k = 0; k < 5; ++k) w.query_all_jobs();
     w.run_until(36);
     EXPECT_GT(w.reads["/kv/final/j-1"], 0u);
     EXPECT_LE(w.reads["/kv/final/j-1"], 8u);  // three controllers, the leader once more, users of j-1 itself
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 // The limits fall without notice, once to what was announced and once lower: everything goes on.
 TEST(FailoverScenario, ToleratesLimitsThatFallAtAnyMoment) {
@@ -507,26 +507,26 @@
             o.seed = seed;
             o.machines = 40;
             o.txn_ops = 24;
-            o.next_txn_ops = 8;
-            o.next_value_kb = 2;
-            o.limits_fall_at = 40;
+            o.reduced_txn_ops = 8;
+            o.reduced_value_kb = 2;
+            o.limits_reduced_at = 40;
             SimulatedCluster w(o);
-            if (lower) w.fall_further(1, 4);
+            if (lower) w.reduce_limits_further(1, 4);
             w.at(2, [&w] {
                 w.submit("j-1", "service", 8, 0);
                 json large{{"cohort", std::string(500, 'c')}, {"payload", std::string(500, 'p')}};
                 w.submit("j-2", "service", 1, 0, large);
                 w.submit("j-3", "batch", 400, 3, {{"cards", 0.0}});
             });
-            w.at(20, [&w] { w.crash(lead(w), 6); });
+            w.at(20, [&w] { w.crash(leader_of(w), 6); });
             w.at(45, [&w] {
                 w.cancel("j-2");
-                for (std::size_t k = 0; k < 12; ++k) w.die(3 * k);
+                for (std::size_t k = 0; k < 12; ++k) w.crash_machine(3 * k);
             });
-            w.at(52, [&w] { w.crash(lead(w), 6); });
+            w.at(52, [&w] { w.crash(leader_of(w), 6); });
             w.at(60, [&w] { w.submit("j-4", "batch", 100, 2); });
             w.run_until(200);
-            for (auto& b : w.broken) ADD_FAILURE() << b;
+            for (auto& b : w.violations) ADD_FAILURE() << b;
             EXPECT_TRUE(w.jobs["j-2"].cancelled);
             EXPECT_TRUE(w.jobs["j-3"].done);
             EXPECT_TRUE(w.jobs["j-4"].done);
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -62,7 +62,7 @@
     Options o;
     o.machines = 2;
     o.boot_s = machine_up_s;
-    if (!c.warm) o.without_standby = {0, 1, 2};
+    if (!c.warm) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
     w.run_until(25);
@@ -71,7 +71,7 @@
     std::optional<double> late_at, run_at;
     std::string machine;
     bool was_stored = false, claimed = false;
-    w.late_txn = [&](const json& txn) {
+    w.transaction_delay = [&](const json& txn) {
         if (writes(txn, "leader") && run_at) claimed = true;
         bool names_new = writes(txn, "mach/page/") && w.workers.size() > first_new &&
                          txn.dump().find(w.workers[first_new]->id) != std::string::npos;
@@ -85,12 +85,12 @@
         run_at = w.now();
         machine = m.id;
         was_stored = stored(w, machine);
-        w.cloud_down(60);
+        w.start_cloud_outage(60);
         w.cancel("j-8");  // gives room to the old machines
-        w.cut("10.0.", m.addr, lease_s * 0.75, false);
-        w.crash(lead(w), 0.2);
+        w.partition("10.0.", m.addr, lease_s * 0.75, false);
+        w.crash(leader_of(w), 0.2);
     });
-    if (c.write == Write::slow) w.at(25.5, [&w] { w.fast_boots(30, 1.6); });
+    if (c.write == Write::slow) w.at(25.5, [&w] { w.boot_fast_with_slow_writes(30, 1.6); });
     w.at(26, [&w] { w.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}}); });
     w.run_until(60);
     ASSERT_TRUE(run_at);
@@ -105,7 +105,7 @@
     w.run_until(150);
     EXPECT_EQ(on_machines(w, "j-1"), 1u);
     EXPECT_TRUE(w.jobs["j-8"].cancelled);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // A new machine reports while the write that names it stays without an answer, is never carried out before
@@ -117,20 +117,20 @@
         Options o;
         o.machines = 2;
         o.boot_s = machine_up_s;
-        if (!warm) o.without_standby = {0, 1, 2};
+        if (!warm) o.without_replication = {0, 1, 2};
         SimulatedCluster w(o);
         w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
         w.run_until(25);
         std::size_t lost = 0, first_new = w.workers.size();
         bool ended = false, was_stored = true;
-        w.late_txn = [&](const json& txn) {
+        w.transaction_delay = [&](const json& txn) {
             if (ended || !writes(txn, "mach/page/")) return 0.0;
             if (lost++ == 0)
                 w.at(w.now() + 4, [&] {
                     ended = true;
                     was_stored = stored(w, w.workers.at(first_new)->id);
                     EXPECT_EQ(on_machines(w, "j-1"), 0u);
-                    w.crash(lead(w), 0.2);
+                    w.crash(leader_of(w), 0.2);
                 });
             return 12.0;
         };
@@ -146,7 +146,7 @@
         EXPECT_FALSE(early);
         EXPECT_TRUE(w.jobs["j-1"].done);
         EXPECT_EQ(on_machines(w, "j-8"), 2u);
-        expect_unbroken(w);
+        expect_no_violations(w);
     }
 }
 
@@ -159,7 +159,7 @@
         o.machines = 2;
         o.boot_s = machine_up_s;
         o.gpus_max = 4;
-        if (!warm) o.without_standby = {0, 1, 2};
+        if (!warm) o.without_replication = {0, 1, 2};
         SimulatedCluster w(o);
         w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
         w.run_until(25);
@@ -174,18 +174,18 @@
         ASSERT_TRUE(held);
         auto id = w.workers[*held]->id;
         EXPECT_TRUE(stored(w, id));
-        w.crash(lead(w), 0.2);
-        w.die(*held);
+        w.crash(leader_of(w), 0.2);
+        w.crash_machine(*held);
         // Room is there at once; the proof is not.
         w.cancel("j-8");
-        w.cloud_down(14);
+        w.start_cloud_outage(14);
         w.run_until(49);
         EXPECT_EQ(on_machines(w, "j-1"), 0u) << warm;
         w.run_until(36 + lease_s + 20);
         EXPECT_EQ(on_machines(w, "j-1"), 1u) << warm;
         w.run_until(120);
         EXPECT_FALSE(stored(w, id));
-        expect_unbroken(w);
+        expect_no_violations(w);
     }
 }
 
@@ -200,13 +200,13 @@
         SimulatedCluster w(o);
         std::map<std::string, std::size_t> asked;  // how often, of each rental
         std::string lost;
-        w.sent = [&](auto&, auto&, auto& r) {
+        w.on_message = [&](auto&, auto&, auto& r) {
             if (r.target != "/hosts" || r.method != "POST") return;
             auto name = json::parse(r.body)["charter"].template get<std::string>();
             ++asked[name];
             if (w.now() < 26 || !lost.empty()) return;
             lost = name;
-            w.cut_one_way("10.2.0.2", "10.0.", 12);
+            w.partition_one_way("10.2.0.2", "10.0.", 12);
         };
         w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
         w.run_until(25);
@@ -215,7 +215,7 @@
         on_first_run(w, w.workers.size(), [&](Worker& m) {
             run_at = w.now();
             on = &m;
-            if (ends) w.crash(lead(w), 0.2);
+            if (ends) w.crash(leader_of(w), 0.2);
         });
         w.at(26, [&w] { w.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}}); });
         w.run_until(37);
@@ -227,7 +227,7 @@
         EXPECT_EQ(on_machine(*on, "j-1"), 1u);
         EXPECT_EQ(w.starts, starts);
         EXPECT_EQ(on_machines(w, "j-8"), 2u);
-        expect_unbroken(w);
+        expect_no_violations(w);
     }
 }
 
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -8,7 +8,7 @@
 // Through this controller, and no other.
 void cancel_at(SimulatedCluster& w, std::size_t node, const std::string& id) {
     w.jobs[id].cancel_asked = true;
-    w.ask_node(node, {"POST", "/api/jobs/" + id + "/cancel", ""}, [&w, id](http::Response r) {
+    w.send_user_request(node, {"POST", "/api/jobs/" + id + "/cancel", ""}, [&w, id](http::Response r) {
         if (r.status != 200 || w.jobs[id].cancelled) return;
         w.jobs[id].cancelled = true;
         w.jobs[id].cancelled_at = w.now();
@@ -18,7 +18,7 @@
 // it. Users are not led there: it would tell them what it was told.
 void keep_from(SimulatedCluster& w, std::size_t node, const std::string& id) {
     w.hide_from(node, id);
-    w.no_users(node);
+    w.remove_from_load_balancer(node);
 }
 // Two jobs on all machines, one that is cancelled and one that stays.
 void fill(SimulatedCluster& w) {
@@ -36,9 +36,9 @@
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     fill(w);
-    auto leader = lead(w), other = (leader + 1) % 3;
+    auto leader = leader_of(w), other = (leader + 1) % 3;
     keep_from(w, leader, "j-1");
-    w.cut(host_of(other), host_of(leader), 3, false);
+    w.partition(host_of(other), host_of(leader), 3, false);
     cancel_at(w, other, "j-1");
     w.run_until(32);
     ASSERT_TRUE(w.jobs["j-1"].cancelled);
@@ -47,7 +47,7 @@
     EXPECT_EQ(on_machines(w, "j-1"), 0u);
     w.run_until(90);
     EXPECT_EQ(on_machines(w, "j-2"), 6u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // Between the end of a lease and the first decision of the next leader. What leads next may have listed the
@@ -68,7 +68,7 @@
     auto [after, through] = GetParam();
     SimulatedCluster w({});
     fill(w);
-    auto old = lead(w), confirms = (old + through) % 3, next = (old + 3 - through) % 3;
+    auto old = leader_of(w), confirms = (old + through) % 3, next = (old + 3 - through) % 3;
     w.crash(old, 8);
     w.at(30 + after, [&, confirms = confirms] {
         keep_from(w, next, "j-1");
@@ -80,7 +80,7 @@
     EXPECT_EQ(on_machines(w, "j-1"), 0u);
     w.run_until(100);
     EXPECT_EQ(on_machines(w, "j-2"), 6u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // The same at each moment of a failover that is slow to read: the first notice comes while the list is read,
@@ -92,9 +92,9 @@
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster w({});
     fill(w);
-    auto old = lead(w);
+    auto old = leader_of(w);
     std::optional<double> claimed;
-    w.sent = [&](auto& from, auto&, auto& r) {
+    w.on_message = [&](auto& from, auto&, auto& r) {
         bool claim = r.target == "/txn" && r.body.find(R"("put":"leader")") != std::string::npos;
         if (!claim || claimed || w.now() < 30) return;
         claimed = w.now();
@@ -105,14 +105,14 @@
         });
     };
     w.crash(old, 12);
-    w.slow_state(6, 0.25);
+    w.slow_key_value_store(6, 0.25);
     w.run_until(41);
     ASSERT_TRUE(claimed);
     ASSERT_TRUE(w.jobs["j-1"].cancelled);
     EXPECT_EQ(on_machines(w, "j-1"), 0u);
     w.run_until(100);
     EXPECT_EQ(on_machines(w, "j-2"), 6u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // The relays change their leader: reports that they hold go to the next one, commands reach no machine soon
@@ -137,18 +137,18 @@
     });
     w.run_until(40);
     ASSERT_EQ(on_machines(w, "j-1"), 9u);
-    auto old = lead(w);
-    w.cloud_down(100);
-    w.cut(host_of(old), "10.1.", 20, true);  // what it has sent comes 20 s later
+    auto old = leader_of(w);
+    w.start_cloud_outage(100);
+    w.partition(host_of(old), "10.1.", 20, true);  // what it has sent comes 20 s later
     w.at(40.3, [&w, old] { w.crash(old, 0.2); });
     w.at(40 + after, [&w] { w.cancel("j-1"); });
-    w.at(40 + after + cut_after, [&w] { w.cut_one_way("10.0.", "10.1.", 60, false); });
+    w.at(40 + after + cut_after, [&w] { w.partition_one_way("10.0.", "10.1.", 60, false); });
     w.run_until(160);
     ASSERT_TRUE(w.jobs["j-1"].cancelled);
     EXPECT_EQ(on_machines(w, "j-1"), 0u);
     w.run_until(200);
     EXPECT_EQ(on_machines(w, "j-2"), 9u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // Starts of the leader that ends are held up on their way, the next one starts the rest, and the job is
@@ -167,18 +167,18 @@
     auto [after, warm] = GetParam();
     Options o;
     o.machines = 8;
-    if (!warm) o.without_standby = {0, 1, 2};
+    if (!warm) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-2", "service", 8, 0); });
     w.run_until(29.5);
-    auto old = lead(w);
+    auto old = leader_of(w);
     std::optional<double> begun;
-    w.sent = [&](auto&, auto&, auto& r) {
+    w.on_message = [&](auto&, auto&, auto& r) {
         bool starts = r.target == protocol::paths::commands && r.body.find("j-1/") != std::string::npos;
         if (!starts || begun) return;
         begun = w.now();
         w.at(w.now() + 0.004, [&w, old] {
-            w.cut(host_of(old), "10.1.", 5, true);
+            w.partition(host_of(old), "10.1.", 5, true);
             w.crash(old, 9);
         });
         w.at(w.now() + after, [&w] { w.cancel("j-1"); });
@@ -190,7 +190,7 @@
     EXPECT_EQ(on_machines(w, "j-1"), 0u);
     w.run_until(120);
     EXPECT_EQ(on_machines(w, "j-2"), 8u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -19,7 +19,7 @@
     SimulatedCluster w({});
     std::minstd_rand random(11);
     std::size_t lost = 0;
-    w.late_txn = [&](const json& txn) {
+    w.transaction_delay = [&](const json& txn) {
         for (auto& c : txn["then"]) {
             bool ours = c.value("put", c.value("drop", "")).starts_with(kind);
             if (!ours || w.now() > 100 || random() % 3) continue;
@@ -29,7 +29,7 @@
         return 0.0;
     };
     work(w, 110);
-    for (double t = 25; t < 100; t += 13) w.at(t, [&w] { w.crash(lead(w), 0.2); });
+    for (double t = 25; t < 100; t += 13) w.at(t, [&w] { w.crash(leader_of(w), 0.2); });
     w.run_until(260);
     EXPECT_GT(lost, kind == "types" ? 0u : 2u);
     for (auto& b : wrong(w)) ADD_FAILURE() << b;
@@ -48,17 +48,17 @@
     std::optional<double> claimed, led;
     std::optional<std::size_t> claimer;
     std::size_t commands = 0;
-    w.late_txn = [&](const json& txn) {
+    w.transaction_delay = [&](const json& txn) {
         for (auto& c : txn["then"]) {
             if (claimed || w.now() < 30 || c.value("put", "") != "leader") continue;
             claimed = w.now();
             claimer = static_cast<std::size_t>(c["value"]["label"].get<std::string>().back() - '0');
-            w.at(w.now() + 0.001, [&] { w.refuse_state(*claimer, 12); });
+            w.at(w.now() + 0.001, [&] { w.refuse_at_key_value_store(*claimer, 12); });
             return at_once;
         }
         return 0.0;
     };
-    w.sent = [&](auto& from, auto&, auto& r) {
+    w.on_message = [&](auto& from, auto&, auto& r) {
         bool refused = claimed && w.now() < *claimed + 12;
         if (refused && from == w.addr_of(*claimer) && r.target == protocol::paths::commands) ++commands;
     };
@@ -66,7 +66,7 @@
         w.at(t, [&] {
             if (claimed && !led && w.leader() >= 0) led = w.now();
         });
-    w.crash(lead(w), 25);
+    w.crash(leader_of(w), 25);
     w.run_until(60);
     ASSERT_TRUE(claimed);
     ASSERT_TRUE(led);
@@ -77,7 +77,7 @@
     w.run_until(120);
     EXPECT_EQ(on_machines(w, "j-1"), 6u);
     EXPECT_EQ(on_machines(w, "j-2"), 6u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -55,39 +55,39 @@
     return all;
 }
 
-enum class Meets { nothing, types_unknown, state_out, state_slow, refused, leader_ended, all_ended };
-struct Midst {
+enum class FaultDuringRequest { nothing, types_unknown, state_out, state_slow, refused, leader_ended, all_ended };
+struct FaultCase {
     const char* name;
-    Meets meets;
+    FaultDuringRequest meets;
 };
-void PrintTo(const Midst& m, std::ostream* out) {
+void PrintTo(const FaultCase& m, std::ostream* out) {
     *out << m.name;
 }
-const Midst midsts[] = {
-    {"nothing", Meets::nothing},
-    {"types unknown", Meets::types_unknown},
-    {"state service out", Meets::state_out},
-    {"state service slow", Meets::state_slow},
-    {"state service refuses one", Meets::refused},
-    {"leader just ended", Meets::leader_ended},
-    {"all just ended", Meets::all_ended},
+const FaultCase fault_cases[] = {
+    {"nothing", FaultDuringRequest::nothing},
+    {"types unknown", FaultDuringRequest::types_unknown},
+    {"state service out", FaultDuringRequest::state_out},
+    {"state service slow", FaultDuringRequest::state_slow},
+    {"state service refuses one", FaultDuringRequest::refused},
+    {"leader just ended", FaultDuringRequest::leader_ended},
+    {"all just ended", FaultDuringRequest::all_ended},
 };
 constexpr double trouble_at = 30, trouble_s = 9;
 
-void begin(SimulatedCluster& w, Meets meets) {
-    if (meets == Meets::types_unknown) w.cloud_down(trouble_at + trouble_s);  // from the start
+void begin(SimulatedCluster& w, FaultDuringRequest meets) {
+    if (meets == FaultDuringRequest::types_unknown) w.start_cloud_outage(trouble_at + trouble_s);  // from the start
     w.at(trouble_at, [&w, meets] {
-        if (meets == Meets::state_out) w.state_down(trouble_s);
-        if (meets == Meets::state_slow) w.slow_state(trouble_s, 1.5);
-        if (meets == Meets::refused) w.refuse_state(lead(w), trouble_s);
-        if (meets == Meets::leader_ended || meets == Meets::all_ended)
+        if (meets == FaultDuringRequest::state_out) w.start_key_value_store_outage(trouble_s);
+        if (meets == FaultDuringRequest::state_slow) w.slow_key_value_store(trouble_s, 1.5);
+        if (meets == FaultDuringRequest::refused) w.refuse_at_key_value_store(leader_of(w), trouble_s);
+        if (meets == FaultDuringRequest::leader_ended || meets == FaultDuringRequest::all_ended)
             for (std::size_t n = 0; n < controllers; ++n)
-                if (meets == Meets::all_ended || n == lead(w)) w.crash(n, 0.2);
+                if (meets == FaultDuringRequest::all_ended || n == leader_of(w)) w.crash(n, 0.2);
     });
 }
 
-class InvalidRequestDuringFault : public testing::TestWithParam<Midst> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, InvalidRequestDuringFault, testing::ValuesIn(midsts),
+class InvalidRequestDuringFault : public testing::TestWithParam<FaultCase> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, InvalidRequestDuringFault, testing::ValuesIn(fault_cases),
                          NameOfCase());
 
 // Every node, in trouble: refused as it is without trouble, or 503; never accepted. Nothing of it is stored,
@@ -106,7 +106,7 @@
                 w.at(t, [&, n, over] {
                     // A controller that is down can't be asked; it is back in 0.2 s.
                     ++sent;
-                    w.post_to(n, o.body.dump(), [&, over](http::Response r) {
+                    w.post_job_to(n, o.body.dump(), [&, over](http::Response r) {
                         ++(over ? afterwards : in_trouble);
                         by_503 += r.status == 503;
                         bool right = r.status == o.refused || (!over && r.status == 503);
@@ -125,7 +125,7 @@
             auto body = plain(id);
             w.jobs[id].spec = body;
             for (std::size_t n = 0; n < controllers; ++n)
-                w.post_to(n, body.dump(), [&w, &accepted](http::Response r) {
+                w.post_job_to(n, body.dump(), [&w, &accepted](http::Response r) {
                     accepted += r.status == 201;
                     bool right = r.status == 200 || r.status == 201 || r.status == 503;
                     if (!right) ADD_FAILURE() << w.now() << " " << r.status << " " << r.body;
@@ -134,12 +134,12 @@
     w.run_until(100);
     EXPECT_EQ(in_trouble + afterwards, sent);  // all are answered
     EXPECT_EQ(afterwards, odd.size() * controllers);
-    bool all_503 = meets == Meets::types_unknown || meets == Meets::state_out;
+    bool all_503 = meets == FaultDuringRequest::types_unknown || meets == FaultDuringRequest::state_out;
     EXPECT_GE(by_503, all_503 ? sent / 8 : 0u) << "of " << sent;
-    EXPECT_TRUE(by_503 == 0 || meets != Meets::nothing);
+    EXPECT_TRUE(by_503 == 0 || meets != FaultDuringRequest::nothing);
     EXPECT_LE(accepted, 3u);  // each once
     for (auto& o : odd) EXPECT_THROW(w.record("job/" + o.id), std::out_of_range) << o.id;
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // The submission of an unfinished job is repeated with other bodies, good and bad, and jobs that are done are
@@ -148,10 +148,10 @@
     spdlog::set_level(spdlog::level::off);
     auto meets = GetParam().meets;
     SimulatedCluster w({});
-    if (meets == Meets::types_unknown) {  // to controllers that have just begun; nothing was stored of them
+    if (meets == FaultDuringRequest::types_unknown) {  // to controllers that have just begun; nothing was stored of them
         w.at(trouble_at - 0.1, [&w] {
-            w.cloud_down(trouble_s);
-            w.tamper("types", std::nullopt);
+            w.start_cloud_outage(trouble_s);
+            w.tamper_with_record("types", std::nullopt);
             for (std::size_t n = 0; n < controllers; ++n) w.crash(n, 0.2);
         });
     } else {
@@ -191,14 +191,14 @@
                          {plain(id, {{"shards", 5}, {"crew", "tight"}}), without,
                           plain(id, {{"cards", machine_gpus + 1}}), plain(id, {{"awaits", {"j-999999"}}})}) {
                         ++sent;
-                        w.post_to(n, body.dump(), judge(id, nullptr, afterwards));
+                        w.post_job_to(n, body.dump(), judge(id, nullptr, afterwards));
                     }
                 }
                 for (auto* id : {"j-3", "j-4"}) {
                     sent += 2;
-                    w.ask_node(n, {"POST", std::string("/api/jobs/") + id + "/cancel", ""},
+                    w.send_user_request(n, {"POST", std::string("/api/jobs/") + id + "/cancel", ""},
                                judge(id, "done", afterwards));
-                    w.post_to(n, plain(id, {{"shards", 7}}).dump(), judge(id, "done", afterwards));
+                    w.post_job_to(n, plain(id, {{"shards", 7}}).dump(), judge(id, "done", afterwards));
                 }
             }
         });
@@ -213,8 +213,8 @@
         EXPECT_THROW(w.record(key), std::out_of_range) << key;
     EXPECT_EQ(on_machines(w, "j-1"), 2u);
     EXPECT_EQ(on_machines(w, "j-2"), 2u);
-    EXPECT_EQ(w.done_again, 0u);
-    expect_unbroken(w);
+    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
+    expect_no_violations(w);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_support.hpp
+++ b/tests/scenarios/fault_combinations_support.hpp
@@ -9,14 +9,14 @@
 
 namespace coralhitch::simulation {
 
-inline std::size_t lead(const SimulatedCluster& w) {
+inline std::size_t leader_of(const SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 inline std::string host_of(std::size_t node) {
     return "10.0.0." + std::to_string(node + 1);
 }
-inline void expect_unbroken(const SimulatedCluster& w) {
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+inline void expect_no_violations(const SimulatedCluster& w) {
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 // Tasks of the job that machines hold and that have not ended.
 inline std::size_t on_machine(const Worker& m, const std::string& job) {
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -41,29 +41,29 @@
     });
     w.run_until(30);
     ASSERT_EQ(on_machines(w, "j-1"), 6u);
-    auto old = lead(w);
-    w.no_users(old);
+    auto old = leader_of(w);
+    w.remove_from_load_balancer(old);
     if (c.late_watch)
         for (auto* id : {"j-1", "j-2"}) w.hide_from_watches(id);
-    w.cut(host_of(old), "10.0.", 90, false);
-    w.refuse_state(old, c.refused_s);
+    w.partition(host_of(old), "10.0.", 90, false);
+    w.refuse_at_key_value_store(old, c.refused_s);
     w.at(30.3, [&w] {
         w.cancel("j-1");
         w.cancel("j-2");
     });
     double outage_s = c.again ? c.refused_s - (c.outage_from_s - 30) - 0.05 : 70;
-    w.at(c.outage_from_s, [&w, outage_s] { w.state_down(outage_s); });
+    w.at(c.outage_from_s, [&w, outage_s] { w.start_key_value_store_outage(outage_s); });
     if (c.crash) w.at(33, [&w, old] { w.crash(old, 0.1); });
     if (c.again)
-        w.sent = [&w, old, begun = false](auto& from, auto&, auto& r) mutable {
+        w.on_message = [&w, old, begun = false](auto& from, auto&, auto& r) mutable {
             bool renews = from == w.addr_of(old) && r.target.ends_with("/renew");
             if (!renews || w.now() < 40 || std::exchange(begun, true)) return;
-            w.at(w.now() + 0.009, [&w] { w.state_down(70); });
+            w.at(w.now() + 0.009, [&w] { w.start_key_value_store_outage(70); });
         };
     w.run_until(31);
     ASSERT_TRUE(w.jobs["j-1"].cancelled && w.jobs["j-2"].cancelled);
     w.run_until(150);
-    expect_unbroken(w);
+    expect_no_violations(w);
     EXPECT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2"), 0u);
 }
 
@@ -75,10 +75,10 @@
     o.machines = 1;
     SimulatedCluster w(o);
     std::size_t written = 0;
-    w.late_txn = [&](const json& txn) {
+    w.transaction_delay = [&](const json& txn) {
         for (auto& c : txn["then"])
             if (c.value("put", "").starts_with("prog/") && written++ == 0) {
-                w.at(w.now() + 11.2, [&w] { w.crash(lead(w), 0.1); });
+                w.at(w.now() + 11.2, [&w] { w.crash(leader_of(w), 0.1); });
                 return 11.0;
             }
         return 0.0;
@@ -87,8 +87,8 @@
     w.run_until(160);
     EXPECT_GT(written, 3u);
     EXPECT_TRUE(w.jobs["j-1"].done);
-    EXPECT_EQ(w.done_again, 0u);
-    expect_unbroken(w);
+    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
+    expect_no_violations(w);
 }
 
 // An old report arrives after newer ones, at a leader that has heard nothing newer of that machine: what it
@@ -97,12 +97,12 @@
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 2;
-    o.without_standby = {0, 1, 2};  // nothing is known of the machines but what they say
+    o.without_replication = {0, 1, 2};  // nothing is known of the machines but what they say
     SimulatedCluster w(o);
     keep_machines(w);
     w.at(4, [&w] { w.submit("j-1", "service", 1, 0); });
     std::map<std::string, http::Request> showed;  // the last report of each machine with the task
-    w.sent = [&](auto& from, auto&, auto& r) {
+    w.on_message = [&](auto& from, auto&, auto& r) {
         if (r.target == protocol::paths::report && r.body.find("j-1/") != std::string::npos && w.now() < 25)
             showed[from] = r;
     };
@@ -111,17 +111,17 @@
     std::size_t first = on_machine(*w.workers[0], "j-1") ? 0 : 1;
     // For longer than a lease, and it can't be deleted: the task goes on elsewhere, the machine in its next
     // agent epoch.
-    w.hang(first, 30);
-    w.cloud_down(60);
+    w.hang_machine(first, 30);
+    w.start_cloud_outage(60);
     w.run_until(70);
     ASSERT_EQ(on_machines(w, "j-1"), 1u);
     std::size_t second = 1 - first;
     ASSERT_EQ(on_machine(*w.workers[first], "j-1"), 0u);
     auto copy = showed.at(w.workers[first]->addr);
     auto starts = w.starts;
-    w.hang(first, 8);
-    w.hang(second, 5);
-    w.crash(lead(w), 6);
+    w.hang_machine(first, 8);
+    w.hang_machine(second, 5);
+    w.crash(leader_of(w), 6);
     for (double t = 70; t < 78; t += 0.2)
         w.at(t, [&w, &copy, first] {
             for (std::size_t n = 0; n < 3; ++n)
@@ -130,7 +130,7 @@
     w.run_until(110);
     EXPECT_EQ(on_machines(w, "j-1"), 1u);
     EXPECT_EQ(w.starts, starts);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // A `run` is held up on its way to a machine that hears nobody, and its job is cancelled meanwhile. It
@@ -140,23 +140,23 @@
     spdlog::set_level(spdlog::level::off);
     Options o;
     o.machines = 12;
-    o.hear_s = 0.05;  // so that the answer comes after the `run`
+    o.heartbeat_processing_s = 0.05;  // so that the answer comes after the `run`
     o.cancel_s = 34;
     SimulatedCluster w(o);
     keep_machines(w);
     w.run_until(30);
-    w.cut_one_way("10.0.", "10.1.", 13, false);
-    w.cloud_down(90);
+    w.partition_one_way("10.0.", "10.1.", 13, false);
+    w.start_cloud_outage(90);
     std::map<std::string, http::Request> held;
     std::string met;
-    w.sent = [&](auto& from, auto& to, auto& r) {
+    w.on_message = [&](auto& from, auto& to, auto& r) {
         if (r.target == protocol::paths::commands && r.body.find("run") != std::string::npos && w.now() < 43)
             held.emplace(to, r);
         if (r.target != protocol::paths::report || w.now() < 43 || !met.empty() || !held.contains(from))
             return;
         met = from;
         w.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
-        w.at(w.now() + 0.4, [&w] { w.cut("10.0.", "10.1.", 60, false); });
+        w.at(w.now() + 0.4, [&w] { w.partition("10.0.", "10.1.", 60, false); });
     };
     w.submit("j-1", "batch", 12, 300);
     w.at(31.5, [&w] { w.cancel("j-1"); });
@@ -165,7 +165,7 @@
     EXPECT_EQ(on_machines(w, "j-1"), 1u);  // it has arrived
     w.run_until(150);
     EXPECT_TRUE(w.jobs["j-1"].cancelled);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // Each kind of transaction of the controllers, again and again without an answer and carried out after newer
@@ -184,7 +184,7 @@
     SimulatedCluster w({});
     std::minstd_rand random(7);
     std::size_t late = 0;
-    w.late_txn = [&](const json& txn) {
+    w.transaction_delay = [&](const json& txn) {
         for (auto& c : txn["then"]) {
             auto key = c.value("put", c.value("drop", ""));
             // Not so many that nobody leads for long.
@@ -195,7 +195,7 @@
         return 0.0;
     };
     work(w, 110);
-    for (double t = 25; t < 100; t += 13) w.at(t, [&w] { w.crash(lead(w), 0.2); });
+    for (double t = 25; t < 100; t += 13) w.at(t, [&w] { w.crash(leader_of(w), 0.2); });
     w.run_until(260);
     EXPECT_GT(late, kind == "types" ? 0u : 2u);
     for (auto& b : wrong(w)) ADD_FAILURE() << b;
@@ -227,13 +227,13 @@
     ASSERT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2") + on_machines(w, "j-3"), 13u);
     for (std::size_t m = 0; m < 3; ++m) {
         if (both_ways)
-            w.cut("10.0.", w.workers[m]->addr, for_s, false);
+            w.partition("10.0.", w.workers[m]->addr, for_s, false);
         else
-            w.cut_one_way("10.0.", w.workers[m]->addr, for_s);
+            w.partition_one_way("10.0.", w.workers[m]->addr, for_s);
     }
-    w.cloud_down(for_s);
-    w.at(31, [&w] { w.crash(lead(w), 0.1); });
-    w.at(34, [&w] { w.crash(lead(w), 3); });
+    w.start_cloud_outage(for_s);
+    w.at(31, [&w] { w.crash(leader_of(w), 0.1); });
+    w.at(34, [&w] { w.crash(leader_of(w), 3); });
     w.run_until(30 + for_s + 60);
     EXPECT_EQ(on_machines(w, "j-1"), 6u);
     EXPECT_EQ(on_machines(w, "j-2"), 3u);
@@ -241,7 +241,7 @@
     w.cancel("j-3");
     w.run_until(500);
     EXPECT_TRUE(w.jobs["j-1"].done && w.jobs["j-2"].done);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // Workers can't open connections to any controller, while direct commands still reach them: their answers
@@ -255,18 +255,18 @@
         keep_machines(w);
         w.run_until(30);
         constexpr double mute_s = 90;
-        for (std::size_t m = 0; m < 4; ++m) w.workers[m]->mute_until = w.now() + mute_s;
+        for (std::size_t m = 0; m < 4; ++m) w.workers[m]->inbound_unreachable_until = w.now() + mute_s;
         std::size_t runs = 0;
         bool over = false;
         std::set<std::string> mute;
         for (std::size_t m = 0; m < 4; ++m) mute.insert(w.workers[m]->addr);
         // Half of a lease and a look later, longer with a new leader, which begins to count at its start.
         double from = w.now() + o.lease_s / 2 + (crash ? 20 : 3);
-        w.sent = [&](auto&, auto& to, auto& r) {
+        w.on_message = [&](auto&, auto& to, auto& r) {
             bool run = r.target == protocol::paths::commands && r.body.find("\"run\"") != std::string::npos;
             runs += run && !over && w.now() > from && mute.contains(to);
         };
-        if (crash) w.at(35, [&w] { w.crash(lead(w), 0.1); });
+        if (crash) w.at(35, [&w] { w.crash(leader_of(w), 0.1); });
         // The other half has room for these, one after the other.
         for (int k = 0; k < 8; ++k)
             w.at(from + 1 + k * 6, [&w, k] { w.submit("j-" + std::to_string(k), "batch", 2, 8); });
@@ -278,7 +278,7 @@
         w.run_until(w.now() + 90);
         EXPECT_TRUE(w.jobs["j-20"].done);
         for (int k = 0; k < 8; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(k)].done) << k;
-        expect_unbroken(w);
+        expect_no_violations(w);
     }
 }
 
@@ -293,12 +293,12 @@
         work(w, 110);
         for (double t = 25; t < 95; t += 24) {
             w.at(t, [&w] {
-                auto a = lead(w);
-                w.cut(host_of(a), "10.", 4, true);  // held, and sent on when its second life leads
+                auto a = leader_of(w);
+                w.partition(host_of(a), "10.", 4, true);  // held, and sent on when its second life leads
                 w.crash(a, 0.1);
             });
-            w.at(t + 3.5, [&w] { w.crash(lead(w), 0.1); });
-            w.at(t + 7, [&w] { w.crash(lead(w), 0.3); });
+            w.at(t + 3.5, [&w] { w.crash(leader_of(w), 0.1); });
+            w.at(t + 7, [&w] { w.crash(leader_of(w), 0.3); });
             w.at(t + 12, [&w] {
                 for (std::size_t n = 0; n < 3; ++n) w.crash(n, n == 1 ? 0.2 : 5);
             });
@@ -316,9 +316,9 @@
         SimulatedCluster w({});
         work(w, 110);
         for (double t = 25; t < 95; t += 20) {
-            w.at(t, [&w, by] { w.slow_state(15, by); });
-            w.at(t + 6, [&w] { w.refuse_state(lead(w), 4); });
-            w.at(t + 9, [&w] { w.state_down(3); });
+            w.at(t, [&w, by] { w.slow_key_value_store(15, by); });
+            w.at(t + 6, [&w] { w.refuse_at_key_value_store(leader_of(w), 4); });
+            w.at(t + 9, [&w] { w.start_key_value_store_outage(3); });
         }
         w.run_until(260);
         for (auto& b : wrong(w)) ADD_FAILURE() << by << ": " << b;
@@ -337,10 +337,10 @@
         w.submit("j-3", "batch", 3, 12);
     });
     w.run_until(15);
-    auto old = lead(w);
-    w.no_users(old);
-    w.cut(host_of(old), "10.2.0.1", 60, true);
-    w.cut(host_of(old), "10.0.", 60, true);
+    auto old = leader_of(w);
+    w.remove_from_load_balancer(old);
+    w.partition(host_of(old), "10.2.0.1", 60, true);
+    w.partition(host_of(old), "10.0.", 60, true);
     w.at(16, [&w] { w.cancel("j-1"); });
     w.at(16, [&w] { w.cancel("j-2"); });
     std::size_t asked = 0, answered = 0;
@@ -349,14 +349,14 @@
             for (auto* id : {"j-1", "j-2", "j-3"}) {
                 bool over = w.jobs[id].cancelled || w.jobs[id].done;
                 ++asked;
-                w.ask_node(old, {"GET", std::string("/api/jobs/") + id, ""}, [&, over](http::Response r) {
+                w.send_user_request(old, {"GET", std::string("/api/jobs/") + id, ""}, [&, over](http::Response r) {
                     answered += r.status == 200;
                     auto status = r.status == 200 ? json::parse(r.body)["status"] : json();
                     if (r.status == 404 || (over && (status == "pending" || status == "running")))
                         ADD_FAILURE() << w.now() << " " << r.status << " " << r.body;
                 });
             }
-            w.post_to(old, w.jobs["j-1"].spec.dump(), [&](http::Response r) {
+            w.post_job_to(old, w.jobs["j-1"].spec.dump(), [&](http::Response r) {
                 bool older =
                     r.status == 201 || (r.status == 200 && r.body.find("withdrawn") == std::string::npos);
                 if (older) ADD_FAILURE() << w.now() << " " << r.status << " " << r.body;
@@ -365,7 +365,7 @@
     w.run_until(150);
     EXPECT_TRUE(w.jobs["j-1"].cancelled && w.jobs["j-2"].cancelled && w.jobs["j-3"].done);
     EXPECT_GT(answered, asked / 5);  // once it is back
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // Jobs of two or three tasks that end far apart, and the leader ends in between, or right when an end was
@@ -391,20 +391,20 @@
     w.at(3, [&w] { w.submit("j-2", "service", 1, 0, {{"driftwood", false}}); });
     std::set<std::string> crashed;
     if (at_report)
-        w.sent = [&](auto&, auto&, auto& r) {
+        w.on_message = [&](auto&, auto&, auto& r) {
             if (r.target != protocol::paths::report || r.body.find("exited") == std::string::npos) return;
             auto ended = std::to_string(w.jobs["j-1"].tasks_done.size());
             if (!crashed.insert(ended).second) return;
-            w.at(w.now() + 0.012, [&w] { w.crash(lead(w), 0.1); });
+            w.at(w.now() + 0.012, [&w] { w.crash(leader_of(w), 0.1); });
         };
     else
-        for (double t = 17; t < 70; t += 4.5) w.at(t, [&w] { w.crash(lead(w), 0.1); });
+        for (double t = 17; t < 70; t += 4.5) w.at(t, [&w] { w.crash(leader_of(w), 0.1); });
     w.run_until(170);
     EXPECT_TRUE(w.jobs["j-1"].done);
     EXPECT_EQ(w.jobs["j-1"].tasks_done.size(), gang ? 1u : 3u);
-    EXPECT_EQ(w.done_again, 0u);
+    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
     EXPECT_EQ(on_machines(w, "j-2"), 1u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -66,30 +66,30 @@
     // docs/design.md for a new leader, with two report periods for the plan and the start.
     bool cut_off = c.loss == Loss::zone_cut_off;
     double proven_s = o.cancel_s + 2 * o.report_s, away_s = cut_off ? proven_s + 10 : 40;
-    if (cut_off) w.cloud_down(away_s);
+    if (cut_off) w.start_cloud_outage(away_s);
     std::size_t lost = 0;
     for (std::size_t k = 0; k < w.workers.size(); ++k) {
         auto& m = *w.workers[k];
         if (c.loss == Loss::one_dies ? k != on.front() : m.zone != zone || m.dead) continue;
         ++lost;
-        if (c.loss == Loss::one_dies || c.loss == Loss::zone_dies) w.die(k);
-        if (c.loss == Loss::zone_hangs) w.hang(k, away_s);
-        if (c.loss == Loss::zone_cut_off) w.cut("10.0.", m.addr, away_s, false);
+        if (c.loss == Loss::one_dies || c.loss == Loss::zone_dies) w.crash_machine(k);
+        if (c.loss == Loss::zone_hangs) w.hang_machine(k, away_s);
+        if (c.loss == Loss::zone_cut_off) w.partition("10.0.", m.addr, away_s, false);
     }
     ASSERT_GT(lost, 0u);
-    if (c.leader_ends) w.at(30.6, [&w] { w.crash(lead(w), 0.2); });
+    if (c.leader_ends) w.at(30.6, [&w] { w.crash(leader_of(w), 0.2); });
     if (cut_off && !c.named) {  // the other zone has room
         w.run_until(30 + proven_s);
         EXPECT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
     }
-    w.troubles_over = 30 + (c.loss == Loss::zone_hangs || cut_off ? away_s : 1);
-    w.run_until(w.troubles_over + 200);
+    w.faults_over_at = 30 + (c.loss == Loss::zone_hangs || cut_off ? away_s : 1);
+    w.run_until(w.faults_over_at + 200);
     if (service)
         EXPECT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
     else
         EXPECT_TRUE(w.jobs["j-1"].done);
     EXPECT_EQ(on_machines(w, "j-9"), o.machines);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // One machine is cut off and can't be deleted, the leader stays: only the end of its lease proves anything,
@@ -108,14 +108,14 @@
     w.run_until(30);
     ASSERT_EQ(on_machines(w, "j-1"), 6u);
     double proven_s = o.cancel_s + 2 * o.report_s;
-    w.cloud_down(proven_s + 10);
-    w.cut("10.0.", w.workers[GetParam()]->addr, proven_s + 10, false);
+    w.start_cloud_outage(proven_s + 10);
+    w.partition("10.0.", w.workers[GetParam()]->addr, proven_s + 10, false);
     w.run_until(30 + proven_s);
     EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    w.troubles_over = 30 + proven_s + 10;
-    w.run_until(w.troubles_over + 100);
+    w.faults_over_at = 30 + proven_s + 10;
+    w.run_until(w.faults_over_at + 100);
     EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // More than twice the work that there is room for with all that the cloud gives, of each rank. Machines
@@ -135,8 +135,8 @@
     o.seed = static_cast<std::uint64_t>(seed);
     o.machines = 6;
     o.gpus_max = 8;
-    o.waits_s = 90;
-    if (slow) o.hear_s = 0.15;  // what workers say takes long on its way, and waits in line
+    o.max_waiting_s = 90;
+    if (slow) o.heartbeat_processing_s = 0.15;  // what workers say takes long on its way, and waits in line
     SimulatedCluster w(o);
     w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}}); });
     w.run_until(20);
@@ -160,14 +160,14 @@
                 idle.push_back(id);
             }
         });
-    w.at(30, [&w] { w.hang(0, 8); });
-    w.at(36, [&w] { w.crash(lead(w), 0.2); });
-    w.at(41, [&w] { w.cut("10.0.", w.workers[3]->addr, 30, false); });
-    w.at(47, [&w] { w.crash(lead(w), 4); });
-    w.at(56, [&w] { w.hang(4, 28); });
-    w.at(58, [&w] { w.state_down(5); });
-    w.at(66, [&w] { w.crash(lead(w), 0.2); });
-    w.troubles_over = 86;
+    w.at(30, [&w] { w.hang_machine(0, 8); });
+    w.at(36, [&w] { w.crash(leader_of(w), 0.2); });
+    w.at(41, [&w] { w.partition("10.0.", w.workers[3]->addr, 30, false); });
+    w.at(47, [&w] { w.crash(leader_of(w), 4); });
+    w.at(56, [&w] { w.hang_machine(4, 28); });
+    w.at(58, [&w] { w.start_key_value_store_outage(5); });
+    w.at(66, [&w] { w.crash(leader_of(w), 0.2); });
+    w.faults_over_at = 86;
     std::map<std::string, double> done_at;
     for (double t = 21; t < 420; t += 1)
         w.at(t, [&] {
@@ -186,7 +186,7 @@
         for (auto& id : *ids) EXPECT_TRUE(w.jobs[id].done) << id;
     for (auto& id : cancelled) EXPECT_TRUE(w.jobs[id].cancelled || w.jobs[id].done) << id;
     EXPECT_LT(mean(urgent), mean(idle));
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_scenarios.cpp
+++ b/tests/scenarios/fault_scenarios.cpp
@@ -6,7 +6,7 @@
 namespace coralhitch::simulation {
 namespace {
 constexpr double faults_from = 20, faults_until = 100, work_until = 110, play_until = 280;
-constexpr std::size_t nodes = 3, troubles = static_cast<std::size_t>(FaultKind::small_jobs) + 1;
+constexpr std::size_t nodes = 3, troubles = static_cast<std::size_t>(FaultKind::small_job_stream) + 1;
 constexpr double copies_soon = 3, copies_late = 60;  // s; a worker's lease is 24
 constexpr const char* names[] = {"controller ends",
                                  "all controllers end",
@@ -50,7 +50,7 @@
 // A quarter of the transactions; what meets another fault of this kind happens as that one says first.
 void late_transactions(SimulatedCluster& w, const Fault& f, double (*late)(std::minstd_rand&)) {
     auto random = std::make_shared<std::minstd_rand>(f.other + f.who);
-    w.late_txn = [&w, random, late, before = w.late_txn, until = w.now() + f.for_s](const json& txn) {
+    w.transaction_delay = [&w, random, late, before = w.transaction_delay, until = w.now() + f.for_s](const json& txn) {
         if (double other = before ? before(txn) : 0; other != 0) return other;
         return w.now() > until || (*random)() % 4 ? 0.0 : late(*random);
     };
@@ -58,93 +58,93 @@
 void happen(SimulatedCluster& w, const Fault& f, std::size_t machines) {
     auto k = leads(w, f.who);
     switch (f.what) {
-        case FaultKind::crash:
+        case FaultKind::controller_crash:
             return w.crash(k, f.for_s);
-        case FaultKind::crash_all:
+        case FaultKind::all_controllers_crash:
             for (std::size_t n = 0; n < nodes; ++n) w.crash(n, f.for_s);
             return;
-        case FaultKind::crash_after: {
+        case FaultKind::leader_crash_after_messages: {
             auto left = std::make_shared<std::size_t>(f.other);
-            w.sent = [&w, left, back = f.for_s](const std::string& from, auto&, auto&) {
+            w.on_message = [&w, left, back = f.for_s](const std::string& from, auto&, auto&) {
                 auto l = leads(w, nodes);
                 if (*left == 0 || w.leader() < 0 || from != w.addr_of(l) || --*left > 0) return;
                 w.crash(l, back);
             };
             return;
         }
-        case FaultKind::stand_still:
-            return w.stand_still(k, f.for_s);
-        case FaultKind::refuse:
-            return w.refuse_state(k, f.for_s);
-        case FaultKind::cut:
-            return w.cut(node(k), node((k + 1 + f.other % 2) % nodes), f.for_s, f.hold);
-        case FaultKind::deaf:
-            return w.cut(node(k), "10.1.", f.for_s, f.hold);
-        case FaultKind::alone:
-            return w.cut(node(k), "10.", f.for_s, f.hold);
-        case FaultKind::state:
-            return w.state_down(f.for_s);
-        case FaultKind::cloud:
-            return w.cloud_down(f.for_s);
-        case FaultKind::die:
-            return w.die(f.who);
-        case FaultKind::hang:
-            return w.hang(f.who, f.for_s);
-        case FaultKind::zone:
+        case FaultKind::controller_freeze:
+            return w.freeze(k, f.for_s);
+        case FaultKind::key_value_store_refuses:
+            return w.refuse_at_key_value_store(k, f.for_s);
+        case FaultKind::controllers_partitioned:
+            return w.partition(node(k), node((k + 1 + f.other % 2) % nodes), f.for_s, f.hold);
+        case FaultKind::controller_partitioned_from_workers:
+            return w.partition(node(k), "10.1.", f.for_s, f.hold);
+        case FaultKind::controller_partitioned_from_all:
+            return w.partition(node(k), "10.", f.for_s, f.hold);
+        case FaultKind::key_value_store_outage:
+            return w.start_key_value_store_outage(f.for_s);
+        case FaultKind::cloud_outage:
+            return w.start_cloud_outage(f.for_s);
+        case FaultKind::machine_crash:
+            return w.crash_machine(f.who);
+        case FaultKind::machine_hang:
+            return w.hang_machine(f.who, f.for_s);
+        case FaultKind::zone_partition:
             for (std::size_t m = f.who % 2; m < std::max(machines, w.workers.size()); m += 2)
-                w.cut(w.workers[m % w.workers.size()]->addr, "10.", f.for_s, f.hold);
-            return w.cut(node(f.who % 2), "10.", f.for_s, f.hold);
-        case FaultKind::unreached: {
+                w.partition(w.workers[m % w.workers.size()]->addr, "10.", f.for_s, f.hold);
+            return w.partition(node(f.who % 2), "10.", f.for_s, f.hold);
+        case FaultKind::machines_outbound_unreachable: {
             // One machine, or a third of them; from all controllers, or from one.
             std::size_t step = f.other > 8 ? 3 : w.workers.size();
             for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step)
-                w.cut_one_way(f.other % 4 == 0 ? node(f.who % nodes) : "10.0.", w.workers[m]->addr, f.for_s);
+                w.partition_one_way(f.other % 4 == 0 ? node(f.who % nodes) : "10.0.", w.workers[m]->addr, f.for_s);
             return;
         }
-        case FaultKind::copies:
-            return w.copy_messages(f.for_s, f.hold ? copies_late : copies_soon);
-        case FaultKind::isolated:
-            w.cut(node(k), "10.2.0.1", f.for_s, f.hold);
-            return w.cut(node(k), "10.0.", f.for_s, f.hold);
-        case FaultKind::reboot:
-            return w.reboot(f.who, f.hold);
-        case FaultKind::late_txns:
+        case FaultKind::duplicate_messages:
+            return w.duplicate_messages(f.for_s, f.hold ? copies_late : copies_soon);
+        case FaultKind::controller_reaches_workers_only:
+            w.partition(node(k), "10.2.0.1", f.for_s, f.hold);
+            return w.partition(node(k), "10.0.", f.for_s, f.hold);
+        case FaultKind::machine_reboot:
+            return w.reboot_machine(f.who, f.hold);
+        case FaultKind::late_transactions:
             return late_transactions(
                 w, f, [](auto& random) { return std::uniform_real_distribution<double>(2, 12)(random); });
-        case FaultKind::answer_lost:
+        case FaultKind::lost_transaction_answers:
             return late_transactions(w, f, [](auto&) { return -1.0; });
-        case FaultKind::slow_state:
-            return w.slow_state(f.for_s,
+        case FaultKind::slow_key_value_store:
+            return w.slow_key_value_store(f.for_s,
                                 f.hold ? 1.2 : 0.4);  // s; a leader's lease is 2.4, a question waits 1.5
-        case FaultKind::cancel_all:
+        case FaultKind::cancel_all_jobs:
             for (auto& [id, told] : w.jobs)
                 if (told.accepted && !told.done && !told.cancel_asked) w.cancel(id);
             return;
-        case FaultKind::close_looks:
-            return w.close_looks(f.for_s);
-        case FaultKind::cancel_at_end:
-            return w.cancel_at_end(f.for_s);
-        case FaultKind::cancel_now:
-            return w.cancel_now(f.other, f.for_s);
-        case FaultKind::mute: {
+        case FaultKind::frequent_queries:
+            return w.query_frequently(f.for_s);
+        case FaultKind::cancel_at_job_end:
+            return w.cancel_at_job_end(f.for_s);
+        case FaultKind::cancel_running_jobs:
+            return w.cancel_running_jobs(f.other, f.for_s);
+        case FaultKind::machines_inbound_unreachable: {
             std::size_t step = f.other > 8 ? 3 : w.workers.size();  // a third of the machines, or one
-            for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step) w.mute(m, f.for_s);
+            for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step) w.make_inbound_unreachable(m, f.for_s);
             return;
         }
-        case FaultKind::odd_requests:
-            return w.odd_requests(f.for_s);
-        case FaultKind::copy_for_next:
-            return w.keep_copies(f.for_s);
+        case FaultKind::unusual_requests:
+            return w.send_unusual_requests(f.for_s);
+        case FaultKind::heartbeats_replayed_at_next_leader:
+            return w.replay_heartbeats_at_next_leader(f.for_s);
         case FaultKind::late_commands:
-            return w.late_commands(f.for_s);
-        case FaultKind::fast_boots:
+            return w.delay_commands(f.for_s);
+        case FaultKind::fast_boots_with_slow_writes:
             // Machines that are gone make the service rent new ones.
-            for (std::size_t m = 0; m < 2; ++m) w.die(f.other + 5 * m);
-            return w.fast_boots(f.for_s, f.hold ? 1.2 : 0.4);
-        case FaultKind::team_limits:
-            return w.fill_limits();
-        case FaultKind::small_jobs:
-            return w.small_jobs(f.for_s);
+            for (std::size_t m = 0; m < 2; ++m) w.crash_machine(f.other + 5 * m);
+            return w.boot_fast_with_slow_writes(f.for_s, f.hold ? 1.2 : 0.4);
+        case FaultKind::team_limits_filled:
+            return w.fill_team_limits();
+        case FaultKind::small_job_stream:
+            return w.submit_small_jobs(f.for_s);
     }
 }
 }  // namespace
@@ -172,7 +172,7 @@
     for (int k = 0; k < n; k += 5) w.at(until + 30, [&w, k] { w.cancel("j-" + std::to_string(100 + k)); });
 }
 std::vector<std::string> wrong(const SimulatedCluster& w) {
-    auto out = w.broken;
+    auto out = w.violations;
     if (w.starts <= 40) out.push_back("hardly anything was started");
     for (auto& [id, told] : w.jobs) {
         if (told.refused) continue;
@@ -193,16 +193,16 @@
     f.who = random() % (nodes + 1);
     f.other = 1 + random() % 12;
     f.hold = random() % 2;
-    bool ends = f.what <= FaultKind::crash_after;
-    bool long_ones = f.what == FaultKind::hang || f.what == FaultKind::zone ||
-                     f.what == FaultKind::unreached || f.what == FaultKind::isolated ||
-                     f.what == FaultKind::late_txns || f.what == FaultKind::cancel_now ||
-                     f.what == FaultKind::mute;
+    bool ends = f.what <= FaultKind::leader_crash_after_messages;
+    bool long_ones = f.what == FaultKind::machine_hang || f.what == FaultKind::zone_partition ||
+                     f.what == FaultKind::machines_outbound_unreachable || f.what == FaultKind::controller_reaches_workers_only ||
+                     f.what == FaultKind::late_transactions || f.what == FaultKind::cancel_running_jobs ||
+                     f.what == FaultKind::machines_inbound_unreachable;
     f.for_s = ends ? (random() % 3 ? between(random, 0.05, 0.5) : between(random, 2, 6))
                    : between(random, 0.5, long_ones ? 30 : 12);
-    bool of_machine = f.what == FaultKind::die || f.what == FaultKind::hang ||
-                      f.what == FaultKind::unreached || f.what == FaultKind::reboot ||
-                      f.what == FaultKind::mute;
+    bool of_machine = f.what == FaultKind::machine_crash || f.what == FaultKind::machine_hang ||
+                      f.what == FaultKind::machines_outbound_unreachable || f.what == FaultKind::machine_reboot ||
+                      f.what == FaultKind::machines_inbound_unreachable;
     if (of_machine) f.who = random() % machines;
     return f;
 }
@@ -243,8 +243,8 @@
     // A process is away for as long as its machine takes to start it; a stream ends in time for its jobs.
     constexpr double away_most = 6, stream_most = 12;
     for (auto* f : {&a, &b}) {
-        if (f->what <= FaultKind::crash_after) f->for_s = std::min(f->for_s, away_most);
-        if (f->what == FaultKind::small_jobs) f->for_s = std::min(f->for_s, stream_most);
+        if (f->what <= FaultKind::leader_crash_after_messages) f->for_s = std::min(f->for_s, away_most);
+        if (f->what == FaultKind::small_job_stream) f->for_s = std::min(f->for_s, stream_most);
     }
     return {a, b};
 }
@@ -276,16 +276,16 @@
         if (f.for_s > 20) o.submit_tries = 200;
     SimulatedCluster w(o);
     work(w, work_until);
-    w.troubles_over = 0;
+    w.faults_over_at = 0;
     for (auto& f : faults) {
         w.at(f.at, [&w, f, machines] { happen(w, f, machines); });
-        w.troubles_over = std::max(w.troubles_over, f.at + f.for_s);
+        w.faults_over_at = std::max(w.faults_over_at, f.at + f.for_s);
     }
     w.run_until(play_until);
     if (counts) {
         counts->answers += w.answers;
         counts->starts += w.starts;
-        counts->starts_cancelled += w.starts_cancelled;
+        counts->starts_after_cancellation += w.starts_after_cancellation;
         counts->digest = w.digest.value();
     }
     return wrong(w);
--- a/tests/scenarios/fault_scenarios.hpp
+++ b/tests/scenarios/fault_scenarios.hpp
@@ -16,42 +16,42 @@
 #endif
 
 enum class FaultKind {
-    crash,
-    crash_all,
-    crash_after,
-    stand_still,
-    refuse,
-    cut,
-    deaf,
-    alone,
-    state,
-    cloud,
-    die,
-    hang,
-    zone,
-    unreached,
-    copies,
-    isolated,
-    reboot,
-    late_txns,
-    slow_state,
-    cancel_all,
-    close_looks,
-    answer_lost,
-    cancel_at_end,
-    cancel_now,
-    mute,
-    odd_requests,
-    copy_for_next,
+    controller_crash,
+    all_controllers_crash,
+    leader_crash_after_messages,
+    controller_freeze,
+    key_value_store_refuses,
+    controllers_partitioned,
+    controller_partitioned_from_workers,
+    controller_partitioned_from_all,
+    key_value_store_outage,
+    cloud_outage,
+    machine_crash,
+    machine_hang,
+    zone_partition,
+    machines_outbound_unreachable,
+    duplicate_messages,
+    controller_reaches_workers_only,
+    machine_reboot,
+    late_transactions,
+    slow_key_value_store,
+    cancel_all_jobs,
+    frequent_queries,
+    lost_transaction_answers,
+    cancel_at_job_end,
+    cancel_running_jobs,
+    machines_inbound_unreachable,
+    unusual_requests,
+    heartbeats_replayed_at_next_leader,
     late_commands,
-    fast_boots,
-    team_limits,
-    small_jobs
+    fast_boots_with_slow_writes,
+    team_limits_filled,
+    small_job_stream
 };
 
 struct Fault {
     double at = 0;  // s
-    FaultKind what = FaultKind::crash;
+    FaultKind what = FaultKind::controller_crash;
     std::size_t who = 0;  // a controller (3: who leads then), a machine, or a zone
     std::size_t other =
         0;              // for a cut between controllers: the other; for crash_after: after so many messages
@@ -79,7 +79,7 @@
 struct Counts {
     std::size_t answers = 0;           // that users got
     std::size_t starts = 0;            // of tasks
-    std::size_t starts_cancelled = 0;  // after the cancellation was confirmed, and within `cancel_s` of it
+    std::size_t starts_after_cancellation = 0;  // after the cancellation was confirmed, and within `cancel_s` of it
     std::uint64_t digest = 0;          // of the messages of the last play
 };
 std::vector<std::string> run_scenario(std::uint64_t seed, std::size_t machines,
--- a/tests/scenarios/fault_scenarios_main.cpp
+++ b/tests/scenarios/fault_scenarios_main.cpp
@@ -51,7 +51,7 @@
     for (auto& [pair, n] : met) std::printf("%6zu  %s\n", n, pair.c_str());
     if (combinations) std::printf("%zu of %zu pairs met\n", met.size(), pairs);
     std::printf("%zu answers, %zu starts, %zu after a confirmed cancellation\n", counts.answers,
-                counts.starts, counts.starts_cancelled);
+                counts.starts, counts.starts_after_cancellation);
     std::printf("%zu of %llu plays failed\n", failed, static_cast<unsigned long long>(seeds));
     return failed > 0;
 }
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -45,9 +45,9 @@
     spdlog::set_level(spdlog::level::off);
     Options options;
     options.machines = 8000;
-    SimulatedCluster world(options);
+    SimulatedCluster cluster(options);
     std::set<std::string> addresses;
-    for (auto& worker : world.workers) addresses.insert(worker->addr);
+    for (auto& worker : cluster.workers) addresses.insert(worker->addr);
     EXPECT_EQ(addresses.size(), options.machines);
     for (auto& address : addresses) EXPECT_TRUE(http::socket_address(address)) << address;
 }
@@ -56,13 +56,13 @@
 TEST(FaultScenario, ShrinksToTheFaultsItNeeds) {
     spdlog::set_level(spdlog::level::off);
     std::vector<Fault> faults;
-    for (int k = 0; k < 6; ++k) faults.push_back({20.0 + 10 * k, FaultKind::crash, 3, 1, 0.2, false});
+    for (int k = 0; k < 6; ++k) faults.push_back({20.0 + 10 * k, FaultKind::controller_crash, 3, 1, 0.2, false});
     // The key-value store never comes back: nothing ends.
-    faults.push_back({60, FaultKind::state, 0, 1, 1000, false});
+    faults.push_back({60, FaultKind::key_value_store_outage, 0, 1, 1000, false});
     EXPECT_FALSE(run_scenario(1, 8, faults).empty());
     auto least = shrink(1, 8, faults);
     ASSERT_EQ(least.size(), 1u);
-    EXPECT_EQ(least[0].what, FaultKind::state);
+    EXPECT_EQ(least[0].what, FaultKind::key_value_store_outage);
 }
 
 }  // namespace
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -29,7 +29,7 @@
             std::vector<std::string> told;
             bool met = false;
             // The end is stored a moment after the report that tells it.
-            w.sent = [&](auto&, auto&, const http::Request& r) {
+            w.on_message = [&](auto&, auto&, const http::Request& r) {
                 bool meets = after < 0 ? r.target == protocol::paths::report &&
                                              r.body.find("\"done\"") != std::string::npos
                                        : ends(r, "j-1");
@@ -37,7 +37,7 @@
                 w.at(w.now() + std::max(0.0, after), [&] {
                     w.jobs["j-1"].cancel_asked = true;
                     for (std::size_t n = 0; n < nodes; ++n)
-                        w.ask_node(n, {"POST", "/api/jobs/j-1/cancel", ""},
+                        w.send_user_request(n, {"POST", "/api/jobs/j-1/cancel", ""},
                                    [&](http::Response r) { told.push_back(status_of(r)); });
                 });
             };
@@ -50,11 +50,11 @@
             auto state = json::parse(*record)["state"].get<std::string>();
             won.insert(state);
             for (std::size_t n = 0; n < 3; ++n)
-                w.ask_node(n, {"GET", "/api/jobs/j-1", ""},
+                w.send_user_request(n, {"GET", "/api/jobs/j-1", ""},
                            [&](http::Response r) { told.push_back(status_of(r)); });
             w.run_until(43);
             EXPECT_EQ(told, std::vector<std::string>(nodes + 3, state));
-            for (auto& b : w.broken) ADD_FAILURE() << b;
+            for (auto& b : w.violations) ADD_FAILURE() << b;
         }
     EXPECT_EQ(won, (std::set<std::string>{"done", "withdrawn"}));
 }
@@ -68,7 +68,7 @@
         Options o;
         SimulatedCluster w(o);
         std::size_t lost = 0, written = 0;
-        w.late_txn = [&](const json& txn) {
+        w.transaction_delay = [&](const json& txn) {
             for (auto& c : txn["then"])
                 if (c.value("put", "") == "final/j-1") {
                     ++written;
@@ -85,12 +85,12 @@
         for (double t = 14; t < 40; t += 0.3)
             w.at(t, [&] {
                 for (std::size_t n = 0; n < 3; ++n) {
-                    w.ask_node(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response r) {
+                    w.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response r) {
                         if (w.jobs["j-1"].stored_at < 0) return;
                         if (status_of(r) == "done") w.jobs["j-1"].done = true;
                         if (w.jobs["j-1"].done) told.insert(status_of(r));
                     });
-                    w.post_to(n, w.jobs["j-1"].spec.dump(), [&](http::Response r) {
+                    w.post_job_to(n, w.jobs["j-1"].spec.dump(), [&](http::Response r) {
                         EXPECT_TRUE(r.status == 200 || r.status == 503) << r.status;
                     });
                 }
@@ -102,7 +102,7 @@
         EXPECT_EQ(written, late < o.report_s / 2 ? 1u : 2u);
         EXPECT_FALSE(w.stored("job/j-1"));
         EXPECT_TRUE(w.jobs["j-2"].done && w.jobs["j-3"].done);
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
     }
 }
 
@@ -121,7 +121,7 @@
     o.seed = GetParam();
     o.machines = 10;
     o.write_rps = 20;
-    o.txn_ops = o.next_txn_ops = 24;
+    o.txn_ops = o.reduced_txn_ops = 24;
     SimulatedCluster w(o);
     constexpr double rate = 4.6, from = 20, until = 140;
     std::size_t n = 0;
@@ -154,7 +154,7 @@
     EXPECT_EQ(w.changes_refused, 0u);
     // Three changes for one that is done, four for one that is cancelled.
     EXPECT_EQ(of_jobs(), 3 * done + 4 * cancelled);
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 
 // A transaction with many changes waits until the budget has room for it. Small ones of lower ranks used to
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -9,7 +9,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-std::size_t lead(const SimulatedCluster& w) {
+std::size_t leader_of(const SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 std::string host_of(std::size_t node) {
@@ -18,8 +18,8 @@
 std::string host_of(const Worker& m) {
     return m.addr.substr(0, m.addr.find(':'));
 }
-void expect_unbroken(const SimulatedCluster& w) {
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+void expect_no_violations(const SimulatedCluster& w) {
+    for (auto& b : w.violations) ADD_FAILURE() << b;
 }
 std::size_t on_machines(const SimulatedCluster& w, const std::string& job, const std::string& zone = "") {
     std::size_t n = 0;
@@ -40,21 +40,21 @@
 }
 // Leaders end until this controller leads, or until another one does.
 void make_lead(SimulatedCluster& w, std::size_t node, bool wanted) {
-    for (int tries = 0; tries < 30 && (lead(w) == node) != wanted; ++tries) {
-        w.crash(lead(w), 2);
+    for (int tries = 0; tries < 30 && (leader_of(w) == node) != wanted; ++tries) {
+        w.crash(leader_of(w), 2);
         w.run_until(w.now() + 6);
     }
     w.run_until(w.now() + 8);
-    ASSERT_EQ(lead(w) == node, wanted);
+    ASSERT_EQ(leader_of(w) == node, wanted);
 }
 // Zone b, that is one controller and every other machine, from the other zone and from the region.
 constexpr std::size_t inside = 1;
-void cut_zone(SimulatedCluster& w, double for_s, bool hold) {
+void partition_zone(SimulatedCluster& w, double for_s, bool hold) {
     std::vector<std::string> in{host_of(inside)}, out{"10.2.", host_of(0), host_of(2)};
     for (auto& m : w.workers) (m->zone == "b" ? in : out).push_back(host_of(*m));
     for (auto& a : in)
-        for (auto& b : out) w.cut(a, b, for_s, hold);
-    w.no_users(inside);
+        for (auto& b : out) w.partition(a, b, for_s, hold);
+    w.remove_from_load_balancer(inside);
 }
 
 // Six tasks of an array that last, and six replicas, all of them running by then.
@@ -69,19 +69,19 @@
 // A zone with workers and a controller is cut off for longer than `lease_s`. That controller renews their
 // leases for as long as it may, which ends early enough for a cancellation that it can't hear of, and a
 // leader outside starts nothing again before that time and a lease more are over.
-struct ZoneCut {
+struct ZonePartition {
     const char* name;
     bool leads;  // the controller inside, as the cut begins
     bool hold;   // what is sent across arrives when the cut ends
 };
-const ZoneCut zone_cuts[] = {
+const ZonePartition zone_partitions[] = {
     {"the leader is inside", true, false},
     {"the leader is inside, packets held", true, true},
     {"the leader is outside", false, false},
     {"the leader is outside, packets held", false, true},
 };
-class PartitionedZone : public testing::TestWithParam<ZoneCut> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, PartitionedZone, testing::ValuesIn(zone_cuts), NameOfCase());
+class PartitionedZone : public testing::TestWithParam<ZonePartition> {};
+INSTANTIATE_TEST_SUITE_P(Liveness, PartitionedZone, testing::ValuesIn(zone_partitions), NameOfCase());
 TEST_P(PartitionedZone, KeepsItsTasksForTheAllowedTimeOnly) {
     spdlog::set_level(spdlog::level::off);
     auto c = GetParam();
@@ -93,9 +93,9 @@
     ASSERT_GT(on_machines(w, "j-1", "b"), 0u);
     ASSERT_EQ(lapsed(w), 0u);
     double from = w.now();
-    cut_zone(w, o.lease_s * 3, c.hold);
+    partition_zone(w, o.lease_s * 3, c.hold);
     // The cloud can't be asked to delete: time is the only proof that is left.
-    w.cloud_down(o.lease_s * 3);
+    w.start_cloud_outage(o.lease_s * 3);
     w.at(from + 4, [&w] { w.cancel("j-2"); });
     std::size_t kept_by_leader = 0;
     w.at(from + o.lease_s + o.report_s * 1.5, [&] { kept_by_leader = on_machines(w, "j-1", "b"); });
@@ -109,7 +109,7 @@
     w.run_until(from + o.lease_s * 5);
     EXPECT_EQ(on_machines(w, "j-1"), 6u);
     EXPECT_EQ(on_machines(w, "j-2"), 0u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // Leaders change ten times in two minutes, also inside an outage. Each change takes leases some seconds, but
@@ -138,19 +138,19 @@
     std::set<std::size_t> led;
     for (int k = 0; k < 10; ++k)
         w.at(30 + 12 * k, [&w, &led, c] {
-            led.insert(lead(w));
-            w.crash(lead(w), c.back_after_s);
+            led.insert(leader_of(w));
+            w.crash(leader_of(w), c.back_after_s);
         });
-    if (c.outage_s > 0) w.at(30 + 12 * 4 - 1, [&w, c] { w.state_down(c.outage_s); });
+    if (c.outage_s > 0) w.at(30 + 12 * 4 - 1, [&w, c] { w.start_key_value_store_outage(c.outage_s); });
     w.at(100, [&w] { w.cancel("j-2"); });
     w.run_until(200);
     EXPECT_EQ(lapsed(w), 0u);
-    EXPECT_EQ(w.deleted, 0u);
+    EXPECT_EQ(w.machines_deleted_with_tasks, 0u);
     EXPECT_EQ(w.starts, starts);
     EXPECT_EQ(on_machines(w, "j-1"), 6u);
     EXPECT_EQ(on_machines(w, "j-2"), 0u);
     EXPECT_GT(led.size(), 1u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 // All controllers are away for longer than `lease_s`, perhaps but for a moment in which some workers are
@@ -175,7 +175,7 @@
     auto c = GetParam();
     Options o;
     o.machines = 9;
-    if (!c.standby) o.without_standby = {0, 1, 2};
+    if (!c.standby) o.without_replication = {0, 1, 2};
     SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "batch", 6, 400);
@@ -199,7 +199,7 @@
     w.run_until(25 + c.away_s + 50);
     EXPECT_EQ(on_machines(w, "j-1"), 6u);
     EXPECT_EQ(on_machines(w, "j-2"), 0u);
-    expect_unbroken(w);
+    expect_no_violations(w);
 }
 
 }  // namespace
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -12,7 +12,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-std::size_t lead(SimulatedCluster& w) {
+std::size_t leader_of(SimulatedCluster& w) {
     return static_cast<std::size_t>(std::max(0, w.leader()));
 }
 bool runs(const http::Request& r) {
@@ -25,7 +25,7 @@
 
 // The next leader crashes as soon as it leads.
 void crash_next(SimulatedCluster& w, std::size_t leader) {
-    if (w.leader() >= 0 && lead(w) != leader) return w.crash(lead(w), 3);
+    if (w.leader() >= 0 && leader_of(w) != leader) return w.crash(leader_of(w), 3);
     w.at(w.now() + 0.02, [&w, leader] { crash_next(w, leader); });
 }
 
@@ -52,21 +52,21 @@
      },
      [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
     {"a start is sent, and the leader stands still, then goes on", runs,
-     [](SimulatedCluster& w, std::size_t l) { w.stand_still(l, 14); }},
+     [](SimulatedCluster& w, std::size_t l) { w.freeze(l, 14); }},
     {"a start is replicated to a follower that is cut off, its messages held",
      [](auto& r) { return r.target == protocol::peer_fleet_path; },
      [](SimulatedCluster& w, std::size_t l) {
-         w.cut("10.0.0." + std::to_string((l + 1) % 3 + 1), "10.", 25, true);
+         w.partition("10.0.0." + std::to_string((l + 1) % 3 + 1), "10.", 25, true);
          w.at(w.now() + 4, [&w, l] { w.crash(l, 5); });
      }},
     {"a start is sent while the state service is out", runs,
      [](SimulatedCluster& w, std::size_t l) {
-         w.state_down(10);
+         w.start_key_value_store_outage(10);
          w.crash(l, 5);
      }},
     {"a third of the machines and two controllers at once", runs,
      [](SimulatedCluster& w, std::size_t l) {
-         for (std::size_t k = 0; k < 4; ++k) w.die(3 * k);
+         for (std::size_t k = 0; k < 4; ++k) w.crash_machine(3 * k);
          w.crash(l, 5);
          w.crash((l + 1) % 3, 7);
      }},
@@ -74,14 +74,14 @@
     {"a start is replicated, reaches nobody, and the leader ends while machines hang",
      [](auto& r) { return r.target == protocol::peer_fleet_path; },
      [](SimulatedCluster& w, std::size_t l) {
-         for (std::size_t k = 0; k < 12; k += 2) w.hang(k, 7);
+         for (std::size_t k = 0; k < 12; k += 2) w.hang_machine(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
              if (k != l)
-                 w.cut("10.0.0." + std::to_string(l + 1), "10.0.0." + std::to_string(k + 1), 20, false);
+                 w.partition("10.0.0." + std::to_string(l + 1), "10.0.0." + std::to_string(k + 1), 20, false);
          w.at(w.now() + 0.3, [&w, l] { w.crash(l, 5); });
      }},
     {"the leader is cut off with a zone, packets held", runs,
-     [](SimulatedCluster& w, std::size_t l) { w.cut("10.0.0." + std::to_string(l + 1), "10.", 30, true); }},
+     [](SimulatedCluster& w, std::size_t l) { w.partition("10.0.0." + std::to_string(l + 1), "10.", 30, true); }},
 };
 
 void run_with_fault(const FaultAtMessage& f, std::uint64_t seed, std::set<std::size_t> without = {}) {
@@ -89,7 +89,7 @@
     Options o;
     o.seed = seed;
     o.machines = 12;
-    o.without_standby = std::move(without);
+    o.without_replication = std::move(without);
     SimulatedCluster w(o);
     work(w, 110);
     std::mt19937_64 random(seed);
@@ -98,13 +98,13 @@
         auto left = std::make_shared<std::size_t>(1 + random() % 6);
         auto with_machines = random() % 3;
         w.at(t, [&w, &f, left, hung, dead, with_machines] {
-            w.sent = [&w, &f, left, hung, dead, with_machines](const std::string& from, const std::string&,
+            w.on_message = [&w, &f, left, hung, dead, with_machines](const std::string& from, const std::string&,
                                                                const http::Request& r) {
-                if (*left == 0 || w.leader() < 0 || from != w.addr_of(lead(w)) || !f.message(r)) return;
+                if (*left == 0 || w.leader() < 0 || from != w.addr_of(leader_of(w)) || !f.message(r)) return;
                 if (--*left > 0) return;
-                if (with_machines > 0) w.hang(hung, 8.0 * static_cast<double>(with_machines));
-                if (with_machines > 1) w.die(dead);
-                f.what(w, lead(w));
+                if (with_machines > 0) w.hang_machine(hung, 8.0 * static_cast<double>(with_machines));
+                if (with_machines > 1) w.crash_machine(dead);
+                f.what(w, leader_of(w));
             };
         });
     }
@@ -141,13 +141,13 @@
         SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "service", 30, 0); });
         w.run_until(30);
-        w.die(0);
-        w.die(4);
+        w.crash_machine(0);
+        w.crash_machine(4);
         for (std::size_t k = 0; k < 3; ++k) w.crash(k, 3);
         w.at(33, [&w] { w.submit("j-2", "batch", 1, 2); });
         w.run_until(47);
         EXPECT_FALSE(w.jobs["j-2"].tasks_done.empty());
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
     }
 }
 
@@ -160,12 +160,12 @@
         w.at(2, [&w] { w.submit("j-1", "service", 6, 0); });
         for (double t : {30.0, 45.0, 60.0}) {
             w.run_until(t);
-            auto before = lead(w);
+            auto before = leader_of(w);
             w.crash(before, back);
             w.run_until(t + 8);
             EXPECT_GE(w.leader(), 0);
             if (back > 1.6) {  // sooner, it ends its own lease, and nobody else has seen it end yet
-                EXPECT_NE(lead(w), before) << t;
+                EXPECT_NE(leader_of(w), before) << t;
             }
         }
     }
@@ -177,19 +177,19 @@
     for (bool standby : {true, false}) {
         Options o;
         o.machines = 5;
-        if (!standby) o.without_standby = {0, 1, 2};
+        if (!standby) o.without_replication = {0, 1, 2};
         SimulatedCluster w(o);
         w.at(2, [&w] { w.submit("j-1", "service", 18, 0); });
         w.run_until(30);
-        w.cloud_down(60);  // so that it is proven gone by its lease alone
+        w.start_cloud_outage(60);  // so that it is proven gone by its lease alone
         std::size_t used = 0;
         while (used + 1 < w.workers.size() && w.workers[used]->tasks.empty()) ++used;
-        w.die(used);
-        w.crash(lead(w), 60);
+        w.crash_machine(used);
+        w.crash(leader_of(w), 60);
         w.at(30.1, [&w] { w.submit("j-2", "batch", 1, 2); });
         w.run_until(50);
         EXPECT_EQ(!w.jobs["j-2"].tasks_done.empty(), standby);  // its user may have asked the dead controller
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        for (auto& b : w.violations) ADD_FAILURE() << b;
     }
 }
 
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -9,13 +9,13 @@
 namespace {
 class NodeRequester : public http::Requester {
   public:
-    NodeRequester(SimulatedCluster& w, std::string from) : world_(w), from_(std::move(from)) {}
+    NodeRequester(SimulatedCluster& w, std::string from) : cluster_(w), from_(std::move(from)) {}
     void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
-        world_.send(from_, addr, std::move(r), timeout, std::move(result));
+        cluster_.send(from_, addr, std::move(r), timeout, std::move(result));
     }
 
   private:
-    SimulatedCluster& world_;
+    SimulatedCluster& cluster_;
     std::string from_;
 };
 }  // namespace
@@ -27,17 +27,17 @@
 Node::~Node() = default;
 
 double HostTimers::now() const {
-    return world_.now();
+    return cluster_.now();
 }
 event_loop::TimerId HostTimers::after(double s, event_loop::Task task) {
     auto id = next_++;
-    fire(id, world_.now() + std::max(0.0, s), std::move(task));
+    fire(id, cluster_.now() + std::max(0.0, s), std::move(task));
     return id;
 }
 void HostTimers::fire(event_loop::TimerId id, double due, event_loop::Task task) {
-    world_.at(due, [this, alive = alive_, cancelled = cancelled_, id, task = std::move(task)] {
+    cluster_.at(due, [this, alive = alive_, cancelled = cancelled_, id, task = std::move(task)] {
         if (!*alive || cancelled->erase(id)) return;
-        if (still_until() > now()) return fire(id, still_until(), task);
+        if (frozen_until() > now()) return fire(id, frozen_until(), task);
         task();
     });
 }
@@ -64,20 +64,20 @@
         s.cancel_s = options_.cancel_s;
         s.gang_wait_s = 50;
         s.gang_peer_s = 5;
-        s.op.hearing = options_.hearing;
-        s.op.standby = !options_.without_standby.contains(k);
+        s.op.hearing = options_.relay_heartbeats;
+        s.op.standby = !options_.without_replication.contains(k);
         s.state_rps = 200;
         s.state_write_rps = options_.write_rps;
         s.value_kb = options_.value_kb;
-        s.safe_value_kb = std::min(options_.value_kb, options_.next_value_kb);
-        s.txn_ops = std::min(options_.txn_ops, options_.next_txn_ops);
+        s.safe_value_kb = std::min(options_.value_kb, options_.reduced_value_kb);
+        s.txn_ops = std::min(options_.txn_ops, options_.reduced_txn_ops);
         s.cloud_rps = 10;
         s.list_lag_s = 10;
         s.memory_mb = 100;
         s.sockets = 1000;
         nodes_.push_back(std::move(n));
     }
-    for (std::size_t k = 0; k < options_.machines; ++k) add_worker(zones[k % 2], k % 3 == 2);
+    for (std::size_t k = 0; k < options_.machines; ++k) add_machine(zones[k % 2], k % 3 == 2);
     for (std::size_t k = 0; k < 3; ++k) boot(k);
     auto every = [this](double s, auto f) {
         auto again = std::make_shared<std::function<void()>>();
@@ -89,10 +89,10 @@
     };
     every(0.1, [this] { expire_leases(); });
     every(0.5, [this] { check_cancelled(); });
-    every(1.0, [this] { balance(); });
+    every(1.0, [this] { check_health(); });
     every(1.0, [this] { check_waiting(); });
-    every(0.05, [this] { deliver_kept(); });
-    every(4.0, [this] { poll_all(); });
+    every(0.05, [this] { replay_kept_heartbeats(); });
+    every(4.0, [this] { query_all_jobs(); });
     // A hanging machine's tasks end with its lease too.
     every(0.1, [this] {
         for (auto& w : workers)
@@ -103,7 +103,7 @@
     for (auto& n : nodes_)
         if (n.timers) n.timers->kill();
     // A controller that ends answers what still waits with it, into a world that must be whole.
-    for (auto* all : {&nodes_, &graveyard_})
+    for (auto* all : {&nodes_, &crashed_nodes_})
         for (auto& n : *all) n.controller.reset();
 }
 
@@ -125,7 +125,7 @@
     n.controller =
         std::make_unique<controller::Controller>(*n.timers, *n.http, n.settings, *n.planner, random_());
     n.up = true;
-    ++n.lives;
+    ++n.incarnation;
     n.busy_until = now_;
     n.controller->start();
 }
@@ -140,10 +140,10 @@
     dead.http = std::move(n.http);
     dead.planner = std::move(n.planner);
     dead.controller = std::move(n.controller);
-    graveyard_.push_back(std::move(dead));
+    crashed_nodes_.push_back(std::move(dead));
     at(now_ + back_after, [this, k] { boot(k); });
 }
-std::string SimulatedCluster::told_by(std::size_t k, const std::string& gauge) {
+std::string SimulatedCluster::legacy_gauge(std::size_t k, const std::string& gauge) {
     std::string value;
     if (nodes_[k].up)
         nodes_[k].controller->serve({"GET", "/metrics", {}}, [&](http::Response r) {
@@ -154,13 +154,13 @@
         });
     return value;
 }
-void SimulatedCluster::stand_still(std::size_t k, double for_s) {
-    if (nodes_[k].up) nodes_[k].timers->stand_still(now_ + for_s);
+void SimulatedCluster::freeze(std::size_t k, double for_s) {
+    if (nodes_[k].up) nodes_[k].timers->freeze(now_ + for_s);
 }
 bool SimulatedCluster::healthy(std::size_t node) const {
     return nodes_[node].controller->healthy();
 }
-void SimulatedCluster::ask_node(std::size_t node, http::Request r, http::Reply done) {
+void SimulatedCluster::send_user_request(std::size_t node, http::Request r, http::Reply done) {
     nodes_[node].controller->serve(std::move(r), std::move(done));
 }
 int SimulatedCluster::leader() const {
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -34,22 +34,22 @@
 // Timers of one host: when the host dies, what it had planned does not happen.
 class HostTimers : public event_loop::Timers {
   public:
-    explicit HostTimers(SimulatedCluster& world) : world_(world) {}
+    explicit HostTimers(SimulatedCluster& cluster) : cluster_(cluster) {}
     double now() const override;
     double unix_time() const override { return now() + 1e9; }
     event_loop::TimerId after(double s, event_loop::Task task) override;
     void cancel(event_loop::TimerId id) override { cancelled_->insert(id); }
     void kill() { *alive_ = false; }
     // Nothing that is due happens until then; it happens all at once afterwards.
-    void stand_still(double until) { *still_until_ = until; }
-    double still_until() const { return *still_until_; }
+    void freeze(double until) { *frozen_until_ = until; }
+    double frozen_until() const { return *frozen_until_; }
 
   private:
-    SimulatedCluster& world_;
+    SimulatedCluster& cluster_;
     event_loop::TimerId next_ = 1;
     void fire(event_loop::TimerId id, double due, event_loop::Task task);
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    std::shared_ptr<double> still_until_ = std::make_shared<double>(0);
+    std::shared_ptr<double> frozen_until_ = std::make_shared<double>(0);
     std::shared_ptr<std::set<event_loop::TimerId>> cancelled_ =
         std::make_shared<std::set<event_loop::TimerId>>();
 };
@@ -75,12 +75,12 @@
 
 struct Worker {
     std::string id, addr, type, zone;
-    bool spot = false, dead = false, hung = false, sick = false;
-    std::uint64_t agent_epoch = 1, sequence = 0, helm = 0;
-    bool keeps_tasks = false;  // for ever, whatever its lease says: a broken worker
+    bool spot = false, dead = false, hung = false, fails_every_task = false;
+    std::uint64_t agent_epoch = 1, sequence = 0, token = 0;
+    bool ignores_lease = false;  // for ever, whatever its lease says: a broken worker
     double created = 0, up_at = 0, last_answered = 0;
-    double mute_until = 0;    // it can't open connections to controllers
-    std::uint64_t lives = 0;  // reboots so far: what was on its way to the one before does not reach it
+    double inbound_unreachable_until = 0;    // it can't open connections to controllers
+    std::uint64_t incarnation = 0;  // reboots so far: what was on its way to the one before does not reach it
     std::size_t node = 0;
     std::map<std::string, Task> tasks;
 };
@@ -97,10 +97,10 @@
     std::unique_ptr<controller::Controller> controller;
     bool up = false;
     // What the load balancer makes of its health.
-    bool served = false, ever_served = false;
-    std::deque<bool> probes;
-    double pause = 3, removed_at = -1e9, well_since = -1;
-    std::uint64_t lives = 0;  // processes so far: what is answered to one is not for the next
+    bool in_rotation = false, ever_in_rotation = false;
+    std::deque<bool> health_checks;
+    double readmission_pause_s = 3, removed_at = -1e9, well_since = -1;
+    std::uint64_t incarnation = 0;  // processes so far: what is answered to one is not for the next
     double busy_until = 0;    // with what workers sent
 };
 
@@ -123,7 +123,7 @@
     double waiting_since = -1;  // with room and quota, and nothing of it started
     bool waited_too_long = false;
     double answered_at = 0;  // a question about it, or its submission
-    bool open_too_long = false;
+    bool unanswered_too_long = false;
     std::set<std::string> tasks_done;
     double completed_at = -1, stored_at = -1;  // its last task; its final record
     double reported_at = -1;                   // its worker first said that its last task is done
@@ -138,17 +138,17 @@
     double report_s = 3, lease_s = 24, cancel_s = 44;
     double gpus_max = 12;      // limit of team `tight`
     double free_gpus_max = 0;  // of team `free`; 0: none
-    double waits_s = 90;       // a job may wait for so long with room and quota, once the troubles are over
+    double max_waiting_s = 90;       // a job may wait for so long with room and quota, once the troubles are over
     double boot_s = 1;         // what a machine takes; the nominal time is 5 s
     std::set<std::size_t>
-        without_standby;     // controllers of a version, or with settings, that know no standby
-    bool hearing = true;     // controllers that do not lead hear workers for the one that does
-    double hear_s = 0;       // what a controller takes for each message of a worker; the next ones wait
-    bool old_pings = false;  // what controllers say of themselves is as the version before says it
+        without_replication;     // controllers of a version, or with settings, that know no standby
+    bool relay_heartbeats = true;     // controllers that do not lead hear workers for the one that does
+    double heartbeat_processing_s = 0;       // what a controller takes for each message of a worker; the next ones wait
+    bool pings_of_previous_version = false;  // what controllers say of themselves is as the version before says it
     // The key-value store's limits, and what they fall to without notice, if they do.
-    double value_kb = 16, next_value_kb = 16;
-    std::uint32_t txn_ops = 8, next_txn_ops = 8;
-    double limits_fall_at = 1e9;
+    double value_kb = 16, reduced_value_kb = 16;
+    std::uint32_t txn_ops = 8, reduced_txn_ops = 8;
+    double limits_reduced_at = 1e9;
     int submit_tries = 40;  // of a user, 1.5 s apart
     // Changes a second that the key-value store allows; beyond them, and a second's worth more, it refuses.
     double write_rps = 80;
@@ -164,66 +164,66 @@
 
     // Faults
     void crash(std::size_t node, double back_after);
-    void cut(const std::string& a, const std::string& b, double for_s, bool hold) {
-        add_cut(a, b, for_s, hold, false);
+    void partition(const std::string& a, const std::string& b, double for_s, bool hold) {
+        add_partition(a, b, for_s, hold, false);
     }
-    void cut_one_way(const std::string& from, const std::string& to, double for_s, bool hold = false) {
-        add_cut(from, to, for_s, hold, true);
+    void partition_one_way(const std::string& from, const std::string& to, double for_s, bool hold = false) {
+        add_partition(from, to, for_s, hold, true);
     }
     // Until then some messages come once more, up to so many seconds later; nobody waits for the answer.
-    void copy_messages(double for_s, double late_s) {
-        copies_until_ = now_ + for_s;
-        copies_late_ = late_s;
+    void duplicate_messages(double for_s, double late_s) {
+        duplicates_until_ = now_ + for_s;
+        duplicates_max_delay_s_ = late_s;
     }
-    void reboot(std::size_t k, bool anew);
+    void reboot_machine(std::size_t k, bool anew);
     // Watches that wait are never told of this job's record; those of one controller not even if they don't.
-    void hide_from_watches(const std::string& id) { hidden_.insert("job/" + id); }
+    void hide_from_watches(const std::string& id) { hidden_keys_.insert("job/" + id); }
     void hide_from(std::size_t node, const std::string& id) {
         hide_from_watches(id);
-        hidden_from_ = addr_of(node);
+        hidden_from_controller_ = addr_of(node);
     }
     bool healthy(std::size_t node) const;
-    void state_down(double for_s) { state_down_until_ = now_ + for_s; }
+    void start_key_value_store_outage(double for_s) { key_value_store_outage_until_ = now_ + for_s; }
     // Each answer of the key-value store takes so much longer, or half as much at the least.
-    void slow_state(double for_s, double by_s) {
-        slow_until_ = now_ + for_s;
-        slow_by_ = by_s;
+    void slow_key_value_store(double for_s, double by_s) {
+        slow_key_value_store_until_ = now_ + for_s;
+        key_value_store_delay_s_ = by_s;
     }
-    void cloud_down(double for_s) { cloud_down_until_ = now_ + for_s; }
-    void fall_further(double value_kb, std::uint32_t txn_ops) {  // than the settings announce
-        options_.next_value_kb = value_kb;
-        options_.next_txn_ops = txn_ops;
+    void start_cloud_outage(double for_s) { cloud_outage_until_ = now_ + for_s; }
+    void reduce_limits_further(double value_kb, std::uint32_t txn_ops) {  // than the settings announce
+        options_.reduced_value_kb = value_kb;
+        options_.reduced_txn_ops = txn_ops;
     }
     // Seconds for which a transaction stays without an answer before it is carried out, after newer ones;
     // 0: it is answered at once; less: it is carried out at once, and only its answer is lost. Empty: all are
     // answered at once.
-    std::function<double(const json& txn)> late_txn;
-    void refuse_state(std::size_t node, double for_s) { refused_until_[addr_of(node)] = now_ + for_s; }
+    std::function<double(const json& txn)> transaction_delay;
+    void refuse_at_key_value_store(std::size_t node, double for_s) { refused_until_[addr_of(node)] = now_ + for_s; }
     // Users look at all controllers, again and again within milliseconds, and repeat the submission, right
     // after a job was accepted, ended or cancelled; some cancel at once.
-    void close_looks(double for_s) { close_looks_until_ = now_ + for_s; }
+    void query_frequently(double for_s) { frequent_queries_until_ = now_ + for_s; }
     // Half of the jobs that end are cancelled at that moment.
-    void cancel_at_end(double for_s) { cancel_at_end_until_ = now_ + for_s; }
+    void cancel_at_job_end(double for_s) { cancel_at_job_end_until_ = now_ + for_s; }
     // Up to so many jobs that run are cancelled, and up to eight of their machines hang.
-    void cancel_now(std::size_t count, double hang_s);
+    void cancel_running_jobs(std::size_t count, double hang_s);
     // The machine reaches no controller; what controllers ask of it arrives and is answered.
-    void mute(std::size_t k, double for_s) { workers[k % workers.size()]->mute_until = now_ + for_s; }
-    void odd_requests(double for_s);
+    void make_inbound_unreachable(std::size_t k, double for_s) { workers[k % workers.size()]->inbound_unreachable_until = now_ + for_s; }
+    void send_unusual_requests(double for_s);
     // Copies of a part of the reports are kept, and arrive at all controllers when the next one leads.
-    void keep_copies(double for_s) { keep_copies_until_ = now_ + for_s; }
+    void replay_heartbeats_at_next_leader(double for_s) { keep_heartbeats_until_ = now_ + for_s; }
     // A quarter of the direct commands is held up, unanswered, and carried out 2 to 16 s late.
-    void late_commands(double for_s) { late_commands_until_ = now_ + for_s; }
+    void delay_commands(double for_s) { delay_commands_until_ = now_ + for_s; }
     // New machines are up within 2 s, and transactions take so much longer until they are carried out.
-    void fast_boots(double for_s, double slow_by) {
+    void boot_fast_with_slow_writes(double for_s, double slow_by) {
         fast_boots_until_ = now_ + for_s;
-        slow_writes_by_ = slow_by;
+        fast_boots_write_delay_s_ = slow_by;
     }
     // Work that fills the limit of each team that has one, a third of it cancelled.
-    void fill_limits();
-    void small_jobs(double for_s, double per_s = 4);
-    void die(std::size_t k);
-    void hang(std::size_t k, double for_s);
-    void stand_still(std::size_t node, double for_s);
+    void fill_team_limits();
+    void submit_small_jobs(double for_s, double per_s = 4);
+    void crash_machine(std::size_t k);
+    void hang_machine(std::size_t k, double for_s);
+    void freeze(std::size_t node, double for_s);
     int leader() const;
 
     // Users
@@ -235,23 +235,23 @@
     void post(const std::string& body, std::function<void(const http::Response&)> done) {
         ask("", "POST", "/api/jobs", body, std::move(done));
     }
-    void post_to(std::size_t node, const std::string& body, http::Reply done) {
-        ask_node(node, {"POST", "/api/jobs", body}, std::move(done));
+    void post_job_to(std::size_t node, const std::string& body, http::Reply done) {
+        send_user_request(node, {"POST", "/api/jobs", body}, std::move(done));
     }
-    void ask_node(std::size_t node, http::Request r, http::Reply done);
-    void poll_all();
+    void send_user_request(std::size_t node, http::Request r, http::Reply done);
+    void query_all_jobs();
     // Takes down what a user was told, and holds it against what was received before the question was sent.
-    void note(const Answer& a);
+    void record_answer(const Answer& a);
     // Called with each message as it is sent, so that a fault can be placed right after it.
-    std::function<void(const std::string& from, const std::string& to, const http::Request&)> sent;
+    std::function<void(const std::string& from, const std::string& to, const http::Request&)> on_message;
     // Seconds by which a direct command is held up: it is carried out once then, and its answer is lost.
-    std::function<double(const std::string& to, const http::Request&)> late_command;
+    std::function<double(const std::string& to, const http::Request&)> command_delay;
     // A copy of a message arrives at this controller now; nobody waits for the answer.
     void copy_to(std::size_t node, const std::string& from, const http::Request& r) {
         deliver(from, addr_of(node), r, [](http::Response) {});
     }
-    void no_users(std::size_t node) { unserved_ = node; }  // none is led to it by the load balancer
-    std::string told_by(std::size_t node, const std::string& gauge);  // of its /metrics
+    void remove_from_load_balancer(std::size_t node) { removed_from_load_balancer_ = node; }  // none is led to it by the load balancer
+    std::string legacy_gauge(std::size_t node, const std::string& gauge);  // of its /metrics
     bool cancel_wanted(const std::string& id) const;  // of the job itself, or of one that it needs
 
     // Network, for the hosts' requesters
@@ -260,20 +260,20 @@
     std::string addr_of(std::size_t node) const { return "10.0.0." + std::to_string(node + 1) + ":8080"; }
     // To break a rule on purpose: a start, on the first machine without the task or on that one, and a change
     // of a stored record, or its end.
-    void rogue_run(const std::string& task, std::uint64_t attempt, std::optional<std::size_t> machine = {});
-    void tamper(const std::string& key, std::optional<std::string> value);
+    void start_against_rules(const std::string& task, std::uint64_t attempt, std::optional<std::size_t> machine = {});
+    void tamper_with_record(const std::string& key, std::optional<std::string> value);
     std::string record(const std::string& key) const { return kv_.at(key).value; }
 
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     std::map<std::string, JobHistory> jobs;
     std::vector<std::unique_ptr<Worker>> workers;
-    std::size_t starts = 0, done_again = 0;  // done_again: of tasks that were done already
-    std::size_t starts_cancelled = 0;        // after the cancellation was confirmed
+    std::size_t starts = 0, restarts_of_done_tasks = 0;  // done_again: of tasks that were done already
+    std::size_t starts_after_cancellation = 0;        // after the cancellation was confirmed
     std::size_t answers = 0;                 // that users got about jobs
     MessageDigest digest;                    // of all requests sent and responses received
     // From then on no question about a job may stay without an answer for longer than `open_s`.
-    double troubles_over = 1e9, open_s = 45;
-    std::size_t deleted = 0;                     // machines with tasks on them
+    double faults_over_at = 1e9, max_unanswered_s = 45;
+    std::size_t machines_deleted_with_tasks = 0;                     // machines with tasks on them
     std::map<std::string, std::size_t> reads;    // of each key at the key-value store
     std::map<std::string, std::size_t> changes;  // at the key-value store, by the first part of the key
     std::size_t changes_refused = 0;             // calls, for too many changes a second
@@ -304,16 +304,16 @@
         std::string from;
         bool waits;
     };
-    void rule(const std::string& what) { broken.push_back(std::to_string(now_) + " " + what); }
+    void add_violation(const std::string& what) { violations.push_back(std::to_string(now_) + " " + what); }
     double latency() { return std::uniform_real_distribution<double>(0.001, 0.008)(random_); }
     void boot(std::size_t node);
-    void in_turn(Node& n, event_loop::Task task);
-    void balance();
-    Node* pick_node();
+    void process_in_turn(Node& n, event_loop::Task task);
+    void check_health();
+    Node* pick_controller();
     void deliver(const std::string& from, const std::string& to, http::Request r, http::Reply reply);
-    double command_delay(const std::string& to, const http::Request& r);
-    void add_cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way);
-    bool is_cut(const std::string& from, const std::string& to, bool& hold, double& until) const;
+    double draw_command_delay(const std::string& to, const http::Request& r);
+    void add_partition(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way);
+    bool is_partitioned(const std::string& from, const std::string& to, bool& hold, double& until) const;
     static std::string host(const std::string& addr) { return addr.substr(0, addr.find(':')); }
 
     // State service
@@ -324,12 +324,12 @@
     http::Response txn(const json& j);
     // Cloud
     http::Response cloud(const http::Request& r);
-    Worker& add_worker(const std::string& zone, bool spot);
+    Worker& add_machine(const std::string& zone, bool spot);
     // Workers
-    void report_loop(Worker& w);
+    void send_heartbeats(Worker& w);
     json report(Worker& w);
     void command(Worker& w, const json& orders);
-    http::Response direct(Worker& w, const http::Request& r);
+    http::Response serve_command(Worker& w, const http::Request& r);
     void start(Worker& w, const std::string& task, std::uint64_t attempt);
     void finish(Worker& w, const std::string& task, std::uint64_t attempt, const std::string& cause);
     void check_lease(Worker& w);
@@ -338,11 +338,11 @@
     void ask(const std::string& id, const std::string& method, const std::string& path,
              const std::string& body, std::function<void(const http::Response&)> done, int tries = 40);
     // Once, of this controller; `answered` is called with what the user receives.
-    void ask_once(Node& node, const std::string& id, http::Request r,
+    void ask_controller(Node& node, const std::string& id, http::Request r,
                   std::function<void(const http::Response&)> answered);
-    void look_closely(const std::string& id, bool just_accepted);
-    void odd_request();
-    void submit_odd();
+    void query_all_controllers_repeatedly(const std::string& id, bool just_accepted);
+    void send_unusual_request();
+    void submit_invalid_job();
     void ended(const std::string& id);
     json plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const;
     // Checks
@@ -364,33 +364,33 @@
     std::uint64_t next_event_ = 0;
     std::priority_queue<Event> queue_;
     std::vector<Node> nodes_;
-    std::vector<Node> graveyard_;
+    std::vector<Node> crashed_nodes_;
     std::map<std::string, Item> kv_;
     event_loop::TokenBucket changes_left_;
     std::vector<std::pair<std::uint64_t, json>> history_;
     std::map<std::uint64_t, Lease> leases_;
     std::vector<Watch> watches_;
     std::uint64_t revision_ = 0, next_lease_ = 1;
-    double state_down_until_ = 0, cloud_down_until_ = 0;
+    double key_value_store_outage_until_ = 0, cloud_outage_until_ = 0;
     std::map<std::string, double> refused_until_;
-    struct Cut {
+    struct Partition {
         std::string a, b;
         double until;
         bool hold;
         bool one_way = false;  // from a to b only
     };
-    std::vector<Cut> cuts_;
-    double copies_until_ = 0, copies_late_ = 0;
-    double slow_until_ = 0, slow_by_ = 0;
-    double close_looks_until_ = 0, cancel_at_end_until_ = 0, keep_copies_until_ = 0, late_commands_until_ = 0,
-           fast_boots_until_ = 0, slow_writes_by_ = 0;
-    std::vector<std::pair<std::string, http::Request>> kept_;  // with who sent it
-    int led_ = -1;                                             // who led last
-    void deliver_kept();
-    int next_odd_ = 0, next_extra_ = 0;
-    std::set<std::string> hidden_;
-    std::optional<std::size_t> unserved_;
-    std::string hidden_from_;
+    std::vector<Partition> partitions_;
+    double duplicates_until_ = 0, duplicates_max_delay_s_ = 0;
+    double slow_key_value_store_until_ = 0, key_value_store_delay_s_ = 0;
+    double frequent_queries_until_ = 0, cancel_at_job_end_until_ = 0, keep_heartbeats_until_ = 0, delay_commands_until_ = 0,
+           fast_boots_until_ = 0, fast_boots_write_delay_s_ = 0;
+    std::vector<std::pair<std::string, http::Request>> kept_heartbeats_;  // with who sent it
+    int last_leader_ = -1;                                             // who led last
+    void replay_kept_heartbeats();
+    int next_invalid_job_ = 0, next_extra_ = 0;
+    std::set<std::string> hidden_keys_;
+    std::optional<std::size_t> removed_from_load_balancer_;
+    std::string hidden_from_controller_;
     std::map<std::string, json> rentals_;
     friend class HostTimers;
 };
--- a/tests/simulation/simulated_cluster_checker.cpp
+++ b/tests/simulation/simulated_cluster_checker.cpp
@@ -30,48 +30,48 @@
 
 // Answers may overtake each other. Each is held against what anyone had received before its question was
 // sent: from then on nothing older is right.
-void SimulatedCluster::note(const Answer& a) {
+void SimulatedCluster::record_answer(const Answer& a) {
     using To = Answer::To;
     if (a.id.empty()) return;  // a scripted request, judged by its test
     ++answers;
     bool yes = a.http == 200 || a.http == 201;
     auto it = jobs.find(a.id);
     if (it == jobs.end()) {
-        if (yes) rule("invented " + a.id);
+        if (yes) add_violation("invented " + a.id);
         return;
     }
     auto& job = it->second;
     auto before = [&](double received) { return received >= 0 && received < a.sent; };
     if (job.refused) {
-        if (yes) rule("accepted_impossible " + a.id + " got " + std::to_string(a.http));
+        if (yes) add_violation("accepted_impossible " + a.id + " got " + std::to_string(a.http));
         return;
     }
     if (a.http == 404 || a.http == 400 || a.http == 422) {
-        if (before(job.accepted_at)) rule("forgotten " + a.id + " got " + std::to_string(a.http));
+        if (before(job.accepted_at)) add_violation("forgotten " + a.id + " got " + std::to_string(a.http));
         return;
     }
     if (!yes) return;
-    if (a.http == 201 && before(job.accepted_at)) rule("accepted_twice " + a.id);
+    if (a.http == 201 && before(job.accepted_at)) add_violation("accepted_twice " + a.id);
     job.answered_at = a.received;
-    if (before(job.done_at) && a.status != "done") rule("went_back " + a.id + " from done to " + a.status);
+    if (before(job.done_at) && a.status != "done") add_violation("went_back " + a.id + " from done to " + a.status);
     if (before(job.cancelled_at) && a.status != "withdrawn")
-        rule("went_back " + a.id + " from withdrawn to " + a.status);
+        add_violation("went_back " + a.id + " from withdrawn to " + a.status);
     check_orphaned(a);
     bool news = !job.accepted;
     if (!std::exchange(job.accepted, true)) job.accepted_at = a.received;
-    if (a.status == "withdrawn" && !cancel_wanted(a.id)) rule("went_back " + a.id + ": nobody cancelled it");
+    if (a.status == "withdrawn" && !cancel_wanted(a.id)) add_violation("went_back " + a.id + ": nobody cancelled it");
     if (a.status == "withdrawn" && !std::exchange(job.cancelled, true))
         news = true, job.cancelled_at = a.received;
     if (a.status == "done" && !std::exchange(job.done, true)) news = true, job.done_at = a.received;
-    if (a.status == "done" && !is_done(a.id)) rule("not_done " + a.id);
+    if (a.status == "done" && !is_done(a.id)) add_violation("not_done " + a.id);
     // Of two ends one is wrong, whichever question was first.
-    if (news && job.done && job.cancelled) rule("went_back " + a.id + ": done and withdrawn");
-    if (news) look_closely(a.id, a.to == To::submission && a.status == "pending");
+    if (news && job.done && job.cancelled) add_violation("went_back " + a.id + ": done and withdrawn");
+    if (news) query_all_controllers_repeatedly(a.id, a.to == To::submission && a.status == "pending");
 }
 // An answer that came so long after a job before this one was told to be cancelled must say cancelled too.
 void SimulatedCluster::check_orphaned(const Answer& a) {
     if (a.status != "pending" && a.status != "running") return;
-    if (a.received > cancelled_before(a.id) + options_.cancel_s) rule("orphaned " + a.id);
+    if (a.received > cancelled_before(a.id) + options_.cancel_s) add_violation("orphaned " + a.id);
 }
 
 // --- What is on machines ----------------------------------------------------------------------------------
@@ -101,29 +101,29 @@
     auto& job = jobs.at(id);
     auto& spec = job.spec;
     for (auto& before : awaits_of(spec))
-        if (!is_done(before)) rule("too_early " + task + " before " + before);
+        if (!is_done(before)) add_violation("too_early " + task + " before " + before);
     std::map<std::string, int> per_zone;
     for (auto& other : workers)
         for (auto& [name, t] : other->tasks) {
             if (!present(t) || other->dead) continue;
-            if (name == task) rule("ran_twice " + task + " on " + w.id + " and " + other->id);
+            if (name == task) add_violation("ran_twice " + task + " on " + w.id + " and " + other->id);
             if (t.job == id) ++per_zone[other->zone];
         }
     auto team = spec["crew"].get<std::string>();
     double limit = limit_of(team);
-    if (limit > 0 && used_by(team) + spec["cards"].get<double>() > limit + 1e-9) rule("quota " + task);
-    if (job.cancelled_at >= 0) ++starts_cancelled;
+    if (limit > 0 && used_by(team) + spec["cards"].get<double>() > limit + 1e-9) add_violation("quota " + task);
+    if (job.cancelled_at >= 0) ++starts_after_cancellation;
     if (job.cancelled_at >= 0 && now_ > job.cancelled_at + options_.cancel_s)
-        rule("ran_cancelled (start) " + task);
+        add_violation("ran_cancelled (start) " + task);
     if (places(w, spec) == 0) return;  // refused by the worker
     int shards = spec["shards"];
-    if (w.spot && !spec["driftwood"].get<bool>()) rule("wrong_place (spot) " + task);
-    if (spec.value("reef", w.zone) != w.zone) rule("wrong_place (zone) " + task);
+    if (w.spot && !spec["driftwood"].get<bool>()) add_violation("wrong_place (spot) " + task);
+    if (spec.value("reef", w.zone) != w.zone) add_violation("wrong_place (zone) " + task);
     if (spec["scatter"].get<bool>() && per_zone[w.zone] + 1 > (shards + 1) / 2)
-        rule("wrong_place (scatter) " + task);
+        add_violation("wrong_place (scatter) " + task);
     if (spec["together"].get<bool>())
         for (auto& [z, n] : per_zone)
-            if (n > 0 && z != w.zone) rule("wrong_place (together) " + task);
+            if (n > 0 && z != w.zone) add_violation("wrong_place (together) " + task);
 }
 void SimulatedCluster::check_cancelled() {
     for (auto& w : workers)
@@ -131,7 +131,7 @@
             if (w->dead || !present(t)) continue;
             auto& job = jobs[t.job];
             if (job.cancelled_at >= 0 && now_ > job.cancelled_at + options_.cancel_s)
-                rule("ran_cancelled " + name);
+                add_violation("ran_cancelled " + name);
         }
 }
 
@@ -149,7 +149,7 @@
         if (w->dead) continue;
         for (auto& [name, t] : w->tasks)
             if (t.job == id && present(t)) ++here, ++in_zone[w->zone], over.insert(name);
-        bool usable = !w->hung && !w->sick && now_ >= w->up_at && now_ >= w->mute_until;
+        bool usable = !w->hung && !w->fails_every_task && now_ >= w->up_at && now_ >= w->inbound_unreachable_until;
         if (usable && (!w->spot || spec["driftwood"].get<bool>())) room[w->zone] += places(*w, spec);
     }
     bool gang = spec["shape"] == "gang";
@@ -167,7 +167,7 @@
     return (spec["together"].get<bool>() ? best : all) >= needs;
 }
 void SimulatedCluster::check_waiting() {
-    if (now_ < troubles_over) return;
+    if (now_ < faults_over_at) return;
     for (auto& [id, job] : jobs) {
         if (!job.accepted || job.done || cancel_wanted(id) || job.waited_too_long) continue;
         auto awaits = awaits_of(job.spec);
@@ -178,9 +178,9 @@
             continue;
         }
         if (job.waiting_since < 0) job.waiting_since = now_;
-        if (now_ - job.waiting_since <= options_.waits_s) continue;
+        if (now_ - job.waiting_since <= options_.max_waiting_s) continue;
         job.waited_too_long = true;
-        rule("left_waiting " + id + " with room and quota");
+        add_violation("left_waiting " + id + " with room and quota");
     }
 }
 
--- a/tests/simulation/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -4,7 +4,7 @@
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
-Worker& SimulatedCluster::add_worker(const std::string& zone, bool spot) {
+Worker& SimulatedCluster::add_machine(const std::string& zone, bool spot) {
     auto w = std::make_unique<Worker>();
     char name[16];
     std::snprintf(name, sizeof name, "vm-%06zu", workers.size());
@@ -22,11 +22,11 @@
     w->last_answered = w->up_at;
     workers.push_back(std::move(w));
     auto* p = workers.back().get();
-    at(p->up_at, [this, p] { report_loop(*p); });
+    at(p->up_at, [this, p] { send_heartbeats(*p); });
     return *p;
 }
 http::Response SimulatedCluster::cloud(const http::Request& r) {
-    if (cloud_down_until_ > now_) return {503, R"({"error":"trouble"})"};
+    if (cloud_outage_until_ > now_) return {503, R"({"error":"trouble"})"};
     if (r.target == "/flavors")
         return {200, json{{"hulls",
                            {{{"name", "g4"},
@@ -45,7 +45,7 @@
         for (auto& id : body["berths"])
             for (auto& w : workers)
                 if (w->id == id) {
-                    if (!w->dead && !w->tasks.empty()) ++deleted;
+                    if (!w->dead && !w->tasks.empty()) ++machines_deleted_with_tasks;
                     w->dead = true;
                     w->tasks.clear();
                 }
@@ -58,7 +58,7 @@
         std::size_t alive = static_cast<std::size_t>(
             std::count_if(workers.begin(), workers.end(), [](auto& w) { return !w->dead; }));
         if (alive >= options_.machines + 3) return {503, R"({"error":"no capacity"})"};
-        json out{{"berths", {add_worker(j["reef"], j["driftwood"]).id}}};
+        json out{{"berths", {add_machine(j["reef"], j["driftwood"]).id}}};
         rentals_[name] = out;
         return {200, out.dump()};
     }
--- a/tests/simulation/simulated_cluster_key_value_store.cpp
+++ b/tests/simulation/simulated_cluster_key_value_store.cpp
@@ -15,7 +15,7 @@
     json out = json::array();
     for (auto& [revision, e] : history_) {
         auto key = e.value("put", e.value("drop", std::string()));
-        bool hidden = hidden_.contains(key) && (w.waits || w.from == hidden_from_);
+        bool hidden = hidden_keys_.contains(key) && (w.waits || w.from == hidden_from_controller_);
         if (revision > w.since && key.rfind(w.prefix, 0) == 0 && !hidden) out.push_back(e);
     }
     return out;
@@ -24,7 +24,7 @@
     auto open = std::move(watches_);
     watches_.clear();
     for (auto& w : open) {
-        bool out = state_down_until_ > now_ || refused_until_[w.from] > now_;
+        bool out = key_value_store_outage_until_ > now_ || refused_until_[w.from] > now_;
         auto news = out ? json::array() : events(w);
         if (!out && (!news.empty() || now_ >= w.until))
             w.reply({200, json{{"epoch", revision_}, {"news", news}}.dump()});
@@ -33,8 +33,8 @@
     }
 }
 void SimulatedCluster::expire_leases() {
-    if (state_down_until_ > now_) {
-        for (auto& [id, l] : leases_) l.until = state_down_until_ + l.ttl;
+    if (key_value_store_outage_until_ > now_) {
+        for (auto& [id, l] : leases_) l.until = key_value_store_outage_until_ + l.ttl;
         return;
     }
     for (auto it = leases_.begin(); it != leases_.end();) {
@@ -68,9 +68,9 @@
             failed.push_back(c["path"]);
     }
     if (!failed.empty()) return {409, json{{"failed", failed}, {"epoch", revision_}}.dump()};
-    bool fallen = now_ >= options_.limits_fall_at;
-    std::size_t ops = fallen ? options_.next_txn_ops : options_.txn_ops;
-    double bytes = 1024 * (fallen ? options_.next_value_kb : options_.value_kb);
+    bool fallen = now_ >= options_.limits_reduced_at;
+    std::size_t ops = fallen ? options_.reduced_txn_ops : options_.txn_ops;
+    double bytes = 1024 * (fallen ? options_.reduced_value_kb : options_.value_kb);
     if (j["then"].size() > ops || j["if"].size() > 4 * ops) return {400, R"({"error":"too many"})"};
     for (auto& c : j["then"])
         if (c.contains("put") && static_cast<double>(c["value"].dump().size()) > bytes)
@@ -94,7 +94,7 @@
     return {200, json{{"epoch", revision_}}.dump()};
 }
 void SimulatedCluster::state(const std::string& from, const http::Request& r, http::Reply reply) {
-    if (state_down_until_ > now_ || refused_until_[from] > now_) return reply({503, "{}"});
+    if (key_value_store_outage_until_ > now_ || refused_until_[from] > now_) return reply({503, "{}"});
     if (r.target.rfind("/kv/", 0) == 0) {
         auto key = r.target.substr(4);
         ++reads[r.target];
@@ -133,22 +133,22 @@
             return reply({429, "{}"});
         }
         changes_left_.take(now_, wanted);
-        double late = late_txn ? late_txn(j) : 0;
+        double late = transaction_delay ? transaction_delay(j) : 0;
         if (late < 0) {
             txn(j);
             return kv_changed();
         }
         if (now_ < fast_boots_until_ && late == 0) {
-            double by = std::uniform_real_distribution<double>(0.5, 1)(random_) * slow_writes_by_;
+            double by = std::uniform_real_distribution<double>(0.5, 1)(random_) * fast_boots_write_delay_s_;
             return at(now_ + by, [this, j, reply] {
-                if (state_down_until_ > now_) return reply({503, "{}"});
+                if (key_value_store_outage_until_ > now_) return reply({503, "{}"});
                 reply(txn(j));
                 kv_changed();
             });
         }
         if (late > 0)
             return at(now_ + late, [this, j] {
-                if (state_down_until_ > now_) return;
+                if (key_value_store_outage_until_ > now_) return;
                 txn(j);
                 kv_changed();
             });
@@ -167,7 +167,7 @@
     reply({200, json{{"mooring", id}}.dump()});
     if (r.method == "DELETE") expire_leases();
 }
-void SimulatedCluster::tamper(const std::string& key, std::optional<std::string> value) {
+void SimulatedCluster::tamper_with_record(const std::string& key, std::optional<std::string> value) {
     ++revision_;
     json change{{value ? "put" : "drop", key}, {"stamp", revision_}};
     if (value) {
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -11,7 +11,7 @@
     return it == spec.end() || it->is_null() ? std::vector<std::string>{}
                                              : it->get<std::vector<std::string>>();
 }
-void SimulatedCluster::ask_once(Node& node, const std::string& id, http::Request r,
+void SimulatedCluster::ask_controller(Node& node, const std::string& id, http::Request r,
                                 std::function<void(const http::Response&)> answered) {
     using To = Answer::To;
     auto to = r.method == "GET" ? To::question : r.target == "/api/jobs" ? To::submission : To::cancellation;
@@ -24,7 +24,7 @@
                 if (now_ - sent > 5) return;  // nobody listens any more
                 Answer heard{id, to, sent, now_, a.status, {}};
                 if (a.status == 200 || a.status == 201) heard.status = json::parse(a.body)["status"];
-                note(heard);
+                record_answer(heard);
                 answered(a);
             });
         });
@@ -33,7 +33,7 @@
 void SimulatedCluster::ask(const std::string& id, const std::string& method, const std::string& path,
                            const std::string& body, std::function<void(const http::Response&)> done,
                            int tries) {
-    auto* node = pick_node();
+    auto* node = pick_controller();
     auto answered = std::make_shared<bool>(false);
     auto again = [=, this] {
         if (tries > 0) at(now_ + 1.5, [=, this] { ask(id, method, path, body, done, tries - 1); });
@@ -42,16 +42,16 @@
         if (!std::exchange(*answered, true)) again();
     });
     if (!node) return;
-    if (method == "POST" && now_ < copies_until_ && random_() % 4 == 0) {
-        double late = std::uniform_real_distribution<double>(0.05, copies_late_)(random_);
+    if (method == "POST" && now_ < duplicates_until_ && random_() % 4 == 0) {
+        double late = std::uniform_real_distribution<double>(0.05, duplicates_max_delay_s_)(random_);
         at(now_ + late, [=, this] {
-            if (auto* other = pick_node())
+            if (auto* other = pick_controller())
                 other->timers->after(0, [=] {
                     other->controller->serve({method, path, body}, [](http::Response) {});
                 });
         });
     }
-    ask_once(*node, id, {method, path, body}, [=](const http::Response& r) {
+    ask_controller(*node, id, {method, path, body}, [=](const http::Response& r) {
         if (std::exchange(*answered, true)) return;
         if (r.status == 503) return again();
         done(r);
@@ -74,7 +74,7 @@
         id, "POST", "/api/jobs", j.dump(),
         [this, id](const http::Response& r) {
             if (r.status != 200 && r.status != 201)
-                rule("submission of " + id + " got " + std::to_string(r.status));
+                add_violation("submission of " + id + " got " + std::to_string(r.status));
         },
         options_.submit_tries);
 }
@@ -94,16 +94,16 @@
         id, "POST", "/api/jobs/" + id + "/cancel", "",
         [this, id, accepted](const http::Response& r) {
             if (r.status == 404 && !accepted) return cancel(id);  // not there yet when it was asked
-            if (r.status != 200) rule("cancellation of " + id + " got " + std::to_string(r.status));
+            if (r.status != 200) add_violation("cancellation of " + id + " got " + std::to_string(r.status));
         },
         options_.submit_tries);
 }
-void SimulatedCluster::poll_all() {
+void SimulatedCluster::query_all_jobs() {
     for (auto& [id, job] : jobs) {
         if (!job.accepted) continue;
-        if (now_ - std::max(job.answered_at, troubles_over) > open_s &&
-            !std::exchange(job.open_too_long, true))
-            rule("forgotten " + id + ": no question was answered for " + std::to_string(open_s) + " s");
+        if (now_ - std::max(job.answered_at, faults_over_at) > max_unanswered_s &&
+            !std::exchange(job.unanswered_too_long, true))
+            add_violation("forgotten " + id + ": no question was answered for " + std::to_string(max_unanswered_s) + " s");
         ask(
             id, "GET", "/api/jobs/" + id, "", [](auto&) {}, 0);
     }
@@ -113,24 +113,24 @@
 
 // --- Users who give trouble -------------------------------------------------------------------------------
 
-void SimulatedCluster::look_closely(const std::string& id, bool just_accepted) {
-    if (now_ >= close_looks_until_) return;
+void SimulatedCluster::query_all_controllers_repeatedly(const std::string& id, bool just_accepted) {
+    if (now_ >= frequent_queries_until_) return;
     for (std::size_t k = 0; k < nodes_.size(); ++k)
         for (double after : {0.0, 0.001, 0.004, 0.015, 0.06, 0.25})
             at(now_ + after, [this, id, k] {
-                if (nodes_[k].up) ask_once(nodes_[k], id, {"GET", "/api/jobs/" + id, ""}, [](auto&) {});
+                if (nodes_[k].up) ask_controller(nodes_[k], id, {"GET", "/api/jobs/" + id, ""}, [](auto&) {});
             });
     auto k = random_() % nodes_.size();
     at(now_ + 0.002, [this, id, k] {
-        if (nodes_[k].up) ask_once(nodes_[k], id, {"POST", "/api/jobs", jobs[id].spec.dump()}, [](auto&) {});
+        if (nodes_[k].up) ask_controller(nodes_[k], id, {"POST", "/api/jobs", jobs[id].spec.dump()}, [](auto&) {});
     });
     if (just_accepted && random_() % 4 == 0) at(now_ + 0.003, [this, id] { cancel(id); });
 }
 void SimulatedCluster::ended(const std::string& id) {
-    if (now_ < cancel_at_end_until_ && random_() % 2) cancel(id);
-    look_closely(id, false);
+    if (now_ < cancel_at_job_end_until_ && random_() % 2) cancel(id);
+    query_all_controllers_repeatedly(id, false);
 }
-void SimulatedCluster::cancel_now(std::size_t count, double hang_s) {
+void SimulatedCluster::cancel_running_jobs(std::size_t count, double hang_s) {
     std::size_t hung = 0;
     for (auto& [id, job] : jobs) {
         if (!job.accepted || job.done || job.cancel_asked) continue;
@@ -142,14 +142,14 @@
         if (on.empty()) continue;
         at(now_ + 25 * latency(), [this, id = id] { cancel(id); });
         for (auto k : on)
-            if (hung++ < 8) hang(k, hang_s);
+            if (hung++ < 8) hang_machine(k, hang_s);
         if (--count == 0) return;
     }
 }
-void SimulatedCluster::odd_requests(double for_s) {
-    for (double t = 0; t < for_s; t += 0.7) at(now_ + t, [this] { odd_request(); });
+void SimulatedCluster::send_unusual_requests(double for_s) {
+    for (double t = 0; t < for_s; t += 0.7) at(now_ + t, [this] { send_unusual_request(); });
 }
-void SimulatedCluster::odd_request() {
+void SimulatedCluster::send_unusual_request() {
     auto first = random_() % std::max<std::size_t>(1, jobs.size());
     auto it = std::next(jobs.begin(), static_cast<std::ptrdiff_t>(first));
     for (std::size_t k = 0; k < jobs.size(); ++k, ++it) {
@@ -164,11 +164,11 @@
                 id, "POST", "/api/jobs", job.spec.dump(), [](auto&) {}, 3);
         break;
     }
-    submit_odd();
+    submit_invalid_job();
 }
 // Fits no machine, needs more than its team's limit, is of no team, or lacks a field.
-void SimulatedCluster::submit_odd() {
-    auto id = "j-" + std::to_string(700000 + next_odd_++);
+void SimulatedCluster::submit_invalid_job() {
+    auto id = "j-" + std::to_string(700000 + next_invalid_job_++);
     auto j = plain_job(id, "gang", 2, 5);
     int refused = 422;
     auto kind = random_() % 4;
@@ -185,10 +185,10 @@
     jobs[id].spec = j;
     jobs[id].refused = refused;
     ask(id, "POST", "/api/jobs", j.dump(), [this, id, refused](const http::Response& r) {
-        if (r.status != refused) rule("odd request " + id + " got " + std::to_string(r.status));
+        if (r.status != refused) add_violation("odd request " + id + " got " + std::to_string(r.status));
     });
 }
-void SimulatedCluster::fill_limits() {
+void SimulatedCluster::fill_team_limits() {
     for (auto* team : {"free", "tight"}) {
         if (limit_of(team) <= 0) continue;
         for (int part = 0; part < 3; ++part) {
@@ -199,7 +199,7 @@
         }
     }
 }
-void SimulatedCluster::small_jobs(double for_s, double per_s) {
+void SimulatedCluster::submit_small_jobs(double for_s, double per_s) {
     for (double t = 0; t < for_s; t += 1 / per_s)
         at(now_ + t, [this] {
             auto id = "j-" + std::to_string(500000 + next_extra_++);
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -2,11 +2,11 @@
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
-void SimulatedCluster::die(std::size_t k) {
+void SimulatedCluster::crash_machine(std::size_t k) {
     workers[k % workers.size()]->dead = true;
     workers[k % workers.size()]->tasks.clear();
 }
-void SimulatedCluster::hang(std::size_t k, double for_s) {
+void SimulatedCluster::hang_machine(std::size_t k, double for_s) {
     auto* w = workers[k % workers.size()].get();
     w->hung = true;
     at(now_ + for_s, [this, w] {
@@ -15,18 +15,18 @@
     });
 }
 // Under the same name and address; it remembers its agent epoch or begins anew.
-void SimulatedCluster::reboot(std::size_t k, bool anew) {
+void SimulatedCluster::reboot_machine(std::size_t k, bool anew) {
     auto& w = *workers[k % workers.size()];
     if (w.dead || now_ < w.up_at) return;
     w.tasks.clear();
     w.agent_epoch = anew ? 1 : w.agent_epoch + 1;
     w.sequence = 0;
-    if (anew) w.helm = 0;
+    if (anew) w.token = 0;
     w.last_answered = now_;
-    ++w.lives;
+    ++w.incarnation;
 }
 void SimulatedCluster::check_lease(Worker& w) {
-    if (now_ - w.last_answered <= options_.lease_s || w.keeps_tasks) return;
+    if (now_ - w.last_answered <= options_.lease_s || w.ignores_lease) return;
     w.tasks.clear();
     ++w.agent_epoch;
     w.sequence = 0;
@@ -43,14 +43,14 @@
     }
     return {{"berth", w.id},         {"addr", w.addr},      {"hull", w.type},
             {"reef", w.zone},        {"driftwood", w.spot}, {"watch", w.agent_epoch},
-            {"tally", ++w.sequence}, {"helm", w.helm},      {"shards", tasks}};
+            {"tally", ++w.sequence}, {"helm", w.token},      {"shards", tasks}};
 }
-void SimulatedCluster::report_loop(Worker& w) {
+void SimulatedCluster::send_heartbeats(Worker& w) {
     if (w.dead) return;
-    auto again = [this, &w](double s) { at(now_ + s, [this, &w] { report_loop(w); }); };
+    auto again = [this, &w](double s) { at(now_ + s, [this, &w] { send_heartbeats(w); }); };
     if (w.hung) return again(0.5);
     check_lease(w);
-    if (now_ < w.mute_until) {
+    if (now_ < w.inbound_unreachable_until) {
         w.node = (w.node + 1) % 3;
         return again(1);
     }
@@ -66,8 +66,8 @@
         if (!std::exchange(*done, true)) next();
     });
     http::Request r{"POST", "/hello", report(w).dump()};
-    send(from, to, r, 100, [=, this, &w, life = w.lives](std::optional<http::Response> a) {
-        if (!a || w.dead || w.lives != life || std::exchange(*done, true)) return;
+    send(from, to, r, 100, [=, this, &w, incarnation = w.incarnation](std::optional<http::Response> a) {
+        if (!a || w.dead || w.incarnation != incarnation || std::exchange(*done, true)) return;
         if (w.hung) return again(0.5);
         check_lease(w);
         if (a->status == 421) {
@@ -78,10 +78,10 @@
         }
         if (a->status != 200) return next();
         auto j = json::parse(a->body);
-        auto helm = j["helm"].get<std::uint64_t>();
-        if (agent_epoch == w.agent_epoch && helm >= w.helm) {
-            bool higher = helm > w.helm;
-            w.helm = helm;
+        auto token = j["helm"].get<std::uint64_t>();
+        if (agent_epoch == w.agent_epoch && token >= w.token) {
+            bool higher = token > w.token;
+            w.token = token;
             w.last_answered = std::max(w.last_answered, sent);
             command(w, j["orders"]);
             if (higher) return again(0.5);
@@ -89,13 +89,13 @@
         again(options_.report_s * std::uniform_real_distribution<double>(0.75, 1.25)(random_));
     });
 }
-http::Response SimulatedCluster::direct(Worker& w, const http::Request& r) {
+http::Response SimulatedCluster::serve_command(Worker& w, const http::Request& r) {
     check_lease(w);
     if (r.target == "/inspect") return {200, report(w).dump()};
     auto j = json::parse(r.body);
-    auto helm = j["helm"].get<std::uint64_t>();
-    if (helm < w.helm || j["watch"].get<std::uint64_t>() != w.agent_epoch) return {409, report(w).dump()};
-    w.helm = helm;
+    auto token = j["helm"].get<std::uint64_t>();
+    if (token < w.token || j["watch"].get<std::uint64_t>() != w.agent_epoch) return {409, report(w).dump()};
+    w.token = token;
     command(w, j["orders"]);
     return {200, report(w).dump()};
 }
@@ -139,12 +139,12 @@
     ++starts;
     auto id = task.substr(0, task.find('/'));
     auto& job = jobs[id];
-    done_again += job.tasks_done.contains(task);
+    restarts_of_done_tasks += job.tasks_done.contains(task);
     if (auto it = w.tasks.find(task); it != w.tasks.end() && present(it->second)) {
         // Refused by the worker; what is there stays. Reported under the new attempt once it has gone.
         return;
     }
-    if (job.refused) return rule("accepted_impossible (start) " + task);
+    if (job.refused) return add_violation("accepted_impossible (start) " + task);
     job.waiting_since = -1;
     check_start(w, task);
     if (places(w, job.spec) == 0) {
@@ -156,7 +156,7 @@
         auto it = w.tasks.find(task);
         if (w.dead || it == w.tasks.end() || it->second.attempt != attempt || it->second.status != "fetching")
             return;
-        if (w.sick || jobs[id].spec.value("mistake", false)) return finish(w, task, attempt, "error");
+        if (w.fails_every_task || jobs[id].spec.value("mistake", false)) return finish(w, task, attempt, "error");
         bool gang = jobs[id].spec["shape"] == "gang";
         it->second.status = gang ? "waiting" : "running";
         if (gang) {
@@ -184,7 +184,7 @@
            [this, &w, task, attempt] { finish(w, task, attempt, "done"); });
     });
 }
-void SimulatedCluster::rogue_run(const std::string& task, std::uint64_t attempt,
+void SimulatedCluster::start_against_rules(const std::string& task, std::uint64_t attempt,
                                  std::optional<std::size_t> machine) {
     if (machine) return start(*workers.at(*machine), task, attempt);
     for (auto& w : workers)
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -15,10 +15,10 @@
     SimulatedCluster w({});
     w.at(2, [&w] { w.submit("j-1", "service", 1, 0); });
     w.run_until(30);
-    ASSERT_TRUE(w.broken.empty());
-    w.rogue_run("j-1/0", 1);
-    ASSERT_FALSE(w.broken.empty());
-    EXPECT_NE(w.broken[0].find("ran_twice"), std::string::npos);
+    ASSERT_TRUE(w.violations.empty());
+    w.start_against_rules("j-1/0", 1);
+    ASSERT_FALSE(w.violations.empty());
+    EXPECT_NE(w.violations[0].find("ran_twice"), std::string::npos);
 }
 TEST(RulesOfSimulatedCluster, DetectACancelledTaskThatStays) {
     spdlog::set_level(spdlog::level::off);
@@ -26,12 +26,12 @@
     for (const char* id : {"j-1", "j-2"}) w.at(2, [&w, id] { w.submit(id, "service", 1, 0); });
     w.at(20, [&w] { w.cancel("j-1"); });
     w.run_until(40);
-    ASSERT_TRUE(w.broken.empty());
+    ASSERT_TRUE(w.violations.empty());
     w.run_until(70);
-    w.rogue_run("j-1/0", 1);
+    w.start_against_rules("j-1/0", 1);
     w.run_until(71);
-    ASSERT_FALSE(w.broken.empty());
-    EXPECT_NE(w.broken[0].find("ran_cancelled"), std::string::npos);
+    ASSERT_FALSE(w.violations.empty());
+    EXPECT_NE(w.violations[0].find("ran_cancelled"), std::string::npos);
 }
 
 // A cut to one machine, named by its address, keeps away what it says and what is said to it, and nobody
@@ -50,9 +50,9 @@
                    [&](std::optional<http::Response> r) { came = r.has_value(); });
         };
         if (one_way)
-            w.cut_one_way("10.9.", m.addr, 3);
+            w.partition_one_way("10.9.", m.addr, 3);
         else
-            w.cut("10.9.", m.addr, 3, false);
+            w.partition("10.9.", m.addr, 3, false);
         bool came = false, other_came = false, came_later = false;
         ask(m, came);
         ask(*w.workers[9], other_came);
@@ -73,37 +73,37 @@
     return protocol::stored(protocol::FinalRecord{state, 1});
 }
 const Broken broken[] = {
-    {"quota", [](SimulatedCluster& w) { w.rogue_run("j-2/7", 99, 0); }},
-    {"wrong_place (spot)", [](SimulatedCluster& w) { w.rogue_run("j-3/1", 99, 2); }},
+    {"quota", [](SimulatedCluster& w) { w.start_against_rules("j-2/7", 99, 0); }},
+    {"wrong_place (spot)", [](SimulatedCluster& w) { w.start_against_rules("j-3/1", 99, 2); }},
     {"wrong_place (scatter)",
-     [](SimulatedCluster& w) { w.rogue_run("j-4/9", 99, 0), w.rogue_run("j-4/8", 99, 1); }},
+     [](SimulatedCluster& w) { w.start_against_rules("j-4/9", 99, 0), w.start_against_rules("j-4/8", 99, 1); }},
     {"wrong_place (together)",
-     [](SimulatedCluster& w) { w.rogue_run("j-5/8", 99, 0), w.rogue_run("j-5/9", 99, 1); }},
-    {"wrong_place (zone)", [](SimulatedCluster& w) { w.rogue_run("j-5/8", 99, 1); }},
-    {"too_early", [](SimulatedCluster& w) { w.rogue_run("j-6/0", 99); }},
-    {"forgotten j-1", [](SimulatedCluster& w) { w.tamper("job/j-1", {}); }},
+     [](SimulatedCluster& w) { w.start_against_rules("j-5/8", 99, 0), w.start_against_rules("j-5/9", 99, 1); }},
+    {"wrong_place (zone)", [](SimulatedCluster& w) { w.start_against_rules("j-5/8", 99, 1); }},
+    {"too_early", [](SimulatedCluster& w) { w.start_against_rules("j-6/0", 99); }},
+    {"forgotten j-1", [](SimulatedCluster& w) { w.tamper_with_record("job/j-1", {}); }},
     {"forgotten j-1: no question was answered",
      [](SimulatedCluster& w) {
-         w.troubles_over = w.now();
-         w.state_down(60);
+         w.faults_over_at = w.now();
+         w.start_key_value_store_outage(60);
      }},
-    {"invented", [](SimulatedCluster& w) { w.tamper("job/j-999999", w.record("job/j-1")); }},
+    {"invented", [](SimulatedCluster& w) { w.tamper_with_record("job/j-999999", w.record("job/j-1")); }},
     {"not_done",
      [](SimulatedCluster& w) {
-         w.tamper("final/j-1", over(protocol::JobState::done)), w.tamper("job/j-1", {});
+         w.tamper_with_record("final/j-1", over(protocol::JobState::done)), w.tamper_with_record("job/j-1", {});
      }},
     {"went_back j-1: nobody cancelled it",
      [](SimulatedCluster& w) {
-         w.tamper("final/j-1", over(protocol::JobState::cancelled)), w.tamper("job/j-1", {});
+         w.tamper_with_record("final/j-1", over(protocol::JobState::cancelled)), w.tamper_with_record("job/j-1", {});
      }},
     {"went_back j-7 from withdrawn to done",
      [](SimulatedCluster& w) {
-         w.tamper("final/j-7", over(protocol::JobState::done)), w.tamper("job/j-7", {});
+         w.tamper_with_record("final/j-7", over(protocol::JobState::done)), w.tamper_with_record("job/j-7", {});
      }},
     {"quota j-1/",  // of the other team: eight cards; some machines have been returned
      [](SimulatedCluster& w) {
          for (std::size_t k = 0; k < 4 * w.workers.size(); ++k)
-             w.rogue_run("j-1/" + std::to_string(7 + k), 99, k % w.workers.size());
+             w.start_against_rules("j-1/" + std::to_string(7 + k), 99, k % w.workers.size());
      }},
     {"accepted_impossible j-8",  // for the users it is one that can't run; the service sees nothing wrong
      [](SimulatedCluster& w) {
@@ -113,22 +113,22 @@
     {"accepted_impossible (start) j-1/7",
      [](SimulatedCluster& w) {
          w.jobs["j-1"].refused = 400;
-         w.rogue_run("j-1/7", 99, 0);
+         w.start_against_rules("j-1/7", 99, 0);
      }},
     {"left_waiting j-8",  // its machines hear nobody
      [](SimulatedCluster& w) {
-         w.troubles_over = w.now();
-         w.cut("10.0.", "10.1.", 100, false);
-         w.cloud_down(100);
+         w.faults_over_at = w.now();
+         w.partition("10.0.", "10.1.", 100, false);
+         w.start_cloud_outage(100);
          w.submit("j-8", "batch", 1, 5);
      }},
     // A cancelled task goes on after its machine hung, for longer than the machine's lease.
     {"ran_cancelled j-3/0",
      [](SimulatedCluster& w) {
-         w.cloud_down(100);
+         w.start_cloud_outage(100);
          for (std::size_t k = 0; k < w.workers.size(); ++k) {
-             w.workers[k]->keeps_tasks = true;
-             w.hang(k, 50);
+             w.workers[k]->ignores_lease = true;
+             w.hang_machine(k, 50);
          }
          w.cancel("j-3");
      }},
@@ -141,7 +141,7 @@
     Options o;
     o.gpus_max = 2;
     o.free_gpus_max = 8;
-    o.waits_s = 40;
+    o.max_waiting_s = 40;
     SimulatedCluster w(o);
     w.at(2, [&w] {
         w.submit("j-1", "service", 1, 0);
@@ -154,12 +154,12 @@
     w.submit_awaiting("j-6", "batch", 1, 5, {"j-2"});
     w.at(27, [&w] { w.cancel("j-7"); });
     w.run_until(30);
-    ASSERT_TRUE(w.broken.empty()) << w.broken[0];
+    ASSERT_TRUE(w.violations.empty()) << w.violations[0];
     GetParam().breaks(w);
     w.run_until(100);
-    auto found = std::any_of(w.broken.begin(), w.broken.end(),
+    auto found = std::any_of(w.violations.begin(), w.violations.end(),
                              [&](auto& b) { return b.find(GetParam().rule) != std::string::npos; });
-    EXPECT_TRUE(found) << GetParam().rule << ", but " << (w.broken.empty() ? "nothing" : w.broken[0]);
+    EXPECT_TRUE(found) << GetParam().rule << ", but " << (w.violations.empty() ? "nothing" : w.violations[0]);
 }
 
 // Made-up histories of what users were told of one job, and the rule that the last answer breaks, if any. All
@@ -231,13 +231,13 @@
     job.tasks_done = {"j-1/0"};
     job.cancel_asked = true;
     for (auto& a : h.answers) {
-        ASSERT_TRUE(w.broken.empty()) << h.name << ": " << w.broken[0];
+        ASSERT_TRUE(w.violations.empty()) << h.name << ": " << w.violations[0];
         auto answer = a;
         answer.id = "j-1";
-        w.note(answer);
+        w.record_answer(answer);
     }
-    EXPECT_EQ(w.broken.empty(), h.breaks == nullptr) << h.name;
-    for (auto& b : w.broken)
+    EXPECT_EQ(w.violations.empty(), h.breaks == nullptr) << h.name;
+    for (auto& b : w.violations)
         EXPECT_TRUE(h.breaks && b.find(h.breaks) != std::string::npos) << h.name << ": " << b;
 }
 
@@ -249,10 +249,10 @@
     w.at(20, [&w] { w.cancel("j-1"); });
     w.run_until(30);
     ASSERT_TRUE(w.jobs["j-1"].cancelled);
-    EXPECT_EQ(w.starts_cancelled, 0u);
-    w.rogue_run("j-1/0", 99);
-    EXPECT_EQ(w.starts_cancelled, 1u);
-    EXPECT_TRUE(w.broken.empty());
+    EXPECT_EQ(w.starts_after_cancellation, 0u);
+    w.start_against_rules("j-1/0", 99);
+    EXPECT_EQ(w.starts_after_cancellation, 1u);
+    EXPECT_TRUE(w.violations.empty());
 }
 
 }  // namespace
