--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -29,37 +29,39 @@
     std::shared_ptr<spdlog::logger> before_;
 };
 
-void expect_no_violations(const SimulatedCluster& w) {
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+void expect_no_violations(const SimulatedCluster& cluster) {
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
 // Where each task of a job is.
-std::map<std::string, std::string> places(const SimulatedCluster& w, const std::string& job) {
+std::map<std::string, std::string> places(const SimulatedCluster& cluster, const std::string& job) {
     std::map<std::string, std::string> out;
-    for (auto& m : w.workers)
-        for (auto& [task, t] : m->tasks)
-            if (!m->dead && t.job == job && t.status != "exited") out[task] = m->id;
+    for (auto& worker : cluster.workers)
+        for (auto& [task, t] : worker->tasks)
+            if (!worker->dead && t.job == job && t.status != "exited") out[task] = worker->id;
     return out;
 }
-void end_all(SimulatedCluster& w) {
-    for (std::size_t n = 0; n < 3; ++n) w.crash(n, 0.2);
+void crash_all_controllers(SimulatedCluster& cluster) {
+    for (std::size_t n = 0; n < 3; ++n) cluster.crash(n, 0.2);
 }
 
 // Of each machine the newest report that was sent before some time and showed a task.
-class Copies {
+class HeartbeatCopies {
   public:
-    void keep(SimulatedCluster& w, double until) {
-        w.on_message = [this, &w, until](const std::string& from, const std::string&, const http::Request& r) {
-            bool shows = r.target == protocol::paths::report && r.body.find("running") != std::string::npos;
-            if (shows && w.now() < until) kept_[from] = r;
+    void keep(SimulatedCluster& cluster, double until) {
+        cluster.on_message = [this, &cluster, until](const std::string& from, const std::string&,
+                                                     const http::Request& request) {
+            bool shows = request.target == protocol::paths::report &&
+                         request.body.find("running") != std::string::npos;
+            if (shows && cluster.now() < until) kept_[from] = request;
         };
     }
     // They reach every controller again and again, so that each may be the first that a new leader hears, or
     // come through another controller.
-    void deliver(SimulatedCluster& w, double from, double until) {
+    void deliver(SimulatedCluster& cluster, double from, double until) {
         for (double t = from; t < until; t += 0.1)
-            w.at(t, [this, &w] {
-                for (auto& [machine, r] : kept_)
-                    for (std::size_t n = 0; n < 3; ++n) w.copy_to(n, machine, r);
+            cluster.at(t, [this, &cluster] {
+                for (auto& [machine, heartbeat] : kept_)
+                    for (std::size_t n = 0; n < 3; ++n) cluster.copy_to(n, machine, heartbeat);
             });
     }
     std::size_t size() const { return kept_.size(); }
@@ -68,64 +70,67 @@
     std::map<std::string, http::Request> kept_;
 };
 
-struct Meanwhile {
+struct EventBeforeFailover {
     const char* name;
-    void (*happens)(SimulatedCluster& w);  // after the copies were made, and well before the leader ends
+    void (*happens)(
+        SimulatedCluster& cluster);  // after the copies were made, and well before the leader ends
 };
-const Meanwhile meanwhiles[] = {
+const EventBeforeFailover events_before_failover[] = {
     // The rest of the gang was stopped and cleared, and runs under its next attempt.
     {"a machine of a gang is deleted",
-     [](SimulatedCluster& w) {
-         auto on = places(w, "j-1").begin()->second;
-         for (std::size_t k = 0; k < w.workers.size(); ++k)
-             if (w.workers[k]->id == on) w.crash_machine(k);
+     [](SimulatedCluster& cluster) {
+         auto on = places(cluster, "j-1").begin()->second;
+         for (std::size_t k = 0; k < cluster.workers.size(); ++k)
+             if (cluster.workers[k]->id == on) cluster.crash_machine(k);
      }},
     {"three machines are in their next session",
-     [](SimulatedCluster& w) {
-         for (std::size_t k : {0, 2, 4}) w.reboot_machine(k, false);
+     [](SimulatedCluster& cluster) {
+         for (std::size_t k : {0, 2, 4}) cluster.reboot_machine(k, false);
      }},
     {"three machines are cut off for longer than a lease",
-     [](SimulatedCluster& w) {
-         for (std::size_t k : {0, 2, 4}) w.partition("10.1.0." + std::to_string(k + 1), "10.0.", 40, false);
-         w.start_cloud_outage(40);
+     [](SimulatedCluster& cluster) {
+         for (std::size_t k : {0, 2, 4})
+             cluster.partition("10.1.0." + std::to_string(k + 1), "10.0.", 40, false);
+         cluster.start_cloud_outage(40);
      }},
 };
-class OldHeartbeats : public testing::TestWithParam<Meanwhile> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, OldHeartbeats, testing::ValuesIn(meanwhiles), NameOfCase());
+class OldHeartbeats : public testing::TestWithParam<EventBeforeFailover> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, OldHeartbeats, testing::ValuesIn(events_before_failover),
+                         NameOfCase());
 // The new leader, which nobody has told anything, moved tasks that ran, gangs whole, because an old report
 // that it heard first showed one of them elsewhere and the next report of that machine did not.
 TEST_P(OldHeartbeats, MoveNothingAtTheNextLeader) {
     ErrorLog log;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        Options o;
-        o.seed = seed;
-        SimulatedCluster w(o);
-        Copies copies;
-        copies.keep(w, 25);
-        w.at(2, [&w] {
-            w.submit("j-1", "gang", 3, 150, {{"cards", 3.0}});
-            w.submit("j-2", "batch", 4, 150);
-            w.submit("j-3", "service", 3, 0, {{"cards", 2.0}});
+        Options options;
+        options.seed = seed;
+        SimulatedCluster cluster(options);
+        HeartbeatCopies copies;
+        copies.keep(cluster, 25);
+        cluster.at(2, [&cluster] {
+            cluster.submit("j-1", "gang", 3, 150, {{"cards", 3.0}});
+            cluster.submit("j-2", "batch", 4, 150);
+            cluster.submit("j-3", "service", 3, 0, {{"cards", 2.0}});
         });
-        w.at(25, [&w] { GetParam().happens(w); });
-        w.run_until(24);
+        cluster.at(25, [&cluster] { GetParam().happens(cluster); });
+        cluster.run_until(24);
         std::map<std::string, std::map<std::string, std::string>> before, now;
-        for (auto* j : {"j-1", "j-2", "j-3"}) before[j] = places(w, j);
-        w.run_until(80);
-        for (auto* j : {"j-1", "j-2", "j-3"}) now[j] = places(w, j);
+        for (auto* job : {"j-1", "j-2", "j-3"}) before[job] = places(cluster, job);
+        cluster.run_until(80);
+        for (auto* job : {"j-1", "j-2", "j-3"}) now[job] = places(cluster, job);
         EXPECT_NE(before, now);
         EXPECT_GE(copies.size(), 3u);
-        auto starts = w.starts;
-        end_all(w);
-        copies.deliver(w, 80.2, 92);
-        w.run_until(100);
-        EXPECT_EQ(w.starts, starts);
-        for (auto* j : {"j-1", "j-2", "j-3"}) EXPECT_EQ(places(w, j), now[j]) << j;
-        w.cancel("j-3");
-        w.run_until(300);
-        EXPECT_TRUE(w.jobs["j-1"].done && w.jobs["j-2"].done && w.jobs["j-3"].cancelled);
-        EXPECT_EQ(w.restarts_of_done_tasks, 0u);
-        expect_no_violations(w);
+        auto starts = cluster.starts;
+        crash_all_controllers(cluster);
+        copies.deliver(cluster, 80.2, 92);
+        cluster.run_until(100);
+        EXPECT_EQ(cluster.starts, starts);
+        for (auto* job : {"j-1", "j-2", "j-3"}) EXPECT_EQ(places(cluster, job), now[job]) << job;
+        cluster.cancel("j-3");
+        cluster.run_until(300);
+        EXPECT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-2"].done && cluster.jobs["j-3"].cancelled);
+        EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+        expect_no_violations(cluster);
     }
     EXPECT_EQ(log.text(), "");
 }
@@ -133,24 +138,24 @@
 // Machines back under their names begin with low numbers. The copies of their earlier lives come first.
 TEST(OldHeartbeats, OfAnEarlierIncarnationDoNotShutAMachineOut) {
     ErrorLog log;
-    SimulatedCluster w({});
-    Copies copies;
-    copies.keep(w, 40);
-    w.at(2, [&w] { w.submit("j-1", "batch", 6, 100); });
-    w.run_until(40);
-    for (std::size_t k = 0; k < 6; ++k) w.reboot_machine(k, true);
-    end_all(w);
-    copies.deliver(w, 40.2, 52);
-    w.run_until(60);  // less than a lease later
-    EXPECT_EQ(places(w, "j-1").size(), 6u);
-    w.run_until(220);
-    EXPECT_TRUE(w.jobs["j-1"].done);
-    expect_no_violations(w);
+    SimulatedCluster cluster({});
+    HeartbeatCopies copies;
+    copies.keep(cluster, 40);
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 6, 100); });
+    cluster.run_until(40);
+    for (std::size_t k = 0; k < 6; ++k) cluster.reboot_machine(k, true);
+    crash_all_controllers(cluster);
+    copies.deliver(cluster, 40.2, 52);
+    cluster.run_until(60);  // less than a lease later
+    EXPECT_EQ(places(cluster, "j-1").size(), 6u);
+    cluster.run_until(220);
+    EXPECT_TRUE(cluster.jobs["j-1"].done);
+    expect_no_violations(cluster);
     EXPECT_EQ(log.text(), "");
 }
 
-bool has(const http::Request& r, const char* verb) {
-    return r.body.find(verb) != std::string::npos;
+bool has(const http::Request& request, const char* verb) {
+    return request.body.find(verb) != std::string::npos;
 }
 
 // The leader's direct `run`s are held up for some seconds and the leader ends, so that they arrive before the
@@ -167,75 +172,78 @@
 TEST_P(DelayedStart, OfACrashedLeaderBreaksNoRule) {
     ErrorLog log;
     auto [late_s, all] = GetParam();
-    SimulatedCluster w({});
+    SimulatedCluster cluster({});
     bool held = false;
-    w.at(20, [&w] {
-        w.submit("j-1", "batch", 6, 30, {{"crew", "tight"}});
-        w.submit("j-2", "gang", 3, 30, {{"together", true}});
+    cluster.at(20, [&cluster] {
+        cluster.submit("j-1", "batch", 6, 30, {{"crew", "tight"}});
+        cluster.submit("j-2", "gang", 3, 30, {{"together", true}});
     });
-    w.command_delay = [&, late_s = late_s, all = all](auto&, auto& r) {
-        if (!has(r, "run")) return 0.0;
-        if (w.now() < 20 || w.now() > 24) return 0.0;
+    cluster.command_delay = [&, late_s = late_s, all = all](auto&, auto& request) {
+        if (!has(request, "run")) return 0.0;
+        if (cluster.now() < 20 || cluster.now() > 24) return 0.0;
         if (!std::exchange(held, true))
-            w.at(w.now() + 0.005, [&w, all] {
-                if (all) return end_all(w);
-                if (auto l = w.leader(); l >= 0) w.crash(static_cast<std::size_t>(l), 0.2);
+            cluster.at(cluster.now() + 0.005, [&cluster, all] {
+                if (all) return crash_all_controllers(cluster);
+                if (auto leader = cluster.leader(); leader >= 0)
+                    cluster.crash(static_cast<std::size_t>(leader), 0.2);
             });
         return late_s;
     };
-    w.run_until(150);
+    cluster.run_until(150);
     EXPECT_TRUE(held);
-    EXPECT_TRUE(w.jobs["j-1"].done && w.jobs["j-2"].done);
-    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
-    expect_no_violations(w);
+    EXPECT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-2"].done);
+    EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+    expect_no_violations(cluster);
     EXPECT_EQ(log.text(), "");
 }
 
 // The same leader's `run` is held up, and what it was for is over when it arrives: the task has run by the
 // one in the answer to a report and was forgotten, or was called off before that.
-struct Over {
+struct EndedTask {
     const char* name;
     double run_s;         // of the task
     double cancel_after;  // s after the `run` was sent; 0: it ends by itself
     bool stop_too;        // the direct `kill` is held up, too, for longer
 };
-const Over overs[] = {
+const EndedTask ended_tasks[] = {
     {"done", 1, 0, false},
     {"cancelled before it ran", 60, 0.1, false},
     {"cancelled before it ran, and the kill comes last", 60, 0.1, true},
     {"cancelled while it ran", 60, 5, false},
     {"cancelled while it ran, and the kill comes last", 60, 5, true},
 };
-class DelayedStartOfTheSameLeader : public testing::TestWithParam<std::tuple<Over, double>> {};
+class DelayedStartOfTheSameLeader : public testing::TestWithParam<std::tuple<EndedTask, double>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStartOfTheSameLeader,
-                         testing::Combine(testing::ValuesIn(overs), testing::Values(3.0, 7.0, 12.0, 16.0)),
+                         testing::Combine(testing::ValuesIn(ended_tasks),
+                                          testing::Values(3.0, 7.0, 12.0, 16.0)),
                          [](auto& info) {
-                             auto over = std::get<0>(info.param);
+                             auto ended_task = std::get<0>(info.param);
                              auto late_s = std::get<1>(info.param);
-                             return camel_case(over.name) + "By" + seconds_name(late_s);
+                             return camel_case(ended_task.name) + "By" + seconds_name(late_s);
                          });
 TEST_P(DelayedStartOfTheSameLeader, StartsNothingThatHasEnded) {
     ErrorLog log;
-    auto [over, late_s] = GetParam();
-    SimulatedCluster w({});
+    auto [ended_task, late_s] = GetParam();
+    SimulatedCluster cluster({});
     bool held = false;
-    w.at(20, [&w, s = over.run_s] { w.submit("j-1", "batch", 1, s); });
-    w.command_delay = [&, over = over, late_s = late_s](auto&, auto& r) {
-        if (has(r, "\"kill\"") && over.stop_too) return late_s + 1;
-        if (!has(r, "\"run\"") || std::exchange(held, true)) return 0.0;
-        if (over.cancel_after > 0) w.at(w.now() + over.cancel_after, [&w] { w.cancel("j-1"); });
+    cluster.at(20, [&cluster, run_s = ended_task.run_s] { cluster.submit("j-1", "batch", 1, run_s); });
+    cluster.command_delay = [&, ended_task = ended_task, late_s = late_s](auto&, auto& request) {
+        if (has(request, "\"kill\"") && ended_task.stop_too) return late_s + 1;
+        if (!has(request, "\"run\"") || std::exchange(held, true)) return 0.0;
+        if (ended_task.cancel_after > 0)
+            cluster.at(cluster.now() + ended_task.cancel_after, [&cluster] { cluster.cancel("j-1"); });
         return late_s;
     };
     std::size_t starts = 0;
-    w.at(33, [&] { starts = w.starts; });
-    w.run_until(120);
+    cluster.at(33, [&] { starts = cluster.starts; });
+    cluster.run_until(120);
     EXPECT_TRUE(held);
-    EXPECT_LE(w.starts, 1u);
-    EXPECT_EQ(w.starts, starts);  // nothing by then that was not there before the last ones arrived
-    EXPECT_TRUE(places(w, "j-1").empty());
-    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
-    EXPECT_TRUE(over.cancel_after > 0 ? w.jobs["j-1"].cancelled : w.jobs["j-1"].done);
-    expect_no_violations(w);
+    EXPECT_LE(cluster.starts, 1u);
+    EXPECT_EQ(cluster.starts, starts);  // nothing by then that was not there before the last ones arrived
+    EXPECT_TRUE(places(cluster, "j-1").empty());
+    EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+    EXPECT_TRUE(ended_task.cancel_after > 0 ? cluster.jobs["j-1"].cancelled : cluster.jobs["j-1"].done);
+    expect_no_violations(cluster);
     EXPECT_EQ(log.text(), "");
 }
 
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -8,105 +8,112 @@
 namespace coralhitch::simulation {
 namespace {
 
-struct FaultKind {
+struct FaultPlan {
     const char* name;
     std::function<void(SimulatedCluster&, std::mt19937_64&)> plan;
 };
 
-std::size_t leader_of(SimulatedCluster& w) {
-    return static_cast<std::size_t>(std::max(0, w.leader()));
+std::size_t leader_of(SimulatedCluster& cluster) {
+    return static_cast<std::size_t>(std::max(0, cluster.leader()));
 }
 
-const FaultKind fault_kinds[] = {
+const FaultPlan fault_kinds[] = {
     {"quiet", [](SimulatedCluster&, std::mt19937_64&) {}},
     {"leader crashes twice",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         for (double t : {40.0, 55.0}) w.at(t, [&w] { w.crash(leader_of(w), 6); });
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         for (double t : {40.0, 55.0}) cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 6); });
      }},
     {"all crash together",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(45, [&w] {
-             for (std::size_t k = 0; k < 3; ++k) w.crash(k, 4 + static_cast<double>(k));
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(45, [&cluster] {
+             for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 4 + static_cast<double>(k));
          });
      }},
     {"leader cut from the state service, packets held",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.partition("10.0.0." + std::to_string(leader_of(w) + 1), "10.2.0.1", 30, true); });
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] {
+             cluster.partition("10.0.0." + std::to_string(leader_of(cluster) + 1), "10.2.0.1", 30, true);
+         });
      }},
     {"leader refused by the state service alone",
-     [](SimulatedCluster& w, std::mt19937_64&) { w.at(40, [&w] { w.refuse_at_key_value_store(leader_of(w), 40); }); }},
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 40); });
+     }},
     {"leader cut from the workers, packets held",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.partition("10.0.0." + std::to_string(leader_of(w) + 1), "10.1.", 30, true); });
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] {
+             cluster.partition("10.0.0." + std::to_string(leader_of(cluster) + 1), "10.1.", 30, true);
+         });
      }},
     {"leader cut from all, packets held, machines hang over the takeover",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] {
-             w.partition("10.0.0." + std::to_string(leader_of(w) + 1), "10.", 35, true);
-             w.hang_machine(1, 20);
-             w.hang_machine(2, 33);
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] {
+             cluster.partition("10.0.0." + std::to_string(leader_of(cluster) + 1), "10.", 35, true);
+             cluster.hang_machine(1, 20);
+             cluster.hang_machine(2, 33);
          });
      }},
     {"state outage, then all crash",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.start_key_value_store_outage(20); });
-         w.at(57, [&w] {
-             for (std::size_t k = 0; k < 3; ++k) w.crash(k, 5);
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.start_key_value_store_outage(20); });
+         cluster.at(57, [&cluster] {
+             for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 5);
          });
      }},
     {"machines die while the cloud is down and the leader crashes",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(38, [&w] { w.start_cloud_outage(50); });
-         w.at(40, [&w] {
-             w.crash_machine(0);
-             w.crash_machine(3);
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(38, [&cluster] { cluster.start_cloud_outage(50); });
+         cluster.at(40, [&cluster] {
+             cluster.crash_machine(0);
+             cluster.crash_machine(3);
          });
-         w.at(42, [&w] { w.crash(leader_of(w), 8); });
+         cluster.at(42, [&cluster] { cluster.crash(leader_of(cluster), 8); });
      }},
     {"rolling restart while machines hang",
-     [](SimulatedCluster& w, std::mt19937_64&) {
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
          for (std::size_t k = 0; k < 3; ++k)
-             w.at(40 + 8.0 * static_cast<double>(k), [&w, k] { w.crash(k, 3); });
-         w.at(44, [&w] { w.hang_machine(0, 15); });
-         w.at(50, [&w] { w.hang_machine(4, 40); });
+             cluster.at(40 + 8.0 * static_cast<double>(k), [&cluster, k] { cluster.crash(k, 3); });
+         cluster.at(44, [&cluster] { cluster.hang_machine(0, 15); });
+         cluster.at(50, [&cluster] { cluster.hang_machine(4, 40); });
      }},
     {"leader stands still, its clocks run on, twice",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] { w.freeze(leader_of(w), 12); });
-         w.at(60, [&w] { w.freeze(leader_of(w), 30); });
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.freeze(leader_of(cluster), 12); });
+         cluster.at(60, [&cluster] { cluster.freeze(leader_of(cluster), 30); });
      }},
     {"leader stands still through a state outage, another controller crashes",
-     [](SimulatedCluster& w, std::mt19937_64&) {
-         w.at(40, [&w] {
-             w.start_key_value_store_outage(14);
-             w.freeze(leader_of(w), 15);
-             w.crash((leader_of(w) + 1) % 3, 6);
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] {
+             cluster.start_key_value_store_outage(14);
+             cluster.freeze(leader_of(cluster), 15);
+             cluster.crash((leader_of(cluster) + 1) % 3, 6);
          });
      }},
-    {"a machine fails every task", [](SimulatedCluster& w, std::mt19937_64&) { w.workers[0]->fails_every_task = true; }},
+    {"a machine fails every task",
+     [](SimulatedCluster& cluster, std::mt19937_64&) { cluster.workers[0]->fails_every_task = true; }},
     {"anything, at random times",
-     [](SimulatedCluster& w, std::mt19937_64& random) {
+     [](SimulatedCluster& cluster, std::mt19937_64& random) {
          for (int k = 0; k < 8; ++k) {
              double t = std::uniform_real_distribution<double>(20, 110)(random);
              auto what = random() % 7, which = random() % 8;
-             double s = std::uniform_real_distribution<double>(2, 30)(random);
-             w.at(t, [&w, what, which, s] {
+             double duration_s = std::uniform_real_distribution<double>(2, 30)(random);
+             cluster.at(t, [&cluster, what, which, duration_s] {
                  switch (what) {
                      case 0:
-                         return w.crash(which % 3, s / 3);
+                         return cluster.crash(which % 3, duration_s / 3);
                      case 1:
-                         return w.hang_machine(which, s);
+                         return cluster.hang_machine(which, duration_s);
                      case 2:
-                         return w.crash_machine(which);
+                         return cluster.crash_machine(which);
                      case 3:
-                         return w.start_key_value_store_outage(s / 2);
+                         return cluster.start_key_value_store_outage(duration_s / 2);
                      case 4:
-                         return w.start_cloud_outage(s);
+                         return cluster.start_cloud_outage(duration_s);
                      case 5:
-                         return w.freeze(which % 3, s);
+                         return cluster.freeze(which % 3, duration_s);
                      default:
-                         return w.partition("10.0.0." + std::to_string(which % 3 + 1),
-                                      which % 2 ? "10.1." : "10.2.0.1", s, true);
+                         return cluster.partition("10.0.0." + std::to_string(which % 3 + 1),
+                                                  which % 2 ? "10.1." : "10.2.0.1", duration_s, true);
                  }
              });
          }
@@ -115,58 +122,58 @@
 
 // A day with every kind of job, some cancelled while the trouble lasts. Checked at its end: no rule was
 // broken, every accepted job of the kinds that end has ended, and something ran.
-void run_scenario(const FaultKind& trouble, std::uint64_t seed) {
+void run_scenario(const FaultPlan& trouble, std::uint64_t seed) {
     SCOPED_TRACE(std::string(trouble.name) + ", seed " + std::to_string(seed));
-    Options o;
-    o.seed = seed;
-    SimulatedCluster w(o);
+    Options options;
+    options.seed = seed;
+    SimulatedCluster cluster(options);
     std::mt19937_64 random(seed);
     auto id = [](int n) { return "j-" + std::to_string(1000 + n); };
     for (int k = 0; k < 12; ++k) {
         double t = 2 + 7.0 * k;
-        w.at(t, [&w, k, id] {
+        cluster.at(t, [&cluster, k, id] {
             if (k % 4 == 0)
-                w.submit(id(k), "service", 2, 0,
-                         {{"scatter", true},
-                          {"driftwood", false},
-                          {"rank", "critical"},
-                          {"stow_s", 0.0},
-                          {"anchor_s", 0.0}});
-            if (k % 4 == 1) w.submit(id(k), "batch", 9, 6, {{"crew", "tight"}});
+                cluster.submit(id(k), "service", 2, 0,
+                               {{"scatter", true},
+                                {"driftwood", false},
+                                {"rank", "critical"},
+                                {"stow_s", 0.0},
+                                {"anchor_s", 0.0}});
+            if (k % 4 == 1) cluster.submit(id(k), "batch", 9, 6, {{"crew", "tight"}});
             if (k % 4 == 2)
-                w.submit(id(k), "gang", 3, 10, {{"together", true}, {"rank", "high"}, {"cards", 2.0}});
-            if (k % 4 == 3) w.submit(id(k), "batch", 5, 15, {{"scatter", true}});
+                cluster.submit(id(k), "gang", 3, 10, {{"together", true}, {"rank", "high"}, {"cards", 2.0}});
+            if (k % 4 == 3) cluster.submit(id(k), "batch", 5, 15, {{"scatter", true}});
         });
     }
-    for (int k : {0, 3, 5, 6}) w.at(41 + k, [&w, k, id] { w.cancel(id(k)); });
-    for (int k : {4, 8}) w.at(200, [&w, k, id] { w.cancel(id(k)); });
+    for (int k : {0, 3, 5, 6}) cluster.at(41 + k, [&cluster, k, id] { cluster.cancel(id(k)); });
+    for (int k : {4, 8}) cluster.at(200, [&cluster, k, id] { cluster.cancel(id(k)); });
     // Pipelines: one job, two that await it, a gang that awaits these, and a last one. Of the first two, one
     // is cancelled at its root and one in its middle; the last job of the third comes when all else is over.
-    for (int p = 0; p < 4; ++p) {
-        auto stage = [p, id](int s) { return id(100 + 10 * p + s); };
-        w.at(22 + 10.0 * p, [&w, p, stage] {
+    for (int pipeline = 0; pipeline < 4; ++pipeline) {
+        auto stage = [pipeline, id](int number) { return id(100 + 10 * pipeline + number); };
+        cluster.at(22 + 10.0 * pipeline, [&cluster, pipeline, stage] {
             json low{{"rank", "idle"}, {"cards", 0.0}};
-            w.submit(stage(0), "batch", 3, 4, low);
-            w.submit_awaiting(stage(1), "batch", 4, 5, {stage(0)}, low);
-            w.submit_awaiting(stage(2), "batch", 2, 3, {stage(0)}, low);
-            w.submit_awaiting(stage(3), "gang", 2, 5, {stage(1), stage(2)}, {{"together", true}});
-            auto last = [&w, stage] {
-                w.submit_awaiting(stage(4), "batch", 2, 2, {stage(0), stage(3)}, {{"rank", "high"}});
+            cluster.submit(stage(0), "batch", 3, 4, low);
+            cluster.submit_awaiting(stage(1), "batch", 4, 5, {stage(0)}, low);
+            cluster.submit_awaiting(stage(2), "batch", 2, 3, {stage(0)}, low);
+            cluster.submit_awaiting(stage(3), "gang", 2, 5, {stage(1), stage(2)}, {{"together", true}});
+            auto last = [&cluster, stage] {
+                cluster.submit_awaiting(stage(4), "batch", 2, 2, {stage(0), stage(3)}, {{"rank", "high"}});
             };
-            if (p != 2) last();
-            if (p == 2) w.at(260, last);
+            if (pipeline != 2) last();
+            if (pipeline == 2) cluster.at(260, last);
         });
     }
-    w.at(42, [&w, id] { w.cancel(id(120)); });
-    w.at(45, [&w, id] { w.cancel(id(111)); });
-    trouble.plan(w, random);
-    w.run_until(340);
-    for (auto& b : w.violations) ADD_FAILURE() << b;
-    EXPECT_GT(w.starts, 20u);
-    for (auto& [job, told] : w.jobs) {
+    cluster.at(42, [&cluster, id] { cluster.cancel(id(120)); });
+    cluster.at(45, [&cluster, id] { cluster.cancel(id(111)); });
+    trouble.plan(cluster, random);
+    cluster.run_until(340);
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
+    EXPECT_GT(cluster.starts, 20u);
+    for (auto& [job, told] : cluster.jobs) {
         EXPECT_TRUE(told.accepted) << job;
         EXPECT_TRUE(told.done || told.cancelled) << job << " has not ended";
-        EXPECT_EQ(told.cancelled, told.cancelled && w.cancel_wanted(job)) << job;
+        EXPECT_EQ(told.cancelled, told.cancelled && cluster.cancel_wanted(job)) << job;
     }
 }
 
@@ -211,30 +218,32 @@
         cases.insert(cases.end(), {{8, false, 1, hearing}, {8, true, 2, hearing}, {8, true, 3, hearing}});
         for (std::uint64_t seed : {1, 2, 3, 4}) cases.push_back({60, false, seed, hearing});
     }
-    for (auto& c : cases) {
-        SCOPED_TRACE(std::to_string(c.machines) + " machines, seed " + std::to_string(c.seed) +
-                     (c.relay_heartbeats ? ", others hear for the leader" : ""));
-        Options o;
-        o.relay_heartbeats = c.relay_heartbeats;
-        o.machines = c.machines;
-        o.seed = c.seed;
-        SimulatedCluster w(o);
-        for (std::size_t k = 0; k < c.machines * 3 / 4; ++k)
-            w.at(2, [&w, k] {
-                w.submit("j-" + std::to_string(k + 1), "service", 4, 0, {{"driftwood", false}});
+    for (auto& test_case : cases) {
+        SCOPED_TRACE(std::to_string(test_case.machines) + " machines, seed " +
+                     std::to_string(test_case.seed) +
+                     (test_case.relay_heartbeats ? ", others hear for the leader" : ""));
+        Options options;
+        options.relay_heartbeats = test_case.relay_heartbeats;
+        options.machines = test_case.machines;
+        options.seed = test_case.seed;
+        SimulatedCluster cluster(options);
+        for (std::size_t k = 0; k < test_case.machines * 3 / 4; ++k)
+            cluster.at(2, [&cluster, k] {
+                cluster.submit("j-" + std::to_string(k + 1), "service", 4, 0, {{"driftwood", false}});
             });
-        w.run_until(40);
-        std::size_t before = w.starts;
-        auto first = leader_of(w);
+        cluster.run_until(40);
+        std::size_t before = cluster.starts;
+        auto first = leader_of(cluster);
         for (std::size_t k = 0; k < 3; ++k)
-            if ((k == first) != c.new_leader) w.partition("10.0.0." + std::to_string(k + 1), "10.1.", 40, false);
-        if (c.new_leader) w.crash(first, 1);
-        w.run_until(90);
-        if (!c.relay_heartbeats) {
-            EXPECT_EQ(leader_of(w) == first, c.new_leader);
+            if ((k == first) != test_case.new_leader)
+                cluster.partition("10.0.0." + std::to_string(k + 1), "10.1.", 40, false);
+        if (test_case.new_leader) cluster.crash(first, 1);
+        cluster.run_until(90);
+        if (!test_case.relay_heartbeats) {
+            EXPECT_EQ(leader_of(cluster) == first, test_case.new_leader);
         }
-        EXPECT_EQ(w.starts, before);  // nothing had to start again
-        for (auto& b : w.violations) ADD_FAILURE() << b;
+        EXPECT_EQ(cluster.starts, before);  // nothing had to start again
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
     }
 }
 
@@ -243,22 +252,23 @@
 TEST(FailoverScenario, FencesNoMachineWhenTheLeaderIsSlow) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3, 4}) {
-        Options o;
-        o.seed = seed;
-        o.machines = 90;
-        o.heartbeat_processing_s = seed < 4 ? 0.025 : 0.04;
-        SimulatedCluster w(o);
+        Options options;
+        options.seed = seed;
+        options.machines = 90;
+        options.heartbeat_processing_s = seed < 4 ? 0.025 : 0.04;
+        SimulatedCluster cluster(options);
         for (std::size_t k = 0; k < 70; ++k)
-            w.at(2, [&w, k] {
-                w.submit("j-" + std::to_string(k + 1), "service", 4, 0, {{"driftwood", false}});
+            cluster.at(2, [&cluster, k] {
+                cluster.submit("j-" + std::to_string(k + 1), "service", 4, 0, {{"driftwood", false}});
             });
-        for (double t : {50.0, 75.0, 100.0}) w.at(t, [&w] { w.crash(leader_of(w), 3); });
-        w.run_until(49);
-        auto before = w.starts, gone = w.machines_deleted_with_tasks;
-        w.run_until(130);
-        EXPECT_EQ(w.machines_deleted_with_tasks, gone);
-        EXPECT_EQ(w.starts, before);
-        for (auto& b : w.violations) ADD_FAILURE() << b;
+        for (double t : {50.0, 75.0, 100.0})
+            cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 3); });
+        cluster.run_until(49);
+        auto before = cluster.starts, gone = cluster.machines_deleted_with_tasks;
+        cluster.run_until(130);
+        EXPECT_EQ(cluster.machines_deleted_with_tasks, gone);
+        EXPECT_EQ(cluster.starts, before);
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
     }
 }
 
@@ -270,20 +280,21 @@
     for (bool cold : {true, false})
         for (std::uint64_t seed : {1, 2, 3}) {
             SCOPED_TRACE((cold ? "cold, seed " : "warm, seed ") + std::to_string(seed));
-            Options o;
-            o.seed = seed;
-            SimulatedCluster w(o);
-            w.at(5, [&w] { w.submit("j-1", "service", 3, 0); });
-            w.at(40, [&w] { w.partition_one_way("10.0.", w.workers[0]->addr, 90); });
+            Options options;
+            options.seed = seed;
+            SimulatedCluster cluster(options);
+            cluster.at(5, [&cluster] { cluster.submit("j-1", "service", 3, 0); });
+            cluster.at(40, [&cluster] { cluster.partition_one_way("10.0.", cluster.workers[0]->addr, 90); });
             if (cold)
-                w.at(41, [&w] {
-                    for (std::size_t k = 0; k < 3; ++k) w.crash(k, 1);
+                cluster.at(41, [&cluster] {
+                    for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 1);
                 });
             for (int k = 0; k < 8; ++k)
-                w.at(50, [&w, k] { w.submit("j-" + std::to_string(10 + k), "batch", 2, 4); });
-            w.run_until(85);
-            for (int k = 0; k < 8; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(10 + k)].done) << k;
-            for (auto& b : w.violations) ADD_FAILURE() << b;
+                cluster.at(50,
+                           [&cluster, k] { cluster.submit("j-" + std::to_string(10 + k), "batch", 2, 4); });
+            cluster.run_until(85);
+            for (int k = 0; k < 8; ++k) EXPECT_TRUE(cluster.jobs["j-" + std::to_string(10 + k)].done) << k;
+            for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
         }
 }
 
@@ -299,24 +310,28 @@
     const Case cases[] = {
         {"all is well", [](SimulatedCluster&) {}, true, true},
         {"one has its workers only",
-         [](SimulatedCluster& w) {
-             w.partition("10.0.0.1", "10.2.0.1", 30, false);
-             w.partition("10.0.0.1", "10.0.", 30, false);
+         [](SimulatedCluster& cluster) {
+             cluster.partition("10.0.0.1", "10.2.0.1", 30, false);
+             cluster.partition("10.0.0.1", "10.0.", 30, false);
          },
          false, true},
-        {"one is refused by the state service", [](SimulatedCluster& w) { w.refuse_at_key_value_store(0, 30); }, false,
-         true},
-        {"nobody has the state service", [](SimulatedCluster& w) { w.start_key_value_store_outage(30); }, true, true},
+        {"one is refused by the state service",
+         [](SimulatedCluster& cluster) { cluster.refuse_at_key_value_store(0, 30); }, false, true},
+        {"nobody has the state service",
+         [](SimulatedCluster& cluster) { cluster.start_key_value_store_outage(30); }, true, true},
         {"one answer was refused",
-         [](SimulatedCluster& w) { w.at(w.now() + 9.2, [&w] { w.refuse_at_key_value_store(0, 0.7); }); }, true, true},
+         [](SimulatedCluster& cluster) {
+             cluster.at(cluster.now() + 9.2, [&cluster] { cluster.refuse_at_key_value_store(0, 0.7); });
+         },
+         true, true},
     };
-    for (auto& c : cases) {
-        SimulatedCluster w({});
-        w.run_until(30);
-        c.trouble(w);
-        w.run_until(40);
-        EXPECT_EQ(w.healthy(0), c.first) << c.name;
-        EXPECT_EQ(w.healthy(1), c.others) << c.name;
+    for (auto& test_case : cases) {
+        SimulatedCluster cluster({});
+        cluster.run_until(30);
+        test_case.trouble(cluster);
+        cluster.run_until(40);
+        EXPECT_EQ(cluster.healthy(0), test_case.first) << test_case.name;
+        EXPECT_EQ(cluster.healthy(1), test_case.others) << test_case.name;
     }
 }
 
@@ -325,67 +340,67 @@
     // A watch that waits misses it: the next read of the changes has it. All that the leader reads of changes
     // does: only the audit can find it.
     for (bool all : {false, true}) {
-        SimulatedCluster w({});
-        w.run_until(9);
-        auto leader = leader_of(w);
-        w.remove_from_load_balancer(leader);
+        SimulatedCluster cluster({});
+        cluster.run_until(9);
+        auto leader = leader_of(cluster);
+        cluster.remove_from_load_balancer(leader);
         if (all)
-            w.hide_from(leader, "j-7");
+            cluster.hide_from(leader, "j-7");
         else
-            w.hide_from_watches("j-7");
-        w.at(10, [&w] { w.submit("j-7", "batch", 2, 4); });
-        w.run_until(all ? 130 : 25);
-        EXPECT_TRUE(w.jobs["j-7"].done);
-        for (auto& b : w.violations) ADD_FAILURE() << b;
+            cluster.hide_from_watches("j-7");
+        cluster.at(10, [&cluster] { cluster.submit("j-7", "batch", 2, 4); });
+        cluster.run_until(all ? 130 : 25);
+        EXPECT_TRUE(cluster.jobs["j-7"].done);
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
     }
 }
 
 // A job submitted with a mistake costs its own tasks once, and a probe now and then; others are not held up.
 TEST(FailoverScenario, RetriesAJobThatFailsEverywhereOneTaskAtATime) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 40, 5, {{"mistake", true}});
-        w.submit("j-2", "batch", 40, 5);
+    SimulatedCluster cluster({});
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 40, 5, {{"mistake", true}});
+        cluster.submit("j-2", "batch", 40, 5);
     });
-    w.run_until(150);
-    EXPECT_LT(w.starts, 40u + 40u + 8u);
-    EXPECT_TRUE(w.jobs["j-2"].done);
-    w.cancel("j-1");
-    w.run_until(160);
-    EXPECT_TRUE(w.jobs["j-1"].cancelled);
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+    cluster.run_until(150);
+    EXPECT_LT(cluster.starts, 40u + 40u + 8u);
+    EXPECT_TRUE(cluster.jobs["j-2"].done);
+    cluster.cancel("j-1");
+    cluster.run_until(160);
+    EXPECT_TRUE(cluster.jobs["j-1"].cancelled);
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
 
 // Machines that boot several times as slowly as usual come up in the end, if they are not given up a moment
 // before, which a new leader is tempted to do: it has seen no boot yet.
 TEST(FailoverScenario, WaitsForSlowlyBootingMachinesAfterAFailover) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.machines = 0;
-    o.boot_s = 22;  // more than four nominal times
-    SimulatedCluster w(o);
-    w.at(2, [&w] { w.submit("j-1", "batch", 4, 5); });
-    w.at(16, [&w] { w.crash(leader_of(w), 6); });
-    w.run_until(60);
-    EXPECT_TRUE(w.jobs["j-1"].done);
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+    Options options;
+    options.machines = 0;
+    options.boot_s = 22;  // more than four nominal times
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 4, 5); });
+    cluster.at(16, [&cluster] { cluster.crash(leader_of(cluster), 6); });
+    cluster.run_until(60);
+    EXPECT_TRUE(cluster.jobs["j-1"].done);
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
 
 // What is submitted with jobs to await is judged by what these are, and a retry by what became of it.
 TEST(DependencyScenario, AnswersSubmissionsByTheStateOfAwaitedJobs) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 2, 3);
-        w.submit("j-2", "service", 1, 0);
-        w.submit("j-3", "batch", 2, 60);
-        w.submit("j-4", "batch", 2, 600);
+    SimulatedCluster cluster({});
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 2, 3);
+        cluster.submit("j-2", "service", 1, 0);
+        cluster.submit("j-3", "batch", 2, 60);
+        cluster.submit("j-4", "batch", 2, 600);
     });
-    w.run_until(20);
-    w.cancel("j-3");
-    w.run_until(40);
-    ASSERT_TRUE(w.jobs["j-1"].done && w.jobs["j-3"].cancelled);
+    cluster.run_until(20);
+    cluster.cancel("j-3");
+    cluster.run_until(40);
+    ASSERT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-3"].cancelled);
     std::vector<std::string> many;
     for (int k = 0; k < 400; ++k) many.push_back("j-" + std::to_string(5000 + k));
     struct Case {
@@ -403,50 +418,51 @@
         {"j-12", {"j-12"}, 200, "withdrawn"},    {"j-18", many, 422, "more than"},
         {"j-19", json::array(), 201, "pending"}, {"j-20", nullptr, 201, "pending"},
     };
-    for (auto& c : cases) {
-        json spec = w.jobs["j-1"].spec;
-        spec["id"] = c.id;
-        spec["awaits"] = c.awaits;
-        if (!w.jobs.contains(c.id) && c.status == 201) w.jobs[c.id].spec = spec;
+    for (auto& test_case : cases) {
+        json spec = cluster.jobs["j-1"].spec;
+        spec["id"] = test_case.id;
+        spec["awaits"] = test_case.awaits;
+        if (!cluster.jobs.contains(test_case.id) && test_case.status == 201)
+            cluster.jobs[test_case.id].spec = spec;
         int status = 0;
         std::string body;
-        w.post(spec.dump(), [&](const http::Response& r) {
-            status = r.status;
-            body = r.body;
+        cluster.post(spec.dump(), [&](const http::Response& response) {
+            status = response.status;
+            body = response.body;
         });
-        w.run_until(w.now() + 8);
-        EXPECT_EQ(status, c.status) << c.id << " " << c.awaits;
-        EXPECT_NE(body.find(c.says), std::string::npos) << c.id << ": " << body;
+        cluster.run_until(cluster.now() + 8);
+        EXPECT_EQ(status, test_case.status) << test_case.id << " " << test_case.awaits;
+        EXPECT_NE(body.find(test_case.says), std::string::npos) << test_case.id << ": " << body;
     }
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
 // Behind job `first`, each awaits the one before it.
-void submit_chain(SimulatedCluster& w, int first, int end, double run_s) {
+void submit_chain(SimulatedCluster& cluster, int first, int end, double run_s) {
     auto id = [](int k) { return "j-" + std::to_string(k); };
-    for (int k = first + 1; k < end; ++k) w.submit_awaiting(id(k), "batch", 1, run_s, {id(k - 1)});
+    for (int k = first + 1; k < end; ++k) cluster.submit_awaiting(id(k), "batch", 1, run_s, {id(k - 1)});
 }
 // While the key-value store is away nobody can mark the jobs behind a cancelled one, and right after it there
 // may be no leader: whoever answers must work it out from the awaited jobs.
 TEST(DependencyScenario, CancelsDependentsDuringAnOutageWithoutALeader) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3}) {
-        Options o;
-        o.seed = seed;
-        SimulatedCluster w(o);
-        w.at(2, [&w] {
-            w.submit("j-1", "service", 1, 0);
-            w.submit("j-10", "batch", 1, 100);
-            submit_chain(w, 10, 30, 1);
+        Options options;
+        options.seed = seed;
+        SimulatedCluster cluster(options);
+        cluster.at(2, [&cluster] {
+            cluster.submit("j-1", "service", 1, 0);
+            cluster.submit("j-10", "batch", 1, 100);
+            submit_chain(cluster, 10, 30, 1);
         });
-        w.run_until(30);
-        w.cancel("j-10");
-        w.run_until(30.2);  // told, and hardly anything else
-        ASSERT_TRUE(w.jobs["j-10"].cancelled);
-        w.start_key_value_store_outage(o.cancel_s + 1);
-        w.at(30.2 + o.cancel_s, [&w] { w.crash(leader_of(w), 4); });
-        w.run_until(120);
-        for (auto& b : w.violations) ADD_FAILURE() << b;
-        for (int k = 11; k < 30; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(k)].cancelled) << k;
+        cluster.run_until(30);
+        cluster.cancel("j-10");
+        cluster.run_until(30.2);  // told, and hardly anything else
+        ASSERT_TRUE(cluster.jobs["j-10"].cancelled);
+        cluster.start_key_value_store_outage(options.cancel_s + 1);
+        cluster.at(30.2 + options.cancel_s, [&cluster] { cluster.crash(leader_of(cluster), 4); });
+        cluster.run_until(120);
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
+        for (int k = 11; k < 30; ++k) EXPECT_TRUE(cluster.jobs["j-" + std::to_string(k)].cancelled) << k;
     }
 }
 // A controller that is cut off from the key-value store passes users' requests on, but a submission that
@@ -457,45 +473,46 @@
         bool pings_of_previous_version, awaits;
         int status;
     };
-    for (auto& c :
+    for (auto& test_case :
          {Case{false, false, 201}, Case{false, true, 201}, Case{true, false, 201}, Case{true, true, 503}}) {
-        Options o;
-        o.pings_of_previous_version = c.pings_of_previous_version;
-        SimulatedCluster w(o);
-        w.at(2, [&w] { w.submit("j-1", "batch", 1, 300); });
-        w.run_until(20);
-        auto cut = (leader_of(w) + 1) % 3;
-        w.refuse_at_key_value_store(cut, 60);
-        w.run_until(30);
-        auto spec = w.jobs["j-1"].spec;
+        Options options;
+        options.pings_of_previous_version = test_case.pings_of_previous_version;
+        SimulatedCluster cluster(options);
+        cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 1, 300); });
+        cluster.run_until(20);
+        auto cut = (leader_of(cluster) + 1) % 3;
+        cluster.refuse_at_key_value_store(cut, 60);
+        cluster.run_until(30);
+        auto spec = cluster.jobs["j-1"].spec;
         spec["id"] = "j-2";
-        if (c.awaits) spec["awaits"] = {"j-1"};
-        w.jobs["j-2"].spec = spec;
+        if (test_case.awaits) spec["awaits"] = {"j-1"};
+        cluster.jobs["j-2"].spec = spec;
         int status = 0;
-        w.post_job_to(cut, spec.dump(), [&](http::Response r) { status = r.status; });
-        w.run_until(60);
-        EXPECT_EQ(status, c.status) << c.pings_of_previous_version << c.awaits;
-        for (auto& b : w.violations) ADD_FAILURE() << b;
+        cluster.post_job_to(cut, spec.dump(), [&](http::Response response) { status = response.status; });
+        cluster.run_until(60);
+        EXPECT_EQ(status, test_case.status) << test_case.pings_of_previous_version << test_case.awaits;
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
     }
 }
 // Hundreds of questions that hang on how one job ended share the read of it.
 TEST(DependencyScenario, SharesTheReadOfAnEndAmongManyQueries) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 1, 3);
-        submit_chain(w, 1, 60, 600);
+    SimulatedCluster cluster({});
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 1, 3);
+        submit_chain(cluster, 1, 60, 600);
     });
-    w.run_until(30);
-    ASSERT_TRUE(w.jobs["j-1"].done);
-    for (std::size_t k = 0; k < 3; ++k) w.crash(k, 1);  // whoever answers starts with nothing
-    w.run_until(31.2);
-    w.reads.clear();
-    for (int k = 0; k < 5; ++k) w.query_all_jobs();
-    w.run_until(36);
-    EXPECT_GT(w.reads["/kv/final/j-1"], 0u);
-    EXPECT_LE(w.reads["/kv/final/j-1"], 8u);  // three controllers, the leader once more, users of j-1 itself
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+    cluster.run_until(30);
+    ASSERT_TRUE(cluster.jobs["j-1"].done);
+    for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 1);  // whoever answers starts with nothing
+    cluster.run_until(31.2);
+    cluster.reads.clear();
+    for (int k = 0; k < 5; ++k) cluster.query_all_jobs();
+    cluster.run_until(36);
+    EXPECT_GT(cluster.reads["/kv/final/j-1"], 0u);
+    EXPECT_LE(cluster.reads["/kv/final/j-1"],
+              8u);  // three controllers, the leader once more, users of j-1 itself
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
 // The limits fall without notice, once to what was announced and once lower: everything goes on.
 TEST(FailoverScenario, ToleratesLimitsThatFallAtAnyMoment) {
@@ -503,33 +520,33 @@
     for (bool lower : {false, true})
         for (std::uint64_t seed : {1, 2}) {
             SCOPED_TRACE(lower);
-            Options o;
-            o.seed = seed;
-            o.machines = 40;
-            o.txn_ops = 24;
-            o.reduced_txn_ops = 8;
-            o.reduced_value_kb = 2;
-            o.limits_reduced_at = 40;
-            SimulatedCluster w(o);
-            if (lower) w.reduce_limits_further(1, 4);
-            w.at(2, [&w] {
-                w.submit("j-1", "service", 8, 0);
+            Options options;
+            options.seed = seed;
+            options.machines = 40;
+            options.txn_ops = 24;
+            options.reduced_txn_ops = 8;
+            options.reduced_value_kb = 2;
+            options.limits_reduced_at = 40;
+            SimulatedCluster cluster(options);
+            if (lower) cluster.reduce_limits_further(1, 4);
+            cluster.at(2, [&cluster] {
+                cluster.submit("j-1", "service", 8, 0);
                 json large{{"cohort", std::string(500, 'c')}, {"payload", std::string(500, 'p')}};
-                w.submit("j-2", "service", 1, 0, large);
-                w.submit("j-3", "batch", 400, 3, {{"cards", 0.0}});
+                cluster.submit("j-2", "service", 1, 0, large);
+                cluster.submit("j-3", "batch", 400, 3, {{"cards", 0.0}});
             });
-            w.at(20, [&w] { w.crash(leader_of(w), 6); });
-            w.at(45, [&w] {
-                w.cancel("j-2");
-                for (std::size_t k = 0; k < 12; ++k) w.crash_machine(3 * k);
+            cluster.at(20, [&cluster] { cluster.crash(leader_of(cluster), 6); });
+            cluster.at(45, [&cluster] {
+                cluster.cancel("j-2");
+                for (std::size_t k = 0; k < 12; ++k) cluster.crash_machine(3 * k);
             });
-            w.at(52, [&w] { w.crash(leader_of(w), 6); });
-            w.at(60, [&w] { w.submit("j-4", "batch", 100, 2); });
-            w.run_until(200);
-            for (auto& b : w.violations) ADD_FAILURE() << b;
-            EXPECT_TRUE(w.jobs["j-2"].cancelled);
-            EXPECT_TRUE(w.jobs["j-3"].done);
-            EXPECT_TRUE(w.jobs["j-4"].done);
+            cluster.at(52, [&cluster] { cluster.crash(leader_of(cluster), 6); });
+            cluster.at(60, [&cluster] { cluster.submit("j-4", "batch", 100, 2); });
+            cluster.run_until(200);
+            for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
+            EXPECT_TRUE(cluster.jobs["j-2"].cancelled);
+            EXPECT_TRUE(cluster.jobs["j-3"].done);
+            EXPECT_TRUE(cluster.jobs["j-4"].done);
         }
 }
 
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -8,104 +8,109 @@
 constexpr double machine_up_s = 0.05, lease_s = 24;
 
 bool writes(const json& txn, const std::string& prefix) {
-    auto ours = [&](auto& c) { return c.value("put", "").starts_with(prefix); };
+    auto ours = [&](auto& change) { return change.value("put", "").starts_with(prefix); };
     return std::any_of(txn["then"].begin(), txn["then"].end(), ours);
 }
 // Whether the key-value store's page of machines names this one.
-bool stored(const SimulatedCluster& w, const std::string& id) {
+bool stored(const SimulatedCluster& cluster, const std::string& id) {
     try {
-        return w.record("mach/page/0").find(id) != std::string::npos;
+        return cluster.record("mach/page/0").find(id) != std::string::npos;
     } catch (const std::out_of_range&) {
         return false;  // no page yet
     }
 }
 
 // Called as soon as a machine rented since then has been told to run something of `j-1`.
-void on_first_run(SimulatedCluster& w, std::size_t first_new, std::function<void(Worker&)> then) {
+void on_first_run(SimulatedCluster& cluster, std::size_t first_new, std::function<void(Worker&)> then) {
     auto seen = std::make_shared<bool>(false);
-    for (double t = w.now(); t < w.now() + 40; t += 0.005)
-        w.at(t, [&w, first_new, then, seen] {
-            for (std::size_t k = first_new; k < w.workers.size() && !*seen; ++k)
-                if (on_machine(*w.workers[k], "j-1") > 0) *seen = true, then(*w.workers[k]);
+    for (double t = cluster.now(); t < cluster.now() + 40; t += 0.005)
+        cluster.at(t, [&cluster, first_new, then, seen] {
+            for (std::size_t k = first_new; k < cluster.workers.size() && !*seen; ++k)
+                if (on_machine(*cluster.workers[k], "j-1") > 0) *seen = true, then(*cluster.workers[k]);
         });
 }
 
 // What becomes of the first write of the new machine.
-enum class Write { slow, late, after_the_claim, answer_lost };
-struct Boot {
+enum class FirstWrite { slow, late, after_the_claim, answer_lost };
+struct BootCase {
     const char* name;
-    Write write;
-    bool warm;  // the next leader follows the one before
+    FirstWrite write;
+    bool replicated;  // the next leader follows the one before
 };
-void PrintTo(const Boot& b, std::ostream* out) {
-    *out << b.name;
+void PrintTo(const BootCase& boot_case, std::ostream* out) {
+    *out << boot_case.name;
 }
-const Boot boots[] = {
-    {"slow writes", Write::slow, true},
-    {"slow writes, nobody follows", Write::slow, false},
-    {"late", Write::late, true},
-    {"late, nobody follows", Write::late, false},
-    {"carried out after the next claim", Write::after_the_claim, true},
-    {"carried out after the next claim, nobody follows", Write::after_the_claim, false},
-    {"answer lost", Write::answer_lost, true},
-    {"answer lost, nobody follows", Write::answer_lost, false},
+const BootCase boot_cases[] = {
+    {"slow writes", FirstWrite::slow, true},
+    {"slow writes, nobody follows", FirstWrite::slow, false},
+    {"late", FirstWrite::late, true},
+    {"late, nobody follows", FirstWrite::late, false},
+    {"carried out after the next claim", FirstWrite::after_the_claim, true},
+    {"carried out after the next claim, nobody follows", FirstWrite::after_the_claim, false},
+    {"answer lost", FirstWrite::answer_lost, true},
+    {"answer lost, nobody follows", FirstWrite::answer_lost, false},
 };
 
 // A new machine is up at once. The leader ends right after the first `run` was sent there, and from then on
 // nobody reaches the machine for most of a lease, nor can it be deleted. Whoever leads next knows of it from
 // what is stored: it counts what runs there, although the old machines have room by then.
-class FirstStart : public testing::TestWithParam<Boot> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boots), NameOfCase());
+class FirstStart : public testing::TestWithParam<BootCase> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boot_cases), NameOfCase());
 TEST_P(FirstStart, IsOnMachineKnownToNextLeader) {
     spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    Options o;
-    o.machines = 2;
-    o.boot_s = machine_up_s;
-    if (!c.warm) o.without_replication = {0, 1, 2};
-    SimulatedCluster w(o);
-    w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-    w.run_until(25);
-    ASSERT_EQ(on_machines(w, "j-8"), 2u);
-    std::size_t first_new = w.workers.size(), met = 0;
+    auto test_case = GetParam();
+    Options options;
+    options.machines = 2;
+    options.boot_s = machine_up_s;
+    if (!test_case.replicated) options.without_replication = {0, 1, 2};
+    SimulatedCluster cluster(options);
+    cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
+    cluster.run_until(25);
+    ASSERT_EQ(on_machines(cluster, "j-8"), 2u);
+    std::size_t first_new = cluster.workers.size(), met = 0;
     std::optional<double> late_at, run_at;
     std::string machine;
     bool was_stored = false, claimed = false;
-    w.transaction_delay = [&](const json& txn) {
+    cluster.transaction_delay = [&](const json& txn) {
         if (writes(txn, "leader") && run_at) claimed = true;
-        bool names_new = writes(txn, "mach/page/") && w.workers.size() > first_new &&
-                         txn.dump().find(w.workers[first_new]->id) != std::string::npos;
-        if (!names_new || c.write == Write::slow || met++ > 0) return 0.0;
-        late_at = w.now();
+        bool names_new = writes(txn, "mach/page/") && cluster.workers.size() > first_new &&
+                         txn.dump().find(cluster.workers[first_new]->id) != std::string::npos;
+        if (!names_new || test_case.write == FirstWrite::slow || met++ > 0) return 0.0;
+        late_at = cluster.now();
         double after_claim_s = 14, late_s = 2;
-        return c.write == Write::answer_lost ? 1e-6 : c.write == Write::late ? late_s : after_claim_s;
+        return test_case.write == FirstWrite::answer_lost ? 1e-6
+               : test_case.write == FirstWrite::late      ? late_s
+                                                          : after_claim_s;
     };
     // A `run` comes as a command or with the answer to a report.
-    on_first_run(w, first_new, [&](Worker& m) {
-        run_at = w.now();
-        machine = m.id;
-        was_stored = stored(w, machine);
-        w.start_cloud_outage(60);
-        w.cancel("j-8");  // gives room to the old machines
-        w.partition("10.0.", m.addr, lease_s * 0.75, false);
-        w.crash(leader_of(w), 0.2);
+    on_first_run(cluster, first_new, [&](Worker& worker) {
+        run_at = cluster.now();
+        machine = worker.id;
+        was_stored = stored(cluster, machine);
+        cluster.start_cloud_outage(60);
+        cluster.cancel("j-8");  // gives room to the old machines
+        cluster.partition("10.0.", worker.addr, lease_s * 0.75, false);
+        cluster.crash(leader_of(cluster), 0.2);
     });
-    if (c.write == Write::slow) w.at(25.5, [&w] { w.boot_fast_with_slow_writes(30, 1.6); });
-    w.at(26, [&w] { w.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}}); });
-    w.run_until(60);
+    if (test_case.write == FirstWrite::slow)
+        cluster.at(25.5, [&cluster] { cluster.boot_fast_with_slow_writes(30, 1.6); });
+    cluster.at(26, [&cluster] {
+        cluster.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}});
+    });
+    cluster.run_until(60);
     ASSERT_TRUE(run_at);
     EXPECT_TRUE(was_stored) << machine;
     EXPECT_TRUE(claimed);
-    if (c.write != Write::slow) {
+    if (test_case.write != FirstWrite::slow) {
         ASSERT_TRUE(late_at);
-        if (c.write == Write::after_the_claim) {
+        if (test_case.write == FirstWrite::after_the_claim) {
             EXPECT_LT(*run_at, *late_at + 14);
         }
     }
-    w.run_until(150);
-    EXPECT_EQ(on_machines(w, "j-1"), 1u);
-    EXPECT_TRUE(w.jobs["j-8"].cancelled);
-    expect_no_violations(w);
+    cluster.run_until(150);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);
+    EXPECT_TRUE(cluster.jobs["j-8"].cancelled);
+    expect_no_violations(cluster);
 }
 
 // A new machine reports while the write that names it stays without an answer, is never carried out before
@@ -113,40 +118,43 @@
 // and the next leader uses it.
 TEST(FaultCombination, AdoptsMachineThatOnlyTheCloudLists) {
     spdlog::set_level(spdlog::level::off);
-    for (bool warm : {true, false}) {
-        Options o;
-        o.machines = 2;
-        o.boot_s = machine_up_s;
-        if (!warm) o.without_replication = {0, 1, 2};
-        SimulatedCluster w(o);
-        w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-        w.run_until(25);
-        std::size_t lost = 0, first_new = w.workers.size();
+    for (bool replicated : {true, false}) {
+        Options options;
+        options.machines = 2;
+        options.boot_s = machine_up_s;
+        if (!replicated) options.without_replication = {0, 1, 2};
+        SimulatedCluster cluster(options);
+        cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
+        cluster.run_until(25);
+        std::size_t lost = 0, first_new = cluster.workers.size();
         bool ended = false, was_stored = true;
-        w.transaction_delay = [&](const json& txn) {
+        cluster.transaction_delay = [&](const json& txn) {
             if (ended || !writes(txn, "mach/page/")) return 0.0;
             if (lost++ == 0)
-                w.at(w.now() + 4, [&] {
+                cluster.at(cluster.now() + 4, [&] {
                     ended = true;
-                    was_stored = stored(w, w.workers.at(first_new)->id);
-                    EXPECT_EQ(on_machines(w, "j-1"), 0u);
-                    w.crash(leader_of(w), 0.2);
+                    was_stored = stored(cluster, cluster.workers.at(first_new)->id);
+                    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+                    cluster.crash(leader_of(cluster), 0.2);
                 });
             return 12.0;
         };
         bool early = false;
-        on_first_run(w, first_new, [&](Worker& m) { early = !ended || !stored(w, m.id); });
-        w.at(26, [&w] { w.submit("j-1", "batch", 1, 10, {{"cards", 4.0}, {"driftwood", false}}); });
-        w.run_until(34);
+        on_first_run(cluster, first_new,
+                     [&](Worker& worker) { early = !ended || !stored(cluster, worker.id); });
+        cluster.at(26, [&cluster] {
+            cluster.submit("j-1", "batch", 1, 10, {{"cards", 4.0}, {"driftwood", false}});
+        });
+        cluster.run_until(34);
         EXPECT_TRUE(ended);
         EXPECT_FALSE(was_stored);
-        ASSERT_GT(w.workers.size(), first_new);
-        w.run_until(80);
+        ASSERT_GT(cluster.workers.size(), first_new);
+        cluster.run_until(80);
         EXPECT_GT(lost, 0u);
         EXPECT_FALSE(early);
-        EXPECT_TRUE(w.jobs["j-1"].done);
-        EXPECT_EQ(on_machines(w, "j-8"), 2u);
-        expect_no_violations(w);
+        EXPECT_TRUE(cluster.jobs["j-1"].done);
+        EXPECT_EQ(on_machines(cluster, "j-8"), 2u);
+        expect_no_violations(cluster);
     }
 }
 
@@ -154,38 +162,38 @@
 // Its place and its team's limit stay taken until then, and its task goes on elsewhere afterwards.
 TEST(FaultCombination, ProvesTerminationOfMachineThatOnlyAPageNames) {
     spdlog::set_level(spdlog::level::off);
-    for (bool warm : {true, false}) {
-        Options o;
-        o.machines = 2;
-        o.boot_s = machine_up_s;
-        o.gpus_max = 4;
-        if (!warm) o.without_replication = {0, 1, 2};
-        SimulatedCluster w(o);
-        w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-        w.run_until(25);
-        w.at(26, [&w] {
-            w.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"crew", "tight"}, {"driftwood", false}});
+    for (bool replicated : {true, false}) {
+        Options options;
+        options.machines = 2;
+        options.boot_s = machine_up_s;
+        options.gpus_max = 4;
+        if (!replicated) options.without_replication = {0, 1, 2};
+        SimulatedCluster cluster(options);
+        cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
+        cluster.run_until(25);
+        cluster.at(26, [&cluster] {
+            cluster.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"crew", "tight"}, {"driftwood", false}});
         });
-        w.run_until(36);
-        ASSERT_EQ(on_machines(w, "j-1"), 1u);
+        cluster.run_until(36);
+        ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
         std::optional<std::size_t> held;
-        for (std::size_t k = 0; k < w.workers.size(); ++k)
-            if (on_machine(*w.workers[k], "j-1") > 0) held = k;
+        for (std::size_t k = 0; k < cluster.workers.size(); ++k)
+            if (on_machine(*cluster.workers[k], "j-1") > 0) held = k;
         ASSERT_TRUE(held);
-        auto id = w.workers[*held]->id;
-        EXPECT_TRUE(stored(w, id));
-        w.crash(leader_of(w), 0.2);
-        w.crash_machine(*held);
+        auto id = cluster.workers[*held]->id;
+        EXPECT_TRUE(stored(cluster, id));
+        cluster.crash(leader_of(cluster), 0.2);
+        cluster.crash_machine(*held);
         // Room is there at once; the proof is not.
-        w.cancel("j-8");
-        w.start_cloud_outage(14);
-        w.run_until(49);
-        EXPECT_EQ(on_machines(w, "j-1"), 0u) << warm;
-        w.run_until(36 + lease_s + 20);
-        EXPECT_EQ(on_machines(w, "j-1"), 1u) << warm;
-        w.run_until(120);
-        EXPECT_FALSE(stored(w, id));
-        expect_no_violations(w);
+        cluster.cancel("j-8");
+        cluster.start_cloud_outage(14);
+        cluster.run_until(49);
+        EXPECT_EQ(on_machines(cluster, "j-1"), 0u) << replicated;
+        cluster.run_until(36 + lease_s + 20);
+        EXPECT_EQ(on_machines(cluster, "j-1"), 1u) << replicated;
+        cluster.run_until(120);
+        EXPECT_FALSE(stored(cluster, id));
+        expect_no_violations(cluster);
     }
 }
 
@@ -194,40 +202,42 @@
 TEST(FaultCombination, CountsMachineOnceWhenUpBeforeScaleOutIsAnswered) {
     spdlog::set_level(spdlog::level::off);
     for (bool ends : {false, true}) {
-        Options o;
-        o.machines = 2;
-        o.boot_s = machine_up_s;
-        SimulatedCluster w(o);
+        Options options;
+        options.machines = 2;
+        options.boot_s = machine_up_s;
+        SimulatedCluster cluster(options);
         std::map<std::string, std::size_t> asked;  // how often, of each rental
         std::string lost;
-        w.on_message = [&](auto&, auto&, auto& r) {
-            if (r.target != "/hosts" || r.method != "POST") return;
-            auto name = json::parse(r.body)["charter"].template get<std::string>();
+        cluster.on_message = [&](auto&, auto&, auto& request) {
+            if (request.target != "/hosts" || request.method != "POST") return;
+            auto name = json::parse(request.body)["charter"].template get<std::string>();
             ++asked[name];
-            if (w.now() < 26 || !lost.empty()) return;
+            if (cluster.now() < 26 || !lost.empty()) return;
             lost = name;
-            w.partition_one_way("10.2.0.2", "10.0.", 12);
+            cluster.partition_one_way("10.2.0.2", "10.0.", 12);
         };
-        w.at(4, [&w] { w.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-        w.run_until(25);
+        cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
+        cluster.run_until(25);
         std::optional<double> run_at;
         Worker* on = nullptr;
-        on_first_run(w, w.workers.size(), [&](Worker& m) {
-            run_at = w.now();
-            on = &m;
-            if (ends) w.crash(leader_of(w), 0.2);
+        on_first_run(cluster, cluster.workers.size(), [&](Worker& worker) {
+            run_at = cluster.now();
+            on = &worker;
+            if (ends) cluster.crash(leader_of(cluster), 0.2);
+        });
+        cluster.at(26, [&cluster] {
+            cluster.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}});
         });
-        w.at(26, [&w] { w.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}}); });
-        w.run_until(37);
+        cluster.run_until(37);
         ASSERT_TRUE(run_at);
-        auto starts = w.starts;
-        w.run_until(110);
+        auto starts = cluster.starts;
+        cluster.run_until(110);
         EXPECT_EQ(asked[lost] > 1, !ends);
-        EXPECT_EQ(w.workers.size(), 2 + asked.size());  // each rental gave one
+        EXPECT_EQ(cluster.workers.size(), 2 + asked.size());  // each rental gave one
         EXPECT_EQ(on_machine(*on, "j-1"), 1u);
-        EXPECT_EQ(w.starts, starts);
-        EXPECT_EQ(on_machines(w, "j-8"), 2u);
-        expect_no_violations(w);
+        EXPECT_EQ(cluster.starts, starts);
+        EXPECT_EQ(on_machines(cluster, "j-8"), 2u);
+        expect_no_violations(cluster);
     }
 }
 
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -6,48 +6,49 @@
 namespace {
 
 // Through this controller, and no other.
-void cancel_at(SimulatedCluster& w, std::size_t node, const std::string& id) {
-    w.jobs[id].cancel_asked = true;
-    w.send_user_request(node, {"POST", "/api/jobs/" + id + "/cancel", ""}, [&w, id](http::Response r) {
-        if (r.status != 200 || w.jobs[id].cancelled) return;
-        w.jobs[id].cancelled = true;
-        w.jobs[id].cancelled_at = w.now();
-    });
+void cancel_at(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
+    cluster.jobs[id].cancel_asked = true;
+    cluster.send_user_request(node, {"POST", "/api/jobs/" + id + "/cancel", ""},
+                              [&cluster, id](http::Response response) {
+                                  if (response.status != 200 || cluster.jobs[id].cancelled) return;
+                                  cluster.jobs[id].cancelled = true;
+                                  cluster.jobs[id].cancelled_at = cluster.now();
+                              });
 }
 // The service's answers to this controller don't show that the job is cancelled, so that only notices tell
 // it. Users are not led there: it would tell them what it was told.
-void keep_from(SimulatedCluster& w, std::size_t node, const std::string& id) {
-    w.hide_from(node, id);
-    w.remove_from_load_balancer(node);
+void hide_cancellation_from(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
+    cluster.hide_from(node, id);
+    cluster.remove_from_load_balancer(node);
 }
 // Two jobs on all machines, one that is cancelled and one that stays.
-void fill(SimulatedCluster& w) {
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 300);
-        w.submit("j-2", "service", 6, 0);
+void fill_machines(SimulatedCluster& cluster) {
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 6, 300);
+        cluster.submit("j-2", "service", 6, 0);
     });
-    w.run_until(30);
-    ASSERT_EQ(on_machines(w, "j-1"), 6u);
-    ASSERT_EQ(on_machines(w, "j-2"), 6u);
+    cluster.run_until(30);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
+    ASSERT_EQ(on_machines(cluster, "j-2"), 6u);
 }
 
 // The confirming controller's notice is lost, and the leader's watch does not say it either.
 TEST(FaultCombination, LostCancellationNoticeIsRepeated) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    fill(w);
-    auto leader = leader_of(w), other = (leader + 1) % 3;
-    keep_from(w, leader, "j-1");
-    w.partition(host_of(other), host_of(leader), 3, false);
-    cancel_at(w, other, "j-1");
-    w.run_until(32);
-    ASSERT_TRUE(w.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    w.run_until(36);
-    EXPECT_EQ(on_machines(w, "j-1"), 0u);
-    w.run_until(90);
-    EXPECT_EQ(on_machines(w, "j-2"), 6u);
-    expect_no_violations(w);
+    SimulatedCluster cluster({});
+    fill_machines(cluster);
+    auto leader = leader_of(cluster), other = (leader + 1) % 3;
+    hide_cancellation_from(cluster, leader, "j-1");
+    cluster.partition(host_of(other), host_of(leader), 3, false);
+    cancel_at(cluster, other, "j-1");
+    cluster.run_until(32);
+    ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    cluster.run_until(36);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    cluster.run_until(90);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 6u);
+    expect_no_violations(cluster);
 }
 
 // Between the end of a lease and the first decision of the next leader. What leads next may have listed the
@@ -59,28 +60,28 @@
                                           testing::Values(1, 2)),
                          [](auto& info) {
                              auto after = std::get<0>(info.param);
-                             auto through = std::get<1>(info.param);
+                             auto distance = std::get<1>(info.param);
                              return "After" + seconds_name(after) + "ThroughController" +
-                                    std::to_string(through) + "FromLeader";
+                                    std::to_string(distance) + "FromLeader";
                          });
 TEST_P(CancellationBetweenLeaders, StopsTasksWithTheFirstDecision) {
     spdlog::set_level(spdlog::level::off);
-    auto [after, through] = GetParam();
-    SimulatedCluster w({});
-    fill(w);
-    auto old = leader_of(w), confirms = (old + through) % 3, next = (old + 3 - through) % 3;
-    w.crash(old, 8);
-    w.at(30 + after, [&, confirms = confirms] {
-        keep_from(w, next, "j-1");
-        cancel_at(w, confirms, "j-1");
+    auto [after, distance] = GetParam();
+    SimulatedCluster cluster({});
+    fill_machines(cluster);
+    auto old = leader_of(cluster), confirms = (old + distance) % 3, next = (old + 3 - distance) % 3;
+    cluster.crash(old, 8);
+    cluster.at(30 + after, [&, confirms = confirms] {
+        hide_cancellation_from(cluster, next, "j-1");
+        cancel_at(cluster, confirms, "j-1");
     });
-    w.run_until(30 + after + 1);
-    ASSERT_TRUE(w.jobs["j-1"].cancelled);
-    w.run_until(38);
-    EXPECT_EQ(on_machines(w, "j-1"), 0u);
-    w.run_until(100);
-    EXPECT_EQ(on_machines(w, "j-2"), 6u);
-    expect_no_violations(w);
+    cluster.run_until(30 + after + 1);
+    ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
+    cluster.run_until(38);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    cluster.run_until(100);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 6u);
+    expect_no_violations(cluster);
 }
 
 // The same at each moment of a failover that is slow to read: the first notice comes while the list is read,
@@ -90,29 +91,29 @@
                          [](auto& info) { return "After" + seconds_name(info.param); });
 TEST_P(CancellationWhileNextLeaderReads, IsNotLost) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    fill(w);
-    auto old = leader_of(w);
+    SimulatedCluster cluster({});
+    fill_machines(cluster);
+    auto old = leader_of(cluster);
     std::optional<double> claimed;
-    w.on_message = [&](auto& from, auto&, auto& r) {
-        bool claim = r.target == "/txn" && r.body.find(R"("put":"leader")") != std::string::npos;
-        if (!claim || claimed || w.now() < 30) return;
-        claimed = w.now();
-        std::size_t next = from == w.addr_of(0) ? 0 : from == w.addr_of(1) ? 1 : 2;
-        w.at(w.now() + GetParam(), [&w, next, old] {
-            keep_from(w, next, "j-1");
-            cancel_at(w, 3 - next - old, "j-1");
+    cluster.on_message = [&](auto& from, auto&, auto& request) {
+        bool claim = request.target == "/txn" && request.body.find(R"("put":"leader")") != std::string::npos;
+        if (!claim || claimed || cluster.now() < 30) return;
+        claimed = cluster.now();
+        std::size_t next = from == cluster.addr_of(0) ? 0 : from == cluster.addr_of(1) ? 1 : 2;
+        cluster.at(cluster.now() + GetParam(), [&cluster, next, old] {
+            hide_cancellation_from(cluster, next, "j-1");
+            cancel_at(cluster, 3 - next - old, "j-1");
         });
     };
-    w.crash(old, 12);
-    w.slow_key_value_store(6, 0.25);
-    w.run_until(41);
+    cluster.crash(old, 12);
+    cluster.slow_key_value_store(6, 0.25);
+    cluster.run_until(41);
     ASSERT_TRUE(claimed);
-    ASSERT_TRUE(w.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(w, "j-1"), 0u);
-    w.run_until(100);
-    EXPECT_EQ(on_machines(w, "j-2"), 6u);
-    expect_no_violations(w);
+    ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    cluster.run_until(100);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 6u);
+    expect_no_violations(cluster);
 }
 
 // The relays change their leader: reports that they hold go to the next one, commands reach no machine soon
@@ -128,27 +129,28 @@
 TEST_P(RelaysThatChangeLeader, RenewNoLeaseForACancelledTask) {
     spdlog::set_level(spdlog::level::off);
     auto [after, cut_after] = GetParam();
-    Options o;
-    o.machines = 9;
-    SimulatedCluster w(o);
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 9, 300);
-        w.submit("j-2", "service", 9, 0);
+    Options options;
+    options.machines = 9;
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 9, 300);
+        cluster.submit("j-2", "service", 9, 0);
     });
-    w.run_until(40);
-    ASSERT_EQ(on_machines(w, "j-1"), 9u);
-    auto old = leader_of(w);
-    w.start_cloud_outage(100);
-    w.partition(host_of(old), "10.1.", 20, true);  // what it has sent comes 20 s later
-    w.at(40.3, [&w, old] { w.crash(old, 0.2); });
-    w.at(40 + after, [&w] { w.cancel("j-1"); });
-    w.at(40 + after + cut_after, [&w] { w.partition_one_way("10.0.", "10.1.", 60, false); });
-    w.run_until(160);
-    ASSERT_TRUE(w.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(w, "j-1"), 0u);
-    w.run_until(200);
-    EXPECT_EQ(on_machines(w, "j-2"), 9u);
-    expect_no_violations(w);
+    cluster.run_until(40);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 9u);
+    auto old = leader_of(cluster);
+    cluster.start_cloud_outage(100);
+    cluster.partition(host_of(old), "10.1.", 20, true);  // what it has sent comes 20 s later
+    cluster.at(40.3, [&cluster, old] { cluster.crash(old, 0.2); });
+    cluster.at(40 + after, [&cluster] { cluster.cancel("j-1"); });
+    cluster.at(40 + after + cut_after,
+               [&cluster] { cluster.partition_one_way("10.0.", "10.1.", 60, false); });
+    cluster.run_until(160);
+    ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    cluster.run_until(200);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 9u);
+    expect_no_violations(cluster);
 }
 
 // Starts of the leader that ends are held up on their way, the next one starts the rest, and the job is
@@ -158,39 +160,40 @@
                          testing::Combine(testing::Values(0.05, 0.5, 2.2, 2.8, 4.0, 7.0), testing::Bool()),
                          [](auto& info) {
                              auto after = std::get<0>(info.param);
-                             auto warm = std::get<1>(info.param);
+                             auto replicated = std::get<1>(info.param);
                              return "After" + seconds_name(after) +
-                                    (warm ? "WithReplicas" : "WithoutReplicas");
+                                    (replicated ? "WithReplicas" : "WithoutReplicas");
                          });
 TEST_P(StartsOfTwoLeaders, AreStoppedOnceTheyArrive) {
     spdlog::set_level(spdlog::level::off);
-    auto [after, warm] = GetParam();
-    Options o;
-    o.machines = 8;
-    if (!warm) o.without_replication = {0, 1, 2};
-    SimulatedCluster w(o);
-    w.at(2, [&w] { w.submit("j-2", "service", 8, 0); });
-    w.run_until(29.5);
-    auto old = leader_of(w);
+    auto [after, replicated] = GetParam();
+    Options options;
+    options.machines = 8;
+    if (!replicated) options.without_replication = {0, 1, 2};
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] { cluster.submit("j-2", "service", 8, 0); });
+    cluster.run_until(29.5);
+    auto old = leader_of(cluster);
     std::optional<double> begun;
-    w.on_message = [&](auto&, auto&, auto& r) {
-        bool starts = r.target == protocol::paths::commands && r.body.find("j-1/") != std::string::npos;
+    cluster.on_message = [&](auto&, auto&, auto& request) {
+        bool starts =
+            request.target == protocol::paths::commands && request.body.find("j-1/") != std::string::npos;
         if (!starts || begun) return;
-        begun = w.now();
-        w.at(w.now() + 0.004, [&w, old] {
-            w.partition(host_of(old), "10.1.", 5, true);
-            w.crash(old, 9);
+        begun = cluster.now();
+        cluster.at(cluster.now() + 0.004, [&cluster, old] {
+            cluster.partition(host_of(old), "10.1.", 5, true);
+            cluster.crash(old, 9);
         });
-        w.at(w.now() + after, [&w] { w.cancel("j-1"); });
+        cluster.at(cluster.now() + after, [&cluster] { cluster.cancel("j-1"); });
     };
-    w.at(30, [&w] { w.submit("j-1", "batch", 12, 300); });
-    w.run_until(52);
+    cluster.at(30, [&cluster] { cluster.submit("j-1", "batch", 12, 300); });
+    cluster.run_until(52);
     ASSERT_TRUE(begun);
-    ASSERT_TRUE(w.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(w, "j-1"), 0u);
-    w.run_until(120);
-    EXPECT_EQ(on_machines(w, "j-2"), 8u);
-    expect_no_violations(w);
+    ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    cluster.run_until(120);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 8u);
+    expect_no_violations(cluster);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t controllers = 3;
 
 // What users send that must be refused, with what it gets once nothing is in the way.
-struct Odd {
+struct InvalidRequest {
     std::string id;
     json body;
     int refused;
@@ -19,16 +19,16 @@
                                    "cards",     "ram_gb",   "payload",  "image_gb", "together", "scatter",
                                    "driftwood", "reckon_s", "anchor_s", "stow_s"};
 
-json plain(const std::string& id, const json& more = json::object()) {
-    json j{{"id", id},         {"cohort", "c"},     {"crew", "free"},  {"shape", "batch"},
-           {"rank", "normal"}, {"shards", 1},       {"vcpus", 1.0},    {"cards", 1.0},
-           {"ram_gb", 2.0},    {"payload", "img"},  {"image_gb", 1.0}, {"together", false},
-           {"scatter", false}, {"driftwood", true}, {"reckon_s", 5.0}, {"anchor_s", 5.0},
-           {"stow_s", 1.0}};
-    j.update(more);
-    return j;
+json plain_job(const std::string& id, const json& more = json::object()) {
+    json spec{{"id", id},         {"cohort", "c"},     {"crew", "free"},  {"shape", "batch"},
+              {"rank", "normal"}, {"shards", 1},       {"vcpus", 1.0},    {"cards", 1.0},
+              {"ram_gb", 2.0},    {"payload", "img"},  {"image_gb", 1.0}, {"together", false},
+              {"scatter", false}, {"driftwood", true}, {"reckon_s", 5.0}, {"anchor_s", 5.0},
+              {"stow_s", 1.0}};
+    spec.update(more);
+    return spec;
 }
-std::vector<Odd> odd_ones() {
+std::vector<InvalidRequest> make_invalid_requests() {
     const std::vector<std::pair<json, int>> changes{
         {{{"cards", machine_gpus + 1}}, 422},
         {{{"crew", "tight"}, {"shape", "gang"}, {"shards", 13}}, 422},  // the team's limit is 12
@@ -43,25 +43,33 @@
         {{{"rank", 3}}, 400},
         {{{"awaits", "j-1"}}, 400},
     };
-    std::vector<Odd> all;
+    std::vector<InvalidRequest> all;
     auto next = [&] { return "j-" + std::to_string(800000 + all.size()); };
-    for (auto& [more, refused] : changes) all.push_back({next(), plain(next(), more), refused});
+    for (auto& [more, refused] : changes) all.push_back({next(), plain_job(next(), more), refused});
     for (auto* field : needed_fields) {
         auto id = next();
-        auto body = plain(id);
+        auto body = plain_job(id);
         body.erase(field);
         all.push_back({id, body, 400});
     }
     return all;
 }
 
-enum class FaultDuringRequest { nothing, types_unknown, state_out, state_slow, refused, leader_ended, all_ended };
+enum class FaultDuringRequest {
+    nothing,
+    types_unknown,
+    state_out,
+    state_slow,
+    refused,
+    leader_ended,
+    all_ended
+};
 struct FaultCase {
     const char* name;
-    FaultDuringRequest meets;
+    FaultDuringRequest fault;
 };
-void PrintTo(const FaultCase& m, std::ostream* out) {
-    *out << m.name;
+void PrintTo(const FaultCase& fault_case, std::ostream* out) {
+    *out << fault_case.name;
 }
 const FaultCase fault_cases[] = {
     {"nothing", FaultDuringRequest::nothing},
@@ -72,17 +80,19 @@
     {"leader just ended", FaultDuringRequest::leader_ended},
     {"all just ended", FaultDuringRequest::all_ended},
 };
-constexpr double trouble_at = 30, trouble_s = 9;
+constexpr double fault_at_s = 30, fault_s = 9;
 
-void begin(SimulatedCluster& w, FaultDuringRequest meets) {
-    if (meets == FaultDuringRequest::types_unknown) w.start_cloud_outage(trouble_at + trouble_s);  // from the start
-    w.at(trouble_at, [&w, meets] {
-        if (meets == FaultDuringRequest::state_out) w.start_key_value_store_outage(trouble_s);
-        if (meets == FaultDuringRequest::state_slow) w.slow_key_value_store(trouble_s, 1.5);
-        if (meets == FaultDuringRequest::refused) w.refuse_at_key_value_store(leader_of(w), trouble_s);
-        if (meets == FaultDuringRequest::leader_ended || meets == FaultDuringRequest::all_ended)
+void start_fault(SimulatedCluster& cluster, FaultDuringRequest fault) {
+    if (fault == FaultDuringRequest::types_unknown)
+        cluster.start_cloud_outage(fault_at_s + fault_s);  // from the start
+    cluster.at(fault_at_s, [&cluster, fault] {
+        if (fault == FaultDuringRequest::state_out) cluster.start_key_value_store_outage(fault_s);
+        if (fault == FaultDuringRequest::state_slow) cluster.slow_key_value_store(fault_s, 1.5);
+        if (fault == FaultDuringRequest::refused)
+            cluster.refuse_at_key_value_store(leader_of(cluster), fault_s);
+        if (fault == FaultDuringRequest::leader_ended || fault == FaultDuringRequest::all_ended)
             for (std::size_t n = 0; n < controllers; ++n)
-                if (meets == FaultDuringRequest::all_ended || n == leader_of(w)) w.crash(n, 0.2);
+                if (fault == FaultDuringRequest::all_ended || n == leader_of(cluster)) cluster.crash(n, 0.2);
     });
 }
 
@@ -94,127 +104,134 @@
 // and once the trouble is over each is refused with its own code.
 TEST_P(InvalidRequestDuringFault, IsNeverAccepted) {
     spdlog::set_level(spdlog::level::off);
-    auto meets = GetParam().meets;
-    SimulatedCluster w({});
-    begin(w, meets);
-    auto odd = odd_ones();
-    for (auto& o : odd) w.jobs[o.id].spec = o.body, w.jobs[o.id].refused = o.refused;
-    std::size_t sent = 0, in_trouble = 0, by_503 = 0, afterwards = 0;
+    auto fault = GetParam().fault;
+    SimulatedCluster cluster({});
+    start_fault(cluster, fault);
+    auto invalid_requests = make_invalid_requests();
+    for (auto& request : invalid_requests)
+        cluster.jobs[request.id].spec = request.body, cluster.jobs[request.id].refused = request.refused;
+    std::size_t sent = 0, during_fault = 0, by_503 = 0, afterwards = 0;
     auto ask = [&](double t, bool over) {
-        for (auto& o : odd)
+        for (auto& request : invalid_requests)
             for (std::size_t n = 0; n < controllers; ++n)
-                w.at(t, [&, n, over] {
+                cluster.at(t, [&, n, over] {
                     // A controller that is down can't be asked; it is back in 0.2 s.
                     ++sent;
-                    w.post_job_to(n, o.body.dump(), [&, over](http::Response r) {
-                        ++(over ? afterwards : in_trouble);
-                        by_503 += r.status == 503;
-                        bool right = r.status == o.refused || (!over && r.status == 503);
+                    cluster.post_job_to(n, request.body.dump(), [&, over](http::Response response) {
+                        ++(over ? afterwards : during_fault);
+                        by_503 += response.status == 503;
+                        bool right = response.status == request.refused || (!over && response.status == 503);
                         if (!right)
-                            ADD_FAILURE() << w.now() << " " << o.id << " " << r.status << " " << r.body;
+                            ADD_FAILURE() << cluster.now() << " " << request.id << " " << response.status
+                                          << " " << response.body;
                     });
                 });
     };
     // The first ones find a controller that has just begun.
-    for (double after : {0.25, 0.6, 1.5, 3.0, 6.0}) ask(trouble_at + after, false);
-    ask(trouble_at + trouble_s + 15, true);
+    for (double after : {0.25, 0.6, 1.5, 3.0, 6.0}) ask(fault_at_s + after, false);
+    ask(fault_at_s + fault_s + 15, true);
     // What can run is not refused for a trouble either.
     std::size_t accepted = 0;
     for (double after : {0.3, 2.0, 5.0})
-        w.at(trouble_at + after, [&, id = "j-" + std::to_string(static_cast<int>(10 * after))] {
-            auto body = plain(id);
-            w.jobs[id].spec = body;
+        cluster.at(fault_at_s + after, [&, id = "j-" + std::to_string(static_cast<int>(10 * after))] {
+            auto body = plain_job(id);
+            cluster.jobs[id].spec = body;
             for (std::size_t n = 0; n < controllers; ++n)
-                w.post_job_to(n, body.dump(), [&w, &accepted](http::Response r) {
-                    accepted += r.status == 201;
-                    bool right = r.status == 200 || r.status == 201 || r.status == 503;
-                    if (!right) ADD_FAILURE() << w.now() << " " << r.status << " " << r.body;
+                cluster.post_job_to(n, body.dump(), [&cluster, &accepted](http::Response response) {
+                    accepted += response.status == 201;
+                    bool right = response.status == 200 || response.status == 201 || response.status == 503;
+                    if (!right)
+                        ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
                 });
         });
-    w.run_until(100);
-    EXPECT_EQ(in_trouble + afterwards, sent);  // all are answered
-    EXPECT_EQ(afterwards, odd.size() * controllers);
-    bool all_503 = meets == FaultDuringRequest::types_unknown || meets == FaultDuringRequest::state_out;
+    cluster.run_until(100);
+    EXPECT_EQ(during_fault + afterwards, sent);  // all are answered
+    EXPECT_EQ(afterwards, invalid_requests.size() * controllers);
+    bool all_503 = fault == FaultDuringRequest::types_unknown || fault == FaultDuringRequest::state_out;
     EXPECT_GE(by_503, all_503 ? sent / 8 : 0u) << "of " << sent;
-    EXPECT_TRUE(by_503 == 0 || meets != FaultDuringRequest::nothing);
+    EXPECT_TRUE(by_503 == 0 || fault != FaultDuringRequest::nothing);
     EXPECT_LE(accepted, 3u);  // each once
-    for (auto& o : odd) EXPECT_THROW(w.record("job/" + o.id), std::out_of_range) << o.id;
-    expect_no_violations(w);
+    for (auto& request : invalid_requests)
+        EXPECT_THROW(cluster.record("job/" + request.id), std::out_of_range) << request.id;
+    expect_no_violations(cluster);
 }
 
 // The submission of an unfinished job is repeated with other bodies, good and bad, and jobs that are done are
 // cancelled: the job stays as it was first accepted, and no answer is a refusal.
 TEST_P(InvalidRequestDuringFault, ChangesNoJob) {
     spdlog::set_level(spdlog::level::off);
-    auto meets = GetParam().meets;
-    SimulatedCluster w({});
-    if (meets == FaultDuringRequest::types_unknown) {  // to controllers that have just begun; nothing was stored of them
-        w.at(trouble_at - 0.1, [&w] {
-            w.start_cloud_outage(trouble_s);
-            w.tamper_with_record("types", std::nullopt);
-            for (std::size_t n = 0; n < controllers; ++n) w.crash(n, 0.2);
+    auto fault = GetParam().fault;
+    SimulatedCluster cluster({});
+    if (fault == FaultDuringRequest::types_unknown) {  // to controllers that have just begun; nothing was
+                                                       // stored of them
+        cluster.at(fault_at_s - 0.1, [&cluster] {
+            cluster.start_cloud_outage(fault_s);
+            cluster.tamper_with_record("types", std::nullopt);
+            for (std::size_t n = 0; n < controllers; ++n) cluster.crash(n, 0.2);
         });
     } else {
-        begin(w, meets);
+        start_fault(cluster, fault);
     }
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 2, 500);
-        w.submit("j-2", "service", 2, 0);
-        w.submit("j-3", "batch", 1, 3);
-        w.submit("j-4", "gang", 2, 3);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 2, 500);
+        cluster.submit("j-2", "service", 2, 0);
+        cluster.submit("j-3", "batch", 1, 3);
+        cluster.submit("j-4", "gang", 2, 3);
     });
-    w.run_until(trouble_at - 0.5);
-    ASSERT_TRUE(w.jobs["j-3"].done && w.jobs["j-4"].done);
+    cluster.run_until(fault_at_s - 0.5);
+    ASSERT_TRUE(cluster.jobs["j-3"].done && cluster.jobs["j-4"].done);
     std::map<std::string, std::string> first;
-    for (auto* key : {"job/j-1", "job/j-2", "final/j-3", "final/j-4"}) first[key] = w.record(key);
+    for (auto* key : {"job/j-1", "job/j-2", "final/j-3", "final/j-4"}) first[key] = cluster.record(key);
     std::size_t sent = 0, answered = 0, good = 0;
     auto judge = [&](const std::string& id, const char* over, bool afterwards) {
-        return [&, id, over, afterwards](http::Response r) {
+        return [&, id, over, afterwards](http::Response response) {
             ++answered;
-            good += r.status == 200;
-            if (r.status == 503 && !afterwards) return;
-            bool right = r.status == 200;
+            good += response.status == 200;
+            if (response.status == 503 && !afterwards) return;
+            bool right = response.status == 200;
             if (right) {
-                auto status = json::parse(r.body)["status"].get<std::string>();
+                auto status = json::parse(response.body)["status"].get<std::string>();
                 right = over ? status == over : status == "pending" || status == "running";
             }
-            if (!right) ADD_FAILURE() << w.now() << " " << id << " " << r.status << " " << r.body;
+            if (!right)
+                ADD_FAILURE() << cluster.now() << " " << id << " " << response.status << " " << response.body;
         };
     };
     auto ask = [&](double t, bool afterwards) {
-        w.at(t, [&, afterwards] {
+        cluster.at(t, [&, afterwards] {
             for (std::size_t n = 0; n < controllers; ++n) {
                 for (auto* id : {"j-1", "j-2"}) {
-                    auto without = plain(id);
+                    auto without = plain_job(id);
                     without.erase("crew");
-                    for (auto& body :
-                         {plain(id, {{"shards", 5}, {"crew", "tight"}}), without,
-                          plain(id, {{"cards", machine_gpus + 1}}), plain(id, {{"awaits", {"j-999999"}}})}) {
+                    for (auto& body : {plain_job(id, {{"shards", 5}, {"crew", "tight"}}), without,
+                                       plain_job(id, {{"cards", machine_gpus + 1}}),
+                                       plain_job(id, {{"awaits", {"j-999999"}}})}) {
                         ++sent;
-                        w.post_job_to(n, body.dump(), judge(id, nullptr, afterwards));
+                        cluster.post_job_to(n, body.dump(), judge(id, nullptr, afterwards));
                     }
                 }
                 for (auto* id : {"j-3", "j-4"}) {
                     sent += 2;
-                    w.send_user_request(n, {"POST", std::string("/api/jobs/") + id + "/cancel", ""},
-                               judge(id, "done", afterwards));
-                    w.post_job_to(n, plain(id, {{"shards", 7}}).dump(), judge(id, "done", afterwards));
+                    cluster.send_user_request(n, {"POST", std::string("/api/jobs/") + id + "/cancel", ""},
+                                              judge(id, "done", afterwards));
+                    cluster.post_job_to(n, plain_job(id, {{"shards", 7}}).dump(),
+                                        judge(id, "done", afterwards));
                 }
             }
         });
     };
-    for (double after : {0.25, 0.6, 1.5, 3.0, 6.0}) ask(trouble_at + after, false);
-    ask(trouble_at + trouble_s + 15, true);
-    w.run_until(110);
+    for (double after : {0.25, 0.6, 1.5, 3.0, 6.0}) ask(fault_at_s + after, false);
+    ask(fault_at_s + fault_s + 15, true);
+    cluster.run_until(110);
     EXPECT_EQ(answered, sent);
     EXPECT_GT(good, sent / 8);
-    for (auto& [key, value] : first) EXPECT_EQ(w.record(key), value) << key;
+    for (auto& [key, value] : first) EXPECT_EQ(cluster.record(key), value) << key;
     for (auto* key : {"final/j-1", "final/j-2", "job/j-3", "job/j-4"})
-        EXPECT_THROW(w.record(key), std::out_of_range) << key;
-    EXPECT_EQ(on_machines(w, "j-1"), 2u);
-    EXPECT_EQ(on_machines(w, "j-2"), 2u);
-    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
-    expect_no_violations(w);
+        EXPECT_THROW(cluster.record(key), std::out_of_range) << key;
+    EXPECT_EQ(on_machines(cluster, "j-1"), 2u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 2u);
+    EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+    expect_no_violations(cluster);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -6,91 +6,92 @@
 namespace {
 
 // What the machines go through that hold all of a team's limit.
-enum class Away { hang, hang_briefly, no_answers, cut_off };
+enum class Unavailability { hang, hang_briefly, no_answers, cut_off };
 
-void away(SimulatedCluster& w, Away how, std::size_t machine, double for_s) {
-    auto& m = *w.workers[machine];
-    if (how == Away::hang_machine) w.hang_machine(machine, for_s);
-    if (how == Away::hang_briefly) w.hang_machine(machine, 9);
-    if (how == Away::no_answers) w.partition_one_way("10.0.", m.addr, for_s);
-    if (how == Away::cut_off) w.partition("10.0.", m.addr, for_s, false);
+void make_unavailable(SimulatedCluster& cluster, Unavailability how, std::size_t machine, double for_s) {
+    auto& worker = *cluster.workers[machine];
+    if (how == Unavailability::hang_machine) cluster.hang_machine(machine, for_s);
+    if (how == Unavailability::hang_briefly) cluster.hang_machine(machine, 9);
+    if (how == Unavailability::no_answers) cluster.partition_one_way("10.0.", worker.addr, for_s);
+    if (how == Unavailability::cut_off) cluster.partition("10.0.", worker.addr, for_s, false);
 }
 
 // The bound that docs/design.md states, after the last change of the leader: the new one counts on the one
 // before having renewed leases for as long as `cancel_s` allows. Some report periods are for the plan and the
 // start.
-double given_back_s(const Options& o) {
-    return o.cancel_s + 2 * o.report_s;
+double quota_release_bound_s(const Options& options) {
+    return options.cancel_s + 2 * options.report_s;
 }
 
 // Both teams are at their limits. Their machines are away while the jobs are cancelled, and the leader
 // changes before, after or in between, to one that knows the jobs only from what is stored. The cloud answers
 // no deletion, so only time proves anything gone. What waits starts within the bound, and nothing before the
 // proof.
-struct Limits {
+struct LimitCase {
     const char* name;
-    Away how;
+    Unavailability how;
     double leader_ends;  // after the cancellation; it comes 2 s after the machines go away
-    bool warm;           // the next leader follows the one before
+    bool replicated;     // the next leader follows the one before
 };
-void PrintTo(const Limits& l, std::ostream* out) {
-    *out << l.name;
+void PrintTo(const LimitCase& limit_cases, std::ostream* out) {
+    *out << limit_cases.name;
 }
-const Limits limits[] = {
-    {"hang, leader ends before", Away::hang_machine, -1, true},
-    {"hang, leader ends after", Away::hang_machine, 0.5, true},
-    {"hang, leader ends at the cancellation", Away::hang_machine, 0.01, false},
-    {"hang briefly", Away::hang_briefly, 0.3, true},
-    {"hang briefly, nobody follows", Away::hang_briefly, 0.3, false},
-    {"no answers", Away::no_answers, 1, true},
-    {"no answers, nobody follows", Away::no_answers, 1, false},
-    {"cut off", Away::cut_off, -0.5, true},
-    {"cut off, late change", Away::cut_off, 9, false},
+const LimitCase limit_cases[] = {
+    {"hang, leader ends before", Unavailability::hang_machine, -1, true},
+    {"hang, leader ends after", Unavailability::hang_machine, 0.5, true},
+    {"hang, leader ends at the cancellation", Unavailability::hang_machine, 0.01, false},
+    {"hang briefly", Unavailability::hang_briefly, 0.3, true},
+    {"hang briefly, nobody follows", Unavailability::hang_briefly, 0.3, false},
+    {"no answers", Unavailability::no_answers, 1, true},
+    {"no answers, nobody follows", Unavailability::no_answers, 1, false},
+    {"cut off", Unavailability::cut_off, -0.5, true},
+    {"cut off, late change", Unavailability::cut_off, 9, false},
 };
-class TeamsAtTheirLimits : public testing::TestWithParam<Limits> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limits), NameOfCase());
+class TeamsAtTheirLimits : public testing::TestWithParam<LimitCase> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limit_cases), NameOfCase());
 TEST_P(TeamsAtTheirLimits, StartNothingBeforeProofOfTerminationAndWaitNoLonger) {
     spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    Options o;
-    o.machines = 13;  // the tasks are on eight of them at most
-    o.gpus_max = o.free_gpus_max = 4;
-    if (!c.warm) o.without_replication = {0, 1, 2};
-    SimulatedCluster w(o);
-    w.at(1.9, [&w] {  // keeps the machines
-        w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
+    auto test_case = GetParam();
+    Options options;
+    options.machines = 13;  // the tasks are on eight of them at most
+    options.gpus_max = options.free_gpus_max = 4;
+    if (!test_case.replicated) options.without_replication = {0, 1, 2};
+    SimulatedCluster cluster(options);
+    cluster.at(1.9, [&cluster] {  // keeps the machines
+        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
+                       {{"cards", 0.0}, {"vcpus", 13.0}});
     });
-    w.at(2, [&w] {
+    cluster.at(2, [&cluster] {
         for (auto* team : {"tight", "free"}) {
             std::string prefix = team == std::string("tight") ? "j-1" : "j-2";
-            w.submit(prefix + "1", "batch", 2, 300, {{"crew", team}, {"cards", 1.0}});
-            w.submit(prefix + "2", "service", 2, 0, {{"crew", team}, {"cards", 1.0}});
+            cluster.submit(prefix + "1", "batch", 2, 300, {{"crew", team}, {"cards", 1.0}});
+            cluster.submit(prefix + "2", "service", 2, 0, {{"crew", team}, {"cards", 1.0}});
         }
     });
-    w.run_until(25);
-    for (auto* id : {"j-11", "j-12", "j-21", "j-22"}) ASSERT_EQ(on_machines(w, id), 2u) << id;
-    w.at(26, [&w] {
-        w.submit("j-13", "batch", 4, 20, {{"crew", "tight"}});
-        w.submit("j-23", "gang", 4, 20, {{"crew", "free"}});
+    cluster.run_until(25);
+    for (auto* id : {"j-11", "j-12", "j-21", "j-22"}) ASSERT_EQ(on_machines(cluster, id), 2u) << id;
+    cluster.at(26, [&cluster] {
+        cluster.submit("j-13", "batch", 4, 20, {{"crew", "tight"}});
+        cluster.submit("j-23", "gang", 4, 20, {{"crew", "free"}});
     });
-    w.run_until(30);
-    w.start_cloud_outage(120);
-    std::vector<std::size_t> gone;
-    for (std::size_t k = 0; k < w.workers.size(); ++k)
-        if (on_machine(*w.workers[k], "j-11") + on_machine(*w.workers[k], "j-12") +
-                on_machine(*w.workers[k], "j-21") + on_machine(*w.workers[k], "j-22") >
+    cluster.run_until(30);
+    cluster.start_cloud_outage(120);
+    std::vector<std::size_t> unavailable;
+    for (std::size_t k = 0; k < cluster.workers.size(); ++k)
+        if (on_machine(*cluster.workers[k], "j-11") + on_machine(*cluster.workers[k], "j-12") +
+                on_machine(*cluster.workers[k], "j-21") + on_machine(*cluster.workers[k], "j-22") >
             0)
-            away(w, c.how, k, 100);
-    for (auto* id : {"j-11", "j-12", "j-21", "j-22"}) w.at(32, [&w, id] { w.cancel(id); });
-    w.at(32 + c.leader_ends, [&w] { w.crash(leader_of(w), 0.2); });
-    w.at(32 + c.leader_ends + 3.5, [&w] { w.crash(leader_of(w), 4); });
-    w.run_until(32 + c.leader_ends + 3.5 + given_back_s(o));
-    EXPECT_EQ(on_machines(w, "j-11") + on_machines(w, "j-12"), 0u);
-    EXPECT_GT(on_machines(w, "j-13") + w.jobs["j-13"].tasks_done.size(), 0u);
-    EXPECT_GT(on_machines(w, "j-23") + w.jobs["j-23"].tasks_done.size(), 0u);
-    w.run_until(240);
-    EXPECT_TRUE(w.jobs["j-13"].done && w.jobs["j-23"].done);
-    expect_no_violations(w);
+            make_unavailable(cluster, test_case.how, k, 100);
+    for (auto* id : {"j-11", "j-12", "j-21", "j-22"}) cluster.at(32, [&cluster, id] { cluster.cancel(id); });
+    cluster.at(32 + test_case.leader_ends, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.at(32 + test_case.leader_ends + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 4); });
+    cluster.run_until(32 + test_case.leader_ends + 3.5 + quota_release_bound_s(options));
+    EXPECT_EQ(on_machines(cluster, "j-11") + on_machines(cluster, "j-12"), 0u);
+    EXPECT_GT(on_machines(cluster, "j-13") + cluster.jobs["j-13"].tasks_done.size(), 0u);
+    EXPECT_GT(on_machines(cluster, "j-23") + cluster.jobs["j-23"].tasks_done.size(), 0u);
+    cluster.run_until(240);
+    EXPECT_TRUE(cluster.jobs["j-13"].done && cluster.jobs["j-23"].done);
+    expect_no_violations(cluster);
 }
 
 // A gang is over for its user when one of its tasks has ended; those on a machine that hangs are still there.
@@ -100,34 +101,34 @@
                          [](auto& info) { return info.param ? "WithReplicas" : "WithoutReplicas"; });
 TEST_P(DoneGangStillOnMachine, CountsForItsTeam) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.machines = 4;
-    o.gpus_max = 6;
-    if (!GetParam()) o.without_replication = {0, 1, 2};
-    SimulatedCluster w(o);
-    w.at(2, [&w] { w.submit("j-1", "gang", 2, 25, {{"crew", "tight"}, {"cards", 3.0}}); });
-    w.at(2, [&w] { w.submit("j-9", "service", 4, 0, {{"cards", 1.0}}); });
-    w.run_until(20);
-    ASSERT_EQ(on_machines(w, "j-1"), 2u);
+    Options options;
+    options.machines = 4;
+    options.gpus_max = 6;
+    if (!GetParam()) options.without_replication = {0, 1, 2};
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "gang", 2, 25, {{"crew", "tight"}, {"cards", 3.0}}); });
+    cluster.at(2, [&cluster] { cluster.submit("j-9", "service", 4, 0, {{"cards", 1.0}}); });
+    cluster.run_until(20);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 2u);
     std::optional<std::size_t> held;
-    for (std::size_t k = 0; k < w.workers.size() && !held; ++k)
-        if (on_machine(*w.workers[k], "j-1") == 1) held = k;
+    for (std::size_t k = 0; k < cluster.workers.size() && !held; ++k)
+        if (on_machine(*cluster.workers[k], "j-1") == 1) held = k;
     ASSERT_TRUE(held);
-    w.start_cloud_outage(60);
-    w.at(w.now() + 4, [&w, held] { w.hang_machine(*held, 18); });
-    w.at(21, [&w] { w.submit("j-2", "batch", 6, 30, {{"crew", "tight"}}); });
+    cluster.start_cloud_outage(60);
+    cluster.at(cluster.now() + 4, [&cluster, held] { cluster.hang_machine(*held, 18); });
+    cluster.at(21, [&cluster] { cluster.submit("j-2", "batch", 6, 30, {{"crew", "tight"}}); });
     double done_at = -1;
     for (double t = 21; t < 60; t += 0.1)
-        w.at(t, [&w, &done_at] {
-            if (done_at >= 0 || !w.jobs["j-1"].done) return;
-            done_at = w.now();
-            w.crash(leader_of(w), 0.2);
-            w.at(done_at + 4, [&w] { w.crash(leader_of(w), 2); });
+        cluster.at(t, [&cluster, &done_at] {
+            if (done_at >= 0 || !cluster.jobs["j-1"].done) return;
+            done_at = cluster.now();
+            cluster.crash(leader_of(cluster), 0.2);
+            cluster.at(done_at + 4, [&cluster] { cluster.crash(leader_of(cluster), 2); });
         });
-    w.run_until(170);
+    cluster.run_until(170);
     EXPECT_GT(done_at, 0);
-    EXPECT_TRUE(w.jobs["j-2"].done);
-    expect_no_violations(w);
+    EXPECT_TRUE(cluster.jobs["j-2"].done);
+    expect_no_violations(cluster);
 }
 
 // A cancellation falls into the spell in which a new leader can't ask some machines of a team at its limit:
@@ -137,38 +138,41 @@
                          testing::Combine(testing::Values(0.05, 1.0, 2.2, 2.6, 3.2, 5.0), testing::Bool()),
                          [](auto& info) {
                              auto cancelled_after = std::get<0>(info.param);
-                             auto warm = std::get<1>(info.param);
+                             auto replicated = std::get<1>(info.param);
                              return "After" + seconds_name(cancelled_after) +
-                                    (warm ? "WithReplicas" : "WithoutReplicas");
+                                    (replicated ? "WithReplicas" : "WithoutReplicas");
                          });
 TEST_P(CancellationDuringFailover, CountsRemainingTasksForTheirTeam) {
     spdlog::set_level(spdlog::level::off);
-    auto [cancelled_after, warm] = GetParam();
-    Options o;
-    o.machines = 5;
-    o.gpus_max = 5;
-    if (!warm) o.without_replication = {0, 1, 2};
-    SimulatedCluster w(o);
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 5, 300, {{"crew", "tight"}, {"driftwood", false}});
-        w.submit("j-9", "service", 5, 0);
+    auto [cancelled_after, replicated] = GetParam();
+    Options options;
+    options.machines = 5;
+    options.gpus_max = 5;
+    if (!replicated) options.without_replication = {0, 1, 2};
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 5, 300, {{"crew", "tight"}, {"driftwood", false}});
+        cluster.submit("j-9", "service", 5, 0);
     });
-    w.run_until(25);
-    ASSERT_EQ(on_machines(w, "j-1"), 5u);
-    w.at(25, [&w] { w.submit("j-2", "service", 5, 0, {{"crew", "tight"}, {"rank", "high"}}); });
-    w.start_cloud_outage(90);
+    cluster.run_until(25);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 5u);
+    cluster.at(25, [&cluster] {
+        cluster.submit("j-2", "service", 5, 0, {{"crew", "tight"}, {"rank", "high"}});
+    });
+    cluster.start_cloud_outage(90);
     std::size_t unreached = 0;
-    for (auto& m : w.workers)
-        if (on_machine(*m, "j-1") > 0 && unreached++ % 2 == 0) w.partition("10.0.", m->addr, 70, false);
+    for (auto& worker : cluster.workers)
+        if (on_machine(*worker, "j-1") > 0 && unreached++ % 2 == 0)
+            cluster.partition("10.0.", worker->addr, 70, false);
     ASSERT_GT(unreached, 1u);
-    w.at(30, [&w] { w.crash(leader_of(w), 5); });
-    w.at(30 + cancelled_after, [&w] { w.cancel("j-1"); });
-    w.run_until(30 + cancelled_after + given_back_s(o));
-    EXPECT_EQ(on_machines(w, "j-1"), 0u);
-    EXPECT_EQ(on_machines(w, "j-2"), 5u);
-    w.cancel("j-2");
-    w.run_until(200);
-    expect_no_violations(w);
+    cluster.at(30, [&cluster] { cluster.crash(leader_of(cluster), 5); });
+    cluster.at(30 + cancelled_after, [&cluster] { cluster.cancel("j-1"); });
+    cluster.run_until(30 + cancelled_after + quota_release_bound_s(options));
+    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 5u);
+    cluster.cancel("j-2");
+    cluster.run_until(200);
+    expect_no_violations(cluster);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_support.hpp
+++ b/tests/scenarios/fault_combinations_support.hpp
@@ -9,23 +9,23 @@
 
 namespace coralhitch::simulation {
 
-inline std::size_t leader_of(const SimulatedCluster& w) {
-    return static_cast<std::size_t>(std::max(0, w.leader()));
+inline std::size_t leader_of(const SimulatedCluster& cluster) {
+    return static_cast<std::size_t>(std::max(0, cluster.leader()));
 }
 inline std::string host_of(std::size_t node) {
     return "10.0.0." + std::to_string(node + 1);
 }
-inline void expect_no_violations(const SimulatedCluster& w) {
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+inline void expect_no_violations(const SimulatedCluster& cluster) {
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
 // Tasks of the job that machines hold and that have not ended.
-inline std::size_t on_machine(const Worker& m, const std::string& job) {
-    auto here = [&](auto& t) { return !m.dead && t.second.job == job && t.second.status != "exited"; };
-    return static_cast<std::size_t>(std::count_if(m.tasks.begin(), m.tasks.end(), here));
+inline std::size_t on_machine(const Worker& worker, const std::string& job) {
+    auto here = [&](auto& t) { return !worker.dead && t.second.job == job && t.second.status != "exited"; };
+    return static_cast<std::size_t>(std::count_if(worker.tasks.begin(), worker.tasks.end(), here));
 }
-inline std::size_t on_machines(const SimulatedCluster& w, const std::string& job) {
+inline std::size_t on_machines(const SimulatedCluster& cluster, const std::string& job) {
     std::size_t n = 0;
-    for (auto& m : w.workers) n += on_machine(*m, job);
+    for (auto& worker : cluster.workers) n += on_machine(*worker, job);
     return n;
 }
 
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -7,14 +7,16 @@
 namespace {
 
 // Keeps the machines, with room for one card more on each.
-void keep_machines(SimulatedCluster& w) {
-    w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 3.0}}); });
+void keep_machines(SimulatedCluster& cluster) {
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0, {{"cards", 3.0}});
+    });
 }
 
 // The key-value store refuses the leader alone, another controller confirms a cancellation, and the service
 // is then out for all for longer than `cancel_s`, while the workers report to the old leader. Others don't
 // reach it: what they tell it proves nothing.
-struct HeartbeatRejection {
+struct RefusalCase {
     const char* name;
     double refused_s;      // the leader alone, from 30 s on; the cancellation comes 0.3 s later
     double outage_from_s;  // for all, for 70 s; before the leader's lease is out, which thus is kept
@@ -22,115 +24,118 @@
     bool crash;       // the leader ends in the middle, and is back at once
     bool late_watch;  // the leader's watch, still open, says nothing of it
 };
-const HeartbeatRejection refusals[] = {
+const RefusalCase refusal_cases[] = {
     {"refused on", 14, 31.0, false, false, false},
     {"refused, then served for a moment", 10, 31.0, true, false, false},
     {"served for a moment, and the watch is late", 10, 31.0, true, false, true},
     {"the leader ends meanwhile", 14, 31.0, false, true, false},
     {"the lease is out before the outage", 14, 34.0, false, false, false},
 };
-class RefusedLeader : public testing::TestWithParam<HeartbeatRejection> {};
-INSTANTIATE_TEST_SUITE_P(FaultCombinations, RefusedLeader, testing::ValuesIn(refusals), NameOfCase());
+class RefusedLeader : public testing::TestWithParam<RefusalCase> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, RefusedLeader, testing::ValuesIn(refusal_cases), NameOfCase());
 TEST_P(RefusedLeader, StopsCancelledTasksInTime) {
     spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    SimulatedCluster w({});
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 300);
-        w.submit("j-2", "service", 3, 0);
+    auto test_case = GetParam();
+    SimulatedCluster cluster({});
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 6, 300);
+        cluster.submit("j-2", "service", 3, 0);
     });
-    w.run_until(30);
-    ASSERT_EQ(on_machines(w, "j-1"), 6u);
-    auto old = leader_of(w);
-    w.remove_from_load_balancer(old);
-    if (c.late_watch)
-        for (auto* id : {"j-1", "j-2"}) w.hide_from_watches(id);
-    w.partition(host_of(old), "10.0.", 90, false);
-    w.refuse_at_key_value_store(old, c.refused_s);
-    w.at(30.3, [&w] {
-        w.cancel("j-1");
-        w.cancel("j-2");
+    cluster.run_until(30);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
+    auto old_leader = leader_of(cluster);
+    cluster.remove_from_load_balancer(old_leader);
+    if (test_case.late_watch)
+        for (auto* id : {"j-1", "j-2"}) cluster.hide_from_watches(id);
+    cluster.partition(host_of(old_leader), "10.0.", 90, false);
+    cluster.refuse_at_key_value_store(old_leader, test_case.refused_s);
+    cluster.at(30.3, [&cluster] {
+        cluster.cancel("j-1");
+        cluster.cancel("j-2");
     });
-    double outage_s = c.again ? c.refused_s - (c.outage_from_s - 30) - 0.05 : 70;
-    w.at(c.outage_from_s, [&w, outage_s] { w.start_key_value_store_outage(outage_s); });
-    if (c.crash) w.at(33, [&w, old] { w.crash(old, 0.1); });
-    if (c.again)
-        w.on_message = [&w, old, begun = false](auto& from, auto&, auto& r) mutable {
-            bool renews = from == w.addr_of(old) && r.target.ends_with("/renew");
-            if (!renews || w.now() < 40 || std::exchange(begun, true)) return;
-            w.at(w.now() + 0.009, [&w] { w.start_key_value_store_outage(70); });
+    double outage_s = test_case.again ? test_case.refused_s - (test_case.outage_from_s - 30) - 0.05 : 70;
+    cluster.at(test_case.outage_from_s,
+               [&cluster, outage_s] { cluster.start_key_value_store_outage(outage_s); });
+    if (test_case.crash) cluster.at(33, [&cluster, old_leader] { cluster.crash(old_leader, 0.1); });
+    if (test_case.again)
+        cluster.on_message = [&cluster, old_leader, begun = false](auto& from, auto&, auto& request) mutable {
+            bool renews = from == cluster.addr_of(old_leader) && request.target.ends_with("/renew");
+            if (!renews || cluster.now() < 40 || std::exchange(begun, true)) return;
+            cluster.at(cluster.now() + 0.009, [&cluster] { cluster.start_key_value_store_outage(70); });
         };
-    w.run_until(31);
-    ASSERT_TRUE(w.jobs["j-1"].cancelled && w.jobs["j-2"].cancelled);
-    w.run_until(150);
-    expect_no_violations(w);
-    EXPECT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2"), 0u);
+    cluster.run_until(31);
+    ASSERT_TRUE(cluster.jobs["j-1"].cancelled && cluster.jobs["j-2"].cancelled);
+    cluster.run_until(150);
+    expect_no_violations(cluster);
+    EXPECT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 0u);
 }
 
 // A transaction without an answer is carried out late, after newer ones of the same leader: what these stored
 // of tasks that are done must not be lost, since their machines have been told to forget them.
 TEST(FaultCombination, LateTransactionLosesNoProgress) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.machines = 1;
-    SimulatedCluster w(o);
+    Options options;
+    options.machines = 1;
+    SimulatedCluster cluster(options);
     std::size_t written = 0;
-    w.transaction_delay = [&](const json& txn) {
-        for (auto& c : txn["then"])
-            if (c.value("put", "").starts_with("prog/") && written++ == 0) {
-                w.at(w.now() + 11.2, [&w] { w.crash(leader_of(w), 0.1); });
+    cluster.transaction_delay = [&](const json& txn) {
+        for (auto& change : txn["then"])
+            if (change.value("put", "").starts_with("prog/") && written++ == 0) {
+                cluster.at(cluster.now() + 11.2, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
                 return 11.0;
             }
         return 0.0;
     };
-    w.at(2, [&w] { w.submit("j-1", "batch", 40, 6, {{"driftwood", false}}); });
-    w.run_until(160);
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 40, 6, {{"driftwood", false}}); });
+    cluster.run_until(160);
     EXPECT_GT(written, 3u);
-    EXPECT_TRUE(w.jobs["j-1"].done);
-    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
-    expect_no_violations(w);
+    EXPECT_TRUE(cluster.jobs["j-1"].done);
+    EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+    expect_no_violations(cluster);
 }
 
 // An old report arrives after newer ones, at a leader that has heard nothing newer of that machine: what it
 // shows has moved on since, and what runs elsewhere must go on.
 TEST(FaultCombination, OldHeartbeatStopsNothingThatRunsElsewhere) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.machines = 2;
-    o.without_replication = {0, 1, 2};  // nothing is known of the machines but what they say
-    SimulatedCluster w(o);
-    keep_machines(w);
-    w.at(4, [&w] { w.submit("j-1", "service", 1, 0); });
-    std::map<std::string, http::Request> showed;  // the last report of each machine with the task
-    w.on_message = [&](auto& from, auto&, auto& r) {
-        if (r.target == protocol::paths::report && r.body.find("j-1/") != std::string::npos && w.now() < 25)
-            showed[from] = r;
+    Options options;
+    options.machines = 2;
+    options.without_replication = {0, 1, 2};  // nothing is known of the machines but what they say
+    SimulatedCluster cluster(options);
+    keep_machines(cluster);
+    cluster.at(4, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
+    std::map<std::string, http::Request> last_heartbeats;  // the last report of each machine with the task
+    cluster.on_message = [&](auto& from, auto&, auto& request) {
+        if (request.target == protocol::paths::report && request.body.find("j-1/") != std::string::npos &&
+            cluster.now() < 25)
+            last_heartbeats[from] = request;
     };
-    w.run_until(25);
-    ASSERT_EQ(on_machines(w, "j-1"), 1u);
-    std::size_t first = on_machine(*w.workers[0], "j-1") ? 0 : 1;
+    cluster.run_until(25);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
+    std::size_t first = on_machine(*cluster.workers[0], "j-1") ? 0 : 1;
     // For longer than a lease, and it can't be deleted: the task goes on elsewhere, the machine in its next
     // agent epoch.
-    w.hang_machine(first, 30);
-    w.start_cloud_outage(60);
-    w.run_until(70);
-    ASSERT_EQ(on_machines(w, "j-1"), 1u);
+    cluster.hang_machine(first, 30);
+    cluster.start_cloud_outage(60);
+    cluster.run_until(70);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
     std::size_t second = 1 - first;
-    ASSERT_EQ(on_machine(*w.workers[first], "j-1"), 0u);
-    auto copy = showed.at(w.workers[first]->addr);
-    auto starts = w.starts;
-    w.hang_machine(first, 8);
-    w.hang_machine(second, 5);
-    w.crash(leader_of(w), 6);
+    ASSERT_EQ(on_machine(*cluster.workers[first], "j-1"), 0u);
+    auto copy = last_heartbeats.at(cluster.workers[first]->addr);
+    auto starts = cluster.starts;
+    cluster.hang_machine(first, 8);
+    cluster.hang_machine(second, 5);
+    cluster.crash(leader_of(cluster), 6);
     for (double t = 70; t < 78; t += 0.2)
-        w.at(t, [&w, &copy, first] {
+        cluster.at(t, [&cluster, &copy, first] {
             for (std::size_t n = 0; n < 3; ++n)
-                w.send(w.workers[first]->addr, w.addr_of(n), copy, 1, [](std::optional<http::Response>) {});
+                cluster.send(cluster.workers[first]->addr, cluster.addr_of(n), copy, 1,
+                             [](std::optional<http::Response>) {});
         });
-    w.run_until(110);
-    EXPECT_EQ(on_machines(w, "j-1"), 1u);
-    EXPECT_EQ(w.starts, starts);
-    expect_no_violations(w);
+    cluster.run_until(110);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);
+    EXPECT_EQ(cluster.starts, starts);
+    expect_no_violations(cluster);
 }
 
 // A `run` is held up on its way to a machine that hears nobody, and its job is cancelled meanwhile. It
@@ -138,34 +143,36 @@
 // renews its lease would leave the task there for a lease more.
 TEST(FaultCombination, DelayedStartOfCancelledJobGetsNoLeaseRenewal) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.machines = 12;
-    o.heartbeat_processing_s = 0.05;  // so that the answer comes after the `run`
-    o.cancel_s = 34;
-    SimulatedCluster w(o);
-    keep_machines(w);
-    w.run_until(30);
-    w.partition_one_way("10.0.", "10.1.", 13, false);
-    w.start_cloud_outage(90);
+    Options options;
+    options.machines = 12;
+    options.heartbeat_processing_s = 0.05;  // so that the answer comes after the `run`
+    options.cancel_s = 34;
+    SimulatedCluster cluster(options);
+    keep_machines(cluster);
+    cluster.run_until(30);
+    cluster.partition_one_way("10.0.", "10.1.", 13, false);
+    cluster.start_cloud_outage(90);
     std::map<std::string, http::Request> held;
     std::string met;
-    w.on_message = [&](auto& from, auto& to, auto& r) {
-        if (r.target == protocol::paths::commands && r.body.find("run") != std::string::npos && w.now() < 43)
-            held.emplace(to, r);
-        if (r.target != protocol::paths::report || w.now() < 43 || !met.empty() || !held.contains(from))
+    cluster.on_message = [&](auto& from, auto& to, auto& request) {
+        if (request.target == protocol::paths::commands && request.body.find("run") != std::string::npos &&
+            cluster.now() < 43)
+            held.emplace(to, request);
+        if (request.target != protocol::paths::report || cluster.now() < 43 || !met.empty() ||
+            !held.contains(from))
             return;
         met = from;
-        w.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
-        w.at(w.now() + 0.4, [&w] { w.partition("10.0.", "10.1.", 60, false); });
+        cluster.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
+        cluster.at(cluster.now() + 0.4, [&cluster] { cluster.partition("10.0.", "10.1.", 60, false); });
     };
-    w.submit("j-1", "batch", 12, 300);
-    w.at(31.5, [&w] { w.cancel("j-1"); });
-    w.run_until(45);
+    cluster.submit("j-1", "batch", 12, 300);
+    cluster.at(31.5, [&cluster] { cluster.cancel("j-1"); });
+    cluster.run_until(45);
     ASSERT_FALSE(met.empty());
-    EXPECT_EQ(on_machines(w, "j-1"), 1u);  // it has arrived
-    w.run_until(150);
-    EXPECT_TRUE(w.jobs["j-1"].cancelled);
-    expect_no_violations(w);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);  // it has arrived
+    cluster.run_until(150);
+    EXPECT_TRUE(cluster.jobs["j-1"].cancelled);
+    expect_no_violations(cluster);
 }
 
 // Each kind of transaction of the controllers, again and again without an answer and carried out after newer
@@ -181,24 +188,25 @@
 TEST_P(LateTransactions, BreakNoRule) {
     spdlog::set_level(spdlog::level::off);
     std::string kind = GetParam();
-    SimulatedCluster w({});
+    SimulatedCluster cluster({});
     std::minstd_rand random(7);
     std::size_t late = 0;
-    w.transaction_delay = [&](const json& txn) {
-        for (auto& c : txn["then"]) {
-            auto key = c.value("put", c.value("drop", ""));
+    cluster.transaction_delay = [&](const json& txn) {
+        for (auto& change : txn["then"]) {
+            auto key = change.value("put", change.value("drop", ""));
             // Not so many that nobody leads for long.
-            if (!key.starts_with(kind) || w.now() > 100 || random() % 3) continue;
+            if (!key.starts_with(kind) || cluster.now() > 100 || random() % 3) continue;
             ++late;
             return std::uniform_real_distribution<double>(2, 12)(random);
         }
         return 0.0;
     };
-    work(w, 110);
-    for (double t = 25; t < 100; t += 13) w.at(t, [&w] { w.crash(leader_of(w), 0.2); });
-    w.run_until(260);
+    work(cluster, 110);
+    for (double t = 25; t < 100; t += 13)
+        cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.run_until(260);
     EXPECT_GT(late, kind == "types" ? 0u : 2u);
-    for (auto& b : wrong(w)) ADD_FAILURE() << b;
+    for (auto& violation : wrong(cluster)) ADD_FAILURE() << violation;
 }
 
 // A leader ends while machines with long tasks can't be reached, or don't hear the new leader, for longer
@@ -215,33 +223,33 @@
 TEST_P(UnreachableMachines, CountAsUsedUntilProvenTerminated) {
     spdlog::set_level(spdlog::level::off);
     auto [both_ways, for_s] = GetParam();
-    Options o;
-    o.gpus_max = 6;
-    SimulatedCluster w(o);
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 200, {{"crew", "tight"}});
-        w.submit("j-2", "gang", 3, 200, {{"together", true}});
-        w.submit("j-3", "service", 4, 0, {{"scatter", true}});
+    Options options;
+    options.gpus_max = 6;
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 6, 200, {{"crew", "tight"}});
+        cluster.submit("j-2", "gang", 3, 200, {{"together", true}});
+        cluster.submit("j-3", "service", 4, 0, {{"scatter", true}});
     });
-    w.run_until(30);
-    ASSERT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2") + on_machines(w, "j-3"), 13u);
-    for (std::size_t m = 0; m < 3; ++m) {
+    cluster.run_until(30);
+    ASSERT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2") + on_machines(cluster, "j-3"), 13u);
+    for (std::size_t machine = 0; machine < 3; ++machine) {
         if (both_ways)
-            w.partition("10.0.", w.workers[m]->addr, for_s, false);
+            cluster.partition("10.0.", cluster.workers[machine]->addr, for_s, false);
         else
-            w.partition_one_way("10.0.", w.workers[m]->addr, for_s);
+            cluster.partition_one_way("10.0.", cluster.workers[machine]->addr, for_s);
     }
-    w.start_cloud_outage(for_s);
-    w.at(31, [&w] { w.crash(leader_of(w), 0.1); });
-    w.at(34, [&w] { w.crash(leader_of(w), 3); });
-    w.run_until(30 + for_s + 60);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    EXPECT_EQ(on_machines(w, "j-2"), 3u);
-    EXPECT_EQ(on_machines(w, "j-3"), 4u);
-    w.cancel("j-3");
-    w.run_until(500);
-    EXPECT_TRUE(w.jobs["j-1"].done && w.jobs["j-2"].done);
-    expect_no_violations(w);
+    cluster.start_cloud_outage(for_s);
+    cluster.at(31, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
+    cluster.at(34, [&cluster] { cluster.crash(leader_of(cluster), 3); });
+    cluster.run_until(30 + for_s + 60);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 3u);
+    EXPECT_EQ(on_machines(cluster, "j-3"), 4u);
+    cluster.cancel("j-3");
+    cluster.run_until(500);
+    EXPECT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-2"].done);
+    expect_no_violations(cluster);
 }
 
 // Workers can't open connections to any controller, while direct commands still reach them: their answers
@@ -249,36 +257,40 @@
 TEST(FaultCombination, StartsNothingOnInboundUnreachableMachines) {
     spdlog::set_level(spdlog::level::off);
     for (bool crash : {false, true}) {
-        Options o;
-        o.machines = 8;
-        SimulatedCluster w(o);
-        keep_machines(w);
-        w.run_until(30);
-        constexpr double mute_s = 90;
-        for (std::size_t m = 0; m < 4; ++m) w.workers[m]->inbound_unreachable_until = w.now() + mute_s;
+        Options options;
+        options.machines = 8;
+        SimulatedCluster cluster(options);
+        keep_machines(cluster);
+        cluster.run_until(30);
+        constexpr double unreachable_s = 90;
+        for (std::size_t machine = 0; machine < 4; ++machine)
+            cluster.workers[machine]->inbound_unreachable_until = cluster.now() + unreachable_s;
         std::size_t runs = 0;
         bool over = false;
-        std::set<std::string> mute;
-        for (std::size_t m = 0; m < 4; ++m) mute.insert(w.workers[m]->addr);
+        std::set<std::string> unreachable;
+        for (std::size_t machine = 0; machine < 4; ++machine)
+            unreachable.insert(cluster.workers[machine]->addr);
         // Half of a lease and a look later, longer with a new leader, which begins to count at its start.
-        double from = w.now() + o.lease_s / 2 + (crash ? 20 : 3);
-        w.on_message = [&](auto&, auto& to, auto& r) {
-            bool run = r.target == protocol::paths::commands && r.body.find("\"run\"") != std::string::npos;
-            runs += run && !over && w.now() > from && mute.contains(to);
+        double from = cluster.now() + options.lease_s / 2 + (crash ? 20 : 3);
+        cluster.on_message = [&](auto&, auto& to, auto& request) {
+            bool run = request.target == protocol::paths::commands &&
+                       request.body.find("\"run\"") != std::string::npos;
+            runs += run && !over && cluster.now() > from && unreachable.contains(to);
         };
-        if (crash) w.at(35, [&w] { w.crash(leader_of(w), 0.1); });
+        if (crash) cluster.at(35, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
         // The other half has room for these, one after the other.
         for (int k = 0; k < 8; ++k)
-            w.at(from + 1 + k * 6, [&w, k] { w.submit("j-" + std::to_string(k), "batch", 2, 8); });
-        w.run_until(30 + mute_s);
+            cluster.at(from + 1 + k * 6,
+                       [&cluster, k] { cluster.submit("j-" + std::to_string(k), "batch", 2, 8); });
+        cluster.run_until(30 + unreachable_s);
         over = true;
         EXPECT_EQ(runs, 0u) << crash;
         // They are well again, and are used.
-        w.at(w.now() + 5, [&w] { w.submit("j-20", "batch", 8, 20); });
-        w.run_until(w.now() + 90);
-        EXPECT_TRUE(w.jobs["j-20"].done);
-        for (int k = 0; k < 8; ++k) EXPECT_TRUE(w.jobs["j-" + std::to_string(k)].done) << k;
-        expect_no_violations(w);
+        cluster.at(cluster.now() + 5, [&cluster] { cluster.submit("j-20", "batch", 8, 20); });
+        cluster.run_until(cluster.now() + 90);
+        EXPECT_TRUE(cluster.jobs["j-20"].done);
+        for (int k = 0; k < 8; ++k) EXPECT_TRUE(cluster.jobs["j-" + std::to_string(k)].done) << k;
+        expect_no_violations(cluster);
     }
 }
 
@@ -287,24 +299,25 @@
 TEST(FaultCombination, KeepsAllRulesWhenLeadershipAlternates) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        Options o;
-        o.seed = seed;
-        SimulatedCluster w(o);
-        work(w, 110);
+        Options options;
+        options.seed = seed;
+        SimulatedCluster cluster(options);
+        work(cluster, 110);
         for (double t = 25; t < 95; t += 24) {
-            w.at(t, [&w] {
-                auto a = leader_of(w);
-                w.partition(host_of(a), "10.", 4, true);  // held, and sent on when its second life leads
-                w.crash(a, 0.1);
+            cluster.at(t, [&cluster] {
+                auto leader = leader_of(cluster);
+                cluster.partition(host_of(leader), "10.", 4,
+                                  true);  // held, and sent on when its second life leads
+                cluster.crash(leader, 0.1);
             });
-            w.at(t + 3.5, [&w] { w.crash(leader_of(w), 0.1); });
-            w.at(t + 7, [&w] { w.crash(leader_of(w), 0.3); });
-            w.at(t + 12, [&w] {
-                for (std::size_t n = 0; n < 3; ++n) w.crash(n, n == 1 ? 0.2 : 5);
+            cluster.at(t + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
+            cluster.at(t + 7, [&cluster] { cluster.crash(leader_of(cluster), 0.3); });
+            cluster.at(t + 12, [&cluster] {
+                for (std::size_t n = 0; n < 3; ++n) cluster.crash(n, n == 1 ? 0.2 : 5);
             });
         }
-        w.run_until(260);
-        for (auto& b : wrong(w)) ADD_FAILURE() << "seed " << seed << ": " << b;
+        cluster.run_until(260);
+        for (auto& violation : wrong(cluster)) ADD_FAILURE() << "seed " << seed << ": " << violation;
     }
 }
 
@@ -313,15 +326,15 @@
 TEST(FaultCombination, KeepsAllRulesWhenKeyValueStoreIsSlowAtTheEdgeOfALease) {
     spdlog::set_level(spdlog::level::off);
     for (double by : {0.6, 1.2, 1.6}) {
-        SimulatedCluster w({});
-        work(w, 110);
+        SimulatedCluster cluster({});
+        work(cluster, 110);
         for (double t = 25; t < 95; t += 20) {
-            w.at(t, [&w, by] { w.slow_key_value_store(15, by); });
-            w.at(t + 6, [&w] { w.refuse_at_key_value_store(leader_of(w), 4); });
-            w.at(t + 9, [&w] { w.start_key_value_store_outage(3); });
+            cluster.at(t, [&cluster, by] { cluster.slow_key_value_store(15, by); });
+            cluster.at(t + 6, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 4); });
+            cluster.at(t + 9, [&cluster] { cluster.start_key_value_store_outage(3); });
         }
-        w.run_until(260);
-        for (auto& b : wrong(w)) ADD_FAILURE() << by << ": " << b;
+        cluster.run_until(260);
+        for (auto& violation : wrong(cluster)) ADD_FAILURE() << by << ": " << violation;
     }
 }
 
@@ -330,42 +343,44 @@
 // long.
 TEST(FaultCombination, IsolatedLeaderAnswersNothingOlder) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 300);
-        w.submit("j-2", "service", 3, 0);
-        w.submit("j-3", "batch", 3, 12);
+    SimulatedCluster cluster({});
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 6, 300);
+        cluster.submit("j-2", "service", 3, 0);
+        cluster.submit("j-3", "batch", 3, 12);
     });
-    w.run_until(15);
-    auto old = leader_of(w);
-    w.remove_from_load_balancer(old);
-    w.partition(host_of(old), "10.2.0.1", 60, true);
-    w.partition(host_of(old), "10.0.", 60, true);
-    w.at(16, [&w] { w.cancel("j-1"); });
-    w.at(16, [&w] { w.cancel("j-2"); });
+    cluster.run_until(15);
+    auto old_leader = leader_of(cluster);
+    cluster.remove_from_load_balancer(old_leader);
+    cluster.partition(host_of(old_leader), "10.2.0.1", 60, true);
+    cluster.partition(host_of(old_leader), "10.0.", 60, true);
+    cluster.at(16, [&cluster] { cluster.cancel("j-1"); });
+    cluster.at(16, [&cluster] { cluster.cancel("j-2"); });
     std::size_t asked = 0, answered = 0;
     for (double t = 18; t < 90; t += 0.7)
-        w.at(t, [&] {
+        cluster.at(t, [&] {
             for (auto* id : {"j-1", "j-2", "j-3"}) {
-                bool over = w.jobs[id].cancelled || w.jobs[id].done;
+                bool over = cluster.jobs[id].cancelled || cluster.jobs[id].done;
                 ++asked;
-                w.send_user_request(old, {"GET", std::string("/api/jobs/") + id, ""}, [&, over](http::Response r) {
-                    answered += r.status == 200;
-                    auto status = r.status == 200 ? json::parse(r.body)["status"] : json();
-                    if (r.status == 404 || (over && (status == "pending" || status == "running")))
-                        ADD_FAILURE() << w.now() << " " << r.status << " " << r.body;
-                });
+                cluster.send_user_request(
+                    old_leader, {"GET", std::string("/api/jobs/") + id, ""},
+                    [&, over](http::Response response) {
+                        answered += response.status == 200;
+                        auto status = response.status == 200 ? json::parse(response.body)["status"] : json();
+                        if (response.status == 404 || (over && (status == "pending" || status == "running")))
+                            ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
+                    });
             }
-            w.post_job_to(old, w.jobs["j-1"].spec.dump(), [&](http::Response r) {
-                bool older =
-                    r.status == 201 || (r.status == 200 && r.body.find("withdrawn") == std::string::npos);
-                if (older) ADD_FAILURE() << w.now() << " " << r.status << " " << r.body;
+            cluster.post_job_to(old_leader, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
+                bool older = response.status == 201 ||
+                             (response.status == 200 && response.body.find("withdrawn") == std::string::npos);
+                if (older) ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
             });
         });
-    w.run_until(150);
-    EXPECT_TRUE(w.jobs["j-1"].cancelled && w.jobs["j-2"].cancelled && w.jobs["j-3"].done);
+    cluster.run_until(150);
+    EXPECT_TRUE(cluster.jobs["j-1"].cancelled && cluster.jobs["j-2"].cancelled && cluster.jobs["j-3"].done);
     EXPECT_GT(answered, asked / 5);  // once it is back
-    expect_no_violations(w);
+    expect_no_violations(cluster);
 }
 
 // Jobs of two or three tasks that end far apart, and the leader ends in between, or right when an end was
@@ -380,31 +395,33 @@
 TEST_P(TaskEndsFarApart, AreStoredOnce) {
     spdlog::set_level(spdlog::level::off);
     auto [shape, at_report] = GetParam();
-    Options o;
-    o.machines = 1;
-    SimulatedCluster w(o);
+    Options options;
+    options.machines = 1;
+    SimulatedCluster cluster(options);
     bool gang = std::string(shape) == "gang";
     // One at a time finds room.
-    w.at(2, [&w, s = std::string(shape), gang] {
-        w.submit("j-1", s, gang ? 1 : 3, 8, {{"cards", 3.0}, {"driftwood", false}});
+    cluster.at(2, [&cluster, s = std::string(shape), gang] {
+        cluster.submit("j-1", s, gang ? 1 : 3, 8, {{"cards", 3.0}, {"driftwood", false}});
     });
-    w.at(3, [&w] { w.submit("j-2", "service", 1, 0, {{"driftwood", false}}); });
+    cluster.at(3, [&cluster] { cluster.submit("j-2", "service", 1, 0, {{"driftwood", false}}); });
     std::set<std::string> crashed;
     if (at_report)
-        w.on_message = [&](auto&, auto&, auto& r) {
-            if (r.target != protocol::paths::report || r.body.find("exited") == std::string::npos) return;
-            auto ended = std::to_string(w.jobs["j-1"].tasks_done.size());
+        cluster.on_message = [&](auto&, auto&, auto& request) {
+            if (request.target != protocol::paths::report || request.body.find("exited") == std::string::npos)
+                return;
+            auto ended = std::to_string(cluster.jobs["j-1"].tasks_done.size());
             if (!crashed.insert(ended).second) return;
-            w.at(w.now() + 0.012, [&w] { w.crash(leader_of(w), 0.1); });
+            cluster.at(cluster.now() + 0.012, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
         };
     else
-        for (double t = 17; t < 70; t += 4.5) w.at(t, [&w] { w.crash(leader_of(w), 0.1); });
-    w.run_until(170);
-    EXPECT_TRUE(w.jobs["j-1"].done);
-    EXPECT_EQ(w.jobs["j-1"].tasks_done.size(), gang ? 1u : 3u);
-    EXPECT_EQ(w.restarts_of_done_tasks, 0u);
-    EXPECT_EQ(on_machines(w, "j-2"), 1u);
-    expect_no_violations(w);
+        for (double t = 17; t < 70; t += 4.5)
+            cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
+    cluster.run_until(170);
+    EXPECT_TRUE(cluster.jobs["j-1"].done);
+    EXPECT_EQ(cluster.jobs["j-1"].tasks_done.size(), gang ? 1u : 3u);
+    EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 1u);
+    expect_no_violations(cluster);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 enum class Loss { one_dies, zone_dies, zone_hangs, zone_cut_off };
-struct Bound {
+struct BoundJobCase {
     const char* name;
     const char* shape;
     bool named;  // the zone is named by the job; else it is where its first task went
     Loss loss;
     bool leader_ends;
 };
-void PrintTo(const Bound& b, std::ostream* out) {
-    *out << b.name;
+void PrintTo(const BoundJobCase& bound_job, std::ostream* out) {
+    *out << bound_job.name;
 }
-const Bound bound_jobs[] = {
+const BoundJobCase bound_jobs[] = {
     {"array, one machine dies", "batch", false, Loss::one_dies, false},
     {"array, its zone dies", "batch", false, Loss::zone_dies, false},
     {"array, its zone dies, the leader ends", "batch", false, Loss::zone_dies, true},
@@ -40,56 +40,57 @@
 // Machines of the zone with tasks of a job bound to it go, and the leader may end a moment later. What is
 // left there counts until it is proven gone; then all of it goes on, in one zone again, within the time for
 // which anything may wait.
-class ZoneBoundJob : public testing::TestWithParam<Bound> {};
+class ZoneBoundJob : public testing::TestWithParam<BoundJobCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs), NameOfCase());
 TEST_P(ZoneBoundJob, RestartsAfterLossOfMachines) {
     spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    Options o;
-    o.machines = 8;
-    SimulatedCluster w(o);
+    auto test_case = GetParam();
+    Options options;
+    options.machines = 8;
+    SimulatedCluster cluster(options);
     json more{{"together", true}, {"cards", 2.0}, {"driftwood", false}};
-    if (c.named) more["reef"] = "a";
-    bool service = std::string(c.shape) == "service";
+    if (test_case.named) more["reef"] = "a";
+    bool service = std::string(test_case.shape) == "service";
     constexpr int tasks = 4;
-    w.at(2, [&w] {  // keeps the machines: one on each
-        w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
+    cluster.at(2, [&cluster] {  // keeps the machines: one on each
+        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
+                       {{"cards", 0.0}, {"vcpus", 13.0}});
     });
-    w.at(8, [&] { w.submit("j-1", c.shape, tasks, service ? 0 : 60, more); });
-    w.run_until(30);
-    ASSERT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
+    cluster.at(8, [&] { cluster.submit("j-1", test_case.shape, tasks, service ? 0 : 60, more); });
+    cluster.run_until(30);
+    ASSERT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     std::vector<std::size_t> on;
-    for (std::size_t k = 0; k < w.workers.size(); ++k)
-        if (on_machine(*w.workers[k], "j-1") > 0) on.push_back(k);
-    auto zone = w.workers[on.front()]->zone;
+    for (std::size_t k = 0; k < cluster.workers.size(); ++k)
+        if (on_machine(*cluster.workers[k], "j-1") > 0) on.push_back(k);
+    auto zone = cluster.workers[on.front()]->zone;
     // Those that are cut off can't be deleted either: only the time proves anything. The bound is that of
     // docs/design.md for a new leader, with two report periods for the plan and the start.
-    bool cut_off = c.loss == Loss::zone_cut_off;
-    double proven_s = o.cancel_s + 2 * o.report_s, away_s = cut_off ? proven_s + 10 : 40;
-    if (cut_off) w.start_cloud_outage(away_s);
+    bool cut_off = test_case.loss == Loss::zone_cut_off;
+    double proven_s = options.cancel_s + 2 * options.report_s, away_s = cut_off ? proven_s + 10 : 40;
+    if (cut_off) cluster.start_cloud_outage(away_s);
     std::size_t lost = 0;
-    for (std::size_t k = 0; k < w.workers.size(); ++k) {
-        auto& m = *w.workers[k];
-        if (c.loss == Loss::one_dies ? k != on.front() : m.zone != zone || m.dead) continue;
+    for (std::size_t k = 0; k < cluster.workers.size(); ++k) {
+        auto& worker = *cluster.workers[k];
+        if (test_case.loss == Loss::one_dies ? k != on.front() : worker.zone != zone || worker.dead) continue;
         ++lost;
-        if (c.loss == Loss::one_dies || c.loss == Loss::zone_dies) w.crash_machine(k);
-        if (c.loss == Loss::zone_hangs) w.hang_machine(k, away_s);
-        if (c.loss == Loss::zone_cut_off) w.partition("10.0.", m.addr, away_s, false);
+        if (test_case.loss == Loss::one_dies || test_case.loss == Loss::zone_dies) cluster.crash_machine(k);
+        if (test_case.loss == Loss::zone_hangs) cluster.hang_machine(k, away_s);
+        if (test_case.loss == Loss::zone_cut_off) cluster.partition("10.0.", worker.addr, away_s, false);
     }
     ASSERT_GT(lost, 0u);
-    if (c.leader_ends) w.at(30.6, [&w] { w.crash(leader_of(w), 0.2); });
-    if (cut_off && !c.named) {  // the other zone has room
-        w.run_until(30 + proven_s);
-        EXPECT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
+    if (test_case.leader_ends) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    if (cut_off && !test_case.named) {  // the other zone has room
+        cluster.run_until(30 + proven_s);
+        EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     }
-    w.faults_over_at = 30 + (c.loss == Loss::zone_hangs || cut_off ? away_s : 1);
-    w.run_until(w.faults_over_at + 200);
+    cluster.faults_over_at = 30 + (test_case.loss == Loss::zone_hangs || cut_off ? away_s : 1);
+    cluster.run_until(cluster.faults_over_at + 200);
     if (service)
-        EXPECT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
+        EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     else
-        EXPECT_TRUE(w.jobs["j-1"].done);
-    EXPECT_EQ(on_machines(w, "j-9"), o.machines);
-    expect_no_violations(w);
+        EXPECT_TRUE(cluster.jobs["j-1"].done);
+    EXPECT_EQ(on_machines(cluster, "j-9"), options.machines);
+    expect_no_violations(cluster);
 }
 
 // One machine is cut off and can't be deleted, the leader stays: only the end of its lease proves anything,
@@ -99,23 +100,24 @@
                          Numbered{"Machine"});
 TEST_P(PartitionedMachine, HasItsTasksRestartedOnceItsLeaseExpires) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    SimulatedCluster w(o);
-    w.at(2, [&w] {  // keeps the machines: one on each
-        w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
+    Options options;
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {  // keeps the machines: one on each
+        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
+                       {{"cards", 0.0}, {"vcpus", 13.0}});
     });
-    w.at(8, [&w] { w.submit("j-1", "service", 6, 0); });
-    w.run_until(30);
-    ASSERT_EQ(on_machines(w, "j-1"), 6u);
-    double proven_s = o.cancel_s + 2 * o.report_s;
-    w.start_cloud_outage(proven_s + 10);
-    w.partition("10.0.", w.workers[GetParam()]->addr, proven_s + 10, false);
-    w.run_until(30 + proven_s);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    w.faults_over_at = 30 + proven_s + 10;
-    w.run_until(w.faults_over_at + 100);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    expect_no_violations(w);
+    cluster.at(8, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
+    cluster.run_until(30);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
+    double proven_s = options.cancel_s + 2 * options.report_s;
+    cluster.start_cloud_outage(proven_s + 10);
+    cluster.partition("10.0.", cluster.workers[GetParam()]->addr, proven_s + 10, false);
+    cluster.run_until(30 + proven_s);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    cluster.faults_over_at = 30 + proven_s + 10;
+    cluster.run_until(cluster.faults_over_at + 100);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    expect_no_violations(cluster);
 }
 
 // More than twice the work that there is room for with all that the cloud gives, of each rank. Machines
@@ -131,50 +133,53 @@
 TEST_P(Overload, LeavesNothingWaitingThatFits) {
     spdlog::set_level(spdlog::level::off);
     auto [seed, slow] = GetParam();
-    Options o;
-    o.seed = static_cast<std::uint64_t>(seed);
-    o.machines = 6;
-    o.gpus_max = 8;
-    o.max_waiting_s = 90;
-    if (slow) o.heartbeat_processing_s = 0.15;  // what workers say takes long on its way, and waits in line
-    SimulatedCluster w(o);
-    w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}}); });
-    w.run_until(20);
+    Options options;
+    options.seed = static_cast<std::uint64_t>(seed);
+    options.machines = 6;
+    options.gpus_max = 8;
+    options.max_waiting_s = 90;
+    if (slow)
+        options.heartbeat_processing_s = 0.15;  // what workers say takes long on its way, and waits in line
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0, {{"cards", 0.0}});
+    });
+    cluster.run_until(20);
     constexpr std::array ranks{"idle", "normal", "high"};
     std::size_t n = 0;
     std::vector<std::string> urgent, idle, cancelled;
     for (double t = 21; t < 75; t += 3, ++n)
-        w.at(t, [&, n] {
+        cluster.at(t, [&, n] {
             auto id = "j-" + std::to_string(100 + n);
             auto* rank = ranks[n % ranks.size()];
             json more{{"rank", rank}, {"crew", n % 4 == 0 ? "tight" : "free"}, {"driftwood", n % 2 == 0}};
             auto* shape = n % 5 == 1 ? "gang" : "batch";
             if (n % 5 == 1) more["together"] = true;
-            w.submit(id, shape, n % 5 == 1 ? 3 : 16, 18, more);
+            cluster.submit(id, shape, n % 5 == 1 ? 3 : 16, 18, more);
             if (n % 6 == 3) {
                 cancelled.push_back(id);
-                w.at(w.now() + 7, [&w, id] { w.cancel(id); });
+                cluster.at(cluster.now() + 7, [&cluster, id] { cluster.cancel(id); });
             } else if (n % 3 == 2) {
                 urgent.push_back(id);
             } else if (n % 3 == 0) {
                 idle.push_back(id);
             }
         });
-    w.at(30, [&w] { w.hang_machine(0, 8); });
-    w.at(36, [&w] { w.crash(leader_of(w), 0.2); });
-    w.at(41, [&w] { w.partition("10.0.", w.workers[3]->addr, 30, false); });
-    w.at(47, [&w] { w.crash(leader_of(w), 4); });
-    w.at(56, [&w] { w.hang_machine(4, 28); });
-    w.at(58, [&w] { w.start_key_value_store_outage(5); });
-    w.at(66, [&w] { w.crash(leader_of(w), 0.2); });
-    w.faults_over_at = 86;
+    cluster.at(30, [&cluster] { cluster.hang_machine(0, 8); });
+    cluster.at(36, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.at(41, [&cluster] { cluster.partition("10.0.", cluster.workers[3]->addr, 30, false); });
+    cluster.at(47, [&cluster] { cluster.crash(leader_of(cluster), 4); });
+    cluster.at(56, [&cluster] { cluster.hang_machine(4, 28); });
+    cluster.at(58, [&cluster] { cluster.start_key_value_store_outage(5); });
+    cluster.at(66, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.faults_over_at = 86;
     std::map<std::string, double> done_at;
     for (double t = 21; t < 420; t += 1)
-        w.at(t, [&] {
-            for (auto& [id, job] : w.jobs)
-                if (job.done) done_at.emplace(id, w.now());
+        cluster.at(t, [&] {
+            for (auto& [id, job] : cluster.jobs)
+                if (job.done) done_at.emplace(id, cluster.now());
         });
-    w.run_until(420);
+    cluster.run_until(420);
     auto mean = [&](const std::vector<std::string>& ids) {
         double sum = 0;
         for (auto& id : ids) sum += done_at.contains(id) ? done_at.at(id) : 420;
@@ -183,10 +188,10 @@
     ASSERT_GT(urgent.size(), 2u);
     ASSERT_GT(idle.size(), 2u);
     for (auto* ids : {&urgent, &idle})
-        for (auto& id : *ids) EXPECT_TRUE(w.jobs[id].done) << id;
-    for (auto& id : cancelled) EXPECT_TRUE(w.jobs[id].cancelled || w.jobs[id].done) << id;
+        for (auto& id : *ids) EXPECT_TRUE(cluster.jobs[id].done) << id;
+    for (auto& id : cancelled) EXPECT_TRUE(cluster.jobs[id].cancelled || cluster.jobs[id].done) << id;
     EXPECT_LT(mean(urgent), mean(idle));
-    expect_no_violations(w);
+    expect_no_violations(cluster);
 }
 
 }  // namespace
--- a/tests/scenarios/fault_scenarios.cpp
+++ b/tests/scenarios/fault_scenarios.cpp
@@ -44,137 +44,152 @@
 std::string node(std::size_t k) {
     return "10.0.0." + std::to_string(k + 1);
 }
-std::size_t leads(const SimulatedCluster& w, std::size_t who) {
-    return who < nodes ? who : static_cast<std::size_t>(std::max(0, w.leader()));
+std::size_t leads(const SimulatedCluster& cluster, std::size_t who) {
+    return who < nodes ? who : static_cast<std::size_t>(std::max(0, cluster.leader()));
 }
 // A quarter of the transactions; what meets another fault of this kind happens as that one says first.
-void late_transactions(SimulatedCluster& w, const Fault& f, double (*late)(std::minstd_rand&)) {
-    auto random = std::make_shared<std::minstd_rand>(f.other + f.who);
-    w.transaction_delay = [&w, random, late, before = w.transaction_delay, until = w.now() + f.for_s](const json& txn) {
+void late_transactions(SimulatedCluster& cluster, const Fault& fault, double (*late)(std::minstd_rand&)) {
+    auto random = std::make_shared<std::minstd_rand>(fault.other + fault.who);
+    cluster.transaction_delay = [&cluster, random, late, before = cluster.transaction_delay,
+                                 until = cluster.now() + fault.for_s](const json& txn) {
         if (double other = before ? before(txn) : 0; other != 0) return other;
-        return w.now() > until || (*random)() % 4 ? 0.0 : late(*random);
+        return cluster.now() > until || (*random)() % 4 ? 0.0 : late(*random);
     };
 }
-void happen(SimulatedCluster& w, const Fault& f, std::size_t machines) {
-    auto k = leads(w, f.who);
-    switch (f.what) {
+void happen(SimulatedCluster& cluster, const Fault& fault, std::size_t machines) {
+    auto k = leads(cluster, fault.who);
+    switch (fault.what) {
         case FaultKind::controller_crash:
-            return w.crash(k, f.for_s);
+            return cluster.crash(k, fault.for_s);
         case FaultKind::all_controllers_crash:
-            for (std::size_t n = 0; n < nodes; ++n) w.crash(n, f.for_s);
+            for (std::size_t n = 0; n < nodes; ++n) cluster.crash(n, fault.for_s);
             return;
         case FaultKind::leader_crash_after_messages: {
-            auto left = std::make_shared<std::size_t>(f.other);
-            w.on_message = [&w, left, back = f.for_s](const std::string& from, auto&, auto&) {
-                auto l = leads(w, nodes);
-                if (*left == 0 || w.leader() < 0 || from != w.addr_of(l) || --*left > 0) return;
-                w.crash(l, back);
+            auto left = std::make_shared<std::size_t>(fault.other);
+            cluster.on_message = [&cluster, left, back = fault.for_s](const std::string& from, auto&, auto&) {
+                auto leader = leads(cluster, nodes);
+                if (*left == 0 || cluster.leader() < 0 || from != cluster.addr_of(leader) || --*left > 0)
+                    return;
+                cluster.crash(leader, back);
             };
             return;
         }
         case FaultKind::controller_freeze:
-            return w.freeze(k, f.for_s);
+            return cluster.freeze(k, fault.for_s);
         case FaultKind::key_value_store_refuses:
-            return w.refuse_at_key_value_store(k, f.for_s);
+            return cluster.refuse_at_key_value_store(k, fault.for_s);
         case FaultKind::controllers_partitioned:
-            return w.partition(node(k), node((k + 1 + f.other % 2) % nodes), f.for_s, f.hold);
+            return cluster.partition(node(k), node((k + 1 + fault.other % 2) % nodes), fault.for_s,
+                                     fault.hold);
         case FaultKind::controller_partitioned_from_workers:
-            return w.partition(node(k), "10.1.", f.for_s, f.hold);
+            return cluster.partition(node(k), "10.1.", fault.for_s, fault.hold);
         case FaultKind::controller_partitioned_from_all:
-            return w.partition(node(k), "10.", f.for_s, f.hold);
+            return cluster.partition(node(k), "10.", fault.for_s, fault.hold);
         case FaultKind::key_value_store_outage:
-            return w.start_key_value_store_outage(f.for_s);
+            return cluster.start_key_value_store_outage(fault.for_s);
         case FaultKind::cloud_outage:
-            return w.start_cloud_outage(f.for_s);
+            return cluster.start_cloud_outage(fault.for_s);
         case FaultKind::machine_crash:
-            return w.crash_machine(f.who);
+            return cluster.crash_machine(fault.who);
         case FaultKind::machine_hang:
-            return w.hang_machine(f.who, f.for_s);
+            return cluster.hang_machine(fault.who, fault.for_s);
         case FaultKind::zone_partition:
-            for (std::size_t m = f.who % 2; m < std::max(machines, w.workers.size()); m += 2)
-                w.partition(w.workers[m % w.workers.size()]->addr, "10.", f.for_s, f.hold);
-            return w.partition(node(f.who % 2), "10.", f.for_s, f.hold);
+            for (std::size_t machine = fault.who % 2; machine < std::max(machines, cluster.workers.size());
+                 machine += 2)
+                cluster.partition(cluster.workers[machine % cluster.workers.size()]->addr, "10.", fault.for_s,
+                                  fault.hold);
+            return cluster.partition(node(fault.who % 2), "10.", fault.for_s, fault.hold);
         case FaultKind::machines_outbound_unreachable: {
             // One machine, or a third of them; from all controllers, or from one.
-            std::size_t step = f.other > 8 ? 3 : w.workers.size();
-            for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step)
-                w.partition_one_way(f.other % 4 == 0 ? node(f.who % nodes) : "10.0.", w.workers[m]->addr, f.for_s);
+            std::size_t step = fault.other > 8 ? 3 : cluster.workers.size();
+            for (auto machine = fault.who % cluster.workers.size(); machine < cluster.workers.size();
+                 machine += step)
+                cluster.partition_one_way(fault.other % 4 == 0 ? node(fault.who % nodes) : "10.0.",
+                                          cluster.workers[machine]->addr, fault.for_s);
             return;
         }
         case FaultKind::duplicate_messages:
-            return w.duplicate_messages(f.for_s, f.hold ? copies_late : copies_soon);
+            return cluster.duplicate_messages(fault.for_s, fault.hold ? copies_late : copies_soon);
         case FaultKind::controller_reaches_workers_only:
-            w.partition(node(k), "10.2.0.1", f.for_s, f.hold);
-            return w.partition(node(k), "10.0.", f.for_s, f.hold);
+            cluster.partition(node(k), "10.2.0.1", fault.for_s, fault.hold);
+            return cluster.partition(node(k), "10.0.", fault.for_s, fault.hold);
         case FaultKind::machine_reboot:
-            return w.reboot_machine(f.who, f.hold);
+            return cluster.reboot_machine(fault.who, fault.hold);
         case FaultKind::late_transactions:
-            return late_transactions(
-                w, f, [](auto& random) { return std::uniform_real_distribution<double>(2, 12)(random); });
+            return late_transactions(cluster, fault, [](auto& random) {
+                return std::uniform_real_distribution<double>(2, 12)(random);
+            });
         case FaultKind::lost_transaction_answers:
-            return late_transactions(w, f, [](auto&) { return -1.0; });
+            return late_transactions(cluster, fault, [](auto&) { return -1.0; });
         case FaultKind::slow_key_value_store:
-            return w.slow_key_value_store(f.for_s,
-                                f.hold ? 1.2 : 0.4);  // s; a leader's lease is 2.4, a question waits 1.5
+            return cluster.slow_key_value_store(
+                fault.for_s,
+                fault.hold ? 1.2 : 0.4);  // s; a leader's lease is 2.4, a question waits 1.5
         case FaultKind::cancel_all_jobs:
-            for (auto& [id, told] : w.jobs)
-                if (told.accepted && !told.done && !told.cancel_asked) w.cancel(id);
+            for (auto& [id, told] : cluster.jobs)
+                if (told.accepted && !told.done && !told.cancel_asked) cluster.cancel(id);
             return;
         case FaultKind::frequent_queries:
-            return w.query_frequently(f.for_s);
+            return cluster.query_frequently(fault.for_s);
         case FaultKind::cancel_at_job_end:
-            return w.cancel_at_job_end(f.for_s);
+            return cluster.cancel_at_job_end(fault.for_s);
         case FaultKind::cancel_running_jobs:
-            return w.cancel_running_jobs(f.other, f.for_s);
+            return cluster.cancel_running_jobs(fault.other, fault.for_s);
         case FaultKind::machines_inbound_unreachable: {
-            std::size_t step = f.other > 8 ? 3 : w.workers.size();  // a third of the machines, or one
-            for (auto m = f.who % w.workers.size(); m < w.workers.size(); m += step) w.make_inbound_unreachable(m, f.for_s);
+            std::size_t step =
+                fault.other > 8 ? 3 : cluster.workers.size();  // a third of the machines, or one
+            for (auto machine = fault.who % cluster.workers.size(); machine < cluster.workers.size();
+                 machine += step)
+                cluster.make_inbound_unreachable(machine, fault.for_s);
             return;
         }
         case FaultKind::unusual_requests:
-            return w.send_unusual_requests(f.for_s);
+            return cluster.send_unusual_requests(fault.for_s);
         case FaultKind::heartbeats_replayed_at_next_leader:
-            return w.replay_heartbeats_at_next_leader(f.for_s);
+            return cluster.replay_heartbeats_at_next_leader(fault.for_s);
         case FaultKind::late_commands:
-            return w.delay_commands(f.for_s);
+            return cluster.delay_commands(fault.for_s);
         case FaultKind::fast_boots_with_slow_writes:
             // Machines that are gone make the service rent new ones.
-            for (std::size_t m = 0; m < 2; ++m) w.crash_machine(f.other + 5 * m);
-            return w.boot_fast_with_slow_writes(f.for_s, f.hold ? 1.2 : 0.4);
+            for (std::size_t machine = 0; machine < 2; ++machine)
+                cluster.crash_machine(fault.other + 5 * machine);
+            return cluster.boot_fast_with_slow_writes(fault.for_s, fault.hold ? 1.2 : 0.4);
         case FaultKind::team_limits_filled:
-            return w.fill_team_limits();
+            return cluster.fill_team_limits();
         case FaultKind::small_job_stream:
-            return w.submit_small_jobs(f.for_s);
+            return cluster.submit_small_jobs(fault.for_s);
     }
 }
 }  // namespace
 
-std::string name(const Fault& f) {
-    return names[static_cast<std::size_t>(f.what)];
+std::string name(const Fault& fault) {
+    return names[static_cast<std::size_t>(fault.what)];
 }
-std::string text(const Fault& f) {
+std::string text(const Fault& fault) {
     char line[120];
-    std::snprintf(line, sizeof line, "%8.3f s  %-32s  who %zu, other %zu, for %.3f s%s", f.at,
-                  names[static_cast<std::size_t>(f.what)], f.who, f.other, f.for_s, f.hold ? ", held" : "");
+    std::snprintf(line, sizeof line, "%8.3f s  %-32s  who %zu, other %zu, for %.3f s%s", fault.at,
+                  names[static_cast<std::size_t>(fault.what)], fault.who, fault.other, fault.for_s,
+                  fault.hold ? ", held" : "");
     return line;
 }
 
-void work(SimulatedCluster& w, double until) {
+void work(SimulatedCluster& cluster, double until) {
     int n = 0;
     for (double t = 2; t < until; t += 2.5, ++n)
-        w.at(t, [&w, n] {
+        cluster.at(t, [&cluster, n] {
             auto id = "j-" + std::to_string(100 + n);
-            if (n % 5 == 0) w.submit(id, "service", 2, 0, {{"driftwood", false}, {"scatter", true}});
-            if (n % 5 == 1) w.submit(id, "gang", 3, 6, {{"together", true}, {"crew", "tight"}});
-            if (n % 5 >= 2) w.submit(id, "batch", 6, 4, {{"crew", n % 2 ? "tight" : "free"}});
-            if (n % 7 == 3) w.at(w.now() + 6, [&w, id] { w.cancel(id); });
+            if (n % 5 == 0) cluster.submit(id, "service", 2, 0, {{"driftwood", false}, {"scatter", true}});
+            if (n % 5 == 1) cluster.submit(id, "gang", 3, 6, {{"together", true}, {"crew", "tight"}});
+            if (n % 5 >= 2) cluster.submit(id, "batch", 6, 4, {{"crew", n % 2 ? "tight" : "free"}});
+            if (n % 7 == 3) cluster.at(cluster.now() + 6, [&cluster, id] { cluster.cancel(id); });
         });
-    for (int k = 0; k < n; k += 5) w.at(until + 30, [&w, k] { w.cancel("j-" + std::to_string(100 + k)); });
+    for (int k = 0; k < n; k += 5)
+        cluster.at(until + 30, [&cluster, k] { cluster.cancel("j-" + std::to_string(100 + k)); });
 }
-std::vector<std::string> wrong(const SimulatedCluster& w) {
-    auto out = w.violations;
-    if (w.starts <= 40) out.push_back("hardly anything was started");
-    for (auto& [id, told] : w.jobs) {
+std::vector<std::string> wrong(const SimulatedCluster& cluster) {
+    auto out = cluster.violations;
+    if (cluster.starts <= 40) out.push_back("hardly anything was started");
+    for (auto& [id, told] : cluster.jobs) {
         if (told.refused) continue;
         if (!told.accepted) out.push_back(id + " was not accepted");
         if (!told.done && !told.cancelled) out.push_back(id + " has not ended");
@@ -183,28 +198,31 @@
 }
 
 namespace {
-double between(std::mt19937_64& random, double a, double b) {
-    return std::uniform_real_distribution<double>(a, b)(random);
+double between(std::mt19937_64& random, double least, double b) {
+    return std::uniform_real_distribution<double>(least, b)(random);
 }
 Fault draw_fault(std::mt19937_64& random, FaultKind what, double at, std::size_t machines) {
-    Fault f;
-    f.at = at;
-    f.what = what;
-    f.who = random() % (nodes + 1);
-    f.other = 1 + random() % 12;
-    f.hold = random() % 2;
-    bool ends = f.what <= FaultKind::leader_crash_after_messages;
-    bool long_ones = f.what == FaultKind::machine_hang || f.what == FaultKind::zone_partition ||
-                     f.what == FaultKind::machines_outbound_unreachable || f.what == FaultKind::controller_reaches_workers_only ||
-                     f.what == FaultKind::late_transactions || f.what == FaultKind::cancel_running_jobs ||
-                     f.what == FaultKind::machines_inbound_unreachable;
-    f.for_s = ends ? (random() % 3 ? between(random, 0.05, 0.5) : between(random, 2, 6))
-                   : between(random, 0.5, long_ones ? 30 : 12);
-    bool of_machine = f.what == FaultKind::machine_crash || f.what == FaultKind::machine_hang ||
-                      f.what == FaultKind::machines_outbound_unreachable || f.what == FaultKind::machine_reboot ||
-                      f.what == FaultKind::machines_inbound_unreachable;
-    if (of_machine) f.who = random() % machines;
-    return f;
+    Fault fault;
+    fault.at = at;
+    fault.what = what;
+    fault.who = random() % (nodes + 1);
+    fault.other = 1 + random() % 12;
+    fault.hold = random() % 2;
+    bool ends = fault.what <= FaultKind::leader_crash_after_messages;
+    bool long_ones = fault.what == FaultKind::machine_hang || fault.what == FaultKind::zone_partition ||
+                     fault.what == FaultKind::machines_outbound_unreachable ||
+                     fault.what == FaultKind::controller_reaches_workers_only ||
+                     fault.what == FaultKind::late_transactions ||
+                     fault.what == FaultKind::cancel_running_jobs ||
+                     fault.what == FaultKind::machines_inbound_unreachable;
+    fault.for_s = ends ? (random() % 3 ? between(random, 0.05, 0.5) : between(random, 2, 6))
+                       : between(random, 0.5, long_ones ? 30 : 12);
+    bool of_machine = fault.what == FaultKind::machine_crash || fault.what == FaultKind::machine_hang ||
+                      fault.what == FaultKind::machines_outbound_unreachable ||
+                      fault.what == FaultKind::machine_reboot ||
+                      fault.what == FaultKind::machines_inbound_unreachable;
+    if (of_machine) fault.who = random() % machines;
+    return fault;
 }
 }  // namespace
 
@@ -267,28 +285,28 @@
 }
 std::vector<std::string> run_scenario(std::uint64_t seed, std::size_t machines,
                                       const std::vector<Fault>& faults, Counts* counts) {
-    Options o;
-    o.seed = seed;
-    o.machines = machines;
-    o.free_gpus_max = 2.5 * static_cast<double>(machines);  // of four a machine; services take 18
+    Options options;
+    options.seed = seed;
+    options.machines = machines;
+    options.free_gpus_max = 2.5 * static_cast<double>(machines);  // of four a machine; services take 18
     // Users go on asking for as long as the longest trouble lasts, and then some.
-    for (auto& f : faults)
-        if (f.for_s > 20) o.submit_tries = 200;
-    SimulatedCluster w(o);
-    work(w, work_until);
-    w.faults_over_at = 0;
-    for (auto& f : faults) {
-        w.at(f.at, [&w, f, machines] { happen(w, f, machines); });
-        w.faults_over_at = std::max(w.faults_over_at, f.at + f.for_s);
+    for (auto& fault : faults)
+        if (fault.for_s > 20) options.submit_tries = 200;
+    SimulatedCluster cluster(options);
+    work(cluster, work_until);
+    cluster.faults_over_at = 0;
+    for (auto& fault : faults) {
+        cluster.at(fault.at, [&cluster, fault, machines] { happen(cluster, fault, machines); });
+        cluster.faults_over_at = std::max(cluster.faults_over_at, fault.at + fault.for_s);
     }
-    w.run_until(play_until);
+    cluster.run_until(play_until);
     if (counts) {
-        counts->answers += w.answers;
-        counts->starts += w.starts;
-        counts->starts_after_cancellation += w.starts_after_cancellation;
-        counts->digest = w.digest.value();
+        counts->answers += cluster.answers;
+        counts->starts += cluster.starts;
+        counts->starts_after_cancellation += cluster.starts_after_cancellation;
+        counts->digest = cluster.digest.value();
     }
-    return wrong(w);
+    return wrong(cluster);
 }
 std::vector<Fault> shrink(std::uint64_t seed, std::size_t machines, std::vector<Fault> faults) {
     for (std::size_t part = std::max<std::size_t>(1, faults.size() / 2); part > 0; part /= 2)
--- a/tests/scenarios/fault_scenarios.hpp
+++ b/tests/scenarios/fault_scenarios.hpp
@@ -59,13 +59,13 @@
     bool hold = false;  // packets are held, and come later
     double until() const { return at + for_s; }
 };
-std::string text(const Fault& f);
-std::string name(const Fault& f);  // of its kind
+std::string text(const Fault& fault);
+std::string name(const Fault& fault);  // of its kind
 
 // Jobs of every kind come all the time, so that starts are on their way at any moment; all end in time.
-void work(SimulatedCluster& w, double until);
+void work(SimulatedCluster& cluster, double until);
 // What is wrong at the end: rules that were broken, jobs that were not accepted or have not ended.
-std::vector<std::string> wrong(const SimulatedCluster& w);
+std::vector<std::string> wrong(const SimulatedCluster& cluster);
 
 std::vector<Fault> draw_faults(std::uint64_t seed, std::size_t machines);
 // Pairs of kinds of trouble, each of which meet: one after the other, overlapping, or the second inside the
@@ -77,10 +77,11 @@
 
 // What a play has had besides broken rules.
 struct Counts {
-    std::size_t answers = 0;           // that users got
-    std::size_t starts = 0;            // of tasks
-    std::size_t starts_after_cancellation = 0;  // after the cancellation was confirmed, and within `cancel_s` of it
-    std::uint64_t digest = 0;          // of the messages of the last play
+    std::size_t answers = 0;  // that users got
+    std::size_t starts = 0;   // of tasks
+    std::size_t starts_after_cancellation =
+        0;                     // after the cancellation was confirmed, and within `cancel_s` of it
+    std::uint64_t digest = 0;  // of the messages of the last play
 };
 std::vector<std::string> run_scenario(std::uint64_t seed, std::size_t machines,
                                       const std::vector<Fault>& faults, Counts* counts = nullptr);
--- a/tests/scenarios/fault_scenarios_main.cpp
+++ b/tests/scenarios/fault_scenarios_main.cpp
@@ -43,8 +43,8 @@
         ++failed;
         if (!whole) faults = shrink(seed, size, faults), bad = run_scenario(seed, size, faults);
         std::printf("seed %llu, size %zu:\n", static_cast<unsigned long long>(seed), size);
-        for (auto& f : faults) std::printf("  %s\n", text(f).c_str());
-        for (auto& b : bad) std::printf("  -> %s\n", b.c_str());
+        for (auto& fault : faults) std::printf("  %s\n", text(fault).c_str());
+        for (auto& violation : bad) std::printf("  -> %s\n", violation.c_str());
         std::fflush(stdout);
     }
     if (digest) return 0;
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -17,7 +17,8 @@
     constexpr std::uint64_t each = 15 / seeds_part;
     for (auto seed = 1 + GetParam() * each; seed <= (1 + GetParam()) * each; ++seed) {
         auto faults = draw_faults(seed, 12);
-        for (auto& b : run_scenario(seed, 12, faults)) ADD_FAILURE() << "seed " << seed << ": " << b;
+        for (auto& violation : run_scenario(seed, 12, faults))
+            ADD_FAILURE() << "seed " << seed << ": " << violation;
     }
 }
 
@@ -27,8 +28,8 @@
 TEST_P(FaultPairs, KeepAllRules) {
     spdlog::set_level(spdlog::level::off);
     for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seeds_part)
-        for (auto& b : run_scenario(seed, 12, draw_fault_pairs(seed, 12)))
-            ADD_FAILURE() << "meeting " << seed << ": " << b;
+        for (auto& violation : run_scenario(seed, 12, draw_fault_pairs(seed, 12)))
+            ADD_FAILURE() << "meeting " << seed << ": " << violation;
 }
 
 TEST(FaultPairs, AreAllDrawn) {
@@ -56,7 +57,8 @@
 TEST(FaultScenario, ShrinksToTheFaultsItNeeds) {
     spdlog::set_level(spdlog::level::off);
     std::vector<Fault> faults;
-    for (int k = 0; k < 6; ++k) faults.push_back({20.0 + 10 * k, FaultKind::controller_crash, 3, 1, 0.2, false});
+    for (int k = 0; k < 6; ++k)
+        faults.push_back({20.0 + 10 * k, FaultKind::controller_crash, 3, 1, 0.2, false});
     // The key-value store never comes back: nothing ends.
     faults.push_back({60, FaultKind::key_value_store_outage, 0, 1, 1000, false});
     EXPECT_FALSE(run_scenario(1, 8, faults).empty());
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -10,11 +10,13 @@
 namespace coralhitch::simulation {
 namespace {
 
-std::string status_of(const http::Response& r) {
-    return r.status == 200 ? json::parse(r.body)["status"].get<std::string>() : std::to_string(r.status);
+std::string status_of(const http::Response& response) {
+    return response.status == 200 ? json::parse(response.body)["status"].get<std::string>()
+                                  : std::to_string(response.status);
 }
-bool ends(const http::Request& r, const std::string& job) {
-    return r.target == "/txn" && r.body.find("\"put\":\"final/" + job + "\"") != std::string::npos;
+bool ends(const http::Request& request, const std::string& job) {
+    return request.target == "/txn" &&
+           request.body.find("\"put\":\"final/" + job + "\"") != std::string::npos;
 }
 
 // The end of a job's last task meets a cancellation at one node, at two or at all, before, while and after
@@ -25,36 +27,38 @@
     for (std::size_t nodes : {1u, 2u, 3u})
         for (double after : {-1.0, 0.0, 0.002, 0.004, 0.007, 0.012, 0.03}) {
             SCOPED_TRACE(std::to_string(nodes) + " nodes, " + std::to_string(after) + " s after");
-            SimulatedCluster w({});
+            SimulatedCluster cluster({});
             std::vector<std::string> told;
             bool met = false;
             // The end is stored a moment after the report that tells it.
-            w.on_message = [&](auto&, auto&, const http::Request& r) {
-                bool meets = after < 0 ? r.target == protocol::paths::report &&
-                                             r.body.find("\"done\"") != std::string::npos
-                                       : ends(r, "j-1");
+            cluster.on_message = [&](auto&, auto&, const http::Request& request) {
+                bool meets = after < 0 ? request.target == protocol::paths::report &&
+                                             request.body.find("\"done\"") != std::string::npos
+                                       : ends(request, "j-1");
                 if (!meets || std::exchange(met, true)) return;
-                w.at(w.now() + std::max(0.0, after), [&] {
-                    w.jobs["j-1"].cancel_asked = true;
+                cluster.at(cluster.now() + std::max(0.0, after), [&] {
+                    cluster.jobs["j-1"].cancel_asked = true;
                     for (std::size_t n = 0; n < nodes; ++n)
-                        w.send_user_request(n, {"POST", "/api/jobs/j-1/cancel", ""},
-                                   [&](http::Response r) { told.push_back(status_of(r)); });
+                        cluster.send_user_request(
+                            n, {"POST", "/api/jobs/j-1/cancel", ""},
+                            [&](http::Response response) { told.push_back(status_of(response)); });
                 });
             };
-            w.at(2, [&w] { w.submit("j-1", "batch", 1, 10); });
-            w.run_until(40);
+            cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 1, 10); });
+            cluster.run_until(40);
             ASSERT_TRUE(met);
             ASSERT_EQ(told.size(), nodes);
-            auto record = w.stored("final/j-1");
+            auto record = cluster.stored("final/j-1");
             ASSERT_TRUE(record);
             auto state = json::parse(*record)["state"].get<std::string>();
             won.insert(state);
             for (std::size_t n = 0; n < 3; ++n)
-                w.send_user_request(n, {"GET", "/api/jobs/j-1", ""},
-                           [&](http::Response r) { told.push_back(status_of(r)); });
-            w.run_until(43);
+                cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
+                    told.push_back(status_of(response));
+                });
+            cluster.run_until(43);
             EXPECT_EQ(told, std::vector<std::string>(nodes + 3, state));
-            for (auto& b : w.violations) ADD_FAILURE() << b;
+            for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
         }
     EXPECT_EQ(won, (std::set<std::string>{"done", "withdrawn"}));
 }
@@ -65,44 +69,44 @@
     spdlog::set_level(spdlog::level::off);
     for (double late : {-1.0, 1.0, 4.0, 9.0}) {
         SCOPED_TRACE(std::to_string(late));
-        Options o;
-        SimulatedCluster w(o);
+        Options options;
+        SimulatedCluster cluster(options);
         std::size_t lost = 0, written = 0;
-        w.transaction_delay = [&](const json& txn) {
-            for (auto& c : txn["then"])
-                if (c.value("put", "") == "final/j-1") {
+        cluster.transaction_delay = [&](const json& txn) {
+            for (auto& change : txn["then"])
+                if (change.value("put", "") == "final/j-1") {
                     ++written;
                     if (lost++ == 0) return late;
                 }
             return 0.0;
         };
-        w.at(2, [&w] {
-            w.submit("j-1", "batch", 1, 10);
-            w.submit("j-2", "batch", 1, 10);
-            w.submit("j-3", "batch", 1, 30);
+        cluster.at(2, [&cluster] {
+            cluster.submit("j-1", "batch", 1, 10);
+            cluster.submit("j-2", "batch", 1, 10);
+            cluster.submit("j-3", "batch", 1, 30);
         });
         std::set<std::string> told;
         for (double t = 14; t < 40; t += 0.3)
-            w.at(t, [&] {
+            cluster.at(t, [&] {
                 for (std::size_t n = 0; n < 3; ++n) {
-                    w.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response r) {
-                        if (w.jobs["j-1"].stored_at < 0) return;
-                        if (status_of(r) == "done") w.jobs["j-1"].done = true;
-                        if (w.jobs["j-1"].done) told.insert(status_of(r));
+                    cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
+                        if (cluster.jobs["j-1"].stored_at < 0) return;
+                        if (status_of(response) == "done") cluster.jobs["j-1"].done = true;
+                        if (cluster.jobs["j-1"].done) told.insert(status_of(response));
                     });
-                    w.post_job_to(n, w.jobs["j-1"].spec.dump(), [&](http::Response r) {
-                        EXPECT_TRUE(r.status == 200 || r.status == 503) << r.status;
+                    cluster.post_job_to(n, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
+                        EXPECT_TRUE(response.status == 200 || response.status == 503) << response.status;
                     });
                 }
             });
-        w.run_until(60);
+        cluster.run_until(60);
         EXPECT_EQ(told, (std::set<std::string>{"done"}));
-        EXPECT_EQ(w.starts, 3u);
+        EXPECT_EQ(cluster.starts, 3u);
         // It is read what became of the first, so that no second one is spent on a job that has ended.
-        EXPECT_EQ(written, late < o.report_s / 2 ? 1u : 2u);
-        EXPECT_FALSE(w.stored("job/j-1"));
-        EXPECT_TRUE(w.jobs["j-2"].done && w.jobs["j-3"].done);
-        for (auto& b : w.violations) ADD_FAILURE() << b;
+        EXPECT_EQ(written, late < options.report_s / 2 ? 1u : 2u);
+        EXPECT_FALSE(cluster.stored("job/j-1"));
+        EXPECT_TRUE(cluster.jobs["j-2"].done && cluster.jobs["j-3"].done);
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
     }
 }
 
@@ -117,29 +121,31 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3), Numbered{"Seed"});
 TEST_P(JobEndsUnderWriteLimit, AreStoredInTime) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.seed = GetParam();
-    o.machines = 10;
-    o.write_rps = 20;
-    o.txn_ops = o.reduced_txn_ops = 24;
-    SimulatedCluster w(o);
+    Options options;
+    options.seed = GetParam();
+    options.machines = 10;
+    options.write_rps = 20;
+    options.txn_ops = options.reduced_txn_ops = 24;
+    SimulatedCluster cluster(options);
     constexpr double rate = 4.6, from = 20, until = 140;
     std::size_t n = 0;
     for (double t = from; t < until; t += 1 / rate) {
         auto id = "j-" + std::to_string(100000 + n);
-        w.at(t, [&w, id] {
-            w.submit(id, "batch", 1, 6, {{"cards", 0.0}, {"vcpus", 0.05}, {"ram_gb", 0.1}});
+        cluster.at(t, [&cluster, id] {
+            cluster.submit(id, "batch", 1, 6, {{"cards", 0.0}, {"vcpus", 0.05}, {"ram_gb", 0.1}});
         });
-        if (n++ % 4 == 0) w.at(t + 4, [&w, id] { w.cancel(id); });
+        if (n++ % 4 == 0) cluster.at(t + 4, [&cluster, id] { cluster.cancel(id); });
     }
-    auto of_jobs = [&w] { return w.changes["job"] + w.changes["final"] + w.changes["prog"]; };
-    w.run_until(until + 60);
+    auto of_jobs = [&cluster] {
+        return cluster.changes["job"] + cluster.changes["final"] + cluster.changes["prog"];
+    };
+    cluster.run_until(until + 60);
     double worst = 0;
     std::size_t done = 0, cancelled = 0;
-    for (auto& [id, job] : w.jobs) {
+    for (auto& [id, job] : cluster.jobs) {
         EXPECT_TRUE(job.accepted) << id;
-        EXPECT_FALSE(w.stored("job/" + id)) << id;
-        EXPECT_TRUE(w.stored("final/" + id)) << id;
+        EXPECT_FALSE(cluster.stored("job/" + id)) << id;
+        EXPECT_TRUE(cluster.stored("final/" + id)) << id;
         cancelled += job.cancelled;
         if (job.cancelled) continue;
         ++done;
@@ -151,10 +157,10 @@
     EXPECT_EQ(done + cancelled, n);
     EXPECT_GE(cancelled, n / 5);
     EXPECT_LT(worst, 2.2);
-    EXPECT_EQ(w.changes_refused, 0u);
+    EXPECT_EQ(cluster.changes_refused, 0u);
     // Three changes for one that is done, four for one that is cancelled.
     EXPECT_EQ(of_jobs(), 3 * done + 4 * cancelled);
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
 
 // A transaction with many changes waits until the budget has room for it. Small ones of lower ranks used to
