--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -9,61 +9,65 @@
 namespace coralhitch::simulation {
 namespace {
 
-std::size_t leader_of(const SimulatedCluster& w) {
-    return static_cast<std::size_t>(std::max(0, w.leader()));
+std::size_t leader_of(const SimulatedCluster& cluster) {
+    return static_cast<std::size_t>(std::max(0, cluster.leader()));
 }
 std::string host_of(std::size_t node) {
     return "10.0.0." + std::to_string(node + 1);
 }
-std::string host_of(const Worker& m) {
-    return m.addr.substr(0, m.addr.find(':'));
+std::string host_of(const Worker& worker) {
+    return worker.addr.substr(0, worker.addr.find(':'));
 }
-void expect_no_violations(const SimulatedCluster& w) {
-    for (auto& b : w.violations) ADD_FAILURE() << b;
+void expect_no_violations(const SimulatedCluster& cluster) {
+    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
-std::size_t on_machines(const SimulatedCluster& w, const std::string& job, const std::string& zone = "") {
+std::size_t on_machines(const SimulatedCluster& cluster, const std::string& job,
+                        const std::string& zone = "") {
     std::size_t n = 0;
-    for (auto& m : w.workers)
-        for (auto& [name, t] : m->tasks)
-            n += !m->dead && t.job == job && t.status != "exited" && (zone.empty() || m->zone == zone);
+    for (auto& worker : cluster.workers)
+        for (auto& [name, t] : worker->tasks)
+            n += !worker->dead && t.job == job && t.status != "exited" &&
+                 (zone.empty() || worker->zone == zone);
     return n;
 }
 // Machines in a zone, both if it is empty: all, or those whose workers' leases have run out.
-std::size_t machines(const SimulatedCluster& w, const std::string& zone = "", bool lapsed_only = false) {
+std::size_t machines(const SimulatedCluster& cluster, const std::string& zone = "",
+                     bool expired_only = false) {
     std::size_t n = 0;
-    for (auto& m : w.workers)
-        n += !m->dead && (zone.empty() || m->zone == zone) && (!lapsed_only || m->agent_epoch > 1);
+    for (auto& worker : cluster.workers)
+        n += !worker->dead && (zone.empty() || worker->zone == zone) &&
+             (!expired_only || worker->agent_epoch > 1);
     return n;
 }
-std::size_t lapsed(const SimulatedCluster& w, const std::string& zone = "") {
-    return machines(w, zone, true);
+std::size_t with_expired_lease(const SimulatedCluster& cluster, const std::string& zone = "") {
+    return machines(cluster, zone, true);
 }
 // Leaders end until this controller leads, or until another one does.
-void make_lead(SimulatedCluster& w, std::size_t node, bool wanted) {
-    for (int tries = 0; tries < 30 && (leader_of(w) == node) != wanted; ++tries) {
-        w.crash(leader_of(w), 2);
-        w.run_until(w.now() + 6);
+void change_leader_until(SimulatedCluster& cluster, std::size_t node, bool wanted) {
+    for (int tries = 0; tries < 30 && (leader_of(cluster) == node) != wanted; ++tries) {
+        cluster.crash(leader_of(cluster), 2);
+        cluster.run_until(cluster.now() + 6);
     }
-    w.run_until(w.now() + 8);
-    ASSERT_EQ(leader_of(w) == node, wanted);
+    cluster.run_until(cluster.now() + 8);
+    ASSERT_EQ(leader_of(cluster) == node, wanted);
 }
 // Zone b, that is one controller and every other machine, from the other zone and from the region.
-constexpr std::size_t inside = 1;
-void partition_zone(SimulatedCluster& w, double for_s, bool hold) {
-    std::vector<std::string> in{host_of(inside)}, out{"10.2.", host_of(0), host_of(2)};
-    for (auto& m : w.workers) (m->zone == "b" ? in : out).push_back(host_of(*m));
-    for (auto& a : in)
-        for (auto& b : out) w.partition(a, b, for_s, hold);
-    w.remove_from_load_balancer(inside);
+constexpr std::size_t controller_inside = 1;
+void partition_zone(SimulatedCluster& cluster, double for_s, bool hold) {
+    std::vector<std::string> in{host_of(controller_inside)}, out{"10.2.", host_of(0), host_of(2)};
+    for (auto& worker : cluster.workers) (worker->zone == "b" ? in : out).push_back(host_of(*worker));
+    for (auto& inside : in)
+        for (auto& outside : out) cluster.partition(inside, outside, for_s, hold);
+    cluster.remove_from_load_balancer(controller_inside);
 }
 
 // Six tasks of an array that last, and six replicas, all of them running by then.
-void run_long_work(SimulatedCluster& w) {
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 400);
-        w.submit("j-2", "service", 6, 0);
+void run_long_jobs(SimulatedCluster& cluster) {
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 6, 400);
+        cluster.submit("j-2", "service", 6, 0);
     });
-    w.run_until(25);
+    cluster.run_until(25);
 }
 
 // A zone with workers and a controller is cut off for longer than `lease_s`. That controller renews their
@@ -84,122 +88,127 @@
 INSTANTIATE_TEST_SUITE_P(Liveness, PartitionedZone, testing::ValuesIn(zone_partitions), NameOfCase());
 TEST_P(PartitionedZone, KeepsItsTasksForTheAllowedTimeOnly) {
     spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    Options o;
-    SimulatedCluster w(o);
-    run_long_work(w);
-    make_lead(w, inside, c.leads);
-    ASSERT_EQ(on_machines(w, "j-1"), 6u);
-    ASSERT_GT(on_machines(w, "j-1", "b"), 0u);
-    ASSERT_EQ(lapsed(w), 0u);
-    double from = w.now();
-    partition_zone(w, o.lease_s * 3, c.hold);
+    auto test_case = GetParam();
+    Options options;
+    SimulatedCluster cluster(options);
+    run_long_jobs(cluster);
+    change_leader_until(cluster, controller_inside, test_case.leads);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
+    ASSERT_GT(on_machines(cluster, "j-1", "b"), 0u);
+    ASSERT_EQ(with_expired_lease(cluster), 0u);
+    double from = cluster.now();
+    partition_zone(cluster, options.lease_s * 3, test_case.hold);
     // The cloud can't be asked to delete: time is the only proof that is left.
-    w.start_cloud_outage(o.lease_s * 3);
-    w.at(from + 4, [&w] { w.cancel("j-2"); });
+    cluster.start_cloud_outage(options.lease_s * 3);
+    cluster.at(from + 4, [&cluster] { cluster.cancel("j-2"); });
     std::size_t kept_by_leader = 0;
-    w.at(from + o.lease_s + o.report_s * 1.5, [&] { kept_by_leader = on_machines(w, "j-1", "b"); });
-    w.run_until(from + o.lease_s * 3);
+    cluster.at(from + options.lease_s + options.report_s * 1.5,
+               [&] { kept_by_leader = on_machines(cluster, "j-1", "b"); });
+    cluster.run_until(from + options.lease_s * 3);
     // Nobody but these was to lose anything.
-    EXPECT_EQ(lapsed(w, "a"), 0u);
-    EXPECT_EQ(lapsed(w, "b"), machines(w, "b"));
-    EXPECT_EQ(kept_by_leader > 0, c.leads) << "inside, after a lease without the region";
-    EXPECT_EQ(on_machines(w, "j-1"), 6u) << "started anew once it was proven gone";
-    EXPECT_EQ(on_machines(w, "j-2"), 0u);
-    w.run_until(from + o.lease_s * 5);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    EXPECT_EQ(on_machines(w, "j-2"), 0u);
-    expect_no_violations(w);
+    EXPECT_EQ(with_expired_lease(cluster, "a"), 0u);
+    EXPECT_EQ(with_expired_lease(cluster, "b"), machines(cluster, "b"));
+    EXPECT_EQ(kept_by_leader > 0, test_case.leads) << "inside, after a lease without the region";
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u) << "started anew once it was proven gone";
+    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    cluster.run_until(from + options.lease_s * 5);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    expect_no_violations(cluster);
 }
 
 // Leaders change ten times in two minutes, also inside an outage. Each change takes leases some seconds, but
 // what is renewed in between lasts over it: nothing is killed, deleted or started again.
-struct Changes {
+struct LeaderChangeCase {
     const char* name;
     double outage_s;      // of the key-value store, begun with the fifth change; 0: none
     double back_after_s;  // of the one that ended
 };
-const Changes changes[] = {
+const LeaderChangeCase leader_change_cases[] = {
     {"one after the other", 0, 4},
     {"back at once", 0, 0.2},
     {"inside an outage", 12, 4},
     {"back at once inside an outage", 12, 0.2},
 };
-class TenLeaderChanges : public testing::TestWithParam<Changes> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, TenLeaderChanges, testing::ValuesIn(changes), NameOfCase());
+class TenLeaderChanges : public testing::TestWithParam<LeaderChangeCase> {};
+INSTANTIATE_TEST_SUITE_P(Liveness, TenLeaderChanges, testing::ValuesIn(leader_change_cases), NameOfCase());
 TEST_P(TenLeaderChanges, ExpireNoWorkerLease) {
     spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    Options o;
-    SimulatedCluster w(o);
-    run_long_work(w);
-    ASSERT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2"), 12u);
-    auto starts = w.starts;
+    auto test_case = GetParam();
+    Options options;
+    SimulatedCluster cluster(options);
+    run_long_jobs(cluster);
+    ASSERT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 12u);
+    auto starts = cluster.starts;
     std::set<std::size_t> led;
     for (int k = 0; k < 10; ++k)
-        w.at(30 + 12 * k, [&w, &led, c] {
-            led.insert(leader_of(w));
-            w.crash(leader_of(w), c.back_after_s);
+        cluster.at(30 + 12 * k, [&cluster, &led, test_case] {
+            led.insert(leader_of(cluster));
+            cluster.crash(leader_of(cluster), test_case.back_after_s);
         });
-    if (c.outage_s > 0) w.at(30 + 12 * 4 - 1, [&w, c] { w.start_key_value_store_outage(c.outage_s); });
-    w.at(100, [&w] { w.cancel("j-2"); });
-    w.run_until(200);
-    EXPECT_EQ(lapsed(w), 0u);
-    EXPECT_EQ(w.machines_deleted_with_tasks, 0u);
-    EXPECT_EQ(w.starts, starts);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    EXPECT_EQ(on_machines(w, "j-2"), 0u);
+    if (test_case.outage_s > 0)
+        cluster.at(30 + 12 * 4 - 1,
+                   [&cluster, test_case] { cluster.start_key_value_store_outage(test_case.outage_s); });
+    cluster.at(100, [&cluster] { cluster.cancel("j-2"); });
+    cluster.run_until(200);
+    EXPECT_EQ(with_expired_lease(cluster), 0u);
+    EXPECT_EQ(cluster.machines_deleted_with_tasks, 0u);
+    EXPECT_EQ(cluster.starts, starts);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
     EXPECT_GT(led.size(), 1u);
-    expect_no_violations(w);
+    expect_no_violations(cluster);
 }
 
 // All controllers are away for longer than `lease_s`, perhaps but for a moment in which some workers are
 // answered and others not. Afterwards nothing is placed before each machine has said what is left there.
-struct Away {
+struct OutageCase {
     const char* name;
     double back_s;  // when they are back for a moment, after they went; 0: they aren't
     double for_s;   // that moment
     double away_s;  // in all
     bool standby;   // whether they know of what was where, before
 };
-const Away aways[] = {
+const OutageCase outage_cases[] = {
     {"throughout", 0, 0, 32, true},
     {"throughout, and know nothing", 0, 0, 32, false},
     {"but for a moment", 16, 2, 36, true},
     {"but for a moment, and know nothing", 16, 2, 36, false},
 };
-class ControllerOutage : public testing::TestWithParam<Away> {};
-INSTANTIATE_TEST_SUITE_P(Liveness, ControllerOutage, testing::ValuesIn(aways), NameOfCase());
+class ControllerOutage : public testing::TestWithParam<OutageCase> {};
+INSTANTIATE_TEST_SUITE_P(Liveness, ControllerOutage, testing::ValuesIn(outage_cases), NameOfCase());
 TEST_P(ControllerOutage, KeepsTasksWhoseHeartbeatsWereAnswered) {
     spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    Options o;
-    o.machines = 9;
-    if (!c.standby) o.without_replication = {0, 1, 2};
-    SimulatedCluster w(o);
-    w.at(2, [&w] {
-        w.submit("j-1", "batch", 6, 400);
-        w.submit("j-2", "service", 6, 0);
+    auto test_case = GetParam();
+    Options options;
+    options.machines = 9;
+    if (!test_case.standby) options.without_replication = {0, 1, 2};
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "batch", 6, 400);
+        cluster.submit("j-2", "service", 6, 0);
     });
-    w.run_until(24);
-    ASSERT_EQ(on_machines(w, "j-1") + on_machines(w, "j-2"), 12u);
-    w.cancel("j-2");
-    w.run_until(25);
-    ASSERT_TRUE(w.jobs["j-2"].cancelled);
-    auto all = [&w](double back_after) {
-        for (std::size_t k = 0; k < 3; ++k) w.crash(k, back_after);
+    cluster.run_until(24);
+    ASSERT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 12u);
+    cluster.cancel("j-2");
+    cluster.run_until(25);
+    ASSERT_TRUE(cluster.jobs["j-2"].cancelled);
+    auto all = [&cluster](double back_after) {
+        for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, back_after);
     };
-    all(c.back_s > 0 ? c.back_s : c.away_s);
-    if (c.back_s > 0) w.at(25 + c.back_s + c.for_s, [&] { all(c.away_s - c.back_s - c.for_s); });
-    w.run_until(25 + c.away_s);
-    auto dead = lapsed(w);
-    EXPECT_EQ(dead == machines(w), c.back_s == 0) << dead;
+    all(test_case.back_s > 0 ? test_case.back_s : test_case.away_s);
+    if (test_case.back_s > 0)
+        cluster.at(25 + test_case.back_s + test_case.for_s,
+                   [&] { all(test_case.away_s - test_case.back_s - test_case.for_s); });
+    cluster.run_until(25 + test_case.away_s);
+    auto dead = with_expired_lease(cluster);
+    EXPECT_EQ(dead == machines(cluster), test_case.back_s == 0) << dead;
     EXPECT_GT(dead, 0u);
-    EXPECT_EQ(on_machines(w, "j-2"), 0u);
-    w.run_until(25 + c.away_s + 50);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    EXPECT_EQ(on_machines(w, "j-2"), 0u);
-    expect_no_violations(w);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    cluster.run_until(25 + test_case.away_s + 50);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    expect_no_violations(cluster);
 }
 
 }  // namespace
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -12,21 +12,21 @@
 namespace coralhitch::simulation {
 namespace {
 
-std::size_t leader_of(SimulatedCluster& w) {
-    return static_cast<std::size_t>(std::max(0, w.leader()));
+std::size_t leader_of(SimulatedCluster& cluster) {
+    return static_cast<std::size_t>(std::max(0, cluster.leader()));
 }
-bool runs(const http::Request& r) {
-    return r.target == protocol::paths::commands && r.body.find("\"run\"") != std::string::npos;
+bool starts_a_task(const http::Request& request) {
+    return request.target == protocol::paths::commands && request.body.find("\"run\"") != std::string::npos;
 }
 
-void expect_invariants(SimulatedCluster& w) {
-    for (auto& b : wrong(w)) ADD_FAILURE() << b;
+void expect_rules_kept(SimulatedCluster& cluster) {
+    for (auto& violation : wrong(cluster)) ADD_FAILURE() << violation;
 }
 
 // The next leader crashes as soon as it leads.
-void crash_next(SimulatedCluster& w, std::size_t leader) {
-    if (w.leader() >= 0 && leader_of(w) != leader) return w.crash(leader_of(w), 3);
-    w.at(w.now() + 0.02, [&w, leader] { crash_next(w, leader); });
+void crash_next_leader(SimulatedCluster& cluster, std::size_t leader) {
+    if (cluster.leader() >= 0 && leader_of(cluster) != leader) return cluster.crash(leader_of(cluster), 3);
+    cluster.at(cluster.now() + 0.02, [&cluster, leader] { crash_next_leader(cluster, leader); });
 }
 
 // The leader ends right after a message of some kind is sent, for the n-th time from some moment on; its
@@ -37,79 +37,86 @@
     std::function<void(SimulatedCluster&, std::size_t leader)> what;
 };
 const FaultAtMessage faults[] = {
-    {"a start is replicated", [](auto& r) { return r.target == protocol::peer_fleet_path; },
-     [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
-    {"a start is sent", runs, [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
-    {"a start is sent, and the next leader ends before it has reconciled", runs,
-     [](SimulatedCluster& w, std::size_t l) {
-         w.crash(l, 9);
-         crash_next(w, l);
+    {"a start is replicated", [](auto& request) { return request.target == protocol::peer_fleet_path; },
+     [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
+    {"a start is sent", starts_a_task,
+     [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
+    {"a start is sent, and the next leader ends before it has reconciled", starts_a_task,
+     [](SimulatedCluster& cluster, std::size_t leader) {
+         cluster.crash(leader, 9);
+         crash_next_leader(cluster, leader);
      }},
     {"a page or a record is stored",
-     [](auto& r) {
-         return r.target == "/txn" && (r.body.find("mach/") != std::string::npos ||
-                                       r.body.find("\"standby\"") != std::string::npos);
+     [](auto& request) {
+         return request.target == "/txn" && (request.body.find("mach/") != std::string::npos ||
+                                             request.body.find("\"standby\"") != std::string::npos);
      },
-     [](SimulatedCluster& w, std::size_t l) { w.crash(l, 5); }},
-    {"a start is sent, and the leader stands still, then goes on", runs,
-     [](SimulatedCluster& w, std::size_t l) { w.freeze(l, 14); }},
+     [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
+    {"a start is sent, and the leader stands still, then goes on", starts_a_task,
+     [](SimulatedCluster& cluster, std::size_t leader) { cluster.freeze(leader, 14); }},
     {"a start is replicated to a follower that is cut off, its messages held",
-     [](auto& r) { return r.target == protocol::peer_fleet_path; },
-     [](SimulatedCluster& w, std::size_t l) {
-         w.partition("10.0.0." + std::to_string((l + 1) % 3 + 1), "10.", 25, true);
-         w.at(w.now() + 4, [&w, l] { w.crash(l, 5); });
+     [](auto& request) { return request.target == protocol::peer_fleet_path; },
+     [](SimulatedCluster& cluster, std::size_t leader) {
+         cluster.partition("10.0.0." + std::to_string((leader + 1) % 3 + 1), "10.", 25, true);
+         cluster.at(cluster.now() + 4, [&cluster, leader] { cluster.crash(leader, 5); });
      }},
-    {"a start is sent while the state service is out", runs,
-     [](SimulatedCluster& w, std::size_t l) {
-         w.start_key_value_store_outage(10);
-         w.crash(l, 5);
+    {"a start is sent while the state service is out", starts_a_task,
+     [](SimulatedCluster& cluster, std::size_t leader) {
+         cluster.start_key_value_store_outage(10);
+         cluster.crash(leader, 5);
      }},
-    {"a third of the machines and two controllers at once", runs,
-     [](SimulatedCluster& w, std::size_t l) {
-         for (std::size_t k = 0; k < 4; ++k) w.crash_machine(3 * k);
-         w.crash(l, 5);
-         w.crash((l + 1) % 3, 7);
+    {"a third of the machines and two controllers at once", starts_a_task,
+     [](SimulatedCluster& cluster, std::size_t leader) {
+         for (std::size_t k = 0; k < 4; ++k) cluster.crash_machine(3 * k);
+         cluster.crash(leader, 5);
+         cluster.crash((leader + 1) % 3, 7);
      }},
     // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
     {"a start is replicated, reaches nobody, and the leader ends while machines hang",
-     [](auto& r) { return r.target == protocol::peer_fleet_path; },
-     [](SimulatedCluster& w, std::size_t l) {
-         for (std::size_t k = 0; k < 12; k += 2) w.hang_machine(k, 7);
+     [](auto& request) { return request.target == protocol::peer_fleet_path; },
+     [](SimulatedCluster& cluster, std::size_t leader) {
+         for (std::size_t k = 0; k < 12; k += 2) cluster.hang_machine(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
-             if (k != l)
-                 w.partition("10.0.0." + std::to_string(l + 1), "10.0.0." + std::to_string(k + 1), 20, false);
-         w.at(w.now() + 0.3, [&w, l] { w.crash(l, 5); });
+             if (k != leader)
+                 cluster.partition("10.0.0." + std::to_string(leader + 1), "10.0.0." + std::to_string(k + 1),
+                                   20, false);
+         cluster.at(cluster.now() + 0.3, [&cluster, leader] { cluster.crash(leader, 5); });
+     }},
+    {"the leader is cut off with a zone, packets held", starts_a_task,
+     [](SimulatedCluster& cluster, std::size_t leader) {
+         cluster.partition("10.0.0." + std::to_string(leader + 1), "10.", 30, true);
      }},
-    {"the leader is cut off with a zone, packets held", runs,
-     [](SimulatedCluster& w, std::size_t l) { w.partition("10.0.0." + std::to_string(l + 1), "10.", 30, true); }},
 };
 
-void run_with_fault(const FaultAtMessage& f, std::uint64_t seed, std::set<std::size_t> without = {}) {
-    SCOPED_TRACE(std::string(f.name) + ", seed " + std::to_string(seed));
-    Options o;
-    o.seed = seed;
-    o.machines = 12;
-    o.without_replication = std::move(without);
-    SimulatedCluster w(o);
-    work(w, 110);
+void run_with_fault(const FaultAtMessage& fault, std::uint64_t seed, std::set<std::size_t> without = {}) {
+    SCOPED_TRACE(std::string(fault.name) + ", seed " + std::to_string(seed));
+    Options options;
+    options.seed = seed;
+    options.machines = 12;
+    options.without_replication = std::move(without);
+    SimulatedCluster cluster(options);
+    work(cluster, 110);
     std::mt19937_64 random(seed);
     for (double t : {30.0, 60.0, 90.0}) {
         std::size_t hung = random() % 12, dead = random() % 12;
         auto left = std::make_shared<std::size_t>(1 + random() % 6);
         auto with_machines = random() % 3;
-        w.at(t, [&w, &f, left, hung, dead, with_machines] {
-            w.on_message = [&w, &f, left, hung, dead, with_machines](const std::string& from, const std::string&,
-                                                               const http::Request& r) {
-                if (*left == 0 || w.leader() < 0 || from != w.addr_of(leader_of(w)) || !f.message(r)) return;
+        cluster.at(t, [&cluster, &fault, left, hung, dead, with_machines] {
+            cluster.on_message = [&cluster, &fault, left, hung, dead, with_machines](
+                                     const std::string& from, const std::string&,
+                                     const http::Request& request) {
+                if (*left == 0 || cluster.leader() < 0 || from != cluster.addr_of(leader_of(cluster)) ||
+                    !fault.message(request))
+                    return;
                 if (--*left > 0) return;
-                if (with_machines > 0) w.hang_machine(hung, 8.0 * static_cast<double>(with_machines));
-                if (with_machines > 1) w.crash_machine(dead);
-                f.what(w, leader_of(w));
+                if (with_machines > 0) cluster.hang_machine(hung, 8.0 * static_cast<double>(with_machines));
+                if (with_machines > 1) cluster.crash_machine(dead);
+                fault.what(cluster, leader_of(cluster));
             };
         });
     }
-    w.run_until(230);
-    expect_invariants(w);
+    cluster.run_until(230);
+    expect_rules_kept(cluster);
 }
 // A case for each fault, so that they can run in parallel.
 class ReplicationFaults : public testing::TestWithParam<std::size_t> {
@@ -135,19 +142,19 @@
 TEST(ReplicationScenario, FencesADeadMachineSoonAfterARestartOfAll) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3}) {
-        Options o;
-        o.seed = seed;
-        o.machines = 12;
-        SimulatedCluster w(o);
-        w.at(2, [&w] { w.submit("j-1", "service", 30, 0); });
-        w.run_until(30);
-        w.crash_machine(0);
-        w.crash_machine(4);
-        for (std::size_t k = 0; k < 3; ++k) w.crash(k, 3);
-        w.at(33, [&w] { w.submit("j-2", "batch", 1, 2); });
-        w.run_until(47);
-        EXPECT_FALSE(w.jobs["j-2"].tasks_done.empty());
-        for (auto& b : w.violations) ADD_FAILURE() << b;
+        Options options;
+        options.seed = seed;
+        options.machines = 12;
+        SimulatedCluster cluster(options);
+        cluster.at(2, [&cluster] { cluster.submit("j-1", "service", 30, 0); });
+        cluster.run_until(30);
+        cluster.crash_machine(0);
+        cluster.crash_machine(4);
+        for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 3);
+        cluster.at(33, [&cluster] { cluster.submit("j-2", "batch", 1, 2); });
+        cluster.run_until(47);
+        EXPECT_FALSE(cluster.jobs["j-2"].tasks_done.empty());
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
     }
 }
 
@@ -156,16 +163,16 @@
     spdlog::set_level(spdlog::level::off);
     for (double back : {1.5, 2.3, 2.4, 2.45, 2.5, 2.6}) {
         SCOPED_TRACE(back);
-        SimulatedCluster w({});
-        w.at(2, [&w] { w.submit("j-1", "service", 6, 0); });
+        SimulatedCluster cluster({});
+        cluster.at(2, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
         for (double t : {30.0, 45.0, 60.0}) {
-            w.run_until(t);
-            auto before = leader_of(w);
-            w.crash(before, back);
-            w.run_until(t + 8);
-            EXPECT_GE(w.leader(), 0);
+            cluster.run_until(t);
+            auto before = leader_of(cluster);
+            cluster.crash(before, back);
+            cluster.run_until(t + 8);
+            EXPECT_GE(cluster.leader(), 0);
             if (back > 1.6) {  // sooner, it ends its own lease, and nobody else has seen it end yet
-                EXPECT_NE(leader_of(w), before) << t;
+                EXPECT_NE(leader_of(cluster), before) << t;
             }
         }
     }
@@ -175,21 +182,22 @@
 TEST(ReplicationScenario, StartsTasksDespiteADeadMachine) {
     spdlog::set_level(spdlog::level::off);
     for (bool standby : {true, false}) {
-        Options o;
-        o.machines = 5;
-        if (!standby) o.without_replication = {0, 1, 2};
-        SimulatedCluster w(o);
-        w.at(2, [&w] { w.submit("j-1", "service", 18, 0); });
-        w.run_until(30);
-        w.start_cloud_outage(60);  // so that it is proven gone by its lease alone
+        Options options;
+        options.machines = 5;
+        if (!standby) options.without_replication = {0, 1, 2};
+        SimulatedCluster cluster(options);
+        cluster.at(2, [&cluster] { cluster.submit("j-1", "service", 18, 0); });
+        cluster.run_until(30);
+        cluster.start_cloud_outage(60);  // so that it is proven gone by its lease alone
         std::size_t used = 0;
-        while (used + 1 < w.workers.size() && w.workers[used]->tasks.empty()) ++used;
-        w.crash_machine(used);
-        w.crash(leader_of(w), 60);
-        w.at(30.1, [&w] { w.submit("j-2", "batch", 1, 2); });
-        w.run_until(50);
-        EXPECT_EQ(!w.jobs["j-2"].tasks_done.empty(), standby);  // its user may have asked the dead controller
-        for (auto& b : w.violations) ADD_FAILURE() << b;
+        while (used + 1 < cluster.workers.size() && cluster.workers[used]->tasks.empty()) ++used;
+        cluster.crash_machine(used);
+        cluster.crash(leader_of(cluster), 60);
+        cluster.at(30.1, [&cluster] { cluster.submit("j-2", "batch", 1, 2); });
+        cluster.run_until(50);
+        EXPECT_EQ(!cluster.jobs["j-2"].tasks_done.empty(),
+                  standby);  // its user may have asked the dead controller
+        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
     }
 }
 
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -9,9 +9,9 @@
 namespace {
 class NodeRequester : public http::Requester {
   public:
-    NodeRequester(SimulatedCluster& w, std::string from) : cluster_(w), from_(std::move(from)) {}
-    void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
-        cluster_.send(from_, addr, std::move(r), timeout, std::move(result));
+    NodeRequester(SimulatedCluster& cluster, std::string from) : cluster_(cluster), from_(std::move(from)) {}
+    void send(const std::string& addr, http::Request request, double timeout, http::Result result) override {
+        cluster_.send(from_, addr, std::move(request), timeout, std::move(result));
     }
 
   private:
@@ -29,9 +29,9 @@
 double HostTimers::now() const {
     return cluster_.now();
 }
-event_loop::TimerId HostTimers::after(double s, event_loop::Task task) {
+event_loop::TimerId HostTimers::after(double period_s, event_loop::Task task) {
     auto id = next_++;
-    fire(id, cluster_.now() + std::max(0.0, s), std::move(task));
+    fire(id, cluster_.now() + std::max(0.0, period_s), std::move(task));
     return id;
 }
 void HostTimers::fire(event_loop::TimerId id, double due, event_loop::Task task) {
@@ -45,47 +45,48 @@
 SimulatedCluster::SimulatedCluster(Options options)
     : options_(options), random_(options.seed), changes_left_(options.write_rps, options.write_rps) {
     for (std::size_t k = 0; k < 3; ++k) {
-        Node n;
-        auto& s = n.settings;
-        s.label = "berth-" + std::to_string(k);
-        s.zone = zones[k % 2];
-        s.listen = addr_of(k);
-        s.peer_listen = host(addr_of(k)) + ":8081";
-        for (std::size_t p = 0; p < 3; ++p)
-            if (p != k)
-                s.peers.push_back({"berth-" + std::to_string(p), zones[p % 2], host(addr_of(p)) + ":8081"});
-        s.state_addr = state_addr;
-        s.cloud_addr = cloud_addr;
-        s.nodes = 3;
-        s.zones = zones;
-        s.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
-        s.report_s = options_.report_s;
-        s.lease_s = options_.lease_s;
-        s.cancel_s = options_.cancel_s;
-        s.gang_wait_s = 50;
-        s.gang_peer_s = 5;
-        s.op.hearing = options_.relay_heartbeats;
-        s.op.standby = !options_.without_replication.contains(k);
-        s.state_rps = 200;
-        s.state_write_rps = options_.write_rps;
-        s.value_kb = options_.value_kb;
-        s.safe_value_kb = std::min(options_.value_kb, options_.reduced_value_kb);
-        s.txn_ops = std::min(options_.txn_ops, options_.reduced_txn_ops);
-        s.cloud_rps = 10;
-        s.list_lag_s = 10;
-        s.memory_mb = 100;
-        s.sockets = 1000;
-        nodes_.push_back(std::move(n));
+        Node node;
+        auto& settings = node.settings;
+        settings.label = "berth-" + std::to_string(k);
+        settings.zone = zones[k % 2];
+        settings.listen = addr_of(k);
+        settings.peer_listen = host(addr_of(k)) + ":8081";
+        for (std::size_t peer = 0; peer < 3; ++peer)
+            if (peer != k)
+                settings.peers.push_back(
+                    {"berth-" + std::to_string(peer), zones[peer % 2], host(addr_of(peer)) + ":8081"});
+        settings.state_addr = state_addr;
+        settings.cloud_addr = cloud_addr;
+        settings.nodes = 3;
+        settings.zones = zones;
+        settings.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
+        settings.report_s = options_.report_s;
+        settings.lease_s = options_.lease_s;
+        settings.cancel_s = options_.cancel_s;
+        settings.gang_wait_s = 50;
+        settings.gang_peer_s = 5;
+        settings.op.hearing = options_.relay_heartbeats;
+        settings.op.standby = !options_.without_replication.contains(k);
+        settings.state_rps = 200;
+        settings.state_write_rps = options_.write_rps;
+        settings.value_kb = options_.value_kb;
+        settings.safe_value_kb = std::min(options_.value_kb, options_.reduced_value_kb);
+        settings.txn_ops = std::min(options_.txn_ops, options_.reduced_txn_ops);
+        settings.cloud_rps = 10;
+        settings.list_lag_s = 10;
+        settings.memory_mb = 100;
+        settings.sockets = 1000;
+        nodes_.push_back(std::move(node));
     }
     for (std::size_t k = 0; k < options_.machines; ++k) add_machine(zones[k % 2], k % 3 == 2);
     for (std::size_t k = 0; k < 3; ++k) boot(k);
-    auto every = [this](double s, auto f) {
+    auto every = [this](double period_s, auto action) {
         auto again = std::make_shared<std::function<void()>>();
-        *again = [this, s, f, weak = std::weak_ptr(again)] {
-            f();
-            if (auto self = weak.lock()) at(now_ + s, [self] { (*self)(); });
+        *again = [this, period_s, action, weak = std::weak_ptr(again)] {
+            action();
+            if (auto self = weak.lock()) at(now_ + period_s, [self] { (*self)(); });
         };
-        at(now_ + s, [again] { (*again)(); });
+        at(now_ + period_s, [again] { (*again)(); });
     };
     every(0.1, [this] { expire_leases(); });
     every(0.5, [this] { check_cancelled(); });
@@ -95,62 +96,62 @@
     every(4.0, [this] { query_all_jobs(); });
     // A hanging machine's tasks end with its lease too.
     every(0.1, [this] {
-        for (auto& w : workers)
-            if (!w->dead) check_lease(*w);
+        for (auto& worker : workers)
+            if (!worker->dead) check_lease(*worker);
     });
 }
 SimulatedCluster::~SimulatedCluster() {
-    for (auto& n : nodes_)
-        if (n.timers) n.timers->kill();
+    for (auto& node : nodes_)
+        if (node.timers) node.timers->kill();
     // A controller that ends answers what still waits with it, into a world that must be whole.
     for (auto* all : {&nodes_, &crashed_nodes_})
-        for (auto& n : *all) n.controller.reset();
+        for (auto& node : *all) node.controller.reset();
 }
 
 void SimulatedCluster::run_until(double t) {
     while (!queue_.empty() && queue_.top().t <= t) {
-        auto e = queue_.top();
+        auto event = queue_.top();
         queue_.pop();
-        now_ = e.t;
-        e.task();
+        now_ = event.t;
+        event.task();
     }
     now_ = t;
 }
 
 void SimulatedCluster::boot(std::size_t k) {
-    auto& n = nodes_[k];
-    n.timers = std::make_unique<HostTimers>(*this);
-    n.http = std::make_unique<NodeRequester>(*this, n.settings.listen);
-    n.planner = std::make_unique<InlinePlanner>(*n.timers);
-    n.controller =
-        std::make_unique<controller::Controller>(*n.timers, *n.http, n.settings, *n.planner, random_());
-    n.up = true;
-    ++n.incarnation;
-    n.busy_until = now_;
-    n.controller->start();
+    auto& node = nodes_[k];
+    node.timers = std::make_unique<HostTimers>(*this);
+    node.http = std::make_unique<NodeRequester>(*this, node.settings.listen);
+    node.planner = std::make_unique<InlinePlanner>(*node.timers);
+    node.controller = std::make_unique<controller::Controller>(*node.timers, *node.http, node.settings,
+                                                               *node.planner, random_());
+    node.up = true;
+    ++node.incarnation;
+    node.busy_until = now_;
+    node.controller->start();
 }
 void SimulatedCluster::crash(std::size_t k, double back_after) {
-    auto& n = nodes_[k];
-    if (!n.up) return;
-    n.up = false;
-    n.timers->kill();
+    auto& node = nodes_[k];
+    if (!node.up) return;
+    node.up = false;
+    node.timers->kill();
     // What was under way may still call back; the dead process only never acts on it.
     Node dead;
-    dead.timers = std::move(n.timers);
-    dead.http = std::move(n.http);
-    dead.planner = std::move(n.planner);
-    dead.controller = std::move(n.controller);
+    dead.timers = std::move(node.timers);
+    dead.http = std::move(node.http);
+    dead.planner = std::move(node.planner);
+    dead.controller = std::move(node.controller);
     crashed_nodes_.push_back(std::move(dead));
     at(now_ + back_after, [this, k] { boot(k); });
 }
 std::string SimulatedCluster::legacy_gauge(std::size_t k, const std::string& gauge) {
     std::string value;
     if (nodes_[k].up)
-        nodes_[k].controller->serve({"GET", "/metrics", {}}, [&](http::Response r) {
-            auto at = r.body.find("{of=\"" + gauge + "\"} ");
+        nodes_[k].controller->serve({"GET", "/metrics", {}}, [&](http::Response response) {
+            auto at = response.body.find("{of=\"" + gauge + "\"} ");
             if (at == std::string::npos) return;
-            at = r.body.find(' ', at) + 1;
-            value = r.body.substr(at, r.body.find('\n', at) - at);
+            at = response.body.find(' ', at) + 1;
+            value = response.body.substr(at, response.body.find('\n', at) - at);
         });
     return value;
 }
@@ -160,8 +161,8 @@
 bool SimulatedCluster::healthy(std::size_t node) const {
     return nodes_[node].controller->healthy();
 }
-void SimulatedCluster::send_user_request(std::size_t node, http::Request r, http::Reply done) {
-    nodes_[node].controller->serve(std::move(r), std::move(done));
+void SimulatedCluster::send_user_request(std::size_t node, http::Request request, http::Reply done) {
+    nodes_[node].controller->serve(std::move(request), std::move(done));
 }
 int SimulatedCluster::leader() const {
     for (std::size_t k = 0; k < nodes_.size(); ++k)
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -56,7 +56,7 @@
 
 class InlinePlanner : public leader::Planner {
   public:
-    explicit InlinePlanner(event_loop::Timers& t) : timers_(t) {}
+    explicit InlinePlanner(event_loop::Timers& timers) : timers_(timers) {}
     void submit(Work work) override {
         timers_.after(0.01, [work = std::move(work)] { work()(); });
     }
@@ -79,7 +79,7 @@
     std::uint64_t agent_epoch = 1, sequence = 0, token = 0;
     bool ignores_lease = false;  // for ever, whatever its lease says: a broken worker
     double created = 0, up_at = 0, last_answered = 0;
-    double inbound_unreachable_until = 0;    // it can't open connections to controllers
+    double inbound_unreachable_until = 0;  // it can't open connections to controllers
     std::uint64_t incarnation = 0;  // reboots so far: what was on its way to the one before does not reach it
     std::size_t node = 0;
     std::map<std::string, Task> tasks;
@@ -101,7 +101,7 @@
     std::deque<bool> health_checks;
     double readmission_pause_s = 3, removed_at = -1e9, well_since = -1;
     std::uint64_t incarnation = 0;  // processes so far: what is answered to one is not for the next
-    double busy_until = 0;    // with what workers sent
+    double busy_until = 0;          // with what workers sent
 };
 
 // An answer that a user got about a job: when the question was sent, when the answer was received.
@@ -136,15 +136,17 @@
     std::uint64_t seed = 1;
     std::size_t machines = 6;
     double report_s = 3, lease_s = 24, cancel_s = 44;
-    double gpus_max = 12;      // limit of team `tight`
-    double free_gpus_max = 0;  // of team `free`; 0: none
-    double max_waiting_s = 90;       // a job may wait for so long with room and quota, once the troubles are over
-    double boot_s = 1;         // what a machine takes; the nominal time is 5 s
+    double gpus_max = 12;       // limit of team `tight`
+    double free_gpus_max = 0;   // of team `free`; 0: none
+    double max_waiting_s = 90;  // a job may wait for so long with room and quota, once the troubles are over
+    double boot_s = 1;          // what a machine takes; the nominal time is 5 s
     std::set<std::size_t>
-        without_replication;     // controllers of a version, or with settings, that know no standby
-    bool relay_heartbeats = true;     // controllers that do not lead hear workers for the one that does
-    double heartbeat_processing_s = 0;       // what a controller takes for each message of a worker; the next ones wait
-    bool pings_of_previous_version = false;  // what controllers say of themselves is as the version before says it
+        without_replication;       // controllers of a version, or with settings, that know no standby
+    bool relay_heartbeats = true;  // controllers that do not lead hear workers for the one that does
+    double heartbeat_processing_s =
+        0;  // what a controller takes for each message of a worker; the next ones wait
+    bool pings_of_previous_version =
+        false;  // what controllers say of themselves is as the version before says it
     // The key-value store's limits, and what they fall to without notice, if they do.
     double value_kb = 16, reduced_value_kb = 16;
     std::uint32_t txn_ops = 8, reduced_txn_ops = 8;
@@ -164,8 +166,8 @@
 
     // Faults
     void crash(std::size_t node, double back_after);
-    void partition(const std::string& a, const std::string& b, double for_s, bool hold) {
-        add_partition(a, b, for_s, hold, false);
+    void partition(const std::string& one_end, const std::string& other_end, double for_s, bool hold) {
+        add_partition(one_end, other_end, for_s, hold, false);
     }
     void partition_one_way(const std::string& from, const std::string& to, double for_s, bool hold = false) {
         add_partition(from, to, for_s, hold, true);
@@ -198,7 +200,9 @@
     // 0: it is answered at once; less: it is carried out at once, and only its answer is lost. Empty: all are
     // answered at once.
     std::function<double(const json& txn)> transaction_delay;
-    void refuse_at_key_value_store(std::size_t node, double for_s) { refused_until_[addr_of(node)] = now_ + for_s; }
+    void refuse_at_key_value_store(std::size_t node, double for_s) {
+        refused_until_[addr_of(node)] = now_ + for_s;
+    }
     // Users look at all controllers, again and again within milliseconds, and repeat the submission, right
     // after a job was accepted, ended or cancelled; some cancel at once.
     void query_frequently(double for_s) { frequent_queries_until_ = now_ + for_s; }
@@ -207,7 +211,9 @@
     // Up to so many jobs that run are cancelled, and up to eight of their machines hang.
     void cancel_running_jobs(std::size_t count, double hang_s);
     // The machine reaches no controller; what controllers ask of it arrives and is answered.
-    void make_inbound_unreachable(std::size_t k, double for_s) { workers[k % workers.size()]->inbound_unreachable_until = now_ + for_s; }
+    void make_inbound_unreachable(std::size_t k, double for_s) {
+        workers[k % workers.size()]->inbound_unreachable_until = now_ + for_s;
+    }
     void send_unusual_requests(double for_s);
     // Copies of a part of the reports are kept, and arrive at all controllers when the next one leads.
     void replay_heartbeats_at_next_leader(double for_s) { keep_heartbeats_until_ = now_ + for_s; }
@@ -238,29 +244,32 @@
     void post_job_to(std::size_t node, const std::string& body, http::Reply done) {
         send_user_request(node, {"POST", "/api/jobs", body}, std::move(done));
     }
-    void send_user_request(std::size_t node, http::Request r, http::Reply done);
+    void send_user_request(std::size_t node, http::Request request, http::Reply done);
     void query_all_jobs();
     // Takes down what a user was told, and holds it against what was received before the question was sent.
-    void record_answer(const Answer& a);
+    void record_answer(const Answer& answer);
     // Called with each message as it is sent, so that a fault can be placed right after it.
     std::function<void(const std::string& from, const std::string& to, const http::Request&)> on_message;
     // Seconds by which a direct command is held up: it is carried out once then, and its answer is lost.
     std::function<double(const std::string& to, const http::Request&)> command_delay;
     // A copy of a message arrives at this controller now; nobody waits for the answer.
-    void copy_to(std::size_t node, const std::string& from, const http::Request& r) {
-        deliver(from, addr_of(node), r, [](http::Response) {});
+    void copy_to(std::size_t node, const std::string& from, const http::Request& request) {
+        deliver(from, addr_of(node), request, [](http::Response) {});
     }
-    void remove_from_load_balancer(std::size_t node) { removed_from_load_balancer_ = node; }  // none is led to it by the load balancer
+    void remove_from_load_balancer(std::size_t node) {
+        removed_from_load_balancer_ = node;
+    }  // none is led to it by the load balancer
     std::string legacy_gauge(std::size_t node, const std::string& gauge);  // of its /metrics
     bool cancel_wanted(const std::string& id) const;  // of the job itself, or of one that it needs
 
     // Network, for the hosts' requesters
-    void send(const std::string& from, const std::string& to, http::Request r, double timeout,
+    void send(const std::string& from, const std::string& to, http::Request request, double timeout,
               http::Result result);
     std::string addr_of(std::size_t node) const { return "10.0.0." + std::to_string(node + 1) + ":8080"; }
     // To break a rule on purpose: a start, on the first machine without the task or on that one, and a change
     // of a stored record, or its end.
-    void start_against_rules(const std::string& task, std::uint64_t attempt, std::optional<std::size_t> machine = {});
+    void start_against_rules(const std::string& task, std::uint64_t attempt,
+                             std::optional<std::size_t> machine = {});
     void tamper_with_record(const std::string& key, std::optional<std::string> value);
     std::string record(const std::string& key) const { return kv_.at(key).value; }
 
@@ -268,15 +277,15 @@
     std::map<std::string, JobHistory> jobs;
     std::vector<std::unique_ptr<Worker>> workers;
     std::size_t starts = 0, restarts_of_done_tasks = 0;  // done_again: of tasks that were done already
-    std::size_t starts_after_cancellation = 0;        // after the cancellation was confirmed
-    std::size_t answers = 0;                 // that users got about jobs
-    MessageDigest digest;                    // of all requests sent and responses received
+    std::size_t starts_after_cancellation = 0;           // after the cancellation was confirmed
+    std::size_t answers = 0;                             // that users got about jobs
+    MessageDigest digest;                                // of all requests sent and responses received
     // From then on no question about a job may stay without an answer for longer than `open_s`.
     double faults_over_at = 1e9, max_unanswered_s = 45;
-    std::size_t machines_deleted_with_tasks = 0;                     // machines with tasks on them
-    std::map<std::string, std::size_t> reads;    // of each key at the key-value store
-    std::map<std::string, std::size_t> changes;  // at the key-value store, by the first part of the key
-    std::size_t changes_refused = 0;             // calls, for too many changes a second
+    std::size_t machines_deleted_with_tasks = 0;  // machines with tasks on them
+    std::map<std::string, std::size_t> reads;     // of each key at the key-value store
+    std::map<std::string, std::size_t> changes;   // at the key-value store, by the first part of the key
+    std::size_t changes_refused = 0;              // calls, for too many changes a second
     std::optional<std::string> stored(const std::string& key) const {
         auto it = kv_.find(key);
         return it == kv_.end() ? std::nullopt : std::optional(it->second.value);
@@ -287,7 +296,7 @@
         double t;
         std::uint64_t n;
         event_loop::Task task;
-        bool operator<(const Event& o) const { return std::tie(t, n) > std::tie(o.t, o.n); }
+        bool operator<(const Event& other) const { return std::tie(t, n) > std::tie(other.t, other.n); }
     };
     struct Item {
         std::string value;
@@ -307,55 +316,56 @@
     void add_violation(const std::string& what) { violations.push_back(std::to_string(now_) + " " + what); }
     double latency() { return std::uniform_real_distribution<double>(0.001, 0.008)(random_); }
     void boot(std::size_t node);
-    void process_in_turn(Node& n, event_loop::Task task);
+    void process_in_turn(Node& node, event_loop::Task task);
     void check_health();
     Node* pick_controller();
-    void deliver(const std::string& from, const std::string& to, http::Request r, http::Reply reply);
-    double draw_command_delay(const std::string& to, const http::Request& r);
-    void add_partition(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way);
+    void deliver(const std::string& from, const std::string& to, http::Request request, http::Reply reply);
+    double draw_command_delay(const std::string& to, const http::Request& request);
+    void add_partition(const std::string& one_end, const std::string& other_end, double for_s, bool hold,
+                       bool one_way);
     bool is_partitioned(const std::string& from, const std::string& to, bool& hold, double& until) const;
     static std::string host(const std::string& addr) { return addr.substr(0, addr.find(':')); }
 
     // State service
-    void state(const std::string& from, const http::Request& r, http::Reply reply);
+    void state(const std::string& from, const http::Request& request, http::Reply reply);
     void kv_changed();
     void expire_leases();
-    json events(const Watch& w) const;
-    http::Response txn(const json& j);
+    json events(const Watch& watch) const;
+    http::Response txn(const json& transaction);
     // Cloud
-    http::Response cloud(const http::Request& r);
+    http::Response cloud(const http::Request& request);
     Worker& add_machine(const std::string& zone, bool spot);
     // Workers
-    void send_heartbeats(Worker& w);
-    json report(Worker& w);
-    void command(Worker& w, const json& orders);
-    http::Response serve_command(Worker& w, const http::Request& r);
-    void start(Worker& w, const std::string& task, std::uint64_t attempt);
-    void finish(Worker& w, const std::string& task, std::uint64_t attempt, const std::string& cause);
-    void check_lease(Worker& w);
-    bool present(const Task& t) const { return t.status != "exited"; }
+    void send_heartbeats(Worker& worker);
+    json report(Worker& worker);
+    void command(Worker& worker, const json& orders);
+    http::Response serve_command(Worker& worker, const http::Request& request);
+    void start(Worker& worker, const std::string& task, std::uint64_t attempt);
+    void finish(Worker& worker, const std::string& task, std::uint64_t attempt, const std::string& cause);
+    void check_lease(Worker& worker);
+    bool present(const Task& task) const { return task.status != "exited"; }
     // Users
     void ask(const std::string& id, const std::string& method, const std::string& path,
              const std::string& body, std::function<void(const http::Response&)> done, int tries = 40);
     // Once, of this controller; `answered` is called with what the user receives.
-    void ask_controller(Node& node, const std::string& id, http::Request r,
-                  std::function<void(const http::Response&)> answered);
+    void ask_controller(Node& node, const std::string& id, http::Request request,
+                        std::function<void(const http::Response&)> answered);
     void query_all_controllers_repeatedly(const std::string& id, bool just_accepted);
     void send_unusual_request();
     void submit_invalid_job();
     void ended(const std::string& id);
     json plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const;
     // Checks
-    void check_start(const Worker& w, const std::string& task);
+    void check_start(const Worker& worker, const std::string& task);
     void check_waiting();
     bool could_start(const std::string& id) const;
-    std::size_t places(const Worker& w, const json& spec) const;
+    std::size_t places(const Worker& worker, const json& spec) const;
     double limit_of(const std::string& team) const;
     double used_by(const std::string& team) const;
     // When the user of a job that this one needs was first told that it is cancelled, or never.
     double cancelled_before(const std::string& id) const;
     bool is_done(const std::string& id) const;
-    void check_orphaned(const Answer& a);
+    void check_orphaned(const Answer& answer);
     void check_cancelled();
 
     Options options_;
@@ -382,10 +392,10 @@
     std::vector<Partition> partitions_;
     double duplicates_until_ = 0, duplicates_max_delay_s_ = 0;
     double slow_key_value_store_until_ = 0, key_value_store_delay_s_ = 0;
-    double frequent_queries_until_ = 0, cancel_at_job_end_until_ = 0, keep_heartbeats_until_ = 0, delay_commands_until_ = 0,
-           fast_boots_until_ = 0, fast_boots_write_delay_s_ = 0;
+    double frequent_queries_until_ = 0, cancel_at_job_end_until_ = 0, keep_heartbeats_until_ = 0,
+           delay_commands_until_ = 0, fast_boots_until_ = 0, fast_boots_write_delay_s_ = 0;
     std::vector<std::pair<std::string, http::Request>> kept_heartbeats_;  // with who sent it
-    int last_leader_ = -1;                                             // who led last
+    int last_leader_ = -1;                                                // who led last
     void replay_kept_heartbeats();
     int next_invalid_job_ = 0, next_extra_ = 0;
     std::set<std::string> hidden_keys_;
--- a/tests/simulation/simulated_cluster_key_value_store.cpp
+++ b/tests/simulation/simulated_cluster_key_value_store.cpp
@@ -11,30 +11,30 @@
 }
 }  // namespace
 
-json SimulatedCluster::events(const Watch& w) const {
+json SimulatedCluster::events(const Watch& watch) const {
     json out = json::array();
-    for (auto& [revision, e] : history_) {
-        auto key = e.value("put", e.value("drop", std::string()));
-        bool hidden = hidden_keys_.contains(key) && (w.waits || w.from == hidden_from_controller_);
-        if (revision > w.since && key.rfind(w.prefix, 0) == 0 && !hidden) out.push_back(e);
+    for (auto& [revision, event] : history_) {
+        auto key = event.value("put", event.value("drop", std::string()));
+        bool hidden = hidden_keys_.contains(key) && (watch.waits || watch.from == hidden_from_controller_);
+        if (revision > watch.since && key.rfind(watch.prefix, 0) == 0 && !hidden) out.push_back(event);
     }
     return out;
 }
 void SimulatedCluster::kv_changed() {
     auto open = std::move(watches_);
     watches_.clear();
-    for (auto& w : open) {
-        bool out = key_value_store_outage_until_ > now_ || refused_until_[w.from] > now_;
-        auto news = out ? json::array() : events(w);
-        if (!out && (!news.empty() || now_ >= w.until))
-            w.reply({200, json{{"epoch", revision_}, {"news", news}}.dump()});
+    for (auto& watch : open) {
+        bool out = key_value_store_outage_until_ > now_ || refused_until_[watch.from] > now_;
+        auto news = out ? json::array() : events(watch);
+        if (!out && (!news.empty() || now_ >= watch.until))
+            watch.reply({200, json{{"epoch", revision_}, {"news", news}}.dump()});
         else
-            watches_.push_back(std::move(w));
+            watches_.push_back(std::move(watch));
     }
 }
 void SimulatedCluster::expire_leases() {
     if (key_value_store_outage_until_ > now_) {
-        for (auto& [id, l] : leases_) l.until = key_value_store_outage_until_ + l.ttl;
+        for (auto& [id, lease] : leases_) lease.until = key_value_store_outage_until_ + lease.ttl;
         return;
     }
     for (auto it = leases_.begin(); it != leases_.end();) {
@@ -57,55 +57,57 @@
     }
     kv_changed();
 }
-http::Response SimulatedCluster::txn(const json& j) {
-    for (auto& c : j["then"])
-        if (c.contains("mooring") && !leases_.contains(c["mooring"]))
+http::Response SimulatedCluster::txn(const json& transaction) {
+    for (auto& change : transaction["then"])
+        if (change.contains("mooring") && !leases_.contains(change["mooring"]))
             return {400, R"({"error":"no such lease"})"};
     json failed = json::array();
-    for (auto& c : j["if"]) {
-        auto it = kv_.find(c["path"].get<std::string>());
-        if ((it == kv_.end() ? 0 : it->second.version) != c["stamp"].get<std::uint64_t>())
-            failed.push_back(c["path"]);
+    for (auto& condition : transaction["if"]) {
+        auto it = kv_.find(condition["path"].get<std::string>());
+        if ((it == kv_.end() ? 0 : it->second.version) != condition["stamp"].get<std::uint64_t>())
+            failed.push_back(condition["path"]);
     }
     if (!failed.empty()) return {409, json{{"failed", failed}, {"epoch", revision_}}.dump()};
     bool fallen = now_ >= options_.limits_reduced_at;
     std::size_t ops = fallen ? options_.reduced_txn_ops : options_.txn_ops;
     double bytes = 1024 * (fallen ? options_.reduced_value_kb : options_.value_kb);
-    if (j["then"].size() > ops || j["if"].size() > 4 * ops) return {400, R"({"error":"too many"})"};
-    for (auto& c : j["then"])
-        if (c.contains("put") && static_cast<double>(c["value"].dump().size()) > bytes)
+    if (transaction["then"].size() > ops || transaction["if"].size() > 4 * ops)
+        return {400, R"({"error":"too many"})"};
+    for (auto& change : transaction["then"])
+        if (change.contains("put") && static_cast<double>(change["value"].dump().size()) > bytes)
             return {400, R"({"error":"too large"})"};
     ++revision_;
-    for (auto& c : j["then"]) {
-        std::string key = c.contains("put") ? c["put"] : c["drop"];
+    for (auto& change : transaction["then"]) {
+        std::string key = change.contains("put") ? change["put"] : change["drop"];
         ++changes[key.substr(0, key.find('/'))];
         if (auto job = jobs.find(key.substr(key.find('/') + 1));
             job != jobs.end() && key.starts_with("final/"))
             job->second.stored_at = now_;
-        if (c.contains("put")) {
-            kv_[c["put"]] = {c["value"].dump(), revision_, c.value("mooring", std::uint64_t{0})};
+        if (change.contains("put")) {
+            kv_[change["put"]] = {change["value"].dump(), revision_,
+                                  change.value("mooring", std::uint64_t{0})};
             history_.push_back(
-                {revision_, json{{"put", c["put"]}, {"value", c["value"]}, {"stamp", revision_}}});
+                {revision_, json{{"put", change["put"]}, {"value", change["value"]}, {"stamp", revision_}}});
         } else {
-            kv_.erase(c["drop"].get<std::string>());
-            history_.push_back({revision_, json{{"drop", c["drop"]}, {"stamp", revision_}}});
+            kv_.erase(change["drop"].get<std::string>());
+            history_.push_back({revision_, json{{"drop", change["drop"]}, {"stamp", revision_}}});
         }
     }
     return {200, json{{"epoch", revision_}}.dump()};
 }
-void SimulatedCluster::state(const std::string& from, const http::Request& r, http::Reply reply) {
+void SimulatedCluster::state(const std::string& from, const http::Request& request, http::Reply reply) {
     if (key_value_store_outage_until_ > now_ || refused_until_[from] > now_) return reply({503, "{}"});
-    if (r.target.rfind("/kv/", 0) == 0) {
-        auto key = r.target.substr(4);
-        ++reads[r.target];
+    if (request.target.rfind("/kv/", 0) == 0) {
+        auto key = request.target.substr(4);
+        ++reads[request.target];
         auto it = kv_.find(key);
         if (it == kv_.end()) return reply({404, json{{"epoch", revision_}}.dump()});
-        json e{{"path", key}, {"value", json::parse(it->second.value)}, {"stamp", it->second.version}};
-        if (it->second.lease) e["mooring"] = it->second.lease;
-        return reply({200, e.dump()});
+        json entry{{"path", key}, {"value", json::parse(it->second.value)}, {"stamp", it->second.version}};
+        if (it->second.lease) entry["mooring"] = it->second.lease;
+        return reply({200, entry.dump()});
     }
-    if (r.target.rfind("/kv?", 0) == 0) {
-        auto prefix = query(r.target, "starts"), since = query(r.target, "since");
+    if (request.target.rfind("/kv?", 0) == 0) {
+        auto prefix = query(request.target, "starts"), since = query(request.target, "since");
         json entries = json::array();
         bool more = false;
         for (auto& [k, v] : kv_) {
@@ -118,54 +120,54 @@
         }
         return reply({200, json{{"entries", entries}, {"more", more}, {"epoch", revision_}}.dump()});
     }
-    if (r.target.rfind("/watch", 0) == 0) {
-        double hold_s = std::stod(query(r.target, "hold_ms")) / 1000;
-        watches_.push_back({query(r.target, "starts"), std::stoull(query(r.target, "since")), now_ + hold_s,
-                            std::move(reply), from, hold_s > 0});
+    if (request.target.rfind("/watch", 0) == 0) {
+        double hold_s = std::stod(query(request.target, "hold_ms")) / 1000;
+        watches_.push_back({query(request.target, "starts"), std::stoull(query(request.target, "since")),
+                            now_ + hold_s, std::move(reply), from, hold_s > 0});
         return kv_changed();
     }
-    if (r.target == "/txn") {
-        auto j = json::parse(r.body);
+    if (request.target == "/txn") {
+        auto transaction = json::parse(request.body);
         // Transactions with failing conditions count, too.
-        auto wanted = static_cast<double>(j["then"].size());
+        auto wanted = static_cast<double>(transaction["then"].size());
         if (!changes_left_.has(now_, wanted)) {
             ++changes_refused;
             return reply({429, "{}"});
         }
         changes_left_.take(now_, wanted);
-        double late = transaction_delay ? transaction_delay(j) : 0;
+        double late = transaction_delay ? transaction_delay(transaction) : 0;
         if (late < 0) {
-            txn(j);
+            txn(transaction);
             return kv_changed();
         }
         if (now_ < fast_boots_until_ && late == 0) {
             double by = std::uniform_real_distribution<double>(0.5, 1)(random_) * fast_boots_write_delay_s_;
-            return at(now_ + by, [this, j, reply] {
+            return at(now_ + by, [this, transaction, reply] {
                 if (key_value_store_outage_until_ > now_) return reply({503, "{}"});
-                reply(txn(j));
+                reply(txn(transaction));
                 kv_changed();
             });
         }
         if (late > 0)
-            return at(now_ + late, [this, j] {
+            return at(now_ + late, [this, transaction] {
                 if (key_value_store_outage_until_ > now_) return;
-                txn(j);
+                txn(transaction);
                 kv_changed();
             });
-        reply(txn(j));
+        reply(txn(transaction));
         return kv_changed();
     }
-    if (r.target == "/holds") {
-        auto ttl = json::parse(r.body)["ttl_ms"].get<double>() / 1000;
+    if (request.target == "/holds") {
+        auto ttl = json::parse(request.body)["ttl_ms"].get<double>() / 1000;
         leases_[next_lease_] = {ttl, now_ + ttl};
         return reply({200, json{{"mooring", next_lease_++}}.dump()});
     }
-    auto id = std::stoull(r.target.substr(7));
+    auto id = std::stoull(request.target.substr(7));
     auto it = leases_.find(id);
     if (it == leases_.end()) return reply({404, "{}"});
-    it->second.until = r.method == "DELETE" ? now_ : now_ + it->second.ttl;
+    it->second.until = request.method == "DELETE" ? now_ : now_ + it->second.ttl;
     reply({200, json{{"mooring", id}}.dump()});
-    if (r.method == "DELETE") expire_leases();
+    if (request.method == "DELETE") expire_leases();
 }
 void SimulatedCluster::tamper_with_record(const std::string& key, std::optional<std::string> value) {
     ++revision_;
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -11,21 +11,24 @@
     return it == spec.end() || it->is_null() ? std::vector<std::string>{}
                                              : it->get<std::vector<std::string>>();
 }
-void SimulatedCluster::ask_controller(Node& node, const std::string& id, http::Request r,
-                                std::function<void(const http::Response&)> answered) {
+void SimulatedCluster::ask_controller(Node& node, const std::string& id, http::Request request,
+                                      std::function<void(const http::Response&)> answered) {
     using To = Answer::To;
-    auto to = r.method == "GET" ? To::question : r.target == "/api/jobs" ? To::submission : To::cancellation;
+    auto to = request.method == "GET"         ? To::question
+              : request.target == "/api/jobs" ? To::submission
+                                              : To::cancellation;
     // What comes while the controller stands still is read when it goes on.
-    node.timers->after(0, [=, this, &node, sent = now_, r = std::move(r)] {
-        digest.add(now_, "user", node.settings.listen, r.method + " " + r.target, r.body);
-        node.controller->serve(r, [=, this, &node](http::Response a) {
-            digest.add(now_, node.settings.listen, "user", std::to_string(a.status), a.body);
+    node.timers->after(0, [=, this, &node, sent = now_, request = std::move(request)] {
+        digest.add(now_, "user", node.settings.listen, request.method + " " + request.target, request.body);
+        node.controller->serve(request, [=, this, &node](http::Response response) {
+            digest.add(now_, node.settings.listen, "user", std::to_string(response.status), response.body);
             at(now_ + latency(), [=, this] {
                 if (now_ - sent > 5) return;  // nobody listens any more
-                Answer heard{id, to, sent, now_, a.status, {}};
-                if (a.status == 200 || a.status == 201) heard.status = json::parse(a.body)["status"];
+                Answer heard{id, to, sent, now_, response.status, {}};
+                if (response.status == 200 || response.status == 201)
+                    heard.status = json::parse(response.body)["status"];
                 record_answer(heard);
-                answered(a);
+                answered(response);
             });
         });
     });
@@ -51,10 +54,10 @@
                 });
         });
     }
-    ask_controller(*node, id, {method, path, body}, [=](const http::Response& r) {
+    ask_controller(*node, id, {method, path, body}, [=](const http::Response& response) {
         if (std::exchange(*answered, true)) return;
-        if (r.status == 503) return again();
-        done(r);
+        if (response.status == 503) return again();
+        done(response);
     });
 }
 json SimulatedCluster::plain_job(const std::string& id, const std::string& kind, int tasks,
@@ -67,21 +70,21 @@
 }
 void SimulatedCluster::submit(const std::string& id, const std::string& kind, int tasks, double run_s,
                               json more) {
-    auto j = plain_job(id, kind, tasks, run_s);
-    if (more.is_object()) j.update(more);
-    jobs[id].spec = j;
+    auto spec = plain_job(id, kind, tasks, run_s);
+    if (more.is_object()) spec.update(more);
+    jobs[id].spec = spec;
     ask(
-        id, "POST", "/api/jobs", j.dump(),
-        [this, id](const http::Response& r) {
-            if (r.status != 200 && r.status != 201)
-                add_violation("submission of " + id + " got " + std::to_string(r.status));
+        id, "POST", "/api/jobs", spec.dump(),
+        [this, id](const http::Response& response) {
+            if (response.status != 200 && response.status != 201)
+                add_violation("submission of " + id + " got " + std::to_string(response.status));
         },
         options_.submit_tries);
 }
 void SimulatedCluster::submit_awaiting(const std::string& id, const std::string& kind, int tasks,
                                        double run_s, std::vector<std::string> awaits, json more) {
-    for (auto& a : awaits)
-        if (!jobs[a].accepted)
+    for (auto& awaited : awaits)
+        if (!jobs[awaited].accepted)
             return at(now_ + 0.4, [=, this] { submit_awaiting(id, kind, tasks, run_s, awaits, more); });
     if (!more.is_object()) more = json::object();
     more["awaits"] = awaits;
@@ -92,9 +95,10 @@
     jobs[id].cancel_asked = true;
     ask(
         id, "POST", "/api/jobs/" + id + "/cancel", "",
-        [this, id, accepted](const http::Response& r) {
-            if (r.status == 404 && !accepted) return cancel(id);  // not there yet when it was asked
-            if (r.status != 200) add_violation("cancellation of " + id + " got " + std::to_string(r.status));
+        [this, id, accepted](const http::Response& response) {
+            if (response.status == 404 && !accepted) return cancel(id);  // not there yet when it was asked
+            if (response.status != 200)
+                add_violation("cancellation of " + id + " got " + std::to_string(response.status));
         },
         options_.submit_tries);
 }
@@ -103,7 +107,8 @@
         if (!job.accepted) continue;
         if (now_ - std::max(job.answered_at, faults_over_at) > max_unanswered_s &&
             !std::exchange(job.unanswered_too_long, true))
-            add_violation("forgotten " + id + ": no question was answered for " + std::to_string(max_unanswered_s) + " s");
+            add_violation("forgotten " + id + ": no question was answered for " +
+                          std::to_string(max_unanswered_s) + " s");
         ask(
             id, "GET", "/api/jobs/" + id, "", [](auto&) {}, 0);
     }
@@ -122,7 +127,8 @@
             });
     auto k = random_() % nodes_.size();
     at(now_ + 0.002, [this, id, k] {
-        if (nodes_[k].up) ask_controller(nodes_[k], id, {"POST", "/api/jobs", jobs[id].spec.dump()}, [](auto&) {});
+        if (nodes_[k].up)
+            ask_controller(nodes_[k], id, {"POST", "/api/jobs", jobs[id].spec.dump()}, [](auto&) {});
     });
     if (just_accepted && random_() % 4 == 0) at(now_ + 0.003, [this, id] { cancel(id); });
 }
@@ -136,8 +142,8 @@
         if (!job.accepted || job.done || job.cancel_asked) continue;
         std::vector<std::size_t> on;
         for (std::size_t k = 0; k < workers.size(); ++k)
-            for (auto& [name, t] : workers[k]->tasks)
-                if (!workers[k]->dead && t.job == id && present(t) && (on.empty() || on.back() != k))
+            for (auto& [name, task] : workers[k]->tasks)
+                if (!workers[k]->dead && task.job == id && present(task) && (on.empty() || on.back() != k))
                     on.push_back(k);
         if (on.empty()) continue;
         at(now_ + 25 * latency(), [this, id = id] { cancel(id); });
@@ -169,23 +175,24 @@
 // Fits no machine, needs more than its team's limit, is of no team, or lacks a field.
 void SimulatedCluster::submit_invalid_job() {
     auto id = "j-" + std::to_string(700000 + next_invalid_job_++);
-    auto j = plain_job(id, "gang", 2, 5);
+    auto spec = plain_job(id, "gang", 2, 5);
     int refused = 422;
     auto kind = random_() % 4;
-    if (kind == 0) j["cards"] = machine_gpus + 1;
-    if (kind == 1) j.update({{"crew", "tight"}, {"shards", static_cast<int>(options_.gpus_max) + 1}});
-    if (kind == 2) j["crew"] = "nobody";
+    if (kind == 0) spec["cards"] = machine_gpus + 1;
+    if (kind == 1) spec.update({{"crew", "tight"}, {"shards", static_cast<int>(options_.gpus_max) + 1}});
+    if (kind == 2) spec["crew"] = "nobody";
     if (kind == 3) {
         constexpr const char* needed[] = {"crew",   "shape",    "rank",     "shards",  "vcpus",
                                           "cards",  "ram_gb",   "payload",  "scatter", "together",
                                           "cohort", "anchor_s", "reckon_s", "stow_s",  "driftwood"};
-        j.erase(needed[random_() % std::size(needed)]);
+        spec.erase(needed[random_() % std::size(needed)]);
         refused = 400;
     }
-    jobs[id].spec = j;
+    jobs[id].spec = spec;
     jobs[id].refused = refused;
-    ask(id, "POST", "/api/jobs", j.dump(), [this, id, refused](const http::Response& r) {
-        if (r.status != refused) add_violation("odd request " + id + " got " + std::to_string(r.status));
+    ask(id, "POST", "/api/jobs", spec.dump(), [this, id, refused](const http::Response& response) {
+        if (response.status != refused)
+            add_violation("odd request " + id + " got " + std::to_string(response.status));
     });
 }
 void SimulatedCluster::fill_team_limits() {
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -12,55 +12,58 @@
 // The checker itself: a command that breaks a rule on purpose must be seen.
 TEST(RulesOfSimulatedCluster, DetectATaskStartedTwice) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    w.at(2, [&w] { w.submit("j-1", "service", 1, 0); });
-    w.run_until(30);
-    ASSERT_TRUE(w.violations.empty());
-    w.start_against_rules("j-1/0", 1);
-    ASSERT_FALSE(w.violations.empty());
-    EXPECT_NE(w.violations[0].find("ran_twice"), std::string::npos);
+    SimulatedCluster cluster({});
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
+    cluster.run_until(30);
+    ASSERT_TRUE(cluster.violations.empty());
+    cluster.start_against_rules("j-1/0", 1);
+    ASSERT_FALSE(cluster.violations.empty());
+    EXPECT_NE(cluster.violations[0].find("ran_twice"), std::string::npos);
 }
 TEST(RulesOfSimulatedCluster, DetectACancelledTaskThatStays) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    for (const char* id : {"j-1", "j-2"}) w.at(2, [&w, id] { w.submit(id, "service", 1, 0); });
-    w.at(20, [&w] { w.cancel("j-1"); });
-    w.run_until(40);
-    ASSERT_TRUE(w.violations.empty());
-    w.run_until(70);
-    w.start_against_rules("j-1/0", 1);
-    w.run_until(71);
-    ASSERT_FALSE(w.violations.empty());
-    EXPECT_NE(w.violations[0].find("ran_cancelled"), std::string::npos);
+    SimulatedCluster cluster({});
+    for (const char* id : {"j-1", "j-2"})
+        cluster.at(2, [&cluster, id] { cluster.submit(id, "service", 1, 0); });
+    cluster.at(20, [&cluster] { cluster.cancel("j-1"); });
+    cluster.run_until(40);
+    ASSERT_TRUE(cluster.violations.empty());
+    cluster.run_until(70);
+    cluster.start_against_rules("j-1/0", 1);
+    cluster.run_until(71);
+    ASSERT_FALSE(cluster.violations.empty());
+    EXPECT_NE(cluster.violations[0].find("ran_cancelled"), std::string::npos);
 }
 
 // A cut to one machine, named by its address, keeps away what it says and what is said to it, and nobody
 // else's.
 TEST(SimulatedCluster, PartitionsOneMachine) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.machines = 12;  // 10.1.0.1 and 10.1.0.10 to 10.1.0.12
+    Options options;
+    options.machines = 12;  // 10.1.0.1 and 10.1.0.10 to 10.1.0.12
     for (bool one_way : {false, true}) {
-        SimulatedCluster w(o);
-        w.at(1.1, [&w] { w.submit("j-9", "service", 12, 0, {{"cards", 0.0}, {"vcpus", 13.0}}); });
-        w.run_until(5);
-        auto& m = *w.workers[0];
+        SimulatedCluster cluster(options);
+        cluster.at(1.1, [&cluster] {
+            cluster.submit("j-9", "service", 12, 0, {{"cards", 0.0}, {"vcpus", 13.0}});
+        });
+        cluster.run_until(5);
+        auto& worker = *cluster.workers[0];
         auto ask = [&](const Worker& to, bool& came) {
-            w.send("10.9.0.1", to.addr, {"POST", "/inspect", "{}"}, 1,
-                   [&](std::optional<http::Response> r) { came = r.has_value(); });
+            cluster.send("10.9.0.1", to.addr, {"POST", "/inspect", "{}"}, 1,
+                         [&](std::optional<http::Response> response) { came = response.has_value(); });
         };
         if (one_way)
-            w.partition_one_way("10.9.", m.addr, 3);
+            cluster.partition_one_way("10.9.", worker.addr, 3);
         else
-            w.partition("10.9.", m.addr, 3, false);
+            cluster.partition("10.9.", worker.addr, 3, false);
         bool came = false, other_came = false, came_later = false;
-        ask(m, came);
-        ask(*w.workers[9], other_came);
-        w.run_until(7);
+        ask(worker, came);
+        ask(*cluster.workers[9], other_came);
+        cluster.run_until(7);
         EXPECT_FALSE(came);
         EXPECT_TRUE(other_came);
-        w.at(9, [&] { ask(m, came_later); });
-        w.run_until(10);
+        cluster.at(9, [&] { ask(worker, came_later); });
+        cluster.run_until(10);
         EXPECT_TRUE(came_later);
     }
 }
@@ -73,64 +76,74 @@
     return protocol::stored(protocol::FinalRecord{state, 1});
 }
 const Broken broken[] = {
-    {"quota", [](SimulatedCluster& w) { w.start_against_rules("j-2/7", 99, 0); }},
-    {"wrong_place (spot)", [](SimulatedCluster& w) { w.start_against_rules("j-3/1", 99, 2); }},
+    {"quota", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-2/7", 99, 0); }},
+    {"wrong_place (spot)", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-3/1", 99, 2); }},
     {"wrong_place (scatter)",
-     [](SimulatedCluster& w) { w.start_against_rules("j-4/9", 99, 0), w.start_against_rules("j-4/8", 99, 1); }},
+     [](SimulatedCluster& cluster) {
+         cluster.start_against_rules("j-4/9", 99, 0), cluster.start_against_rules("j-4/8", 99, 1);
+     }},
     {"wrong_place (together)",
-     [](SimulatedCluster& w) { w.start_against_rules("j-5/8", 99, 0), w.start_against_rules("j-5/9", 99, 1); }},
-    {"wrong_place (zone)", [](SimulatedCluster& w) { w.start_against_rules("j-5/8", 99, 1); }},
-    {"too_early", [](SimulatedCluster& w) { w.start_against_rules("j-6/0", 99); }},
-    {"forgotten j-1", [](SimulatedCluster& w) { w.tamper_with_record("job/j-1", {}); }},
+     [](SimulatedCluster& cluster) {
+         cluster.start_against_rules("j-5/8", 99, 0), cluster.start_against_rules("j-5/9", 99, 1);
+     }},
+    {"wrong_place (zone)", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-5/8", 99, 1); }},
+    {"too_early", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-6/0", 99); }},
+    {"forgotten j-1", [](SimulatedCluster& cluster) { cluster.tamper_with_record("job/j-1", {}); }},
     {"forgotten j-1: no question was answered",
-     [](SimulatedCluster& w) {
-         w.faults_over_at = w.now();
-         w.start_key_value_store_outage(60);
+     [](SimulatedCluster& cluster) {
+         cluster.faults_over_at = cluster.now();
+         cluster.start_key_value_store_outage(60);
+     }},
+    {"invented",
+     [](SimulatedCluster& cluster) {
+         cluster.tamper_with_record("job/j-999999", cluster.record("job/j-1"));
      }},
-    {"invented", [](SimulatedCluster& w) { w.tamper_with_record("job/j-999999", w.record("job/j-1")); }},
     {"not_done",
-     [](SimulatedCluster& w) {
-         w.tamper_with_record("final/j-1", over(protocol::JobState::done)), w.tamper_with_record("job/j-1", {});
+     [](SimulatedCluster& cluster) {
+         cluster.tamper_with_record("final/j-1", over(protocol::JobState::done)),
+             cluster.tamper_with_record("job/j-1", {});
      }},
     {"went_back j-1: nobody cancelled it",
-     [](SimulatedCluster& w) {
-         w.tamper_with_record("final/j-1", over(protocol::JobState::cancelled)), w.tamper_with_record("job/j-1", {});
+     [](SimulatedCluster& cluster) {
+         cluster.tamper_with_record("final/j-1", over(protocol::JobState::cancelled)),
+             cluster.tamper_with_record("job/j-1", {});
      }},
     {"went_back j-7 from withdrawn to done",
-     [](SimulatedCluster& w) {
-         w.tamper_with_record("final/j-7", over(protocol::JobState::done)), w.tamper_with_record("job/j-7", {});
+     [](SimulatedCluster& cluster) {
+         cluster.tamper_with_record("final/j-7", over(protocol::JobState::done)),
+             cluster.tamper_with_record("job/j-7", {});
      }},
     {"quota j-1/",  // of the other team: eight cards; some machines have been returned
-     [](SimulatedCluster& w) {
-         for (std::size_t k = 0; k < 4 * w.workers.size(); ++k)
-             w.start_against_rules("j-1/" + std::to_string(7 + k), 99, k % w.workers.size());
+     [](SimulatedCluster& cluster) {
+         for (std::size_t k = 0; k < 4 * cluster.workers.size(); ++k)
+             cluster.start_against_rules("j-1/" + std::to_string(7 + k), 99, k % cluster.workers.size());
      }},
     {"accepted_impossible j-8",  // for the users it is one that can't run; the service sees nothing wrong
-     [](SimulatedCluster& w) {
-         w.submit("j-8", "batch", 1, 5);
-         w.jobs["j-8"].refused = 422;
+     [](SimulatedCluster& cluster) {
+         cluster.submit("j-8", "batch", 1, 5);
+         cluster.jobs["j-8"].refused = 422;
      }},
     {"accepted_impossible (start) j-1/7",
-     [](SimulatedCluster& w) {
-         w.jobs["j-1"].refused = 400;
-         w.start_against_rules("j-1/7", 99, 0);
+     [](SimulatedCluster& cluster) {
+         cluster.jobs["j-1"].refused = 400;
+         cluster.start_against_rules("j-1/7", 99, 0);
      }},
     {"left_waiting j-8",  // its machines hear nobody
-     [](SimulatedCluster& w) {
-         w.faults_over_at = w.now();
-         w.partition("10.0.", "10.1.", 100, false);
-         w.start_cloud_outage(100);
-         w.submit("j-8", "batch", 1, 5);
+     [](SimulatedCluster& cluster) {
+         cluster.faults_over_at = cluster.now();
+         cluster.partition("10.0.", "10.1.", 100, false);
+         cluster.start_cloud_outage(100);
+         cluster.submit("j-8", "batch", 1, 5);
      }},
     // A cancelled task goes on after its machine hung, for longer than the machine's lease.
     {"ran_cancelled j-3/0",
-     [](SimulatedCluster& w) {
-         w.start_cloud_outage(100);
-         for (std::size_t k = 0; k < w.workers.size(); ++k) {
-             w.workers[k]->ignores_lease = true;
-             w.hang_machine(k, 50);
+     [](SimulatedCluster& cluster) {
+         cluster.start_cloud_outage(100);
+         for (std::size_t k = 0; k < cluster.workers.size(); ++k) {
+             cluster.workers[k]->ignores_lease = true;
+             cluster.hang_machine(k, 50);
          }
-         w.cancel("j-3");
+         cluster.cancel("j-3");
      }},
 };
 class RulesOfSimulatedCluster : public testing::TestWithParam<Broken> {};
@@ -138,28 +151,29 @@
                          [](auto& info) { return camel_case(info.param.rule); });
 TEST_P(RulesOfSimulatedCluster, DetectEachDeliberateBreach) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.gpus_max = 2;
-    o.free_gpus_max = 8;
-    o.max_waiting_s = 40;
-    SimulatedCluster w(o);
-    w.at(2, [&w] {
-        w.submit("j-1", "service", 1, 0);
-        w.submit("j-2", "batch", 9, 400, {{"crew", "tight"}});
-        w.submit("j-3", "service", 1, 0, {{"driftwood", false}});
-        w.submit("j-4", "service", 2, 0, {{"scatter", true}});
-        w.submit("j-5", "gang", 2, 400, {{"together", true}, {"reef", "a"}});
-        w.submit("j-7", "service", 1, 0);
+    Options options;
+    options.gpus_max = 2;
+    options.free_gpus_max = 8;
+    options.max_waiting_s = 40;
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-1", "service", 1, 0);
+        cluster.submit("j-2", "batch", 9, 400, {{"crew", "tight"}});
+        cluster.submit("j-3", "service", 1, 0, {{"driftwood", false}});
+        cluster.submit("j-4", "service", 2, 0, {{"scatter", true}});
+        cluster.submit("j-5", "gang", 2, 400, {{"together", true}, {"reef", "a"}});
+        cluster.submit("j-7", "service", 1, 0);
     });
-    w.submit_awaiting("j-6", "batch", 1, 5, {"j-2"});
-    w.at(27, [&w] { w.cancel("j-7"); });
-    w.run_until(30);
-    ASSERT_TRUE(w.violations.empty()) << w.violations[0];
-    GetParam().breaks(w);
-    w.run_until(100);
-    auto found = std::any_of(w.violations.begin(), w.violations.end(),
+    cluster.submit_awaiting("j-6", "batch", 1, 5, {"j-2"});
+    cluster.at(27, [&cluster] { cluster.cancel("j-7"); });
+    cluster.run_until(30);
+    ASSERT_TRUE(cluster.violations.empty()) << cluster.violations[0];
+    GetParam().breaks(cluster);
+    cluster.run_until(100);
+    auto found = std::any_of(cluster.violations.begin(), cluster.violations.end(),
                              [&](auto& b) { return b.find(GetParam().rule) != std::string::npos; });
-    EXPECT_TRUE(found) << GetParam().rule << ", but " << (w.violations.empty() ? "nothing" : w.violations[0]);
+    EXPECT_TRUE(found) << GetParam().rule << ", but "
+                       << (cluster.violations.empty() ? "nothing" : cluster.violations[0]);
 }
 
 // Made-up histories of what users were told of one job, and the rule that the last answer breaks, if any. All
@@ -224,35 +238,37 @@
 INSTANTIATE_TEST_SUITE_P(Rules, AnswerHistories, testing::ValuesIn(histories), NameOfCase());
 TEST_P(AnswerHistories, AreCheckedAgainstAnswersReceivedBefore) {
     spdlog::set_level(spdlog::level::off);
-    auto& h = GetParam();
-    SimulatedCluster w({});
-    auto& job = w.jobs["j-1"];
+    auto& history = GetParam();
+    SimulatedCluster cluster({});
+    auto& job = cluster.jobs["j-1"];
     job.spec = {{"shards", 1}, {"shape", "batch"}};
     job.tasks_done = {"j-1/0"};
     job.cancel_asked = true;
-    for (auto& a : h.answers) {
-        ASSERT_TRUE(w.violations.empty()) << h.name << ": " << w.violations[0];
-        auto answer = a;
+    for (auto& answer_of_history : history.answers) {
+        ASSERT_TRUE(cluster.violations.empty()) << history.name << ": " << cluster.violations[0];
+        auto answer = answer_of_history;
         answer.id = "j-1";
-        w.record_answer(answer);
+        cluster.record_answer(answer);
     }
-    EXPECT_EQ(w.violations.empty(), h.breaks == nullptr) << h.name;
-    for (auto& b : w.violations)
-        EXPECT_TRUE(h.breaks && b.find(h.breaks) != std::string::npos) << h.name << ": " << b;
+    EXPECT_EQ(cluster.violations.empty(), history.breaks == nullptr) << history.name;
+    for (auto& violation : cluster.violations)
+        EXPECT_TRUE(history.breaks && violation.find(history.breaks) != std::string::npos)
+            << history.name << ": " << violation;
 }
 
 // A start after a confirmed cancellation that was on its way is counted, and no rule.
 TEST(RulesOfSimulatedCluster, CountStartsAfterAConfirmedCancellation) {
     spdlog::set_level(spdlog::level::off);
-    SimulatedCluster w({});
-    for (const char* id : {"j-1", "j-2"}) w.at(2, [&w, id] { w.submit(id, "service", 1, 0); });
-    w.at(20, [&w] { w.cancel("j-1"); });
-    w.run_until(30);
-    ASSERT_TRUE(w.jobs["j-1"].cancelled);
-    EXPECT_EQ(w.starts_after_cancellation, 0u);
-    w.start_against_rules("j-1/0", 99);
-    EXPECT_EQ(w.starts_after_cancellation, 1u);
-    EXPECT_TRUE(w.violations.empty());
+    SimulatedCluster cluster({});
+    for (const char* id : {"j-1", "j-2"})
+        cluster.at(2, [&cluster, id] { cluster.submit(id, "service", 1, 0); });
+    cluster.at(20, [&cluster] { cluster.cancel("j-1"); });
+    cluster.run_until(30);
+    ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
+    EXPECT_EQ(cluster.starts_after_cancellation, 0u);
+    cluster.start_against_rules("j-1/0", 99);
+    EXPECT_EQ(cluster.starts_after_cancellation, 1u);
+    EXPECT_TRUE(cluster.violations.empty());
 }
 
 }  // namespace
