--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -28,12 +28,12 @@
         }
         return 0.0;
     };
-    work(cluster, 110);
+    submit_steady_jobs(cluster, 110);
     for (double t = 25; t < 100; t += 13)
         cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     cluster.run_until(260);
     EXPECT_GT(lost, kind == "types" ? 0u : 2u);
-    for (auto& violation : wrong(cluster)) ADD_FAILURE() << violation;
+    for (auto& failure : find_failures(cluster)) ADD_FAILURE() << failure;
 }
 
 // A claim succeeds, its answer is lost, and its claimer reaches the key-value store no more for a while: it
--- a/tests/scenarios/fault_combinations_test.cpp
+++ b/tests/scenarios/fault_combinations_test.cpp
@@ -201,12 +201,12 @@
         }
         return 0.0;
     };
-    work(cluster, 110);
+    submit_steady_jobs(cluster, 110);
     for (double t = 25; t < 100; t += 13)
         cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     cluster.run_until(260);
     EXPECT_GT(late, kind == "types" ? 0u : 2u);
-    for (auto& violation : wrong(cluster)) ADD_FAILURE() << violation;
+    for (auto& failure : find_failures(cluster)) ADD_FAILURE() << failure;
 }
 
 // A leader ends while machines with long tasks can't be reached, or don't hear the new leader, for longer
@@ -302,7 +302,7 @@
         Options options;
         options.seed = seed;
         SimulatedCluster cluster(options);
-        work(cluster, 110);
+        submit_steady_jobs(cluster, 110);
         for (double t = 25; t < 95; t += 24) {
             cluster.at(t, [&cluster] {
                 auto leader = leader_of(cluster);
@@ -317,7 +317,7 @@
             });
         }
         cluster.run_until(260);
-        for (auto& violation : wrong(cluster)) ADD_FAILURE() << "seed " << seed << ": " << violation;
+        for (auto& failure : find_failures(cluster)) ADD_FAILURE() << "seed " << seed << ": " << failure;
     }
 }
 
@@ -327,14 +327,14 @@
     spdlog::set_level(spdlog::level::off);
     for (double by : {0.6, 1.2, 1.6}) {
         SimulatedCluster cluster({});
-        work(cluster, 110);
+        submit_steady_jobs(cluster, 110);
         for (double t = 25; t < 95; t += 20) {
             cluster.at(t, [&cluster, by] { cluster.slow_key_value_store(15, by); });
             cluster.at(t + 6, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 4); });
             cluster.at(t + 9, [&cluster] { cluster.start_key_value_store_outage(3); });
         }
         cluster.run_until(260);
-        for (auto& violation : wrong(cluster)) ADD_FAILURE() << by << ": " << violation;
+        for (auto& failure : find_failures(cluster)) ADD_FAILURE() << by << ": " << failure;
     }
 }
 
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -4,42 +4,46 @@
 #include <spdlog/spdlog.h>
 
 #include "http/address.hpp"
+#include "scenarios/fault_generator.hpp"
 #include "scenarios/parameter_names.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-// In parts, so that they can be played side by side. `coralhitch_fault_scenarios` plays more by hand.
+constexpr std::size_t machines = 12;
+
+void expect_rules_kept(std::uint64_t seed, const std::vector<Fault>& faults) {
+    for (auto& failure : run_scenario({seed, machines, faults}))
+        ADD_FAILURE() << "seed " << seed << ": " << failure;
+}
+
+// In parts, so that they can run side by side. `coralhitch_fault_scenarios` runs more by hand.
 class FaultScenario : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(RandomSeeds, FaultScenario, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultScenario, KeepsAllRulesUnderRandomFaults) {
     spdlog::set_level(spdlog::level::off);
     constexpr std::uint64_t each = 15 / seeds_part;
-    for (auto seed = 1 + GetParam() * each; seed <= (1 + GetParam()) * each; ++seed) {
-        auto faults = draw_faults(seed, 12);
-        for (auto& violation : run_scenario(seed, 12, faults))
-            ADD_FAILURE() << "seed " << seed << ": " << violation;
-    }
+    for (auto seed = 1 + GetParam() * each; seed <= (1 + GetParam()) * each; ++seed)
+        expect_rules_kept(seed, draw_faults(seed, machines));
 }
 
-// Each pair of troubles once, a few in each play.
+// Each pair of kinds once, a few in each scenario.
 class FaultPairs : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(AllPairs, FaultPairs, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultPairs, KeepAllRules) {
     spdlog::set_level(spdlog::level::off);
     for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seeds_part)
-        for (auto& violation : run_scenario(seed, 12, draw_fault_pairs(seed, 12)))
-            ADD_FAILURE() << "meeting " << seed << ": " << violation;
+        expect_rules_kept(seed, draw_fault_pairs(seed, machines));
 }
 
 TEST(FaultPairs, AreAllDrawn) {
-    std::set<std::string> met;
+    std::set<std::string> drawn;
     for (std::uint64_t seed = 0; seed < pair_seeds; ++seed) {
-        auto faults = draw_fault_pairs(seed, 12);
+        auto faults = draw_fault_pairs(seed, machines);
         for (std::size_t k = 0; k + 1 < faults.size(); k += 2)
-            met.insert(name(faults[k]) + " / " + name(faults[k + 1]));
+            drawn.insert(kind_name(faults[k]) + " / " + kind_name(faults[k + 1]));
     }
-    EXPECT_EQ(met.size(), pairs);
+    EXPECT_EQ(drawn.size(), pair_count);
 }
 
 TEST(SimulatedCluster, GivesEachOf8000MachinesAnAddress) {
@@ -53,18 +57,23 @@
     for (auto& address : addresses) EXPECT_TRUE(http::socket_address(address)) << address;
 }
 
-// The checker sees what is wrong, and a failing play shrinks to what it needs.
+// The checker sees what is wrong, and a failing scenario shrinks to what it needs.
 TEST(FaultScenario, ShrinksToTheFaultsItNeeds) {
     spdlog::set_level(spdlog::level::off);
-    std::vector<Fault> faults;
+    Scenario scenario{.seed = 1, .machines = 8, .faults = {}};
     for (int k = 0; k < 6; ++k)
-        faults.push_back({20.0 + 10 * k, FaultKind::controller_crash, 3, 1, 0.2, false});
+        scenario.faults.push_back({.at = 20.0 + 10 * k,
+                                   .kind = FaultKind::controller_crash,
+                                   .target = current_leader,
+                                   .amount = 1,
+                                   .for_s = 0.2});
     // The key-value store never comes back: nothing ends.
-    faults.push_back({60, FaultKind::key_value_store_outage, 0, 1, 1000, false});
-    EXPECT_FALSE(run_scenario(1, 8, faults).empty());
-    auto least = shrink(1, 8, faults);
+    scenario.faults.push_back(
+        {.at = 60, .kind = FaultKind::key_value_store_outage, .target = 0, .amount = 1, .for_s = 1000});
+    EXPECT_FALSE(run_scenario(scenario).empty());
+    auto least = shrink(scenario).faults;
     ASSERT_EQ(least.size(), 1u);
-    EXPECT_EQ(least[0].what, FaultKind::key_value_store_outage);
+    EXPECT_EQ(least[0].kind, FaultKind::key_value_store_outage);
 }
 
 }  // namespace
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -20,7 +20,7 @@
 }
 
 void expect_rules_kept(SimulatedCluster& cluster) {
-    for (auto& violation : wrong(cluster)) ADD_FAILURE() << violation;
+    for (auto& failure : find_failures(cluster)) ADD_FAILURE() << failure;
 }
 
 // The next leader crashes as soon as it leads.
@@ -95,7 +95,7 @@
     options.machines = 12;
     options.without_replication = std::move(without);
     SimulatedCluster cluster(options);
-    work(cluster, 110);
+    submit_steady_jobs(cluster, 110);
     std::mt19937_64 random(seed);
     for (double t : {30.0, 60.0, 90.0}) {
         std::size_t hung = random() % 12, dead = random() % 12;
@@ -154,7 +154,7 @@
         cluster.at(33, [&cluster] { cluster.submit("j-2", "batch", 1, 2); });
         cluster.run_until(47);
         EXPECT_FALSE(cluster.jobs["j-2"].tasks_done.empty());
-        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
+        for (auto& violation : cluster.violations) ADD_FAILURE() << failure;
     }
 }
 
@@ -197,7 +197,7 @@
         cluster.run_until(50);
         EXPECT_EQ(!cluster.jobs["j-2"].tasks_done.empty(),
                   standby);  // its user may have asked the dead controller
-        for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
+        for (auto& violation : cluster.violations) ADD_FAILURE() << failure;
     }
 }
 
