--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -200,15 +200,17 @@
         std::size_t machines;
         bool new_leader;
         std::uint64_t seed;
-        bool hearing;
+        bool relay_heartbeats;
     };
     std::vector<Case> cases;
-    for (bool hearing : {false, true}) {
+    for (bool relay_heartbeats : {false, true}) {
         // Of eight machines a new leader that is cut off learns late that half report elsewhere: with seed 1
         // one worker came to the controller that could lead a second before it did, was sent back, and lost
         // its lease.
-        cases.insert(cases.end(), {{8, false, 1, hearing}, {8, true, 2, hearing}, {8, true, 3, hearing}});
-        for (std::uint64_t seed : {1, 2, 3, 4}) cases.push_back({60, false, seed, hearing});
+        cases.insert(cases.end(), {{8, false, 1, relay_heartbeats},
+                                   {8, true, 2, relay_heartbeats},
+                                   {8, true, 3, relay_heartbeats}});
+        for (std::uint64_t seed : {1, 2, 3, 4}) cases.push_back({60, false, seed, relay_heartbeats});
     }
     for (auto& test_case : cases) {
         SCOPED_TRACE(std::to_string(test_case.machines) + " machines, seed " +
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -10,7 +10,7 @@
 
 void make_unavailable(SimulatedCluster& cluster, Unavailability how, std::size_t machine, double for_s) {
     auto& worker = *cluster.workers[machine];
-    if (how == Unavailability::hang_machine) cluster.hang_machine(machine, for_s);
+    if (how == Unavailability::hang) cluster.hang_machine(machine, for_s);
     if (how == Unavailability::hang_briefly) cluster.hang_machine(machine, 9);
     if (how == Unavailability::no_answers) cluster.partition_one_way("10.0.", worker.addr, for_s);
     if (how == Unavailability::cut_off) cluster.partition("10.0.", worker.addr, for_s, false);
@@ -37,9 +37,9 @@
     *out << limit_cases.name;
 }
 const LimitCase limit_cases[] = {
-    {"hang, leader ends before", Unavailability::hang_machine, -1, true},
-    {"hang, leader ends after", Unavailability::hang_machine, 0.5, true},
-    {"hang, leader ends at the cancellation", Unavailability::hang_machine, 0.01, false},
+    {"hang, leader ends before", Unavailability::hang, -1, true},
+    {"hang, leader ends after", Unavailability::hang, 0.5, true},
+    {"hang, leader ends at the cancellation", Unavailability::hang, 0.01, false},
     {"hang briefly", Unavailability::hang_briefly, 0.3, true},
     {"hang briefly, nobody follows", Unavailability::hang_briefly, 0.3, false},
     {"no answers", Unavailability::no_answers, 1, true},
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -9,16 +9,6 @@
 namespace coralhitch::simulation {
 namespace {
 
-std::string host_of(const Worker& worker) {
-    return worker.addr.substr(0, worker.addr.find(':'));
-}
-std::size_t on_machines(const SimulatedCluster& cluster, const std::string& job, const std::string& zone) {
-    std::size_t n = 0;
-    for (auto& worker : cluster.workers)
-        for (auto& [name, t] : worker->tasks)
-            n += !worker->dead && t.job == job && t.status != "exited" && (worker->zone == zone);
-    return n;
-}
 // Machines in a zone, both if it is empty: all, or those whose workers' leases have run out.
 std::size_t machines(const SimulatedCluster& cluster, const std::string& zone = "",
                      bool expired_only = false) {
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -15,6 +15,9 @@
 inline std::string host_of(std::size_t node) {
     return "10.0.0." + std::to_string(node + 1);
 }
+inline std::string host_of(const Worker& worker) {
+    return worker.addr.substr(0, worker.addr.find(':'));
+}
 inline void expect_no_violations(const SimulatedCluster& cluster) {
     for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
 }
@@ -31,5 +34,12 @@
     for (auto& worker : cluster.workers) n += on_machine(*worker, job);
     return n;
 }
+inline std::size_t on_machines(const SimulatedCluster& cluster, const std::string& job,
+                               const std::string& zone) {
+    std::size_t n = 0;
+    for (auto& worker : cluster.workers)
+        if (worker->zone == zone) n += on_machine(*worker, job);
+    return n;
+}
 
 }  // namespace coralhitch::simulation
