--- /dev/null
+++ b/src/verification/answer_rules.cpp
@@ -0,0 +1,102 @@
+// What users are told.
+#include <limits>
+
+#include "verification/checker.hpp"
+
+namespace coralhitch::verification {
+namespace {
+
+constexpr double infinity = std::numeric_limits<double>::infinity();
+// Received before the request of this answer was sent.
+bool before(std::optional<double> received, const Answer& answer) {
+    return received && *received < answer.sent;
+}
+bool denies(const Answer& answer) {
+    return answer.status == 404 || answer.status == 400 || answer.status == 422;
+}
+// As users read it.
+std::string word_of(std::optional<protocol::JobState> state) {
+    if (!state) return "no state";
+    switch (*state) {
+        case protocol::JobState::queued:
+            return "pending";
+        case protocol::JobState::running:
+            return "running";
+        case protocol::JobState::done:
+            return "done";
+        case protocol::JobState::cancelled:
+            return "withdrawn";
+    }
+    return "unknown";
+}
+}  // namespace
+
+void Checker::accepted(const std::string& id) {
+    auto& accepted = known_job(id);
+    if (!accepted.accepted_at) accepted.accepted_at = -infinity;
+}
+void Checker::told(double now, const std::string& id, protocol::JobState state) {
+    answered({.job = id, .sent = infinity, .received = now, .state = state});
+}
+void Checker::denied(double now, const std::string& id) {
+    constexpr int not_found = 404;
+    answered({.job = id, .sent = infinity, .received = now, .status = not_found, .state = {}});
+}
+
+void Checker::answered(const Answer& answer) {
+    auto* job = observations_.find(answer.job);
+    if (!job) {
+        if (answer.success()) report(answer.received, "invented " + answer.job);
+        return;
+    }
+    if (job->must_be_refused) return check_refusal(*job, answer);
+    if (denies(answer) && before(job->accepted_at, answer))
+        report(answer.received, "forgotten " + answer.job + " got " + std::to_string(answer.status));
+    if (!answer.success()) return;
+    check_against_earlier_answers(*job, answer);
+    check_awaited(answer);
+    check_state(*job, answer);
+    take_in(*job, answer);
+}
+void Checker::check_refusal(const ObservedJob& job, const Answer& answer) {
+    if (answer.success())
+        report(answer.received,
+               "accepted_impossible " + job.job.id + " got " + std::to_string(answer.status));
+}
+void Checker::check_against_earlier_answers(const ObservedJob& job, const Answer& answer) {
+    constexpr int created = 201;
+    if (answer.status == created && before(job.accepted_at, answer))
+        report(answer.received, "accepted_twice " + answer.job);
+    if (before(job.done_at, answer) && answer.state != protocol::JobState::done)
+        report(answer.received, "went_back " + answer.job + " from done to " + word_of(answer.state));
+    if (before(job.cancelled_at, answer) && answer.state != protocol::JobState::cancelled)
+        report(answer.received, "went_back " + answer.job + " from withdrawn to " + word_of(answer.state));
+}
+// An answer that came so long after a job before this one was told to be cancelled must say cancelled too.
+void Checker::check_awaited(const Answer& answer) {
+    if (answer.state != protocol::JobState::queued && answer.state != protocol::JobState::running) return;
+    auto cancelled_at = observations_.awaited_cancelled_at(answer.job);
+    if (cancelled_at && answer.received > *cancelled_at + rules_.cancel_s)
+        report(answer.received, "orphaned " + answer.job);
+}
+void Checker::check_state(const ObservedJob& job, const Answer& answer) {
+    bool done = answer.state == protocol::JobState::done;
+    bool cancelled = answer.state == protocol::JobState::cancelled;
+    if (cancelled && !cancel_wanted(answer.job))
+        report(answer.received, "went_back " + answer.job + ": nobody cancelled it");
+    if (done && !job.is_done()) report(answer.received, "not_done " + answer.job);
+    // Of two ends one is wrong, whichever request was first.
+    if ((done && !job.done_at && job.cancelled_at) || (cancelled && !job.cancelled_at && job.done_at))
+        report(answer.received, "went_back " + answer.job + ": done and withdrawn");
+}
+void Checker::take_in(ObservedJob& job, const Answer& answer) {
+    job.answered_at = answer.received;
+    if (!job.accepted_at) job.accepted_at = answer.received;
+    if (answer.state == protocol::JobState::done && !job.done_at) job.done_at = answer.received;
+    if (answer.state == protocol::JobState::cancelled && !job.cancelled_at) {
+        job.cancelled_at = answer.received;
+        cancelled_.insert(answer.job);
+    }
+}
+
+}  // namespace coralhitch::verification
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -1,128 +1,90 @@
+// What is on machines: each start, and what stays there. The rules about answers and about what waits are in
+// answer_rules.cpp and waiting_rules.cpp.
 #include "verification/checker.hpp"
 
 #include <algorithm>
 
 namespace coralhitch::verification {
-namespace {
-constexpr double rounding = 1e-6;  // of sums of decimal amounts
-}
 
-void Checker::rule(double now, const std::string& what) {
+void Checker::report(double now, const std::string& what) {
     broken_.push_back(std::to_string(now) + " " + what);
 }
 
 void Checker::submitted(const protocol::Job& job) {
-    jobs_[job.id].job = job;
-}
-void Checker::accepted(const std::string& id) {
-    jobs_.at(id).accepted = true;
-}
-void Checker::cancel_asked(const std::string& id) {
-    jobs_.at(id).cancel_asked = true;
-}
-bool Checker::is_done(const std::string& id) const {
-    auto& o = jobs_.at(id);
-    bool gang = o.job.kind == protocol::JobKind::gang;  // its tasks complete together
-    return gang ? !o.tasks_done.empty() : o.tasks_done.size() >= o.job.tasks;
+    observations_.add_job(job);
 }
-void Checker::told(double now, const std::string& id, protocol::JobState state) {
-    auto found = jobs_.find(id);
-    if (found == jobs_.end()) return rule(now, "invented " + id);
-    auto& o = found->second;
-    bool done = state == protocol::JobState::done, cancelled = state == protocol::JobState::cancelled;
-    if (o.done && !done) rule(now, "went_back " + id + " from done");
-    if (o.cancelled && !cancelled) rule(now, "went_back " + id + " from cancelled");
-    if (cancelled && !o.cancel_asked) rule(now, "went_back " + id + ": nobody cancelled it");
-    if (cancelled && !o.cancelled) {
-        o.cancelled = true;
-        o.cancelled_at = now;
-        cancelled_.insert(id);
-    }
-    if (done && !o.done) {
-        o.done = true;
-        if (!is_done(id)) rule(now, "not_done " + id);
-    }
+
+void Checker::check_runs_once(double now, ObservedJob& job, const std::string& machine,
+                              const protocol::TaskId& task) {
+    auto [begin, end] = job.machines_of_task.equal_range(task.index);
+    for (auto other = begin; other != end; ++other)
+        report(now, "ran_twice " + task.str() + " on " + machine + " and " + other->second);
+    observations_.remove_task(job, task.index, machine);  // it takes its place there once
 }
-void Checker::denied(double now, const std::string& id) {
-    auto found = jobs_.find(id);
-    if (found != jobs_.end() && found->second.accepted) rule(now, "forgotten " + id);
+void Checker::check_awaits(double now, const protocol::Job& job, const std::string& task) {
+    for (auto& awaited : job.awaits)
+        if (!observations_.is_done(awaited)) report(now, "too_early " + task + " before " + awaited);
 }
-
 void Checker::check_quota(double now, const protocol::Job& job, const std::string& task) {
     auto limit = rules_.teams.find(job.team);
-    if (limit == rules_.teams.end()) return rule(now, "quota " + task + ": unknown team " + job.team);
-    auto used = used_[job.team];
-    auto beyond = [](double sum, double most) { return most > 0 && sum > most + rounding; };
+    if (limit == rules_.teams.end()) return report(now, "quota " + task + ": unknown team " + job.team);
+    auto used = observations_.used_by(job.team);
+    auto beyond = [this](double sum, double most) { return most > 0 && sum > most + rules_.rounding; };
     if (beyond(used.cpus + job.request.cpus, limit->second.cpus_max) ||
         beyond(used.gpus + job.request.gpus, limit->second.gpus_max))
-        rule(now, "quota " + task + " of " + job.team);
+        report(now, "quota " + task + " of " + job.team);
+}
+void Checker::check_not_cancelled(double now, const ObservedJob& job, const std::string& task) {
+    if (!job.cancelled_at) return;
+    ++starts_after_cancellation_;
+    if (now > *job.cancelled_at + rules_.cancel_s) report(now, "ran_cancelled (start) " + task);
 }
-void Checker::check_place(double now, const Observed& o, const MachinePlace& place, const std::string& task) {
-    auto& job = o.job;
-    if (place.spot && !job.spot) rule(now, "wrong_place (spot) " + task);
-    if (job.zone && *job.zone != place.zone) rule(now, "wrong_place (zone) " + task);
+void Checker::check_place(double now, const ObservedJob& observed, const MachinePlace& place,
+                          const std::string& task) {
+    auto& job = observed.job;
+    if (place.spot && !job.spot) report(now, "wrong_place (spot) " + task);
+    if (job.zone && *job.zone != place.zone) report(now, "wrong_place (zone) " + task);
     if (job.types && std::find(job.types->begin(), job.types->end(), place.type) == job.types->end())
-        rule(now, "wrong_place (type) " + task);
-    auto here = o.per_zone.find(place.zone);
-    if (job.spread && (here == o.per_zone.end() ? 0 : here->second) + 1 > (job.tasks + 1) / 2)
-        rule(now, "wrong_place (spread) " + task);
+        report(now, "wrong_place (type) " + task);
+    auto here = observed.tasks_per_zone.find(place.zone);
+    auto there_already = here == observed.tasks_per_zone.end() ? 0 : here->second;
+    if (job.spread && there_already + 1 > (job.tasks + 1) / 2) report(now, "wrong_place (spread) " + task);
     if (job.one_zone)
-        for (auto& [zone, n] : o.per_zone)
-            if (n > 0 && zone != place.zone) rule(now, "wrong_place (one zone) " + task);
+        for (auto& [zone, tasks] : observed.tasks_per_zone)
+            if (tasks > 0 && zone != place.zone) report(now, "wrong_place (one zone) " + task);
 }
-void Checker::started(double now, const std::string& machine, const protocol::TaskId& task) {
+
+void Checker::started(double now, const std::string& machine, const protocol::TaskId& task,
+                      StartOutcome outcome) {
     ++starts_;
-    auto found = jobs_.find(task.job);
-    if (found == jobs_.end()) return rule(now, "invented " + task.str() + " was started");
-    auto& o = found->second;
-    if (auto on = o.on.find(task.index); on != o.on.end()) {
-        rule(now, "ran_twice " + task.str() + " on " + machine + " and " + on->second);
-        remove(o, task.index);
-    }
-    for (auto& before : o.job.awaits)
-        if (!jobs_.contains(before) || !is_done(before))
-            rule(now, "too_early " + task.str() + " before " + before);
-    check_quota(now, o.job, task.str());
-    check_place(now, o, machines_[machine], task.str());
-    if (o.cancelled && now > o.cancelled_at + rules_.cancel_s)
-        rule(now, "ran_cancelled (start) " + task.str());
-    o.on[task.index] = machine;
-    ++o.per_zone[machines_[machine].zone];
-    on_machine_[machine].insert(task);
-    used_[o.job.team] += o.job.request;
-    ++present_;
-}
-void Checker::remove(Observed& o, std::uint32_t index) {
-    auto on = o.on.find(index);
-    --o.per_zone[machines_[on->second].zone];
-    on_machine_[on->second].erase({o.job.id, index});
-    used_[o.job.team] -= o.job.request;
-    o.on.erase(on);
-    --present_;
+    auto* job = observations_.find(task.job);
+    if (!job) return report(now, "invented " + task.str() + " was started");
+    if (job->must_be_refused) return report(now, "accepted_impossible (start) " + task.str());
+    job->waiting_since.reset();
+    check_runs_once(now, *job, machine, task);
+    check_awaits(now, job->job, task.str());
+    check_quota(now, job->job, task.str());
+    check_not_cancelled(now, *job, task.str());
+    if (outcome == StartOutcome::no_room) return;
+    check_place(now, *job, observations_.place_of(machine), task.str());
+    observations_.add_task(*job, task.index, machine);
 }
 void Checker::ended(double, const std::string& machine, const protocol::TaskId& task,
                     protocol::ExitCause cause) {
-    auto found = jobs_.find(task.job);
-    if (found == jobs_.end()) return;
-    auto& o = found->second;
-    if (cause == protocol::ExitCause::done) o.tasks_done.insert(task.index);
-    auto on = o.on.find(task.index);
-    if (on != o.on.end() && on->second == machine) remove(o, task.index);
-}
-void Checker::machine_gone(const std::string& machine) {
-    auto tasks = std::move(on_machine_[machine]);
-    on_machine_.erase(machine);
-    for (auto& t : tasks) remove(jobs_.at(t.job), t.index);
-    on_machine_.erase(machine);
+    auto* job = observations_.find(task.job);
+    if (!job) return;
+    if (cause == protocol::ExitCause::done) job->tasks_done.insert(task.index);
+    observations_.remove_task(*job, task.index, machine);
 }
+
 void Checker::look(double now) {
-    for (auto it = cancelled_.begin(); it != cancelled_.end();) {
-        auto& o = jobs_.at(*it);
-        bool late = now > o.cancelled_at + rules_.cancel_s;
+    for (auto id = cancelled_.begin(); id != cancelled_.end();) {
+        auto& cancelled = known_job(*id);
+        bool late = now > *cancelled.cancelled_at + rules_.cancel_s;
         if (late)
-            for (auto& [index, machine] : o.on)
-                rule(now, "ran_cancelled " + protocol::TaskId{*it, index}.str() + " on " + machine);
-        it = late ? cancelled_.erase(it) : std::next(it);
+            for (auto& [index, machine] : cancelled.machines_of_task)
+                report(now, "ran_cancelled " + protocol::TaskId{*id, index}.str() + " on " + machine);
+        id = late ? cancelled_.erase(id) : std::next(id);
     }
 }
 
--- /dev/null
+++ b/src/verification/observations.cpp
@@ -0,0 +1,99 @@
+#include "verification/observations.hpp"
+
+#include <algorithm>
+
+namespace coralhitch::verification {
+namespace {
+
+constexpr double most_places = 100'000;  // a job's tasks at most
+
+double places(double free, double request) {
+    constexpr double rounding = 1e-9;
+    return request > 0 ? std::clamp((free + rounding) / request, 0.0, most_places) : most_places;
+}
+}  // namespace
+
+bool ObservedJob::is_done() const {
+    bool gang = job.kind == protocol::JobKind::gang;
+    return gang ? !tasks_done.empty() : tasks_done.size() >= job.tasks;
+}
+
+ObservedJob& Observations::add_job(const protocol::Job& job) {
+    auto& observed = jobs_[job.id];
+    observed.job = job;
+    return observed;
+}
+ObservedJob* Observations::find(const std::string& job) {
+    auto found = jobs_.find(job);
+    return found == jobs_.end() ? nullptr : &found->second;
+}
+const ObservedJob* Observations::find(const std::string& job) const {
+    auto found = jobs_.find(job);
+    return found == jobs_.end() ? nullptr : &found->second;
+}
+bool Observations::is_done(const std::string& job) const {
+    auto* observed = find(job);
+    return observed && observed->is_done();
+}
+bool Observations::cancel_wanted(const std::string& job) const {
+    auto* observed = find(job);
+    if (!observed) return false;
+    if (observed->cancel_asked) return true;
+    auto& awaits = observed->job.awaits;
+    return std::any_of(awaits.begin(), awaits.end(),
+                       [this](auto& awaited) { return cancel_wanted(awaited); });
+}
+std::optional<double> Observations::awaited_cancelled_at(const std::string& job) const {
+    std::optional<double> first;
+    auto consider = [&first](std::optional<double> time) {
+        if (time && (!first || *time < *first)) first = time;
+    };
+    auto* observed = find(job);
+    if (!observed) return first;
+    for (auto& id : observed->job.awaits) {
+        auto* awaited = find(id);
+        if (awaited && awaited->cancel_asked) consider(awaited->cancelled_at);
+        consider(awaited_cancelled_at(id));
+    }
+    return first;
+}
+
+void Observations::add_task(ObservedJob& job, std::uint32_t index, const std::string& machine) {
+    job.machines_of_task.emplace(index, machine);
+    ++job.tasks_per_zone[machines_[machine].zone];
+    tasks_of_machine_[machine].insert({job.job.id, index});
+    used_by_team_[job.job.team] += job.job.request;
+    ++present_;
+}
+void Observations::remove_task(ObservedJob& job, std::uint32_t index, const std::string& machine) {
+    auto [begin, end] = job.machines_of_task.equal_range(index);
+    auto there = std::find_if(begin, end, [&machine](auto& entry) { return entry.second == machine; });
+    if (there == end) return;
+    job.machines_of_task.erase(there);
+    --job.tasks_per_zone[machines_[machine].zone];
+    tasks_of_machine_[machine].erase({job.job.id, index});
+    used_by_team_[job.job.team] -= job.job.request;
+    --present_;
+}
+void Observations::remove_tasks_of(const std::string& machine) {
+    auto tasks = tasks_of_machine_[machine];
+    for (auto& task : tasks) remove_task(jobs_.at(task.job), task.index, machine);
+    tasks_of_machine_.erase(machine);
+}
+
+std::size_t Observations::places_for(const protocol::Job& job, const std::string& machine) const {
+    auto known = machines_.find(machine);
+    if (known == machines_.end()) return 0;
+    auto free = known->second.room;
+    if (auto tasks = tasks_of_machine_.find(machine); tasks != tasks_of_machine_.end())
+        for (auto& task : tasks->second) free -= jobs_.at(task.job).job.request;
+    double fewest = std::min({places(free.cpus, job.request.cpus), places(free.gpus, job.request.gpus),
+                              places(free.memory_gb, job.request.memory_gb)});
+    return static_cast<std::size_t>(fewest);
+}
+protocol::Resources Observations::used_by(const std::string& team) const {
+    auto used = used_by_team_.find(team);
+    return used == used_by_team_.end() ? protocol::Resources{} : used->second;
+}
+
+}  // namespace coralhitch::verification
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -416,7 +416,7 @@
         spec["id"] = test_case.id;
         spec["awaits"] = test_case.awaits;
         if (!cluster.jobs.contains(test_case.id) && test_case.status == 201)
-            cluster.jobs[test_case.id].spec = spec;
+            cluster.expect_job(test_case.id, spec);
         int status = 0;
         std::string body;
         cluster.post(spec.dump(), [&](const http::Response& response) {
@@ -479,7 +479,7 @@
         auto spec = cluster.jobs["j-1"].spec;
         spec["id"] = "j-2";
         if (test_case.awaits) spec["awaits"] = {"j-1"};
-        cluster.jobs["j-2"].spec = spec;
+        cluster.expect_job("j-2", spec);
         int status = 0;
         cluster.post_job_to(cut, spec.dump(), [&](http::Response response) { status = response.status; });
         cluster.run_until(60);
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -7,12 +7,11 @@
 
 // Through this controller, and no other.
 void cancel_at(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
-    cluster.jobs[id].cancel_asked = true;
+    cluster.ask_cancellation(id);
     cluster.send_user_request(node, {"POST", "/api/jobs/" + id + "/cancel", ""},
                               [&cluster, id](http::Response response) {
                                   if (response.status != 200 || cluster.jobs[id].cancelled) return;
-                                  cluster.jobs[id].cancelled = true;
-                                  cluster.jobs[id].cancelled_at = cluster.now();
+                                  cluster.confirm_cancellation(id);
                               });
 }
 // The service's answers to this controller don't show that the job is cancelled, so that only notices tell
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -108,8 +108,7 @@
     SimulatedCluster cluster({});
     start_fault(cluster, fault);
     auto invalid_requests = make_invalid_requests();
-    for (auto& request : invalid_requests)
-        cluster.jobs[request.id].spec = request.body, cluster.jobs[request.id].refused = request.refused;
+    for (auto& request : invalid_requests) cluster.expect_refusal(request.id, request.body, request.refused);
     std::size_t sent = 0, during_fault = 0, by_503 = 0, afterwards = 0;
     auto ask = [&](double t, bool over) {
         for (auto& request : invalid_requests)
@@ -135,7 +134,7 @@
     for (double after : {0.3, 2.0, 5.0})
         cluster.at(fault_at_s + after, [&, id = "j-" + std::to_string(static_cast<int>(10 * after))] {
             auto body = plain_job(id);
-            cluster.jobs[id].spec = body;
+            cluster.expect_job(id, body);
             for (std::size_t n = 0; n < controllers; ++n)
                 cluster.post_job_to(n, body.dump(), [&cluster, &accepted](http::Response response) {
                     accepted += response.status == 201;
--- a/tests/scenarios/fault_scenarios.cpp
+++ b/tests/scenarios/fault_scenarios.cpp
@@ -42,7 +42,7 @@
 }
 std::vector<std::string> find_failures(const SimulatedCluster& cluster) {
     constexpr std::size_t least_starts = 40;
-    auto failures = cluster.violations;
+    auto failures = cluster.violations();
     if (cluster.starts <= least_starts) failures.push_back("hardly anything was started");
     for (auto& [id, job] : cluster.jobs) {
         if (job.refused) continue;
@@ -64,7 +64,7 @@
     if (counts) {
         counts->answers += cluster.answers;
         counts->starts += cluster.starts;
-        counts->starts_after_cancellation += cluster.starts_after_cancellation;
+        counts->starts_after_cancellation += cluster.starts_after_cancellation();
         counts->digest = cluster.digest.value();
     }
     return find_failures(cluster);
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -37,7 +37,7 @@
                                        : ends(request, "j-1");
                 if (!meets || std::exchange(met, true)) return;
                 cluster.at(cluster.now() + std::max(0.0, after), [&] {
-                    cluster.jobs["j-1"].cancel_asked = true;
+                    cluster.ask_cancellation("j-1");
                     for (std::size_t n = 0; n < nodes; ++n)
                         cluster.send_user_request(
                             n, {"POST", "/api/jobs/j-1/cancel", ""},
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -19,7 +19,7 @@
     return worker.addr.substr(0, worker.addr.find(':'));
 }
 inline void expect_no_violations(const SimulatedCluster& cluster) {
-    for (auto& violation : cluster.violations) ADD_FAILURE() << violation;
+    for (auto& violation : cluster.violations()) ADD_FAILURE() << violation;
 }
 inline void expect_no_failures(const SimulatedCluster& cluster) {
     for (auto& failure : find_failures(cluster)) ADD_FAILURE() << failure;
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -43,7 +43,10 @@
 }
 
 SimulatedCluster::SimulatedCluster(Options options)
-    : options_(options), random_(options.seed), changes_left_(options.write_rps, options.write_rps) {
+    : options_(options),
+      checker_(rules_of(options)),
+      random_(options.seed),
+      changes_left_(options.write_rps, options.write_rps) {
     for (std::size_t k = 0; k < 3; ++k) {
         Node node;
         auto& settings = node.settings;
@@ -89,7 +92,7 @@
         at(now_ + period_s, [again] { (*again)(); });
     };
     every(0.1, [this] { expire_leases(); });
-    every(0.5, [this] { check_cancelled(); });
+    every(0.5, [this] { checker_.look(now_); });
     every(1.0, [this] { check_health(); });
     every(1.0, [this] { check_waiting(); });
     every(0.05, [this] { replay_kept_heartbeats(); });
@@ -144,17 +147,6 @@
     crashed_nodes_.push_back(std::move(dead));
     at(now_ + back_after, [this, k] { boot(k); });
 }
-std::string SimulatedCluster::legacy_gauge(std::size_t k, const std::string& gauge) {
-    std::string value;
-    if (nodes_[k].up)
-        nodes_[k].controller->serve({"GET", "/metrics", {}}, [&](http::Response response) {
-            auto at = response.body.find("{of=\"" + gauge + "\"} ");
-            if (at == std::string::npos) return;
-            at = response.body.find(' ', at) + 1;
-            value = response.body.substr(at, response.body.find('\n', at) - at);
-        });
-    return value;
-}
 void SimulatedCluster::freeze(std::size_t k, double for_s) {
     if (nodes_[k].up) nodes_[k].timers->freeze(now_ + for_s);
 }
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -16,6 +16,7 @@
 #include "leader/planner.hpp"
 #include "protocol/protocol.hpp"
 #include "simulation/message_digest.hpp"
+#include "verification/checker.hpp"
 
 namespace coralhitch::controller {
 class Controller;
@@ -99,31 +100,17 @@
     // What the load balancer makes of its health.
     bool in_rotation = false, ever_in_rotation = false;
     std::deque<bool> health_checks;
-    double readmission_pause_s = 3, removed_at = -1e9, well_since = -1;
+    double readmission_pause_s = 3, removed_at = -1e9;
     std::uint64_t incarnation = 0;  // processes so far: what is answered to one is not for the next
     double busy_until = 0;          // with what workers sent
 };
 
-// An answer that a user got about a job: when the question was sent, when the answer was received.
-struct Answer {
-    std::string id;
-    enum class To { submission, question, cancellation } to = To::question;
-    double sent = 0, received = 0;
-    int http = 200;
-    std::string status;  // of the job; empty for errors
-};
-
-// What users were told about a job, and when they first received it (-1: never).
+// A job as its user and the simulation see it. What the rules need to know of it is in the checker.
 struct JobHistory {
     json spec;
-    bool accepted = false, cancelled = false, done = false;
+    bool accepted = false, cancelled = false, done = false;  // as users were told
     bool cancel_asked = false;
     int refused = 0;  // what its submission must get instead of acceptance; 0: it is accepted
-    double accepted_at = -1, cancelled_at = -1, done_at = -1;
-    double waiting_since = -1;  // with room and quota, and nothing of it started
-    bool waited_too_long = false;
-    double answered_at = 0;  // a question about it, or its submission
-    bool unanswered_too_long = false;
     std::set<std::string> tasks_done;
     double completed_at = -1, stored_at = -1;  // its last task; its final record
     double reported_at = -1;                   // its worker first said that its last task is done
@@ -136,10 +123,11 @@
     std::uint64_t seed = 1;
     std::size_t machines = 6;
     double report_s = 3, lease_s = 24, cancel_s = 44;
-    double gpus_max = 12;       // limit of team `tight`
-    double free_gpus_max = 0;   // of team `free`; 0: none
-    double max_waiting_s = 90;  // a job may wait for so long with room and quota, once the troubles are over
-    double boot_s = 1;          // what a machine takes; the nominal time is 5 s
+    double gpus_max = 12;          // limit of team `tight`
+    double free_gpus_max = 0;      // of team `free`; 0: none
+    double max_waiting_s = 90;     // a job may wait for so long with room and quota, once the faults are over
+    double max_unanswered_s = 45;  // and its users for an answer
+    double boot_s = 1;             // what a machine takes; the nominal time is 5 s
     std::set<std::size_t>
         without_replication;       // controllers of a version, or with settings, that know no standby
     bool relay_heartbeats = true;  // controllers that do not lead hear workers for the one that does
@@ -246,8 +234,15 @@
     }
     void send_user_request(std::size_t node, http::Request request, http::Reply done);
     void query_all_jobs();
-    // Takes down what a user was told, and holds it against what was received before the question was sent.
-    void record_answer(const Answer& answer);
+    // Takes down what a user was told, and holds it against what was received before the request was sent.
+    void record_answer(const verification::Answer& answer);
+    // For requests that a test sends itself: a job that is to be accepted, one that must be refused, and what
+    // its user asked or was told.
+    void expect_job(const std::string& id, const json& spec);
+    void expect_refusal(const std::string& id, int status);
+    void expect_refusal(const std::string& id, const json& spec, int status);
+    void ask_cancellation(const std::string& id);
+    void confirm_cancellation(const std::string& id);
     // Called with each message as it is sent, so that a fault can be placed right after it.
     std::function<void(const std::string& from, const std::string& to, const http::Request&)> on_message;
     // Seconds by which a direct command is held up: it is carried out once then, and its answer is lost.
@@ -259,8 +254,8 @@
     void remove_from_load_balancer(std::size_t node) {
         removed_from_load_balancer_ = node;
     }  // none is led to it by the load balancer
-    std::string legacy_gauge(std::size_t node, const std::string& gauge);  // of its /metrics
-    bool cancel_wanted(const std::string& id) const;  // of the job itself, or of one that it needs
+    // Of the job itself, or of one that it awaits.
+    bool cancel_wanted(const std::string& id) const { return checker_.cancel_wanted(id); }
 
     // Network, for the hosts' requesters
     void send(const std::string& from, const std::string& to, http::Request request, double timeout,
@@ -273,15 +268,16 @@
     void tamper_with_record(const std::string& key, std::optional<std::string> value);
     std::string record(const std::string& key) const { return kv_.at(key).value; }
 
-    std::vector<std::string> violations;
+    // Of the rules, in the order of time.
+    const std::vector<std::string>& violations() const { return checker_.broken(); }
+    std::size_t starts_after_cancellation() const { return checker_.starts_after_cancellation(); }
     std::map<std::string, JobHistory> jobs;
     std::vector<std::unique_ptr<Worker>> workers;
     std::size_t starts = 0, restarts_of_done_tasks = 0;  // done_again: of tasks that were done already
-    std::size_t starts_after_cancellation = 0;           // after the cancellation was confirmed
     std::size_t answers = 0;                             // that users got about jobs
     MessageDigest digest;                                // of all requests sent and responses received
-    // From then on no question about a job may stay without an answer for longer than `open_s`.
-    double faults_over_at = 1e9, max_unanswered_s = 45;
+    // From then on nothing may wait, and no query stay without an answer, for longer than the options say.
+    double faults_over_at = 1e9;
     std::size_t machines_deleted_with_tasks = 0;  // machines with tasks on them
     std::map<std::string, std::size_t> reads;     // of each key at the key-value store
     std::map<std::string, std::size_t> changes;   // at the key-value store, by the first part of the key
@@ -313,7 +309,7 @@
         std::string from;
         bool waits;
     };
-    void add_violation(const std::string& what) { violations.push_back(std::to_string(now_) + " " + what); }
+    void add_violation(const std::string& what) { checker_.report(now_, what); }
     double latency() { return std::uniform_real_distribution<double>(0.001, 0.008)(random_); }
     void boot(std::size_t node);
     void process_in_turn(Node& node, event_loop::Task task);
@@ -341,6 +337,8 @@
     void command(Worker& worker, const json& orders);
     http::Response serve_command(Worker& worker, const http::Request& request);
     void start(Worker& worker, const std::string& task, std::uint64_t attempt);
+    void image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt);
+    void wait_for_gang(Worker& worker, const std::string& name);
     void finish(Worker& worker, const std::string& task, std::uint64_t attempt, const std::string& cause);
     void check_lease(Worker& worker);
     bool present(const Task& task) const { return task.status != "exited"; }
@@ -356,19 +354,16 @@
     void ended(const std::string& id);
     json plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const;
     // Checks
-    void check_start(const Worker& worker, const std::string& task);
-    void check_waiting();
-    bool could_start(const std::string& id) const;
     std::size_t places(const Worker& worker, const json& spec) const;
     double limit_of(const std::string& team) const;
-    double used_by(const std::string& team) const;
-    // When the user of a job that this one needs was first told that it is cancelled, or never.
-    double cancelled_before(const std::string& id) const;
-    bool is_done(const std::string& id) const;
-    void check_orphaned(const Answer& answer);
-    void check_cancelled();
+    bool is_done(const std::string& id) const { return checker_.is_done(id); }
+    static verification::Rules rules_of(const Options& options);
+    void observe_machine(const Worker& worker);
+    void clear_tasks(Worker& worker);
+    void check_waiting();
 
     Options options_;
+    verification::Checker checker_;
     std::mt19937_64 random_;
     double now_ = 0;
     std::uint64_t next_event_ = 0;
--- a/tests/simulation/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -21,6 +21,7 @@
     if (now_ < fast_boots_until_)
         worker->up_at = now_ + std::uniform_real_distribution<double>(0.05, 2)(random_);
     worker->last_answered = worker->up_at;
+    observe_machine(*worker);
     workers.push_back(std::move(worker));
     auto* machine = workers.back().get();
     at(machine->up_at, [this, machine] { send_heartbeats(*machine); });
@@ -48,7 +49,7 @@
                 if (worker->id == id) {
                     if (!worker->dead && !worker->tasks.empty()) ++machines_deleted_with_tasks;
                     worker->dead = true;
-                    worker->tasks.clear();
+                    clear_tasks(*worker);
                 }
         return {200, "{}"};
     }
--- /dev/null
+++ b/tests/simulation/simulated_cluster_observation.cpp
@@ -0,0 +1,109 @@
+// What the checker of the rules is told of users, jobs and machines.
+#include <limits>
+
+#include "simulation/simulated_cluster.hpp"
+
+namespace coralhitch::simulation {
+namespace {
+
+// Of a job that can run; one that must be refused may lack any field.
+protocol::Job parse_spec(const json& spec) {
+    auto text = [&spec](const char* field) { return spec.value(field, std::string()); };
+    protocol::Job job;
+    job.id = text("id");
+    job.team = text("crew");
+    auto shape = text("shape");
+    job.kind = shape == "gang"      ? protocol::JobKind::gang
+               : shape == "service" ? protocol::JobKind::service
+                                    : protocol::JobKind::array;
+    job.tasks = spec.value("shards", 1u);
+    job.request = {spec.value("vcpus", 0.0), spec.value("cards", 0.0), spec.value("ram_gb", 0.0)};
+    if (spec.contains("hulls")) job.types = spec["hulls"].get<std::vector<std::string>>();
+    if (spec.contains("reef")) job.zone = spec["reef"].get<std::string>();
+    job.one_zone = spec.value("together", false);
+    job.spread = spec.value("scatter", false);
+    job.spot = spec.value("driftwood", false);
+    job.awaits = awaits_of(spec);
+    return job;
+}
+}  // namespace
+
+verification::Rules SimulatedCluster::rules_of(const Options& options) {
+    verification::Rules rules;
+    rules.cancel_s = options.cancel_s;
+    rules.teams = {{"free", {0, options.free_gpus_max}}, {"tight", {0, options.gpus_max}}};
+    rules.rounding = 1e-9;  // its jobs ask for whole GPUs
+    rules.max_waiting_s = options.max_waiting_s;
+    rules.max_unanswered_s = options.max_unanswered_s;
+    return rules;
+}
+
+// --- Users ------------------------------------------------------------------------------------------------
+
+void SimulatedCluster::expect_job(const std::string& id, const json& spec) {
+    jobs[id].spec = spec;
+    auto job = parse_spec(spec);
+    job.id = id;
+    checker_.submitted(job);
+    if (spec.value("mistake", false)) checker_.fails_everywhere(id);
+    if (jobs[id].cancel_asked) checker_.cancel_asked(id);  // before it was submitted
+}
+void SimulatedCluster::expect_refusal(const std::string& id, int status) {
+    jobs[id].refused = status;
+    checker_.must_be_refused(id);
+}
+void SimulatedCluster::expect_refusal(const std::string& id, const json& spec, int status) {
+    jobs[id].spec = spec;
+    protocol::Job job;
+    job.id = id;
+    checker_.submitted(job);
+    expect_refusal(id, status);
+}
+void SimulatedCluster::ask_cancellation(const std::string& id) {
+    auto& job = jobs[id];
+    job.cancel_asked = true;
+    if (!job.spec.is_null()) checker_.cancel_asked(id);
+}
+void SimulatedCluster::confirm_cancellation(const std::string& id) {
+    jobs[id].cancelled = true;
+    checker_.told(now_, id, protocol::JobState::cancelled);
+}
+void SimulatedCluster::record_answer(const verification::Answer& answer) {
+    if (answer.job.empty()) return;  // a scripted request, judged by its test
+    ++answers;
+    checker_.answered(answer);
+    auto found = jobs.find(answer.job);
+    if (found == jobs.end() || found->second.refused || !answer.success()) return;
+    auto& job = found->second;
+    bool news = !std::exchange(job.accepted, true);
+    if (answer.state == protocol::JobState::cancelled && !std::exchange(job.cancelled, true)) news = true;
+    if (answer.state == protocol::JobState::done && !std::exchange(job.done, true)) news = true;
+    if (!news) return;
+    bool just_accepted = answer.request == verification::Answer::Request::submission &&
+                         answer.state == protocol::JobState::queued;
+    query_all_controllers_repeatedly(answer.job, just_accepted);
+}
+
+// --- Machines ---------------------------------------------------------------------------------------------
+
+void SimulatedCluster::observe_machine(const Worker& worker) {
+    constexpr double unlimited = std::numeric_limits<double>::infinity();
+    checker_.machine(worker.id,
+                     {worker.type, worker.zone, worker.spot, {unlimited, machine_gpus, unlimited}});
+}
+void SimulatedCluster::clear_tasks(Worker& worker) {
+    worker.tasks.clear();
+    checker_.machine_gone(worker.id);
+}
+void SimulatedCluster::check_waiting() {
+    if (now_ < faults_over_at) return;
+    std::set<std::string> usable;
+    for (auto& worker : workers) {
+        bool works = !worker->dead && !worker->hung && !worker->fails_every_task;
+        if (works && now_ >= worker->up_at && now_ >= worker->inbound_unreachable_until)
+            usable.insert(worker->id);
+    }
+    checker_.check_waiting(now_, usable);
+}
+
+}  // namespace coralhitch::simulation
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -5,6 +5,17 @@
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
+namespace {
+std::optional<protocol::JobState> parse_state(const std::string& word) {
+    using protocol::JobState;
+    static const std::map<std::string, JobState> states{{"pending", JobState::queued},
+                                                        {"running", JobState::running},
+                                                        {"done", JobState::done},
+                                                        {"withdrawn", JobState::cancelled}};
+    auto state = states.find(word);
+    return state == states.end() ? std::nullopt : std::optional(state->second);
+}
+}  // namespace
 
 std::vector<std::string> awaits_of(const json& spec) {
     auto it = spec.find("awaits");
@@ -13,21 +24,20 @@
 }
 void SimulatedCluster::ask_controller(Node& node, const std::string& id, http::Request request,
                                       std::function<void(const http::Response&)> answered) {
-    using To = Answer::To;
-    auto to = request.method == "GET"         ? To::question
-              : request.target == "/api/jobs" ? To::submission
-                                              : To::cancellation;
-    // What comes while the controller stands still is read when it goes on.
+    using Request = verification::Answer::Request;
+    auto kind = request.method == "GET"         ? Request::query
+                : request.target == "/api/jobs" ? Request::submission
+                                                : Request::cancellation;
+    // What comes while the controller is frozen is read when it goes on.
     node.timers->after(0, [=, this, &node, sent = now_, request = std::move(request)] {
         digest.add(now_, "user", node.settings.listen, request.method + " " + request.target, request.body);
         node.controller->serve(request, [=, this, &node](http::Response response) {
             digest.add(now_, node.settings.listen, "user", std::to_string(response.status), response.body);
             at(now_ + latency(), [=, this] {
                 if (now_ - sent > 5) return;  // nobody listens any more
-                Answer heard{id, to, sent, now_, response.status, {}};
-                if (response.status == 200 || response.status == 201)
-                    heard.status = json::parse(response.body)["status"];
-                record_answer(heard);
+                verification::Answer answer{id, kind, sent, now_, response.status, {}};
+                if (answer.success()) answer.state = parse_state(json::parse(response.body)["status"]);
+                record_answer(answer);
                 answered(response);
             });
         });
@@ -72,7 +82,7 @@
                               json more) {
     auto spec = plain_job(id, kind, tasks, run_s);
     if (more.is_object()) spec.update(more);
-    jobs[id].spec = spec;
+    expect_job(id, spec);
     ask(
         id, "POST", "/api/jobs", spec.dump(),
         [this, id](const http::Response& response) {
@@ -92,7 +102,7 @@
 }
 void SimulatedCluster::cancel(const std::string& id) {
     bool accepted = jobs[id].accepted;
-    jobs[id].cancel_asked = true;
+    ask_cancellation(id);
     ask(
         id, "POST", "/api/jobs/" + id + "/cancel", "",
         [this, id, accepted](const http::Response& response) {
@@ -103,12 +113,9 @@
         options_.submit_tries);
 }
 void SimulatedCluster::query_all_jobs() {
+    checker_.check_unanswered(now_, faults_over_at);
     for (auto& [id, job] : jobs) {
         if (!job.accepted) continue;
-        if (now_ - std::max(job.answered_at, faults_over_at) > max_unanswered_s &&
-            !std::exchange(job.unanswered_too_long, true))
-            add_violation("forgotten " + id + ": no question was answered for " +
-                          std::to_string(max_unanswered_s) + " s");
         ask(
             id, "GET", "/api/jobs/" + id, "", [](auto&) {}, 0);
     }
@@ -188,13 +195,15 @@
         spec.erase(needed[random_() % std::size(needed)]);
         refused = 400;
     }
-    jobs[id].spec = spec;
-    jobs[id].refused = refused;
+    expect_refusal(id, spec, refused);
     ask(id, "POST", "/api/jobs", spec.dump(), [this, id, refused](const http::Response& response) {
         if (response.status != refused)
             add_violation("odd request " + id + " got " + std::to_string(response.status));
     });
 }
+double SimulatedCluster::limit_of(const std::string& team) const {
+    return team == "tight" ? options_.gpus_max : options_.free_gpus_max;
+}
 void SimulatedCluster::fill_team_limits() {
     for (auto* team : {"free", "tight"}) {
         if (limit_of(team) <= 0) continue;
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -2,9 +2,23 @@
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
+namespace {
+
+protocol::TaskId parse_task_id(const std::string& task) {
+    auto slash = task.find('/');
+    return {task.substr(0, slash), static_cast<std::uint32_t>(std::stoul(task.substr(slash + 1)))};
+}
+protocol::ExitCause parse_cause(const std::string& cause) {
+    if (cause == "done") return protocol::ExitCause::done;
+    if (cause == "halted") return protocol::ExitCause::stopped;
+    return cause == "incomplete" ? protocol::ExitCause::alone : protocol::ExitCause::error;
+}
+}  // namespace
+
 void SimulatedCluster::crash_machine(std::size_t k) {
-    workers[k % workers.size()]->dead = true;
-    workers[k % workers.size()]->tasks.clear();
+    auto& worker = *workers[k % workers.size()];
+    worker.dead = true;
+    clear_tasks(worker);
 }
 void SimulatedCluster::hang_machine(std::size_t k, double for_s) {
     auto* worker = workers[k % workers.size()].get();
@@ -18,7 +32,7 @@
 void SimulatedCluster::reboot_machine(std::size_t k, bool anew) {
     auto& worker = *workers[k % workers.size()];
     if (worker.dead || now_ < worker.up_at) return;
-    worker.tasks.clear();
+    clear_tasks(worker);
     worker.agent_epoch = anew ? 1 : worker.agent_epoch + 1;
     worker.sequence = 0;
     if (anew) worker.token = 0;
@@ -27,7 +41,7 @@
 }
 void SimulatedCluster::check_lease(Worker& worker) {
     if (now_ - worker.last_answered <= options_.lease_s || worker.ignores_lease) return;
-    worker.tasks.clear();
+    clear_tasks(worker);
     ++worker.agent_epoch;
     worker.sequence = 0;
     worker.last_answered = now_;
@@ -136,6 +150,7 @@
     it->second.status = "exited";
     it->second.cause = cause;
     it->second.saved = cause == "halted";
+    checker_.ended(now_, worker.id, parse_task_id(task), parse_cause(cause));
     if (cause != "done") return;
     auto id = it->second.job;
     auto& job = jobs[id];
@@ -152,47 +167,69 @@
         // Refused by the worker; what is there stays. Reported under the new attempt once it has gone.
         return;
     }
-    if (job.refused) return add_violation("accepted_impossible (start) " + task);
-    job.waiting_since = -1;
-    check_start(worker, task);
-    if (places(worker, job.spec) == 0) {
+    // A dead machine is told to start something only by a test that breaks a rule on purpose.
+    bool refused = job.refused || worker.dead || places(worker, job.spec) == 0;
+    auto outcome = refused ? verification::StartOutcome::no_room : verification::StartOutcome::placed;
+    checker_.started(now_, worker.id, parse_task_id(task), outcome);
+    if (job.refused) return;
+    if (refused) {
         worker.tasks[task] = {id, attempt, "exited", "no_room"};
         return;
     }
+    constexpr double fetch_s = 1;
     worker.tasks[task] = {id, attempt, "fetching", ""};
-    at(now_ + 1, [this, &worker, task, attempt, id] {
-        auto it = worker.tasks.find(task);
-        if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt ||
-            it->second.status != "fetching")
-            return;
-        if (worker.fails_every_task || jobs[id].spec.value("mistake", false))
-            return finish(worker, task, attempt, "error");
-        bool gang = jobs[id].spec["shape"] == "gang";
-        it->second.status = gang ? "waiting" : "running";
-        if (gang) {
-            at(now_ + nodes_[0].settings.gang_wait_s, [this, &worker, task, attempt] {
-                auto it = worker.tasks.find(task);
-                if (it != worker.tasks.end() && it->second.status == "waiting")
-                    finish(worker, task, attempt, "incomplete");
-            });
-            // The gang starts once its last task has its image.
-            std::vector<std::pair<Worker*, std::string>> mates;
-            for (auto& other : workers)
-                for (auto& [name, task] : other->tasks)
-                    if (task.job == id && task.attempt == attempt && task.status == "waiting")
-                        mates.emplace_back(other.get(), name);
-            if (static_cast<int>(mates.size()) < jobs[id].spec["shards"].get<int>()) return;
-            for (auto& [member, name] : mates) {
-                member->tasks[name].status = "running";
-                at(now_ + jobs[id].spec["reckon_s"].get<double>(),
-                   [this, member, name, attempt] { finish(*member, name, attempt, "done"); });
-            }
-            return;
-        }
-        if (jobs[id].spec["shape"] == "service") return;
-        at(now_ + jobs[id].spec["reckon_s"].get<double>(),
-           [this, &worker, task, attempt] { finish(worker, task, attempt, "done"); });
+    at(now_ + fetch_s, [this, &worker, task, attempt] { image_fetched(worker, task, attempt); });
+}
+void SimulatedCluster::image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt) {
+    auto it = worker.tasks.find(name);
+    if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt ||
+        it->second.status != "fetching")
+        return;
+    auto& task = it->second;
+    auto& spec = jobs[task.job].spec;
+    if (worker.fails_every_task || spec.value("mistake", false))
+        return finish(worker, name, attempt, "error");
+    if (spec["shape"] == "gang") return wait_for_gang(worker, name);
+    task.status = "running";
+    if (spec["shape"] == "service") return;
+    at(now_ + spec["reckon_s"].get<double>(),
+       [this, &worker, name, attempt] { finish(worker, name, attempt, "done"); });
+}
+// The gang starts once its last task has its image.
+void SimulatedCluster::wait_for_gang(Worker& worker, const std::string& name) {
+    auto& task = worker.tasks.at(name);
+    task.status = "waiting";
+    at(now_ + nodes_[0].settings.gang_wait_s, [this, &worker, name, attempt = task.attempt] {
+        auto it = worker.tasks.find(name);
+        if (it != worker.tasks.end() && it->second.status == "waiting")
+            finish(worker, name, attempt, "incomplete");
     });
+    struct Member {
+        Worker* worker;
+        std::string task;
+    };
+    std::vector<Member> waiting;
+    for (auto& other : workers)
+        for (auto& [other_name, other_task] : other->tasks)
+            if (other_task.job == task.job && other_task.attempt == task.attempt &&
+                other_task.status == "waiting")
+                waiting.push_back({other.get(), other_name});
+    auto& spec = jobs[task.job].spec;
+    if (static_cast<int>(waiting.size()) < spec["shards"].get<int>()) return;
+    for (auto& member : waiting) {
+        member.worker->tasks[member.task].status = "running";
+        at(now_ + spec["reckon_s"].get<double>(),
+           [this, member, attempt = task.attempt] { finish(*member.worker, member.task, attempt, "done"); });
+    }
+}
+// For how many more tasks of this job the machine has room.
+std::size_t SimulatedCluster::places(const Worker& worker, const json& spec) const {
+    double cards = machine_gpus;
+    for (auto& [name, task] : worker.tasks)
+        if (present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
+    constexpr std::size_t without_end = 100'000;  // a job's tasks at most
+    double each = spec["cards"].get<double>();
+    return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : without_end;
 }
 void SimulatedCluster::start_against_rules(const std::string& task, std::uint64_t attempt,
                                            std::optional<std::size_t> machine) {
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -15,10 +15,10 @@
     SimulatedCluster cluster({});
     cluster.at(2, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
     cluster.run_until(30);
-    ASSERT_TRUE(cluster.violations.empty());
+    ASSERT_TRUE(cluster.violations().empty());
     cluster.start_against_rules("j-1/0", 1);
-    ASSERT_FALSE(cluster.violations.empty());
-    EXPECT_NE(cluster.violations[0].find("ran_twice"), std::string::npos);
+    ASSERT_FALSE(cluster.violations().empty());
+    EXPECT_NE(cluster.violations()[0].find("ran_twice"), std::string::npos);
 }
 TEST(RulesOfSimulatedCluster, DetectACancelledTaskThatStays) {
     spdlog::set_level(spdlog::level::off);
@@ -27,12 +27,12 @@
         cluster.at(2, [&cluster, id] { cluster.submit(id, "service", 1, 0); });
     cluster.at(20, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(40);
-    ASSERT_TRUE(cluster.violations.empty());
+    ASSERT_TRUE(cluster.violations().empty());
     cluster.run_until(70);
     cluster.start_against_rules("j-1/0", 1);
     cluster.run_until(71);
-    ASSERT_FALSE(cluster.violations.empty());
-    EXPECT_NE(cluster.violations[0].find("ran_cancelled"), std::string::npos);
+    ASSERT_FALSE(cluster.violations().empty());
+    EXPECT_NE(cluster.violations()[0].find("ran_cancelled"), std::string::npos);
 }
 
 // A cut to one machine, named by its address, keeps away what it says and what is said to it, and nobody
@@ -78,11 +78,11 @@
 const Broken broken[] = {
     {"quota", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-2/7", 99, 0); }},
     {"wrong_place (spot)", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-3/1", 99, 2); }},
-    {"wrong_place (scatter)",
+    {"wrong_place (spread)",
      [](SimulatedCluster& cluster) {
          cluster.start_against_rules("j-4/9", 99, 0), cluster.start_against_rules("j-4/8", 99, 1);
      }},
-    {"wrong_place (together)",
+    {"wrong_place (one zone)",
      [](SimulatedCluster& cluster) {
          cluster.start_against_rules("j-5/8", 99, 0), cluster.start_against_rules("j-5/9", 99, 1);
      }},
@@ -121,11 +121,11 @@
     {"accepted_impossible j-8",  // for the users it is one that can't run; the service sees nothing wrong
      [](SimulatedCluster& cluster) {
          cluster.submit("j-8", "batch", 1, 5);
-         cluster.jobs["j-8"].refused = 422;
+         cluster.expect_refusal("j-8", 422);
      }},
     {"accepted_impossible (start) j-1/7",
      [](SimulatedCluster& cluster) {
-         cluster.jobs["j-1"].refused = 400;
+         cluster.expect_refusal("j-1", 400);
          cluster.start_against_rules("j-1/7", 99, 0);
      }},
     {"left_waiting j-8",  // its machines hear nobody
@@ -167,91 +167,91 @@
     cluster.submit_awaiting("j-6", "batch", 1, 5, {"j-2"});
     cluster.at(27, [&cluster] { cluster.cancel("j-7"); });
     cluster.run_until(30);
-    ASSERT_TRUE(cluster.violations.empty()) << cluster.violations[0];
+    ASSERT_TRUE(cluster.violations().empty()) << cluster.violations()[0];
     GetParam().breaks(cluster);
     cluster.run_until(100);
-    auto found = std::any_of(cluster.violations.begin(), cluster.violations.end(),
+    auto found = std::any_of(cluster.violations().begin(), cluster.violations().end(),
                              [&](auto& b) { return b.find(GetParam().rule) != std::string::npos; });
     EXPECT_TRUE(found) << GetParam().rule << ", but "
-                       << (cluster.violations.empty() ? "nothing" : cluster.violations[0]);
+                       << (cluster.violations().empty() ? "nothing" : cluster.violations()[0]);
 }
 
 // Made-up histories of what users were told of one job, and the rule that the last answer breaks, if any. All
 // but the last keep the rules.
 struct History {
     const char* name;
-    std::vector<Answer> answers;
+    std::vector<verification::Answer> answers;
     const char* breaks;
 };
-constexpr auto submission = Answer::To::submission, question = Answer::To::question,
-               cancellation = Answer::To::cancellation;
+using Request = verification::Answer::Request;
+constexpr auto submission = Request::submission, query = Request::query, cancellation = Request::cancellation;
+using State = protocol::JobState;
 const History histories[] = {
     {"accepted, then not known",
-     {{"", submission, 1, 2, 201, "pending"}, {"", question, 2.1, 3, 404, ""}},
+     {{"", submission, 1, 2, 201, State::queued}, {"", query, 2.1, 3, 404, {}}},
      "forgotten"},
     {"not known overtaken by the acceptance",
-     {{"", submission, 1, 2, 201, "pending"}, {"", question, 1.9, 3, 404, ""}},
+     {{"", submission, 1, 2, 201, State::queued}, {"", query, 1.9, 3, 404, {}}},
      nullptr},
     {"accepted, then refused",
-     {{"", submission, 1, 2, 201, "pending"}, {"", submission, 2.1, 3, 422, ""}},
+     {{"", submission, 1, 2, 201, State::queued}, {"", submission, 2.1, 3, 422, {}}},
      "forgotten"},
     {"read by another user, then not known",
-     {{"", question, 1, 2, 200, "pending"}, {"", question, 2.1, 3, 404, ""}},
+     {{"", query, 1, 2, 200, State::queued}, {"", query, 2.1, 3, 404, {}}},
      "forgotten"},
     {"cancelled, then not known to a cancellation",
-     {{"", cancellation, 1, 2, 200, "withdrawn"}, {"", cancellation, 2.1, 3, 404, ""}},
+     {{"", cancellation, 1, 2, 200, State::cancelled}, {"", cancellation, 2.1, 3, 404, {}}},
      "forgotten"},
     {"accepted twice",
-     {{"", submission, 1, 2, 201, "pending"}, {"", submission, 2.1, 3, 201, "pending"}},
+     {{"", submission, 1, 2, 201, State::queued}, {"", submission, 2.1, 3, 201, State::queued}},
      "accepted_twice"},
     {"repeated before the first answer",
-     {{"", submission, 1, 2, 201, "pending"}, {"", submission, 1.9, 3, 201, "pending"}},
+     {{"", submission, 1, 2, 201, State::queued}, {"", submission, 1.9, 3, 201, State::queued}},
      nullptr},
     {"done, then running",
-     {{"", question, 1, 2, 200, "done"}, {"", question, 2.1, 2.2, 200, "running"}},
+     {{"", query, 1, 2, 200, State::done}, {"", query, 2.1, 2.2, 200, State::running}},
      "went_back"},
     {"running overtaken by done",
-     {{"", question, 1, 2, 200, "done"}, {"", question, 1.5, 2.2, 200, "running"}},
+     {{"", query, 1, 2, 200, State::done}, {"", query, 1.5, 2.2, 200, State::running}},
      nullptr},
     {"done, then a repeat pending",
-     {{"", question, 1, 2, 200, "done"}, {"", submission, 2.1, 2.2, 200, "pending"}},
+     {{"", query, 1, 2, 200, State::done}, {"", submission, 2.1, 2.2, 200, State::queued}},
      "went_back"},
     {"cancelled, then running",
-     {{"", cancellation, 1, 2, 200, "withdrawn"}, {"", question, 2.1, 2.2, 200, "running"}},
+     {{"", cancellation, 1, 2, 200, State::cancelled}, {"", query, 2.1, 2.2, 200, State::running}},
      "went_back"},
     {"cancelled, then a repeat accepts",
-     {{"", cancellation, 1, 2, 200, "withdrawn"}, {"", submission, 2.1, 2.2, 200, "pending"}},
+     {{"", cancellation, 1, 2, 200, State::cancelled}, {"", submission, 2.1, 2.2, 200, State::queued}},
      "went_back"},
     {"done and withdrawn, at the same time",
-     {{"", cancellation, 1, 2, 200, "withdrawn"}, {"", question, 1, 2.1, 200, "done"}},
+     {{"", cancellation, 1, 2, 200, State::cancelled}, {"", query, 1, 2.1, 200, State::done}},
      "went_back"},
     {"one answer after another",
-     {{"", submission, 1, 2, 201, "pending"},
-      {"", question, 3, 4, 200, "running"},
-      {"", question, 5, 6, 200, "pending"},
-      {"", question, 7, 8, 503, ""},
-      {"", cancellation, 9, 10, 200, "withdrawn"},
-      {"", submission, 11, 12, 200, "withdrawn"}},
+     {{"", submission, 1, 2, 201, State::queued},
+      {"", query, 3, 4, 200, State::running},
+      {"", query, 5, 6, 200, State::queued},
+      {"", query, 7, 8, 503, {}},
+      {"", cancellation, 9, 10, 200, State::cancelled},
+      {"", submission, 11, 12, 200, State::cancelled}},
      nullptr},
 };
 class AnswerHistories : public testing::TestWithParam<History> {};
 INSTANTIATE_TEST_SUITE_P(Rules, AnswerHistories, testing::ValuesIn(histories), NameOfCase());
 TEST_P(AnswerHistories, AreCheckedAgainstAnswersReceivedBefore) {
-    spdlog::set_level(spdlog::level::off);
     auto& history = GetParam();
-    SimulatedCluster cluster({});
-    auto& job = cluster.jobs["j-1"];
-    job.spec = {{"shards", 1}, {"shape", "batch"}};
-    job.tasks_done = {"j-1/0"};
-    job.cancel_asked = true;
-    for (auto& answer_of_history : history.answers) {
-        ASSERT_TRUE(cluster.violations.empty()) << history.name << ": " << cluster.violations[0];
-        auto answer = answer_of_history;
-        answer.id = "j-1";
-        cluster.record_answer(answer);
+    verification::Checker checker({.cancel_s = 44, .teams = {}});
+    protocol::Job job;
+    job.id = "j-1";
+    checker.submitted(job);
+    checker.ended(0, "vm-1", {"j-1", 0}, protocol::ExitCause::done);
+    checker.cancel_asked("j-1");
+    for (auto answer : history.answers) {
+        ASSERT_TRUE(checker.broken().empty()) << history.name << ": " << checker.broken()[0];
+        answer.job = "j-1";
+        checker.answered(answer);
     }
-    EXPECT_EQ(cluster.violations.empty(), history.breaks == nullptr) << history.name;
-    for (auto& violation : cluster.violations)
+    EXPECT_EQ(checker.broken().empty(), history.breaks == nullptr) << history.name;
+    for (auto& violation : checker.broken())
         EXPECT_TRUE(history.breaks && violation.find(history.breaks) != std::string::npos)
             << history.name << ": " << violation;
 }
@@ -265,10 +265,10 @@
     cluster.at(20, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(30);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
-    EXPECT_EQ(cluster.starts_after_cancellation, 0u);
+    EXPECT_EQ(cluster.starts_after_cancellation(), 0u);
     cluster.start_against_rules("j-1/0", 99);
-    EXPECT_EQ(cluster.starts_after_cancellation, 1u);
-    EXPECT_TRUE(cluster.violations.empty());
+    EXPECT_EQ(cluster.starts_after_cancellation(), 1u);
+    EXPECT_TRUE(cluster.violations().empty());
 }
 
 }  // namespace
