--- /dev/null
+++ b/tests/scenarios/failover_faults_test.cpp
@@ -0,0 +1,188 @@
+// Days with every kind of job, and one kind of fault in each.
+#include "scenarios/parameter_names.hpp"
+#include "scenarios/scenario_support.hpp"
+
+namespace coralhitch::simulation {
+namespace {
+
+struct FaultPlan {
+    const char* name;
+    std::function<void(SimulatedCluster&, std::mt19937_64&)> plan;
+};
+
+const FaultPlan fault_kinds[] = {
+    {"quiet", [](SimulatedCluster&, std::mt19937_64&) {}},
+    {"leader crashes twice",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         for (double t : {40.0, 55.0}) cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 6); });
+     }},
+    {"all crash together",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(45, [&cluster] {
+             for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 4 + static_cast<double>(k));
+         });
+     }},
+    {"leader cut from the state service, packets held",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.partition(host_of(leader_of(cluster)), "10.2.0.1", 30, true); });
+     }},
+    {"leader refused by the state service alone",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 40); });
+     }},
+    {"leader cut from the workers, packets held",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.partition(host_of(leader_of(cluster)), "10.1.", 30, true); });
+     }},
+    {"leader cut from all, packets held, machines hang over the takeover",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] {
+             cluster.partition(host_of(leader_of(cluster)), "10.", 35, true);
+             cluster.hang_machine(1, 20);
+             cluster.hang_machine(2, 33);
+         });
+     }},
+    {"state outage, then all crash",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.start_key_value_store_outage(20); });
+         cluster.at(57, [&cluster] {
+             for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 5);
+         });
+     }},
+    {"machines die while the cloud is down and the leader crashes",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(38, [&cluster] { cluster.start_cloud_outage(50); });
+         cluster.at(40, [&cluster] {
+             cluster.crash_machine(0);
+             cluster.crash_machine(3);
+         });
+         cluster.at(42, [&cluster] { cluster.crash(leader_of(cluster), 8); });
+     }},
+    {"rolling restart while machines hang",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         for (std::size_t k = 0; k < 3; ++k)
+             cluster.at(40 + 8.0 * static_cast<double>(k), [&cluster, k] { cluster.crash(k, 3); });
+         cluster.at(44, [&cluster] { cluster.hang_machine(0, 15); });
+         cluster.at(50, [&cluster] { cluster.hang_machine(4, 40); });
+     }},
+    {"leader stands still, its clocks run on, twice",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] { cluster.freeze(leader_of(cluster), 12); });
+         cluster.at(60, [&cluster] { cluster.freeze(leader_of(cluster), 30); });
+     }},
+    {"leader stands still through a state outage, another controller crashes",
+     [](SimulatedCluster& cluster, std::mt19937_64&) {
+         cluster.at(40, [&cluster] {
+             cluster.start_key_value_store_outage(14);
+             cluster.freeze(leader_of(cluster), 15);
+             cluster.crash((leader_of(cluster) + 1) % 3, 6);
+         });
+     }},
+    {"a machine fails every task",
+     [](SimulatedCluster& cluster, std::mt19937_64&) { cluster.workers[0]->fails_every_task = true; }},
+    {"anything, at random times",
+     [](SimulatedCluster& cluster, std::mt19937_64& random) {
+         for (int k = 0; k < 8; ++k) {
+             double t = std::uniform_real_distribution<double>(20, 110)(random);
+             auto what = random() % 7, which = random() % 8;
+             double duration_s = std::uniform_real_distribution<double>(2, 30)(random);
+             cluster.at(t, [&cluster, what, which, duration_s] {
+                 switch (what) {
+                     case 0:
+                         return cluster.crash(which % 3, duration_s / 3);
+                     case 1:
+                         return cluster.hang_machine(which, duration_s);
+                     case 2:
+                         return cluster.crash_machine(which);
+                     case 3:
+                         return cluster.start_key_value_store_outage(duration_s / 2);
+                     case 4:
+                         return cluster.start_cloud_outage(duration_s);
+                     case 5:
+                         return cluster.freeze(which % 3, duration_s);
+                     default:
+                         return cluster.partition("10.0.0." + std::to_string(which % 3 + 1),
+                                                  which % 2 ? "10.1." : "10.2.0.1", duration_s, true);
+                 }
+             });
+         }
+     }},
+};
+
+// A day with every kind of job, some cancelled while the trouble lasts. Checked at its end: no rule was
+// broken, every accepted job of the kinds that end has ended, and something ran.
+void run_scenario(const FaultPlan& trouble, std::uint64_t seed) {
+    SCOPED_TRACE(std::string(trouble.name) + ", seed " + std::to_string(seed));
+    Options options;
+    options.seed = seed;
+    SimulatedCluster cluster(options);
+    std::mt19937_64 random(seed);
+    auto id = [](int n) { return "j-" + std::to_string(1000 + n); };
+    for (int k = 0; k < 12; ++k) {
+        double t = 2 + 7.0 * k;
+        cluster.at(t, [&cluster, k, id] {
+            if (k % 4 == 0)
+                cluster.submit(id(k), "service", 2, 0,
+                               {{"scatter", true},
+                                {"driftwood", false},
+                                {"rank", "critical"},
+                                {"stow_s", 0.0},
+                                {"anchor_s", 0.0}});
+            if (k % 4 == 1) cluster.submit(id(k), "batch", 9, 6, {{"crew", "tight"}});
+            if (k % 4 == 2)
+                cluster.submit(id(k), "gang", 3, 10, {{"together", true}, {"rank", "high"}, {"cards", 2.0}});
+            if (k % 4 == 3) cluster.submit(id(k), "batch", 5, 15, {{"scatter", true}});
+        });
+    }
+    for (int k : {0, 3, 5, 6}) cluster.at(41 + k, [&cluster, k, id] { cluster.cancel(id(k)); });
+    for (int k : {4, 8}) cluster.at(200, [&cluster, k, id] { cluster.cancel(id(k)); });
+    // Pipelines: one job, two that await it, a gang that awaits these, and a last one. Of the first two, one
+    // is cancelled at its root and one in its middle; the last job of the third comes when all else is over.
+    for (int pipeline = 0; pipeline < 4; ++pipeline) {
+        auto stage = [pipeline, id](int number) { return id(100 + 10 * pipeline + number); };
+        cluster.at(22 + 10.0 * pipeline, [&cluster, pipeline, stage] {
+            json low{{"rank", "idle"}, {"cards", 0.0}};
+            cluster.submit(stage(0), "batch", 3, 4, low);
+            cluster.submit_awaiting(stage(1), "batch", 4, 5, {stage(0)}, low);
+            cluster.submit_awaiting(stage(2), "batch", 2, 3, {stage(0)}, low);
+            cluster.submit_awaiting(stage(3), "gang", 2, 5, {stage(1), stage(2)}, {{"together", true}});
+            auto last = [&cluster, stage] {
+                cluster.submit_awaiting(stage(4), "batch", 2, 2, {stage(0), stage(3)}, {{"rank", "high"}});
+            };
+            if (pipeline != 2) last();
+            if (pipeline == 2) cluster.at(260, last);
+        });
+    }
+    cluster.at(42, [&cluster, id] { cluster.cancel(id(120)); });
+    cluster.at(45, [&cluster, id] { cluster.cancel(id(111)); });
+    trouble.plan(cluster, random);
+    cluster.run_until(340);
+    expect_no_violations(cluster);
+    EXPECT_GT(cluster.starts, 20u);
+    for (auto& [job, told] : cluster.jobs) {
+        EXPECT_TRUE(told.accepted) << job;
+        EXPECT_TRUE(told.done || told.cancelled) << job << " has not ended";
+        EXPECT_EQ(told.cancelled, told.cancelled && cluster.cancel_wanted(job)) << job;
+    }
+}
+
+class FailoverFaults : public testing::TestWithParam<std::size_t> {
+  protected:
+    void SetUp() override { spdlog::set_level(spdlog::level::off); }
+};
+INSTANTIATE_TEST_SUITE_P(EachKind, FailoverFaults, testing::Range<std::size_t>(0, std::size(fault_kinds)),
+                         [](auto& info) { return camel_case(fault_kinds[info.param].name); });
+TEST_P(FailoverFaults, KeepInvariants) {
+    for (std::uint64_t seed : {1, 2, 3}) run_scenario(fault_kinds[GetParam()], seed);
+}
+class FailoverRandomFaults : public testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(EachSeed, FailoverRandomFaults, testing::Range<std::uint64_t>(0, 4),
+                         Numbered{"Part"});
+TEST_P(FailoverRandomFaults, KeepInvariants) {
+    spdlog::set_level(spdlog::level::off);
+    for (std::uint64_t seed = 10 + GetParam(); seed < 30; seed += 4)
+        run_scenario(std::end(fault_kinds)[-1], seed);
+}
+
+}  // namespace
+}  // namespace coralhitch::simulation
--- /dev/null
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -0,0 +1,116 @@
+// Messages that arrive after newer ones, or after their sender has crashed.
+#include "scenarios/scenario_support.hpp"
+
+namespace coralhitch::simulation {
+namespace {
+
+// An old report arrives after newer ones, at a leader that has heard nothing newer of that machine: what it
+// shows has moved on since, and what runs elsewhere must go on.
+TEST(FaultCombination, OldHeartbeatStopsNothingThatRunsElsewhere) {
+    spdlog::set_level(spdlog::level::off);
+    Options options;
+    options.machines = 2;
+    options.without_replication = {0, 1, 2};  // nothing is known of the machines but what they say
+    SimulatedCluster cluster(options);
+    keep_machines(cluster);
+    cluster.at(4, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
+    std::map<std::string, http::Request> last_heartbeats;  // the last report of each machine with the task
+    cluster.on_message = [&](auto& from, auto&, auto& request) {
+        if (request.target == protocol::paths::report && request.body.find("j-1/") != std::string::npos &&
+            cluster.now() < 25)
+            last_heartbeats[from] = request;
+    };
+    cluster.run_until(25);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
+    std::size_t first = on_machine(*cluster.workers[0], "j-1") ? 0 : 1;
+    // For longer than a lease, and it can't be deleted: the task goes on elsewhere, the machine in its next
+    // agent epoch.
+    cluster.hang_machine(first, 30);
+    cluster.start_cloud_outage(60);
+    cluster.run_until(70);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
+    std::size_t second = 1 - first;
+    ASSERT_EQ(on_machine(*cluster.workers[first], "j-1"), 0u);
+    auto copy = last_heartbeats.at(cluster.workers[first]->addr);
+    auto starts = cluster.starts;
+    cluster.hang_machine(first, 8);
+    cluster.hang_machine(second, 5);
+    cluster.crash(leader_of(cluster), 6);
+    for (double t = 70; t < 78; t += 0.2)
+        cluster.at(t, [&cluster, &copy, first] {
+            for (std::size_t n = 0; n < 3; ++n)
+                cluster.send(cluster.workers[first]->addr, cluster.addr_of(n), copy, 1,
+                             [](std::optional<http::Response>) {});
+        });
+    cluster.run_until(110);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);
+    EXPECT_EQ(cluster.starts, starts);
+    expect_no_violations(cluster);
+}
+
+// A `run` is held up on its way to a machine that hears nobody, and its job is cancelled meanwhile. It
+// arrives between a report and the answer to it, and then the machine is cut off altogether: an answer that
+// renews its lease would leave the task there for a lease more.
+TEST(FaultCombination, DelayedStartOfCancelledJobGetsNoLeaseRenewal) {
+    spdlog::set_level(spdlog::level::off);
+    Options options;
+    options.machines = 12;
+    options.heartbeat_processing_s = 0.05;  // so that the answer comes after the `run`
+    options.cancel_s = 34;
+    SimulatedCluster cluster(options);
+    keep_machines(cluster);
+    cluster.run_until(30);
+    cluster.partition_one_way("10.0.", "10.1.", 13, false);
+    cluster.start_cloud_outage(90);
+    std::map<std::string, http::Request> held;
+    std::string met;
+    cluster.on_message = [&](auto& from, auto& to, auto& request) {
+        if (request.target == protocol::paths::commands && request.body.find("run") != std::string::npos &&
+            cluster.now() < 43)
+            held.emplace(to, request);
+        if (request.target != protocol::paths::report || cluster.now() < 43 || !met.empty() ||
+            !held.contains(from))
+            return;
+        met = from;
+        cluster.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
+        cluster.at(cluster.now() + 0.4, [&cluster] { cluster.partition("10.0.", "10.1.", 60, false); });
+    };
+    cluster.submit("j-1", "batch", 12, 300);
+    cluster.at(31.5, [&cluster] { cluster.cancel("j-1"); });
+    cluster.run_until(45);
+    ASSERT_FALSE(met.empty());
+    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);  // it has arrived
+    cluster.run_until(150);
+    EXPECT_TRUE(cluster.jobs["j-1"].cancelled);
+    expect_no_violations(cluster);
+}
+
+// Controllers hand over and back within moments, all end, one returns; what the first life of one sent comes
+// later.
+TEST(FaultCombination, KeepsAllRulesWhenLeadershipAlternates) {
+    spdlog::set_level(spdlog::level::off);
+    for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+        Options options;
+        options.seed = seed;
+        SimulatedCluster cluster(options);
+        submit_steady_jobs(cluster, 110);
+        for (double t = 25; t < 95; t += 24) {
+            cluster.at(t, [&cluster] {
+                auto leader = leader_of(cluster);
+                cluster.partition(host_of(leader), "10.", 4,
+                                  true);  // held, and sent on when its second life leads
+                cluster.crash(leader, 0.1);
+            });
+            cluster.at(t + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
+            cluster.at(t + 7, [&cluster] { cluster.crash(leader_of(cluster), 0.3); });
+            cluster.at(t + 12, [&cluster] {
+                for (std::size_t n = 0; n < 3; ++n) cluster.crash(n, n == 1 ? 0.2 : 5);
+            });
+        }
+        cluster.run_until(260);
+        for (auto& failure : find_failures(cluster)) ADD_FAILURE() << "seed " << seed << ": " << failure;
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::simulation
--- /dev/null
+++ b/tests/scenarios/fault_combinations_late_transactions_test.cpp
@@ -0,0 +1,84 @@
+// Transactions that are carried out late, and a key-value store that answers slowly, as leaders change.
+#include "scenarios/parameter_names.hpp"
+#include "scenarios/scenario_support.hpp"
+
+namespace coralhitch::simulation {
+namespace {
+
+// A transaction without an answer is carried out late, after newer ones of the same leader: what these stored
+// of tasks that are done must not be lost, since their machines have been told to forget them.
+TEST(FaultCombination, LateTransactionLosesNoProgress) {
+    spdlog::set_level(spdlog::level::off);
+    Options options;
+    options.machines = 1;
+    SimulatedCluster cluster(options);
+    std::size_t written = 0;
+    cluster.transaction_delay = [&](const json& txn) {
+        for (auto& change : txn["then"])
+            if (change.value("put", "").starts_with("prog/") && written++ == 0) {
+                cluster.at(cluster.now() + 11.2, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
+                return 11.0;
+            }
+        return 0.0;
+    };
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 40, 6, {{"driftwood", false}}); });
+    cluster.run_until(160);
+    EXPECT_GT(written, 3u);
+    EXPECT_TRUE(cluster.jobs["j-1"].done);
+    EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+    expect_no_violations(cluster);
+}
+
+// Each kind of transaction of the controllers, again and again without an answer and carried out after newer
+// ones, over leaders that end and are back at once.
+class LateTransactions : public testing::TestWithParam<const char*> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, LateTransactions,
+                         testing::Values("leader", "standby", "mach/page/", "job/", "prog/", "final/",
+                                         "types", ""),
+                         [](auto& info) {
+                             std::string key_prefix = info.param;
+                             return key_prefix.empty() ? "AnyKey" : camel_case(key_prefix);
+                         });
+TEST_P(LateTransactions, BreakNoRule) {
+    spdlog::set_level(spdlog::level::off);
+    std::string kind = GetParam();
+    SimulatedCluster cluster({});
+    std::minstd_rand random(7);
+    std::size_t late = 0;
+    cluster.transaction_delay = [&](const json& txn) {
+        for (auto& change : txn["then"]) {
+            auto key = change.value("put", change.value("drop", ""));
+            // Not so many that nobody leads for long.
+            if (!key.starts_with(kind) || cluster.now() > 100 || random() % 3) continue;
+            ++late;
+            return std::uniform_real_distribution<double>(2, 12)(random);
+        }
+        return 0.0;
+    };
+    submit_steady_jobs(cluster, 110);
+    for (double t = 25; t < 100; t += 13)
+        cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.run_until(260);
+    EXPECT_GT(late, kind == "types" ? 0u : 2u);
+    expect_no_failures(cluster);
+}
+
+// The key-value store answers slowly, up to the edge of a leader's lease, while users cancel and ask, refuses
+// the leader alone in between, and is then out for all.
+TEST(FaultCombination, KeepsAllRulesWhenKeyValueStoreIsSlowAtTheEdgeOfALease) {
+    spdlog::set_level(spdlog::level::off);
+    for (double by : {0.6, 1.2, 1.6}) {
+        SimulatedCluster cluster({});
+        submit_steady_jobs(cluster, 110);
+        for (double t = 25; t < 95; t += 20) {
+            cluster.at(t, [&cluster, by] { cluster.slow_key_value_store(15, by); });
+            cluster.at(t + 6, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 4); });
+            cluster.at(t + 9, [&cluster] { cluster.start_key_value_store_outage(3); });
+        }
+        cluster.run_until(260);
+        for (auto& failure : find_failures(cluster)) ADD_FAILURE() << by << ": " << failure;
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::simulation
--- /dev/null
+++ b/tests/scenarios/fault_combinations_task_ends_test.cpp
@@ -0,0 +1,50 @@
+// Ends of tasks that are far apart, as leaders change.
+#include "scenarios/parameter_names.hpp"
+#include "scenarios/scenario_support.hpp"
+
+namespace coralhitch::simulation {
+namespace {
+
+// Jobs of two or three tasks that end far apart, and the leader ends in between, or right when an end was
+// reported to it alone.
+class TaskEndsFarApart : public testing::TestWithParam<std::tuple<const char*, bool>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, TaskEndsFarApart,
+                         testing::Combine(testing::Values("batch", "gang"), testing::Bool()), [](auto& info) {
+                             auto shape = std::get<0>(info.param);
+                             auto at_report = std::get<1>(info.param);
+                             return camel_case(shape) + (at_report ? "AtEachHeartbeat" : "AtFixedTimes");
+                         });
+TEST_P(TaskEndsFarApart, AreStoredOnce) {
+    spdlog::set_level(spdlog::level::off);
+    auto [shape, at_report] = GetParam();
+    Options options;
+    options.machines = 1;
+    SimulatedCluster cluster(options);
+    bool gang = std::string(shape) == "gang";
+    // One at a time finds room.
+    cluster.at(2, [&cluster, s = std::string(shape), gang] {
+        cluster.submit("j-1", s, gang ? 1 : 3, 8, {{"cards", 3.0}, {"driftwood", false}});
+    });
+    cluster.at(3, [&cluster] { cluster.submit("j-2", "service", 1, 0, {{"driftwood", false}}); });
+    std::set<std::string> crashed;
+    if (at_report)
+        cluster.on_message = [&](auto&, auto&, auto& request) {
+            if (request.target != protocol::paths::report || request.body.find("exited") == std::string::npos)
+                return;
+            auto ended = std::to_string(cluster.jobs["j-1"].tasks_done.size());
+            if (!crashed.insert(ended).second) return;
+            cluster.at(cluster.now() + 0.012, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
+        };
+    else
+        for (double t = 17; t < 70; t += 4.5)
+            cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
+    cluster.run_until(170);
+    EXPECT_TRUE(cluster.jobs["j-1"].done);
+    EXPECT_EQ(cluster.jobs["j-1"].tasks_done.size(), gang ? 1u : 3u);
+    EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
+    EXPECT_EQ(on_machines(cluster, "j-2"), 1u);
+    expect_no_violations(cluster);
+}
+
+}  // namespace
+}  // namespace coralhitch::simulation
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -41,5 +41,11 @@
         if (worker->zone == zone) n += on_machine(*worker, job);
     return n;
 }
+// A service of one task for each machine, so that none is returned; each has room for one card more.
+inline void keep_machines(SimulatedCluster& cluster) {
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0, {{"cards", 3.0}});
+    });
+}
 
 }  // namespace coralhitch::simulation
