--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -86,8 +86,7 @@
      }},
     {"three machines are cut off for longer than a lease",
      [](SimulatedCluster& cluster) {
-         for (std::size_t k : {0, 2, 4})
-             cluster.partition("10.1.0." + std::to_string(k + 1), "10.0.", 40, false);
+         for (std::size_t k : {0, 2, 4}) cluster.partition("10.1.0." + std::to_string(k + 1), "10.0.", 40);
          cluster.start_cloud_outage(40);
      }},
 };
--- a/tests/scenarios/dependency_test.cpp
+++ b/tests/scenarios/dependency_test.cpp
@@ -75,7 +75,7 @@
         cluster.cancel("j-10");
         cluster.run_until(30.2);  // told, and hardly anything else
         ASSERT_TRUE(cluster.jobs["j-10"].cancelled);
-        cluster.start_key_value_store_outage(options.cancel_s + 1);
+        cluster.key_value_store.start_outage(options.cancel_s + 1);
         cluster.at(30.2 + options.cancel_s, [&cluster] { cluster.crash(leader_of(cluster), 4); });
         cluster.run_until(120);
         expect_no_violations(cluster);
@@ -123,11 +123,11 @@
     ASSERT_TRUE(cluster.jobs["j-1"].done);
     for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 1);  // whoever answers starts with nothing
     cluster.run_until(31.2);
-    cluster.reads.clear();
+    cluster.key_value_store.reads.clear();
     for (int k = 0; k < 5; ++k) cluster.query_all_jobs();
     cluster.run_until(36);
-    EXPECT_GT(cluster.reads["/kv/final/j-1"], 0u);
-    EXPECT_LE(cluster.reads["/kv/final/j-1"],
+    EXPECT_GT(cluster.key_value_store.reads["/kv/final/j-1"], 0u);
+    EXPECT_LE(cluster.key_value_store.reads["/kv/final/j-1"],
               8u);  // three controllers, the leader once more, users of j-1 itself
     expect_no_violations(cluster);
 }
--- a/tests/scenarios/failover_faults_test.cpp
+++ b/tests/scenarios/failover_faults_test.cpp
@@ -24,7 +24,9 @@
      }},
     {"leader cut from the state service, packets held",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
-         cluster.at(40, [&cluster] { cluster.partition(host_of(leader_of(cluster)), "10.2.0.1", 30, true); });
+         cluster.at(40, [&cluster] {
+             cluster.partition(host_of(leader_of(cluster)), "10.2.0.1", 30, Packets::held);
+         });
      }},
     {"leader refused by the state service alone",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
@@ -32,19 +34,20 @@
      }},
     {"leader cut from the workers, packets held",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
-         cluster.at(40, [&cluster] { cluster.partition(host_of(leader_of(cluster)), "10.1.", 30, true); });
+         cluster.at(
+             40, [&cluster] { cluster.partition(host_of(leader_of(cluster)), "10.1.", 30, Packets::held); });
      }},
     {"leader cut from all, packets held, machines hang over the takeover",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(40, [&cluster] {
-             cluster.partition(host_of(leader_of(cluster)), "10.", 35, true);
+             cluster.partition(host_of(leader_of(cluster)), "10.", 35, Packets::held);
              cluster.hang_machine(1, 20);
              cluster.hang_machine(2, 33);
          });
      }},
     {"state outage, then all crash",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
-         cluster.at(40, [&cluster] { cluster.start_key_value_store_outage(20); });
+         cluster.at(40, [&cluster] { cluster.key_value_store.start_outage(20); });
          cluster.at(57, [&cluster] {
              for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 5);
          });
@@ -73,7 +76,7 @@
     {"leader stands still through a state outage, another controller crashes",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(40, [&cluster] {
-             cluster.start_key_value_store_outage(14);
+             cluster.key_value_store.start_outage(14);
              cluster.freeze(leader_of(cluster), 15);
              cluster.crash((leader_of(cluster) + 1) % 3, 6);
          });
@@ -95,14 +98,15 @@
                      case 2:
                          return cluster.crash_machine(which);
                      case 3:
-                         return cluster.start_key_value_store_outage(duration_s / 2);
+                         return cluster.key_value_store.start_outage(duration_s / 2);
                      case 4:
                          return cluster.start_cloud_outage(duration_s);
                      case 5:
                          return cluster.freeze(which % 3, duration_s);
                      default:
                          return cluster.partition("10.0.0." + std::to_string(which % 3 + 1),
-                                                  which % 2 ? "10.1." : "10.2.0.1", duration_s, true);
+                                                  which % 2 ? "10.1." : "10.2.0.1", duration_s,
+                                                  Packets::held);
                  }
              });
          }
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -46,7 +46,7 @@
         std::size_t before = cluster.starts;
         auto first = leader_of(cluster);
         for (std::size_t k = 0; k < 3; ++k)
-            if ((k == first) != test_case.new_leader) cluster.partition(host_of(k), "10.1.", 40, false);
+            if ((k == first) != test_case.new_leader) cluster.partition(host_of(k), "10.1.", 40);
         if (test_case.new_leader) cluster.crash(first, 1);
         cluster.run_until(90);
         if (!test_case.relay_heartbeats) {
@@ -121,14 +121,14 @@
         {"all is well", [](SimulatedCluster&) {}, true, true},
         {"one has its workers only",
          [](SimulatedCluster& cluster) {
-             cluster.partition("10.0.0.1", "10.2.0.1", 30, false);
-             cluster.partition("10.0.0.1", "10.0.", 30, false);
+             cluster.partition("10.0.0.1", "10.2.0.1", 30);
+             cluster.partition("10.0.0.1", "10.0.", 30);
          },
          false, true},
         {"one is refused by the state service",
          [](SimulatedCluster& cluster) { cluster.refuse_at_key_value_store(0, 30); }, false, true},
         {"nobody has the state service",
-         [](SimulatedCluster& cluster) { cluster.start_key_value_store_outage(30); }, true, true},
+         [](SimulatedCluster& cluster) { cluster.key_value_store.start_outage(30); }, true, true},
         {"one answer was refused",
          [](SimulatedCluster& cluster) {
              cluster.at(cluster.now() + 9.2, [&cluster] { cluster.refuse_at_key_value_store(0, 0.7); });
@@ -155,9 +155,9 @@
         auto leader = leader_of(cluster);
         cluster.remove_from_load_balancer(leader);
         if (all)
-            cluster.hide_from(leader, "j-7");
+            cluster.hide_job_from(leader, "j-7");
         else
-            cluster.hide_from_watches("j-7");
+            cluster.key_value_store.hide_job_from_watches("j-7");
         cluster.at(10, [&cluster] { cluster.submit("j-7", "batch", 2, 4); });
         cluster.run_until(all ? 130 : 25);
         EXPECT_TRUE(cluster.jobs["j-7"].done);
@@ -211,7 +211,7 @@
             options.reduced_value_kb = 2;
             options.limits_reduced_at = 40;
             SimulatedCluster cluster(options);
-            if (lower) cluster.reduce_limits_further(1, 4);
+            if (lower) cluster.key_value_store.reduce_limits_further({1, 4});
             cluster.at(2, [&cluster] {
                 cluster.submit("j-1", "service", 8, 0);
                 json large{{"cohort", std::string(500, 'c')}, {"payload", std::string(500, 'p')}};
--- a/tests/scenarios/fault.hpp
+++ b/tests/scenarios/fault.hpp
@@ -42,7 +42,6 @@
     small_job_stream
 };
 inline constexpr std::size_t fault_kind_count = static_cast<std::size_t>(FaultKind::small_job_stream) + 1;
-inline constexpr std::size_t controller_count = 3;
 // As the target of a fault: the controller that leads when the fault begins.
 inline constexpr std::size_t current_leader = controller_count;
 
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -14,7 +14,7 @@
 // Whether the key-value store's page of machines names this one.
 bool stored(const SimulatedCluster& cluster, const std::string& id) {
     try {
-        return cluster.record("mach/page/0").find(id) != std::string::npos;
+        return cluster.key_value_store.record("mach/page/0").find(id) != std::string::npos;
     } catch (const std::out_of_range&) {
         return false;  // no page yet
     }
@@ -71,7 +71,7 @@
     std::optional<double> late_at, run_at;
     std::string machine;
     bool was_stored = false, claimed = false;
-    cluster.transaction_delay = [&](const json& txn) {
+    cluster.key_value_store.transaction_delay = [&](const json& txn) {
         if (writes(txn, "leader") && run_at) claimed = true;
         bool names_new = writes(txn, "mach/page/") && cluster.workers.size() > first_new &&
                          txn.dump().find(cluster.workers[first_new]->id) != std::string::npos;
@@ -89,7 +89,7 @@
         was_stored = stored(cluster, machine);
         cluster.start_cloud_outage(60);
         cluster.cancel("j-8");  // gives room to the old machines
-        cluster.partition("10.0.", worker.addr, lease_s * 0.75, false);
+        cluster.partition("10.0.", worker.addr, lease_s * 0.75);
         cluster.crash(leader_of(cluster), 0.2);
     });
     if (test_case.write == FirstWrite::slow)
@@ -128,7 +128,7 @@
         cluster.run_until(25);
         std::size_t lost = 0, first_new = cluster.workers.size();
         bool ended = false, was_stored = true;
-        cluster.transaction_delay = [&](const json& txn) {
+        cluster.key_value_store.transaction_delay = [&](const json& txn) {
             if (ended || !writes(txn, "mach/page/")) return 0.0;
             if (lost++ == 0)
                 cluster.at(cluster.now() + 4, [&] {
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -17,7 +17,7 @@
 // The service's answers to this controller don't show that the job is cancelled, so that only notices tell
 // it. Users are not led there: it would tell them what it was told.
 void hide_cancellation_from(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
-    cluster.hide_from(node, id);
+    cluster.hide_job_from(node, id);
     cluster.remove_from_load_balancer(node);
 }
 // Two jobs on all machines, one that is cancelled and one that stays.
@@ -38,7 +38,7 @@
     fill_machines(cluster);
     auto leader = leader_of(cluster), other = (leader + 1) % 3;
     hide_cancellation_from(cluster, leader, "j-1");
-    cluster.partition(host_of(other), host_of(leader), 3, false);
+    cluster.partition(host_of(other), host_of(leader), 3);
     cancel_at(cluster, other, "j-1");
     cluster.run_until(32);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
@@ -105,7 +105,7 @@
         });
     };
     cluster.crash(old, 12);
-    cluster.slow_key_value_store(6, 0.25);
+    cluster.key_value_store.slow_down(6, 0.25);
     cluster.run_until(41);
     ASSERT_TRUE(claimed);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
@@ -139,11 +139,10 @@
     ASSERT_EQ(on_machines(cluster, "j-1"), 9u);
     auto old = leader_of(cluster);
     cluster.start_cloud_outage(100);
-    cluster.partition(host_of(old), "10.1.", 20, true);  // what it has sent comes 20 s later
+    cluster.partition(host_of(old), "10.1.", 20, Packets::held);  // what it has sent comes 20 s later
     cluster.at(40.3, [&cluster, old] { cluster.crash(old, 0.2); });
     cluster.at(40 + after, [&cluster] { cluster.cancel("j-1"); });
-    cluster.at(40 + after + cut_after,
-               [&cluster] { cluster.partition_one_way("10.0.", "10.1.", 60, false); });
+    cluster.at(40 + after + cut_after, [&cluster] { cluster.partition_one_way("10.0.", "10.1.", 60); });
     cluster.run_until(160);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
     EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
@@ -180,7 +179,7 @@
         if (!starts || begun) return;
         begun = cluster.now();
         cluster.at(cluster.now() + 0.004, [&cluster, old] {
-            cluster.partition(host_of(old), "10.1.", 5, true);
+            cluster.partition(host_of(old), "10.1.", 5, Packets::held);
             cluster.crash(old, 9);
         });
         cluster.at(cluster.now() + after, [&cluster] { cluster.cancel("j-1"); });
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -60,7 +60,7 @@
     SimulatedCluster cluster(options);
     keep_machines(cluster);
     cluster.run_until(30);
-    cluster.partition_one_way("10.0.", "10.1.", 13, false);
+    cluster.partition_one_way("10.0.", "10.1.", 13);
     cluster.start_cloud_outage(90);
     std::map<std::string, http::Request> held;
     std::string met;
@@ -73,7 +73,7 @@
             return;
         met = from;
         cluster.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
-        cluster.at(cluster.now() + 0.4, [&cluster] { cluster.partition("10.0.", "10.1.", 60, false); });
+        cluster.at(cluster.now() + 0.4, [&cluster] { cluster.partition("10.0.", "10.1.", 60); });
     };
     cluster.submit("j-1", "batch", 12, 300);
     cluster.at(31.5, [&cluster] { cluster.cancel("j-1"); });
@@ -98,7 +98,7 @@
             cluster.at(t, [&cluster] {
                 auto leader = leader_of(cluster);
                 cluster.partition(host_of(leader), "10.", 4,
-                                  true);  // held, and sent on when its second life leads
+                                  Packets::held);  // held, and sent on when its second life leads
                 cluster.crash(leader, 0.1);
             });
             cluster.at(t + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -38,8 +38,8 @@
     auto old_leader = leader_of(cluster);
     cluster.remove_from_load_balancer(old_leader);
     if (test_case.late_watch)
-        for (auto* id : {"j-1", "j-2"}) cluster.hide_from_watches(id);
-    cluster.partition(host_of(old_leader), "10.0.", 90, false);
+        for (auto* id : {"j-1", "j-2"}) cluster.key_value_store.hide_job_from_watches(id);
+    cluster.partition(host_of(old_leader), "10.0.", 90);
     cluster.refuse_at_key_value_store(old_leader, test_case.refused_s);
     cluster.at(30.3, [&cluster] {
         cluster.cancel("j-1");
@@ -47,13 +47,13 @@
     });
     double outage_s = test_case.again ? test_case.refused_s - (test_case.outage_from_s - 30) - 0.05 : 70;
     cluster.at(test_case.outage_from_s,
-               [&cluster, outage_s] { cluster.start_key_value_store_outage(outage_s); });
+               [&cluster, outage_s] { cluster.key_value_store.start_outage(outage_s); });
     if (test_case.crash) cluster.at(33, [&cluster, old_leader] { cluster.crash(old_leader, 0.1); });
     if (test_case.again)
         cluster.on_message = [&cluster, old_leader, begun = false](auto& from, auto&, auto& request) mutable {
             bool renews = from == cluster.addr_of(old_leader) && request.target.ends_with("/renew");
             if (!renews || cluster.now() < 40 || std::exchange(begun, true)) return;
-            cluster.at(cluster.now() + 0.009, [&cluster] { cluster.start_key_value_store_outage(70); });
+            cluster.at(cluster.now() + 0.009, [&cluster] { cluster.key_value_store.start_outage(70); });
         };
     cluster.run_until(31);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled && cluster.jobs["j-2"].cancelled);
@@ -88,7 +88,7 @@
     ASSERT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2") + on_machines(cluster, "j-3"), 13u);
     for (std::size_t machine = 0; machine < 3; ++machine) {
         if (both_ways)
-            cluster.partition("10.0.", cluster.workers[machine]->addr, for_s, false);
+            cluster.partition("10.0.", cluster.workers[machine]->addr, for_s);
         else
             cluster.partition_one_way("10.0.", cluster.workers[machine]->addr, for_s);
     }
@@ -161,8 +161,8 @@
     cluster.run_until(15);
     auto old_leader = leader_of(cluster);
     cluster.remove_from_load_balancer(old_leader);
-    cluster.partition(host_of(old_leader), "10.2.0.1", 60, true);
-    cluster.partition(host_of(old_leader), "10.0.", 60, true);
+    cluster.partition(host_of(old_leader), "10.2.0.1", 60, Packets::held);
+    cluster.partition(host_of(old_leader), "10.0.", 60, Packets::held);
     cluster.at(16, [&cluster] { cluster.cancel("j-1"); });
     cluster.at(16, [&cluster] { cluster.cancel("j-2"); });
     std::size_t asked = 0, answered = 0;
--- a/tests/scenarios/fault_combinations_late_transactions_test.cpp
+++ b/tests/scenarios/fault_combinations_late_transactions_test.cpp
@@ -13,7 +13,7 @@
     options.machines = 1;
     SimulatedCluster cluster(options);
     std::size_t written = 0;
-    cluster.transaction_delay = [&](const json& txn) {
+    cluster.key_value_store.transaction_delay = [&](const json& txn) {
         for (auto& change : txn["then"])
             if (change.value("put", "").starts_with("prog/") && written++ == 0) {
                 cluster.at(cluster.now() + 11.2, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
@@ -45,7 +45,7 @@
     SimulatedCluster cluster({});
     std::minstd_rand random(7);
     std::size_t late = 0;
-    cluster.transaction_delay = [&](const json& txn) {
+    cluster.key_value_store.transaction_delay = [&](const json& txn) {
         for (auto& change : txn["then"]) {
             auto key = change.value("put", change.value("drop", ""));
             // Not so many that nobody leads for long.
@@ -71,9 +71,9 @@
         SimulatedCluster cluster({});
         submit_steady_jobs(cluster, 110);
         for (double t = 25; t < 95; t += 20) {
-            cluster.at(t, [&cluster, by] { cluster.slow_key_value_store(15, by); });
+            cluster.at(t, [&cluster, by] { cluster.key_value_store.slow_down(15, by); });
             cluster.at(t + 6, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 4); });
-            cluster.at(t + 9, [&cluster] { cluster.start_key_value_store_outage(3); });
+            cluster.at(t + 9, [&cluster] { cluster.key_value_store.start_outage(3); });
         }
         cluster.run_until(260);
         for (auto& failure : find_failures(cluster)) ADD_FAILURE() << by << ": " << failure;
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -19,7 +19,7 @@
     SimulatedCluster cluster({});
     std::minstd_rand random(11);
     std::size_t lost = 0;
-    cluster.transaction_delay = [&](const json& txn) {
+    cluster.key_value_store.transaction_delay = [&](const json& txn) {
         for (auto& change : txn["then"]) {
             bool ours = change.value("put", change.value("drop", "")).starts_with(kind);
             if (!ours || cluster.now() > 100 || random() % 3) continue;
@@ -49,7 +49,7 @@
     std::optional<double> claimed, led;
     std::optional<std::size_t> claimer;
     std::size_t commands = 0;
-    cluster.transaction_delay = [&](const json& txn) {
+    cluster.key_value_store.transaction_delay = [&](const json& txn) {
         for (auto& change : txn["then"]) {
             if (claimed || cluster.now() < 30 || change.value("put", "") != "leader") continue;
             claimed = cluster.now();
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -86,8 +86,8 @@
     if (fault == FaultDuringRequest::types_unknown)
         cluster.start_cloud_outage(fault_at_s + fault_s);  // from the start
     cluster.at(fault_at_s, [&cluster, fault] {
-        if (fault == FaultDuringRequest::state_out) cluster.start_key_value_store_outage(fault_s);
-        if (fault == FaultDuringRequest::state_slow) cluster.slow_key_value_store(fault_s, 1.5);
+        if (fault == FaultDuringRequest::state_out) cluster.key_value_store.start_outage(fault_s);
+        if (fault == FaultDuringRequest::state_slow) cluster.key_value_store.slow_down(fault_s, 1.5);
         if (fault == FaultDuringRequest::refused)
             cluster.refuse_at_key_value_store(leader_of(cluster), fault_s);
         if (fault == FaultDuringRequest::leader_ended || fault == FaultDuringRequest::all_ended)
@@ -151,7 +151,7 @@
     EXPECT_TRUE(by_503 == 0 || fault != FaultDuringRequest::nothing);
     EXPECT_LE(accepted, 3u);  // each once
     for (auto& request : invalid_requests)
-        EXPECT_THROW(cluster.record("job/" + request.id), std::out_of_range) << request.id;
+        EXPECT_THROW(cluster.key_value_store.record("job/" + request.id), std::out_of_range) << request.id;
     expect_no_violations(cluster);
 }
 
@@ -165,7 +165,7 @@
                                                        // stored of them
         cluster.at(fault_at_s - 0.1, [&cluster] {
             cluster.start_cloud_outage(fault_s);
-            cluster.tamper_with_record("types", std::nullopt);
+            cluster.key_value_store.tamper_with("types", std::nullopt);
             for (std::size_t n = 0; n < controllers; ++n) cluster.crash(n, 0.2);
         });
     } else {
@@ -180,7 +180,8 @@
     cluster.run_until(fault_at_s - 0.5);
     ASSERT_TRUE(cluster.jobs["j-3"].done && cluster.jobs["j-4"].done);
     std::map<std::string, std::string> first;
-    for (auto* key : {"job/j-1", "job/j-2", "final/j-3", "final/j-4"}) first[key] = cluster.record(key);
+    for (auto* key : {"job/j-1", "job/j-2", "final/j-3", "final/j-4"})
+        first[key] = cluster.key_value_store.record(key);
     std::size_t sent = 0, answered = 0, good = 0;
     auto judge = [&](const std::string& id, const char* over, bool afterwards) {
         return [&, id, over, afterwards](http::Response response) {
@@ -224,9 +225,9 @@
     cluster.run_until(110);
     EXPECT_EQ(answered, sent);
     EXPECT_GT(good, sent / 8);
-    for (auto& [key, value] : first) EXPECT_EQ(cluster.record(key), value) << key;
+    for (auto& [key, value] : first) EXPECT_EQ(cluster.key_value_store.record(key), value) << key;
     for (auto* key : {"final/j-1", "final/j-2", "job/j-3", "job/j-4"})
-        EXPECT_THROW(cluster.record(key), std::out_of_range) << key;
+        EXPECT_THROW(cluster.key_value_store.record(key), std::out_of_range) << key;
     EXPECT_EQ(on_machines(cluster, "j-1"), 2u);
     EXPECT_EQ(on_machines(cluster, "j-2"), 2u);
     EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -13,7 +13,7 @@
     if (how == Unavailability::hang) cluster.hang_machine(machine, for_s);
     if (how == Unavailability::hang_briefly) cluster.hang_machine(machine, 9);
     if (how == Unavailability::no_answers) cluster.partition_one_way("10.0.", worker.addr, for_s);
-    if (how == Unavailability::cut_off) cluster.partition("10.0.", worker.addr, for_s, false);
+    if (how == Unavailability::cut_off) cluster.partition("10.0.", worker.addr, for_s);
 }
 
 // The bound that docs/design.md states, after the last change of the leader: the new one counts on the one
@@ -163,7 +163,7 @@
     std::size_t unreached = 0;
     for (auto& worker : cluster.workers)
         if (on_machine(*worker, "j-1") > 0 && unreached++ % 2 == 0)
-            cluster.partition("10.0.", worker->addr, 70, false);
+            cluster.partition("10.0.", worker->addr, 70);
     ASSERT_GT(unreached, 1u);
     cluster.at(30, [&cluster] { cluster.crash(leader_of(cluster), 5); });
     cluster.at(30 + cancelled_after, [&cluster] { cluster.cancel("j-1"); });
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -75,7 +75,7 @@
         ++lost;
         if (test_case.loss == Loss::one_dies || test_case.loss == Loss::zone_dies) cluster.crash_machine(k);
         if (test_case.loss == Loss::zone_hangs) cluster.hang_machine(k, away_s);
-        if (test_case.loss == Loss::zone_cut_off) cluster.partition("10.0.", worker.addr, away_s, false);
+        if (test_case.loss == Loss::zone_cut_off) cluster.partition("10.0.", worker.addr, away_s);
     }
     ASSERT_GT(lost, 0u);
     if (test_case.leader_ends) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
@@ -111,7 +111,7 @@
     ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
     double proven_s = options.cancel_s + 2 * options.report_s;
     cluster.start_cloud_outage(proven_s + 10);
-    cluster.partition("10.0.", cluster.workers[GetParam()]->addr, proven_s + 10, false);
+    cluster.partition("10.0.", cluster.workers[GetParam()]->addr, proven_s + 10);
     cluster.run_until(30 + proven_s);
     EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
     cluster.faults_over_at = 30 + proven_s + 10;
@@ -167,10 +167,10 @@
         });
     cluster.at(30, [&cluster] { cluster.hang_machine(0, 8); });
     cluster.at(36, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
-    cluster.at(41, [&cluster] { cluster.partition("10.0.", cluster.workers[3]->addr, 30, false); });
+    cluster.at(41, [&cluster] { cluster.partition("10.0.", cluster.workers[3]->addr, 30); });
     cluster.at(47, [&cluster] { cluster.crash(leader_of(cluster), 4); });
     cluster.at(56, [&cluster] { cluster.hang_machine(4, 28); });
-    cluster.at(58, [&cluster] { cluster.start_key_value_store_outage(5); });
+    cluster.at(58, [&cluster] { cluster.key_value_store.start_outage(5); });
     cluster.at(66, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     cluster.faults_over_at = 86;
     std::map<std::string, double> done_at;
--- a/tests/scenarios/fault_injection.cpp
+++ b/tests/scenarios/fault_injection.cpp
@@ -55,7 +55,8 @@
 
 void partition_target_from(SimulatedCluster& cluster, const Fault& fault, const std::string& others) {
     auto controller = target_controller(cluster, fault);
-    cluster.partition(host_of_controller(controller), others, fault.for_s, fault.hold_packets);
+    cluster.partition(host_of_controller(controller), others, fault.for_s,
+                      fault.hold_packets ? Packets::held : Packets::dropped);
 }
 void partition_two_controllers(SimulatedCluster& cluster, const Fault& fault) {
     auto other = (target_controller(cluster, fault) + 1 + fault.amount % 2) % controller_count;
@@ -74,8 +75,10 @@
 void partition_zone(SimulatedCluster& cluster, const Fault& fault) {
     auto zone = fault.target % 2;
     for (std::size_t machine = zone; machine < cluster.workers.size(); machine += 2)
-        cluster.partition(cluster.workers[machine]->addr, all_hosts, fault.for_s, fault.hold_packets);
-    cluster.partition(host_of_controller(zone), all_hosts, fault.for_s, fault.hold_packets);
+        cluster.partition(cluster.workers[machine]->addr, all_hosts, fault.for_s,
+                          fault.hold_packets ? Packets::held : Packets::dropped);
+    cluster.partition(host_of_controller(zone), all_hosts, fault.for_s,
+                      fault.hold_packets ? Packets::held : Packets::dropped);
 }
 // From all controllers, or from one.
 void make_outbound_unreachable(SimulatedCluster& cluster, const Fault& fault) {
@@ -108,10 +111,10 @@
     cluster.refuse_at_key_value_store(target_controller(cluster, fault), fault.for_s);
 }
 void start_key_value_store_outage(SimulatedCluster& cluster, const Fault& fault) {
-    cluster.start_key_value_store_outage(fault.for_s);
+    cluster.key_value_store.start_outage(fault.for_s);
 }
 void slow_key_value_store(SimulatedCluster& cluster, const Fault& fault) {
-    cluster.slow_key_value_store(fault.for_s, key_value_store_delay_s(fault));
+    cluster.key_value_store.slow_down(fault.for_s, key_value_store_delay_s(fault));
 }
 void start_cloud_outage(SimulatedCluster& cluster, const Fault& fault) {
     cluster.start_cloud_outage(fault.for_s);
@@ -120,11 +123,12 @@
 void delay_transactions(SimulatedCluster& cluster, const Fault& fault,
                         double (*draw_delay)(std::minstd_rand&)) {
     auto random = std::make_shared<std::minstd_rand>(fault.amount + fault.target);
-    cluster.transaction_delay = [&cluster, random, draw_delay, earlier = cluster.transaction_delay,
-                                 until = cluster.now() + fault.for_s](const json& transaction) {
-        if (double delay = earlier ? earlier(transaction) : 0; delay != 0) return delay;
-        return cluster.now() > until || (*random)() % 4 ? 0.0 : draw_delay(*random);
-    };
+    cluster.key_value_store.transaction_delay =
+        [&cluster, random, draw_delay, earlier = cluster.key_value_store.transaction_delay,
+         until = cluster.now() + fault.for_s](const json& transaction) {
+            if (double delay = earlier ? earlier(transaction) : 0; delay != 0) return delay;
+            return cluster.now() > until || (*random)() % 4 ? 0.0 : draw_delay(*random);
+        };
 }
 void carry_transactions_out_late(SimulatedCluster& cluster, const Fault& fault) {
     delay_transactions(cluster, fault,
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -48,7 +48,7 @@
             cluster.run_until(40);
             ASSERT_TRUE(met);
             ASSERT_EQ(told.size(), nodes);
-            auto record = cluster.stored("final/j-1");
+            auto record = cluster.key_value_store.stored("final/j-1");
             ASSERT_TRUE(record);
             auto state = json::parse(*record)["state"].get<std::string>();
             won.insert(state);
@@ -72,7 +72,7 @@
         Options options;
         SimulatedCluster cluster(options);
         std::size_t lost = 0, written = 0;
-        cluster.transaction_delay = [&](const json& txn) {
+        cluster.key_value_store.transaction_delay = [&](const json& txn) {
             for (auto& change : txn["then"])
                 if (change.value("put", "") == "final/j-1") {
                     ++written;
@@ -104,7 +104,7 @@
         EXPECT_EQ(cluster.starts, 3u);
         // It is read what became of the first, so that no second one is spent on a job that has ended.
         EXPECT_EQ(written, late < options.report_s / 2 ? 1u : 2u);
-        EXPECT_FALSE(cluster.stored("job/j-1"));
+        EXPECT_FALSE(cluster.key_value_store.stored("job/j-1"));
         EXPECT_TRUE(cluster.jobs["j-2"].done && cluster.jobs["j-3"].done);
         expect_no_violations(cluster);
     }
@@ -137,15 +137,16 @@
         if (n++ % 4 == 0) cluster.at(t + 4, [&cluster, id] { cluster.cancel(id); });
     }
     auto of_jobs = [&cluster] {
-        return cluster.changes["job"] + cluster.changes["final"] + cluster.changes["prog"];
+        return cluster.key_value_store.changes["job"] + cluster.key_value_store.changes["final"] +
+               cluster.key_value_store.changes["prog"];
     };
     cluster.run_until(until + 60);
     double worst = 0;
     std::size_t done = 0, cancelled = 0;
     for (auto& [id, job] : cluster.jobs) {
         EXPECT_TRUE(job.accepted) << id;
-        EXPECT_FALSE(cluster.stored("job/" + id)) << id;
-        EXPECT_TRUE(cluster.stored("final/" + id)) << id;
+        EXPECT_FALSE(cluster.key_value_store.stored("job/" + id)) << id;
+        EXPECT_TRUE(cluster.key_value_store.stored("final/" + id)) << id;
         cancelled += job.cancelled;
         if (job.cancelled) continue;
         ++done;
@@ -157,7 +158,7 @@
     EXPECT_EQ(done + cancelled, n);
     EXPECT_GE(cancelled, n / 5);
     EXPECT_LT(worst, 2.2);
-    EXPECT_EQ(cluster.changes_refused, 0u);
+    EXPECT_EQ(cluster.key_value_store.changes_refused, 0u);
     // Three changes for one that is done, four for one that is cancelled.
     EXPECT_EQ(of_jobs(), 3 * done + 4 * cancelled);
     expect_no_violations(cluster);
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -36,7 +36,8 @@
     std::vector<std::string> in{host_of(controller_inside)}, out{"10.2.", host_of(0), host_of(2)};
     for (auto& worker : cluster.workers) (worker->zone == "b" ? in : out).push_back(host_of(*worker));
     for (auto& inside : in)
-        for (auto& outside : out) cluster.partition(inside, outside, for_s, hold);
+        for (auto& outside : out)
+            cluster.partition(inside, outside, for_s, hold ? Packets::held : Packets::dropped);
     cluster.remove_from_load_balancer(controller_inside);
 }
 
@@ -127,7 +128,7 @@
         });
     if (test_case.outage_s > 0)
         cluster.at(30 + 12 * 4 - 1,
-                   [&cluster, test_case] { cluster.start_key_value_store_outage(test_case.outage_s); });
+                   [&cluster, test_case] { cluster.key_value_store.start_outage(test_case.outage_s); });
     cluster.at(100, [&cluster] { cluster.cancel("j-2"); });
     cluster.run_until(200);
     EXPECT_EQ(with_expired_lease(cluster), 0u);
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -50,12 +50,12 @@
     {"a start is replicated to a follower that is cut off, its messages held",
      [](auto& request) { return request.target == protocol::peer_fleet_path; },
      [](SimulatedCluster& cluster, std::size_t leader) {
-         cluster.partition(host_of((leader + 1) % 3), "10.", 25, true);
+         cluster.partition(host_of((leader + 1) % 3), "10.", 25, Packets::held);
          cluster.at(cluster.now() + 4, [&cluster, leader] { cluster.crash(leader, 5); });
      }},
     {"a start is sent while the state service is out", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) {
-         cluster.start_key_value_store_outage(10);
+         cluster.key_value_store.start_outage(10);
          cluster.crash(leader, 5);
      }},
     {"a third of the machines and two controllers at once", starts_a_task,
@@ -70,12 +70,12 @@
      [](SimulatedCluster& cluster, std::size_t leader) {
          for (std::size_t k = 0; k < 12; k += 2) cluster.hang_machine(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
-             if (k != leader) cluster.partition(host_of(leader), host_of(k), 20, false);
+             if (k != leader) cluster.partition(host_of(leader), host_of(k), 20);
          cluster.at(cluster.now() + 0.3, [&cluster, leader] { cluster.crash(leader, 5); });
      }},
     {"the leader is cut off with a zone, packets held", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) {
-         cluster.partition(host_of(leader), "10.", 30, true);
+         cluster.partition(host_of(leader), "10.", 30, Packets::held);
      }},
 };
 
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -18,6 +18,10 @@
     SimulatedCluster& cluster_;
     std::string from_;
 };
+
+std::string label_of(std::size_t node) {
+    return "berth-" + std::to_string(node);
+}
 }  // namespace
 
 // Here, where the controller's type is complete.
@@ -26,79 +30,76 @@
 Node& Node::operator=(Node&&) noexcept = default;
 Node::~Node() = default;
 
-double HostTimers::now() const {
-    return cluster_.now();
-}
-event_loop::TimerId HostTimers::after(double period_s, event_loop::Task task) {
-    auto id = next_++;
-    fire(id, cluster_.now() + std::max(0.0, period_s), std::move(task));
-    return id;
-}
-void HostTimers::fire(event_loop::TimerId id, double due, event_loop::Task task) {
-    cluster_.at(due, [this, alive = alive_, cancelled = cancelled_, id, task = std::move(task)] {
-        if (!*alive || cancelled->erase(id)) return;
-        if (frozen_until() > now()) return fire(id, frozen_until(), task);
-        task();
-    });
-}
-
 SimulatedCluster::SimulatedCluster(Options options)
     : options_(options),
       checker_(rules_of(options)),
       random_(options.seed),
-      changes_left_(options.write_rps, options.write_rps) {
-    for (std::size_t k = 0; k < 3; ++k) {
+      key_value_store(events_, random_,
+                      {.limits = {options.value_kb, options.txn_ops},
+                       .reduced_limits = {options.reduced_value_kb, options.reduced_txn_ops},
+                       .limits_reduced_at = options.limits_reduced_at,
+                       .write_rps = options.write_rps}) {
+    key_value_store.on_change = [this](const std::string& key) {
+        auto job = jobs.find(key.substr(key.find('/') + 1));
+        if (job != jobs.end() && key.starts_with("final/")) job->second.stored_at = now();
+    };
+    for (std::size_t k = 0; k < controller_count; ++k) {
         Node node;
-        auto& settings = node.settings;
-        settings.label = "berth-" + std::to_string(k);
-        settings.zone = zones[k % 2];
-        settings.listen = addr_of(k);
-        settings.peer_listen = host(addr_of(k)) + ":8081";
-        for (std::size_t peer = 0; peer < 3; ++peer)
-            if (peer != k)
-                settings.peers.push_back(
-                    {"berth-" + std::to_string(peer), zones[peer % 2], host(addr_of(peer)) + ":8081"});
-        settings.state_addr = state_addr;
-        settings.cloud_addr = cloud_addr;
-        settings.nodes = 3;
-        settings.zones = zones;
-        settings.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
-        settings.report_s = options_.report_s;
-        settings.lease_s = options_.lease_s;
-        settings.cancel_s = options_.cancel_s;
-        settings.gang_wait_s = 50;
-        settings.gang_peer_s = 5;
-        settings.op.hearing = options_.relay_heartbeats;
-        settings.op.standby = !options_.without_replication.contains(k);
-        settings.state_rps = 200;
-        settings.state_write_rps = options_.write_rps;
-        settings.value_kb = options_.value_kb;
-        settings.safe_value_kb = std::min(options_.value_kb, options_.reduced_value_kb);
-        settings.txn_ops = std::min(options_.txn_ops, options_.reduced_txn_ops);
-        settings.cloud_rps = 10;
-        settings.list_lag_s = 10;
-        settings.memory_mb = 100;
-        settings.sockets = 1000;
+        node.settings = settings_for(k);
         nodes_.push_back(std::move(node));
     }
     for (std::size_t k = 0; k < options_.machines; ++k) add_machine(zones[k % 2], k % 3 == 2);
-    for (std::size_t k = 0; k < 3; ++k) boot(k);
-    auto every = [this](double period_s, auto action) {
-        auto again = std::make_shared<std::function<void()>>();
-        *again = [this, period_s, action, weak = std::weak_ptr(again)] {
-            action();
-            if (auto self = weak.lock()) at(now_ + period_s, [self] { (*self)(); });
-        };
-        at(now_ + period_s, [again] { (*again)(); });
-    };
-    every(0.1, [this] { expire_leases(); });
-    every(0.5, [this] { checker_.look(now_); });
-    every(1.0, [this] { check_health(); });
-    every(1.0, [this] { check_waiting(); });
-    every(0.05, [this] { replay_kept_heartbeats(); });
-    every(4.0, [this] { query_all_jobs(); });
+    for (std::size_t k = 0; k < controller_count; ++k) boot(k);
+    schedule_regular_work();
+}
+config::Settings SimulatedCluster::settings_for(std::size_t k) const {
+    config::Settings settings;
+    settings.label = label_of(k);
+    settings.zone = zones[k % 2];
+    settings.listen = addr_of(k);
+    settings.peer_listen = host_of_address(addr_of(k)) + ":8081";
+    for (std::size_t peer = 0; peer < 3; ++peer)
+        if (peer != k)
+            settings.peers.push_back(
+                {label_of(peer), zones[peer % 2], host_of_address(addr_of(peer)) + ":8081"});
+    settings.state_addr = state_addr;
+    settings.cloud_addr = cloud_addr;
+    settings.nodes = 3;
+    settings.zones = zones;
+    settings.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
+    settings.report_s = options_.report_s;
+    settings.lease_s = options_.lease_s;
+    settings.cancel_s = options_.cancel_s;
+    settings.gang_wait_s = 50;
+    settings.gang_peer_s = 5;
+    settings.op.hearing = options_.relay_heartbeats;
+    settings.op.standby = !options_.without_replication.contains(k);
+    settings.state_rps = 200;
+    settings.state_write_rps = options_.write_rps;
+    settings.value_kb = options_.value_kb;
+    settings.safe_value_kb = std::min(options_.value_kb, options_.reduced_value_kb);
+    settings.txn_ops = std::min(options_.txn_ops, options_.reduced_txn_ops);
+    settings.cloud_rps = 10;
+    settings.list_lag_s = 10;
+    settings.memory_mb = 100;
+    settings.sockets = 1000;
+    return settings;
+}
+void SimulatedCluster::repeat_every(double period_s, const std::function<void()>& action) {
+    at(now() + period_s, [this, period_s, action] {
+        action();
+        repeat_every(period_s, action);
+    });
+}
+void SimulatedCluster::schedule_regular_work() {
+    repeat_every(0.1, [this] { key_value_store.expire_leases(); });
+    repeat_every(0.5, [this] { checker_.look(now()); });
+    repeat_every(1.0, [this] { check_health(); });
+    repeat_every(1.0, [this] { check_waiting(); });
+    repeat_every(0.05, [this] { replay_kept_heartbeats(); });
+    repeat_every(4.0, [this] { query_all_jobs(); });
     // A hanging machine's tasks end with its lease too.
-    every(0.1, [this] {
+    repeat_every(0.1, [this] {
         for (auto& worker : workers)
             if (!worker->dead) check_lease(*worker);
     });
@@ -111,26 +112,16 @@
         for (auto& node : *all) node.controller.reset();
 }
 
-void SimulatedCluster::run_until(double t) {
-    while (!queue_.empty() && queue_.top().t <= t) {
-        auto event = queue_.top();
-        queue_.pop();
-        now_ = event.t;
-        event.task();
-    }
-    now_ = t;
-}
-
 void SimulatedCluster::boot(std::size_t k) {
     auto& node = nodes_[k];
-    node.timers = std::make_unique<HostTimers>(*this);
+    node.timers = std::make_unique<HostTimers>(events_);
     node.http = std::make_unique<NodeRequester>(*this, node.settings.listen);
     node.planner = std::make_unique<InlinePlanner>(*node.timers);
     node.controller = std::make_unique<controller::Controller>(*node.timers, *node.http, node.settings,
                                                                *node.planner, random_());
     node.up = true;
     ++node.incarnation;
-    node.busy_until = now_;
+    node.busy_until = now();
     node.controller->start();
 }
 void SimulatedCluster::crash(std::size_t k, double back_after) {
@@ -145,10 +136,10 @@
     dead.planner = std::move(node.planner);
     dead.controller = std::move(node.controller);
     crashed_nodes_.push_back(std::move(dead));
-    at(now_ + back_after, [this, k] { boot(k); });
+    at(now() + back_after, [this, k] { boot(k); });
 }
 void SimulatedCluster::freeze(std::size_t k, double for_s) {
-    if (nodes_[k].up) nodes_[k].timers->freeze(now_ + for_s);
+    if (nodes_[k].up) nodes_[k].timers->freeze(now() + for_s);
 }
 bool SimulatedCluster::healthy(std::size_t node) const {
     return nodes_[node].controller->healthy();
--- a/tests/simulation/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -16,10 +16,10 @@
     worker->zone = zone;
     worker->spot = spot;
     worker->node = workers.size() % 3;
-    worker->created = now_;
-    worker->up_at = now_ + options_.boot_s;
-    if (now_ < fast_boots_until_)
-        worker->up_at = now_ + std::uniform_real_distribution<double>(0.05, 2)(random_);
+    worker->created = now();
+    worker->up_at = now() + options_.boot_s;
+    if (now() < fast_boots_until_)
+        worker->up_at = now() + std::uniform_real_distribution<double>(0.05, 2)(random_);
     worker->last_answered = worker->up_at;
     observe_machine(*worker);
     workers.push_back(std::move(worker));
@@ -28,7 +28,7 @@
     return *machine;
 }
 http::Response SimulatedCluster::cloud(const http::Request& request) {
-    if (cloud_outage_until_ > now_) return {503, R"({"error":"trouble"})"};
+    if (cloud_outage_until_ > now()) return {503, R"({"error":"trouble"})"};
     if (request.target == "/flavors")
         return {200, json{{"hulls",
                            {{{"name", "g4"},
@@ -72,8 +72,8 @@
                             {"hull", worker->type},
                             {"reef", worker->zone},
                             {"driftwood", worker->spot},
-                            {"status", now_ < worker->up_at ? "booting" : "running"},
-                            {"age_s", now_ - worker->created}});
+                            {"status", now() < worker->up_at ? "booting" : "running"},
+                            {"age_s", now() - worker->created}});
     return {200, json{{"berths", list}, {"more", false}}.dump()};
 }
 
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -13,167 +13,157 @@
 }
 }  // namespace
 
-// Ends of a cut are hosts, with or without a port, or, with a dot at the end, all hosts that begin so. A
-// machine's address with its port used to match no host at all, so that such a cut did nothing.
-void SimulatedCluster::add_partition(const std::string& one_end, const std::string& other_end, double for_s,
-                                     bool hold, bool one_way) {
-    partitions_.push_back({host(one_end), host(other_end), now_ + for_s, hold, one_way});
-}
-bool SimulatedCluster::is_partitioned(const std::string& one_end, const std::string& other_end, bool& hold,
-                                      double& until) const {
-    bool found = false;
-    for (auto& partition : partitions_) {
-        if (partition.until <= now_) continue;
-        auto match = [](const std::string& pattern, const std::string& host) {
-            return pattern.ends_with('.') ? host.starts_with(pattern) : host == pattern;
-        };
-        if (!(match(partition.a, one_end) && match(partition.b, other_end)) &&
-            (partition.one_way || !(match(partition.a, other_end) && match(partition.b, one_end))))
-            continue;
-        found = true;
-        hold = partition.hold;
-        until = std::max(until, partition.until);
-    }
-    return found;
-}
-
 // Seconds by which a direct command is held up, 0 if it is not: by a script, or for one in four while that
 // fault lasts.
 double SimulatedCluster::draw_command_delay(const std::string& to, const http::Request& request) {
     if (request.target != protocol::paths::commands) return 0;
     if (command_delay) return command_delay(to, request);
-    if (now_ >= delay_commands_until_ || random_() % 4 != 0) return 0;
+    if (now() >= delay_commands_until_ || random_() % 4 != 0) return 0;
     return std::uniform_real_distribution<double>(2, 16)(random_);
 }
 
+// A request that a host has sent, until it is answered or its time is up.
+struct SimulatedCluster::PendingRequest {
+    std::string sender, receiver;
+    http::Result result;
+    std::uint64_t incarnation = 0;  // of the sender's process
+    bool ended = false;
+    // Has come and was not read yet; is read at the latest when the time is up.
+    std::optional<http::Response> unread = {};
+
+    void end(std::optional<http::Response> response) {
+        if (std::exchange(ended, true)) return;
+        result(std::move(response));
+    }
+};
+
 void SimulatedCluster::send(const std::string& from, const std::string& to, http::Request request,
                             double timeout, http::Result result) {
-    digest.add(now_, from, to, request.method + " " + request.target, request.body);
-    if (on_message) at(now_, [this, from, to, request] { on_message(from, to, request); });
-    if (now_ < duplicates_until_ && random_() % 4 == 0) {
-        double late = std::uniform_real_distribution<double>(0.05, duplicates_max_delay_s_)(random_);
-        auto again = request.target == protocol::paths::report ? addr_of(random_() % 3) : to;
-        at(now_ + late,
-           [this, from, again, request] { deliver(from, again, request, [](http::Response) {}); });
-    }
-    if (now_ < keep_heartbeats_until_ && request.target == protocol::paths::report &&
-        kept_heartbeats_.size() < 200 && random_() % 3 == 0)
-        kept_heartbeats_.emplace_back(from, request);
-    auto done = std::make_shared<bool>(false);
-    auto end = [done, result](std::optional<http::Response> answer) {
-        if (std::exchange(*done, true)) return;
-        result(std::move(answer));
-    };
-    // What has come and was not read yet is read when the time is up.
-    auto come = std::make_shared<std::optional<http::Response>>();
-    std::uint64_t incarnation = 0;
+    digest.add(now(), from, to, request.method + " " + request.target, request.body);
+    if (on_message) at(now(), [this, from, to, request] { on_message(from, to, request); });
+    copy_sometimes(from, to, request);
+    auto pending = std::make_shared<PendingRequest>(PendingRequest{from, to, std::move(result)});
     for (auto& node : nodes_) {
         if (node.settings.listen != from) continue;
-        node.timers->after(timeout, [end, come] { end(std::move(*come)); });
-        incarnation = node.incarnation;
+        node.timers->after(timeout, [pending] { pending->end(std::move(pending->unread)); });
+        pending->incarnation = node.incarnation;
     }
-    auto sender = from;
-    // A process that is back within a fraction of a second must not hear what the one before it asked: that
-    // one would go on acting, and end the lease of the process that runs in its place.
-    auto back = [this, end, sender, to, come, incarnation](http::Response answer) {
-        digest.add(now_, to, sender, std::to_string(answer.status), answer.body);
-        bool hold = false;
-        double until = 0;
-        if (is_partitioned(host(to), host(sender), hold, until)) return;
-        at(now_ + latency(), [this, end, sender, to, come, incarnation, answer = std::move(answer)] {
-            for (auto& node : nodes_) {
-                if (node.settings.listen != sender) continue;
-                if (!node.up || node.incarnation != incarnation) return;
-                if (node.timers->frozen_until() > now_) {
-                    node.timers->after(0, [end, answer] { end(answer); });
-                    return;
-                }
-                if (to.rfind("10.1.", 0) == 0) {
-                    *come = answer;
-                    return process_in_turn(node, [end, answer] { end(answer); });
-                }
-            }
-            end(answer);
-        });
-    };
     if (double late = draw_command_delay(to, request); late > 0)
-        return at(now_ + late,
+        return at(now() + late,
                   [this, from, to, request] { deliver(from, to, request, [](http::Response) {}); });
-    bool hold = false;
-    double until = 0;
-    if (is_partitioned(host(from), host(to), hold, until)) {
-        // Held packets arrive when the cut ends, even if the sender has given up.
-        if (hold)
-            at(until + latency(), [this, from, to, request, back] { deliver(from, to, request, back); });
-        return;
+    double arrives_after = now();
+    if (auto blocked = partitions_.find(host_of_address(from), host_of_address(to), now())) {
+        if (blocked->packets == Packets::dropped) return;
+        arrives_after = blocked->until;
     }
-    at(now_ + latency(),
-       [this, from, to, request = std::move(request), back] { deliver(from, to, request, back); });
+    at(arrives_after + latency(), [this, pending, request = std::move(request)] {
+        deliver(pending->sender, pending->receiver, request,
+                [this, pending](http::Response response) { send_back(pending, std::move(response)); });
+    });
 }
-
-void SimulatedCluster::deliver(const std::string& from, const std::string& to, http::Request request,
-                               http::Reply reply) {
-    if (to == state_addr && now_ < slow_key_value_store_until_) {
-        double by = std::uniform_real_distribution<double>(0.5, 1)(random_) * key_value_store_delay_s_;
-        return at(now_ + by, [this, from, request, reply] { state(from, request, reply); });
+void SimulatedCluster::copy_sometimes(const std::string& from, const std::string& to,
+                                      const http::Request& request) {
+    constexpr std::size_t most_kept = 200;
+    bool heartbeat = request.target == protocol::paths::report;
+    if (now() < duplicates_until_ && random_() % 4 == 0) {
+        double late = std::uniform_real_distribution<double>(0.05, duplicates_max_delay_s_)(random_);
+        auto receiver = heartbeat ? addr_of(random_() % 3) : to;
+        at(now() + late,
+           [this, from, receiver, request] { deliver(from, receiver, request, [](http::Response) {}); });
     }
-    if (to == state_addr) return state(from, request, std::move(reply));
-    if (to == cloud_addr) return reply(cloud(request));
+    if (now() < keep_heartbeats_until_ && heartbeat && kept_heartbeats_.size() < most_kept &&
+        random_() % 3 == 0)
+        kept_heartbeats_.push_back({from, request});
+}
+void SimulatedCluster::send_back(const std::shared_ptr<PendingRequest>& pending, http::Response response) {
+    auto& responder = pending->receiver;
+    digest.add(now(), responder, pending->sender, std::to_string(response.status), response.body);
+    if (partitions_.find(host_of_address(responder), host_of_address(pending->sender), now())) return;
+    at(now() + latency(),
+       [this, pending, response = std::move(response)] { read_response(pending, response); });
+}
+// A process that is back within a fraction of a second must not hear what the one before it asked: that one
+// would go on acting, and end the lease of the process that runs in its place.
+void SimulatedCluster::read_response(const std::shared_ptr<PendingRequest>& pending,
+                                     const http::Response& response) {
     for (auto& node : nodes_) {
-        if (host(node.settings.listen) != host(to)) continue;
-        if (!node.up) return;
-        if (node.timers->frozen_until() > now_) {
-            node.timers->after(0, [this, from, to, request, reply] { deliver(from, to, request, reply); });
+        if (node.settings.listen != pending->sender) continue;
+        if (!node.up || node.incarnation != pending->incarnation) return;
+        if (node.timers->frozen_until() > now()) {
+            node.timers->after(0, [pending, response] { pending->end(response); });
             return;
         }
-        if (to == node.settings.peer_listen && options_.pings_of_previous_version &&
-            request.target == protocol::peer_ping_path) {
-            request.body = old_ping(request.body);
-            return node.controller->serve_peer(std::move(request), [reply](http::Response response) {
-                response.body = old_ping(response.body);
-                reply(std::move(response));
-            });
+        if (pending->receiver.starts_with("10.1.")) {  // a worker
+            pending->unread = response;
+            return process_in_turn(node, [pending, response] { pending->end(response); });
         }
-        if (to == node.settings.peer_listen)
-            return node.controller->serve_peer(std::move(request), std::move(reply));
-        if (request.target == protocol::paths::report)
-            return process_in_turn(node, [&node, request, reply] { node.controller->serve(request, reply); });
-        return node.controller->serve(std::move(request), std::move(reply));
     }
-    for (auto& worker : workers) {
-        if (worker->addr != to) continue;
-        if (worker->dead || now_ < worker->up_at) return;
-        if (worker->hung) {
-            // A hanging machine reads what came in once it goes on.
-            at(now_ + 0.5, [this, from, to, request, reply] { deliver(from, to, request, reply); });
-            return;
-        }
-        return reply(serve_command(*worker, request));
+    pending->end(response);
+}
+
+void SimulatedCluster::deliver(const std::string& from, const std::string& to, const http::Request& request,
+                               const http::Reply& reply) {
+    if (to == state_addr) return key_value_store.receive(from, request, reply);
+    if (to == cloud_addr) return reply(cloud(request));
+    for (auto& node : nodes_)
+        if (host_of_address(node.settings.listen) == host_of_address(to))
+            return deliver_to_controller(node, from, to, request, reply);
+    for (auto& worker : workers)
+        if (worker->addr == to) return deliver_to_worker(*worker, from, request, reply);
+}
+void SimulatedCluster::deliver_to_controller(Node& node, const std::string& from, const std::string& to,
+                                             http::Request request, http::Reply reply) {
+    if (!node.up) return;
+    if (node.timers->frozen_until() > now()) {
+        node.timers->after(0, [this, from, to, request, reply] { deliver(from, to, request, reply); });
+        return;
     }
+    if (to == node.settings.peer_listen && options_.pings_of_previous_version &&
+        request.target == protocol::peer_ping_path) {
+        request.body = old_ping(request.body);
+        return node.controller->serve_peer(std::move(request), [reply](http::Response response) {
+            response.body = old_ping(response.body);
+            reply(std::move(response));
+        });
+    }
+    if (to == node.settings.peer_listen)
+        return node.controller->serve_peer(std::move(request), std::move(reply));
+    if (request.target == protocol::paths::report)
+        return process_in_turn(node, [&node, request, reply] { node.controller->serve(request, reply); });
+    node.controller->serve(std::move(request), std::move(reply));
+}
+void SimulatedCluster::deliver_to_worker(Worker& worker, const std::string& from,
+                                         const http::Request& request, const http::Reply& reply) {
+    if (worker.dead || now() < worker.up_at) return;
+    if (!worker.hung) return reply(serve_command(worker, request));
+    // A hanging machine reads what came in once it goes on.
+    constexpr double try_again_s = 0.5;
+    at(now() + try_again_s,
+       [this, from, to = worker.addr, request, reply] { deliver(from, to, request, reply); });
 }
 
 void SimulatedCluster::replay_kept_heartbeats() {
     auto leads = leader();
     if (leads < 0 || leads == std::exchange(last_leader_, leads)) return;
-    for (auto& [from, heartbeat] : std::exchange(kept_heartbeats_, {}))
+    for (auto& kept : std::exchange(kept_heartbeats_, {}))
         for (std::size_t k = 0; k < nodes_.size(); ++k)
-            at(now_ + 10 * latency(), [this, from, to = addr_of(k), heartbeat] {
-                deliver(from, to, heartbeat, [](http::Response) {});
+            at(now() + 10 * latency(), [this, kept, to = addr_of(k)] {
+                deliver(kept.from, to, kept.request, [](http::Response) {});
             });
 }
 
 // Messages of workers take time to read and wait for each other; what else comes does not wait for them.
 void SimulatedCluster::process_in_turn(Node& node, event_loop::Task task) {
     if (options_.heartbeat_processing_s <= 0) return task();
-    node.busy_until = std::max(now_, node.busy_until) + options_.heartbeat_processing_s;
-    node.timers->after(node.busy_until - now_, std::move(task));
+    node.busy_until = std::max(now(), node.busy_until) + options_.heartbeat_processing_s;
+    node.timers->after(node.busy_until - now(), std::move(task));
 }
 
 // The load balancer's view of the controllers: out after two failures in a row or three of six, back after
 // two successes and a pause that doubles.
 void SimulatedCluster::check_health() {
     for (auto& node : nodes_) {
-        bool ok = node.up && node.timers->frozen_until() <= now_ && node.controller->healthy();
+        bool ok = node.up && node.timers->frozen_until() <= now() && node.controller->healthy();
         node.health_checks.push_back(ok);
         if (node.health_checks.size() > 6) node.health_checks.pop_front();
         auto failed = std::count(node.health_checks.begin(), node.health_checks.end(), false);
@@ -182,11 +172,11 @@
         if (node.in_rotation && !ok && (twice || failed >= 3)) {
             node.in_rotation = false;
             node.readmission_pause_s =
-                now_ - node.removed_at < 120 ? std::min(60.0, node.readmission_pause_s * 2) : 3;
-            node.removed_at = now_;
+                now() - node.removed_at < 120 ? std::min(60.0, node.readmission_pause_s * 2) : 3;
+            node.removed_at = now();
         } else if (!node.in_rotation && ok &&
                    (!node.ever_in_rotation ||
-                    (twice && now_ - node.removed_at >= node.readmission_pause_s))) {
+                    (twice && now() - node.removed_at >= node.readmission_pause_s))) {
             node.in_rotation = node.ever_in_rotation = true;
             node.health_checks.clear();
         }
--- a/tests/simulation/simulated_cluster_observation.cpp
+++ b/tests/simulation/simulated_cluster_observation.cpp
@@ -66,7 +66,7 @@
 }
 void SimulatedCluster::confirm_cancellation(const std::string& id) {
     jobs[id].cancelled = true;
-    checker_.told(now_, id, protocol::JobState::cancelled);
+    checker_.told(now(), id, protocol::JobState::cancelled);
 }
 void SimulatedCluster::record_answer(const verification::Answer& answer) {
     if (answer.job.empty()) return;  // a scripted request, judged by its test
@@ -96,14 +96,14 @@
     checker_.machine_gone(worker.id);
 }
 void SimulatedCluster::check_waiting() {
-    if (now_ < faults_over_at) return;
+    if (now() < faults_over_at) return;
     std::set<std::string> usable;
     for (auto& worker : workers) {
         bool works = !worker->dead && !worker->hung && !worker->fails_every_task;
-        if (works && now_ >= worker->up_at && now_ >= worker->inbound_unreachable_until)
+        if (works && now() >= worker->up_at && now() >= worker->inbound_unreachable_until)
             usable.insert(worker->id);
     }
-    checker_.check_waiting(now_, usable);
+    checker_.check_waiting(now(), usable);
 }
 
 }  // namespace coralhitch::simulation
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -29,13 +29,13 @@
                 : request.target == "/api/jobs" ? Request::submission
                                                 : Request::cancellation;
     // What comes while the controller is frozen is read when it goes on.
-    node.timers->after(0, [=, this, &node, sent = now_, request = std::move(request)] {
-        digest.add(now_, "user", node.settings.listen, request.method + " " + request.target, request.body);
+    node.timers->after(0, [=, this, &node, sent = now(), request = std::move(request)] {
+        digest.add(now(), "user", node.settings.listen, request.method + " " + request.target, request.body);
         node.controller->serve(request, [=, this, &node](http::Response response) {
-            digest.add(now_, node.settings.listen, "user", std::to_string(response.status), response.body);
-            at(now_ + latency(), [=, this] {
-                if (now_ - sent > 5) return;  // nobody listens any more
-                verification::Answer answer{id, kind, sent, now_, response.status, {}};
+            digest.add(now(), node.settings.listen, "user", std::to_string(response.status), response.body);
+            at(now() + latency(), [=, this] {
+                if (now() - sent > 5) return;  // nobody listens any more
+                verification::Answer answer{id, kind, sent, now(), response.status, {}};
                 if (answer.success()) answer.state = parse_state(json::parse(response.body)["status"]);
                 record_answer(answer);
                 answered(response);
@@ -49,15 +49,15 @@
     auto* node = pick_controller();
     auto answered = std::make_shared<bool>(false);
     auto again = [=, this] {
-        if (tries > 0) at(now_ + 1.5, [=, this] { ask(id, method, path, body, done, tries - 1); });
+        if (tries > 0) at(now() + 1.5, [=, this] { ask(id, method, path, body, done, tries - 1); });
     };
-    at(now_ + 5, [answered, again] {
+    at(now() + 5, [answered, again] {
         if (!std::exchange(*answered, true)) again();
     });
     if (!node) return;
-    if (method == "POST" && now_ < duplicates_until_ && random_() % 4 == 0) {
+    if (method == "POST" && now() < duplicates_until_ && random_() % 4 == 0) {
         double late = std::uniform_real_distribution<double>(0.05, duplicates_max_delay_s_)(random_);
-        at(now_ + late, [=, this] {
+        at(now() + late, [=, this] {
             if (auto* other = pick_controller())
                 other->timers->after(0, [=] {
                     other->controller->serve({method, path, body}, [](http::Response) {});
@@ -95,7 +95,7 @@
                                        double run_s, std::vector<std::string> awaits, json more) {
     for (auto& awaited : awaits)
         if (!jobs[awaited].accepted)
-            return at(now_ + 0.4, [=, this] { submit_awaiting(id, kind, tasks, run_s, awaits, more); });
+            return at(now() + 0.4, [=, this] { submit_awaiting(id, kind, tasks, run_s, awaits, more); });
     if (!more.is_object()) more = json::object();
     more["awaits"] = awaits;
     submit(id, kind, tasks, run_s, more);
@@ -113,7 +113,7 @@
         options_.submit_tries);
 }
 void SimulatedCluster::query_all_jobs() {
-    checker_.check_unanswered(now_, faults_over_at);
+    checker_.check_unanswered(now(), faults_over_at);
     for (auto& [id, job] : jobs) {
         if (!job.accepted) continue;
         ask(
@@ -126,21 +126,21 @@
 // --- Users who give trouble -------------------------------------------------------------------------------
 
 void SimulatedCluster::query_all_controllers_repeatedly(const std::string& id, bool just_accepted) {
-    if (now_ >= frequent_queries_until_) return;
+    if (now() >= frequent_queries_until_) return;
     for (std::size_t k = 0; k < nodes_.size(); ++k)
         for (double after : {0.0, 0.001, 0.004, 0.015, 0.06, 0.25})
-            at(now_ + after, [this, id, k] {
+            at(now() + after, [this, id, k] {
                 if (nodes_[k].up) ask_controller(nodes_[k], id, {"GET", "/api/jobs/" + id, ""}, [](auto&) {});
             });
     auto k = random_() % nodes_.size();
-    at(now_ + 0.002, [this, id, k] {
+    at(now() + 0.002, [this, id, k] {
         if (nodes_[k].up)
             ask_controller(nodes_[k], id, {"POST", "/api/jobs", jobs[id].spec.dump()}, [](auto&) {});
     });
-    if (just_accepted && random_() % 4 == 0) at(now_ + 0.003, [this, id] { cancel(id); });
+    if (just_accepted && random_() % 4 == 0) at(now() + 0.003, [this, id] { cancel(id); });
 }
 void SimulatedCluster::ended(const std::string& id) {
-    if (now_ < cancel_at_job_end_until_ && random_() % 2) cancel(id);
+    if (now() < cancel_at_job_end_until_ && random_() % 2) cancel(id);
     query_all_controllers_repeatedly(id, false);
 }
 void SimulatedCluster::cancel_running_jobs(std::size_t count, double hang_s) {
@@ -153,14 +153,14 @@
                 if (!workers[k]->dead && task.job == id && present(task) && (on.empty() || on.back() != k))
                     on.push_back(k);
         if (on.empty()) continue;
-        at(now_ + 25 * latency(), [this, id = id] { cancel(id); });
+        at(now() + 25 * latency(), [this, id = id] { cancel(id); });
         for (auto k : on)
             if (hung++ < 8) hang_machine(k, hang_s);
         if (--count == 0) return;
     }
 }
 void SimulatedCluster::send_unusual_requests(double for_s) {
-    for (double t = 0; t < for_s; t += 0.7) at(now_ + t, [this] { send_unusual_request(); });
+    for (double t = 0; t < for_s; t += 0.7) at(now() + t, [this] { send_unusual_request(); });
 }
 void SimulatedCluster::send_unusual_request() {
     auto first = random_() % std::max<std::size_t>(1, jobs.size());
@@ -211,17 +211,17 @@
             auto id = "j-" + std::to_string(500000 + next_extra_++);
             int tasks = std::max(1, static_cast<int>(limit_of(team)) / 3);
             submit(id, "batch", tasks, 8, {{"crew", team}});
-            if (part == 0) at(now_ + 5, [this, id] { cancel(id); });
+            if (part == 0) at(now() + 5, [this, id] { cancel(id); });
         }
     }
 }
 void SimulatedCluster::submit_small_jobs(double for_s, double per_s) {
     for (double t = 0; t < for_s; t += 1 / per_s)
-        at(now_ + t, [this] {
+        at(now() + t, [this] {
             auto id = "j-" + std::to_string(500000 + next_extra_++);
             submit(id, "batch", 1, 2);
             double after = std::uniform_real_distribution<double>(0.05, 5)(random_);
-            if (random_() % 4 == 0) at(now_ + after, [this, id] { cancel(id); });
+            if (random_() % 4 == 0) at(now() + after, [this, id] { cancel(id); });
         });
 }
 
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -23,7 +23,7 @@
 void SimulatedCluster::hang_machine(std::size_t k, double for_s) {
     auto* worker = workers[k % workers.size()].get();
     worker->hung = true;
-    at(now_ + for_s, [this, worker] {
+    at(now() + for_s, [this, worker] {
         worker->hung = false;
         check_lease(*worker);
     });
@@ -31,20 +31,20 @@
 // Under the same name and address; it remembers its agent epoch or begins anew.
 void SimulatedCluster::reboot_machine(std::size_t k, bool anew) {
     auto& worker = *workers[k % workers.size()];
-    if (worker.dead || now_ < worker.up_at) return;
+    if (worker.dead || now() < worker.up_at) return;
     clear_tasks(worker);
     worker.agent_epoch = anew ? 1 : worker.agent_epoch + 1;
     worker.sequence = 0;
     if (anew) worker.token = 0;
-    worker.last_answered = now_;
+    worker.last_answered = now();
     ++worker.incarnation;
 }
 void SimulatedCluster::check_lease(Worker& worker) {
-    if (now_ - worker.last_answered <= options_.lease_s || worker.ignores_lease) return;
+    if (now() - worker.last_answered <= options_.lease_s || worker.ignores_lease) return;
     clear_tasks(worker);
     ++worker.agent_epoch;
     worker.sequence = 0;
-    worker.last_answered = now_;
+    worker.last_answered = now();
 }
 json SimulatedCluster::report(Worker& worker) {
     json tasks = json::array();
@@ -52,7 +52,7 @@
         json entry{{"shard", name}, {"launch", task.attempt}, {"status", task.status}};
         if (task.status == "exited") entry["cause"] = task.cause, entry["saved"] = task.saved;
         if (auto& job = jobs[task.job]; job.reported_at < 0 && job.completed_at >= 0 && is_done(task.job))
-            job.reported_at = now_;
+            job.reported_at = now();
         tasks.push_back(std::move(entry));
     }
     return {{"berth", worker.id},         {"addr", worker.addr},      {"hull", worker.type},
@@ -62,15 +62,15 @@
 void SimulatedCluster::send_heartbeats(Worker& worker) {
     if (worker.dead) return;
     auto again = [this, &worker](double delay_s) {
-        at(now_ + delay_s, [this, &worker] { send_heartbeats(worker); });
+        at(now() + delay_s, [this, &worker] { send_heartbeats(worker); });
     };
     if (worker.hung) return again(0.5);
     check_lease(worker);
-    if (now_ < worker.inbound_unreachable_until) {
+    if (now() < worker.inbound_unreachable_until) {
         worker.node = (worker.node + 1) % 3;
         return again(1);
     }
-    auto sent = now_;
+    auto sent = now();
     auto agent_epoch = worker.agent_epoch;
     auto done = std::make_shared<bool>(false);
     auto from = worker.addr, to = addr_of(worker.node);
@@ -78,7 +78,7 @@
         worker.node = (worker.node + 1) % 3;
         again(1);
     };
-    at(now_ + 4, [done, next] {
+    at(now() + 4, [done, next] {
         if (!std::exchange(*done, true)) next();
     });
     http::Request request{"POST", "/hello", report(worker).dump()};
@@ -131,7 +131,7 @@
             bool saves = it->second.status == "running" && order["slack_s"].get<double>() >= stow && stow > 0;
             if (saves) {
                 it->second.status = "flushing";
-                at(now_ + stow, [this, &worker, task, attempt] { finish(worker, task, attempt, "halted"); });
+                at(now() + stow, [this, &worker, task, attempt] { finish(worker, task, attempt, "halted"); });
             } else if (it->second.status != "flushing" || order["slack_s"].get<double>() <= 0) {
                 finish(worker, task, attempt, "halted");
             }
@@ -145,17 +145,17 @@
     if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt || !present(it->second))
         return;
     if (worker.hung)
-        return at(now_ + 0.5,
+        return at(now() + 0.5,
                   [this, &worker, task, attempt, cause] { finish(worker, task, attempt, cause); });
     it->second.status = "exited";
     it->second.cause = cause;
     it->second.saved = cause == "halted";
-    checker_.ended(now_, worker.id, parse_task_id(task), parse_cause(cause));
+    checker_.ended(now(), worker.id, parse_task_id(task), parse_cause(cause));
     if (cause != "done") return;
     auto id = it->second.job;
     auto& job = jobs[id];
     if (!job.tasks_done.insert(task).second) return;
-    job.completed_at = now_;
+    job.completed_at = now();
     if (is_done(id)) ended(id);
 }
 void SimulatedCluster::start(Worker& worker, const std::string& task, std::uint64_t attempt) {
@@ -170,7 +170,7 @@
     // A dead machine is told to start something only by a test that breaks a rule on purpose.
     bool refused = job.refused || worker.dead || places(worker, job.spec) == 0;
     auto outcome = refused ? verification::StartOutcome::no_room : verification::StartOutcome::placed;
-    checker_.started(now_, worker.id, parse_task_id(task), outcome);
+    checker_.started(now(), worker.id, parse_task_id(task), outcome);
     if (job.refused) return;
     if (refused) {
         worker.tasks[task] = {id, attempt, "exited", "no_room"};
@@ -178,7 +178,7 @@
     }
     constexpr double fetch_s = 1;
     worker.tasks[task] = {id, attempt, "fetching", ""};
-    at(now_ + fetch_s, [this, &worker, task, attempt] { image_fetched(worker, task, attempt); });
+    at(now() + fetch_s, [this, &worker, task, attempt] { image_fetched(worker, task, attempt); });
 }
 void SimulatedCluster::image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt) {
     auto it = worker.tasks.find(name);
@@ -192,14 +192,14 @@
     if (spec["shape"] == "gang") return wait_for_gang(worker, name);
     task.status = "running";
     if (spec["shape"] == "service") return;
-    at(now_ + spec["reckon_s"].get<double>(),
+    at(now() + spec["reckon_s"].get<double>(),
        [this, &worker, name, attempt] { finish(worker, name, attempt, "done"); });
 }
 // The gang starts once its last task has its image.
 void SimulatedCluster::wait_for_gang(Worker& worker, const std::string& name) {
     auto& task = worker.tasks.at(name);
     task.status = "waiting";
-    at(now_ + nodes_[0].settings.gang_wait_s, [this, &worker, name, attempt = task.attempt] {
+    at(now() + nodes_[0].settings.gang_wait_s, [this, &worker, name, attempt = task.attempt] {
         auto it = worker.tasks.find(name);
         if (it != worker.tasks.end() && it->second.status == "waiting")
             finish(worker, name, attempt, "incomplete");
@@ -218,7 +218,7 @@
     if (static_cast<int>(waiting.size()) < spec["shards"].get<int>()) return;
     for (auto& member : waiting) {
         member.worker->tasks[member.task].status = "running";
-        at(now_ + spec["reckon_s"].get<double>(),
+        at(now() + spec["reckon_s"].get<double>(),
            [this, member, attempt = task.attempt] { finish(*member.worker, member.task, attempt, "done"); });
     }
 }
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -55,7 +55,7 @@
         if (one_way)
             cluster.partition_one_way("10.9.", worker.addr, 3);
         else
-            cluster.partition("10.9.", worker.addr, 3, false);
+            cluster.partition("10.9.", worker.addr, 3);
         bool came = false, other_came = false, came_later = false;
         ask(worker, came);
         ask(*cluster.workers[9], other_came);
@@ -88,30 +88,30 @@
      }},
     {"wrong_place (zone)", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-5/8", 99, 1); }},
     {"too_early", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-6/0", 99); }},
-    {"forgotten j-1", [](SimulatedCluster& cluster) { cluster.tamper_with_record("job/j-1", {}); }},
+    {"forgotten j-1", [](SimulatedCluster& cluster) { cluster.key_value_store.tamper_with("job/j-1", {}); }},
     {"forgotten j-1: no question was answered",
      [](SimulatedCluster& cluster) {
          cluster.faults_over_at = cluster.now();
-         cluster.start_key_value_store_outage(60);
+         cluster.key_value_store.start_outage(60);
      }},
     {"invented",
      [](SimulatedCluster& cluster) {
-         cluster.tamper_with_record("job/j-999999", cluster.record("job/j-1"));
+         cluster.key_value_store.tamper_with("job/j-999999", cluster.key_value_store.record("job/j-1"));
      }},
     {"not_done",
      [](SimulatedCluster& cluster) {
-         cluster.tamper_with_record("final/j-1", over(protocol::JobState::done)),
-             cluster.tamper_with_record("job/j-1", {});
+         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::done)),
+             cluster.key_value_store.tamper_with("job/j-1", {});
      }},
     {"went_back j-1: nobody cancelled it",
      [](SimulatedCluster& cluster) {
-         cluster.tamper_with_record("final/j-1", over(protocol::JobState::cancelled)),
-             cluster.tamper_with_record("job/j-1", {});
+         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::cancelled)),
+             cluster.key_value_store.tamper_with("job/j-1", {});
      }},
     {"went_back j-7 from withdrawn to done",
      [](SimulatedCluster& cluster) {
-         cluster.tamper_with_record("final/j-7", over(protocol::JobState::done)),
-             cluster.tamper_with_record("job/j-7", {});
+         cluster.key_value_store.tamper_with("final/j-7", over(protocol::JobState::done)),
+             cluster.key_value_store.tamper_with("job/j-7", {});
      }},
     {"quota j-1/",  // of the other team: eight cards; some machines have been returned
      [](SimulatedCluster& cluster) {
@@ -131,7 +131,7 @@
     {"left_waiting j-8",  // its machines hear nobody
      [](SimulatedCluster& cluster) {
          cluster.faults_over_at = cluster.now();
-         cluster.partition("10.0.", "10.1.", 100, false);
+         cluster.partition("10.0.", "10.1.", 100);
          cluster.start_cloud_outage(100);
          cluster.submit("j-8", "batch", 1, 5);
      }},
