--- a/tests/scenarios/dependency_test.cpp
+++ b/tests/scenarios/dependency_test.cpp
@@ -5,6 +5,25 @@
 namespace {
 
 // What is submitted with jobs to await is judged by what these are, and a retry by what became of it.
+struct SubmissionCase {
+    const char* id;
+    json awaits;
+    int status;
+    const char* says;
+};
+std::vector<SubmissionCase> submission_cases() {
+    std::vector<std::string> many;
+    for (int k = 0; k < 400; ++k) many.push_back("j-" + std::to_string(5000 + k));
+    return {
+        {"j-10", {"j-1"}, 201, "pending"},       {"j-11", {"j-1", "j-4"}, 201, "pending"},
+        {"j-12", {"j-3"}, 201, "withdrawn"},     {"j-13", {"j-12", "j-4"}, 201, "withdrawn"},
+        {"j-14", {"j-77"}, 422, "j-77"},         {"j-15", {"j-1", "j-15"}, 422, "j-15"},
+        {"j-16", "j-1", 400, "awaits"},          {"j-17", {"berth"}, 400, "awaits"},
+        {"j-11", {"j-77"}, 200, "pending"},      {"j-11", {"berth"}, 200, "pending"},
+        {"j-12", {"j-12"}, 200, "withdrawn"},    {"j-18", many, 422, "more than"},
+        {"j-19", json::array(), 201, "pending"}, {"j-20", nullptr, 201, "pending"},
+    };
+}
 TEST(DependencyScenario, AnswersSubmissionsByTheStateOfAwaitedJobs) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
@@ -18,24 +37,7 @@
     cluster.cancel("j-3");
     cluster.run_until(40);
     ASSERT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-3"].cancelled);
-    std::vector<std::string> many;
-    for (int k = 0; k < 400; ++k) many.push_back("j-" + std::to_string(5000 + k));
-    struct Case {
-        const char* id;
-        json awaits;
-        int status;
-        const char* says;
-    };
-    const Case cases[] = {
-        {"j-10", {"j-1"}, 201, "pending"},       {"j-11", {"j-1", "j-4"}, 201, "pending"},
-        {"j-12", {"j-3"}, 201, "withdrawn"},     {"j-13", {"j-12", "j-4"}, 201, "withdrawn"},
-        {"j-14", {"j-77"}, 422, "j-77"},         {"j-15", {"j-1", "j-15"}, 422, "j-15"},
-        {"j-16", "j-1", 400, "awaits"},          {"j-17", {"berth"}, 400, "awaits"},
-        {"j-11", {"j-77"}, 200, "pending"},      {"j-11", {"berth"}, 200, "pending"},
-        {"j-12", {"j-12"}, 200, "withdrawn"},    {"j-18", many, 422, "more than"},
-        {"j-19", json::array(), 201, "pending"}, {"j-20", nullptr, 201, "pending"},
-    };
-    for (auto& test_case : cases) {
+    for (auto& test_case : submission_cases()) {
         json spec = cluster.jobs["j-1"].spec;
         spec["id"] = test_case.id;
         spec["awaits"] = test_case.awaits;
--- a/tests/scenarios/failover_faults_test.cpp
+++ b/tests/scenarios/failover_faults_test.cpp
@@ -113,53 +113,64 @@
      }},
 };
 
-// A day with every kind of job, some cancelled while the trouble lasts. Checked at its end: no rule was
-// broken, every accepted job of the kinds that end has ended, and something ran.
-void run_scenario(const FaultPlan& trouble, std::uint64_t seed) {
-    SCOPED_TRACE(std::string(trouble.name) + ", seed " + std::to_string(seed));
+std::string job_id(int number) {
+    return "j-" + std::to_string(1000 + number);
+}
+void submit_numbered_job(SimulatedCluster& cluster, int number) {
+    auto id = job_id(number);
+    if (number % 4 == 0)
+        cluster.submit(id, "service", 2, 0,
+                       {{"scatter", true},
+                        {"driftwood", false},
+                        {"rank", "critical"},
+                        {"stow_s", 0.0},
+                        {"anchor_s", 0.0}});
+    if (number % 4 == 1) cluster.submit(id, "batch", 9, 6, {{"crew", "tight"}});
+    if (number % 4 == 2)
+        cluster.submit(id, "gang", 3, 10, {{"together", true}, {"rank", "high"}, {"cards", 2.0}});
+    if (number % 4 == 3) cluster.submit(id, "batch", 5, 15, {{"scatter", true}});
+}
+// One job, two that await it, a gang that awaits these, and a last one.
+std::string stage_id(int pipeline, int stage) {
+    return job_id(100 + 10 * pipeline + stage);
+}
+void submit_pipeline(SimulatedCluster& cluster, int pipeline) {
+    auto stage = [pipeline](int number) { return stage_id(pipeline, number); };
+    json low{{"rank", "idle"}, {"cards", 0.0}};
+    cluster.submit(stage(0), "batch", 3, 4, low);
+    cluster.submit_awaiting(stage(1), "batch", 4, 5, {stage(0)}, low);
+    cluster.submit_awaiting(stage(2), "batch", 2, 3, {stage(0)}, low);
+    cluster.submit_awaiting(stage(3), "gang", 2, 5, {stage(1), stage(2)}, {{"together", true}});
+    auto last = [&cluster, stage] {
+        cluster.submit_awaiting(stage(4), "batch", 2, 2, {stage(0), stage(3)}, {{"rank", "high"}});
+    };
+    // That of the third comes when all else is over.
+    if (pipeline != 2) last();
+    if (pipeline == 2) cluster.at(260, last);
+}
+// Of the pipelines, one is cancelled in its middle and one at its root.
+void schedule_day(SimulatedCluster& cluster) {
+    for (int number = 0; number < 12; ++number)
+        cluster.at(2 + 7.0 * number, [&cluster, number] { submit_numbered_job(cluster, number); });
+    for (int number : {0, 3, 5, 6})
+        cluster.at(41 + number, [&cluster, number] { cluster.cancel(job_id(number)); });
+    for (int number : {4, 8}) cluster.at(200, [&cluster, number] { cluster.cancel(job_id(number)); });
+    for (int pipeline = 0; pipeline < 4; ++pipeline)
+        cluster.at(22 + 10.0 * pipeline, [&cluster, pipeline] { submit_pipeline(cluster, pipeline); });
+    cluster.at(42, [&cluster] { cluster.cancel(stage_id(2, 0)); });
+    cluster.at(45, [&cluster] { cluster.cancel(stage_id(1, 1)); });
+}
+
+// A day with every kind of job, some cancelled while the fault lasts. Checked at its end: no rule was broken,
+// every accepted job of the kinds that end has ended, and something ran.
+void run_day(const FaultPlan& fault, std::uint64_t seed) {
+    SCOPED_TRACE(std::string(fault.name) + ", seed " + std::to_string(seed));
     Options options;
     options.seed = seed;
     SimulatedCluster cluster(options);
     std::mt19937_64 random(seed);
-    auto id = [](int n) { return "j-" + std::to_string(1000 + n); };
-    for (int k = 0; k < 12; ++k) {
-        double t = 2 + 7.0 * k;
-        cluster.at(t, [&cluster, k, id] {
-            if (k % 4 == 0)
-                cluster.submit(id(k), "service", 2, 0,
-                               {{"scatter", true},
-                                {"driftwood", false},
-                                {"rank", "critical"},
-                                {"stow_s", 0.0},
-                                {"anchor_s", 0.0}});
-            if (k % 4 == 1) cluster.submit(id(k), "batch", 9, 6, {{"crew", "tight"}});
-            if (k % 4 == 2)
-                cluster.submit(id(k), "gang", 3, 10, {{"together", true}, {"rank", "high"}, {"cards", 2.0}});
-            if (k % 4 == 3) cluster.submit(id(k), "batch", 5, 15, {{"scatter", true}});
-        });
-    }
-    for (int k : {0, 3, 5, 6}) cluster.at(41 + k, [&cluster, k, id] { cluster.cancel(id(k)); });
-    for (int k : {4, 8}) cluster.at(200, [&cluster, k, id] { cluster.cancel(id(k)); });
-    // Pipelines: one job, two that await it, a gang that awaits these, and a last one. Of the first two, one
-    // is cancelled at its root and one in its middle; the last job of the third comes when all else is over.
-    for (int pipeline = 0; pipeline < 4; ++pipeline) {
-        auto stage = [pipeline, id](int number) { return id(100 + 10 * pipeline + number); };
-        cluster.at(22 + 10.0 * pipeline, [&cluster, pipeline, stage] {
-            json low{{"rank", "idle"}, {"cards", 0.0}};
-            cluster.submit(stage(0), "batch", 3, 4, low);
-            cluster.submit_awaiting(stage(1), "batch", 4, 5, {stage(0)}, low);
-            cluster.submit_awaiting(stage(2), "batch", 2, 3, {stage(0)}, low);
-            cluster.submit_awaiting(stage(3), "gang", 2, 5, {stage(1), stage(2)}, {{"together", true}});
-            auto last = [&cluster, stage] {
-                cluster.submit_awaiting(stage(4), "batch", 2, 2, {stage(0), stage(3)}, {{"rank", "high"}});
-            };
-            if (pipeline != 2) last();
-            if (pipeline == 2) cluster.at(260, last);
-        });
-    }
-    cluster.at(42, [&cluster, id] { cluster.cancel(id(120)); });
-    cluster.at(45, [&cluster, id] { cluster.cancel(id(111)); });
-    trouble.plan(cluster, random);
+    schedule_day(cluster);
+    fault.plan(cluster, random);
     cluster.run_until(340);
     expect_no_violations(cluster);
     EXPECT_GT(cluster.starts, 20u);
@@ -177,15 +188,14 @@
 INSTANTIATE_TEST_SUITE_P(EachKind, FailoverFaults, testing::Range<std::size_t>(0, std::size(fault_kinds)),
                          [](auto& info) { return camel_case(fault_kinds[info.param].name); });
 TEST_P(FailoverFaults, KeepInvariants) {
-    for (std::uint64_t seed : {1, 2, 3}) run_scenario(fault_kinds[GetParam()], seed);
+    for (std::uint64_t seed : {1, 2, 3}) run_day(fault_kinds[GetParam()], seed);
 }
 class FailoverRandomFaults : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(EachSeed, FailoverRandomFaults, testing::Range<std::uint64_t>(0, 4),
                          Numbered{"Part"});
 TEST_P(FailoverRandomFaults, KeepInvariants) {
     spdlog::set_level(spdlog::level::off);
-    for (std::uint64_t seed = 10 + GetParam(); seed < 30; seed += 4)
-        run_scenario(std::end(fault_kinds)[-1], seed);
+    for (std::uint64_t seed = 10 + GetParam(); seed < 30; seed += 4) run_day(std::end(fault_kinds)[-1], seed);
 }
 
 }  // namespace
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -11,15 +11,14 @@
 // not be fenced before the rest is missed. While the others relay heartbeats to the leader it may go on
 // leading, and fences none of the machines that need some seconds to turn to them: few of them are reported
 // before the first is overdue.
-TEST(FailoverScenario, FencesNoMachineWhenTheLeaderIsCutOffFromWorkers) {
-    spdlog::set_level(spdlog::level::off);
-    struct Case {
-        std::size_t machines;
-        bool new_leader;
-        std::uint64_t seed;
-        bool relay_heartbeats;
-    };
-    std::vector<Case> cases;
+struct PartitionedLeaderCase {
+    std::size_t machines;
+    bool new_leader;
+    std::uint64_t seed;
+    bool relay_heartbeats;
+};
+std::vector<PartitionedLeaderCase> partitioned_leader_cases() {
+    std::vector<PartitionedLeaderCase> cases;
     for (bool relay_heartbeats : {false, true}) {
         // Of eight machines a new leader that is cut off learns late that half report elsewhere: with seed 1
         // one worker came to the controller that could lead a second before it did, was sent back, and lost
@@ -29,7 +28,11 @@
                                    {8, true, 3, relay_heartbeats}});
         for (std::uint64_t seed : {1, 2, 3, 4}) cases.push_back({60, false, seed, relay_heartbeats});
     }
-    for (auto& test_case : cases) {
+    return cases;
+}
+TEST(FailoverScenario, FencesNoMachineWhenTheLeaderIsCutOffFromWorkers) {
+    spdlog::set_level(spdlog::level::off);
+    for (auto& test_case : partitioned_leader_cases()) {
         SCOPED_TRACE(std::to_string(test_case.machines) + " machines, seed " +
                      std::to_string(test_case.seed) +
                      (test_case.relay_heartbeats ? ", others hear for the leader" : ""));
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -20,7 +20,26 @@
     }
 }
 
-// Called as soon as a machine rented since then has been told to run something of `j-1`.
+// Two machines that a service fills, so that other work makes the leader scale out; new ones are up at once.
+Options two_machines(bool replicated) {
+    Options options;
+    options.machines = 2;
+    options.boot_s = machine_up_s;
+    if (!replicated) options.without_replication = {0, 1, 2};
+    return options;
+}
+void fill_machines(SimulatedCluster& cluster) {
+    cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
+    cluster.run_until(25);
+}
+
+// One task that takes a whole machine.
+void submit_for_new_machine(SimulatedCluster& cluster, const std::string& kind, double run_s) {
+    cluster.submit("j-1", kind, 1, run_s, {{"cards", 4.0}, {"driftwood", false}});
+}
+
+// Called as soon as a machine rented since then has been told to run something of `j-1`, by a command or with
+// the answer to a heartbeat.
 void on_first_run(SimulatedCluster& cluster, std::size_t first_new, std::function<void(Worker&)> then) {
     auto seen = std::make_shared<bool>(false);
     for (double t = cluster.now(); t < cluster.now() + 40; t += 0.005)
@@ -32,6 +51,13 @@
 
 // What becomes of the first write of the new machine.
 enum class FirstWrite { slow, late, after_the_claim, answer_lost };
+constexpr double after_claim_s = 14;
+// Of a write that is answered late or never.
+double delay_of(FirstWrite write) {
+    constexpr double at_once_s = 1e-6, late_s = 2;
+    if (write == FirstWrite::answer_lost) return at_once_s;
+    return write == FirstWrite::late ? late_s : after_claim_s;
+}
 struct BootCase {
     const char* name;
     FirstWrite write;
@@ -56,16 +82,17 @@
 // what is stored: it counts what runs there, although the old machines have room by then.
 class FirstStart : public testing::TestWithParam<BootCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boot_cases), NameOfCase());
+void lose_machine_and_leader(SimulatedCluster& cluster, const Worker& worker) {
+    cluster.start_cloud_outage(60);
+    cluster.cancel("j-8");  // gives room to the old machines
+    cluster.partition("10.0.", worker.addr, lease_s * 0.75);
+    cluster.crash(leader_of(cluster), 0.2);
+}
 TEST_P(FirstStart, IsOnMachineKnownToNextLeader) {
     spdlog::set_level(spdlog::level::off);
     auto test_case = GetParam();
-    Options options;
-    options.machines = 2;
-    options.boot_s = machine_up_s;
-    if (!test_case.replicated) options.without_replication = {0, 1, 2};
-    SimulatedCluster cluster(options);
-    cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-    cluster.run_until(25);
+    SimulatedCluster cluster(two_machines(test_case.replicated));
+    fill_machines(cluster);
     ASSERT_EQ(on_machines(cluster, "j-8"), 2u);
     std::size_t first_new = cluster.workers.size(), met = 0;
     std::optional<double> late_at, run_at;
@@ -77,35 +104,24 @@
                          txn.dump().find(cluster.workers[first_new]->id) != std::string::npos;
         if (!names_new || test_case.write == FirstWrite::slow || met++ > 0) return 0.0;
         late_at = cluster.now();
-        double after_claim_s = 14, late_s = 2;
-        return test_case.write == FirstWrite::answer_lost ? 1e-6
-               : test_case.write == FirstWrite::late      ? late_s
-                                                          : after_claim_s;
+        return delay_of(test_case.write);
     };
-    // A `run` comes as a command or with the answer to a report.
     on_first_run(cluster, first_new, [&](Worker& worker) {
         run_at = cluster.now();
         machine = worker.id;
         was_stored = stored(cluster, machine);
-        cluster.start_cloud_outage(60);
-        cluster.cancel("j-8");  // gives room to the old machines
-        cluster.partition("10.0.", worker.addr, lease_s * 0.75);
-        cluster.crash(leader_of(cluster), 0.2);
+        lose_machine_and_leader(cluster, worker);
     });
     if (test_case.write == FirstWrite::slow)
         cluster.at(25.5, [&cluster] { cluster.boot_fast_with_slow_writes(30, 1.6); });
-    cluster.at(26, [&cluster] {
-        cluster.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}});
-    });
+    cluster.at(26, [&cluster] { submit_for_new_machine(cluster, "service", 0); });
     cluster.run_until(60);
     ASSERT_TRUE(run_at);
     EXPECT_TRUE(was_stored) << machine;
     EXPECT_TRUE(claimed);
-    if (test_case.write != FirstWrite::slow) {
-        ASSERT_TRUE(late_at);
-        if (test_case.write == FirstWrite::after_the_claim) {
-            EXPECT_LT(*run_at, *late_at + 14);
-        }
+    ASSERT_EQ(late_at.has_value(), test_case.write != FirstWrite::slow);
+    if (test_case.write == FirstWrite::after_the_claim) {
+        EXPECT_LT(*run_at, *late_at + after_claim_s);
     }
     cluster.run_until(150);
     EXPECT_EQ(on_machines(cluster, "j-1"), 1u);
@@ -119,13 +135,8 @@
 TEST(FaultCombination, AdoptsMachineThatOnlyTheCloudLists) {
     spdlog::set_level(spdlog::level::off);
     for (bool replicated : {true, false}) {
-        Options options;
-        options.machines = 2;
-        options.boot_s = machine_up_s;
-        if (!replicated) options.without_replication = {0, 1, 2};
-        SimulatedCluster cluster(options);
-        cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-        cluster.run_until(25);
+        SimulatedCluster cluster(two_machines(replicated));
+        fill_machines(cluster);
         std::size_t lost = 0, first_new = cluster.workers.size();
         bool ended = false, was_stored = true;
         cluster.key_value_store.transaction_delay = [&](const json& txn) {
@@ -142,9 +153,7 @@
         bool early = false;
         on_first_run(cluster, first_new,
                      [&](Worker& worker) { early = !ended || !stored(cluster, worker.id); });
-        cluster.at(26, [&cluster] {
-            cluster.submit("j-1", "batch", 1, 10, {{"cards", 4.0}, {"driftwood", false}});
-        });
+        cluster.at(26, [&cluster] { submit_for_new_machine(cluster, "batch", 10); });
         cluster.run_until(34);
         EXPECT_TRUE(ended);
         EXPECT_FALSE(was_stored);
@@ -163,14 +172,10 @@
 TEST(FaultCombination, ProvesTerminationOfMachineThatOnlyAPageNames) {
     spdlog::set_level(spdlog::level::off);
     for (bool replicated : {true, false}) {
-        Options options;
-        options.machines = 2;
-        options.boot_s = machine_up_s;
+        auto options = two_machines(replicated);
         options.gpus_max = 4;
-        if (!replicated) options.without_replication = {0, 1, 2};
         SimulatedCluster cluster(options);
-        cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-        cluster.run_until(25);
+        fill_machines(cluster);
         cluster.at(26, [&cluster] {
             cluster.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"crew", "tight"}, {"driftwood", false}});
         });
@@ -202,10 +207,7 @@
 TEST(FaultCombination, CountsMachineOnceWhenUpBeforeScaleOutIsAnswered) {
     spdlog::set_level(spdlog::level::off);
     for (bool ends : {false, true}) {
-        Options options;
-        options.machines = 2;
-        options.boot_s = machine_up_s;
-        SimulatedCluster cluster(options);
+        SimulatedCluster cluster(two_machines(true));
         std::map<std::string, std::size_t> asked;  // how often, of each rental
         std::string lost;
         cluster.on_message = [&](auto&, auto&, auto& request) {
@@ -216,8 +218,7 @@
             lost = name;
             cluster.partition_one_way("10.2.0.2", "10.0.", 12);
         };
-        cluster.at(4, [&cluster] { cluster.submit("j-8", "service", 2, 0, {{"cards", 4.0}}); });
-        cluster.run_until(25);
+        fill_machines(cluster);
         std::optional<double> run_at;
         Worker* on = nullptr;
         on_first_run(cluster, cluster.workers.size(), [&](Worker& worker) {
@@ -225,9 +226,7 @@
             on = &worker;
             if (ends) cluster.crash(leader_of(cluster), 0.2);
         });
-        cluster.at(26, [&cluster] {
-            cluster.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"driftwood", false}});
-        });
+        cluster.at(26, [&cluster] { submit_for_new_machine(cluster, "service", 0); });
         cluster.run_until(37);
         ASSERT_TRUE(run_at);
         auto starts = cluster.starts;
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -4,6 +4,11 @@
 namespace coralhitch::simulation {
 namespace {
 
+void send_to_all(SimulatedCluster& cluster, const Worker& from, const http::Request& request) {
+    for (std::size_t n = 0; n < controller_count; ++n)
+        cluster.send(from.addr, cluster.addr_of(n), request, 1, [](std::optional<http::Response>) {});
+}
+
 // An old report arrives after newer ones, at a leader that has heard nothing newer of that machine: what it
 // shows has moved on since, and what runs elsewhere must go on.
 TEST(FaultCombination, OldHeartbeatStopsNothingThatRunsElsewhere) {
@@ -36,12 +41,8 @@
     cluster.hang_machine(first, 8);
     cluster.hang_machine(second, 5);
     cluster.crash(leader_of(cluster), 6);
-    for (double t = 70; t < 78; t += 0.2)
-        cluster.at(t, [&cluster, &copy, first] {
-            for (std::size_t n = 0; n < 3; ++n)
-                cluster.send(cluster.workers[first]->addr, cluster.addr_of(n), copy, 1,
-                             [](std::optional<http::Response>) {});
-        });
+    for (double time = 70; time < 78; time += 0.2)
+        cluster.at(time, [&cluster, &copy, first] { send_to_all(cluster, *cluster.workers[first], copy); });
     cluster.run_until(110);
     EXPECT_EQ(on_machines(cluster, "j-1"), 1u);
     EXPECT_EQ(cluster.starts, starts);
--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -147,6 +147,29 @@
     }
 }
 
+struct QueryCounts {
+    std::size_t asked = 0, answered = 0;
+};
+void expect_nothing_older(SimulatedCluster& cluster, std::size_t node, const std::string& id,
+                          QueryCounts& counts) {
+    bool over = cluster.jobs[id].cancelled || cluster.jobs[id].done;
+    ++counts.asked;
+    cluster.send_user_request(
+        node, {"GET", "/api/jobs/" + id, ""}, [&cluster, &counts, over](http::Response response) {
+            counts.answered += response.status == 200;
+            auto status = response.status == 200 ? json::parse(response.body)["status"] : json();
+            if (response.status == 404 || (over && (status == "pending" || status == "running")))
+                ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
+        });
+}
+void expect_cancelled_job_refuses_repeat(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
+    cluster.post_job_to(node, cluster.jobs[id].spec.dump(), [&cluster](http::Response response) {
+        bool older = response.status == 201 ||
+                     (response.status == 200 && response.body.find("withdrawn") == std::string::npos);
+        if (older) ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
+    });
+}
+
 // A leader is cut from the key-value store and from the other controllers, while workers and users still
 // reach it, and jobs are cancelled through the new one: the old one says nothing older, and keeps no task too
 // long.
@@ -165,30 +188,15 @@
     cluster.partition(host_of(old_leader), "10.0.", 60, Packets::held);
     cluster.at(16, [&cluster] { cluster.cancel("j-1"); });
     cluster.at(16, [&cluster] { cluster.cancel("j-2"); });
-    std::size_t asked = 0, answered = 0;
-    for (double t = 18; t < 90; t += 0.7)
-        cluster.at(t, [&] {
-            for (auto* id : {"j-1", "j-2", "j-3"}) {
-                bool over = cluster.jobs[id].cancelled || cluster.jobs[id].done;
-                ++asked;
-                cluster.send_user_request(
-                    old_leader, {"GET", std::string("/api/jobs/") + id, ""},
-                    [&, over](http::Response response) {
-                        answered += response.status == 200;
-                        auto status = response.status == 200 ? json::parse(response.body)["status"] : json();
-                        if (response.status == 404 || (over && (status == "pending" || status == "running")))
-                            ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
-                    });
-            }
-            cluster.post_job_to(old_leader, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
-                bool older = response.status == 201 ||
-                             (response.status == 200 && response.body.find("withdrawn") == std::string::npos);
-                if (older) ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
-            });
+    QueryCounts counts;
+    for (double time = 18; time < 90; time += 0.7)
+        cluster.at(time, [&] {
+            for (auto* id : {"j-1", "j-2", "j-3"}) expect_nothing_older(cluster, old_leader, id, counts);
+            expect_cancelled_job_refuses_repeat(cluster, old_leader, "j-1");
         });
     cluster.run_until(150);
     EXPECT_TRUE(cluster.jobs["j-1"].cancelled && cluster.jobs["j-2"].cancelled && cluster.jobs["j-3"].done);
-    EXPECT_GT(answered, asked / 5);  // once it is back
+    EXPECT_GT(counts.answered, counts.asked / 5);  // once it is back
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -36,16 +36,23 @@
     expect_no_failures(cluster);
 }
 
-// A claim succeeds, its answer is lost, and its claimer reaches the key-value store no more for a while: it
-// does not act as a leader, and another one leads once the lease is out that nobody renews.
-TEST(FaultCombination, LostAnswerToClaimDelaysElectionByOneLeaseAtMost) {
-    spdlog::set_level(spdlog::level::off);
-    SimulatedCluster cluster({});
+std::size_t node_of_label(const std::string& label) {
+    return static_cast<std::size_t>(label.back() - '0');
+}
+void run_long_jobs(SimulatedCluster& cluster) {
     cluster.at(2, [&cluster] {
         cluster.submit("j-1", "batch", 6, 300);
         cluster.submit("j-2", "service", 6, 0);
     });
     cluster.run_until(30);
+}
+
+// A claim succeeds, its answer is lost, and its claimer reaches the key-value store no more for a while: it
+// does not act as a leader, and another one leads once the lease is out that nobody renews.
+TEST(FaultCombination, LostAnswerToClaimDelaysElectionByOneLeaseAtMost) {
+    spdlog::set_level(spdlog::level::off);
+    SimulatedCluster cluster({});
+    run_long_jobs(cluster);
     std::optional<double> claimed, led;
     std::optional<std::size_t> claimer;
     std::size_t commands = 0;
@@ -53,7 +60,7 @@
         for (auto& change : txn["then"]) {
             if (claimed || cluster.now() < 30 || change.value("put", "") != "leader") continue;
             claimed = cluster.now();
-            claimer = static_cast<std::size_t>(change["value"]["label"].get<std::string>().back() - '0');
+            claimer = node_of_label(change["value"]["label"]);
             cluster.at(cluster.now() + 0.001, [&] { cluster.refuse_at_key_value_store(*claimer, 12); });
             return at_once;
         }
@@ -64,8 +71,8 @@
         if (refused && from == cluster.addr_of(*claimer) && request.target == protocol::paths::commands)
             ++commands;
     };
-    for (double t = 30.1; t < 60; t += 0.1)
-        cluster.at(t, [&] {
+    for (double time = 30.1; time < 60; time += 0.1)
+        cluster.at(time, [&] {
             if (claimed && !led && cluster.leader() >= 0) led = cluster.now();
         });
     cluster.crash(leader_of(cluster), 25);
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_odd_requests_test.cpp
@@ -81,6 +81,8 @@
     {"all just ended", FaultDuringRequest::all_ended},
 };
 constexpr double fault_at_s = 30, fault_s = 9;
+// After the fault begins. The first ones find a controller that has just begun.
+constexpr std::array request_times{0.25, 0.6, 1.5, 3.0, 6.0};
 
 void start_fault(SimulatedCluster& cluster, FaultDuringRequest fault) {
     if (fault == FaultDuringRequest::types_unknown)
@@ -102,6 +104,39 @@
 
 // Every node, in trouble: refused as it is without trouble, or 503; never accepted. Nothing of it is stored,
 // and once the trouble is over each is refused with its own code.
+// What the controllers answered to invalid submissions.
+struct Refusals {
+    std::size_t sent = 0, during_fault = 0, afterwards = 0;
+    std::size_t unavailable = 0;  // 503
+};
+void submit_invalid(SimulatedCluster& cluster, double time, const InvalidRequest& request, bool fault_over,
+                    Refusals& refusals) {
+    for (std::size_t n = 0; n < controllers; ++n)
+        cluster.at(time, [&cluster, &request, &refusals, n, fault_over] {
+            // A controller that is down can't be asked; it is back in 0.2 s.
+            ++refusals.sent;
+            cluster.post_job_to(n, request.body.dump(), [&, fault_over](http::Response response) {
+                bool unavailable = response.status == 503;
+                ++(fault_over ? refusals.afterwards : refusals.during_fault);
+                refusals.unavailable += unavailable;
+                bool right = response.status == request.refused || (!fault_over && unavailable);
+                if (!right)
+                    ADD_FAILURE() << cluster.now() << " " << request.id << " " << response.status << " "
+                                  << response.body;
+            });
+        });
+}
+// What can run is not refused for a fault either.
+void submit_valid(SimulatedCluster& cluster, const std::string& id, std::size_t& accepted) {
+    auto body = plain_job(id);
+    cluster.expect_job(id, body);
+    for (std::size_t n = 0; n < controllers; ++n)
+        cluster.post_job_to(n, body.dump(), [&cluster, &accepted](http::Response response) {
+            accepted += response.status == 201;
+            bool right = response.status == 200 || response.status == 201 || response.status == 503;
+            if (!right) ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
+        });
+}
 TEST_P(InvalidRequestDuringFault, IsNeverAccepted) {
     spdlog::set_level(spdlog::level::off);
     auto fault = GetParam().fault;
@@ -109,46 +144,23 @@
     start_fault(cluster, fault);
     auto invalid_requests = make_invalid_requests();
     for (auto& request : invalid_requests) cluster.expect_refusal(request.id, request.body, request.refused);
-    std::size_t sent = 0, during_fault = 0, by_503 = 0, afterwards = 0;
-    auto ask = [&](double t, bool over) {
-        for (auto& request : invalid_requests)
-            for (std::size_t n = 0; n < controllers; ++n)
-                cluster.at(t, [&, n, over] {
-                    // A controller that is down can't be asked; it is back in 0.2 s.
-                    ++sent;
-                    cluster.post_job_to(n, request.body.dump(), [&, over](http::Response response) {
-                        ++(over ? afterwards : during_fault);
-                        by_503 += response.status == 503;
-                        bool right = response.status == request.refused || (!over && response.status == 503);
-                        if (!right)
-                            ADD_FAILURE() << cluster.now() << " " << request.id << " " << response.status
-                                          << " " << response.body;
-                    });
-                });
+    Refusals refusals;
+    auto submit_all = [&](double time, bool fault_over) {
+        for (auto& request : invalid_requests) submit_invalid(cluster, time, request, fault_over, refusals);
     };
-    // The first ones find a controller that has just begun.
-    for (double after : {0.25, 0.6, 1.5, 3.0, 6.0}) ask(fault_at_s + after, false);
-    ask(fault_at_s + fault_s + 15, true);
-    // What can run is not refused for a trouble either.
+    for (double after : request_times) submit_all(fault_at_s + after, false);
+    submit_all(fault_at_s + fault_s + 15, true);
     std::size_t accepted = 0;
     for (double after : {0.3, 2.0, 5.0})
         cluster.at(fault_at_s + after, [&, id = "j-" + std::to_string(static_cast<int>(10 * after))] {
-            auto body = plain_job(id);
-            cluster.expect_job(id, body);
-            for (std::size_t n = 0; n < controllers; ++n)
-                cluster.post_job_to(n, body.dump(), [&cluster, &accepted](http::Response response) {
-                    accepted += response.status == 201;
-                    bool right = response.status == 200 || response.status == 201 || response.status == 503;
-                    if (!right)
-                        ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
-                });
+            submit_valid(cluster, id, accepted);
         });
     cluster.run_until(100);
-    EXPECT_EQ(during_fault + afterwards, sent);  // all are answered
-    EXPECT_EQ(afterwards, invalid_requests.size() * controllers);
+    EXPECT_EQ(refusals.during_fault + refusals.afterwards, refusals.sent);  // all are answered
+    EXPECT_EQ(refusals.afterwards, invalid_requests.size() * controllers);
     bool all_503 = fault == FaultDuringRequest::types_unknown || fault == FaultDuringRequest::state_out;
-    EXPECT_GE(by_503, all_503 ? sent / 8 : 0u) << "of " << sent;
-    EXPECT_TRUE(by_503 == 0 || fault != FaultDuringRequest::nothing);
+    EXPECT_GE(refusals.unavailable, all_503 ? refusals.sent / 8 : 0u) << "of " << refusals.sent;
+    EXPECT_TRUE(refusals.unavailable == 0 || fault != FaultDuringRequest::nothing);
     EXPECT_LE(accepted, 3u);  // each once
     for (auto& request : invalid_requests)
         EXPECT_THROW(cluster.key_value_store.record("job/" + request.id), std::out_of_range) << request.id;
@@ -157,20 +169,65 @@
 
 // The submission of an unfinished job is repeated with other bodies, good and bad, and jobs that are done are
 // cancelled: the job stays as it was first accepted, and no answer is a refusal.
+struct RepeatedRequests {
+    std::size_t sent = 0, answered = 0, successful = 0;
+};
+// Checks answers about a job that is over with this state, or unfinished.
+http::Reply check_answer(SimulatedCluster& cluster, const std::string& id, const std::string& final_state,
+                         bool fault_over, RepeatedRequests& requests) {
+    ++requests.sent;
+    return [&cluster, &requests, id, final_state, fault_over](http::Response response) {
+        ++requests.answered;
+        requests.successful += response.status == 200;
+        if (response.status == 503 && !fault_over) return;
+        bool right = response.status == 200;
+        if (right) {
+            auto status = json::parse(response.body)["status"].get<std::string>();
+            bool unfinished = status == "pending" || status == "running";
+            right = final_state.empty() ? unfinished : status == final_state;
+        }
+        if (!right)
+            ADD_FAILURE() << cluster.now() << " " << id << " " << response.status << " " << response.body;
+    };
+}
+void repeat_unfinished(SimulatedCluster& cluster, std::size_t n, const char* id, bool fault_over,
+                       RepeatedRequests& requests) {
+    auto without_team = plain_job(id);
+    without_team.erase("crew");
+    for (auto& body :
+         {plain_job(id, {{"shards", 5}, {"crew", "tight"}}), without_team,
+          plain_job(id, {{"cards", machine_gpus + 1}}), plain_job(id, {{"awaits", {"j-999999"}}})})
+        cluster.post_job_to(n, body.dump(), check_answer(cluster, id, "", fault_over, requests));
+}
+void cancel_and_repeat_done(SimulatedCluster& cluster, std::size_t n, const char* id, bool fault_over,
+                            RepeatedRequests& requests) {
+    cluster.send_user_request(n, {"POST", std::string("/api/jobs/") + id + "/cancel", ""},
+                              check_answer(cluster, id, "done", fault_over, requests));
+    cluster.post_job_to(n, plain_job(id, {{"shards", 7}}).dump(),
+                        check_answer(cluster, id, "done", fault_over, requests));
+}
+void repeat_all(SimulatedCluster& cluster, bool fault_over, RepeatedRequests& requests) {
+    for (std::size_t n = 0; n < controllers; ++n) {
+        for (auto* id : {"j-1", "j-2"}) repeat_unfinished(cluster, n, id, fault_over, requests);
+        for (auto* id : {"j-3", "j-4"}) cancel_and_repeat_done(cluster, n, id, fault_over, requests);
+    }
+}
+// The controllers have just begun, and nothing was stored of the types.
+void start_without_types(SimulatedCluster& cluster) {
+    cluster.at(fault_at_s - 0.1, [&cluster] {
+        cluster.start_cloud_outage(fault_s);
+        cluster.key_value_store.tamper_with("types", std::nullopt);
+        for (std::size_t n = 0; n < controllers; ++n) cluster.crash(n, 0.2);
+    });
+}
 TEST_P(InvalidRequestDuringFault, ChangesNoJob) {
     spdlog::set_level(spdlog::level::off);
     auto fault = GetParam().fault;
     SimulatedCluster cluster({});
-    if (fault == FaultDuringRequest::types_unknown) {  // to controllers that have just begun; nothing was
-                                                       // stored of them
-        cluster.at(fault_at_s - 0.1, [&cluster] {
-            cluster.start_cloud_outage(fault_s);
-            cluster.key_value_store.tamper_with("types", std::nullopt);
-            for (std::size_t n = 0; n < controllers; ++n) cluster.crash(n, 0.2);
-        });
-    } else {
+    if (fault == FaultDuringRequest::types_unknown)
+        start_without_types(cluster);
+    else
         start_fault(cluster, fault);
-    }
     cluster.at(2, [&cluster] {
         cluster.submit("j-1", "batch", 2, 500);
         cluster.submit("j-2", "service", 2, 0);
@@ -182,49 +239,13 @@
     std::map<std::string, std::string> first;
     for (auto* key : {"job/j-1", "job/j-2", "final/j-3", "final/j-4"})
         first[key] = cluster.key_value_store.record(key);
-    std::size_t sent = 0, answered = 0, good = 0;
-    auto judge = [&](const std::string& id, const char* over, bool afterwards) {
-        return [&, id, over, afterwards](http::Response response) {
-            ++answered;
-            good += response.status == 200;
-            if (response.status == 503 && !afterwards) return;
-            bool right = response.status == 200;
-            if (right) {
-                auto status = json::parse(response.body)["status"].get<std::string>();
-                right = over ? status == over : status == "pending" || status == "running";
-            }
-            if (!right)
-                ADD_FAILURE() << cluster.now() << " " << id << " " << response.status << " " << response.body;
-        };
-    };
-    auto ask = [&](double t, bool afterwards) {
-        cluster.at(t, [&, afterwards] {
-            for (std::size_t n = 0; n < controllers; ++n) {
-                for (auto* id : {"j-1", "j-2"}) {
-                    auto without = plain_job(id);
-                    without.erase("crew");
-                    for (auto& body : {plain_job(id, {{"shards", 5}, {"crew", "tight"}}), without,
-                                       plain_job(id, {{"cards", machine_gpus + 1}}),
-                                       plain_job(id, {{"awaits", {"j-999999"}}})}) {
-                        ++sent;
-                        cluster.post_job_to(n, body.dump(), judge(id, nullptr, afterwards));
-                    }
-                }
-                for (auto* id : {"j-3", "j-4"}) {
-                    sent += 2;
-                    cluster.send_user_request(n, {"POST", std::string("/api/jobs/") + id + "/cancel", ""},
-                                              judge(id, "done", afterwards));
-                    cluster.post_job_to(n, plain_job(id, {{"shards", 7}}).dump(),
-                                        judge(id, "done", afterwards));
-                }
-            }
-        });
-    };
-    for (double after : {0.25, 0.6, 1.5, 3.0, 6.0}) ask(fault_at_s + after, false);
-    ask(fault_at_s + fault_s + 15, true);
+    RepeatedRequests requests;
+    for (double after : request_times)
+        cluster.at(fault_at_s + after, [&] { repeat_all(cluster, false, requests); });
+    cluster.at(fault_at_s + fault_s + 15, [&] { repeat_all(cluster, true, requests); });
     cluster.run_until(110);
-    EXPECT_EQ(answered, sent);
-    EXPECT_GT(good, sent / 8);
+    EXPECT_EQ(requests.answered, requests.sent);
+    EXPECT_GT(requests.successful, requests.sent / 8);
     for (auto& [key, value] : first) EXPECT_EQ(cluster.key_value_store.record(key), value) << key;
     for (auto* key : {"final/j-1", "final/j-2", "job/j-3", "job/j-4"})
         EXPECT_THROW(cluster.key_value_store.record(key), std::out_of_range) << key;
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -1,4 +1,6 @@
 // Teams at their limits while jobs are cancelled or end on machines that don't answer, and leaders change.
+#include <array>
+
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
@@ -49,18 +51,10 @@
 };
 class TeamsAtTheirLimits : public testing::TestWithParam<LimitCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limit_cases), NameOfCase());
-TEST_P(TeamsAtTheirLimits, StartNothingBeforeProofOfTerminationAndWaitNoLonger) {
-    spdlog::set_level(spdlog::level::off);
-    auto test_case = GetParam();
-    Options options;
-    options.machines = 13;  // the tasks are on eight of them at most
-    options.gpus_max = options.free_gpus_max = 4;
-    if (!test_case.replicated) options.without_replication = {0, 1, 2};
-    SimulatedCluster cluster(options);
-    cluster.at(1.9, [&cluster] {  // keeps the machines
-        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
-                       {{"cards", 0.0}, {"vcpus", 13.0}});
-    });
+// Two jobs of each team, which fill its limit, on machines that a filler keeps.
+constexpr std::array first_jobs{"j-11", "j-12", "j-21", "j-22"};
+void fill_both_teams(SimulatedCluster& cluster) {
+    cluster.at(1.9, [&cluster] { submit_filler(cluster); });
     cluster.at(2, [&cluster] {
         for (auto* team : {"tight", "free"}) {
             std::string prefix = team == std::string("tight") ? "j-1" : "j-2";
@@ -69,20 +63,30 @@
         }
     });
     cluster.run_until(25);
-    for (auto* id : {"j-11", "j-12", "j-21", "j-22"}) ASSERT_EQ(on_machines(cluster, id), 2u) << id;
+    for (auto* id : first_jobs) ASSERT_EQ(on_machines(cluster, id), 2u) << id;
+}
+bool holds_any_first_job(const Worker& worker) {
+    return std::any_of(first_jobs.begin(), first_jobs.end(),
+                       [&worker](auto* id) { return on_machine(worker, id) > 0; });
+}
+TEST_P(TeamsAtTheirLimits, StartNothingBeforeProofOfTerminationAndWaitNoLonger) {
+    spdlog::set_level(spdlog::level::off);
+    auto test_case = GetParam();
+    Options options;
+    options.machines = 13;  // the tasks are on eight of them at most
+    options.gpus_max = options.free_gpus_max = 4;
+    if (!test_case.replicated) options.without_replication = {0, 1, 2};
+    SimulatedCluster cluster(options);
+    ASSERT_NO_FATAL_FAILURE(fill_both_teams(cluster));
     cluster.at(26, [&cluster] {
         cluster.submit("j-13", "batch", 4, 20, {{"crew", "tight"}});
         cluster.submit("j-23", "gang", 4, 20, {{"crew", "free"}});
     });
     cluster.run_until(30);
     cluster.start_cloud_outage(120);
-    std::vector<std::size_t> unavailable;
     for (std::size_t k = 0; k < cluster.workers.size(); ++k)
-        if (on_machine(*cluster.workers[k], "j-11") + on_machine(*cluster.workers[k], "j-12") +
-                on_machine(*cluster.workers[k], "j-21") + on_machine(*cluster.workers[k], "j-22") >
-            0)
-            make_unavailable(cluster, test_case.how, k, 100);
-    for (auto* id : {"j-11", "j-12", "j-21", "j-22"}) cluster.at(32, [&cluster, id] { cluster.cancel(id); });
+        if (holds_any_first_job(*cluster.workers[k])) make_unavailable(cluster, test_case.how, k, 100);
+    for (auto* id : first_jobs) cluster.at(32, [&cluster, id] { cluster.cancel(id); });
     cluster.at(32 + test_case.leader_ends, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     cluster.at(32 + test_case.leader_ends + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 4); });
     cluster.run_until(32 + test_case.leader_ends + 3.5 + quota_release_bound_s(options));
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -42,6 +42,25 @@
 // which anything may wait.
 class ZoneBoundJob : public testing::TestWithParam<BoundJobCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs), NameOfCase());
+std::size_t first_machine_with(const SimulatedCluster& cluster, const std::string& job) {
+    std::size_t machine = 0;
+    while (on_machine(*cluster.workers.at(machine), job) == 0) ++machine;
+    return machine;
+}
+// Of this machine or its zone; returns of how many machines.
+std::size_t lose_machines(SimulatedCluster& cluster, Loss loss, std::size_t first, double away_s) {
+    std::size_t lost = 0;
+    auto zone = cluster.workers[first]->zone;
+    for (std::size_t k = 0; k < cluster.workers.size(); ++k) {
+        auto& worker = *cluster.workers[k];
+        if (loss == Loss::one_dies ? k != first : worker.zone != zone || worker.dead) continue;
+        ++lost;
+        if (loss == Loss::one_dies || loss == Loss::zone_dies) cluster.crash_machine(k);
+        if (loss == Loss::zone_hangs) cluster.hang_machine(k, away_s);
+        if (loss == Loss::zone_cut_off) cluster.partition("10.0.", worker.addr, away_s);
+    }
+    return lost;
+}
 TEST_P(ZoneBoundJob, RestartsAfterLossOfMachines) {
     spdlog::set_level(spdlog::level::off);
     auto test_case = GetParam();
@@ -52,32 +71,17 @@
     if (test_case.named) more["reef"] = "a";
     bool service = std::string(test_case.shape) == "service";
     constexpr int tasks = 4;
-    cluster.at(2, [&cluster] {  // keeps the machines: one on each
-        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
-                       {{"cards", 0.0}, {"vcpus", 13.0}});
-    });
+    cluster.at(2, [&cluster] { submit_filler(cluster); });
     cluster.at(8, [&] { cluster.submit("j-1", test_case.shape, tasks, service ? 0 : 60, more); });
     cluster.run_until(30);
     ASSERT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
-    std::vector<std::size_t> on;
-    for (std::size_t k = 0; k < cluster.workers.size(); ++k)
-        if (on_machine(*cluster.workers[k], "j-1") > 0) on.push_back(k);
-    auto zone = cluster.workers[on.front()]->zone;
+    auto first = first_machine_with(cluster, "j-1");
     // Those that are cut off can't be deleted either: only the time proves anything. The bound is that of
     // docs/design.md for a new leader, with two report periods for the plan and the start.
     bool cut_off = test_case.loss == Loss::zone_cut_off;
     double proven_s = options.cancel_s + 2 * options.report_s, away_s = cut_off ? proven_s + 10 : 40;
     if (cut_off) cluster.start_cloud_outage(away_s);
-    std::size_t lost = 0;
-    for (std::size_t k = 0; k < cluster.workers.size(); ++k) {
-        auto& worker = *cluster.workers[k];
-        if (test_case.loss == Loss::one_dies ? k != on.front() : worker.zone != zone || worker.dead) continue;
-        ++lost;
-        if (test_case.loss == Loss::one_dies || test_case.loss == Loss::zone_dies) cluster.crash_machine(k);
-        if (test_case.loss == Loss::zone_hangs) cluster.hang_machine(k, away_s);
-        if (test_case.loss == Loss::zone_cut_off) cluster.partition("10.0.", worker.addr, away_s);
-    }
-    ASSERT_GT(lost, 0u);
+    ASSERT_GT(lose_machines(cluster, test_case.loss, first, away_s), 0u);
     if (test_case.leader_ends) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     if (cut_off && !test_case.named) {  // the other zone has room
         cluster.run_until(30 + proven_s);
@@ -102,10 +106,7 @@
     spdlog::set_level(spdlog::level::off);
     Options options;
     SimulatedCluster cluster(options);
-    cluster.at(2, [&cluster] {  // keeps the machines: one on each
-        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
-                       {{"cards", 0.0}, {"vcpus", 13.0}});
-    });
+    cluster.at(2, [&cluster] { submit_filler(cluster); });
     cluster.at(8, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
     cluster.run_until(30);
     ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
@@ -130,6 +131,43 @@
                              auto slow = std::get<1>(info.param);
                              return "Seed" + std::to_string(seed) + (slow ? "SlowHeartbeats" : "");
                          });
+struct OverloadJobs {
+    std::vector<std::string> urgent, idle, cancelled;
+};
+void submit_numbered_job(SimulatedCluster& cluster, std::size_t number, OverloadJobs& jobs) {
+    constexpr std::array ranks{"idle", "normal", "high"};
+    auto id = "j-" + std::to_string(100 + number);
+    bool gang = number % 5 == 1;
+    json more{{"rank", ranks[number % ranks.size()]},
+              {"crew", number % 4 == 0 ? "tight" : "free"},
+              {"driftwood", number % 2 == 0}};
+    if (gang) more["together"] = true;
+    cluster.submit(id, gang ? "gang" : "batch", gang ? 3 : 16, 18, more);
+    if (number % 6 == 3) {
+        jobs.cancelled.push_back(id);
+        cluster.at(cluster.now() + 7, [&cluster, id] { cluster.cancel(id); });
+    } else if (number % 3 == 2) {
+        jobs.urgent.push_back(id);
+    } else if (number % 3 == 0) {
+        jobs.idle.push_back(id);
+    }
+}
+void schedule_faults(SimulatedCluster& cluster) {
+    cluster.at(30, [&cluster] { cluster.hang_machine(0, 8); });
+    cluster.at(36, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.at(41, [&cluster] { cluster.partition("10.0.", cluster.workers[3]->addr, 30); });
+    cluster.at(47, [&cluster] { cluster.crash(leader_of(cluster), 4); });
+    cluster.at(56, [&cluster] { cluster.hang_machine(4, 28); });
+    cluster.at(58, [&cluster] { cluster.key_value_store.start_outage(5); });
+    cluster.at(66, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.faults_over_at = 86;
+}
+double mean_end(const std::vector<std::string>& ids, const std::map<std::string, double>& done_at,
+                double if_never) {
+    double sum = 0;
+    for (auto& id : ids) sum += done_at.contains(id) ? done_at.at(id) : if_never;
+    return sum / static_cast<double>(ids.size());
+}
 TEST_P(Overload, LeavesNothingWaitingThatFits) {
     spdlog::set_level(spdlog::level::off);
     auto [seed, slow] = GetParam();
@@ -145,52 +183,25 @@
         cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0, {{"cards", 0.0}});
     });
     cluster.run_until(20);
-    constexpr std::array ranks{"idle", "normal", "high"};
-    std::size_t n = 0;
-    std::vector<std::string> urgent, idle, cancelled;
-    for (double t = 21; t < 75; t += 3, ++n)
-        cluster.at(t, [&, n] {
-            auto id = "j-" + std::to_string(100 + n);
-            auto* rank = ranks[n % ranks.size()];
-            json more{{"rank", rank}, {"crew", n % 4 == 0 ? "tight" : "free"}, {"driftwood", n % 2 == 0}};
-            auto* shape = n % 5 == 1 ? "gang" : "batch";
-            if (n % 5 == 1) more["together"] = true;
-            cluster.submit(id, shape, n % 5 == 1 ? 3 : 16, 18, more);
-            if (n % 6 == 3) {
-                cancelled.push_back(id);
-                cluster.at(cluster.now() + 7, [&cluster, id] { cluster.cancel(id); });
-            } else if (n % 3 == 2) {
-                urgent.push_back(id);
-            } else if (n % 3 == 0) {
-                idle.push_back(id);
-            }
-        });
-    cluster.at(30, [&cluster] { cluster.hang_machine(0, 8); });
-    cluster.at(36, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
-    cluster.at(41, [&cluster] { cluster.partition("10.0.", cluster.workers[3]->addr, 30); });
-    cluster.at(47, [&cluster] { cluster.crash(leader_of(cluster), 4); });
-    cluster.at(56, [&cluster] { cluster.hang_machine(4, 28); });
-    cluster.at(58, [&cluster] { cluster.key_value_store.start_outage(5); });
-    cluster.at(66, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
-    cluster.faults_over_at = 86;
+    constexpr double end_s = 420;
+    OverloadJobs jobs;
+    std::size_t number = 0;
+    for (double time = 21; time < 75; time += 3, ++number)
+        cluster.at(time, [&, number] { submit_numbered_job(cluster, number, jobs); });
+    schedule_faults(cluster);
     std::map<std::string, double> done_at;
-    for (double t = 21; t < 420; t += 1)
-        cluster.at(t, [&] {
+    for (double time = 21; time < end_s; time += 1)
+        cluster.at(time, [&] {
             for (auto& [id, job] : cluster.jobs)
                 if (job.done) done_at.emplace(id, cluster.now());
         });
-    cluster.run_until(420);
-    auto mean = [&](const std::vector<std::string>& ids) {
-        double sum = 0;
-        for (auto& id : ids) sum += done_at.contains(id) ? done_at.at(id) : 420;
-        return sum / static_cast<double>(ids.size());
-    };
-    ASSERT_GT(urgent.size(), 2u);
-    ASSERT_GT(idle.size(), 2u);
-    for (auto* ids : {&urgent, &idle})
+    cluster.run_until(end_s);
+    ASSERT_GT(jobs.urgent.size(), 2u);
+    ASSERT_GT(jobs.idle.size(), 2u);
+    for (auto* ids : {&jobs.urgent, &jobs.idle})
         for (auto& id : *ids) EXPECT_TRUE(cluster.jobs[id].done) << id;
-    for (auto& id : cancelled) EXPECT_TRUE(cluster.jobs[id].cancelled || cluster.jobs[id].done) << id;
-    EXPECT_LT(mean(urgent), mean(idle));
+    for (auto& id : jobs.cancelled) EXPECT_TRUE(cluster.jobs[id].cancelled || cluster.jobs[id].done) << id;
+    EXPECT_LT(mean_end(jobs.urgent, done_at, end_s), mean_end(jobs.idle, done_at, end_s));
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -21,50 +21,70 @@
 
 // The end of a job's last task meets a cancellation at one node, at two or at all, before, while and after
 // its transaction is carried out: one of both wins in the store, and all nodes tell that one from then on.
+// When the cancellation comes: some time after the transaction of the end is sent, or, if that is negative,
+// with the heartbeat that reports the end. The end is stored a moment later.
+bool is_moment_of_cancellation(const http::Request& request, double after) {
+    if (after >= 0) return ends(request, "j-1");
+    return request.target == protocol::paths::report && request.body.find("\"done\"") != std::string::npos;
+}
+// The state that won; empty if none was stored.
+std::string cancel_at_end(std::size_t nodes, double after) {
+    SimulatedCluster cluster({});
+    std::vector<std::string> answers;
+    auto take_answer = [&answers](http::Response response) { answers.push_back(status_of(response)); };
+    bool met = false;
+    cluster.on_message = [&](auto&, auto&, const http::Request& request) {
+        if (!is_moment_of_cancellation(request, after) || std::exchange(met, true)) return;
+        cluster.at(cluster.now() + std::max(0.0, after), [&] {
+            cluster.ask_cancellation("j-1");
+            for (std::size_t n = 0; n < nodes; ++n)
+                cluster.send_user_request(n, {"POST", "/api/jobs/j-1/cancel", ""}, take_answer);
+        });
+    };
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 1, 10); });
+    cluster.run_until(40);
+    EXPECT_TRUE(met);
+    EXPECT_EQ(answers.size(), nodes);
+    auto record = cluster.key_value_store.stored("final/j-1");
+    EXPECT_TRUE(record);
+    if (!met || answers.size() != nodes || !record) return "";
+    auto state = json::parse(*record)["state"].get<std::string>();
+    for (std::size_t n = 0; n < 3; ++n)
+        cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, take_answer);
+    cluster.run_until(43);
+    EXPECT_EQ(answers, std::vector<std::string>(nodes + 3, state));
+    expect_no_violations(cluster);
+    return state;
+}
 TEST(JobEnd, OrCancellationWinsOnAllControllers) {
     spdlog::set_level(spdlog::level::off);
     std::set<std::string> won;
     for (std::size_t nodes : {1u, 2u, 3u})
         for (double after : {-1.0, 0.0, 0.002, 0.004, 0.007, 0.012, 0.03}) {
             SCOPED_TRACE(std::to_string(nodes) + " nodes, " + std::to_string(after) + " s after");
-            SimulatedCluster cluster({});
-            std::vector<std::string> told;
-            bool met = false;
-            // The end is stored a moment after the report that tells it.
-            cluster.on_message = [&](auto&, auto&, const http::Request& request) {
-                bool meets = after < 0 ? request.target == protocol::paths::report &&
-                                             request.body.find("\"done\"") != std::string::npos
-                                       : ends(request, "j-1");
-                if (!meets || std::exchange(met, true)) return;
-                cluster.at(cluster.now() + std::max(0.0, after), [&] {
-                    cluster.ask_cancellation("j-1");
-                    for (std::size_t n = 0; n < nodes; ++n)
-                        cluster.send_user_request(
-                            n, {"POST", "/api/jobs/j-1/cancel", ""},
-                            [&](http::Response response) { told.push_back(status_of(response)); });
-                });
-            };
-            cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 1, 10); });
-            cluster.run_until(40);
-            ASSERT_TRUE(met);
-            ASSERT_EQ(told.size(), nodes);
-            auto record = cluster.key_value_store.stored("final/j-1");
-            ASSERT_TRUE(record);
-            auto state = json::parse(*record)["state"].get<std::string>();
+            auto state = cancel_at_end(nodes, after);
+            ASSERT_FALSE(state.empty());
             won.insert(state);
-            for (std::size_t n = 0; n < 3; ++n)
-                cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
-                    told.push_back(status_of(response));
-                });
-            cluster.run_until(43);
-            EXPECT_EQ(told, std::vector<std::string>(nodes + 3, state));
-            expect_no_violations(cluster);
         }
     EXPECT_EQ(won, (std::set<std::string>{"done", "withdrawn"}));
 }
 
 // The transaction of an end is carried out and its answer lost, or late, while other nodes read what it
 // wrote, and the job is submitted again: it ends once, and nobody hears anything else.
+// Asks all controllers, and keeps what they say from the first "done" on.
+void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& told) {
+    for (std::size_t n = 0; n < 3; ++n) {
+        cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
+            auto& job = cluster.jobs["j-1"];
+            if (job.stored_at < 0) return;
+            if (status_of(response) == "done") job.done = true;
+            if (job.done) told.insert(status_of(response));
+        });
+        cluster.post_job_to(n, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
+            EXPECT_TRUE(response.status == 200 || response.status == 503) << response.status;
+        });
+    }
+}
 TEST(JobEnd, IsStoredOnceWhenTheAnswerIsLost) {
     spdlog::set_level(spdlog::level::off);
     for (double late : {-1.0, 1.0, 4.0, 9.0}) {
@@ -86,19 +106,8 @@
             cluster.submit("j-3", "batch", 1, 30);
         });
         std::set<std::string> told;
-        for (double t = 14; t < 40; t += 0.3)
-            cluster.at(t, [&] {
-                for (std::size_t n = 0; n < 3; ++n) {
-                    cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
-                        if (cluster.jobs["j-1"].stored_at < 0) return;
-                        if (status_of(response) == "done") cluster.jobs["j-1"].done = true;
-                        if (cluster.jobs["j-1"].done) told.insert(status_of(response));
-                    });
-                    cluster.post_job_to(n, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
-                        EXPECT_TRUE(response.status == 200 || response.status == 503) << response.status;
-                    });
-                }
-            });
+        for (double time = 14; time < 40; time += 0.3)
+            cluster.at(time, [&] { query_and_repeat(cluster, told); });
         cluster.run_until(60);
         EXPECT_EQ(told, (std::set<std::string>{"done"}));
         EXPECT_EQ(cluster.starts, 3u);
@@ -119,6 +128,23 @@
 // or more.
 class JobEndsUnderWriteLimit : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3), Numbered{"Seed"});
+constexpr double job_rate = 4.6, jobs_from_s = 20, jobs_until_s = 140;
+// Cancels one in four; returns how many there are.
+std::size_t submit_stream(SimulatedCluster& cluster) {
+    std::size_t number = 0;
+    for (double time = jobs_from_s; time < jobs_until_s; time += 1 / job_rate) {
+        auto id = "j-" + std::to_string(100000 + number);
+        cluster.at(time, [&cluster, id] {
+            cluster.submit(id, "batch", 1, 6, {{"cards", 0.0}, {"vcpus", 0.05}, {"ram_gb", 0.1}});
+        });
+        if (number++ % 4 == 0) cluster.at(time + 4, [&cluster, id] { cluster.cancel(id); });
+    }
+    return number;
+}
+std::size_t changes_of_jobs(SimulatedCluster& cluster) {
+    auto& changes = cluster.key_value_store.changes;
+    return changes["job"] + changes["final"] + changes["prog"];
+}
 TEST_P(JobEndsUnderWriteLimit, AreStoredInTime) {
     spdlog::set_level(spdlog::level::off);
     Options options;
@@ -127,20 +153,8 @@
     options.write_rps = 20;
     options.txn_ops = options.reduced_txn_ops = 24;
     SimulatedCluster cluster(options);
-    constexpr double rate = 4.6, from = 20, until = 140;
-    std::size_t n = 0;
-    for (double t = from; t < until; t += 1 / rate) {
-        auto id = "j-" + std::to_string(100000 + n);
-        cluster.at(t, [&cluster, id] {
-            cluster.submit(id, "batch", 1, 6, {{"cards", 0.0}, {"vcpus", 0.05}, {"ram_gb", 0.1}});
-        });
-        if (n++ % 4 == 0) cluster.at(t + 4, [&cluster, id] { cluster.cancel(id); });
-    }
-    auto of_jobs = [&cluster] {
-        return cluster.key_value_store.changes["job"] + cluster.key_value_store.changes["final"] +
-               cluster.key_value_store.changes["prog"];
-    };
-    cluster.run_until(until + 60);
+    auto submitted = submit_stream(cluster);
+    cluster.run_until(jobs_until_s + 60);
     double worst = 0;
     std::size_t done = 0, cancelled = 0;
     for (auto& [id, job] : cluster.jobs) {
@@ -155,12 +169,12 @@
         EXPECT_GE(job.stored_at, job.reported_at) << id;
         worst = std::max(worst, job.stored_at - job.reported_at);
     }
-    EXPECT_EQ(done + cancelled, n);
-    EXPECT_GE(cancelled, n / 5);
+    EXPECT_EQ(done + cancelled, submitted);
+    EXPECT_GE(cancelled, submitted / 5);
     EXPECT_LT(worst, 2.2);
     EXPECT_EQ(cluster.key_value_store.changes_refused, 0u);
     // Three changes for one that is done, four for one that is cancelled.
-    EXPECT_EQ(of_jobs(), 3 * done + 4 * cancelled);
+    EXPECT_EQ(changes_of_jobs(cluster), 3 * done + 4 * cancelled);
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -41,6 +41,11 @@
         if (worker->zone == zone) n += on_machine(*worker, job);
     return n;
 }
+// A service that has one task on each machine, so that none is returned, and takes no GPU.
+inline void submit_filler(SimulatedCluster& cluster) {
+    cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
+                   {{"cards", 0.0}, {"vcpus", 13.0}});
+}
 // A service of one task for each machine, so that none is returned; each has room for one card more.
 inline void keep_machines(SimulatedCluster& cluster) {
     cluster.at(2, [&cluster] {
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -12,20 +12,16 @@
 #include <string>
 #include <vector>
 
-#include "config/settings.hpp"
 #include "http/message.hpp"
 #include "protocol/protocol.hpp"
 #include "simulation/event_queue.hpp"
-#include "simulation/host_timers.hpp"
+#include "simulation/hosts.hpp"
 #include "simulation/message_digest.hpp"
 #include "simulation/network_partitions.hpp"
+#include "simulation/options.hpp"
 #include "simulation/simulated_key_value_store.hpp"
 #include "verification/checker.hpp"
 
-namespace coralhitch::controller {
-class Controller;
-}
-
 namespace coralhitch::simulation {
 
 inline constexpr const char* state_addr = "10.2.0.1:2379";
@@ -34,45 +30,6 @@
 inline constexpr double machine_gpus = 4;
 inline constexpr std::size_t controller_count = 3;
 
-struct Task {
-    std::string job;
-    std::uint64_t attempt = 0;
-    std::string status, cause;
-    bool saved = false;
-    double ends = -1;
-};
-
-struct Worker {
-    std::string id, addr, type, zone;
-    bool spot = false, dead = false, hung = false, fails_every_task = false;
-    std::uint64_t agent_epoch = 1, sequence = 0, token = 0;
-    bool ignores_lease = false;  // for ever, whatever its lease says: a broken worker
-    double created = 0, up_at = 0, last_answered = 0;
-    double inbound_unreachable_until = 0;  // it can't open connections to controllers
-    std::uint64_t incarnation = 0;  // reboots so far: what was on its way to the one before does not reach it
-    std::size_t node = 0;
-    std::map<std::string, Task> tasks;
-};
-
-struct Node {
-    Node();
-    Node(Node&&) noexcept;
-    Node& operator=(Node&&) noexcept;
-    ~Node();
-    config::Settings settings;
-    std::unique_ptr<HostTimers> timers;
-    std::unique_ptr<http::Requester> http;
-    std::unique_ptr<InlinePlanner> planner;
-    std::unique_ptr<controller::Controller> controller;
-    bool up = false;
-    // What the load balancer makes of its health.
-    bool in_rotation = false, ever_in_rotation = false;
-    std::deque<bool> health_checks;
-    double readmission_pause_s = 3, removed_at = -1e9;
-    std::uint64_t incarnation = 0;  // processes so far: what is answered to one is not for the next
-    double busy_until = 0;          // with what workers sent
-};
-
 // A job as its user and the simulation see it. What the rules need to know of it is in the checker.
 struct JobHistory {
     json spec;
@@ -87,30 +44,6 @@
 // The jobs whose ends this one waits for.
 std::vector<std::string> awaits_of(const json& spec);
 
-struct Options {
-    std::uint64_t seed = 1;
-    std::size_t machines = 6;
-    double report_s = 3, lease_s = 24, cancel_s = 44;
-    double gpus_max = 12;          // limit of team `tight`
-    double free_gpus_max = 0;      // of team `free`; 0: none
-    double max_waiting_s = 90;     // a job may wait for so long with room and quota, once the faults are over
-    double max_unanswered_s = 45;  // and its users for an answer
-    double boot_s = 1;             // what a machine takes; the nominal time is 5 s
-    // Controllers of a version, or with settings, without replication.
-    std::set<std::size_t> without_replication;
-    bool relay_heartbeats = true;  // controllers that do not lead relay heartbeats to the one that does
-    // What a controller takes for each message of a worker; the next ones wait.
-    double heartbeat_processing_s = 0;
-    bool pings_of_previous_version = false;  // between controllers
-    // The key-value store's limits, and what they fall to without notice, if they do.
-    double value_kb = 16, reduced_value_kb = 16;
-    std::uint32_t txn_ops = 8, reduced_txn_ops = 8;
-    double limits_reduced_at = 1e9;
-    int submit_tries = 40;  // of a user, 1.5 s apart
-    // Changes a second that the key-value store allows; beyond them, and a second's worth more, it refuses.
-    double write_rps = 80;
-};
-
 class SimulatedCluster {
     Options options_;
     verification::Checker checker_;
@@ -258,9 +191,17 @@
 
     // Cloud
     http::Response cloud(const http::Request& request);
+    http::Response list_machine_types() const;
+    http::Response delete_machines(const json& body);
+    http::Response rent(const json& body);
+    http::Response list_machines() const;
     Worker& add_machine(const std::string& zone, bool spot);
     // Workers
+    struct HeartbeatAttempt;
     void send_heartbeats(Worker& worker);
+    void send_heartbeats_after(Worker& worker, double delay_s);
+    void try_next_controller(Worker& worker);
+    void receive_heartbeat_answer(HeartbeatAttempt& attempt, const http::Response& response);
     json report(Worker& worker);
     void command(Worker& worker, const json& orders);
     http::Response serve_command(Worker& worker, const http::Request& request);
--- a/tests/simulation/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -29,51 +29,51 @@
 }
 http::Response SimulatedCluster::cloud(const http::Request& request) {
     if (cloud_outage_until_ > now()) return {503, R"({"error":"trouble"})"};
-    if (request.target == "/flavors")
-        return {200, json{{"hulls",
-                           {{{"name", "g4"},
-                             {"vcpus", 16},
-                             {"cards", machine_gpus},
-                             {"ram_gb", 64},
-                             {"cache_gb", 100},
-                             {"fetch_gb_per_s", 1},
-                             {"hourly", 10},
-                             {"spot_price", 4},
-                             {"startup_s", 5},
-                             {"reefs", zones}}}}}
-                         .dump()};
-    if (request.target == "/hosts/delete") {
-        auto body = json::parse(request.body);
-        for (auto& id : body["berths"])
-            for (auto& worker : workers)
-                if (worker->id == id) {
-                    if (!worker->dead && !worker->tasks.empty()) ++machines_deleted_with_tasks;
-                    worker->dead = true;
-                    clear_tasks(*worker);
-                }
-        return {200, "{}"};
-    }
-    if (request.target == "/hosts" && request.method == "POST") {
-        auto body = json::parse(request.body);
-        auto name = body["charter"].get<std::string>();
-        if (auto it = rentals_.find(name); it != rentals_.end()) return {200, it->second.dump()};
-        std::size_t alive = static_cast<std::size_t>(
-            std::count_if(workers.begin(), workers.end(), [](auto& worker) { return !worker->dead; }));
-        if (alive >= options_.machines + 3) return {503, R"({"error":"no capacity"})"};
-        json out{{"berths", {add_machine(body["reef"], body["driftwood"]).id}}};
-        rentals_[name] = out;
-        return {200, out.dump()};
-    }
+    if (request.target == "/flavors") return list_machine_types();
+    if (request.target == "/hosts/delete") return delete_machines(json::parse(request.body));
+    if (request.target == "/hosts" && request.method == "POST") return rent(json::parse(request.body));
+    return list_machines();
+}
+http::Response SimulatedCluster::list_machine_types() const {
+    json type{{"name", "g4"},    {"vcpus", 16},         {"cards", machine_gpus}, {"ram_gb", 64},
+              {"cache_gb", 100}, {"fetch_gb_per_s", 1}, {"hourly", 10},          {"spot_price", 4},
+              {"startup_s", 5},  {"reefs", zones}};
+    return {200, json{{"hulls", json::array({type})}}.dump()};
+}
+http::Response SimulatedCluster::delete_machines(const json& body) {
+    for (auto& id : body["berths"])
+        for (auto& worker : workers) {
+            if (worker->id != id) continue;
+            if (!worker->dead && !worker->tasks.empty()) ++machines_deleted_with_tasks;
+            worker->dead = true;
+            clear_tasks(*worker);
+        }
+    return {200, "{}"};
+}
+// The same name again gives the same machine.
+http::Response SimulatedCluster::rent(const json& body) {
+    constexpr std::size_t spare_machines = 3;
+    auto name = body["charter"].get<std::string>();
+    if (auto rental = rentals_.find(name); rental != rentals_.end()) return {200, rental->second.dump()};
+    auto alive = std::count_if(workers.begin(), workers.end(), [](auto& worker) { return !worker->dead; });
+    if (static_cast<std::size_t>(alive) >= options_.machines + spare_machines)
+        return {503, R"({"error":"no capacity"})"};
+    json rental{{"berths", {add_machine(body["reef"], body["driftwood"]).id}}};
+    rentals_[name] = rental;
+    return {200, rental.dump()};
+}
+http::Response SimulatedCluster::list_machines() const {
     json list = json::array();
-    for (auto& worker : workers)
-        if (!worker->dead)
-            list.push_back({{"id", worker->id},
-                            {"addr", worker->addr},
-                            {"hull", worker->type},
-                            {"reef", worker->zone},
-                            {"driftwood", worker->spot},
-                            {"status", now() < worker->up_at ? "booting" : "running"},
-                            {"age_s", now() - worker->created}});
+    for (auto& worker : workers) {
+        if (worker->dead) continue;
+        list.push_back({{"id", worker->id},
+                        {"addr", worker->addr},
+                        {"hull", worker->type},
+                        {"reef", worker->zone},
+                        {"driftwood", worker->spot},
+                        {"status", now() < worker->up_at ? "booting" : "running"},
+                        {"age_s", now() - worker->created}});
+    }
     return {200, json{{"berths", list}, {"more", false}}.dump()};
 }
 
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -1,9 +1,13 @@
 // The workers.
+#include <algorithm>
+
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
+constexpr double hang_check_s = 0.5;  // a hanging machine goes on within this
+
 protocol::TaskId parse_task_id(const std::string& task) {
     auto slash = task.find('/');
     return {task.substr(0, slash), static_cast<std::uint32_t>(std::stoul(task.substr(slash + 1)))};
@@ -59,54 +63,64 @@
             {"reef", worker.zone},        {"driftwood", worker.spot}, {"watch", worker.agent_epoch},
             {"tally", ++worker.sequence}, {"helm", worker.token},     {"shards", tasks}};
 }
+// A heartbeat that was sent, until it is answered or given up.
+struct SimulatedCluster::HeartbeatAttempt {
+    Worker& worker;
+    double sent;
+    std::uint64_t agent_epoch, incarnation;
+    bool over = false;
+};
+
+void SimulatedCluster::send_heartbeats_after(Worker& worker, double delay_s) {
+    at(now() + delay_s, [this, &worker] { send_heartbeats(worker); });
+}
+void SimulatedCluster::try_next_controller(Worker& worker) {
+    worker.node = (worker.node + 1) % controller_count;
+    send_heartbeats_after(worker, 1);
+}
 void SimulatedCluster::send_heartbeats(Worker& worker) {
+    constexpr double give_up_s = 4, answer_timeout_s = 100;
     if (worker.dead) return;
-    auto again = [this, &worker](double delay_s) {
-        at(now() + delay_s, [this, &worker] { send_heartbeats(worker); });
-    };
-    if (worker.hung) return again(0.5);
+    if (worker.hung) return send_heartbeats_after(worker, hang_check_s);
     check_lease(worker);
-    if (now() < worker.inbound_unreachable_until) {
-        worker.node = (worker.node + 1) % 3;
-        return again(1);
-    }
-    auto sent = now();
-    auto agent_epoch = worker.agent_epoch;
-    auto done = std::make_shared<bool>(false);
-    auto from = worker.addr, to = addr_of(worker.node);
-    auto next = [this, &worker, again] {
-        worker.node = (worker.node + 1) % 3;
-        again(1);
-    };
-    at(now() + 4, [done, next] {
-        if (!std::exchange(*done, true)) next();
+    if (now() < worker.inbound_unreachable_until) return try_next_controller(worker);
+    auto attempt = std::make_shared<HeartbeatAttempt>(
+        HeartbeatAttempt{worker, now(), worker.agent_epoch, worker.incarnation});
+    at(now() + give_up_s, [this, attempt] {
+        if (!std::exchange(attempt->over, true)) try_next_controller(attempt->worker);
     });
     http::Request request{"POST", "/hello", report(worker).dump()};
-    send(from, to, request, 100,
-         [=, this, &worker, incarnation = worker.incarnation](std::optional<http::Response> response) {
-             if (!response || worker.dead || worker.incarnation != incarnation || std::exchange(*done, true))
-                 return;
-             if (worker.hung) return again(0.5);
-             check_lease(worker);
-             if (response->status == 421) {
-                 auto body = json::parse(response->body);
-                 if (!body.contains("harbor")) return next();
-                 worker.node = static_cast<std::size_t>(body["harbor"].get<std::string>().back() - '0');
-                 return again(0.1);
-             }
-             if (response->status != 200) return next();
-             auto body = json::parse(response->body);
-             auto token = body["helm"].get<std::uint64_t>();
-             if (agent_epoch == worker.agent_epoch && token >= worker.token) {
-                 bool higher = token > worker.token;
-                 worker.token = token;
-                 worker.last_answered = std::max(worker.last_answered, sent);
-                 command(worker, body["orders"]);
-                 if (higher) return again(0.5);
-             }
-             again(options_.report_s * std::uniform_real_distribution<double>(0.75, 1.25)(random_));
+    send(worker.addr, addr_of(worker.node), request, answer_timeout_s,
+         [this, attempt](std::optional<http::Response> response) {
+             if (response) receive_heartbeat_answer(*attempt, *response);
          });
 }
+void SimulatedCluster::receive_heartbeat_answer(HeartbeatAttempt& attempt, const http::Response& response) {
+    constexpr double redirected_s = 0.1, new_leader_s = 0.5;
+    constexpr int other_controller = 421;
+    auto& worker = attempt.worker;
+    if (worker.dead || worker.incarnation != attempt.incarnation || std::exchange(attempt.over, true)) return;
+    if (worker.hung) return send_heartbeats_after(worker, hang_check_s);
+    check_lease(worker);
+    if (response.status == other_controller) {
+        auto body = json::parse(response.body);
+        if (!body.contains("harbor")) return try_next_controller(worker);
+        worker.node = static_cast<std::size_t>(body["harbor"].get<std::string>().back() - '0');
+        return send_heartbeats_after(worker, redirected_s);
+    }
+    if (response.status != 200) return try_next_controller(worker);
+    auto body = json::parse(response.body);
+    auto token = body["helm"].get<std::uint64_t>();
+    if (attempt.agent_epoch == worker.agent_epoch && token >= worker.token) {
+        bool higher = token > worker.token;
+        worker.token = token;
+        worker.last_answered = std::max(worker.last_answered, attempt.sent);
+        command(worker, body["orders"]);
+        if (higher) return send_heartbeats_after(worker, new_leader_s);
+    }
+    double jitter = std::uniform_real_distribution<double>(0.75, 1.25)(random_);
+    send_heartbeats_after(worker, options_.report_s * jitter);
+}
 http::Response SimulatedCluster::serve_command(Worker& worker, const http::Request& request) {
     check_lease(worker);
     if (request.target == "/inspect") return {200, report(worker).dump()};
@@ -145,7 +159,7 @@
     if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt || !present(it->second))
         return;
     if (worker.hung)
-        return at(now() + 0.5,
+        return at(now() + hang_check_s,
                   [this, &worker, task, attempt, cause] { finish(worker, task, attempt, cause); });
     it->second.status = "exited";
     it->second.cause = cause;
