--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -1,4 +1,4 @@
-// Copies of reports that reach every controller just as a new leader begins, and direct commands that are
+// Copies of heartbeats that reach every controller just as a new leader begins, and direct commands that are
 // held up on their way: scripted cases, with the order of messages fixed.
 #include <gtest/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
@@ -41,7 +41,7 @@
     for (std::size_t n = 0; n < 3; ++n) cluster.crash(n, 0.2);
 }
 
-// Of each machine the newest report that was sent before some time and showed a task.
+// Of each machine the newest heartbeat that was sent before some time and showed a task.
 class HeartbeatCopies {
   public:
     void keep(SimulatedCluster& cluster, double until) {
@@ -52,8 +52,8 @@
             if (shows && cluster.now() < until) kept_[from] = request;
         };
     }
-    // They reach every controller again and again, so that each may be the first that a new leader hears, or
-    // come through another controller.
+    // They reach every controller again and again, so that each may be the first that a new leader receives,
+    // or come through another controller.
     void deliver(SimulatedCluster& cluster, double from, double until) {
         for (double t = from; t < until; t += 0.1)
             cluster.at(t, [this, &cluster] {
@@ -70,7 +70,7 @@
 struct EventBeforeFailover {
     const char* name;
     void (*happens)(
-        SimulatedCluster& cluster);  // after the copies were made, and well before the leader ends
+        SimulatedCluster& cluster);  // after the copies were made, and well before the leader crashes
 };
 const EventBeforeFailover events_before_failover[] = {
     // The rest of the gang was stopped and cleared, and runs under its next attempt.
@@ -80,11 +80,11 @@
          for (std::size_t k = 0; k < cluster.workers.size(); ++k)
              if (cluster.workers[k]->id == on) cluster.crash_machine(k);
      }},
-    {"three machines are in their next session",
+    {"three machines are in their next agent epoch",
      [](SimulatedCluster& cluster) {
          for (std::size_t k : {0, 2, 4}) cluster.reboot_machine(k, false);
      }},
-    {"three machines are cut off for longer than a lease",
+    {"three machines are partitioned for longer than a lease",
      [](SimulatedCluster& cluster) {
          for (std::size_t k : {0, 2, 4}) cluster.partition("10.1.0." + std::to_string(k + 1), "10.0.", 40);
          cluster.start_cloud_outage(40);
@@ -93,8 +93,8 @@
 class OldHeartbeats : public testing::TestWithParam<EventBeforeFailover> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, OldHeartbeats, testing::ValuesIn(events_before_failover),
                          NameOfCase());
-// The new leader, which nobody has told anything, moved tasks that ran, gangs whole, because an old report
-// that it heard first showed one of them elsewhere and the next report of that machine did not.
+// The new leader, which has no replica, moved tasks that ran, gangs whole, because an old heartbeat
+// that it received first showed one of them elsewhere and the next heartbeat of that machine did not.
 TEST_P(OldHeartbeats, MoveNothingAtTheNextLeader) {
     ErrorLog log;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -131,7 +131,8 @@
     EXPECT_EQ(log.text(), "");
 }
 
-// Machines back under their names begin with low numbers. The copies of their earlier lives come first.
+// Machines back under their names begin with low numbers. The copies of their earlier incarnations come
+// first.
 TEST(OldHeartbeats, OfAnEarlierIncarnationDoNotShutAMachineOut) {
     ErrorLog log;
     SimulatedCluster cluster({});
@@ -154,8 +155,8 @@
     return request.body.find(verb) != std::string::npos;
 }
 
-// The leader's direct `run`s are held up for some seconds and the leader ends, so that they arrive before the
-// next one leads, as it begins, or after its own commands.
+// The leader's direct `run`s are held up for some seconds and the leader crashes, so that they arrive before
+// the next one leads, as it begins, or after its own commands.
 class DelayedStart : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStart,
                          testing::Combine(testing::Values(2.0, 5.0, 6.0, 7.0, 9.0, 16.0), testing::Bool()),
@@ -194,7 +195,7 @@
 }
 
 // The same leader's `run` is held up, and what it was for is over when it arrives: the task has run by the
-// one in the answer to a report and was forgotten, or was called off before that.
+// one in the answer to a heartbeat and was forgotten, or was called off before that.
 struct EndedTask {
     const char* name;
     double run_s;         // of the task
--- a/tests/scenarios/dependency_test.cpp
+++ b/tests/scenarios/dependency_test.cpp
@@ -84,7 +84,7 @@
         for (int k = 11; k < 30; ++k) EXPECT_TRUE(cluster.jobs["j-" + std::to_string(k)].cancelled) << k;
     }
 }
-// A controller that is cut off from the key-value store passes users' requests on, but a submission that
+// A controller that is partitioned from the key-value store passes users' requests on, but a submission that
 // awaits jobs only to a version that knows of that: any other would store it as one that may start.
 TEST(DependencyScenario, ForwardsNoDependentJobToAnOlderVersion) {
     spdlog::set_level(spdlog::level::off);
--- a/tests/scenarios/failover_faults_test.cpp
+++ b/tests/scenarios/failover_faults_test.cpp
@@ -11,7 +11,7 @@
 };
 
 const FaultPlan fault_kinds[] = {
-    {"quiet", [](SimulatedCluster&, std::mt19937_64&) {}},
+    {"no fault", [](SimulatedCluster&, std::mt19937_64&) {}},
     {"leader crashes twice",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          for (double t : {40.0, 55.0}) cluster.at(t, [&cluster] { cluster.crash(leader_of(cluster), 6); });
@@ -22,22 +22,22 @@
              for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 4 + static_cast<double>(k));
          });
      }},
-    {"leader cut from the state service, packets held",
+    {"leader partitioned from the key-value store, packets held",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(40, [&cluster] {
              cluster.partition(host_of(leader_of(cluster)), "10.2.0.1", 30, Packets::held);
          });
      }},
-    {"leader refused by the state service alone",
+    {"leader refused by the key-value store alone",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(40, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 40); });
      }},
-    {"leader cut from the workers, packets held",
+    {"leader partitioned from the workers, packets held",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(
              40, [&cluster] { cluster.partition(host_of(leader_of(cluster)), "10.1.", 30, Packets::held); });
      }},
-    {"leader cut from all, packets held, machines hang over the takeover",
+    {"leader partitioned from all, packets held, machines hang over the failover",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(40, [&cluster] {
              cluster.partition(host_of(leader_of(cluster)), "10.", 35, Packets::held);
@@ -52,7 +52,7 @@
              for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 5);
          });
      }},
-    {"machines die while the cloud is down and the leader crashes",
+    {"machines crash while the cloud is down and the leader crashes",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(38, [&cluster] { cluster.start_cloud_outage(50); });
          cluster.at(40, [&cluster] {
@@ -68,12 +68,12 @@
          cluster.at(44, [&cluster] { cluster.hang_machine(0, 15); });
          cluster.at(50, [&cluster] { cluster.hang_machine(4, 40); });
      }},
-    {"leader stands still, its clocks run on, twice",
+    {"leader freezes, its clocks run on, twice",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(40, [&cluster] { cluster.freeze(leader_of(cluster), 12); });
          cluster.at(60, [&cluster] { cluster.freeze(leader_of(cluster), 30); });
      }},
-    {"leader stands still through a state outage, another controller crashes",
+    {"leader freezes through a state outage, another controller crashes",
      [](SimulatedCluster& cluster, std::mt19937_64&) {
          cluster.at(40, [&cluster] {
              cluster.key_value_store.start_outage(14);
@@ -174,10 +174,10 @@
     cluster.run_until(340);
     expect_no_violations(cluster);
     EXPECT_GT(cluster.starts, 20u);
-    for (auto& [job, told] : cluster.jobs) {
-        EXPECT_TRUE(told.accepted) << job;
-        EXPECT_TRUE(told.done || told.cancelled) << job << " has not ended";
-        EXPECT_EQ(told.cancelled, told.cancelled && cluster.cancel_wanted(job)) << job;
+    for (auto& [id, job] : cluster.jobs) {
+        EXPECT_TRUE(job.accepted) << id;
+        EXPECT_TRUE(job.done || job.cancelled) << id << " has not ended";
+        EXPECT_EQ(job.cancelled, job.cancelled && cluster.cancel_wanted(id)) << id;
     }
 }
 
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -6,11 +6,11 @@
 
 // A leader that no longer receives heartbeats must not take the workers for dead one by one: the other
 // controllers receive them, so one of these becomes the leader, and the machines and their tasks stay.
-// Likewise a controller that is cut off when it becomes the leader: it fences unreconciled machines early,
-// but must suspect itself first. In a large cluster those whose heartbeats are missed first are few, and must
-// not be fenced before the rest is missed. While the others relay heartbeats to the leader it may go on
-// leading, and fences none of the machines that need some seconds to turn to them: few of them are reported
-// before the first is overdue.
+// Likewise a controller that is partitioned when it becomes the leader: it fences unreconciled machines
+// early, but must suspect itself first. In a large cluster those whose heartbeats are missed first are few,
+// and must not be fenced before the rest is missed. While the others relay heartbeats to the leader it may go
+// on leading, and fences none of the machines that need some seconds to turn to them: few of them are
+// reported before the first is overdue.
 struct PartitionedLeaderCase {
     std::size_t machines;
     bool new_leader;
@@ -20,9 +20,9 @@
 std::vector<PartitionedLeaderCase> partitioned_leader_cases() {
     std::vector<PartitionedLeaderCase> cases;
     for (bool relay_heartbeats : {false, true}) {
-        // Of eight machines a new leader that is cut off learns late that half report elsewhere: with seed 1
-        // one worker came to the controller that could lead a second before it did, was sent back, and lost
-        // its lease.
+        // Of eight machines a new leader that is partitioned learns late that half report elsewhere: with
+        // seed 1 one worker came to the controller that could lead a second before it did, was sent back, and
+        // lost its lease.
         cases.insert(cases.end(), {{8, false, 1, relay_heartbeats},
                                    {8, true, 2, relay_heartbeats},
                                    {8, true, 3, relay_heartbeats}});
@@ -35,7 +35,7 @@
     for (auto& test_case : partitioned_leader_cases()) {
         SCOPED_TRACE(std::to_string(test_case.machines) + " machines, seed " +
                      std::to_string(test_case.seed) +
-                     (test_case.relay_heartbeats ? ", others hear for the leader" : ""));
+                     (test_case.relay_heartbeats ? ", others relay heartbeats" : ""));
         Options options;
         options.relay_heartbeats = test_case.relay_heartbeats;
         options.machines = test_case.machines;
@@ -117,7 +117,7 @@
     spdlog::set_level(spdlog::level::off);
     struct Case {
         const char* name;
-        std::function<void(SimulatedCluster&)> trouble;
+        std::function<void(SimulatedCluster&)> begin_fault;
         bool first, others;  // are healthy ten seconds later
     };
     const Case cases[] = {
@@ -128,9 +128,9 @@
              cluster.partition("10.0.0.1", "10.0.", 30);
          },
          false, true},
-        {"one is refused by the state service",
+        {"one is refused by the key-value store",
          [](SimulatedCluster& cluster) { cluster.refuse_at_key_value_store(0, 30); }, false, true},
-        {"nobody has the state service",
+        {"nobody has the key-value store",
          [](SimulatedCluster& cluster) { cluster.key_value_store.start_outage(30); }, true, true},
         {"one answer was refused",
          [](SimulatedCluster& cluster) {
@@ -141,7 +141,7 @@
     for (auto& test_case : cases) {
         SimulatedCluster cluster({});
         cluster.run_until(30);
-        test_case.trouble(cluster);
+        test_case.begin_fault(cluster);
         cluster.run_until(40);
         EXPECT_EQ(cluster.healthy(0), test_case.first) << test_case.name;
         EXPECT_EQ(cluster.healthy(1), test_case.others) << test_case.name;
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -1,4 +1,4 @@
-// New machines get work at once while writes lag, and the leader ends.
+// New machines get work at once while writes lag, and the leader crashes.
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
@@ -38,8 +38,8 @@
     cluster.submit("j-1", kind, 1, run_s, {{"cards", 4.0}, {"driftwood", false}});
 }
 
-// Called as soon as a machine rented since then has been told to run something of `j-1`, by a command or with
-// the answer to a heartbeat.
+// Called as soon as a machine added by scaling out since then has been told to run something of `j-1`, by a
+// command or with the answer to a heartbeat.
 void on_first_run(SimulatedCluster& cluster, std::size_t first_new, std::function<void(Worker&)> then) {
     auto seen = std::make_shared<bool>(false);
     for (double t = cluster.now(); t < cluster.now() + 40; t += 0.005)
@@ -68,18 +68,18 @@
 }
 const BootCase boot_cases[] = {
     {"slow writes", FirstWrite::slow, true},
-    {"slow writes, nobody follows", FirstWrite::slow, false},
+    {"slow writes, no replica", FirstWrite::slow, false},
     {"late", FirstWrite::late, true},
-    {"late, nobody follows", FirstWrite::late, false},
+    {"late, no replica", FirstWrite::late, false},
     {"carried out after the next claim", FirstWrite::after_the_claim, true},
-    {"carried out after the next claim, nobody follows", FirstWrite::after_the_claim, false},
+    {"carried out after the next claim, no replica", FirstWrite::after_the_claim, false},
     {"answer lost", FirstWrite::answer_lost, true},
-    {"answer lost, nobody follows", FirstWrite::answer_lost, false},
+    {"answer lost, no replica", FirstWrite::answer_lost, false},
 };
 
-// A new machine is up at once. The leader ends right after the first `run` was sent there, and from then on
-// nobody reaches the machine for most of a lease, nor can it be deleted. Whoever leads next knows of it from
-// what is stored: it counts what runs there, although the old machines have room by then.
+// A new machine is up at once. The leader crashes right after the first `run` was sent there, and from then
+// on nobody reaches the machine for most of a lease, nor can it be deleted. Whoever leads next knows of it
+// from what is stored: it counts what runs there, although the old machines have room by then.
 class FirstStart : public testing::TestWithParam<BootCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boot_cases), NameOfCase());
 void lose_machine_and_leader(SimulatedCluster& cluster, const Worker& worker) {
@@ -130,8 +130,8 @@
 }
 
 // A new machine reports while the write that names it stays without an answer, is never carried out before
-// the leader ends, and is then too late. The cloud lists the machine and no page names it: nothing ran there,
-// and the next leader uses it.
+// the leader crashes, and is then too late. The cloud lists the machine and no page names it: nothing ran
+// there, and the next leader uses it.
 TEST(FaultCombination, AdoptsMachineThatOnlyTheCloudLists) {
     spdlog::set_level(spdlog::level::off);
     for (bool replicated : {true, false}) {
@@ -202,8 +202,9 @@
     }
 }
 
-// The machine is up, reports and works before its rental is answered: the answer is lost, and asked for again
-// under the same name, or the leader ends meanwhile. It is one machine for all, and its task stays there.
+// The machine is up, reports and works before its scale-out request is answered: the answer is lost, and
+// asked for again under the same name, or the leader crashes meanwhile. It is one machine for all, and its
+// task stays there.
 TEST(FaultCombination, CountsMachineOnceWhenUpBeforeScaleOutIsAnswered) {
     spdlog::set_level(spdlog::level::off);
     for (bool ends : {false, true}) {
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -115,8 +115,8 @@
     expect_no_violations(cluster);
 }
 
-// The relays change their leader: reports that they hold go to the next one, commands reach no machine soon
-// after, and the cloud deletes nothing. No answer may give a cancelled task more than its time.
+// The relays change their leader: heartbeats that they hold go to the next one, commands reach no machine
+// soon after, and the cloud deletes nothing. No answer may give a cancelled task more than its time.
 class RelaysThatChangeLeader : public testing::TestWithParam<std::tuple<double, double>> {};
 INSTANTIATE_TEST_SUITE_P(
     FaultCombinations, RelaysThatChangeLeader,
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -9,8 +9,8 @@
         cluster.send(from.addr, cluster.addr_of(n), request, 1, [](std::optional<http::Response>) {});
 }
 
-// An old report arrives after newer ones, at a leader that has heard nothing newer of that machine: what it
-// shows has moved on since, and what runs elsewhere must go on.
+// An old heartbeat arrives after newer ones, at a leader that has received nothing newer of that machine:
+// what it shows has moved on since, and what runs elsewhere must go on.
 TEST(FaultCombination, OldHeartbeatStopsNothingThatRunsElsewhere) {
     spdlog::set_level(spdlog::level::off);
     Options options;
@@ -19,7 +19,7 @@
     SimulatedCluster cluster(options);
     keep_machines(cluster);
     cluster.at(4, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
-    std::map<std::string, http::Request> last_heartbeats;  // the last report of each machine with the task
+    std::map<std::string, http::Request> last_heartbeats;  // the last heartbeat of each machine with the task
     cluster.on_message = [&](auto& from, auto&, auto& request) {
         if (request.target == protocol::paths::report && request.body.find("j-1/") != std::string::npos &&
             cluster.now() < 25)
@@ -49,9 +49,9 @@
     expect_no_violations(cluster);
 }
 
-// A `run` is held up on its way to a machine that hears nobody, and its job is cancelled meanwhile. It
-// arrives between a report and the answer to it, and then the machine is cut off altogether: an answer that
-// renews its lease would leave the task there for a lease more.
+// A `run` is held up on its way to a machine that is outbound unreachable, and its job is cancelled
+// meanwhile. It arrives between a heartbeat and the answer to it, and then the machine is partitioned from
+// all: an answer that renews its lease would leave the task there for a lease more.
 TEST(FaultCombination, DelayedStartOfCancelledJobGetsNoLeaseRenewal) {
     spdlog::set_level(spdlog::level::off);
     Options options;
@@ -86,7 +86,7 @@
     expect_no_violations(cluster);
 }
 
-// Controllers hand over and back within moments, all end, one returns; what the first life of one sent comes
+// Controllers hand over and back within moments, all crash, one returns; what its first process sent comes
 // later.
 TEST(FaultCombination, KeepsAllRulesWhenLeadershipAlternates) {
     spdlog::set_level(spdlog::level::off);
--- a/tests/scenarios/fault_combinations_odd_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_invalid_requests_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that can't run or lack a field, and requests that make no sense, in the midst of other troubles.
+// Jobs that can't run or lack a field, and requests that make no sense, during other faults.
 #include <array>
 
 #include "scenarios/parameter_names.hpp"
@@ -58,11 +58,11 @@
 enum class FaultDuringRequest {
     nothing,
     types_unknown,
-    state_out,
-    state_slow,
+    store_outage,
+    store_slow,
     refused,
-    leader_ended,
-    all_ended
+    leader_crashed,
+    all_crashed
 };
 struct FaultCase {
     const char* name;
@@ -74,11 +74,11 @@
 const FaultCase fault_cases[] = {
     {"nothing", FaultDuringRequest::nothing},
     {"types unknown", FaultDuringRequest::types_unknown},
-    {"state service out", FaultDuringRequest::state_out},
-    {"state service slow", FaultDuringRequest::state_slow},
-    {"state service refuses one", FaultDuringRequest::refused},
-    {"leader just ended", FaultDuringRequest::leader_ended},
-    {"all just ended", FaultDuringRequest::all_ended},
+    {"key-value store out", FaultDuringRequest::store_outage},
+    {"key-value store slow", FaultDuringRequest::store_slow},
+    {"key-value store refuses one", FaultDuringRequest::refused},
+    {"leader just ended", FaultDuringRequest::leader_crashed},
+    {"all just ended", FaultDuringRequest::all_crashed},
 };
 constexpr double fault_at_s = 30, fault_s = 9;
 // After the fault begins. The first ones find a controller that has just begun.
@@ -88,13 +88,14 @@
     if (fault == FaultDuringRequest::types_unknown)
         cluster.start_cloud_outage(fault_at_s + fault_s);  // from the start
     cluster.at(fault_at_s, [&cluster, fault] {
-        if (fault == FaultDuringRequest::state_out) cluster.key_value_store.start_outage(fault_s);
-        if (fault == FaultDuringRequest::state_slow) cluster.key_value_store.slow_down(fault_s, 1.5);
+        if (fault == FaultDuringRequest::store_outage) cluster.key_value_store.start_outage(fault_s);
+        if (fault == FaultDuringRequest::store_slow) cluster.key_value_store.slow_down(fault_s, 1.5);
         if (fault == FaultDuringRequest::refused)
             cluster.refuse_at_key_value_store(leader_of(cluster), fault_s);
-        if (fault == FaultDuringRequest::leader_ended || fault == FaultDuringRequest::all_ended)
+        if (fault == FaultDuringRequest::leader_crashed || fault == FaultDuringRequest::all_crashed)
             for (std::size_t n = 0; n < controllers; ++n)
-                if (fault == FaultDuringRequest::all_ended || n == leader_of(cluster)) cluster.crash(n, 0.2);
+                if (fault == FaultDuringRequest::all_crashed || n == leader_of(cluster))
+                    cluster.crash(n, 0.2);
     });
 }
 
@@ -102,8 +103,8 @@
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, InvalidRequestDuringFault, testing::ValuesIn(fault_cases),
                          NameOfCase());
 
-// Every node, in trouble: refused as it is without trouble, or 503; never accepted. Nothing of it is stored,
-// and once the trouble is over each is refused with its own code.
+// Every node, during a fault: refused as it is without one, or 503; never accepted. Nothing of it is stored,
+// and once the fault is over each is refused with its own code.
 // What the controllers answered to invalid submissions.
 struct Refusals {
     std::size_t sent = 0, during_fault = 0, afterwards = 0;
@@ -158,7 +159,7 @@
     cluster.run_until(100);
     EXPECT_EQ(refusals.during_fault + refusals.afterwards, refusals.sent);  // all are answered
     EXPECT_EQ(refusals.afterwards, invalid_requests.size() * controllers);
-    bool all_503 = fault == FaultDuringRequest::types_unknown || fault == FaultDuringRequest::state_out;
+    bool all_503 = fault == FaultDuringRequest::types_unknown || fault == FaultDuringRequest::store_outage;
     EXPECT_GE(refusals.unavailable, all_503 ? refusals.sent / 8 : 0u) << "of " << refusals.sent;
     EXPECT_TRUE(refusals.unavailable == 0 || fault != FaultDuringRequest::nothing);
     EXPECT_LE(accepted, 3u);  // each once
--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -13,14 +13,14 @@
     double refused_s;      // the leader alone, from 30 s on; the cancellation comes 0.3 s later
     double outage_from_s;  // for all, for 70 s; before the leader's lease is out, which thus is kept
     bool again;       // a first outage ends, the leader renews its lease, and the next outage begins at once
-    bool crash;       // the leader ends in the middle, and is back at once
+    bool crash;       // the leader crashes in the middle, and is back at once
     bool late_watch;  // the leader's watch, still open, says nothing of it
 };
 const RefusalCase refusal_cases[] = {
     {"refused on", 14, 31.0, false, false, false},
     {"refused, then served for a moment", 10, 31.0, true, false, false},
     {"served for a moment, and the watch is late", 10, 31.0, true, false, true},
-    {"the leader ends meanwhile", 14, 31.0, false, true, false},
+    {"the leader crashes meanwhile", 14, 31.0, false, true, false},
     {"the lease is out before the outage", 14, 34.0, false, false, false},
 };
 class RefusedLeader : public testing::TestWithParam<RefusalCase> {};
@@ -62,7 +62,7 @@
     EXPECT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 0u);
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't hear the new leader, for longer
+// A leader crashes while machines with long tasks can't be reached, or are outbound unreachable, for longer
 // than a lease, and can't be deleted: their places, quota and zone stay taken until their leases are out, and
 // everything goes on.
 class UnreachableMachines : public testing::TestWithParam<std::tuple<bool, double>> {};
@@ -170,9 +170,9 @@
     });
 }
 
-// A leader is cut from the key-value store and from the other controllers, while workers and users still
-// reach it, and jobs are cancelled through the new one: the old one says nothing older, and keeps no task too
-// long.
+// A leader is partitioned from the key-value store and from the other controllers, while workers and users
+// still reach it, and jobs are cancelled through the new one: the old one answers nothing older, and keeps no
+// task too long.
 TEST(FaultCombination, IsolatedLeaderAnswersNothingOlder) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 // What the machines go through that hold all of a team's limit.
-enum class Unavailability { hang, hang_briefly, no_answers, cut_off };
+enum class Unavailability { hang, hang_briefly, no_answers, partitioned };
 
 void make_unavailable(SimulatedCluster& cluster, Unavailability how, std::size_t machine, double for_s) {
     auto& worker = *cluster.workers[machine];
     if (how == Unavailability::hang) cluster.hang_machine(machine, for_s);
     if (how == Unavailability::hang_briefly) cluster.hang_machine(machine, 9);
     if (how == Unavailability::no_answers) cluster.partition_one_way("10.0.", worker.addr, for_s);
-    if (how == Unavailability::cut_off) cluster.partition("10.0.", worker.addr, for_s);
+    if (how == Unavailability::partitioned) cluster.partition("10.0.", worker.addr, for_s);
 }
 
 // The bound that docs/design.md states, after the last change of the leader: the new one counts on the one
-// before having renewed leases for as long as `cancel_s` allows. Some report periods are for the plan and the
-// start.
+// before having renewed leases for as long as `cancel_s` allows. Some heartbeat periods are for the plan and
+// the start.
 double quota_release_bound_s(const Options& options) {
     return options.cancel_s + 2 * options.report_s;
 }
@@ -32,22 +32,22 @@
 struct LimitCase {
     const char* name;
     Unavailability how;
-    double leader_ends;  // after the cancellation; it comes 2 s after the machines go away
-    bool replicated;     // the next leader follows the one before
+    double leader_crashes_after;  // after the cancellation; it comes 2 s after the machines go away
+    bool replicated;              // the next leader follows the one before
 };
 void PrintTo(const LimitCase& limit_cases, std::ostream* out) {
     *out << limit_cases.name;
 }
 const LimitCase limit_cases[] = {
-    {"hang, leader ends before", Unavailability::hang, -1, true},
-    {"hang, leader ends after", Unavailability::hang, 0.5, true},
-    {"hang, leader ends at the cancellation", Unavailability::hang, 0.01, false},
+    {"hang, leader crashes before", Unavailability::hang, -1, true},
+    {"hang, leader crashes after", Unavailability::hang, 0.5, true},
+    {"hang, leader crashes at the cancellation", Unavailability::hang, 0.01, false},
     {"hang briefly", Unavailability::hang_briefly, 0.3, true},
-    {"hang briefly, nobody follows", Unavailability::hang_briefly, 0.3, false},
+    {"hang briefly, no replica", Unavailability::hang_briefly, 0.3, false},
     {"no answers", Unavailability::no_answers, 1, true},
-    {"no answers, nobody follows", Unavailability::no_answers, 1, false},
-    {"cut off", Unavailability::cut_off, -0.5, true},
-    {"cut off, late change", Unavailability::cut_off, 9, false},
+    {"no answers, no replica", Unavailability::no_answers, 1, false},
+    {"partitioned", Unavailability::partitioned, -0.5, true},
+    {"partitioned, late change", Unavailability::partitioned, 9, false},
 };
 class TeamsAtTheirLimits : public testing::TestWithParam<LimitCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limit_cases), NameOfCase());
@@ -87,9 +87,10 @@
     for (std::size_t k = 0; k < cluster.workers.size(); ++k)
         if (holds_any_first_job(*cluster.workers[k])) make_unavailable(cluster, test_case.how, k, 100);
     for (auto* id : first_jobs) cluster.at(32, [&cluster, id] { cluster.cancel(id); });
-    cluster.at(32 + test_case.leader_ends, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
-    cluster.at(32 + test_case.leader_ends + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 4); });
-    cluster.run_until(32 + test_case.leader_ends + 3.5 + quota_release_bound_s(options));
+    cluster.at(32 + test_case.leader_crashes_after, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.at(32 + test_case.leader_crashes_after + 3.5,
+               [&cluster] { cluster.crash(leader_of(cluster), 4); });
+    cluster.run_until(32 + test_case.leader_crashes_after + 3.5 + quota_release_bound_s(options));
     EXPECT_EQ(on_machines(cluster, "j-11") + on_machines(cluster, "j-12"), 0u);
     EXPECT_GT(on_machines(cluster, "j-13") + cluster.jobs["j-13"].tasks_done.size(), 0u);
     EXPECT_GT(on_machines(cluster, "j-23") + cluster.jobs["j-23"].tasks_done.size(), 0u);
--- a/tests/scenarios/fault_combinations_task_ends_test.cpp
+++ b/tests/scenarios/fault_combinations_task_ends_test.cpp
@@ -5,7 +5,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-// Jobs of two or three tasks that end far apart, and the leader ends in between, or right when an end was
+// Jobs of two or three tasks that end far apart, and the leader crashes in between, or right when an end was
 // reported to it alone.
 class TaskEndsFarApart : public testing::TestWithParam<std::tuple<const char*, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, TaskEndsFarApart,
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -1,4 +1,4 @@
-// Jobs bound to one zone whose machines are lost, and more work than room: once the troubles are over,
+// Jobs bound to one zone whose machines are lost, and more work than room: once the faults are over,
 // nothing waits that has room and quota.
 #include <array>
 
@@ -8,32 +8,32 @@
 namespace coralhitch::simulation {
 namespace {
 
-enum class Loss { one_dies, zone_dies, zone_hangs, zone_cut_off };
+enum class Loss { one_crashes, zone_crashes, zone_hangs, zone_partitioned };
 struct BoundJobCase {
     const char* name;
     const char* shape;
     bool named;  // the zone is named by the job; else it is where its first task went
     Loss loss;
-    bool leader_ends;
+    bool leader_crashes;
 };
 void PrintTo(const BoundJobCase& bound_job, std::ostream* out) {
     *out << bound_job.name;
 }
 const BoundJobCase bound_jobs[] = {
-    {"array, one machine dies", "batch", false, Loss::one_dies, false},
-    {"array, its zone dies", "batch", false, Loss::zone_dies, false},
-    {"array, its zone dies, the leader ends", "batch", false, Loss::zone_dies, true},
-    {"array, its zone hangs, the leader ends", "batch", false, Loss::zone_hangs, true},
-    {"array, its zone is cut off, the leader ends", "batch", false, Loss::zone_cut_off, true},
-    {"array, its zone is cut off", "batch", false, Loss::zone_cut_off, false},
-    {"array in a named zone, one machine dies", "batch", true, Loss::one_dies, true},
-    {"array in a named zone, which dies", "batch", true, Loss::zone_dies, true},
+    {"array, one machine crashes", "batch", false, Loss::one_crashes, false},
+    {"array, its zone crashes", "batch", false, Loss::zone_crashes, false},
+    {"array, its zone crashes, the leader crashes", "batch", false, Loss::zone_crashes, true},
+    {"array, its zone hangs, the leader crashes", "batch", false, Loss::zone_hangs, true},
+    {"array, its zone is partitioned, the leader crashes", "batch", false, Loss::zone_partitioned, true},
+    {"array, its zone is partitioned", "batch", false, Loss::zone_partitioned, false},
+    {"array in a named zone, one machine crashes", "batch", true, Loss::one_crashes, true},
+    {"array in a named zone, which crashes", "batch", true, Loss::zone_crashes, true},
     {"array in a named zone, which hangs", "batch", true, Loss::zone_hangs, true},
-    {"gang, one machine dies, the leader ends", "gang", false, Loss::one_dies, true},
-    {"gang, its zone dies, the leader ends", "gang", false, Loss::zone_dies, true},
+    {"gang, one machine crashes, the leader crashes", "gang", false, Loss::one_crashes, true},
+    {"gang, its zone crashes, the leader crashes", "gang", false, Loss::zone_crashes, true},
     {"gang, its zone hangs", "gang", false, Loss::zone_hangs, false},
-    {"gang in a named zone, which is cut off", "gang", true, Loss::zone_cut_off, true},
-    {"service, its zone dies, the leader ends", "service", false, Loss::zone_dies, true},
+    {"gang in a named zone, which is partitioned", "gang", true, Loss::zone_partitioned, true},
+    {"service, its zone crashes, the leader crashes", "service", false, Loss::zone_crashes, true},
     {"service in a named zone, which hangs", "service", true, Loss::zone_hangs, true},
 };
 
@@ -53,11 +53,11 @@
     auto zone = cluster.workers[first]->zone;
     for (std::size_t k = 0; k < cluster.workers.size(); ++k) {
         auto& worker = *cluster.workers[k];
-        if (loss == Loss::one_dies ? k != first : worker.zone != zone || worker.dead) continue;
+        if (loss == Loss::one_crashes ? k != first : worker.zone != zone || worker.dead) continue;
         ++lost;
-        if (loss == Loss::one_dies || loss == Loss::zone_dies) cluster.crash_machine(k);
+        if (loss == Loss::one_crashes || loss == Loss::zone_crashes) cluster.crash_machine(k);
         if (loss == Loss::zone_hangs) cluster.hang_machine(k, away_s);
-        if (loss == Loss::zone_cut_off) cluster.partition("10.0.", worker.addr, away_s);
+        if (loss == Loss::zone_partitioned) cluster.partition("10.0.", worker.addr, away_s);
     }
     return lost;
 }
@@ -76,18 +76,18 @@
     cluster.run_until(30);
     ASSERT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     auto first = first_machine_with(cluster, "j-1");
-    // Those that are cut off can't be deleted either: only the time proves anything. The bound is that of
-    // docs/design.md for a new leader, with two report periods for the plan and the start.
-    bool cut_off = test_case.loss == Loss::zone_cut_off;
-    double proven_s = options.cancel_s + 2 * options.report_s, away_s = cut_off ? proven_s + 10 : 40;
-    if (cut_off) cluster.start_cloud_outage(away_s);
+    // Those that are partitioned can't be deleted either: only the time proves anything. The bound is that of
+    // docs/design.md for a new leader, with two heartbeat periods for the plan and the start.
+    bool partitioned = test_case.loss == Loss::zone_partitioned;
+    double proven_s = options.cancel_s + 2 * options.report_s, away_s = partitioned ? proven_s + 10 : 40;
+    if (partitioned) cluster.start_cloud_outage(away_s);
     ASSERT_GT(lose_machines(cluster, test_case.loss, first, away_s), 0u);
-    if (test_case.leader_ends) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
-    if (cut_off && !test_case.named) {  // the other zone has room
+    if (test_case.leader_crashes) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    if (partitioned && !test_case.named) {  // the other zone has room
         cluster.run_until(30 + proven_s);
         EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     }
-    cluster.faults_over_at = 30 + (test_case.loss == Loss::zone_hangs || cut_off ? away_s : 1);
+    cluster.faults_over_at = 30 + (test_case.loss == Loss::zone_hangs || partitioned ? away_s : 1);
     cluster.run_until(cluster.faults_over_at + 200);
     if (service)
         EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
@@ -97,8 +97,8 @@
     expect_no_violations(cluster);
 }
 
-// One machine is cut off and can't be deleted, the leader stays: only the end of its lease proves anything,
-// whoever answered it until then. What was there goes on elsewhere within that time.
+// One machine is partitioned and can't be deleted, the leader stays: only the end of its lease proves
+// anything, whoever answered it until then. What was there goes on elsewhere within that time.
 class PartitionedMachine : public testing::TestWithParam<std::size_t> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, PartitionedMachine, testing::Range<std::size_t>(0, 6),
                          Numbered{"Machine"});
@@ -122,8 +122,8 @@
 }
 
 // More than twice the work that there is room for with all that the cloud gives, of each rank. Machines
-// die, hang and are cut off, leaders end and a part is cancelled meanwhile. The urgent work is not behind the
-// rest, and once the troubles are over everything is served: nothing waits with room and quota.
+// die, hang and are partitioned, leaders crash and a part is cancelled meanwhile. The urgent work is not
+// behind the rest, and once the faults are over everything is served: nothing waits with room and quota.
 class Overload : public testing::TestWithParam<std::tuple<int, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, Overload,
                          testing::Combine(testing::Values(1, 2, 3), testing::Bool()), [](auto& info) {
--- a/tests/scenarios/fault_scenarios.hpp
+++ b/tests/scenarios/fault_scenarios.hpp
@@ -15,7 +15,7 @@
 inline constexpr std::uint64_t seeds_part = 1;
 #endif
 
-// Jobs of every kind come all the time, so that starts are on their way at any moment; all end in time.
+// Jobs of every kind come all the time, so that starts are on their way at any moment; all crash in time.
 void submit_steady_jobs(SimulatedCluster& cluster, double until);
 // What is wrong at the end: rules that were broken, jobs that were not accepted or have not ended.
 std::vector<std::string> find_failures(const SimulatedCluster& cluster);
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -70,7 +70,7 @@
 }
 
 // The transaction of an end is carried out and its answer lost, or late, while other nodes read what it
-// wrote, and the job is submitted again: it ends once, and nobody hears anything else.
+// wrote, and the job is submitted again: it ends once, and nobody is told anything else.
 // Asks all controllers, and keeps what they say from the first "done" on.
 void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& told) {
     for (std::size_t n = 0; n < 3; ++n) {
@@ -122,7 +122,7 @@
 // Jobs of one task come for two minutes, a quarter of them are cancelled, and the key-value store allows few
 // changes. Ends are stored in time, since those of cancelled jobs wait for them and not the other way round.
 //
-// Counted from the report that says it: a worker reports a change within half a second, so that this bound
+// Counted from the heartbeat that says it: a worker reports a change within half a second, so that this bound
 // keeps the three seconds in which users expect it, but those simulated here report only once a period, which
 // alone may take longer. With ends of cancelled jobs at the rank of the others each of 24 seeds took 2.31 s
 // or more.
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -1,4 +1,4 @@
-// What workers' leases do when nobody, or not everybody, may renew them: a zone that is cut off with its
+// What workers' leases do when nobody, or not everybody, may renew them: a zone that is partitioned with its
 // controller, leaders that change again and again, and no controller at all. docs/testing.md lists the cases.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -21,7 +21,7 @@
 std::size_t with_expired_lease(const SimulatedCluster& cluster, const std::string& zone = "") {
     return machines(cluster, zone, true);
 }
-// Leaders end until this controller leads, or until another one does.
+// Leaders crash until this controller leads, or until another one does.
 void change_leader_until(SimulatedCluster& cluster, std::size_t node, bool wanted) {
     for (int tries = 0; tries < 30 && (leader_of(cluster) == node) != wanted; ++tries) {
         cluster.crash(leader_of(cluster), 2);
@@ -50,8 +50,8 @@
     cluster.run_until(25);
 }
 
-// A zone with workers and a controller is cut off for longer than `lease_s`. That controller renews their
-// leases for as long as it may, which ends early enough for a cancellation that it can't hear of, and a
+// A zone with workers and a controller is partitioned for longer than `lease_s`. That controller renews their
+// leases for as long as it may, which ends early enough for a cancellation that it can't learn of, and a
 // leader outside starts nothing again before that time and a lease more are over.
 struct ZonePartition {
     const char* name;
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -1,5 +1,5 @@
-// The real controllers in simulated time: leaders end at the moments that matter for replication, against the
-// simulated users' rules.
+// The real controllers in simulated time: leaders crash at the moments that matter for replication, against
+// the simulated users' rules.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -22,8 +22,8 @@
     cluster.at(cluster.now() + 0.02, [&cluster, leader] { crash_next_leader(cluster, leader); });
 }
 
-// The leader ends right after a message of some kind is sent, for the n-th time from some moment on; its
-// successor likewise, if the case says so. Machines die or hang over it.
+// The leader crashes right after a message of some kind is sent, for the n-th time from some moment on; its
+// successor likewise, if the case says so. Machines crash or hang over it.
 struct FaultAtMessage {
     const char* name;
     std::function<bool(const http::Request&)> message;
@@ -34,7 +34,7 @@
      [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
     {"a start is sent", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
-    {"a start is sent, and the next leader ends before it has reconciled", starts_a_task,
+    {"a start is sent, and the next leader crashes before it has reconciled", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) {
          cluster.crash(leader, 9);
          crash_next_leader(cluster, leader);
@@ -45,15 +45,15 @@
                                              request.body.find("\"standby\"") != std::string::npos);
      },
      [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
-    {"a start is sent, and the leader stands still, then goes on", starts_a_task,
+    {"a start is sent, and the leader freezes, then goes on", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) { cluster.freeze(leader, 14); }},
-    {"a start is replicated to a follower that is cut off, its messages held",
+    {"a start is replicated to a follower that is partitioned, its messages held",
      [](auto& request) { return request.target == protocol::peer_fleet_path; },
      [](SimulatedCluster& cluster, std::size_t leader) {
          cluster.partition(host_of((leader + 1) % 3), "10.", 25, Packets::held);
          cluster.at(cluster.now() + 4, [&cluster, leader] { cluster.crash(leader, 5); });
      }},
-    {"a start is sent while the state service is out", starts_a_task,
+    {"a start is sent while the key-value store is out", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) {
          cluster.key_value_store.start_outage(10);
          cluster.crash(leader, 5);
@@ -65,7 +65,7 @@
          cluster.crash((leader + 1) % 3, 7);
      }},
     // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
-    {"a start is replicated, reaches nobody, and the leader ends while machines hang",
+    {"a start is replicated, reaches nobody, and the leader crashes while machines hang",
      [](auto& request) { return request.target == protocol::peer_fleet_path; },
      [](SimulatedCluster& cluster, std::size_t leader) {
          for (std::size_t k = 0; k < 12; k += 2) cluster.hang_machine(k, 7);
@@ -73,7 +73,7 @@
              if (k != leader) cluster.partition(host_of(leader), host_of(k), 20);
          cluster.at(cluster.now() + 0.3, [&cluster, leader] { cluster.crash(leader, 5); });
      }},
-    {"the leader is cut off with a zone, packets held", starts_a_task,
+    {"the leader is partitioned with a zone, packets held", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) {
          cluster.partition(host_of(leader), "10.", 30, Packets::held);
      }},
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -107,7 +107,7 @@
 SimulatedCluster::~SimulatedCluster() {
     for (auto& node : nodes_)
         if (node.timers) node.timers->kill();
-    // A controller that ends answers what still waits with it, into a world that must be whole.
+    // A controller that ends answers what still waits with it, into a cluster that must be whole.
     for (auto* all : {&nodes_, &crashed_nodes_})
         for (auto& node : *all) node.controller.reset();
 }
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -1,5 +1,6 @@
 // Everything around the controllers, simulated: key-value store, cloud, workers, users and the network
-// between them, each in a simulated_cluster_*.cpp. It speaks the protocol, and checks the rules itself.
+// between them, each in a simulated_cluster_*.cpp. It speaks the protocol, and tells the checker of the rules
+// what happens.
 #pragma once
 #include <deque>
 #include <functional>
@@ -94,7 +95,7 @@
         workers[k % workers.size()]->inbound_unreachable_until = now() + for_s;
     }
     void send_unusual_requests(double for_s);
-    // Copies of a part of the reports are kept, and arrive at all controllers when the next one leads.
+    // Copies of a part of the heartbeats are kept, and arrive at all controllers when the next one leads.
     void replay_heartbeats_at_next_leader(double for_s) { keep_heartbeats_until_ = now() + for_s; }
     // A quarter of the direct commands is held up, unanswered, and carried out 2 to 16 s late.
     void delay_commands(double for_s) { delay_commands_until_ = now() + for_s; }
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -82,8 +82,8 @@
     at(now() + latency(),
        [this, pending, response = std::move(response)] { read_response(pending, response); });
 }
-// A process that is back within a fraction of a second must not hear what the one before it asked: that one
-// would go on acting, and end the lease of the process that runs in its place.
+// A process that is back within a fraction of a second must not receive what the one before it asked: that
+// one would go on acting, and end the lease of the process that runs in its place.
 void SimulatedCluster::read_response(const std::shared_ptr<PendingRequest>& pending,
                                      const http::Response& response) {
     for (auto& node : nodes_) {
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -123,7 +123,8 @@
         "j-999999", "GET", "/api/jobs/j-999999", "", [](auto&) {}, 0);
 }
 
-// --- Users who give trouble -------------------------------------------------------------------------------
+// --- Users whose requests are unusual
+// -------------------------------------------------------------------------------
 
 void SimulatedCluster::query_all_controllers_repeatedly(const std::string& id, bool just_accepted) {
     if (now() >= frequent_queries_until_) return;
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -128,7 +128,7 @@
          cluster.expect_refusal("j-1", 400);
          cluster.start_against_rules("j-1/7", 99, 0);
      }},
-    {"left_waiting j-8",  // its machines hear nobody
+    {"left_waiting j-8",  // its machines are outbound unreachable
      [](SimulatedCluster& cluster) {
          cluster.faults_over_at = cluster.now();
          cluster.partition("10.0.", "10.1.", 100);
