--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -12,16 +12,24 @@
     const char* name;
     double refused_s;      // the leader alone, from 30 s on; the cancellation comes 0.3 s later
     double outage_from_s;  // for all, for 70 s; before the leader's lease is out, which thus is kept
-    bool again;       // a first outage ends, the leader renews its lease, and the next outage begins at once
-    bool crash;       // the leader crashes in the middle, and is back at once
-    bool late_watch;  // the leader's watch, still open, says nothing of it
+    // A first outage ends, the leader renews its lease, and the next outage begins at once.
+    bool second_outage = false;
+    bool crash = false;       // the leader crashes in the middle, and is back at once
+    bool late_watch = false;  // the leader's watch, still open, says nothing of it
 };
 const RefusalCase refusal_cases[] = {
-    {"refused on", 14, 31.0, false, false, false},
-    {"refused, then served for a moment", 10, 31.0, true, false, false},
-    {"served for a moment, and the watch is late", 10, 31.0, true, false, true},
-    {"the leader crashes meanwhile", 14, 31.0, false, true, false},
-    {"the lease is out before the outage", 14, 34.0, false, false, false},
+    {.name = "refused on", .refused_s = 14, .outage_from_s = 31.0},
+    {.name = "refused, then served for a moment",
+     .refused_s = 10,
+     .outage_from_s = 31.0,
+     .second_outage = true},
+    {.name = "served for a moment, and the watch is late",
+     .refused_s = 10,
+     .outage_from_s = 31.0,
+     .second_outage = true,
+     .late_watch = true},
+    {.name = "the leader crashes meanwhile", .refused_s = 14, .outage_from_s = 31.0, .crash = true},
+    {.name = "the lease is out before the outage", .refused_s = 14, .outage_from_s = 34.0},
 };
 class RefusedLeader : public testing::TestWithParam<RefusalCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, RefusedLeader, testing::ValuesIn(refusal_cases), NameOfCase());
@@ -45,11 +53,12 @@
         cluster.cancel("j-1");
         cluster.cancel("j-2");
     });
-    double outage_s = test_case.again ? test_case.refused_s - (test_case.outage_from_s - 30) - 0.05 : 70;
+    double outage_s =
+        test_case.second_outage ? test_case.refused_s - (test_case.outage_from_s - 30) - 0.05 : 70;
     cluster.at(test_case.outage_from_s,
                [&cluster, outage_s] { cluster.key_value_store.start_outage(outage_s); });
     if (test_case.crash) cluster.at(33, [&cluster, old_leader] { cluster.crash(old_leader, 0.1); });
-    if (test_case.again)
+    if (test_case.second_outage)
         cluster.on_message = [&cluster, old_leader, begun = false](auto& from, auto&, auto& request) mutable {
             bool renews = from == cluster.addr_of(old_leader) && request.target.ends_with("/renew");
             if (!renews || cluster.now() < 40 || std::exchange(begun, true)) return;
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -12,29 +12,67 @@
 struct BoundJobCase {
     const char* name;
     const char* shape;
-    bool named;  // the zone is named by the job; else it is where its first task went
+    bool named = false;  // the zone is named by the job; else it is where its first task went
     Loss loss;
-    bool leader_crashes;
+    bool leader_crashes = false;
 };
 void PrintTo(const BoundJobCase& bound_job, std::ostream* out) {
     *out << bound_job.name;
 }
 const BoundJobCase bound_jobs[] = {
-    {"array, one machine crashes", "batch", false, Loss::one_crashes, false},
-    {"array, its zone crashes", "batch", false, Loss::zone_crashes, false},
-    {"array, its zone crashes, the leader crashes", "batch", false, Loss::zone_crashes, true},
-    {"array, its zone hangs, the leader crashes", "batch", false, Loss::zone_hangs, true},
-    {"array, its zone is partitioned, the leader crashes", "batch", false, Loss::zone_partitioned, true},
-    {"array, its zone is partitioned", "batch", false, Loss::zone_partitioned, false},
-    {"array in a named zone, one machine crashes", "batch", true, Loss::one_crashes, true},
-    {"array in a named zone, which crashes", "batch", true, Loss::zone_crashes, true},
-    {"array in a named zone, which hangs", "batch", true, Loss::zone_hangs, true},
-    {"gang, one machine crashes, the leader crashes", "gang", false, Loss::one_crashes, true},
-    {"gang, its zone crashes, the leader crashes", "gang", false, Loss::zone_crashes, true},
-    {"gang, its zone hangs", "gang", false, Loss::zone_hangs, false},
-    {"gang in a named zone, which is partitioned", "gang", true, Loss::zone_partitioned, true},
-    {"service, its zone crashes, the leader crashes", "service", false, Loss::zone_crashes, true},
-    {"service in a named zone, which hangs", "service", true, Loss::zone_hangs, true},
+    {.name = "array, one machine crashes", .shape = "batch", .loss = Loss::one_crashes},
+    {.name = "array, its zone crashes", .shape = "batch", .loss = Loss::zone_crashes},
+    {.name = "array, its zone crashes, the leader crashes",
+     .shape = "batch",
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "array, its zone hangs, the leader crashes",
+     .shape = "batch",
+     .loss = Loss::zone_hangs,
+     .leader_crashes = true},
+    {.name = "array, its zone is partitioned, the leader crashes",
+     .shape = "batch",
+     .loss = Loss::zone_partitioned,
+     .leader_crashes = true},
+    {.name = "array, its zone is partitioned", .shape = "batch", .loss = Loss::zone_partitioned},
+    {.name = "array in a named zone, one machine crashes",
+     .shape = "batch",
+     .named = true,
+     .loss = Loss::one_crashes,
+     .leader_crashes = true},
+    {.name = "array in a named zone, which crashes",
+     .shape = "batch",
+     .named = true,
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "array in a named zone, which hangs",
+     .shape = "batch",
+     .named = true,
+     .loss = Loss::zone_hangs,
+     .leader_crashes = true},
+    {.name = "gang, one machine crashes, the leader crashes",
+     .shape = "gang",
+     .loss = Loss::one_crashes,
+     .leader_crashes = true},
+    {.name = "gang, its zone crashes, the leader crashes",
+     .shape = "gang",
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "gang, its zone hangs", .shape = "gang", .loss = Loss::zone_hangs},
+    {.name = "gang in a named zone, which is partitioned",
+     .shape = "gang",
+     .named = true,
+     .loss = Loss::zone_partitioned,
+     .leader_crashes = true},
+    {.name = "service, its zone crashes, the leader crashes",
+     .shape = "service",
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "service in a named zone, which hangs",
+     .shape = "service",
+     .named = true,
+     .loss = Loss::zone_hangs,
+     .leader_crashes = true},
 };
 
 // Machines of the zone with tasks of a job bound to it go, and the leader may end a moment later. What is
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -32,12 +32,11 @@
 }
 // Zone b, that is one controller and every other machine, from the other zone and from the region.
 constexpr std::size_t controller_inside = 1;
-void partition_zone(SimulatedCluster& cluster, double for_s, bool hold) {
+void partition_zone(SimulatedCluster& cluster, double for_s, Packets packets) {
     std::vector<std::string> in{host_of(controller_inside)}, out{"10.2.", host_of(0), host_of(2)};
     for (auto& worker : cluster.workers) (worker->zone == "b" ? in : out).push_back(host_of(*worker));
     for (auto& inside : in)
-        for (auto& outside : out)
-            cluster.partition(inside, outside, for_s, hold ? Packets::held : Packets::dropped);
+        for (auto& outside : out) cluster.partition(inside, outside, for_s, packets);
     cluster.remove_from_load_balancer(controller_inside);
 }
 
@@ -55,14 +54,14 @@
 // leader outside starts nothing again before that time and a lease more are over.
 struct ZonePartition {
     const char* name;
-    bool leads;  // the controller inside, as the cut begins
-    bool hold;   // what is sent across arrives when the cut ends
+    bool leads = false;  // the controller inside, as the partition begins
+    Packets packets = Packets::dropped;
 };
 const ZonePartition zone_partitions[] = {
-    {"the leader is inside", true, false},
-    {"the leader is inside, packets held", true, true},
-    {"the leader is outside", false, false},
-    {"the leader is outside, packets held", false, true},
+    {.name = "the leader is inside", .leads = true},
+    {.name = "the leader is inside, packets held", .leads = true, .packets = Packets::held},
+    {.name = "the leader is outside"},
+    {.name = "the leader is outside, packets held", .packets = Packets::held},
 };
 class PartitionedZone : public testing::TestWithParam<ZonePartition> {};
 INSTANTIATE_TEST_SUITE_P(Liveness, PartitionedZone, testing::ValuesIn(zone_partitions), NameOfCase());
@@ -77,7 +76,7 @@
     ASSERT_GT(on_machines(cluster, "j-1", "b"), 0u);
     ASSERT_EQ(with_expired_lease(cluster), 0u);
     double from = cluster.now();
-    partition_zone(cluster, options.lease_s * 3, test_case.hold);
+    partition_zone(cluster, options.lease_s * 3, test_case.packets);
     // The cloud can't be asked to delete: time is the only proof that is left.
     cluster.start_cloud_outage(options.lease_s * 3);
     cluster.at(from + 4, [&cluster] { cluster.cancel("j-2"); });
@@ -144,16 +143,20 @@
 // answered and others not. Afterwards nothing is placed before each machine has said what is left there.
 struct OutageCase {
     const char* name;
-    double back_s;  // when they are back for a moment, after they went; 0: they aren't
-    double for_s;   // that moment
-    double away_s;  // in all
-    bool standby;   // whether they know of what was where, before
+    double back_s = 0;  // when they are back for a moment, after they went; 0: they aren't
+    double for_s = 0;   // that moment
+    double away_s;      // in all
+    bool replicated;    // whether they know of what was where, before
 };
 const OutageCase outage_cases[] = {
-    {"throughout", 0, 0, 32, true},
-    {"throughout, and know nothing", 0, 0, 32, false},
-    {"but for a moment", 16, 2, 36, true},
-    {"but for a moment, and know nothing", 16, 2, 36, false},
+    {.name = "throughout", .away_s = 32, .replicated = true},
+    {.name = "throughout, and know nothing", .away_s = 32, .replicated = false},
+    {.name = "but for a moment", .back_s = 16, .for_s = 2, .away_s = 36, .replicated = true},
+    {.name = "but for a moment, and know nothing",
+     .back_s = 16,
+     .for_s = 2,
+     .away_s = 36,
+     .replicated = false},
 };
 class ControllerOutage : public testing::TestWithParam<OutageCase> {};
 INSTANTIATE_TEST_SUITE_P(Liveness, ControllerOutage, testing::ValuesIn(outage_cases), NameOfCase());
@@ -162,7 +165,7 @@
     auto test_case = GetParam();
     Options options;
     options.machines = 9;
-    if (!test_case.standby) options.without_replication = {0, 1, 2};
+    if (!test_case.replicated) options.without_replication = {0, 1, 2};
     SimulatedCluster cluster(options);
     cluster.at(2, [&cluster] {
         cluster.submit("j-1", "batch", 6, 400);
