--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -17,8 +17,8 @@
 void Checker::check_runs_once(double now, ObservedJob& job, const std::string& machine,
                               const protocol::TaskId& task) {
     auto [begin, end] = job.machines_of_task.equal_range(task.index);
-    for (auto other = begin; other != end; ++other)
-        report(now, "ran_twice " + task.str() + " on " + machine + " and " + other->second);
+    auto what = "ran_twice " + task.str() + " on " + machine + " and ";
+    for (auto other = begin; other != end; ++other) report(now, what + other->second);
     observations_.remove_task(job, task.index, machine);  // it takes its place there once
 }
 void Checker::check_awaits(double now, const protocol::Job& job, const std::string& task) {
