--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -181,12 +181,13 @@
         // Refused by the worker; what is there stays. Reported under the new attempt once it has gone.
         return;
     }
-    // A dead machine is told to start something only by a test that breaks a rule on purpose.
-    bool refused = job.refused || worker.dead || places(worker, job.spec) == 0;
-    auto outcome = refused ? verification::StartOutcome::no_room : verification::StartOutcome::placed;
+    bool has_room = !job.refused && places(worker, job.spec) > 0;
+    auto outcome = has_room ? verification::StartOutcome::placed : verification::StartOutcome::no_room;
     checker_.started(now(), worker.id, parse_task_id(task), outcome);
+    // Only a test that breaks a rule on purpose starts something on a dead machine: nothing stays there.
+    if (worker.dead) checker_.machine_gone(worker.id);
     if (job.refused) return;
-    if (refused) {
+    if (!has_room) {
         worker.tasks[task] = {id, attempt, "exited", "no_room"};
         return;
     }
