--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -46,6 +46,7 @@
 std::vector<std::string> awaits_of(const json& spec);
 
 class SimulatedCluster {
+    // Before all else, since `key_value_store` uses them.
     Options options_;
     verification::Checker checker_;
     std::mt19937_64 random_;
@@ -54,14 +55,22 @@
   public:
     explicit SimulatedCluster(Options options);
     ~SimulatedCluster();
+
     void run_until(double time) { events_.run_until(time); }
     double now() const { return events_.now(); }
     void at(double time, event_loop::Task task) { events_.at(time, std::move(task)); }
 
-    SimulatedKeyValueStore key_value_store;
-
-    // Faults
+    // --- Controllers, by number ---------------------------------------------------------------------------
+    std::optional<std::size_t> leader() const;
+    bool healthy(std::size_t node) const;
+    std::string addr_of(std::size_t node) const { return "10.0.0." + std::to_string(node + 1) + ":8080"; }
     void crash(std::size_t node, double back_after);
+    // Nothing that is due happens for so long; it happens all at once afterwards.
+    void freeze(std::size_t node, double for_s);
+    void remove_from_load_balancer(std::size_t node) { removed_from_load_balancer_ = node; }
+
+    // --- Network ------------------------------------------------------------------------------------------
+    // Ends are as in NetworkPartition.
     void partition(const std::string& one_end, const std::string& other_end, double for_s,
                    Packets packets = Packets::dropped) {
         partitions_.add({.from = one_end, .to = other_end, .until = now() + for_s, .packets = packets});
@@ -74,51 +83,60 @@
         duplicates_until_ = now() + for_s;
         duplicates_max_delay_s_ = late_s;
     }
-    // Under the same name and address; it remembers its agent epoch or begins anew.
-    void reboot_machine(std::size_t machine, bool anew);
-    void hide_job_from(std::size_t node, const std::string& id) {
-        key_value_store.hide_job_from(addr_of(node), id);
+    // Copies of a part of the heartbeats are kept, and arrive at all controllers when the next one leads.
+    void replay_heartbeats_at_next_leader(double for_s) { keep_heartbeats_until_ = now() + for_s; }
+    // A quarter of the direct commands is held up, unanswered, and carried out 2 to 16 s late.
+    void delay_commands(double for_s) { delay_commands_until_ = now() + for_s; }
+    // Seconds by which a direct command is held up: it is carried out once then, and its answer is lost.
+    std::function<double(const std::string& to, const http::Request&)> command_delay;
+    // Called with each message as it is sent, so that a fault can be placed right after it.
+    std::function<void(const std::string& from, const std::string& to, const http::Request&)> on_message;
+    // A copy of a message arrives at this controller now; nobody waits for the answer.
+    void copy_to(std::size_t node, const std::string& from, const http::Request& request) {
+        deliver(from, addr_of(node), request, [](http::Response) {});
     }
-    bool healthy(std::size_t node) const;
-    void start_cloud_outage(double for_s) { cloud_outage_until_ = now() + for_s; }
+    // As a host does.
+    void send(const std::string& from, const std::string& to, http::Request request, double timeout,
+              http::Result result);
+
+    // --- Key-value store and cloud ------------------------------------------------------------------------
+    SimulatedKeyValueStore key_value_store;
     void refuse_at_key_value_store(std::size_t node, double for_s) {
         key_value_store.refuse(addr_of(node), for_s);
     }
-    // Users look at all controllers, again and again within milliseconds, and repeat the submission, right
-    // after a job was accepted, ended or cancelled; some cancel at once.
-    void query_frequently(double for_s) { frequent_queries_until_ = now() + for_s; }
-    // Half of the jobs that end are cancelled at that moment.
-    void cancel_at_job_end(double for_s) { cancel_at_job_end_until_ = now() + for_s; }
-    // Up to so many jobs that run are cancelled, and up to eight of their machines hang.
-    void cancel_running_jobs(std::size_t count, double hang_s);
-    // The machine reaches no controller; what controllers ask of it arrives and is answered.
+    // Its watches say nothing of this job.
+    void hide_job_from(std::size_t node, const std::string& id) {
+        key_value_store.hide_job_from(addr_of(node), id);
+    }
+    void start_cloud_outage(double for_s) { cloud_outage_until_ = now() + for_s; }
+
+    // --- Machines, by number modulo how many there are ----------------------------------------------------
+    void crash_machine(std::size_t machine);
+    void hang_machine(std::size_t machine, double for_s);
+    // Under the same name and address; it remembers its agent epoch or begins anew.
+    void reboot_machine(std::size_t machine, bool anew);
+    // It reaches no controller; what controllers ask of it arrives and is answered.
     void make_inbound_unreachable(std::size_t machine, double for_s) {
         workers[machine % workers.size()]->inbound_unreachable_until = now() + for_s;
     }
-    void send_unusual_requests(double for_s);
-    // Copies of a part of the heartbeats are kept, and arrive at all controllers when the next one leads.
-    void replay_heartbeats_at_next_leader(double for_s) { keep_heartbeats_until_ = now() + for_s; }
-    // A quarter of the direct commands is held up, unanswered, and carried out 2 to 16 s late.
-    void delay_commands(double for_s) { delay_commands_until_ = now() + for_s; }
     // New machines are up within 2 s, and transactions take so much longer until they are carried out.
     void boot_fast_with_slow_writes(double for_s, double slow_by) {
         fast_boots_until_ = now() + for_s;
         key_value_store.slow_writes(for_s, slow_by);
     }
-    // Work that fills the limit of each team that has one, a third of it cancelled.
-    void fill_team_limits();
-    void submit_small_jobs(double for_s, double per_s = 4);
-    void crash_machine(std::size_t machine);
-    void hang_machine(std::size_t machine, double for_s);
-    void freeze(std::size_t node, double for_s);
-    std::optional<std::size_t> leader() const;
+    // To break a rule on purpose: a start, on the first machine without the task or on that one.
+    void start_against_rules(const std::string& task, std::uint64_t attempt,
+                             std::optional<std::size_t> machine = {});
 
-    // Users
+    // --- Users --------------------------------------------------------------------------------------------
+    // Tried again until it is answered. `more` are fields of the protocol.
     void submit(const std::string& id, const std::string& kind, int tasks, double run_s, json more = {});
-    void cancel(const std::string& id);
     // As soon as all jobs that it awaits are accepted.
     void submit_awaiting(const std::string& id, const std::string& kind, int tasks, double run_s,
                          std::vector<std::string> awaits, json more = {});
+    void cancel(const std::string& id);
+    void query_all_jobs();
+    // Scripted requests, which the test judges itself: of any controller, or of this one.
     void post(const std::string& body, std::function<void(const http::Response&)> done) {
         ask("", "POST", "/api/jobs", body, std::move(done));
     }
@@ -126,49 +144,44 @@
         send_user_request(node, {"POST", "/api/jobs", body}, std::move(done));
     }
     void send_user_request(std::size_t node, http::Request request, http::Reply done);
-    void query_all_jobs();
-    // Takes down what a user was told, and holds it against what was received before the request was sent.
-    void record_answer(const verification::Answer& answer);
-    // For requests that a test sends itself: a job that is to be accepted, one that must be refused, and what
-    // its user asked or was told.
+    // What scripted requests mean for the rules: a job that is to be accepted, one that must be refused, and
+    // what its user asked or was told.
     void expect_job(const std::string& id, const json& spec);
     void expect_refusal(const std::string& id, int status);
     void expect_refusal(const std::string& id, const json& spec, int status);
     void ask_cancellation(const std::string& id);
     void confirm_cancellation(const std::string& id);
-    // Called with each message as it is sent, so that a fault can be placed right after it.
-    std::function<void(const std::string& from, const std::string& to, const http::Request&)> on_message;
-    // Seconds by which a direct command is held up: it is carried out once then, and its answer is lost.
-    std::function<double(const std::string& to, const http::Request&)> command_delay;
-    // A copy of a message arrives at this controller now; nobody waits for the answer.
-    void copy_to(std::size_t node, const std::string& from, const http::Request& request) {
-        deliver(from, addr_of(node), request, [](http::Response) {});
-    }
-    void remove_from_load_balancer(std::size_t node) { removed_from_load_balancer_ = node; }
-    // Of the job itself, or of one that it awaits.
-    bool cancel_wanted(const std::string& id) const { return checker_.cancel_wanted(id); }
-
-    // Network, for the hosts' requesters
-    void send(const std::string& from, const std::string& to, http::Request request, double timeout,
-              http::Result result);
-    std::string addr_of(std::size_t node) const { return "10.0.0." + std::to_string(node + 1) + ":8080"; }
-    // To break a rule on purpose: a start, on the first machine without the task or on that one.
-    void start_against_rules(const std::string& task, std::uint64_t attempt,
-                             std::optional<std::size_t> machine = {});
+    // Users look at all controllers, again and again within milliseconds, and repeat the submission, right
+    // after a job was accepted, ended or cancelled; some cancel at once.
+    void query_frequently(double for_s) { frequent_queries_until_ = now() + for_s; }
+    // Half of the jobs that end are cancelled at that moment.
+    void cancel_at_job_end(double for_s) { cancel_at_job_end_until_ = now() + for_s; }
+    // Up to so many jobs that run are cancelled, and up to eight of their machines hang.
+    void cancel_running_jobs(std::size_t count, double hang_s);
+    // Repeats of unfinished jobs, cancellations of done ones, and jobs that can't run.
+    void send_unusual_requests(double for_s);
+    // Work that fills the limit of each team that has one, a third of it cancelled.
+    void fill_team_limits();
+    void submit_small_jobs(double for_s, double per_s = 4);
 
+    // --- What was observed --------------------------------------------------------------------------------
     // Of the rules, in the order of time.
     const std::vector<std::string>& violations() const { return checker_.broken(); }
     std::size_t starts_after_cancellation() const { return checker_.starts_after_cancellation(); }
+    // Of the job itself, or of one that it awaits.
+    bool cancel_wanted(const std::string& id) const { return checker_.cancel_wanted(id); }
     std::map<std::string, JobHistory> jobs;
     std::vector<std::unique_ptr<Worker>> workers;
     std::size_t starts = 0, restarts_of_done_tasks = 0;
     std::size_t answers = 0;  // that users got about jobs
-    MessageDigest digest;     // of all requests sent and responses received
+    std::size_t machines_deleted_with_tasks = 0;
+    MessageDigest digest;  // of all requests sent and responses received
     // From then on nothing may wait, and no query stay without an answer, for longer than the options say.
     double faults_over_at = 1e9;
-    std::size_t machines_deleted_with_tasks = 0;
 
   private:
+    // Takes down what a user was told, and tells the checker.
+    void record_answer(const verification::Answer& answer);
     void add_violation(const std::string& what) { checker_.report(now(), what); }
     double latency() { return std::uniform_real_distribution<double>(0.001, 0.008)(random_); }
     config::Settings settings_for(std::size_t node) const;
