--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -44,8 +44,11 @@
     auto seen = std::make_shared<bool>(false);
     for (double time = cluster.now(); time < cluster.now() + 40; time += 0.005)
         cluster.at(time, [&cluster, first_new, then, seen] {
-            for (std::size_t k = first_new; k < cluster.workers.size() && !*seen; ++k)
-                if (on_machine(*cluster.workers[k], "j-1") > 0) *seen = true, then(*cluster.workers[k]);
+            for (std::size_t k = first_new; k < cluster.workers.size() && !*seen; ++k) {
+                if (on_machine(*cluster.workers[k], "j-1") == 0) continue;
+                *seen = true;
+                then(*cluster.workers[k]);
+            }
         });
 }
 
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -53,7 +53,10 @@
     json tasks = json::array();
     for (auto& [name, task] : worker.tasks) {
         json entry{{"shard", name}, {"launch", task.attempt}, {"status", task.status}};
-        if (task.status == "exited") entry["cause"] = task.cause, entry["saved"] = task.saved;
+        if (!present(task)) {
+            entry["cause"] = task.cause;
+            entry["saved"] = task.saved;
+        }
         if (auto& job = jobs[task.job]; job.reported_at < 0 && job.completed_at >= 0 && is_done(task.job))
             job.reported_at = now();
         tasks.push_back(std::move(entry));
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -47,11 +47,13 @@
     {"wrong_place (spot)", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-3/1", 99, 2); }},
     {"wrong_place (spread)",
      [](SimulatedCluster& cluster) {
-         cluster.start_against_rules("j-4/9", 99, 0), cluster.start_against_rules("j-4/8", 99, 1);
+         cluster.start_against_rules("j-4/9", 99, 0);
+         cluster.start_against_rules("j-4/8", 99, 1);
      }},
     {"wrong_place (one zone)",
      [](SimulatedCluster& cluster) {
-         cluster.start_against_rules("j-5/8", 99, 0), cluster.start_against_rules("j-5/9", 99, 1);
+         cluster.start_against_rules("j-5/8", 99, 0);
+         cluster.start_against_rules("j-5/9", 99, 1);
      }},
     {"wrong_place (zone)", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-5/8", 99, 1); }},
     {"too_early", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-6/0", 99); }},
@@ -67,18 +69,18 @@
      }},
     {"not_done",
      [](SimulatedCluster& cluster) {
-         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::done)),
-             cluster.key_value_store.tamper_with("job/j-1", {});
+         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::done));
+         cluster.key_value_store.tamper_with("job/j-1", {});
      }},
     {"went_back j-1: nobody cancelled it",
      [](SimulatedCluster& cluster) {
-         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::cancelled)),
-             cluster.key_value_store.tamper_with("job/j-1", {});
+         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::cancelled));
+         cluster.key_value_store.tamper_with("job/j-1", {});
      }},
     {"went_back j-7 from withdrawn to done",
      [](SimulatedCluster& cluster) {
-         cluster.key_value_store.tamper_with("final/j-7", over(protocol::JobState::done)),
-             cluster.key_value_store.tamper_with("job/j-7", {});
+         cluster.key_value_store.tamper_with("final/j-7", over(protocol::JobState::done));
+         cluster.key_value_store.tamper_with("job/j-7", {});
      }},
     {"quota j-1/",  // of the other team: eight cards; some machines have been returned
      [](SimulatedCluster& cluster) {
