--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -233,6 +233,7 @@
     void ask_controller(Node& node, const std::string& id, http::Request request,
                         std::function<void(const http::Response&)> answered);
     void query_all_controllers_repeatedly(const std::string& id, bool just_accepted);
+    std::vector<std::size_t> machines_with(const std::string& job) const;
     void send_unusual_request();
     void submit_invalid_job();
     void ended(const std::string& id);
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -123,8 +123,7 @@
         "j-999999", "GET", "/api/jobs/j-999999", "", [](auto&) {}, 0);
 }
 
-// --- Users whose requests are unusual
-// -------------------------------------------------------------------------------
+// --- Unusual requests -------------------------------------------------------------------------------------
 
 void SimulatedCluster::query_all_controllers_repeatedly(const std::string& id, bool just_accepted) {
     if (now() >= frequent_queries_until_) return;
@@ -145,37 +144,44 @@
     query_all_controllers_repeatedly(id, false);
 }
 void SimulatedCluster::cancel_running_jobs(std::size_t count, double hang_s) {
+    constexpr std::size_t most_hung = 8;
     std::size_t hung = 0;
     for (auto& [id, job] : jobs) {
         if (!job.accepted || job.done || job.cancel_asked) continue;
-        std::vector<std::size_t> on;
-        for (std::size_t k = 0; k < workers.size(); ++k)
-            for (auto& [name, task] : workers[k]->tasks)
-                if (!workers[k]->dead && task.job == id && present(task) && (on.empty() || on.back() != k))
-                    on.push_back(k);
-        if (on.empty()) continue;
+        auto machines = machines_with(id);
+        if (machines.empty()) continue;
         at(now() + 25 * latency(), [this, id = id] { cancel(id); });
-        for (auto k : on)
-            if (hung++ < 8) hang_machine(k, hang_s);
+        for (auto machine : machines)
+            if (hung++ < most_hung) hang_machine(machine, hang_s);
         if (--count == 0) return;
     }
 }
+std::vector<std::size_t> SimulatedCluster::machines_with(const std::string& job) const {
+    std::vector<std::size_t> machines;
+    for (std::size_t machine = 0; machine < workers.size(); ++machine) {
+        auto& worker = *workers[machine];
+        bool any = std::any_of(worker.tasks.begin(), worker.tasks.end(),
+                               [&](auto& entry) { return entry.second.job == job && present(entry.second); });
+        if (any && !worker.dead) machines.push_back(machine);
+    }
+    return machines;
+}
 void SimulatedCluster::send_unusual_requests(double for_s) {
     for (double time = 0; time < for_s; time += 0.7) at(now() + time, [this] { send_unusual_request(); });
 }
 void SimulatedCluster::send_unusual_request() {
+    constexpr int tries = 3;
     auto first = random_() % std::max<std::size_t>(1, jobs.size());
-    auto it = std::next(jobs.begin(), static_cast<std::ptrdiff_t>(first));
-    for (std::size_t k = 0; k < jobs.size(); ++k, ++it) {
-        if (it == jobs.end()) it = jobs.begin();
-        auto& [id, job] = *it;
+    auto entry = std::next(jobs.begin(), static_cast<std::ptrdiff_t>(first));
+    // The first accepted one from there on, around the end.
+    for (std::size_t k = 0; k < jobs.size(); ++k, ++entry) {
+        if (entry == jobs.end()) entry = jobs.begin();
+        auto& [id, job] = *entry;
         if (!job.accepted) continue;
-        if (job.done)
-            ask(
-                id, "POST", "/api/jobs/" + id + "/cancel", "", [](auto&) {}, 3);
-        if (!job.done)
-            ask(
-                id, "POST", "/api/jobs", job.spec.dump(), [](auto&) {}, 3);
+        auto path = job.done ? "/api/jobs/" + id + "/cancel" : std::string("/api/jobs");
+        auto body = job.done ? std::string() : job.spec.dump();
+        ask(
+            id, "POST", path, body, [](auto&) {}, tries);
         break;
     }
     submit_invalid_job();
@@ -199,7 +205,7 @@
     expect_refusal(id, spec, refused);
     ask(id, "POST", "/api/jobs", spec.dump(), [this, id, refused](const http::Response& response) {
         if (response.status != refused)
-            add_violation("odd request " + id + " got " + std::to_string(response.status));
+            add_violation("invalid job " + id + " got " + std::to_string(response.status));
     });
 }
 double SimulatedCluster::limit_of(const std::string& team) const {
