--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -39,7 +39,7 @@
     auto* observed = find(job);
     if (!observed) return false;
     if (observed->cancel_asked) return true;
-    auto& awaits = observed->job.awaits;
+    auto& awaits = observed->job.dependencies;
     return std::any_of(awaits.begin(), awaits.end(),
                        [this](auto& awaited) { return cancel_wanted(awaited); });
 }
@@ -50,7 +50,7 @@
     };
     auto* observed = find(job);
     if (!observed) return first;
-    for (auto& id : observed->job.awaits) {
+    for (auto& id : observed->job.dependencies) {
         auto* awaited = find(id);
         if (awaited && awaited->cancel_asked) consider(awaited->cancelled_at);
         consider(awaited_cancelled_at(id));
--- a/src/verification/waiting_rules.cpp
+++ b/src/verification/waiting_rules.cpp
@@ -1,6 +1,7 @@
 // What waits: jobs for tasks to start, users for answers.
 #include <algorithm>
 
+#include "protocol/model.hpp"
 #include "verification/checker.hpp"
 
 namespace coralhitch::verification {
@@ -71,7 +72,7 @@
     for (auto& [id, job] : observations_.jobs()) {
         bool over = job.done_at || cancel_wanted(id);
         if (!job.accepted_at || over || job.waited_too_long) continue;
-        auto& awaits = job.job.awaits;
+        auto& awaits = job.job.dependencies;
         bool awaited_done = std::all_of(awaits.begin(), awaits.end(),
                                         [this](auto& awaited) { return observations_.is_done(awaited); });
         if (job.fails_everywhere || !awaited_done || !may_start(job, usable_machines)) {
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -1,4 +1,5 @@
 // Messages that arrive after newer ones, or after their sender has crashed.
+#include "protocol/agent_api.hpp"
 #include "scenarios/scenario_support.hpp"
 
 namespace coralhitch::simulation {
@@ -21,7 +22,7 @@
     cluster.at(4, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
     std::map<std::string, http::Request> last_heartbeats;  // the last heartbeat of each machine with the task
     cluster.on_message = [&](auto& from, auto&, auto& request) {
-        if (request.target == protocol::paths::report && request.body.find("j-1/") != std::string::npos &&
+        if (request.target == protocol::paths::heartbeat && request.body.find("j-1/") != std::string::npos &&
             cluster.now() < 25)
             last_heartbeats[from] = request;
     };
@@ -69,7 +70,7 @@
         if (request.target == protocol::paths::commands && request.body.find("run") != std::string::npos &&
             cluster.now() < 43)
             held.emplace(to, request);
-        if (request.target != protocol::paths::report || cluster.now() < 43 || !met.empty() ||
+        if (request.target != protocol::paths::heartbeat || cluster.now() < 43 || !met.empty() ||
             !held.contains(from))
             return;
         met = from;
--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -1,4 +1,5 @@
 // Leaders and machines that only a part of the cluster reaches, and a second fault meanwhile.
+#include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
--- a/tests/scenarios/fault_combinations_task_ends_test.cpp
+++ b/tests/scenarios/fault_combinations_task_ends_test.cpp
@@ -1,4 +1,5 @@
 // Ends of tasks that are far apart, as leaders change.
+#include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
@@ -29,7 +30,8 @@
     std::set<std::string> crashed;
     if (at_report)
         cluster.on_message = [&](auto&, auto&, auto& request) {
-            if (request.target != protocol::paths::report || request.body.find("exited") == std::string::npos)
+            if (request.target != protocol::paths::heartbeat ||
+                request.body.find("exited") == std::string::npos)
                 return;
             auto ended = std::to_string(cluster.jobs["j-1"].tasks_done.size());
             if (!crashed.insert(ended).second) return;
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -5,6 +5,7 @@
 
 #include <random>
 
+#include "protocol/agent_api.hpp"
 #include "protocol/peer_messages.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
@@ -30,7 +31,7 @@
     std::function<void(SimulatedCluster&, std::size_t leader)> what;
 };
 const FaultAtMessage faults[] = {
-    {"a start is replicated", [](auto& request) { return request.target == protocol::peer_fleet_path; },
+    {"a start is replicated", [](auto& request) { return request.target == protocol::peer_replication_path; },
      [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
     {"a start is sent", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) { cluster.crash(leader, 5); }},
@@ -48,7 +49,7 @@
     {"a start is sent, and the leader freezes, then goes on", starts_a_task,
      [](SimulatedCluster& cluster, std::size_t leader) { cluster.freeze(leader, 14); }},
     {"a start is replicated to a follower that is partitioned, its messages held",
-     [](auto& request) { return request.target == protocol::peer_fleet_path; },
+     [](auto& request) { return request.target == protocol::peer_replication_path; },
      [](SimulatedCluster& cluster, std::size_t leader) {
          cluster.partition(host_of((leader + 1) % 3), "10.", 25, Packets::held);
          cluster.at(cluster.now() + 4, [&cluster, leader] { cluster.crash(leader, 5); });
@@ -66,7 +67,7 @@
      }},
     // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
     {"a start is replicated, reaches nobody, and the leader crashes while machines hang",
-     [](auto& request) { return request.target == protocol::peer_fleet_path; },
+     [](auto& request) { return request.target == protocol::peer_replication_path; },
      [](SimulatedCluster& cluster, std::size_t leader) {
          for (std::size_t k = 0; k < 12; k += 2) cluster.hang_machine(k, 7);
          for (std::size_t k = 0; k < 3; ++k)
@@ -172,10 +173,10 @@
 // One dead machine of many used to hold up the first start until it was proven gone.
 TEST(ReplicationScenario, StartsTasksDespiteADeadMachine) {
     spdlog::set_level(spdlog::level::off);
-    for (bool standby : {true, false}) {
+    for (bool replicated : {true, false}) {
         Options options;
         options.machines = 5;
-        if (!standby) options.without_replication = {0, 1, 2};
+        if (!replicated) options.without_replication = {0, 1, 2};
         SimulatedCluster cluster(options);
         cluster.at(2, [&cluster] { cluster.submit("j-1", "service", 18, 0); });
         cluster.run_until(30);
@@ -187,7 +188,7 @@
         cluster.at(30.1, [&cluster] { cluster.submit("j-2", "batch", 1, 2); });
         cluster.run_until(50);
         EXPECT_EQ(!cluster.jobs["j-2"].tasks_done.empty(),
-                  standby);  // its user may have asked the dead controller
+                  replicated);  // its user may have asked the dead controller
         expect_no_violations(cluster);
     }
 }
--- a/tests/simulation/options.hpp
+++ b/tests/simulation/options.hpp
@@ -8,7 +8,7 @@
 struct Options {
     std::uint64_t seed = 1;
     std::size_t machines = 6;
-    double report_s = 3, lease_s = 24, cancel_s = 44;
+    double heartbeat_interval_s = 3, lease_s = 24, cancel_s = 44;
     double gpus_max = 12;          // limit of team `tight`
     double free_gpus_max = 0;      // of team `free`; 0: none
     double max_waiting_s = 90;     // a job may wait for so long with room and quota, once the faults are over
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -62,20 +62,20 @@
         if (peer != number)
             settings.peers.push_back(
                 {label_of(peer), zones[peer % 2], host_of_address(addr_of(peer)) + ":8081"});
-    settings.state_addr = state_addr;
+    settings.kv_addr = state_addr;
     settings.cloud_addr = cloud_addr;
     settings.nodes = 3;
     settings.zones = zones;
     settings.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
-    settings.report_s = options_.report_s;
+    settings.heartbeat_interval_s = options_.heartbeat_interval_s;
     settings.lease_s = options_.lease_s;
     settings.cancel_s = options_.cancel_s;
     settings.gang_wait_s = 50;
     settings.gang_peer_s = 5;
-    settings.op.hearing = options_.relay_heartbeats;
-    settings.op.standby = !options_.without_replication.contains(number);
-    settings.state_rps = 200;
-    settings.state_write_rps = options_.write_rps;
+    settings.op.relay_heartbeats = options_.relay_heartbeats;
+    settings.op.replicate_starts = !options_.without_replication.contains(number);
+    settings.kv_rps = 200;
+    settings.kv_write_rps = options_.write_rps;
     settings.value_kb = options_.value_kb;
     settings.safe_value_kb = std::min(options_.value_kb, options_.reduced_value_kb);
     settings.txn_ops = std::min(options_.txn_ops, options_.reduced_txn_ops);
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -14,7 +14,6 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "protocol/protocol.hpp"
 #include "simulation/event_queue.hpp"
 #include "simulation/hosts.hpp"
 #include "simulation/message_digest.hpp"
--- a/tests/simulation/simulated_cluster_observation.cpp
+++ b/tests/simulation/simulated_cluster_observation.cpp
@@ -1,6 +1,7 @@
 // What the checker of the rules is told of users, jobs and machines.
 #include <limits>
 
+#include "protocol/model.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -23,7 +24,7 @@
     job.one_zone = spec.value("together", false);
     job.spread = spec.value("scatter", false);
     job.spot = spec.value("driftwood", false);
-    job.awaits = awaits_of(spec);
+    job.dependencies = awaits_of(spec);
     return job;
 }
 }  // namespace
