--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -1,186 +1,247 @@
-// Jobs bound to one zone whose machines are lost, and more work than room: once the troubles are over,
+// Jobs bound to one zone whose machines are lost, and more work than room: once the faults are over,
 // nothing waits that has room and quota.
 #include <array>
 
-#include "scenarios/fault_combinations_support.hpp"
+#include "scenarios/parameter_names.hpp"
+#include "scenarios/scenario_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-enum class Loss { one_dies, zone_dies, zone_hangs, zone_cut_off };
-struct Bound {
+enum class Loss { one_crashes, zone_crashes, zone_hangs, zone_partitioned };
+struct BoundJobCase {
     const char* name;
     const char* shape;
-    bool named;  // the zone is named by the job; else it is where its first task went
+    bool named = false;  // the zone is named by the job; else it is where its first task went
     Loss loss;
-    bool leader_ends;
+    bool leader_crashes = false;
 };
-void PrintTo(const Bound& b, std::ostream* out) {
-    *out << b.name;
+void PrintTo(const BoundJobCase& bound_job, std::ostream* out) {
+    *out << bound_job.name;
 }
-const Bound bound_jobs[] = {
-    {"array, one machine dies", "batch", false, Loss::one_dies, false},
-    {"array, its zone dies", "batch", false, Loss::zone_dies, false},
-    {"array, its zone dies, the leader ends", "batch", false, Loss::zone_dies, true},
-    {"array, its zone hangs, the leader ends", "batch", false, Loss::zone_hangs, true},
-    {"array, its zone is cut off, the leader ends", "batch", false, Loss::zone_cut_off, true},
-    {"array, its zone is cut off", "batch", false, Loss::zone_cut_off, false},
-    {"array in a named zone, one machine dies", "batch", true, Loss::one_dies, true},
-    {"array in a named zone, which dies", "batch", true, Loss::zone_dies, true},
-    {"array in a named zone, which hangs", "batch", true, Loss::zone_hangs, true},
-    {"gang, one machine dies, the leader ends", "gang", false, Loss::one_dies, true},
-    {"gang, its zone dies, the leader ends", "gang", false, Loss::zone_dies, true},
-    {"gang, its zone hangs", "gang", false, Loss::zone_hangs, false},
-    {"gang in a named zone, which is cut off", "gang", true, Loss::zone_cut_off, true},
-    {"service, its zone dies, the leader ends", "service", false, Loss::zone_dies, true},
-    {"service in a named zone, which hangs", "service", true, Loss::zone_hangs, true},
+const BoundJobCase bound_jobs[] = {
+    {.name = "array, one machine crashes", .shape = "batch", .loss = Loss::one_crashes},
+    {.name = "array, its zone crashes", .shape = "batch", .loss = Loss::zone_crashes},
+    {.name = "array, its zone crashes, the leader crashes",
+     .shape = "batch",
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "array, its zone hangs, the leader crashes",
+     .shape = "batch",
+     .loss = Loss::zone_hangs,
+     .leader_crashes = true},
+    {.name = "array, its zone is partitioned, the leader crashes",
+     .shape = "batch",
+     .loss = Loss::zone_partitioned,
+     .leader_crashes = true},
+    {.name = "array, its zone is partitioned", .shape = "batch", .loss = Loss::zone_partitioned},
+    {.name = "array in a named zone, one machine crashes",
+     .shape = "batch",
+     .named = true,
+     .loss = Loss::one_crashes,
+     .leader_crashes = true},
+    {.name = "array in a named zone, which crashes",
+     .shape = "batch",
+     .named = true,
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "array in a named zone, which hangs",
+     .shape = "batch",
+     .named = true,
+     .loss = Loss::zone_hangs,
+     .leader_crashes = true},
+    {.name = "gang, one machine crashes, the leader crashes",
+     .shape = "gang",
+     .loss = Loss::one_crashes,
+     .leader_crashes = true},
+    {.name = "gang, its zone crashes, the leader crashes",
+     .shape = "gang",
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "gang, its zone hangs", .shape = "gang", .loss = Loss::zone_hangs},
+    {.name = "gang in a named zone, which is partitioned",
+     .shape = "gang",
+     .named = true,
+     .loss = Loss::zone_partitioned,
+     .leader_crashes = true},
+    {.name = "service, its zone crashes, the leader crashes",
+     .shape = "service",
+     .loss = Loss::zone_crashes,
+     .leader_crashes = true},
+    {.name = "service in a named zone, which hangs",
+     .shape = "service",
+     .named = true,
+     .loss = Loss::zone_hangs,
+     .leader_crashes = true},
 };
 
 // Machines of the zone with tasks of a job bound to it go, and the leader may end a moment later. What is
 // left there counts until it is proven gone; then all of it goes on, in one zone again, within the time for
 // which anything may wait.
-class BoundToAZone : public testing::TestWithParam<Bound> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, BoundToAZone, testing::ValuesIn(bound_jobs));
-TEST_P(BoundToAZone, GoesOnAfterALossOfMachines) {
-    spdlog::set_level(spdlog::level::off);
-    auto c = GetParam();
-    Options o;
-    o.machines = 8;
-    SimulatedCluster w(o);
-    json more{{"together", true}, {"cards", 2.0}, {"driftwood", false}};
-    if (c.named) more["reef"] = "a";
-    bool service = std::string(c.shape) == "service";
-    constexpr int tasks = 4;
-    w.at(2, [&w] {  // keeps the machines: one on each
-        w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
-    });
-    w.at(8, [&] { w.submit("j-1", c.shape, tasks, service ? 0 : 60, more); });
-    w.run_until(30);
-    ASSERT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
-    std::vector<std::size_t> on;
-    for (std::size_t k = 0; k < w.workers.size(); ++k)
-        if (on_machine(*w.workers[k], "j-1") > 0) on.push_back(k);
-    auto zone = w.workers[on.front()]->zone;
-    // Those that are cut off can't be deleted either: only the time proves anything. The bound is that of
-    // docs/design.md for a new leader, with two report periods for the plan and the start.
-    bool cut_off = c.loss == Loss::zone_cut_off;
-    double proven_s = o.cancel_s + 2 * o.heartbeat_interval_s, away_s = cut_off ? proven_s + 10 : 40;
-    if (cut_off) w.cloud_down(away_s);
+class ZoneBoundJob : public testing::TestWithParam<BoundJobCase> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs), NameOfCase());
+std::size_t first_machine_with(const SimulatedCluster& cluster, const std::string& job) {
+    std::size_t machine = 0;
+    while (on_machine(*cluster.workers.at(machine), job) == 0) ++machine;
+    return machine;
+}
+// Of this machine or its zone; returns of how many machines.
+std::size_t lose_machines(SimulatedCluster& cluster, Loss loss, std::size_t first, double away_s) {
     std::size_t lost = 0;
-    for (std::size_t k = 0; k < w.workers.size(); ++k) {
-        auto& m = *w.workers[k];
-        if (c.loss == Loss::one_dies ? k != on.front() : m.zone != zone || m.dead) continue;
+    auto zone = cluster.workers[first]->zone;
+    for (std::size_t k = 0; k < cluster.workers.size(); ++k) {
+        auto& worker = *cluster.workers[k];
+        if (loss == Loss::one_crashes ? k != first : worker.zone != zone || worker.dead) continue;
         ++lost;
-        if (c.loss == Loss::one_dies || c.loss == Loss::zone_dies) w.die(k);
-        if (c.loss == Loss::zone_hangs) w.hang(k, away_s);
-        if (c.loss == Loss::zone_cut_off) w.cut("10.0.", m.addr, away_s, false);
+        if (loss == Loss::one_crashes || loss == Loss::zone_crashes) cluster.crash_machine(k);
+        if (loss == Loss::zone_hangs) cluster.hang_machine(k, away_s);
+        if (loss == Loss::zone_partitioned) cluster.partition("10.0.", worker.addr, away_s);
     }
-    ASSERT_GT(lost, 0u);
-    if (c.leader_ends) w.at(30.6, [&w] { w.crash(lead(w), 0.2); });
-    if (cut_off && !c.named) {  // the other zone has room
-        w.run_until(30 + proven_s);
-        EXPECT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
+    return lost;
+}
+TEST_P(ZoneBoundJob, RestartsAfterLossOfMachines) {
+    spdlog::set_level(spdlog::level::off);
+    auto test_case = GetParam();
+    Options options;
+    options.machines = 8;
+    SimulatedCluster cluster(options);
+    json more{{"together", true}, {"cards", 2.0}, {"driftwood", false}};
+    if (test_case.named) more["reef"] = "a";
+    bool service = std::string(test_case.shape) == "service";
+    constexpr int tasks = 4;
+    cluster.at(2, [&cluster] { submit_filler(cluster); });
+    cluster.at(8, [&] { cluster.submit("j-1", test_case.shape, tasks, service ? 0 : 60, more); });
+    cluster.run_until(30);
+    ASSERT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
+    auto first = first_machine_with(cluster, "j-1");
+    // Those that are partitioned can't be deleted either: only the time proves anything. The bound is that of
+    // docs/design.md for a new leader, with two heartbeat periods for the plan and the start.
+    bool partitioned = test_case.loss == Loss::zone_partitioned;
+    double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s,
+           away_s = partitioned ? proven_s + 10 : 40;
+    if (partitioned) cluster.start_cloud_outage(away_s);
+    ASSERT_GT(lose_machines(cluster, test_case.loss, first, away_s), 0u);
+    if (test_case.leader_crashes) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    if (partitioned && !test_case.named) {  // the other zone has room
+        cluster.run_until(30 + proven_s);
+        EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     }
-    w.troubles_over = 30 + (c.loss == Loss::zone_hangs || cut_off ? away_s : 1);
-    w.run_until(w.troubles_over + 200);
+    cluster.faults_over_at = 30 + (test_case.loss == Loss::zone_hangs || partitioned ? away_s : 1);
+    cluster.run_until(cluster.faults_over_at + 200);
     if (service)
-        EXPECT_EQ(on_machines(w, "j-1"), static_cast<std::size_t>(tasks));
+        EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     else
-        EXPECT_TRUE(w.jobs["j-1"].done);
-    EXPECT_EQ(on_machines(w, "j-9"), o.machines);
-    expect_unbroken(w);
+        EXPECT_TRUE(cluster.jobs["j-1"].done);
+    EXPECT_EQ(on_machines(cluster, "j-9"), options.machines);
+    expect_no_violations(cluster);
 }
 
-// One machine is cut off and can't be deleted, the leader stays: only the end of its lease proves anything,
-// whoever answered it until then. What was there goes on elsewhere within that time.
-class OneCutOff : public testing::TestWithParam<std::size_t> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, OneCutOff, testing::Range<std::size_t>(0, 6));
-TEST_P(OneCutOff, GoesOnElsewhereOnceTheLeaseIsOut) {
+// One machine is partitioned and can't be deleted, the leader stays: only the end of its lease proves
+// anything, whoever answered it until then. What was there goes on elsewhere within that time.
+class PartitionedMachine : public testing::TestWithParam<std::size_t> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, PartitionedMachine, testing::Range<std::size_t>(0, 6),
+                         Numbered{"Machine"});
+TEST_P(PartitionedMachine, HasItsTasksRestartedOnceItsLeaseExpires) {
     spdlog::set_level(spdlog::level::off);
-    Options o;
-    SimulatedCluster w(o);
-    w.at(2, [&w] {  // keeps the machines: one on each
-        w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}, {"vcpus", 13.0}});
-    });
-    w.at(8, [&w] { w.submit("j-1", "service", 6, 0); });
-    w.run_until(30);
-    ASSERT_EQ(on_machines(w, "j-1"), 6u);
-    double proven_s = o.cancel_s + 2 * o.heartbeat_interval_s;
-    w.cloud_down(proven_s + 10);
-    w.cut("10.0.", w.workers[GetParam()]->addr, proven_s + 10, false);
-    w.run_until(30 + proven_s);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    w.troubles_over = 30 + proven_s + 10;
-    w.run_until(w.troubles_over + 100);
-    EXPECT_EQ(on_machines(w, "j-1"), 6u);
-    expect_unbroken(w);
+    Options options;
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] { submit_filler(cluster); });
+    cluster.at(8, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
+    cluster.run_until(30);
+    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
+    double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s;
+    cluster.start_cloud_outage(proven_s + 10);
+    cluster.partition("10.0.", cluster.workers[GetParam()]->addr, proven_s + 10);
+    cluster.run_until(30 + proven_s);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    cluster.faults_over_at = 30 + proven_s + 10;
+    cluster.run_until(cluster.faults_over_at + 100);
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    expect_no_violations(cluster);
 }
 
 // More than twice the work that there is room for with all that the cloud gives, of each rank. Machines
-// die, hang and are cut off, leaders end and a part is cancelled meanwhile. The urgent work is not behind the
-// rest, and once the troubles are over everything is served: nothing waits with room and quota.
-class MoreWorkThanRoom : public testing::TestWithParam<std::tuple<int, bool>> {};
-INSTANTIATE_TEST_SUITE_P(Meeting, MoreWorkThanRoom,
-                         testing::Combine(testing::Values(1, 2, 3), testing::Bool()));
-TEST_P(MoreWorkThanRoom, LeavesNothingWaitingWithRoom) {
+// die, hang and are partitioned, leaders crash and a part is cancelled meanwhile. The urgent work is not
+// behind the rest, and once the faults are over everything is served: nothing waits with room and quota.
+class Overload : public testing::TestWithParam<std::tuple<int, bool>> {};
+INSTANTIATE_TEST_SUITE_P(FaultCombinations, Overload,
+                         testing::Combine(testing::Values(1, 2, 3), testing::Bool()), [](auto& info) {
+                             auto seed = std::get<0>(info.param);
+                             auto slow = std::get<1>(info.param);
+                             return "Seed" + std::to_string(seed) + (slow ? "SlowHeartbeats" : "");
+                         });
+struct OverloadJobs {
+    std::vector<std::string> urgent, idle, cancelled;
+};
+void submit_numbered_job(SimulatedCluster& cluster, std::size_t number, OverloadJobs& jobs) {
+    constexpr std::array ranks{"idle", "normal", "high"};
+    auto id = "j-" + std::to_string(100 + number);
+    bool gang = number % 5 == 1;
+    json more{{"rank", ranks[number % ranks.size()]},
+              {"crew", number % 4 == 0 ? "tight" : "free"},
+              {"driftwood", number % 2 == 0}};
+    if (gang) more["together"] = true;
+    cluster.submit(id, gang ? "gang" : "batch", gang ? 3 : 16, 18, more);
+    if (number % 6 == 3) {
+        jobs.cancelled.push_back(id);
+        cluster.at(cluster.now() + 7, [&cluster, id] { cluster.cancel(id); });
+    } else if (number % 3 == 2) {
+        jobs.urgent.push_back(id);
+    } else if (number % 3 == 0) {
+        jobs.idle.push_back(id);
+    }
+}
+void schedule_faults(SimulatedCluster& cluster) {
+    cluster.at(30, [&cluster] { cluster.hang_machine(0, 8); });
+    cluster.at(36, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.at(41, [&cluster] { cluster.partition("10.0.", cluster.workers[3]->addr, 30); });
+    cluster.at(47, [&cluster] { cluster.crash(leader_of(cluster), 4); });
+    cluster.at(56, [&cluster] { cluster.hang_machine(4, 28); });
+    cluster.at(58, [&cluster] { cluster.key_value_store.start_outage(5); });
+    cluster.at(66, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
+    cluster.faults_over_at = 86;
+}
+double mean_end(const std::vector<std::string>& ids, const std::map<std::string, double>& done_at,
+                double if_never) {
+    double sum = 0;
+    for (auto& id : ids) sum += done_at.contains(id) ? done_at.at(id) : if_never;
+    return sum / static_cast<double>(ids.size());
+}
+TEST_P(Overload, LeavesNothingWaitingThatFits) {
     spdlog::set_level(spdlog::level::off);
     auto [seed, slow] = GetParam();
-    Options o;
-    o.seed = static_cast<std::uint64_t>(seed);
-    o.machines = 6;
-    o.gpus_max = 8;
-    o.waits_s = 90;
-    if (slow) o.hear_s = 0.15;  // what workers say takes long on its way, and waits in line
-    SimulatedCluster w(o);
-    w.at(2, [&w] { w.submit("j-9", "service", static_cast<int>(w.workers.size()), 0, {{"cards", 0.0}}); });
-    w.run_until(20);
-    constexpr std::array ranks{"idle", "normal", "high"};
-    std::size_t n = 0;
-    std::vector<std::string> urgent, idle, cancelled;
-    for (double t = 21; t < 75; t += 3, ++n)
-        w.at(t, [&, n] {
-            auto id = "j-" + std::to_string(100 + n);
-            auto* rank = ranks[n % ranks.size()];
-            json more{{"rank", rank}, {"crew", n % 4 == 0 ? "tight" : "free"}, {"driftwood", n % 2 == 0}};
-            auto* shape = n % 5 == 1 ? "gang" : "batch";
-            if (n % 5 == 1) more["together"] = true;
-            w.submit(id, shape, n % 5 == 1 ? 3 : 16, 18, more);
-            if (n % 6 == 3) {
-                cancelled.push_back(id);
-                w.at(w.now() + 7, [&w, id] { w.cancel(id); });
-            } else if (n % 3 == 2) {
-                urgent.push_back(id);
-            } else if (n % 3 == 0) {
-                idle.push_back(id);
-            }
-        });
-    w.at(30, [&w] { w.hang(0, 8); });
-    w.at(36, [&w] { w.crash(lead(w), 0.2); });
-    w.at(41, [&w] { w.cut("10.0.", w.workers[3]->addr, 30, false); });
-    w.at(47, [&w] { w.crash(lead(w), 4); });
-    w.at(56, [&w] { w.hang(4, 28); });
-    w.at(58, [&w] { w.state_down(5); });
-    w.at(66, [&w] { w.crash(lead(w), 0.2); });
-    w.troubles_over = 86;
+    Options options;
+    options.seed = static_cast<std::uint64_t>(seed);
+    options.machines = 6;
+    options.gpus_max = 8;
+    options.max_waiting_s = 90;
+    if (slow)
+        options.heartbeat_processing_s = 0.15;  // what workers say takes long on its way, and waits in line
+    SimulatedCluster cluster(options);
+    cluster.at(2, [&cluster] {
+        cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0, {{"cards", 0.0}});
+    });
+    cluster.run_until(20);
+    constexpr double end_s = 420;
+    OverloadJobs jobs;
+    std::size_t number = 0;
+    for (double time = 21; time < 75; time += 3, ++number)
+        cluster.at(time, [&, number] { submit_numbered_job(cluster, number, jobs); });
+    schedule_faults(cluster);
     std::map<std::string, double> done_at;
-    for (double t = 21; t < 420; t += 1)
-        w.at(t, [&] {
-            for (auto& [id, job] : w.jobs)
-                if (job.done) done_at.emplace(id, w.now());
+    for (double time = 21; time < end_s; time += 1)
+        cluster.at(time, [&] {
+            for (auto& [id, job] : cluster.jobs)
+                if (job.done) done_at.emplace(id, cluster.now());
         });
-    w.run_until(420);
-    auto mean = [&](const std::vector<std::string>& ids) {
-        double sum = 0;
-        for (auto& id : ids) sum += done_at.contains(id) ? done_at.at(id) : 420;
-        return sum / static_cast<double>(ids.size());
-    };
-    ASSERT_GT(urgent.size(), 2u);
-    ASSERT_GT(idle.size(), 2u);
-    for (auto* ids : {&urgent, &idle})
-        for (auto& id : *ids) EXPECT_TRUE(w.jobs[id].done) << id;
-    for (auto& id : cancelled) EXPECT_TRUE(w.jobs[id].cancelled || w.jobs[id].done) << id;
-    EXPECT_LT(mean(urgent), mean(idle));
-    expect_unbroken(w);
+    cluster.run_until(end_s);
+    ASSERT_GT(jobs.urgent.size(), 2u);
+    ASSERT_GT(jobs.idle.size(), 2u);
+    for (auto* ids : {&jobs.urgent, &jobs.idle})
+        for (auto& id : *ids) EXPECT_TRUE(cluster.jobs[id].done) << id;
+    for (auto& id : jobs.cancelled) EXPECT_TRUE(cluster.jobs[id].cancelled || cluster.jobs[id].done) << id;
+    EXPECT_LT(mean_end(jobs.urgent, done_at, end_s), mean_end(jobs.idle, done_at, end_s));
+    expect_no_violations(cluster);
 }
 
 }  // namespace
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -5,142 +5,164 @@
 #include "kv/kv_client.hpp"
 #include "protocol/agent_api.hpp"
 #include "protocol/kv_api.hpp"
-#include "simulation/simulated_cluster.hpp"
+#include "scenarios/parameter_names.hpp"
+#include "scenarios/scenario_support.hpp"
 #include "support/fake_key_value_store.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-std::string status_of(const http::Response& r) {
-    return r.status == 200 ? json::parse(r.body)["status"].get<std::string>() : std::to_string(r.status);
+std::string status_of(const http::Response& response) {
+    return response.status == 200 ? json::parse(response.body)["status"].get<std::string>()
+                                  : std::to_string(response.status);
 }
-bool ends(const http::Request& r, const std::string& job) {
-    return r.target == "/txn" && r.body.find("\"put\":\"final/" + job + "\"") != std::string::npos;
+bool ends(const http::Request& request, const std::string& job) {
+    return request.target == "/txn" &&
+           request.body.find("\"put\":\"final/" + job + "\"") != std::string::npos;
 }
 
 // The end of a job's last task meets a cancellation at one node, at two or at all, before, while and after
 // its transaction is carried out: one of both wins in the store, and all nodes tell that one from then on.
-TEST(JobEnds, OneOfCancellationAndEndWins) {
+// When the cancellation comes: some time after the transaction of the end is sent, or, if that is negative,
+// with the heartbeat that reports the end. The end is stored a moment later.
+bool is_moment_of_cancellation(const http::Request& request, double after) {
+    if (after >= 0) return ends(request, "j-1");
+    return request.target == protocol::paths::heartbeat && request.body.find("\"done\"") != std::string::npos;
+}
+// The state that won; empty if none was stored.
+std::string cancel_at_end(std::size_t nodes, double after) {
+    SimulatedCluster cluster({});
+    std::vector<std::string> answers;
+    auto take_answer = [&answers](http::Response response) { answers.push_back(status_of(response)); };
+    bool met = false;
+    cluster.on_message = [&](auto&, auto&, const http::Request& request) {
+        if (!is_moment_of_cancellation(request, after) || std::exchange(met, true)) return;
+        cluster.at(cluster.now() + std::max(0.0, after), [&] {
+            cluster.ask_cancellation("j-1");
+            for (std::size_t n = 0; n < nodes; ++n)
+                cluster.send_user_request(n, {"POST", "/api/jobs/j-1/cancel", ""}, take_answer);
+        });
+    };
+    cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 1, 10); });
+    cluster.run_until(40);
+    EXPECT_TRUE(met);
+    EXPECT_EQ(answers.size(), nodes);
+    auto record = cluster.key_value_store.stored("final/j-1");
+    EXPECT_TRUE(record);
+    if (!met || answers.size() != nodes || !record) return "";
+    auto state = json::parse(*record)["state"].get<std::string>();
+    for (std::size_t n = 0; n < 3; ++n)
+        cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, take_answer);
+    cluster.run_until(43);
+    EXPECT_EQ(answers, std::vector<std::string>(nodes + 3, state));
+    expect_no_violations(cluster);
+    return state;
+}
+TEST(JobEnd, OrCancellationWinsOnAllControllers) {
     spdlog::set_level(spdlog::level::off);
     std::set<std::string> won;
     for (std::size_t nodes : {1u, 2u, 3u})
         for (double after : {-1.0, 0.0, 0.002, 0.004, 0.007, 0.012, 0.03}) {
             SCOPED_TRACE(std::to_string(nodes) + " nodes, " + std::to_string(after) + " s after");
-            SimulatedCluster w({});
-            std::vector<std::string> told;
-            bool met = false;
-            // The end is stored a moment after the report that tells it.
-            w.sent = [&](auto&, auto&, const http::Request& r) {
-                bool meets = after < 0 ? r.target == protocol::paths::heartbeat &&
-                                             r.body.find("\"done\"") != std::string::npos
-                                       : ends(r, "j-1");
-                if (!meets || std::exchange(met, true)) return;
-                w.at(w.now() + std::max(0.0, after), [&] {
-                    w.jobs["j-1"].cancel_asked = true;
-                    for (std::size_t n = 0; n < nodes; ++n)
-                        w.ask_node(n, {"POST", "/api/jobs/j-1/cancel", ""},
-                                   [&](http::Response r) { told.push_back(status_of(r)); });
-                });
-            };
-            w.at(2, [&w] { w.submit("j-1", "batch", 1, 10); });
-            w.run_until(40);
-            ASSERT_TRUE(met);
-            ASSERT_EQ(told.size(), nodes);
-            auto record = w.stored("final/j-1");
-            ASSERT_TRUE(record);
-            auto state = json::parse(*record)["state"].get<std::string>();
+            auto state = cancel_at_end(nodes, after);
+            ASSERT_FALSE(state.empty());
             won.insert(state);
-            for (std::size_t n = 0; n < 3; ++n)
-                w.ask_node(n, {"GET", "/api/jobs/j-1", ""},
-                           [&](http::Response r) { told.push_back(status_of(r)); });
-            w.run_until(43);
-            EXPECT_EQ(told, std::vector<std::string>(nodes + 3, state));
-            for (auto& b : w.broken) ADD_FAILURE() << b;
         }
     EXPECT_EQ(won, (std::set<std::string>{"done", "withdrawn"}));
 }
 
 // The transaction of an end is carried out and its answer lost, or late, while other nodes read what it
-// wrote, and the job is submitted again: it ends once, and nobody hears anything else.
-TEST(JobEnds, CarriedOutWithTheAnswerLost) {
+// wrote, and the job is submitted again: it ends once, and nobody is told anything else.
+// Asks all controllers, and keeps what they say from the first "done" on.
+void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& told) {
+    for (std::size_t n = 0; n < 3; ++n) {
+        cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
+            auto& job = cluster.jobs["j-1"];
+            if (job.stored_at < 0) return;
+            if (status_of(response) == "done") job.done = true;
+            if (job.done) told.insert(status_of(response));
+        });
+        cluster.post_job_to(n, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
+            EXPECT_TRUE(response.status == 200 || response.status == 503) << response.status;
+        });
+    }
+}
+TEST(JobEnd, IsStoredOnceWhenTheAnswerIsLost) {
     spdlog::set_level(spdlog::level::off);
     for (double late : {-1.0, 1.0, 4.0, 9.0}) {
         SCOPED_TRACE(std::to_string(late));
-        Options o;
-        SimulatedCluster w(o);
+        Options options;
+        SimulatedCluster cluster(options);
         std::size_t lost = 0, written = 0;
-        w.late_txn = [&](const json& txn) {
-            for (auto& c : txn["then"])
-                if (c.value("put", "") == "final/j-1") {
+        cluster.key_value_store.transaction_delay = [&](const json& txn) {
+            for (auto& change : txn["then"])
+                if (change.value("put", "") == "final/j-1") {
                     ++written;
                     if (lost++ == 0) return late;
                 }
             return 0.0;
         };
-        w.at(2, [&w] {
-            w.submit("j-1", "batch", 1, 10);
-            w.submit("j-2", "batch", 1, 10);
-            w.submit("j-3", "batch", 1, 30);
+        cluster.at(2, [&cluster] {
+            cluster.submit("j-1", "batch", 1, 10);
+            cluster.submit("j-2", "batch", 1, 10);
+            cluster.submit("j-3", "batch", 1, 30);
         });
         std::set<std::string> told;
-        for (double t = 14; t < 40; t += 0.3)
-            w.at(t, [&] {
-                for (std::size_t n = 0; n < 3; ++n) {
-                    w.ask_node(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response r) {
-                        if (w.jobs["j-1"].stored_at < 0) return;
-                        if (status_of(r) == "done") w.jobs["j-1"].done = true;
-                        if (w.jobs["j-1"].done) told.insert(status_of(r));
-                    });
-                    w.post_to(n, w.jobs["j-1"].spec.dump(), [&](http::Response r) {
-                        EXPECT_TRUE(r.status == 200 || r.status == 503) << r.status;
-                    });
-                }
-            });
-        w.run_until(60);
+        for (double time = 14; time < 40; time += 0.3)
+            cluster.at(time, [&] { query_and_repeat(cluster, told); });
+        cluster.run_until(60);
         EXPECT_EQ(told, (std::set<std::string>{"done"}));
-        EXPECT_EQ(w.starts, 3u);
+        EXPECT_EQ(cluster.starts, 3u);
         // It is read what became of the first, so that no second one is spent on a job that has ended.
-        EXPECT_EQ(written, late < o.heartbeat_interval_s / 2 ? 1u : 2u);
-        EXPECT_FALSE(w.stored("job/j-1"));
-        EXPECT_TRUE(w.jobs["j-2"].done && w.jobs["j-3"].done);
-        for (auto& b : w.broken) ADD_FAILURE() << b;
+        EXPECT_EQ(written, late < options.heartbeat_interval_s / 2 ? 1u : 2u);
+        EXPECT_FALSE(cluster.key_value_store.stored("job/j-1"));
+        EXPECT_TRUE(cluster.jobs["j-2"].done && cluster.jobs["j-3"].done);
+        expect_no_violations(cluster);
     }
 }
 
 // Jobs of one task come for two minutes, a quarter of them are cancelled, and the key-value store allows few
 // changes. Ends are stored in time, since those of cancelled jobs wait for them and not the other way round.
 //
-// Counted from the report that says it: a worker reports a change within half a second, so that this bound
+// Counted from the heartbeat that says it: a worker reports a change within half a second, so that this bound
 // keeps the three seconds in which users expect it, but those simulated here report only once a period, which
 // alone may take longer. With ends of cancelled jobs at the rank of the others each of 24 seeds took 2.31 s
 // or more.
-class JobEndsWithFewChanges : public testing::TestWithParam<std::uint64_t> {};
-INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsWithFewChanges, testing::Values(1, 2, 3));
-TEST_P(JobEndsWithFewChanges, AreStoredInTime) {
-    spdlog::set_level(spdlog::level::off);
-    Options o;
-    o.seed = GetParam();
-    o.machines = 10;
-    o.write_rps = 20;
-    o.txn_ops = o.next_txn_ops = 24;
-    SimulatedCluster w(o);
-    constexpr double rate = 4.6, from = 20, until = 140;
-    std::size_t n = 0;
-    for (double t = from; t < until; t += 1 / rate) {
-        auto id = "j-" + std::to_string(100000 + n);
-        w.at(t, [&w, id] {
-            w.submit(id, "batch", 1, 6, {{"cards", 0.0}, {"vcpus", 0.05}, {"ram_gb", 0.1}});
+class JobEndsUnderWriteLimit : public testing::TestWithParam<std::uint64_t> {};
+INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3), Numbered{"Seed"});
+constexpr double job_rate = 4.6, jobs_from_s = 20, jobs_until_s = 140;
+// Cancels one in four; returns how many there are.
+std::size_t submit_stream(SimulatedCluster& cluster) {
+    std::size_t number = 0;
+    for (double time = jobs_from_s; time < jobs_until_s; time += 1 / job_rate) {
+        auto id = "j-" + std::to_string(100000 + number);
+        cluster.at(time, [&cluster, id] {
+            cluster.submit(id, "batch", 1, 6, {{"cards", 0.0}, {"vcpus", 0.05}, {"ram_gb", 0.1}});
         });
-        if (n++ % 4 == 0) w.at(t + 4, [&w, id] { w.cancel(id); });
+        if (number++ % 4 == 0) cluster.at(time + 4, [&cluster, id] { cluster.cancel(id); });
     }
-    auto of_jobs = [&w] { return w.changes["job"] + w.changes["final"] + w.changes["prog"]; };
-    w.run_until(until + 60);
+    return number;
+}
+std::size_t changes_of_jobs(SimulatedCluster& cluster) {
+    auto& changes = cluster.key_value_store.changes;
+    return changes["job"] + changes["final"] + changes["prog"];
+}
+TEST_P(JobEndsUnderWriteLimit, AreStoredInTime) {
+    spdlog::set_level(spdlog::level::off);
+    Options options;
+    options.seed = GetParam();
+    options.machines = 10;
+    options.write_rps = 20;
+    options.txn_ops = options.reduced_txn_ops = 24;
+    SimulatedCluster cluster(options);
+    auto submitted = submit_stream(cluster);
+    cluster.run_until(jobs_until_s + 60);
     double worst = 0;
     std::size_t done = 0, cancelled = 0;
-    for (auto& [id, job] : w.jobs) {
+    for (auto& [id, job] : cluster.jobs) {
         EXPECT_TRUE(job.accepted) << id;
-        EXPECT_FALSE(w.stored("job/" + id)) << id;
-        EXPECT_TRUE(w.stored("final/" + id)) << id;
+        EXPECT_FALSE(cluster.key_value_store.stored("job/" + id)) << id;
+        EXPECT_TRUE(cluster.key_value_store.stored("final/" + id)) << id;
         cancelled += job.cancelled;
         if (job.cancelled) continue;
         ++done;
@@ -149,18 +171,18 @@
         EXPECT_GE(job.stored_at, job.reported_at) << id;
         worst = std::max(worst, job.stored_at - job.reported_at);
     }
-    EXPECT_EQ(done + cancelled, n);
-    EXPECT_GE(cancelled, n / 5);
+    EXPECT_EQ(done + cancelled, submitted);
+    EXPECT_GE(cancelled, submitted / 5);
     EXPECT_LT(worst, 2.2);
-    EXPECT_EQ(w.changes_refused, 0u);
+    EXPECT_EQ(cluster.key_value_store.changes_refused, 0u);
     // Three changes for one that is done, four for one that is cancelled.
-    EXPECT_EQ(of_jobs(), 3 * done + 4 * cancelled);
-    for (auto& b : w.broken) ADD_FAILURE() << b;
+    EXPECT_EQ(changes_of_jobs(cluster), 3 * done + 4 * cancelled);
+    expect_no_violations(cluster);
 }
 
 // A transaction with many changes waits until the budget has room for it. Small ones of lower ranks used to
 // take what gathered meanwhile.
-TEST(StateClient, SmallChangesDontOvertakeLargeOnes) {
+TEST(KvClientBudget, SmallChangesDoNotOvertakeLargeOnes) {
     FakeTimers timers;
     FakeKeyValueStore service(timers);
     config::Settings s;
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -9,15 +9,19 @@
 namespace {
 class NodeRequester : public http::Requester {
   public:
-    NodeRequester(SimulatedCluster& w, std::string from) : world_(w), from_(std::move(from)) {}
-    void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
-        world_.send(from_, addr, std::move(r), timeout, std::move(result));
+    NodeRequester(SimulatedCluster& cluster, std::string from) : cluster_(cluster), from_(std::move(from)) {}
+    void send(const std::string& addr, http::Request request, double timeout, http::Result result) override {
+        cluster_.send(from_, addr, std::move(request), timeout, std::move(result));
     }
 
   private:
-    SimulatedCluster& world_;
+    SimulatedCluster& cluster_;
     std::string from_;
 };
+
+std::string label_of(std::size_t node) {
+    return "berth-" + std::to_string(node);
+}
 }  // namespace
 
 // Here, where the controller's type is complete.
@@ -26,147 +30,127 @@
 Node& Node::operator=(Node&&) noexcept = default;
 Node::~Node() = default;
 
-double HostTimers::now() const {
-    return world_.now();
+SimulatedCluster::SimulatedCluster(Options options)
+    : options_(options),
+      checker_(rules_of(options)),
+      random_(options.seed),
+      key_value_store(events_, random_,
+                      {.limits = {options.value_kb, options.txn_ops},
+                       .reduced_limits = {options.reduced_value_kb, options.reduced_txn_ops},
+                       .limits_reduced_at = options.limits_reduced_at,
+                       .write_rps = options.write_rps}) {
+    key_value_store.on_change = [this](const std::string& key) {
+        auto job = jobs.find(key.substr(key.find('/') + 1));
+        if (job != jobs.end() && key.starts_with("final/")) job->second.stored_at = now();
+    };
+    for (std::size_t k = 0; k < controller_count; ++k) {
+        Node node;
+        node.settings = settings_for(k);
+        nodes_.push_back(std::move(node));
+    }
+    for (std::size_t k = 0; k < options_.machines; ++k) add_machine(zones[k % 2], k % 3 == 2);
+    for (std::size_t k = 0; k < controller_count; ++k) boot(k);
+    schedule_regular_work();
 }
-event_loop::TimerId HostTimers::after(double s, event_loop::Task task) {
-    auto id = next_++;
-    fire(id, world_.now() + std::max(0.0, s), std::move(task));
-    return id;
+config::Settings SimulatedCluster::settings_for(std::size_t number) const {
+    config::Settings settings;
+    settings.label = label_of(number);
+    settings.zone = zones[number % 2];
+    settings.listen = addr_of(number);
+    settings.peer_listen = host_of_address(addr_of(number)) + ":8081";
+    for (std::size_t peer = 0; peer < 3; ++peer)
+        if (peer != number)
+            settings.peers.push_back(
+                {label_of(peer), zones[peer % 2], host_of_address(addr_of(peer)) + ":8081"});
+    settings.kv_addr = state_addr;
+    settings.cloud_addr = cloud_addr;
+    settings.nodes = 3;
+    settings.zones = zones;
+    settings.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
+    settings.heartbeat_interval_s = options_.heartbeat_interval_s;
+    settings.lease_s = options_.lease_s;
+    settings.cancel_s = options_.cancel_s;
+    settings.gang_wait_s = 50;
+    settings.gang_peer_s = 5;
+    settings.op.relay_heartbeats = options_.relay_heartbeats;
+    settings.op.replicate_starts = !options_.without_replication.contains(number);
+    settings.kv_rps = 200;
+    settings.kv_write_rps = options_.write_rps;
+    settings.value_kb = options_.value_kb;
+    settings.safe_value_kb = std::min(options_.value_kb, options_.reduced_value_kb);
+    settings.txn_ops = std::min(options_.txn_ops, options_.reduced_txn_ops);
+    settings.cloud_rps = 10;
+    settings.list_lag_s = 10;
+    settings.memory_mb = 100;
+    settings.sockets = 1000;
+    return settings;
 }
-void HostTimers::fire(event_loop::TimerId id, double due, event_loop::Task task) {
-    world_.at(due, [this, alive = alive_, cancelled = cancelled_, id, task = std::move(task)] {
-        if (!*alive || cancelled->erase(id)) return;
-        if (still_until() > now()) return fire(id, still_until(), task);
-        task();
+void SimulatedCluster::repeat_every(double period_s, const std::function<void()>& action) {
+    at(now() + period_s, [this, period_s, action] {
+        action();
+        repeat_every(period_s, action);
     });
 }
-
-SimulatedCluster::SimulatedCluster(Options options)
-    : options_(options), random_(options.seed), changes_left_(options.write_rps, options.write_rps) {
-    for (std::size_t k = 0; k < 3; ++k) {
-        Node n;
-        auto& s = n.settings;
-        s.label = "berth-" + std::to_string(k);
-        s.zone = zones[k % 2];
-        s.listen = addr_of(k);
-        s.peer_listen = host(addr_of(k)) + ":8081";
-        for (std::size_t p = 0; p < 3; ++p)
-            if (p != k)
-                s.peers.push_back({"berth-" + std::to_string(p), zones[p % 2], host(addr_of(p)) + ":8081"});
-        s.kv_addr = state_addr;
-        s.cloud_addr = cloud_addr;
-        s.nodes = 3;
-        s.zones = zones;
-        s.teams = {{"free", 0, 0, 0, options_.free_gpus_max}, {"tight", 0, 0, 0, options_.gpus_max}};
-        s.heartbeat_interval_s = options_.heartbeat_interval_s;
-        s.lease_s = options_.lease_s;
-        s.cancel_s = options_.cancel_s;
-        s.gang_wait_s = 50;
-        s.gang_peer_s = 5;
-        s.op.relay_heartbeats = options_.relay_heartbeats;
-        s.op.replicate_starts = !options_.without_replication.contains(k);
-        s.kv_rps = 200;
-        s.kv_write_rps = options_.write_rps;
-        s.value_kb = options_.value_kb;
-        s.safe_value_kb = std::min(options_.value_kb, options_.next_value_kb);
-        s.txn_ops = std::min(options_.txn_ops, options_.next_txn_ops);
-        s.cloud_rps = 10;
-        s.list_lag_s = 10;
-        s.memory_mb = 100;
-        s.sockets = 1000;
-        nodes_.push_back(std::move(n));
-    }
-    for (std::size_t k = 0; k < options_.machines; ++k) add_worker(zones[k % 2], k % 3 == 2);
-    for (std::size_t k = 0; k < 3; ++k) boot(k);
-    auto every = [this](double s, auto f) {
-        auto again = std::make_shared<std::function<void()>>();
-        *again = [this, s, f, weak = std::weak_ptr(again)] {
-            f();
-            if (auto self = weak.lock()) at(now_ + s, [self] { (*self)(); });
-        };
-        at(now_ + s, [again] { (*again)(); });
-    };
-    every(0.1, [this] { expire_leases(); });
-    every(0.5, [this] { check_cancelled(); });
-    every(1.0, [this] { balance(); });
-    every(1.0, [this] { check_waiting(); });
-    every(0.05, [this] { deliver_kept(); });
-    every(4.0, [this] { poll_all(); });
+void SimulatedCluster::schedule_regular_work() {
+    repeat_every(0.1, [this] { key_value_store.expire_leases(); });
+    repeat_every(0.5, [this] { checker_.look(now()); });
+    repeat_every(1.0, [this] { check_health(); });
+    repeat_every(1.0, [this] { check_waiting(); });
+    repeat_every(0.05, [this] { replay_kept_heartbeats(); });
+    repeat_every(4.0, [this] { query_all_jobs(); });
     // A hanging machine's tasks end with its lease too.
-    every(0.1, [this] {
-        for (auto& w : workers)
-            if (!w->dead) check_lease(*w);
+    repeat_every(0.1, [this] {
+        for (auto& worker : workers)
+            if (!worker->dead) check_lease(*worker);
     });
 }
 SimulatedCluster::~SimulatedCluster() {
-    for (auto& n : nodes_)
-        if (n.timers) n.timers->kill();
-    // A controller that ends answers what still waits with it, into a world that must be whole.
-    for (auto* all : {&nodes_, &graveyard_})
-        for (auto& n : *all) n.controller.reset();
-}
-
-void SimulatedCluster::run_until(double t) {
-    while (!queue_.empty() && queue_.top().t <= t) {
-        auto e = queue_.top();
-        queue_.pop();
-        now_ = e.t;
-        e.task();
-    }
-    now_ = t;
+    for (auto& node : nodes_)
+        if (node.timers) node.timers->kill();
+    // A controller that ends answers what still waits with it, into a cluster that must be whole.
+    for (auto* all : {&nodes_, &crashed_nodes_})
+        for (auto& node : *all) node.controller.reset();
 }
 
-void SimulatedCluster::boot(std::size_t k) {
-    auto& n = nodes_[k];
-    n.timers = std::make_unique<HostTimers>(*this);
-    n.http = std::make_unique<NodeRequester>(*this, n.settings.listen);
-    n.planner = std::make_unique<InlinePlanner>(*n.timers);
-    n.controller =
-        std::make_unique<controller::Controller>(*n.timers, *n.http, n.settings, *n.planner, random_());
-    n.up = true;
-    ++n.lives;
-    n.busy_until = now_;
-    n.controller->start();
+void SimulatedCluster::boot(std::size_t number) {
+    auto& node = nodes_[number];
+    node.timers = std::make_unique<HostTimers>(events_);
+    node.http = std::make_unique<NodeRequester>(*this, node.settings.listen);
+    node.planner = std::make_unique<InlinePlanner>(*node.timers);
+    node.controller = std::make_unique<controller::Controller>(*node.timers, *node.http, node.settings,
+                                                               *node.planner, random_());
+    node.up = true;
+    ++node.incarnation;
+    node.busy_until = now();
+    node.controller->start();
 }
-void SimulatedCluster::crash(std::size_t k, double back_after) {
-    auto& n = nodes_[k];
-    if (!n.up) return;
-    n.up = false;
-    n.timers->kill();
+void SimulatedCluster::crash(std::size_t number, double back_after) {
+    auto& node = nodes_[number];
+    if (!node.up) return;
+    node.up = false;
+    node.timers->kill();
     // What was under way may still call back; the dead process only never acts on it.
     Node dead;
-    dead.timers = std::move(n.timers);
-    dead.http = std::move(n.http);
-    dead.planner = std::move(n.planner);
-    dead.controller = std::move(n.controller);
-    graveyard_.push_back(std::move(dead));
-    at(now_ + back_after, [this, k] { boot(k); });
-}
-std::string SimulatedCluster::told_by(std::size_t k, const std::string& gauge) {
-    std::string value;
-    if (nodes_[k].up)
-        nodes_[k].controller->serve({"GET", "/metrics", {}}, [&](http::Response r) {
-            auto at = r.body.find("{of=\"" + gauge + "\"} ");
-            if (at == std::string::npos) return;
-            at = r.body.find(' ', at) + 1;
-            value = r.body.substr(at, r.body.find('\n', at) - at);
-        });
-    return value;
+    dead.timers = std::move(node.timers);
+    dead.http = std::move(node.http);
+    dead.planner = std::move(node.planner);
+    dead.controller = std::move(node.controller);
+    crashed_nodes_.push_back(std::move(dead));
+    at(now() + back_after, [this, number] { boot(number); });
 }
-void SimulatedCluster::stand_still(std::size_t k, double for_s) {
-    if (nodes_[k].up) nodes_[k].timers->stand_still(now_ + for_s);
+void SimulatedCluster::freeze(std::size_t number, double for_s) {
+    if (nodes_[number].up) nodes_[number].timers->freeze(now() + for_s);
 }
 bool SimulatedCluster::healthy(std::size_t node) const {
     return nodes_[node].controller->healthy();
 }
-void SimulatedCluster::ask_node(std::size_t node, http::Request r, http::Reply done) {
-    nodes_[node].controller->serve(std::move(r), std::move(done));
+void SimulatedCluster::send_user_request(std::size_t node, http::Request request, http::Reply done) {
+    nodes_[node].controller->serve(std::move(request), std::move(done));
 }
-int SimulatedCluster::leader() const {
-    for (std::size_t k = 0; k < nodes_.size(); ++k)
-        if (nodes_[k].up && nodes_[k].controller->leads()) return static_cast<int>(k);
-    return -1;
+std::optional<std::size_t> SimulatedCluster::leader() const {
+    for (std::size_t node = 0; node < nodes_.size(); ++node)
+        if (nodes_[node].up && nodes_[node].controller->leads()) return node;
+    return {};
 }
 
 }  // namespace coralhitch::simulation
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -15,179 +15,183 @@
 }
 }  // namespace
 
-// Ends of a cut are hosts, with or without a port, or, with a dot at the end, all hosts that begin so. A
-// machine's address with its port used to match no host at all, so that such a cut did nothing.
-void SimulatedCluster::add_cut(const std::string& a, const std::string& b, double for_s, bool hold,
-                               bool one_way) {
-    cuts_.push_back({host(a), host(b), now_ + for_s, hold, one_way});
-}
-bool SimulatedCluster::is_cut(const std::string& a, const std::string& b, bool& hold, double& until) const {
-    bool found = false;
-    for (auto& c : cuts_) {
-        if (c.until <= now_) continue;
-        auto match = [](const std::string& p, const std::string& h) {
-            return p.ends_with('.') ? h.starts_with(p) : h == p;
-        };
-        if (!(match(c.a, a) && match(c.b, b)) && (c.one_way || !(match(c.a, b) && match(c.b, a)))) continue;
-        found = true;
-        hold = c.hold;
-        until = std::max(until, c.until);
-    }
-    return found;
-}
-
 // Seconds by which a direct command is held up, 0 if it is not: by a script, or for one in four while that
 // fault lasts.
-double SimulatedCluster::command_delay(const std::string& to, const http::Request& r) {
-    if (r.target != protocol::paths::commands) return 0;
-    if (late_command) return late_command(to, r);
-    if (now_ >= late_commands_until_ || random_() % 4 != 0) return 0;
+double SimulatedCluster::draw_command_delay(const std::string& to, const http::Request& request) {
+    if (request.target != protocol::paths::commands) return 0;
+    if (command_delay) return command_delay(to, request);
+    if (now() >= delay_commands_until_ || random_() % 4 != 0) return 0;
     return std::uniform_real_distribution<double>(2, 16)(random_);
 }
 
-void SimulatedCluster::send(const std::string& from, const std::string& to, http::Request r, double timeout,
-                            http::Result result) {
-    digest.add(now_, from, to, r.method + " " + r.target, r.body);
-    if (sent) at(now_, [this, from, to, r] { sent(from, to, r); });
-    if (now_ < copies_until_ && random_() % 4 == 0) {
-        double late = std::uniform_real_distribution<double>(0.05, copies_late_)(random_);
-        auto again = r.target == protocol::paths::heartbeat ? addr_of(random_() % 3) : to;
-        at(now_ + late, [this, from, again, r] { deliver(from, again, r, [](http::Response) {}); });
+// A request that a host has sent, until it is answered or its time is up.
+struct SimulatedCluster::PendingRequest {
+    std::string sender, receiver;
+    http::Result result;
+    std::uint64_t incarnation = 0;  // of the sender's process
+    bool ended = false;
+    // Has come and was not read yet; is read at the latest when the time is up.
+    std::optional<http::Response> unread = {};
+
+    void end(std::optional<http::Response> response) {
+        if (std::exchange(ended, true)) return;
+        result(std::move(response));
     }
-    if (now_ < keep_copies_until_ && r.target == protocol::paths::heartbeat && kept_.size() < 200 &&
-        random_() % 3 == 0)
-        kept_.emplace_back(from, r);
-    auto done = std::make_shared<bool>(false);
-    auto end = [done, result](std::optional<http::Response> answer) {
-        if (std::exchange(*done, true)) return;
-        result(std::move(answer));
-    };
-    // What has come and was not read yet is read when the time is up.
-    auto come = std::make_shared<std::optional<http::Response>>();
-    std::uint64_t life = 0;
-    for (auto& n : nodes_) {
-        if (n.settings.listen != from) continue;
-        n.timers->after(timeout, [end, come] { end(std::move(*come)); });
-        life = n.lives;
+};
+
+void SimulatedCluster::send(const std::string& from, const std::string& to, http::Request request,
+                            double timeout, http::Result result) {
+    digest.add(now(), from, to, request.method + " " + request.target, request.body);
+    if (on_message) at(now(), [this, from, to, request] { on_message(from, to, request); });
+    copy_sometimes(from, to, request);
+    auto pending = std::make_shared<PendingRequest>(PendingRequest{from, to, std::move(result)});
+    for (auto& node : nodes_) {
+        if (node.settings.listen != from) continue;
+        node.timers->after(timeout, [pending] { pending->end(std::move(pending->unread)); });
+        pending->incarnation = node.incarnation;
     }
-    auto sender = from;
-    // A process that is back within a fraction of a second must not hear what the one before it asked: that
-    // one would go on acting, and end the lease of the process that runs in its place.
-    auto back = [this, end, sender, to, come, life](http::Response answer) {
-        digest.add(now_, to, sender, std::to_string(answer.status), answer.body);
-        bool hold = false;
-        double until = 0;
-        if (is_cut(host(to), host(sender), hold, until)) return;
-        at(now_ + latency(), [this, end, sender, to, come, life, answer = std::move(answer)] {
-            for (auto& n : nodes_) {
-                if (n.settings.listen != sender) continue;
-                if (!n.up || n.lives != life) return;
-                if (n.timers->still_until() > now_) {
-                    n.timers->after(0, [end, answer] { end(answer); });
-                    return;
-                }
-                if (to.rfind("10.1.", 0) == 0) {
-                    *come = answer;
-                    return in_turn(n, [end, answer] { end(answer); });
-                }
-            }
-            end(answer);
-        });
-    };
-    if (double late = command_delay(to, r); late > 0)
-        return at(now_ + late, [this, from, to, r] { deliver(from, to, r, [](http::Response) {}); });
-    bool hold = false;
-    double until = 0;
-    if (is_cut(host(from), host(to), hold, until)) {
-        // Held packets arrive when the cut ends, even if the sender has given up.
-        if (hold) at(until + latency(), [this, from, to, r, back] { deliver(from, to, r, back); });
-        return;
+    if (double late = draw_command_delay(to, request); late > 0)
+        return at(now() + late,
+                  [this, from, to, request] { deliver(from, to, request, [](http::Response) {}); });
+    double arrives_after = now();
+    if (auto blocked = partitions_.find(host_of_address(from), host_of_address(to), now())) {
+        if (blocked->packets == Packets::dropped) return;
+        arrives_after = blocked->until;
     }
-    at(now_ + latency(), [this, from, to, r = std::move(r), back] { deliver(from, to, r, back); });
+    at(arrives_after + latency(), [this, pending, request = std::move(request)] {
+        deliver(pending->sender, pending->receiver, request,
+                [this, pending](http::Response response) { send_back(pending, std::move(response)); });
+    });
 }
-
-void SimulatedCluster::deliver(const std::string& from, const std::string& to, http::Request r,
-                               http::Reply reply) {
-    if (to == state_addr && now_ < slow_until_) {
-        double by = std::uniform_real_distribution<double>(0.5, 1)(random_) * slow_by_;
-        return at(now_ + by, [this, from, r, reply] { state(from, r, reply); });
+void SimulatedCluster::copy_sometimes(const std::string& from, const std::string& to,
+                                      const http::Request& request) {
+    constexpr std::size_t most_kept = 200;
+    bool heartbeat = request.target == protocol::paths::heartbeat;
+    if (now() < duplicates_until_ && random_() % 4 == 0) {
+        double late = std::uniform_real_distribution<double>(0.05, duplicates_max_delay_s_)(random_);
+        auto receiver = heartbeat ? addr_of(random_() % 3) : to;
+        at(now() + late,
+           [this, from, receiver, request] { deliver(from, receiver, request, [](http::Response) {}); });
     }
-    if (to == state_addr) return state(from, r, std::move(reply));
-    if (to == cloud_addr) return reply(cloud(r));
-    for (auto& n : nodes_) {
-        if (host(n.settings.listen) != host(to)) continue;
-        if (!n.up) return;
-        if (n.timers->still_until() > now_) {
-            n.timers->after(0, [this, from, to, r, reply] { deliver(from, to, r, reply); });
+    if (now() < keep_heartbeats_until_ && heartbeat && kept_heartbeats_.size() < most_kept &&
+        random_() % 3 == 0)
+        kept_heartbeats_.push_back({from, request});
+}
+void SimulatedCluster::send_back(const std::shared_ptr<PendingRequest>& pending, http::Response response) {
+    auto& responder = pending->receiver;
+    digest.add(now(), responder, pending->sender, std::to_string(response.status), response.body);
+    if (partitions_.find(host_of_address(responder), host_of_address(pending->sender), now())) return;
+    at(now() + latency(),
+       [this, pending, response = std::move(response)] { read_response(pending, response); });
+}
+// A process that is back within a fraction of a second must not receive what the one before it asked: that
+// one would go on acting, and end the lease of the process that runs in its place.
+void SimulatedCluster::read_response(const std::shared_ptr<PendingRequest>& pending,
+                                     const http::Response& response) {
+    for (auto& node : nodes_) {
+        if (node.settings.listen != pending->sender) continue;
+        if (!node.up || node.incarnation != pending->incarnation) return;
+        if (node.timers->frozen_until() > now()) {
+            node.timers->after(0, [pending, response] { pending->end(response); });
             return;
         }
-        if (to == n.settings.peer_listen && options_.old_pings && r.target == protocol::peer_ping_path) {
-            r.body = old_ping(r.body);
-            return n.controller->serve_peer(std::move(r), [reply](http::Response a) {
-                a.body = old_ping(a.body);
-                reply(std::move(a));
-            });
+        if (pending->receiver.starts_with("10.1.")) {  // a worker
+            pending->unread = response;
+            return process_in_turn(node, [pending, response] { pending->end(response); });
         }
-        if (to == n.settings.peer_listen) return n.controller->serve_peer(std::move(r), std::move(reply));
-        if (r.target == protocol::paths::heartbeat)
-            return in_turn(n, [&n, r, reply] { n.controller->serve(r, reply); });
-        return n.controller->serve(std::move(r), std::move(reply));
     }
-    for (auto& w : workers) {
-        if (w->addr != to) continue;
-        if (w->dead || now_ < w->up_at) return;
-        if (w->hung) {
-            // A hanging machine reads what came in once it goes on.
-            at(now_ + 0.5, [this, from, to, r, reply] { deliver(from, to, r, reply); });
-            return;
-        }
-        return reply(direct(*w, r));
+    pending->end(response);
+}
+
+void SimulatedCluster::deliver(const std::string& from, const std::string& to, const http::Request& request,
+                               const http::Reply& reply) {
+    if (to == state_addr) return key_value_store.receive(from, request, reply);
+    if (to == cloud_addr) return reply(cloud(request));
+    for (auto& node : nodes_)
+        if (host_of_address(node.settings.listen) == host_of_address(to))
+            return deliver_to_controller(node, from, to, request, reply);
+    for (auto& worker : workers)
+        if (worker->addr == to) return deliver_to_worker(*worker, from, request, reply);
+}
+void SimulatedCluster::deliver_to_controller(Node& node, const std::string& from, const std::string& to,
+                                             http::Request request, http::Reply reply) {
+    if (!node.up) return;
+    if (node.timers->frozen_until() > now()) {
+        node.timers->after(0, [this, from, to, request, reply] { deliver(from, to, request, reply); });
+        return;
+    }
+    if (to == node.settings.peer_listen && options_.pings_of_previous_version &&
+        request.target == protocol::peer_ping_path) {
+        request.body = old_ping(request.body);
+        return node.controller->serve_peer(std::move(request), [reply](http::Response response) {
+            response.body = old_ping(response.body);
+            reply(std::move(response));
+        });
     }
+    if (to == node.settings.peer_listen)
+        return node.controller->serve_peer(std::move(request), std::move(reply));
+    if (request.target == protocol::paths::heartbeat)
+        return process_in_turn(node, [&node, request, reply] { node.controller->serve(request, reply); });
+    node.controller->serve(std::move(request), std::move(reply));
+}
+void SimulatedCluster::deliver_to_worker(Worker& worker, const std::string& from,
+                                         const http::Request& request, const http::Reply& reply) {
+    if (worker.dead || now() < worker.up_at) return;
+    if (!worker.hung) return reply(serve_command(worker, request));
+    // A hanging machine reads what came in once it goes on.
+    constexpr double try_again_s = 0.5;
+    at(now() + try_again_s,
+       [this, from, to = worker.addr, request, reply] { deliver(from, to, request, reply); });
 }
 
-void SimulatedCluster::deliver_kept() {
+void SimulatedCluster::replay_kept_heartbeats() {
     auto leads = leader();
-    if (leads < 0 || leads == std::exchange(led_, leads)) return;
-    for (auto& [from, r] : std::exchange(kept_, {}))
+    if (!leads || leads == std::exchange(last_leader_, leads)) return;
+    for (auto& kept : std::exchange(kept_heartbeats_, {}))
         for (std::size_t k = 0; k < nodes_.size(); ++k)
-            at(now_ + 10 * latency(),
-               [this, from, to = addr_of(k), r] { deliver(from, to, r, [](http::Response) {}); });
+            at(now() + 10 * latency(), [this, kept, to = addr_of(k)] {
+                deliver(kept.from, to, kept.request, [](http::Response) {});
+            });
 }
 
 // Messages of workers take time to read and wait for each other; what else comes does not wait for them.
-void SimulatedCluster::in_turn(Node& n, event_loop::Task task) {
-    if (options_.hear_s <= 0) return task();
-    n.busy_until = std::max(now_, n.busy_until) + options_.hear_s;
-    n.timers->after(n.busy_until - now_, std::move(task));
+void SimulatedCluster::process_in_turn(Node& node, event_loop::Task task) {
+    if (options_.heartbeat_processing_s <= 0) return task();
+    node.busy_until = std::max(now(), node.busy_until) + options_.heartbeat_processing_s;
+    node.timers->after(node.busy_until - now(), std::move(task));
 }
 
 // The load balancer's view of the controllers: out after two failures in a row or three of six, back after
 // two successes and a pause that doubles.
-void SimulatedCluster::balance() {
-    for (auto& n : nodes_) {
-        bool ok = n.up && n.timers->still_until() <= now_ && n.controller->healthy();
-        n.probes.push_back(ok);
-        if (n.probes.size() > 6) n.probes.pop_front();
-        auto failed = std::count(n.probes.begin(), n.probes.end(), false);
-        bool twice = n.probes.size() >= 2 && n.probes.back() == n.probes[n.probes.size() - 2];
-        if (n.served && !ok && (twice || failed >= 3)) {
-            n.served = false;
-            n.pause = now_ - n.removed_at < 120 ? std::min(60.0, n.pause * 2) : 3;
-            n.removed_at = now_;
-        } else if (!n.served && ok && (!n.ever_served || (twice && now_ - n.removed_at >= n.pause))) {
-            n.served = n.ever_served = true;
-            n.probes.clear();
+void SimulatedCluster::check_health() {
+    for (auto& node : nodes_) {
+        bool ok = node.up && node.timers->frozen_until() <= now() && node.controller->healthy();
+        node.health_checks.push_back(ok);
+        if (node.health_checks.size() > 6) node.health_checks.pop_front();
+        auto failed = std::count(node.health_checks.begin(), node.health_checks.end(), false);
+        bool twice = node.health_checks.size() >= 2 &&
+                     node.health_checks.back() == node.health_checks[node.health_checks.size() - 2];
+        if (node.in_rotation && !ok && (twice || failed >= 3)) {
+            node.in_rotation = false;
+            node.readmission_pause_s =
+                now() - node.removed_at < 120 ? std::min(60.0, node.readmission_pause_s * 2) : 3;
+            node.removed_at = now();
+        } else if (!node.in_rotation && ok &&
+                   (!node.ever_in_rotation ||
+                    (twice && now() - node.removed_at >= node.readmission_pause_s))) {
+            node.in_rotation = node.ever_in_rotation = true;
+            node.health_checks.clear();
         }
     }
 }
 // A refused connection is tried at another controller.
-Node* SimulatedCluster::pick_node() {
-    bool ever = std::any_of(nodes_.begin(), nodes_.end(), [](auto& n) { return n.ever_served; });
+Node* SimulatedCluster::pick_controller() {
+    bool ever = std::any_of(nodes_.begin(), nodes_.end(), [](auto& node) { return node.ever_in_rotation; });
     auto first = random_() % nodes_.size();
     for (std::size_t k = 0; k < nodes_.size(); ++k) {
-        auto& n = nodes_[(first + k) % nodes_.size()];
-        if (unserved_ && &n == &nodes_[*unserved_]) continue;
-        if (n.up && (n.served || !ever)) return &n;
+        auto& node = nodes_[(first + k) % nodes_.size()];
+        if (removed_from_load_balancer_ && &node == &nodes_[*removed_from_load_balancer_]) continue;
+        if (node.up && (node.in_rotation || !ever)) return &node;
     }
     return nullptr;
 }
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -1,194 +1,259 @@
 // The workers.
+#include <algorithm>
+
+#include "protocol/model.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
-void SimulatedCluster::die(std::size_t k) {
-    workers[k % workers.size()]->dead = true;
-    workers[k % workers.size()]->tasks.clear();
-}
-void SimulatedCluster::hang(std::size_t k, double for_s) {
-    auto* w = workers[k % workers.size()].get();
-    w->hung = true;
-    at(now_ + for_s, [this, w] {
-        w->hung = false;
-        check_lease(*w);
+namespace {
+
+constexpr double hang_check_s = 0.5;  // a hanging machine goes on within this
+
+protocol::TaskId parse_task_id(const std::string& task) {
+    auto slash = task.find('/');
+    return {task.substr(0, slash), static_cast<std::uint32_t>(std::stoul(task.substr(slash + 1)))};
+}
+protocol::ExitCause parse_cause(const std::string& cause) {
+    if (cause == "done") return protocol::ExitCause::done;
+    if (cause == "halted") return protocol::ExitCause::stopped;
+    return cause == "incomplete" ? protocol::ExitCause::gang_incomplete : protocol::ExitCause::error;
+}
+}  // namespace
+
+void SimulatedCluster::crash_machine(std::size_t machine) {
+    auto& worker = *workers[machine % workers.size()];
+    worker.dead = true;
+    clear_tasks(worker);
+}
+void SimulatedCluster::hang_machine(std::size_t machine, double for_s) {
+    auto* worker = workers[machine % workers.size()].get();
+    worker->hung = true;
+    at(now() + for_s, [this, worker] {
+        worker->hung = false;
+        check_lease(*worker);
     });
 }
-// Under the same name and address; it remembers its agent epoch or begins anew.
-void SimulatedCluster::reboot(std::size_t k, bool anew) {
-    auto& w = *workers[k % workers.size()];
-    if (w.dead || now_ < w.up_at) return;
-    w.tasks.clear();
-    w.agent_epoch = anew ? 1 : w.agent_epoch + 1;
-    w.sequence = 0;
-    if (anew) w.helm = 0;
-    w.last_answered = now_;
-    ++w.lives;
-}
-void SimulatedCluster::check_lease(Worker& w) {
-    if (now_ - w.last_answered <= options_.lease_s || w.keeps_tasks) return;
-    w.tasks.clear();
-    ++w.agent_epoch;
-    w.sequence = 0;
-    w.last_answered = now_;
-}
-json SimulatedCluster::report(Worker& w) {
+void SimulatedCluster::reboot_machine(std::size_t machine, bool anew) {
+    auto& worker = *workers[machine % workers.size()];
+    if (worker.dead || now() < worker.up_at) return;
+    clear_tasks(worker);
+    worker.agent_epoch = anew ? 1 : worker.agent_epoch + 1;
+    worker.sequence = 0;
+    if (anew) worker.token = 0;
+    worker.last_answered = now();
+    ++worker.incarnation;
+}
+void SimulatedCluster::check_lease(Worker& worker) {
+    if (now() - worker.last_answered <= options_.lease_s || worker.ignores_lease) return;
+    clear_tasks(worker);
+    ++worker.agent_epoch;
+    worker.sequence = 0;
+    worker.last_answered = now();
+}
+json SimulatedCluster::report(Worker& worker) {
     json tasks = json::array();
-    for (auto& [name, t] : w.tasks) {
-        json e{{"shard", name}, {"launch", t.attempt}, {"status", t.status}};
-        if (t.status == "exited") e["cause"] = t.cause, e["saved"] = t.saved;
-        if (auto& job = jobs[t.job]; job.reported_at < 0 && job.completed_at >= 0 && is_done(t.job))
-            job.reported_at = now_;
-        tasks.push_back(std::move(e));
-    }
-    return {{"berth", w.id},         {"addr", w.addr},      {"hull", w.type},
-            {"reef", w.zone},        {"driftwood", w.spot}, {"watch", w.agent_epoch},
-            {"tally", ++w.sequence}, {"helm", w.helm},      {"shards", tasks}};
-}
-void SimulatedCluster::report_loop(Worker& w) {
-    if (w.dead) return;
-    auto again = [this, &w](double s) { at(now_ + s, [this, &w] { report_loop(w); }); };
-    if (w.hung) return again(0.5);
-    check_lease(w);
-    if (now_ < w.mute_until) {
-        w.node = (w.node + 1) % 3;
-        return again(1);
-    }
-    auto sent = now_;
-    auto agent_epoch = w.agent_epoch;
-    auto done = std::make_shared<bool>(false);
-    auto from = w.addr, to = addr_of(w.node);
-    auto next = [this, &w, again] {
-        w.node = (w.node + 1) % 3;
-        again(1);
-    };
-    at(now_ + 4, [done, next] {
-        if (!std::exchange(*done, true)) next();
-    });
-    http::Request r{"POST", "/hello", report(w).dump()};
-    send(from, to, r, 100, [=, this, &w, life = w.lives](std::optional<http::Response> a) {
-        if (!a || w.dead || w.lives != life || std::exchange(*done, true)) return;
-        if (w.hung) return again(0.5);
-        check_lease(w);
-        if (a->status == 421) {
-            auto j = json::parse(a->body);
-            if (!j.contains("harbor")) return next();
-            w.node = static_cast<std::size_t>(j["harbor"].get<std::string>().back() - '0');
-            return again(0.1);
-        }
-        if (a->status != 200) return next();
-        auto j = json::parse(a->body);
-        auto helm = j["helm"].get<std::uint64_t>();
-        if (agent_epoch == w.agent_epoch && helm >= w.helm) {
-            bool higher = helm > w.helm;
-            w.helm = helm;
-            w.last_answered = std::max(w.last_answered, sent);
-            command(w, j["orders"]);
-            if (higher) return again(0.5);
+    for (auto& [name, task] : worker.tasks) {
+        json entry{{"shard", name}, {"launch", task.attempt}, {"status", task.status}};
+        if (!present(task)) {
+            entry["cause"] = task.cause;
+            entry["saved"] = task.saved;
         }
-        again(options_.heartbeat_interval_s * std::uniform_real_distribution<double>(0.75, 1.25)(random_));
+        if (auto& job = jobs[task.job]; job.reported_at < 0 && job.completed_at >= 0 && is_done(task.job))
+            job.reported_at = now();
+        tasks.push_back(std::move(entry));
+    }
+    return {{"berth", worker.id},         {"addr", worker.addr},      {"hull", worker.type},
+            {"reef", worker.zone},        {"driftwood", worker.spot}, {"watch", worker.agent_epoch},
+            {"tally", ++worker.sequence}, {"helm", worker.token},     {"shards", tasks}};
+}
+// A heartbeat that was sent, until it is answered or given up.
+struct SimulatedCluster::HeartbeatAttempt {
+    Worker& worker;
+    double sent;
+    std::uint64_t agent_epoch, incarnation;
+    bool over = false;
+};
+
+void SimulatedCluster::send_heartbeats_after(Worker& worker, double delay_s) {
+    at(now() + delay_s, [this, &worker] { send_heartbeats(worker); });
+}
+void SimulatedCluster::try_next_controller(Worker& worker) {
+    worker.node = (worker.node + 1) % controller_count;
+    send_heartbeats_after(worker, 1);
+}
+void SimulatedCluster::send_heartbeats(Worker& worker) {
+    constexpr double give_up_s = 4, answer_timeout_s = 100;
+    if (worker.dead) return;
+    if (worker.hung) return send_heartbeats_after(worker, hang_check_s);
+    check_lease(worker);
+    if (now() < worker.inbound_unreachable_until) return try_next_controller(worker);
+    auto attempt = std::make_shared<HeartbeatAttempt>(
+        HeartbeatAttempt{worker, now(), worker.agent_epoch, worker.incarnation});
+    at(now() + give_up_s, [this, attempt] {
+        if (!std::exchange(attempt->over, true)) try_next_controller(attempt->worker);
     });
+    http::Request request{"POST", "/hello", report(worker).dump()};
+    send(worker.addr, addr_of(worker.node), request, answer_timeout_s,
+         [this, attempt](std::optional<http::Response> response) {
+             if (response) receive_heartbeat_answer(*attempt, *response);
+         });
+}
+void SimulatedCluster::receive_heartbeat_answer(HeartbeatAttempt& attempt, const http::Response& response) {
+    constexpr double redirected_s = 0.1, new_leader_s = 0.5;
+    constexpr int other_controller = 421;
+    auto& worker = attempt.worker;
+    if (worker.dead || worker.incarnation != attempt.incarnation || std::exchange(attempt.over, true)) return;
+    if (worker.hung) return send_heartbeats_after(worker, hang_check_s);
+    check_lease(worker);
+    if (response.status == other_controller) {
+        auto body = json::parse(response.body);
+        if (!body.contains("harbor")) return try_next_controller(worker);
+        worker.node = static_cast<std::size_t>(body["harbor"].get<std::string>().back() - '0');
+        return send_heartbeats_after(worker, redirected_s);
+    }
+    if (response.status != 200) return try_next_controller(worker);
+    auto body = json::parse(response.body);
+    auto token = body["helm"].get<std::uint64_t>();
+    if (attempt.agent_epoch == worker.agent_epoch && token >= worker.token) {
+        bool higher = token > worker.token;
+        worker.token = token;
+        worker.last_answered = std::max(worker.last_answered, attempt.sent);
+        command(worker, body["orders"]);
+        if (higher) return send_heartbeats_after(worker, new_leader_s);
+    }
+    double jitter = std::uniform_real_distribution<double>(0.75, 1.25)(random_);
+    send_heartbeats_after(worker, options_.heartbeat_interval_s * jitter);
 }
-http::Response SimulatedCluster::direct(Worker& w, const http::Request& r) {
-    check_lease(w);
-    if (r.target == "/inspect") return {200, report(w).dump()};
-    auto j = json::parse(r.body);
-    auto helm = j["helm"].get<std::uint64_t>();
-    if (helm < w.helm || j["watch"].get<std::uint64_t>() != w.agent_epoch) return {409, report(w).dump()};
-    w.helm = helm;
-    command(w, j["orders"]);
-    return {200, report(w).dump()};
-}
-void SimulatedCluster::command(Worker& w, const json& orders) {
-    for (auto& o : orders) {
-        auto verb = o["verb"].get<std::string>();
-        auto task = o["shard"].get<std::string>();
-        auto attempt = o["launch"].get<std::uint64_t>();
-        auto it = w.tasks.find(task);
-        bool same = it != w.tasks.end() && it->second.attempt == attempt;
-        if (verb == "run" && !same) start(w, task, attempt);
+http::Response SimulatedCluster::serve_command(Worker& worker, const http::Request& request) {
+    check_lease(worker);
+    if (request.target == "/inspect") return {200, report(worker).dump()};
+    auto body = json::parse(request.body);
+    auto token = body["helm"].get<std::uint64_t>();
+    if (token < worker.token || body["watch"].get<std::uint64_t>() != worker.agent_epoch)
+        return {409, report(worker).dump()};
+    worker.token = token;
+    command(worker, body["orders"]);
+    return {200, report(worker).dump()};
+}
+void SimulatedCluster::command(Worker& worker, const json& orders) {
+    for (auto& order : orders) {
+        auto verb = order["verb"].get<std::string>();
+        auto task = order["shard"].get<std::string>();
+        auto attempt = order["launch"].get<std::uint64_t>();
+        auto it = worker.tasks.find(task);
+        bool same = it != worker.tasks.end() && it->second.attempt == attempt;
+        if (verb == "run" && !same) start(worker, task, attempt);
         if (verb == "kill" && same && present(it->second)) {
             auto stow = jobs[it->second.job].spec.value("stow_s", 0.0);
-            bool saves = it->second.status == "running" && o["slack_s"].get<double>() >= stow && stow > 0;
+            bool saves = it->second.status == "running" && order["slack_s"].get<double>() >= stow && stow > 0;
             if (saves) {
                 it->second.status = "flushing";
-                at(now_ + stow, [this, &w, task, attempt] { finish(w, task, attempt, "halted"); });
-            } else if (it->second.status != "flushing" || o["slack_s"].get<double>() <= 0) {
-                finish(w, task, attempt, "halted");
+                at(now() + stow, [this, &worker, task, attempt] { finish(worker, task, attempt, "halted"); });
+            } else if (it->second.status != "flushing" || order["slack_s"].get<double>() <= 0) {
+                finish(worker, task, attempt, "halted");
             }
         }
-        if (verb == "clear" && same && !present(it->second)) w.tasks.erase(it);
+        if (verb == "clear" && same && !present(it->second)) worker.tasks.erase(it);
     }
 }
-void SimulatedCluster::finish(Worker& w, const std::string& task, std::uint64_t attempt,
+void SimulatedCluster::finish(Worker& worker, const std::string& task, std::uint64_t attempt,
                               const std::string& cause) {
-    auto it = w.tasks.find(task);
-    if (w.dead || it == w.tasks.end() || it->second.attempt != attempt || !present(it->second)) return;
-    if (w.hung) return at(now_ + 0.5, [this, &w, task, attempt, cause] { finish(w, task, attempt, cause); });
+    auto it = worker.tasks.find(task);
+    if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt || !present(it->second))
+        return;
+    if (worker.hung)
+        return at(now() + hang_check_s,
+                  [this, &worker, task, attempt, cause] { finish(worker, task, attempt, cause); });
     it->second.status = "exited";
     it->second.cause = cause;
     it->second.saved = cause == "halted";
+    checker_.ended(now(), worker.id, parse_task_id(task), parse_cause(cause));
     if (cause != "done") return;
     auto id = it->second.job;
     auto& job = jobs[id];
     if (!job.tasks_done.insert(task).second) return;
-    job.completed_at = now_;
+    job.completed_at = now();
     if (is_done(id)) ended(id);
 }
-void SimulatedCluster::start(Worker& w, const std::string& task, std::uint64_t attempt) {
+void SimulatedCluster::start(Worker& worker, const std::string& task, std::uint64_t attempt) {
     ++starts;
     auto id = task.substr(0, task.find('/'));
     auto& job = jobs[id];
-    done_again += job.tasks_done.contains(task);
-    if (auto it = w.tasks.find(task); it != w.tasks.end() && present(it->second)) {
+    restarts_of_done_tasks += job.tasks_done.contains(task);
+    if (auto it = worker.tasks.find(task); it != worker.tasks.end() && present(it->second)) {
         // Refused by the worker; what is there stays. Reported under the new attempt once it has gone.
         return;
     }
-    if (job.refused) return rule("accepted_impossible (start) " + task);
-    job.waiting_since = -1;
-    check_start(w, task);
-    if (places(w, job.spec) == 0) {
-        w.tasks[task] = {id, attempt, "exited", "no_room"};
+    bool has_room = !job.refused && places(worker, job.spec) > 0;
+    auto outcome = has_room ? verification::StartOutcome::placed : verification::StartOutcome::no_room;
+    checker_.started(now(), worker.id, parse_task_id(task), outcome);
+    // Only a test that breaks a rule on purpose starts something on a dead machine: nothing stays there.
+    if (worker.dead) checker_.machine_gone(worker.id);
+    if (job.refused) return;
+    if (!has_room) {
+        worker.tasks[task] = {id, attempt, "exited", "no_room"};
         return;
     }
-    w.tasks[task] = {id, attempt, "fetching", ""};
-    at(now_ + 1, [this, &w, task, attempt, id] {
-        auto it = w.tasks.find(task);
-        if (w.dead || it == w.tasks.end() || it->second.attempt != attempt || it->second.status != "fetching")
-            return;
-        if (w.sick || jobs[id].spec.value("mistake", false)) return finish(w, task, attempt, "error");
-        bool gang = jobs[id].spec["shape"] == "gang";
-        it->second.status = gang ? "waiting" : "running";
-        if (gang) {
-            at(now_ + nodes_[0].settings.gang_wait_s, [this, &w, task, attempt] {
-                auto it = w.tasks.find(task);
-                if (it != w.tasks.end() && it->second.status == "waiting")
-                    finish(w, task, attempt, "incomplete");
-            });
-            // The gang starts once its last task has its image.
-            std::vector<std::pair<Worker*, std::string>> mates;
-            for (auto& other : workers)
-                for (auto& [name, t] : other->tasks)
-                    if (t.job == id && t.attempt == attempt && t.status == "waiting")
-                        mates.emplace_back(other.get(), name);
-            if (static_cast<int>(mates.size()) < jobs[id].spec["shards"].get<int>()) return;
-            for (auto& [m, name] : mates) {
-                m->tasks[name].status = "running";
-                at(now_ + jobs[id].spec["reckon_s"].get<double>(),
-                   [this, m, name, attempt] { finish(*m, name, attempt, "done"); });
-            }
-            return;
-        }
-        if (jobs[id].spec["shape"] == "service") return;
-        at(now_ + jobs[id].spec["reckon_s"].get<double>(),
-           [this, &w, task, attempt] { finish(w, task, attempt, "done"); });
+    constexpr double fetch_s = 1;
+    worker.tasks[task] = {id, attempt, "fetching", ""};
+    at(now() + fetch_s, [this, &worker, task, attempt] { image_fetched(worker, task, attempt); });
+}
+void SimulatedCluster::image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt) {
+    auto it = worker.tasks.find(name);
+    if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt ||
+        it->second.status != "fetching")
+        return;
+    auto& task = it->second;
+    auto& spec = jobs[task.job].spec;
+    if (worker.fails_every_task || spec.value("mistake", false))
+        return finish(worker, name, attempt, "error");
+    if (spec["shape"] == "gang") return wait_for_gang(worker, name);
+    task.status = "running";
+    if (spec["shape"] == "service") return;
+    at(now() + spec["reckon_s"].get<double>(),
+       [this, &worker, name, attempt] { finish(worker, name, attempt, "done"); });
+}
+// The gang starts once its last task has its image.
+void SimulatedCluster::wait_for_gang(Worker& worker, const std::string& name) {
+    auto& task = worker.tasks.at(name);
+    task.status = "waiting";
+    at(now() + nodes_[0].settings.gang_wait_s, [this, &worker, name, attempt = task.attempt] {
+        auto it = worker.tasks.find(name);
+        if (it != worker.tasks.end() && it->second.status == "waiting")
+            finish(worker, name, attempt, "incomplete");
     });
+    struct Member {
+        Worker* worker;
+        std::string task;
+    };
+    std::vector<Member> waiting;
+    for (auto& other : workers)
+        for (auto& [other_name, other_task] : other->tasks)
+            if (other_task.job == task.job && other_task.attempt == task.attempt &&
+                other_task.status == "waiting")
+                waiting.push_back({other.get(), other_name});
+    auto& spec = jobs[task.job].spec;
+    if (static_cast<int>(waiting.size()) < spec["shards"].get<int>()) return;
+    for (auto& member : waiting) {
+        member.worker->tasks[member.task].status = "running";
+        at(now() + spec["reckon_s"].get<double>(),
+           [this, member, attempt = task.attempt] { finish(*member.worker, member.task, attempt, "done"); });
+    }
+}
+// For how many more tasks of this job the machine has room.
+std::size_t SimulatedCluster::places(const Worker& worker, const json& spec) const {
+    double cards = machine_gpus;
+    for (auto& [name, task] : worker.tasks)
+        if (present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
+    constexpr std::size_t without_end = 100'000;  // a job's tasks at most
+    double each = spec["cards"].get<double>();
+    return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : without_end;
 }
-void SimulatedCluster::rogue_run(const std::string& task, std::uint64_t attempt,
-                                 std::optional<std::size_t> machine) {
+void SimulatedCluster::start_against_rules(const std::string& task, std::uint64_t attempt,
+                                           std::optional<std::size_t> machine) {
     if (machine) return start(*workers.at(*machine), task, attempt);
-    for (auto& w : workers)
-        if (!w->dead && !w->tasks.contains(task)) return start(*w, task, attempt);
+    for (auto& worker : workers)
+        if (!worker->dead && !worker->tasks.contains(task)) return start(*worker, task, attempt);
 }
 
 }  // namespace coralhitch::simulation
