--- a/scale/infrastructure.cpp
+++ b/scale/cloud/infrastructure_process.cpp
@@ -1,10 +1,10 @@
 // The process that holds the key-value store and the cloud.
 #include <spdlog/spdlog.h>
 
-#include "scale/cloud.hpp"
-#include "scale/outside.hpp"
-#include "scale/role.hpp"
-#include "scale/state_service.hpp"
+#include "scale/cloud/simulated_cloud.hpp"
+#include "scale/kv/in_memory_kv_store.hpp"
+#include "scale/process/control_server.hpp"
+#include "scale/protocol/counterpart_messages.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -1,9 +1,9 @@
-#include "scale/cloud.hpp"
+#include "scale/cloud/simulated_cloud.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "scale/outside.hpp"
+#include "scale/protocol/counterpart_messages.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/experiment.cpp
+++ b/scale/config/experiment.cpp
@@ -1,4 +1,4 @@
-#include "scale/experiment.hpp"
+#include "scale/config/experiment.hpp"
 
 #include <toml++/toml.h>
 
--- a/scale/state_service.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -1,8 +1,8 @@
-#include "scale/state_service.hpp"
+#include "scale/kv/in_memory_kv_store.hpp"
 
 #include <algorithm>
 
-#include "scale/outside.hpp"
+#include "scale/protocol/counterpart_messages.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/state_service.hpp
+++ b/scale/kv/in_memory_kv_store.hpp
@@ -11,7 +11,7 @@
 #include "event_loop/token_bucket.hpp"
 #include "http/message.hpp"
 #include "protocol/protocol.hpp"
-#include "scale/experiment.hpp"
+#include "scale/config/experiment.hpp"
 
 namespace coralhitch::scale {
 
--- a/scale/balancer.cpp
+++ b/scale/load/load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "scale/balancer.hpp"
+#include "scale/load/load_balancer.hpp"
 
 #include <algorithm>
 
--- a/scale/balancer.hpp
+++ b/scale/load/load_balancer.hpp
@@ -7,7 +7,7 @@
 
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
-#include "scale/experiment.hpp"
+#include "scale/config/experiment.hpp"
 
 namespace coralhitch::scale {
 
--- a/scale/users.cpp
+++ b/scale/load/load_generator.cpp
@@ -1,11 +1,11 @@
-#include "scale/users.hpp"
+#include "scale/load/load_generator.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "scale/http_bytes.hpp"
-#include "scale/outside.hpp"
-#include "scale/role.hpp"
+#include "scale/process/control_server.hpp"
+#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/protocol/message_sizes.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/users.hpp
+++ b/scale/load/load_generator.hpp
@@ -8,10 +8,10 @@
 
 #include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
-#include "scale/balancer.hpp"
-#include "scale/experiment.hpp"
-#include "scale/histogram.hpp"
-#include "scale/observed.hpp"
+#include "scale/config/experiment.hpp"
+#include "scale/load/latency_histograms.hpp"
+#include "scale/load/load_balancer.hpp"
+#include "scale/workers/worker_event.hpp"
 #include "verification/checker.hpp"
 
 namespace coralhitch::scale {
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -8,10 +8,10 @@
 #include <fstream>
 #include <iostream>
 
-#include "scale/driver.hpp"
-#include "scale/process.hpp"
-#include "scale/role.hpp"
-#include "scale/summary.hpp"
+#include "scale/process/child_process.hpp"
+#include "scale/process/control_server.hpp"
+#include "scale/report/summary.hpp"
+#include "scale/runner/experiment_runner.hpp"
 
 namespace {
 using namespace coralhitch::scale;
--- a/scale/process.cpp
+++ b/scale/process/child_process.cpp
@@ -1,4 +1,4 @@
-#include "scale/process.hpp"
+#include "scale/process/child_process.hpp"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -14,7 +14,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "scale/experiment.hpp"
+#include "scale/config/experiment.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/role.cpp
+++ b/scale/process/control_server.cpp
@@ -1,4 +1,4 @@
-#include "scale/role.hpp"
+#include "scale/process/control_server.hpp"
 
 #include <algorithm>
 
--- a/scale/role.hpp
+++ b/scale/process/control_server.hpp
@@ -7,7 +7,7 @@
 #include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
-#include "scale/experiment.hpp"
+#include "scale/config/experiment.hpp"
 
 namespace coralhitch::scale {
 
--- a/scale/outside.cpp
+++ b/scale/protocol/counterpart_messages.cpp
@@ -1,4 +1,4 @@
-#include "scale/outside.hpp"
+#include "scale/protocol/counterpart_messages.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/scale/summary.cpp
+++ b/scale/report/summary.cpp
@@ -1,4 +1,4 @@
-#include "scale/summary.hpp"
+#include "scale/report/summary.hpp"
 
 #include <cstdio>
 
--- a/scale/driver.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -1,4 +1,4 @@
-#include "scale/driver.hpp"
+#include "scale/runner/experiment_runner.hpp"
 
 #include <signal.h>
 #include <sys/signalfd.h>
@@ -12,8 +12,8 @@
 
 #include "http/address.hpp"
 #include "protocol/protocol.hpp"
-#include "scale/process.hpp"
-#include "scale/role.hpp"
+#include "scale/process/child_process.hpp"
+#include "scale/process/control_server.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/driver.hpp
+++ b/scale/runner/experiment_runner.hpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "scale/experiment.hpp"
+#include "scale/config/experiment.hpp"
 
 namespace coralhitch::scale {
 
--- a/scale/tests/experiment_test.cpp
+++ b/scale/tests/experiment_test.cpp
@@ -1,13 +1,13 @@
 // What an experiment's file may hold, and that all else is refused by name.
-#include "scale/experiment.hpp"
+#include "scale/config/experiment.hpp"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
 #include "config/settings.hpp"
-#include "scale/histogram.hpp"
-#include "scale/summary.hpp"
+#include "scale/load/latency_histograms.hpp"
+#include "scale/report/summary.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/tests/state_service_test.cpp
+++ b/scale/tests/in_memory_kv_store_test.cpp
@@ -1,6 +1,6 @@
 // The stand-in for the key-value store keeps to the protocol: what it allowed beyond it would flatter the
 // service.
-#include "scale/state_service.hpp"
+#include "scale/kv/in_memory_kv_store.hpp"
 
 #include <gtest/gtest.h>
 
--- a/scale/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -1,9 +1,9 @@
-#include "scale/hollow_worker.hpp"
+#include "scale/workers/hollow_worker.hpp"
 
 #include <algorithm>
 
-#include "scale/http_bytes.hpp"
-#include "scale/outside.hpp"
+#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/protocol/message_sizes.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/hollow_worker.hpp
+++ b/scale/workers/hollow_worker.hpp
@@ -11,8 +11,8 @@
 #include "http/client.hpp"
 #include "http/server.hpp"
 #include "protocol/protocol.hpp"
-#include "scale/experiment.hpp"
-#include "scale/observed.hpp"
+#include "scale/config/experiment.hpp"
+#include "scale/workers/worker_event.hpp"
 
 namespace coralhitch::scale {
 
--- a/scale/workers.cpp
+++ b/scale/workers/worker_process.cpp
@@ -4,9 +4,9 @@
 #include <cstdlib>
 #include <set>
 
-#include "scale/hollow_worker.hpp"
-#include "scale/outside.hpp"
-#include "scale/role.hpp"
+#include "scale/process/control_server.hpp"
+#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/workers/hollow_worker.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -1,5 +1,5 @@
 // The words that the protocol uses for values of ours. For the sources of this package, and for the
-// protocol's other side in scale/outside.cpp.
+// protocol's other side in scale/protocol/.
 #pragma once
 #include <array>
 #include <string>
