--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -12,14 +12,14 @@
 constexpr double dying_s = 30, burst_s = 2;
 }  // namespace
 
-Cloud::Cloud(event_loop::Timers& timers, const Experiment& e, Machines& machines)
+SimulatedCloud::SimulatedCloud(event_loop::Timers& timers, const Experiment& e, MachineHosts& machines)
     : timers_(timers),
       experiment_(e),
       hollow_(machines),
       random_(e.seed * 7 + 3),
       requests_(e.cloud.rps, e.cloud.rps * burst_s) {}
 
-protocol::MachineType Cloud::type() const {
+protocol::MachineType SimulatedCloud::type() const {
     protocol::MachineType t;
     t.name = "hollow";
     double n = experiment_.slots();
@@ -32,19 +32,19 @@
     t.zones = experiment_.zones;
     return t;
 }
-std::size_t Cloud::alive() const {
+std::size_t SimulatedCloud::alive() const {
     std::size_t n = 0;
     for (auto& [zone, count] : usable_in_zone_) n += count;
     return n;
 }
 
-void Cloud::answer(const http::Reply& reply, http::Response response) {
+void SimulatedCloud::answer(const http::Reply& reply, http::Response response) {
     counts_.bytes_out += response.body.size();
     if (response.status == 429) ++counts_.refused;
     double s = std::exponential_distribution<double>(1)(random_) * experiment_.cloud.latency_ms / 1000;
     timers_.after(s, guard_([reply, response = std::move(response)] { reply(response); }));
 }
-void Cloud::handle(http::Request request, http::Reply reply) {
+void SimulatedCloud::handle(http::Request request, http::Reply reply) {
     ++counts_.requests;
     counts_.bytes_in += request.target.size() + request.body.size();
     double now = timers_.now();
@@ -56,17 +56,17 @@
         answer(reply, {400, R"({"error":"malformed"})"});
     }
 }
-void Cloud::execute(const http::Request& r, const http::Reply& reply) {
+void SimulatedCloud::execute(const http::Request& r, const http::Reply& reply) {
     if (r.target == protocol::paths::types)
         return answer(reply, {200, protocol::stored_types(std::vector{type()})});
-    if (r.target == protocol::paths::hosts_delete) return remove(outside::parse_machines(r.body), reply);
+    if (r.target == protocol::paths::hosts_delete) return remove(messages::parse_machines(r.body), reply);
     if (r.target == protocol::paths::hosts && r.method == "POST") return answer(reply, rent(r));
     if (r.target.starts_with(protocol::paths::hosts)) return answer(reply, list(r.target));
     answer(reply, {404, "{}"});
 }
 
-http::Response Cloud::rent(const http::Request& r) {
-    auto want = outside::parse_rent(r.body);
+http::Response SimulatedCloud::rent(const http::Request& r) {
+    auto want = messages::parse_rent(r.body);
     auto known = std::find(experiment_.zones.begin(), experiment_.zones.end(), want.zone);
     if (want.type != type().name || known == experiment_.zones.end() || want.count == 0 ||
         want.count > most_rented)
@@ -87,9 +87,9 @@
         names.push_back(machines_.rbegin()->first);
     }
     counts_.rented += n;
-    return {200, rentals_[want.name] = outside::machines_body(names)};
+    return {200, rentals_[want.name] = messages::machines_body(names)};
 }
-void Cloud::create(const protocol::MachineType& t, const std::string& zone, bool spot) {
+void SimulatedCloud::create(const protocol::MachineType& t, const std::string& zone, bool spot) {
     char name[32];
     std::snprintf(name, sizeof name, "vm-%06llu", static_cast<unsigned long long>(next_));
     Machine m;
@@ -105,7 +105,7 @@
                   }));
     machines_[name] = std::move(m);
 }
-void Cloud::remove(const std::vector<std::string>& ids, const http::Reply& reply) {
+void SimulatedCloud::remove(const std::vector<std::string>& ids, const http::Reply& reply) {
     if (ids.size() > most_deleted) return answer(reply, {400, "{}"});
     std::vector<std::string> known;
     for (auto& id : ids) {
@@ -118,9 +118,9 @@
     }
     hollow_.remove(known, guard_([this, reply] { answer(reply, {200, "{}"}); }));
 }
-http::Response Cloud::list(const std::string& target) {
+http::Response SimulatedCloud::list(const std::string& target) {
     ++counts_.lists;
-    auto since = outside::query(target, "since"), limit_text = outside::query(target, "limit");
+    auto since = messages::query(target, "since"), limit_text = messages::query(target, "limit");
     std::size_t limit = limit_text.empty() ? page : std::min<std::size_t>(page, std::stoul(limit_text));
     double lag = experiment_.cloud.list_lag_s * std::uniform_real_distribution<double>(0.5, 1)(random_);
     double t = timers_.now() - lag;
@@ -140,10 +140,10 @@
                                              : protocol::HostState::booting;
         hosts.push_back(std::move(h));
     }
-    return {200, outside::hosts_body(hosts, more)};
+    return {200, messages::hosts_body(hosts, more)};
 }
 
-std::size_t Cloud::fail(const std::vector<std::string>& ids) {
+std::size_t SimulatedCloud::fail(const std::vector<std::string>& ids) {
     for (auto& id : ids) {
         auto& m = machines_.at(id);
         m.failed_at = timers_.now();
@@ -152,14 +152,14 @@
     hollow_.silence(ids);
     return ids.size();
 }
-std::size_t Cloud::fail_zone(const std::string& zone, double back_s) {
+std::size_t SimulatedCloud::fail_zone(const std::string& zone, double back_s) {
     zone_back_[zone] = timers_.now() + back_s;
     std::vector<std::string> ids;
     for (auto& [id, m] : machines_)
         if (m.usable() && m.host.zone == zone) ids.push_back(id);
     return fail(ids);
 }
-std::size_t Cloud::fail_rack() {
+std::size_t SimulatedCloud::fail_rack() {
     std::map<std::pair<std::string, std::uint32_t>, std::vector<std::string>> racks;
     for (auto& [id, m] : machines_)
         if (m.usable()) racks[{m.host.zone, m.rack}].push_back(id);
@@ -168,7 +168,7 @@
         if (ids.size() > fullest.size()) fullest = ids;
     return fail(fullest);
 }
-std::size_t Cloud::fail_machines(std::size_t n) {
+std::size_t SimulatedCloud::fail_machines(std::size_t n) {
     std::vector<std::string> ids;
     for (auto& [id, m] : machines_)
         if (m.usable()) ids.push_back(id);
--- a/scale/cloud/simulated_cloud.hpp
+++ b/scale/cloud/simulated_cloud.hpp
@@ -15,9 +15,9 @@
 namespace coralhitch::scale {
 
 // Where machines are: the processes that hold the hollow workers.
-class Machines {
+class MachineHosts {
   public:
-    virtual ~Machines() = default;
+    virtual ~MachineHosts() = default;
     virtual void up(const protocol::Host& host) = 0;
     // `done` once the machines and all on them are gone.
     virtual void remove(const std::vector<std::string>& ids, std::function<void()> done) = 0;
@@ -25,9 +25,9 @@
     virtual void silence(const std::vector<std::string>& ids) = 0;
 };
 
-class Cloud {
+class SimulatedCloud {
   public:
-    Cloud(event_loop::Timers& timers, const Experiment& experiment, Machines& machines);
+    SimulatedCloud(event_loop::Timers& timers, const Experiment& experiment, MachineHosts& machines);
     void handle(http::Request request, http::Reply reply);
 
     // Faults: machines fail together. Returns how many.
@@ -60,7 +60,7 @@
 
     event_loop::Timers& timers_;
     const Experiment& experiment_;
-    Machines& hollow_;
+    MachineHosts& hollow_;
     std::mt19937_64 random_;
     event_loop::TokenBucket requests_;
     std::map<std::string, Machine> machines_;  // by name, which is the order of creation
--- a/scale/config/experiment.cpp
+++ b/scale/config/experiment.cpp
@@ -64,7 +64,7 @@
             if (!read_.contains(std::string(key.str()))) fail(std::string(key.str()), "is not known");
     }
     [[noreturn]] void fail(const std::string& key, const std::string& what) const {
-        throw Refused("field '" + (where_.empty() ? key : where_ + "." + key) + "' " + what);
+        throw ExperimentError("field '" + (where_.empty() ? key : where_ + "." + key) + "' " + what);
     }
 
   private:
@@ -136,20 +136,22 @@
 }
 
 void check(const Experiment& e) {
-    if (e.phases.empty()) throw Refused("field 'phases' must hold at least one phase");
+    if (e.phases.empty()) throw ExperimentError("field 'phases' must hold at least one phase");
     if (e.worker.cancel_s < e.worker.lease_s + e.worker.report_s)
-        throw Refused("field 'worker.cancel_s' must be at least lease_s + report_s");
+        throw ExperimentError("field 'worker.cancel_s' must be at least lease_s + report_s");
     for (auto& f : e.faults) {
-        if (f.at_s >= e.phases_s()) throw Refused("fault '" + f.name + "' comes after the last phase");
+        if (f.at_s >= e.phases_s())
+            throw ExperimentError("fault '" + f.name + "' comes after the last phase");
         bool zone = std::find(e.zones.begin(), e.zones.end(), f.which) != e.zones.end();
         if (f.kind == FaultKind::zone && !zone)
-            throw Refused("fault 'zone': there is no zone '" + f.which + "'");
+            throw ExperimentError("fault 'zone': there is no zone '" + f.which + "'");
         if (f.kind == FaultKind::machines && f.machines == 0)
-            throw Refused("fault 'machines' needs 'machines'");
+            throw ExperimentError("fault 'machines' needs 'machines'");
         bool label = f.which.empty() || f.which == "leader";
-        for (std::uint32_t k = 0; k < e.controllers; ++k) label = label || f.which == Experiment::label(k);
+        for (std::uint32_t k = 0; k < e.controllers; ++k)
+            label = label || f.which == Experiment::controller_label(k);
         if (f.kind == FaultKind::controller && !label)
-            throw Refused("fault 'controller': there is no controller '" + f.which + "'");
+            throw ExperimentError("fault 'controller': there is no controller '" + f.which + "'");
     }
 }
 
@@ -166,7 +168,7 @@
         auto name = o.key.substr(0, dot);
         if (!t->contains(name)) t->insert(name, toml::table{});
         t = t->get(name)->as_table();
-        if (!t) throw Refused("'" + o.key + "': '" + name + "' is not a table");
+        if (!t) throw ExperimentError("'" + o.key + "': '" + name + "' is not a table");
     }
     t->insert_or_assign(dot == std::string::npos ? o.key : o.key.substr(dot + 1), *parsed.get("v"));
 }
@@ -179,7 +181,8 @@
     try {
         root = toml::parse(text);
     } catch (const toml::parse_error& e) {
-        throw Refused("line " + std::to_string(e.source().begin.line) + ": " + std::string(e.description()));
+        throw ExperimentError("line " + std::to_string(e.source().begin.line) + ": " +
+                              std::string(e.description()));
     }
     for (auto& o : overrides) set(root, o);
     Experiment e;
@@ -222,13 +225,13 @@
         l.number("poll_s", e.load.poll_s, 0.5);
     });
     sub(f, "state", [&](Fields& s) {
-        s.number("rps", e.state.rps, 1);
-        s.number("write_rps", e.state.write_rps, 1);
-        s.number("value_kb", e.state.value_kb, 1, 64);
-        s.count("txn_ops", e.state.txn_ops, 2, 1000);
-        s.number("latency_ms", e.state.latency_ms, 0.1, 10000);
-        s.number("slow_share", e.state.slow_share, 0, 1);
-        s.number("slow_ms", e.state.slow_ms, 0, 60000);
+        s.number("rps", e.kv_store.rps, 1);
+        s.number("write_rps", e.kv_store.write_rps, 1);
+        s.number("value_kb", e.kv_store.value_kb, 1, 64);
+        s.count("txn_ops", e.kv_store.txn_ops, 2, 1000);
+        s.number("latency_ms", e.kv_store.latency_ms, 0.1, 10000);
+        s.number("slow_share", e.kv_store.slow_share, 0, 1);
+        s.number("slow_ms", e.kv_store.slow_ms, 0, 60000);
     });
     sub(f, "cloud", [&](Fields& c) {
         c.number("rps", e.cloud.rps, 1);
@@ -252,13 +255,13 @@
     f.done();
     check(e);
     return e;
-} catch (const Refused& r) {
-    throw Refused(file + ": " + r.what());
+} catch (const ExperimentError& r) {
+    throw ExperimentError(file + ": " + r.what());
 }
 
 Experiment load_experiment(const std::string& file, const std::vector<Override>& overrides) {
     std::ifstream in(file);
-    if (!in) throw Refused(file + ": can't be read");
+    if (!in) throw ExperimentError(file + ": can't be read");
     std::ostringstream text;
     text << in.rdbuf();
     return parse_experiment(text.str(), file, overrides);
@@ -289,19 +292,19 @@
     return host + ":" + std::to_string(port);
 }
 }  // namespace
-std::string Experiment::state_addr() const {
+std::string Experiment::kv_store_addr() const {
     return at("127.0.0.1", port_base);
 }
 std::string Experiment::cloud_addr() const {
     return at("127.0.0.1", port_base + 1u);
 }
-std::string Experiment::users_control() const {
+std::string Experiment::load_control_addr() const {
     return at("127.0.0.1", port_base + 2u);
 }
-std::string Experiment::cloud_control() const {
+std::string Experiment::infrastructure_control_addr() const {
     return at("127.0.0.1", port_base + 3u);
 }
-std::string Experiment::workers_control(std::uint32_t process) const {
+std::string Experiment::worker_control_addr(std::uint32_t process) const {
     return at("127.0.0.1", port_base + 10 + process);
 }
 std::string Experiment::controller_addr(std::uint32_t k) const {
@@ -320,13 +323,13 @@
 
 std::string Experiment::controller_settings(std::uint32_t k) const {
     std::ostringstream o;
-    o << "label = \"" << label(k) << "\"\ndomain = \"" << zone_of_controller(k) << "\"\npublic_addr = \""
-      << controller_addr(k) << "\"\npeer_listen = \"" << peer_addr(k) << "\"\n";
+    o << "label = \"" << controller_label(k) << "\"\ndomain = \"" << zone_of_controller(k)
+      << "\"\npublic_addr = \"" << controller_addr(k) << "\"\npeer_listen = \"" << peer_addr(k) << "\"\n";
     for (std::uint32_t p = 0; p < controllers; ++p)
         if (p != k)
-            o << "[[seeds]]\nlabel = \"" << label(p) << "\"\ndomain = \"" << zone_of_controller(p)
+            o << "[[seeds]]\nlabel = \"" << controller_label(p) << "\"\ndomain = \"" << zone_of_controller(p)
               << "\"\npeer_addr = \"" << peer_addr(p) << "\"\n";
-    o << "[endpoints]\ncloud = \"" << cloud_addr() << "\"\nstate = \"" << state_addr()
+    o << "[endpoints]\ncloud = \"" << cloud_addr() << "\"\nstate = \"" << kv_store_addr()
       << "\"\n[cluster]\nnodes = " << controllers << "\nzones = [";
     for (std::size_t z = 0; z < zones.size(); ++z) o << (z ? ", " : "") << '"' << zones[z] << '"';
     o << "]\nskew_ms = 25.0\n" << std::fixed;
@@ -341,9 +344,9 @@
     o << "[[cluster.objectives]]\nkind = \"wait\"\nclass = \"urgent\"\nwithin_s = 4.8\nshare = 0.9\n";
     o << "[cluster.workers]\nreport_s = " << worker.report_s << "\nlease_s = " << worker.lease_s
       << "\ngang_wait_s = " << worker.gang_wait_s << "\ngang_peer_s = " << worker.gang_peer_s
-      << "\ncancel_s = " << worker.cancel_s << "\n[cluster.state]\nrps = " << state.rps
-      << "\nwrite_rps = " << state.write_rps << "\nvalue_kb = " << state.value_kb
-      << "\ntxn_ops = " << state.txn_ops << "\n[cluster.cloud]\nrps = " << cloud.rps
+      << "\ncancel_s = " << worker.cancel_s << "\n[cluster.state]\nrps = " << kv_store.rps
+      << "\nwrite_rps = " << kv_store.write_rps << "\nvalue_kb = " << kv_store.value_kb
+      << "\ntxn_ops = " << kv_store.txn_ops << "\n[cluster.cloud]\nrps = " << cloud.rps
       << "\nlist_lag_s = " << cloud.list_lag_s << "\n[cluster.limits]\ncore_share = " << limits.core_share
       << "\nmemory_mb = " << limits.memory_mb << "\nsockets = " << limits.sockets << "\n";
     return o.str();
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -9,7 +9,7 @@
 namespace coralhitch::scale {
 
 // Says what is wrong, for the one who wrote the file or started the run.
-struct Refused : std::runtime_error {
+struct ExperimentError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -31,7 +31,7 @@
     double tight_cpus = 0;  // the limit of one team more, which takes part in the load; 0: there is none
     double poll_s = 5;
 };
-struct StateSettings {
+struct KvStoreSettings {
     double rps = 200, write_rps = 40, value_kb = 16;
     std::uint32_t txn_ops = 24;
     double latency_ms = 2, slow_share = 0.002, slow_ms = 200;  // of answers; both latencies are means
@@ -66,7 +66,7 @@
     std::vector<std::string> zones{"a", "b", "c"};
     WorkerSettings worker;
     LoadSettings load;
-    StateSettings state;
+    KvStoreSettings kv_store;
     CloudSettings cloud;
     LimitSettings limits;
     std::vector<Phase> phases;
@@ -78,15 +78,15 @@
     double highest_rate() const;    // starts a worker and second
     double phases_s() const;
     // Ports, from the base. Hosts are addresses on loopback.
-    std::string state_addr() const;
+    std::string kv_store_addr() const;
     std::string cloud_addr() const;
-    std::string users_control() const;
-    std::string cloud_control() const;
-    std::string workers_control(std::uint32_t process) const;
+    std::string load_control_addr() const;
+    std::string infrastructure_control_addr() const;
+    std::string worker_control_addr(std::uint32_t process) const;
     std::string controller_addr(std::uint32_t k) const;
     std::string peer_addr(std::uint32_t k) const;
     std::string worker_addr(std::uint64_t number) const;
-    static std::string label(std::uint32_t k) { return "berth-" + std::to_string(k); }
+    static std::string controller_label(std::uint32_t k) { return "berth-" + std::to_string(k); }
     std::string zone_of_controller(std::uint32_t k) const { return zones[k % zones.size()]; }
     std::string controller_settings(std::uint32_t k) const;  // TOML
     std::string operator_settings() const;                   // protobuf text format
@@ -95,7 +95,7 @@
 struct Override {
     std::string key, value;  // key: workers or load.teams
 };
-// Throws Refused.
+// Throws ExperimentError.
 Experiment parse_experiment(const std::string& text, const std::string& file,
                             const std::vector<Override>& overrides = {});
 Experiment load_experiment(const std::string& file, const std::vector<Override>& overrides = {});
--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -19,28 +19,28 @@
 }
 }  // namespace
 
-StateService::StateService(event_loop::Timers& timers, StateSettings settings, std::uint64_t seed)
+InMemoryKvStore::InMemoryKvStore(event_loop::Timers& timers, KvStoreSettings settings, std::uint64_t seed)
     : timers_(timers),
       settings_(settings),
       random_(seed),
       requests_(settings.rps, settings.rps),
       writes_(settings.write_rps, settings.write_rps) {}
 
-bool StateService::down() const {
+bool InMemoryKvStore::down() const {
     return timers_.now() < down_until_;
 }
-double StateService::latency() {
+double InMemoryKvStore::latency() {
     std::uniform_real_distribution<double> share(0, 1);
     double mean_ms = share(random_) < settings_.slow_share ? settings_.slow_ms : settings_.latency_ms;
     return std::exponential_distribution<double>(1)(random_) * mean_ms / 1000;
 }
-void StateService::answer(const http::Reply& reply, http::Response response) {
+void InMemoryKvStore::answer(const http::Reply& reply, http::Response response) {
     counts_.bytes_out += response.body.size();
     if (response.status == 429 || response.status == 503) ++counts_.refused;
     timers_.after(latency(), guard_([reply, response = std::move(response)] { reply(response); }));
 }
 
-void StateService::handle(http::Request request, http::Reply reply) {
+void InMemoryKvStore::handle(http::Request request, http::Reply reply) {
     ++counts_.requests;
     counts_.bytes_in += request.target.size() + request.body.size();
     double now = timers_.now();
@@ -60,13 +60,13 @@
     answer(reply, std::move(response));
 }
 
-http::Response StateService::execute(const http::Request& r) {
+http::Response InMemoryKvStore::execute(const http::Request& r) {
     if (r.target.starts_with("/kv/")) {
         ++counts_.reads;
         auto key = r.target.substr(4);
         auto it = items_.find(key);
-        if (it == items_.end()) return {404, outside::revision_body(revision_)};
-        return {200, outside::entry_body({key, it->second.value, it->second.version, it->second.lease})};
+        if (it == items_.end()) return {404, messages::revision_body(revision_)};
+        return {200, messages::entry_body({key, it->second.value, it->second.version, it->second.lease})};
     }
     if (r.target.starts_with("/kv?")) {
         ++counts_.reads;
@@ -74,15 +74,15 @@
     }
     if (r.target == protocol::paths::txn) {
         ++counts_.txns;
-        return transaction(outside::parse_txn(r.body), r.body.size());
+        return transaction(messages::parse_txn(r.body), r.body.size());
     }
     if (r.target.starts_with(protocol::paths::leases)) return lease_call(r);
     return {404, "{}"};
 }
 
-http::Response StateService::list(const std::string& target) const {
-    auto prefix = outside::query(target, "starts"), since = outside::query(target, "since");
-    auto limit_text = outside::query(target, "limit");
+http::Response InMemoryKvStore::list(const std::string& target) const {
+    auto prefix = messages::query(target, "starts"), since = messages::query(target, "since");
+    auto limit_text = messages::query(target, "limit");
     std::size_t limit =
         limit_text.empty() ? page_items : std::min<std::size_t>(page_items, std::stoul(limit_text));
     auto it = since.empty() ? items_.lower_bound(prefix) : items_.upper_bound(std::max(since, prefix));
@@ -98,10 +98,10 @@
         bytes += size;
         entries.push_back({it->first, it->second.value, it->second.version, 0});
     }
-    return {200, outside::entries_body(entries, more, revision_)};
+    return {200, messages::entries_body(entries, more, revision_)};
 }
 
-http::Response StateService::transaction(const protocol::Txn& t, std::size_t bytes) {
+http::Response InMemoryKvStore::transaction(const protocol::Txn& t, std::size_t bytes) {
     bool fits = bytes <= txn_bytes && t.changes.size() <= settings_.txn_ops &&
                 t.conditions.size() <= 4 * settings_.txn_ops;
     for (auto& c : t.changes) {
@@ -121,16 +121,16 @@
     }
     if (!failed.empty()) {
         ++counts_.conflicts;
-        return {409, outside::conflict_body(failed, revision_)};
+        return {409, messages::conflict_body(failed, revision_)};
     }
-    if (t.changes.empty()) return {200, outside::revision_body(revision_)};
+    if (t.changes.empty()) return {200, messages::revision_body(revision_)};
     ++revision_;
     for (auto& c : t.changes) apply(c);
     changed();
-    return {200, outside::revision_body(revision_)};
+    return {200, messages::revision_body(revision_)};
 }
 // One change under the present revision.
-void StateService::apply(const protocol::Change& c) {
+void InMemoryKvStore::apply(const protocol::Change& c) {
     ++counts_.changes;
     ++changes_by_kind_[kind_of(c.key)];
     if (c.value)
@@ -141,15 +141,15 @@
     while (history_.size() > kept_changes) history_.pop_front();
 }
 
-http::Response StateService::lease_call(const http::Request& r) {
+http::Response InMemoryKvStore::lease_call(const http::Request& r) {
     auto base = protocol::paths::leases.size();
     if (r.target.size() == base) {
-        double ttl = outside::parse_ttl_s(r.body);
+        double ttl = messages::parse_ttl_s(r.body);
         if (!(ttl >= least_ttl_s && ttl <= most_ttl_s)) return {400, R"({"error":"ttl_ms"})"};
         auto id = next_lease_++;
         leases_[id] = {ttl, timers_.now() + ttl, 0};
         arm(id);
-        return {200, outside::lease_body(id)};
+        return {200, messages::lease_body(id)};
     }
     auto id = std::stoull(r.target.substr(base + 1));
     auto it = leases_.find(id);
@@ -160,10 +160,10 @@
     }
     ++counts_.renewals;
     it->second.until = timers_.now() + it->second.ttl;
-    return {200, outside::lease_body(id)};
+    return {200, messages::lease_body(id)};
 }
 // A renewal only moves the time; what fires early looks again.
-void StateService::arm(std::uint64_t id) {
+void InMemoryKvStore::arm(std::uint64_t id) {
     auto& l = leases_.at(id);
     double late = std::uniform_real_distribution<double>(0, lease_late_s)(random_);
     l.timer = timers_.after(l.until - timers_.now() + late, guard_([this, id] {
@@ -173,7 +173,7 @@
                                 expire(id);
                             }));
 }
-void StateService::expire(std::uint64_t id) {
+void InMemoryKvStore::expire(std::uint64_t id) {
     timers_.cancel(leases_.at(id).timer);
     leases_.erase(id);
     std::vector<std::string> attached;
@@ -184,19 +184,19 @@
     for (auto& key : attached) apply({key, std::nullopt, 0});
     changed();
 }
-void StateService::outage(double seconds) {
+void InMemoryKvStore::outage(double seconds) {
     down_until_ = timers_.now() + seconds;
     // All leases get their full time again.
     for (auto& [id, l] : leases_) l.until = down_until_ + l.ttl;
     timers_.after(seconds + 0.001, guard_([this] { changed(); }));
 }
 
-void StateService::open_watch(const std::string& target, http::Reply reply) {
+void InMemoryKvStore::open_watch(const std::string& target, http::Reply reply) {
     Watch w;
     try {
-        w.prefix = outside::query(target, "starts");
-        w.since = std::stoull(outside::query(target, "since"));
-        auto hold = outside::query(target, "hold_ms");
+        w.prefix = messages::query(target, "starts");
+        w.since = std::stoull(messages::query(target, "since"));
+        auto hold = messages::query(target, "hold_ms");
         w.until = timers_.now() + std::min(longest_hold_s, hold.empty() ? 0 : std::stod(hold) / 1000);
     } catch (const std::exception&) {
         return answer(reply, {400, "{}"});
@@ -209,7 +209,7 @@
     if (left > 0) timers_.after(left + 0.001, guard_([this] { changed(); }));
     changed();
 }
-std::vector<const protocol::Event*> StateService::events(const Watch& w) const {
+std::vector<const protocol::Event*> InMemoryKvStore::events(const Watch& w) const {
     std::vector<const protocol::Event*> out;
     auto it =
         std::upper_bound(history_.begin(), history_.end(), w.since,
@@ -218,7 +218,7 @@
         if (it->key.starts_with(w.prefix)) out.push_back(&*it);
     return out;
 }
-void StateService::changed() {
+void InMemoryKvStore::changed() {
     if (down()) return;  // open watches stay open through an outage
     double now = timers_.now();
     for (auto it = watches_.begin(); it != watches_.end();) {
@@ -228,17 +228,17 @@
             ++it;
             continue;
         }
-        answer(it->reply, {200, outside::events_body(news, revision_)});
+        answer(it->reply, {200, messages::events_body(news, revision_)});
         it = watches_.erase(it);
     }
 }
 
-std::map<std::string, std::uint64_t> StateService::bytes_by_kind() const {
+std::map<std::string, std::uint64_t> InMemoryKvStore::bytes_by_kind() const {
     std::map<std::string, std::uint64_t> out;
     for (auto& [key, item] : items_) out[kind_of(key)] += key.size() + item.value.size();
     return out;
 }
-std::map<std::string, std::uint64_t> StateService::keys_by_kind() const {
+std::map<std::string, std::uint64_t> InMemoryKvStore::keys_by_kind() const {
     std::map<std::string, std::uint64_t> out;
     for (auto& [key, item] : items_) ++out[kind_of(key)];
     return out;
--- a/scale/kv/in_memory_kv_store.hpp
+++ b/scale/kv/in_memory_kv_store.hpp
@@ -15,9 +15,9 @@
 
 namespace coralhitch::scale {
 
-class StateService {
+class InMemoryKvStore {
   public:
-    StateService(event_loop::Timers& timers, StateSettings settings, std::uint64_t seed);
+    InMemoryKvStore(event_loop::Timers& timers, KvStoreSettings settings, std::uint64_t seed);
     void handle(http::Request request, http::Reply reply);
     void outage(double seconds);
 
@@ -66,7 +66,7 @@
     std::vector<const protocol::Event*> events(const Watch& watch) const;
 
     event_loop::Timers& timers_;
-    StateSettings settings_;
+    KvStoreSettings settings_;
     std::mt19937_64 random_;
     event_loop::TokenBucket requests_, writes_;
     std::map<std::string, Item> items_;
--- a/scale/load/latency_histograms.hpp
+++ b/scale/load/latency_histograms.hpp
@@ -1,5 +1,5 @@
-// Latencies by class of work, in prometheus-cpp's histogram with buckets a twentieth apart (Debian 12 has no
-// HdrHistogram or DDSketch for C or C++).
+// LatencyHistograms by class of work, in prometheus-cpp's histogram with buckets a twentieth apart (Debian 12
+// has no HdrHistogram or DDSketch for C or C++).
 #pragma once
 #include <prometheus/histogram.h>
 
@@ -11,7 +11,7 @@
 
 namespace coralhitch::scale {
 
-class Latencies {
+class LatencyHistograms {
   public:
     void observe(const std::string& phase, const std::string& cls, const std::string& measure,
                  double seconds) {
--- a/scale/load/load_balancer.cpp
+++ b/scale/load/load_balancer.cpp
@@ -12,17 +12,17 @@
 constexpr std::size_t looked_at = 6;
 }  // namespace
 
-Balancer::Balancer(event_loop::Timers& timers, http::Requester& http, const Experiment& e)
+LoadBalancer::LoadBalancer(event_loop::Timers& timers, http::Requester& http, const Experiment& e)
     : timers_(timers), http_(http), experiment_(e), nodes_(e.controllers) {
     for (std::uint32_t k = 0; k < e.controllers; ++k) probe(k);
 }
-void Balancer::probe(std::uint32_t k) {
+void LoadBalancer::probe(std::uint32_t k) {
     http_.send(experiment_.controller_addr(k), {"GET", std::string(protocol::paths::health), {}},
                probe_timeout_s,
                [this, k](std::optional<http::Response> r) { judge(nodes_[k], r && r->status == 200); });
     timers_.after(probe_every_s, [this, k] { probe(k); });
 }
-void Balancer::judge(Node& n, bool ok) {
+void LoadBalancer::judge(Node& n, bool ok) {
     double now = timers_.now();
     n.probes.push_back(ok);
     if (n.probes.size() > looked_at) n.probes.pop_front();
@@ -37,7 +37,7 @@
         n.probes.clear();
     }
 }
-std::optional<std::uint32_t> Balancer::pick() {
+std::optional<std::uint32_t> LoadBalancer::pick() {
     std::optional<std::uint32_t> best;
     for (std::size_t k = 0; k < nodes_.size(); ++k) {
         auto n = static_cast<std::uint32_t>((turn_ + k) % nodes_.size());
--- a/scale/load/load_balancer.hpp
+++ b/scale/load/load_balancer.hpp
@@ -14,9 +14,9 @@
 // Probes and pauses go by the protocol. It differs in two things: a controller that comes back takes its
 // share at once, and users' connections are shared, so that open requests are counted instead of open
 // connections.
-class Balancer {
+class LoadBalancer {
   public:
-    Balancer(event_loop::Timers& timers, http::Requester& http, const Experiment& experiment);
+    LoadBalancer(event_loop::Timers& timers, http::Requester& http, const Experiment& experiment);
     // A healthy controller with the fewest open requests; nothing if there is none.
     std::optional<std::uint32_t> pick();
     void opened(std::uint32_t k) { ++nodes_[k].open; }
--- a/scale/load/load_generator.cpp
+++ b/scale/load/load_generator.cpp
@@ -33,22 +33,24 @@
 }
 }  // namespace
 
-// --- Gangs ----------------------------------------------------------------------------------------------
+// --- GangCoordinator
+// ----------------------------------------------------------------------------------------------
 
-void Gangs::tell(const json& body) {
+void GangCoordinator::tell(const json& body) {
     for (std::uint32_t k = 0; k < experiment_.worker_processes; ++k)
-        http_.send(experiment_.workers_control(k), {"POST", "/gang", body.dump()}, control_timeout_s,
+        http_.send(experiment_.worker_control_addr(k), {"POST", "/gang", body.dump()}, control_timeout_s,
                    [](std::optional<http::Response>) {});
 }
-void Gangs::lost(const Key& key) {
+void GangCoordinator::lost(const Key& key) {
     auto& a = attempts_[key];
     if (!a.running || std::exchange(a.over, true)) return;
     loop_.after(experiment_.worker.gang_peer_s, [this, key] {
         tell({{"job", key.first}, {"attempt", key.second}});
     });
 }
-void Gangs::observe(const Observed& o, const TaskSpec* spec, const std::function<void()>& begun) {
-    if (o.what == Happened::gone) {
+void GangCoordinator::observe(const WorkerEvent& o, const TaskSpec* spec,
+                              const std::function<void()>& begun) {
+    if (o.what == WorkerEventKind::gone) {
         for (auto& [key, index] : on_machine_[o.machine]) {
             attempts_[key].waiting.erase(index);
             lost(key);
@@ -59,7 +61,7 @@
     if (!spec || spec->kind != protocol::JobKind::gang) return;
     Key key{o.task.job, o.attempt};
     auto& a = attempts_[key];
-    if (o.what == Happened::ready) {
+    if (o.what == WorkerEventKind::ready) {
         a.waiting.insert(o.task.index);
         on_machine_[o.machine].insert({key, o.task.index});
         if (a.running || a.waiting.size() < spec->tasks) return;
@@ -67,7 +69,7 @@
         tell({{"job", key.first}, {"attempt", key.second}, {"run_s", spec->run_s}});
         begun();
     }
-    if (o.what == Happened::ended) {
+    if (o.what == WorkerEventKind::ended) {
         a.waiting.erase(o.task.index);
         on_machine_[o.machine].erase({key, o.task.index});
         if (o.cause != protocol::ExitCause::done) lost(key);
@@ -76,7 +78,7 @@
 
 // --- Load -----------------------------------------------------------------------------------------------
 
-UserApi::UserApi(event_loop::EventLoop& loop, const Experiment& e)
+LoadGenerator::LoadGenerator(event_loop::EventLoop& loop, const Experiment& e)
     : loop_(loop),
       experiment_(e),
       random_(e.seed * 13 + 5),
@@ -87,13 +89,13 @@
       checker_(rules_of(e)),
       phase_("fill") {}
 
-void UserApi::begin() {
+void LoadGenerator::begin() {
     starts_per_s_ = experiment_.phases.front().starts_per_worker_s * experiment_.workers;
     submit_services(experiment_.base_tasks());
     wait_for_arrival();
     poll_unknown();
 }
-void UserApi::phase(const std::string& name) {
+void LoadGenerator::phase(const std::string& name) {
     phase_ = name;
     for (auto& p : experiment_.phases)
         if (p.name == name) starts_per_s_ = p.starts_per_worker_s * experiment_.workers;
@@ -101,7 +103,7 @@
     loop_.cancel(arrival_);
     wait_for_arrival();
 }
-protocol::Job UserApi::new_job(protocol::JobKind kind, std::uint32_t tasks) {
+protocol::Job LoadGenerator::new_job(protocol::JobKind kind, std::uint32_t tasks) {
     auto& l = experiment_.load;
     protocol::Job j;
     char id[24];
@@ -120,7 +122,7 @@
     return j;
 }
 // Spread over some seconds, and over no more of the key-value store's changes than half.
-void UserApi::submit_services(double left) {
+void LoadGenerator::submit_services(double left) {
     if (left < 1) return;
     auto tasks = std::min<std::uint32_t>(experiment_.load.service_tasks, static_cast<std::uint32_t>(left));
     Job j;
@@ -129,10 +131,10 @@
     j.cls = j.job.cls;
     submit(std::move(j));
     double jobs = experiment_.base_tasks() / experiment_.load.service_tasks;
-    double pause = std::max(spread_services_s / std::max(1.0, jobs), 2 / experiment_.state.write_rps);
+    double pause = std::max(spread_services_s / std::max(1.0, jobs), 2 / experiment_.kv_store.write_rps);
     loop_.after(pause, [this, left = left - tasks] { submit_services(left); });
 }
-void UserApi::wait_for_arrival() {
+void LoadGenerator::wait_for_arrival() {
     auto& l = experiment_.load;
     double gangs = 0;
     for (auto n : l.gang_sizes) gangs += n;
@@ -141,7 +143,7 @@
     double wait = std::exponential_distribution<double>(starts_per_s_ / mean)(random_);
     arrival_ = loop_.after(wait, [this] { arrive(); });
 }
-void UserApi::arrive() {
+void LoadGenerator::arrive() {
     wait_for_arrival();
     auto& l = experiment_.load;
     std::uniform_real_distribution<double> share(0, 1);
@@ -162,7 +164,7 @@
     j.cancel = share(random_) < l.cancel_share;
     submit(std::move(j));
 }
-void UserApi::submit(Job j) {
+void LoadGenerator::submit(Job j) {
     j.spec.kind = j.job.kind;
     j.spec.tasks = j.job.tasks;
     j.spec.request = j.job.request;
@@ -179,8 +181,8 @@
 
 // --- Requests -------------------------------------------------------------------------------------------
 
-void UserApi::ask(http::Request r, double timeout_s,
-                  std::function<void(std::optional<http::Response>)> done) {
+void LoadGenerator::ask(http::Request r, double timeout_s,
+                        std::function<void(std::optional<http::Response>)> done) {
     auto k = balancer_.pick();
     if (!k) {
         ++counts_.unanswered;
@@ -199,7 +201,7 @@
         done(std::move(response));
     });
 }
-void UserApi::try_submit(const std::string& id) {
+void LoadGenerator::try_submit(const std::string& id) {
     http::Request r{"POST", std::string(protocol::paths::jobs), protocol::submission(jobs_.at(id).job)};
     ask(std::move(r), submit_timeout_s, [this, id](std::optional<http::Response> response) {
         auto& j = jobs_.at(id);
@@ -229,7 +231,7 @@
         loop_.after(wait, [this, id] { try_submit(id); });
     });
 }
-void UserApi::poll(const std::string& id) {
+void LoadGenerator::poll(const std::string& id) {
     auto& j = jobs_.at(id);
     if (j.over) return;
     ++counts_.polls;
@@ -240,8 +242,8 @@
             loop_.after(experiment_.load.poll_s, [this, id] { poll(id); });
         });
 }
-void UserApi::told(const std::string& id, const http::Response& r, bool was_over) {
-    auto state = outside::parse_status(r.body).state;
+void LoadGenerator::told(const std::string& id, const http::Response& r, bool was_over) {
+    auto state = messages::parse_status(r.body).state;
     bool over = state == protocol::JobState::done || state == protocol::JobState::cancelled;
     if (over || was_over) judge_later([this, id, state](double now) { checker_.told(now, id, state); });
     auto& j = jobs_.at(id);
@@ -255,7 +257,7 @@
     latencies_.observe(j.phase, j.cls, "done", now - j.first_tried);
     if (j.all_done >= 0) latencies_.observe(j.phase, j.cls, "told_done_after", now - j.all_done);
 }
-void UserApi::ask_cancel(const std::string& id) {
+void LoadGenerator::ask_cancel(const std::string& id) {
     auto& j = jobs_.at(id);
     if (j.over) return;
     double asked = loop_.now();
@@ -273,7 +275,7 @@
             loop_.after(least_retry_s, [this, id] { ask_cancel(id); });
         });
 }
-void UserApi::poll_unknown() {
+void LoadGenerator::poll_unknown() {
     ask({"GET", std::string(protocol::paths::jobs) + "/" + unknown_job, {}}, poll_timeout_s,
         [this](std::optional<http::Response> r) {
             if (r && r->status == 200)
@@ -285,17 +287,17 @@
 
 // --- What happened --------------------------------------------------------------------------------------
 
-nlohmann::json UserApi::spec(const std::string& id) const {
+nlohmann::json LoadGenerator::spec(const std::string& id) const {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? json() : to_json(it->second.spec);
 }
-void UserApi::observed(const json& message) {
+void LoadGenerator::observed(const json& message) {
     auto process = message.at("process").get<std::uint32_t>();
     auto number = message.at("number").get<std::uint64_t>();
     if (number <= messages_[process]) return;  // sent again, since our answer was lost
     messages_[process] = number;
     for (auto& e : message.at("events")) {
-        auto o = observed_from(e);
+        auto o = worker_event_from(e);
         auto it = jobs_.find(o.task.job);
         gangs_.observe(o, it == jobs_.end() ? nullptr : &it->second.spec, [&] {
             for (std::uint32_t k = 0; k < it->second.spec.tasks; ++k) {
@@ -304,7 +306,7 @@
                 begun(each);
             }
         });
-        if (o.what == Happened::ready) {
+        if (o.what == WorkerEventKind::ready) {
             ++tasks_ready_;
             if (it != jobs_.end() && it->second.spec.kind != protocol::JobKind::gang) begun(o);
         }
@@ -314,25 +316,25 @@
     judge();
 }
 // The first time a task runs: what its user waited for.
-void UserApi::begun(const Observed& o) {
+void LoadGenerator::begun(const WorkerEvent& o) {
     auto& j = jobs_.at(o.task.job);
     if (!j.begun.insert(o.task.index).second) return;
     ++tasks_begun_;
     latencies_.observe(j.phase, j.cls, "begun", o.t - j.first_tried);
 }
-void UserApi::apply(const Observed& o) {
+void LoadGenerator::apply(const WorkerEvent& o) {
     switch (o.what) {
-        case Happened::machine: {
+        case WorkerEventKind::machine: {
             double n = experiment_.slots();
             return checker_.machine(o.machine, {"hollow", o.zone, o.spot, {n, 0, n}});
         }
-        case Happened::started:
+        case WorkerEventKind::started:
             return checker_.started(o.t, o.machine, o.task);
-        case Happened::ready:
+        case WorkerEventKind::ready:
             return;
-        case Happened::gone:
+        case WorkerEventKind::gone:
             return checker_.machine_gone(o.machine);
-        case Happened::ended:
+        case WorkerEventKind::ended:
             checker_.ended(o.t, o.machine, o.task, o.cause);
             if (o.cause != protocol::ExitCause::done) return;
             ++tasks_done_;
@@ -341,11 +343,11 @@
                 it->second.all_done = o.t;
     }
 }
-void UserApi::judge_later(std::function<void(double now)> check) {
+void LoadGenerator::judge_later(std::function<void(double now)> check) {
     double now = loop_.now();
     to_judge_.emplace(now, [check = std::move(check), now] { check(now); });
 }
-void UserApi::judge() {
+void LoadGenerator::judge() {
     if (told_until_.size() < experiment_.worker_processes) return;
     double until = 1e18;
     for (auto& [process, t] : told_until_) until = std::min(until, t);
@@ -359,7 +361,7 @@
         last_look_ = until;
     }
 }
-json UserApi::stats() {
+json LoadGenerator::stats() {
     std::size_t open = 0;
     for (auto& [id, j] : jobs_) open += j.accepted && !j.over;
     auto& c = counts_;
@@ -386,26 +388,27 @@
             {"latencies", latencies_.summary()}};
 }
 
-int run_users(const Experiment& e) {
+int run_load_process(const Experiment& e) {
     event_loop::EventLoop loop;
-    Lateness lateness(loop);
-    UserApi users(loop, e);
-    auto control = control_server(loop, e.users_control(), [&](const http::Request& r, http::Reply reply) {
-        if (r.target == "/observed") {
-            users.observed(json::parse(r.body));
-            return reply({200, "{}"});
-        }
-        if (r.target.starts_with("/spec/")) {
-            auto spec = users.spec(r.target.substr(6));
-            return reply({spec.is_null() ? 404 : 200, spec.dump()});
-        }
-        if (r.target == "/begin") users.begin();
-        if (r.target == "/phase") users.phase(json::parse(r.body).at("name").get<std::string>());
-        auto out = users.stats();
-        out["lateness_s"] = lateness.most_s();
-        out["late"] = lateness.over_100_ms();
-        reply({200, out.dump()});
-    });
+    TimerLateness lateness(loop);
+    LoadGenerator users(loop, e);
+    auto control =
+        control_server(loop, e.load_control_addr(), [&](const http::Request& r, http::Reply reply) {
+            if (r.target == "/observed") {
+                users.observed(json::parse(r.body));
+                return reply({200, "{}"});
+            }
+            if (r.target.starts_with("/spec/")) {
+                auto spec = users.spec(r.target.substr(6));
+                return reply({spec.is_null() ? 404 : 200, spec.dump()});
+            }
+            if (r.target == "/begin") users.begin();
+            if (r.target == "/phase") users.phase(json::parse(r.body).at("name").get<std::string>());
+            auto out = users.stats();
+            out["lateness_s"] = lateness.most_s();
+            out["late"] = lateness.over_100_ms();
+            reply({200, out.dump()});
+        });
     loop.run();
     return 0;
 }
--- a/scale/load/load_generator.hpp
+++ b/scale/load/load_generator.hpp
@@ -18,12 +18,12 @@
 
 // Tells the workers' processes when a gang's tasks all have their image, and when one of a running gang is
 // gone.
-class Gangs {
+class GangCoordinator {
   public:
-    Gangs(event_loop::EventLoop& loop, http::Client& http, const Experiment& e)
+    GangCoordinator(event_loop::EventLoop& loop, http::Client& http, const Experiment& e)
         : loop_(loop), http_(http), experiment_(e) {}
     // Called for each event as it comes. `begun` when the gang's last task is there.
-    void observe(const Observed& o, const TaskSpec* spec, const std::function<void()>& begun);
+    void observe(const WorkerEvent& o, const TaskSpec* spec, const std::function<void()>& begun);
 
   private:
     struct Attempt {
@@ -41,9 +41,9 @@
     std::map<std::string, std::set<std::pair<Key, std::uint32_t>>> on_machine_;
 };
 
-class UserApi {
+class LoadGenerator {
   public:
-    UserApi(event_loop::EventLoop& loop, const Experiment& experiment);
+    LoadGenerator(event_loop::EventLoop& loop, const Experiment& experiment);
     void begin();                         // the services, and arrivals at the first phase's rate
     void phase(const std::string& name);  // latencies count for it from now on
     void observed(const nlohmann::json& message);
@@ -74,17 +74,17 @@
     void told(const std::string& id, const http::Response& r, bool was_over);
     void judge_later(std::function<void(double now)> check);
     void judge();
-    void apply(const Observed& o);
-    void begun(const Observed& o);
+    void apply(const WorkerEvent& o);
+    void begun(const WorkerEvent& o);
 
     event_loop::EventLoop& loop_;
     const Experiment& experiment_;
     std::mt19937_64 random_;
     http::Client http_, control_;
-    Balancer balancer_;
-    Gangs gangs_;
+    LoadBalancer balancer_;
+    GangCoordinator gangs_;
     verification::Checker checker_;
-    Latencies latencies_;
+    LatencyHistograms latencies_;
     std::map<std::string, Job> jobs_;
     std::uint64_t next_job_ = 0;
     std::string phase_;
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -21,7 +21,8 @@
     std::vector<Override> out;
     for (auto& t : texts) {
         auto eq = t.find('=');
-        if (eq == std::string::npos || eq == 0) throw Refused("'" + t + "' is not of the form KEY=VALUE");
+        if (eq == std::string::npos || eq == 0)
+            throw ExperimentError("'" + t + "' is not of the form KEY=VALUE");
         out.push_back({t.substr(0, eq), t.substr(eq + 1)});
     }
     return out;
@@ -30,7 +31,7 @@
 std::vector<std::vector<std::string>> sweep_of(const std::string& sweep) {
     if (sweep.empty()) return {{}};
     auto eq = sweep.find('=');
-    if (eq == std::string::npos) throw Refused("'" + sweep + "' is not of the form KEY=V1,V2");
+    if (eq == std::string::npos) throw ExperimentError("'" + sweep + "' is not of the form KEY=V1,V2");
     std::vector<std::vector<std::string>> out;
     for (auto& value : CLI::detail::split(sweep.substr(eq + 1), ','))
         out.push_back({sweep.substr(0, eq + 1) + value});
@@ -42,7 +43,7 @@
   public:
     explicit WorkDirectory(bool keep) : keep_(keep) {
         auto pattern = (std::filesystem::temp_directory_path() / "coralhitch-scale-XXXXXX").string();
-        if (!::mkdtemp(pattern.data())) throw Refused("can't make a directory like " + pattern);
+        if (!::mkdtemp(pattern.data())) throw ExperimentError("can't make a directory like " + pattern);
         path_ = pattern;
     }
     ~WorkDirectory() {
@@ -92,7 +93,7 @@
         // After each run: what was measured stays if the next one is broken off.
         if (!a.out.empty() &&
             !(std::ofstream(a.out) << (a.sweep.empty() ? results[0] : results).dump(1) << "\n"))
-            throw Refused(a.out + ": can't be written");
+            throw ExperimentError(a.out + ": can't be written");
     }
     return failed;
 }
@@ -134,11 +135,11 @@
             if (a.controller.empty()) a.controller = beside_this_program("coralhitch");
             return run(a);
         }
-        raise_descriptors();
+        raise_descriptor_limit();
         auto experiment = load_experiment(a.file, overrides_of(a.set));
-        if (infrastructure->parsed()) return run_infrastructure(experiment);
-        if (workers->parsed()) return run_workers(experiment, process);
-        if (users->parsed()) return run_users(experiment);
+        if (infrastructure->parsed()) return run_infrastructure_process(experiment);
+        if (workers->parsed()) return run_worker_process(experiment, process);
+        if (users->parsed()) return run_load_process(experiment);
     } catch (const std::exception& e) {
         std::cerr << "coralhitch-scale: " << e.what() << "\n";
         return 1;
--- a/scale/process/child_process.cpp
+++ b/scale/process/child_process.cpp
@@ -70,17 +70,18 @@
 }
 }  // namespace
 
-Child::Child(std::string name, const std::vector<std::string>& arguments, const std::string& log)
+ChildProcess::ChildProcess(std::string name, const std::vector<std::string>& arguments,
+                           const std::string& log)
     : name_(std::move(name)), log_(log) {
     int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    if (fd < 0) throw Refused(log + ": " + std::strerror(errno));
+    if (fd < 0) throw ExperimentError(log + ": " + std::strerror(errno));
     pid_t parent = ::getpid();
     pid_ = ::fork();
     if (pid_ == 0) become(arguments, fd, parent);
     ::close(fd);
-    if (pid_ < 0) throw Refused("can't start " + name_ + ": " + std::strerror(errno));
+    if (pid_ < 0) throw ExperimentError("can't start " + name_ + ": " + std::strerror(errno));
 }
-void Child::end() {
+void ChildProcess::end() {
     if (pid_ < 0) return;
     usage();
     ::kill(pid_, SIGKILL);
@@ -89,7 +90,7 @@
     }
     pid_ = -1;
 }
-bool Child::has_ended() {
+bool ChildProcess::has_ended() {
     if (pid_ < 0) return true;
     int status = 0;
     if (::waitpid(pid_, &status, WNOHANG) != pid_) return false;
@@ -98,7 +99,7 @@
     pid_ = -1;
     return true;
 }
-Usage Child::usage() const {
+ProcessUsage ChildProcess::usage() const {
     if (pid_ < 0) return last_;
     double cpu = cpu_seconds(pid_);
     if (cpu < 0) return last_;
@@ -111,7 +112,7 @@
     return static_cast<std::uint64_t>(::sysconf(_SC_PHYS_PAGES)) *
            static_cast<std::uint64_t>(::sysconf(_SC_PAGESIZE));
 }
-std::uint64_t raise_descriptors() {
+std::uint64_t raise_descriptor_limit() {
     rlimit l{};
     ::getrlimit(RLIMIT_NOFILE, &l);
     l.rlim_cur = l.rlim_max;
--- a/scale/process/control_server.cpp
+++ b/scale/process/control_server.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t control_body = 64 << 20;
 }  // namespace
 
-void Lateness::arm() {
+void TimerLateness::arm() {
     double due = loop_.now() + look_every_s;
     loop_.after(look_every_s, [this, due] {
         double late = loop_.now() - due;
--- a/scale/process/control_server.hpp
+++ b/scale/process/control_server.hpp
@@ -12,9 +12,9 @@
 namespace coralhitch::scale {
 
 // How late timers fire: a hollow process that lacks processor time would otherwise look like a slow service.
-class Lateness {
+class TimerLateness {
   public:
-    explicit Lateness(event_loop::EventLoop& loop) : loop_(loop) { arm(); }
+    explicit TimerLateness(event_loop::EventLoop& loop) : loop_(loop) { arm(); }
     double most_s() const { return most_; }
     std::uint64_t over_100_ms() const { return late_; }
 
@@ -32,8 +32,8 @@
 http::ClientLimits control_limits();
 
 // Each runs until it is killed.
-int run_infrastructure(const Experiment& experiment);
-int run_workers(const Experiment& experiment, std::uint32_t process);
-int run_users(const Experiment& experiment);
+int run_infrastructure_process(const Experiment& experiment);
+int run_worker_process(const Experiment& experiment, std::uint32_t process);
+int run_load_process(const Experiment& experiment);
 
 }  // namespace coralhitch::scale
--- a/scale/protocol/counterpart_messages.cpp
+++ b/scale/protocol/counterpart_messages.cpp
@@ -4,7 +4,7 @@
 
 #include "protocol/names.hpp"
 
-namespace coralhitch::scale::outside {
+namespace coralhitch::scale::messages {
 using nlohmann::json;
 using namespace protocol;
 
@@ -168,4 +168,4 @@
     return "";
 }
 
-}  // namespace coralhitch::scale::outside
+}  // namespace coralhitch::scale::messages
--- a/scale/protocol/counterpart_messages.hpp
+++ b/scale/protocol/counterpart_messages.hpp
@@ -8,7 +8,7 @@
 
 #include "protocol/protocol.hpp"
 
-namespace coralhitch::scale::outside {
+namespace coralhitch::scale::messages {
 
 // Users
 protocol::JobStatus parse_status(std::string_view body);
@@ -46,4 +46,4 @@
 // A parameter of a target's query, or "".
 std::string query(const std::string& target, const std::string& name);
 
-}  // namespace coralhitch::scale::outside
+}  // namespace coralhitch::scale::messages
--- a/scale/runner/experiment_runner.hpp
+++ b/scale/runner/experiment_runner.hpp
@@ -15,8 +15,8 @@
     std::vector<Override> overrides;
     bool quiet = false;  // no progress lines
 };
-// What was measured, as JSON: snapshots at the bounds of the phases (see summary()). Throws Refused with a
-// clear line if the run can't be made or was broken off; no process is left then either.
+// What was measured, as JSON: snapshots at the bounds of the phases (see summary()). Throws ExperimentError
+// with a clear line if the run can't be made or was broken off; no process is left then either.
 nlohmann::json run_experiment(Experiment experiment, const RunOptions& options);
 
 }  // namespace coralhitch::scale
--- a/scale/tests/experiment_test.cpp
+++ b/scale/tests/experiment_test.cpp
@@ -47,7 +47,7 @@
     try {
         parse_experiment(GetParam().text, "file.toml");
         FAIL() << "was taken";
-    } catch (const Refused& r) {
+    } catch (const ExperimentError& r) {
         EXPECT_NE(std::string(r.what()).find(GetParam().said), std::string::npos) << r.what();
         EXPECT_TRUE(std::string(r.what()).starts_with("file.toml: "));
     }
@@ -65,8 +65,10 @@
     for (std::uint64_t k = 0; k < 20000; ++k, ++n) all.insert(e.worker_addr(k));
     for (std::uint32_t k = 0; k < 17; ++k, n += 2)
         all.insert(e.controller_addr(k)), all.insert(e.peer_addr(k));
-    for (std::uint32_t k = 0; k < 32; ++k, ++n) all.insert(e.workers_control(k));
-    for (auto& a : {e.state_addr(), e.cloud_addr(), e.users_control(), e.cloud_control()}) all.insert(a), ++n;
+    for (std::uint32_t k = 0; k < 32; ++k, ++n) all.insert(e.worker_control_addr(k));
+    for (auto& a :
+         {e.kv_store_addr(), e.cloud_addr(), e.load_control_addr(), e.infrastructure_control_addr()})
+        all.insert(a), ++n;
     EXPECT_EQ(all.size(), n);
 }
 // The controllers themselves read them.
@@ -93,8 +95,8 @@
     end["broken"] = {"1.0 ran_twice j-1/0", "2.0 quota j-2/0"};
     EXPECT_EQ(complaints({{"end", end}}).size(), 2u);
 }
-TEST(Latencies, PercentilesAreWithinATwentieth) {
-    Latencies l;
+TEST(LatencyHistograms, PercentilesAreWithinATwentieth) {
+    LatencyHistograms l;
     for (int k = 1; k <= 1000; ++k) l.observe("p", "c", "m", k * 0.01);
     auto row = l.summary().at("p/c/m");
     EXPECT_EQ(row.at("count"), 1000);
--- a/scale/tests/in_memory_kv_store_test.cpp
+++ b/scale/tests/in_memory_kv_store_test.cpp
@@ -11,8 +11,8 @@
 
 struct Bench {
     FakeTimers timers;
-    StateService service;
-    explicit Bench(StateSettings s = {1000, 1000, 1, 3, 0.001, 0, 0}) : service(timers, s, 1) {}
+    InMemoryKvStore service;
+    explicit Bench(KvStoreSettings s = {1000, 1000, 1, 3, 0.001, 0, 0}) : service(timers, s, 1) {}
     // The answer, which comes within a second of simulated time; status 0 if none did.
     http::Response ask(const std::string& method, const std::string& target, const std::string& body = "") {
         http::Response answer{0, ""};
@@ -28,7 +28,7 @@
     }
 };
 
-TEST(ScaleStateService, ChangesOnlyOnTheVersionsNamed) {
+TEST(InMemoryKvStoreTest, ChangesOnlyOnTheVersionsNamed) {
     Bench b;
     EXPECT_EQ(b.put("a/1", 0), 200);
     EXPECT_EQ(b.put("a/1", 0), 409);
@@ -36,7 +36,7 @@
     EXPECT_EQ(protocol::parse_entry(b.ask("GET", "/kv/a/1").body).version, 2u);
     EXPECT_EQ(b.ask("GET", "/kv/a/2").status, 404);
 }
-TEST(ScaleStateService, ListsInOrderAndInPages) {
+TEST(InMemoryKvStoreTest, ListsInOrderAndInPages) {
     Bench b;
     for (auto* key : {"a/3", "a/1", "b/1", "a/2"}) b.put(key, 0);
     auto first = protocol::parse_entries(b.ask("GET", "/kv?starts=a/&limit=2").body);
@@ -48,7 +48,7 @@
     EXPECT_EQ(rest.entries[0].key, "a/3");
     EXPECT_FALSE(rest.more);
 }
-TEST(ScaleStateService, WatchesWaitForTheirPrefix) {
+TEST(InMemoryKvStoreTest, WatchesWaitForTheirPrefix) {
     Bench b;
     b.put("a/1", 0);
     std::optional<http::Response> told;
@@ -63,7 +63,7 @@
     EXPECT_EQ(events.events[0].key, "a/2");
     EXPECT_EQ(events.events[0].version, 3u);
 }
-TEST(ScaleStateService, ALeaseEndsWithItsKeysUnlessRenewed) {
+TEST(InMemoryKvStoreTest, ALeaseEndsWithItsKeysUnlessRenewed) {
     Bench b;
     auto lease = protocol::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
     EXPECT_EQ(b.put("a/1", 0, R"(,"mooring":)" + std::to_string(lease)), 200);
@@ -76,7 +76,7 @@
     EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 404);
     EXPECT_EQ(b.put("a/2", 0, R"(,"mooring":)" + std::to_string(lease)), 400);
 }
-TEST(ScaleStateService, AnOutageGivesLeasesTheirTimeAgain) {
+TEST(InMemoryKvStoreTest, AnOutageGivesLeasesTheirTimeAgain) {
     Bench b;
     auto lease = protocol::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
     b.service.outage(20);
@@ -102,13 +102,13 @@
                         {"too_large_value", puts(1, 1023), 400},
                         {"no_json", "{", 400},
                         {"key_with_space", R"({"then":[{"put":"a b","value":1}]})", 400}};
-class ScaleStateLimits : public testing::TestWithParam<Limit> {};
-INSTANTIATE_TEST_SUITE_P(Limits, ScaleStateLimits, testing::ValuesIn(limits),
+class InMemoryKvStoreLimits : public testing::TestWithParam<Limit> {};
+INSTANTIATE_TEST_SUITE_P(Limits, InMemoryKvStoreLimits, testing::ValuesIn(limits),
                          [](auto& info) { return std::string(info.param.name); });
-TEST_P(ScaleStateLimits, AreKept) {
+TEST_P(InMemoryKvStoreLimits, AreKept) {
     EXPECT_EQ(Bench().ask("POST", "/txn", GetParam().body).status, GetParam().status);
 }
-TEST(ScaleStateService, RefusesWhatIsBeyondItsRates) {
+TEST(InMemoryKvStoreTest, RefusesWhatIsBeyondItsRates) {
     Bench b({4, 2, 1, 3, 0.001, 0, 0});
     int refused = 0;
     for (int k = 0; k < 6; ++k)
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -33,7 +33,7 @@
 }
 }  // namespace
 
-HollowWorker::HollowWorker(WorkerSite& site, protocol::Host host)
+HollowWorker::HollowWorker(WorkerContext& site, protocol::Host host)
     : site_(site), host_(std::move(host)), client_(site.loop(), one_connection()) {
     http::ServerLimits limits;
     limits.connections = connections_in;
@@ -46,7 +46,7 @@
     last_answered_ = site_.loop().now();
     regular_due_ = last_answered_;
     site_.observe({last_answered_,
-                   Happened::machine,
+                   WorkerEventKind::machine,
                    host_.id,
                    {},
                    0,
@@ -92,7 +92,7 @@
     r.token = token_;
     for (auto& [key, task] : tasks_)
         r.tasks.push_back({key.first, key.second, task.state, task.cause, false});
-    return outside::report_body(r);
+    return messages::report_body(r);
 }
 void HollowWorker::send_report() {
     auto& e = site_.experiment();
@@ -103,7 +103,7 @@
     auto bytes = request_bytes(to, r);
     ++c.reports;
     c.report_bytes += bytes;
-    ++c.by_controller[Experiment::label(controller_)];
+    ++c.by_controller[Experiment::controller_label(controller_)];
     if (repeats(r.body, last_report_)) ++c.repeated, c.repeated_bytes += bytes;
     last_report_ = r.body;
     in_flight_ = true;
@@ -135,9 +135,9 @@
     c.answer_bytes += response_bytes(*response);
     if (response->status == 421) {
         ++c.redirected;
-        auto named = outside::parse_elsewhere(response->body);
+        auto named = messages::parse_elsewhere(response->body);
         for (std::uint32_t k = 0; named && k < site_.experiment().controllers; ++k)
-            if (*named == Experiment::label(k) && k != controller_) {
+            if (*named == Experiment::controller_label(k) && k != controller_) {
                 controller_ = k;
                 regular_due_ = site_.loop().now() + uniform(site_.random(), 0, elsewhere_most_s);
                 return schedule();
@@ -152,9 +152,9 @@
     schedule();
 }
 void HollowWorker::take_answer(std::uint64_t agent_epoch, double sent, const std::string& body) {
-    outside::Orders orders;
+    messages::Orders orders;
     try {
-        orders = outside::parse_orders(body);
+        orders = messages::parse_orders(body);
     } catch (const std::exception&) {
     }
     if (agent_epoch != session_ || !orders.token || *orders.token < token_) {
@@ -213,9 +213,9 @@
     return response;
 }
 http::Response HollowWorker::direct(const http::Request& r) {
-    outside::Orders orders;
+    messages::Orders orders;
     try {
-        orders = outside::parse_orders(r.body);
+        orders = messages::parse_orders(r.body);
     } catch (const std::exception&) {
         return {400, "{}"};
     }
@@ -248,7 +248,7 @@
         }
     }
 }
-Observed HollowWorker::event(Happened what, const Key& key) const {
+WorkerEvent HollowWorker::event(WorkerEventKind what, const Key& key) const {
     return {site_.loop().now(), what, host_.id, key.first, key.second, protocol::ExitCause::none, "", false};
 }
 void HollowWorker::start(const Key& key) {
@@ -261,7 +261,7 @@
     tasks_[key] = {};
     ++present_;
     ++site_.counts().started;
-    site_.observe(event(Happened::started, key));
+    site_.observe(event(WorkerEventKind::started, key));
     changed();
     site_.spec(key.first.job, guard_([this, key](const TaskSpec* spec) { fetch(key, spec); }));
 }
@@ -299,7 +299,7 @@
     auto it = tasks_.find(key);
     if (silent_ || it == tasks_.end() || it->second.state != protocol::TaskState::fetching) return;
     it->second.timer = 0;
-    site_.observe(event(Happened::ready, key));
+    site_.observe(event(WorkerEventKind::ready, key));
     it->second.state =
         spec.kind == protocol::JobKind::gang ? protocol::TaskState::waiting : protocol::TaskState::running;
     changed();
@@ -343,7 +343,7 @@
     --present_;
     ++site_.counts().ended;
     ++site_.counts().ends_by_cause[std::to_string(static_cast<int>(cause))];
-    auto o = event(Happened::ended, key);
+    auto o = event(WorkerEventKind::ended, key);
     o.cause = cause;
     if (when) o.t = *when;
     site_.observe(std::move(o));
@@ -357,7 +357,7 @@
     site_.loop().cancel(report_timer_);
     site_.loop().cancel(lease_timer_);
     site_.observe(
-        {site_.loop().now(), Happened::gone, host_.id, {}, 0, protocol::ExitCause::none, "", false});
+        {site_.loop().now(), WorkerEventKind::gone, host_.id, {}, 0, protocol::ExitCause::none, "", false});
 }
 
 }  // namespace coralhitch::scale
--- a/scale/workers/hollow_worker.hpp
+++ b/scale/workers/hollow_worker.hpp
@@ -25,21 +25,21 @@
 };
 
 // What workers of one process share.
-class WorkerSite {
+class WorkerContext {
   public:
-    virtual ~WorkerSite() = default;
+    virtual ~WorkerContext() = default;
     virtual event_loop::EventLoop& loop() = 0;
     virtual const Experiment& experiment() const = 0;
     virtual std::mt19937_64& random() = 0;
     virtual WorkerCounts& counts() = 0;
-    virtual void observe(Observed event) = 0;
+    virtual void observe(WorkerEvent event) = 0;
     // The job's description, now or later; nothing if there is no such job.
     virtual void spec(const std::string& job, std::function<void(const TaskSpec*)> done) = 0;
 };
 
 class HollowWorker {
   public:
-    HollowWorker(WorkerSite& site, protocol::Host host);
+    HollowWorker(WorkerContext& site, protocol::Host host);
     const std::string& id() const { return host_.id; }
     void silence();  // gives no answer any more, and runs nothing
     // Of a gang's attempt: all its tasks have their image, or one of them is gone.
@@ -76,9 +76,9 @@
     void end(const Key& key, protocol::ExitCause cause, std::optional<double> when = {});
     double image_ready_after(const TaskSpec& spec);
     void end_later(const Key& key, double seconds, protocol::ExitCause cause);
-    Observed event(Happened what, const Key& key) const;
+    WorkerEvent event(WorkerEventKind what, const Key& key) const;
 
-    WorkerSite& site_;
+    WorkerContext& site_;
     protocol::Host host_;
     bool silent_ = false;
     std::uint64_t session_ = 1, sequence_ = 0, token_ = 0;
--- a/scale/workers/worker_event.hpp
+++ b/scale/workers/worker_event.hpp
@@ -7,11 +7,11 @@
 
 namespace coralhitch::scale {
 
-enum class Happened { machine, started, ready, ended, gone };
+enum class WorkerEventKind { machine, started, ready, ended, gone };
 
-struct Observed {
+struct WorkerEvent {
     double t = 0;
-    Happened what = Happened::started;
+    WorkerEventKind what = WorkerEventKind::started;
     std::string machine;
     protocol::TaskId task;
     std::uint64_t attempt = 0;
@@ -19,12 +19,12 @@
     std::string zone;  // of a machine that came up
     bool spot = false;
 };
-inline nlohmann::json to_json(const Observed& o) {
+inline nlohmann::json to_json(const WorkerEvent& o) {
     return nlohmann::json::array({o.t, static_cast<int>(o.what), o.machine, o.task.job, o.task.index,
                                   o.attempt, static_cast<int>(o.cause), o.zone, o.spot});
 }
-inline Observed observed_from(const nlohmann::json& j) {
-    return {j[0].get<double>(),        static_cast<Happened>(j[1].get<int>()),
+inline WorkerEvent worker_event_from(const nlohmann::json& j) {
+    return {j[0].get<double>(),        static_cast<WorkerEventKind>(j[1].get<int>()),
             j[2].get<std::string>(),   {j[3].get<std::string>(), j[4].get<std::uint32_t>()},
             j[5].get<std::uint64_t>(), static_cast<protocol::ExitCause>(j[6].get<int>()),
             j[7].get<std::string>(),   j[8].get<bool>()};
@@ -46,7 +46,7 @@
             {"image_gb", s.image_gb},
             {"run_s", s.run_s}};
 }
-inline TaskSpec spec_from(const nlohmann::json& j) {
+inline TaskSpec task_spec_from(const nlohmann::json& j) {
     return {static_cast<protocol::JobKind>(j.at("kind").get<int>()),
             j.at("tasks").get<std::uint32_t>(),
             {j.at("cpus").get<double>(), 0, j.at("memory_gb").get<double>()},
--- a/scale/workers/worker_process.cpp
+++ b/scale/workers/worker_process.cpp
@@ -15,9 +15,9 @@
 constexpr double tell_every_s = 0.1, control_timeout_s = 30, bury_after_s = 1, tell_again_s = 0.5;
 constexpr int tell_tries = 10;
 
-class Site : public WorkerSite {
+class WorkerProcess : public WorkerContext {
   public:
-    Site(event_loop::EventLoop& loop, const Experiment& e, std::uint32_t process)
+    WorkerProcess(event_loop::EventLoop& loop, const Experiment& e, std::uint32_t process)
         : loop_(loop),
           experiment_(e),
           process_(process),
@@ -29,7 +29,7 @@
     const Experiment& experiment() const override { return experiment_; }
     std::mt19937_64& random() override { return random_; }
     WorkerCounts& counts() override { return counts_; }
-    void observe(Observed event) override { events_.push_back(to_json(event)); }
+    void observe(WorkerEvent event) override { events_.push_back(to_json(event)); }
     void spec(const std::string& job, std::function<void(const TaskSpec*)> done) override;
 
     void up(const protocol::Host& host) {
@@ -81,15 +81,15 @@
     std::set<std::string> removed_;
 };
 
-void Site::spec(const std::string& job, std::function<void(const TaskSpec*)> done) {
+void WorkerProcess::spec(const std::string& job, std::function<void(const TaskSpec*)> done) {
     if (auto it = specs_.find(job); it != specs_.end()) return done(&it->second);
     auto& waiting = awaited_[job];
     waiting.push_back(std::move(done));
     if (waiting.size() > 1) return;
-    http_.send(experiment_.users_control(), {"GET", "/spec/" + job, {}}, control_timeout_s,
+    http_.send(experiment_.load_control_addr(), {"GET", "/spec/" + job, {}}, control_timeout_s,
                [this, job](std::optional<http::Response> r) {
                    const TaskSpec* spec = nullptr;
-                   if (r && r->status == 200) spec = &(specs_[job] = spec_from(json::parse(r->body)));
+                   if (r && r->status == 200) spec = &(specs_[job] = task_spec_from(json::parse(r->body)));
                    auto waiting = std::move(awaited_[job]);
                    awaited_.erase(job);
                    for (auto& done : waiting) done(spec);
@@ -97,15 +97,15 @@
 }
 // One message at a time, so that the checker gets them in order. All that happened before `now` is in it.
 // Numbered: one whose answer was lost is sent again, and counts once.
-void Site::tell() {
+void WorkerProcess::tell() {
     json body{{"process", process_},
               {"number", ++messages_},
               {"now", loop_.now()},
               {"events", std::exchange(events_, json::array())}};
     send_events(body.dump(), tell_tries);
 }
-void Site::send_events(std::string body, int tries) {
-    http_.send(experiment_.users_control(), {"POST", "/observed", body}, control_timeout_s,
+void WorkerProcess::send_events(std::string body, int tries) {
+    http_.send(experiment_.load_control_addr(), {"POST", "/observed", body}, control_timeout_s,
                [this, body, tries](std::optional<http::Response> r) {
                    if (r && r->status == 200) {
                        loop_.after(tell_every_s, [this] { tell(); });
@@ -121,7 +121,7 @@
                    std::exit(1);
                });
 }
-json Site::stats() const {
+json WorkerProcess::stats() const {
     auto& c = counts_;
     std::size_t present = 0;
     for (auto& [id, w] : workers_) present += w->present();
@@ -150,12 +150,12 @@
 }
 }  // namespace
 
-int run_workers(const Experiment& e, std::uint32_t process) {
+int run_worker_process(const Experiment& e, std::uint32_t process) {
     event_loop::EventLoop loop;
-    Lateness lateness(loop);
-    Site site(loop, e, process);
+    TimerLateness lateness(loop);
+    WorkerProcess site(loop, e, process);
     auto control =
-        control_server(loop, e.workers_control(process), [&](const http::Request& r, http::Reply reply) {
+        control_server(loop, e.worker_control_addr(process), [&](const http::Request& r, http::Reply reply) {
             if (r.target == "/stats") {
                 auto out = site.stats();
                 out["lateness_s"] = lateness.most_s();
@@ -167,9 +167,9 @@
                 site.up({j.at("id"), j.at("addr"), j.at("type"), j.at("zone"), j.at("spot"),
                          protocol::HostState::running, 0});
             if (r.target == "/remove")
-                for (auto& id : outside::parse_machines(r.body)) site.remove(id);
+                for (auto& id : messages::parse_machines(r.body)) site.remove(id);
             if (r.target == "/silence")
-                for (auto& id : outside::parse_machines(r.body)) site.silence(id);
+                for (auto& id : messages::parse_machines(r.body)) site.silence(id);
             if (r.target == "/gang") site.gang(j);
             reply({200, "{}"});
         });
