--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -14,6 +14,7 @@
 #include "protocol/protocol.hpp"
 #include "scale/process/child_process.hpp"
 #include "scale/process/control_server.hpp"
+#include "scale/report/controller_metrics.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -74,28 +75,6 @@
     out << text;
     if (!out) throw ExperimentError(file + ": can't be written");
 }
-// The sums of a metric's lines by one label, from Prometheus' text.
-std::map<std::string, double> by_label(const std::string& text, const std::string& metric,
-                                       const std::string& label) {
-    std::map<std::string, double> out;
-    std::size_t at = 0;
-    while (at < text.size()) {
-        auto end = text.find('\n', at);
-        auto line = text.substr(at, end - at);
-        at = end == std::string::npos ? text.size() : end + 1;
-        if (!line.starts_with(metric + "{")) continue;
-        auto l = line.find(label + "=\"");
-        auto value = line.rfind(' ');
-        if (l == std::string::npos || value == std::string::npos) continue;
-        l += label.size() + 2;
-        out[line.substr(l, line.find('"', l) - l)] += std::stod(line.substr(value));
-    }
-    return out;
-}
-double sum_of(const std::string& text, const std::string& name) {
-    auto at = text.find("\n" + name + " ");
-    return at == std::string::npos ? 0 : std::stod(text.substr(at + name.size() + 2));
-}
 
 class ExperimentRunner {
   public:
@@ -262,12 +241,8 @@
     http_.send(experiment_.controller_addr(k), {"GET", std::string(protocol::paths::metrics), {}}, answer_s,
                [k, out, done](std::optional<http::Response> r) {
                    if (r && r->status == 200) {
-                       auto& row = (*out)["controllers"][Experiment::controller_label(k)];
-                       row["requests"] = by_label(r->body, "coralhitch_requests_total", "route");
-                       row["events"] = by_label(r->body, "coralhitch_events_total", "event");
-                       row["gauges"] = by_label(r->body, "coralhitch_current", "of");
-                       row["plans"] = sum_of(r->body, "coralhitch_plan_seconds_count");
-                       row["plan_s"] = sum_of(r->body, "coralhitch_plan_seconds_sum");
+                       (*out)["controllers"][Experiment::controller_label(k)] =
+                           read_controller_metrics(PrometheusText(r->body));
                    }
                    done();
                });
