--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -1,28 +1,24 @@
-// What an experiment is: one TOML file, checked whole before anything is started.
+// What an experiment is: the cluster, the load on it, its phases and faults. Read from a file by
+// experiment_file.hpp.
 #pragma once
 #include <cstdint>
-#include <optional>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
 namespace coralhitch::scale {
 
-// Says what is wrong, for the one who wrote the file or started the run.
-struct ExperimentError : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
+// Timings that the controllers are told of, and what a hollow worker needs to start a task.
 struct WorkerSettings {
     double report_s = 3, lease_s = 31, gang_wait_s = 50, gang_peer_s = 5, cancel_s = 61;
     double boot_s = 2, fetch_gb_per_s = 10, cache_gb = 50;
 };
+
 struct LoadSettings {
     // Of the tasks that are to run, this share comes and goes at the highest rate of starts of all phases;
     // the rest are replicas of services.
     double turnover_share = 0.18;
-    std::uint32_t service_tasks = 100;  // replicas a service
-    std::uint32_t array_tasks = 20;     // tasks an array
+    std::uint32_t service_tasks = 100;  // replicas of one service
+    std::uint32_t array_tasks = 20;     // tasks of one array
     std::vector<std::uint32_t> gang_sizes{2, 4, 8};
     // Shares of the jobs that arrive.
     double gang_share = 0.1, urgent_share = 0.1, cancel_share = 0.02;
@@ -31,26 +27,34 @@
     double tight_cpus = 0;  // the limit of one team more, which takes part in the load; 0: there is none
     double poll_s = 5;
 };
+
+// Table `state` of the file.
 struct KvStoreSettings {
     double rps = 200, write_rps = 40, value_kb = 16;
     std::uint32_t txn_ops = 24;
     double latency_ms = 2, slow_share = 0.002, slow_ms = 200;  // of answers; both latencies are means
 };
+
 struct CloudSettings {
     double rps = 10, list_lag_s = 10, latency_ms = 20;
 };
+
+// What each controller is told that it may use.
 struct LimitSettings {
     double core_share = 0.5, memory_mb = 512;
     std::uint32_t sockets = 8000;
 };
+
 struct Phase {
     std::string name;
     double seconds = 0, starts_per_worker_s = 0;
 };
+
 enum class FaultKind { controller, restart_all, roll, machines, rack, zone, state_outage };
+
 struct Fault {
     FaultKind kind = FaultKind::controller;
-    std::string name;   // as in the file
+    std::string name;   // of the kind, as in the file
     double at_s = 0;    // after the first phase began
     double back_s = 1;  // until what ended is started again, or until the outage is over
     std::string which;  // a controller's label, or "leader"; a zone; a rack's number
@@ -72,32 +76,27 @@
     std::vector<Phase> phases;
     std::vector<Fault> faults;
 
-    std::uint32_t slots() const;    // tasks that fit into one machine
-    double base_tasks() const;      // replicas of services, in all
-    double turnover_run_s() const;  // mean run time of what comes and goes
-    double highest_rate() const;    // starts a worker and second
-    double phases_s() const;
-    // Ports, from the base. Hosts are addresses on loopback.
-    std::string kv_store_addr() const;
-    std::string cloud_addr() const;
-    std::string load_control_addr() const;
-    std::string infrastructure_control_addr() const;
-    std::string worker_control_addr(std::uint32_t process) const;
-    std::string controller_addr(std::uint32_t k) const;
-    std::string peer_addr(std::uint32_t k) const;
-    std::string worker_addr(std::uint64_t number) const;
-    static std::string controller_label(std::uint32_t k) { return "berth-" + std::to_string(k); }
-    std::string zone_of_controller(std::uint32_t k) const { return zones[k % zones.size()]; }
-    std::string controller_settings(std::uint32_t k) const;  // TOML
-    std::string operator_settings() const;                   // protobuf text format
-};
+    [[nodiscard]] std::uint32_t slots() const;      // tasks that fit into one machine
+    [[nodiscard]] double base_tasks() const;        // replicas of services, in all
+    [[nodiscard]] double turnover_run_s() const;    // mean run time of what comes and goes
+    [[nodiscard]] double highest_rate() const;      // starts a worker and second
+    [[nodiscard]] double phases_s() const;          // all together
+    [[nodiscard]] double equal_share_cpus() const;  // of one team, if all had the same
+
+    // Addresses on loopback; ports from the base.
+    [[nodiscard]] std::string kv_store_addr() const;
+    [[nodiscard]] std::string cloud_addr() const;
+    [[nodiscard]] std::string load_control_addr() const;
+    [[nodiscard]] std::string infrastructure_control_addr() const;
+    [[nodiscard]] std::string worker_control_addr(std::uint32_t process) const;
+    [[nodiscard]] std::string controller_addr(std::uint32_t index) const;
+    [[nodiscard]] std::string peer_addr(std::uint32_t index) const;
+    [[nodiscard]] std::string worker_addr(std::uint64_t number) const;
 
-struct Override {
-    std::string key, value;  // key: workers or load.teams
+    static std::string controller_label(std::uint32_t index) { return "berth-" + std::to_string(index); }
+    [[nodiscard]] std::string zone_of_controller(std::uint32_t index) const {
+        return zones[index % zones.size()];
+    }
 };
-// Throws ExperimentError.
-Experiment parse_experiment(const std::string& text, const std::string& file,
-                            const std::vector<Override>& overrides = {});
-Experiment load_experiment(const std::string& file, const std::vector<Override>& overrides = {});
 
 }  // namespace coralhitch::scale
--- a/scale/load/load_generator.cpp
+++ b/scale/load/load_generator.cpp
@@ -26,7 +26,7 @@
 verification::Rules rules_of(const Experiment& e) {
     verification::Rules r;
     r.cancel_s = e.worker.cancel_s;
-    double share = static_cast<double>(e.workers) * e.slots() / e.load.teams;
+    double share = e.equal_share_cpus();
     for (std::uint32_t t = 0; t < e.load.teams; ++t) r.teams["team-" + std::to_string(t)] = {share * 4, 0};
     if (e.load.tight_cpus > 0) r.teams["team-tight"] = {e.load.tight_cpus, 0};
     return r;
--- a/scale/process/child_process.cpp
+++ b/scale/process/child_process.cpp
@@ -14,7 +14,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "scale/config/experiment.hpp"
+#include "scale/config/experiment_error.hpp"
 
 namespace coralhitch::scale {
 namespace {
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -12,6 +12,7 @@
 
 #include "http/address.hpp"
 #include "protocol/protocol.hpp"
+#include "scale/config/controller_settings.hpp"
 #include "scale/process/child_process.hpp"
 #include "scale/process/control_server.hpp"
 #include "scale/report/controller_metrics.hpp"
@@ -155,7 +156,7 @@
         roles_.push_back(std::make_unique<ChildProcess>(name, arguments, log_file(name)));
     };
     // Each is there before those that call it.
-    write_file(options_.directory + "/operator.textproto", experiment_.operator_settings());
+    write_file(options_.directory + "/operator.textproto", operator_settings(experiment_));
     controllers_.resize(experiment_.controllers);
     role("users", {"users"});
     wait_for(experiment_.load_control_addr(), "/stats", [this, role] {
@@ -177,7 +178,7 @@
 void ExperimentRunner::start_controller(std::uint32_t k) {
     auto name = Experiment::controller_label(k);
     auto settings = options_.directory + "/" + name + ".toml";
-    write_file(settings, experiment_.controller_settings(k));
+    write_file(settings, controller_settings(experiment_, k));
     auto& c = controllers_[k];
     c.child = std::make_unique<ChildProcess>(
         name,
--- a/scale/runner/experiment_runner.hpp
+++ b/scale/runner/experiment_runner.hpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "scale/config/experiment.hpp"
+#include "scale/config/experiment_file.hpp"
 
 namespace coralhitch::scale {
 
--- a/scale/tests/experiment_test.cpp
+++ b/scale/tests/experiment_test.cpp
@@ -1,11 +1,11 @@
 // What an experiment's file may hold, and that all else is refused by name.
-#include "scale/config/experiment.hpp"
-
 #include <gtest/gtest.h>
 
 #include <set>
 
 #include "config/settings.hpp"
+#include "scale/config/controller_settings.hpp"
+#include "scale/config/experiment_file.hpp"
 #include "scale/load/latency_histograms.hpp"
 #include "scale/report/summary.hpp"
 
@@ -74,11 +74,11 @@
 // The controllers themselves read them.
 TEST(Experiment, SettingsOfControllersAreTaken) {
     auto e = parse_experiment(good, "f", {{"port_base", "20000"}, {"load.tight_cpus", "3"}});
-    auto s = config::parse_settings(e.controller_settings(1), "settings");
+    auto s = config::parse_settings(controller_settings(e, 1), "settings");
     EXPECT_EQ(s.label, "berth-1");
     EXPECT_EQ(s.peers.size(), 2u);
     EXPECT_EQ(s.teams.back().cpus_max, 3);
-    EXPECT_EQ(config::parse_operator(e.operator_settings(), "operator").max_machines, 30u);
+    EXPECT_EQ(config::parse_operator(operator_settings(e), "operator").max_machines, 30u);
 }
 TEST(Complaints, NameBrokenRulesAndWorkThatWasNotDone) {
     nlohmann::json end{{"broken", nlohmann::json::array()},
