--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -10,6 +10,8 @@
 
 #include "scale/process/child_process.hpp"
 #include "scale/process/control_server.hpp"
+#include "scale/report/result_table.hpp"
+#include "scale/report/run_failures.hpp"
 #include "scale/report/summary.hpp"
 #include "scale/runner/experiment_runner.hpp"
 
@@ -82,9 +84,9 @@
         options.overrides = overrides_of(texts);
         options.quiet = a.quiet;
         auto measured = run_experiment(load_experiment(a.file, options.overrides), options);
-        auto result = summary(measured);
+        auto result = summarize(measured);
         print_table(std::cout, result);
-        for (auto& c : complaints(result)) {
+        for (auto& c : run_failures(result)) {
             std::cerr << "coralhitch-scale: " << c << "\n";
             failed = 1;
         }
--- /dev/null
+++ b/scale/report/result_table.hpp
@@ -0,0 +1,11 @@
+// The result of a run as text for a terminal.
+#pragma once
+#include <nlohmann/json.hpp>
+#include <ostream>
+
+namespace coralhitch::scale {
+
+// `summary`: what summarize() gave.
+void print_table(std::ostream& out, const nlohmann::json& summary);
+
+}  // namespace coralhitch::scale
--- a/scale/report/summary.hpp
+++ b/scale/report/summary.hpp
@@ -1,14 +1,11 @@
-// From snapshots to figures: what each role used and said in each phase.
+// The result of a run: rates by phase and process, latencies by class of work, broken rules.
 #pragma once
 #include <nlohmann/json.hpp>
-#include <ostream>
 
 namespace coralhitch::scale {
 
-// Of what run_experiment() gave: rates by phase and role, latencies by class of work, rules broken.
-nlohmann::json summary(const nlohmann::json& measured);
-void print_table(std::ostream& out, const nlohmann::json& summary);
-// What makes a run a failure: broken rules, no work done. Empty: nothing.
-std::vector<std::string> complaints(const nlohmann::json& summary);
+// Of what run_experiment() gave. Its field names are an interface: docs/capacity holds results of all
+// versions, and slopes.py reads them.
+nlohmann::json summarize(const nlohmann::json& measured);
 
 }  // namespace coralhitch::scale
--- a/scale/tests/experiment_test.cpp
+++ b/scale/tests/experiment_test.cpp
@@ -7,7 +7,7 @@
 #include "scale/config/controller_settings.hpp"
 #include "scale/config/experiment_file.hpp"
 #include "scale/load/latency_histograms.hpp"
-#include "scale/report/summary.hpp"
+#include "scale/report/run_failures.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -80,20 +80,20 @@
     EXPECT_EQ(s.teams.back().cpus_max, 3);
     EXPECT_EQ(config::parse_operator(operator_settings(e), "operator").max_machines, 30u);
 }
-TEST(Complaints, NameBrokenRulesAndWorkThatWasNotDone) {
+TEST(RunFailures, NameBrokenRulesAndWorkThatWasNotDone) {
     nlohmann::json end{{"broken", nlohmann::json::array()},
                        {"tasks_begun", 5},
                        {"tasks_done", 4},
                        {"done", 2},
                        {"refused", 0}};
-    EXPECT_TRUE(complaints({{"end", end}}).empty());
+    EXPECT_TRUE(run_failures({{"end", end}}).empty());
     for (auto* zero : {"tasks_begun", "tasks_done", "done"}) {
         auto worse = end;
         worse[zero] = 0;
-        EXPECT_EQ(complaints({{"end", worse}}).size(), 1u) << zero;
+        EXPECT_EQ(run_failures({{"end", worse}}).size(), 1u) << zero;
     }
     end["broken"] = {"1.0 ran_twice j-1/0", "2.0 quota j-2/0"};
-    EXPECT_EQ(complaints({{"end", end}}).size(), 2u);
+    EXPECT_EQ(run_failures({{"end", end}}).size(), 2u);
 }
 TEST(LatencyHistograms, PercentilesAreWithinATwentieth) {
     LatencyHistograms l;
