--- a/scale/cloud/infrastructure_process.cpp
+++ b/scale/cloud/infrastructure_process.cpp
@@ -1,22 +1,24 @@
 // The process that holds the key-value store and the cloud.
 #include <spdlog/spdlog.h>
 
+#include <nlohmann/json.hpp>
+
 #include "scale/cloud/simulated_cloud.hpp"
 #include "scale/kv/in_memory_kv_store.hpp"
 #include "scale/process/control_server.hpp"
-#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/process/process_roles.hpp"
+#include "scale/process/timer_lateness.hpp"
+#include "scale/protocol/cloud_messages.hpp"
 
 namespace coralhitch::scale {
 namespace {
 using nlohmann::json;
 
-constexpr double control_timeout_s = 30;
-
 // MachineHosts live in the workers' processes: the n-th machine in process n modulo their number.
 class RemoteMachineHosts : public MachineHosts {
   public:
     RemoteMachineHosts(event_loop::EventLoop& loop, const Experiment& e)
-        : experiment_(e), http_(loop, control_limits()) {}
+        : experiment_(e), http_(loop, control_client_limits()) {}
     void up(const protocol::Host& h) override {
         json body{{"id", h.id}, {"addr", h.addr}, {"type", h.type}, {"zone", h.zone}, {"spot", h.spot}};
         tell(process_of(h.id), "/up", body.dump(), [] {});
@@ -93,14 +95,14 @@
     http::Server cloud_server(loop, e.cloud_addr(), {}, [&](http::Request r, http::Reply reply) {
         cloud.handle(std::move(r), std::move(reply));
     });
-    auto control =
-        control_server(loop, e.infrastructure_control_addr(), [&](const http::Request& r, http::Reply reply) {
+    auto control = control_server(
+        loop, e.infrastructure_control_addr(), [&](const http::Request& r, const http::Reply& reply) {
             if (r.target == "/fault")
                 return reply({200, json{{"machines", make_fault(json::parse(r.body), state, cloud)}}.dump()});
             json out{{"state", counts_json(state.counts())},
                      {"cloud", counts_json(cloud.counts())},
                      {"machines", cloud.alive()},
-                     {"lateness_s", lateness.most_s()},
+                     {"lateness_s", lateness.longest_s()},
                      {"late", lateness.over_100_ms()},
                      {"leader", state.value("leader")},
                      {"state_bytes", state.bytes_by_kind()},
--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -3,7 +3,8 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/protocol/cloud_messages.hpp"
+#include "scale/protocol/query_parameter.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -66,7 +67,7 @@
 }
 
 http::Response SimulatedCloud::rent(const http::Request& r) {
-    auto want = messages::parse_rent(r.body);
+    auto want = messages::parse_create_request(r.body);
     auto known = std::find(experiment_.zones.begin(), experiment_.zones.end(), want.zone);
     if (want.type != type().name || known == experiment_.zones.end() || want.count == 0 ||
         want.count > most_rented)
@@ -120,7 +121,7 @@
 }
 http::Response SimulatedCloud::list(const std::string& target) {
     ++counts_.lists;
-    auto since = messages::query(target, "since"), limit_text = messages::query(target, "limit");
+    auto since = query_parameter(target, "since"), limit_text = query_parameter(target, "limit");
     std::size_t limit = limit_text.empty() ? page : std::min<std::size_t>(page, std::stoul(limit_text));
     double lag = experiment_.cloud.list_lag_s * std::uniform_real_distribution<double>(0.5, 1)(random_);
     double t = timers_.now() - lag;
--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 
-#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/protocol/kv_messages.hpp"
+#include "scale/protocol/query_parameter.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -74,15 +75,15 @@
     }
     if (r.target == protocol::paths::txn) {
         ++counts_.txns;
-        return transaction(messages::parse_txn(r.body), r.body.size());
+        return transaction(messages::parse_transaction(r.body), r.body.size());
     }
     if (r.target.starts_with(protocol::paths::leases)) return lease_call(r);
     return {404, "{}"};
 }
 
 http::Response InMemoryKvStore::list(const std::string& target) const {
-    auto prefix = messages::query(target, "starts"), since = messages::query(target, "since");
-    auto limit_text = messages::query(target, "limit");
+    auto prefix = query_parameter(target, "starts"), since = query_parameter(target, "since");
+    auto limit_text = query_parameter(target, "limit");
     std::size_t limit =
         limit_text.empty() ? page_items : std::min<std::size_t>(page_items, std::stoul(limit_text));
     auto it = since.empty() ? items_.lower_bound(prefix) : items_.upper_bound(std::max(since, prefix));
@@ -194,9 +195,9 @@
 void InMemoryKvStore::open_watch(const std::string& target, http::Reply reply) {
     Watch w;
     try {
-        w.prefix = messages::query(target, "starts");
-        w.since = std::stoull(messages::query(target, "since"));
-        auto hold = messages::query(target, "hold_ms");
+        w.prefix = query_parameter(target, "starts");
+        w.since = std::stoull(query_parameter(target, "since"));
+        auto hold = query_parameter(target, "hold_ms");
         w.until = timers_.now() + std::min(longest_hold_s, hold.empty() ? 0 : std::stod(hold) / 1000);
     } catch (const std::exception&) {
         return answer(reply, {400, "{}"});
--- a/scale/load/load_generator.cpp
+++ b/scale/load/load_generator.cpp
@@ -2,10 +2,13 @@
 
 #include <algorithm>
 #include <cstdio>
+#include <nlohmann/json.hpp>
 
 #include "scale/process/control_server.hpp"
-#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/process/process_roles.hpp"
+#include "scale/process/timer_lateness.hpp"
 #include "scale/protocol/message_sizes.hpp"
+#include "scale/protocol/user_messages.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -13,7 +16,7 @@
 // The protocol's own figures.
 constexpr double submit_timeout_s = 5, poll_timeout_s = 2, least_retry_s = 1, most_retry_s = 30,
                  retries_for_s = 60;
-constexpr double control_timeout_s = 30, spread_services_s = 5;
+constexpr double spread_services_s = 5;
 constexpr std::size_t connections = 3000, kept_connections = 500;
 constexpr const char* unknown_job = "j-999999999";
 
@@ -83,7 +86,7 @@
       experiment_(e),
       random_(e.seed * 13 + 5),
       http_(loop, user_limits()),
-      control_(loop, control_limits()),
+      control_(loop, control_client_limits()),
       balancer_(loop, http_, e),
       gangs_(loop, control_, e),
       checker_(rules_of(e)),
@@ -393,7 +396,7 @@
     TimerLateness lateness(loop);
     LoadGenerator users(loop, e);
     auto control =
-        control_server(loop, e.load_control_addr(), [&](const http::Request& r, http::Reply reply) {
+        control_server(loop, e.load_control_addr(), [&](const http::Request& r, const http::Reply& reply) {
             if (r.target == "/observed") {
                 users.observed(json::parse(r.body));
                 return reply({200, "{}"});
@@ -405,7 +408,7 @@
             if (r.target == "/begin") users.begin();
             if (r.target == "/phase") users.phase(json::parse(r.body).at("name").get<std::string>());
             auto out = users.stats();
-            out["lateness_s"] = lateness.most_s();
+            out["lateness_s"] = lateness.longest_s();
             out["late"] = lateness.over_100_ms();
             reply({200, out.dump()});
         });
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 
 #include "scale/process/child_process.hpp"
-#include "scale/process/control_server.hpp"
+#include "scale/process/process_roles.hpp"
 #include "scale/report/result_table.hpp"
 #include "scale/report/run_failures.hpp"
 #include "scale/report/summary.hpp"
--- a/scale/process/control_server.cpp
+++ b/scale/process/control_server.cpp
@@ -1,42 +1,34 @@
 #include "scale/process/control_server.hpp"
 
-#include <algorithm>
+#include <nlohmann/json.hpp>
 
 namespace coralhitch::scale {
 namespace {
-constexpr double look_every_s = 0.1, late_s = 0.1;
-constexpr std::size_t control_body = 64 << 20;
+constexpr std::size_t largest_body = std::size_t{64} << 20;
+constexpr double idle_timeout_s = 3600, request_timeout_s = 60;
 }  // namespace
 
-void TimerLateness::arm() {
-    double due = loop_.now() + look_every_s;
-    loop_.after(look_every_s, [this, due] {
-        double late = loop_.now() - due;
-        most_ = std::max(most_, late);
-        late_ += late > late_s;
-        arm();
-    });
-}
-
 std::unique_ptr<http::Server> control_server(event_loop::EventLoop& loop, const std::string& addr,
-                                             Control control) {
+                                             ControlHandler handler) {
     http::ServerLimits limits;
-    limits.message.body = control_body;
-    limits.idle_s = 3600;
-    limits.request_s = 60;
-    return std::make_unique<http::Server>(loop, addr, limits, [control](http::Request r, http::Reply reply) {
+    limits.message.body = largest_body;
+    limits.idle_s = idle_timeout_s;
+    limits.request_s = request_timeout_s;
+    auto serve = [handler = std::move(handler)](const http::Request& request, const http::Reply& reply) {
         try {
-            control(r, reply);
-        } catch (const std::exception& e) {
-            reply({500, nlohmann::json{{"error", e.what()}}.dump()});
+            handler(request, reply);
+        } catch (const std::exception& error) {
+            reply({500, nlohmann::json{{"error", error.what()}}.dump()});
         }
-    });
+    };
+    return std::make_unique<http::Server>(loop, addr, limits, std::move(serve));
 }
-http::ClientLimits control_limits() {
-    http::ClientLimits l;
-    l.response = control_body;
-    l.idle_s = 3600;
-    return l;
+
+http::ClientLimits control_client_limits() {
+    http::ClientLimits limits;
+    limits.response = largest_body;
+    limits.idle_s = idle_timeout_s;
+    return limits;
 }
 
 }  // namespace coralhitch::scale
--- a/scale/process/control_server.hpp
+++ b/scale/process/control_server.hpp
@@ -1,39 +1,38 @@
-// What all processes of an experiment have in common: a loop, a server that the driver asks, and a measure of
-// how late the process itself is.
+// How the processes of an experiment speak with each other beside the service's own protocol: HTTP with JSON.
 #pragma once
-#include <map>
-#include <nlohmann/json.hpp>
+#include <functional>
+#include <memory>
+#include <string>
+#include <string_view>
 
 #include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
-#include "scale/config/experiment.hpp"
 
 namespace coralhitch::scale {
 
-// How late timers fire: a hollow process that lacks processor time would otherwise look like a slow service.
-class TimerLateness {
-  public:
-    explicit TimerLateness(event_loop::EventLoop& loop) : loop_(loop) { arm(); }
-    double most_s() const { return most_; }
-    std::uint64_t over_100_ms() const { return late_; }
+// Targets of the control servers. All answer 200 with a JSON object, or 500 with the error.
+namespace control_paths {
+// Every process.
+inline constexpr std::string_view stats = "/stats";
+// The load process.
+inline constexpr std::string_view begin = "/begin", phase = "/phase", worker_events = "/observed",
+                                  task_spec = "/spec/";  // and a job's id
+// Worker processes.
+inline constexpr std::string_view machine_up = "/up", remove_machines = "/remove",
+                                  silence_machines = "/silence", gang = "/gang";
+// The infrastructure process.
+inline constexpr std::string_view fault = "/fault";
+}  // namespace control_paths
 
-  private:
-    void arm();
-    event_loop::EventLoop& loop_;
-    double most_ = 0;
-    std::uint64_t late_ = 0;
-};
+inline constexpr double control_timeout_s = 30;
 
-using Control = std::function<void(const http::Request&, http::Reply)>;
-// Answers are JSON; a handler that throws answers 500 with the text.
-std::unique_ptr<http::Server> control_server(event_loop::EventLoop& loop, const std::string& addr,
-                                             Control control);
-http::ClientLimits control_limits();
+using ControlHandler = std::function<void(const http::Request&, const http::Reply&)>;
 
-// Each runs until it is killed.
-int run_infrastructure_process(const Experiment& experiment);
-int run_worker_process(const Experiment& experiment, std::uint32_t process);
-int run_load_process(const Experiment& experiment);
+// A handler that throws answers 500 with the text.
+std::unique_ptr<http::Server> control_server(event_loop::EventLoop& loop, const std::string& addr,
+                                             ControlHandler handler);
+// Of clients that speak with control servers.
+http::ClientLimits control_client_limits();
 
 }  // namespace coralhitch::scale
--- a/scale/protocol/message_sizes.hpp
+++ b/scale/protocol/message_sizes.hpp
@@ -1,21 +1,32 @@
 // Bytes of messages as the project's client and server write them, without the headers of TCP and IP.
 #pragma once
 #include <cstdint>
+#include <string>
+#include <string_view>
 
 #include "http/message.hpp"
 
 namespace coralhitch::scale {
 
-inline std::uint64_t request_bytes(const std::string& addr, const http::Request& r) {
-    // "METHOD target HTTP/1.1\r\nHost: addr\r\n\r\n", and for a body its type and length.
-    std::uint64_t n = r.method.size() + 1 + r.target.size() + 11 + 6 + addr.size() + 4;
-    if (r.method == "POST") n += 16 + r.type.size() + 18 + std::to_string(r.body.size()).size();
-    return n + r.body.size();
+// "\r\nContent-Type: TYPE\r\nContent-Length: LENGTH".
+inline std::uint64_t body_header_bytes(const std::string& type, const std::string& body) {
+    constexpr std::string_view type_start = "\r\nContent-Type: ", length_start = "\r\nContent-Length: ";
+    return type_start.size() + type.size() + length_start.size() + std::to_string(body.size()).size();
 }
-inline std::uint64_t response_bytes(const http::Response& r) {
-    // "HTTP/1.1 200 OK\r\nContent-Type: ...\r\nContent-Length: ...\r\n\r\n"; other reasons are some bytes
-    // longer.
-    return 15 + 16 + r.type.size() + 18 + std::to_string(r.body.size()).size() + 4 + r.body.size();
+
+inline std::uint64_t request_bytes(const std::string& addr, const http::Request& request) {
+    constexpr std::string_view version_and_host = " HTTP/1.1\r\nHost: ", end = "\r\n\r\n";
+    std::uint64_t bytes = request.method.size() + 1 + request.target.size() + version_and_host.size() +
+                          addr.size() + end.size() + request.body.size();
+    if (request.method == "POST") bytes += body_header_bytes(request.type, request.body);
+    return bytes;
+}
+
+// Of an answer 200; reasons of other statuses are some bytes longer.
+inline std::uint64_t response_bytes(const http::Response& response) {
+    constexpr std::string_view status_line = "HTTP/1.1 200 OK", end = "\r\n\r\n";
+    return status_line.size() + body_header_bytes(response.type, response.body) + end.size() +
+           response.body.size();
 }
 
 }  // namespace coralhitch::scale
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -80,7 +80,7 @@
 class ExperimentRunner {
   public:
     ExperimentRunner(Experiment e, const RunOptions& o)
-        : experiment_(std::move(e)), options_(o), http_(loop_, control_limits()) {}
+        : experiment_(std::move(e)), options_(o), http_(loop_, control_client_limits()) {}
     json run();
 
   private:
@@ -192,7 +192,7 @@
     auto& c = controllers_[k];
     if (c.down || !c.child) return;
     c.down = true;
-    c.child->end();
+    c.child->kill_and_wait();
     auto used = c.child->usage();
     c.cpu_before_s += used.cpu_s;
     c.peak_bytes = std::max(c.peak_bytes, used.peak_bytes);
@@ -216,8 +216,8 @@
     std::uint64_t memory = 0;
     auto check = [&](ChildProcess& child) {
         if (child.has_ended())
-            return stop(child.name() + " ended " + child.how() + "; its last lines:\n" +
-                        tail(child.log(), 5));
+            return stop(child.name() + " ended " + child.end_reason() + "; its last lines:\n" +
+                        last_lines(child.log(), 5));
         memory += child.usage().rss_bytes;
     };
     for (auto& r : roles_) check(*r);
@@ -424,8 +424,8 @@
     loop_.run();
     // All are ended here, by their pids, and by their destructors when something throws.
     for (auto& c : controllers_)
-        if (c.child) c.child->end();
-    for (auto& r : roles_) r->end();
+        if (c.child) c.child->kill_and_wait();
+    for (auto& r : roles_) r->kill_and_wait();
     loop_.unwatch(signals.get());
     ::sigprocmask(SIG_UNBLOCK, &interrupts, nullptr);
     if (!failure_.empty()) throw ExperimentError(failure_);
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "scale/protocol/counterpart_messages.hpp"
 #include "scale/protocol/message_sizes.hpp"
+#include "scale/protocol/worker_messages.hpp"
 
 namespace coralhitch::scale {
 namespace {
@@ -92,7 +92,7 @@
     r.token = token_;
     for (auto& [key, task] : tasks_)
         r.tasks.push_back({key.first, key.second, task.state, task.cause, false});
-    return messages::report_body(r);
+    return messages::heartbeat_body(r);
 }
 void HollowWorker::send_report() {
     auto& e = site_.experiment();
@@ -135,7 +135,7 @@
     c.answer_bytes += response_bytes(*response);
     if (response->status == 421) {
         ++c.redirected;
-        auto named = messages::parse_elsewhere(response->body);
+        auto named = messages::parse_redirect(response->body);
         for (std::uint32_t k = 0; named && k < site_.experiment().controllers; ++k)
             if (*named == Experiment::controller_label(k) && k != controller_) {
                 controller_ = k;
--- a/scale/workers/worker_process.cpp
+++ b/scale/workers/worker_process.cpp
@@ -2,17 +2,20 @@
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
+#include <nlohmann/json.hpp>
 #include <set>
 
 #include "scale/process/control_server.hpp"
-#include "scale/protocol/counterpart_messages.hpp"
+#include "scale/process/process_roles.hpp"
+#include "scale/process/timer_lateness.hpp"
+#include "scale/protocol/cloud_messages.hpp"
 #include "scale/workers/hollow_worker.hpp"
 
 namespace coralhitch::scale {
 namespace {
 using nlohmann::json;
 
-constexpr double tell_every_s = 0.1, control_timeout_s = 30, bury_after_s = 1, tell_again_s = 0.5;
+constexpr double tell_every_s = 0.1, bury_after_s = 1, tell_again_s = 0.5;
 constexpr int tell_tries = 10;
 
 class WorkerProcess : public WorkerContext {
@@ -22,7 +25,7 @@
           experiment_(e),
           process_(process),
           random_(e.seed * 31 + process),
-          http_(loop, control_limits()) {
+          http_(loop, control_client_limits()) {
         loop_.after(tell_every_s, [this] { tell(); });
     }
     event_loop::EventLoop& loop() override { return loop_; }
@@ -154,25 +157,25 @@
     event_loop::EventLoop loop;
     TimerLateness lateness(loop);
     WorkerProcess site(loop, e, process);
-    auto control =
-        control_server(loop, e.worker_control_addr(process), [&](const http::Request& r, http::Reply reply) {
-            if (r.target == "/stats") {
-                auto out = site.stats();
-                out["lateness_s"] = lateness.most_s();
-                out["late"] = lateness.over_100_ms();
-                return reply({200, out.dump()});
-            }
-            auto j = json::parse(r.body);
-            if (r.target == "/up")
-                site.up({j.at("id"), j.at("addr"), j.at("type"), j.at("zone"), j.at("spot"),
-                         protocol::HostState::running, 0});
-            if (r.target == "/remove")
-                for (auto& id : messages::parse_machines(r.body)) site.remove(id);
-            if (r.target == "/silence")
-                for (auto& id : messages::parse_machines(r.body)) site.silence(id);
-            if (r.target == "/gang") site.gang(j);
-            reply({200, "{}"});
-        });
+    auto control = control_server(loop, e.worker_control_addr(process),
+                                  [&](const http::Request& r, const http::Reply& reply) {
+                                      if (r.target == "/stats") {
+                                          auto out = site.stats();
+                                          out["lateness_s"] = lateness.longest_s();
+                                          out["late"] = lateness.over_100_ms();
+                                          return reply({200, out.dump()});
+                                      }
+                                      auto j = json::parse(r.body);
+                                      if (r.target == "/up")
+                                          site.up({j.at("id"), j.at("addr"), j.at("type"), j.at("zone"),
+                                                   j.at("spot"), protocol::HostState::running, 0});
+                                      if (r.target == "/remove")
+                                          for (auto& id : messages::parse_machines(r.body)) site.remove(id);
+                                      if (r.target == "/silence")
+                                          for (auto& id : messages::parse_machines(r.body)) site.silence(id);
+                                      if (r.target == "/gang") site.gang(j);
+                                      reply({200, "{}"});
+                                  });
     loop.run();
     return 0;
 }
