--- a/scale/cloud/infrastructure_process.cpp
+++ b/scale/cloud/infrastructure_process.cpp
@@ -1,115 +1,99 @@
 // The process that holds the key-value store and the cloud.
-#include <spdlog/spdlog.h>
-
 #include <nlohmann/json.hpp>
+#include <stdexcept>
 
+#include "http/server.hpp"
+#include "scale/cloud/remote_machine_hosts.hpp"
 #include "scale/cloud/simulated_cloud.hpp"
 #include "scale/kv/in_memory_kv_store.hpp"
 #include "scale/process/control_server.hpp"
 #include "scale/process/process_roles.hpp"
 #include "scale/process/timer_lateness.hpp"
-#include "scale/protocol/cloud_messages.hpp"
 
 namespace coralhitch::scale {
 namespace {
 using nlohmann::json;
 
-// MachineHosts live in the workers' processes: the n-th machine in process n modulo their number.
-class RemoteMachineHosts : public MachineHosts {
+json to_json(const InMemoryKvStore::Counts& counts) {
+    return {{"requests", counts.requests},  {"reads", counts.reads},       {"watches", counts.watches},
+            {"renewals", counts.renewals},  {"txns", counts.transactions}, {"conflicts", counts.conflicts},
+            {"changes", counts.changes},    {"refused", counts.refused},   {"bytes_in", counts.bytes_in},
+            {"bytes_out", counts.bytes_out}};
+}
+json to_json(const SimulatedCloud::Counts& counts) {
+    return {{"requests", counts.requests},       {"refused", counts.refused},    {"lists", counts.lists},
+            {"no_capacity", counts.no_capacity}, {"rented", counts.created},     {"deleted", counts.deleted},
+            {"bytes_in", counts.bytes_in},       {"bytes_out", counts.bytes_out}};
+}
+
+class Infrastructure {
   public:
-    RemoteMachineHosts(event_loop::EventLoop& loop, const Experiment& e)
-        : experiment_(e), http_(loop, control_client_limits()) {}
-    void up(const protocol::Host& h) override {
-        json body{{"id", h.id}, {"addr", h.addr}, {"type", h.type}, {"zone", h.zone}, {"spot", h.spot}};
-        tell(process_of(h.id), "/up", body.dump(), [] {});
-    }
-    void remove(const std::vector<std::string>& ids, std::function<void()> done) override {
-        each(ids, "/remove", std::move(done));
-    }
-    void silence(const std::vector<std::string>& ids) override {
-        each(ids, "/silence", [] {});
+    Infrastructure(event_loop::EventLoop& loop, const Experiment& experiment)
+        : lateness_(loop),
+          hosts_(loop, experiment),
+          kv_store_(loop, experiment.kv_store, experiment.seed * 5 + 1),
+          cloud_(loop, experiment, hosts_) {}
+
+    InMemoryKvStore& kv_store() { return kv_store_; }
+    SimulatedCloud& cloud() { return cloud_; }
+
+    void handle_control(const http::Request& request, const http::Reply& reply) {
+        if (request.target == control_paths::fault) {
+            auto machines = inject_fault(json::parse(request.body));
+            return reply({200, json{{"machines", machines}}.dump()});
+        }
+        reply({200, stats().dump()});
     }
 
   private:
-    std::uint32_t process_of(const std::string& id) const {
-        return static_cast<std::uint32_t>(std::stoul(id.substr(id.find('-') + 1)) %
-                                          experiment_.worker_processes);
+    // Returns how many machines failed.
+    std::size_t inject_fault(const json& fault) {
+        auto kind = fault.at("kind").get<std::string>();
+        if (kind == "zone")
+            return cloud_.fail_zone(fault.at("which").get<std::string>(), fault.at("back_s").get<double>());
+        if (kind == "rack") return cloud_.fail_rack();
+        if (kind == "machines") return cloud_.fail_machines(fault.at("machines").get<std::size_t>());
+        if (kind == "state_outage") {
+            kv_store_.begin_outage(fault.at("back_s").get<double>());
+            return 0;
+        }
+        throw std::runtime_error("no such fault");
     }
-    void tell(std::uint32_t process, const std::string& path, std::string body, std::function<void()> done) {
-        http_.send(experiment_.worker_control_addr(process), {"POST", path, std::move(body)},
-                   control_timeout_s, [done](std::optional<http::Response> r) {
-                       if (!r || r->status != 200)
-                           spdlog::error("cloud: a process of workers gave no answer");
-                       done();
-                   });
+    [[nodiscard]] json stats() const {
+        return {{"state", to_json(kv_store_.counts())},
+                {"cloud", to_json(cloud_.counts())},
+                {"machines", cloud_.usable_machines()},
+                {"lateness_s", lateness_.longest_s()},
+                {"late", lateness_.over_100_ms()},
+                {"leader", kv_store_.value("leader")},
+                {"state_bytes", kv_store_.bytes_by_key_space()},
+                {"state_keys", kv_store_.keys_by_key_space()},
+                {"state_changes", kv_store_.changes_by_key_space()}};
     }
-    void each(const std::vector<std::string>& ids, const std::string& path, std::function<void()> done) {
-        std::map<std::uint32_t, std::vector<std::string>> by_process;
-        for (auto& id : ids) by_process[process_of(id)].push_back(id);
-        if (by_process.empty()) return done();
-        auto left = std::make_shared<std::size_t>(by_process.size());
-        for (auto& [process, some] : by_process)
-            tell(process, path, messages::machines_body(some), [left, done] {
-                if (--*left == 0) done();
-            });
-    }
-    const Experiment& experiment_;
-    http::Client http_;
-};
 
-json counts_json(const InMemoryKvStore::Counts& c) {
-    return {{"requests", c.requests},  {"reads", c.reads},     {"watches", c.watches},
-            {"renewals", c.renewals},  {"txns", c.txns},       {"conflicts", c.conflicts},
-            {"changes", c.changes},    {"refused", c.refused}, {"bytes_in", c.bytes_in},
-            {"bytes_out", c.bytes_out}};
-}
-json counts_json(const SimulatedCloud::Counts& c) {
-    return {{"requests", c.requests},       {"refused", c.refused},    {"lists", c.lists},
-            {"no_capacity", c.no_capacity}, {"rented", c.rented},      {"deleted", c.deleted},
-            {"bytes_in", c.bytes_in},       {"bytes_out", c.bytes_out}};
-}
+    TimerLateness lateness_;
+    RemoteMachineHosts hosts_;
+    InMemoryKvStore kv_store_;
+    SimulatedCloud cloud_;
+};
 
-std::size_t make_fault(const json& j, InMemoryKvStore& state, SimulatedCloud& cloud) {
-    auto kind = j.at("kind").get<std::string>();
-    if (kind == "zone")
-        return cloud.fail_zone(j.at("which").get<std::string>(), j.at("back_s").get<double>());
-    if (kind == "rack") return cloud.fail_rack();
-    if (kind == "machines") return cloud.fail_machines(j.at("machines").get<std::size_t>());
-    if (kind == "state_outage") {
-        state.outage(j.at("back_s").get<double>());
-        return 0;
-    }
-    throw std::runtime_error("no such fault");
-}
 }  // namespace
 
-int run_infrastructure_process(const Experiment& e) {
+int run_infrastructure_process(const Experiment& experiment) {
     event_loop::EventLoop loop;
-    TimerLateness lateness(loop);
-    RemoteMachineHosts machines(loop, e);
-    InMemoryKvStore state(loop, e.kv_store, e.seed * 5 + 1);
-    SimulatedCloud cloud(loop, e, machines);
-    http::Server state_server(loop, e.kv_store_addr(), {}, [&](http::Request r, http::Reply reply) {
-        state.handle(std::move(r), std::move(reply));
-    });
-    http::Server cloud_server(loop, e.cloud_addr(), {}, [&](http::Request r, http::Reply reply) {
-        cloud.handle(std::move(r), std::move(reply));
-    });
-    auto control = control_server(
-        loop, e.infrastructure_control_addr(), [&](const http::Request& r, const http::Reply& reply) {
-            if (r.target == "/fault")
-                return reply({200, json{{"machines", make_fault(json::parse(r.body), state, cloud)}}.dump()});
-            json out{{"state", counts_json(state.counts())},
-                     {"cloud", counts_json(cloud.counts())},
-                     {"machines", cloud.alive()},
-                     {"lateness_s", lateness.longest_s()},
-                     {"late", lateness.over_100_ms()},
-                     {"leader", state.value("leader")},
-                     {"state_bytes", state.bytes_by_kind()},
-                     {"state_keys", state.keys_by_kind()},
-                     {"state_changes", state.changes_by_kind()}};
-            reply({200, out.dump()});
-        });
+    Infrastructure infrastructure(loop, experiment);
+    http::Server kv_server(loop, experiment.kv_store_addr(), {},
+                           [&](const http::Request& request, const http::Reply& reply) {
+                               infrastructure.kv_store().handle(request, reply);
+                           });
+    http::Server cloud_server(loop, experiment.cloud_addr(), {},
+                              [&](const http::Request& request, const http::Reply& reply) {
+                                  infrastructure.cloud().handle(request, reply);
+                              });
+    auto control = control_server(loop, experiment.infrastructure_control_addr(),
+                                  [&](const http::Request& request, const http::Reply& reply) {
+                                      infrastructure.handle_control(request, reply);
+                                  });
     loop.run();
     return 0;
 }
--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -8,173 +8,217 @@
 
 namespace coralhitch::scale {
 namespace {
+
 // The protocol's own figures.
-constexpr std::size_t most_rented = 50, most_deleted = 100, page = 500;
-constexpr double dying_s = 30, burst_s = 2;
+constexpr std::size_t most_created = 50, most_deleted = 100, largest_page = 500;
+constexpr double failed_is_listed_after_s = 30, burst_s = 2;
+// A machine boots in this part to that multiple of its type's time.
+constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
+
+constexpr const char* machine_type_name = "hollow";
+
+std::string machine_name(std::uint64_t number) {
+    char name[32];
+    std::snprintf(name, sizeof name, "vm-%06llu", static_cast<unsigned long long>(number));
+    return name;
+}
+
 }  // namespace
 
-SimulatedCloud::SimulatedCloud(event_loop::Timers& timers, const Experiment& e, MachineHosts& machines)
+protocol::HostState SimulatedCloud::Machine::state_at(double time) const {
+    if (failed_at && time >= *failed_at + failed_is_listed_after_s) return protocol::HostState::failed;
+    return time >= up_at ? protocol::HostState::running : protocol::HostState::booting;
+}
+
+SimulatedCloud::SimulatedCloud(event_loop::Timers& timers, const Experiment& experiment, MachineHosts& hosts)
     : timers_(timers),
-      experiment_(e),
-      hollow_(machines),
-      random_(e.seed * 7 + 3),
-      requests_(e.cloud.rps, e.cloud.rps * burst_s) {}
+      experiment_(experiment),
+      hosts_(hosts),
+      random_(experiment.seed * 7 + 3),
+      request_budget_(experiment.cloud.rps, experiment.cloud.rps * burst_s) {}
 
 protocol::MachineType SimulatedCloud::type() const {
-    protocol::MachineType t;
-    t.name = "hollow";
-    double n = experiment_.slots();
-    t.room = {n, 0, n};
-    t.cache_gb = experiment_.worker.cache_gb;
-    t.fetch_gb_per_s = experiment_.worker.fetch_gb_per_s;
-    t.price = 1;
-    t.spot_price = 0.9;
-    t.boot_s = experiment_.worker.boot_s;
-    t.zones = experiment_.zones;
-    return t;
+    protocol::MachineType type;
+    type.name = machine_type_name;
+    double slots = experiment_.slots();
+    type.room = {slots, 0, slots};
+    type.cache_gb = experiment_.worker.cache_gb;
+    type.fetch_gb_per_s = experiment_.worker.fetch_gb_per_s;
+    type.price = 1;
+    type.spot_price = 0.9;
+    type.boot_s = experiment_.worker.boot_s;
+    type.zones = experiment_.zones;
+    return type;
 }
-std::size_t SimulatedCloud::alive() const {
-    std::size_t n = 0;
-    for (auto& [zone, count] : usable_in_zone_) n += count;
-    return n;
+std::size_t SimulatedCloud::usable_machines() const {
+    std::size_t sum = 0;
+    for (auto& [zone, count] : usable_in_zone_) sum += count;
+    return sum;
 }
 
+// --- Requests
+// -------------------------------------------------------------------------------------------------
+
 void SimulatedCloud::answer(const http::Reply& reply, http::Response response) {
     counts_.bytes_out += response.body.size();
     if (response.status == 429) ++counts_.refused;
-    double s = std::exponential_distribution<double>(1)(random_) * experiment_.cloud.latency_ms / 1000;
-    timers_.after(s, guard_([reply, response = std::move(response)] { reply(response); }));
+    double latency_s =
+        std::exponential_distribution<double>(1)(random_) * experiment_.cloud.latency_ms / 1000;
+    timers_.after(latency_s, guard_([reply, response = std::move(response)] { reply(response); }));
 }
-void SimulatedCloud::handle(http::Request request, http::Reply reply) {
+
+void SimulatedCloud::handle(const http::Request& request, const http::Reply& reply) {
     ++counts_.requests;
     counts_.bytes_in += request.target.size() + request.body.size();
     double now = timers_.now();
-    if (!requests_.has(now)) return answer(reply, {429, "{}"});
-    requests_.take(now);
+    if (!request_budget_.has(now)) return answer(reply, {429, "{}"});
+    request_budget_.take(now);
     try {
         execute(request, reply);
     } catch (const std::exception&) {
         answer(reply, {400, R"({"error":"malformed"})"});
     }
 }
-void SimulatedCloud::execute(const http::Request& r, const http::Reply& reply) {
-    if (r.target == protocol::paths::types)
+
+void SimulatedCloud::execute(const http::Request& request, const http::Reply& reply) {
+    if (request.target == protocol::paths::types)
         return answer(reply, {200, protocol::stored_types(std::vector{type()})});
-    if (r.target == protocol::paths::hosts_delete) return remove(messages::parse_machines(r.body), reply);
-    if (r.target == protocol::paths::hosts && r.method == "POST") return answer(reply, rent(r));
-    if (r.target.starts_with(protocol::paths::hosts)) return answer(reply, list(r.target));
+    if (request.target == protocol::paths::hosts_delete)
+        return remove(messages::parse_machines(request.body), reply);
+    if (request.target == protocol::paths::hosts && request.method == "POST")
+        return answer(reply, create(request));
+    if (request.target.starts_with(protocol::paths::hosts)) return answer(reply, list(request.target));
     answer(reply, {404, "{}"});
 }
 
-http::Response SimulatedCloud::rent(const http::Request& r) {
-    auto want = messages::parse_create_request(r.body);
-    auto known = std::find(experiment_.zones.begin(), experiment_.zones.end(), want.zone);
-    if (want.type != type().name || known == experiment_.zones.end() || want.count == 0 ||
-        want.count > most_rented)
+http::Response SimulatedCloud::create(const http::Request& request) {
+    auto wanted = messages::parse_create_request(request.body);
+    auto& zones = experiment_.zones;
+    bool zone_exists = std::find(zones.begin(), zones.end(), wanted.zone) != zones.end();
+    if (wanted.type != machine_type_name || !zone_exists || wanted.count == 0 || wanted.count > most_created)
         return {400, R"({"error":"malformed"})"};
-    if (auto it = rentals_.find(want.name); it != rentals_.end()) return {200, it->second};
+    if (auto it = answers_.find(wanted.name); it != answers_.end()) return {200, it->second};
     // Each zone has its share of the workers, rounded up, and all zones together no more than the workers.
-    std::size_t share = (experiment_.workers + experiment_.zones.size() - 1) / experiment_.zones.size();
-    std::size_t used = usable_in_zone_[want.zone], all = alive();
-    bool down = zone_back_[want.zone] > timers_.now();
-    if (down || used >= share || all >= experiment_.workers) {
+    std::size_t share = (experiment_.workers + zones.size() - 1) / zones.size();
+    std::size_t used_in_zone = usable_in_zone_[wanted.zone], used = usable_machines();
+    bool zone_is_down = zone_back_at_[wanted.zone] > timers_.now();
+    if (zone_is_down || used_in_zone >= share || used >= experiment_.workers) {
         ++counts_.no_capacity;
         return {503, R"({"error":"no capacity"})"};
     }
-    auto n = std::min<std::size_t>({want.count, share - used, experiment_.workers - all});
+    auto count = std::min<std::size_t>({wanted.count, share - used_in_zone, experiment_.workers - used});
     std::vector<std::string> names;
-    for (std::size_t k = 0; k < n; ++k) {
-        create(type(), want.zone, want.spot);
-        names.push_back(machines_.rbegin()->first);
-    }
-    counts_.rented += n;
-    return {200, rentals_[want.name] = messages::machines_body(names)};
+    for (std::size_t made = 0; made < count; ++made)
+        names.push_back(create_machine(wanted.zone, wanted.spot));
+    counts_.created += count;
+    return {200, answers_[wanted.name] = messages::machines_body(names)};
 }
-void SimulatedCloud::create(const protocol::MachineType& t, const std::string& zone, bool spot) {
-    char name[32];
-    std::snprintf(name, sizeof name, "vm-%06llu", static_cast<unsigned long long>(next_));
-    Machine m;
-    m.host = {name, experiment_.worker_addr(next_), t.name, zone, spot, protocol::HostState::booting, 0};
-    ++next_;
-    m.rack = in_zone_[zone]++ / experiment_.machines_a_rack;
-    m.rented_at = timers_.now();
-    m.up_at = m.rented_at + t.boot_s * std::uniform_real_distribution<double>(0.6, 1.5)(random_);
+
+std::string SimulatedCloud::create_machine(const std::string& zone, bool spot) {
+    auto name = machine_name(next_machine_);
+    Machine machine;
+    machine.host = {name,
+                    experiment_.worker_addr(next_machine_),
+                    machine_type_name,
+                    zone,
+                    spot,
+                    protocol::HostState::booting,
+                    0};
+    ++next_machine_;
+    machine.rack = created_in_zone_[zone]++ / experiment_.machines_a_rack;
+    machine.created_at = timers_.now();
+    machine.up_at = machine.created_at + type().boot_s * std::uniform_real_distribution<double>(
+                                                             fastest_boot, slowest_boot)(random_);
     ++usable_in_zone_[zone];
-    timers_.after(m.up_at - m.rented_at, guard_([this, id = m.host.id] {
-                      auto it = machines_.find(id);
-                      if (it != machines_.end() && it->second.usable()) hollow_.up(it->second.host);
+    timers_.after(machine.up_at - machine.created_at, guard_([this, name] {
+                      auto it = machines_.find(name);
+                      if (it != machines_.end() && it->second.is_usable()) hosts_.boot(it->second.host);
                   }));
-    machines_[name] = std::move(m);
+    machines_[name] = std::move(machine);
+    return name;
 }
+
 void SimulatedCloud::remove(const std::vector<std::string>& ids, const http::Reply& reply) {
     if (ids.size() > most_deleted) return answer(reply, {400, "{}"});
-    std::vector<std::string> known;
+    std::vector<std::string> removed;
     for (auto& id : ids) {
         auto it = machines_.find(id);
-        if (it == machines_.end() || it->second.gone_at < 1e17) continue;
-        if (it->second.usable()) --usable_in_zone_[it->second.host.zone];
-        it->second.gone_at = timers_.now();
-        known.push_back(id);
+        if (it == machines_.end() || it->second.deleted_at) continue;
+        if (it->second.is_usable()) --usable_in_zone_[it->second.host.zone];
+        it->second.deleted_at = timers_.now();
+        removed.push_back(id);
         ++counts_.deleted;
     }
-    hollow_.remove(known, guard_([this, reply] { answer(reply, {200, "{}"}); }));
+    hosts_.remove(removed, guard_([this, reply] { answer(reply, {200, "{}"}); }));
 }
+
+// Lists what there was some time ago, as the protocol allows.
 http::Response SimulatedCloud::list(const std::string& target) {
     ++counts_.lists;
     auto since = query_parameter(target, "since"), limit_text = query_parameter(target, "limit");
-    std::size_t limit = limit_text.empty() ? page : std::min<std::size_t>(page, std::stoul(limit_text));
-    double lag = experiment_.cloud.list_lag_s * std::uniform_real_distribution<double>(0.5, 1)(random_);
-    double t = timers_.now() - lag;
+    std::size_t limit =
+        limit_text.empty() ? largest_page : std::min<std::size_t>(largest_page, std::stoul(limit_text));
+    double lag_s = experiment_.cloud.list_lag_s * std::uniform_real_distribution<double>(0.5, 1)(random_);
+    double time = timers_.now() - lag_s;
     std::vector<protocol::Host> hosts;
     bool more = false;
     for (auto it = machines_.upper_bound(since); it != machines_.end(); ++it) {
-        auto& m = it->second;
-        if (m.rented_at > t || m.gone_at <= t) continue;
+        auto& machine = it->second;
+        if (machine.created_at > time || (machine.deleted_at && *machine.deleted_at <= time)) continue;
         if (hosts.size() >= limit) {
             more = true;
             break;
         }
-        auto h = m.host;
-        h.age_s = t - m.rented_at;
-        h.state = t >= m.failed_at + dying_s ? protocol::HostState::failed
-                  : t >= m.up_at             ? protocol::HostState::running
-                                             : protocol::HostState::booting;
-        hosts.push_back(std::move(h));
+        auto host = machine.host;
+        host.age_s = time - machine.created_at;
+        host.state = machine.state_at(time);
+        hosts.push_back(std::move(host));
     }
     return {200, messages::hosts_body(hosts, more)};
 }
 
+// --- Faults
+// ---------------------------------------------------------------------------------------------------
+
 std::size_t SimulatedCloud::fail(const std::vector<std::string>& ids) {
     for (auto& id : ids) {
-        auto& m = machines_.at(id);
-        m.failed_at = timers_.now();
-        --usable_in_zone_[m.host.zone];
+        auto& machine = machines_.at(id);
+        machine.failed_at = timers_.now();
+        --usable_in_zone_[machine.host.zone];
     }
-    hollow_.silence(ids);
+    hosts_.silence(ids);
     return ids.size();
 }
+
 std::size_t SimulatedCloud::fail_zone(const std::string& zone, double back_s) {
-    zone_back_[zone] = timers_.now() + back_s;
+    zone_back_at_[zone] = timers_.now() + back_s;
     std::vector<std::string> ids;
-    for (auto& [id, m] : machines_)
-        if (m.usable() && m.host.zone == zone) ids.push_back(id);
+    for (auto& [id, machine] : machines_)
+        if (machine.is_usable() && machine.host.zone == zone) ids.push_back(id);
     return fail(ids);
 }
+
 std::size_t SimulatedCloud::fail_rack() {
-    std::map<std::pair<std::string, std::uint32_t>, std::vector<std::string>> racks;
-    for (auto& [id, m] : machines_)
-        if (m.usable()) racks[{m.host.zone, m.rack}].push_back(id);
+    struct Rack {
+        std::string zone;
+        std::uint32_t number = 0;
+        auto operator<=>(const Rack&) const = default;
+    };
+    std::map<Rack, std::vector<std::string>> racks;
+    for (auto& [id, machine] : machines_)
+        if (machine.is_usable()) racks[{machine.host.zone, machine.rack}].push_back(id);
     std::vector<std::string> fullest;
-    for (auto& [key, ids] : racks)
+    for (auto& [rack, ids] : racks)
         if (ids.size() > fullest.size()) fullest = ids;
     return fail(fullest);
 }
-std::size_t SimulatedCloud::fail_machines(std::size_t n) {
+
+std::size_t SimulatedCloud::fail_machines(std::size_t count) {
     std::vector<std::string> ids;
-    for (auto& [id, m] : machines_)
-        if (m.usable()) ids.push_back(id);
+    for (auto& [id, machine] : machines_)
+        if (machine.is_usable()) ids.push_back(id);
     std::shuffle(ids.begin(), ids.end(), random_);
-    ids.resize(std::min(n, ids.size()));
+    ids.resize(std::min(count, ids.size()));
     return fail(ids);
 }
 
--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -7,30 +7,39 @@
 
 namespace coralhitch::scale {
 namespace {
+
 // The protocol's own limits.
-constexpr std::size_t kept_changes = 10000, page_items = 1000, page_bytes = 512 * 1024, txn_bytes = 64 * 1024,
-                      key_bytes = 200;
-constexpr double longest_hold_s = 60, lease_late_s = 0.1, least_ttl_s = 0.1, most_ttl_s = 600;
+constexpr std::size_t kept_changes = 10000, largest_page_items = 1000,
+                      largest_page_bytes = std::size_t{512} * 1024,
+                      largest_transaction_bytes = std::size_t{64} * 1024, longest_key_bytes = 200,
+                      conditions_per_change = 4;
+constexpr double longest_watch_s = 60, shortest_ttl_s = 0.1, longest_ttl_s = 600;
+// A list counts so many bytes for an entry beside its key and value.
+constexpr std::size_t entry_overhead_bytes = 64;
+constexpr double latest_expiry_s = 0.1;  // a lease expires up to so much late
+constexpr double timer_margin_s = 0.001;
 
-std::string kind_of(const std::string& key) {
+std::string key_space(const std::string& key) {
     return key.substr(0, key.find('/'));
 }
-bool valid_key(const std::string& key) {
-    return !key.empty() && key.size() <= key_bytes && key.find(' ') == std::string::npos;
+bool is_valid_key(const std::string& key) {
+    return !key.empty() && key.size() <= longest_key_bytes && key.find(' ') == std::string::npos;
 }
+
 }  // namespace
 
-InMemoryKvStore::InMemoryKvStore(event_loop::Timers& timers, KvStoreSettings settings, std::uint64_t seed)
+InMemoryKvStore::InMemoryKvStore(event_loop::Timers& timers, const KvStoreSettings& settings,
+                                 std::uint64_t seed)
     : timers_(timers),
       settings_(settings),
       random_(seed),
-      requests_(settings.rps, settings.rps),
-      writes_(settings.write_rps, settings.write_rps) {}
+      request_budget_(settings.rps, settings.rps),
+      write_budget_(settings.write_rps, settings.write_rps) {}
 
-bool InMemoryKvStore::down() const {
-    return timers_.now() < down_until_;
+bool InMemoryKvStore::is_down() const {
+    return timers_.now() < outage_end_;
 }
-double InMemoryKvStore::latency() {
+double InMemoryKvStore::draw_latency_s() {
     std::uniform_real_distribution<double> share(0, 1);
     double mean_ms = share(random_) < settings_.slow_share ? settings_.slow_ms : settings_.latency_ms;
     return std::exponential_distribution<double>(1)(random_) * mean_ms / 1000;
@@ -38,19 +47,22 @@
 void InMemoryKvStore::answer(const http::Reply& reply, http::Response response) {
     counts_.bytes_out += response.body.size();
     if (response.status == 429 || response.status == 503) ++counts_.refused;
-    timers_.after(latency(), guard_([reply, response = std::move(response)] { reply(response); }));
+    timers_.after(draw_latency_s(), guard_([reply, response = std::move(response)] { reply(response); }));
 }
 
-void InMemoryKvStore::handle(http::Request request, http::Reply reply) {
+// --- Requests
+// -------------------------------------------------------------------------------------------------
+
+void InMemoryKvStore::handle(const http::Request& request, const http::Reply& reply) {
     ++counts_.requests;
     counts_.bytes_in += request.target.size() + request.body.size();
     double now = timers_.now();
-    if (down()) return answer(reply, {503, "{}"});
-    if (!requests_.has(now)) return answer(reply, {429, "{}"});
-    requests_.take(now);
+    if (is_down()) return answer(reply, {503, "{}"});
+    if (!request_budget_.has(now)) return answer(reply, {429, "{}"});
+    request_budget_.take(now);
     if (request.target.starts_with("/watch?")) {
         ++counts_.watches;
-        return open_watch(request.target, std::move(reply));
+        return open_watch(request.target, reply);
     }
     http::Response response{400, R"({"error":"malformed"})"};
     try {
@@ -61,38 +73,43 @@
     answer(reply, std::move(response));
 }
 
-http::Response InMemoryKvStore::execute(const http::Request& r) {
-    if (r.target.starts_with("/kv/")) {
+http::Response InMemoryKvStore::execute(const http::Request& request) {
+    constexpr std::string_view key_path = "/kv/";
+    if (request.target.starts_with(key_path)) {
         ++counts_.reads;
-        auto key = r.target.substr(4);
-        auto it = items_.find(key);
-        if (it == items_.end()) return {404, messages::revision_body(revision_)};
-        return {200, messages::entry_body({key, it->second.value, it->second.version, it->second.lease})};
+        return read(request.target.substr(key_path.size()));
     }
-    if (r.target.starts_with("/kv?")) {
+    if (request.target.starts_with("/kv?")) {
         ++counts_.reads;
-        return list(r.target);
+        return list(request.target);
     }
-    if (r.target == protocol::paths::txn) {
-        ++counts_.txns;
-        return transaction(messages::parse_transaction(r.body), r.body.size());
+    if (request.target == protocol::paths::txn) {
+        ++counts_.transactions;
+        return execute_transaction(messages::parse_transaction(request.body), request.body.size());
     }
-    if (r.target.starts_with(protocol::paths::leases)) return lease_call(r);
+    if (request.target.starts_with(protocol::paths::leases)) return handle_lease(request);
     return {404, "{}"};
 }
 
+http::Response InMemoryKvStore::read(const std::string& key) const {
+    auto it = items_.find(key);
+    if (it == items_.end()) return {404, messages::revision_body(revision_)};
+    return {200, messages::entry_body({key, it->second.value, it->second.version, it->second.lease})};
+}
+
 http::Response InMemoryKvStore::list(const std::string& target) const {
     auto prefix = query_parameter(target, "starts"), since = query_parameter(target, "since");
     auto limit_text = query_parameter(target, "limit");
-    std::size_t limit =
-        limit_text.empty() ? page_items : std::min<std::size_t>(page_items, std::stoul(limit_text));
+    std::size_t limit = limit_text.empty()
+                            ? largest_page_items
+                            : std::min<std::size_t>(largest_page_items, std::stoul(limit_text));
     auto it = since.empty() ? items_.lower_bound(prefix) : items_.upper_bound(std::max(since, prefix));
     std::vector<protocol::Entry> entries;
     std::size_t bytes = 0;
     bool more = false;
     for (; it != items_.end() && it->first.starts_with(prefix); ++it) {
-        auto size = it->first.size() + it->second.value.size() + 64;
-        if (entries.size() >= limit || (!entries.empty() && bytes + size > page_bytes)) {
+        auto size = it->first.size() + it->second.value.size() + entry_overhead_bytes;
+        if (entries.size() >= limit || (!entries.empty() && bytes + size > largest_page_bytes)) {
             more = true;
             break;
         }
@@ -102,78 +119,98 @@
     return {200, messages::entries_body(entries, more, revision_)};
 }
 
-http::Response InMemoryKvStore::transaction(const protocol::Txn& t, std::size_t bytes) {
-    bool fits = bytes <= txn_bytes && t.changes.size() <= settings_.txn_ops &&
-                t.conditions.size() <= 4 * settings_.txn_ops;
-    for (auto& c : t.changes) {
-        fits = fits && valid_key(c.key);
-        fits = fits && (!c.value || static_cast<double>(c.value->size()) <= settings_.value_kb * 1024);
-    }
-    if (!fits) return {400, R"({"error":"too large"})"};
-    double now = timers_.now(), n = static_cast<double>(t.changes.size());
-    if (n > 0 && !writes_.has(now, n)) return {429, "{}"};
-    writes_.take(now, n);
-    for (auto& c : t.changes)
-        if (c.lease && !leases_.contains(c.lease)) return {400, R"({"error":"no such lease"})"};
+// --- Transactions
+// ---------------------------------------------------------------------------------------------
+
+bool InMemoryKvStore::within_size_limits(const protocol::Txn& transaction, std::size_t bytes) const {
+    if (bytes > largest_transaction_bytes || transaction.changes.size() > settings_.txn_ops ||
+        transaction.conditions.size() > conditions_per_change * settings_.txn_ops)
+        return false;
+    return std::all_of(transaction.changes.begin(), transaction.changes.end(), [&](auto& change) {
+        bool value_fits =
+            !change.value || static_cast<double>(change.value->size()) <= settings_.value_kb * 1024;
+        return is_valid_key(change.key) && value_fits;
+    });
+}
+
+std::vector<std::string> InMemoryKvStore::failed_conditions(const protocol::Txn& transaction) const {
     std::vector<std::string> failed;
-    for (auto& c : t.conditions) {
-        auto it = items_.find(c.key);
-        if ((it == items_.end() ? 0 : it->second.version) != c.version) failed.push_back(c.key);
+    for (auto& condition : transaction.conditions) {
+        auto it = items_.find(condition.key);
+        auto version = it == items_.end() ? 0 : it->second.version;
+        if (version != condition.version) failed.push_back(condition.key);
     }
+    return failed;
+}
+
+http::Response InMemoryKvStore::execute_transaction(const protocol::Txn& transaction, std::size_t bytes) {
+    if (!within_size_limits(transaction, bytes)) return {400, R"({"error":"too large"})"};
+    double now = timers_.now(), changes = static_cast<double>(transaction.changes.size());
+    if (changes > 0 && !write_budget_.has(now, changes)) return {429, "{}"};
+    write_budget_.take(now, changes);
+    for (auto& change : transaction.changes)
+        if (change.lease && !leases_.contains(change.lease)) return {400, R"({"error":"no such lease"})"};
+    auto failed = failed_conditions(transaction);
     if (!failed.empty()) {
         ++counts_.conflicts;
         return {409, messages::conflict_body(failed, revision_)};
     }
-    if (t.changes.empty()) return {200, messages::revision_body(revision_)};
+    if (transaction.changes.empty()) return {200, messages::revision_body(revision_)};
     ++revision_;
-    for (auto& c : t.changes) apply(c);
-    changed();
+    for (auto& change : transaction.changes) apply(change);
+    answer_watches();
     return {200, messages::revision_body(revision_)};
 }
-// One change under the present revision.
-void InMemoryKvStore::apply(const protocol::Change& c) {
+
+void InMemoryKvStore::apply(const protocol::Change& change) {
     ++counts_.changes;
-    ++changes_by_kind_[kind_of(c.key)];
-    if (c.value)
-        items_[c.key] = {*c.value, revision_, c.lease};
-    else if (items_.erase(c.key) == 0)
+    ++changes_by_key_space_[key_space(change.key)];
+    if (change.value)
+        items_[change.key] = {*change.value, revision_, change.lease};
+    else if (items_.erase(change.key) == 0)
         return;  // nothing changed
-    history_.push_back({c.key, c.value, revision_});
+    history_.push_back({change.key, change.value, revision_});
     while (history_.size() > kept_changes) history_.pop_front();
 }
 
-http::Response InMemoryKvStore::lease_call(const http::Request& r) {
-    auto base = protocol::paths::leases.size();
-    if (r.target.size() == base) {
-        double ttl = messages::parse_ttl_s(r.body);
-        if (!(ttl >= least_ttl_s && ttl <= most_ttl_s)) return {400, R"({"error":"ttl_ms"})"};
-        auto id = next_lease_++;
-        leases_[id] = {ttl, timers_.now() + ttl, 0};
-        arm(id);
-        return {200, messages::lease_body(id)};
-    }
-    auto id = std::stoull(r.target.substr(base + 1));
+// --- Leases
+// ---------------------------------------------------------------------------------------------------
+
+http::Response InMemoryKvStore::handle_lease(const http::Request& request) {
+    auto path_size = protocol::paths::leases.size();
+    if (request.target.size() == path_size) return grant_lease(messages::parse_ttl_s(request.body));
+    auto id = std::stoull(request.target.substr(path_size + 1));
     auto it = leases_.find(id);
     if (it == leases_.end()) return {404, "{}"};
-    if (r.method == "DELETE") {
+    if (request.method == "DELETE") {
         expire(id);
         return {200, "{}"};
     }
     ++counts_.renewals;
-    it->second.until = timers_.now() + it->second.ttl;
+    it->second.expiry = timers_.now() + it->second.ttl_s;
     return {200, messages::lease_body(id)};
 }
-// A renewal only moves the time; what fires early looks again.
-void InMemoryKvStore::arm(std::uint64_t id) {
-    auto& l = leases_.at(id);
-    double late = std::uniform_real_distribution<double>(0, lease_late_s)(random_);
-    l.timer = timers_.after(l.until - timers_.now() + late, guard_([this, id] {
-                                auto it = leases_.find(id);
-                                if (it == leases_.end()) return;
-                                if (it->second.until > timers_.now()) return arm(id);
-                                expire(id);
-                            }));
+
+http::Response InMemoryKvStore::grant_lease(double ttl_s) {
+    if (!(ttl_s >= shortest_ttl_s && ttl_s <= longest_ttl_s)) return {400, R"({"error":"ttl_ms"})"};
+    auto id = next_lease_++;
+    leases_[id] = {ttl_s, timers_.now() + ttl_s, 0};
+    schedule_expiry(id);
+    return {200, messages::lease_body(id)};
 }
+
+// A renewal only moves the time; what fires early is scheduled again.
+void InMemoryKvStore::schedule_expiry(std::uint64_t id) {
+    auto& lease = leases_.at(id);
+    double late_s = std::uniform_real_distribution<double>(0, latest_expiry_s)(random_);
+    lease.timer = timers_.after(lease.expiry - timers_.now() + late_s, guard_([this, id] {
+                                    auto it = leases_.find(id);
+                                    if (it == leases_.end()) return;
+                                    if (it->second.expiry > timers_.now()) return schedule_expiry(id);
+                                    expire(id);
+                                }));
+}
+
 void InMemoryKvStore::expire(std::uint64_t id) {
     timers_.cancel(leases_.at(id).timer);
     leases_.erase(id);
@@ -183,66 +220,78 @@
     if (attached.empty()) return;
     ++revision_;
     for (auto& key : attached) apply({key, std::nullopt, 0});
-    changed();
+    answer_watches();
 }
-void InMemoryKvStore::outage(double seconds) {
-    down_until_ = timers_.now() + seconds;
-    // All leases get their full time again.
-    for (auto& [id, l] : leases_) l.until = down_until_ + l.ttl;
-    timers_.after(seconds + 0.001, guard_([this] { changed(); }));
+
+void InMemoryKvStore::begin_outage(double seconds) {
+    outage_end_ = timers_.now() + seconds;
+    for (auto& [id, lease] : leases_) lease.expiry = outage_end_ + lease.ttl_s;
+    timers_.after(seconds + timer_margin_s, guard_([this] { answer_watches(); }));
 }
 
-void InMemoryKvStore::open_watch(const std::string& target, http::Reply reply) {
-    Watch w;
+// --- Watches
+// --------------------------------------------------------------------------------------------------
+
+void InMemoryKvStore::open_watch(const std::string& target, const http::Reply& reply) {
+    Watch watch;
     try {
-        w.prefix = query_parameter(target, "starts");
-        w.since = std::stoull(query_parameter(target, "since"));
+        watch.prefix = query_parameter(target, "starts");
+        watch.since = std::stoull(query_parameter(target, "since"));
         auto hold = query_parameter(target, "hold_ms");
-        w.until = timers_.now() + std::min(longest_hold_s, hold.empty() ? 0 : std::stod(hold) / 1000);
+        watch.deadline = timers_.now() + std::min(longest_watch_s, hold.empty() ? 0 : std::stod(hold) / 1000);
     } catch (const std::exception&) {
         return answer(reply, {400, "{}"});
     }
-    if (!history_.empty() && history_.size() == kept_changes && w.since + 1 < history_.front().version)
+    if (!history_.empty() && history_.size() == kept_changes && watch.since + 1 < history_.front().version)
         return answer(reply, {410, "{}"});
-    w.reply = std::move(reply);
-    double left = w.until - timers_.now();
-    watches_.push_back(std::move(w));
-    if (left > 0) timers_.after(left + 0.001, guard_([this] { changed(); }));
-    changed();
-}
-std::vector<const protocol::Event*> InMemoryKvStore::events(const Watch& w) const {
-    std::vector<const protocol::Event*> out;
-    auto it =
-        std::upper_bound(history_.begin(), history_.end(), w.since,
-                         [](std::uint64_t since, const protocol::Event& e) { return since < e.version; });
+    watch.reply = reply;
+    double left = watch.deadline - timers_.now();
+    watches_.push_back(std::move(watch));
+    if (left > 0) timers_.after(left + timer_margin_s, guard_([this] { answer_watches(); }));
+    answer_watches();
+}
+
+std::vector<const protocol::Event*> InMemoryKvStore::events_for(const Watch& watch) const {
+    std::vector<const protocol::Event*> events;
+    auto it = std::upper_bound(
+        history_.begin(), history_.end(), watch.since,
+        [](std::uint64_t since, const protocol::Event& event) { return since < event.version; });
     for (; it != history_.end(); ++it)
-        if (it->key.starts_with(w.prefix)) out.push_back(&*it);
-    return out;
+        if (it->key.starts_with(watch.prefix)) events.push_back(&*it);
+    return events;
 }
-void InMemoryKvStore::changed() {
-    if (down()) return;  // open watches stay open through an outage
+
+void InMemoryKvStore::answer_watches() {
+    if (is_down()) return;  // open watches stay open through an outage
     double now = timers_.now();
     for (auto it = watches_.begin(); it != watches_.end();) {
-        auto news = events(*it);
-        if (news.empty() && now < it->until) {
+        auto events = events_for(*it);
+        if (events.empty() && now < it->deadline) {
             it->since = revision_;  // so that nothing is looked through twice
             ++it;
             continue;
         }
-        answer(it->reply, {200, messages::events_body(news, revision_)});
+        answer(it->reply, {200, messages::events_body(events, revision_)});
         it = watches_.erase(it);
     }
 }
 
-std::map<std::string, std::uint64_t> InMemoryKvStore::bytes_by_kind() const {
-    std::map<std::string, std::uint64_t> out;
-    for (auto& [key, item] : items_) out[kind_of(key)] += key.size() + item.value.size();
-    return out;
+// --- Figures
+// --------------------------------------------------------------------------------------------------
+
+InMemoryKvStore::CountByKeySpace InMemoryKvStore::bytes_by_key_space() const {
+    CountByKeySpace bytes;
+    for (auto& [key, item] : items_) bytes[key_space(key)] += key.size() + item.value.size();
+    return bytes;
+}
+InMemoryKvStore::CountByKeySpace InMemoryKvStore::keys_by_key_space() const {
+    CountByKeySpace keys;
+    for (auto& [key, item] : items_) ++keys[key_space(key)];
+    return keys;
 }
-std::map<std::string, std::uint64_t> InMemoryKvStore::keys_by_kind() const {
-    std::map<std::string, std::uint64_t> out;
-    for (auto& [key, item] : items_) ++out[kind_of(key)];
-    return out;
+std::string InMemoryKvStore::value(const std::string& key) const {
+    auto it = items_.find(key);
+    return it == items_.end() ? "" : it->second.value;
 }
 
 }  // namespace coralhitch::scale
--- a/scale/kv/in_memory_kv_store.hpp
+++ b/scale/kv/in_memory_kv_store.hpp
@@ -1,10 +1,12 @@
 // The key-value store as the protocol describes it, held in memory: versions, transactions, watches, leases,
-// limits.
+// limits of rate and size, latency, outages.
 #pragma once
 #include <deque>
 #include <list>
 #include <map>
 #include <random>
+#include <string>
+#include <vector>
 
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
@@ -17,24 +19,27 @@
 
 class InMemoryKvStore {
   public:
-    InMemoryKvStore(event_loop::Timers& timers, KvStoreSettings settings, std::uint64_t seed);
-    void handle(http::Request request, http::Reply reply);
-    void outage(double seconds);
-
     struct Counts {
-        std::uint64_t requests = 0, reads = 0, watches = 0, renewals = 0, txns = 0, conflicts = 0,
+        std::uint64_t requests = 0, reads = 0, watches = 0, renewals = 0, transactions = 0, conflicts = 0,
                       changes = 0, refused = 0, bytes_in = 0, bytes_out = 0;
     };
-    const Counts& counts() const { return counts_; }
-    // Bytes of keys and values by the part of the key before the first slash.
-    std::map<std::string, std::uint64_t> bytes_by_kind() const;
-    std::map<std::string, std::uint64_t> keys_by_kind() const;
+    using CountByKeySpace = std::map<std::string, std::uint64_t>;  // by the key's part before the first slash
+
+    // `timers` must outlive this.
+    InMemoryKvStore(event_loop::Timers& timers, const KvStoreSettings& settings, std::uint64_t seed);
+
+    // Answers later, after a latency that is drawn.
+    void handle(const http::Request& request, const http::Reply& reply);
+    // Refuses all requests for so long. Then leases have their full time again.
+    void begin_outage(double seconds);
+
+    [[nodiscard]] const Counts& counts() const { return counts_; }
+    [[nodiscard]] const CountByKeySpace& changes_by_key_space() const { return changes_by_key_space_; }
+    // Of keys and values.
+    [[nodiscard]] CountByKeySpace bytes_by_key_space() const;
+    [[nodiscard]] CountByKeySpace keys_by_key_space() const;
     // A key's value, or "".
-    std::string value(const std::string& key) const {
-        auto it = items_.find(key);
-        return it == items_.end() ? "" : it->second.value;
-    }
-    std::map<std::string, std::uint64_t> changes_by_kind() const { return changes_by_kind_; }
+    [[nodiscard]] std::string value(const std::string& key) const;
 
   private:
     struct Item {
@@ -42,41 +47,52 @@
         std::uint64_t version = 0, lease = 0;
     };
     struct Lease {
-        double ttl = 0, until = 0;
+        double ttl_s = 0, expiry = 0;
         event_loop::TimerId timer = 0;
     };
     struct Watch {
         std::string prefix;
         std::uint64_t since = 0;
-        double until = 0;
+        double deadline = 0;
         http::Reply reply;
     };
-    bool down() const;
-    double latency();
+
+    [[nodiscard]] bool is_down() const;
+    double draw_latency_s();
     void answer(const http::Reply& reply, http::Response response);
+
     http::Response execute(const http::Request& request);
+    http::Response read(const std::string& key) const;
     http::Response list(const std::string& target) const;
-    http::Response transaction(const protocol::Txn& txn, std::size_t bytes);
-    http::Response lease_call(const http::Request& request);
-    void open_watch(const std::string& target, http::Reply reply);
-    void changed();
+
+    http::Response execute_transaction(const protocol::Txn& transaction, std::size_t bytes);
+    [[nodiscard]] bool within_size_limits(const protocol::Txn& transaction, std::size_t bytes) const;
+    [[nodiscard]] std::vector<std::string> failed_conditions(const protocol::Txn& transaction) const;
+    // One change, under the present revision.
     void apply(const protocol::Change& change);
-    void arm(std::uint64_t lease);
+
+    http::Response handle_lease(const http::Request& request);
+    http::Response grant_lease(double ttl_s);
+    void schedule_expiry(std::uint64_t lease);
     void expire(std::uint64_t lease);
-    std::vector<const protocol::Event*> events(const Watch& watch) const;
+
+    void open_watch(const std::string& target, const http::Reply& reply);
+    // Answers the watches that have events or whose time is over.
+    void answer_watches();
+    [[nodiscard]] std::vector<const protocol::Event*> events_for(const Watch& watch) const;
 
     event_loop::Timers& timers_;
     KvStoreSettings settings_;
     std::mt19937_64 random_;
-    event_loop::TokenBucket requests_, writes_;
+    event_loop::TokenBucket request_budget_, write_budget_;
     std::map<std::string, Item> items_;
     std::deque<protocol::Event> history_;
     std::map<std::uint64_t, Lease> leases_;
     std::list<Watch> watches_;
     std::uint64_t revision_ = 0, next_lease_ = 1;
-    double down_until_ = -1;
+    double outage_end_ = -1;
     Counts counts_;
-    std::map<std::string, std::uint64_t> changes_by_kind_;
+    CountByKeySpace changes_by_key_space_;
     event_loop::LifetimeGuard guard_;
 };
 
--- a/scale/tests/in_memory_kv_store_test.cpp
+++ b/scale/tests/in_memory_kv_store_test.cpp
@@ -79,7 +79,7 @@
 TEST(InMemoryKvStoreTest, AnOutageGivesLeasesTheirTimeAgain) {
     Bench b;
     auto lease = protocol::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
-    b.service.outage(20);
+    b.service.begin_outage(20);
     EXPECT_EQ(b.put("a/1", 0), 503);
     b.timers.run_until(b.timers.now() + 23);
     EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
