--- a/scale/load/load_generator.cpp
+++ b/scale/load/load_generator.cpp
@@ -53,7 +53,7 @@
 }
 void GangCoordinator::observe(const WorkerEvent& o, const TaskSpec* spec,
                               const std::function<void()>& begun) {
-    if (o.what == WorkerEventKind::gone) {
+    if (o.kind == WorkerEventKind::machine_gone) {
         for (auto& [key, index] : on_machine_[o.machine]) {
             attempts_[key].waiting.erase(index);
             lost(key);
@@ -64,7 +64,7 @@
     if (!spec || spec->kind != protocol::JobKind::gang) return;
     Key key{o.task.job, o.attempt};
     auto& a = attempts_[key];
-    if (o.what == WorkerEventKind::ready) {
+    if (o.kind == WorkerEventKind::image_ready) {
         a.waiting.insert(o.task.index);
         on_machine_[o.machine].insert({key, o.task.index});
         if (a.running || a.waiting.size() < spec->tasks) return;
@@ -72,7 +72,7 @@
         tell({{"job", key.first}, {"attempt", key.second}, {"run_s", spec->run_s}});
         begun();
     }
-    if (o.what == WorkerEventKind::ended) {
+    if (o.kind == WorkerEventKind::task_ended) {
         a.waiting.erase(o.task.index);
         on_machine_[o.machine].erase({key, o.task.index});
         if (o.cause != protocol::ExitCause::done) lost(key);
@@ -292,7 +292,7 @@
 
 nlohmann::json LoadGenerator::spec(const std::string& id) const {
     auto it = jobs_.find(id);
-    return it == jobs_.end() ? json() : to_json(it->second.spec);
+    return it == jobs_.end() ? json() : spec_to_json(it->second.spec);
 }
 void LoadGenerator::observed(const json& message) {
     auto process = message.at("process").get<std::uint32_t>();
@@ -300,7 +300,7 @@
     if (number <= messages_[process]) return;  // sent again, since our answer was lost
     messages_[process] = number;
     for (auto& e : message.at("events")) {
-        auto o = worker_event_from(e);
+        auto o = event_from_json(e);
         auto it = jobs_.find(o.task.job);
         gangs_.observe(o, it == jobs_.end() ? nullptr : &it->second.spec, [&] {
             for (std::uint32_t k = 0; k < it->second.spec.tasks; ++k) {
@@ -309,11 +309,11 @@
                 begun(each);
             }
         });
-        if (o.what == WorkerEventKind::ready) {
+        if (o.kind == WorkerEventKind::image_ready) {
             ++tasks_ready_;
             if (it != jobs_.end() && it->second.spec.kind != protocol::JobKind::gang) begun(o);
         }
-        to_judge_.emplace(o.t, [this, o] { apply(o); });
+        to_judge_.emplace(o.time, [this, o] { apply(o); });
     }
     told_until_[process] = message.at("now").get<double>();
     judge();
@@ -323,27 +323,27 @@
     auto& j = jobs_.at(o.task.job);
     if (!j.begun.insert(o.task.index).second) return;
     ++tasks_begun_;
-    latencies_.observe(j.phase, j.cls, "begun", o.t - j.first_tried);
+    latencies_.observe(j.phase, j.cls, "begun", o.time - j.first_tried);
 }
 void LoadGenerator::apply(const WorkerEvent& o) {
-    switch (o.what) {
-        case WorkerEventKind::machine: {
+    switch (o.kind) {
+        case WorkerEventKind::machine_up: {
             double n = experiment_.slots();
             return checker_.machine(o.machine, {"hollow", o.zone, o.spot, {n, 0, n}});
         }
-        case WorkerEventKind::started:
-            return checker_.started(o.t, o.machine, o.task);
-        case WorkerEventKind::ready:
+        case WorkerEventKind::task_started:
+            return checker_.started(o.time, o.machine, o.task);
+        case WorkerEventKind::image_ready:
             return;
-        case WorkerEventKind::gone:
+        case WorkerEventKind::machine_gone:
             return checker_.machine_gone(o.machine);
-        case WorkerEventKind::ended:
-            checker_.ended(o.t, o.machine, o.task, o.cause);
+        case WorkerEventKind::task_ended:
+            checker_.ended(o.time, o.machine, o.task, o.cause);
             if (o.cause != protocol::ExitCause::done) return;
             ++tasks_done_;
             if (auto it = jobs_.find(o.task.job);
                 it != jobs_.end() && it->second.all_done < 0 && checker_.is_done(o.task.job))
-                it->second.all_done = o.t;
+                it->second.all_done = o.time;
     }
 }
 void LoadGenerator::judge_later(std::function<void(double now)> check) {
--- a/scale/load/load_generator.hpp
+++ b/scale/load/load_generator.hpp
@@ -11,6 +11,7 @@
 #include "scale/config/experiment.hpp"
 #include "scale/load/latency_histograms.hpp"
 #include "scale/load/load_balancer.hpp"
+#include "scale/workers/task_spec.hpp"
 #include "scale/workers/worker_event.hpp"
 #include "verification/checker.hpp"
 
--- /dev/null
+++ b/scale/workers/event_reporter.cpp
@@ -0,0 +1,49 @@
+#include "scale/workers/event_reporter.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <cstdlib>
+#include <utility>
+
+#include "scale/process/control_server.hpp"
+
+namespace coralhitch::scale {
+namespace {
+constexpr double interval_s = 0.1, retry_after_s = 0.5;
+constexpr int most_tries = 10;
+}  // namespace
+
+EventReporter::EventReporter(event_loop::EventLoop& loop, http::Client& http, const Experiment& experiment,
+                             std::uint32_t process)
+    : loop_(loop), http_(http), experiment_(experiment), process_(process) {
+    loop_.after(interval_s, [this] { report(); });
+}
+
+// All that happened before `now` is in it. Numbered: one whose answer was lost is sent again, and counts
+// once.
+void EventReporter::report() {
+    nlohmann::json body{{"process", process_},
+                        {"number", ++last_message_},
+                        {"now", loop_.now()},
+                        {"events", std::exchange(events_, nlohmann::json::array())}};
+    send(body.dump(), most_tries);
+}
+
+void EventReporter::send(const std::string& body, int tries_left) {
+    http_.send(experiment_.load_control_addr(), {"POST", std::string(control_paths::worker_events), body},
+               control_timeout_s, [this, body, tries_left](const std::optional<http::Response>& response) {
+                   if (response && response->status == 200) {
+                       loop_.after(interval_s, [this] { report(); });
+                       return;
+                   }
+                   if (tries_left > 1) {
+                       loop_.after(retry_after_s, [this, body, tries_left] { send(body, tries_left - 1); });
+                       return;
+                   }
+                   spdlog::error("workers {}: the users' process took no events: {}", process_,
+                                 response ? response->body : "no answer");
+                   std::exit(1);
+               });
+}
+
+}  // namespace coralhitch::scale
--- a/scale/workers/worker_process.cpp
+++ b/scale/workers/worker_process.cpp
@@ -2,6 +2,8 @@
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
+#include <map>
+#include <memory>
 #include <nlohmann/json.hpp>
 #include <set>
 
@@ -9,172 +11,153 @@
 #include "scale/process/process_roles.hpp"
 #include "scale/process/timer_lateness.hpp"
 #include "scale/protocol/cloud_messages.hpp"
+#include "scale/workers/event_reporter.hpp"
 #include "scale/workers/hollow_worker.hpp"
+#include "scale/workers/task_spec_cache.hpp"
 
 namespace coralhitch::scale {
 namespace {
 using nlohmann::json;
 
-constexpr double tell_every_s = 0.1, bury_after_s = 1, tell_again_s = 0.5;
-constexpr int tell_tries = 10;
+// What is under way may still call back a worker that was removed: it is destroyed a little later.
+constexpr double destroyed_after_s = 1;
 
 class WorkerProcess : public WorkerContext {
   public:
-    WorkerProcess(event_loop::EventLoop& loop, const Experiment& e, std::uint32_t process)
+    WorkerProcess(event_loop::EventLoop& loop, const Experiment& experiment, std::uint32_t process)
         : loop_(loop),
-          experiment_(e),
+          experiment_(experiment),
           process_(process),
-          random_(e.seed * 31 + process),
-          http_(loop, control_client_limits()) {
-        loop_.after(tell_every_s, [this] { tell(); });
-    }
+          random_(experiment.seed * 31 + process),
+          http_(loop, control_client_limits()),
+          events_(loop, http_, experiment, process),
+          specs_(http_, experiment) {}
+
     event_loop::EventLoop& loop() override { return loop_; }
-    const Experiment& experiment() const override { return experiment_; }
+    [[nodiscard]] const Experiment& experiment() const override { return experiment_; }
     std::mt19937_64& random() override { return random_; }
     WorkerCounts& counts() override { return counts_; }
-    void observe(WorkerEvent event) override { events_.push_back(to_json(event)); }
-    void spec(const std::string& job, std::function<void(const TaskSpec*)> done) override;
-
-    void up(const protocol::Host& host) {
-        if (removed_.contains(host.id)) return;  // deleted while the message was under way
-        try {
-            workers_[host.id] = std::make_unique<HollowWorker>(*this, host);
-        } catch (const std::exception& error) {
-            spdlog::error("workers {}: {}: {}", process_, host.id, error.what());
-            std::exit(1);
-        }
-    }
-    void silence(const std::string& id) {
-        auto it = workers_.find(id);
-        if (it != workers_.end()) it->second->silence();
-    }
-    // What is under way may still call back: it is destroyed a little later.
-    void remove(const std::string& id) {
-        removed_.insert(id);
-        auto it = workers_.find(id);
-        if (it == workers_.end()) return;
-        it->second->silence();
-        std::shared_ptr<HollowWorker> worker = std::move(it->second);
-        workers_.erase(it);
-        loop_.after(bury_after_s, [worker] {});
-    }
-    void gang(const json& j) {
-        auto job = j.at("job").get<std::string>();
-        auto attempt = j.at("attempt").get<std::uint64_t>();
-        bool begins = j.contains("run_s");
-        for (auto& [id, w] : workers_)
-            begins ? w->gang_begins(job, attempt, j["run_s"].get<double>()) : w->gang_lost(job, attempt);
+    void record(const WorkerEvent& event) override { events_.record(event); }
+    void find_task_spec(const std::string& job, std::function<void(const TaskSpec*)> done) override {
+        specs_.find(job, std::move(done));
     }
-    json stats() const;
+
+    // Of the control servers, by their targets.
+    void handle_control(const http::Request& request);
+    [[nodiscard]] json stats() const;
 
   private:
-    void tell();
-    void send_events(std::string body, int tries);
+    void boot(const protocol::Host& host);
+    void silence(const std::string& id);
+    void remove(const std::string& id);
+    void notify_gang(const json& message);
+
     event_loop::EventLoop& loop_;
     const Experiment& experiment_;
     std::uint32_t process_;
     std::mt19937_64 random_;
     http::Client http_;
+    EventReporter events_;
+    TaskSpecCache specs_;
     WorkerCounts counts_;
-    json events_ = json::array();
-    std::uint64_t messages_ = 0;
-    std::map<std::string, TaskSpec> specs_;
-    std::map<std::string, std::vector<std::function<void(const TaskSpec*)>>> awaited_;
     std::map<std::string, std::unique_ptr<HollowWorker>> workers_;
     std::set<std::string> removed_;
 };
 
-void WorkerProcess::spec(const std::string& job, std::function<void(const TaskSpec*)> done) {
-    if (auto it = specs_.find(job); it != specs_.end()) return done(&it->second);
-    auto& waiting = awaited_[job];
-    waiting.push_back(std::move(done));
-    if (waiting.size() > 1) return;
-    http_.send(experiment_.load_control_addr(), {"GET", "/spec/" + job, {}}, control_timeout_s,
-               [this, job](std::optional<http::Response> r) {
-                   const TaskSpec* spec = nullptr;
-                   if (r && r->status == 200) spec = &(specs_[job] = task_spec_from(json::parse(r->body)));
-                   auto waiting = std::move(awaited_[job]);
-                   awaited_.erase(job);
-                   for (auto& done : waiting) done(spec);
-               });
+void WorkerProcess::handle_control(const http::Request& request) {
+    auto body = json::parse(request.body);
+    if (request.target == control_paths::machine_up)
+        boot({body.at("id"), body.at("addr"), body.at("type"), body.at("zone"), body.at("spot"),
+              protocol::HostState::running, 0});
+    if (request.target == control_paths::remove_machines)
+        for (auto& id : messages::parse_machines(request.body)) remove(id);
+    if (request.target == control_paths::silence_machines)
+        for (auto& id : messages::parse_machines(request.body)) silence(id);
+    if (request.target == control_paths::gang) notify_gang(body);
 }
-// One message at a time, so that the checker gets them in order. All that happened before `now` is in it.
-// Numbered: one whose answer was lost is sent again, and counts once.
-void WorkerProcess::tell() {
-    json body{{"process", process_},
-              {"number", ++messages_},
-              {"now", loop_.now()},
-              {"events", std::exchange(events_, json::array())}};
-    send_events(body.dump(), tell_tries);
+
+void WorkerProcess::boot(const protocol::Host& host) {
+    if (removed_.contains(host.id)) return;  // deleted while the message was under way
+    try {
+        workers_[host.id] = std::make_unique<HollowWorker>(*this, host);
+    } catch (const std::exception& error) {
+        spdlog::error("workers {}: {}: {}", process_, host.id, error.what());
+        std::exit(1);
+    }
 }
-void WorkerProcess::send_events(std::string body, int tries) {
-    http_.send(experiment_.load_control_addr(), {"POST", "/observed", body}, control_timeout_s,
-               [this, body, tries](std::optional<http::Response> r) {
-                   if (r && r->status == 200) {
-                       loop_.after(tell_every_s, [this] { tell(); });
-                       return;
-                   }
-                   if (tries > 1) {
-                       loop_.after(tell_again_s, [this, body, tries] { send_events(body, tries - 1); });
-                       return;
-                   }
-                   // What it held is lost to the checker: what follows would be judged wrongly.
-                   spdlog::error("workers {}: the users' process took no events: {}", process_,
-                                 r ? r->body : "no answer");
-                   std::exit(1);
-               });
+
+void WorkerProcess::silence(const std::string& id) {
+    auto it = workers_.find(id);
+    if (it != workers_.end()) it->second->silence();
+}
+
+void WorkerProcess::remove(const std::string& id) {
+    removed_.insert(id);
+    auto it = workers_.find(id);
+    if (it == workers_.end()) return;
+    it->second->silence();
+    std::shared_ptr<HollowWorker> worker = std::move(it->second);
+    workers_.erase(it);
+    loop_.after(destroyed_after_s, [worker] {});
+}
+
+// All tasks of the gang's attempt have their image if there is a run time; else one of them has ended too
+// early.
+void WorkerProcess::notify_gang(const json& message) {
+    auto job = message.at("job").get<std::string>();
+    auto attempt = message.at("attempt").get<std::uint64_t>();
+    for (auto& [id, worker] : workers_) {
+        if (message.contains("run_s"))
+            worker->tasks().start_gang(job, attempt, message["run_s"].get<double>());
+        else
+            worker->tasks().stop_gang(job, attempt);
+    }
 }
+
 json WorkerProcess::stats() const {
-    auto& c = counts_;
+    auto& counts = counts_;
     std::size_t present = 0;
-    for (auto& [id, w] : workers_) present += w->present();
+    for (auto& [id, worker] : workers_) present += std::as_const(*worker).tasks().present();
     return {{"workers", workers_.size()},
             {"present", present},
-            {"reports", c.reports},
-            {"report_bytes", c.report_bytes},
-            {"repeated", c.repeated},
-            {"repeated_bytes", c.repeated_bytes},
-            {"answers", c.answers},
-            {"answer_bytes", c.answer_bytes},
-            {"redirected", c.redirected},
-            {"turned_away", c.turned_away},
-            {"unanswered", c.unanswered},
-            {"dropped_answers", c.dropped_answers},
-            {"direct", c.direct},
-            {"direct_bytes", c.direct_bytes},
-            {"direct_answer_bytes", c.direct_answer_bytes},
-            {"refused_commands", c.refused_commands},
-            {"commands", c.commands},
-            {"started", c.started},
-            {"ended", c.ended},
-            {"expired", c.expired},
-            {"reports_to", c.by_controller},
-            {"ends_by_cause", c.ends_by_cause}};
+            {"reports", counts.heartbeats},
+            {"report_bytes", counts.heartbeat_bytes},
+            {"repeated", counts.repeated_heartbeats},
+            {"repeated_bytes", counts.repeated_bytes},
+            {"answers", counts.answers},
+            {"answer_bytes", counts.answer_bytes},
+            {"redirected", counts.redirected},
+            {"turned_away", counts.rejected},
+            {"unanswered", counts.unanswered},
+            {"dropped_answers", counts.ignored_answers},
+            {"direct", counts.direct_requests},
+            {"direct_bytes", counts.direct_bytes},
+            {"direct_answer_bytes", counts.direct_answer_bytes},
+            {"refused_commands", counts.rejected_commands},
+            {"commands", counts.commands},
+            {"started", counts.tasks_started},
+            {"ended", counts.tasks_ended},
+            {"expired", counts.leases_expired},
+            {"reports_to", counts.heartbeats_by_controller},
+            {"ends_by_cause", counts.ends_by_cause}};
 }
+
 }  // namespace
 
-int run_worker_process(const Experiment& e, std::uint32_t process) {
+int run_worker_process(const Experiment& experiment, std::uint32_t process) {
     event_loop::EventLoop loop;
     TimerLateness lateness(loop);
-    WorkerProcess site(loop, e, process);
-    auto control = control_server(loop, e.worker_control_addr(process),
-                                  [&](const http::Request& r, const http::Reply& reply) {
-                                      if (r.target == "/stats") {
-                                          auto out = site.stats();
-                                          out["lateness_s"] = lateness.longest_s();
-                                          out["late"] = lateness.over_100_ms();
-                                          return reply({200, out.dump()});
+    WorkerProcess workers(loop, experiment, process);
+    auto control = control_server(loop, experiment.worker_control_addr(process),
+                                  [&](const http::Request& request, const http::Reply& reply) {
+                                      if (request.target != control_paths::stats) {
+                                          workers.handle_control(request);
+                                          return reply({200, "{}"});
                                       }
-                                      auto j = json::parse(r.body);
-                                      if (r.target == "/up")
-                                          site.up({j.at("id"), j.at("addr"), j.at("type"), j.at("zone"),
-                                                   j.at("spot"), protocol::HostState::running, 0});
-                                      if (r.target == "/remove")
-                                          for (auto& id : messages::parse_machines(r.body)) site.remove(id);
-                                      if (r.target == "/silence")
-                                          for (auto& id : messages::parse_machines(r.body)) site.silence(id);
-                                      if (r.target == "/gang") site.gang(j);
-                                      reply({200, "{}"});
+                                      auto stats = workers.stats();
+                                      stats["lateness_s"] = lateness.longest_s();
+                                      stats["late"] = lateness.over_100_ms();
+                                      reply({200, stats.dump()});
                                   });
     loop.run();
     return 0;
