--- a/scale/load/load_balancer.cpp
+++ b/scale/load/load_balancer.cpp
@@ -6,44 +6,58 @@
 
 namespace coralhitch::scale {
 namespace {
+
 // The protocol's own figures.
-constexpr double probe_every_s = 1, probe_timeout_s = 1, least_pause_s = 3, most_pause_s = 60,
-                 doubles_within_s = 120;
-constexpr std::size_t looked_at = 6;
+constexpr double probe_interval_s = 1, probe_timeout_s = 1, shortest_pause_s = 3, longest_pause_s = 60,
+                 pause_doubles_within_s = 120;
+constexpr std::size_t probes_kept = 6;
+constexpr int failures_to_remove = 3;
+
 }  // namespace
 
-LoadBalancer::LoadBalancer(event_loop::Timers& timers, http::Requester& http, const Experiment& e)
-    : timers_(timers), http_(http), experiment_(e), nodes_(e.controllers) {
-    for (std::uint32_t k = 0; k < e.controllers; ++k) probe(k);
+LoadBalancer::LoadBalancer(event_loop::Timers& timers, http::Requester& http, const Experiment& experiment)
+    : timers_(timers), http_(http), experiment_(experiment), backends_(experiment.controllers) {
+    for (std::uint32_t controller = 0; controller < experiment.controllers; ++controller) probe(controller);
 }
-void LoadBalancer::probe(std::uint32_t k) {
-    http_.send(experiment_.controller_addr(k), {"GET", std::string(protocol::paths::health), {}},
-               probe_timeout_s,
-               [this, k](std::optional<http::Response> r) { judge(nodes_[k], r && r->status == 200); });
-    timers_.after(probe_every_s, [this, k] { probe(k); });
+
+void LoadBalancer::probe(std::uint32_t controller) {
+    http_.send(experiment_.controller_addr(controller), {"GET", std::string(protocol::paths::health), {}},
+               probe_timeout_s, [this, controller](const std::optional<http::Response>& response) {
+                   note_probe(backends_[controller], response && response->status == 200);
+               });
+    timers_.after(probe_interval_s, [this, controller] { probe(controller); });
 }
-void LoadBalancer::judge(Node& n, bool ok) {
+
+void LoadBalancer::note_probe(Backend& backend, bool succeeded) {
     double now = timers_.now();
-    n.probes.push_back(ok);
-    if (n.probes.size() > looked_at) n.probes.pop_front();
-    auto failed = std::count(n.probes.begin(), n.probes.end(), false);
-    bool twice = n.probes.size() >= 2 && n.probes.back() == n.probes[n.probes.size() - 2];
-    if (n.healthy && !ok && (twice || failed >= 3)) {
-        n.healthy = false;
-        n.pause = now - n.removed_at < doubles_within_s ? std::min(most_pause_s, n.pause * 2) : least_pause_s;
-        n.removed_at = now;
-    } else if (!n.healthy && ok && (!n.ever || (twice && now - n.removed_at >= n.pause))) {
-        n.healthy = n.ever = true;
-        n.probes.clear();
+    auto& probes = backend.probes;
+    probes.push_back(succeeded);
+    if (probes.size() > probes_kept) probes.pop_front();
+    auto failed = std::count(probes.begin(), probes.end(), false);
+    bool twice = probes.size() >= 2 && probes.back() == probes[probes.size() - 2];
+    if (backend.healthy && !succeeded && (twice || failed >= failures_to_remove)) {
+        bool again = now - backend.removed_at < pause_doubles_within_s;
+        backend.healthy = false;
+        backend.pause_s = again ? std::min(longest_pause_s, backend.pause_s * 2) : shortest_pause_s;
+        backend.removed_at = now;
+        return;
+    }
+    if (backend.healthy || !succeeded) return;
+    if (!backend.ever_healthy || (twice && now - backend.removed_at >= backend.pause_s)) {
+        backend.healthy = backend.ever_healthy = true;
+        probes.clear();
     }
 }
+
 std::optional<std::uint32_t> LoadBalancer::pick() {
     std::optional<std::uint32_t> best;
-    for (std::size_t k = 0; k < nodes_.size(); ++k) {
-        auto n = static_cast<std::uint32_t>((turn_ + k) % nodes_.size());
-        if (nodes_[n].healthy && (!best || nodes_[n].open < nodes_[*best].open)) best = n;
+    for (std::size_t offset = 0; offset < backends_.size(); ++offset) {
+        auto controller = static_cast<std::uint32_t>((next_ + offset) % backends_.size());
+        auto& backend = backends_[controller];
+        if (backend.healthy && (!best || backend.open_requests < backends_[*best].open_requests))
+            best = controller;
     }
-    ++turn_;
+    ++next_;
     return best;
 }
 
--- a/scale/load/load_balancer.hpp
+++ b/scale/load/load_balancer.hpp
@@ -1,8 +1,8 @@
 // The load balancer of the users: which controllers are healthy, by probes, and which takes the next request.
 #pragma once
 #include <deque>
+#include <limits>
 #include <optional>
-#include <random>
 #include <vector>
 
 #include "event_loop/timers.hpp"
@@ -16,26 +16,28 @@
 // connections.
 class LoadBalancer {
   public:
+    // All references must outlive this.
     LoadBalancer(event_loop::Timers& timers, http::Requester& http, const Experiment& experiment);
     // A healthy controller with the fewest open requests; nothing if there is none.
     std::optional<std::uint32_t> pick();
-    void opened(std::uint32_t k) { ++nodes_[k].open; }
-    void closed(std::uint32_t k) { --nodes_[k].open; }
+    void request_opened(std::uint32_t controller) { ++backends_[controller].open_requests; }
+    void request_closed(std::uint32_t controller) { --backends_[controller].open_requests; }
 
   private:
-    struct Node {
-        std::deque<bool> probes;
-        bool healthy = false, ever = false;
-        double pause = 0, removed_at = -1e9;
-        int open = 0;
+    struct Backend {
+        std::deque<bool> probes;  // the last ones, whether they succeeded
+        bool healthy = false, ever_healthy = false;
+        double pause_s = 0, removed_at = std::numeric_limits<double>::lowest();
+        int open_requests = 0;
     };
-    void probe(std::uint32_t k);
-    void judge(Node& n, bool ok);
+    void probe(std::uint32_t controller);
+    void note_probe(Backend& backend, bool succeeded);
+
     event_loop::Timers& timers_;
     http::Requester& http_;
     const Experiment& experiment_;
-    std::vector<Node> nodes_;
-    std::size_t turn_ = 0;
+    std::vector<Backend> backends_;
+    std::size_t next_ = 0;
 };
 
 }  // namespace coralhitch::scale
--- /dev/null
+++ b/scale/load/worker_event_handler.hpp
@@ -0,0 +1,45 @@
+// Takes the events that worker processes report: to the checker, to gangs, and into latencies.
+#pragma once
+#include <cstdint>
+#include <map>
+#include <nlohmann/json.hpp>
+
+#include "event_loop/event_loop.hpp"
+#include "http/client.hpp"
+#include "scale/load/checker_feed.hpp"
+#include "scale/load/gang_coordinator.hpp"
+#include "scale/load/job_client.hpp"
+#include "scale/load/latency_histograms.hpp"
+
+namespace coralhitch::scale {
+
+class WorkerEventHandler {
+  public:
+    struct Counts {
+        std::uint64_t images_ready = 0, tasks_begun = 0, tasks_done = 0;
+    };
+
+    // All references must outlive this. `http` speaks with the control servers.
+    WorkerEventHandler(event_loop::EventLoop& loop, http::Client& http, const Experiment& experiment,
+                       JobClient& jobs, CheckerFeed& feed, LatencyHistograms& latencies);
+    // A message of EventReporter.
+    void handle(const nlohmann::json& message);
+    [[nodiscard]] const Counts& counts() const { return counts_; }
+
+  private:
+    void handle_event(const WorkerEvent& event);
+    void check(const WorkerEvent& event, verification::Checker& checker);
+    void check_end(const WorkerEvent& event, verification::Checker& checker);
+    // The first time a task runs: what its user waited for.
+    void note_begun(GeneratedJob& job, std::uint32_t task, double time);
+
+    const Experiment& experiment_;
+    JobClient& jobs_;
+    CheckerFeed& feed_;
+    LatencyHistograms& latencies_;
+    GangCoordinator gangs_;
+    std::map<std::uint32_t, std::uint64_t> last_message_;  // number, by process
+    Counts counts_;
+};
+
+}  // namespace coralhitch::scale
