--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -5,149 +5,248 @@
 
 Prints a table: the fit, the largest and the mean residual, and how many phases it was made of.
 """
+import dataclasses
 import json
 import math
 import sys
+from collections.abc import Callable
 
+SINGULAR = 1e-12  # a pivot below this: the points don't tell the terms apart
 
-def solve(a, b):
-    """Gaussian elimination with pivots; a is square."""
-    n = len(b)
-    rows = [list(a[i]) + [b[i]] for i in range(n)]
-    for i in range(n):
-        p = max(range(i, n), key=lambda r: abs(rows[r][i]))
-        rows[i], rows[p] = rows[p], rows[i]
-        if abs(rows[i][i]) < 1e-12:
-            raise ValueError("the runs do not tell these apart")
-        for r in range(n):
-            if r != i:
-                f = rows[r][i] / rows[i][i]
-                rows[r] = [x - f * y for x, y in zip(rows[r], rows[i])]
-    return [rows[i][n] / rows[i][i] for i in range(n)]
+
+class CannotTellApart(ValueError):
+    """The terms of a fit grow together in all points."""
+
+
+# --- Least squares ------------------------------------------------------------------------------------------------
+
+
+@dataclasses.dataclass
+class Point:
+    terms: list[float]
+    figure: float
+
+
+@dataclasses.dataclass
+class Fit:
+    coefficients: list[float]
+    largest_residual: float
+    mean_residual: float  # root of the mean square
+
+
+def solve(matrix, constants):
+    """Gaussian elimination with pivots; the matrix is square."""
+    size = len(constants)
+    rows = [[*matrix[index], constants[index]] for index in range(size)]
+    for column in range(size):
+        pivot = max(range(column, size), key=lambda row: abs(rows[row][column]))
+        rows[column], rows[pivot] = rows[pivot], rows[column]
+        if abs(rows[column][column]) < SINGULAR:
+            raise CannotTellApart("the runs do not tell these apart")
+        for row in range(size):
+            if row == column:
+                continue
+            factor = rows[row][column] / rows[column][column]
+            rows[row] = [value - factor * eliminated for value, eliminated in zip(rows[row], rows[column])]
+    return [rows[index][size] / rows[index][index] for index in range(size)]
 
 
 def fit(points):
-    """points: (values of the terms, y). Terms are scaled first, since they differ by orders of magnitude."""
-    scale = [max(abs(x[k]) for x, _ in points) or 1 for k in range(len(points[0][0]))]
-    xs = [[v / s for v, s in zip(x, scale)] for x, _ in points]
-    ys = [y for _, y in points]
-    k = len(scale)
-    a = [[sum(x[i] * x[j] for x in xs) for j in range(k)] for i in range(k)]
-    b = [sum(x[i] * y for x, y in zip(xs, ys)) for i in range(k)]
-    c = [v / s for v, s in zip(solve(a, b), scale)]
-    residuals = [abs(sum(v * w for v, w in zip(c, x)) - y) for x, y in points]
-    return c, max(residuals), math.sqrt(sum(r * r for r in residuals) / len(residuals))
-
-
-def phases(files):
+    """Terms are scaled first, since they differ by orders of magnitude."""
+    term_count = len(points[0].terms)
+    scales = [max(abs(point.terms[term]) for point in points) or 1 for term in range(term_count)]
+    scaled = [[value / scale for value, scale in zip(point.terms, scales)] for point in points]
+    figures = [point.figure for point in points]
+    matrix = [[sum(terms[row] * terms[column] for terms in scaled) for column in range(term_count)]
+              for row in range(term_count)]
+    constants = [sum(terms[row] * figure for terms, figure in zip(scaled, figures)) for row in range(term_count)]
+    coefficients = [value / scale for value, scale in zip(solve(matrix, constants), scales)]
+    residuals = [abs(sum(coefficient * term for coefficient, term in zip(coefficients, point.terms)) - point.figure)
+                 for point in points]
+    mean = math.sqrt(sum(residual * residual for residual in residuals) / len(residuals))
+    return Fit(coefficients, max(residuals), mean)
+
+
+# --- Figures of a phase -------------------------------------------------------------------------------------------
+
+
+def read_phases(files):
     for name in files:
-        data = json.load(open(name))
+        with open(name) as file:
+            data = json.load(file)
         for run in data if isinstance(data, list) else [data]:
-            for p in run["phases"]:
-                yield run["experiment"], p
+            yield from run["phases"]
+
+
+def one(phase):
+    return 1
+
+
+def workers(phase):
+    return phase["workers"]["workers"]
+
+
+def tasks(phase):
+    return phase["workers"]["tasks"]
+
+
+def tasks_per_worker(phase):
+    return tasks(phase) / workers(phase)
+
+
+def starts_and_ends(phase):
+    return phase["workers"]["starts_s"] + phase["workers"]["ends_s"]
+
+
+def starts_and_ends_per_worker(phase):
+    return starts_and_ends(phase) / workers(phase)
+
 
+def ends(phase):
+    return phase["workers"]["ends_s"]
 
-def leader(p):
-    return p["controllers"][p["leader"]]
 
+def submissions(phase):
+    return phase["users_s"]["submissions"]
 
-def relays(p):
-    return [c for name, c in p["controllers"].items() if name != p["leader"] and "plans_s" in c]
 
+def kv_changes(phase):
+    return phase["state_s"]["changes"]
 
-STEADY, ALL, TAKEOVER = ("calm", "peak"), ("calm", "peak", "takeover", "roll"), ("takeover",)
 
+def kv_requests(phase):
+    return phase["state_s"]["requests"]
 
-def moves(p):
-    return p["workers"]["starts_s"] + p["workers"]["ends_s"]
 
+def kv_bytes(phase):
+    return phase["state_s"]["bytes_in"] + phase["state_s"]["bytes_out"]
 
-# name, phases, terms, function of (experiment, phase) -> list of (terms' values, figure)
-def of(y, *x):
-    return lambda e, p: [([f(e, p) for f in x], y(e, p))]
 
+def heartbeats_and_probes(phase):
+    return phase["workers"]["reports_s"] + phase["workers"]["direct_s"]
 
-def each_relay(y, *x):
-    return lambda e, p: [([f(e, p, c) for f in x], y(c)) for c in relays(p)]
+
+def leader(phase):
+    return phase["controllers"][phase["leader"]]
+
+
+def relays(phase):
+    return [row for name, row in phase["controllers"].items() if name != phase["leader"] and "plans_s" in row]
+
+
+def of_leader(field):
+    return lambda phase: leader(phase)[field]
+
+
+def failover_step(step):
+    return lambda phase: leader(phase)["takeover_s"][step]
+
+
+# --- Lines of the table -------------------------------------------------------------------------------------------
+
+STEADY = ("calm", "peak")
+FAILOVER = ("takeover",)
+ALL = (*STEADY, *FAILOVER, "roll")
+
+
+@dataclasses.dataclass
+class Line:
+    """A figure and the terms that it is fitted to. KeyError for a phase that doesn't have it."""
+
+    name: str
+    phases: tuple[str, ...]
+    terms: list[str]  # names; "": the constant
+    points: Callable[[dict], list[Point]]
+
+
+def each_phase(figure, *terms):
+    """One point a phase."""
+    return lambda phase: [Point([term(phase) for term in terms], figure(phase))]
+
+
+def each_relay(field, *terms):
+    """One point a phase and relaying controller; terms are of the phase, or fields of the controller's row."""
+    def points(phase):
+        return [Point([row[term] if isinstance(term, str) else term(phase) for term in terms], row[field])
+                for row in relays(phase)]
+    return points
 
 
-one = lambda e, p: 1
-workers = lambda e, p: p["workers"]["workers"]
-tasks = lambda e, p: p["workers"]["tasks"]
 LINES = [
-    ("leader, cores", STEADY, ["", "workers", "tasks", "starts and ends a second"],
-     of(lambda e, p: leader(p)["cores"], one, workers, tasks, lambda e, p: moves(p))),
-    ("leader, MB at most", STEADY, ["", "workers", "tasks"],
-     of(lambda e, p: leader(p)["peak_mb"], one, workers, tasks)),
-    ("leader, sockets", STEADY, ["", "workers"], of(lambda e, p: leader(p)["sockets"], one, workers)),
-    ("leader, ms a plan (wall)", STEADY, ["", "workers", "tasks"],
-     of(lambda e, p: leader(p).get("plan_ms", 0), one, workers, tasks)),
-    ("relaying controller, cores", STEADY, ["", "reports heard a second", "of them passed on"],
-     each_relay(lambda c: c["cores"], lambda e, p, c: 1, lambda e, p, c: c["reports_s"],
-                lambda e, p, c: c["reports_relayed_s"])),
-    ("relaying controller, MB at most", STEADY, ["", "workers", "tasks"],
-     each_relay(lambda c: c["peak_mb"], lambda e, p, c: 1, lambda e, p, c: workers(e, p),
-                lambda e, p, c: tasks(e, p))),
-    ("relaying controller, sockets", STEADY, ["", "workers"],
-     each_relay(lambda c: c["sockets"], lambda e, p, c: 1, lambda e, p, c: workers(e, p))),
-    ("state service, changes a second", STEADY, ["", "ends a second", "submissions a second"],
-     of(lambda e, p: p["state_s"]["changes"], one, lambda e, p: p["workers"]["ends_s"],
-        lambda e, p: p["users_s"]["submissions"])),
-    ("state service, requests a second", STEADY, ["", "workers", "changes a second"],
-     of(lambda e, p: p["state_s"]["requests"], one, workers, lambda e, p: p["state_s"]["changes"])),
-    ("state service, bytes in and out a second", STEADY, ["", "changes a second"],
-     of(lambda e, p: p["state_s"]["bytes_in"] + p["state_s"]["bytes_out"], one,
-        lambda e, p: p["state_s"]["changes"])),
-    ("state service, bytes of machines", STEADY, ["", "workers"],
-     of(lambda e, p: p["state_bytes"]["mach"], one, workers)),
-    ("state service, bytes of live jobs", STEADY, ["", "jobs"],
-     of(lambda e, p: p["state_bytes"]["job"], one, lambda e, p: p["state_keys"]["job"])),
-    ("hollow state service and cloud, cores", STEADY, ["", "requests a second"],
-     of(lambda e, p: p["infrastructure"]["cores"], one, lambda e, p: p["state_s"]["requests"])),
-    ("cloud, requests a second", STEADY, ["", "workers"],
-     of(lambda e, p: p["cloud_s"].get("requests", 0), one, workers)),
-    ("worker, bytes of a report", STEADY, ["", "tasks on it"],
-     of(lambda e, p: p["workers"]["report_bytes"], one, lambda e, p: tasks(e, p) / workers(e, p))),
-    ("worker, reports a second", STEADY, ["", "starts and ends a worker and second"],
-     of(lambda e, p: p["workers"]["reports_s"] / workers(e, p), one, lambda e, p: moves(p) / workers(e, p))),
-    ("worker, HTTP bytes a second", ALL, ["", "tasks on it", "starts and ends a worker and second"],
-     of(lambda e, p: p["workers"]["bytes_a_worker_s"], one, lambda e, p: tasks(e, p) / workers(e, p),
-        lambda e, p: moves(p) / workers(e, p))),
-    ("hollow worker, cores", ALL, ["", "workers", "reports and questions a second"],
-     of(lambda e, p: p["workers"]["cores"], one, workers,
-        lambda e, p: p["workers"]["reports_s"] + p["workers"]["direct_s"])),
-    ("users and checker, cores", STEADY, ["", "starts and ends a second", "jobs submitted a second"],
-     of(lambda e, p: p["users"]["cores"], one, lambda e, p: moves(p),
-        lambda e, p: p["users_s"]["submissions"])),
-    ("takeover, s until it may place", TAKEOVER, ["", "workers", "tasks"],
-     of(lambda e, p: leader(p)["takeover_s"]["may place"], one, workers, tasks)),
-    ("takeover, s until all machines are settled", TAKEOVER, ["", "workers", "tasks"],
-     of(lambda e, p: leader(p)["takeover_s"]["all machines settled"], one, workers, tasks)),
+    Line("leader, cores", STEADY, ["", "workers", "tasks", "starts and ends a second"],
+         each_phase(of_leader("cores"), one, workers, tasks, starts_and_ends)),
+    Line("leader, MB at most", STEADY, ["", "workers", "tasks"],
+         each_phase(of_leader("peak_mb"), one, workers, tasks)),
+    Line("leader, sockets", STEADY, ["", "workers"], each_phase(of_leader("sockets"), one, workers)),
+    Line("leader, ms a plan (wall)", STEADY, ["", "workers", "tasks"],
+         each_phase(lambda phase: leader(phase).get("plan_ms", 0), one, workers, tasks)),
+    Line("relaying controller, cores", STEADY, ["", "reports heard a second", "of them passed on"],
+         each_relay("cores", one, "reports_s", "reports_relayed_s")),
+    Line("relaying controller, MB at most", STEADY, ["", "workers", "tasks"],
+         each_relay("peak_mb", one, workers, tasks)),
+    Line("relaying controller, sockets", STEADY, ["", "workers"], each_relay("sockets", one, workers)),
+    Line("state service, changes a second", STEADY, ["", "ends a second", "submissions a second"],
+         each_phase(kv_changes, one, ends, submissions)),
+    Line("state service, requests a second", STEADY, ["", "workers", "changes a second"],
+         each_phase(kv_requests, one, workers, kv_changes)),
+    Line("state service, bytes in and out a second", STEADY, ["", "changes a second"],
+         each_phase(kv_bytes, one, kv_changes)),
+    Line("state service, bytes of machines", STEADY, ["", "workers"],
+         each_phase(lambda phase: phase["state_bytes"]["mach"], one, workers)),
+    Line("state service, bytes of live jobs", STEADY, ["", "jobs"],
+         each_phase(lambda phase: phase["state_bytes"]["job"], one, lambda phase: phase["state_keys"]["job"])),
+    Line("hollow state service and cloud, cores", STEADY, ["", "requests a second"],
+         each_phase(lambda phase: phase["infrastructure"]["cores"], one, kv_requests)),
+    Line("cloud, requests a second", STEADY, ["", "workers"],
+         each_phase(lambda phase: phase["cloud_s"].get("requests", 0), one, workers)),
+    Line("worker, bytes of a report", STEADY, ["", "tasks on it"],
+         each_phase(lambda phase: phase["workers"]["report_bytes"], one, tasks_per_worker)),
+    Line("worker, reports a second", STEADY, ["", "starts and ends a worker and second"],
+         each_phase(lambda phase: phase["workers"]["reports_s"] / workers(phase), one, starts_and_ends_per_worker)),
+    Line("worker, HTTP bytes a second", ALL, ["", "tasks on it", "starts and ends a worker and second"],
+         each_phase(lambda phase: phase["workers"]["bytes_a_worker_s"], one, tasks_per_worker,
+                    starts_and_ends_per_worker)),
+    Line("hollow worker, cores", ALL, ["", "workers", "reports and questions a second"],
+         each_phase(lambda phase: phase["workers"]["cores"], one, workers, heartbeats_and_probes)),
+    Line("users and checker, cores", STEADY, ["", "starts and ends a second", "jobs submitted a second"],
+         each_phase(lambda phase: phase["users"]["cores"], one, starts_and_ends, submissions)),
+    Line("takeover, s until it may place", FAILOVER, ["", "workers", "tasks"],
+         each_phase(failover_step("may place"), one, workers, tasks)),
+    Line("takeover, s until all machines are settled", FAILOVER, ["", "workers", "tasks"],
+         each_phase(failover_step("all machines settled"), one, workers, tasks)),
 ]
 
 
-def main(files):
-    all_phases = list(phases(files))
-    print("| figure | fit | residual, largest; mean | phases |\n| --- | --- | --- | --- |")
-    for name, names, terms, line in LINES:
-        points = []
-        for e, p in all_phases:
-            if p["name"] not in names:
-                continue
-            try:
-                points += line(e, p)
-            except KeyError:
-                continue  # of a controller that was not there, or took over nothing
-        if len(points) <= len(terms):
-            print(f"| {name} | too few phases | | {len(points)} |")
+def collect_points(line, phases):
+    points = []
+    for phase in phases:
+        if phase["name"] not in line.phases:
             continue
         try:
-            c, largest, mean = fit(points)
-        except ValueError as error:
-            print(f"| {name} | {error} | | {len(points)} |")
-            continue
-        text = " + ".join(f"{v:.3g}" + (f" × {t}" if t else "") for v, t in zip(c, terms))
-        print(f"| {name} | {text} | {largest:.2g}; {mean:.2g} | {len(points)} |")
+            points += line.points(phase)
+        except KeyError:
+            continue  # of a controller that was not there, or took over nothing
+    return points
+
+
+def row(line, phases):
+    points = collect_points(line, phases)
+    if len(points) <= len(line.terms):
+        return f"| {line.name} | too few phases | | {len(points)} |"
+    try:
+        result = fit(points)
+    except CannotTellApart as error:
+        return f"| {line.name} | {error} | | {len(points)} |"
+    text = " + ".join(f"{coefficient:.3g}" + (f" × {term}" if term else "")
+                      for coefficient, term in zip(result.coefficients, line.terms))
+    return f"| {line.name} | {text} | {result.largest_residual:.2g}; {result.mean_residual:.2g} | {len(points)} |"
+
+
+def main(files):
+    phases = list(read_phases(files))
+    print("| figure | fit | residual, largest; mean | phases |\n| --- | --- | --- | --- |")
+    for line in LINES:
+        print(row(line, phases))
 
 
 if __name__ == "__main__":
