--- a/scale/tests/ends_test.sh
+++ b/scale/tests/ends_test.sh
@@ -65,11 +65,12 @@
 # Broken off while all processes are there, in ways that it can and can't answer to.
 cp "$experiment" "$work/experiment.toml"
 for signal in TERM KILL; do
+    rm -f "$work/err"  # the run before it names machines too
     TMPDIR=$work "$scale" run "$work/experiment.toml" --controller "$controller" >"$work/out" 2>"$work/err" &
     driver=$!
     started+=("$driver")
     for _ in $(seq 300); do
-        grep -q "machines" "$work/err" && break
+        grep -qs "machines" "$work/err" && break
         sleep 0.1
     done
     [ "$(left)" -ge 8 ] || fail "SIG$signal: only $(left) processes were there"
