--- /dev/null
+++ b/scale/tests/experiment_file_test.cpp
@@ -0,0 +1,55 @@
+// What an experiment's file may hold, and that all else is refused by name.
+#include "scale/config/experiment_file.hpp"
+
+#include <gtest/gtest.h>
+
+#include "smallest_experiment.hpp"
+
+namespace coralhitch::scale {
+namespace {
+
+struct Bad {
+    const char* name;
+    std::string text;
+    const char* said;
+};
+const Bad bad[] = {
+    {"empty", "", "field 'name' is missing"},
+    {"syntax", "name = ", "line 1"},
+    {"unknown", "wrokers = 3\n" + smallest_experiment, "field 'wrokers' is not known"},
+    {"unknown_in_table", smallest_experiment + "[load]\nteems = 3\n", "field 'load.teems' is not known"},
+    {"range", smallest_experiment + "[state]\nvalue_kb = 65\n", "field 'state.value_kb' must be"},
+    {"region", smallest_experiment + "[[faults]]\nkind = \"region_link\"\n",
+     "'region_link' is not supported"},
+    {"configuration", smallest_experiment + "[[faults]]\nkind = \"configuration\"\n",
+     "'configuration' is not supported"},
+    {"no_fault", smallest_experiment + "[[faults]]\nkind = \"flood\"\n", "'flood' is not a fault"},
+    {"no_zone", smallest_experiment + "[[faults]]\nkind = \"zone\"\nwhich = \"q\"\n", "there is no zone 'q'"},
+    {"no_controller", smallest_experiment + "[[faults]]\nkind = \"controller\"\nwhich = \"berth-3\"\n",
+     "no controller 'berth-3'"},
+    {"too_late", smallest_experiment + "[[faults]]\nkind = \"rack\"\nat_s = 10\n", "after the last phase"},
+    {"lease", smallest_experiment + "[worker]\nlease_s = 60\ncancel_s = 61\n",
+     "must be at least lease_s + report_s"},
+};
+class BadExperiment : public testing::TestWithParam<Bad> {};
+INSTANTIATE_TEST_SUITE_P(Experiments, BadExperiment, testing::ValuesIn(bad),
+                         [](auto& info) { return std::string(info.param.name); });
+TEST_P(BadExperiment, IsRefusedByName) {
+    try {
+        parse_experiment(GetParam().text, "file.toml");
+        FAIL() << "was taken";
+    } catch (const ExperimentError& r) {
+        EXPECT_NE(std::string(r.what()).find(GetParam().said), std::string::npos) << r.what();
+        EXPECT_TRUE(std::string(r.what()).starts_with("file.toml: "));
+    }
+}
+TEST(ExperimentFile, OverridesReplaceFields) {
+    auto e = parse_experiment(smallest_experiment, "f",
+                              {{"workers", "70"}, {"load.teams", "3"}, {"name", "other"}});
+    EXPECT_EQ(e.workers, 70u);
+    EXPECT_EQ(e.load.teams, 3u);
+    EXPECT_EQ(e.name, "other");
+}
+
+}  // namespace
+}  // namespace coralhitch::scale
