--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -9,8 +9,7 @@
 namespace {
 
 // The protocol's own limits.
-constexpr std::size_t kept_changes = 10000, largest_page_items = 1000,
-                      largest_page_bytes = std::size_t{512} * 1024,
+constexpr std::size_t largest_page_items = 1000, largest_page_bytes = std::size_t{512} * 1024,
                       largest_transaction_bytes = std::size_t{64} * 1024, longest_key_bytes = 200,
                       conditions_per_change = 4;
 constexpr double longest_watch_s = 60, shortest_ttl_s = 0.1, longest_ttl_s = 600;
@@ -34,7 +33,10 @@
       settings_(settings),
       random_(seed),
       request_budget_(settings.rps, settings.rps),
-      write_budget_(settings.write_rps, settings.write_rps) {}
+      write_budget_(settings.write_rps, settings.write_rps),
+      watches_([this](const http::Reply& reply, http::Response response) {
+          answer(reply, std::move(response));
+      }) {}
 
 bool InMemoryKvStore::is_down() const {
     return timers_.now() < outage_end_;
@@ -50,8 +52,7 @@
     timers_.after(draw_latency_s(), guard_([reply, response = std::move(response)] { reply(response); }));
 }
 
-// --- Requests
-// -------------------------------------------------------------------------------------------------
+// --- Requests -------------------------------------------------------------------------------------------
 
 void InMemoryKvStore::handle(const http::Request& request, const http::Reply& reply) {
     ++counts_.requests;
@@ -119,8 +120,7 @@
     return {200, messages::entries_body(entries, more, revision_)};
 }
 
-// --- Transactions
-// ---------------------------------------------------------------------------------------------
+// --- Transactions ---------------------------------------------------------------------------------------
 
 bool InMemoryKvStore::within_size_limits(const protocol::Txn& transaction, std::size_t bytes) const {
     if (bytes > largest_transaction_bytes || transaction.changes.size() > settings_.txn_ops ||
@@ -169,12 +169,10 @@
         items_[change.key] = {*change.value, revision_, change.lease};
     else if (items_.erase(change.key) == 0)
         return;  // nothing changed
-    history_.push_back({change.key, change.value, revision_});
-    while (history_.size() > kept_changes) history_.pop_front();
+    watches_.append({change.key, change.value, revision_});
 }
 
-// --- Leases
-// ---------------------------------------------------------------------------------------------------
+// --- Leases ---------------------------------------------------------------------------------------------
 
 http::Response InMemoryKvStore::handle_lease(const http::Request& request) {
     auto path_size = protocol::paths::leases.size();
@@ -229,8 +227,7 @@
     timers_.after(seconds + timer_margin_s, guard_([this] { answer_watches(); }));
 }
 
-// --- Watches
-// --------------------------------------------------------------------------------------------------
+// --- Watches --------------------------------------------------------------------------------------------
 
 void InMemoryKvStore::open_watch(const std::string& target, const http::Reply& reply) {
     Watch watch;
@@ -242,42 +239,20 @@
     } catch (const std::exception&) {
         return answer(reply, {400, "{}"});
     }
-    if (!history_.empty() && history_.size() == kept_changes && watch.since + 1 < history_.front().version)
-        return answer(reply, {410, "{}"});
+    if (watches_.has_forgotten_since(watch.since)) return answer(reply, {410, "{}"});
     watch.reply = reply;
     double left = watch.deadline - timers_.now();
-    watches_.push_back(std::move(watch));
+    watches_.open(std::move(watch));
     if (left > 0) timers_.after(left + timer_margin_s, guard_([this] { answer_watches(); }));
     answer_watches();
 }
 
-std::vector<const protocol::Event*> InMemoryKvStore::events_for(const Watch& watch) const {
-    std::vector<const protocol::Event*> events;
-    auto it = std::upper_bound(
-        history_.begin(), history_.end(), watch.since,
-        [](std::uint64_t since, const protocol::Event& event) { return since < event.version; });
-    for (; it != history_.end(); ++it)
-        if (it->key.starts_with(watch.prefix)) events.push_back(&*it);
-    return events;
-}
-
 void InMemoryKvStore::answer_watches() {
     if (is_down()) return;  // open watches stay open through an outage
-    double now = timers_.now();
-    for (auto it = watches_.begin(); it != watches_.end();) {
-        auto events = events_for(*it);
-        if (events.empty() && now < it->deadline) {
-            it->since = revision_;  // so that nothing is looked through twice
-            ++it;
-            continue;
-        }
-        answer(it->reply, {200, messages::events_body(events, revision_)});
-        it = watches_.erase(it);
-    }
+    watches_.answer_due(timers_.now(), revision_);
 }
 
-// --- Figures
-// --------------------------------------------------------------------------------------------------
+// --- Figures --------------------------------------------------------------------------------------------
 
 InMemoryKvStore::CountByKeySpace InMemoryKvStore::bytes_by_key_space() const {
     CountByKeySpace bytes;
--- a/scale/kv/in_memory_kv_store.hpp
+++ b/scale/kv/in_memory_kv_store.hpp
@@ -1,8 +1,6 @@
 // The key-value store as the protocol describes it, held in memory: versions, transactions, watches, leases,
 // limits of rate and size, latency, outages.
 #pragma once
-#include <deque>
-#include <list>
 #include <map>
 #include <random>
 #include <string>
@@ -14,6 +12,7 @@
 #include "http/message.hpp"
 #include "protocol/protocol.hpp"
 #include "scale/config/experiment.hpp"
+#include "scale/kv/watch_list.hpp"
 
 namespace coralhitch::scale {
 
@@ -50,12 +49,6 @@
         double ttl_s = 0, expiry = 0;
         event_loop::TimerId timer = 0;
     };
-    struct Watch {
-        std::string prefix;
-        std::uint64_t since = 0;
-        double deadline = 0;
-        http::Reply reply;
-    };
 
     [[nodiscard]] bool is_down() const;
     double draw_latency_s();
@@ -77,18 +70,15 @@
     void expire(std::uint64_t lease);
 
     void open_watch(const std::string& target, const http::Reply& reply);
-    // Answers the watches that have events or whose time is over.
     void answer_watches();
-    [[nodiscard]] std::vector<const protocol::Event*> events_for(const Watch& watch) const;
 
     event_loop::Timers& timers_;
     KvStoreSettings settings_;
     std::mt19937_64 random_;
     event_loop::TokenBucket request_budget_, write_budget_;
     std::map<std::string, Item> items_;
-    std::deque<protocol::Event> history_;
     std::map<std::uint64_t, Lease> leases_;
-    std::list<Watch> watches_;
+    WatchList watches_;
     std::uint64_t revision_ = 0, next_lease_ = 1;
     double outage_end_ = -1;
     Counts counts_;
