--- a/scale/tests/controller_settings_test.cpp
+++ b/scale/tests/controller_settings_test.cpp
@@ -11,12 +11,13 @@
 
 // The controllers themselves read them.
 TEST(ControllerSettings, AreTakenByControllers) {
-    auto e = parse_experiment(smallest_experiment, "f", {{"port_base", "20000"}, {"load.tight_cpus", "3"}});
-    auto s = config::parse_settings(controller_settings(e, 1), "settings");
-    EXPECT_EQ(s.label, "berth-1");
-    EXPECT_EQ(s.peers.size(), 2u);
-    EXPECT_EQ(s.teams.back().cpus_max, 3);
-    EXPECT_EQ(config::parse_operator(operator_settings(e), "operator").max_machines, 30u);
+    auto experiment =
+        parse_experiment(smallest_experiment, "f", {{"port_base", "20000"}, {"load.tight_cpus", "3"}});
+    auto settings = config::parse_settings(controller_settings(experiment, 1), "settings");
+    EXPECT_EQ(settings.label, "berth-1");
+    EXPECT_EQ(settings.peers.size(), 2u);
+    EXPECT_EQ(settings.teams.back().cpus_max, 3);
+    EXPECT_EQ(config::parse_operator(operator_settings(experiment), "operator").max_machines, 30u);
 }
 
 }  // namespace
--- a/scale/tests/experiment_file_test.cpp
+++ b/scale/tests/experiment_file_test.cpp
@@ -38,17 +38,17 @@
     try {
         parse_experiment(GetParam().text, "file.toml");
         FAIL() << "was taken";
-    } catch (const ExperimentError& r) {
-        EXPECT_NE(std::string(r.what()).find(GetParam().said), std::string::npos) << r.what();
-        EXPECT_TRUE(std::string(r.what()).starts_with("file.toml: "));
+    } catch (const ExperimentError& error) {
+        EXPECT_NE(std::string(error.what()).find(GetParam().said), std::string::npos) << error.what();
+        EXPECT_TRUE(std::string(error.what()).starts_with("file.toml: "));
     }
 }
 TEST(ExperimentFile, OverridesReplaceFields) {
-    auto e = parse_experiment(smallest_experiment, "f",
-                              {{"workers", "70"}, {"load.teams", "3"}, {"name", "other"}});
-    EXPECT_EQ(e.workers, 70u);
-    EXPECT_EQ(e.load.teams, 3u);
-    EXPECT_EQ(e.name, "other");
+    auto experiment = parse_experiment(smallest_experiment, "f",
+                                       {{"workers", "70"}, {"load.teams", "3"}, {"name", "other"}});
+    EXPECT_EQ(experiment.workers, 70u);
+    EXPECT_EQ(experiment.load.teams, 3u);
+    EXPECT_EQ(experiment.name, "other");
 }
 
 }  // namespace
--- a/scale/tests/experiment_test.cpp
+++ b/scale/tests/experiment_test.cpp
@@ -11,17 +11,19 @@
 namespace {
 
 TEST(Experiment, AddressesOfAllHostsDiffer) {
-    auto e = parse_experiment(smallest_experiment, "f", {{"port_base", "20000"}});
+    auto experiment = parse_experiment(smallest_experiment, "f", {{"port_base", "20000"}});
     std::set<std::string> all;
-    std::size_t n = 0;
-    for (std::uint64_t k = 0; k < 20000; ++k, ++n) all.insert(e.worker_addr(k));
-    for (std::uint32_t k = 0; k < 17; ++k, n += 2)
-        all.insert(e.controller_addr(k)), all.insert(e.peer_addr(k));
-    for (std::uint32_t k = 0; k < 32; ++k, ++n) all.insert(e.worker_control_addr(k));
-    for (auto& a :
-         {e.kv_store_addr(), e.cloud_addr(), e.load_control_addr(), e.infrastructure_control_addr()})
-        all.insert(a), ++n;
-    EXPECT_EQ(all.size(), n);
+    std::size_t count = 0;
+    for (std::uint64_t number = 0; number < 20000; ++number, ++count)
+        all.insert(experiment.worker_addr(number));
+    for (std::uint32_t index = 0; index < 17; ++index, count += 2)
+        all.insert(experiment.controller_addr(index)), all.insert(experiment.peer_addr(index));
+    for (std::uint32_t process = 0; process < 32; ++process, ++count)
+        all.insert(experiment.worker_control_addr(process));
+    for (auto& address : {experiment.kv_store_addr(), experiment.cloud_addr(), experiment.load_control_addr(),
+                          experiment.infrastructure_control_addr()})
+        all.insert(address), ++count;
+    EXPECT_EQ(all.size(), count);
 }
 
 }  // namespace
--- a/scale/tests/in_memory_kv_store_test.cpp
+++ b/scale/tests/in_memory_kv_store_test.cpp
@@ -1,5 +1,5 @@
 // The stand-in for the key-value store keeps to the protocol: what it allowed beyond it would flatter the
-// service.
+// store.
 #include "scale/kv/in_memory_kv_store.hpp"
 
 #include <gtest/gtest.h>
@@ -9,14 +9,15 @@
 namespace coralhitch::scale {
 namespace {
 
-struct Bench {
+struct StoreFixture {
     FakeTimers timers;
-    InMemoryKvStore service;
-    explicit Bench(KvStoreSettings s = {1000, 1000, 1, 3, 0.001, 0, 0}) : service(timers, s, 1) {}
+    InMemoryKvStore store;
+    explicit StoreFixture(const KvStoreSettings& settings = {1000, 1000, 1, 3, 0.001, 0, 0})
+        : store(timers, settings, 1) {}
     // The answer, which comes within a second of simulated time; status 0 if none did.
     http::Response ask(const std::string& method, const std::string& target, const std::string& body = "") {
         http::Response answer{0, ""};
-        service.handle({method, target, body}, [&](http::Response r) { answer = std::move(r); });
+        store.handle({method, target, body}, [&](http::Response response) { answer = std::move(response); });
         timers.run_until(timers.now() + 1);
         return answer;
     }
@@ -28,71 +29,71 @@
     }
 };
 
-TEST(InMemoryKvStoreTest, ChangesOnlyOnTheVersionsNamed) {
-    Bench b;
-    EXPECT_EQ(b.put("a/1", 0), 200);
-    EXPECT_EQ(b.put("a/1", 0), 409);
-    EXPECT_EQ(b.put("a/1", 1), 200);
-    EXPECT_EQ(protocol::parse_entry(b.ask("GET", "/kv/a/1").body).version, 2u);
-    EXPECT_EQ(b.ask("GET", "/kv/a/2").status, 404);
+TEST(InMemoryKvStore, ChangesOnlyOnTheVersionsNamed) {
+    StoreFixture store;
+    EXPECT_EQ(store.put("a/1", 0), 200);
+    EXPECT_EQ(store.put("a/1", 0), 409);
+    EXPECT_EQ(store.put("a/1", 1), 200);
+    EXPECT_EQ(protocol::parse_entry(store.ask("GET", "/kv/a/1").body).version, 2u);
+    EXPECT_EQ(store.ask("GET", "/kv/a/2").status, 404);
 }
-TEST(InMemoryKvStoreTest, ListsInOrderAndInPages) {
-    Bench b;
-    for (auto* key : {"a/3", "a/1", "b/1", "a/2"}) b.put(key, 0);
-    auto first = protocol::parse_entries(b.ask("GET", "/kv?starts=a/&limit=2").body);
+TEST(InMemoryKvStore, ListsInOrderAndInPages) {
+    StoreFixture store;
+    for (auto* key : {"a/3", "a/1", "b/1", "a/2"}) store.put(key, 0);
+    auto first = protocol::parse_entries(store.ask("GET", "/kv?starts=a/&limit=2").body);
     ASSERT_EQ(first.entries.size(), 2u);
     EXPECT_EQ(first.entries[1].key, "a/2");
     EXPECT_TRUE(first.more);
-    auto rest = protocol::parse_entries(b.ask("GET", "/kv?starts=a/&since=a/2&limit=2").body);
+    auto rest = protocol::parse_entries(store.ask("GET", "/kv?starts=a/&since=a/2&limit=2").body);
     ASSERT_EQ(rest.entries.size(), 1u);
     EXPECT_EQ(rest.entries[0].key, "a/3");
     EXPECT_FALSE(rest.more);
 }
-TEST(InMemoryKvStoreTest, WatchesWaitForTheirPrefix) {
-    Bench b;
-    b.put("a/1", 0);
-    std::optional<http::Response> told;
-    b.service.handle({"GET", "/watch?starts=a/&since=1&hold_ms=60000", ""},
-                     [&](http::Response r) { told = std::move(r); });
-    b.put("b/1", 0);
-    EXPECT_FALSE(told);
-    b.put("a/2", 0);
-    ASSERT_TRUE(told);
-    auto events = protocol::parse_events(told->body);
+TEST(InMemoryKvStore, WatchesWaitForTheirPrefix) {
+    StoreFixture store;
+    store.put("a/1", 0);
+    std::optional<http::Response> answer;
+    store.store.handle({"GET", "/watch?starts=a/&since=1&hold_ms=60000", ""},
+                       [&](http::Response response) { answer = std::move(response); });
+    store.put("b/1", 0);
+    EXPECT_FALSE(answer);
+    store.put("a/2", 0);
+    ASSERT_TRUE(answer);
+    auto events = protocol::parse_events(answer->body);
     ASSERT_EQ(events.events.size(), 1u);
     EXPECT_EQ(events.events[0].key, "a/2");
     EXPECT_EQ(events.events[0].version, 3u);
 }
-TEST(InMemoryKvStoreTest, ALeaseEndsWithItsKeysUnlessRenewed) {
-    Bench b;
-    auto lease = protocol::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
-    EXPECT_EQ(b.put("a/1", 0, R"(,"mooring":)" + std::to_string(lease)), 200);
-    b.timers.run_until(b.timers.now() + 2.5);
-    EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
-    b.timers.run_until(b.timers.now() + 3.5);
-    EXPECT_EQ(b.ask("GET", "/kv/a/1").status, 200);
-    b.timers.run_until(b.timers.now() + 2);
-    EXPECT_EQ(b.ask("GET", "/kv/a/1").status, 404);
-    EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 404);
-    EXPECT_EQ(b.put("a/2", 0, R"(,"mooring":)" + std::to_string(lease)), 400);
+TEST(InMemoryKvStore, ALeaseEndsWithItsKeysUnlessRenewed) {
+    StoreFixture store;
+    auto lease = protocol::parse_lease(store.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
+    EXPECT_EQ(store.put("a/1", 0, R"(,"mooring":)" + std::to_string(lease)), 200);
+    store.timers.run_until(store.timers.now() + 2.5);
+    EXPECT_EQ(store.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
+    store.timers.run_until(store.timers.now() + 3.5);
+    EXPECT_EQ(store.ask("GET", "/kv/a/1").status, 200);
+    store.timers.run_until(store.timers.now() + 2);
+    EXPECT_EQ(store.ask("GET", "/kv/a/1").status, 404);
+    EXPECT_EQ(store.ask("POST", protocol::paths::lease_renew(lease)).status, 404);
+    EXPECT_EQ(store.put("a/2", 0, R"(,"mooring":)" + std::to_string(lease)), 400);
 }
-TEST(InMemoryKvStoreTest, AnOutageGivesLeasesTheirTimeAgain) {
-    Bench b;
-    auto lease = protocol::parse_lease(b.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
-    b.service.begin_outage(20);
-    EXPECT_EQ(b.put("a/1", 0), 503);
-    b.timers.run_until(b.timers.now() + 23);
-    EXPECT_EQ(b.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
+TEST(InMemoryKvStore, AnOutageGivesLeasesTheirTimeAgain) {
+    StoreFixture store;
+    auto lease = protocol::parse_lease(store.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
+    store.store.begin_outage(20);
+    EXPECT_EQ(store.put("a/1", 0), 503);
+    store.timers.run_until(store.timers.now() + 23);
+    EXPECT_EQ(store.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
 }
 struct Limit {
     const char* name;
     std::string body;
     int status;
 };
-std::string puts(int n, std::size_t bytes = 1) {
+std::string puts(int count, std::size_t bytes = 1) {
     std::string out = R"({"if":[],"then":[)";
-    for (int k = 0; k < n; ++k)
-        out += std::string(k ? "," : "") + R"({"put":"k/)" + std::to_string(k) + R"(","value":")" +
+    for (int index = 0; index < count; ++index)
+        out += std::string(index ? "," : "") + R"({"put":"k/)" + std::to_string(index) + R"(","value":")" +
                std::string(bytes, 'x') + R"("})";
     return out + "]}";
 }
@@ -106,20 +107,23 @@
 INSTANTIATE_TEST_SUITE_P(Limits, InMemoryKvStoreLimits, testing::ValuesIn(limits),
                          [](auto& info) { return std::string(info.param.name); });
 TEST_P(InMemoryKvStoreLimits, AreKept) {
-    EXPECT_EQ(Bench().ask("POST", "/txn", GetParam().body).status, GetParam().status);
+    EXPECT_EQ(StoreFixture().ask("POST", "/txn", GetParam().body).status, GetParam().status);
 }
-TEST(InMemoryKvStoreTest, RefusesWhatIsBeyondItsRates) {
-    Bench b({4, 2, 1, 3, 0.001, 0, 0});
+TEST(InMemoryKvStore, RefusesWhatIsBeyondItsRates) {
+    StoreFixture store({4, 2, 1, 3, 0.001, 0, 0});
     int refused = 0;
-    for (int k = 0; k < 6; ++k)
-        b.service.handle({"GET", "/kv/a", ""}, [&](http::Response r) { refused += r.status == 429; });
-    b.timers.run_until(2);
+    for (int request = 0; request < 6; ++request)
+        store.store.handle({"GET", "/kv/a", ""},
+                           [&](const http::Response& response) { refused += response.status == 429; });
+    store.timers.run_until(2);
     EXPECT_EQ(refused, 2);
-    EXPECT_EQ(b.ask("POST", "/txn", puts(2)).status, 200);
+    EXPECT_EQ(store.ask("POST", "/txn", puts(2)).status, 200);
     http::Response second{0, ""};
-    b.service.handle({"POST", "/txn", puts(2)}, [&](http::Response r) { second = std::move(r); });
-    b.service.handle({"POST", "/txn", puts(2)}, [&](http::Response r) { second = std::move(r); });
-    b.timers.run_until(b.timers.now() + 0.5);
+    store.store.handle({"POST", "/txn", puts(2)},
+                       [&](http::Response response) { second = std::move(response); });
+    store.store.handle({"POST", "/txn", puts(2)},
+                       [&](http::Response response) { second = std::move(response); });
+    store.timers.run_until(store.timers.now() + 0.5);
     EXPECT_EQ(second.status, 429);
 }
 
--- a/scale/tests/latency_histograms_test.cpp
+++ b/scale/tests/latency_histograms_test.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 TEST(LatencyHistograms, PercentilesAreWithinATwentieth) {
-    LatencyHistograms l;
-    for (int k = 1; k <= 1000; ++k) l.observe("p", "c", "m", k * 0.01);
-    auto row = l.summary().at("p/c/m");
+    LatencyHistograms latencies;
+    for (int count = 1; count <= 1000; ++count) latencies.observe("p", "c", "m", count * 0.01);
+    auto row = latencies.summary().at("p/c/m");
     EXPECT_EQ(row.at("count"), 1000);
     for (auto& [name, exact] : {std::pair{"p50", 5.0}, {"p90", 9.0}, {"p99", 9.9}}) {
         EXPECT_GE(row.at(name).get<double>(), exact);
