--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -56,8 +56,7 @@
     return sum;
 }
 
-// --- Requests
-// -------------------------------------------------------------------------------------------------
+// --- Requests -------------------------------------------------------------------------------------------
 
 void SimulatedCloud::answer(const http::Reply& reply, http::Response response) {
     counts_.bytes_out += response.body.size();
@@ -177,8 +176,7 @@
     return {200, messages::hosts_body(hosts, more)};
 }
 
-// --- Faults
-// ---------------------------------------------------------------------------------------------------
+// --- Faults ---------------------------------------------------------------------------------------------
 
 std::size_t SimulatedCloud::fail(const std::vector<std::string>& ids) {
     for (auto& id : ids) {
--- a/scale/config/experiment_file.cpp
+++ b/scale/config/experiment_file.cpp
@@ -31,7 +31,7 @@
     fields.fail("kind", "'" + name + "' is not a fault");
 }
 
-// --- Tables -----------------------------------------------------------------------------------------------
+// --- Tables ---------------------------------------------------------------------------------------------
 
 void read_worker(TomlFields& fields, WorkerSettings& worker) {
     fields.number("report_s", worker.report_s, 0.5);
@@ -125,8 +125,7 @@
     return experiment;
 }
 
-// --- Checks across fields
-// -----------------------------------------------------------------------------------
+// --- Checks across fields -------------------------------------------------------------------------------
 
 bool names_a_controller(const Experiment& experiment, const std::string& label) {
     if (label.empty() || label == "leader") return true;
@@ -153,8 +152,7 @@
     for (auto& fault : experiment.faults) check_fault(experiment, fault);
 }
 
-// --- Text
-// ---------------------------------------------------------------------------------------------------
+// --- Text -----------------------------------------------------------------------------------------------
 
 toml::table parse_toml(const std::string& text) {
     try {
--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -72,8 +72,7 @@
                });
 }
 
-// --- Submission
-// -----------------------------------------------------------------------------------------------
+// --- Submission -----------------------------------------------------------------------------------------
 
 void JobClient::submit(GeneratedJob job) {
     job.first_tried_at = loop_.now();
@@ -122,8 +121,7 @@
     loop_.after(wait_s, [this, id] { try_submit(id); });
 }
 
-// --- Status
-// ---------------------------------------------------------------------------------------------------
+// --- Status ---------------------------------------------------------------------------------------------
 
 void JobClient::poll(const std::string& id) {
     if (jobs_.at(id).over) return;
@@ -165,8 +163,7 @@
     loop_.after(experiment_.load.poll_s, [this] { poll_unknown_job(); });
 }
 
-// --- Cancellation
-// ---------------------------------------------------------------------------------------------
+// --- Cancellation ---------------------------------------------------------------------------------------
 
 void JobClient::cancel(const std::string& id) {
     auto& job = jobs_.at(id);
--- a/scale/report/phase_summary.cpp
+++ b/scale/report/phase_summary.cpp
@@ -20,8 +20,7 @@
             {"sockets", number_at(interval.after(), process + "/sockets")}};
 }
 
-// --- Controllers
-// --------------------------------------------------------------------------------------------
+// --- Controllers ----------------------------------------------------------------------------------------
 
 void add_planning(json& row, const SnapshotInterval& interval, const std::string& controller) {
     double plans = interval.growth(controller + "/plans");
@@ -59,8 +58,7 @@
     return row;
 }
 
-// --- Hollow workers
-// -----------------------------------------------------------------------------------------
+// --- Hollow workers -------------------------------------------------------------------------------------
 
 // Of the hollow workers of all processes.
 struct WorkerTotals {
@@ -112,8 +110,7 @@
     return out;
 }
 
-// --- Key-value store, cloud and load
-// ------------------------------------------------------------------------
+// --- Key-value store, cloud and load --------------------------------------------------------------------
 
 void add_infrastructure(json& out, const SnapshotInterval& interval) {
     out["infrastructure"] = summarize_process(interval, "infrastructure");
--- a/scale/runner/cluster_processes.cpp
+++ b/scale/runner/cluster_processes.cpp
@@ -32,8 +32,7 @@
 ClusterProcesses::ClusterProcesses(const Experiment& experiment, const RunOptions& options)
     : experiment_(experiment), options_(options), controllers_(experiment.controllers) {}
 
-// --- Start and end
-// --------------------------------------------------------------------------------------------
+// --- Start and end --------------------------------------------------------------------------------------
 
 void ClusterProcesses::start_role(const std::string& name, std::vector<std::string> arguments) {
     arguments.insert(arguments.begin(), options_.self);
@@ -103,8 +102,7 @@
     for (auto& role : roles_) role->kill_and_wait();
 }
 
-// --- Usage
-// ----------------------------------------------------------------------------------------------------
+// --- Usage ----------------------------------------------------------------------------------------------
 
 void ClusterProcesses::check(const std::function<void(const std::string&)>& on_failure) {
     std::uint64_t memory_bytes = 0;
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -90,8 +90,7 @@
     loop_.stop();
 }
 
-// --- Course
-// ---------------------------------------------------------------------------------------------------
+// --- Course ---------------------------------------------------------------------------------------------
 
 void ExperimentRunner::begin_fill() {
     stage_ = "fill";
@@ -162,8 +161,7 @@
     return result_;
 }
 
-// --- Beside it
-// ------------------------------------------------------------------------------------------------
+// --- Beside it ------------------------------------------------------------------------------------------
 
 void ExperimentRunner::check_processes() {
     processes_.check([this](const std::string& reason) { fail(reason); });
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -42,8 +42,7 @@
     heartbeats_.start();
 }
 
-// --- Heartbeats
-// -----------------------------------------------------------------------------------------------
+// --- Heartbeats -----------------------------------------------------------------------------------------
 
 std::string HollowWorker::status_body() {
     protocol::Heartbeat heartbeat;
@@ -79,8 +78,7 @@
     execute(orders.commands);
 }
 
-// --- Commands
-// -------------------------------------------------------------------------------------------------
+// --- Commands -------------------------------------------------------------------------------------------
 
 http::Response HollowWorker::serve(const http::Request& request) {
     check_lease();
@@ -139,8 +137,7 @@
     heartbeats_.status_changed();
 }
 
-// --- Lease
-// ----------------------------------------------------------------------------------------------------
+// --- Lease ----------------------------------------------------------------------------------------------
 
 // Answers move the lease's expiry; what fires early looks again.
 void HollowWorker::schedule_lease_check() {
--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -20,8 +20,7 @@
       machine_(std::move(machine)),
       images_(context.experiment().worker.cache_gb) {}
 
-// --- Commands
-// -------------------------------------------------------------------------------------------------
+// --- Commands -------------------------------------------------------------------------------------------
 
 bool TaskRunner::has_another_attempt(const protocol::TaskId& task) const {
     for (auto it = tasks_.lower_bound({task, 0}); it != tasks_.end() && it->first.task == task; ++it)
@@ -56,8 +55,7 @@
     agent_.status_changed();
 }
 
-// --- A task's life
-// --------------------------------------------------------------------------------------------
+// --- A task's life --------------------------------------------------------------------------------------
 
 TaskRunner::Task* TaskRunner::find_fetching(const TaskAttempt& attempt) {
     auto* task = find_present(attempt);
@@ -148,8 +146,7 @@
     present_ = 0;
 }
 
-// --- Gangs
-// ----------------------------------------------------------------------------------------------------
+// --- Gangs ----------------------------------------------------------------------------------------------
 
 std::vector<TaskAttempt> TaskRunner::attempts_of(const std::string& job, std::uint64_t attempt,
                                                  TaskState state) const {
@@ -172,8 +169,7 @@
     for (auto& member : attempts_of(job, attempt, TaskState::running)) end(member, ExitCause::peers);
 }
 
-// --- Status
-// ---------------------------------------------------------------------------------------------------
+// --- Status ---------------------------------------------------------------------------------------------
 
 std::vector<protocol::TaskStatus> TaskRunner::statuses() const {
     std::vector<protocol::TaskStatus> statuses;
--- a/tools/quickstart.sh
+++ b/tools/quickstart.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# From a fresh Debian 12 to a running cluster: installs what the build needs, builds the service and its scale tool,
+# From a fresh Debian 12 to a running cluster: installs what the build needs, builds the service and the load tool,
 # and runs three controllers among 60 hollow workers on loopback. Ends with a table of what it measured.
 set -euo pipefail
 cd "$(dirname "$0")/.."
