--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cstdio>
+#include <tuple>
 
 #include "scale/protocol/cloud_messages.hpp"
 #include "scale/protocol/query_parameter.hpp"
@@ -200,7 +201,9 @@
     struct Rack {
         std::string zone;
         std::uint32_t number = 0;
-        auto operator<=>(const Rack&) const = default;
+        bool operator<(const Rack& other) const {
+            return std::tie(zone, number) < std::tie(other.zone, other.number);
+        }
     };
     std::map<Rack, std::vector<std::string>> racks;
     for (auto& [id, machine] : machines_)
--- a/scale/load/gang_coordinator.hpp
+++ b/scale/load/gang_coordinator.hpp
@@ -6,6 +6,7 @@
 #include <map>
 #include <set>
 #include <string>
+#include <tuple>
 
 #include "event_loop/event_loop.hpp"
 #include "http/client.hpp"
@@ -29,7 +30,9 @@
     struct AttemptId {
         std::string job;
         std::uint64_t attempt = 0;
-        auto operator<=>(const AttemptId&) const = default;
+        bool operator<(const AttemptId& other) const {
+            return std::tie(job, attempt) < std::tie(other.job, other.attempt);
+        }
     };
     struct Attempt {
         std::set<std::uint32_t> waiting;  // tasks with their image
@@ -38,7 +41,9 @@
     struct Member {
         AttemptId attempt;
         std::uint32_t task = 0;
-        auto operator<=>(const Member&) const = default;
+        bool operator<(const Member& other) const {
+            return std::tie(attempt, task) < std::tie(other.attempt, other.task);
+        }
     };
     void handle_machine_gone(const std::string& machine);
     void notify(const nlohmann::json& message);
--- a/scale/report/controller_metrics.cpp
+++ b/scale/report/controller_metrics.cpp
@@ -5,8 +5,8 @@
 
 // A field of the result files, and the metric that it is read from.
 struct ResultField {
-    const char* field;
-    const char* metric;
+    const char* field = "";
+    const char* metric = "";
     // Of a metric with a label: the label's name. The field's name is then followed by the label's value and
     // by `suffix`.
     const char* label = nullptr;
--- a/scale/workers/task_runner.hpp
+++ b/scale/workers/task_runner.hpp
@@ -3,6 +3,7 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "event_loop/lifetime_guard.hpp"
@@ -15,7 +16,9 @@
 struct TaskAttempt {
     protocol::TaskId task;
     std::uint64_t attempt = 0;
-    auto operator<=>(const TaskAttempt&) const = default;
+    bool operator<(const TaskAttempt& other) const {
+        return std::tie(task, attempt) < std::tie(other.task, other.attempt);
+    }
 };
 
 class TaskRunner {
