--- a/scale/cloud/remote_machine_hosts.hpp
+++ b/scale/cloud/remote_machine_hosts.hpp
@@ -3,6 +3,7 @@
 #include <string_view>
 
 #include "http/client.hpp"
+#include "protocol/model.hpp"
 #include "scale/cloud/machine_hosts.hpp"
 #include "scale/config/experiment.hpp"
 
--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -4,6 +4,8 @@
 #include <cstdio>
 #include <tuple>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/records.hpp"
 #include "scale/protocol/cloud_messages.hpp"
 #include "scale/protocol/query_parameter.hpp"
 
@@ -42,7 +44,7 @@
     protocol::MachineType type;
     type.name = machine_type_name;
     double slots = experiment_.slots();
-    type.room = {slots, 0, slots};
+    type.capacity = {slots, 0, slots};
     type.cache_gb = experiment_.worker.cache_gb;
     type.fetch_gb_per_s = experiment_.worker.fetch_gb_per_s;
     type.price = 1;
--- a/scale/config/controller_settings.cpp
+++ b/scale/config/controller_settings.cpp
@@ -39,7 +39,7 @@
             << experiment.load.tight_cpus << "\ngpus = 0.0\ngpus_max = 0.0\n";
 }
 void write_workers(std::ostream& out, const WorkerSettings& worker) {
-    out << "[cluster.workers]\nreport_s = " << worker.report_s << "\nlease_s = " << worker.lease_s
+    out << "[cluster.workers]\nreport_s = " << worker.heartbeat_interval_s << "\nlease_s = " << worker.lease_s
         << "\ngang_wait_s = " << worker.gang_wait_s << "\ngang_peer_s = " << worker.gang_peer_s
         << "\ncancel_s = " << worker.cancel_s << "\n";
 }
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -9,7 +9,7 @@
 
 // Timings that the controllers are told of, and what a hollow worker needs to start a task.
 struct WorkerSettings {
-    double report_s = 3, lease_s = 31, gang_wait_s = 50, gang_peer_s = 5, cancel_s = 61;
+    double heartbeat_interval_s = 3, lease_s = 31, gang_wait_s = 50, gang_peer_s = 5, cancel_s = 61;
     double boot_s = 2, fetch_gb_per_s = 10, cache_gb = 50;
 };
 
--- a/scale/config/experiment_file.cpp
+++ b/scale/config/experiment_file.cpp
@@ -34,7 +34,7 @@
 // --- Tables ---------------------------------------------------------------------------------------------
 
 void read_worker(TomlFields& fields, WorkerSettings& worker) {
-    fields.number("report_s", worker.report_s, 0.5);
+    fields.number("report_s", worker.heartbeat_interval_s, 0.5);
     fields.number("lease_s", worker.lease_s, 1);
     fields.number("gang_wait_s", worker.gang_wait_s, 1);
     fields.number("gang_peer_s", worker.gang_peer_s, 0.5);
@@ -147,7 +147,7 @@
 void check(const Experiment& experiment) {
     if (experiment.phases.empty()) throw ExperimentError("field 'phases' must hold at least one phase");
     auto& worker = experiment.worker;
-    if (worker.cancel_s < worker.lease_s + worker.report_s)
+    if (worker.cancel_s < worker.lease_s + worker.heartbeat_interval_s)
         throw ExperimentError("field 'worker.cancel_s' must be at least lease_s + report_s");
     for (auto& fault : experiment.faults) check_fault(experiment, fault);
 }
--- a/scale/kv/watch_list.hpp
+++ b/scale/kv/watch_list.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::scale {
 
--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/model.hpp"
+#include "protocol/user_api.hpp"
 #include "scale/protocol/message_sizes.hpp"
 #include "scale/protocol/user_messages.hpp"
 
--- a/scale/load/load_generator.hpp
+++ b/scale/load/load_generator.hpp
@@ -5,6 +5,7 @@
 #include <string>
 
 #include "event_loop/event_loop.hpp"
+#include "protocol/model.hpp"
 #include "scale/config/experiment.hpp"
 #include "scale/load/job_client.hpp"
 
--- a/scale/protocol/worker_messages.hpp
+++ b/scale/protocol/worker_messages.hpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::scale::messages {
 
--- a/scale/runner/control_client.cpp
+++ b/scale/runner/control_client.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "protocol/protocol.hpp"
+#include "protocol/user_api.hpp"
 #include "scale/process/control_server.hpp"
 
 namespace coralhitch::scale {
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -26,7 +26,7 @@
             {"workers", experiment.workers},
             {"tasks_per_worker", experiment.tasks_per_worker},
             {"controllers", experiment.controllers},
-            {"report_s", experiment.worker.report_s},
+            {"report_s", experiment.worker.heartbeat_interval_s},
             {"lease_s", experiment.worker.lease_s},
             {"zones", experiment.zones},
             {"state_rps", experiment.kv_store.rps},
--- a/scale/workers/hollow_worker.hpp
+++ b/scale/workers/hollow_worker.hpp
@@ -7,7 +7,7 @@
 
 #include "event_loop/lifetime_guard.hpp"
 #include "http/server.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 #include "scale/workers/heartbeat_sender.hpp"
 #include "scale/workers/task_runner.hpp"
 #include "scale/workers/worker_context.hpp"
--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -31,7 +31,7 @@
 void TaskRunner::start(const TaskAttempt& attempt) {
     if (tasks_.contains(attempt)) return;
     if (has_another_attempt(attempt.task)) {
-        tasks_[attempt] = {TaskState::exited, ExitCause::busy, 0, {}};
+        tasks_[attempt] = {TaskState::exited, ExitCause::other_attempt_present, 0, {}};
         return agent_.status_changed();
     }
     tasks_[attempt] = {};
@@ -79,7 +79,7 @@
     auto* task = find_fetching(attempt);
     if (!task) return;
     if (!spec || attempt.task.index >= spec->tasks) return end(attempt, ExitCause::unknown);
-    if (!free_resources().fits(spec->request)) return end(attempt, ExitCause::no_room);
+    if (!free_resources().fits(spec->request)) return end(attempt, ExitCause::insufficient_resources);
     task->request = spec->request;
     task->timer = context_.loop().after(
         draw_fetch_s(*spec), guard_([this, attempt, spec = *spec] { image_ready(attempt, spec); }));
@@ -103,7 +103,7 @@
     task->state = spec.kind == JobKind::gang ? TaskState::waiting : TaskState::running;
     agent_.status_changed();
     if (spec.kind == JobKind::gang)
-        end_after(attempt, context_.experiment().worker.gang_wait_s, ExitCause::alone);
+        end_after(attempt, context_.experiment().worker.gang_wait_s, ExitCause::gang_incomplete);
     if (spec.kind == JobKind::array)
         end_after(attempt, spec.run_s * draw_uniform(context_.random(), shortest_run, longest_run),
                   ExitCause::done);
@@ -166,7 +166,8 @@
 }
 
 void TaskRunner::stop_gang(const std::string& job, std::uint64_t attempt) {
-    for (auto& member : attempts_of(job, attempt, TaskState::running)) end(member, ExitCause::peers);
+    for (auto& member : attempts_of(job, attempt, TaskState::running))
+        end(member, ExitCause::gang_member_lost);
 }
 
 // --- Status ---------------------------------------------------------------------------------------------
--- a/scale/workers/task_runner.hpp
+++ b/scale/workers/task_runner.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "event_loop/lifetime_guard.hpp"
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 #include "scale/workers/image_cache.hpp"
 #include "scale/workers/worker_context.hpp"
 
