--- /dev/null
+++ b/scale/workers/hollow_worker.hpp
@@ -0,0 +1,56 @@
+// One worker as the protocol describes it, without anything that it would run: its own address, connection,
+// agent epoch, fencing token and lease. (Kubernetes' kubemark calls the like a hollow node.)
+#pragma once
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "event_loop/lifetime_guard.hpp"
+#include "http/server.hpp"
+#include "protocol/model.hpp"
+#include "scale/workers/heartbeat_sender.hpp"
+#include "scale/workers/task_runner.hpp"
+#include "scale/workers/worker_context.hpp"
+
+namespace coralhitch::scale {
+
+class HollowWorker : private HeartbeatSender::Agent, private TaskRunner::Agent {
+  public:
+    // Listens on the host's address and begins to send heartbeats. Throws if it can't listen. `context` must
+    // outlive this.
+    HollowWorker(WorkerContext& context, protocol::Host host);
+
+    // Gives no answer any more, and runs nothing.
+    void silence();
+    TaskRunner& tasks() { return tasks_; }
+    [[nodiscard]] const TaskRunner& tasks() const { return tasks_; }
+
+  private:
+    // Heartbeats
+    HeartbeatSender::OutgoingHeartbeat next_heartbeat() override;
+    void handle_answer(const HeartbeatSender::Answer& answer) override;
+    std::string status_body();
+    // Commands
+    http::Response serve(const http::Request& request);
+    http::Response serve_commands(const http::Request& request);
+    void execute(const std::vector<protocol::Command>& commands);
+    void see_token(std::uint64_t token);
+    // Lease
+    void schedule_lease_check();
+    void check_lease() override;
+    void status_changed() override { heartbeats_.status_changed(); }
+
+    WorkerContext& context_;
+    protocol::Host host_;
+    bool silent_ = false;
+    std::uint64_t agent_epoch_ = 1, sequence_ = 0, token_ = 0;
+    double lease_renewed_at_ = 0;  // when the last answered heartbeat was sent
+    double token_reported_at_ = -1e9;
+    event_loop::TimerId lease_timer_ = 0;
+    HeartbeatSender heartbeats_;
+    TaskRunner tasks_;
+    std::unique_ptr<http::Server> server_;
+    event_loop::LifetimeGuard guard_;
+};
+
+}  // namespace coralhitch::scale
