--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -76,7 +76,7 @@
                      for (auto& entry : result.entries) apply_entry(entry.key, entry.version, &entry.value);
                      revision_ = result.revision;
                  }
-                 answer(std::move(batch), result.ok());
+                 answer(batch, result.ok());
              });
 }
 
@@ -86,13 +86,13 @@
             revision_ = 0;
             return read_all(std::move(batch));
         }
-        if (!result.ok()) return answer(std::move(batch), false);
+        if (!result.ok()) return answer(batch, false);
         removed_by_last_changes_ = 0;
         for (auto& event : result.events.events)
             apply_entry(event.key, event.version, event.value ? &*event.value : nullptr);
         auto since = std::exchange(revision_, std::max(revision_, result.events.revision));
         if (removed_by_last_changes_ < min_ends_for_bulk_read || !on_final_record_)
-            return answer(std::move(batch), true);
+            return answer(batch, true);
         read_final_records(std::move(batch), since);
     });
 }
@@ -106,11 +106,11 @@
     kv_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](kv::WatchResult result) mutable {
         for (auto& event : result.events.events)
             if (event.value) on_final_record_(event.key.substr(keys::finals.size()), *event.value);
-        answer(std::move(batch), true);
+        answer(batch, true);
     });
 }
 
-void LiveJobs::answer(Batch batch, bool ok) {
+void LiveJobs::answer(const Batch& batch, bool ok) {
     request_in_flight_ = false;
     for (auto& read : batch) {
         auto* job = cached(read.id);
--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -73,7 +73,7 @@
     void read_all(Batch batch);
     void read_changes(Batch batch);
     void read_final_records(Batch batch, std::uint64_t since);
-    void answer(Batch batch, bool ok);
+    void answer(const Batch& batch, bool ok);
 
     void apply_entry(const std::string& key, std::uint64_t version, const std::string* value);
     void remove(const std::string& id);
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -81,12 +81,13 @@
 }
 
 void Election::watch_leader_key(std::uint64_t since_revision) {
-    kv_.watch(kv::keys::leader, since_revision, lease_ttl_s_, [this, since_revision](kv::WatchResult result) {
-        if (role_ != Role::follower) return;
-        if (result.compacted()) return list_leader_key();
-        if (!result.ok()) return schedule_read();
-        handle_leader_events(since_revision, result.events);
-    });
+    kv_.watch(kv::keys::leader, since_revision, lease_ttl_s_,
+              [this, since_revision](const kv::WatchResult& result) {
+                  if (role_ != Role::follower) return;
+                  if (result.compacted()) return list_leader_key();
+                  if (!result.ok()) return schedule_read();
+                  handle_leader_events(since_revision, result.events);
+              });
 }
 
 void Election::handle_leader_events(std::uint64_t since_revision, const protocol::Events& events) {
@@ -154,7 +155,7 @@
     protocol::Txn transaction;
     transaction.conditions.push_back({kv::keys::leader, 0});
     transaction.changes.push_back({kv::keys::leader, protocol::stored(record), lease.id});
-    kv_.txn(std::move(transaction), RequestPriority::lease, [this, lease](kv::TxnResult result) {
+    kv_.txn(std::move(transaction), RequestPriority::lease, [this, lease](const kv::TxnResult& result) {
         using Status = kv::TxnResult::Status;
         if (role_ != Role::candidate) return;
         if (result.status == Status::committed) return become_leader(result.revision, lease);
--- a/src/kv/kv_client.cpp
+++ b/src/kv/kv_client.cpp
@@ -100,18 +100,19 @@
 }
 
 void KvClient::get(const std::string& key, RequestPriority priority, OnGet on_get) {
-    queue_.submit(
-        {.priority = priority,
-         .request = {"GET", protocol::paths::kv(key), {}},
-         .timeout_s = default_timeout_s(),
-         .on_response = [on_get = std::move(on_get)](Response response) { on_get(parse_get(response)); }});
+    queue_.submit({.priority = priority,
+                   .request = {"GET", protocol::paths::kv(key), {}},
+                   .timeout_s = default_timeout_s(),
+                   .on_response = [on_get = std::move(on_get)](const Response& response) {
+                       on_get(parse_get(response));
+                   }});
 }
 
 void KvClient::list(const std::string& prefix, RequestPriority priority, OnList on_list) {
     list_page(std::make_shared<ListInProgress>(ListInProgress{prefix, priority, std::move(on_list)}));
 }
 
-void KvClient::list_page(std::shared_ptr<ListInProgress> list) {
+void KvClient::list_page(const std::shared_ptr<ListInProgress>& list) {
     auto target = protocol::paths::kv_list(list->prefix, list->last_key(), list_page_size);
     queue_.submit({.priority = list->priority,
                    .request = {"GET", std::move(target), {}},
@@ -169,7 +170,7 @@
                    .request = {"GET", protocol::paths::watch(prefix, since_revision, wait_ms), {}},
                    .timeout_s = wait_s > 0 ? wait_s + default_timeout_s() * 2
                                            : timeout_s.value_or(default_timeout_s() / 2),
-                   .on_response = [on_watch = std::move(on_watch)](Response response) {
+                   .on_response = [on_watch = std::move(on_watch)](const Response& response) {
                        on_watch(parse_watch(response));
                    }});
 }
--- a/src/kv/kv_client.hpp
+++ b/src/kv/kv_client.hpp
@@ -86,7 +86,7 @@
   private:
     struct ListInProgress;
     void send(PendingRequest request);
-    void list_page(std::shared_ptr<ListInProgress> list);
+    void list_page(const std::shared_ptr<ListInProgress>& list);
     void count_changes(const protocol::Txn& transaction);
     void handle_rejection(const protocol::Txn& transaction);
     [[nodiscard]] double default_timeout_s() const;
--- a/src/kv/list_watch.cpp
+++ b/src/kv/list_watch.cpp
@@ -28,7 +28,7 @@
 
 void ListWatch::read_changes(Reader& reader) {
     double sent_at = timers_.now();
-    auto on_watch = [this, &reader, sent_at](WatchResult result) {
+    auto on_watch = [this, &reader, sent_at](const WatchResult& result) {
         if (result.compacted()) return list_all(reader);
         if (!result.ok()) return schedule_read(reader, retry_backoff_s_);
         reader.revision = std::max(reader.revision, result.events.revision);
@@ -42,7 +42,7 @@
 // Takes several requests; the first says from which revision on changes are still to be read.
 void ListWatch::list_all(Reader& reader) {
     double sent_at = timers_.now();
-    kv_.list(prefix_, RequestPriority::write, guarded_([this, &reader, sent_at](ListResult result) {
+    kv_.list(prefix_, RequestPriority::write, guarded_([this, &reader, sent_at](const ListResult& result) {
                  if (!result.ok()) return schedule_read(reader, retry_backoff_s_);
                  reader.revision = std::max(reader.revision, result.revision);
                  schedule_read(reader, reader.interval_s);
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -22,7 +22,7 @@
 constexpr double small_value_bytes = 4 * 1024;
 constexpr std::size_t record_overhead_bytes = 32;
 // A request body holds 64 KiB; conditions and keys take some of it.
-constexpr std::size_t max_txn_bytes = 48 * 1024;
+constexpr std::size_t max_txn_bytes = std::size_t{48} * 1024;
 // In report periods. Machines that come up together are stored together; machines that are gone leave their
 // pages with the next write, or after the cleanup interval.
 constexpr double min_write_interval_reports = 1.0 / 20;
@@ -296,7 +296,7 @@
     auto priority = batch.is_urgent ? RequestPriority::write : RequestPriority::background;
     kv_.txn(std::move(batch.transaction), priority,
             guarded_([this, pages = std::move(batch.pages), machines = std::move(batch.machines)](
-                         TxnResult result) { handle_write(pages, machines, result); }));
+                         const TxnResult& result) { handle_write(pages, machines, result); }));
 }
 
 void MachineRegistry::add_page(Batch& batch, std::size_t number) {
