--- a/src/cluster/instance.hpp
+++ b/src/cluster/instance.hpp
@@ -1,13 +1,13 @@
 // One task on one machine, from the decision to start it until it is proven terminated, and after that for as
 // long as its agent reports it as exited. Plain values; times are steady seconds of the leader's clock.
 #pragma once
-#include <compare>
 #include <cstdint>
 #include <functional>
 #include <limits>
 #include <memory>
 #include <optional>
 #include <string>
+#include <tuple>
 
 #include "protocol/model.hpp"
 
@@ -53,7 +53,9 @@
 struct AttemptId {
     protocol::TaskId task;
     std::uint64_t attempt = 0;
-    auto operator<=>(const AttemptId&) const = default;
+    bool operator<(const AttemptId& other) const {
+        return std::tie(task, attempt) < std::tie(other.task, other.attempt);
+    }
 };
 
 // An attempt that has exited and that the agent still reports.
--- a/src/event_loop/event_loop.cpp
+++ b/src/event_loop/event_loop.cpp
@@ -1,12 +1,12 @@
 #include "event_loop/event_loop.hpp"
 
 #include <sys/eventfd.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <cerrno>
 #include <cmath>
+#include <ctime>
 #include <system_error>
 
 namespace coralhitch::event_loop {
@@ -37,7 +37,7 @@
     if (!wake_) throw_system_error("eventfd");
     refresh_now();
     watch(wake_.get(), EPOLLIN, [this](std::uint32_t) {
-        std::uint64_t count;
+        std::uint64_t count = 0;
         while (::read(wake_.get(), &count, sizeof count) > 0) {
         }
     });
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -96,8 +96,8 @@
     return std::exchange(waiting_, {});
 }
 void HeartbeatRelay::requeue(Batch batch) {
-    for (auto heartbeat = batch.rbegin(); heartbeat != batch.rend(); ++heartbeat)
-        waiting_.push_front(std::move(*heartbeat));
+    waiting_.insert(waiting_.begin(), std::make_move_iterator(batch.begin()),
+                    std::make_move_iterator(batch.end()));
 }
 
 bool HeartbeatRelay::delegation_valid() const {
--- a/src/relay/heartbeat_tracker.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -8,11 +8,11 @@
 // Not thread safe; times are seconds of the injected clock.
 #pragma once
 #include <algorithm>
-#include <compare>
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
+#include <tuple>
 #include <unordered_map>
 
 namespace coralhitch::relay {
@@ -28,7 +28,7 @@
     void record(std::string_view machine, std::uint64_t agent_epoch, std::uint64_t sequence, double now) {
         auto& entry = entries_[std::string(machine)];
         Position position{agent_epoch, sequence};
-        if (position <= entry.newest) return;
+        if (!position.is_after(entry.newest)) return;
         entry = {now, now, position};
     }
     // Whether the machine sent a new heartbeat at `since` or later.
@@ -61,7 +61,9 @@
   private:
     struct Position {
         std::uint64_t agent_epoch = 0, sequence = 0;
-        auto operator<=>(const Position&) const = default;
+        [[nodiscard]] bool is_after(const Position& other) const {
+            return std::tie(agent_epoch, sequence) > std::tie(other.agent_epoch, other.sequence);
+        }
     };
     struct Entry {
         std::optional<double> last_seen;  // none after reset_recent()
