--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -235,7 +235,7 @@
         plan.in.machines.size(), usable, empty, free.cpus, free.gpus);
 }
 
-void PlanExecutor::count_draws(const scheduler::Counts& counts) {
+void PlanExecutor::count_draws(const scheduler::PlanCounts& counts) {
     auto& metrics = parts_.metrics;
     metrics.increment(metrics::Metric::scheduler_tasks_placed, static_cast<double>(counts.tasks));
     metrics.increment(metrics::Metric::scheduler_draws, static_cast<double>(counts.draws));
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -99,7 +99,7 @@
     [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
                                  const cluster::Machine& machine, const scheduler::ZoneCounts& zones) const;
     void log_plan(const Plan& plan) const;
-    void count_draws(const scheduler::Counts& counts);
+    void count_draws(const scheduler::PlanCounts& counts);
 
     event_loop::Timers& timers_;
     const config::Settings& settings_;
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -26,13 +26,13 @@
     scheduler::JobView view;
     view.spec = job.spec;
     view.priority = job.priority;
-    view.submitted = job.ready_at;
-    view.due = job.due_at;
+    view.ready_at = job.ready_at;
+    view.due_at = job.due_at;
     view.startable = may_start_tasks(job, now);
-    if (view.startable) view.waiting = tasks_to_start(job);
-    view.open = job.open_count();
+    if (view.startable) view.waiting_tasks = tasks_to_start(job);
+    view.open_tasks = job.open_count();
     view.zones = zone_counts(job, zones);
-    view.active = static_cast<int>(job.active.size());
+    view.active_tasks = static_cast<int>(job.active.size());
     view.failed_on = job.failed_on;
     view.image = job.image;
     return view;
@@ -59,11 +59,11 @@
         if (instance.spec->kind == JobKind::service) ++view.services;
         if (instance.state == protocol::TaskState::fetching && !instance.stop_requested) {
             auto image = in.jobs[it->second].image;
-            if (!scheduler::has_image(view, image)) view.coming.push_back(image);
+            if (!scheduler::has_image(view, image)) view.fetching_images.push_back(image);
         }
         in.instances.push_back({it->second, in.machines.size(), task.index,
                                 instance.stop_requested || instance.state == protocol::TaskState::saving,
-                                instance.placed_at, instance.running_since.value_or(-1)});
+                                instance.placed_at, instance.running_since});
     }
     in.machines.push_back(std::move(view));
 }
--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -2,55 +2,60 @@
 
 #include <algorithm>
 #include <numeric>
+#include <tuple>
+#include <utility>
 
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Resources;
 
 namespace {
-// Report periods that a gang waits before what room there is is kept for it.
-constexpr double gather_reports = 20;
-constexpr auto within = static_cast<std::size_t>(ImageDistance::coming);
-constexpr auto furthest = static_cast<std::size_t>(ImageDistance::busy);
-constexpr auto unreachable = furthest + 1;
+// Report periods that a gang waits before free places are reserved for it.
+constexpr double reservation_reports = 20;
+constexpr auto furthest_near = static_cast<std::size_t>(ImageDistance::being_fetched);
 }  // namespace
 
-void GangPlacer::place(std::size_t index, bool near_only) {
-    auto& job = plan_.in.jobs[index];
+bool GangPlacer::Distance::is_nearer_than(const Distance& other) const {
+    return std::tie(worst, sum) < std::tie(other.worst, other.sum);
+}
+
+void GangPlacer::place(std::size_t index, ImageNeed image_need) {
+    auto& job = plan_.input.jobs[index];
     // The tasks of an old attempt stay where they are until they exit; the next starts when all are gone.
-    if (job.active > 0) return;
-    if (!plan_.team_has_room(*job.spec, static_cast<double>(job.waiting.size()))) {
-        keep_quota(job);
+    if (job.active_tasks > 0) return;
+    if (!plan_.quota_allows(*job.spec, static_cast<double>(job.waiting_tasks.size()))) {
+        reserve_quota(job);
         return;
     }
     auto pools = plan_.pools_of(job);
-    auto choices = groups(job, pools);
-    if (place_nearest(index, choices, near_only) || near_only) return;
-    plan_.decisions.unplaced.push_back({index, job.waiting.size()});
-    if (job.waiting.size() == 1) {
-        preemption_.make_room(index, pools);
+    auto groups = pool_groups(job, pools);
+    if (place_nearest(index, groups, image_need) || image_need == ImageNeed::near) return;
+    plan_.decisions.unplaced.push_back({index, job.waiting_tasks.size()});
+    if (job.waiting_tasks.size() == 1) {
+        preemption_.reserve_place(index, pools);
         return;
     }
-    for (auto& group : choices)
-        if (preemption_.make_room_for_all(index, group)) return;
-    if (gathers(job)) gather(index, choices);
+    for (auto& group : groups)
+        if (preemption_.reserve_places_for_all(index, group)) return;
+    if (has_waited_long(job)) reserve_free_places(index, groups);
 }
 
-bool GangPlacer::gathers(const JobView& job) const {
-    return plan_.in.unix_now - job.submitted >= plan_.settings.report_s * gather_reports;
+bool GangPlacer::has_waited_long(const JobView& job) const {
+    return plan_.input.unix_now - job.ready_at >= plan_.settings.report_s * reservation_reports;
 }
 
-// Its team's smaller jobs would take each place under the limit that comes free.
-void GangPlacer::keep_quota(const JobView& job) {
-    if (!gathers(job) || !comes_free(*job.spec)) return;
-    plan_.in.team_used[job.spec->team] += job.spec->request.times(static_cast<double>(job.waiting.size()));
+// Its team's smaller jobs would take each part of the hard limit that is given back.
+void GangPlacer::reserve_quota(const JobView& job) {
+    if (!has_waited_long(job) || !quota_will_suffice(*job.spec)) return;
+    plan_.input.team_used[job.spec->team] +=
+        job.spec->request.times(static_cast<double>(job.waiting_tasks.size()));
 }
 
-// Whether the team's limit has room for all of it beside what does not end by itself.
-bool GangPlacer::comes_free(const protocol::Job& spec) const {
+// Whether the team's hard limit allows all of it beside what does not end by itself.
+bool GangPlacer::quota_will_suffice(const protocol::Job& spec) const {
     Resources stays;
-    for (auto& instance : plan_.in.instances) {
-        auto& other = *plan_.in.jobs[instance.job].spec;
+    for (auto& instance : plan_.input.instances) {
+        auto& other = *plan_.input.jobs[instance.job].spec;
         if (other.team == spec.team && other.kind == JobKind::service) stays += other.request;
     }
     auto* team = plan_.team(spec.team);
@@ -58,100 +63,111 @@
 }
 
 // The sets of pools of which it may use one: the zones in random order if it must be in one of them.
-std::vector<PoolSet> GangPlacer::groups(const JobView& job, const PoolSet& pools) {
+std::vector<PoolSet> GangPlacer::pool_groups(const JobView& job, const PoolSet& pools) {
     if (!job.spec->one_zone) return {pools};
-    std::vector<PoolSet> found;
-    for (std::size_t zone = 0; zone < plan_.in.zones; ++zone) {
-        auto only = pools;
-        for (std::size_t p = 0; p < only.size(); ++p)
-            if (plan_.in.pools[p].zone_index != zone) only[p] = false;
-        found.push_back(std::move(only));
+    std::vector<PoolSet> groups;
+    for (std::size_t zone = 0; zone < plan_.input.zones; ++zone) {
+        auto in_zone = pools;
+        for (std::size_t pool = 0; pool < in_zone.size(); ++pool)
+            if (plan_.input.pools[pool].zone_index != zone) in_zone[pool] = false;
+        groups.push_back(std::move(in_zone));
     }
-    std::shuffle(found.begin(), found.end(), plan_.random);
-    return found;
+    std::shuffle(groups.begin(), groups.end(), plan_.random);
+    return groups;
 }
 
 // A gang starts when the last of its tasks has the image: the group where it is nearest goes first.
-bool GangPlacer::place_nearest(std::size_t index, const std::vector<PoolSet>& groups, bool near_only) {
+bool GangPlacer::place_nearest(std::size_t index, const std::vector<PoolSet>& groups, ImageNeed image_need) {
     struct Group {
         Distance distance;
         const PoolSet* pools;
     };
     std::vector<Group> by_distance;
-    for (auto& pools : groups) by_distance.push_back({distance(plan_.in.jobs[index], pools), &pools});
+    by_distance.reserve(groups.size());
+    for (auto& pools : groups)
+        if (auto found = distance(plan_.input.jobs[index], pools)) by_distance.push_back({*found, &pools});
     std::stable_sort(by_distance.begin(), by_distance.end(),
-                     [](auto& a, auto& b) { return a.distance < b.distance; });
-    for (auto& group : by_distance)
-        if (group.distance.worst <= (near_only ? within : furthest) && place_all(index, *group.pools))
-            return true;
-    return false;
+                     [](auto& group, auto& other) { return group.distance.is_nearer_than(other.distance); });
+    return std::any_of(by_distance.begin(), by_distance.end(), [&](auto& group) {
+        bool is_near = group.distance.worst <= furthest_near;
+        return (is_near || image_need == ImageNeed::none) && place_all(index, *group.pools);
+    });
 }
 
-GangPlacer::Distance GangPlacer::distance(const JobView& job, const PoolSet& pools) {
-    auto& need = job.spec->request;
-    auto most = job.waiting.size();
-    std::vector<std::size_t> far;
-    if (plan_.known_full(need, pools)) return {unreachable, 0};
-    for (auto machine : plan_.with_room(job, pools)) {
-        auto room = plan_.open_room(machine);
-        for (std::size_t k = 0; k < most && room.fits(need); ++k, room -= need)
-            far.push_back(static_cast<std::size_t>(plan_.image_distance(job, machine)));
+// Of the places nearest to having the image; nothing if there are too few places.
+std::optional<GangPlacer::Distance> GangPlacer::distance(const JobView& job, const PoolSet& pools) {
+    auto& request = job.spec->request;
+    auto wanted = job.waiting_tasks.size();
+    if (plan_.is_exhausted(request, pools)) return std::nullopt;
+    std::vector<std::size_t> distances;  // of all places
+    for (auto machine : plan_.machines_that_fit(job, pools)) {
+        auto available = plan_.available(machine);
+        for (std::size_t count = 0; count < wanted && available.fits(request); ++count, available -= request)
+            distances.push_back(static_cast<std::size_t>(plan_.image_distance(job, machine)));
     }
-    if (far.empty()) plan_.note_full(job, pools);
-    if (far.size() < most) return {unreachable, 0};
-    std::sort(far.begin(), far.end());
-    auto end = far.begin() + static_cast<std::ptrdiff_t>(most);
-    return {far[most - 1], std::accumulate(far.begin(), end, std::size_t{0})};
+    if (distances.empty()) plan_.record_exhausted(job, pools);
+    if (distances.size() < wanted) return std::nullopt;
+    std::sort(distances.begin(), distances.end());
+    auto end = distances.begin() + static_cast<std::ptrdiff_t>(wanted);
+    return Distance{distances[wanted - 1], std::accumulate(distances.begin(), end, std::size_t{0})};
 }
 
 bool GangPlacer::place_all(std::size_t index, const PoolSet& pools) {
-    auto& job = plan_.in.jobs[index];
+    auto& job = plan_.input.jobs[index];
     auto& spec = *job.spec;
-    auto tier = [this](std::size_t machine) { return plan_.in.machines[machine].draining ? last_tier : 0; };
+    auto tier = [this](std::size_t machine) {
+        return plan_.input.machines[machine].draining ? last_tier : 0;
+    };
     TieredMachines sets;
-    for (auto machine : plan_.with_room(job, pools)) sets[tier(machine)].push_back(machine);
+    for (auto machine : plan_.machines_that_fit(job, pools)) sets[tier(machine)].push_back(machine);
     if (sets[0].empty() && sets[last_tier].empty()) {
-        plan_.note_full(job, pools);
+        plan_.record_exhausted(job, pools);
         return false;
     }
     std::size_t taken = 0;
-    for (auto task : job.waiting) {
+    for (auto task : job.waiting_tasks) {
         auto machine = choose_fullest(plan_, job, sets);
         if (!machine) break;
         plan_.start(index, task, *machine);
         ++taken;
-        if (plan_.open_room(*machine).fits(spec.request)) sets[tier(*machine)].push_back(*machine);
+        if (plan_.available(*machine).fits(spec.request)) sets[tier(*machine)].push_back(*machine);
         if (!spec.spread) continue;
         for (auto& set : sets)
-            std::erase_if(set, [&](auto m) { return !zone_allowed(spec, job.zones, plan_.zone(m)); });
+            std::erase_if(set, [&](auto other) { return !zone_allowed(spec, job.zones, plan_.zone(other)); });
     }
-    if (taken == job.waiting.size()) {
-        job.waiting.clear();
+    if (taken == job.waiting_tasks.size()) {
+        job.waiting_tasks.clear();
         return true;
     }
     for (; taken > 0; --taken) plan_.undo_last_start();
     return false;
 }
 
-// The larger a gang, the less often it finds room for all: smaller and younger jobs took each place that came
-// free, for minutes. After some time those places are kept for the one that has waited longest, where most of
-// them are, until it has enough. For one at a time: two would hold halves of what each needs.
-void GangPlacer::gather(std::size_t index, const std::vector<PoolSet>& groups) {
-    if (gathering_) return;
-    auto& job = plan_.in.jobs[index];
-    auto& need = job.spec->request;
+// At most as many as the gang has waiting tasks; a machine with several is there several times.
+Machines GangPlacer::free_places(const JobView& job, const PoolSet& pools) const {
+    auto& request = job.spec->request;
+    Machines places;
+    for (auto machine : plan_.machines_that_fit(job, pools)) {
+        auto available = plan_.available(machine);
+        for (; available.fits(request) && places.size() < job.waiting_tasks.size(); available -= request)
+            places.push_back(machine);
+    }
+    return places;
+}
+
+// The larger a gang, the less often it finds places for all: smaller and younger jobs took each one that came
+// free, for minutes. After some time those places are reserved for the one that has waited longest, where
+// most of them are, until it has enough. For one at a time: two would hold halves of what each requests.
+void GangPlacer::reserve_free_places(std::size_t index, const std::vector<PoolSet>& groups) {
+    if (has_reserved_places_) return;
+    auto& job = plan_.input.jobs[index];
     Machines best;
     for (auto& group : groups) {
-        Machines places;
-        for (auto machine : plan_.with_room(job, group)) {
-            auto room = plan_.open_room(machine);
-            for (; room.fits(need) && places.size() < job.waiting.size(); room -= need)
-                places.push_back(machine);
-        }
+        auto places = free_places(job, group);
         if (places.size() > best.size()) best = std::move(places);
     }
-    gathering_ = !best.empty();
-    for (auto machine : best) plan_.in.machines[machine].reserved += need;
+    has_reserved_places_ = !best.empty();
+    for (auto machine : best) plan_.input.machines[machine].reserved += job.spec->request;
 }
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -1,6 +1,10 @@
 // Places gangs: all tasks or none.
+//
+// Owns only whether free places are reserved for a gang that has waited long. Changes the plan through
+// PlanState and Preemption. Jobs are indices of the input.
 #pragma once
-#include <compare>
+#include <cstddef>
+#include <optional>
 #include <vector>
 
 #include "scheduler/machine_choice.hpp"
@@ -11,27 +15,30 @@
 class GangPlacer {
   public:
     GangPlacer(PlanState& plan, Preemption& preemption) : plan_(plan), preemption_(preemption) {}
-    // `near_only`: only where the image is, or is on its way, for every task.
-    void place(std::size_t job, bool near_only);
+    // Starts all tasks of the gang, or records them as unplaced and tries to preempt others for it.
+    void place(std::size_t index, ImageNeed image_need);
 
   private:
-    // How near the image is to the places that a gang would take: the worst of them, and all together.
+    // How far the places that a gang would take are from having the image, as numbers of `ImageDistance`.
     struct Distance {
-        std::size_t worst = 0, sum = 0;
-        auto operator<=>(const Distance&) const = default;
+        std::size_t worst = 0;
+        std::size_t sum = 0;
+        [[nodiscard]] bool is_nearer_than(const Distance& other) const;
     };
-    std::vector<PoolSet> groups(const JobView& job, const PoolSet& pools);
-    bool place_nearest(std::size_t job, const std::vector<PoolSet>& groups, bool near_only);
-    Distance distance(const JobView& job, const PoolSet& pools);
-    bool place_all(std::size_t job, const PoolSet& pools);
-    bool gathers(const JobView& job) const;
-    void gather(std::size_t job, const std::vector<PoolSet>& groups);
-    void keep_quota(const JobView& job);
-    bool comes_free(const protocol::Job& spec) const;
+    [[nodiscard]] std::vector<PoolSet> pool_groups(const JobView& job, const PoolSet& pools);
+    [[nodiscard]] bool place_nearest(std::size_t index, const std::vector<PoolSet>& groups,
+                                     ImageNeed image_need);
+    [[nodiscard]] std::optional<Distance> distance(const JobView& job, const PoolSet& pools);
+    [[nodiscard]] bool place_all(std::size_t index, const PoolSet& pools);
+    [[nodiscard]] bool has_waited_long(const JobView& job) const;
+    [[nodiscard]] Machines free_places(const JobView& job, const PoolSet& pools) const;
+    void reserve_free_places(std::size_t index, const std::vector<PoolSet>& groups);
+    void reserve_quota(const JobView& job);
+    [[nodiscard]] bool quota_will_suffice(const protocol::Job& spec) const;
 
     PlanState& plan_;
     Preemption& preemption_;
-    bool gathering_ = false;  // for one gang of this plan
+    bool has_reserved_places_ = false;  // for one gang of this plan
 };
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -1,51 +1,59 @@
 #include "scheduler/plan_state.hpp"
 
+#include <algorithm>
+
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Priority;
 using protocol::Resources;
 
-bool covers(const PoolSet& a, const PoolSet& b) {
-    for (std::size_t p = 0; p < b.size(); ++p)
-        if (b[p] && !a[p]) return false;
+bool covers(const PoolSet& set, const PoolSet& part) {
+    for (std::size_t pool = 0; pool < part.size(); ++pool)
+        if (part[pool] && !set[pool]) return false;
     return true;
 }
 
-PlanState::PlanState(Input& input, const config::Settings& given, std::mt19937_64& generator)
-    : in(input), settings(given), random(generator), order(input, given) {
-    for (auto& t : settings.teams) teams_[t.name] = &t;
-    for (auto& job : in.jobs) job.zones.resize(in.zones);
-    for (auto& m : in.machines) m.soon = m.free;
-    by_pool_.resize(in.pools.size());
-    for (std::size_t m = 0; m < in.machines.size(); ++m)
-        if (in.machines[m].usable) by_pool_[in.machines[m].pool].push_back(m);
-    for (auto& i : in.instances)
-        if (i.stopping) in.machines[i.machine].soon += need_of(i);
-    find_largest();
-}
-
-void PlanState::find_largest() {
-    std::vector<bool> used(in.pools.size());
-    for (auto& m : in.machines) used[m.pool] = true;
-    for (auto& job : in.jobs) {
-        if (job.open == 0 || job.priority == Priority::low) continue;
-        for (std::size_t p = 0; p < used.size(); ++p) {
-            if (!used[p]) continue;
-            double share = largest_share(job.spec->request, in.pools[p].total);
+PlanState::PlanState(Input& plan_input, const config::Settings& plan_settings, std::mt19937_64& generator)
+    : input(plan_input), settings(plan_settings), random(generator), order(plan_input, plan_settings) {
+    for (auto& limits : settings.teams) teams_[limits.name] = &limits;
+    for (auto& job : input.jobs) job.zones.resize(input.zones);
+    by_pool_.resize(input.pools.size());
+    for (std::size_t machine = 0; machine < input.machines.size(); ++machine) {
+        auto& view = input.machines[machine];
+        view.free_after_stops = view.free;
+        if (view.usable) by_pool_[view.pool].push_back(machine);
+    }
+    for (auto& instance : input.instances)
+        if (instance.stopping) input.machines[instance.machine].free_after_stops += request_of(instance);
+    find_largest_request();
+    measure_spare();
+}
+
+void PlanState::find_largest_request() {
+    std::vector<bool> has_machines(input.pools.size());
+    for (auto& machine : input.machines) has_machines[machine.pool] = true;
+    for (auto& job : input.jobs) {
+        if (job.open_tasks == 0 || job.priority == Priority::low) continue;
+        for (std::size_t pool = 0; pool < has_machines.size(); ++pool) {
+            if (!has_machines[pool]) continue;
+            double share = largest_share(job.spec->request, input.pools[pool].total);
             bool drawn = job.spec->kind != JobKind::gang && share <= whole_machine_share;
             if (drawn || share > 1 || share <= largest_share_) continue;
             largest_share_ = share;
-            largest_ = job.spec->request;
+            largest_request_ = job.spec->request;
         }
     }
+}
+
+void PlanState::measure_spare() {
     double usable = 0;
-    for (std::size_t m = 0; m < in.machines.size(); ++m) {
-        if (!in.machines[m].usable) continue;
+    for (std::size_t machine = 0; machine < input.machines.size(); ++machine) {
+        if (!input.machines[machine].usable) continue;
         ++usable;
-        spare_ += least_share(in.machines[m].free, total(m));
+        spare_ += least_share(input.machines[machine].free, total(machine));
     }
     double ratio = settings.op.reserve_ratio;
-    kept_ = usable * ratio / (1 + ratio);
+    kept_spare_ = usable * ratio / (1 + ratio);
 }
 
 const config::Team* PlanState::team(const std::string& name) const {
@@ -53,90 +61,93 @@
     return found == teams_.end() ? nullptr : found->second;
 }
 
-bool PlanState::team_has_room(const protocol::Job& job, double tasks) {
+bool PlanState::quota_allows(const protocol::Job& job, double tasks) {
     auto* limits = team(job.team);
-    return limits && team_allows(*limits, in.team_used[job.team], job.request.times(tasks));
+    return limits && team_allows(*limits, input.team_used[job.team], job.request.times(tasks));
 }
 
-Resources PlanState::open_room(std::size_t machine) const {
-    auto& view = in.machines[machine];
-    Resources room = view.soon;
-    room -= view.reserved;
-    room.cpus = std::min(room.cpus, view.free.cpus);
-    room.gpus = std::min(room.gpus, view.free.gpus);
-    room.memory_gb = std::min(room.memory_gb, view.free.memory_gb);
-    return room;
+Resources PlanState::available(std::size_t machine) const {
+    auto& view = input.machines[machine];
+    Resources unreserved = view.free_after_stops;
+    unreserved -= view.reserved;
+    return {std::min(unreserved.cpus, view.free.cpus), std::min(unreserved.gpus, view.free.gpus),
+            std::min(unreserved.memory_gb, view.free.memory_gb)};
 }
 
-Machines PlanState::with_room(const JobView& job, const PoolSet& pools) const {
+Machines PlanState::machines_that_fit(const JobView& job, const PoolSet& pools) const {
     Machines found;
-    each_machine(job, pools, [&](auto m) {
-        if (open_room(m).fits(job.spec->request)) found.push_back(m);
+    for_each_machine(job, pools, [&](auto machine) {
+        if (available(machine).fits(job.spec->request)) found.push_back(machine);
     });
     return found;
 }
 
 ImageDistance PlanState::image_distance(const JobView& job, std::size_t machine) const {
-    auto& view = in.machines[machine];
-    if (has_image(view, job.image)) return ImageDistance::there;
-    if (view.coming.empty()) return ImageDistance::cold;
-    bool coming = std::find(view.coming.begin(), view.coming.end(), job.image) != view.coming.end();
-    return coming ? ImageDistance::coming : ImageDistance::busy;
+    auto& view = input.machines[machine];
+    if (has_image(view, job.image)) return ImageDistance::cached;
+    if (view.fetching_images.empty()) return ImageDistance::absent;
+    auto& fetching = view.fetching_images;
+    bool is_fetched = std::find(fetching.begin(), fetching.end(), job.image) != fetching.end();
+    return is_fetched ? ImageDistance::being_fetched : ImageDistance::absent_behind_others;
 }
 
 bool PlanState::needs_whole_machine(const protocol::Job& job, const PoolSet& pools) const {
-    for (std::size_t p = 0; p < pools.size(); ++p) {
-        if (!pools[p] || by_pool_[p].empty()) continue;
-        if (largest_share(job.request, in.pools[p].total) > whole_machine_share) return true;
+    for (std::size_t pool = 0; pool < pools.size(); ++pool) {
+        if (!pools[pool] || by_pool_[pool].empty()) continue;
+        if (largest_share(job.request, input.pools[pool].total) > whole_machine_share) return true;
     }
     return false;
 }
 
-bool PlanState::known_full(const Resources& request, const PoolSet& pools) const {
-    return std::any_of(full_.begin(), full_.end(),
-                       [&](auto& f) { return request.fits(f.request) && covers(f.pools, pools); });
+bool PlanState::is_exhausted(const Resources& request, const PoolSet& pools) const {
+    return std::any_of(exhausted_.begin(), exhausted_.end(), [&](auto& entry) {
+        return request.fits(entry.request) && covers(entry.pools, pools);
+    });
 }
-void PlanState::note_full(const JobView& job, const PoolSet& pools) {
+
+void PlanState::record_exhausted(const JobView& job, const PoolSet& pools) {
     // What low priority leaves alone is there for others.
-    if (job.failed_on.empty() && job.priority != Priority::low) full_.push_back({job.spec->request, pools});
+    if (job.failed_on.empty() && job.priority != Priority::low)
+        exhausted_.push_back({job.spec->request, pools});
 }
 
-bool PlanState::breaks_up(const protocol::Job& job, std::size_t machine) const {
+bool PlanState::splits_whole_machine(const protocol::Job& job, std::size_t machine) const {
     if (largest_share_ <= 0) return false;
-    auto room = in.machines[machine].free;
-    if (!room.fits(largest_)) return false;
-    room -= job.request;
-    return !room.fits(largest_);
+    auto free = input.machines[machine].free;
+    if (!free.fits(largest_request_)) return false;
+    free -= job.request;
+    return !free.fits(largest_request_);
 }
 
-// What a task takes of the room that others could use: nothing, if it only needs what is left over there, as
-// processors are on a machine whose GPUs are all in use.
-double PlanState::taken_of_spare(const protocol::Job& job, std::size_t machine) const {
-    auto room = in.machines[machine].free;
-    double before = least_share(room, total(machine));
-    room -= job.request;
-    return before - least_share(room, total(machine));
+// What a task takes of the free resources that others could use, in machines: nothing, if it only needs what
+// is left over there, as processors are on a machine whose GPUs are all in use.
+double PlanState::spare_taken(const protocol::Job& job, std::size_t machine) const {
+    auto free = input.machines[machine].free;
+    double before = least_share(free, total(machine));
+    free -= job.request;
+    return before - least_share(free, total(machine));
 }
 
-bool PlanState::kept_spare(const JobView& job, std::size_t machine) const {
+bool PlanState::takes_kept_spare(const JobView& job, std::size_t machine) const {
     if (job.priority != Priority::low) return false;
     constexpr double nothing = 1e-9;
-    double taken = taken_of_spare(*job.spec, machine);
-    return taken > nothing && spare_ - taken < kept_;
+    double taken = spare_taken(*job.spec, machine);
+    return taken > nothing && spare_ - taken < kept_spare_;
 }
 
 void PlanState::start(std::size_t job, std::uint32_t task, std::size_t machine) {
-    auto& view = in.jobs[job];
-    auto& there = in.machines[machine];
-    spare_ -= taken_of_spare(*view.spec, machine);
-    there.free -= view.spec->request;
-    there.soon -= view.spec->request;
-    ++there.tasks;
-    if (view.spec->kind == JobKind::service) ++there.services;
-    if (image_distance(view, machine) > ImageDistance::coming) there.coming.push_back(view.image);
+    auto& view = input.jobs[job];
+    auto& host = input.machines[machine];
+    spare_ -= spare_taken(*view.spec, machine);
+    host.free -= view.spec->request;
+    host.free_after_stops -= view.spec->request;
+    ++host.tasks;
+    if (view.spec->kind == JobKind::service) ++host.services;
+    if (image_distance(view, machine) > ImageDistance::being_fetched)
+        host.fetching_images.push_back(view.image);
     ++view.zones[zone(machine)];
-    ++view.active;
-    in.team_used[view.spec->team] += view.spec->request;
+    ++view.active_tasks;
+    input.team_used[view.spec->team] += view.spec->request;
     decisions.starts.push_back({job, task, machine});
     ++decisions.counts.tasks;
 }
@@ -144,15 +155,15 @@
 void PlanState::undo_last_start() {
     auto last = decisions.starts.back();
     decisions.starts.pop_back();
-    auto& view = in.jobs[last.job];
-    auto& there = in.machines[last.machine];
-    there.free += view.spec->request;
-    there.soon += view.spec->request;
-    --there.tasks;
+    auto& view = input.jobs[last.job];
+    auto& host = input.machines[last.machine];
+    host.free += view.spec->request;
+    host.free_after_stops += view.spec->request;
+    --host.tasks;
     --view.zones[zone(last.machine)];
-    --view.active;
-    in.team_used[view.spec->team] -= view.spec->request;
-    spare_ += taken_of_spare(*view.spec, last.machine);
+    --view.active_tasks;
+    input.team_used[view.spec->team] -= view.spec->request;
+    spare_ += spare_taken(*view.spec, last.machine);
     --decisions.counts.tasks;
 }
 
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -1,39 +1,42 @@
 #include "scheduler/preemption.hpp"
 
 #include <algorithm>
+#include <tuple>
 
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Resources;
 
 namespace {
-// The cost of a place that is being emptied already, on a machine that has the image: below all others.
-constexpr double being_emptied = -1;
 // Report periods after its start for which stopping a task counts as a loss by itself.
 constexpr double young_reports = 10;
 }  // namespace
 
+bool Preemption::Choice::is_better_than(const Choice& other) const {
+    return std::tie(source, lost_s) < std::tie(other.source, other.lost_s);
+}
+
 Preemption::Preemption(PlanState& plan) : plan_(plan) {
-    auto& in = plan_.in;
-    stopping_.resize(in.instances.size());
-    by_machine_.resize(in.machines.size());
-    by_job_.resize(in.jobs.size());
-    lowest_rank_.assign(in.machines.size(), std::numeric_limits<int>::max());
-    for (std::size_t k = 0; k < in.instances.size(); ++k) {
-        auto& instance = in.instances[k];
-        stopping_[k] = instance.stopping;
-        by_machine_[instance.machine].push_back(k);
-        by_job_[instance.job].push_back(k);
+    auto& input = plan_.input;
+    stopping_.resize(input.instances.size());
+    by_machine_.resize(input.machines.size());
+    by_job_.resize(input.jobs.size());
+    lowest_rank_.assign(input.machines.size(), std::numeric_limits<int>::max());
+    for (std::size_t index = 0; index < input.instances.size(); ++index) {
+        auto& instance = input.instances[index];
+        stopping_[index] = instance.stopping;
+        by_machine_[instance.machine].push_back(index);
+        by_job_[instance.job].push_back(index);
         auto& lowest = lowest_rank_[instance.machine];
         lowest = std::min(lowest, plan_.order.rank(instance.job));
     }
 }
 
 // What is lost by stopping an instance, in seconds of work.
-double Preemption::loss(const InstanceView& instance) const {
-    auto& spec = *plan_.in.jobs[instance.job].spec;
-    double ran = instance.running_since >= 0 ? plan_.in.now - instance.running_since : 0;
-    double age = plan_.in.now - instance.placed;
+double Preemption::lost_work_s(const InstanceView& instance) const {
+    auto& spec = *plan_.input.jobs[instance.job].spec;
+    double ran = instance.running_since ? plan_.input.now - *instance.running_since : 0;
+    double age = plan_.input.now - instance.placed_at;
     double lost = spec.checkpoint_s > 0 ? spec.save_s : ran;
     // Fetching the image again, and a start that counts for little if it is stopped soon after.
     return lost + spec.save_s + std::max(0.0, plan_.settings.report_s * young_reports - age);
@@ -41,127 +44,134 @@
 
 // How long a task of the job fetches its image there.
 double Preemption::fetch_s(const JobView& job, std::size_t machine) const {
-    double rate = plan_.in.pools[plan_.in.machines[machine].pool].fetch_gb_per_s;
-    bool at_hand = plan_.image_distance(job, machine) <= ImageDistance::coming;
+    double rate = plan_.input.pools[plan_.input.machines[machine].pool].fetch_gb_per_s;
+    bool at_hand = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
     return rate <= 0 || at_hand ? 0 : job.spec->image_gb / rate;
 }
 
-std::vector<std::size_t> Preemption::candidates_on(std::size_t job, std::size_t machine) const {
+std::vector<std::size_t> Preemption::preemptible_on(std::size_t job, std::size_t machine) const {
     std::vector<std::size_t> found;
-    for (auto k : by_machine_[machine])
-        if (!stopping_[k] && plan_.order.may_displace(job, plan_.in.instances[k].job)) found.push_back(k);
+    for (auto instance : by_machine_[machine])
+        if (!stopping_[instance] && plan_.order.may_preempt(job, plan_.input.instances[instance].job))
+            found.push_back(instance);
     return found;
 }
 
 void Preemption::sort_by_cost(std::vector<std::size_t>& candidates) const {
-    auto& instances = plan_.in.instances;
-    std::sort(candidates.begin(), candidates.end(), [&](auto a, auto b) {
-        int first = plan_.order.rank(instances[a].job), second = plan_.order.rank(instances[b].job);
-        if (first != second) return first < second;
-        return loss(instances[a]) < loss(instances[b]);
+    auto& instances = plan_.input.instances;
+    std::sort(candidates.begin(), candidates.end(), [&](auto first, auto second) {
+        int first_rank = plan_.order.rank(instances[first].job);
+        int second_rank = plan_.order.rank(instances[second].job);
+        if (first_rank != second_rank) return first_rank < second_rank;
+        return lost_work_s(instances[first]) < lost_work_s(instances[second]);
     });
 }
 
-// The cheapest instances to stop on a machine so that a task of the job has room there.
-std::optional<Preemption::Choice> Preemption::victims_on(std::size_t job, std::size_t machine) const {
-    auto& in = plan_.in;
-    auto& view = in.jobs[job];
-    auto& need = view.spec->request;
-    if (plan_.kept_spare(view, machine)) return std::nullopt;
-    Resources room = in.machines[machine].soon;
-    room -= in.machines[machine].reserved;
-    Choice choice;
+bool Preemption::is_in_gang(std::size_t instance) const {
+    return plan_.input.jobs[plan_.input.instances[instance].job].spec->kind == JobKind::gang;
+}
+
+// The cheapest instances to stop on a machine so that a task of the job fits there; nothing if that can't be
+// had by preemption.
+std::optional<Preemption::Choice> Preemption::cheapest_on(std::size_t job, std::size_t machine) const {
+    auto& input = plan_.input;
+    auto& view = input.jobs[job];
+    auto& host = input.machines[machine];
+    auto& request = view.spec->request;
+    if (plan_.takes_kept_spare(view, machine)) return std::nullopt;
+    Resources free = host.free_after_stops;
+    free -= host.reserved;
     // A place that is being emptied already always goes first: otherwise each plan would stop others.
-    choice.cost = has_image(in.machines[machine], view.image) ? being_emptied : being_emptied / 2;
-    if (room.fits(need)) return choice;
-    choice.cost = fetch_s(view, machine);
+    if (free.fits(request))
+        return Choice{{}, has_image(host, view.image) ? Source::stopping_with_image : Source::stopping, 0};
     if (lowest_rank_[machine] >= plan_.order.rank(job)) return std::nullopt;
-    auto candidates = candidates_on(job, machine);
-    Resources most = room;
-    for (auto k : candidates) most += plan_.need_of(in.instances[k]);
-    if (!most.fits(need)) return std::nullopt;
+    auto candidates = preemptible_on(job, machine);
+    Resources most = free;
+    for (auto candidate : candidates) most += plan_.request_of(input.instances[candidate]);
+    if (!most.fits(request)) return std::nullopt;
     sort_by_cost(candidates);
-    for (auto k : candidates) {
-        if (room.fits(need)) break;
-        room += plan_.need_of(in.instances[k]);
-        choice.victims.push_back(k);
+    Choice choice{{}, Source::preemption, fetch_s(view, machine)};
+    for (auto victim : candidates) {
+        if (free.fits(request)) break;
+        auto& instance = input.instances[victim];
+        free += plan_.request_of(instance);
+        choice.victims.push_back(victim);
         // A gang is stopped whole.
-        auto victim = in.instances[k].job;
-        bool gang = in.jobs[victim].spec->kind == JobKind::gang;
-        double times = gang ? static_cast<double>(by_job_[victim].size()) : 1;
-        choice.cost += loss(in.instances[k]) * times;
+        double stopped = is_in_gang(victim) ? static_cast<double>(by_job_[instance.job].size()) : 1;
+        choice.lost_s += lost_work_s(instance) * stopped;
     }
     return choice;
 }
 
 void Preemption::stop(const Choice& choice, std::size_t job) {
-    auto& in = plan_.in;
-    for (auto k : choice.victims) {
-        auto victim = in.instances[k].job;
-        bool whole = in.jobs[victim].spec->kind == JobKind::gang;
-        for (auto other : whole ? by_job_[victim] : std::vector<std::size_t>{k}) {
-            if (stopping_[other]) continue;
-            stopping_[other] = true;
-            in.machines[in.instances[other].machine].soon += plan_.need_of(in.instances[other]);
-            plan_.decisions.stops.push_back({other, job});
+    auto& input = plan_.input;
+    for (auto victim : choice.victims) {
+        auto victims = is_in_gang(victim) ? by_job_[input.instances[victim].job] : std::vector{victim};
+        for (auto index : victims) {
+            if (stopping_[index]) continue;
+            stopping_[index] = true;
+            auto& instance = input.instances[index];
+            input.machines[instance.machine].free_after_stops += plan_.request_of(instance);
+            plan_.decisions.stops.push_back({index, job});
             ++plan_.decisions.counts.preempted;
         }
     }
 }
 
-// Jobs of one rank and team that need as much find nobody to displace either, until a place is emptied.
-bool Preemption::known_stuck(std::size_t job, const PoolSet& pools) const {
-    auto& spec = *plan_.in.jobs[job].spec;
-    return std::any_of(stuck_.begin(), stuck_.end(), [&](auto& s) {
-        auto& other = *plan_.in.jobs[s.job].spec;
-        return plan_.order.rank(s.job) == plan_.order.rank(job) && other.team == spec.team &&
-               spec.request.fits(other.request) && covers(s.pools, pools);
+// Jobs of one rank and team that request as much find nobody to preempt either, until a place is emptied.
+bool Preemption::is_known_to_fail(std::size_t job, const PoolSet& pools) const {
+    auto& spec = *plan_.input.jobs[job].spec;
+    return std::any_of(failed_.begin(), failed_.end(), [&](auto& failed) {
+        auto& other = *plan_.input.jobs[failed.job].spec;
+        return plan_.order.rank(failed.job) == plan_.order.rank(job) && other.team == spec.team &&
+               spec.request.fits(other.request) && covers(failed.pools, pools);
     });
 }
 
-std::optional<std::size_t> Preemption::make_room(std::size_t job, const PoolSet& pools) {
-    if (known_stuck(job, pools)) return std::nullopt;
+std::optional<std::size_t> Preemption::reserve_place(std::size_t job, const PoolSet& pools) {
+    if (is_known_to_fail(job, pools)) return std::nullopt;
     std::optional<std::size_t> best;
     Choice cheapest;
-    plan_.each_machine(plan_.in.jobs[job], pools, [&](auto machine) {
-        if (cheapest.cost <= being_emptied) return;
-        auto choice = victims_on(job, machine);
-        if (!choice || choice->cost >= cheapest.cost) return;
+    plan_.for_each_machine(plan_.input.jobs[job], pools, [&](auto machine) {
+        if (cheapest.source == Source::stopping_with_image) return;
+        auto choice = cheapest_on(job, machine);
+        if (!choice || !choice->is_better_than(cheapest)) return;
         cheapest = std::move(*choice);
         best = machine;
     });
     if (!best) {
-        if (plan_.in.jobs[job].failed_on.empty()) stuck_.push_back({job, pools});
+        if (plan_.input.jobs[job].failed_on.empty()) failed_.push_back({job, pools});
         return std::nullopt;
     }
     stop(cheapest, job);
-    plan_.in.machines[*best].reserved += plan_.in.jobs[job].spec->request;
+    plan_.input.machines[*best].reserved += plan_.input.jobs[job].spec->request;
     // A gang that is stopped whole leaves places elsewhere, too.
-    if (!cheapest.victims.empty()) stuck_.clear();
+    if (!cheapest.victims.empty()) failed_.clear();
     return best;
 }
 
 // Undoes the reservations, and the stops after the first so many.
-void Preemption::take_back(std::size_t job, const Machines& reserved, std::size_t stops) {
-    auto& in = plan_.in;
+void Preemption::undo(std::size_t job, const Machines& reserved, std::size_t stops) {
+    auto& input = plan_.input;
     auto& decided = plan_.decisions.stops;
-    for (auto machine : reserved) in.machines[machine].reserved -= in.jobs[job].spec->request;
+    for (auto machine : reserved) input.machines[machine].reserved -= input.jobs[job].spec->request;
     for (; decided.size() > stops; decided.pop_back()) {
-        auto k = decided.back().instance;
-        stopping_[k] = false;
-        in.machines[in.instances[k].machine].soon -= plan_.need_of(in.instances[k]);
+        auto index = decided.back().instance;
+        auto& instance = input.instances[index];
+        stopping_[index] = false;
+        input.machines[instance.machine].free_after_stops -= plan_.request_of(instance);
         --plan_.decisions.counts.preempted;
     }
-    if (!reserved.empty()) stuck_.clear();
+    if (!reserved.empty()) failed_.clear();
 }
 
-bool Preemption::make_room_for_all(std::size_t job, const PoolSet& pools) {
+bool Preemption::reserve_places_for_all(std::size_t job, const PoolSet& pools) {
     auto stops = plan_.decisions.stops.size();
     Machines reserved;
-    for (std::size_t n = 0; n < plan_.in.jobs[job].waiting.size(); ++n) {
-        auto machine = make_room(job, pools);
+    for (std::size_t count = 0; count < plan_.input.jobs[job].waiting_tasks.size(); ++count) {
+        auto machine = reserve_place(job, pools);
         if (!machine) {
-            take_back(job, reserved, stops);
+            undo(job, reserved, stops);
             return false;
         }
         reserved.push_back(*machine);
--- a/src/scheduler/preemption.hpp
+++ b/src/scheduler/preemption.hpp
@@ -1,6 +1,10 @@
-// Makes room by stopping what has a lower rank: the cheapest instances, by the work that is lost and by the
-// fetch that the place then needs.
+// Frees places by stopping what has a lower rank: the cheapest instances, by the work that is lost and by the
+// fetch of the image that the place then needs.
+//
+// Owns which instances are being stopped, and which requests can't be met. Changes the plan's decisions and
+// the reservations of its input. Jobs, machines and instances are indices of the input.
 #pragma once
+#include <cstddef>
 #include <limits>
 #include <optional>
 #include <vector>
@@ -13,36 +17,46 @@
   public:
     explicit Preemption(PlanState& plan);
 
-    // Keeps a place for one waiting task: one that is being emptied, or one that is emptied for it.
-    std::optional<std::size_t> make_room(std::size_t job, const PoolSet& pools);
-    // For all tasks of a gang, or for none: what was decided for some is taken back.
-    bool make_room_for_all(std::size_t job, const PoolSet& pools);
+    // Reserves a place for one waiting task, on a machine where enough is being stopped already or is stopped
+    // for it. Returns the machine; nothing if nobody may be preempted for it.
+    std::optional<std::size_t> reserve_place(std::size_t job, const PoolSet& pools);
+    // Reserves places for all tasks of a gang. False: for none, and nothing is stopped for it.
+    bool reserve_places_for_all(std::size_t job, const PoolSet& pools);
 
   private:
+    // How a machine gets the resources that a task requests, the best first.
+    enum class Source {
+        stopping_with_image,  // enough is being stopped already, and the image is there
+        stopping,             // enough is being stopped already
+        preemption,           // others must be stopped
+    };
     struct Choice {
-        std::vector<std::size_t> victims;  // instances
-        double cost = std::numeric_limits<double>::max();
+        std::vector<std::size_t> victims;  // instances to stop
+        Source source = Source::preemption;
+        double lost_s = std::numeric_limits<double>::max();  // seconds of work and of fetching
+        [[nodiscard]] bool is_better_than(const Choice& other) const;
     };
-    // A job that found nobody to displace in these pools.
-    struct Stuck {
+    // A job that found nobody to preempt in these pools.
+    struct FailedPreemption {
         std::size_t job;
         PoolSet pools;
     };
-    double loss(const InstanceView& instance) const;
-    double fetch_s(const JobView& job, std::size_t machine) const;
-    std::optional<Choice> victims_on(std::size_t job, std::size_t machine) const;
-    // Instances that the job may displace there, and those with the cheapest first.
-    std::vector<std::size_t> candidates_on(std::size_t job, std::size_t machine) const;
+    [[nodiscard]] double lost_work_s(const InstanceView& instance) const;
+    [[nodiscard]] double fetch_s(const JobView& job, std::size_t machine) const;
+    [[nodiscard]] std::optional<Choice> cheapest_on(std::size_t job, std::size_t machine) const;
+    [[nodiscard]] std::vector<std::size_t> preemptible_on(std::size_t job, std::size_t machine) const;
     void sort_by_cost(std::vector<std::size_t>& candidates) const;
+    [[nodiscard]] bool is_in_gang(std::size_t instance) const;
     void stop(const Choice& choice, std::size_t job);
-    void take_back(std::size_t job, const Machines& reserved, std::size_t stops);
-    bool known_stuck(std::size_t job, const PoolSet& pools) const;
+    void undo(std::size_t job, const Machines& reserved, std::size_t stops);
+    [[nodiscard]] bool is_known_to_fail(std::size_t job, const PoolSet& pools) const;
 
     PlanState& plan_;
-    std::vector<bool> stopping_;                                 // by instance
-    std::vector<int> lowest_rank_;                               // of what is on a machine
-    std::vector<std::vector<std::size_t>> by_machine_, by_job_;  // instances
-    std::vector<Stuck> stuck_;
+    std::vector<bool> stopping_;                        // by instance
+    std::vector<int> lowest_rank_;                      // of what is on a machine
+    std::vector<std::vector<std::size_t>> by_machine_;  // instances
+    std::vector<std::vector<std::size_t>> by_job_;      // instances
+    std::vector<FailedPreemption> failed_;
 };
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -13,13 +13,13 @@
 
 class Planner {
   public:
-    Planner(Input& in, const config::Settings& settings, std::mt19937_64& random)
-        : plan_(in, settings, random),
+    Planner(Input& input, const config::Settings& settings, std::mt19937_64& random)
+        : plan_(input, settings, random),
           preemption_(plan_),
           tasks_(plan_, preemption_),
           gangs_(plan_, preemption_) {}
 
-    // Among jobs of one rank, those go first whose image is at the places that are free. After a loss of many
+    // Among jobs of one rank, those go first whose image is where free resources are. After a loss of many
     // machines half of all places were fetching: each that came free went to the oldest job, whose image was
     // elsewhere. Replicas don't wait for that, nor does a job that has waited long.
     Decisions run() {
@@ -28,23 +28,24 @@
             int rank = plan_.order.rank(*first);
             auto last =
                 std::find_if(first, order.end(), [&](auto job) { return plan_.order.rank(job) != rank; });
-            for (bool near_only : {true, false})
-                for (auto job = first; job != last; ++job) place(*job, near_only);
+            for (auto image_need : {ImageNeed::near, ImageNeed::none})
+                for (auto job = first; job != last; ++job) place(*job, image_need);
             first = last;
         }
         return std::move(plan_.decisions);
     }
 
   private:
-    void place(std::size_t job, bool near_only) {
-        auto& view = plan_.in.jobs[job];
-        if (view.waiting.empty()) return;
-        bool patient = plan_.order.patient(job);
-        if (!near_only && !patient) return;  // was tried whole the first time
+    void place(std::size_t job, ImageNeed image_need) {
+        auto& view = plan_.input.jobs[job];
+        if (view.waiting_tasks.empty()) return;
+        bool may_wait = plan_.order.may_wait_for_image(job);
+        if (image_need == ImageNeed::none && !may_wait) return;  // was tried without the need the first time
+        if (!may_wait) image_need = ImageNeed::none;
         if (view.spec->kind == protocol::JobKind::gang)
-            gangs_.place(job, near_only && patient);
+            gangs_.place(job, image_need);
         else
-            tasks_.place(job, near_only && patient);
+            tasks_.place(job, image_need);
     }
 
     PlanState plan_;
@@ -55,8 +56,8 @@
 
 }  // namespace
 
-Decisions plan(Input& in, const config::Settings& settings, std::mt19937_64& random) {
-    return Planner(in, settings, random).run();
+Decisions plan(Input& input, const config::Settings& settings, std::mt19937_64& random) {
+    return Planner(input, settings, random).run();
 }
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -1,7 +1,7 @@
 // What runs where: a pure function of the cluster state, the jobs and randomness.
 //
 // The ordinary path is the power of two choices (Mitzenmacher, "On the Analysis of Randomized Load Balancing
-// Schemes"): of two machines with room drawn at random, a task goes to the less loaded one.
+// Schemes"): of two suitable machines drawn at random, a task goes to the less loaded one.
 #pragma once
 #include <random>
 
@@ -12,7 +12,7 @@
 
 namespace coralhitch::scheduler {
 
-// Decides on starts and stops. `in` is used up: it holds the room and the use of teams after the plan.
-Decisions plan(Input& in, const config::Settings& settings, std::mt19937_64& random);
+// Decides on starts and stops. `input` is used up: it holds what is free and what teams use after the plan.
+[[nodiscard]] Decisions plan(Input& input, const config::Settings& settings, std::mt19937_64& random);
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/task_placer.hpp
+++ b/src/scheduler/task_placer.hpp
@@ -1,5 +1,10 @@
-// Places tasks that start one by one: of arrays and services.
+// Places tasks that start one by one: those of arrays and services.
+//
+// Owns nothing; changes the plan through PlanState and Preemption. Jobs are indices of the input.
 #pragma once
+#include <cstddef>
+#include <optional>
+
 #include "scheduler/machine_choice.hpp"
 #include "scheduler/preemption.hpp"
 
@@ -8,13 +13,15 @@
 class TaskPlacer {
   public:
     TaskPlacer(PlanState& plan, Preemption& preemption) : plan_(plan), preemption_(preemption) {}
-    // As many waiting tasks as find room. `near_only`: only where the image is, or is on its way.
-    void place(std::size_t job, bool near_only);
+    // Starts as many waiting tasks as find a place, and preempts others for the rest.
+    void place(std::size_t index, ImageNeed image_need);
 
   private:
-    TieredMachines candidates(const JobView& job, const PoolSet& pools, bool near_only) const;
-    std::optional<std::size_t> choose(const JobView& job, const PoolSet& pools, TieredMachines& sets);
-    void narrow(const JobView& job, PoolSet& pools, TieredMachines& sets) const;
+    [[nodiscard]] TieredMachines candidates(const JobView& job, const PoolSet& pools,
+                                            ImageNeed image_need) const;
+    [[nodiscard]] std::optional<std::size_t> choose(const JobView& job, const PoolSet& pools,
+                                                    TieredMachines& sets);
+    void drop_disallowed(const JobView& job, PoolSet& pools, TieredMachines& sets) const;
 
     PlanState& plan_;
     Preemption& preemption_;
--- a/tests/leader/plan_snapshot_test.cpp
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -21,7 +21,7 @@
     auto in = bench.input();
     ASSERT_EQ(in.jobs.size(), 1u);
     EXPECT_EQ(in.jobs[0].spec->id, "j-000001");
-    EXPECT_EQ(in.jobs[0].waiting.size(), 3u);
+    EXPECT_EQ(in.jobs[0].waiting_tasks.size(), 3u);
     EXPECT_TRUE(any_task_waits(*bench.state, bench.timers.now()));
 }
 
@@ -39,16 +39,16 @@
     auto in = bench.input();
     ASSERT_EQ(in.jobs.size(), 1u);
     EXPECT_FALSE(in.jobs[0].startable);
-    EXPECT_TRUE(in.jobs[0].waiting.empty());
+    EXPECT_TRUE(in.jobs[0].waiting_tasks.empty());
 }
 
 TEST(PlanSnapshot, TriesAJobOnProbationOneTaskAtATime) {
     Bench bench;
     auto& job = bench.add_job("j-000001", 3);
     job.consecutive_failures = jobs::JobEntry::crash_loop_threshold + 1;
-    EXPECT_EQ(bench.input().jobs.at(0).waiting.size(), 1u);
+    EXPECT_EQ(bench.input().jobs.at(0).waiting_tasks.size(), 1u);
     job.active[0] = {"vm-1", 1, 0};
-    EXPECT_TRUE(bench.input().jobs.at(0).waiting.empty());
+    EXPECT_TRUE(bench.input().jobs.at(0).waiting_tasks.empty());
 }
 
 TEST(PlanSnapshot, CountsTheMachinesThatTheAutoscalerCannotRelyOn) {
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -40,8 +40,8 @@
     j->image = "img";
     JobView v;
     v.spec = j;
-    v.open = tasks;
-    for (std::uint32_t i = 0; i < tasks; ++i) v.waiting.push_back(i);
+    v.open_tasks = tasks;
+    for (std::uint32_t i = 0; i < tasks; ++i) v.waiting_tasks.push_back(i);
     return v;
 }
 protocol::Job& edit(JobView& v) {
@@ -129,13 +129,13 @@
             if (i >= c.free) in.machines[i].free = {0, 0, 0};
         }
         in.jobs.push_back(job("j-1", JobKind::gang, limit ? 2 : 3, 4, limit ? "a" : "free"));
-        in.jobs[0].submitted = in.unix_now - c.waited;
+        in.jobs[0].ready_at = in.unix_now - c.waited;
         in.jobs.push_back(job("j-2", JobKind::array, 1, 1, limit ? "a" : "free"));
-        in.jobs[1].submitted = in.unix_now - 1;
+        in.jobs[1].ready_at = in.unix_now - 1;
         if (limit) {
             in.jobs.push_back(job("j-3", c.service_gpus > 0 ? JobKind::service : JobKind::array, 1,
                                   c.service_gpus > 0 ? c.service_gpus : 1, "a"));
-            in.jobs[2].waiting.clear();
+            in.jobs[2].waiting_tasks.clear();
             in.instances.push_back({2, 0, 0, false, 0, 0});
             in.team_used["a"] = in.jobs[2].spec->request;
         }
@@ -147,7 +147,7 @@
     Input in;
     for (int i = 0; i < 4; ++i) in.machines.push_back(machine("m" + std::to_string(i)));
     in.jobs.push_back(job("j-1", JobKind::gang, 2, 1));
-    in.jobs[0].active = 1;
+    in.jobs[0].active_tasks = 1;
     EXPECT_TRUE(run(in).starts.empty());
 }
 TEST(Plan, AGangInOneZoneNeverSpansTwo) {
@@ -187,8 +187,8 @@
         edit(in.jobs[0]).priority = c.waiting;
         in.jobs.push_back(job("j-2", JobKind::array, 4, 1, c.running_team));
         edit(in.jobs[1]).priority = c.running;
-        in.jobs[1].waiting.clear();
-        in.jobs[1].open = static_cast<std::size_t>(c.running_open);
+        in.jobs[1].waiting_tasks.clear();
+        in.jobs[1].open_tasks = static_cast<std::size_t>(c.running_open);
         for (std::uint32_t i = 0; i < 4; ++i) in.instances.push_back({1, 0, i, false, 100, 110});
         EXPECT_EQ(run(in).stops.size(), c.stops ? 1u : 0u) << c.name;
     }
@@ -203,7 +203,7 @@
     in.jobs.push_back(job("j-2", JobKind::array, 1, 1));  // would fit now, into what j-1 waits for
     edit(in.jobs[1]).priority = Priority::low;
     in.jobs.push_back(job("j-3", JobKind::array, 3, 1));
-    in.jobs[2].waiting.clear();
+    in.jobs[2].waiting_tasks.clear();
     edit(in.jobs[2]).priority = Priority::low;
     for (std::uint32_t i = 0; i < 3; ++i) in.instances.push_back({2, 0, i, i == 0, 100, 110});
     auto d = run(in);
@@ -251,7 +251,7 @@
         edit(in.jobs[0]).image_gb = 6;
         edit(in.jobs[0]).priority = Priority::high;
         in.jobs.push_back(job("j-2", JobKind::array, 2, 4));
-        in.jobs[1].waiting.clear();
+        in.jobs[1].waiting_tasks.clear();
         edit(in.jobs[1]).priority = Priority::low;
         for (std::uint32_t k = 0; k < 2; ++k) {
             in.machines[k].free = {15, 0, 63};
@@ -274,7 +274,7 @@
         for (std::size_t k = 0; k < 2; ++k) {
             in.machines[k].free = {12, 0, 60};
             in.jobs.push_back(job("j-" + std::to_string(k + 2), JobKind::array, 1, 4));
-            in.jobs[k + 1].waiting.clear();
+            in.jobs[k + 1].waiting_tasks.clear();
             edit(in.jobs[k + 1]).priority = static_cast<int>(k) < low ? Priority::low : Priority::production;
             in.instances.push_back({k + 1, k, 0, false, 100, 110});
         }
@@ -287,7 +287,7 @@
     const Images other{3}, same{7};
     auto having = [](MachineView m, const Images& images, const Images& coming) {
         m.images = std::make_shared<const Images>(images);
-        m.coming = coming;
+        m.fetching_images = coming;
         return m;
     };
     const std::vector<MachineView> nearest{
@@ -323,7 +323,7 @@
         in.machines[0].images = std::make_shared<const Images>(Images{7});
         for (std::uint32_t k = 0; k < 2; ++k) {
             in.jobs.push_back(job("j-" + std::to_string(k), c.kind, 1, 4));
-            in.jobs[k].submitted = in.unix_now - c.age + k;
+            in.jobs[k].ready_at = in.unix_now - c.age + k;
             in.jobs[k].image = 6 + k;
         }
         auto d = run(in);
@@ -395,12 +395,12 @@
         in.machines[0].free = {1, 1, 1};
         in.machines[0].images = std::make_shared<const Images>(Images{1});
         in.jobs = {job("j-1", JobKind::array, 1, 1), job("j-2", JobKind::array, 1, 1)};
-        in.jobs[0].submitted = in.jobs[1].submitted = 999;
+        in.jobs[0].ready_at = in.jobs[1].ready_at = 999;
         in.jobs[0].image = 1;
         in.jobs[1].image = 2;
         edit(in.jobs[0]).priority = c.other;
         edit(in.jobs[1]).estimate_s = 5;
-        in.jobs[1].due = c.due;
+        in.jobs[1].due_at = c.due;
         auto out = run(in);
         ASSERT_EQ(out.starts.size(), 1u);
         EXPECT_EQ(out.starts[0].job, c.first) << c.due;
@@ -457,7 +457,7 @@
         op.draws = d;
         std::vector<int> tasks(n);
         std::mt19937_64 random(seed);
-        Counts counts;
+        PlanCounts counts;
         for (std::size_t k = 0; k < n; ++k) {
             auto m = draw(
                 n, [](std::size_t) { return true; }, [&](std::size_t i) { return tasks[i]; }, op, random,
@@ -473,7 +473,7 @@
 }
 TEST(Draw, FallsBackToTheFirstWithRoom) {
     std::mt19937_64 random(1);
-    Counts counts;
+    PlanCounts counts;
     auto m = draw(
         500, [](std::size_t i) { return i == 499; }, [](std::size_t) { return 0; }, config::Operator{},
         random, counts);
