--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -27,7 +27,8 @@
     in.types = types_;
     in.pools = state_.cluster.pools();
     in.zones = state_.cluster.zone_count();
-    for (std::size_t zone = 0; zone < in.zones; ++zone) in.dark.push_back(zone_unreachable_(zone));
+    for (std::size_t zone = 0; zone < in.zones; ++zone)
+        in.unreachable_zones.push_back(zone_unreachable_(zone));
     for (auto& [name, request] : pending_)
         for (int k = 0; k < request.count; ++k) {
             autoscaler::MachineView machine;
@@ -37,7 +38,7 @@
             in.machines.push_back(std::move(machine));
         }
     for (auto& [pool, until] : pools_without_capacity_)
-        if (until > timers_.now()) in.refused.insert(pool);
+        if (until > timers_.now()) in.pools_without_capacity.insert(pool);
     return in;
 }
 
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -111,7 +111,8 @@
     }
     callbacks_.plan_applied(started);
     count_draws(plan.out.counts);
-    if (plan.with_fleet && callbacks_.machines_listed()) parts_.fleet_scaler.scale_out(plan.fleet_out.rents);
+    if (plan.with_fleet && callbacks_.machines_listed())
+        parts_.fleet_scaler.scale_out(plan.fleet_out.scale_out);
 }
 
 std::size_t PlanExecutor::group_size(const Plan& plan, std::size_t first) {
@@ -206,8 +207,8 @@
 
 void PlanExecutor::apply_scale_in(const Plan& plan) {
     for (auto& [id, machine] : state_.cluster.machines())
-        machine.draining = plan.fleet_out.drains.contains(id);
-    for (auto& id : plan.fleet_out.returns) {
+        machine.draining = plan.fleet_out.drain.contains(id);
+    for (auto& id : plan.fleet_out.scale_in) {
         auto* machine = state_.cluster.find(id);
         if (machine && machine->tasks.empty() &&
             (machine->reconciled || machine->life == Machine::Life::booting))
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -113,7 +113,7 @@
 
 void add_machines_and_demand(autoscaler::Input& in, LeaderState& state, const scheduler::Input& planned,
                              const scheduler::Decisions& decisions, double now) {
-    in.others = state.cluster.machines().size();
+    in.other_machines = state.cluster.machines().size();
     for (auto& view : planned.machines) {
         auto* machine = state.cluster.find(view.id);
         if (!machine || machine->life == Machine::Life::marked_for_deletion || machine->preemption_deadline)
@@ -133,13 +133,13 @@
         out.draining = view.draining;
         out.tasks = view.tasks;
         out.services = view.services;
-        out.idle_for = now - (booting ? machine->created_at : machine->idle_since);
+        out.idle_s = now - (booting ? machine->created_at : machine->idle_since);
         in.machines.push_back(std::move(out));
-        --in.others;
+        --in.other_machines;
     }
     for (auto& unplaced : decisions.unplaced) {
         auto& job = planned.jobs[unplaced.job];
-        in.needs.push_back({job.spec.get(), unplaced.count, job.zones});
+        in.demand.push_back({job.spec.get(), unplaced.count, job.zones});
     }
 }
 
--- /dev/null
+++ b/tests/autoscaler/autoscaler_test.cpp
@@ -0,0 +1,140 @@
+// Which machines are created and deleted for a given demand.
+#include "autoscaler/autoscaler.hpp"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+
+namespace coralhitch::autoscaler {
+namespace {
+
+config::Settings settings() {
+    config::Settings s;
+    s.report_s = 3;
+    s.teams = {{"free", 0, 0, 0, 0}};
+    return s;
+}
+const std::vector<scheduler::Pool> pools{{"g4", "z1", false, 0, {16, 4, 64}, 0.2},
+                                         {"g4", "z2", false, 1, {16, 4, 64}, 0.2},
+                                         {"g4", "z1", true, 0, {16, 4, 64}, 0.2},
+                                         {"g4", "z2", true, 1, {16, 4, 64}, 0.2}};
+// An array of tasks with a GPU each.
+protocol::Job job(std::uint32_t tasks) {
+    protocol::Job job;
+    job.id = "j-1";
+    job.kind = protocol::JobKind::array;
+    job.tasks = tasks;
+    job.request = {1, 1, 1};
+    job.team = "free";
+    job.image = "img";
+    return job;
+}
+
+TEST(Autoscaler, ScalesOutForDemandAndScalesTheSurplusIn) {
+    auto s = settings();
+    Input in;
+    in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+    in.pools = pools;
+    in.zones = 2;
+    auto waiting = job(8);
+    in.demand.push_back({&waiting, 8, {}});
+    auto count = [](const Decisions& d) {
+        int n = 0;
+        for (auto& r : d.scale_out) n += r.count;
+        return n;
+    };
+    EXPECT_EQ(count(plan(in, s)), 3);  // two for the tasks, one in reserve
+    for (int i = 0; i < 3; ++i) {
+        MachineView b{"b" + std::to_string(i), 0, true, {}};
+        in.machines.push_back(b);
+    }
+    EXPECT_EQ(count(plan(in, s)), 0);  // on their way
+    in.machines.clear();
+    in.demand.clear();
+    for (int i = 0; i < 4; ++i) {
+        MachineView u{"u" + std::to_string(i), 0, false, {16, 4, 64}};
+        u.empty = true;
+        u.idle_s = 1000;
+        in.machines.push_back(u);
+    }
+    EXPECT_EQ(plan(in, s).scale_in.size(), 4u);
+    in.machines[0].free = {8, 2, 32};
+    in.machines[0].empty = false;
+    in.machines[3].booting = true;  // the first to go: it serves nobody yet
+    auto d = plan(in, s);
+    EXPECT_EQ(d.scale_in.size(), 2u);
+    EXPECT_EQ(std::count(d.scale_in.begin(), d.scale_in.end(), "u3"), 1);
+    EXPECT_FALSE(std::count(d.scale_in.begin(), d.scale_in.end(), "u0"));
+}
+// Machines that can't be used exist all the same: a new leader that had not reconciled them yet scaled out
+// beyond the operators' limit.
+TEST(Autoscaler, CountsMachinesThatCannotBeUsedAgainstTheLimit) {
+    struct Case {
+        std::uint32_t max_machines;
+        std::size_t others;
+        int created;
+    };
+    const Case cases[] = {{0, 50, 3}, {4, 0, 3}, {4, 2, 2}, {4, 4, 0}, {4, 9, 0}};
+    for (auto& c : cases) {
+        auto s = settings();
+        s.op.max_machines = c.max_machines;
+        Input in;
+        in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+        in.pools = pools;
+        in.zones = 2;
+        in.other_machines = c.others;
+        auto waiting = job(8);
+        in.demand.push_back({&waiting, 8, {}});
+        int created = 0;
+        for (auto& r : plan(in, s).scale_out) created += r.count;
+        EXPECT_EQ(created, c.created) << c.max_machines << " " << c.others;
+    }
+}
+
+TEST(Autoscaler, SkipsPoolsWithoutCapacityAndPrefersTheCheapest) {
+    auto s = settings();
+    s.op.reserve_ratio = 0;
+    Input in;
+    in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+    in.pools = pools;
+    in.zones = 2;
+    auto waiting = job(1);
+    waiting.spot = true;
+    in.demand.push_back({&waiting, 1, {}});
+    auto spot_first = plan(in, s).scale_out;
+    ASSERT_FALSE(spot_first.empty());
+    EXPECT_TRUE(
+        std::any_of(spot_first.begin(), spot_first.end(), [](auto& r) { return pools[r.pool].spot; }));
+    in.pools_without_capacity = {0, 2, 3};
+    for (auto& r : plan(in, s).scale_out) EXPECT_EQ(r.pool, 1u);
+}
+
+// Machines created in a zone that is cut off are of no use until the cut ends, and those that boot there
+// must not stand for what others could do now.
+TEST(Autoscaler, CountsOnUnreachableZonesLast) {
+    auto s = settings();
+    s.op.reserve_ratio = 0;
+    struct Case {
+        std::set<std::size_t> without_capacity;
+        int booting_unreachable;
+        std::set<std::size_t> created_in;
+    };
+    const Case cases[] = {{{}, 0, {1}}, {{}, 4, {1}}, {{1}, 0, {0}}, {{1}, 4, {}}};
+    for (auto& c : cases) {
+        Input in;
+        in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+        in.pools = pools;
+        in.zones = 2;
+        in.unreachable_zones = {true, false};
+        in.pools_without_capacity = c.without_capacity;
+        auto waiting = job(8);
+        in.demand.push_back({&waiting, 8, {}});
+        for (int i = 0; i < c.booting_unreachable; ++i) in.machines.push_back({"b", 0, true, {}});
+        std::set<std::size_t> created_in;
+        for (auto& r : plan(in, s).scale_out) created_in.insert(r.pool);
+        EXPECT_EQ(created_in, c.created_in) << c.booting_unreachable;
+    }
+}
+
+}  // namespace
+}  // namespace coralhitch::autoscaler
--- a/tests/leader/fleet_scaler_test.cpp
+++ b/tests/leader/fleet_scaler_test.cpp
@@ -48,9 +48,9 @@
     ASSERT_TRUE(bench.leads());
     bench.answer = http::Response{200, R"({"berths":["vm-1"]})"};  // of two
     bench.scaler.scale_out(bench.two);
-    EXPECT_EQ(bench.scaler.autoscaler_input().refused, std::set<std::size_t>{0});
+    EXPECT_EQ(bench.scaler.autoscaler_input().pools_without_capacity, std::set<std::size_t>{0});
     bench.wait(bench.settings.report_s * 3 + 0.1);
-    EXPECT_TRUE(bench.scaler.autoscaler_input().refused.empty());
+    EXPECT_TRUE(bench.scaler.autoscaler_input().pools_without_capacity.empty());
 }
 
 TEST(FleetScaler, SplitsWhatOneCallCannotTake) {
--- a/tests/leader/plan_snapshot_test.cpp
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -64,7 +64,7 @@
     ASSERT_EQ(in.machines.size(), 1u);
     EXPECT_EQ(in.machines[0].id, "vm-booting");
     EXPECT_TRUE(in.machines[0].booting);
-    EXPECT_EQ(in.others, 2u);
+    EXPECT_EQ(in.other_machines, 2u);
 }
 
 }  // namespace
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -3,8 +3,6 @@
 
 #include <gtest/gtest.h>
 
-#include "autoscaler/autoscaler.hpp"
-
 namespace coralhitch::scheduler {
 namespace {
 using protocol::JobKind;
@@ -484,115 +482,5 @@
         counts));
 }
 
-TEST(Capacity, RentsForNeedAndReturnsTheSurplus) {
-    auto s = settings();
-    s.teams = {{"free", 0, 0, 0, 0}};
-    autoscaler::Input in;
-    in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-    in.pools = pools;
-    in.zones = 2;
-    auto waiting = job("j-1", JobKind::array, 8, 1);
-    in.needs.push_back({waiting.spec.get(), 8, {}});
-    auto count = [](const autoscaler::Decisions& d) {
-        int n = 0;
-        for (auto& r : d.rents) n += r.count;
-        return n;
-    };
-    EXPECT_EQ(count(autoscaler::plan(in, s)), 3);  // two for the tasks, one in reserve
-    for (int i = 0; i < 3; ++i) {
-        autoscaler::MachineView b{"b" + std::to_string(i), 0, true, {}};
-        in.machines.push_back(b);
-    }
-    EXPECT_EQ(count(autoscaler::plan(in, s)), 0);  // on their way
-    in.machines.clear();
-    in.needs.clear();
-    for (int i = 0; i < 4; ++i) {
-        autoscaler::MachineView u{"u" + std::to_string(i), 0, false, {16, 4, 64}};
-        u.empty = true;
-        u.idle_for = 1000;
-        in.machines.push_back(u);
-    }
-    EXPECT_EQ(autoscaler::plan(in, s).returns.size(), 4u);
-    in.machines[0].free = {8, 2, 32};
-    in.machines[0].empty = false;
-    in.machines[3].booting = true;  // the first to go: it serves nobody yet
-    auto d = autoscaler::plan(in, s);
-    EXPECT_EQ(d.returns.size(), 2u);
-    EXPECT_EQ(std::count(d.returns.begin(), d.returns.end(), "u3"), 1);
-    EXPECT_FALSE(std::count(d.returns.begin(), d.returns.end(), "u0"));
-}
-// Machines that can't be used exist all the same: a new leader that had not heard them yet rented beyond the
-// operators' limit.
-TEST(Capacity, MaxMachinesCountsWhatCannotBeUsed) {
-    struct Case {
-        std::uint32_t max_machines;
-        std::size_t others;
-        int rented;
-    };
-    const Case cases[] = {{0, 50, 3}, {4, 0, 3}, {4, 2, 2}, {4, 4, 0}, {4, 9, 0}};
-    for (auto& c : cases) {
-        auto s = settings();
-        s.teams = {{"free", 0, 0, 0, 0}};
-        s.op.max_machines = c.max_machines;
-        autoscaler::Input in;
-        in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-        in.pools = pools;
-        in.zones = 2;
-        in.others = c.others;
-        auto waiting = job("j-1", JobKind::array, 8, 1);
-        in.needs.push_back({waiting.spec.get(), 8, {}});
-        int rented = 0;
-        for (auto& r : autoscaler::plan(in, s).rents) rented += r.count;
-        EXPECT_EQ(rented, c.rented) << c.max_machines << " " << c.others;
-    }
-}
-
-TEST(Capacity, PassesRefusedPoolsOverAndPrefersWhatIsCheapest) {
-    auto s = settings();
-    s.teams = {{"free", 0, 0, 0, 0}};
-    s.op.reserve_ratio = 0;
-    autoscaler::Input in;
-    in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-    in.pools = pools;
-    in.zones = 2;
-    auto waiting = job("j-1", JobKind::array, 1, 1);
-    edit(waiting).spot = true;
-    in.needs.push_back({waiting.spec.get(), 1, {}});
-    auto spot_first = autoscaler::plan(in, s).rents;
-    ASSERT_FALSE(spot_first.empty());
-    EXPECT_TRUE(
-        std::any_of(spot_first.begin(), spot_first.end(), [](auto& r) { return pools[r.pool].spot; }));
-    in.refused = {0, 2, 3};
-    for (auto& r : autoscaler::plan(in, s).rents) EXPECT_EQ(r.pool, 1u);
-}
-
-// Machines rented into a zone that is cut off are of no use until the cut ends, and those that boot there
-// must not stand for what others could do now.
-TEST(Capacity, CountsOnZonesThatAreCutOffLast) {
-    auto s = settings();
-    s.teams = {{"free", 0, 0, 0, 0}};
-    s.op.reserve_ratio = 0;
-    struct Case {
-        std::set<std::size_t> refused;
-        int booting_dark;
-        std::set<std::size_t> rents;
-    };
-    const Case cases[] = {{{}, 0, {1}}, {{}, 4, {1}}, {{1}, 0, {0}}, {{1}, 4, {}}};
-    for (auto& c : cases) {
-        autoscaler::Input in;
-        in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-        in.pools = pools;
-        in.zones = 2;
-        in.dark = {true, false};
-        in.refused = c.refused;
-        auto waiting = job("j-1", JobKind::array, 8, 1);
-        in.needs.push_back({waiting.spec.get(), 8, {}});
-        for (int i = 0; i < c.booting_dark; ++i) in.machines.push_back({"b", 0, true, {}});
-        std::set<std::size_t> rents;
-        for (auto& r : autoscaler::plan(in, s).rents) rents.insert(r.pool);
-        EXPECT_EQ(rents, c.rents) << c.booting_dark;
-    }
-}
-
 }  // namespace
 }  // namespace coralhitch::scheduler
