--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -57,7 +57,7 @@
     http::ClientLimits limits;
     limits.budget = &sockets;
     limits.response = memory_share_bytes(settings, response_memory_share);
-    limits.bulk = [](const std::string& path) { return path == protocol::paths::commands; };
+    limits.is_bulk = [](const std::string& path) { return path == protocol::paths::commands; };
     return limits;
 }
 
@@ -66,11 +66,11 @@
                                         std::function<void()> on_worker_refused) {
     http::ServerLimits limits;
     limits.budget = &sockets;
-    limits.bulk_quiet_s = settings.report_s * worker_quiet_periods;
+    limits.bulk_reclaim_s = settings.report_s * worker_quiet_periods;
     limits.bulk_idle_s = settings.report_s * worker_idle_periods;
     limits.lane = event_loop::Lane::ordinary;
-    limits.bulk = [](const std::string& path) { return path == protocol::paths::report; };
-    limits.shed = std::move(on_worker_refused);
+    limits.is_bulk = [](const std::string& path) { return path == protocol::paths::report; };
+    limits.on_bulk_refused = std::move(on_worker_refused);
     return limits;
 }
 
--- a/src/controller/metrics_exporter.cpp
+++ b/src/controller/metrics_exporter.cpp
@@ -59,7 +59,7 @@
     if (!sockets_) return;
     for (std::size_t k = 0; k < http::peer_kinds; ++k) {
         const auto peer = std::string(http::peer_kind_names[k]);
-        const auto& use = sockets_->use(static_cast<http::PeerKind>(k));
+        const auto& use = sockets_->usage(static_cast<http::PeerKind>(k));
         metrics_.set(Metric::sockets_used, peer, to_double(use.used));
         metrics_.set(Metric::sockets_used_peak, peer, to_double(use.peak));
         metrics_.set(Metric::sockets_refused, peer, to_double(use.refused));
--- a/src/http/address.hpp
+++ b/src/http/address.hpp
@@ -1,3 +1,4 @@
+// Addresses as they stand in settings and messages.
 #pragma once
 #include <netinet/in.h>
 
@@ -5,6 +6,8 @@
 #include <string>
 
 namespace coralhitch::http {
-// "10.0.0.1:8080" as a socket address; there are no name look-ups.
-std::optional<sockaddr_in> socket_address(const std::string& addr);
+
+// "10.0.0.1:8080" as a socket address; nothing if it is none. There are no name look-ups.
+[[nodiscard]] std::optional<sockaddr_in> socket_address(const std::string& addr);
+
 }  // namespace coralhitch::http
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -9,138 +9,166 @@
 #include "http/address.hpp"
 
 namespace coralhitch::http {
+namespace {
+constexpr std::size_t max_response_head_bytes = std::size_t{64} * 1024;
+
+std::string to_bytes(const std::string& addr, const Request& request) {
+    std::string bytes = request.method + " " + request.target + " HTTP/1.1\r\nHost: " + addr;
+    if (!request.body.empty() || request.method == "POST")
+        bytes += "\r\nContent-Type: " + request.type +
+                 "\r\nContent-Length: " + std::to_string(request.body.size());
+    bytes += "\r\n\r\n";
+    bytes += request.body;
+    return bytes;
+}
+
+// A socket that is connected or on its way; none if the system refuses.
+event_loop::Fd start_connecting(const sockaddr_in& address) {
+    event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    if (!fd) return fd;
+    int on = 1;
+    ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    const auto* generic = reinterpret_cast<const sockaddr*>(&address);
+    if (::connect(fd.get(), generic, sizeof address) < 0 && errno != EINPROGRESS) fd.reset();
+    return fd;
+}
+}  // namespace
 
 Client::Client(event_loop::EventLoop& loop, ClientLimits limits)
     : loop_(loop),
       limits_(std::move(limits)),
       own_budget_(limits_.connections),
       budget_(limits_.budget ? *limits_.budget : own_budget_),
-      reclaimer_(budget_.add([this](PeerKind kind) { return reclaim(kind); })) {}
+      reclaimer_(budget_.add([this](PeerKind kind) { return close_idle(kind); })) {}
+
 Client::~Client() {
     budget_.remove(reclaimer_);
-    for (auto& [id, c] : calls_) {
-        loop_.cancel(c.timer);
-        budget_.give_back(c.kind);
+    for (auto& [id, open] : connections_) {
+        loop_.cancel(open.timer);
+        budget_.give_back(open.kind);
     }
 }
 
-std::uint64_t Client::take_idle(const std::string& addr) {
-    auto it = idle_.find(addr);
-    if (it == idle_.end() || it->second.empty()) return 0;
-    auto id = it->second.back();
-    it->second.pop_back();
-    auto& c = calls_.at(id);
-    idle_order(c.kind).erase(c.in_order);
+std::optional<Client::ConnectionId> Client::take_idle(const std::string& addr) {
+    auto idle = idle_by_addr_.find(addr);
+    if (idle == idle_by_addr_.end() || idle->second.empty()) return std::nullopt;
+    auto id = idle->second.back();
+    idle->second.pop_back();
+    auto& open = connections_.at(id);
+    idle_order(open.kind).erase(open.idle_position);
     return id;
 }
+
 // Idle connections give way: with more machines than connections they would otherwise hold every place, and
 // each new request would be refused until the first of them times out.
-bool Client::reclaim(PeerKind kind) {
+bool Client::close_idle(PeerKind kind) {
     if (idle_order(kind).empty()) return false;
-    drop(idle_order(kind).front());
+    close(idle_order(kind).front());
     return true;
 }
 
+std::optional<Client::ConnectionId> Client::open_connection(const std::string& addr,
+                                                            const std::string& target) {
+    auto address = socket_address(addr);
+    bool is_bulk = limits_.is_bulk && limits_.is_bulk(target);
+    auto kind = is_bulk ? PeerKind::machine : PeerKind::service;
+    if (!address || !budget_.take(kind)) return std::nullopt;
+    auto fd = start_connecting(*address);
+    if (!fd) {
+        budget_.give_back(kind);
+        return std::nullopt;
+    }
+    auto id = next_id_++;
+    auto& open = connections_[id];
+    open.addr = addr;
+    open.kind = kind;
+    open.connection = std::make_unique<Connection>(loop_, std::move(fd), HTTP_RESPONSE,
+                                                   MessageLimits{limits_.response, max_response_head_bytes});
+    open.connection->watch([this, id](std::uint32_t events) { handle_event(id, events); },
+                           Connection::Origin::opened);
+    if (is_bulk) open.connection->set_lane(event_loop::Lane::bulk);
+    return id;
+}
+
 void Client::send(const std::string& addr, Request request, double timeout_s, Result result) {
-    std::string out = request.method + " " + request.target + " HTTP/1.1\r\nHost: " + addr;
-    if (!request.body.empty() || request.method == "POST")
-        out += "\r\nContent-Type: " + request.type +
-               "\r\nContent-Length: " + std::to_string(request.body.size());
-    out += "\r\n\r\n";
-    out += request.body;
-
-    std::uint64_t id = take_idle(addr);
-    bool fresh = id == 0;
-    if (fresh) {
-        auto fail = [&] { loop_.after(0, [result = std::move(result)] { result(std::nullopt); }); };
-        auto sa = socket_address(addr);
-        bool bulk = limits_.bulk && limits_.bulk(request.target);
-        auto kind = bulk ? PeerKind::machine : PeerKind::service;
-        if (!sa || !budget_.take(kind)) return fail();
-        event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-        auto fail_opened = [&] {
-            budget_.give_back(kind);
-            fail();
-        };
-        if (!fd) return fail_opened();
-        int on = 1;
-        ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-        if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa) < 0 && errno != EINPROGRESS)
-            return fail_opened();
-        id = next_++;
-        auto& c = calls_[id];
-        c.addr = addr;
-        c.kind = kind;
-        c.connection = std::make_unique<Connection>(loop_, std::move(fd), HTTP_RESPONSE,
-                                                    Limits{limits_.response, 64 * 1024});
-        c.connection->listen_events([this, id](std::uint32_t e) { on_event(id, e); },
-                                    Connection::Side::connecting);
-        if (bulk) c.connection->set_lane(event_loop::Lane::bulk);
+    auto idle = take_idle(addr);
+    auto taken = idle ? idle : open_connection(addr, request.target);
+    if (!taken) {
+        loop_.after(0, [result = std::move(result)] { result(std::nullopt); });
+        return;
     }
-    auto& c = calls_.at(id);
-    c.idle = false;
-    c.result = std::move(result);
-    loop_.cancel(c.timer);
-    c.timer = loop_.after(timeout_s, [this, id, number = ++c.number] { too_late(id, number); });
-    c.connection->write(std::move(out));
-    if (!fresh && c.connection->flush() != Connection::State::open)
-        loop_.after(0, [this, id] { finish(id, std::nullopt, false); });
+    auto id = *taken;
+    auto& open = connections_.at(id);
+    open.idle = false;
+    open.result = std::move(result);
+    loop_.cancel(open.timer);
+    auto number = ++open.request_number;
+    open.timer = loop_.after(timeout_s, [this, id, number] { handle_timeout(id, number); });
+    open.connection->write(to_bytes(addr, request));
+    // A new connection is written to once it is established.
+    if (idle && !open.connection->flush()) loop_.after(0, [this, id] { fail(id); });
 }
 
 // An answer that waits for its turn in the bulk lane has come. Given up unread, it was asked for again: a new
-// leader of thousands of machines had most of its questions answered for nothing.
-void Client::too_late(std::uint64_t id, std::uint64_t number) {
-    on_event(id, EPOLLIN);
-    auto it = calls_.find(id);
-    if (it != calls_.end() && it->second.number == number) finish(id, std::nullopt, false);
+// leader of thousands of machines had most of its probes answered for nothing.
+void Client::handle_timeout(ConnectionId id, std::uint64_t request_number) {
+    handle_event(id, EPOLLIN);
+    auto found = connections_.find(id);
+    if (found != connections_.end() && found->second.request_number == request_number) fail(id);
 }
 
-void Client::drop(std::uint64_t id) {
-    auto it = calls_.find(id);
-    if (it == calls_.end()) return;
-    loop_.cancel(it->second.timer);
-    if (it->second.idle) {
-        auto list = idle_.find(it->second.addr);
-        list->second.remove(id);
-        idle_order(it->second.kind).erase(it->second.in_order);
-        if (list->second.empty()) idle_.erase(list);
+void Client::close(ConnectionId id) {
+    auto found = connections_.find(id);
+    if (found == connections_.end()) return;
+    auto& open = found->second;
+    loop_.cancel(open.timer);
+    if (open.idle) {
+        auto idle = idle_by_addr_.find(open.addr);
+        idle->second.remove(id);
+        idle_order(open.kind).erase(open.idle_position);
+        if (idle->second.empty()) idle_by_addr_.erase(idle);
     }
-    budget_.give_back(it->second.kind);
-    calls_.erase(it);
+    budget_.give_back(open.kind);
+    connections_.erase(found);
 }
 
-void Client::finish(std::uint64_t id, std::optional<Response> r, bool reuse) {
-    auto it = calls_.find(id);
-    if (it == calls_.end() || it->second.idle) return;
-    auto& c = it->second;
-    Result result = std::move(c.result);
-    auto& pool = idle_[c.addr];
-    if (reuse && pool.size() < limits_.idle_per_addr) {
-        c.idle = true;
-        c.connection->next();
-        pool.push_back(id);
-        c.in_order = idle_order(c.kind).insert(idle_order(c.kind).end(), id);
-        loop_.cancel(c.timer);
-        c.timer = loop_.after(limits_.idle_s, [this, id] { drop(id); });
+void Client::finish(ConnectionId id, std::optional<Response> response, Reuse reuse) {
+    auto found = connections_.find(id);
+    if (found == connections_.end() || found->second.idle) return;
+    auto& open = found->second;
+    Result result = std::move(open.result);
+    auto& idle = idle_by_addr_[open.addr];
+    if (reuse == Reuse::yes && idle.size() < limits_.idle_per_addr) {
+        open.idle = true;
+        open.connection->next();
+        idle.push_back(id);
+        auto& order = idle_order(open.kind);
+        open.idle_position = order.insert(order.end(), id);
+        loop_.cancel(open.timer);
+        open.timer = loop_.after(limits_.idle_s, [this, id] { close(id); });
     } else {
-        if (pool.empty()) idle_.erase(c.addr);
-        drop(id);
+        if (idle.empty()) idle_by_addr_.erase(open.addr);
+        close(id);
     }
-    result(std::move(r));
+    result(std::move(response));
 }
 
-void Client::on_event(std::uint64_t id, std::uint32_t events) {
-    auto it = calls_.find(id);
-    if (it == calls_.end()) return;
-    auto& c = it->second;
-    if (c.idle) return drop(id);  // closed by the other side, or speaking out of turn
-    if (events & EPOLLOUT)
-        if (c.connection->flush() != Connection::State::open) return finish(id, std::nullopt, false);
+void Client::handle_event(ConnectionId id, std::uint32_t events) {
+    auto found = connections_.find(id);
+    if (found == connections_.end()) return;
+    auto& open = found->second;
+    if (open.idle) return close(id);  // closed by the other side, or it sent what nobody asked for
+    if ((events & EPOLLOUT) && !open.connection->flush()) return fail(id);
     if (!(events & (EPOLLIN | EPOLLHUP | EPOLLERR))) return;
-    if (c.connection->read() != Connection::State::open) return finish(id, std::nullopt, false);
-    auto& in = c.connection->incoming();
-    if (!in.complete) return;
-    finish(id, Response{in.status, std::move(in.body), std::move(in.type), in.retry_after_s}, in.keep_alive);
+    auto result = open.connection->read();
+    if (result == Connection::ReadResult::incomplete) return;
+    if (result != Connection::ReadResult::complete) return fail(id);
+    auto& incoming = open.connection->incoming();
+    auto reuse = incoming.keep_alive ? Reuse::yes : Reuse::no;
+    finish(
+        id,
+        Response{incoming.status, std::move(incoming.body), std::move(incoming.type), incoming.retry_after_s},
+        reuse);
 }
 
 }  // namespace coralhitch::http
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -3,162 +3,209 @@
 #include <strings.h>
 #include <sys/socket.h>
 
-#include <array>
 #include <cerrno>
+#include <climits>
 #include <cstdlib>
 
 namespace coralhitch::http {
 namespace {
-Connection& self(http_parser* p) {
-    return *static_cast<Connection*>(p->data);
+constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
+
+// What a callback returns to let the parser go on, or to end it with an error. That of the headers has codes
+// of its own: 1 would say that there is no body.
+constexpr int proceed = 0;
+constexpr int abort_parsing = 1;
+constexpr int abort_after_headers = -1;
+
+Connection& connection_of(http_parser* parser) {
+    return *static_cast<Connection*>(parser->data);
+}
+
+bool is_try_again(int error) {
+    return error == EAGAIN || error == EWOULDBLOCK;
 }
 }  // namespace
 
-Connection::Connection(event_loop::EventLoop& loop, event_loop::Fd fd, http_parser_type type, Limits limits)
+Connection::Connection(event_loop::EventLoop& loop, event_loop::Fd fd, http_parser_type type,
+                       const MessageLimits& limits)
     : loop_(loop), fd_(std::move(fd)), limits_(limits) {
-    http_parser_init(&parser_, type);
-    parser_.data = this;
+    reset_parser(type);
 }
+
 Connection::~Connection() {
     if (fd_) loop_.unwatch(fd_.get());
 }
 
-bool Connection::grow_head(std::size_t n) {
-    in_.head += n;
-    if (in_.head > limits_.head) in_.too_large = true;
-    return !in_.too_large;
-}
-void Connection::header_done() {
-    if (strcasecmp(in_.field.c_str(), "retry-after") == 0) in_.retry_after_s = std::atof(in_.value.c_str());
-    if (strcasecmp(in_.field.c_str(), "content-type") == 0) in_.type = in_.value;
-    in_.field.clear();
-    in_.value.clear();
-    in_value_ = false;
-}
-int Connection::on_field(http_parser* p, const char* at, std::size_t n) {
-    auto& c = self(p);
-    if (c.in_value_) c.header_done();
-    if (!c.grow_head(n)) return 1;
-    c.in_.field.append(at, n);
-    return 0;
-}
-int Connection::on_value(http_parser* p, const char* at, std::size_t n) {
-    auto& c = self(p);
-    c.in_value_ = true;
-    if (!c.grow_head(n)) return 1;
-    c.in_.value.append(at, n);
-    return 0;
-}
-int Connection::on_url(http_parser* p, const char* at, std::size_t n) {
-    auto& c = self(p);
-    if (!c.grow_head(n)) return 1;
-    c.in_.target.append(at, n);
-    return 0;
-}
-int Connection::on_headers(http_parser* p) {
-    auto& c = self(p);
-    if (c.in_value_) c.header_done();
-    if (p->content_length != ULLONG_MAX && p->content_length > c.limits_.body) {
-        c.in_.too_large = true;
-        return -1;
-    }
-    return 0;
+// --- Reading --------------------------------------------------------------------------------------------
+
+void Connection::reset_parser(http_parser_type type) {
+    http_parser_init(&parser_, type);
+    parser_.data = this;
+}
+
+bool Connection::grow_head(std::size_t bytes) {
+    parsing_.head_bytes += bytes;
+    if (parsing_.head_bytes > limits_.head) parsing_.too_large = true;
+    return !parsing_.too_large;
+}
+
+void Connection::end_header() {
+    auto is_named = [&](const char* name) { return strcasecmp(parsing_.field.c_str(), name) == 0; };
+    if (is_named("retry-after")) incoming_.retry_after_s = std::atof(parsing_.value.c_str());
+    if (is_named("content-type")) incoming_.type = parsing_.value;
+    parsing_.field.clear();
+    parsing_.value.clear();
+    parsing_.in_value = false;
+}
+
+int Connection::on_field(http_parser* parser, const char* data, std::size_t size) {
+    auto& self = connection_of(parser);
+    if (self.parsing_.in_value) self.end_header();
+    if (!self.grow_head(size)) return abort_parsing;
+    self.parsing_.field.append(data, size);
+    return proceed;
+}
+
+int Connection::on_value(http_parser* parser, const char* data, std::size_t size) {
+    auto& self = connection_of(parser);
+    self.parsing_.in_value = true;
+    if (!self.grow_head(size)) return abort_parsing;
+    self.parsing_.value.append(data, size);
+    return proceed;
 }
-int Connection::on_body(http_parser* p, const char* at, std::size_t n) {
-    auto& c = self(p);
-    if (c.in_.body.size() + n > c.limits_.body) {
-        c.in_.too_large = true;
-        return 1;
+
+int Connection::on_url(http_parser* parser, const char* data, std::size_t size) {
+    auto& self = connection_of(parser);
+    if (!self.grow_head(size)) return abort_parsing;
+    self.incoming_.target.append(data, size);
+    return proceed;
+}
+
+int Connection::on_headers(http_parser* parser) {
+    auto& self = connection_of(parser);
+    if (self.parsing_.in_value) self.end_header();
+    bool has_length = parser->content_length != ULLONG_MAX;
+    if (!has_length || parser->content_length <= self.limits_.body) return proceed;
+    self.parsing_.too_large = true;
+    return abort_after_headers;
+}
+
+int Connection::on_body(http_parser* parser, const char* data, std::size_t size) {
+    auto& self = connection_of(parser);
+    if (self.incoming_.body.size() + size > self.limits_.body) {
+        self.parsing_.too_large = true;
+        return abort_parsing;
     }
-    c.in_.body.append(at, n);
-    return 0;
-}
-int Connection::on_complete(http_parser* p) {
-    auto& c = self(p);
-    c.in_.complete = true;
-    c.in_.keep_alive = http_should_keep_alive(p) != 0;
-    c.in_.status = static_cast<int>(p->status_code);
-    if (p->type == HTTP_REQUEST) c.in_.method = http_method_str(static_cast<http_method>(p->method));
-    http_parser_pause(p, 1);
-    return 0;
+    self.incoming_.body.append(data, size);
+    return proceed;
 }
+
+int Connection::on_complete(http_parser* parser) {
+    auto& self = connection_of(parser);
+    self.parsing_.complete = true;
+    self.incoming_.keep_alive = http_should_keep_alive(parser) != 0;
+    self.incoming_.status = static_cast<int>(parser->status_code);
+    if (parser->type == HTTP_REQUEST)
+        self.incoming_.method = http_method_str(static_cast<http_method>(parser->method));
+    http_parser_pause(parser, 1);
+    return proceed;
+}
+
 const http_parser_settings& Connection::callbacks() {
-    static const http_parser_settings s = [] {
-        http_parser_settings v;
-        http_parser_settings_init(&v);
-        v.on_url = on_url;
-        v.on_header_field = on_field;
-        v.on_header_value = on_value;
-        v.on_headers_complete = on_headers;
-        v.on_body = on_body;
-        v.on_message_complete = on_complete;
-        return v;
+    static const http_parser_settings settings = [] {
+        http_parser_settings all;
+        http_parser_settings_init(&all);
+        all.on_url = on_url;
+        all.on_header_field = on_field;
+        all.on_header_value = on_value;
+        all.on_headers_complete = on_headers;
+        all.on_body = on_body;
+        all.on_message_complete = on_complete;
+        return all;
     }();
-    return s;
+    return settings;
 }
 
-void Connection::listen_events(event_loop::EventLoop::Handler handler, Side side) {
-    if (side == Side::accepted) always_ |= EPOLLRDHUP;
-    events_ = side == Side::connecting ? always_ | EPOLLOUT : always_;
-    loop_.watch(fd_.get(), events_, std::move(handler));
+Connection::ReadResult Connection::parse(const char* data, std::size_t size) {
+    http_parser_execute(&parser_, &callbacks(), data, size);
+    if (parsing_.too_large) return ReadResult::too_large;
+    auto error = HTTP_PARSER_ERRNO(&parser_);
+    bool is_paused_at_end = error == HPE_PAUSED && parsing_.complete;
+    if (error != HPE_OK && !is_paused_at_end) return ReadResult::malformed;
+    return parsing_.complete ? ReadResult::complete : ReadResult::incomplete;
 }
 
-Connection::State Connection::read() {
-    std::array<char, 16 * 1024> buffer;
-    while (!in_.complete) {
-        ssize_t n = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
-        if (n < 0) {
+Connection::ReadResult Connection::read() {
+    char buffer[read_buffer_bytes];  // not cleared: it is filled again and again
+    while (!parsing_.complete) {
+        ssize_t received = ::recv(fd_.get(), buffer, sizeof buffer, 0);
+        if (received < 0) {
             if (errno == EINTR) continue;
-            if (errno == EAGAIN || errno == EWOULDBLOCK) return State::open;
-            return State::closed;
+            return is_try_again(errno) ? ReadResult::incomplete : ReadResult::closed;
         }
-        if (n == 0) {
-            http_parser_execute(&parser_, &callbacks(), buffer.data(), 0);  // a body may end with the stream
-            return in_.complete ? State::open : State::closed;
+        if (received == 0) {
+            // A body may end with the stream, of which no bytes tell the parser.
+            http_parser_execute(&parser_, &callbacks(), buffer, 0);
+            return parsing_.complete ? ReadResult::complete : ReadResult::closed;
         }
-        http_parser_execute(&parser_, &callbacks(), buffer.data(), static_cast<std::size_t>(n));
-        if (in_.too_large) return State::bad;
-        auto err = HTTP_PARSER_ERRNO(&parser_);
-        if (err != HPE_OK && !(err == HPE_PAUSED && in_.complete)) return State::bad;
-        if (static_cast<std::size_t>(n) < buffer.size()) break;
+        auto size = static_cast<std::size_t>(received);
+        auto result = parse(buffer, size);
+        if (result != ReadResult::incomplete || size < sizeof buffer) return result;
     }
-    return State::open;
+    return ReadResult::complete;
 }
+
 void Connection::next() {
-    in_ = {};
-    in_value_ = false;
+    incoming_ = {};
+    parsing_ = {};
     // Nobody pipelines: what may still lie in the buffer of the last read belongs to no message.
-    http_parser_init(&parser_, static_cast<http_parser_type>(parser_.type));
-    parser_.data = this;
+    reset_parser(static_cast<http_parser_type>(parser_.type));
+}
+
+bool Connection::has_input() const {
+    char byte = 0;
+    ssize_t received = ::recv(fd_.get(), &byte, 1, MSG_PEEK);
+    return received >= 0 || (errno != EAGAIN && errno != EINTR);
 }
+
+// --- Writing --------------------------------------------------------------------------------------------
+
+void Connection::watch(event_loop::EventLoop::Handler handler, Origin origin) {
+    if (origin == Origin::accepted) always_ |= EPOLLRDHUP;
+    events_ = origin == Origin::opened ? always_ | EPOLLOUT : always_;
+    loop_.watch(fd_.get(), events_, std::move(handler));
+}
+
 void Connection::write(std::string bytes) {
-    if (!pending()) {
-        out_ = std::move(bytes);
-        written_ = 0;
-    } else {
-        out_ += bytes;
+    if (has_unsent()) {
+        unsent_ += bytes;
+        return;
     }
+    unsent_ = std::move(bytes);
+    sent_bytes_ = 0;
 }
-Connection::State Connection::flush() {
-    while (pending()) {
-        ssize_t n = ::send(fd_.get(), out_.data() + written_, out_.size() - written_, MSG_NOSIGNAL);
-        if (n < 0) {
+
+bool Connection::flush() {
+    while (has_unsent()) {
+        ssize_t sent =
+            ::send(fd_.get(), unsent_.data() + sent_bytes_, unsent_.size() - sent_bytes_, MSG_NOSIGNAL);
+        if (sent < 0) {
             if (errno == EINTR) continue;
-            if (errno == EAGAIN || errno == EWOULDBLOCK) break;
-            return State::closed;
+            if (is_try_again(errno)) break;
+            return false;
         }
-        written_ += static_cast<std::size_t>(n);
+        sent_bytes_ += static_cast<std::size_t>(sent);
     }
-    if (!pending()) {
-        out_.clear();
-        written_ = 0;
+    if (!has_unsent()) {
+        unsent_.clear();
+        sent_bytes_ = 0;
     }
-    std::uint32_t want = always_ | (pending() ? EPOLLOUT : 0u);
-    if (want != events_) {
-        events_ = want;
-        loop_.set_events(fd_.get(), want);
+    std::uint32_t wanted = always_ | (has_unsent() ? EPOLLOUT : 0U);
+    if (wanted != events_) {
+        events_ = wanted;
+        loop_.set_events(fd_.get(), wanted);
     }
-    return State::open;
+    return true;
 }
 
 }  // namespace coralhitch::http
--- a/src/http/socket_budget.cpp
+++ b/src/http/socket_budget.cpp
@@ -1,81 +1,93 @@
 #include "http/socket_budget.hpp"
 
 #include <algorithm>
-#include <cmath>
 
 namespace coralhitch::http {
 namespace {
 // Whose idle connections are closed first: what is opened again at need, then workers that have gone
 // elsewhere.
-constexpr std::array order = {PeerKind::machine, PeerKind::worker, PeerKind::user, PeerKind::service};
+constexpr std::array reclaim_order = {PeerKind::machine, PeerKind::worker, PeerKind::user, PeerKind::service};
 }  // namespace
 
 SocketBudget::SocketBudget(std::size_t sockets, const SocketShares& shares) : sockets_(sockets) {
     auto part = [&](double share) { return static_cast<std::size_t>(static_cast<double>(sockets) * share); };
-    for (std::size_t k = 0; k < peer_kinds; ++k) {
-        if (shares[k].guaranteed > 0)
-            kinds_[k].guaranteed = std::max<std::size_t>(1, part(shares[k].guaranteed));
-        kinds_[k].most = std::max({std::size_t{1}, kinds_[k].guaranteed, part(shares[k].most)});
+    for (std::size_t kind = 0; kind < peer_kinds; ++kind) {
+        auto& budget = kinds_[kind];
+        if (shares[kind].guaranteed > 0)
+            budget.guaranteed = std::max<std::size_t>(1, part(shares[kind].guaranteed));
+        budget.limit = std::max({std::size_t{1}, budget.guaranteed, part(shares[kind].limit)});
     }
 }
 
 // What a kind has not taken of its guarantee counts as taken for all others.
 bool SocketBudget::fits(PeerKind kind) const {
-    auto& k = kinds_[index(kind)];
-    if (k.use.used < k.guaranteed) return true;
-    if (k.use.used >= k.most) return false;
+    auto& budget = kinds_[index(kind)];
+    if (budget.usage.used < budget.guaranteed) return true;
+    if (budget.usage.used >= budget.limit) return false;
     std::size_t committed = 0;
-    for (auto& each : kinds_) committed += std::max(each.use.used, each.guaranteed);
+    for (auto& each : kinds_) committed += std::max(each.usage.used, each.guaranteed);
     return committed < sockets_;
 }
-bool SocketBudget::reclaim(PeerKind kind) {
-    return std::any_of(reclaim_.begin(), reclaim_.end(), [&](auto& r) { return r(kind); });
+
+bool SocketBudget::reclaim_from(PeerKind kind) {
+    return std::any_of(reclaimers_.begin(), reclaimers_.end(), [&](auto& reclaim) { return reclaim(kind); });
 }
-bool SocketBudget::make_room(PeerKind kind) {
-    auto& k = kinds_[index(kind)];
-    if (k.use.used < k.most)
-        for (auto other : order) {
-            auto& o = kinds_[index(other)];
-            if (other != kind && o.use.used > o.guaranteed && reclaim(other)) return fits(kind);
+
+bool SocketBudget::reclaim_for(PeerKind kind) {
+    auto& budget = kinds_[index(kind)];
+    if (budget.usage.used < budget.limit)
+        for (auto other : reclaim_order) {
+            auto& victim = kinds_[index(other)];
+            bool is_beyond_guarantee = other != kind && victim.usage.used > victim.guaranteed;
+            if (is_beyond_guarantee && reclaim_from(other)) return fits(kind);
         }
-    return reclaim(kind) && fits(kind);
+    return reclaim_from(kind) && fits(kind);
 }
+
 bool SocketBudget::take(PeerKind kind) {
-    auto& use = kinds_[index(kind)].use;
-    if (!fits(kind) && !make_room(kind)) {
-        ++use.refused;
+    auto& usage = kinds_[index(kind)].usage;
+    if (!fits(kind) && !reclaim_for(kind)) {
+        ++usage.refused;
         return false;
     }
-    use.peak = std::max(use.peak, ++use.used);
+    ++usage.used;
+    usage.peak = std::max(usage.peak, usage.used);
     return true;
 }
+
 void SocketBudget::give_back(PeerKind kind) {
-    --kinds_[index(kind)].use.used;
+    --kinds_[index(kind)].usage.used;
 }
+
 bool SocketBudget::move(PeerKind from, PeerKind to) {
     if (from == to) return true;
-    --kinds_[index(from)].use.used;
+    auto& from_usage = kinds_[index(from)].usage;
+    --from_usage.used;
     if (take(to)) return true;
-    ++kinds_[index(from)].use.used;
+    ++from_usage.used;
     return false;
 }
+
 bool SocketBudget::nearly_full(PeerKind kind, double share) const {
-    auto& k = kinds_[index(kind)];
-    return static_cast<double>(k.use.used) > static_cast<double>(k.most) * share;
+    auto& budget = kinds_[index(kind)];
+    return static_cast<double>(budget.usage.used) > static_cast<double>(budget.limit) * share;
 }
 
 std::uint64_t SocketBudget::refused() const {
-    std::uint64_t n = 0;
-    for (auto& k : kinds_) n += k.use.refused;
-    return n;
+    std::uint64_t sum = 0;
+    for (auto& budget : kinds_) sum += budget.usage.refused;
+    return sum;
 }
+
 std::string SocketBudget::text() const {
     std::string out;
-    for (std::size_t k = 0; k < peer_kinds; ++k) {
-        auto& use = kinds_[k].use;
-        out += (out.empty() ? "" : ", ") + std::string(peer_kind_names[k]) + " " + std::to_string(use.used) +
-               " (at most " + std::to_string(use.peak) + " of " + std::to_string(kinds_[k].most) + ", " +
-               std::to_string(use.refused) + " refused)";
+    for (std::size_t kind = 0; kind < peer_kinds; ++kind) {
+        auto& usage = kinds_[kind].usage;
+        if (!out.empty()) out += ", ";
+        out.append(peer_kind_names[kind]).append(" ").append(std::to_string(usage.used));
+        out.append(" (at most ").append(std::to_string(usage.peak));
+        out.append(" of ").append(std::to_string(kinds_[kind].limit)).append(", ");
+        out.append(std::to_string(usage.refused)).append(" refused)");
     }
     return out;
 }
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -144,8 +144,8 @@
 struct Crowd : Bench {
     Crowd() {
         limits.budget = &budget;
-        limits.bulk = [](const std::string& path) { return path == "/report"; };
-        limits.shed = [this] { ++shed; };
+        limits.is_bulk = [](const std::string& path) { return path == "/report"; };
+        limits.on_bulk_refused = [this] { ++shed; };
         limits.keep_share = 1;
     }
     ~Crowd() { server.reset(); }
@@ -192,7 +192,7 @@
 TEST(Http, ConnectionsThatWorkersLeftGiveWay) {
     for (auto [quiet_s, status] : {std::pair(0.0, 200), {60.0, 503}}) {
         Crowd c;
-        c.limits.bulk_quiet_s = quiet_s;
+        c.limits.bulk_reclaim_s = quiet_s;
         c.serve_holding(0, [] {});
         std::size_t answered = 0;
         std::optional<Response> last;
@@ -214,8 +214,8 @@
 TEST(Http, SilentConnectionsGiveWayToUsers) {
     for (auto [first_s, served] : {std::pair(0.0, true), {60.0, false}}) {
         Crowd c;
-        c.limits.first_s = first_s;
-        c.limits.accepts = 100;
+        c.limits.first_request_s = first_s;
+        c.limits.accepts_per_event = 100;
         c.serve_holding(0, [] {});
         std::vector<event_loop::Fd> silent;
         auto sa = socket_address(c.addr);
@@ -254,7 +254,7 @@
         if (r.target != "/do") reply({200, "{}"});
     });
     ClientLimits limits;
-    limits.bulk = [](const std::string& path) { return path == "/do"; };
+    limits.is_bulk = [](const std::string& path) { return path == "/do"; };
     limits.budget = &c.budget;
     Client client(c.loop, limits);
     std::size_t refused = 0;
@@ -308,7 +308,7 @@
 TEST(Http, ABulkRequestWhoseSenderHasLeftIsNotServed) {
     for (bool bulk : {true, false}) {
         Bench b;
-        b.limits.bulk = [&](const std::string& path) { return bulk && path == "/x"; };
+        b.limits.is_bulk = [&](const std::string& path) { return bulk && path == "/x"; };
         b.serve();
         event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
         auto sa = socket_address(b.addr);
