--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -2,240 +2,220 @@
 
 #include <google/protobuf/io/tokenizer.h>
 #include <google/protobuf/text_format.h>
-#include <toml++/toml.h>
 
 #include <algorithm>
-#include <cmath>
 #include <fstream>
 #include <sstream>
 
+#include "config/toml_table.hpp"
 #include "operator.pb.h"
 
 namespace coralhitch::config {
 namespace {
 
-// Reads one table and names the field in every complaint.
-class Table {
-  public:
-    Table(const toml::table* t, std::string file, std::string where)
-        : table_(t), file_(std::move(file)), where_(std::move(where)) {}
+constexpr std::uint32_t min_txn_ops = 2;  // the leadership as a condition, and one change
 
-    std::string text(const char* key) const {
-        auto v = node(key).value<std::string>();
-        if (!v || v->empty()) fail(key, "must be a string that is not empty");
-        return *v;
-    }
-    std::string addr(const char* key) const {
-        auto v = text(key);
-        auto colon = v.rfind(':');
-        int port = 0;
-        try {
-            port = colon == std::string::npos ? 0 : std::stoi(v.substr(colon + 1));
-        } catch (const std::exception&) {
-        }
-        if (colon == 0 || port < 1 || port > 65535) fail(key, "must be an address like 10.0.0.1:8080");
-        return v;
-    }
-    double number(const char* key, double least, bool above = false) const {
-        auto v = node(key).value<double>();
-        if (!v || !std::isfinite(*v)) fail(key, "must be a number");
-        if (*v < least || (above && *v == least))
-            fail(key, (std::string("must be ") + (above ? "above " : "at least ") + trimmed(least)).c_str());
-        return *v;
-    }
-    double number_within(const char* key, double least, double most) const {
-        double v = number(key, least);
-        if (v > most) fail(key, ("must be at most " + trimmed(most)).c_str());
-        return v;
-    }
-    std::uint32_t count(const char* key, std::uint32_t least) const {
-        auto v = node(key).value<std::int64_t>();
-        if (!v || *v < least || *v > 0xffffffffll)
-            fail(key, ("must be a whole number from " + std::to_string(least)).c_str());
-        return static_cast<std::uint32_t>(*v);
-    }
-    Table sub(const char* key) const {
-        auto* t = node(key).as_table();
-        if (!t) fail(key, "must be a table");
-        return {t, file_, path(key)};
-    }
-    std::vector<Table> rows(const char* key) const {
-        std::vector<Table> out;
-        auto* n = table_->get(key);
-        if (!n) return out;
-        auto* a = n->as_array();
-        if (!a) fail(key, "must be a list of tables");
-        for (auto& e : *a) {
-            if (!e.as_table()) fail(key, "must be a list of tables");
-            out.emplace_back(e.as_table(), file_, path(key) + "[" + std::to_string(out.size()) + "]");
-        }
-        return out;
-    }
-    std::vector<std::string> texts(const char* key) const {
-        std::vector<std::string> out;
-        auto* a = node(key).as_array();
-        if (!a) fail(key, "must be a list of strings");
-        for (auto& e : *a) {
-            auto s = e.value<std::string>();
-            if (!s) fail(key, "must be a list of strings");
-            out.push_back(*s);
-        }
-        return out;
-    }
-    bool has(const char* key) const { return table_->get(key) != nullptr; }
+std::string read_file(const std::string& file) {
+    std::ifstream stream(file);
+    if (!stream) throw BadSettings(file + ": can't be read");
+    std::ostringstream text;
+    text << stream.rdbuf();
+    return text.str();
+}
 
-  private:
-    const toml::node& node(const char* key) const {
-        auto* n = table_->get(key);
-        if (!n) fail(key, "is missing");
-        return *n;
-    }
-    std::string path(const char* key) const { return where_.empty() ? key : where_ + "." + key; }
-    [[noreturn]] void fail(const char* key, const char* what) const {
-        throw BadSettings(file_ + ": field '" + path(key) + "' " + what);
-    }
-    static std::string trimmed(double v) {
-        std::ostringstream o;
-        o << v;
-        return o.str();
-    }
-    const toml::table* table_;
-    std::string file_, where_;
-};
+void read_own_addresses(const TomlTable& root, Settings& settings) {
+    settings.label = root.text("label");
+    settings.zone = root.text("domain");
+    settings.listen = root.address("public_addr");
+    settings.peer_listen = root.address("peer_listen");
+}
 
-std::string read_file(const std::string& file) {
-    std::ifstream in(file);
-    if (!in) throw BadSettings(file + ": can't be read");
-    std::ostringstream out;
-    out << in.rdbuf();
-    return out.str();
+void read_peers(const TomlTable& root, Settings& settings) {
+    for (auto& seed : root.rows("seeds"))
+        settings.peers.push_back({seed.text("label"), seed.text("domain"), seed.address("peer_addr")});
 }
 
-}  // namespace
+void read_endpoints(const TomlTable& endpoints, Settings& settings) {
+    settings.cloud_addr = endpoints.address("cloud");
+    settings.state_addr = endpoints.address("state");
+}
 
-Settings parse_settings(const std::string& text, const std::string& file) {
-    toml::table root;
-    try {
-        root = toml::parse(text);
-    } catch (const toml::parse_error& e) {
-        throw BadSettings(file + ": line " + std::to_string(e.source().begin.line) + ": " +
-                          std::string(e.description()));
-    }
-    Table t(&root, file, "");
-    Settings s;
-    s.label = t.text("label");
-    s.zone = t.text("domain");
-    s.listen = t.addr("public_addr");
-    s.peer_listen = t.addr("peer_listen");
-    for (auto& p : t.rows("seeds"))
-        s.peers.push_back({p.text("label"), p.text("domain"), p.addr("peer_addr")});
-    auto endpoints = t.sub("endpoints");
-    s.cloud_addr = endpoints.addr("cloud");
-    s.state_addr = endpoints.addr("state");
-    auto c = t.sub("cluster");
-    s.nodes = c.count("nodes", 1);
-    s.zones = c.texts("zones");
-    s.clock_off_s = c.number("skew_ms", 0) / 1000;
-    for (auto& r : c.rows("teams"))
-        s.teams.push_back({r.text("name"), r.number("cpus", 0), r.number("cpus_max", 0), r.number("gpus", 0),
-                           r.number("gpus_max", 0)});
-    for (auto& r : c.rows("objectives")) {
-        Objective o;
-        o.kind = r.text("kind");
-        if (r.has("class")) o.cls = r.text("class");
-        if (r.has("within_s")) o.within_s = r.number("within_s", 0);
-        if (r.has("share")) o.share = r.number("share", 0);
-        s.objectives.push_back(o);
-    }
-    auto w = c.sub("workers");
-    s.report_s = w.number("report_s", 0, true);
-    s.lease_s = w.number("lease_s", 0, true);
-    s.gang_wait_s = w.number("gang_wait_s", 0);
-    s.gang_peer_s = w.number("gang_peer_s", 0);
-    s.cancel_s = w.number("cancel_s", 0, true);
+Team read_team(const TomlTable& table) {
+    Team team;
+    team.name = table.text("name");
+    team.cpus = table.number("cpus", 0);
+    team.cpus_max = table.number("cpus_max", 0);
+    team.gpus = table.number("gpus", 0);
+    team.gpus_max = table.number("gpus_max", 0);
+    return team;
+}
+
+Objective read_objective(const TomlTable& table) {
+    Objective objective;
+    objective.kind = table.text("kind");
+    if (table.has("class")) objective.cls = table.text("class");
+    if (table.has("within_s")) objective.within_s = table.number("within_s", 0);
+    if (table.has("share")) objective.share = table.number("share", 0);
+    return objective;
+}
+
+void read_cluster(const TomlTable& cluster, Settings& settings) {
+    constexpr double ms_per_s = 1000;
+    settings.nodes = cluster.count("nodes", 1);
+    settings.zones = cluster.texts("zones");
+    settings.clock_off_s = cluster.number("skew_ms", 0) / ms_per_s;
+    for (auto& team : cluster.rows("teams")) settings.teams.push_back(read_team(team));
+    for (auto& objective : cluster.rows("objectives"))
+        settings.objectives.push_back(read_objective(objective));
+}
+
+void read_workers(const TomlTable& workers, Settings& settings) {
+    settings.report_s = workers.positive_number("report_s");
+    settings.lease_s = workers.positive_number("lease_s");
+    settings.gang_wait_s = workers.number("gang_wait_s", 0);
+    settings.gang_peer_s = workers.number("gang_peer_s", 0);
+    settings.cancel_s = workers.positive_number("cancel_s");
     // What ends the tasks of a cancelled job on a machine that no command reaches is its worker's lease. With
     // less time than this nobody could renew one without breaking the rule.
-    if (s.cancel_s < s.lease_s + s.report_s)
-        throw BadSettings(file + ": field 'cluster.workers.cancel_s' must be at least lease_s + report_s");
-    auto st = c.sub("state");
-    s.state_rps = st.number("rps", 0, true);
-    s.state_write_rps = st.number("write_rps", 0, true);
-    s.value_kb = st.number("value_kb", 0, true);
-    s.txn_ops = st.count("txn_ops", 2);
-    s.safe_value_kb = s.value_kb;
-    if (st.has("next")) {
-        auto next = st.sub("next");
-        auto lower = [&](const char* key, double& v) {
-            if (next.has(key)) v = std::min(v, next.number(key, 0, true));
-        };
-        lower("rps", s.state_rps);
-        lower("write_rps", s.state_write_rps);
-        lower("value_kb", s.safe_value_kb);
-        if (next.has("txn_ops")) s.txn_ops = std::min(s.txn_ops, next.count("txn_ops", 2));
+    if (settings.cancel_s < settings.lease_s + settings.report_s)
+        workers.fail("cancel_s", "must be at least lease_s + report_s");
+}
+
+// The limits that the store may go over to, as far as they are lower than the present ones.
+void apply_next_limits(const TomlTable& next, Settings& settings) {
+    auto lower = [&](const char* field, double& limit) {
+        if (next.has(field)) limit = std::min(limit, next.positive_number(field));
+    };
+    lower("rps", settings.state_rps);
+    lower("write_rps", settings.state_write_rps);
+    lower("value_kb", settings.safe_value_kb);
+    if (next.has("txn_ops"))
+        settings.txn_ops = std::min(settings.txn_ops, next.count("txn_ops", min_txn_ops));
+}
+
+void read_key_value_store(const TomlTable& store, Settings& settings) {
+    settings.state_rps = store.positive_number("rps");
+    settings.state_write_rps = store.positive_number("write_rps");
+    settings.value_kb = store.positive_number("value_kb");
+    settings.txn_ops = store.count("txn_ops", min_txn_ops);
+    settings.safe_value_kb = settings.value_kb;
+    if (store.has("next")) apply_next_limits(store.subtable("next"), settings);
+}
+
+void read_cloud(const TomlTable& cloud, Settings& settings) {
+    settings.cloud_rps = cloud.positive_number("rps");
+    settings.list_lag_s = cloud.number("list_lag_s", 0);
+}
+
+// Below or beyond these somebody has mistaken the unit.
+void read_process_limits(const TomlTable& limits, Settings& settings) {
+    settings.cpu_share = limits.number_within("core_share", 1e-4, 1024);
+    settings.memory_mb = limits.number_within("memory_mb", 8, 16e6);
+    settings.sockets = limits.count("sockets", 16);
+}
+
+toml::table parse_toml(const std::string& text, const std::string& file) {
+    try {
+        return toml::parse(text);
+    } catch (const toml::parse_error& error) {
+        throw BadSettings(file + ": line " + std::to_string(error.source().begin.line) + ": " +
+                          std::string(error.description()));
     }
-    auto cl = c.sub("cloud");
-    s.cloud_rps = cl.number("rps", 0, true);
-    s.list_lag_s = cl.number("list_lag_s", 0);
-    auto l = c.sub("limits");
-    // Below or beyond these somebody has mistaken the unit.
-    s.cpu_share = l.number_within("core_share", 1e-4, 1024);
-    s.memory_mb = l.number_within("memory_mb", 8, 16e6);
-    s.sockets = l.count("sockets", 16);
-    return s;
-}
-double questions_per_s(const Settings& s) {
-    constexpr double question_cost_s = 2.5e-4, part = 1.0 / 2;
-    return s.cpu_share * part / question_cost_s;
-}
-double share_expected(const Settings& s) {
-    // As many workers as there are sockets for them, each report and its answer at what they were seen to
+}
+
+}  // namespace
+
+Settings parse_settings(const std::string& text, const std::string& file) {
+    auto parsed = parse_toml(text, file);
+    TomlTable root(parsed, file, "");
+    Settings settings;
+    read_own_addresses(root, settings);
+    read_peers(root, settings);
+    read_endpoints(root.subtable("endpoints"), settings);
+    auto cluster = root.subtable("cluster");
+    read_cluster(cluster, settings);
+    read_workers(cluster.subtable("workers"), settings);
+    read_key_value_store(cluster.subtable("state"), settings);
+    read_cloud(cluster.subtable("cloud"), settings);
+    read_process_limits(cluster.subtable("limits"), settings);
+    return settings;
+}
+
+double questions_per_s(const Settings& settings) {
+    constexpr double question_cost_s = 2.5e-4;
+    constexpr double processor_share = 1.0 / 2;
+    return settings.cpu_share * processor_share / question_cost_s;
+}
+
+double share_expected(const Settings& settings) {
+    // As many workers as there are sockets for them, each heartbeat and its answer at what they were seen to
     // cost.
-    constexpr double report_cost_s = 1e-4, workers = 0.7;
-    return s.sockets * workers / s.report_s * report_cost_s;
+    constexpr double heartbeat_cost_s = 1e-4;
+    constexpr double workers_per_socket = 0.7;
+    return settings.sockets * workers_per_socket / settings.report_s * heartbeat_cost_s;
 }
+
 Settings load_settings(const std::string& file) {
     return parse_settings(read_file(file), file);
 }
 
 namespace {
-class Complaints : public google::protobuf::io::ErrorCollector {
+// Keeps the first error of a parse, with its place.
+class FirstError : public google::protobuf::io::ErrorCollector {
   public:
     void AddError(int line, int column, const std::string& message) override {
-        if (first.empty())
-            first = "line " + std::to_string(line + 1) + ", column " + std::to_string(column + 1) + ": " +
-                    message;
+        if (!text_.empty()) return;
+        text_ =
+            "line " + std::to_string(line + 1) + ", column " + std::to_string(column + 1) + ": " + message;
     }
-    std::string first;
+    [[nodiscard]] const std::string& text() const { return text_; }
+
+  private:
+    std::string text_;
+};
+
+OperatorSettings parse_operator_fields(const std::string& text, const std::string& file) {
+    OperatorSettings fields;
+    FirstError error;
+    google::protobuf::TextFormat::Parser parser;
+    parser.RecordErrorsTo(&error);
+    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file + ": " + error.text());
+    return fields;
+}
+
+struct Range {
+    double least = 0;
+    double most = 0;
 };
 }  // namespace
 
 Operator parse_operator(const std::string& text, const std::string& file) {
-    OperatorSettings p;
-    Complaints complaints;
-    google::protobuf::TextFormat::Parser parser;
-    parser.RecordErrorsTo(&complaints);
-    if (!parser.ParseFromString(text, &p)) throw BadSettings(file + ": " + complaints.first);
-    Operator o;
-    auto range = [&](const char* field, double v, double least, double most) {
-        if (!(v >= least && v <= most)) {
-            std::ostringstream m;
-            m << file << ": field '" << field << "' must be from " << least << " to " << most;
-            throw BadSettings(m.str());
-        }
-        return v;
+    auto fields = parse_operator_fields(text, file);
+    auto checked = [&](const char* field, double value, const Range& range) {
+        if (value >= range.least && value <= range.most) return value;
+        std::ostringstream message;
+        message << file << ": field '" << field << "' must be from " << range.least << " to " << range.most;
+        throw BadSettings(message.str());
+    };
+    auto checked_count = [&](const char* field, std::uint32_t value, const Range& range) {
+        return static_cast<std::uint32_t>(checked(field, value, range));
     };
-    if (p.has_lease_ratio()) o.lease_ratio = range("lease_ratio", p.lease_ratio(), 0.02, 0.5);
-    if (p.has_silence_reports()) o.silence_reports = range("silence_reports", p.silence_reports(), 1.5, 100);
-    if (p.has_draws()) o.draws = static_cast<std::uint32_t>(range("draws", p.draws(), 2, 64));
-    if (p.has_draw_rounds())
-        o.draw_rounds = static_cast<std::uint32_t>(range("draw_rounds", p.draw_rounds(), 1, 64));
-    if (p.has_reserve_ratio()) o.reserve_ratio = range("reserve_ratio", p.reserve_ratio(), 0, 10);
-    if (p.has_max_machines()) o.max_machines = p.max_machines();
-    if (p.has_hearing()) o.hearing = p.hearing();
-    if (p.has_standby()) o.standby = p.standby();
-    if (p.has_idle_boots()) o.idle_boots = range("idle_boots", p.idle_boots(), 0.1, 1000);
-    return o;
+    Operator op;
+    if (fields.has_lease_ratio()) op.lease_ratio = checked("lease_ratio", fields.lease_ratio(), {0.02, 0.5});
+    if (fields.has_silence_reports())
+        op.silence_reports = checked("silence_reports", fields.silence_reports(), {1.5, 100});
+    if (fields.has_draws()) op.draws = checked_count("draws", fields.draws(), {2, 64});
+    if (fields.has_draw_rounds())
+        op.draw_rounds = checked_count("draw_rounds", fields.draw_rounds(), {1, 64});
+    if (fields.has_reserve_ratio())
+        op.reserve_ratio = checked("reserve_ratio", fields.reserve_ratio(), {0, 10});
+    if (fields.has_max_machines()) op.max_machines = fields.max_machines();
+    if (fields.has_hearing()) op.hearing = fields.hearing();
+    if (fields.has_standby()) op.standby = fields.standby();
+    if (fields.has_idle_boots()) op.idle_boots = checked("idle_boots", fields.idle_boots(), {0.1, 1000});
+    return op;
 }
+
 Operator load_operator(const std::string& file) {
     return parse_operator(read_file(file), file);
 }
