--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -235,7 +235,8 @@
     ++counts_.polls;
     ask({"GET", std::string(protocol::paths::jobs) + "/" + id, {}}, poll_timeout_s,
         [this, id](std::optional<http::Response> r) {
-            if (r && r->status == 404) judge_later([this, id](double now) { checker_.denied(now, id); });
+            if (r && r->status == 404)
+                judge_later([this, id](double now) { checker_.not_found_answered(now, id); });
             if (r && r->status == 200) told(id, *r, jobs_.at(id).over);
             loop_.after(experiment_.load.poll_s, [this, id] { poll(id); });
         });
@@ -243,7 +244,8 @@
 void UserApi::told(const std::string& id, const http::Response& r, bool was_over) {
     auto state = outside::parse_status(r.body).state;
     bool over = state == protocol::JobState::done || state == protocol::JobState::cancelled;
-    if (over || was_over) judge_later([this, id, state](double now) { checker_.told(now, id, state); });
+    if (over || was_over)
+        judge_later([this, id, state](double now) { checker_.status_answered(now, id, state); });
     auto& j = jobs_.at(id);
     if (!over || std::exchange(j.over, true)) return;
     if (state == protocol::JobState::cancelled) {
@@ -261,7 +263,7 @@
     double asked = loop_.now();
     if (!std::exchange(j.cancel_asked, true)) {
         ++counts_.cancels;
-        judge_later([this, id](double) { checker_.cancel_asked(id); });
+        judge_later([this, id](double) { checker_.cancel_requested(id); });
     }
     ask({"POST", std::string(protocol::paths::jobs) + "/" + id + std::string(protocol::paths::cancel), {}},
         submit_timeout_s, [this, id, asked](std::optional<http::Response> r) {
@@ -277,8 +279,9 @@
     ask({"GET", std::string(protocol::paths::jobs) + "/" + unknown_job, {}}, poll_timeout_s,
         [this](std::optional<http::Response> r) {
             if (r && r->status == 200)
-                judge_later(
-                    [this](double now) { checker_.told(now, unknown_job, protocol::JobState::queued); });
+                judge_later([this](double now) {
+                    checker_.status_answered(now, unknown_job, protocol::JobState::queued);
+                });
         });
     loop_.after(experiment_.load.poll_s, [this] { poll_unknown(); });
 }
@@ -324,16 +327,16 @@
     switch (o.what) {
         case Happened::machine: {
             double n = experiment_.slots();
-            return checker_.machine(o.machine, {"hollow", o.zone, o.spot, {n, 0, n}});
+            return checker_.machine_added(o.machine, {"hollow", o.zone, o.spot, {n, 0, n}});
         }
         case Happened::started:
-            return checker_.started(o.t, o.machine, o.task);
+            return checker_.task_started(o.t, o.machine, o.task);
         case Happened::ready:
             return;
         case Happened::gone:
-            return checker_.machine_gone(o.machine);
+            return checker_.machine_terminated(o.machine);
         case Happened::ended:
-            checker_.ended(o.t, o.machine, o.task, o.cause);
+            checker_.task_ended(o.machine, o.task, o.cause);
             if (o.cause != protocol::ExitCause::done) return;
             ++tasks_done_;
             if (auto it = jobs_.find(o.task.job);
@@ -355,7 +358,7 @@
         check();
     }
     if (until > last_look_ + 0.5) {
-        checker_.look(until);
+        checker_.check_cancelled_jobs(until);
         last_look_ = until;
     }
 }
@@ -363,13 +366,13 @@
     std::size_t open = 0;
     for (auto& [id, j] : jobs_) open += j.accepted && !j.over;
     auto& c = counts_;
-    return {{"present", checker_.present()},
+    return {{"present", checker_.tasks_on_machines()},
             {"started", checker_.started_tasks()},
             {"tasks_ready", tasks_ready_},
             {"tasks_begun", tasks_begun_},
             {"tasks_done", tasks_done_},
             {"jobs_open", open},
-            {"broken", checker_.broken()},
+            {"broken", checker_.violations()},
             {"to_judge", to_judge_.size()},
             {"submissions", c.submissions},
             {"accepted", c.accepted},
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -1,128 +1,165 @@
 #include "verification/checker.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace coralhitch::verification {
 namespace {
 constexpr double rounding = 1e-6;  // of sums of decimal amounts
 }
 
-void Checker::rule(double now, const std::string& what) {
-    broken_.push_back(std::to_string(now) + " " + what);
+void Checker::add_violation(double now, const std::string& what) {
+    violations_.push_back(std::to_string(now) + " " + what);
 }
 
+// --- What users do and are told -------------------------------------------------------------------------
+
 void Checker::submitted(const protocol::Job& job) {
     jobs_[job.id].job = job;
 }
+
 void Checker::accepted(const std::string& id) {
     jobs_.at(id).accepted = true;
 }
-void Checker::cancel_asked(const std::string& id) {
-    jobs_.at(id).cancel_asked = true;
+
+void Checker::cancel_requested(const std::string& id) {
+    jobs_.at(id).cancel_requested = true;
 }
+
 bool Checker::is_done(const std::string& id) const {
-    auto& o = jobs_.at(id);
-    bool gang = o.job.kind == protocol::JobKind::gang;  // its tasks complete together
-    return gang ? !o.tasks_done.empty() : o.tasks_done.size() >= o.job.tasks;
+    auto& observed = jobs_.at(id);
+    bool is_gang = observed.job.kind == protocol::JobKind::gang;  // its tasks complete together
+    return is_gang ? !observed.tasks_done.empty() : observed.tasks_done.size() >= observed.job.tasks;
 }
-void Checker::told(double now, const std::string& id, protocol::JobState state) {
+
+void Checker::status_answered(double now, const std::string& id, protocol::JobState state) {
     auto found = jobs_.find(id);
-    if (found == jobs_.end()) return rule(now, "invented " + id);
-    auto& o = found->second;
-    bool done = state == protocol::JobState::done, cancelled = state == protocol::JobState::cancelled;
-    if (o.done && !done) rule(now, "went_back " + id + " from done");
-    if (o.cancelled && !cancelled) rule(now, "went_back " + id + " from cancelled");
-    if (cancelled && !o.cancel_asked) rule(now, "went_back " + id + ": nobody cancelled it");
-    if (cancelled && !o.cancelled) {
-        o.cancelled = true;
-        o.cancelled_at = now;
-        cancelled_.insert(id);
+    if (found == jobs_.end()) return add_violation(now, "invented " + id);
+    auto& observed = found->second;
+    bool done = state == protocol::JobState::done;
+    bool cancelled = state == protocol::JobState::cancelled;
+    if (observed.answered_done && !done) add_violation(now, "went_back " + id + " from done");
+    if (observed.answered_cancelled_at && !cancelled)
+        add_violation(now, "went_back " + id + " from cancelled");
+    if (cancelled && !observed.cancel_requested)
+        add_violation(now, "went_back " + id + ": nobody cancelled it");
+    if (cancelled && !observed.answered_cancelled_at) {
+        observed.answered_cancelled_at = now;
+        cancelled_jobs_.insert(id);
     }
-    if (done && !o.done) {
-        o.done = true;
-        if (!is_done(id)) rule(now, "not_done " + id);
+    if (done && !observed.answered_done) {
+        observed.answered_done = true;
+        if (!is_done(id)) add_violation(now, "not_done " + id);
     }
 }
-void Checker::denied(double now, const std::string& id) {
+
+void Checker::not_found_answered(double now, const std::string& id) {
     auto found = jobs_.find(id);
-    if (found != jobs_.end() && found->second.accepted) rule(now, "forgotten " + id);
+    if (found != jobs_.end() && found->second.accepted) add_violation(now, "forgotten " + id);
 }
 
+// --- What happens on machines ---------------------------------------------------------------------------
+
 void Checker::check_quota(double now, const protocol::Job& job, const std::string& task) {
     auto limit = rules_.teams.find(job.team);
-    if (limit == rules_.teams.end()) return rule(now, "quota " + task + ": unknown team " + job.team);
-    auto used = used_[job.team];
-    auto beyond = [](double sum, double most) { return most > 0 && sum > most + rounding; };
-    if (beyond(used.cpus + job.request.cpus, limit->second.cpus_max) ||
-        beyond(used.gpus + job.request.gpus, limit->second.gpus_max))
-        rule(now, "quota " + task + " of " + job.team);
-}
-void Checker::check_place(double now, const Observed& o, const MachinePlace& place, const std::string& task) {
-    auto& job = o.job;
-    if (place.spot && !job.spot) rule(now, "wrong_place (spot) " + task);
-    if (job.zone && *job.zone != place.zone) rule(now, "wrong_place (zone) " + task);
+    if (limit == rules_.teams.end())
+        return add_violation(now, "quota " + task + ": unknown team " + job.team);
+    auto used = used_by_team_[job.team];
+    auto is_beyond = [](double sum, double most) { return most > 0 && sum > most + rounding; };
+    if (is_beyond(used.cpus + job.request.cpus, limit->second.cpus_max) ||
+        is_beyond(used.gpus + job.request.gpus, limit->second.gpus_max))
+        add_violation(now, "quota " + task + " of " + job.team);
+}
+
+void Checker::check_place(double now, const ObservedJob& observed, const MachinePlace& place,
+                          const std::string& task) {
+    auto& job = observed.job;
+    if (place.spot && !job.spot) add_violation(now, "wrong_place (spot) " + task);
+    if (job.zone && *job.zone != place.zone) add_violation(now, "wrong_place (zone) " + task);
     if (job.types && std::find(job.types->begin(), job.types->end(), place.type) == job.types->end())
-        rule(now, "wrong_place (type) " + task);
-    auto here = o.per_zone.find(place.zone);
-    if (job.spread && (here == o.per_zone.end() ? 0 : here->second) + 1 > (job.tasks + 1) / 2)
-        rule(now, "wrong_place (spread) " + task);
-    if (job.one_zone)
-        for (auto& [zone, n] : o.per_zone)
-            if (n > 0 && zone != place.zone) rule(now, "wrong_place (one zone) " + task);
-}
-void Checker::started(double now, const std::string& machine, const protocol::TaskId& task) {
-    ++starts_;
+        add_violation(now, "wrong_place (type) " + task);
+    auto in_zone = observed.tasks_by_zone.find(place.zone);
+    auto others_in_zone = in_zone == observed.tasks_by_zone.end() ? 0 : in_zone->second;
+    if (job.spread && others_in_zone + 1 > (job.tasks + 1) / 2)
+        add_violation(now, "wrong_place (spread) " + task);
+    if (!job.one_zone) return;
+    for (auto& [zone, tasks] : observed.tasks_by_zone)
+        if (tasks > 0 && zone != place.zone) add_violation(now, "wrong_place (one zone) " + task);
+}
+
+void Checker::check_dependencies(double now, const ObservedJob& observed, const std::string& task) {
+    const std::string what = "too_early " + task + " before ";
+    for (auto& dependency : observed.job.awaits)
+        if (!jobs_.contains(dependency) || !is_done(dependency)) add_violation(now, what + dependency);
+}
+
+bool Checker::is_overdue(double now, const ObservedJob& observed) const {
+    return observed.answered_cancelled_at && now > *observed.answered_cancelled_at + rules_.cancel_s;
+}
+
+void Checker::task_started(double now, const std::string& machine, const protocol::TaskId& task) {
+    ++started_tasks_;
+    auto name = task.str();
     auto found = jobs_.find(task.job);
-    if (found == jobs_.end()) return rule(now, "invented " + task.str() + " was started");
-    auto& o = found->second;
-    if (auto on = o.on.find(task.index); on != o.on.end()) {
-        rule(now, "ran_twice " + task.str() + " on " + machine + " and " + on->second);
-        remove(o, task.index);
+    if (found == jobs_.end()) return add_violation(now, "invented " + name + " was started");
+    auto& observed = found->second;
+    auto earlier = observed.machine_by_task.find(task.index);
+    if (earlier != observed.machine_by_task.end()) {
+        add_violation(now, "ran_twice " + name + " on " + machine + " and " + earlier->second);
+        remove_task(observed, task.index);
     }
-    for (auto& before : o.job.awaits)
-        if (!jobs_.contains(before) || !is_done(before))
-            rule(now, "too_early " + task.str() + " before " + before);
-    check_quota(now, o.job, task.str());
-    check_place(now, o, machines_[machine], task.str());
-    if (o.cancelled && now > o.cancelled_at + rules_.cancel_s)
-        rule(now, "ran_cancelled (start) " + task.str());
-    o.on[task.index] = machine;
-    ++o.per_zone[machines_[machine].zone];
-    on_machine_[machine].insert(task);
-    used_[o.job.team] += o.job.request;
-    ++present_;
-}
-void Checker::remove(Observed& o, std::uint32_t index) {
-    auto on = o.on.find(index);
-    --o.per_zone[machines_[on->second].zone];
-    on_machine_[on->second].erase({o.job.id, index});
-    used_[o.job.team] -= o.job.request;
-    o.on.erase(on);
-    --present_;
-}
-void Checker::ended(double, const std::string& machine, const protocol::TaskId& task,
-                    protocol::ExitCause cause) {
+    check_dependencies(now, observed, name);
+    check_quota(now, observed.job, name);
+    check_place(now, observed, machines_[machine], name);
+    if (is_overdue(now, observed)) add_violation(now, "ran_cancelled (start) " + name);
+    add_task(observed, task.index, machine);
+}
+
+void Checker::add_task(ObservedJob& observed, std::uint32_t task, const std::string& machine) {
+    observed.machine_by_task[task] = machine;
+    ++observed.tasks_by_zone[machines_[machine].zone];
+    tasks_by_machine_[machine].insert({observed.job.id, task});
+    used_by_team_[observed.job.team] += observed.job.request;
+    ++tasks_on_machines_;
+}
+
+void Checker::remove_task(ObservedJob& observed, std::uint32_t task) {
+    auto found = observed.machine_by_task.find(task);
+    auto& machine = found->second;
+    --observed.tasks_by_zone[machines_[machine].zone];
+    tasks_by_machine_[machine].erase({observed.job.id, task});
+    used_by_team_[observed.job.team] -= observed.job.request;
+    observed.machine_by_task.erase(found);
+    --tasks_on_machines_;
+}
+
+void Checker::task_ended(const std::string& machine, const protocol::TaskId& task,
+                         protocol::ExitCause cause) {
     auto found = jobs_.find(task.job);
     if (found == jobs_.end()) return;
-    auto& o = found->second;
-    if (cause == protocol::ExitCause::done) o.tasks_done.insert(task.index);
-    auto on = o.on.find(task.index);
-    if (on != o.on.end() && on->second == machine) remove(o, task.index);
-}
-void Checker::machine_gone(const std::string& machine) {
-    auto tasks = std::move(on_machine_[machine]);
-    on_machine_.erase(machine);
-    for (auto& t : tasks) remove(jobs_.at(t.job), t.index);
-    on_machine_.erase(machine);
-}
-void Checker::look(double now) {
-    for (auto it = cancelled_.begin(); it != cancelled_.end();) {
-        auto& o = jobs_.at(*it);
-        bool late = now > o.cancelled_at + rules_.cancel_s;
-        if (late)
-            for (auto& [index, machine] : o.on)
-                rule(now, "ran_cancelled " + protocol::TaskId{*it, index}.str() + " on " + machine);
-        it = late ? cancelled_.erase(it) : std::next(it);
+    auto& observed = found->second;
+    if (cause == protocol::ExitCause::done) observed.tasks_done.insert(task.index);
+    auto place = observed.machine_by_task.find(task.index);
+    if (place != observed.machine_by_task.end() && place->second == machine)
+        remove_task(observed, task.index);
+}
+
+void Checker::machine_terminated(const std::string& machine) {
+    auto tasks = std::exchange(tasks_by_machine_[machine], {});
+    for (auto& task : tasks) remove_task(jobs_.at(task.job), task.index);
+    tasks_by_machine_.erase(machine);
+}
+
+void Checker::check_cancelled_jobs(double now) {
+    for (auto id = cancelled_jobs_.begin(); id != cancelled_jobs_.end();) {
+        auto& observed = jobs_.at(*id);
+        if (!is_overdue(now, observed)) {
+            ++id;
+            continue;
+        }
+        for (auto& [task, machine] : observed.machine_by_task)
+            add_violation(now, "ran_cancelled " + protocol::TaskId{*id, task}.str() + " on " + machine);
+        id = cancelled_jobs_.erase(id);
     }
 }
 
