--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -46,8 +46,8 @@
         protocol::Resources largest;
         for (auto& team : settings_.teams) guaranteed += {team.cpus, team.gpus, 0};
         for (auto& type : input_.types) {
-            largest.cpus = std::max(largest.cpus, type.room.cpus);
-            largest.gpus = std::max(largest.gpus, type.room.gpus);
+            largest.cpus = std::max(largest.cpus, type.capacity.cpus);
+            largest.gpus = std::max(largest.gpus, type.capacity.gpus);
         }
         double by_cpus = largest.cpus > 0 ? guaranteed.cpus / largest.cpus : 0;
         double by_gpus = largest.gpus > 0 ? guaranteed.gpus / largest.gpus : 0;
--- a/src/autoscaler/bin_packer.hpp
+++ b/src/autoscaler/bin_packer.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "autoscaler/autoscaler.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::autoscaler {
 
--- a/src/scheduler/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -7,6 +7,7 @@
 #include <optional>
 #include <vector>
 
+#include "protocol/model.hpp"
 #include "scheduler/machine_choice.hpp"
 #include "scheduler/preemption.hpp"
 
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -5,6 +5,8 @@
 #include <numeric>
 #include <string>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::scheduler {
 using protocol::JobKind;
 using protocol::Priority;
@@ -67,13 +69,14 @@
 
 bool JobOrder::is_near_deadline(std::size_t job) const {
     auto& view = input_.jobs[job];
-    return view.due_at - view.spec->estimate_s - input_.unix_now < settings_.report_s * near_deadline_reports;
+    return view.due_at - view.spec->estimated_run_s - input_.unix_now <
+           settings_.heartbeat_interval_s * near_deadline_reports;
 }
 
 bool JobOrder::may_wait_for_image(std::size_t job) const {
     auto& view = input_.jobs[job];
     if (view.spec->kind == JobKind::service || is_near_deadline(job)) return false;
-    return input_.unix_now - view.ready_at < settings_.report_s * image_wait_reports;
+    return input_.unix_now - view.ready_at < settings_.heartbeat_interval_s * image_wait_reports;
 }
 
 bool JobOrder::goes_before(std::size_t job, std::size_t other) const {
--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -16,18 +16,18 @@
 
 namespace coralhitch::scheduler {
 
-using protocol::Images;
+using protocol::ImageIds;
 using protocol::Pool;
 
 struct MachineView {
     std::string id;
-    std::size_t pool = 0;                  // index of its pool
-    bool usable = false;                   // tasks may start there
-    bool draining = false;                 // surplus: used only if there are no free resources elsewhere
-    protocol::Resources free;              // the plan's starts taken off
-    int tasks = 0;                         // with the plan's starts
-    int services = 0;                      // of `tasks`: those that run until they are cancelled
-    std::shared_ptr<const Images> images;  // in its cache; null: none
+    std::size_t pool = 0;                    // index of its pool
+    bool usable = false;                     // tasks may start there
+    bool draining = false;                   // surplus: used only if there are no free resources elsewhere
+    protocol::Resources free;                // the plan's starts taken off
+    int tasks = 0;                           // with the plan's starts
+    int services = 0;                        // of `tasks`: those that run until they are cancelled
+    std::shared_ptr<const ImageIds> images;  // in its cache; null: none
     std::vector<std::uint32_t> fetching_images;  // with those of the plan's starts
     protocol::Resources free_after_stops;        // free once all that is being stopped has ended
     protocol::Resources reserved;  // of `free_after_stops`, for tasks that wait until others have ended
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -89,7 +89,7 @@
 
 void Checker::check_dependencies(double now, const ObservedJob& observed, const std::string& task) {
     const std::string what = "too_early " + task + " before ";
-    for (auto& dependency : observed.job.awaits)
+    for (auto& dependency : observed.job.dependencies)
         if (!jobs_.contains(dependency) || !is_done(dependency)) add_violation(now, what + dependency);
 }
 
--- a/tests/autoscaler/autoscaler_test.cpp
+++ b/tests/autoscaler/autoscaler_test.cpp
@@ -5,12 +5,14 @@
 
 #include <algorithm>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::autoscaler {
 namespace {
 
 config::Settings settings() {
     config::Settings s;
-    s.report_s = 3;
+    s.heartbeat_interval_s = 3;
     s.teams = {{"free", 0, 0, 0, 0}};
     return s;
 }
--- a/tests/cloud/cloud_client_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -5,6 +5,8 @@
 
 #include <deque>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/model.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::cloud {
@@ -34,7 +36,8 @@
 };
 
 std::string host(const std::string& id) {
-    return R"({"id":")" + id + R"(","hull":"g4","reef":"z1","driftwood":false,"status":"running","age_s":10})";
+    return R"({"id":")" + id +
+           R"(","hull":"g4","reef":"z1","driftwood":false,"status":"running","age_s":10})";
 }
 
 TEST(CloudClient, SendsDeletionsFirstOnceTheBudgetAllows) {
