--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -2,216 +2,150 @@
 
 #include <google/protobuf/io/tokenizer.h>
 #include <google/protobuf/text_format.h>
-#include <toml++/toml.h>
 
 #include <algorithm>
-#include <cmath>
 #include <fstream>
 #include <sstream>
 
+#include "config/toml_table.hpp"
 #include "operator.pb.h"
 
 namespace coralhitch::config {
 namespace {
 
-// Reads one table and names the field in every complaint.
-class Table {
-  public:
-    Table(const toml::table* t, std::string file, std::string where)
-        : table_(t), file_(std::move(file)), where_(std::move(where)) {}
-
-    std::string text(const char* key) const {
-        auto v = node(key).value<std::string>();
-        if (!v || v->empty()) fail(key, "must be a string that is not empty");
-        return *v;
-    }
-    std::string addr(const char* key) const {
-        auto v = text(key);
-        auto colon = v.rfind(':');
-        int port = 0;
-        try {
-            port = colon == std::string::npos ? 0 : std::stoi(v.substr(colon + 1));
-        } catch (const std::exception&) {
-        }
-        if (colon == 0 || port < 1 || port > 65535) fail(key, "must be an address like 10.0.0.1:8080");
-        return v;
-    }
-    double number(const char* key, double least, bool above = false) const {
-        auto v = node(key).value<double>();
-        if (!v || !std::isfinite(*v)) fail(key, "must be a number");
-        if (*v < least || (above && *v == least))
-            fail(key, (std::string("must be ") + (above ? "above " : "at least ") + trimmed(least)).c_str());
-        return *v;
-    }
-    double number_within(const char* key, double least, double most) const {
-        double v = number(key, least);
-        if (v > most) fail(key, ("must be at most " + trimmed(most)).c_str());
-        return v;
-    }
-    std::uint32_t count(const char* key, std::uint32_t least) const {
-        auto v = node(key).value<std::int64_t>();
-        if (!v || *v < least || *v > 0xffffffffll)
-            fail(key, ("must be a whole number from " + std::to_string(least)).c_str());
-        return static_cast<std::uint32_t>(*v);
-    }
-    Table sub(const char* key) const {
-        auto* t = node(key).as_table();
-        if (!t) fail(key, "must be a table");
-        return {t, file_, path(key)};
-    }
-    std::vector<Table> rows(const char* key) const {
-        std::vector<Table> out;
-        auto* n = table_->get(key);
-        if (!n) return out;
-        auto* a = n->as_array();
-        if (!a) fail(key, "must be a list of tables");
-        for (auto& e : *a) {
-            if (!e.as_table()) fail(key, "must be a list of tables");
-            out.emplace_back(e.as_table(), file_, path(key) + "[" + std::to_string(out.size()) + "]");
-        }
-        return out;
-    }
-    std::vector<std::string> texts(const char* key) const {
-        std::vector<std::string> out;
-        auto* a = node(key).as_array();
-        if (!a) fail(key, "must be a list of strings");
-        for (auto& e : *a) {
-            auto s = e.value<std::string>();
-            if (!s) fail(key, "must be a list of strings");
-            out.push_back(*s);
-        }
-        return out;
-    }
-    bool has(const char* key) const { return table_->get(key) != nullptr; }
-
-  private:
-    const toml::node& node(const char* key) const {
-        auto* n = table_->get(key);
-        if (!n) fail(key, "is missing");
-        return *n;
-    }
-    std::string path(const char* key) const { return where_.empty() ? key : where_ + "." + key; }
-    [[noreturn]] void fail(const char* key, const char* what) const {
-        throw BadSettings(file_ + ": field '" + path(key) + "' " + what);
-    }
-    static std::string trimmed(double v) {
-        std::ostringstream o;
-        o << v;
-        return o.str();
-    }
-    const toml::table* table_;
-    std::string file_, where_;
-};
+constexpr std::uint32_t min_txn_ops = 2;  // the leadership as a condition, and one change
 
 std::string read_file(const std::string& file) {
-    std::ifstream in(file);
-    if (!in) throw BadSettings(file + ": can't be read");
-    std::ostringstream out;
-    out << in.rdbuf();
-    return out.str();
-}
-
-toml::table parse_toml(const std::string& text, const std::string& file) {
-    try {
-        return toml::parse(text);
-    } catch (const toml::parse_error& error) {
-        throw BadSettings(file + ": line " + std::to_string(error.source().begin.line) + ": " +
-                          std::string(error.description()));
-    }
+    std::ifstream stream(file);
+    if (!stream) throw BadSettings(file + ": can't be read");
+    std::ostringstream text;
+    text << stream.rdbuf();
+    return text.str();
 }
 
-void read_controllers(const Table& root, Settings& settings) {
+void read_own_addresses(const TomlTable& root, Settings& settings) {
     settings.label = root.text("label");
     settings.zone = root.text("domain");
-    settings.listen = root.addr("public_addr");
-    settings.peer_listen = root.addr("peer_listen");
+    settings.listen = root.address("public_addr");
+    settings.peer_listen = root.address("peer_listen");
+}
+
+void read_peers(const TomlTable& root, Settings& settings) {
     for (auto& seed : root.rows("seeds"))
-        settings.peers.push_back({seed.text("label"), seed.text("domain"), seed.addr("peer_addr")});
-    auto endpoints = root.sub("endpoints");
-    settings.cloud_addr = endpoints.addr("cloud");
-    settings.kv_addr = endpoints.addr("state");
+        settings.peers.push_back({seed.text("label"), seed.text("domain"), seed.address("peer_addr")});
 }
 
-Objective read_objective(const Table& row) {
+void read_endpoints(const TomlTable& endpoints, Settings& settings) {
+    settings.cloud_addr = endpoints.address("cloud");
+    settings.kv_addr = endpoints.address("state");
+}
+
+Team read_team(const TomlTable& table) {
+    Team team;
+    team.name = table.text("name");
+    team.cpus = table.number("cpus", 0);
+    team.cpus_max = table.number("cpus_max", 0);
+    team.gpus = table.number("gpus", 0);
+    team.gpus_max = table.number("gpus_max", 0);
+    return team;
+}
+
+Objective read_objective(const TomlTable& table) {
     Objective objective;
-    objective.kind = row.text("kind");
-    if (row.has("class")) objective.job_class = row.text("class");
-    if (row.has("within_s")) objective.within_s = row.number("within_s", 0);
-    if (row.has("share")) objective.share = row.number("share", 0);
+    objective.kind = table.text("kind");
+    if (table.has("class")) objective.job_class = table.text("class");
+    if (table.has("within_s")) objective.within_s = table.number("within_s", 0);
+    if (table.has("share")) objective.share = table.number("share", 0);
     return objective;
 }
 
-void read_cluster(const Table& cluster, Settings& settings) {
+void read_cluster(const TomlTable& cluster, Settings& settings) {
+    constexpr double ms_per_s = 1000;
     settings.nodes = cluster.count("nodes", 1);
     settings.zones = cluster.texts("zones");
-    settings.max_clock_skew_s = cluster.number("skew_ms", 0) / 1000;
-    for (auto& row : cluster.rows("teams"))
-        settings.teams.push_back({row.text("name"), row.number("cpus", 0), row.number("cpus_max", 0),
-                                  row.number("gpus", 0), row.number("gpus_max", 0)});
-    for (auto& row : cluster.rows("objectives")) settings.objectives.push_back(read_objective(row));
+    settings.max_clock_skew_s = cluster.number("skew_ms", 0) / ms_per_s;
+    for (auto& team : cluster.rows("teams")) settings.teams.push_back(read_team(team));
+    for (auto& objective : cluster.rows("objectives"))
+        settings.objectives.push_back(read_objective(objective));
 }
 
-void read_workers(const Table& workers, const std::string& file, Settings& settings) {
-    settings.heartbeat_interval_s = workers.number("report_s", 0, true);
-    settings.lease_s = workers.number("lease_s", 0, true);
+void read_workers(const TomlTable& workers, Settings& settings) {
+    settings.heartbeat_interval_s = workers.positive_number("report_s");
+    settings.lease_s = workers.positive_number("lease_s");
     settings.gang_wait_s = workers.number("gang_wait_s", 0);
     settings.gang_peer_s = workers.number("gang_peer_s", 0);
-    settings.cancel_s = workers.number("cancel_s", 0, true);
+    settings.cancel_s = workers.positive_number("cancel_s");
     // What ends the tasks of a cancelled job on a machine that no command reaches is its worker's lease. With
     // less time than this nobody could renew one without breaking the rule.
     if (settings.cancel_s < settings.lease_s + settings.heartbeat_interval_s)
-        throw BadSettings(file + ": field 'cluster.workers.cancel_s' must be at least lease_s + report_s");
+        workers.fail("cancel_s", "must be at least lease_s + report_s");
 }
 
-void read_kv_limits(const Table& limits, Settings& settings) {
-    settings.kv_rps = limits.number("rps", 0, true);
-    settings.kv_write_rps = limits.number("write_rps", 0, true);
-    settings.value_kb = limits.number("value_kb", 0, true);
-    settings.txn_ops = limits.count("txn_ops", 2);
-    settings.safe_value_kb = settings.value_kb;
-    if (!limits.has("next")) return;
-    auto next = limits.sub("next");
-    auto lower = [&](const char* key, double& limit) {
-        if (next.has(key)) limit = std::min(limit, next.number(key, 0, true));
+// The limits that the store may go over to, as far as they are lower than the present ones.
+void apply_next_limits(const TomlTable& next, Settings& settings) {
+    auto lower = [&](const char* field, double& limit) {
+        if (next.has(field)) limit = std::min(limit, next.positive_number(field));
     };
     lower("rps", settings.kv_rps);
     lower("write_rps", settings.kv_write_rps);
     lower("value_kb", settings.safe_value_kb);
-    if (next.has("txn_ops")) settings.txn_ops = std::min(settings.txn_ops, next.count("txn_ops", 2));
+    if (next.has("txn_ops"))
+        settings.txn_ops = std::min(settings.txn_ops, next.count("txn_ops", min_txn_ops));
 }
 
-void read_own_limits(const Table& limits, Settings& settings) {
-    // Below or beyond these somebody has mistaken the unit.
+void read_key_value_store(const TomlTable& store, Settings& settings) {
+    settings.kv_rps = store.positive_number("rps");
+    settings.kv_write_rps = store.positive_number("write_rps");
+    settings.value_kb = store.positive_number("value_kb");
+    settings.txn_ops = store.count("txn_ops", min_txn_ops);
+    settings.safe_value_kb = settings.value_kb;
+    if (store.has("next")) apply_next_limits(store.subtable("next"), settings);
+}
+
+void read_cloud(const TomlTable& cloud, Settings& settings) {
+    settings.cloud_rps = cloud.positive_number("rps");
+    settings.list_lag_s = cloud.number("list_lag_s", 0);
+}
+
+// Below or beyond these somebody has mistaken the unit.
+void read_process_limits(const TomlTable& limits, Settings& settings) {
     settings.cpu_share = limits.number_within("core_share", 1e-4, 1024);
     settings.memory_mb = limits.number_within("memory_mb", 8, 16e6);
     settings.sockets = limits.count("sockets", 16);
 }
 
+toml::table parse_toml(const std::string& text, const std::string& file) {
+    try {
+        return toml::parse(text);
+    } catch (const toml::parse_error& error) {
+        throw BadSettings(file + ": line " + std::to_string(error.source().begin.line) + ": " +
+                          std::string(error.description()));
+    }
+}
+
 }  // namespace
 
 Settings parse_settings(const std::string& text, const std::string& file) {
     auto parsed = parse_toml(text, file);
-    Table root(&parsed, file, "");
+    TomlTable root(parsed, file, "");
     Settings settings;
-    read_controllers(root, settings);
-    auto cluster = root.sub("cluster");
+    read_own_addresses(root, settings);
+    read_peers(root, settings);
+    read_endpoints(root.subtable("endpoints"), settings);
+    auto cluster = root.subtable("cluster");
     read_cluster(cluster, settings);
-    read_workers(cluster.sub("workers"), file, settings);
-    read_kv_limits(cluster.sub("state"), settings);
-    auto cloud = cluster.sub("cloud");
-    settings.cloud_rps = cloud.number("rps", 0, true);
-    settings.list_lag_s = cloud.number("list_lag_s", 0);
-    read_own_limits(cluster.sub("limits"), settings);
+    read_workers(cluster.subtable("workers"), settings);
+    read_key_value_store(cluster.subtable("state"), settings);
+    read_cloud(cluster.subtable("cloud"), settings);
+    read_process_limits(cluster.subtable("limits"), settings);
     return settings;
 }
-Settings load_settings(const std::string& file) {
-    return parse_settings(read_file(file), file);
-}
 
 double status_queries_per_s(const Settings& settings) {
     constexpr double query_cost_s = 2.5e-4, query_share = 1.0 / 2;
     return settings.cpu_share * query_share / query_cost_s;
 }
+
 double expected_cpu_share(const Settings& settings) {
     // As many workers as there are sockets for them, each heartbeat and its answer at what they were measured
     // to cost.
@@ -219,21 +153,39 @@
     return settings.sockets * worker_socket_ratio / settings.heartbeat_interval_s * heartbeat_cost_s;
 }
 
-namespace {
+Settings load_settings(const std::string& file) {
+    return parse_settings(read_file(file), file);
+}
 
+namespace {
+// Keeps the first error of a parse, with its place.
 class FirstError : public google::protobuf::io::ErrorCollector {
   public:
     void AddError(int line, int column, const std::string& message) override {
-        if (text.empty())
-            text = "line " + std::to_string(line + 1) + ", column " + std::to_string(column + 1) + ": " +
-                   message;
+        if (!text_.empty()) return;
+        text_ =
+            "line " + std::to_string(line + 1) + ", column " + std::to_string(column + 1) + ": " + message;
     }
-    std::string text;
+    [[nodiscard]] const std::string& text() const { return text_; }
+
+  private:
+    std::string text_;
 };
 
+OperatorSettings parse_operator_fields(const std::string& text, const std::string& file) {
+    OperatorSettings fields;
+    FirstError error;
+    google::protobuf::TextFormat::Parser parser;
+    parser.RecordErrorsTo(&error);
+    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file + ": " + error.text());
+    return fields;
+}
+
 struct Range {
-    double least, most;
+    double least = 0;
+    double most = 0;
 };
+
 double within(const std::string& file, const char* field, double value, Range range) {
     if (value >= range.least && value <= range.most) return value;
     std::ostringstream error;
@@ -277,13 +229,9 @@
 }  // namespace
 
 Operator parse_operator(const std::string& text, const std::string& file) {
-    OperatorSettings fields;
-    FirstError error;
-    google::protobuf::TextFormat::Parser parser;
-    parser.RecordErrorsTo(&error);
-    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file + ": " + error.text);
-    return read_operator(fields, file);
+    return read_operator(parse_operator_fields(text, file), file);
 }
+
 Operator load_operator(const std::string& file) {
     return parse_operator(read_file(file), file);
 }
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -27,13 +27,13 @@
     scheduler::JobView view;
     view.spec = job.spec;
     view.priority = job.priority;
-    view.submitted = job.ready_at;
-    view.due = job.due_at;
+    view.ready_at = job.ready_at;
+    view.due_at = job.due_at;
     view.startable = may_start_tasks(job, now);
-    if (view.startable) view.waiting = tasks_to_start(job);
-    view.open = job.open_count();
+    if (view.startable) view.waiting_tasks = tasks_to_start(job);
+    view.open_tasks = job.open_count();
     view.zones = zone_counts(job, zones);
-    view.active = static_cast<int>(job.active.size());
+    view.active_tasks = static_cast<int>(job.active.size());
     view.failed_on = job.failed_on;
     view.image = job.image;
     return view;
@@ -60,12 +60,12 @@
         if (instance.spec->kind == JobKind::service) ++view.services;
         if (instance.state == protocol::TaskState::fetching && !instance.stop_requested) {
             auto image = in.jobs[it->second].image;
-            if (!scheduler::has_image(view, image)) view.coming.push_back(image);
+            if (!scheduler::has_image(view, image)) view.fetching_images.push_back(image);
         }
         in.instances.push_back(
             {it->second, in.machines.size(), task.index,
              instance.stop_requested || instance.state == protocol::TaskState::checkpointing,
-             instance.placed_at, instance.running_since.value_or(-1)});
+             instance.placed_at, instance.running_since});
     }
     in.machines.push_back(std::move(view));
 }
@@ -115,7 +115,7 @@
 
 void add_machines_and_demand(autoscaler::Input& in, LeaderState& state, const scheduler::Input& planned,
                              const scheduler::Decisions& decisions, double now) {
-    in.others = state.cluster.machines().size();
+    in.other_machines = state.cluster.machines().size();
     for (auto& view : planned.machines) {
         auto* machine = state.cluster.find(view.id);
         if (!machine || machine->life == Machine::Life::marked_for_deletion || machine->preemption_deadline)
@@ -135,13 +135,13 @@
         out.draining = view.draining;
         out.tasks = view.tasks;
         out.services = view.services;
-        out.idle_for = now - (booting ? machine->created_at : machine->idle_since);
+        out.idle_s = now - (booting ? machine->created_at : machine->idle_since);
         in.machines.push_back(std::move(out));
-        --in.others;
+        --in.other_machines;
     }
     for (auto& unplaced : decisions.unplaced) {
         auto& job = planned.jobs[unplaced.job];
-        in.needs.push_back({job.spec.get(), unplaced.count, job.zones});
+        in.demand.push_back({job.spec.get(), unplaced.count, job.zones});
     }
 }
 
