--- a/scale/load/checker_feed.cpp
+++ b/scale/load/checker_feed.cpp
@@ -26,7 +26,7 @@
         next.mapped()(checker_, next.key());
     }
     if (until > last_look_ + look_interval_s) {
-        checker_.look(until);
+        checker_.check_cancelled_jobs(until);
         last_look_ = until;
     }
 }
--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -131,7 +131,9 @@
     send({"GET", job_path(id), {}}, poll_timeout_s,
          [this, id](const std::optional<http::Response>& response) {
              if (response && response->status == 404)
-                 check([id](verification::Checker& checker, double time) { checker.denied(time, id); });
+                 check([id](verification::Checker& checker, double time) {
+                     checker.not_found_answered(time, id);
+                 });
              if (response && response->status == 200) on_status(id, *response, jobs_.at(id).over);
              loop_.after(experiment_.load.poll_s, [this, id] { poll(id); });
          });
@@ -141,7 +143,9 @@
     auto state = messages::parse_status(response.body).state;
     bool is_over = state == protocol::JobState::done || state == protocol::JobState::cancelled;
     if (is_over || was_over)
-        check([id, state](verification::Checker& checker, double time) { checker.told(time, id, state); });
+        check([id, state](verification::Checker& checker, double time) {
+            checker.status_answered(time, id, state);
+        });
     auto& job = jobs_.at(id);
     if (!is_over || std::exchange(job.over, true)) return;
     if (state == protocol::JobState::cancelled) {
@@ -159,7 +163,7 @@
          [this](const std::optional<http::Response>& response) {
              if (!response || response->status != 200) return;
              check([](verification::Checker& checker, double time) {
-                 checker.told(time, unknown_job, protocol::JobState::queued);
+                 checker.status_answered(time, unknown_job, protocol::JobState::queued);
              });
          });
     loop_.after(experiment_.load.poll_s, [this] { poll_unknown_job(); });
@@ -173,7 +177,7 @@
     double requested_at = loop_.now();
     if (!std::exchange(job.cancel_requested, true)) {
         ++counts_.cancels;
-        check([id](verification::Checker& checker, double) { checker.cancel_asked(id); });
+        check([id](verification::Checker& checker, double) { checker.cancel_requested(id); });
     }
     send({"POST", job_path(id) + std::string(protocol::paths::cancel), {}}, submit_timeout_s,
          [this, id, requested_at](const std::optional<http::Response>& response) {
--- a/scale/load/load_process.cpp
+++ b/scale/load/load_process.cpp
@@ -65,13 +65,13 @@
         auto& checker = feed_.checker();
         auto& events = events_.counts();
         auto& jobs = jobs_.counts();
-        return {{"present", checker.present()},
+        return {{"present", checker.tasks_on_machines()},
                 {"started", checker.started_tasks()},
                 {"tasks_ready", events.images_ready},
                 {"tasks_begun", events.tasks_begun},
                 {"tasks_done", events.tasks_done},
                 {"jobs_open", jobs_.open_jobs()},
-                {"broken", checker.broken()},
+                {"broken", checker.violations()},
                 {"to_judge", feed_.waiting()},
                 {"submissions", jobs.submissions},
                 {"accepted", jobs.accepted},
--- a/scale/load/worker_event_handler.cpp
+++ b/scale/load/worker_event_handler.cpp
@@ -44,21 +44,22 @@
     switch (event.kind) {
         case WorkerEventKind::machine_up: {
             double slots = experiment_.slots();
-            return checker.machine(event.machine, {"hollow", event.zone, event.spot, {slots, 0, slots}});
+            return checker.machine_added(event.machine,
+                                         {"hollow", event.zone, event.spot, {slots, 0, slots}});
         }
         case WorkerEventKind::task_started:
-            return checker.started(event.time, event.machine, event.task);
+            return checker.task_started(event.time, event.machine, event.task);
         case WorkerEventKind::image_ready:
             return;
         case WorkerEventKind::machine_gone:
-            return checker.machine_gone(event.machine);
+            return checker.machine_terminated(event.machine);
         case WorkerEventKind::task_ended:
             return check_end(event, checker);
     }
 }
 
 void WorkerEventHandler::check_end(const WorkerEvent& event, verification::Checker& checker) {
-    checker.ended(event.time, event.machine, event.task, event.cause);
+    checker.task_ended(event.time, event.machine, event.task, event.cause);
     if (event.cause != protocol::ExitCause::done) return;
     ++counts_.tasks_done;
     auto* job = jobs_.find(event.task.job);
--- a/scale/tests/checker_test.cpp
+++ b/scale/tests/checker_test.cpp
@@ -26,135 +26,135 @@
     checker.accepted(submitted.id);
 }
 void finish(Checker& checker, double time, const std::string& id) {
-    checker.started(time, "a1", {id, 0});
-    checker.ended(time + 1, "a1", {id, 0}, protocol::ExitCause::done);
+    checker.task_started(time, "a1", {id, 0});
+    checker.task_ended(time + 1, "a1", {id, 0}, protocol::ExitCause::done);
 }
 
 const History histories[] = {
     {"moved", "",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.started(1, "a1", {"j-1", 0});
-         checker.ended(2, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
-         checker.started(2, "b1", {"j-1", 0});
+         checker.task_started(1, "a1", {"j-1", 0});
+         checker.task_ended(2, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
+         checker.task_started(2, "b1", {"j-1", 0});
      }},
     {"twice", "ran_twice",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.started(1, "a1", {"j-1", 0});
-         checker.started(2, "b1", {"j-1", 0});
+         checker.task_started(1, "a1", {"j-1", 0});
+         checker.task_started(2, "b1", {"j-1", 0});
      }},
     {"machine_lost", "",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.started(1, "a1", {"j-1", 0});
-         checker.machine_gone("a1");
-         checker.started(2, "b1", {"j-1", 0});
+         checker.task_started(1, "a1", {"j-1", 0});
+         checker.machine_terminated("a1");
+         checker.task_started(2, "b1", {"j-1", 0});
      }},
     {"at_limit", "",
      [](Checker& checker) {
          begin(checker, job("j-1", 3));
-         for (std::uint32_t k = 0; k < 3; ++k) checker.started(1, "a1", {"j-1", k});
+         for (std::uint32_t k = 0; k < 3; ++k) checker.task_started(1, "a1", {"j-1", k});
      }},
     {"over_limit", "quota",
      [](Checker& checker) {
          begin(checker, job("j-1", 4));
-         for (std::uint32_t k = 0; k < 4; ++k) checker.started(1, "a1", {"j-1", k});
+         for (std::uint32_t k = 0; k < 4; ++k) checker.task_started(1, "a1", {"j-1", k});
      }},
     {"spot", "wrong_place (spot)",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.started(1, "b2", {"j-1", 0});
+         checker.task_started(1, "b2", {"j-1", 0});
      }},
     {"zone", "wrong_place (zone)",
      [](Checker& checker) {
          auto other = job("j-1");
          other.zone = "b";
          begin(checker, other);
-         checker.started(1, "a1", {"j-1", 0});
+         checker.task_started(1, "a1", {"j-1", 0});
      }},
     {"type", "wrong_place (type)",
      [](Checker& checker) {
          auto other = job("j-1");
          other.types = {{"other"}};
          begin(checker, other);
-         checker.started(1, "a1", {"j-1", 0});
+         checker.task_started(1, "a1", {"j-1", 0});
      }},
     {"together", "wrong_place (one zone)",
      [](Checker& checker) {
          auto other = job("j-1");
          other.one_zone = true;
          begin(checker, other);
-         checker.started(1, "a1", {"j-1", 0});
-         checker.started(1, "b1", {"j-1", 1});
+         checker.task_started(1, "a1", {"j-1", 0});
+         checker.task_started(1, "b1", {"j-1", 1});
      }},
     {"scatter", "wrong_place (spread)",
      [](Checker& checker) {
          auto other = job("j-1");
          other.spread = true;
          begin(checker, other);
-         checker.started(1, "a1", {"j-1", 0});
-         checker.started(1, "a1", {"j-1", 1});
+         checker.task_started(1, "a1", {"j-1", 0});
+         checker.task_started(1, "a1", {"j-1", 1});
      }},
     {"cancelled_in_time", "",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.started(1, "a1", {"j-1", 0});
-         checker.cancel_asked("j-1");
-         checker.told(2, "j-1", protocol::JobState::cancelled);
-         checker.look(11);
-         checker.ended(11.9, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
-         checker.look(13);
+         checker.task_started(1, "a1", {"j-1", 0});
+         checker.cancel_requested("j-1");
+         checker.status_answered(2, "j-1", protocol::JobState::cancelled);
+         checker.check_cancelled_jobs(11);
+         checker.task_ended(11.9, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
+         checker.check_cancelled_jobs(13);
      }},
     {"cancelled_runs_on", "ran_cancelled",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.started(1, "a1", {"j-1", 0});
-         checker.cancel_asked("j-1");
-         checker.told(2, "j-1", protocol::JobState::cancelled);
-         checker.look(12.1);
+         checker.task_started(1, "a1", {"j-1", 0});
+         checker.cancel_requested("j-1");
+         checker.status_answered(2, "j-1", protocol::JobState::cancelled);
+         checker.check_cancelled_jobs(12.1);
      }},
     {"cancelled_starts", "ran_cancelled (start)",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.cancel_asked("j-1");
-         checker.told(2, "j-1", protocol::JobState::cancelled);
-         checker.started(12.1, "a1", {"j-1", 0});
+         checker.cancel_requested("j-1");
+         checker.status_answered(2, "j-1", protocol::JobState::cancelled);
+         checker.task_started(12.1, "a1", {"j-1", 0});
      }},
     {"done", "",
      [](Checker& checker) {
          begin(checker, job("j-1", 1));
          finish(checker, 1, "j-1");
-         checker.told(3, "j-1", protocol::JobState::done);
+         checker.status_answered(3, "j-1", protocol::JobState::done);
      }},
     {"done_early", "not_done",
      [](Checker& checker) {
          begin(checker, job("j-1", 2));
          finish(checker, 1, "j-1");
-         checker.told(3, "j-1", protocol::JobState::done);
+         checker.status_answered(3, "j-1", protocol::JobState::done);
      }},
     {"done_then_running", "went_back j-1 from done",
      [](Checker& checker) {
          begin(checker, job("j-1", 1));
          finish(checker, 1, "j-1");
-         checker.told(3, "j-1", protocol::JobState::done);
-         checker.told(4, "j-1", protocol::JobState::running);
+         checker.status_answered(3, "j-1", protocol::JobState::done);
+         checker.status_answered(4, "j-1", protocol::JobState::running);
      }},
     {"cancelled_by_nobody", "went_back j-1: nobody cancelled it",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.told(2, "j-1", protocol::JobState::cancelled);
+         checker.status_answered(2, "j-1", protocol::JobState::cancelled);
      }},
     {"denied", "forgotten",
      [](Checker& checker) {
          begin(checker, job("j-1"));
-         checker.denied(2, "j-1");
+         checker.not_found_answered(2, "j-1");
      }},
     {"unknown_answer", "invented",
-     [](Checker& checker) { checker.told(2, "j-9", protocol::JobState::queued); }},
+     [](Checker& checker) { checker.status_answered(2, "j-9", protocol::JobState::queued); }},
     {"unknown_start", "invented",
      [](Checker& checker) {
-         checker.started(2, "a1", {"j-9", 0});
+         checker.task_started(2, "a1", {"j-9", 0});
      }},
     {"awaits", "too_early",
      [](Checker& checker) {
@@ -162,7 +162,7 @@
          auto other = job("j-2", 1);
          other.awaits = {"j-1"};
          begin(checker, other);
-         checker.started(1, "a1", {"j-2", 0});
+         checker.task_started(1, "a1", {"j-2", 0});
      }},
 };
 
@@ -171,27 +171,27 @@
                          [](auto& info) { return std::string(info.param.name); });
 TEST_P(Histories, SeesExactlyWhatIsBroken) {
     Checker checker({10, {{"t", {3, 0}}}});
-    checker.machine("a1", {"m", "a", false, {8, 0, 8}});
-    checker.machine("b1", {"m", "b", false, {8, 0, 8}});
-    checker.machine("b2", {"m", "b", true, {8, 0, 8}});
+    checker.machine_added("a1", {"m", "a", false, {8, 0, 8}});
+    checker.machine_added("b1", {"m", "b", false, {8, 0, 8}});
+    checker.machine_added("b2", {"m", "b", true, {8, 0, 8}});
     GetParam().happens(checker);
     std::string rule = GetParam().rule;
-    ASSERT_EQ(checker.broken().size(), rule.empty() ? 0u : 1u)
-        << (checker.broken().empty() ? "" : checker.broken()[0]);
+    ASSERT_EQ(checker.violations().size(), rule.empty() ? 0u : 1u)
+        << (checker.violations().empty() ? "" : checker.violations()[0]);
     if (rule.empty()) return;
-    EXPECT_NE(checker.broken()[0].find(rule), std::string::npos) << checker.broken()[0];
+    EXPECT_NE(checker.violations()[0].find(rule), std::string::npos) << checker.violations()[0];
 }
 TEST(Checker, GivesBackWhatEnds) {
     Checker checker({10, {{"t", {1, 0}}}});
-    checker.machine("a1", {"m", "a", false, {8, 0, 8}});
+    checker.machine_added("a1", {"m", "a", false, {8, 0, 8}});
     begin(checker, job("j-1", 2));
     for (std::uint32_t k = 0; k < 2; ++k) {
-        checker.started(k, "a1", {"j-1", k});
-        EXPECT_EQ(checker.present(), 1u);
-        checker.ended(k + 0.5, "a1", {"j-1", k}, protocol::ExitCause::done);
-        EXPECT_EQ(checker.present(), 0u);
+        checker.task_started(k, "a1", {"j-1", k});
+        EXPECT_EQ(checker.tasks_on_machines(), 1u);
+        checker.task_ended(k + 0.5, "a1", {"j-1", k}, protocol::ExitCause::done);
+        EXPECT_EQ(checker.tasks_on_machines(), 0u);
     }
-    EXPECT_TRUE(checker.broken().empty());
+    EXPECT_TRUE(checker.violations().empty());
     EXPECT_TRUE(checker.is_done("j-1"));
 }
 
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -7,7 +7,7 @@
 namespace coralhitch::verification {
 
 void Checker::report(double now, const std::string& what) {
-    broken_.push_back(std::to_string(now) + " " + what);
+    violations_.push_back(std::to_string(now) + " " + what);
 }
 
 void Checker::submitted(const protocol::Job& job) {
@@ -54,8 +54,8 @@
             if (tasks > 0 && zone != place.zone) report(now, "wrong_place (one zone) " + task);
 }
 
-void Checker::started(double now, const std::string& machine, const protocol::TaskId& task,
-                      StartOutcome outcome) {
+void Checker::task_started(double now, const std::string& machine, const protocol::TaskId& task,
+                           StartOutcome outcome) {
     ++starts_;
     auto* job = observations_.find(task.job);
     if (!job) return report(now, "invented " + task.str() + " was started");
@@ -69,15 +69,15 @@
     check_place(now, *job, observations_.place_of(machine), task.str());
     observations_.add_task(*job, task.index, machine);
 }
-void Checker::ended(double, const std::string& machine, const protocol::TaskId& task,
-                    protocol::ExitCause cause) {
+void Checker::task_ended(double, const std::string& machine, const protocol::TaskId& task,
+                         protocol::ExitCause cause) {
     auto* job = observations_.find(task.job);
     if (!job) return;
     if (cause == protocol::ExitCause::done) job->tasks_done.insert(task.index);
     observations_.remove_task(*job, task.index, machine);
 }
 
-void Checker::look(double now) {
+void Checker::check_cancelled_jobs(double now) {
     for (auto id = cancelled_.begin(); id != cancelled_.end();) {
         auto& cancelled = known_job(*id);
         bool late = now > *cancelled.cancelled_at + rules_.cancel_s;
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -50,29 +50,29 @@
     void must_be_refused(const std::string& id) { known_job(id).must_be_refused = true; }
     void fails_everywhere(const std::string& id) { known_job(id).fails_everywhere = true; }
     void accepted(const std::string& id);
-    void cancel_asked(const std::string& id) { known_job(id).cancel_asked = true; }
+    void cancel_requested(const std::string& id) { known_job(id).cancel_requested = true; }
     // Answers overtake each other. Each is held against what anyone had received before its request was sent:
     // from then on nothing older is right.
     void answered(const Answer& answer);
     // An answer for which the caller has seen to the order: one that says neither done nor cancelled counts
     // only if the user had been told that the job is over before asking.
-    void told(double now, const std::string& id, protocol::JobState state);
+    void status_answered(double now, const std::string& id, protocol::JobState state);
     // A question that got 404.
-    void denied(double now, const std::string& id);
+    void not_found_answered(double now, const std::string& id);
 
     // What happens on machines. A task takes its place when its worker carries out the command to start it.
-    void machine(const std::string& id, MachinePlace place) {
+    void machine_added(const std::string& id, MachinePlace place) {
         observations_.add_machine(id, std::move(place));
     }
-    void started(double now, const std::string& machine, const protocol::TaskId& task,
-                 StartOutcome outcome = StartOutcome::placed);
-    void ended(double now, const std::string& machine, const protocol::TaskId& task,
-               protocol::ExitCause cause);
+    void task_started(double now, const std::string& machine, const protocol::TaskId& task,
+                      StartOutcome outcome = StartOutcome::placed);
+    void task_ended(double now, const std::string& machine, const protocol::TaskId& task,
+                    protocol::ExitCause cause);
     // Its tasks run no more: it has crashed or was deleted, or its worker's lease has expired.
-    void machine_gone(const std::string& machine) { observations_.remove_tasks_of(machine); }
+    void machine_terminated(const std::string& machine) { observations_.remove_tasks_of(machine); }
 
     // Looks for tasks of cancelled jobs that are still on a machine.
-    void look(double now);
+    void check_cancelled_jobs(double now);
     // Looks for jobs that have waited too long although these machines and their team's limit would take
     // them.
     void check_waiting(double now, const std::set<std::string>& usable_machines);
@@ -81,12 +81,12 @@
     // A rule that the observer checks itself is broken.
     void report(double now, const std::string& what);
 
-    const std::vector<std::string>& broken() const { return broken_; }
+    const std::vector<std::string>& violations() const { return violations_; }
     std::size_t started_tasks() const { return starts_; }
     // Starts that came after the user had been told that the job is cancelled: no rule forbids them within
     // `cancel_s`.
     std::size_t starts_after_cancellation() const { return starts_after_cancellation_; }
-    std::size_t present() const { return observations_.present(); }
+    std::size_t tasks_on_machines() const { return observations_.tasks_on_machines(); }
     bool is_done(const std::string& id) const { return observations_.jobs().at(id).is_done(); }
     bool cancel_wanted(const std::string& id) const { return observations_.cancel_wanted(id); }
 
@@ -109,7 +109,7 @@
     Observations observations_;
     std::set<std::string> cancelled_;  // with tasks on machines, perhaps
     std::size_t starts_ = 0, starts_after_cancellation_ = 0;
-    std::vector<std::string> broken_;
+    std::vector<std::string> violations_;
 };
 
 }  // namespace coralhitch::verification
--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -38,7 +38,7 @@
 bool Observations::cancel_wanted(const std::string& job) const {
     auto* observed = find(job);
     if (!observed) return false;
-    if (observed->cancel_asked) return true;
+    if (observed->cancel_requested) return true;
     auto& awaits = observed->job.dependencies;
     return std::any_of(awaits.begin(), awaits.end(),
                        [this](auto& awaited) { return cancel_wanted(awaited); });
@@ -52,7 +52,7 @@
     if (!observed) return first;
     for (auto& id : observed->job.dependencies) {
         auto* awaited = find(id);
-        if (awaited && awaited->cancel_asked) consider(awaited->cancelled_at);
+        if (awaited && awaited->cancel_requested) consider(awaited->cancelled_at);
         consider(awaited_cancelled_at(id));
     }
     return first;
--- a/src/verification/observations.hpp
+++ b/src/verification/observations.hpp
@@ -21,7 +21,7 @@
     protocol::Job job;
     bool must_be_refused = false;   // it can't run, and no answer may accept it
     bool fails_everywhere = false;  // its tasks do: it may be held back for as long as the cluster likes
-    bool cancel_asked = false;
+    bool cancel_requested = false;
     // When a user first received it.
     std::optional<double> accepted_at, cancelled_at, done_at;
     double answered_at = 0;  // a query about it, or its submission, most recently
@@ -64,7 +64,7 @@
     std::size_t places_for(const protocol::Job& job, const std::string& machine) const;
     // Of a team, by all that is on machines.
     protocol::Resources used_by(const std::string& team) const;
-    std::size_t present() const { return present_; }
+    std::size_t tasks_on_machines() const { return present_; }
 
   private:
     Jobs jobs_;
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -93,7 +93,7 @@
 }
 void SimulatedCluster::schedule_regular_work() {
     repeat_every(0.1, [this] { key_value_store.expire_leases(); });
-    repeat_every(0.5, [this] { checker_.look(now()); });
+    repeat_every(0.5, [this] { checker_.check_cancelled_jobs(now()); });
     repeat_every(1.0, [this] { check_health(); });
     repeat_every(1.0, [this] { check_waiting(); });
     repeat_every(0.05, [this] { replay_kept_heartbeats(); });
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -165,7 +165,7 @@
 
     // --- What was observed --------------------------------------------------------------------------------
     // Of the rules, in the order of time.
-    const std::vector<std::string>& violations() const { return checker_.broken(); }
+    const std::vector<std::string>& violations() const { return checker_.violations(); }
     std::size_t starts_after_cancellation() const { return checker_.starts_after_cancellation(); }
     // Of the job itself, or of one that it awaits.
     bool cancel_wanted(const std::string& id) const { return checker_.cancel_wanted(id); }
--- a/tests/simulation/simulated_cluster_observation.cpp
+++ b/tests/simulation/simulated_cluster_observation.cpp
@@ -47,7 +47,7 @@
     job.id = id;
     checker_.submitted(job);
     if (spec.value("mistake", false)) checker_.fails_everywhere(id);
-    if (jobs[id].cancel_asked) checker_.cancel_asked(id);  // before it was submitted
+    if (jobs[id].cancel_asked) checker_.cancel_requested(id);  // before it was submitted
 }
 void SimulatedCluster::expect_refusal(const std::string& id, int status) {
     jobs[id].refused = status;
@@ -63,11 +63,11 @@
 void SimulatedCluster::ask_cancellation(const std::string& id) {
     auto& job = jobs[id];
     job.cancel_asked = true;
-    if (!job.spec.is_null()) checker_.cancel_asked(id);
+    if (!job.spec.is_null()) checker_.cancel_requested(id);
 }
 void SimulatedCluster::confirm_cancellation(const std::string& id) {
     jobs[id].cancelled = true;
-    checker_.told(now(), id, protocol::JobState::cancelled);
+    checker_.status_answered(now(), id, protocol::JobState::cancelled);
 }
 void SimulatedCluster::record_answer(const verification::Answer& answer) {
     if (answer.job.empty()) return;  // a scripted request, judged by its test
@@ -89,12 +89,12 @@
 
 void SimulatedCluster::observe_machine(const Worker& worker) {
     constexpr double unlimited = std::numeric_limits<double>::infinity();
-    checker_.machine(worker.id,
-                     {worker.type, worker.zone, worker.spot, {unlimited, machine_gpus, unlimited}});
+    checker_.machine_added(worker.id,
+                           {worker.type, worker.zone, worker.spot, {unlimited, machine_gpus, unlimited}});
 }
 void SimulatedCluster::clear_tasks(Worker& worker) {
     worker.tasks.clear();
-    checker_.machine_gone(worker.id);
+    checker_.machine_terminated(worker.id);
 }
 void SimulatedCluster::check_waiting() {
     if (now() < faults_over_at) return;
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -167,7 +167,7 @@
     it->second.status = "exited";
     it->second.cause = cause;
     it->second.saved = cause == "halted";
-    checker_.ended(now(), worker.id, parse_task_id(task), parse_cause(cause));
+    checker_.task_ended(now(), worker.id, parse_task_id(task), parse_cause(cause));
     if (cause != "done") return;
     auto id = it->second.job;
     auto& job = jobs[id];
@@ -186,9 +186,9 @@
     }
     bool has_room = !job.refused && places(worker, job.spec) > 0;
     auto outcome = has_room ? verification::StartOutcome::placed : verification::StartOutcome::no_room;
-    checker_.started(now(), worker.id, parse_task_id(task), outcome);
+    checker_.task_started(now(), worker.id, parse_task_id(task), outcome);
     // Only a test that breaks a rule on purpose starts something on a dead machine: nothing stays there.
-    if (worker.dead) checker_.machine_gone(worker.id);
+    if (worker.dead) checker_.machine_terminated(worker.id);
     if (job.refused) return;
     if (!has_room) {
         worker.tasks[task] = {id, attempt, "exited", "no_room"};
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -215,15 +215,15 @@
     protocol::Job job;
     job.id = "j-1";
     checker.submitted(job);
-    checker.ended(0, "vm-1", {"j-1", 0}, protocol::ExitCause::done);
-    checker.cancel_asked("j-1");
+    checker.task_ended(0, "vm-1", {"j-1", 0}, protocol::ExitCause::done);
+    checker.cancel_requested("j-1");
     for (auto answer : history.answers) {
-        ASSERT_TRUE(checker.broken().empty()) << history.name << ": " << checker.broken()[0];
+        ASSERT_TRUE(checker.violations().empty()) << history.name << ": " << checker.violations()[0];
         answer.job = "j-1";
         checker.answered(answer);
     }
-    EXPECT_EQ(checker.broken().empty(), history.breaks == nullptr) << history.name;
-    for (auto& violation : checker.broken())
+    EXPECT_EQ(checker.violations().empty(), history.breaks == nullptr) << history.name;
+    for (auto& violation : checker.violations())
         EXPECT_TRUE(history.breaks && violation.find(history.breaks) != std::string::npos)
             << history.name << ": " << violation;
 }
