--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -33,11 +33,7 @@
 
 CommandSender::CommandSender(const PartContext& context, http::Requester& http, Delegations& delegations,
                              failover::Reconciliation& reconciliation, ApplyStatus apply_status)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
+    : LeaderPart(context),
       http_(http),
       delegations_(delegations),
       reconciliation_(reconciliation),
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -19,12 +19,12 @@
 #include "failover/reconciliation.hpp"
 #include "http/message.hpp"
 #include "leader/delegations.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 #include "protocol/protocol.hpp"
 
 namespace coralhitch::leader {
 
-class CommandSender {
+class CommandSender : private LeaderPart {
   public:
     // A machine answered a direct request with this status.
     using ApplyStatus = std::function<void(const protocol::Heartbeat& status)>;
@@ -54,7 +54,6 @@
         std::vector<protocol::Command> commands;  // none: a probe
         std::uint64_t token = 0;
     };
-    [[nodiscard]] double now() const { return timers_.now(); }
     void flush_some();
     void schedule_probes();
     void send_probes();
@@ -65,11 +64,6 @@
     void answered(const SentCommands& sent, const std::optional<http::Response>& response);
     bool apply_answer(const std::string& machine_id, const http::Response& response);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     http::Requester& http_;
     Delegations& delegations_;
     failover::Reconciliation& reconciliation_;
--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -8,11 +8,7 @@
 
 DependencyResolver::DependencyResolver(const PartContext& context, kv::KvClient& kv, JobStore& store,
                                        std::function<void()> request_plan)
-    : state_(context.state),
-      guarded_(context.guarded),
-      kv_(kv),
-      store_(store),
-      request_plan_(std::move(request_plan)) {}
+    : LeaderPart(context), kv_(kv), store_(store), request_plan_(std::move(request_plan)) {}
 
 void DependencyResolver::retry() {
     tried_.clear();
--- a/src/leader/dependency_resolver.hpp
+++ b/src/leader/dependency_resolver.hpp
@@ -10,11 +10,11 @@
 
 #include "kv/kv_client.hpp"
 #include "leader/job_store.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 
 namespace coralhitch::leader {
 
-class DependencyResolver {
+class DependencyResolver : private LeaderPart {
   public:
     DependencyResolver(const PartContext& context, kv::KvClient& kv, JobStore& store,
                        std::function<void()> request_plan);
@@ -28,8 +28,6 @@
   private:
     void answered(const std::string& id, const kv::GetResult& result);
 
-    LeaderState& state_;
-    const CallbackGuard& guarded_;
     kv::KvClient& kv_;
     JobStore& store_;
     std::function<void()> request_plan_;
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -13,14 +13,7 @@
 
 FleetScaler::FleetScaler(const PartContext& context, cloud::CloudClient& cloud,
                          const std::vector<protocol::MachineType>& types, ZoneUnreachable zone_unreachable)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
-      cloud_(cloud),
-      types_(types),
-      zone_unreachable_(std::move(zone_unreachable)) {}
+    : LeaderPart(context), cloud_(cloud), types_(types), zone_unreachable_(std::move(zone_unreachable)) {}
 
 autoscaler::Input FleetScaler::autoscaler_input() const {
     autoscaler::Input in;
--- a/src/leader/fleet_scaler.hpp
+++ b/src/leader/fleet_scaler.hpp
@@ -14,11 +14,11 @@
 
 #include "autoscaler/autoscaler.hpp"
 #include "cloud/cloud_client.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 
 namespace coralhitch::leader {
 
-class FleetScaler {
+class FleetScaler : private LeaderPart {
   public:
     // Whether nothing has lately been received from any machine of the zone, by its index.
     using ZoneUnreachable = std::function<bool(std::size_t zone)>;
@@ -46,11 +46,6 @@
     void send(const std::string& name);
     void answered(const std::string& name, const cloud::CreateMachinesResult& result);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     cloud::CloudClient& cloud_;
     const std::vector<protocol::MachineType>& types_;
     ZoneUnreachable zone_unreachable_;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -18,11 +18,8 @@
 
 HeartbeatHandler::HeartbeatHandler(const PartContext& context, relay::HeartbeatRejections& rejections,
                                    const Parts& parts, Hooks hooks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
+    : LeaderPart(context),
+      leadership_(context.authority),
       rejections_(rejections),
       parts_(parts),
       hooks_(std::move(hooks)),
@@ -206,7 +203,7 @@
         spdlog::info("component=leader event=deposed_by_heartbeat machine={} fencing_token={}",
                      status.machine, fencing_token);
         // Not from within what the worker's message set off: this object would be gone before it is done.
-        timers_.after(0, guarded_([this, fencing_token] { authority_.deposed_by(fencing_token); }));
+        timers_.after(0, guarded_([this, fencing_token] { leadership_.deposed_by(fencing_token); }));
         return outcome;
     }
     parts_.recovery.check_reconciled();
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -18,9 +18,9 @@
 #include "leader/command_sender.hpp"
 #include "leader/delegations.hpp"
 #include "leader/instance_tracker.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_store.hpp"
 #include "leader/machine_supervisor.hpp"
-#include "leader/part_context.hpp"
 #include "leader/recovery.hpp"
 #include "leader/start_replication.hpp"
 #include "membership/failure_detector.hpp"
@@ -32,7 +32,7 @@
 
 namespace coralhitch::leader {
 
-class HeartbeatHandler {
+class HeartbeatHandler : private LeaderPart {
   public:
     struct Parts {
         Delegations& delegations;
@@ -74,7 +74,6 @@
         protocol::PeerRelayed reply;
         std::string machine_id;  // empty if the heartbeat was not read
     };
-    [[nodiscard]] double now() const { return timers_.now(); }
     [[nodiscard]] bool repeat_reply(const std::string& body, const http::Reply& reply);
     [[nodiscard]] Answer answer(const std::string& body, const std::string& relay_label);
     [[nodiscard]] protocol::PeerRelayed answer(const protocol::Heartbeat& status,
@@ -88,11 +87,7 @@
     void apply_relay_heartbeats(const protocol::PeerRelay& message);
     [[nodiscard]] double relay_grant_s() const;
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    Authority& authority_;
-    const CallbackGuard& guarded_;
+    Authority& leadership_;  // this part may end it
     relay::HeartbeatRejections& rejections_;
     Parts parts_;
     Hooks hooks_;
--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -5,14 +5,7 @@
 
 HostLister::HostLister(const PartContext& context, cloud::CloudClient& cloud, CommandSender& commands,
                        MachineDeletion& deletion)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
-      cloud_(cloud),
-      commands_(commands),
-      deletion_(deletion) {}
+    : LeaderPart(context), cloud_(cloud), commands_(commands), deletion_(deletion) {}
 
 void HostLister::list_if_due() {
     if (last_list_at_ && timers_.now() - *last_list_at_ <= settings_.list_lag_s) return;
--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -13,12 +13,12 @@
 
 #include "cloud/cloud_client.hpp"
 #include "leader/command_sender.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_deletion.hpp"
-#include "leader/part_context.hpp"
 
 namespace coralhitch::leader {
 
-class HostLister {
+class HostLister : private LeaderPart {
   public:
     HostLister(const PartContext& context, cloud::CloudClient& cloud, CommandSender& commands,
                MachineDeletion& deletion);
@@ -31,11 +31,6 @@
     void listed(const std::vector<protocol::Host>& hosts);
     void take_host(const protocol::Host& host, std::vector<std::string>& running);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     cloud::CloudClient& cloud_;
     CommandSender& commands_;
     MachineDeletion& deletion_;
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -24,10 +24,7 @@
 
 InstanceTracker::InstanceTracker(const PartContext& context, metrics::Metrics& metrics,
                                  cluster::TeamActivity& team_activity, MarkForDeletion mark_for_deletion)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
+    : LeaderPart(context),
       metrics_(metrics),
       team_activity_(team_activity),
       mark_for_deletion_(std::move(mark_for_deletion)) {}
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -14,12 +14,12 @@
 #include "cluster/team_activity.hpp"
 #include "cluster/team_usage.hpp"
 #include "jobs/job_table.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 #include "metrics/metrics.hpp"
 
 namespace coralhitch::leader {
 
-class InstanceTracker {
+class InstanceTracker : private LeaderPart {
   public:
     // The machine is to be deleted, for this reason.
     using MarkForDeletion = std::function<void(cluster::Machine& machine, const char* reason)>;
@@ -37,7 +37,6 @@
     void cancel_active(const std::string& job_id, jobs::JobEntry& job);
 
   private:
-    [[nodiscard]] double now() const { return timers_.now(); }
     void record_location(jobs::JobEntry& job, const protocol::TaskId& task, cluster::Machine& machine,
                          std::uint64_t attempt);
     bool release_place(jobs::JobEntry& job, const cluster::InstanceEnd& end);
@@ -46,10 +45,6 @@
     void task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void blame_machine(cluster::Machine& machine, const std::string& job_id);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
     metrics::Metrics& metrics_;
     cluster::TeamActivity& team_activity_;
     MarkForDeletion mark_for_deletion_;
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -29,11 +29,7 @@
 
 JobStore::JobStore(const PartContext& context, kv::KvClient& kv, StaleKeyRemover& stale_keys,
                    metrics::Metrics& metrics, Callbacks callbacks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
+    : LeaderPart(context),
       kv_(kv),
       stale_keys_(stale_keys),
       metrics_(metrics),
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -11,13 +11,13 @@
 #include <vector>
 
 #include "kv/kv_client.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "metrics/metrics.hpp"
 
 namespace coralhitch::leader {
 
-class JobStore {
+class JobStore : private LeaderPart {
   public:
     struct Callbacks {
         // Takes in a job's stored record (see JobWatcher). Called with the state's mutex held.
@@ -40,7 +40,6 @@
 
   private:
     using Ids = std::vector<std::string>;
-    [[nodiscard]] double now() const { return timers_.now(); }
     [[nodiscard]] int& ends_in_flight(protocol::JobState state) {
         return state == protocol::JobState::done ? done_in_flight_ : cancelled_in_flight_;
     }
@@ -63,11 +62,6 @@
     void read_job_record(const std::string& id);
     void read_block_version(const std::string& id, const std::string& block);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     kv::KvClient& kv_;
     StaleKeyRemover& stale_keys_;
     metrics::Metrics& metrics_;
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -27,11 +27,7 @@
 }  // namespace
 
 JobWatcher::JobWatcher(const PartContext& context, kv::KvClient& kv, JobStore& store, Callbacks callbacks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
+    : LeaderPart(context),
       kv_(kv),
       store_(store),
       callbacks_(std::move(callbacks)),
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -13,11 +13,11 @@
 #include "kv/kv_client.hpp"
 #include "kv/list_watch.hpp"
 #include "leader/job_store.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 
 namespace coralhitch::leader {
 
-class JobWatcher {
+class JobWatcher : private LeaderPart {
   public:
     struct Callbacks {
         // Stops all tasks of a job that was cancelled. Called with the state's mutex held.
@@ -50,11 +50,6 @@
     void compare(const kv::ListResult& stored);
     [[nodiscard]] std::size_t take_unknown(const kv::ListResult& stored, std::set<std::string>& ids);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     kv::KvClient& kv_;
     JobStore& store_;
     Callbacks callbacks_;
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -16,11 +16,7 @@
 MachineDeletion::MachineDeletion(const PartContext& context, cloud::CloudClient& cloud,
                                  metrics::Metrics& metrics, Delegations& delegations, MachineStore& store,
                                  InstanceTracker& instances, Hooks hooks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
+    : LeaderPart(context),
       cloud_(cloud),
       metrics_(metrics),
       delegations_(delegations),
--- a/src/leader/machine_deletion.hpp
+++ b/src/leader/machine_deletion.hpp
@@ -14,13 +14,13 @@
 #include "cloud/cloud_client.hpp"
 #include "leader/delegations.hpp"
 #include "leader/instance_tracker.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_store.hpp"
-#include "leader/part_context.hpp"
 #include "metrics/metrics.hpp"
 
 namespace coralhitch::leader {
 
-class MachineDeletion {
+class MachineDeletion : private LeaderPart {
   public:
     struct Hooks {
         // The machine is being taken out of the cluster state; the mutex is held.
@@ -40,11 +40,6 @@
   private:
     void answered(const std::vector<std::string>& machine_ids, bool ok);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     cloud::CloudClient& cloud_;
     metrics::Metrics& metrics_;
     Delegations& delegations_;
--- a/src/leader/machine_store.cpp
+++ b/src/leader/machine_store.cpp
@@ -6,8 +6,7 @@
 using cluster::Machine;
 
 MachineStore::MachineStore(const PartContext& context, kv::KvClient& kv, std::function<void()> confirmed)
-    : state_(context.state),
-      authority_(context.authority),
+    : LeaderPart(context),
       confirmed_(std::move(confirmed)),
       registry_(context.timers, kv, context.settings,
                 {[this](const std::string& machine_id) { return record_of(machine_id); },
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -12,12 +12,12 @@
 #include <vector>
 
 #include "kv/kv_client.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 #include "machine_registry/machine_registry.hpp"
 
 namespace coralhitch::leader {
 
-class MachineStore {
+class MachineStore : private LeaderPart {
   public:
     using Record = machine_registry::StoredMachine;
 
@@ -40,8 +40,6 @@
     [[nodiscard]] std::optional<protocol::MachineRecord> record_of(const std::string& machine_id);
     void written(const std::vector<Record>& records);
 
-    LeaderState& state_;
-    const Authority& authority_;
     std::function<void()> confirmed_;
     machine_registry::MachineRegistry registry_;
 };
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -27,10 +27,8 @@
 MachineSupervisor::MachineSupervisor(const PartContext& context, metrics::Metrics& metrics,
                                      const std::vector<protocol::MachineType>& types, const Parts& parts,
                                      Hooks hooks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
+    : LeaderPart(context),
+      leadership_(context.authority),
       metrics_(metrics),
       types_(types),
       parts_(parts),
@@ -103,7 +101,7 @@
         "component=leader event=resigned reason=isolated silent_machines={} machines={} "
         "seen_by_peer={}",
         suspicion->missed_heartbeats.size(), detector.machines_up(), *seen_by_peers);
-    authority_.resign(settings_.lease_s);
+    leadership_.resign(settings_.lease_s);
     return true;
 }
 
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -19,14 +19,14 @@
 #include "leader/command_sender.hpp"
 #include "leader/delegations.hpp"
 #include "leader/instance_tracker.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_deletion.hpp"
-#include "leader/part_context.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
 
 namespace coralhitch::leader {
 
-class MachineSupervisor {
+class MachineSupervisor : private LeaderPart {
   public:
     struct Parts {
         membership::FailureDetector& failure_detector;
@@ -69,7 +69,6 @@
         std::vector<cluster::Machine*> machines;
         std::vector<membership::Observation> observations;  // of the machine with the same index
     };
-    [[nodiscard]] double now() const { return timers_.now(); }
     [[nodiscard]] Checked observe() const;
     [[nodiscard]] membership::Observation observe(const cluster::Machine& machine, double at) const;
     [[nodiscard]] membership::EvictionCost eviction_cost(const cluster::Machine& machine) const;
@@ -81,10 +80,7 @@
     void probe_if_due(cluster::Machine& machine, const membership::Observation& observation);
     bool check_lease(cluster::Machine& machine);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    Authority& authority_;
+    Authority& leadership_;  // this part may end it
     metrics::Metrics& metrics_;
     const std::vector<protocol::MachineType>& types_;
     Parts parts_;
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -21,14 +21,7 @@
 
 PlanExecutor::PlanExecutor(const PartContext& context, const Parts& parts, Callbacks callbacks,
                            std::uint64_t seed)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
-      parts_(parts),
-      callbacks_(std::move(callbacks)),
-      random_(seed) {}
+    : LeaderPart(context), parts_(parts), callbacks_(std::move(callbacks)), random_(seed) {}
 
 // A plan that takes long leaves the processor to the event loop for as long again and more: with thousands of
 // tasks waiting, plan upon plan kept heartbeats waiting until healthy machines counted as unreachable.
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -19,7 +19,7 @@
 #include "failover/reconciliation.hpp"
 #include "leader/attempt_numbers.hpp"
 #include "leader/fleet_scaler.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/planner.hpp"
 #include "metrics/metrics.hpp"
 #include "scheduler/scheduler.hpp"
@@ -32,7 +32,7 @@
     protocol::TaskId task;
 };
 
-class PlanExecutor {
+class PlanExecutor : private LeaderPart {
   public:
     // References to other parts of the leader; they must outlive this one.
     struct Parts {
@@ -77,7 +77,6 @@
         std::uint32_t task = 0;
     };
 
-    [[nodiscard]] double now() const { return timers_.now(); }
     [[nodiscard]] double minimum_interval_s() const;
     [[nodiscard]] bool fleet_plan_due() const;
     void begin_plan();
@@ -101,11 +100,6 @@
     void log_plan(const Plan& plan) const;
     void count_draws(const scheduler::Counts& counts);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     Parts parts_;
     Callbacks callbacks_;
     std::mt19937_64 random_;
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -15,11 +15,7 @@
 
 Recovery::Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
                    const Parts& parts, Inheritance inheritance, Hooks hooks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
+    : LeaderPart(context),
       parts_(parts),
       inheritance_(std::move(inheritance)),
       hooks_(std::move(hooks)),
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -16,8 +16,8 @@
 #include "failover/recovery_loader.hpp"
 #include "leader/command_sender.hpp"
 #include "leader/instance_tracker.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_store.hpp"
-#include "leader/part_context.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "membership/failure_detector.hpp"
 #include "protocol/peer_messages.hpp"
@@ -25,7 +25,7 @@
 
 namespace coralhitch::leader {
 
-class Recovery {
+class Recovery : private LeaderPart {
   public:
     struct Parts {
         membership::FailureDetector& failure_detector;
@@ -65,7 +65,6 @@
     void check_reconciled();
 
   private:
-    [[nodiscard]] double now() const { return timers_.now(); }
     void take_stored(const failover::RecoveredState& stored);
     void take_jobs(const failover::RecoveredState& stored);
     void take_machine(const std::string& machine_id, const protocol::MachineRecord& record, bool inherits);
@@ -73,11 +72,6 @@
     void finish_load();
     void probe_first();
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     Parts parts_;
     Inheritance inheritance_;
     Hooks hooks_;
--- a/src/leader/stale_key_remover.cpp
+++ b/src/leader/stale_key_remover.cpp
@@ -7,7 +7,7 @@
 namespace coralhitch::leader {
 
 StaleKeyRemover::StaleKeyRemover(const PartContext& context, kv::KvClient& kv)
-    : authority_(context.authority), guarded_(context.guarded), kv_(kv) {}
+    : LeaderPart(context), kv_(kv) {}
 
 void StaleKeyRemover::remove_some() {
     if (in_flight_ || keys_.empty() || !authority_.holds()) return;
--- a/src/leader/stale_key_remover.hpp
+++ b/src/leader/stale_key_remover.hpp
@@ -7,11 +7,11 @@
 #include <string>
 
 #include "kv/kv_client.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 
 namespace coralhitch::leader {
 
-class StaleKeyRemover {
+class StaleKeyRemover : private LeaderPart {
   public:
     StaleKeyRemover(const PartContext& context, kv::KvClient& kv);
     void add(const std::string& key) { keys_.insert(key); }
@@ -19,8 +19,6 @@
     void remove_some();
 
   private:
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     kv::KvClient& kv_;
     std::set<std::string> keys_;
     bool in_flight_ = false;
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -7,9 +7,7 @@
 
 StartReplication::StartReplication(const PartContext& context, http::Requester& http, kv::KvClient& kv,
                                    const LatestPing& latest_ping, std::function<void()> flush_commands)
-    : settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
+    : LeaderPart(context),
       flush_commands_(std::move(flush_commands)),
       sender_(context.timers, http, settings_, kv, authority_.fencing_token(),
               sender_callbacks(latest_ping)) {
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -13,13 +13,13 @@
 #include <string>
 
 #include "kv/kv_client.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/replication_sender.hpp"
 
 namespace coralhitch::leader {
 
-class StartReplication {
+class StartReplication : private LeaderPart {
   public:
     // What another controller last said of itself, if that is not long ago; else null.
     using LatestPing = std::function<const protocol::PeerPing*(const std::string& label)>;
@@ -58,9 +58,6 @@
     [[nodiscard]] std::vector<std::string> machine_ids() const;
     [[nodiscard]] replication::ReplicationSender::Callbacks sender_callbacks(const LatestPing& latest_ping);
 
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
     std::function<void()> flush_commands_;
     replication::ReplicationSender sender_;
     std::deque<HeldStart> held_starts_;
