--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -9,7 +9,6 @@
 #pragma once
 #include <cstddef>
 #include <cstdint>
-#include <functional>
 #include <map>
 #include <memory>
 #include <optional>
@@ -17,9 +16,7 @@
 #include <vector>
 
 #include "api/user_api.hpp"
-#include "cloud/cloud_client.hpp"
 #include "cluster/team_usage.hpp"
-#include "election/election.hpp"
 #include "failover/reconciliation.hpp"
 #include "leader/attempt_numbers.hpp"
 #include "leader/authority.hpp"
@@ -34,6 +31,7 @@
 #include "leader/instance_tracker.hpp"
 #include "leader/job_store.hpp"
 #include "leader/job_watcher.hpp"
+#include "leader/leader_dependencies.hpp"
 #include "leader/leader_state.hpp"
 #include "leader/machine_deletion.hpp"
 #include "leader/machine_store.hpp"
@@ -48,34 +46,9 @@
 #include "metrics/metrics.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_queue.hpp"
-#include "relay/heartbeat_rejections.hpp"
 
 namespace coralhitch::leader {
 
-// What the leader is given; the references must outlive it.
-struct LeaderDependencies {
-    event_loop::Timers& timers;
-    http::Requester& http;
-    const config::Settings& settings;
-    kv::KvClient& state;  // the key-value store
-    election::Election& election;
-    cloud::CloudClient& cloud;
-    Planner& planner;
-    metrics::Metrics& metrics;
-    const std::vector<protocol::MachineType>& types;  // of the cloud; may change, see Leader::types_changed
-    // How many of these machines, silent here for so many seconds, another controller has had a heartbeat
-    // from since, at the most; nothing if no other answers and could lead.
-    std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heartbeats_seen_by_peers;
-    const protocol::PeerImages& remembered;   // the machines' image caches, as the previous leader told them
-    std::function<bool()> resign_leadership;  // whether to resign for it; noted if so
-    std::uint64_t incarnation;                // of this controller's process
-    std::map<std::string, double> suspected;  // by the previous leader: silent for so many seconds by now
-    const replication::ReplicaState& copy;    // of what the previous leader knew of its machines
-    // What another controller last said of itself, if that is not long ago; else null.
-    std::function<const protocol::PeerPing*(const std::string& label)> peer;
-    relay::HeartbeatRejections& refusals;
-};
-
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     // `version`: of the leader's key as claimed, the fencing token. `seed`: of the plans' random draws.
