--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -2,7 +2,6 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
 #include <utility>
 
 #include "leader/task_counts.hpp"
@@ -108,7 +107,7 @@
 
 void Leader::stop() {
     authority_.end();
-    log_team_activity();
+    report_.log_team_activity();
     dependencies_.timers.cancel(tick_timer_);
     heartbeats_.stop();
 }
@@ -155,13 +154,6 @@
     return recovery_.loaded() ? all_task_counts(state_) : std::vector<protocol::PeerCount>{};
 }
 
-// The lines of all leaders together tell what each team got; bench/teams.py adds them up.
-void Leader::log_team_activity() {
-    last_team_log_ = now();
-    std::lock_guard lock(state_.mutex);
-    if (auto text = team_activity_.take_summary(); !text.empty()) spdlog::info("teams: {}", text);
-}
-
 // Whether it has resigned: a later leadership's fencing tokens begin above all of this one's.
 bool Leader::resign_if_tokens_run_out() {
     if (!state_.cluster.tokens_nearly_exhausted()) return false;
@@ -190,22 +182,11 @@
     deletion_.delete_marked();
     stale_keys_.remove_some();
     job_watcher_.audit();
-    if (now() - last_team_log_ > settings.lease_s) log_team_activity();
+    report_.log_team_activity_if_due();
     hosts_.list_if_due();
     fleet_scaler_.retry_unanswered();
     plan_executor_.request_plan();
-    report_metrics();
-}
-
-void Leader::report_metrics() {
-    auto& jobs = state_.jobs.entries();
-    auto awaiting =
-        std::count_if(jobs.begin(), jobs.end(), [](auto& entry) { return entry.second.is_blocked(); });
-    dependencies_.metrics.set(metrics::Metric::leader_jobs, static_cast<double>(jobs.size()));
-    dependencies_.metrics.set(metrics::Metric::leader_jobs_with_pending_dependencies,
-                              static_cast<double>(awaiting));
-    dependencies_.metrics.set(metrics::Metric::leader_machines,
-                              static_cast<double>(state_.cluster.machines().size()));
+    report_.set_gauges();
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -32,6 +32,7 @@
 #include "leader/job_store.hpp"
 #include "leader/job_watcher.hpp"
 #include "leader/leader_dependencies.hpp"
+#include "leader/leader_report.hpp"
 #include "leader/leader_state.hpp"
 #include "leader/machine_deletion.hpp"
 #include "leader/machine_store.hpp"
@@ -90,9 +91,7 @@
   private:
     double now() const { return dependencies_.timers.now(); }
     void tick();
-    void report_metrics();
     bool resign_if_tokens_run_out();
-    void log_team_activity();
     void jobs_changed();
     void stored_taken(const failover::RecoveredState& stored);
     void replicate_starts(const std::vector<StartedTask>& started);
@@ -129,8 +128,8 @@
     HeartbeatHandler heartbeats_;
     FleetScaler fleet_scaler_;
     PlanExecutor plan_executor_;
+    LeaderReport report_{context_, dependencies_.metrics, team_activity_};
 
-    double last_team_log_ = -1;  // steady seconds
     event_loop::TimerId tick_timer_ = 0;
 };
 
