--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -1,6 +1,6 @@
 // What the controller does while it leads. The work is that of the parts in this folder, of which each says
-// in its header what it owns and may touch; this class makes them, passes on what comes from outside, and
-// ticks.
+// in its header what it owns and may touch; LeaderParts puts them together, and this class passes on to them
+// what comes from outside, and ticks.
 //
 // One object per leadership, on the event loop's thread. It is dropped when the leadership ends: answers that
 // come later find it gone (CallbackGuard), and each act before that asks whether it is allowed (Authority).
@@ -13,38 +13,13 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "api/user_api.hpp"
-#include "cluster/team_usage.hpp"
-#include "failover/reconciliation.hpp"
-#include "leader/attempt_numbers.hpp"
-#include "leader/authority.hpp"
-#include "leader/callback_guard.hpp"
-#include "leader/command_sender.hpp"
-#include "leader/delegations.hpp"
-#include "leader/dependency_resolver.hpp"
-#include "leader/fleet_scaler.hpp"
-#include "leader/heartbeat_handler.hpp"
-#include "leader/host_lister.hpp"
 #include "leader/image_handover.hpp"
-#include "leader/instance_tracker.hpp"
-#include "leader/job_store.hpp"
-#include "leader/job_watcher.hpp"
 #include "leader/leader_dependencies.hpp"
-#include "leader/leader_report.hpp"
-#include "leader/leader_state.hpp"
-#include "leader/machine_deletion.hpp"
-#include "leader/machine_store.hpp"
-#include "leader/machine_supervisor.hpp"
-#include "leader/part_context.hpp"
-#include "leader/plan_executor.hpp"
-#include "leader/planner.hpp"
-#include "leader/recovery.hpp"
-#include "leader/stale_key_remover.hpp"
-#include "leader/start_replication.hpp"
-#include "membership/failure_detector.hpp"
-#include "metrics/metrics.hpp"
+#include "leader/leader_parts.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_queue.hpp"
 
@@ -60,76 +35,40 @@
     void stop();
 
     // A heartbeat that came here; answered now, or once the jobs are loaded.
-    void handle_heartbeat(relay::PendingHeartbeat report) { heartbeats_.handle(std::move(report)); }
+    void handle_heartbeat(relay::PendingHeartbeat report) { parts_.heartbeats.handle(std::move(report)); }
     // Heartbeats that a relaying controller passes on.
     void relay(const protocol::PeerRelay& message, const http::Reply& reply) {
-        heartbeats_.handle_relayed(message, reply);
+        parts_.heartbeats.handle_relayed(message, reply);
     }
     // Machines whose heartbeats relaying controllers answer.
-    std::size_t lent() const { return delegations_.count(); }
-    const replication::ReplicationSender& replication() const { return start_replication_.sender(); }
+    std::size_t lent() const { return parts_.delegations.count(); }
+    const replication::ReplicationSender& replication() const { return parts_.start_replication.sender(); }
     // The steps of the failover that are done, with their times.
-    const failover::FailoverSteps& steps() const { return recovery_.steps(); }
+    const failover::FailoverSteps& steps() const { return parts_.recovery.steps(); }
     // Whether it may be the leader that is cut off, rather than its machines.
-    bool suspects_itself() const { return failure_detector_.self_suspicion().has_value(); }
+    bool suspects_itself() const { return parts_.failure_detector.self_suspicion().has_value(); }
     // Nothing if the job is not live, or jobs are not loaded.
     std::optional<api::TaskCounts> counts(const std::string& id);
     // Of all live jobs with tasks that run or are done.
     std::vector<protocol::PeerCount> all_counts();
     // The machines' image caches, for the next leader.
-    protocol::PeerImages images() const { return images_to_hand_over(state_.cluster); }
+    protocol::PeerImages images() const { return images_to_hand_over(parts_.state.cluster); }
     // Machines whose heartbeats are missing, and for how long, seconds.
-    std::map<std::string, double> suspected() const { return supervisor_.suspected(); }
+    std::map<std::string, double> suspected() const { return parts_.supervisor.suspected(); }
     void types_changed();
     // The controller with this label is a new process.
     void started_anew(const std::string& controller, std::uint64_t incarnation) {
-        start_replication_.controller_restarted(controller, incarnation);
+        parts_.start_replication.controller_restarted(controller, incarnation);
     }
     // The job's record says since this version that it is cancelled.
     void cancelled(const std::string& id, std::uint64_t version);
 
   private:
-    double now() const { return dependencies_.timers.now(); }
     void tick();
+    void do_due_work();
     bool resign_if_tokens_run_out();
-    void jobs_changed();
-    void stored_taken(const failover::RecoveredState& stored);
-    void replicate_starts(const std::vector<StartedTask>& started);
-    void deletion_done();
-    Recovery::Hooks recovery_hooks();
-    PlanExecutor::Callbacks plan_callbacks();
-
-    LeaderDependencies dependencies_;
-    Authority authority_;
-    CallbackGuard guarded_{authority_};
-    LeaderState state_;
-    const PartContext context_{dependencies_.timers, dependencies_.settings, state_, authority_, guarded_};
-    // Used by several parts
-    cluster::TeamActivity team_activity_;
-    membership::FailureDetector failure_detector_;
-    failover::Reconciliation reconciliation_;
-    Delegations delegations_{state_.cluster};
-    AttemptNumbers attempts_;
-    StaleKeyRemover stale_keys_{context_, dependencies_.state};
-    // Machines
-    InstanceTracker instances_;
-    CommandSender commands_;
-    StartReplication start_replication_;
-    MachineStore machine_store_;
-    MachineDeletion deletion_;
-    HostLister hosts_{context_, dependencies_.cloud, commands_, deletion_};
-    // Jobs
-    JobStore job_store_;
-    JobWatcher job_watcher_;
-    DependencyResolver dependency_resolver_;
-    // What goes by both
-    Recovery recovery_;
-    MachineSupervisor supervisor_;
-    HeartbeatHandler heartbeats_;
-    FleetScaler fleet_scaler_;
-    PlanExecutor plan_executor_;
-    LeaderReport report_{context_, dependencies_.metrics, team_activity_};
 
+    LeaderParts parts_;
     event_loop::TimerId tick_timer_ = 0;
 };
 
--- /dev/null
+++ b/src/leader/leader_parts.cpp
@@ -0,0 +1,147 @@
+#include "leader/leader_parts.hpp"
+
+#include <utility>
+
+namespace coralhitch::leader {
+using cluster::Machine;
+
+namespace {
+membership::FailureDetector make_failure_detector(const config::Settings& settings) {
+    return membership::FailureDetector(
+        {settings.report_s, settings.lease_s, settings.op.silence_reports, settings.peers.size()});
+}
+
+// What this controller knew before its claim; the rest of the evidence is read.
+replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies, std::uint64_t version) {
+    replication::ReplicaEvidence evidence;
+    evidence.label = dependencies.settings.label;
+    evidence.incarnation = dependencies.incarnation;
+    evidence.leader_version = version;
+    evidence.chain = dependencies.election.history_before_claim();
+    evidence.replica = &dependencies.copy;
+    return evidence;
+}
+}  // namespace
+
+LeaderParts::LeaderParts(LeaderDependencies given, std::uint64_t version, std::uint64_t seed,
+                         std::function<void()> begin_ticks)
+    : dependencies(std::move(given)),
+      authority(dependencies.timers, dependencies.settings, dependencies.election, version,
+                [this] { return job_watcher.complete_until(); }),
+      state(version, dependencies.types, dependencies.settings.value_kb),
+      failure_detector(make_failure_detector(dependencies.settings)),
+      attempts(dependencies.state, version, [this] { return authority.begin_transaction(); }),
+      deletion(context, dependencies.cloud, dependencies.metrics, delegations, machine_store, instances,
+               deletion_hooks()),
+      recovery(context, dependencies.state, replica_evidence(dependencies, version),
+               {failure_detector, reconciliation, instances, commands, machine_store, stale_keys},
+               {dependencies.remembered, dependencies.copy, dependencies.suspected},
+               recovery_hooks(std::move(begin_ticks))),
+      supervisor(context, dependencies.metrics, dependencies.types,
+                 {failure_detector, reconciliation, delegations, instances, commands, deletion},
+                 supervisor_hooks()),
+      heartbeats(context, dependencies.refusals,
+                 {delegations, failure_detector, supervisor, machine_store, instances, commands,
+                  start_replication, recovery},
+                 heartbeat_hooks()),
+      plan_executor(
+          context,
+          {dependencies.planner, fleet_scaler, attempts, reconciliation, team_activity, dependencies.metrics},
+          plan_callbacks(), seed) {}
+
+// --- Callbacks ------------------------------------------------------------------------------------------
+
+std::function<void()> LeaderParts::request_plan() {
+    return [this] { plan_executor.request_plan(); };
+}
+
+std::function<void(Machine&, const char*)> LeaderParts::mark_for_deletion() {
+    return [this](Machine& machine, const char* reason) { deletion.mark(machine, reason); };
+}
+
+CommandSender::ApplyStatus LeaderParts::apply_status() {
+    return [this](const protocol::Heartbeat& status) {
+        heartbeats.apply(status, cluster::ReportChannel::direct_reply);
+    };
+}
+
+MachineDeletion::Hooks LeaderParts::deletion_hooks() {
+    return {[this](const std::string& machine_id) { heartbeats.forget(machine_id); },
+            [this] { deletion_done(); }};
+}
+
+JobStore::Callbacks LeaderParts::job_store_callbacks() {
+    return {[this](const std::string& job_id, std::uint64_t version, const std::string& record) {
+                job_watcher.take_record(job_id, version, record);
+            },
+            request_plan(), [this] { return reconciliation.placement_allowed(); }};
+}
+
+JobWatcher::Callbacks LeaderParts::job_watcher_callbacks() {
+    return {[this](const std::string& job_id, jobs::JobEntry& job) { instances.cancel_active(job_id, job); },
+            [this] { jobs_changed(); }, request_plan()};
+}
+
+Recovery::Hooks LeaderParts::recovery_hooks(std::function<void()> begin_ticks) {
+    return {[this](const std::string& job_id, std::uint64_t version, const std::string& record) {
+                job_watcher.take_record(job_id, version, record);
+            },
+            [this](const failover::RecoveredState& stored) { stored_state_loaded(stored); },
+            [this] { dependency_resolver.resolve(); },
+            [this, begin_ticks = std::move(begin_ticks)] {
+                heartbeats.handle_early();
+                begin_ticks();
+            },
+            request_plan()};
+}
+
+MachineSupervisor::Hooks LeaderParts::supervisor_hooks() {
+    return {dependencies.heartbeats_seen_by_peers, dependencies.resign_leadership, request_plan()};
+}
+
+HeartbeatHandler::Hooks LeaderParts::heartbeat_hooks() {
+    return {request_plan(), [this] { job_store.request_store(); }};
+}
+
+FleetScaler::ZoneUnreachable LeaderParts::zone_unreachable() {
+    return [this](std::size_t zone) { return failure_detector.zone_silent(zone, dependencies.timers.now()); };
+}
+
+PlanExecutor::Callbacks LeaderParts::plan_callbacks() {
+    return {[this] { return recovery.loaded(); }, [this] { return hosts.has_listed(); }, mark_for_deletion(),
+            [this](const std::vector<StartedTask>& started) { replicate_starts(started); }};
+}
+
+// --- What follows from an event -------------------------------------------------------------------------
+
+void LeaderParts::machines_stored() {
+    commands.flush_all();
+    deletion.delete_marked();
+}
+
+void LeaderParts::deletion_done() {
+    start_replication.replicate_changes();
+    recovery.check_reconciled();
+    plan_executor.request_plan();
+}
+
+void LeaderParts::jobs_changed() {
+    plan_executor.request_plan();
+    dependency_resolver.resolve();
+    commands.flush_all();
+}
+
+void LeaderParts::stored_state_loaded(const failover::RecoveredState& stored) {
+    start_replication.begin(stored.record_version,
+                            stored.replica_eligible ? stored.in_sync_record : std::nullopt);
+    job_watcher.start(stored.jobs.revision, stored.jobs_listed_at);
+}
+
+void LeaderParts::replicate_starts(const std::vector<StartedTask>& started) {
+    start_replication.replicate_changes();
+    for (auto& [machine_id, task] : started) start_replication.hold(machine_id, task);
+    start_replication.expedite();
+    start_replication.release_starts();
+}
+
+}  // namespace coralhitch::leader
