--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -90,23 +90,23 @@
     return {.timers = timers_,
             .http = http_,
             .settings = settings_,
-            .state = kv_,
+            .kv = kv_,
             .election = election_,
             .cloud = cloud_,
             .planner = planner_,
             .metrics = metrics_,
-            .types = machine_types_.types(),
+            .machine_types = machine_types_.types(),
             .heartbeats_seen_by_peers =
                 [this](const std::map<std::string, double>& silent_s) {
                     return peers_.heartbeats_seen_by_peers(silent_s);
                 },
-            .remembered = peers_.image_caches(),
+            .inherited_image_caches = peers_.image_caches(),
             .resign_leadership = [this] { return resign_leadership(); },
             .incarnation = incarnation_,
-            .suspected = peers_.inherited_suspicions(),
-            .copy = replica_.replica(),
-            .peer = [this](const std::string& label) { return peers_.recent_ping(label); },
-            .refusals = heartbeats_.rejections()};
+            .inherited_suspicions = peers_.inherited_suspicions(),
+            .replica = replica_.replica(),
+            .recent_ping = [this](const std::string& label) { return peers_.recent_ping(label); },
+            .heartbeat_rejections = heartbeats_.rejections()};
 }
 
 void Controller::on_lease_lost() {
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -33,7 +33,7 @@
 
 void Leader::types_changed() {
     std::lock_guard lock(parts_.state.mutex);
-    parts_.state.cluster.set_types(parts_.dependencies.types);
+    parts_.state.cluster.set_types(parts_.dependencies.machine_types);
 }
 
 std::optional<api::TaskCounts> Leader::counts(const std::string& id) {
--- a/src/leader/leader_dependencies.hpp
+++ b/src/leader/leader_dependencies.hpp
@@ -27,23 +27,28 @@
     event_loop::Timers& timers;
     http::Requester& http;
     const config::Settings& settings;
-    kv::KvClient& state;  // the key-value store
+    kv::KvClient& kv;
     election::Election& election;
     cloud::CloudClient& cloud;
     Planner& planner;
     metrics::Metrics& metrics;
-    const std::vector<protocol::MachineType>& types;  // of the cloud; may change, see Leader::types_changed
+    // Of the cloud; may change, see Leader::types_changed.
+    const std::vector<protocol::MachineType>& machine_types;
     // How many of these machines, silent here for so many seconds, another controller has had a heartbeat
     // from since, at the most; nothing if no other answers and could lead.
     std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heartbeats_seen_by_peers;
-    const protocol::PeerImages& remembered;   // the machines' image caches, as the previous leader told them
-    std::function<bool()> resign_leadership;  // whether to resign for it; noted if so
-    std::uint64_t incarnation;                // of this controller's process
-    std::map<std::string, double> suspected;  // by the previous leader: silent for so many seconds by now
-    const replication::ReplicaState& copy;    // of what the previous leader knew of its machines
+    // The machines' image caches, as the previous leader reported them.
+    const protocol::PeerImages& inherited_image_caches;
+    // Whether to resign for a self-suspicion; noted if so.
+    std::function<bool()> resign_leadership;
+    std::uint64_t incarnation;  // of this controller's process
+    // Machines that the previous leader suspected: silent for so many seconds by now.
+    std::map<std::string, double> inherited_suspicions;
+    // Of what the previous leader knew of its machines.
+    const replication::ReplicaState& replica;
     // What another controller last said of itself, if that is not long ago; else null.
-    std::function<const protocol::PeerPing*(const std::string& label)> peer;
-    relay::HeartbeatRejections& refusals;
+    std::function<const protocol::PeerPing*(const std::string& label)> recent_ping;
+    relay::HeartbeatRejections& heartbeat_rejections;
 };
 
 }  // namespace coralhitch::leader
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -18,7 +18,7 @@
     evidence.incarnation = dependencies.incarnation;
     evidence.leader_version = version;
     evidence.chain = dependencies.election.history_before_claim();
-    evidence.replica = &dependencies.copy;
+    evidence.replica = &dependencies.replica;
     return evidence;
 }
 }  // namespace
@@ -28,19 +28,19 @@
     : dependencies(std::move(given)),
       authority(dependencies.timers, dependencies.settings, dependencies.election, version,
                 [this] { return job_watcher.complete_until(); }),
-      state(version, dependencies.types, dependencies.settings.value_kb),
+      state(version, dependencies.machine_types, dependencies.settings.value_kb),
       failure_detector(make_failure_detector(dependencies.settings)),
-      attempts(dependencies.state, version, [this] { return authority.begin_transaction(); }),
+      attempts(dependencies.kv, version, [this] { return authority.begin_transaction(); }),
       deletion(context, dependencies.cloud, dependencies.metrics, delegations, machine_store, instances,
                deletion_hooks()),
-      recovery(context, dependencies.state, replica_evidence(dependencies, version),
+      recovery(context, dependencies.kv, replica_evidence(dependencies, version),
                {failure_detector, reconciliation, instances, commands, machine_store, stale_keys},
-               {dependencies.remembered, dependencies.copy, dependencies.suspected},
+               {dependencies.inherited_image_caches, dependencies.replica, dependencies.inherited_suspicions},
                recovery_hooks(std::move(begin_ticks))),
-      supervisor(context, dependencies.metrics, dependencies.types,
+      supervisor(context, dependencies.metrics, dependencies.machine_types,
                  {failure_detector, reconciliation, delegations, instances, commands, deletion},
                  supervisor_hooks()),
-      heartbeats(context, dependencies.refusals,
+      heartbeats(context, dependencies.heartbeat_rejections,
                  {delegations, failure_detector, supervisor, machine_store, instances, commands,
                   start_replication, recovery},
                  heartbeat_hooks()),
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -61,27 +61,27 @@
     failover::Reconciliation reconciliation{state.cluster, dependencies.settings.report_s};
     Delegations delegations{state.cluster};
     AttemptNumbers attempts;
-    StaleKeyRemover stale_keys{context, dependencies.state};
+    StaleKeyRemover stale_keys{context, dependencies.kv};
 
     // Machines
     InstanceTracker instances{context, dependencies.metrics, team_activity, mark_for_deletion()};
     CommandSender commands{context, dependencies.http, delegations, reconciliation, apply_status()};
-    StartReplication start_replication{context, dependencies.http, dependencies.state, dependencies.peer,
+    StartReplication start_replication{context, dependencies.http, dependencies.kv, dependencies.recent_ping,
                                        [this] { commands.flush_all(); }};
-    MachineStore machine_store{context, dependencies.state, [this] { machines_stored(); }};
+    MachineStore machine_store{context, dependencies.kv, [this] { machines_stored(); }};
     MachineDeletion deletion;
     HostLister hosts{context, dependencies.cloud, commands, deletion};
 
     // Jobs
-    JobStore job_store{context, dependencies.state, stale_keys, dependencies.metrics, job_store_callbacks()};
-    JobWatcher job_watcher{context, dependencies.state, job_store, job_watcher_callbacks()};
-    DependencyResolver dependency_resolver{context, dependencies.state, job_store, request_plan()};
+    JobStore job_store{context, dependencies.kv, stale_keys, dependencies.metrics, job_store_callbacks()};
+    JobWatcher job_watcher{context, dependencies.kv, job_store, job_watcher_callbacks()};
+    DependencyResolver dependency_resolver{context, dependencies.kv, job_store, request_plan()};
 
     // What goes by both
     Recovery recovery;
     MachineSupervisor supervisor;
     HeartbeatHandler heartbeats;
-    FleetScaler fleet_scaler{context, dependencies.cloud, dependencies.types, zone_unreachable()};
+    FleetScaler fleet_scaler{context, dependencies.cloud, dependencies.machine_types, zone_unreachable()};
     PlanExecutor plan_executor;
     LeaderReport report{context, dependencies.metrics, team_activity};
 
