--- a/src/controller/metrics_exporter.cpp
+++ b/src/controller/metrics_exporter.cpp
@@ -28,7 +28,7 @@
     set(Metric::leader_replication_messages, leader ? leader->replication().batches_sent() : 0);
     set(Metric::leader_replication_members_dropped,
         leader ? leader->replication().in_sync_sessions_ended() : 0);
-    set(Metric::leader_delegated_machines, leader ? leader->lent() : 0);
+    set(Metric::leader_delegated_machines, leader ? leader->delegated_machines() : 0);
     if (!leader) return;
     for (auto& [step, after_s] : leader->steps().all())
         metrics_.set(Metric::leader_failover_step, std::string(step), after_s);
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -120,7 +120,7 @@
     if (!brief) peer.last_full_ping_at = peer.last_ping_at;
     if (from_leader && !brief) take_suspicions(last_ping);
     if (restarted && dependencies_.leader)
-        dependencies_.leader->started_anew(last_ping.label, last_ping.incarnation);
+        dependencies_.leader->controller_restarted(last_ping.label, last_ping.incarnation);
     if (from_leader && !task_counts.empty()) task_counts_received_(task_counts);
     dependencies_.election.observe_leader(last_ping.leader, last_ping.leader_version);
 }
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -41,7 +41,7 @@
         parts_.heartbeats.handle_relayed(message, reply);
     }
     // Machines whose heartbeats relaying controllers answer.
-    std::size_t lent() const { return parts_.delegations.count(); }
+    std::size_t delegated_machines() const { return parts_.delegations.count(); }
     const replication::ReplicationSender& replication() const { return parts_.start_replication.sender(); }
     // The steps of the failover that are done, with their times.
     const failover::FailoverSteps& steps() const { return parts_.recovery.steps(); }
@@ -57,7 +57,7 @@
     std::map<std::string, double> suspected() const { return parts_.supervisor.suspected(); }
     void types_changed();
     // The controller with this label is a new process.
-    void started_anew(const std::string& controller, std::uint64_t incarnation) {
+    void controller_restarted(const std::string& controller, std::uint64_t incarnation) {
         parts_.start_replication.controller_restarted(controller, incarnation);
     }
     // The job's record says since this version that it is cancelled.
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -23,7 +23,7 @@
       loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::RecoveredState& stored) {
           if (authority_.ended()) return;
           take_stored(stored);
-          hooks_.stored_taken(stored);
+          hooks_.state_loaded(stored);
           finish_load();
       }) {}
 
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -46,7 +46,7 @@
         std::function<void(const std::string& job_id, std::uint64_t version, const std::string& record)>
             take_job;
         // What was stored is taken in; nothing was sent to a machine yet.
-        std::function<void(const failover::RecoveredState& stored)> stored_taken;
+        std::function<void(const failover::RecoveredState& stored)> state_loaded;
         // The jobs are loaded: what ended while nobody led may be read.
         std::function<void()> jobs_loaded;
         // The first probes are under way: heartbeats are taken, and the ticks begin.
