--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -34,7 +34,7 @@
 }
 
 void HeartbeatIntake::handle_some() {
-    for (std::size_t k = 0; k < heartbeats_per_turn; ++k) {
+    for (std::size_t handled = 0; handled < heartbeats_per_turn; ++handled) {
         auto heartbeat = queue_.pop(dependencies_.timers.now());
         if (!heartbeat) break;
         handle(std::move(*heartbeat));
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -144,8 +144,8 @@
     try {
         run(command_line);
         return 0;
-    } catch (const std::exception& e) {
-        std::cerr << "coralhitch: " << e.what() << "\n";
+    } catch (const std::exception& error) {
+        std::cerr << "coralhitch: " << error.what() << "\n";
         return 1;
     }
 }
--- a/src/controller/metrics_exporter.cpp
+++ b/src/controller/metrics_exporter.cpp
@@ -50,16 +50,16 @@
     metrics_.set(Metric::heartbeats_relayed, to_double(relay.forwarded()));
     metrics_.set(Metric::heartbeats_expired, to_double(sources_.heartbeats.expired()));
     const auto& rejections = sources_.heartbeats.rejections();
-    for (std::size_t k = 0; k < relay::heartbeat_rejection_labels.size(); ++k)
-        metrics_.set(Metric::heartbeats_rejected, std::string(relay::heartbeat_rejection_labels[k]),
-                     to_double(rejections.count(static_cast<relay::HeartbeatRejection>(k))));
+    for (std::size_t reason = 0; reason < relay::heartbeat_rejection_labels.size(); ++reason)
+        metrics_.set(Metric::heartbeats_rejected, std::string(relay::heartbeat_rejection_labels[reason]),
+                     to_double(rejections.count(static_cast<relay::HeartbeatRejection>(reason))));
 }
 
 void MetricsExporter::collect_sockets() {
     if (!sockets_) return;
-    for (std::size_t k = 0; k < http::peer_kinds; ++k) {
-        const auto peer = std::string(http::peer_kind_names[k]);
-        const auto& use = sockets_->use(static_cast<http::PeerKind>(k));
+    for (std::size_t kind = 0; kind < http::peer_kinds; ++kind) {
+        const auto peer = std::string(http::peer_kind_names[kind]);
+        const auto& use = sockets_->use(static_cast<http::PeerKind>(kind));
         metrics_.set(Metric::sockets_used, peer, to_double(use.used));
         metrics_.set(Metric::sockets_used_peak, peer, to_double(use.peak));
         metrics_.set(Metric::sockets_refused, peer, to_double(use.refused));
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -128,9 +128,9 @@
 void PeerMonitor::take_suspicions(const protocol::PeerPing& leader_ping) {
     suspected_since_.clear();
     const auto count = std::min(leader_ping.silent.size(), leader_ping.silent_ms.size());
-    for (std::size_t k = 0; k < count; ++k)
-        suspected_since_[leader_ping.silent[k]] =
-            dependencies_.timers.now() - leader_ping.silent_ms[k] / 1000.0;
+    for (std::size_t index = 0; index < count; ++index)
+        suspected_since_[leader_ping.silent[index]] =
+            dependencies_.timers.now() - leader_ping.silent_ms[index] / 1000.0;
 }
 
 // --- What follows from pings ----------------------------------------------------------------------------
@@ -179,10 +179,10 @@
     const double since_ping_s = dependencies_.timers.now() - peer.last_full_ping_at.value_or(0);
     const double slack_s = dependencies_.settings.report_s * relay_delay_periods;
     std::size_t seen = 0;
-    for (std::size_t k = 0; k < machines.size(); ++k) {
-        auto it = silent_s.find(machines[k]);
+    for (std::size_t index = 0; index < machines.size(); ++index) {
+        auto it = silent_s.find(machines[index]);
         if (it == silent_s.end()) continue;
-        if (k >= ages_ms.size() || ages_ms[k] / 1000.0 + since_ping_s + slack_s < it->second) ++seen;
+        if (index >= ages_ms.size() || ages_ms[index] / 1000.0 + since_ping_s + slack_s < it->second) ++seen;
     }
     return seen;
 }
--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -30,11 +30,12 @@
     // What is written does not matter, but that the revision grows while the leader's key stands.
     transaction->changes.push_back({kv::keys::attempts, "{}", 0});
     extending_ = true;
-    state_.txn(std::move(*transaction), kv::RequestPriority::write, guarded_([this](kv::TxnResult c) {
+    state_.txn(std::move(*transaction), kv::RequestPriority::write,
+               guarded_([this](const kv::TxnResult& result) {
                    extending_ = false;
-                   if (c.status != kv::TxnResult::Status::committed) return;  // asked again
-                   bound_ = std::max(bound_, (c.revision + 1) << revision_bits);
-                   spdlog::info("leader: attempt numbers extended at revision {}", c.revision);
+                   if (result.status != kv::TxnResult::Status::committed) return;  // asked again
+                   bound_ = std::max(bound_, (result.revision + 1) << revision_bits);
+                   spdlog::info("leader: attempt numbers extended at revision {}", result.revision);
                }));
 }
 
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -22,7 +22,7 @@
     in.zones = state_.cluster.zone_count();
     for (std::size_t zone = 0; zone < in.zones; ++zone) in.dark.push_back(zone_unreachable_(zone));
     for (auto& [name, request] : pending_)
-        for (int k = 0; k < request.count; ++k) {
+        for (int index = 0; index < request.count; ++index) {
             autoscaler::MachineView machine;
             machine.id = name;
             machine.pool = request.pool;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -138,18 +138,18 @@
 // The leader has most to do besides heartbeats, so relays answer most machines: it sends quiet ones to them,
 // a few at a time, and none twice within some leases, in case that one can't reach the relay.
 std::optional<std::string> HeartbeatHandler::relay_for(Machine& machine) {
-    double t = now(), machines_up = static_cast<double>(parts_.failure_detector.machines_up());
+    double machines_up = static_cast<double>(parts_.failure_detector.machines_up());
     auto& table = parts_.delegations.table();
     auto relays = static_cast<double>(std::max<std::size_t>(1, settings_.peers.size()));
     bool many_here = machines_up - static_cast<double>(table.count()) > machines_up * own_share;
     bool many_redirected = static_cast<double>(redirected_since_tick_) > machines_up * redirected_share;
     bool redirected_lately =
-        machine.redirected_at && t - *machine.redirected_at < settings_.lease_s * redirect_pause_leases;
+        machine.redirected_at && now() - *machine.redirected_at < settings_.lease_s * redirect_pause_leases;
     if (!settings_.op.hearing || !many_here || many_redirected || redirected_lately) return std::nullopt;
     auto most = static_cast<std::size_t>(machines_up * (1 - own_share) / relays) + 1;
-    auto relay_label = table.least_loaded(t, most);
+    auto relay_label = table.least_loaded(now(), most);
     if (!relay_label) return std::nullopt;
-    machine.redirected_at = t;
+    machine.redirected_at = now();
     ++redirected_since_tick_;
     return relay_label;
 }
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -36,16 +36,16 @@
 
 bool MachineSupervisor::check() {
     auto checked = observe();
-    double t = checked.at;
     double recently_s = settings_.report_s * settings_.op.silence_reports;
     auto last_answer_at = parts_.commands.last_answer_at();
-    parts_.failure_detector.observe(
-        checked.observations,
-        {parts_.reconciliation.overloaded(t), last_answer_at && t - *last_answer_at < recently_s}, t);
+    parts_.failure_detector.observe(checked.observations,
+                                    {parts_.reconciliation.overloaded(checked.at),
+                                     last_answer_at && checked.at - *last_answer_at < recently_s},
+                                    checked.at);
     if (resigns_if_isolated()) return false;
     bool may_evict = authority_.holds() && parts_.failure_detector.may_evict();
     check_up(checked, may_evict);
-    check_booting_and_marked(t, may_evict);
+    check_booting_and_marked(checked.at, may_evict);
     return true;
 }
 
@@ -107,9 +107,9 @@
 
 void MachineSupervisor::check_up(const Checked& checked, bool may_evict) {
     std::size_t suspected = 0;
-    for (std::size_t k = 0; k < checked.machines.size(); ++k) {
-        auto& machine = *checked.machines[k];
-        auto health = parts_.failure_detector.evaluate(checked.observations[k]);
+    for (std::size_t index = 0; index < checked.machines.size(); ++index) {
+        auto& machine = *checked.machines[index];
+        auto health = parts_.failure_detector.evaluate(checked.observations[index]);
         {
             std::lock_guard lock(state_.mutex);
             machine.suspected = health != Health::alive || machine.reachability.outbound_unreachable();
@@ -119,7 +119,7 @@
         // Each grant to its relay would move the time at which its lease expires, and it never did.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
         suspected += machine.is_suspect();
-        check_machine(machine, checked.observations[k], health, may_evict);
+        check_machine(machine, checked.observations[index], health, may_evict);
     }
     metrics_.set(metrics::Metric::leader_suspected_machines, static_cast<double>(suspected));
 }
@@ -137,12 +137,11 @@
 
 void MachineSupervisor::check_machine(Machine& machine, const Observation& observation, Health health,
                                       bool may_evict) {
-    double t = now();
     probe_if_due(machine, observation);
     bool dead = health == Health::dead;
     // A machine that has reported within a lease has nothing to be proven terminated: not worth it each tick.
     bool look_at_lease =
-        dead || is_outbound_unreachable(machine) || t - machine.last_heartbeat_at > settings_.lease_s;
+        dead || is_outbound_unreachable(machine) || now() - machine.last_heartbeat_at > settings_.lease_s;
     bool lease_expired = look_at_lease && check_lease(machine);
     // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
     // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
@@ -150,7 +149,7 @@
     bool awaits_answer = machine.reconciled && machine.probing && !lease_expired;
     if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
         std::lock_guard lock(state_.mutex);
-        parts_.failure_detector.record_eviction(observation, t);
+        parts_.failure_detector.record_eviction(observation, now());
         parts_.deletion.mark(machine, parts_.failure_detector.evidence(observation).c_str());
     } else if (may_evict && machine.preemption_deadline && machine.tasks.empty() && machine.reconciled) {
         std::lock_guard lock(state_.mutex);
@@ -159,12 +158,12 @@
 }
 
 void MachineSupervisor::probe_if_due(Machine& machine, const Observation& observation) {
-    double t = now(), since_probe = t - machine.last_probe_at;
+    double since_probe = now() - machine.last_probe_at;
     bool due = machine.reconciled
                    ? parts_.failure_detector.missed_heartbeat(observation) &&
                          since_probe > settings_.report_s * reconciled_probe_reports
                    : since_probe > settings_.report_s * unreconciled_probe_reports &&
-                         t - machine.created_at > settings_.report_s * CommandSender::first_probe_reports;
+                         now() - machine.created_at > settings_.report_s * CommandSender::first_probe_reports;
     if (due) parts_.commands.probe(machine);
 }
 
