--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -61,17 +61,17 @@
     // --- Leader's dealings with it ---
     std::uint64_t token = 0;  // fencing token of commands and replies to it
     double created_at = 0, last_heartbeat_at = 0, idle_since = 0;
-    double last_probe_at = -1;                    // before all time: never probed
+    std::optional<double> last_probe_at;          // by this leader, queued or sent
     std::optional<double> first_probed_at;        // by this leader
     std::optional<double> unreconciled_reply_at;  // last reply to it before it was reconciled
     std::optional<double> redirected_at;          // when it was last sent to another controller
-    double lease_renewed_at = 0;    // last moment at which a controller may have renewed the agent's lease
-    double delegation_expiry = -1;  // last moment at which a relay that gave it back may have; -1: none did
-    bool probing = false;           // a probe is queued or under way
-    bool draining = false;          // surplus, by the last scale-in plan
-    bool flush_scheduled = false;   // queued by `ClusterState::schedule_flush`
-    bool replication_scheduled = false;  // among what `take_machines_to_replicate` returns next
-    std::set<std::string> error_jobs;    // jobs of which a task has failed here
+    double lease_renewed_at = 0;  // last moment at which a controller may have renewed the agent's lease
+    std::optional<double> delegation_expiry;  // last moment at which a relay that gave it back may have
+    bool probing = false;                     // a probe is queued or under way
+    bool draining = false;                    // surplus, by the last scale-in plan
+    bool flush_scheduled = false;             // queued by `ClusterState::schedule_flush`
+    bool replication_scheduled = false;       // among what `take_machines_to_replicate` returns next
+    std::set<std::string> error_jobs;         // jobs of which a task has failed here
     double quarantined_until = 0;
 
     // --- Health ---
--- a/src/controller/overload_log.cpp
+++ b/src/controller/overload_log.cpp
@@ -28,8 +28,8 @@
 // At most once in a worker lease: which queue is the one that is too long.
 void OverloadLog::log_requests() {
     const double refused = refused_requests();
-    if (refused <= logged_refused_requests_ || timers_.now() - requests_logged_at_ < settings_.lease_s)
-        return;
+    if (refused <= logged_refused_requests_) return;
+    if (requests_logged_at_ && timers_.now() - *requests_logged_at_ < settings_.lease_s) return;
     requests_logged_at_ = timers_.now();
     logged_refused_requests_ = refused;
     spdlog::info("component=controller event=requests_refused submissions_deferred={}",
--- a/src/controller/overload_log.hpp
+++ b/src/controller/overload_log.hpp
@@ -35,7 +35,7 @@
     const http::SocketBudget* sockets_ = nullptr;
     std::uint64_t logged_refused_sockets_ = 0;
     double logged_refused_requests_ = 0;
-    double requests_logged_at_ = -1;  // steady seconds
+    std::optional<double> requests_logged_at_;  // steady seconds
 };
 
 }  // namespace coralhitch::controller
--- a/src/leader/delegations.cpp
+++ b/src/leader/delegations.cpp
@@ -16,12 +16,13 @@
 }
 
 double Delegations::last_possible_renewal(const cluster::Machine& machine) const {
-    return std::max(table_.renewal_bound(machine.id, machine.lease_renewed_at), machine.delegation_expiry);
+    double bound = table_.renewal_bound(machine.id, machine.lease_renewed_at);
+    return std::max(bound, machine.delegation_expiry.value_or(bound));
 }
 
 void Delegations::extend_expiry(const std::string& machine_id, double until) {
     if (auto* machine = cluster_.find(machine_id))
-        machine->delegation_expiry = std::max(machine->delegation_expiry, until);
+        machine->delegation_expiry = std::max(machine->delegation_expiry.value_or(until), until);
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/leader_report.cpp
+++ b/src/leader/leader_report.cpp
@@ -21,12 +21,12 @@
 }
 
 void LeaderReport::log_team_activity_if_due() {
-    if (now() - last_team_log_ > settings_.lease_s) log_team_activity();
+    if (!last_team_log_at_ || now() - *last_team_log_at_ > settings_.lease_s) log_team_activity();
 }
 
 // The lines of all leaders together tell what each team got; bench/teams.py adds them up.
 void LeaderReport::log_team_activity() {
-    last_team_log_ = now();
+    last_team_log_at_ = now();
     std::lock_guard lock(state_.mutex);
     if (auto text = team_activity_.take_summary(); !text.empty()) spdlog::info("teams: {}", text);
 }
--- a/src/leader/leader_report.hpp
+++ b/src/leader/leader_report.hpp
@@ -5,6 +5,8 @@
 //
 // On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold it.
 #pragma once
+#include <optional>
+
 #include "cluster/team_activity.hpp"
 #include "leader/leader_part.hpp"
 #include "metrics/metrics.hpp"
@@ -25,7 +27,7 @@
   private:
     metrics::Metrics& metrics_;
     cluster::TeamActivity& team_activity_;
-    double last_team_log_ = -1;  // steady seconds
+    std::optional<double> last_team_log_at_;  // steady seconds
 };
 
 }  // namespace coralhitch::leader
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -158,12 +158,12 @@
 }
 
 void MachineSupervisor::probe_if_due(Machine& machine, const Observation& observation) {
-    double since_probe = now() - machine.last_probe_at;
+    double interval_s =
+        settings_.report_s * (machine.reconciled ? reconciled_probe_reports : unreconciled_probe_reports);
+    if (machine.last_probe_at && now() - *machine.last_probe_at <= interval_s) return;
     bool due = machine.reconciled
-                   ? parts_.failure_detector.missed_heartbeat(observation) &&
-                         since_probe > settings_.report_s * reconciled_probe_reports
-                   : since_probe > settings_.report_s * unreconciled_probe_reports &&
-                         now() - machine.created_at > settings_.report_s * CommandSender::first_probe_reports;
+                   ? parts_.failure_detector.missed_heartbeat(observation)
+                   : now() - machine.created_at > settings_.report_s * CommandSender::first_probe_reports;
     if (due) parts_.commands.probe(machine);
 }
 
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -33,7 +33,7 @@
 void PlanExecutor::request_plan() {
     if (requested_ || authority_.ended()) return;
     requested_ = true;
-    double wait_s = std::max(0.0, last_plan_ + minimum_interval_s() - now());
+    double wait_s = last_plan_at_ ? std::max(0.0, *last_plan_at_ + minimum_interval_s() - now()) : 0;
     timers_.after(wait_s, guarded_([this] {
                       requested_ = false;
                       begin_plan();
@@ -42,7 +42,7 @@
 
 bool PlanExecutor::fleet_plan_due() const {
     return parts_.reconciliation.complete() &&
-           now() - last_fleet_ > settings_.report_s * fleet_interval_reports &&
+           now() - last_fleet_plan_at_ > settings_.report_s * fleet_interval_reports &&
            parts_.fleet_scaler.knows_machine_types();
 }
 
@@ -57,9 +57,9 @@
     // Most plans found nothing to place: each copied the whole fleet to see that.
     if (!plan->with_fleet && !any_task_waits(state_, now())) return;
     computing_ = true;
-    last_plan_ = now();
+    last_plan_at_ = now();
     if (plan->with_fleet) {
-        last_fleet_ = now();
+        last_fleet_plan_at_ = now();
         plan->fleet_in = parts_.fleet_scaler.autoscaler_input();
     }
     auto seed = random_();
@@ -90,7 +90,7 @@
 }
 
 void PlanExecutor::apply(const Plan& plan) {
-    last_plan_s_ = now() - last_plan_;
+    last_plan_s_ = now() - *last_plan_at_;
     if (!authority_.holds()) return;
     parts_.metrics.observe_planning_round(last_plan_s_);
     log_plan(plan);
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -9,6 +9,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <random>
 #include <span>
 #include <string>
@@ -103,11 +104,13 @@
     Parts parts_;
     Callbacks callbacks_;
     std::mt19937_64 random_;
-    bool requested_ = false;  // a timer is set that begins a plan
-    bool computing_ = false;  // one is with the planner
-    double last_plan_s_ = 0;  // how long the last one took, seconds
-    double last_plan_ = -1;   // when the last one began (steady seconds)
-    double last_fleet_ = -1;  // when the last one with the fleet began (steady seconds)
+    bool requested_ = false;              // a timer is set that begins a plan
+    bool computing_ = false;              // one is with the planner
+    double last_plan_s_ = 0;              // how long the last one took, seconds
+    std::optional<double> last_plan_at_;  // when the last one began (steady seconds)
+    // When the last one with the fleet began (steady seconds). Before the first one -1 rather than nothing:
+    // while the clock is younger than the interval, the first one waits too.
+    double last_fleet_plan_at_ = -1;
 };
 
 }  // namespace coralhitch::leader
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -227,8 +227,8 @@
 
 bool MachineRegistry::is_anything_due() const {
     if (!old_keys_.empty()) return true;
-    double since_cleanup_s = timers_.now() - last_cleanup_at_;
-    bool is_cleanup_due = since_cleanup_s > settings_.report_s * cleanup_interval_reports;
+    bool is_cleanup_due = !last_cleanup_at_ ||
+                          timers_.now() - *last_cleanup_at_ > settings_.report_s * cleanup_interval_reports;
     return std::any_of(pages_.begin(), pages_.end(), [&](const auto& entry) {
         const Page& page = entry.second;
         return page.has_new_records || (is_cleanup_due && page.has_removed) || is_deletable(page);
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -128,9 +128,9 @@
     std::set<std::string> old_keys_;              // of the layout with a key for each machine
     bool is_request_pending_ = false;             // a transaction, or a read of a version
     bool is_flush_scheduled_ = false;
-    std::optional<double> last_write_at_;  // steady time
-    double last_cleanup_at_ = -1;          // steady time of the last write that left no page out
-    event_loop::LifetimeGuard guarded_;    // last, so that it is destroyed first
+    std::optional<double> last_write_at_;    // steady time
+    std::optional<double> last_cleanup_at_;  // steady time of the last write that left no page out
+    event_loop::LifetimeGuard guarded_;      // last, so that it is destroyed first
 };
 
 }  // namespace coralhitch::machine_registry
--- a/src/relay/delegation_table.cpp
+++ b/src/relay/delegation_table.cpp
@@ -12,7 +12,7 @@
     std::erase_if(machine_relays_, [&](auto& entry) {
         if (entry.second != relay_label) return false;
         // The last answers of the previous process may still be on their way to workers.
-        returned(entry.first, relay.delegation_expiry);
+        if (relay.delegation_expiry) returned(entry.first, *relay.delegation_expiry);
         return true;
     });
     relay.machines = 0;
@@ -60,12 +60,13 @@
 double DelegationTable::renewal_bound(const std::string& machine, double own_renewal) const {
     auto it = machine_relays_.find(machine);
     if (it == machine_relays_.end()) return own_renewal;
-    return std::max(own_renewal, relays_.at(it->second).delegation_expiry);
+    return std::max(own_renewal, relays_.at(it->second).delegation_expiry.value_or(own_renewal));
 }
 
 std::vector<std::string> DelegationTable::extend(const std::string& relay_label, double delegation_expiry) {
     auto& relay = relays_[relay_label];
-    relay.delegation_expiry = std::max(relay.delegation_expiry, delegation_expiry);
+    relay.delegation_expiry =
+        std::max(relay.delegation_expiry.value_or(delegation_expiry), delegation_expiry);
     std::vector<std::string> revoked;
     for (auto& revocation : relay.revocations) revoked.push_back(revocation.machine);
     return revoked;
@@ -79,7 +80,8 @@
 std::optional<std::string> DelegationTable::least_loaded(double now, std::size_t limit) const {
     std::optional<std::string> best;
     for (auto& [label, relay] : relays_) {
-        if (relay.delegation_expiry <= now || relay.machines >= limit) continue;
+        bool is_in_effect = relay.delegation_expiry && *relay.delegation_expiry > now;
+        if (!is_in_effect || relay.machines >= limit) continue;
         limit = relay.machines;
         best = label;
     }
--- a/src/relay/delegation_table.hpp
+++ b/src/relay/delegation_table.hpp
@@ -28,15 +28,15 @@
 
     // Message `number` of a relay has arrived; `acknowledged` is the last message whose answer it applied, so
     // the revocations in that answer need not be repeated. A relay process that was restarted has lost its
-    // delegations: `returned` is called for each of its machines. False if a later message of this process
-    // arrived before.
+    // delegations: `returned` is called for each of its machines, if it had any extension. False if a later
+    // message of this process arrived before.
     [[nodiscard]] bool accept_message(const std::string& relay_label, std::uint64_t incarnation,
                                       std::uint64_t number, std::uint64_t acknowledged,
                                       const ReturnedCallback& returned);
     // The relay may answer this machine's repeated heartbeats. Revoked from any other relay.
     void delegate(const std::string& machine, const std::string& relay_label);
     // From now on the machine's heartbeats must reach the leader. Returns until when its relay may still
-    // renew its lease; nothing if it was not delegated.
+    // renew its lease; nothing if it was not delegated, or the relay never had an extension.
     std::optional<double> revoke(const std::string& machine);
     [[nodiscard]] bool delegated_to(const std::string& machine, const std::string& relay_label) const;
     // The last moment at which anybody can have renewed this machine's lease, given the leader's own last
@@ -60,7 +60,7 @@
     };
     struct ReportRelay {
         std::uint64_t incarnation = 0, last_message = 0;
-        double delegation_expiry = -1;  // before all time until the first extension
+        std::optional<double> delegation_expiry;  // nothing until the first extension
         std::size_t machines = 0;
         std::deque<Revocation> revocations;  // not acknowledged, oldest first
     };
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -36,7 +36,7 @@
     Bench bench;
     bench.delegations.revoke("vm-1");
     EXPECT_EQ(bench.delegations.count(), 0u);
-    EXPECT_DOUBLE_EQ(bench.machine.delegation_expiry, 25);
+    EXPECT_EQ(bench.machine.delegation_expiry, 25);
     EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 25);
     bench.machine.lease_renewed_at = 40;
     EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 40);
@@ -46,7 +46,7 @@
     Bench bench;
     EXPECT_TRUE(bench.take_message(2, 1));
     EXPECT_EQ(bench.delegations.count(), 0u);
-    EXPECT_DOUBLE_EQ(bench.machine.delegation_expiry, 25);
+    EXPECT_EQ(bench.machine.delegation_expiry, 25);
 }
 
 TEST(Delegations, TellsWhetherARelaysMessageIsOlderThanOneBefore) {
