--- a/src/leader/leader_dependencies.hpp
+++ b/src/leader/leader_dependencies.hpp
@@ -16,6 +16,7 @@
 #include "kv/kv_client.hpp"
 #include "leader/planner.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_rejections.hpp"
 #include "replication/replica_state.hpp"
