--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -2,13 +2,15 @@
 
 #include <utility>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::leader {
 using cluster::Machine;
 
 namespace {
 membership::FailureDetector make_failure_detector(const config::Settings& settings) {
-    return membership::FailureDetector(
-        {settings.report_s, settings.lease_s, settings.op.silence_reports, settings.peers.size()});
+    return membership::FailureDetector({settings.heartbeat_interval_s, settings.lease_s,
+                                        settings.op.suspicion_timeout_periods, settings.peers.size()});
 }
 
 // What this controller knew before its claim; the rest of the evidence is read.
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -23,6 +23,7 @@
 #include "leader/machine_deletion.hpp"
 #include "membership/failure_detector.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
