--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -18,9 +18,9 @@
 #include "leader/command_sender.hpp"
 #include "leader/delegations.hpp"
 #include "leader/instance_tracker.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_store.hpp"
 #include "leader/machine_supervisor.hpp"
-#include "leader/part_context.hpp"
 #include "leader/recovery.hpp"
 #include "leader/start_replication.hpp"
 #include "membership/failure_detector.hpp"
@@ -33,7 +33,7 @@
 
 namespace coralhitch::leader {
 
-class HeartbeatHandler {
+class HeartbeatHandler : private LeaderPart {
   public:
     struct Parts {
         Delegations& delegations;
@@ -75,7 +75,6 @@
         protocol::RelayedReply reply;
         std::string machine_id;  // empty if the heartbeat was not read
     };
-    [[nodiscard]] double now() const { return timers_.now(); }
     [[nodiscard]] bool repeat_reply(const std::string& body, const http::Reply& reply);
     [[nodiscard]] Answer answer(const std::string& body, const std::string& relay_label);
     [[nodiscard]] protocol::RelayedReply answer(const protocol::Heartbeat& status,
@@ -89,11 +88,7 @@
     void apply_relay_heartbeats(const protocol::RelayRequest& message);
     [[nodiscard]] double relay_grant_s() const;
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    Authority& authority_;
-    const CallbackGuard& guarded_;
+    Authority& leadership_;  // this part may end it
     relay::HeartbeatRejections& rejections_;
     Parts parts_;
     Hooks hooks_;
--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -13,13 +13,13 @@
 
 #include "cloud/cloud_client.hpp"
 #include "leader/command_sender.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_deletion.hpp"
-#include "leader/part_context.hpp"
 #include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
-class HostLister {
+class HostLister : private LeaderPart {
   public:
     HostLister(const PartContext& context, cloud::CloudClient& cloud, CommandSender& commands,
                MachineDeletion& deletion);
@@ -32,11 +32,6 @@
     void listed(const std::vector<protocol::Host>& hosts);
     void take_host(const protocol::Host& host, std::vector<std::string>& running);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     cloud::CloudClient& cloud_;
     CommandSender& commands_;
     MachineDeletion& deletion_;
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -27,10 +27,8 @@
 MachineSupervisor::MachineSupervisor(const PartContext& context, metrics::Metrics& metrics,
                                      const std::vector<protocol::MachineType>& types, const Parts& parts,
                                      Hooks hooks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
+    : LeaderPart(context),
+      leadership_(context.authority),
       metrics_(metrics),
       types_(types),
       parts_(parts),
@@ -38,16 +36,16 @@
 
 bool MachineSupervisor::check() {
     auto checked = observe();
-    double t = checked.at;
     double recently_s = settings_.heartbeat_interval_s * settings_.op.suspicion_timeout_periods;
     auto last_answer_at = parts_.commands.last_answer_at();
-    parts_.failure_detector.observe(
-        checked.observations,
-        {parts_.reconciliation.overloaded(t), last_answer_at && t - *last_answer_at < recently_s}, t);
+    parts_.failure_detector.observe(checked.observations,
+                                    {parts_.reconciliation.overloaded(checked.at),
+                                     last_answer_at && checked.at - *last_answer_at < recently_s},
+                                    checked.at);
     if (resigns_if_isolated()) return false;
     bool may_evict = authority_.holds() && parts_.failure_detector.may_evict();
     check_up(checked, may_evict);
-    check_booting_and_marked(t, may_evict);
+    check_booting_and_marked(checked.at, may_evict);
     return true;
 }
 
@@ -104,15 +102,15 @@
         "component=leader event=resigned reason=isolated silent_machines={} machines={} "
         "seen_by_peer={}",
         suspicion->missed_heartbeats.size(), detector.machines_up(), *seen_by_peers);
-    authority_.resign(settings_.lease_s);
+    leadership_.resign(settings_.lease_s);
     return true;
 }
 
 void MachineSupervisor::check_up(const Checked& checked, bool may_evict) {
     std::size_t suspected = 0;
-    for (std::size_t k = 0; k < checked.machines.size(); ++k) {
-        auto& machine = *checked.machines[k];
-        auto health = parts_.failure_detector.evaluate(checked.observations[k]);
+    for (std::size_t index = 0; index < checked.machines.size(); ++index) {
+        auto& machine = *checked.machines[index];
+        auto health = parts_.failure_detector.evaluate(checked.observations[index]);
         {
             std::lock_guard lock(state_.mutex);
             machine.suspected = health != Health::alive || machine.reachability.outbound_unreachable();
@@ -122,7 +120,7 @@
         // Each grant to its relay would move the time at which its lease expires, and it never did.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
         suspected += machine.is_suspect();
-        check_machine(machine, checked.observations[k], health, may_evict);
+        check_machine(machine, checked.observations[index], health, may_evict);
     }
     metrics_.set(metrics::Metric::leader_suspected_machines, static_cast<double>(suspected));
 }
@@ -140,12 +138,11 @@
 
 void MachineSupervisor::check_machine(Machine& machine, const Observation& observation, Health health,
                                       bool may_evict) {
-    double t = now();
     probe_if_due(machine, observation);
     bool dead = health == Health::dead;
     // A machine that has reported within a lease has nothing to be proven terminated: not worth it each tick.
     bool look_at_lease =
-        dead || is_outbound_unreachable(machine) || t - machine.last_heartbeat_at > settings_.lease_s;
+        dead || is_outbound_unreachable(machine) || now() - machine.last_heartbeat_at > settings_.lease_s;
     bool lease_expired = look_at_lease && check_lease(machine);
     // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
     // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
@@ -153,7 +150,7 @@
     bool awaits_answer = machine.reconciled && machine.probing && !lease_expired;
     if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
         std::lock_guard lock(state_.mutex);
-        parts_.failure_detector.record_eviction(observation, t);
+        parts_.failure_detector.record_eviction(observation, now());
         parts_.deletion.mark(machine, parts_.failure_detector.evidence(observation).c_str());
     } else if (may_evict && machine.preemption_deadline && machine.tasks.empty() && machine.reconciled) {
         std::lock_guard lock(state_.mutex);
@@ -162,13 +159,12 @@
 }
 
 void MachineSupervisor::probe_if_due(Machine& machine, const Observation& observation) {
-    double t = now(), since_probe = t - machine.last_probe_at;
-    bool due = machine.reconciled
-                   ? parts_.failure_detector.missed_heartbeat(observation) &&
-                         since_probe > settings_.heartbeat_interval_s * reconciled_probe_reports
-                   : since_probe > settings_.heartbeat_interval_s * unreconciled_probe_reports &&
-                         t - machine.created_at >
-                             settings_.heartbeat_interval_s * CommandSender::first_probe_reports;
+    double interval_s = settings_.heartbeat_interval_s *
+                        (machine.reconciled ? reconciled_probe_reports : unreconciled_probe_reports);
+    if (machine.last_probe_at && now() - *machine.last_probe_at <= interval_s) return;
+    bool due = machine.reconciled ? parts_.failure_detector.missed_heartbeat(observation)
+                                  : now() - machine.created_at >
+                                        settings_.heartbeat_interval_s * CommandSender::first_probe_reports;
     if (due) parts_.commands.probe(machine);
 }
 
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -9,6 +9,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <random>
 #include <span>
 #include <string>
@@ -19,7 +20,7 @@
 #include "failover/reconciliation.hpp"
 #include "leader/attempt_numbers.hpp"
 #include "leader/fleet_scaler.hpp"
-#include "leader/part_context.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/planner.hpp"
 #include "metrics/metrics.hpp"
 #include "protocol/model.hpp"
@@ -33,7 +34,7 @@
     protocol::TaskId task;
 };
 
-class PlanExecutor {
+class PlanExecutor : private LeaderPart {
   public:
     // References to other parts of the leader; they must outlive this one.
     struct Parts {
@@ -78,7 +79,6 @@
         std::uint32_t task = 0;
     };
 
-    [[nodiscard]] double now() const { return timers_.now(); }
     [[nodiscard]] double minimum_interval_s() const;
     [[nodiscard]] bool fleet_plan_due() const;
     void begin_plan();
@@ -102,19 +102,16 @@
     void log_plan(const Plan& plan) const;
     void count_draws(const scheduler::PlanCounts& counts);
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     Parts parts_;
     Callbacks callbacks_;
     std::mt19937_64 random_;
-    bool requested_ = false;  // a timer is set that begins a plan
-    bool computing_ = false;  // one is with the planner
-    double last_plan_s_ = 0;  // how long the last one took, seconds
-    double last_plan_ = -1;   // when the last one began (steady seconds)
-    double last_fleet_ = -1;  // when the last one with the fleet began (steady seconds)
+    bool requested_ = false;              // a timer is set that begins a plan
+    bool computing_ = false;              // one is with the planner
+    double last_plan_s_ = 0;              // how long the last one took, seconds
+    std::optional<double> last_plan_at_;  // when the last one began (steady seconds)
+    // When the last one with the fleet began (steady seconds). Before the first one -1 rather than nothing:
+    // while the clock is younger than the interval, the first one waits too.
+    double last_fleet_plan_at_ = -1;
 };
 
 }  // namespace coralhitch::leader
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -16,11 +16,7 @@
 
 Recovery::Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
                    const Parts& parts, Inheritance inheritance, Hooks hooks)
-    : timers_(context.timers),
-      settings_(context.settings),
-      state_(context.state),
-      authority_(context.authority),
-      guarded_(context.guarded),
+    : LeaderPart(context),
       parts_(parts),
       inheritance_(std::move(inheritance)),
       hooks_(std::move(hooks)),
@@ -28,7 +24,7 @@
       loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::RecoveredState& stored) {
           if (authority_.ended()) return;
           take_stored(stored);
-          hooks_.stored_taken(stored);
+          hooks_.state_loaded(stored);
           finish_load();
       }) {}
 
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -16,8 +16,8 @@
 #include "failover/recovery_loader.hpp"
 #include "leader/command_sender.hpp"
 #include "leader/instance_tracker.hpp"
+#include "leader/leader_part.hpp"
 #include "leader/machine_store.hpp"
-#include "leader/part_context.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "membership/failure_detector.hpp"
 #include "protocol/model.hpp"
@@ -26,7 +26,7 @@
 
 namespace coralhitch::leader {
 
-class Recovery {
+class Recovery : private LeaderPart {
   public:
     struct Parts {
         membership::FailureDetector& failure_detector;
@@ -47,7 +47,7 @@
         std::function<void(const std::string& job_id, std::uint64_t version, const std::string& record)>
             take_job;
         // What was stored is taken in; nothing was sent to a machine yet.
-        std::function<void(const failover::RecoveredState& stored)> stored_taken;
+        std::function<void(const failover::RecoveredState& stored)> state_loaded;
         // The jobs are loaded: what ended while nobody led may be read.
         std::function<void()> jobs_loaded;
         // The first probes are under way: heartbeats are taken, and the ticks begin.
@@ -66,7 +66,6 @@
     void check_reconciled();
 
   private:
-    [[nodiscard]] double now() const { return timers_.now(); }
     void take_stored(const failover::RecoveredState& stored);
     void take_jobs(const failover::RecoveredState& stored);
     void take_machine(const std::string& machine_id, const protocol::MachineRecord& record, bool inherits);
@@ -74,11 +73,6 @@
     void finish_load();
     void probe_first();
 
-    event_loop::Timers& timers_;
-    const config::Settings& settings_;
-    LeaderState& state_;
-    const Authority& authority_;
-    const CallbackGuard& guarded_;
     Parts parts_;
     Inheritance inheritance_;
     Hooks hooks_;
--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -36,10 +36,10 @@
     auto& accepted = known_job(id);
     if (!accepted.accepted_at) accepted.accepted_at = -infinity;
 }
-void Checker::told(double now, const std::string& id, protocol::JobState state) {
+void Checker::status_answered(double now, const std::string& id, protocol::JobState state) {
     answered({.job = id, .sent = infinity, .received = now, .state = state});
 }
-void Checker::denied(double now, const std::string& id) {
+void Checker::not_found_answered(double now, const std::string& id) {
     constexpr int not_found = 404;
     answered({.job = id, .sent = infinity, .received = now, .status = not_found, .state = {}});
 }
