--- /dev/null
+++ b/tests/leader/command_sender_test.cpp
@@ -0,0 +1,135 @@
+// CommandSender: no start without authority or before its machine is stored, and no answer taken for a proof.
+#include "leader/command_sender.hpp"
+
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include "leader/parts_fixture.hpp"
+
+namespace coralhitch::leader {
+namespace {
+using testing::ElementsAre;
+using testing::IsEmpty;
+using testing::SizeIs;
+
+using Bench = PartsFixture;
+
+// The machine answers with its status.
+http::Response answer_of(const cluster::Machine& machine) {
+    return {200, status_of(machine, 4).dump()};
+}
+
+TEST(CommandSender, SendsAStartUnderTheMachinesTokenAndAgentEpoch) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    bench.add_start("j-1", machine);
+    bench.commands.flush_all();
+    ASSERT_THAT(bench.sent, SizeIs(1));
+    EXPECT_EQ(bench.sent[0].addr, machine.addr);
+    auto body = nlohmann::json::parse(bench.sent[0].request.body);
+    EXPECT_EQ(body["helm"], machine.token);
+    EXPECT_EQ(body["watch"], machine.agent_epoch);
+    EXPECT_THAT(verbs(bench.sent[0].request.body), ElementsAre("run"));
+}
+
+TEST(CommandSender, SendsNoStartBeforeTheMachineIsStored) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    machine.registration = cluster::Machine::Registration::none;
+    bench.add_start("j-1", machine);
+    bench.machine_store.store_if_new(machine);
+    bench.commands.flush_all();
+    bench.machine_store.flush();
+    bench.commands.flush_all();
+    EXPECT_THAT(bench.sent, IsEmpty()) << "the write is under way";
+    bench.wait(1);
+    ASSERT_TRUE(machine.is_stored());
+    ASSERT_THAT(bench.sent, SizeIs(1));
+    EXPECT_THAT(verbs(bench.sent[0].request.body), ElementsAre("run"));
+}
+
+TEST(CommandSender, SendsNoStartToAMachineThatHasNotReconciled) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    machine.reconciled = false;
+    bench.add_start("j-1", machine);
+    bench.commands.flush_all();
+    EXPECT_THAT(bench.sent, IsEmpty());
+}
+
+TEST(CommandSender, SendsNoStartWithoutAuthority) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    auto& instance = bench.add_start("j-1", machine);
+    bench.lose_authority();
+    bench.commands.flush_all();
+    EXPECT_THAT(bench.sent, IsEmpty());
+    EXPECT_EQ(instance.run.highest_token, 0u) << "no `run` can be on its way";
+}
+
+TEST(CommandSender, KeepsAStartThatWasNotAnswered) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    auto& instance = bench.add_start("j-1", machine);
+    bench.commands.flush_all();
+    bench.answer(std::nullopt);
+    EXPECT_TRUE(machine.tasks.contains({"j-1", 0})) << "it may have arrived, or arrive yet";
+    EXPECT_EQ(instance.run.direct_in_flight, 0);
+    EXPECT_EQ(instance.run.unacknowledged_token, machine.token) << "must be fenced before it is forgotten";
+}
+
+TEST(CommandSender, TakesBackTheDelegationOfAMachineThatItSendsTo) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    bench.delegate("vm-1", "controller-1", bench.timers.now() + 3);
+    bench.add_start("j-1", machine);
+    bench.commands.flush_all();
+    EXPECT_EQ(bench.delegations.count(), 0u) << "the relay would go on giving an answer without commands";
+    EXPECT_DOUBLE_EQ(machine.delegation_expiry, bench.timers.now() + 3);
+}
+
+TEST(CommandSender, HandsOnTheStatusThatAProbeIsAnsweredWith) {
+    Bench bench;
+    auto& machine = bench.add_machine("vm-1");
+    bench.commands.probe(machine);
+    bench.wait(0);
+    ASSERT_THAT(bench.sent, SizeIs(1));
+    EXPECT_THAT(verbs(bench.sent[0].request.body), IsEmpty());
+    bench.answer(answer_of(machine));
+    ASSERT_THAT(bench.statuses, SizeIs(1));
+    EXPECT_EQ(bench.statuses[0].machine, "vm-1");
+    EXPECT_EQ(bench.commands.last_answer_at(), bench.timers.now());
+    EXPECT_FALSE(machine.probing);
+}
+
+TEST(CommandSender, IgnoresTheStatusOfAnotherMachine) {
+    Bench bench;
+    auto& machine = bench.add_machine("vm-1");
+    auto& other = bench.add_machine("vm-2");  // has got the address of a machine that was deleted
+    bench.commands.probe(machine);
+    bench.wait(0);
+    bench.answer(answer_of(other));
+    EXPECT_THAT(bench.statuses, IsEmpty());
+}
+
+TEST(CommandSender, IgnoresAnAnswerAfterTheLeadershipsEnd) {
+    Bench bench;
+    auto& machine = bench.add_machine("vm-1");
+    bench.commands.probe(machine);
+    bench.wait(0);
+    bench.authority->end();
+    bench.answer(answer_of(machine));
+    EXPECT_THAT(bench.statuses, IsEmpty());
+    EXPECT_FALSE(bench.commands.last_answer_at());
+}
+
+TEST(CommandSender, SendsNoQueuedProbeAfterTheLeadershipsEnd) {
+    Bench bench;
+    bench.commands.probe(bench.add_machine("vm-1"));
+    bench.authority->end();
+    bench.wait(0);
+    EXPECT_THAT(bench.sent, IsEmpty());
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -1,6 +1,7 @@
 // A leadership that has just begun, for tests of the leader's parts: an election won at a key-value store in
 // memory, empty state, and the context that every part is given.
 #pragma once
+#include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
 #include <memory>
@@ -16,11 +17,14 @@
 class FakeLeases : public http::Requester {
   public:
     FakeLeases(FakeTimers& timers, http::Requester& store) : timers_(timers), store_(store) {}
+    bool unanswered = false;  // requests for leases are lost from now on
     void send(const std::string& addr, http::Request request, double timeout, http::Result result) override {
-        if (addr.empty() && request.target.starts_with("/holds"))
-            timers_.after(0.01, [result] { result(http::Response{200, R"({"mooring":1})"}); });
-        else
+        if (!addr.empty() || !request.target.starts_with("/holds"))
             store_.send(addr, std::move(request), timeout, std::move(result));
+        else if (unanswered)
+            timers_.after(timeout, [result] { result(std::nullopt); });
+        else
+            timers_.after(0.01, [result] { result(http::Response{200, R"({"mooring":1})"}); });
     }
 
   private:
@@ -37,18 +41,27 @@
         settings.lease_s = 30;
         settings.state_rps = 100;
         settings.state_write_rps = 50;
+        settings.cancel_s = 60;
         settings.cloud_rps = 10;
+        settings.list_lag_s = 10;
+        settings.sockets = 800;
         settings.value_kb = settings.safe_value_kb = 16;
         settings.txn_ops = 24;
         return settings;
     }
-    LeadingFixture() {
+    explicit LeadingFixture(config::Settings given = settings_of_one()) : settings(std::move(given)) {
         spdlog::set_level(spdlog::level::off);
         election.start({[this](std::uint64_t token) { begin(token); }, [] {}});
         wait(5);
     }
     void wait(double seconds) { timers.run_until(timers.now() + seconds); }
     bool leads() const { return authority && authority->holds(); }
+    // The leader's lease expires; the leadership has not ended yet.
+    void lose_authority() {
+        network.unanswered = true;
+        wait(settings.lease_s * settings.op.lease_ratio);
+        ASSERT_FALSE(leads());
+    }
     // Stores a live job, and enters it in the job table as if it had been read.
     jobs::JobEntry& add_job(const std::string& id, std::uint32_t tasks,
                             std::vector<std::string> awaits = {}) {
@@ -69,7 +82,7 @@
     FakeTimers timers;
     FakeKeyValueStore service{timers};
     FakeLeases network{timers, service};
-    config::Settings settings = settings_of_one();
+    config::Settings settings;
     kv::KvClient kv{timers, network, settings};
     election::Election election{timers, kv, settings, 77, 1};
     const std::vector<protocol::MachineType> types{{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a", "b"}}};
--- /dev/null
+++ b/tests/leader/start_replication_test.cpp
@@ -0,0 +1,160 @@
+// StartReplication: a start is sent only once every controller that could lead next knows of it.
+#include "leader/start_replication.hpp"
+
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include "leader/parts_fixture.hpp"
+#include "replication/follower.hpp"
+
+namespace coralhitch::leader {
+namespace {
+using cluster::Machine;
+using testing::ElementsAre;
+using testing::IsEmpty;
+
+constexpr std::uint64_t follower_incarnation = 9;
+const std::string follower_label = "controller-1", follower_addr = "10.1.0.2:7000";
+
+config::Settings settings_with_follower(bool replicates_starts) {
+    auto settings = LeadingFixture::settings_of_one();
+    settings.peers = {{follower_label, "b", follower_addr}};
+    settings.op.standby = replicates_starts;
+    return settings;
+}
+
+struct Bench : PartsFixture {
+    explicit Bench(bool replicates_starts = true) : PartsFixture(settings_with_follower(replicates_starts)) {
+        ping.label = follower_label;
+        ping.incarnation = follower_incarnation;
+        ping.features = protocol::peer_features;
+    }
+    // The follower has taken in all that there is, and the stored record names it.
+    void begin_in_sync() {
+        replication.begin(0, std::nullopt);
+        wait(1);
+        while (batch_waits()) acknowledge();
+        wait(1);
+        while (batch_waits()) acknowledge();
+        ASSERT_EQ(replication.sender().in_sync_count(), 1u);
+    }
+    // Starts the job's only task as Leader does.
+    void start(const std::string& job_id, Machine& machine) {
+        add_start(job_id, machine);
+        replication.replicate_changes();
+        replication.hold(machine.id, {job_id, 0});
+        replication.expedite();
+        replication.release_starts();
+    }
+    bool batch_waits() const { return !sent.empty() && sent.front().addr == follower_addr; }
+    // The follower takes in the batch that waits for its answer.
+    void acknowledge() {
+        ASSERT_TRUE(batch_waits());
+        auto batch = protocol::unpack_peer<protocol::PeerFleet>(sent.front().request.body);
+        ASSERT_TRUE(batch);
+        answer(http::Response{200, protocol::pack_peer(follower.apply(std::move(*batch)))});
+    }
+    // Machines to which a `run` was sent.
+    std::vector<std::string> started_on() {
+        std::vector<std::string> addrs;
+        for (auto& request : sent)
+            if (request.addr != follower_addr &&
+                verbs(request.request.body) == std::vector<std::string>{"run"})
+                addrs.push_back(request.addr);
+        return addrs;
+    }
+    protocol::PeerPing ping;  // the follower's last
+    replication::Follower follower{follower_incarnation};
+    StartReplication replication{*context, network, kv, [this](const std::string&) { return &ping; },
+                                 [this] { commands.flush_all(); }};
+};
+
+TEST(StartReplication, HoldsAStartUntilTheFollowerHasAcknowledgedIt) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    bench.begin_in_sync();
+    bench.start("j-1", machine);
+    EXPECT_THAT(bench.started_on(), IsEmpty());
+    bench.acknowledge();
+    EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
+    auto& rows = bench.follower.replica().machines;
+    ASSERT_TRUE(rows.contains("vm-1"));
+    ASSERT_EQ(rows.at("vm-1").tasks.size(), 1u);
+    EXPECT_EQ(rows.at("vm-1").tasks[0].attempt, first_attempt);
+}
+
+TEST(StartReplication, HoldsOnlyStartsThatTheFollowerLacks) {
+    Bench bench;
+    auto& first = bench.add_reconciled_machine("vm-1");
+    auto& second = bench.add_reconciled_machine("vm-2");
+    bench.begin_in_sync();
+    bench.start("j-1", first);
+    bench.start("j-2", second);  // the batch with the first is under way
+    bench.acknowledge();
+    EXPECT_THAT(bench.started_on(), ElementsAre(first.addr));
+    bench.acknowledge();
+    EXPECT_THAT(bench.started_on(), ElementsAre(first.addr, second.addr));
+}
+
+TEST(StartReplication, HoldsStartsUntilItsRecordHasReplacedThatOfThePreviousLeader) {
+    Bench bench;
+    bench.ping.features = 0;  // nobody can follow
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    bench.service.txn_fates = {FakeKeyValueStore::TxnFate::never_executed};
+    bench.replication.begin(0, std::nullopt);
+    bench.start("j-1", machine);
+    bench.wait(0.5);
+    EXPECT_THAT(bench.started_on(), IsEmpty()) << "whom it names would believe to know all starts";
+    bench.wait(10);
+    ASSERT_TRUE(bench.service.kv.contains(kv::keys::standby));
+    EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
+}
+
+TEST(StartReplication, TakesAFollowerThatDoesNotAnswerOutOfTheRecordBeforeTheStart) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    bench.begin_in_sync();
+    bench.start("j-1", machine);
+    bench.wait(bench.settings.report_s / 5 + 0.01);
+    bench.ping.features = 0;
+    bench.answer(std::nullopt);
+    EXPECT_THAT(bench.started_on(), IsEmpty()) << "the record still names it";
+    bench.wait(1);
+    EXPECT_EQ(bench.service.kv[kv::keys::standby].value["members"].size(), 0u);
+    EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
+}
+
+TEST(StartReplication, HoldsNoStartIfReplicationIsSwitchedOff) {
+    Bench bench(false);
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    bench.replication.begin(0, std::nullopt);
+    bench.start("j-1", machine);
+    EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
+    EXPECT_FALSE(bench.batch_waits());
+}
+
+TEST(StartReplication, TellsTheFollowerWhetherAllThatAMachineMayHoldIsKnown) {
+    Bench bench;
+    bench.add_reconciled_machine("vm-1");
+    bench.add_machine("vm-2");  // stored by an earlier leader, has not reported
+    bench.add_machine("vm-3").life = Machine::Life::booting;
+    bench.begin_in_sync();
+    auto& rows = bench.follower.replica().machines;
+    EXPECT_TRUE(rows.at("vm-1").known);
+    EXPECT_FALSE(rows.at("vm-2").known);
+    EXPECT_FALSE(rows.contains("vm-3")) << "nothing can have been sent to it";
+}
+
+TEST(StartReplication, SendsNoHeldStartAfterTheLeadershipsEnd) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    bench.begin_in_sync();
+    bench.start("j-1", machine);
+    bench.authority->end();
+    bench.acknowledge();
+    EXPECT_THAT(bench.started_on(), IsEmpty());
+    EXPECT_FALSE(machine.tasks.at({"j-1", 0}).replicated);
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
