--- /dev/null
+++ b/tests/leader/heartbeat_handler_test.cpp
@@ -0,0 +1,276 @@
+// HeartbeatHandler: which heartbeats are answered, since an answer renews the worker's lease, and with what.
+#include "leader/heartbeat_handler.hpp"
+
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include "leader/recovery_fixture.hpp"
+
+namespace coralhitch::leader {
+namespace {
+using relay::HeartbeatRejection;
+using testing::ElementsAre;
+using testing::IsEmpty;
+using testing::SizeIs;
+
+const std::string relay_label = "controller-1";
+
+config::Settings settings_without_replication() {
+    auto settings = LeadingFixture::settings_of_one();
+    settings.op.standby = false;
+    return settings;
+}
+
+struct Bench : RecoveryFixture {
+    Bench() : RecoveryFixture(settings_without_replication()) {
+        apply_status = [this](const protocol::Heartbeat& status) {
+            (void)heartbeats().apply(status, cluster::ReportChannel::direct_reply);
+        };
+        on_ready = [this] { heartbeats().handle_early(); };
+    }
+    // Before the jobs are loaded, if `recover` was not called.
+    HeartbeatHandler& heartbeats() {
+        if (!recovery) start_recovery();
+        if (!handler)
+            handler.emplace(*context, rejections,
+                            HeartbeatHandler::Parts{delegations, failure_detector, supervisor, machine_store,
+                                                    instances, commands, start_replication, *recovery},
+                            HeartbeatHandler::Hooks{[this] { ++plans; }, [this] { ++job_stores; }});
+        return *handler;
+    }
+    // The answer to a heartbeat that comes here.
+    http::Response answer_to(const nlohmann::json& status) {
+        http::Response response{0, ""};
+        heartbeats().handle(
+            {status.dump(), [&](http::Response given) { response = std::move(given); }, timers.now()});
+        EXPECT_NE(response.status, 0) << "not answered";
+        return response;
+    }
+    // A message of a relay that carries this heartbeat.
+    protocol::PeerRelay relayed(const nlohmann::json& status) {
+        protocol::PeerRelay message;
+        message.label = relay_label;
+        message.incarnation = 1;
+        message.leader_version = authority->fencing_token();
+        message.number = ++relay_messages;
+        message.reports = {status.dump()};
+        return message;
+    }
+    protocol::PeerRelayAnswer answer_to(const protocol::PeerRelay& message) {
+        http::Response response;
+        heartbeats().handle_relayed(message, [&](http::Response given) { response = std::move(given); });
+        auto relay_answer = protocol::unpack_peer<protocol::PeerRelayAnswer>(response.body);
+        EXPECT_TRUE(relay_answer);
+        return relay_answer.value_or(protocol::PeerRelayAnswer{});
+    }
+    std::uint64_t rejected(HeartbeatRejection reason) const { return rejections.count(reason); }
+
+    int job_stores = 0;
+    std::uint64_t relay_messages = 0;
+    relay::HeartbeatRejections rejections{timers, 60};
+    StartReplication start_replication{
+        *context, network, kv, [](const std::string&) -> const protocol::PeerPing* { return nullptr; },
+        [this] { commands.flush_all(); }};
+    MachineSupervisor supervisor{
+        *context,
+        metrics,
+        types,
+        {failure_detector, reconciliation, delegations, instances, commands, deletion},
+        {[](const std::map<std::string, double>&) { return std::nullopt; }, [] { return false; }, [] {}}};
+    std::optional<HeartbeatHandler> handler;
+};
+
+// The jobs are loaded and one machine has reconciled.
+struct LoadedBench : Bench {
+    LoadedBench() {
+        recover();
+        wait(1);
+    }
+    cluster::Machine& machine = add_reconciled_machine("vm-1");
+};
+
+TEST(HeartbeatHandler, RenewsTheLeaseOfAMachineThatReports) {
+    LoadedBench bench;
+    auto response = bench.answer_to(status_of(bench.machine, 2));
+    EXPECT_EQ(response.status, 200);
+    EXPECT_EQ(nlohmann::json::parse(response.body)["helm"], bench.machine.token);
+    EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, bench.timers.now());
+}
+
+TEST(HeartbeatHandler, AnswersEarlyHeartbeatsOnceTheJobsAreLoaded) {
+    Bench bench;
+    auto& machine = bench.add_reconciled_machine("vm-1");
+    int status = 0;
+    bench.heartbeats().handle({status_of(machine, 2).dump(),
+                               [&](const http::Response& response) { status = response.status; },
+                               bench.timers.now()});
+    EXPECT_EQ(status, 0);
+    bench.wait(1);
+    EXPECT_EQ(status, 200);
+}
+
+TEST(HeartbeatHandler, RenewsLeasesUntilTheDeadlineAfterItsAuthorityAndNotBeyond) {
+    LoadedBench bench;
+    bench.lose_authority();
+    EXPECT_EQ(bench.answer_to(status_of(bench.machine, 2)).status, 200);
+    bench.timers.run_until(bench.authority->lease_renewal_deadline() + 0.01);
+    double renewed_at = bench.machine.lease_renewed_at;
+    EXPECT_EQ(bench.answer_to(status_of(bench.machine, 3)).status, 503);
+    EXPECT_EQ(bench.rejected(HeartbeatRejection::renewal_deadline_passed), 1u);
+    EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, renewed_at);
+}
+
+TEST(HeartbeatHandler, AnswersNoHeartbeatAfterTheLeadershipsEnd) {
+    LoadedBench bench;
+    double renewed_at = bench.machine.lease_renewed_at;
+    bench.authority->end();
+    EXPECT_EQ(bench.answer_to(status_of(bench.machine, 2)).status, 503);
+    EXPECT_EQ(bench.rejected(HeartbeatRejection::lease_lost), 1u);
+    EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, renewed_at);
+}
+
+TEST(HeartbeatHandler, GivesNoStartWithoutAuthority) {
+    for (bool has_authority : {true, false}) {
+        LoadedBench bench;
+        auto& instance = bench.add_start("j-1", bench.machine);
+        instance.run.highest_token = bench.machine.token;  // sent directly; it may not have arrived
+        if (!has_authority) bench.lose_authority();
+        auto response = bench.answer_to(status_of(bench.machine, 2));
+        ASSERT_EQ(response.status, 200);
+        EXPECT_THAT(verbs(response.body), SizeIs(has_authority ? 1 : 0));
+    }
+}
+
+TEST(HeartbeatHandler, StepsDownWhenAWorkerShowsTheTokenOfALaterLeader) {
+    LoadedBench bench;
+    auto status = status_of(bench.machine, 2);
+    status["helm"] = (bench.authority->fencing_token() + 1) << cluster::ClusterState::token_bits;
+    EXPECT_EQ(bench.answer_to(status).status, 503);
+    bench.wait(0);
+    EXPECT_FALSE(bench.leads());
+}
+
+TEST(HeartbeatHandler, RefusesAMachineThatIsDeleted) {
+    LoadedBench bench;
+    auto status = status_of(bench.machine, 2);
+    (void)bench.state->cluster.remove_deleted("vm-1");
+    EXPECT_EQ(bench.answer_to(status).status, 503);
+    EXPECT_EQ(bench.rejected(HeartbeatRejection::outdated), 1u);
+}
+
+TEST(HeartbeatHandler, RenewsNothingForACopyOfTheLastHeartbeat) {
+    LoadedBench bench;
+    auto status = status_of(bench.machine, 2);
+    ASSERT_EQ(bench.answer_to(status).status, 200);
+    double renewed_at = bench.machine.lease_renewed_at;
+    bench.wait(2);
+    EXPECT_EQ(bench.answer_to(status).status, 200) << "its worker may wait";
+    EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, renewed_at);
+}
+
+TEST(HeartbeatHandler, RefusesAMachineThatMayRunACancelledTaskThatNoStopHasReached) {
+    LoadedBench bench;
+    auto& instance = bench.add_start("j-1", bench.machine);
+    instance.run.highest_token = bench.machine.token;
+    auto unaware = status_of(bench.machine, 2);  // under the token of that `run`
+    double deadline = bench.timers.now() + 1;
+    bench.state->cluster.cancel(bench.machine, {"j-1", 0}, deadline);
+    EXPECT_EQ(bench.answer_to(unaware).status, 200);
+    bench.timers.run_until(deadline + 0.01);
+    unaware["tally"] = 3;
+    EXPECT_EQ(bench.answer_to(unaware).status, 503);
+    EXPECT_EQ(bench.rejected(HeartbeatRejection::cancellation_unsent), 1u);
+    unaware["tally"] = 4;
+    unaware["helm"] = bench.machine.token;  // the one that fences the `run`
+    EXPECT_EQ(bench.answer_to(unaware).status, 200);
+}
+
+TEST(HeartbeatHandler, StopsATaskOfAJobThatIsOver) {
+    LoadedBench bench;
+    auto status = status_of(bench.machine, 2);
+    status["shards"] = {running_task("j-over", 3)};
+    auto response = bench.answer_to(status);
+    ASSERT_EQ(response.status, 200);
+    EXPECT_THAT(verbs(response.body), ElementsAre("kill"));
+}
+
+TEST(HeartbeatHandler, StopsTheOrphanedAttemptOfATaskThatRunsElsewhere) {
+    LoadedBench bench;
+    bench.add_running_task("j-1", bench.add_reconciled_machine("vm-2"));
+    auto status = status_of(bench.machine, 2);
+    status["shards"] = {running_task("j-1", first_attempt - 1)};
+    auto response = bench.answer_to(status);
+    ASSERT_EQ(response.status, 200);
+    EXPECT_THAT(verbs(response.body), ElementsAre("kill"));
+    auto order = nlohmann::json::parse(response.body)["orders"][0];
+    EXPECT_EQ(order["launch"], first_attempt - 1);
+    EXPECT_EQ(bench.state->jobs.find("j-1")->active.at(0).machine, "vm-2");
+}
+
+TEST(HeartbeatHandler, RepeatsItsAnswerWhileNothingIsPending) {
+    LoadedBench bench;
+    auto first = bench.answer_to(status_of(bench.machine, 2));
+    bench.wait(2);
+    auto second = bench.answer_to(status_of(bench.machine, 3));
+    EXPECT_EQ(second.status, 200);
+    EXPECT_EQ(second.body, first.body);
+    EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, bench.timers.now());
+    auto& instance = bench.add_running_task("j-1", bench.machine);
+    instance.stop_requested = true;
+    auto with_stop = status_of(bench.machine, 4);
+    EXPECT_NE(bench.answer_to(with_stop).body, first.body) << "a command is due";
+}
+
+TEST(HeartbeatHandler, RefusesAMachineThatItsAnswersDoNotReachUntilItHasReconciled) {
+    Bench bench;
+    bench.store_machine("vm-1");
+    bench.recover();
+    auto& machine = *bench.state->cluster.find("vm-1");
+    bench.timers.run_until(machine.lease_renewed_at + 1);
+    for (int change = 0; change < 2; ++change)
+        machine.reachability.record_heartbeat(false, bench.timers.now());
+    auto status = status_of(machine, 2);
+    status["helm"] = 0;
+    double renewed_at = machine.lease_renewed_at;
+    EXPECT_EQ(bench.answer_to(status).status, 503);
+    EXPECT_EQ(bench.rejected(HeartbeatRejection::outbound_unreachable), 1u);
+    EXPECT_DOUBLE_EQ(machine.lease_renewed_at, renewed_at) << "else its lease would never expire";
+}
+
+TEST(HeartbeatHandler, DelegatesAQuietMachineToItsRelayNoLongerThanLeasesMayBeRenewed) {
+    LoadedBench bench;
+    bench.lose_authority();
+    bench.timers.run_until(bench.authority->lease_renewal_deadline() - 1);
+    auto relay_answer = bench.answer_to(bench.relayed(status_of(bench.machine, 2)));
+    ASSERT_THAT(relay_answer.answers, SizeIs(1));
+    EXPECT_EQ(relay_answer.answers[0].status, 200);
+    EXPECT_EQ(bench.delegations.count(), 1u);
+    EXPECT_LE(relay_answer.grant_ms, 1000u);
+    double granted_until = bench.timers.now() + static_cast<double>(relay_answer.grant_ms) / 1000;
+    EXPECT_GE(bench.delegations.last_possible_renewal(bench.machine), granted_until);
+}
+
+TEST(HeartbeatHandler, DelegatesNoMachineForWhichACommandIsDue) {
+    LoadedBench bench;
+    bench.add_running_task("j-1", bench.machine).stop_requested = true;
+    bench.commands.flush_all();  // sent directly, it may not have arrived
+    auto status = status_of(bench.machine, 2);
+    status["shards"] = {running_task("j-1", first_attempt)};
+    auto relay_answer = bench.answer_to(bench.relayed(status));
+    ASSERT_THAT(relay_answer.answers, SizeIs(1));
+    EXPECT_THAT(verbs(relay_answer.answers[0].body), ElementsAre("kill"));
+    EXPECT_EQ(bench.delegations.count(), 0u);
+}
+
+TEST(HeartbeatHandler, TakesNothingThatIsMeantForAnotherLeadership) {
+    LoadedBench bench;
+    auto message = bench.relayed(status_of(bench.machine, 2));
+    ++message.leader_version;
+    auto relay_answer = bench.answer_to(message);
+    EXPECT_FALSE(relay_answer.leads);
+    EXPECT_THAT(relay_answer.answers, IsEmpty());
+    EXPECT_EQ(bench.machine.sequence, 1u);
+}
+
+}  // namespace
+}  // namespace coralhitch::leader
--- /dev/null
+++ b/tests/leader/recovery_fixture.hpp
@@ -0,0 +1,74 @@
+// A leadership whose Recovery loads what a test has stored.
+#pragma once
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "leader/parts_fixture.hpp"
+#include "leader/recovery.hpp"
+
+namespace coralhitch::leader {
+
+struct RecoveryFixture : PartsFixture {
+    static constexpr std::uint64_t own_incarnation = 77;
+
+    explicit RecoveryFixture(config::Settings given = settings_of_one()) : PartsFixture(std::move(given)) {}
+
+    // Stores the machine as an earlier leader did.
+    void store_machine(const std::string& id, bool marked_for_deletion = false) {
+        page.emplace_back(id, protocol::MachineRecord{addr_of(id), "g4", "a", false, marked_for_deletion});
+        service.kv[kv::keys::machine_page(0)] = {nlohmann::json::parse(protocol::stored(page)),
+                                                 ++service.revision};
+    }
+    // To be called once; loads everything.
+    void recover() {
+        start_recovery();
+        wait(1);
+        ASSERT_TRUE(recovery->loaded());
+    }
+    void start_recovery() {
+        replication::ReplicaEvidence evidence;
+        evidence.label = settings.label;
+        evidence.incarnation = own_incarnation;
+        evidence.leader_version = authority->fencing_token();
+        evidence.chain = history;
+        evidence.replica = &replica;
+        recovery.emplace(
+            *context, kv, evidence,
+            Recovery::Parts{failure_detector, reconciliation, instances, commands, machine_store, stale_keys},
+            Recovery::Inheritance{images, replica, silent_machine_s}, hooks());
+        recovery->start();
+    }
+    Recovery::Hooks hooks() {
+        return {[this](const std::string& job_id, std::uint64_t version, const std::string& record) {
+                    state->jobs.put(job_id, version, protocol::parse_job_record(record));
+                },
+                [this](const failover::RecoveredState& stored) { inherits = stored.replica_eligible; },
+                [this] { jobs_loaded = true; },
+                [this] {
+                    if (on_ready) on_ready();
+                },
+                [this] { ++plans; }};
+    }
+    // The machine reports under this leader's token.
+    void report(const std::string& machine_id) {
+        auto& machine = *state->cluster.find(machine_id);
+        auto status = protocol::HeartbeatReader().read(status_of(machine, machine.sequence + 1).dump());
+        (void)state->cluster.apply_heartbeat(status, cluster::ReportChannel::heartbeat, timers.now(),
+                                             [](const std::string&) { return nullptr; });
+    }
+
+    protocol::MachinePage page;
+    protocol::PeerImages images;
+    replication::ReplicaState replica;
+    election::LeadershipHistory history;  // known before the claim
+    std::map<std::string, double> silent_machine_s;
+    std::optional<bool> inherits;  // whether the replica was taken for proof
+    bool jobs_loaded = false;
+    std::function<void()> on_ready;
+    StaleKeyRemover stale_keys{*context, kv};
+    std::optional<Recovery> recovery;
+};
+
+}  // namespace coralhitch::leader
