--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -6,6 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "support/fake_timers.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::api {
 namespace {
@@ -67,15 +68,8 @@
 struct Fixture {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings = [] {
-        config::Settings s;
-        s.nodes = 3;
-        s.report_s = 3;
-        s.lease_s = 24;
-        s.state_rps = 200;
-        s.state_write_rps = 40;
-        return s;
-    }();
+    config::Settings settings =
+        settings_of({.nodes = 3, .report_s = 3, .lease_s = 24, .state_rps = 200, .state_write_rps = 40});
     kv::KvClient client{timers, service, settings};
     LiveJobs live{timers, client, settings};
     std::vector<std::string> answers;
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -10,6 +10,7 @@
 #include "kv/keys.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::api {
 namespace keys = kv::keys;
@@ -47,19 +48,8 @@
 struct UserApiCluster {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings = [] {
-        config::Settings s;
-        s.nodes = 3;
-        s.report_s = 5;
-        s.lease_s = 31;
-        s.state_rps = 250;
-        s.state_write_rps = 50;
-        s.value_kb = s.safe_value_kb = 16;
-        s.txn_ops = 24;
-        s.memory_mb = 100;
-        s.teams = {{"t1"}, {"t2"}};
-        return s;
-    }();
+    config::Settings settings =
+        settings_of({.nodes = 3, .report_s = 5, .lease_s = 31, .state_rps = 250, .memory_mb = 100});
     FakeCluster cluster;
     struct Node {
         kv::KvClient client;
@@ -71,6 +61,7 @@
     std::vector<std::unique_ptr<Answer>> answers;
 
     UserApiCluster() {
+        settings.teams = {{"t1"}, {"t2"}};
         for (int k = 0; k < 3; ++k) nodes.push_back(std::make_unique<Node>(*this));
     }
     UserApi& at(std::size_t node) { return nodes[node]->users; }
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -6,20 +6,12 @@
 
 #include "kv/keys.hpp"
 #include "support/fake_key_value_store.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::leader {
 namespace {
 
 struct Bench {
-    static config::Settings settings_of_one() {
-        config::Settings s;
-        s.report_s = 3;
-        s.state_rps = 100;
-        s.state_write_rps = 50;
-        s.value_kb = s.safe_value_kb = 16;
-        s.txn_ops = 24;
-        return s;
-    }
     Bench() {
         spdlog::set_level(spdlog::level::off);
         claim();
@@ -38,7 +30,7 @@
     }
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings = settings_of_one();
+    config::Settings settings = settings_of({.report_s = 3});
     kv::KvClient client{timers, service, settings};
     std::uint64_t version = 0;
     bool authority = true;
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -10,6 +10,7 @@
 #include "kv/keys.hpp"
 #include "leader/part_context.hpp"
 #include "support/fake_key_value_store.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::leader {
 
@@ -34,19 +35,12 @@
 
 struct LeadingFixture {
     static config::Settings settings_of_one() {
-        config::Settings settings;
+        auto settings = settings_of({.report_s = 3, .lease_s = 30, .cancel_s = 60});
         settings.label = "controller-0";
         settings.cloud_addr = "cloud";
-        settings.report_s = 3;
-        settings.lease_s = 30;
-        settings.state_rps = 100;
-        settings.state_write_rps = 50;
-        settings.cancel_s = 60;
         settings.cloud_rps = 10;
         settings.list_lag_s = 10;
         settings.sockets = 800;
-        settings.value_kb = settings.safe_value_kb = 16;
-        settings.txn_ops = 24;
         return settings;
     }
     explicit LeadingFixture(config::Settings given = settings_of_one()) : settings(std::move(given)) {
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -6,6 +6,7 @@
 #include <set>
 
 #include "support/fake_timers.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::relay {
 namespace {
@@ -27,16 +28,10 @@
     }
 };
 struct NoticesFixture {
+    NoticesFixture() { settings.peers = {{"berth-1", "a", "one"}, {"berth-2", "b", "two"}}; }
     FakeTimers timers;
     Peers peers{timers};
-    config::Settings settings = [] {
-        config::Settings s;
-        s.report_s = 3;
-        s.cancel_s = 44;
-        s.memory_mb = 1;
-        s.peers = {{"berth-1", "a", "one"}, {"berth-2", "b", "two"}};
-        return s;
-    }();
+    config::Settings settings = settings_of({.report_s = 3, .cancel_s = 44, .memory_mb = 1});
     std::uint64_t leadership = 5;
     CancellationNotices notices{timers, peers, settings, [this] { return leadership; }};
 };
--- /dev/null
+++ b/tests/support/test_settings.hpp
@@ -0,0 +1,31 @@
+// The platform's settings for tests of single classes. A test names what its figures depend on; the rest is a
+// small key-value store that is never short of anything.
+#pragma once
+#include <cstdint>
+
+#include "config/settings.hpp"
+
+namespace coralhitch {
+
+struct TestPlatform {
+    std::uint32_t nodes = 1;
+    double report_s = 0, lease_s = 0, cancel_s = 0;
+    double state_rps = 100, state_write_rps = 50;
+    double memory_mb = 0;
+};
+
+inline config::Settings settings_of(const TestPlatform& platform) {
+    config::Settings settings;
+    settings.nodes = platform.nodes;
+    settings.report_s = platform.report_s;
+    settings.lease_s = platform.lease_s;
+    settings.cancel_s = platform.cancel_s;
+    settings.state_rps = platform.state_rps;
+    settings.state_write_rps = platform.state_write_rps;
+    settings.value_kb = settings.safe_value_kb = 16;
+    settings.txn_ops = 24;
+    settings.memory_mb = platform.memory_mb;
+    return settings;
+}
+
+}  // namespace coralhitch
