--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -5,6 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
+#include "protocol/model.hpp"
 #include "support/fake_timers.hpp"
 #include "support/test_settings.hpp"
 
@@ -68,8 +69,8 @@
 struct Fixture {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings =
-        settings_of({.nodes = 3, .report_s = 3, .lease_s = 24, .state_rps = 200, .state_write_rps = 40});
+    config::Settings settings = settings_of(
+        {.nodes = 3, .heartbeat_interval_s = 3, .lease_s = 24, .kv_rps = 200, .kv_write_rps = 40});
     kv::KvClient client{timers, service, settings};
     LiveJobs live{timers, client, settings};
     std::vector<std::string> answers;
@@ -236,7 +237,7 @@
     }
     f.timers.run_until(5);
     EXPECT_EQ(f.answers, std::vector<std::string>(1000, "live"));
-    EXPECT_LE(f.service.requests, 1 / (f.settings.report_s / 60) + 2);
+    EXPECT_LE(f.service.requests, 1 / (f.settings.heartbeat_interval_s / 60) + 2);
 }
 
 // A long chain and a wide join cost no stack and little time.
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -5,6 +5,7 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/keys.hpp"
+#include "protocol/kv_api.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/test_settings.hpp"
 
@@ -30,7 +31,7 @@
     }
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings = settings_of({.report_s = 3});
+    config::Settings settings = settings_of({.heartbeat_interval_s = 3});
     kv::KvClient client{timers, service, settings};
     std::uint64_t version = 0;
     bool authority = true;
