--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -7,6 +7,7 @@
 
 #include "protocol/model.hpp"
 #include "support/fake_timers.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::api {
 namespace {
@@ -68,15 +69,8 @@
 struct Fixture {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings = [] {
-        config::Settings s;
-        s.nodes = 3;
-        s.heartbeat_interval_s = 3;
-        s.lease_s = 24;
-        s.kv_rps = 200;
-        s.kv_write_rps = 40;
-        return s;
-    }();
+    config::Settings settings = settings_of(
+        {.nodes = 3, .heartbeat_interval_s = 3, .lease_s = 24, .kv_rps = 200, .kv_write_rps = 40});
     kv::KvClient client{timers, service, settings};
     LiveJobs live{timers, client, settings};
     std::vector<std::string> answers;
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -7,20 +7,12 @@
 #include "kv/keys.hpp"
 #include "protocol/kv_api.hpp"
 #include "support/fake_key_value_store.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::leader {
 namespace {
 
 struct Bench {
-    static config::Settings settings_of_one() {
-        config::Settings s;
-        s.heartbeat_interval_s = 3;
-        s.kv_rps = 100;
-        s.kv_write_rps = 50;
-        s.value_kb = s.safe_value_kb = 16;
-        s.txn_ops = 24;
-        return s;
-    }
     Bench() {
         spdlog::set_level(spdlog::level::off);
         claim();
@@ -39,7 +31,7 @@
     }
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings = settings_of_one();
+    config::Settings settings = settings_of({.heartbeat_interval_s = 3});
     kv::KvClient client{timers, service, settings};
     std::uint64_t version = 0;
     bool authority = true;
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -8,6 +8,7 @@
 #include "protocol/peer_cancellation_messages.hpp"
 #include "protocol/peer_messages.hpp"
 #include "support/fake_timers.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::relay {
 namespace {
@@ -29,16 +30,10 @@
     }
 };
 struct NoticesFixture {
+    NoticesFixture() { settings.peers = {{"berth-1", "a", "one"}, {"berth-2", "b", "two"}}; }
     FakeTimers timers;
     Peers peers{timers};
-    config::Settings settings = [] {
-        config::Settings s;
-        s.heartbeat_interval_s = 3;
-        s.cancel_s = 44;
-        s.memory_mb = 1;
-        s.peers = {{"berth-1", "a", "one"}, {"berth-2", "b", "two"}};
-        return s;
-    }();
+    config::Settings settings = settings_of({.heartbeat_interval_s = 3, .cancel_s = 44, .memory_mb = 1});
     std::uint64_t leadership = 5;
     CancellationNotices notices{timers, peers, settings, [this] { return leadership; }};
 };
