--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -165,7 +165,7 @@
     see_token(*orders.token);
     execute(orders.commands);
 }
-void HollowWorker::see_token(std::uint64_t token) {
+void HollowWorker::see_token(protocol::FencingToken token) {
     if (token <= token_) return;
     token_ = token;
     double now = site_.loop().now();
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -63,7 +63,7 @@
     void next_controller();
     std::string report();
     void changed();
-    void see_token(std::uint64_t token);
+    void see_token(protocol::FencingToken token);
     void arm_lease();
     void check_lease();
     // Commands
@@ -81,7 +81,8 @@
     WorkerSite& site_;
     protocol::Host host_;
     bool silent_ = false;
-    std::uint64_t session_ = 1, sequence_ = 0, token_ = 0;
+    std::uint64_t session_ = 1, sequence_ = 0;
+    protocol::FencingToken token_;
     std::map<Key, Task> tasks_;
     std::size_t present_ = 0;
     std::map<std::string, std::pair<double, double>> images_;  // name -> there from, GB
--- a/scale/outside.hpp
+++ b/scale/outside.hpp
@@ -16,7 +16,8 @@
 // Workers
 std::string report_body(const protocol::Heartbeat& report);
 struct Orders {
-    std::optional<std::uint64_t> token, agent_epoch;
+    std::optional<protocol::FencingToken> token;
+    std::optional<std::uint64_t> agent_epoch;
     std::vector<protocol::Command> commands;
 };
 Orders parse_orders(std::string_view body);  // an answer to a report, or direct commands
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -114,7 +114,7 @@
                                            std::uint64_t attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.ever_reported = true;
-    instance.run.highest_token = tokens_.base() - 1;  // of any `run` that may still be on its way
+    instance.run.highest_token = tokens_.highest_before();  // of any `run` that may still be on its way
     return instance;
 }
 
@@ -155,7 +155,7 @@
 }
 
 void ClusterState::complete_direct_commands(Machine& machine, const std::vector<protocol::Command>& commands,
-                                            std::uint64_t token, bool answered) {
+                                            protocol::FencingToken token, bool answered) {
     commands_.complete_direct(machine, commands, token, answered);
 }
 
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -79,7 +79,7 @@
     std::vector<protocol::Command> reply_commands(Machine& machine, double now, bool authority);
     std::vector<protocol::Command> take_direct_commands(Machine& machine, double now, bool authority);
     void complete_direct_commands(Machine& machine, const std::vector<protocol::Command>& commands,
-                                  std::uint64_t token, bool answered);
+                                  protocol::FencingToken token, bool answered);
     bool nothing_pending(const Machine& machine) const { return cluster::nothing_pending(machine); }
     bool may_renew_lease(const Machine& machine, double now) const {
         return cluster::may_renew_lease(machine, now);
@@ -96,7 +96,7 @@
     void hold_starts_until_replicated() { hold_starts_ = true; }
 
     // --- Tokens, pools, images ---
-    std::uint64_t base_token() const { return tokens_.base(); }
+    protocol::FencingToken base_token() const { return tokens_.base(); }
     bool tokens_nearly_exhausted() const { return tokens_.nearly_exhausted(); }
     const std::vector<protocol::Pool>& pools() const { return pools_.pools(); }
     std::size_t zone_count() const { return pools_.zone_count(); }
--- a/src/cluster/fencing_tokens.hpp
+++ b/src/cluster/fencing_tokens.hpp
@@ -20,21 +20,31 @@
         : base_(leadership_version << token_bits), highest_(base_) {}
 
     // The lowest token of this leadership.
-    std::uint64_t base() const { return base_; }
+    protocol::FencingToken base() const { return base_; }
+    // No earlier leadership has used a higher one.
+    protocol::FencingToken highest_before() const { return protocol::FencingToken{base_.value() - 1}; }
+    // The version of the leader's key of the leadership that has used the token.
+    static std::uint64_t leadership_version(protocol::FencingToken token) {
+        return token.value() >> token_bits;
+    }
     // Whoever shows this token has had a message of this leader, or of a later one.
-    bool since_leadership_began(std::uint64_t token) const { return token >= base_; }
-    bool of_later_leadership(std::uint64_t token) const { return token >= base_ + tokens_per_leadership; }
+    bool since_leadership_began(protocol::FencingToken token) const { return token >= base_; }
+    bool of_later_leadership(protocol::FencingToken token) const {
+        return token.value() >= base_.value() + tokens_per_leadership;
+    }
     // Commands to the machine carry a token above this one from now on.
-    void raise(Machine& machine, std::uint64_t above) {
+    void raise(Machine& machine, protocol::FencingToken above) {
         if (machine.token > above) return;
-        machine.token = above + 1;
+        machine.token = above.next();
         highest_ = std::max(highest_, machine.token);
     }
     // A machine's token comes near to where a later leadership's may begin: this one must end before that.
-    bool nearly_exhausted() const { return highest_ - base_ >= tokens_per_leadership - spare_tokens; }
+    bool nearly_exhausted() const {
+        return highest_.value() - base_.value() >= tokens_per_leadership - spare_tokens;
+    }
 
   private:
-    std::uint64_t base_, highest_;
+    protocol::FencingToken base_, highest_;
 };
 
 }  // namespace coralhitch::cluster
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -145,7 +145,7 @@
 void HeartbeatApplication::terminate_unreported(const std::set<protocol::TaskId>& reported) {
     for (auto it = machine_.tasks.begin(); it != machine_.tasks.end();) {
         auto& instance = it->second;
-        bool never_sent = !instance.ever_reported && instance.run.highest_token == 0;
+        bool never_sent = !instance.ever_reported && !instance.run.highest_token.is_set();
         instance.in_last_heartbeat = reported.contains(it->first);
         if (instance.in_last_heartbeat || (never_sent && !instance.stop_requested)) {
             ++it;
--- a/src/cluster/instance.hpp
+++ b/src/cluster/instance.hpp
@@ -19,10 +19,10 @@
 
 // How far the `run` commands for one attempt have got, as far as the leader can know.
 struct RunDelivery {
-    std::uint64_t highest_token = 0;         // that a `run` was sent under; 0: none was sent
-    std::uint64_t unacknowledged_token = 0;  // highest token of a direct `run` that got no answer
-    std::uint64_t reply_sequence = 0;        // the heartbeat whose reply carried the last `run`
-    int direct_in_flight = 0;                // direct `run`s that are neither answered nor timed out
+    protocol::FencingToken highest_token;         // that a `run` was sent under; none: none was sent
+    protocol::FencingToken unacknowledged_token;  // highest token of a direct `run` that got no answer
+    std::uint64_t reply_sequence = 0;             // the heartbeat whose reply carried the last `run`
+    int direct_in_flight = 0;                     // direct `run`s that are neither answered nor timed out
 };
 
 struct Instance {
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -50,7 +50,7 @@
     std::uint64_t agent_epoch = 0;              // 0: never reported
     std::uint64_t sequence = 0;                 // of the newest report, heartbeat or direct reply
     std::uint64_t heartbeat_sequence = 0;       // of the newest heartbeat
-    std::uint64_t token_seen = 0;               // highest fencing token that the agent has shown
+    protocol::FencingToken token_seen;          // highest fencing token that the agent has shown
     std::optional<double> preemption_deadline;  // end of the preemption notice; empty: no notice
     std::string route;                   // controller that its last heartbeat came through; empty: the leader
     bool heartbeat_route_known = false;  // a heartbeat came, so `route` says by which way
@@ -59,7 +59,7 @@
     ImageCache image_cache;
 
     // --- Leader's dealings with it ---
-    std::uint64_t token = 0;  // fencing token of commands and replies to it
+    protocol::FencingToken token;  // fencing token of commands and replies to it
     double created_at = 0, last_heartbeat_at = 0, idle_since = 0;
     double last_probe_at = -1;                    // before all time: never probed
     std::optional<double> first_probed_at;        // by this leader
--- a/src/cluster/machine_commands.cpp
+++ b/src/cluster/machine_commands.cpp
@@ -64,7 +64,7 @@
         if (must_be_stopped(instance)) {
             append_stop(commands, task, instance, now);
         } else if (!instance.ever_reported && instance.machine_stored && may_start &&
-                   instance.run.highest_token > 0) {
+                   instance.run.highest_token.is_set()) {
             // It was sent directly, and may not have arrived.
             commands.push_back({CommandKind::start, task, instance.attempt, 0});
             instance.run.highest_token = machine.token;
@@ -87,7 +87,7 @@
             direct.commands.push_back({CommandKind::stop, task, instance.attempt, instance.grace_s});
             instance.stop_sent_at = now;
         } else if (instance.spec && instance.machine_stored && instance.replicated &&
-                   !instance.ever_reported && instance.run.highest_token == 0) {
+                   !instance.ever_reported && !instance.run.highest_token.is_set()) {
             if (!may_start) {
                 direct.starts_held_back = true;
                 continue;
@@ -101,7 +101,7 @@
 }
 
 void MachineCommands::complete_direct(Machine& machine, const std::vector<Command>& commands,
-                                      std::uint64_t token, bool answered) {
+                                      protocol::FencingToken token, bool answered) {
     auto complete = [&](RunDelivery& run) {
         --run.direct_in_flight;
         if (!answered) run.unacknowledged_token = std::max(run.unacknowledged_token, token);
--- a/src/cluster/machine_commands.hpp
+++ b/src/cluster/machine_commands.hpp
@@ -27,7 +27,7 @@
     // What became of direct commands that were sent under this token. `answered`: executed or refused by the
     // agent; one without an answer may still arrive, minutes later.
     void complete_direct(Machine& machine, const std::vector<protocol::Command>& commands,
-                         std::uint64_t token, bool answered);
+                         protocol::FencingToken token, bool answered);
     // Requests a stop; the grace of one that is requested already may only be shortened. Returns whether
     // anything changed.
     bool request_stop(Machine& machine, const protocol::TaskId& task, double grace_s);
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -52,7 +52,7 @@
     struct SentCommands {
         std::string machine_id;
         std::vector<protocol::Command> commands;  // none: a probe
-        std::uint64_t token = 0;
+        protocol::FencingToken token;
     };
     [[nodiscard]] double now() const { return timers_.now(); }
     void flush_some();
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -202,7 +202,7 @@
                                                   cluster::ReportChannel via) {
     auto outcome = apply_to_state(status, via);
     if (outcome.is_deposed()) {
-        auto fencing_token = status.token >> cluster::ClusterState::token_bits;
+        auto fencing_token = cluster::FencingTokens::leadership_version(status.token);
         spdlog::info("component=leader event=deposed_by_heartbeat machine={} fencing_token={}",
                      status.machine, fencing_token);
         // Not from within what the worker's message set off: this object would be gone before it is done.
--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -48,12 +48,12 @@
     if (ec != std::errc() || o.machine.find('\\') != std::string_view::npos) return std::nullopt;
     return o;
 }
-std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands) {
-    return R"({"helm":)" + std::to_string(token) + R"(,"orders":)" + orders(commands) + '}';
+std::string heartbeat_response(FencingToken token, std::span<const Command> commands) {
+    return R"({"helm":)" + std::to_string(token.value()) + R"(,"orders":)" + orders(commands) + '}';
 }
-std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
+std::string direct_commands(FencingToken token, std::uint64_t agent_epoch,
                             std::span<const Command> commands) {
-    return R"({"helm":)" + std::to_string(token) + R"(,"watch":)" + std::to_string(agent_epoch) +
+    return R"({"helm":)" + std::to_string(token.value()) + R"(,"watch":)" + std::to_string(agent_epoch) +
            R"(,"orders":)" + orders(commands) + '}';
 }
 std::string heartbeat_redirect(std::string_view label) {
--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -54,11 +54,10 @@
 std::optional<HeartbeatOutline> outline_heartbeat(std::string_view body);
 
 // The body of a 200 to a heartbeat. `token`: the fencing token.
-std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands);
+std::string heartbeat_response(FencingToken token, std::span<const Command> commands);
 // The body of a 421: report to that controller instead; an empty label if none is known.
 std::string heartbeat_redirect(std::string_view label);
 // The body of commands that are sent to a machine's own address.
-std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
-                            std::span<const Command> commands);
+std::string direct_commands(FencingToken token, std::uint64_t agent_epoch, std::span<const Command> commands);
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -53,7 +53,7 @@
     r.spot = reader::flag(o, "driftwood");
     r.agent_epoch = reader::count(o, "watch");
     r.sequence = reader::count(o, "tally");
-    r.token = reader::count(o, "helm");
+    r.token = FencingToken{reader::count(o, "helm")};
     element e;
     if (reader::find(o, "warning_s", e)) {
         double s = 0;
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -8,6 +8,8 @@
 #include <utility>
 #include <vector>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::protocol {
 
 enum class JobKind { array, gang, service };
@@ -77,7 +79,8 @@
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
-    std::uint64_t agent_epoch = 0, sequence = 0, token = 0;
+    std::uint64_t agent_epoch = 0, sequence = 0;
+    FencingToken token;
     std::optional<double> preemption_notice_s;
     std::vector<TaskStatus> tasks;
 };
--- /dev/null
+++ b/src/protocol/strong_number.hpp
@@ -0,0 +1,64 @@
+// An integer that can't be taken for an integer of another meaning: comparing a fencing token with a sequence
+// number, or passing one for the other, does not compile.
+#pragma once
+#include <fmt/core.h>
+
+#include <compare>
+#include <cstdint>
+#include <functional>
+#include <ostream>
+
+namespace coralhitch::protocol {
+
+// `Tag` makes the types differ; it need not be defined. On the wire, in stored records and in logs the number
+// looks as the bare integer does.
+template <class Tag>
+class StrongNumber {
+  public:
+    constexpr StrongNumber() = default;
+    constexpr explicit StrongNumber(std::uint64_t value) : value_(value) {}
+
+    // Zero, which stands for "never" or "not known" wherever these numbers are sent or stored.
+    static constexpr StrongNumber none() { return {}; }
+    [[nodiscard]] constexpr bool is_set() const { return value_ != 0; }
+
+    // For the edges, where bytes and text are read and written.
+    [[nodiscard]] constexpr std::uint64_t value() const { return value_; }
+    [[nodiscard]] constexpr StrongNumber next() const { return StrongNumber{value_ + 1}; }
+
+    constexpr auto operator<=>(const StrongNumber&) const = default;
+
+    friend std::ostream& operator<<(std::ostream& out, const StrongNumber& number) {
+        return out << number.value_;
+    }
+
+    // Used by msgpack, which finds them by these names. Templates, so that this header needs no msgpack.
+    template <class Packer>
+    void msgpack_pack(Packer& packer) const {
+        packer.pack(value_);
+    }
+    template <class Source>
+    void msgpack_unpack(Source source) {
+        value_ = source;
+    }
+
+  private:
+    std::uint64_t value_ = 0;
+};
+
+}  // namespace coralhitch::protocol
+
+template <class Tag>
+struct fmt::formatter<coralhitch::protocol::StrongNumber<Tag>> : fmt::formatter<std::uint64_t> {
+    template <class Context>
+    auto format(const coralhitch::protocol::StrongNumber<Tag>& number, Context& context) const {
+        return fmt::formatter<std::uint64_t>::format(number.value(), context);
+    }
+};
+
+template <class Tag>
+struct std::hash<coralhitch::protocol::StrongNumber<Tag>> {
+    std::size_t operator()(const coralhitch::protocol::StrongNumber<Tag>& number) const noexcept {
+        return std::hash<std::uint64_t>{}(number.value());
+    }
+};
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -25,7 +25,8 @@
     std::uint64_t sequence = 0;
     std::vector<protocol::TaskStatus> reported_tasks;
     std::optional<double> preemption_notice_s;
-    HeartbeatOutcome apply_heartbeat(std::uint64_t token, ReportChannel channel = ReportChannel::heartbeat,
+    HeartbeatOutcome apply_heartbeat(protocol::FencingToken token,
+                                     ReportChannel channel = ReportChannel::heartbeat,
                                      std::uint64_t agent_epoch = 1) {
         protocol::Heartbeat r{"vm-1", "10.1.0.1:9",        "g4",          "a", false, agent_epoch, ++sequence,
                               token,  preemption_notice_s, reported_tasks};
@@ -38,7 +39,11 @@
         auto& m = cluster_state.add("vm-1", "10.1.0.1:9", "g4", "a", false, Machine::Life::up, 0);
         m.registration = Machine::Registration::stored, m.stored_by_earlier_leader = true;
     }
-    std::uint64_t base() { return cluster_state.base_token(); }
+    protocol::FencingToken base() { return cluster_state.base_token(); }
+    // As leaders before this one used; `distance` 0 is this leader's first.
+    protocol::FencingToken below_base(std::uint64_t distance) {
+        return protocol::FencingToken{base().value() - distance};
+    }
     // A machine known and stored, with a `run` sent directly.
     std::vector<protocol::Command> place_and_send_run() {
         apply_heartbeat(base());
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -79,7 +79,7 @@
 TEST(HeartbeatApplication, IgnoresLateCopiesOfTerminatedInstances) {
     ClusterStateFixture b;  // a new leader: the machine was deleted under the one before, and is in no page
     b.reported_tasks = {{task, 5, TaskState::running}};
-    EXPECT_TRUE(b.apply_heartbeat(b.base() - 1).is_terminated());
+    EXPECT_TRUE(b.apply_heartbeat(b.below_base(1)).is_terminated());
     EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
     // What it answers now counts.
     EXPECT_FALSE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).is_terminated());
@@ -119,7 +119,7 @@
         b.cluster_state.place_from_replica(b.machine(), task, b.spec, attempt, 0);
     };
     std::size_t found = 0, ends = 0;
-    auto apply = [&](ClusterStateFixture& b, std::uint64_t token,
+    auto apply = [&](ClusterStateFixture& b, protocol::FencingToken token,
                      ReportChannel channel = ReportChannel::heartbeat, std::uint64_t agent_epoch = 1) {
         auto o = b.apply_heartbeat(token, channel, agent_epoch);
         found += o.found.size();
@@ -128,13 +128,13 @@
     };
     auto old = [&](ClusterStateFixture& b) {
         b.reported_tasks = {shown};
-        return apply(b, b.base() - 1);
+        return apply(b, b.below_base(1));
     };
     const Case cases[] = {
         {"it alone", [&](ClusterStateFixture& b) { b.store_by_earlier_leader(), old(b); }, 1, 0, true, false},
         {"reported again in a direct reply",
          [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), apply(b, b.base() - 1, ReportChannel::direct_reply);
+             b.store_by_earlier_leader(), old(b), apply(b, b.below_base(1), ReportChannel::direct_reply);
          },
          2, 0, true, true},
         {"shown again under this leader's token",
@@ -148,18 +148,19 @@
         {"not reported in a direct reply",
          [&](ClusterStateFixture& b) {
              b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, 1, ReportChannel::direct_reply);
+                 apply(b, protocol::FencingToken{1}, ReportChannel::direct_reply);
          },
          1, 0, false, false},
         {"terminated by a new agent epoch",
          [&](ClusterStateFixture& b) {
              b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, 1, ReportChannel::heartbeat, 2);
+                 apply(b, protocol::FencingToken{1}, ReportChannel::heartbeat, 2);
          },
          1, 0, false, false},
         {"exited",
          [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), b.reported_tasks[0].state = TaskState::exited, apply(b, 1);
+             b.store_by_earlier_leader(), old(b), b.reported_tasks[0].state = TaskState::exited,
+                                                  apply(b, protocol::FencingToken{1});
          },
          1, 1, false, false},
         {"known from the replica", [&](ClusterStateFixture& b) { known_from_replica(b, 3), old(b); }, 0, 0,
@@ -177,14 +178,14 @@
          0, 0, true, true},
         {"of a later agent epoch than one that is terminated",
          [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), apply(b, b.base() - 1), b.cluster_state.expire_lease(b.machine()),
-                 b.reported_tasks = {shown};
-             EXPECT_TRUE(apply(b, b.base() - 1, ReportChannel::heartbeat, 2).is_terminated());
+             b.store_by_earlier_leader(), apply(b, b.below_base(1)),
+                 b.cluster_state.expire_lease(b.machine()), b.reported_tasks = {shown};
+             EXPECT_TRUE(apply(b, b.below_base(1), ReportChannel::heartbeat, 2).is_terminated());
          },
          0, 0, false, false},
         {"of a machine that only this leader stored",
          [&](ClusterStateFixture& b) {
-             apply(b, b.base() - 1), b.machine().registration = Machine::Registration::stored;
+             apply(b, b.below_base(1)), b.machine().registration = Machine::Registration::stored;
              EXPECT_TRUE(old(b).is_terminated());
          },
          0, 0, false, false},
@@ -207,7 +208,7 @@
 TEST(HeartbeatApplication, PrefersMachineOverReportsOfItsEarlierLife) {
     struct Case {
         std::uint64_t agent_epoch, sequence;  // of the earlier life
-        std::uint64_t token;  // below this leader's: the agent epoch asked for was not its own
+        std::uint64_t tokens_below;  // below this leader's: the agent epoch asked for was not its own
         ReportChannel channel;
         bool fresh;
     };
@@ -220,10 +221,10 @@
         b.store_by_earlier_leader();
         b.reported_tasks = {{task, 3, TaskState::running, ExitCause::none, false}};
         b.sequence = c.sequence;
-        b.apply_heartbeat(b.base() - 1, ReportChannel::heartbeat, c.agent_epoch);
+        b.apply_heartbeat(b.below_base(1), ReportChannel::heartbeat, c.agent_epoch);
         b.sequence = 7;
         b.reported_tasks.clear();
-        EXPECT_EQ(b.apply_heartbeat(b.base() - c.token, c.channel).is_newer(), c.fresh);
+        EXPECT_EQ(b.apply_heartbeat(b.below_base(c.tokens_below), c.channel).is_newer(), c.fresh);
         EXPECT_EQ(b.machine().sequence, c.fresh ? 8 : c.sequence + 1);
         EXPECT_EQ(b.machine().tasks.empty(), c.fresh);
         b.apply_heartbeat(b.base());
@@ -238,7 +239,7 @@
     ClusterStateFixture b;
     b.store_by_earlier_leader();
     b.preemption_notice_s = 90;
-    b.apply_heartbeat(b.base() - 1);
+    b.apply_heartbeat(b.below_base(1));
     b.preemption_notice_s = 20;
     b.apply_heartbeat(b.base());
     EXPECT_DOUBLE_EQ(b.machine().preemption_deadline.value(), 20);
@@ -259,13 +260,14 @@
     ClusterStateFixture b;
     b.store_by_earlier_leader();
     b.reported_tasks = {{task, 3, TaskState::running}};
-    auto outcome = b.apply_heartbeat(b.base() - 1);
+    auto outcome = b.apply_heartbeat(b.below_base(1));
     EXPECT_EQ(outcome.found.size(), 1u);
     EXPECT_FALSE(b.machine().reconciled);
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(b.machine().reconciled);
     b.sequence += 1;
-    EXPECT_TRUE(b.apply_heartbeat((version + 1) << ClusterState::token_bits).is_deposed());
+    EXPECT_TRUE(
+        b.apply_heartbeat(protocol::FencingToken{(version + 1) << ClusterState::token_bits}).is_deposed());
 }
 
 TEST(HeartbeatApplication, StopsTasksOfUnknownJobs) {
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -10,11 +10,12 @@
 TEST(ClusterState, KeepsInheritedTasksUntilProvenEnded) {
     struct Case {
         const char* name;
-        std::uint64_t agent_epoch, token;
+        std::uint64_t agent_epoch;
+        protocol::FencingToken token;
         bool shown;
         std::size_t left, ends;
     };
-    const std::uint64_t mine = 7ull << ClusterState::token_bits, before = mine - 5;
+    const protocol::FencingToken mine{7ull << ClusterState::token_bits}, before{mine.value() - 5};
     const Case cases[] = {
         {"a report from before the takeover does not show it: its `run` may come yet", 3, before, false, 1,
          0},
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -18,7 +18,7 @@
     for (auto [reconciled, stored, authority] :
          {std::tuple(false, true, true), {true, false, true}, {true, true, false}, {true, true, true}}) {
         ClusterStateFixture b;
-        b.apply_heartbeat(reconciled ? b.base() : 0);
+        b.apply_heartbeat(reconciled ? b.base() : protocol::FencingToken::none());
         b.machine().registration = stored ? Machine::Registration::stored : Machine::Registration::none;
         b.cluster_state.place(b.machine(), task, b.spec, 5, 0);
         EXPECT_EQ(b.cluster_state.take_direct_commands(b.machine(), 0, authority).size(),
@@ -40,11 +40,11 @@
     constexpr std::uint64_t next_leadership = 1ull << 20;
     std::uint64_t raised = 0;
     for (; !b.cluster_state.tokens_nearly_exhausted() && raised < next_leadership; ++raised) raise();
-    EXPECT_EQ(m.token, b.base() + raised);
+    EXPECT_EQ(m.token.value(), b.base().value() + raised);
     EXPECT_GT(raised, 900000u);  // not more hand-overs than need be
     // What happens until the hand-over, at the leader's next tick, stays below too.
     for (int k = 0; k < 60000; ++k) raise();
-    EXPECT_LT(m.token, b.base() + next_leadership);
+    EXPECT_LT(m.token.value(), b.base().value() + next_leadership);
 }
 
 // Another controller may go on answering a machine for which nothing is to be said. Each of these would be
@@ -84,7 +84,8 @@
              b.apply_heartbeat(b.base());
          },
          false},
-        {"a higher token that it has not seen", [](ClusterStateFixture& b) { ++b.machine().token; }, false},
+        {"a higher token that it has not seen",
+         [](ClusterStateFixture& b) { b.machine().token = b.machine().token.next(); }, false},
         {"it is to be deleted",
          [](ClusterStateFixture& b) { b.machine().life = Machine::Life::marked_for_deletion; }, false},
         {"it has notice", [](ClusterStateFixture& b) { b.machine().preemption_deadline = 9; }, false},
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -42,7 +42,8 @@
     EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending)
         << "its agent has not reported";
     machine.agent_epoch = 1;
-    machine.token_seen = 3;  // an earlier leader's: the machine may have been deleted meanwhile
+    machine.token_seen =
+        protocol::FencingToken{3};  // an earlier leader's: the machine may have been deleted meanwhile
     bench.store.store_if_new(machine);
     EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending);
     machine.reported_to_this_leader = true;
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -530,12 +530,14 @@
             {.op = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
 }
 TEST(GoldenBytes, ReportAnswerIsWrittenAsBefore) {
-    EXPECT_EQ(heartbeat_response(UINT64_MAX, commands_of_each_kind()), golden::heartbeat_response);
-    EXPECT_EQ(heartbeat_response(7, {}), golden::report_answer_empty);
+    EXPECT_EQ(heartbeat_response(FencingToken{UINT64_MAX}, commands_of_each_kind()),
+              golden::heartbeat_response);
+    EXPECT_EQ(heartbeat_response(FencingToken{7}, {}), golden::report_answer_empty);
 }
 TEST(GoldenBytes, DirectCommandsAreWrittenAsBefore) {
-    EXPECT_EQ(direct_commands(beyond_double, UINT64_MAX, commands_of_each_kind()), golden::direct_commands);
-    EXPECT_EQ(direct_commands(7, 8, {}), golden::direct_commands_empty);
+    EXPECT_EQ(direct_commands(FencingToken{beyond_double}, UINT64_MAX, commands_of_each_kind()),
+              golden::direct_commands);
+    EXPECT_EQ(direct_commands(FencingToken{7}, 8, {}), golden::direct_commands_empty);
 }
 TEST(GoldenBytes, AnswerThatPointsElsewhereIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_redirect("berth-2"), golden::elsewhere);
@@ -550,7 +552,7 @@
     EXPECT_TRUE(r.spot);
     EXPECT_EQ(r.agent_epoch, beyond_double);
     EXPECT_EQ(r.sequence, UINT64_MAX);
-    EXPECT_EQ(r.token, beyond_double + 2);
+    EXPECT_EQ(r.token, FencingToken{beyond_double + 2});
     EXPECT_EQ(r.preemption_notice_s, 12.5);
     ASSERT_EQ(r.tasks.size(), 2u);
     EXPECT_EQ(r.tasks[0].task, (TaskId{"j-7", 3}));
@@ -578,7 +580,7 @@
     EXPECT_FALSE(r.spot);
     EXPECT_EQ(r.agent_epoch, 1u);
     EXPECT_EQ(r.sequence, 2u);
-    EXPECT_EQ(r.token, 3u);
+    EXPECT_EQ(r.token, FencingToken{3});
     EXPECT_FALSE(r.preemption_notice_s);
     EXPECT_TRUE(r.tasks.empty());
 }
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -143,7 +143,7 @@
         "shards":[{"shard":"j-7/3","launch":9007199254740995,"status":"exited","cause":"halted","saved":true},
                   {"shard":"j-7/4","launch":1,"status":"exited","cause":"a new one"}]})");
     EXPECT_EQ(r.sequence, 18446744073709551615ull);
-    EXPECT_EQ(r.token, 9007199254740993ull);
+    EXPECT_EQ(r.token, FencingToken{9007199254740993ull});
     EXPECT_EQ(r.tasks[0].attempt, 9007199254740995ull);
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
