--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -121,7 +121,8 @@
     regular_due_ = site_.loop().now() + next_controller_s;
     changed_ = false;
 }
-void HollowWorker::answered(std::uint64_t agent_epoch, double sent, std::optional<http::Response> response) {
+void HollowWorker::answered(protocol::AgentEpoch agent_epoch, double sent,
+                            std::optional<http::Response> response) {
     if (silent_) return;
     in_flight_ = false;
     auto& c = site_.counts();
@@ -151,7 +152,7 @@
     }
     schedule();
 }
-void HollowWorker::take_answer(std::uint64_t agent_epoch, double sent, const std::string& body) {
+void HollowWorker::take_answer(protocol::AgentEpoch agent_epoch, double sent, const std::string& body) {
     outside::Orders orders;
     try {
         orders = outside::parse_orders(body);
@@ -194,7 +195,7 @@
     for (auto& [key, task] : tasks_) keys.push_back(key);
     for (auto& key : keys) end(key, protocol::ExitCause::stopped, over);
     tasks_.clear();
-    ++session_;
+    session_ = session_.next();
     sequence_ = 0;
     changed();
 }
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -58,8 +58,8 @@
     // Reports
     void schedule();
     void send_report();
-    void answered(std::uint64_t agent_epoch, double sent, std::optional<http::Response> response);
-    void take_answer(std::uint64_t agent_epoch, double sent, const std::string& body);
+    void answered(protocol::AgentEpoch agent_epoch, double sent, std::optional<http::Response> response);
+    void take_answer(protocol::AgentEpoch agent_epoch, double sent, const std::string& body);
     void next_controller();
     std::string report();
     void changed();
@@ -81,7 +81,8 @@
     WorkerSite& site_;
     protocol::Host host_;
     bool silent_ = false;
-    std::uint64_t session_ = 1, sequence_ = 0;
+    protocol::AgentEpoch session_{1};
+    std::uint64_t sequence_ = 0;
     protocol::FencingToken token_;
     std::map<Key, Task> tasks_;
     std::size_t present_ = 0;
--- a/scale/outside.cpp
+++ b/scale/outside.cpp
@@ -37,7 +37,7 @@
 std::string report_body(const Heartbeat& r) {
     std::string out = R"({"berth":")" + r.machine + R"(","addr":")" + r.addr + R"(","hull":")" + r.type +
                       R"(","reef":")" + r.zone + R"(","driftwood":)" + (r.spot ? "true" : "false") +
-                      R"(,"watch":)" + std::to_string(r.agent_epoch) + R"(,"tally":)" +
+                      R"(,"watch":)" + std::to_string(r.agent_epoch.value()) + R"(,"tally":)" +
                       std::to_string(r.sequence) + R"(,"helm":)" + std::to_string(r.token.value()) +
                       R"(,"warning_s":null,"shards":[)";
     for (auto& t : r.tasks) {
@@ -59,7 +59,7 @@
     auto j = parse(body);
     Orders out;
     if (j.contains("helm")) out.token = FencingToken{j["helm"].get<std::uint64_t>()};
-    if (j.contains("watch")) out.agent_epoch = j["watch"].get<std::uint64_t>();
+    if (j.contains("watch")) out.agent_epoch = AgentEpoch{j["watch"].get<std::uint64_t>()};
     if (!j.contains("orders")) return out;
     for (auto& o : j["orders"]) {
         Command c;
--- a/scale/outside.hpp
+++ b/scale/outside.hpp
@@ -17,7 +17,7 @@
 std::string report_body(const protocol::Heartbeat& report);
 struct Orders {
     std::optional<protocol::FencingToken> token;
-    std::optional<std::uint64_t> agent_epoch;
+    std::optional<protocol::AgentEpoch> agent_epoch;
     std::vector<protocol::Command> commands;
 };
 Orders parse_orders(std::string_view body);  // an answer to a report, or direct commands
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -59,7 +59,7 @@
     auto ends = terminate_all(machine);
     machine.reconciled = true;
     machine.terminated_epoch = std::max(machine.terminated_epoch, machine.agent_epoch);
-    machine.only_direct_reply_counts = machine.agent_epoch == 0;
+    machine.only_direct_reply_counts = !machine.agent_epoch.is_set();
     schedule_replication(machine);
     return ends;
 }
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -26,7 +26,7 @@
 }
 
 void HeartbeatApplication::begin_agent_epoch() {
-    if (heartbeat_.agent_epoch <= machine_.agent_epoch || machine_.agent_epoch == 0) return;
+    if (heartbeat_.agent_epoch <= machine_.agent_epoch || !machine_.agent_epoch.is_set()) return;
     // Proof: an agent that moves on to a new epoch has killed and forgotten all tasks of the old one.
     // Commands under way for the old epoch are refused by the agent.
     outcome_.ends = terminate_all(machine_);
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -42,12 +42,12 @@
     // reconciled.
     bool known_from_replica = false;
     // All that was in agent epochs up to this one is proven terminated by time. Reports of it came late.
-    std::uint64_t terminated_epoch = 0;
+    protocol::AgentEpoch terminated_epoch;
     // The same, though no agent epoch of it was ever reported: only a direct reply counts now.
     bool only_direct_reply_counts = false;
 
     // --- Reported by the agent ---
-    std::uint64_t agent_epoch = 0;              // 0: never reported
+    protocol::AgentEpoch agent_epoch;           // none: never reported
     std::uint64_t sequence = 0;                 // of the newest report, heartbeat or direct reply
     std::uint64_t heartbeat_sequence = 0;       // of the newest heartbeat
     protocol::FencingToken token_seen;          // highest fencing token that the agent has shown
@@ -90,7 +90,7 @@
     bool usable(double now) const { return usable_unless_suspect(now) && !is_suspect(); }
     // The same, leaving out a suspicion, which may end any moment.
     bool usable_unless_suspect(double now) const {
-        return life == Life::up && reconciled && agent_epoch > 0 && !preemption_deadline &&
+        return life == Life::up && reconciled && agent_epoch.is_set() && !preemption_deadline &&
                now >= quarantined_until;
     }
     // What is left beside the instances on it; negative if the machine's type is not known.
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -73,7 +73,7 @@
     std::vector<protocol::Command> commands;
     {
         std::lock_guard lock(state_.mutex);
-        if (machine.agent_epoch == 0) {
+        if (!machine.agent_epoch.is_set()) {
             machine.flush_scheduled = false;
             return;
         }
@@ -159,7 +159,7 @@
     SentCommands sent{machine.id, std::move(commands), machine.token};
     auto request = sent.commands.empty() ? Request::probe : Request::commands;
     // Most workers are in their first agent epoch still: a good guess saves the question.
-    auto agent_epoch = std::max<std::uint64_t>(1, machine.agent_epoch);
+    auto agent_epoch = std::max(protocol::AgentEpoch{1}, machine.agent_epoch);
     auto body = protocol::direct_commands(sent.token, agent_epoch, sent.commands);
     double timeout =
         settings_.report_s * (request == Request::probe ? probe_timeout_reports : command_timeout_reports);
--- a/src/leader/machine_store.cpp
+++ b/src/leader/machine_store.cpp
@@ -20,7 +20,7 @@
     // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
     if (!machine.reported_to_this_leader && machine.token_seen.is_set()) return;
     if (machine.registration != Machine::Registration::none || machine.life != Machine::Life::up ||
-        machine.agent_epoch == 0)
+        !machine.agent_epoch.is_set())
         return;
     machine.registration = Machine::Registration::write_pending;
     registry_.put(machine.id);
--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -33,14 +33,14 @@
     auto m = value_at(machine_field);
     if (m == std::string_view::npos || body[m] != '"') return std::nullopt;
     auto end = body.find('"', ++m);
-    auto agent_epoch = value_at(session_field);
+    auto epoch_at = value_at(session_field);
     o.at = value_at(sequence_field);
-    if (end == std::string_view::npos || agent_epoch == std::string_view::npos ||
-        o.at == std::string_view::npos)
+    if (end == std::string_view::npos || epoch_at == std::string_view::npos || o.at == std::string_view::npos)
         return std::nullopt;
     auto* text_end = body.data() + body.size();
-    if (std::from_chars(body.data() + agent_epoch, text_end, o.agent_epoch).ec != std::errc())
-        return std::nullopt;
+    std::uint64_t agent_epoch = 0;
+    if (std::from_chars(body.data() + epoch_at, text_end, agent_epoch).ec != std::errc()) return std::nullopt;
+    o.agent_epoch = AgentEpoch{agent_epoch};
     o.machine = body.substr(m, end - m);
     auto [last, ec] = std::from_chars(body.data() + o.at, text_end, o.sequence);
     o.digits = static_cast<std::size_t>(last - body.data()) - o.at;
@@ -51,10 +51,9 @@
 std::string heartbeat_response(FencingToken token, std::span<const Command> commands) {
     return R"({"helm":)" + std::to_string(token.value()) + R"(,"orders":)" + orders(commands) + '}';
 }
-std::string direct_commands(FencingToken token, std::uint64_t agent_epoch,
-                            std::span<const Command> commands) {
-    return R"({"helm":)" + std::to_string(token.value()) + R"(,"watch":)" + std::to_string(agent_epoch) +
-           R"(,"orders":)" + orders(commands) + '}';
+std::string direct_commands(FencingToken token, AgentEpoch agent_epoch, std::span<const Command> commands) {
+    return R"({"helm":)" + std::to_string(token.value()) + R"(,"watch":)" +
+           std::to_string(agent_epoch.value()) + R"(,"orders":)" + orders(commands) + '}';
 }
 std::string heartbeat_redirect(std::string_view label) {
     return label.empty() ? "{}" : fields::dumped(json{{"harbor", label}});
--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -47,7 +47,8 @@
 // text.
 struct HeartbeatOutline {
     std::string_view machine;  // part of the body
-    std::uint64_t agent_epoch = 0, sequence = 0;
+    AgentEpoch agent_epoch;
+    std::uint64_t sequence = 0;
     std::size_t at = 0, digits = 0;  // of the sequence number's digits in the body
 };
 // Found without reading the rest; nothing if the text is laid out in a way that this does not expect.
@@ -58,6 +59,6 @@
 // The body of a 421: report to that controller instead; an empty label if none is known.
 std::string heartbeat_redirect(std::string_view label);
 // The body of commands that are sent to a machine's own address.
-std::string direct_commands(FencingToken token, std::uint64_t agent_epoch, std::span<const Command> commands);
+std::string direct_commands(FencingToken token, AgentEpoch agent_epoch, std::span<const Command> commands);
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -51,7 +51,7 @@
     r.type = reader::text(o, "hull");
     r.zone = reader::text(o, "reef");
     r.spot = reader::flag(o, "driftwood");
-    r.agent_epoch = reader::count(o, "watch");
+    r.agent_epoch = AgentEpoch{reader::count(o, "watch")};
     r.sequence = reader::count(o, "tally");
     r.token = FencingToken{reader::count(o, "helm")};
     element e;
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -79,7 +79,8 @@
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
-    std::uint64_t agent_epoch = 0, sequence = 0;
+    AgentEpoch agent_epoch;
+    std::uint64_t sequence = 0;
     FencingToken token;
     std::optional<double> preemption_notice_s;
     std::vector<TaskStatus> tasks;
--- a/src/protocol/numbers.hpp
+++ b/src/protocol/numbers.hpp
@@ -9,4 +9,8 @@
 // the leader's key and a counter of each machine: see cluster::FencingTokens.
 using FencingToken = StrongNumber<struct FencingTokenTag>;
 
+// Which life of a machine's agent: the agent begins a higher one with no tasks, after it has killed those of
+// the last. A machine that was set up anew may begin with low ones again.
+using AgentEpoch = StrongNumber<struct AgentEpochTag>;
+
 }  // namespace coralhitch::protocol
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -7,6 +7,8 @@
 #include <string_view>
 #include <vector>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::protocol {
 
 inline constexpr std::string_view peer_ping_path = "/peer/ping";
@@ -130,7 +132,8 @@
     std::string machine;
     bool known = false;  // it holds these tasks at the most; otherwise anything may be on it
     bool gone = false;   // it was deleted
-    std::uint64_t agent_epoch = 0, sequence = 0;  // of the last report that the leader heard
+    AgentEpoch agent_epoch;
+    std::uint64_t sequence = 0;  // of the last report that the leader heard
     std::vector<PeerPlaced> tasks;
     MSGPACK_DEFINE(machine, known, gone, agent_epoch, sequence, tasks)
 };
--- a/src/relay/heartbeat_tracker.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -15,6 +15,8 @@
 #include <string_view>
 #include <unordered_map>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::relay {
 
 class HeartbeatTracker {
@@ -25,7 +27,8 @@
 
     // A heartbeat has arrived. Ignored unless it is newer, by agent epoch and sequence number, than all that
     // came from this machine before.
-    void record(std::string_view machine, std::uint64_t agent_epoch, std::uint64_t sequence, double now) {
+    void record(std::string_view machine, protocol::AgentEpoch agent_epoch, std::uint64_t sequence,
+                double now) {
         auto& entry = entries_[std::string(machine)];
         Position position{agent_epoch, sequence};
         if (position <= entry.newest) return;
@@ -60,7 +63,8 @@
 
   private:
     struct Position {
-        std::uint64_t agent_epoch = 0, sequence = 0;
+        protocol::AgentEpoch agent_epoch;
+        std::uint64_t sequence = 0;
         auto operator<=>(const Position&) const = default;
     };
     struct Entry {
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -31,13 +31,13 @@
         auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
         m.known_from_replica = true;
         m.registration = Machine::Registration::stored;
-        m.agent_epoch = 3;
+        m.agent_epoch = protocol::AgentEpoch{3};
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
         p.place_from_replica(m, {"j-1", 0}, spec, 11, 0);
         protocol::Heartbeat r;
         r.machine = "vm-1";
-        r.agent_epoch = c.agent_epoch;
+        r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
         r.sequence = 20;
         r.token = c.token;
         if (c.shown)
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -15,7 +15,7 @@
         auto& machine =
             state->cluster.add(id, "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, timers.now());
         machine.reported_to_this_leader = machine.reconciled = true;
-        machine.agent_epoch = 1;
+        machine.agent_epoch = protocol::AgentEpoch{1};
         return machine;
     }
     // An instance on this machine, as a report shows it.
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -12,7 +12,7 @@
     cluster::Machine& add_machine(std::uint64_t agent_epoch) {
         auto& machine = state->cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up,
                                            timers.now());
-        machine.agent_epoch = agent_epoch;
+        machine.agent_epoch = protocol::AgentEpoch{agent_epoch};
         return machine;
     }
     int confirmed = 0;
@@ -41,7 +41,7 @@
     bench.store.store_if_new(machine);
     EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending)
         << "its agent has not reported";
-    machine.agent_epoch = 1;
+    machine.agent_epoch = protocol::AgentEpoch{1};
     machine.token_seen =
         protocol::FencingToken{3};  // an earlier leader's: the machine may have been deleted meanwhile
     bench.store.store_if_new(machine);
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -30,7 +30,7 @@
                 state->cluster.add(id, "", "g4", "a", false, cluster::Machine::Life::up, timers.now());
             machine.reconciled = true;
             machine.registration = cluster::Machine::Registration::stored;
-            machine.agent_epoch = 1;
+            machine.agent_epoch = protocol::AgentEpoch{1};
             machine.total = types[0].room;
         }
     }
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -72,14 +72,14 @@
             .rows = {{.machine = "vm-1",
                       .known = true,
                       .gone = false,
-                      .agent_epoch = 5,
+                      .agent_epoch = AgentEpoch{5},
                       .sequence = 6,
                       .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
                                 {.job = "j-2", .index = 0, .attempt = 1}}},
                      {.machine = "vm-2",
                       .known = false,
                       .gone = true,
-                      .agent_epoch = 11,
+                      .agent_epoch = AgentEpoch{11},
                       .sequence = 12,
                       .tasks = {}}},
             .begun = 7,
@@ -319,7 +319,7 @@
     EXPECT_EQ(first.machine, "vm-1");
     EXPECT_TRUE(first.known);
     EXPECT_FALSE(first.gone);
-    EXPECT_EQ(first.agent_epoch, 5u);
+    EXPECT_EQ(first.agent_epoch, AgentEpoch{5});
     EXPECT_EQ(first.sequence, 6u);
     ASSERT_EQ(first.tasks.size(), 2u);
     EXPECT_EQ(first.tasks[0].job, "j-1");
@@ -331,7 +331,7 @@
     EXPECT_EQ(second.machine, "vm-2");
     EXPECT_FALSE(second.known);
     EXPECT_TRUE(second.gone);
-    EXPECT_EQ(second.agent_epoch, 11u);
+    EXPECT_EQ(second.agent_epoch, AgentEpoch{11});
     EXPECT_EQ(second.sequence, 12u);
     EXPECT_TRUE(second.tasks.empty());
 }
@@ -378,7 +378,7 @@
     EXPECT_EQ(fleet.rows[0].machine, "vm-1");
     EXPECT_TRUE(fleet.rows[0].known);
     EXPECT_TRUE(fleet.rows[0].gone);
-    EXPECT_EQ(fleet.rows[0].agent_epoch, 0u);
+    EXPECT_EQ(fleet.rows[0].agent_epoch, AgentEpoch{0});
     EXPECT_TRUE(fleet.rows[0].tasks.empty());
 }
 
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -535,9 +535,9 @@
     EXPECT_EQ(heartbeat_response(FencingToken{7}, {}), golden::report_answer_empty);
 }
 TEST(GoldenBytes, DirectCommandsAreWrittenAsBefore) {
-    EXPECT_EQ(direct_commands(FencingToken{beyond_double}, UINT64_MAX, commands_of_each_kind()),
+    EXPECT_EQ(direct_commands(FencingToken{beyond_double}, AgentEpoch{UINT64_MAX}, commands_of_each_kind()),
               golden::direct_commands);
-    EXPECT_EQ(direct_commands(FencingToken{7}, 8, {}), golden::direct_commands_empty);
+    EXPECT_EQ(direct_commands(FencingToken{7}, AgentEpoch{8}, {}), golden::direct_commands_empty);
 }
 TEST(GoldenBytes, AnswerThatPointsElsewhereIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_redirect("berth-2"), golden::elsewhere);
@@ -550,7 +550,7 @@
     EXPECT_EQ(r.type, "g8");
     EXPECT_EQ(r.zone, "a");
     EXPECT_TRUE(r.spot);
-    EXPECT_EQ(r.agent_epoch, beyond_double);
+    EXPECT_EQ(r.agent_epoch, AgentEpoch{beyond_double});
     EXPECT_EQ(r.sequence, UINT64_MAX);
     EXPECT_EQ(r.token, FencingToken{beyond_double + 2});
     EXPECT_EQ(r.preemption_notice_s, 12.5);
@@ -578,7 +578,7 @@
     EXPECT_EQ(r.type, "c4");
     EXPECT_EQ(r.zone, "b");
     EXPECT_FALSE(r.spot);
-    EXPECT_EQ(r.agent_epoch, 1u);
+    EXPECT_EQ(r.agent_epoch, AgentEpoch{1});
     EXPECT_EQ(r.sequence, 2u);
     EXPECT_EQ(r.token, FencingToken{3});
     EXPECT_FALSE(r.preemption_notice_s);
@@ -595,7 +595,7 @@
     auto o = outline_heartbeat(golden::report);
     ASSERT_TRUE(o);
     EXPECT_EQ(o->machine, "vm-1");
-    EXPECT_EQ(o->agent_epoch, beyond_double);
+    EXPECT_EQ(o->agent_epoch, AgentEpoch{beyond_double});
     EXPECT_EQ(o->sequence, UINT64_MAX);
     EXPECT_EQ(golden::report.substr(o->at, o->digits), "18446744073709551615");
 }
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
-    return {id, true, false, agent_epoch, 0, {}};
+    return {id, true, false, protocol::AgentEpoch{agent_epoch}, 0, {}};
 }
 
 struct Bench {
@@ -104,7 +104,8 @@
     EXPECT_FALSE(b.sender.replicated(log_index));
     b.timers.run_until(1.05);
     EXPECT_TRUE(b.sender.replicated(log_index));
-    EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch, b.machines["vm-1"]);
+    EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value(),
+              b.machines["vm-1"]);
     // A follower that no longer answers delays starts until it is removed from the record, and no longer.
     b.followers.at("x").silent = true;
     log_index = b.start("vm-2");
@@ -132,8 +133,8 @@
             b.timers.run_until(t);
             if (t > 0.3) b.followers.at("x").silent = true;
             auto log_index = b.start("vm-1");
-            bool knows =
-                b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch == b.machines["vm-1"];
+            bool knows = b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value() ==
+                         b.machines["vm-1"];
             if (!knows && b.sender.replicated(log_index)) {
                 EXPECT_FALSE(b.named().contains("x")) << t;
             }
@@ -173,7 +174,7 @@
             b.timers.run_until(t);
             b.sender.tick();
             if (b.sender.replicated(log_index) && b.named().contains("x")) {
-                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch, b.machines["vm-2"]);
+                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch.value(), b.machines["vm-2"]);
                 EXPECT_EQ(f.replica().base_version,
                           b.service.kv.at(kv::keys::standby).value["members"][0]["begun"]);
             }
@@ -245,7 +246,8 @@
                 for (auto& label : b.named()) {
                     auto& rows = b.followers.at(label).follower.replica().machines;
                     ASSERT_TRUE(rows.contains(s.machine)) << label << " step " << step;
-                    ASSERT_GE(rows.at(s.machine).agent_epoch, s.agent_epoch) << label << " step " << step;
+                    ASSERT_GE(rows.at(s.machine).agent_epoch.value(), s.agent_epoch)
+                        << label << " step " << step;
                 }
             }
         }
