--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -88,7 +88,7 @@
     r.zone = host_.zone;
     r.spot = host_.spot;
     r.agent_epoch = session_;
-    r.sequence = ++sequence_;
+    r.sequence = sequence_ = sequence_.next();
     r.token = token_;
     for (auto& [key, task] : tasks_)
         r.tasks.push_back({key.first, key.second, task.state, task.cause, false});
@@ -196,7 +196,7 @@
     for (auto& key : keys) end(key, protocol::ExitCause::stopped, over);
     tasks_.clear();
     session_ = session_.next();
-    sequence_ = 0;
+    sequence_ = protocol::SequenceNumber::none();
     changed();
 }
 
--- a/scale/hollow_worker.hpp
+++ b/scale/hollow_worker.hpp
@@ -82,7 +82,7 @@
     protocol::Host host_;
     bool silent_ = false;
     protocol::AgentEpoch session_{1};
-    std::uint64_t sequence_ = 0;
+    protocol::SequenceNumber sequence_;
     protocol::FencingToken token_;
     std::map<Key, Task> tasks_;
     std::size_t present_ = 0;
--- a/scale/outside.cpp
+++ b/scale/outside.cpp
@@ -38,7 +38,7 @@
     std::string out = R"({"berth":")" + r.machine + R"(","addr":")" + r.addr + R"(","hull":")" + r.type +
                       R"(","reef":")" + r.zone + R"(","driftwood":)" + (r.spot ? "true" : "false") +
                       R"(,"watch":)" + std::to_string(r.agent_epoch.value()) + R"(,"tally":)" +
-                      std::to_string(r.sequence) + R"(,"helm":)" + std::to_string(r.token.value()) +
+                      std::to_string(r.sequence.value()) + R"(,"helm":)" + std::to_string(r.token.value()) +
                       R"(,"warning_s":null,"shards":[)";
     for (auto& t : r.tasks) {
         if (out.back() == '}') out += ',';
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -30,7 +30,7 @@
     // Proof: an agent that moves on to a new epoch has killed and forgotten all tasks of the old one.
     // Commands under way for the old epoch are refused by the agent.
     outcome_.ends = terminate_all(machine_);
-    machine_.heartbeat_sequence = 0;
+    machine_.heartbeat_sequence = protocol::SequenceNumber::none();
 }
 
 // All that the report says of the machine itself.
@@ -38,7 +38,7 @@
     auto& m = machine_;
     // A report of a life of the machine that began later than the one on record, but had not come as far.
     if (std::pair(heartbeat_.agent_epoch, heartbeat_.sequence) < std::pair(m.agent_epoch, m.sequence))
-        m.heartbeat_sequence = 0;
+        m.heartbeat_sequence = protocol::SequenceNumber::none();
     m.agent_epoch = heartbeat_.agent_epoch;
     m.sequence = heartbeat_.sequence;
     if (channel_ == ReportChannel::heartbeat) m.heartbeat_sequence = heartbeat_.sequence;
--- a/src/cluster/instance.hpp
+++ b/src/cluster/instance.hpp
@@ -21,7 +21,7 @@
 struct RunDelivery {
     protocol::FencingToken highest_token;         // that a `run` was sent under; none: none was sent
     protocol::FencingToken unacknowledged_token;  // highest token of a direct `run` that got no answer
-    std::uint64_t reply_sequence = 0;             // the heartbeat whose reply carried the last `run`
+    protocol::SequenceNumber reply_sequence;      // the heartbeat whose reply carried the last `run`
     int direct_in_flight = 0;                     // direct `run`s that are neither answered nor timed out
 };
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -47,11 +47,11 @@
     bool only_direct_reply_counts = false;
 
     // --- Reported by the agent ---
-    protocol::AgentEpoch agent_epoch;           // none: never reported
-    std::uint64_t sequence = 0;                 // of the newest report, heartbeat or direct reply
-    std::uint64_t heartbeat_sequence = 0;       // of the newest heartbeat
-    protocol::FencingToken token_seen;          // highest fencing token that the agent has shown
-    std::optional<double> preemption_deadline;  // end of the preemption notice; empty: no notice
+    protocol::AgentEpoch agent_epoch;             // none: never reported
+    protocol::SequenceNumber sequence;            // of the newest report, heartbeat or direct reply
+    protocol::SequenceNumber heartbeat_sequence;  // of the newest heartbeat
+    protocol::FencingToken token_seen;            // highest fencing token that the agent has shown
+    std::optional<double> preemption_deadline;    // end of the preemption notice; empty: no notice
     std::string route;                   // controller that its last heartbeat came through; empty: the leader
     bool heartbeat_route_known = false;  // a heartbeat came, so `route` says by which way
     std::map<protocol::TaskId, Instance> tasks;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -98,7 +98,8 @@
     bool unreachable = parts_.supervisor.is_outbound_unreachable(*machine);
     if (unreachable || !state_.cluster.may_renew_lease(*machine, now())) {
         // It was not answered: should the same heartbeat come again, the lease counts from then.
-        machine->heartbeat_sequence = std::min(machine->heartbeat_sequence, status.sequence - 1);
+        machine->heartbeat_sequence =
+            std::min(machine->heartbeat_sequence, protocol::SequenceNumber{status.sequence.value() - 1});
         parts_.commands.probe(*machine);
         return reject(unreachable ? HeartbeatRejection::outbound_unreachable
                                   : HeartbeatRejection::cancellation_unsent);
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -62,7 +62,8 @@
 std::optional<protocol::PeerMachineRow> StartReplication::row_of(const std::string& machine_id) const {
     auto found = state_.cluster.machines().find(machine_id);
     if (found == state_.cluster.machines().end())
-        return protocol::PeerMachineRow{machine_id, false, true, protocol::AgentEpoch::none(), 0, {}};
+        return protocol::PeerMachineRow{
+            machine_id, false, true, protocol::AgentEpoch::none(), protocol::SequenceNumber::none(), {}};
     auto& machine = found->second;
     if (machine.life == Machine::Life::booting) return std::nullopt;
     protocol::PeerMachineRow row{machine_id,
--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -38,11 +38,12 @@
     if (end == std::string_view::npos || epoch_at == std::string_view::npos || o.at == std::string_view::npos)
         return std::nullopt;
     auto* text_end = body.data() + body.size();
-    std::uint64_t agent_epoch = 0;
+    std::uint64_t agent_epoch = 0, sequence = 0;
     if (std::from_chars(body.data() + epoch_at, text_end, agent_epoch).ec != std::errc()) return std::nullopt;
     o.agent_epoch = AgentEpoch{agent_epoch};
     o.machine = body.substr(m, end - m);
-    auto [last, ec] = std::from_chars(body.data() + o.at, text_end, o.sequence);
+    auto [last, ec] = std::from_chars(body.data() + o.at, text_end, sequence);
+    o.sequence = SequenceNumber{sequence};
     o.digits = static_cast<std::size_t>(last - body.data()) - o.at;
     // An escape would make the name another one.
     if (ec != std::errc() || o.machine.find('\\') != std::string_view::npos) return std::nullopt;
--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -48,7 +48,7 @@
 struct HeartbeatOutline {
     std::string_view machine;  // part of the body
     AgentEpoch agent_epoch;
-    std::uint64_t sequence = 0;
+    SequenceNumber sequence;
     std::size_t at = 0, digits = 0;  // of the sequence number's digits in the body
 };
 // Found without reading the rest; nothing if the text is laid out in a way that this does not expect.
--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -52,7 +52,7 @@
     r.zone = reader::text(o, "reef");
     r.spot = reader::flag(o, "driftwood");
     r.agent_epoch = AgentEpoch{reader::count(o, "watch")};
-    r.sequence = reader::count(o, "tally");
+    r.sequence = SequenceNumber{reader::count(o, "tally")};
     r.token = FencingToken{reader::count(o, "helm")};
     element e;
     if (reader::find(o, "warning_s", e)) {
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -80,7 +80,7 @@
     std::string machine, addr, type, zone;
     bool spot = false;
     AgentEpoch agent_epoch;
-    std::uint64_t sequence = 0;
+    SequenceNumber sequence;
     FencingToken token;
     std::optional<double> preemption_notice_s;
     std::vector<TaskStatus> tasks;
--- a/src/protocol/numbers.hpp
+++ b/src/protocol/numbers.hpp
@@ -13,4 +13,8 @@
 // the last. A machine that was set up anew may begin with low ones again.
 using AgentEpoch = StrongNumber<struct AgentEpochTag>;
 
+// Of the reports within an agent epoch: each carries a higher one. Of two reports of a machine the one with
+// the larger (agent epoch, sequence number) is newer.
+using SequenceNumber = StrongNumber<struct SequenceNumberTag>;
+
 }  // namespace coralhitch::protocol
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -133,7 +133,7 @@
     bool known = false;  // it holds these tasks at the most; otherwise anything may be on it
     bool gone = false;   // it was deleted
     AgentEpoch agent_epoch;
-    std::uint64_t sequence = 0;  // of the last report that the leader heard
+    SequenceNumber sequence;  // of the last report that the leader heard
     std::vector<PeerPlaced> tasks;
     MSGPACK_DEFINE(machine, known, gone, agent_epoch, sequence, tasks)
 };
--- a/src/relay/heartbeat_tracker.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -27,7 +27,7 @@
 
     // A heartbeat has arrived. Ignored unless it is newer, by agent epoch and sequence number, than all that
     // came from this machine before.
-    void record(std::string_view machine, protocol::AgentEpoch agent_epoch, std::uint64_t sequence,
+    void record(std::string_view machine, protocol::AgentEpoch agent_epoch, protocol::SequenceNumber sequence,
                 double now) {
         auto& entry = entries_[std::string(machine)];
         Position position{agent_epoch, sequence};
@@ -64,7 +64,7 @@
   private:
     struct Position {
         protocol::AgentEpoch agent_epoch;
-        std::uint64_t sequence = 0;
+        protocol::SequenceNumber sequence;
         auto operator<=>(const Position&) const = default;
     };
     struct Entry {
--- a/src/relay/reply_cache.cpp
+++ b/src/relay/reply_cache.cpp
@@ -15,7 +15,7 @@
     return repeats ? &cached : nullptr;
 }
 
-void ReplyCache::put(std::string heartbeat, const std::string& machine, std::uint64_t sequence,
+void ReplyCache::put(std::string heartbeat, const std::string& machine, protocol::SequenceNumber sequence,
                      std::string reply_body, double now) {
     auto outline = protocol::outline_heartbeat(heartbeat);
     if (!outline || outline->machine != machine || outline->sequence != sequence) return forget(machine);
--- a/src/relay/reply_cache.hpp
+++ b/src/relay/reply_cache.hpp
@@ -20,7 +20,7 @@
 struct CachedReply {
     std::string heartbeat;                                 // the text that was parsed in full
     std::size_t sequence_offset = 0, sequence_digits = 0;  // where the sequence number stands in it
-    std::uint64_t sequence = 0;                            // of the last heartbeat with this content
+    protocol::SequenceNumber sequence;                     // of the last heartbeat with this content
     double parsed_at = 0;                                  // seconds of the injected clock
     std::string reply_body;                                // of the 200 that may be given again
 };
@@ -32,7 +32,7 @@
     [[nodiscard]] CachedReply* find(std::string_view heartbeat, const protocol::HeartbeatOutline& outline);
     // Stores the reply to a heartbeat that was parsed in full as this machine's with this sequence number. If
     // its outline says otherwise, the machine's entry is removed instead.
-    void put(std::string heartbeat, const std::string& machine, std::uint64_t sequence,
+    void put(std::string heartbeat, const std::string& machine, protocol::SequenceNumber sequence,
              std::string reply_body, double now);
     void forget(std::string_view machine);
     void clear() { by_machine_.clear(); }
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -28,9 +28,15 @@
     HeartbeatOutcome apply_heartbeat(protocol::FencingToken token,
                                      ReportChannel channel = ReportChannel::heartbeat,
                                      std::uint64_t agent_epoch = 1) {
-        protocol::Heartbeat r{"vm-1",        "10.1.0.1:9", "g4",
-                              "a",           false,        protocol::AgentEpoch{agent_epoch},
-                              ++sequence,    token,        preemption_notice_s,
+        protocol::Heartbeat r{"vm-1",
+                              "10.1.0.1:9",
+                              "g4",
+                              "a",
+                              false,
+                              protocol::AgentEpoch{agent_epoch},
+                              protocol::SequenceNumber{++sequence},
+                              token,
+                              preemption_notice_s,
                               reported_tasks};
         return cluster_state.apply_heartbeat(
             r, channel, 0, [this](const std::string& id) { return id == "j-1" ? spec : nullptr; });
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -225,7 +225,7 @@
         b.sequence = 7;
         b.reported_tasks.clear();
         EXPECT_EQ(b.apply_heartbeat(b.below_base(c.tokens_below), c.channel).is_newer(), c.fresh);
-        EXPECT_EQ(b.machine().sequence, c.fresh ? 8 : c.sequence + 1);
+        EXPECT_EQ(b.machine().sequence.value(), c.fresh ? 8 : c.sequence + 1);
         EXPECT_EQ(b.machine().tasks.empty(), c.fresh);
         b.apply_heartbeat(b.base());
         EXPECT_TRUE(b.machine().reconciled);
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -38,7 +38,7 @@
         protocol::Heartbeat r;
         r.machine = "vm-1";
         r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
-        r.sequence = 20;
+        r.sequence = protocol::SequenceNumber{20};
         r.token = c.token;
         if (c.shown)
             r.tasks.push_back(
--- a/tests/controller/peer_monitor_test.cpp
+++ b/tests/controller/peer_monitor_test.cpp
@@ -95,7 +95,8 @@
 TEST_F(PeerMonitorTest, DoesNotDeferToALaterReplicaThatFewMachinesReportTo) {
     start_and_wait(1);
     for (int k = 0; k < 10; ++k)
-        tracker.record("vm-" + std::to_string(k), protocol::AgentEpoch{1}, 1, timers.now());
+        tracker.record("vm-" + std::to_string(k), protocol::AgentEpoch{1}, protocol::SequenceNumber{1},
+                       timers.now());
     auto ping = ping_of_peer();
     ping.followed = 5;
     ping.workers = {"vm-0", "vm-1", "vm-2", "vm-3"};
@@ -108,7 +109,7 @@
 
 TEST_F(PeerMonitorTest, DefersToAnEqualReplicaWithMoreThanTwiceTheMachines) {
     start_and_wait(1);
-    tracker.record("vm-0", protocol::AgentEpoch{1}, 1, timers.now());
+    tracker.record("vm-0", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     auto ping = ping_of_peer();
     ping.workers = {"vm-1", "vm-2"};
     receive(ping);
@@ -150,7 +151,7 @@
 }
 
 TEST_F(PeerMonitorTest, AnswersALeaderInFullAndOthersBriefly) {
-    tracker.record("vm-0", protocol::AgentEpoch{1}, 1, timers.now());
+    tracker.record("vm-0", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     auto ping = ping_of_peer();
     EXPECT_TRUE(peers.answer_ping(ping).brief);
     EXPECT_TRUE(peers.answer_ping(ping).workers.empty());
@@ -173,7 +174,7 @@
     ping.silent_ms = {8000, 9000};
     receive(ping);
     timers.run_until(101);
-    tracker.record("vm-1", protocol::AgentEpoch{1}, 1, timers.now());
+    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     EXPECT_EQ(peers.inherited_suspicions(), (std::map<std::string, double>{{"vm-0", 9}}));
 }
 
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -73,14 +73,14 @@
                       .known = true,
                       .gone = false,
                       .agent_epoch = AgentEpoch{5},
-                      .sequence = 6,
+                      .sequence = SequenceNumber{6},
                       .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
                                 {.job = "j-2", .index = 0, .attempt = 1}}},
                      {.machine = "vm-2",
                       .known = false,
                       .gone = true,
                       .agent_epoch = AgentEpoch{11},
-                      .sequence = 12,
+                      .sequence = SequenceNumber{12},
                       .tasks = {}}},
             .begun = 7,
             .whole = true};
@@ -320,7 +320,7 @@
     EXPECT_TRUE(first.known);
     EXPECT_FALSE(first.gone);
     EXPECT_EQ(first.agent_epoch, AgentEpoch{5});
-    EXPECT_EQ(first.sequence, 6u);
+    EXPECT_EQ(first.sequence, SequenceNumber{6});
     ASSERT_EQ(first.tasks.size(), 2u);
     EXPECT_EQ(first.tasks[0].job, "j-1");
     EXPECT_EQ(first.tasks[0].index, 2u);
@@ -332,7 +332,7 @@
     EXPECT_FALSE(second.known);
     EXPECT_TRUE(second.gone);
     EXPECT_EQ(second.agent_epoch, AgentEpoch{11});
-    EXPECT_EQ(second.sequence, 12u);
+    EXPECT_EQ(second.sequence, SequenceNumber{12});
     EXPECT_TRUE(second.tasks.empty());
 }
 TEST(GoldenBytes, FleetAnswerIsReadFieldByField) {
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -551,7 +551,7 @@
     EXPECT_EQ(r.zone, "a");
     EXPECT_TRUE(r.spot);
     EXPECT_EQ(r.agent_epoch, AgentEpoch{beyond_double});
-    EXPECT_EQ(r.sequence, UINT64_MAX);
+    EXPECT_EQ(r.sequence, SequenceNumber{UINT64_MAX});
     EXPECT_EQ(r.token, FencingToken{beyond_double + 2});
     EXPECT_EQ(r.preemption_notice_s, 12.5);
     ASSERT_EQ(r.tasks.size(), 2u);
@@ -579,7 +579,7 @@
     EXPECT_EQ(r.zone, "b");
     EXPECT_FALSE(r.spot);
     EXPECT_EQ(r.agent_epoch, AgentEpoch{1});
-    EXPECT_EQ(r.sequence, 2u);
+    EXPECT_EQ(r.sequence, SequenceNumber{2});
     EXPECT_EQ(r.token, FencingToken{3});
     EXPECT_FALSE(r.preemption_notice_s);
     EXPECT_TRUE(r.tasks.empty());
@@ -596,7 +596,7 @@
     ASSERT_TRUE(o);
     EXPECT_EQ(o->machine, "vm-1");
     EXPECT_EQ(o->agent_epoch, AgentEpoch{beyond_double});
-    EXPECT_EQ(o->sequence, UINT64_MAX);
+    EXPECT_EQ(o->sequence, SequenceNumber{UINT64_MAX});
     EXPECT_EQ(golden::report.substr(o->at, o->digits), "18446744073709551615");
 }
 TEST(GoldenBytes, TaskStatesHaveTheirWords) {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -142,7 +142,7 @@
         "watch":2,"tally":18446744073709551615,"helm":9007199254740993,"warning_s":12.5,"news":1,
         "shards":[{"shard":"j-7/3","launch":9007199254740995,"status":"exited","cause":"halted","saved":true},
                   {"shard":"j-7/4","launch":1,"status":"exited","cause":"a new one"}]})");
-    EXPECT_EQ(r.sequence, 18446744073709551615ull);
+    EXPECT_EQ(r.sequence, SequenceNumber{18446744073709551615ull});
     EXPECT_EQ(r.token, FencingToken{9007199254740993ull});
     EXPECT_EQ(r.tasks[0].attempt, 9007199254740995ull);
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
--- a/tests/relay/reply_cache_test.cpp
+++ b/tests/relay/reply_cache_test.cpp
@@ -35,14 +35,14 @@
     };
     for (auto& c : cases) {
         ReplyCache cache;
-        cache.put(heartbeat_body("vm-1", 9, task), "vm-1", 9, "answer", 0);
+        cache.put(heartbeat_body("vm-1", 9, task), "vm-1", protocol::SequenceNumber{9}, "answer", 0);
         auto o = protocol::outline_heartbeat(c.body);
         EXPECT_EQ(o && cache.find(c.body, *o), c.repeats) << c.what;
     }
     // Not what full parsing found: not stored.
     ReplyCache cache;
-    cache.put(heartbeat_body("vm-1", 9), "vm-2", 9, "answer", 0);
-    cache.put(heartbeat_body("vm-1", 9), "vm-1", 8, "answer", 0);
+    cache.put(heartbeat_body("vm-1", 9), "vm-2", protocol::SequenceNumber{9}, "answer", 0);
+    cache.put(heartbeat_body("vm-1", 9), "vm-1", protocol::SequenceNumber{8}, "answer", 0);
     EXPECT_EQ(cache.size(), 0u);
 }
 
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 protocol::PeerMachineRow row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
-    return {id, true, false, protocol::AgentEpoch{agent_epoch}, 0, {}};
+    return {id, true, false, protocol::AgentEpoch{agent_epoch}, protocol::SequenceNumber::none(), {}};
 }
 
 struct Bench {
