--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -71,7 +71,7 @@
     const config::Settings& settings_;
     leader::Planner& planner_;
     std::mt19937_64 random_;
-    std::uint64_t incarnation_;
+    protocol::Incarnation incarnation_;
     metrics::Metrics metrics_;
     std::optional<double> last_resigned_at_;  // steady seconds
 
--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -30,7 +30,7 @@
     const LocalLeader& leader;
     const PeerMonitor& peers;
     relay::HeartbeatTracker& tracker;
-    std::uint64_t incarnation;  // of this process
+    protocol::Incarnation incarnation;  // of this process
 };
 
 class HeartbeatIntake {
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -37,7 +37,7 @@
     const LocalLeader& leader;
     const relay::HeartbeatTracker& heartbeats;  // that came here while another controller led
     const replication::Follower& replica;
-    std::uint64_t incarnation;  // of this process
+    protocol::Incarnation incarnation;  // of this process
 };
 
 class PeerMonitor {
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 Election::Election(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
-                   std::uint64_t incarnation, std::uint64_t seed)
+                   protocol::Incarnation incarnation, std::uint64_t seed)
     : timers_(timers),
       kv_(kv),
       settings_(settings),
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -44,7 +44,7 @@
     // `incarnation` identifies this process among those of the same controller; `seed` is for the jitter of
     // retries. The references must outlive this object, and it must outlive its timers and requests.
     Election(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
-             std::uint64_t incarnation, std::uint64_t seed);
+             protocol::Incarnation incarnation, std::uint64_t seed);
 
     // Takes part in elections from now on. To be called once.
     void start(Callbacks callbacks);
@@ -104,7 +104,7 @@
     event_loop::Timers& timers_;
     kv::KvClient& kv_;
     const config::Settings& settings_;
-    std::uint64_t incarnation_;
+    protocol::Incarnation incarnation_;
     std::minstd_rand random_;
     double lease_ttl_s_;
     Callbacks callbacks_;
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -68,7 +68,7 @@
     std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heartbeats_seen_by_peers;
     const protocol::PeerImages& remembered;   // the machines' image caches, as the previous leader told them
     std::function<bool()> resign_leadership;  // whether to resign for it; noted if so
-    std::uint64_t incarnation;                // of this controller's process
+    protocol::Incarnation incarnation;        // of this controller's process
     std::map<std::string, double> suspected;  // by the previous leader: silent for so many seconds by now
     const replication::ReplicaState& copy;    // of what the previous leader knew of its machines
     // What another controller last said of itself, if that is not long ago; else null.
@@ -108,7 +108,7 @@
     std::map<std::string, double> suspected() const { return supervisor_.suspected(); }
     void types_changed();
     // The controller with this label is a new process.
-    void started_anew(const std::string& controller, std::uint64_t incarnation) {
+    void started_anew(const std::string& controller, protocol::Incarnation incarnation) {
         start_replication_.controller_restarted(controller, incarnation);
     }
     // The job's record says since this version that it is cancelled.
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -43,7 +43,7 @@
     void release_starts();
     // To be called each tick: controllers that do not follow yet may begin to.
     void tick() { sender_.tick(); }
-    void controller_restarted(const std::string& label, std::uint64_t incarnation) {
+    void controller_restarted(const std::string& label, protocol::Incarnation incarnation) {
         sender_.follower_restarted(label, incarnation);
     }
     [[nodiscard]] const replication::ReplicationSender& sender() const { return sender_; }
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -137,7 +137,7 @@
 using MachinePage = std::vector<std::pair<std::string, MachineRecord>>;  // by machine id
 struct LeaderRecord {
     std::string label;
-    std::uint64_t incarnation = 0;
+    Incarnation incarnation;
     // It stores a record of who follows it before its first `run`. Versions that don't, say nothing.
     bool keeps_record = false;
 };
@@ -145,8 +145,8 @@
 struct StandbyRecord {
     struct Member {
         std::string label;
-        std::uint64_t incarnation = 0;  // of its process
-        std::uint64_t begun = 0;        // the leadership under which its copy was begun from nothing
+        Incarnation incarnation;  // of its process
+        std::uint64_t begun = 0;  // the leadership under which its copy was begun from nothing
         bool operator==(const Member&) const = default;
     };
     std::uint64_t version = 0;  // of the leader's key
--- a/src/protocol/numbers.hpp
+++ b/src/protocol/numbers.hpp
@@ -1,5 +1,5 @@
-// The numbers that decide what is newer, and what may still be acted on. Each grows for the lifetime of its
-// subject; zero means that there is none.
+// The numbers that decide what is newer, whose it is, and what may still be acted on. Zero means that there
+// is none.
 #pragma once
 #include "protocol/strong_number.hpp"
 
@@ -17,4 +17,7 @@
 // the larger (agent epoch, sequence number) is newer.
 using SequenceNumber = StrongNumber<struct SequenceNumberTag>;
 
+// Which process of a controller: drawn at random at its start, so neither of two is the newer one.
+using Incarnation = StrongNumber<struct IncarnationTag>;
+
 }  // namespace coralhitch::protocol
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -34,7 +34,7 @@
 
 struct PeerPing {
     std::string label;
-    std::uint64_t incarnation = 0;
+    Incarnation incarnation;
     std::uint64_t leader_version = 0;  // the newest leadership the sender knows of
     std::string leader;
     bool state_ok = false;             // the key-value store answered the sender lately
@@ -96,7 +96,7 @@
 };
 struct PeerRelay {
     std::string label;
-    std::uint64_t incarnation = 0;
+    Incarnation incarnation;
     std::uint64_t leader_version = 0;  // of the leadership that it is meant for
     std::uint64_t number = 0;
     std::uint64_t answered = 0;        // the number of the last of these whose answer was taken in
@@ -148,8 +148,7 @@
 };
 struct PeerFleetAnswer {
     bool taken = false;
-    std::uint64_t incarnation =
-        0;                    // of the process that took it: another one knows nothing of what came before
+    Incarnation incarnation;  // of the process that took it: another one knows nothing of what came before
     std::uint64_t begun = 0;  // the leadership under which its copy was begun; 0: none, or it does not say
     MSGPACK_DEFINE(taken, incarnation, begun)
 };
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -43,14 +43,15 @@
     return fields::dumped(json{{"machines", std::move(rows)}});
 }
 std::string stored(const LeaderRecord& r) {
-    json j{{"label", r.label}, {"incarnation", r.incarnation}};
+    json j{{"label", r.label}, {"incarnation", r.incarnation.value()}};
     if (r.keeps_record) j["standby"] = true;
     return fields::dumped(j);
 }
 std::string stored(const StandbyRecord& r) {
     json members = json::array();
     for (auto& m : r.members)
-        members.push_back(json{{"label", m.label}, {"incarnation", m.incarnation}, {"begun", m.begun}});
+        members.push_back(
+            json{{"label", m.label}, {"incarnation", m.incarnation.value()}, {"begun", m.begun}});
     return fields::dumped(json{{"version", r.version}, {"members", members}});
 }
 std::string stored_bits(const std::vector<bool>& bits) {
@@ -113,7 +114,7 @@
 }
 LeaderRecord parse_leader_record(std::string_view v) {
     json j = fields::parse_object(v);
-    return {fields::text(j, "label"), fields::count(j, "incarnation"),
+    return {fields::text(j, "label"), Incarnation{fields::count(j, "incarnation")},
             j.contains("standby") && fields::flag(j, "standby")};
 }
 bool keeps_record(std::string_view v) {
@@ -129,7 +130,7 @@
     for (auto& m : fields::list(j, "members")) {
         if (!m.is_object()) bad("members", "holds something that is not a member");
         // Versions before copies were carried over name only whom they told all themselves.
-        r.members.push_back({fields::text(m, "label"), fields::count(m, "incarnation"),
+        r.members.push_back({fields::text(m, "label"), Incarnation{fields::count(m, "incarnation")},
                              m.contains("begun") ? fields::count(m, "begun") : r.version});
     }
     return r;
--- a/src/relay/delegation_table.cpp
+++ b/src/relay/delegation_table.cpp
@@ -4,8 +4,8 @@
 
 namespace coralhitch::relay {
 
-void DelegationTable::reset(const std::string& relay_label, ReportRelay& relay, std::uint64_t incarnation,
-                            const ReturnedCallback& returned) {
+void DelegationTable::reset(const std::string& relay_label, ReportRelay& relay,
+                            protocol::Incarnation incarnation, const ReturnedCallback& returned) {
     relay.incarnation = incarnation;
     relay.last_message = 0;
     relay.revocations.clear();
@@ -18,7 +18,7 @@
     relay.machines = 0;
 }
 
-bool DelegationTable::accept_message(const std::string& relay_label, std::uint64_t incarnation,
+bool DelegationTable::accept_message(const std::string& relay_label, protocol::Incarnation incarnation,
                                      std::uint64_t number, std::uint64_t acknowledged,
                                      const ReturnedCallback& returned) {
     auto& relay = relays_[relay_label];
--- a/src/relay/delegation_table.hpp
+++ b/src/relay/delegation_table.hpp
@@ -19,6 +19,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::relay {
 
 class DelegationTable {
@@ -30,7 +32,7 @@
     // the revocations in that answer need not be repeated. A relay process that was restarted has lost its
     // delegations: `returned` is called for each of its machines. False if a later message of this process
     // arrived before.
-    [[nodiscard]] bool accept_message(const std::string& relay_label, std::uint64_t incarnation,
+    [[nodiscard]] bool accept_message(const std::string& relay_label, protocol::Incarnation incarnation,
                                       std::uint64_t number, std::uint64_t acknowledged,
                                       const ReturnedCallback& returned);
     // The relay may answer this machine's repeated heartbeats. Revoked from any other relay.
@@ -59,12 +61,13 @@
         std::string machine;
     };
     struct ReportRelay {
-        std::uint64_t incarnation = 0, last_message = 0;
+        protocol::Incarnation incarnation;
+        std::uint64_t last_message = 0;
         double delegation_expiry = -1;  // before all time until the first extension
         std::size_t machines = 0;
         std::deque<Revocation> revocations;  // not acknowledged, oldest first
     };
-    void reset(const std::string& relay_label, ReportRelay& relay, std::uint64_t incarnation,
+    void reset(const std::string& relay_label, ReportRelay& relay, protocol::Incarnation incarnation,
                const ReturnedCallback& returned);
 
     std::map<std::string, ReportRelay> relays_;                    // by label
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 HeartbeatRelay::HeartbeatRelay(event_loop::Timers& timers, http::Requester& http,
-                               const config::Settings& settings, std::uint64_t incarnation,
+                               const config::Settings& settings, protocol::Incarnation incarnation,
                                LeaderLookup leader_lookup)
     : timers_(timers),
       http_(http),
--- a/src/relay/heartbeat_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -41,7 +41,7 @@
     using LeaderLookup = std::function<LeaderEndpoint()>;
 
     HeartbeatRelay(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                   std::uint64_t incarnation, LeaderLookup leader_lookup);
+                   protocol::Incarnation incarnation, LeaderLookup leader_lookup);
     ~HeartbeatRelay();
     HeartbeatRelay(const HeartbeatRelay&) = delete;
     HeartbeatRelay& operator=(const HeartbeatRelay&) = delete;
@@ -93,7 +93,7 @@
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    std::uint64_t incarnation_;
+    protocol::Incarnation incarnation_;
     LeaderLookup leader_lookup_;
     HeartbeatRejections rejections_;
     LeaderEndpoint leader_;
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -15,7 +15,7 @@
 // What the checks go by. All of it is read after the claim, except `replica` and `chain`.
 struct ReplicaEvidence {
     std::string label;                              // of this controller
-    std::uint64_t incarnation = 0;                  // of this process
+    protocol::Incarnation incarnation;              // of this process
     std::uint64_t leader_version = 0;               // of the leadership that was claimed
     std::optional<protocol::StandbyRecord> record;  // the stored record of in-sync replicas
     election::LeadershipHistory chain;              // leaderships seen before the claim
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -12,7 +12,7 @@
 class Follower {
   public:
     // `incarnation`: of this process.
-    explicit Follower(std::uint64_t incarnation) : incarnation_(incarnation) {}
+    explicit Follower(protocol::Incarnation incarnation) : incarnation_(incarnation) {}
     // Applies a batch. Rejected (`taken` false in the answer) is a batch of an earlier leadership or one that
     // arrives after a later batch: it was delayed, and its contents may be outdated. So is one that continues
     // another replica than this one.
@@ -23,7 +23,7 @@
     [[nodiscard]] bool outdated(const protocol::PeerFleet& batch) const;
     [[nodiscard]] bool follow_leader(const protocol::PeerFleet& batch);
 
-    std::uint64_t incarnation_;
+    protocol::Incarnation incarnation_;
     ReplicaState replica_;
 };
 
--- a/src/replication/follower_session.cpp
+++ b/src/replication/follower_session.cpp
@@ -9,7 +9,8 @@
 void FollowerSession::begin_snapshot(const std::vector<std::string>& machines) {
     state_ = State::snapshotting;
     in_flight_ = resumed_ = announce_complete_ = false;
-    incarnation_ = base_version_ = acknowledged_ = 0;
+    incarnation_ = protocol::Incarnation::none();
+    base_version_ = acknowledged_ = 0;
     waiting_since_.reset();
     queue_.clear();
     queued_machines_.clear();
--- a/src/replication/follower_session.hpp
+++ b/src/replication/follower_session.hpp
@@ -73,8 +73,8 @@
     // As named in the stored record while it is in sync.
     [[nodiscard]] Member member() const { return {peer_.label, incarnation_, base_version_}; }
     // Of the follower's process; 0: not known yet.
-    [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
-    void set_incarnation(std::uint64_t incarnation) { incarnation_ = incarnation; }
+    [[nodiscard]] protocol::Incarnation incarnation() const { return incarnation_; }
+    void set_incarnation(protocol::Incarnation incarnation) { incarnation_ = incarnation; }
     // The leadership whose snapshot its replica began from.
     [[nodiscard]] std::uint64_t base_version() const { return base_version_; }
     // Whether it continues a replica of an earlier leadership.
@@ -97,7 +97,8 @@
     bool resumed_ = false;
     bool announce_complete_ = false;  // the follower is yet to be told that its replica is complete
     std::uint64_t session_ = 0;       // grows with each begin and end
-    std::uint64_t incarnation_ = 0, base_version_ = 0, acknowledged_ = 0;
+    protocol::Incarnation incarnation_;
+    std::uint64_t base_version_ = 0, acknowledged_ = 0;
     std::deque<QueuedChange> queue_;  // by log index
     std::unordered_set<std::string> queued_machines_;
     std::optional<double> waiting_since_;
--- a/tests/controller/heartbeat_intake_test.cpp
+++ b/tests/controller/heartbeat_intake_test.cpp
@@ -15,7 +15,8 @@
     [[nodiscard]] std::uint64_t rejected(relay::HeartbeatRejection why) {
         return intake.rejections().count(why);
     }
-    HeartbeatIntake intake{{timers, network, settings, election, leader, peers, tracker, 1}};
+    HeartbeatIntake intake{
+        {timers, network, settings, election, leader, peers, tracker, protocol::Incarnation{1}}};
     std::vector<http::Response> responses;
 };
 
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -69,7 +69,7 @@
     [[nodiscard]] static protocol::PeerPing ping_of_peer() {
         protocol::PeerPing ping;
         ping.label = "berth-1";
-        ping.incarnation = 77;
+        ping.incarnation = protocol::Incarnation{77};
         ping.state_ok = true;
         ping.features = protocol::peer_features;
         return ping;
@@ -81,12 +81,13 @@
     config::Settings settings = ControllerFixture::default_settings();  // report_s is 3
     kv::KvClient kv{timers, network, settings};
     KvReachability kv_reachability{timers, kv, settings};
-    election::Election election{timers, kv, settings, 1, 1};
+    election::Election election{timers, kv, settings, protocol::Incarnation{1}, 1};
     LocalLeader leader;
-    replication::Follower replica{1};
+    replication::Follower replica{protocol::Incarnation{1}};
     relay::HeartbeatTracker tracker{9, 248};
     std::vector<protocol::PeerCount> received_counts;
-    PeerMonitor peers{{timers, network, settings, election, kv_reachability, leader, tracker, replica, 1},
+    PeerMonitor peers{{timers, network, settings, election, kv_reachability, leader, tracker, replica,
+                       protocol::Incarnation{1}},
                       [this](auto& counts) { received_counts = counts; }};
 };
 
--- a/tests/controller/peer_monitor_test.cpp
+++ b/tests/controller/peer_monitor_test.cpp
@@ -28,7 +28,7 @@
     };
     peers.start();
     ASSERT_TRUE(peers.recent_ping("berth-1"));
-    EXPECT_EQ(peers.recent_ping("berth-1")->incarnation, 77u);
+    EXPECT_EQ(peers.recent_ping("berth-1")->incarnation, protocol::Incarnation{77});
 }
 
 TEST_F(PeerMonitorTest, ForgetsAPingAfterOneAndAHalfHeartbeatPeriods) {
@@ -145,7 +145,7 @@
     // The age counts on from the full ping.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.2}}), 0u);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 1u);
-    brief.incarnation = 78;
+    brief.incarnation = protocol::Incarnation{78};
     receive(brief);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 0u) << "a restarted peer has no lists yet";
 }
--- a/tests/controller/peer_ping_size_test.cpp
+++ b/tests/controller/peer_ping_size_test.cpp
@@ -20,11 +20,13 @@
     for (std::size_t k = 0; k < machine_count; ++k)
         fixture.controller.serve({"POST", "/hello", heartbeat_of(machine_name(k))}, [](http::Response) {});
     fixture.timers.run_until(0.5);
+    protocol::PeerPing ping;
+    ping.label = "berth-1";
+    ping.incarnation = protocol::Incarnation{1};
+    ping.state_ok = true;
     std::optional<protocol::PeerPing> answer;
     fixture.controller.serve_peer(
-        {"POST", std::string(protocol::peer_ping_path),
-         protocol::pack_peer(protocol::PeerPing{"berth-1", 1, 0, "", true, {}, {}})},
-        [&](http::Response r) {
+        {"POST", std::string(protocol::peer_ping_path), protocol::pack_peer(ping)}, [&](http::Response r) {
             answer = protocol::unpack_peer<protocol::PeerPing>(r.body);
             RecordProperty("bytes", static_cast<int>(r.body.size()));
             // A message may have a thirty-second of the memory.
--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -76,7 +76,7 @@
         return s;
     }();
     kv::KvClient client{timers, service, settings};
-    Election election{timers, client, settings, 77, 1};
+    Election election{timers, client, settings, protocol::Incarnation{77}, 1};
     int won = 0, lost = 0;
     // The key as another process left it.
     void held_by(const std::string& label) {
--- a/tests/leader/authority_test.cpp
+++ b/tests/leader/authority_test.cpp
@@ -45,7 +45,7 @@
     CuttableNetwork network{timers, leases};
     config::Settings settings = LeadingFixture::settings_of_one();
     kv::KvClient kv{timers, network, settings};
-    election::Election election{timers, kv, settings, 77, 1};
+    election::Election election{timers, kv, settings, protocol::Incarnation{77}, 1};
     std::optional<double> cancellations_known_until;  // nothing: up to now, at any time
     std::unique_ptr<Authority> authority;
 };
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -16,7 +16,7 @@
     bool take_message(std::uint64_t incarnation, std::uint64_t number) {
         protocol::PeerRelay message;
         message.label = "controller-1";
-        message.incarnation = incarnation;
+        message.incarnation = protocol::Incarnation{incarnation};
         message.number = number;
         return delegations.take_relay_message(message);
     }
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -71,7 +71,7 @@
     FakeLeases network{timers, service};
     config::Settings settings = settings_of_one();
     kv::KvClient kv{timers, network, settings};
-    election::Election election{timers, kv, settings, 77, 1};
+    election::Election election{timers, kv, settings, protocol::Incarnation{77}, 1};
     const std::vector<protocol::MachineType> types{{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a", "b"}}};
     std::shared_ptr<int> leader = std::make_shared<int>();  // what callbacks keep alive
     std::unique_ptr<Authority> authority;
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -21,7 +21,7 @@
 
 PeerPing ping() {
     return {.label = "berth-1",
-            .incarnation = UINT64_MAX,
+            .incarnation = Incarnation{UINT64_MAX},
             .leader_version = 1ull << 60,
             .leader = "berth-2",
             .state_ok = true,
@@ -36,7 +36,7 @@
 }
 PeerPing brief_ping() {
     return {.label = "berth-1",
-            .incarnation = 7,
+            .incarnation = Incarnation{7},
             .leader_version = 8,
             .leader = "berth-2",
             .state_ok = false,
@@ -51,7 +51,7 @@
 }
 PeerRelay relayed_reports() {
     return {.label = "berth-1",
-            .incarnation = 7,
+            .incarnation = Incarnation{7},
             .leader_version = 8,
             .number = 9,
             .answered = 5,
@@ -130,7 +130,7 @@
         message("RelayAnswer", peer_relay_answer, peer_relay_answer_unset, relay_answer()),
         message("Fleet", peer_fleet, peer_fleet_unset, fleet()),
         message("FleetAnswer", peer_fleet_answer, peer_fleet_answer_unset,
-                PeerFleetAnswer{.taken = true, .incarnation = 9, .begun = 8}),
+                PeerFleetAnswer{.taken = true, .incarnation = Incarnation{9}, .begun = 8}),
     };
 }
 
@@ -192,7 +192,7 @@
 TEST(GoldenBytes, PingIsReadFieldByField) {
     auto p = read<PeerPing>(golden::peer_ping);
     EXPECT_EQ(p.label, "berth-1");
-    EXPECT_EQ(p.incarnation, UINT64_MAX);
+    EXPECT_EQ(p.incarnation, Incarnation{UINT64_MAX});
     EXPECT_EQ(p.leader_version, 1ull << 60);
     EXPECT_EQ(p.leader, "berth-2");
     EXPECT_TRUE(p.state_ok);
@@ -214,7 +214,7 @@
 TEST(GoldenBytes, BriefPingIsReadFieldByField) {
     auto p = read<PeerPing>(golden::peer_ping_brief);
     EXPECT_EQ(p.label, "berth-1");
-    EXPECT_EQ(p.incarnation, 7u);
+    EXPECT_EQ(p.incarnation, Incarnation{7});
     EXPECT_EQ(p.leader_version, 8u);
     EXPECT_EQ(p.leader, "berth-2");
     EXPECT_FALSE(p.state_ok);
@@ -283,7 +283,7 @@
 TEST(GoldenBytes, RelayIsReadFieldByField) {
     auto r = read<PeerRelay>(golden::peer_relay);
     EXPECT_EQ(r.label, "berth-1");
-    EXPECT_EQ(r.incarnation, 7u);
+    EXPECT_EQ(r.incarnation, Incarnation{7});
     EXPECT_EQ(r.leader_version, 8u);
     EXPECT_EQ(r.number, 9u);
     EXPECT_EQ(r.answered, 5u);
@@ -338,7 +338,7 @@
 TEST(GoldenBytes, FleetAnswerIsReadFieldByField) {
     auto a = read<PeerFleetAnswer>(golden::peer_fleet_answer);
     EXPECT_TRUE(a.taken);
-    EXPECT_EQ(a.incarnation, 9u);
+    EXPECT_EQ(a.incarnation, Incarnation{9});
     EXPECT_EQ(a.begun, 8u);
 }
 
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -285,20 +285,22 @@
 }
 
 TEST(GoldenBytes, LeaderRecordIsWrittenAsBefore) {
-    EXPECT_EQ(stored(LeaderRecord{.label = "berth-0", .incarnation = UINT64_MAX, .keeps_record = false}),
+    EXPECT_EQ(stored(LeaderRecord{
+                  .label = "berth-0", .incarnation = Incarnation{UINT64_MAX}, .keeps_record = false}),
               golden::leader_old);
-    EXPECT_EQ(stored(LeaderRecord{.label = "berth-1", .incarnation = beyond_double, .keeps_record = true}),
+    EXPECT_EQ(stored(LeaderRecord{
+                  .label = "berth-1", .incarnation = Incarnation{beyond_double}, .keeps_record = true}),
               golden::leader);
 }
 TEST(GoldenBytes, LeaderRecordIsReadFieldByField) {
     auto old = parse_leader_record(golden::leader_old);
     EXPECT_EQ(old.label, "berth-0");
-    EXPECT_EQ(old.incarnation, UINT64_MAX);
+    EXPECT_EQ(old.incarnation, Incarnation{UINT64_MAX});
     EXPECT_FALSE(old.keeps_record);
     EXPECT_FALSE(keeps_record(golden::leader_old));
     auto now = parse_leader_record(golden::leader);
     EXPECT_EQ(now.label, "berth-1");
-    EXPECT_EQ(now.incarnation, beyond_double);
+    EXPECT_EQ(now.incarnation, Incarnation{beyond_double});
     EXPECT_TRUE(now.keeps_record);
     EXPECT_TRUE(keeps_record(golden::leader));
 }
@@ -309,8 +311,8 @@
 
 TEST(GoldenBytes, StandbyRecordIsWrittenAsBefore) {
     StandbyRecord r{.version = beyond_double,
-                    .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .begun = 11},
-                                {.label = "berth-2", .incarnation = 5, .begun = 12}}};
+                    .members = {{.label = "berth-0", .incarnation = Incarnation{UINT64_MAX}, .begun = 11},
+                                {.label = "berth-2", .incarnation = Incarnation{5}, .begun = 12}}};
     EXPECT_EQ(stored(r), golden::standby);
     EXPECT_EQ(stored(StandbyRecord{.version = 7, .members = {}}), golden::standby_nobody);
 }
@@ -319,10 +321,10 @@
     EXPECT_EQ(r.version, beyond_double);
     ASSERT_EQ(r.members.size(), 2u);
     EXPECT_EQ(r.members[0].label, "berth-0");
-    EXPECT_EQ(r.members[0].incarnation, UINT64_MAX);
+    EXPECT_EQ(r.members[0].incarnation, Incarnation{UINT64_MAX});
     EXPECT_EQ(r.members[0].begun, 11u);
     EXPECT_EQ(r.members[1].label, "berth-2");
-    EXPECT_EQ(r.members[1].incarnation, 5u);
+    EXPECT_EQ(r.members[1].incarnation, Incarnation{5});
     EXPECT_EQ(r.members[1].begun, 12u);
     auto nobody = parse_standby_record(golden::standby_nobody);
     EXPECT_EQ(nobody.version, 7u);
@@ -333,7 +335,7 @@
     auto r = parse_standby_record(golden::standby_old);
     ASSERT_EQ(r.members.size(), 1u);
     EXPECT_EQ(r.members[0].label, "berth-2");
-    EXPECT_EQ(r.members[0].incarnation, 5u);
+    EXPECT_EQ(r.members[0].incarnation, Incarnation{5});
     EXPECT_EQ(r.members[0].begun, 7u);
 }
 
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -172,7 +172,8 @@
 }
 
 TEST(Peer, RoundTripsAndRefusesNoise) {
-    PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features};
+    PeerPing p{"berth-1", Incarnation{7}, 1ull << 60,      "berth-2",
+               true,      {"vm-1"},       {{"j-1", 3, 4}}, peer_features};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
     ASSERT_TRUE(back);
     ASSERT_EQ(back->counts.size(), 1u);
@@ -209,7 +210,8 @@
     EXPECT_EQ(ping->leader_version, 8u);
     ASSERT_EQ(ping->counts.size(), 1u);
     EXPECT_EQ(ping->features, 0u);  // unknown means old
-    auto back = unpack_peer<OldPing>(pack_peer(PeerPing{"a", 1, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
+    auto back = unpack_peer<OldPing>(
+        pack_peer(PeerPing{"a", Incarnation{1}, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
     EXPECT_EQ(back->counts.at(0).done, 5u);
--- a/tests/relay/delegation_table_test.cpp
+++ b/tests/relay/delegation_table_test.cpp
@@ -9,7 +9,7 @@
 TEST(DelegationTable, RenewalBoundCoversEveryDelegationInEffect) {
     DelegationTable table;
     auto none = [](const std::string&, double) { ADD_FAILURE(); };
-    ASSERT_TRUE(table.accept_message("b", 1, 1, 0, none));
+    ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{1}, 1, 0, none));
     table.delegate("vm-1", "b");
     EXPECT_TRUE(table.extend("b", 100).empty());
     EXPECT_EQ(table.renewal_bound("vm-1", 50), 100);
@@ -19,23 +19,25 @@
     EXPECT_EQ(table.revoke("vm-1"), 100);
     EXPECT_EQ(table.revoke("vm-1"), std::nullopt);
     EXPECT_FALSE(table.delegated_to("vm-1", "b"));
-    EXPECT_FALSE(table.accept_message("b", 1, 1, 1, none)) << "a message that came late";
-    ASSERT_TRUE(table.accept_message("b", 1, 2, 1, none));
+    EXPECT_FALSE(table.accept_message("b", protocol::Incarnation{1}, 1, 1, none))
+        << "a message that came late";
+    ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{1}, 2, 1, none));
     EXPECT_EQ(table.extend("b", 105), std::vector<std::string>{"vm-1"});
-    ASSERT_TRUE(table.accept_message("b", 1, 3, 1, none)) << "the answer to the second was lost";
+    ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{1}, 3, 1, none))
+        << "the answer to the second was lost";
     EXPECT_EQ(table.extend("b", 106), std::vector<std::string>{"vm-1"});
-    ASSERT_TRUE(table.accept_message("b", 1, 4, 3, none));
+    ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{1}, 4, 3, none));
     EXPECT_TRUE(table.extend("b", 107).empty());
     // A relay that was restarted: its machines are returned, with the bound of its last delegation.
     table.delegate("vm-3", "b");
     std::vector<std::pair<std::string, double>> back;
-    ASSERT_TRUE(
-        table.accept_message("b", 2, 1, 0, [&](auto& id, double until) { back.emplace_back(id, until); }));
+    ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{2}, 1, 0,
+                                     [&](auto& id, double until) { back.emplace_back(id, until); }));
     EXPECT_EQ(back, (std::vector<std::pair<std::string, double>>{{"vm-3", 107}}));
     EXPECT_EQ(table.count("b"), 0u);
     // A machine that moves from one relay to another is revoked from the first.
     table.delegate("vm-4", "b");
-    ASSERT_TRUE(table.accept_message("c", 1, 1, 0, none));
+    ASSERT_TRUE(table.accept_message("c", protocol::Incarnation{1}, 1, 0, none));
     table.delegate("vm-4", "c");
     EXPECT_EQ(table.extend("b", 108), std::vector<std::string>{"vm-4"});
     EXPECT_EQ(table.count("b"), 0u);
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -32,7 +32,9 @@
     HeartbeatRelay relay;
     std::vector<int> statuses;
 
-    RelayFixture() : settings(make()), relay(timers, net, settings, 1, [this] { return leader; }) {
+    RelayFixture()
+        : settings(make()),
+          relay(timers, net, settings, protocol::Incarnation{1}, [this] { return leader; }) {
         relay.start();
     }
     static config::Settings make() {
--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -12,14 +12,16 @@
 // `ran_twice`.
 TEST(EligibilityChecks, AcceptAReplicaOnlyIfNothingCanBeMissing) {
     ReplicaState replica{20, 7, 20, true, {}};
-    ReplicaEvidence good{"me",
-                         3,
-                         40,
-                         protocol::StandbyRecord{20, {{"me", 3, 20}, {"other", 4, 20}}},
-                         {{{10, false}, {20, true}}, 25},
-                         true,
-                         {},
-                         &replica};
+    ReplicaEvidence good{
+        "me",
+        protocol::Incarnation{3},
+        40,
+        protocol::StandbyRecord{
+            20, {{"me", protocol::Incarnation{3}, 20}, {"other", protocol::Incarnation{4}, 20}}},
+        {{{10, false}, {20, true}}, 25},
+        true,
+        {},
+        &replica};
     struct Case {
         const char* name;
         std::function<void(ReplicaEvidence&)> change;
@@ -34,12 +36,12 @@
         {"the record is of this leadership", [](ReplicaEvidence& e) { e.record->version = 40; }, false},
         {"it was removed, and starts were sent without it since",
          [](ReplicaEvidence& e) {
-             e.record->members = {{"other", 4, 20}};
+             e.record->members = {{"other", protocol::Incarnation{4}, 20}};
          },
          false},
         {"another process of this controller was recorded",
          [](ReplicaEvidence& e) {
-             e.record->members = {{"me", 2, 20}};
+             e.record->members = {{"me", protocol::Incarnation{2}, 20}};
          },
          false},
         {"the replica is of the previous leader", [&](ReplicaEvidence& e) { e.replica = &older; }, false},
--- a/tests/replication/follower_session_test.cpp
+++ b/tests/replication/follower_session_test.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t no_limit = 100;
 
 protocol::PeerFleetAnswer applied(std::uint64_t incarnation = 1) {
-    return {true, incarnation, 0};
+    return {true, protocol::Incarnation{incarnation}, 0};
 }
 
 TEST(FollowerSession, IsInSyncOnceTheSnapshotIsAcknowledged) {
@@ -31,7 +31,7 @@
     ASSERT_TRUE(session.snapshot_acknowledged());
     session.set_in_sync(11);
     EXPECT_EQ(session.acknowledged(), 5u);
-    EXPECT_EQ(session.member(), (FollowerSession::Member{"x", 1, 7}));
+    EXPECT_EQ(session.member(), (FollowerSession::Member{"x", protocol::Incarnation{1}, 7}));
     EXPECT_TRUE(session.ready_to_send()) << "the follower is yet to be told that its replica is complete";
 }
 
@@ -39,7 +39,7 @@
 // failed.
 TEST(FollowerSession, AcknowledgesOnlyWhatWasSent) {
     FollowerSession session({"x", "a", "x:1"});
-    session.resume({"x", 1, 4}, 0);
+    session.resume({"x", protocol::Incarnation{1}, 4}, 0);
     session.enqueue("vm-1", 1);
     session.enqueue("vm-2", 2);
     auto batch = session.next_batch(no_limit, 2, 0);
--- a/tests/replication/follower_test.cpp
+++ b/tests/replication/follower_test.cpp
@@ -11,7 +11,7 @@
 }
 
 TEST(Follower, AppliesBatchesInOrderOfOneLeadershipAtATime) {
-    Follower f(9);
+    Follower f(protocol::Incarnation{9});
     struct Case {
         const char* name;
         std::uint64_t version, number;
@@ -34,7 +34,7 @@
         SCOPED_TRACE(c.name);
         auto a = f.apply({c.version, c.number, {c.row}});
         EXPECT_EQ(a.taken, c.taken);
-        EXPECT_EQ(a.incarnation, 9u);
+        EXPECT_EQ(a.incarnation, protocol::Incarnation{9});
         EXPECT_EQ(f.replica().machines.size(), c.rows);
     }
     EXPECT_EQ(f.replica().leader_version, 8u);
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -80,7 +80,7 @@
         fixture.record.update();
         fixture.timers.run_until(1);
         EXPECT_FALSE(fixture.record.may_name("x"));
-        fixture.members = {{"x", 1, 50}};
+        fixture.members = {{"x", protocol::Incarnation{1}, 50}};
         fixture.record.update();
         EXPECT_TRUE(fixture.record.may_name("x"));
         fixture.members.clear();  // out of sync while the write is under way
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -64,12 +64,14 @@
     FakeKeyValueStore service{timers};
     config::Settings settings = settings_for();
     kv::KvClient client{timers, service, settings};
-    std::map<std::string, Peer> followers{{"x", {Follower(1)}}, {"y", {Follower(2)}}};
+    std::map<std::string, Peer> followers{{"x", {Follower(protocol::Incarnation{1})}},
+                                          {"y", {Follower(protocol::Incarnation{2})}}};
     std::map<std::string, std::uint64_t> machines{{"vm-1", 1}, {"vm-2", 1}};
     bool authority = true;
     std::map<std::string, protocol::PeerPing> pings;
     void ping(const std::string& label, std::uint64_t incarnation) {
-        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features, 0};
+        pings[label] = {
+            label, protocol::Incarnation{incarnation}, 0, "", true, {}, {}, protocol::peer_features, 0};
     }
     ReplicationSender sender{
         timers,
@@ -163,10 +165,12 @@
         Bench b;
         b.ping("x", c.incarnation);
         b.pings["x"].features = c.features;
-        auto& f = b.followers.at("x").follower = Follower(c.incarnation);
+        auto& f = b.followers.at("x").follower = Follower(protocol::Incarnation{c.incarnation});
         b.followers.at("y").silent = true;
         if (c.begun) f.apply({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
-        b.sender.start(0, protocol::StandbyRecord{40, {{"x", 1, 40}, {"y", 7, 40}}});
+        b.sender.start(0,
+                       protocol::StandbyRecord{
+                           40, {{"x", protocol::Incarnation{1}, 40}, {"y", protocol::Incarnation{7}, 40}}});
         for (double t = 0; !b.service.kv.contains(kv::keys::standby); t += 0.001) b.timers.run_until(t);
         EXPECT_EQ(b.named().contains("x"), c.at_once);
         auto log_index = b.start("vm-2");
@@ -194,10 +198,10 @@
         b.followers.at("y").silent = true;
         b.sender.start(0, std::nullopt);
         b.timers.run_until(1);
-        b.followers.at("x").follower = Follower(11);
+        b.followers.at("x").follower = Follower(protocol::Incarnation{11});
         b.ping("x", 11);
         if (says_so)
-            b.sender.follower_restarted("x", 11);
+            b.sender.follower_restarted("x", protocol::Incarnation{11});
         else
             b.start("vm-1");  // the answer shows it
         b.timers.run_until(1.2);
