--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -6,7 +6,8 @@
 
 namespace coralhitch::cluster {
 
-ClusterState::ClusterState(std::uint64_t leadership_version, const std::vector<protocol::MachineType>& types)
+ClusterState::ClusterState(protocol::LeaderVersion leadership_version,
+                           const std::vector<protocol::MachineType>& types)
     : tokens_(leadership_version) {
     set_types(types);
 }
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -35,7 +35,7 @@
     static constexpr int token_bits = FencingTokens::token_bits;
 
     // `leadership_version`: of the leader's key; each leadership has a higher one.
-    ClusterState(std::uint64_t leadership_version, const std::vector<protocol::MachineType>& types);
+    ClusterState(protocol::LeaderVersion leadership_version, const std::vector<protocol::MachineType>& types);
     ClusterState(const ClusterState&) = delete;  // parts refer to each other
     ClusterState& operator=(const ClusterState&) = delete;
 
--- a/src/cluster/fencing_tokens.hpp
+++ b/src/cluster/fencing_tokens.hpp
@@ -16,16 +16,16 @@
     // Enough for what is raised between `nearly_exhausted` and the end of the leadership.
     static constexpr std::uint64_t spare_tokens = tokens_per_leadership / 16;
 
-    explicit FencingTokens(std::uint64_t leadership_version)
-        : base_(leadership_version << token_bits), highest_(base_) {}
+    explicit FencingTokens(protocol::LeaderVersion leadership_version)
+        : base_(leadership_version.value() << token_bits), highest_(base_) {}
 
     // The lowest token of this leadership.
     protocol::FencingToken base() const { return base_; }
     // No earlier leadership has used a higher one.
     protocol::FencingToken highest_before() const { return protocol::FencingToken{base_.value() - 1}; }
     // The version of the leader's key of the leadership that has used the token.
-    static std::uint64_t leadership_version(protocol::FencingToken token) {
-        return token.value() >> token_bits;
+    static protocol::LeaderVersion leadership_version(protocol::FencingToken token) {
+        return protocol::LeaderVersion{token.value() >> token_bits};
     }
     // Whoever shows this token has had a message of this leader, or of a later one.
     bool since_leadership_began(protocol::FencingToken token) const { return token >= base_; }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -53,8 +53,8 @@
 }
 
 void Controller::start() {
-    election_.start({[this](std::uint64_t version) { on_elected(version); }, [this] { on_lease_lost(); },
-                     [this] { return peers_.should_defer(); }});
+    election_.start({[this](protocol::LeaderVersion version) { on_elected(version); },
+                     [this] { on_lease_lost(); }, [this] { return peers_.should_defer(); }});
     machine_types_.start();
     peers_.start();
     check_periodically();
@@ -76,7 +76,7 @@
 
 // --- Leadership -----------------------------------------------------------------------------------------
 
-void Controller::on_elected(std::uint64_t version) {
+void Controller::on_elected(protocol::LeaderVersion version) {
     auto dependencies = leader_dependencies();
     // The leader keeps its own account; what is kept here says only whose heartbeats came since it led.
     heartbeat_tracker_.reset_recent();
@@ -159,7 +159,8 @@
 // The other controllers are notified also if this one leads: its lease may have expired without its knowing.
 void Controller::notify_cancelled(const std::string& id, std::uint64_t version) {
     if (leader_) leader_->cancelled(id, version);
-    cancellations_.announce(id, version, leader_ ? election_.fencing_token() : 0);
+    cancellations_.announce(id, version,
+                            leader_ ? election_.fencing_token() : protocol::LeaderVersion::none());
 }
 
 }  // namespace coralhitch::controller
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -60,7 +60,7 @@
     void notify_cancelled(const std::string& id, std::uint64_t version) override;
 
   private:
-    void on_elected(std::uint64_t version);
+    void on_elected(protocol::LeaderVersion version);
     void on_lease_lost();
     [[nodiscard]] leader::LeaderDependencies leader_dependencies();
     bool resign_leadership();
--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -54,7 +54,7 @@
     auto value = protocol::stored_types(types_);
     if (value == stored_value_ || value.size() > kv_.limits().value_bytes()) return;
     protocol::Txn txn;
-    txn.conditions = {{kv::keys::leader, election_.fencing_token()}};
+    txn.conditions = {{kv::keys::leader, election_.fencing_token().value()}};
     txn.changes = {{kv::keys::types, value, 0}};
     kv_.txn(std::move(txn), kv::RequestPriority::background, [this, value](kv::TxnResult result) {
         if (result.status == kv::TxnResult::Status::committed) stored_value_ = value;
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -73,11 +73,11 @@
 protocol::PeerCancelledAnswer PeerMessageHandler::take_cancellations(
     const protocol::PeerCancelledAgain& message) const {
     const auto& leader = dependencies_.leader;
-    if (!leader) return {0};
+    if (!leader) return {protocol::LeaderVersion::none()};
     leader->cancelled(message.id, message.version);
     for (auto& notice : message.more)
         if (leader) leader->cancelled(notice.id, notice.version);
-    return {leader ? dependencies_.election.fencing_token() : 0};
+    return {leader ? dependencies_.election.fencing_token() : protocol::LeaderVersion::none()};
 }
 
 }  // namespace coralhitch::controller
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -209,9 +209,9 @@
     return false;
 }
 
-std::uint64_t PeerMonitor::replicated_leadership() const {
+protocol::LeaderVersion PeerMonitor::replicated_leadership() const {
     const auto& replica = dependencies_.replica.replica();
-    return replica.complete ? replica.leader_version : 0;
+    return replica.complete ? replica.leader_version : protocol::LeaderVersion::none();
 }
 
 std::map<std::string, double> PeerMonitor::inherited_suspicions() const {
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -95,7 +95,7 @@
     [[nodiscard]] bool is_recent(const Peer& peer) const;
     [[nodiscard]] std::size_t heartbeats_seen_by(const Peer& peer,
                                                  const std::map<std::string, double>& silent_s) const;
-    [[nodiscard]] std::uint64_t replicated_leadership() const;
+    [[nodiscard]] protocol::LeaderVersion replicated_leadership() const;
 
     PeerMonitorDependencies dependencies_;
     TaskCountsReceived task_counts_received_;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -71,11 +71,12 @@
 }
 
 void Election::handle_leader_record(const protocol::Entry& entry, const protocol::LeaderRecord& record) {
-    history_.append_after_gap({entry.version, record.keeps_record});
-    bool known = leader_label_ == record.label && leader_fencing_token_ == entry.version;
-    if (entry.version < leader_fencing_token_ || known) return;
+    const protocol::LeaderVersion version{entry.version};
+    history_.append_after_gap({version, record.keeps_record});
+    bool known = leader_label_ == record.label && leader_fencing_token_ == version;
+    if (version < leader_fencing_token_ || known) return;
     leader_label_ = record.label;
-    leader_fencing_token_ = entry.version;
+    leader_fencing_token_ = version;
     spdlog::info("component=election event=leader_observed leader={} fencing_token={}", leader_label_,
                  leader_fencing_token_);
 }
@@ -97,7 +98,7 @@
         is_deleted = !event.value;
         if (!event.value) continue;
         was_put = true;
-        history_.append({event.version, protocol::keeps_record(*event.value)});
+        history_.append({protocol::LeaderVersion{event.version}, protocol::keeps_record(*event.value)});
     }
     history_.extend_to(next_revision);
     if (was_put) return read_leader_key();
@@ -114,7 +115,7 @@
     kv_.list(kv::keys::leader, RequestPriority::lease, [this](kv::ListResult result) {
         if (role_ != Role::follower) return;
         bool is_unchanged = result.ok() && result.entries.size() == 1 &&
-                            result.entries[0].version == leader_fencing_token_ &&
+                            protocol::LeaderVersion{result.entries[0].version} == leader_fencing_token_ &&
                             history_.ends_with(leader_fencing_token_);
         if (!is_unchanged) return schedule_read();
         history_.extend_to(result.revision);
@@ -157,7 +158,8 @@
     kv_.txn(std::move(transaction), RequestPriority::lease, [this, lease](kv::TxnResult result) {
         using Status = kv::TxnResult::Status;
         if (role_ != Role::candidate) return;
-        if (result.status == Status::committed) return become_leader(result.revision, lease);
+        if (result.status == Status::committed)
+            return become_leader(protocol::LeaderVersion{result.revision}, lease);
         if (result.status == Status::unknown) return resolve_unknown_claim(lease);
         give_up_claim(lease.id);
         if (result.status == Status::conflict) return read_leader_key();
@@ -171,7 +173,7 @@
     kv_.get(kv::keys::leader, RequestPriority::lease, [this, lease](kv::GetResult result) {
         if (role_ != Role::candidate) return;
         if (result.ok() && result.entry && is_own_claim(*result.entry, lease.id))
-            return become_leader(result.entry->version, lease);
+            return become_leader(protocol::LeaderVersion{result.entry->version}, lease);
         give_up_claim(lease.id);
         schedule_read();
     });
@@ -190,7 +192,7 @@
 
 // --- Leader ---------------------------------------------------------------------------------------------
 
-void Election::become_leader(std::uint64_t version, kv::LeaseResult lease) {
+void Election::become_leader(protocol::LeaderVersion version, kv::LeaseResult lease) {
     role_ = Role::leader;
     fencing_token_ = version;
     key_absent_since_.reset();
@@ -236,7 +238,7 @@
     read_leader_key();
 }
 
-void Election::observe_leader(const std::string& label, std::uint64_t fencing_token) {
+void Election::observe_leader(const std::string& label, protocol::LeaderVersion fencing_token) {
     if (fencing_token <= leader_fencing_token_ || label.empty()) return;
     leader_label_ = label;
     leader_fencing_token_ = fencing_token;
@@ -247,7 +249,7 @@
     }
 }
 
-void Election::step_down_if_superseded(std::uint64_t fencing_token) {
+void Election::step_down_if_superseded(protocol::LeaderVersion fencing_token) {
     if (role_ == Role::leader && fencing_token > fencing_token_) lose_leadership();
 }
 
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -34,7 +34,7 @@
   public:
     struct Callbacks {
         // This controller became the leader.
-        std::function<void(std::uint64_t fencing_token)> on_elected;
+        std::function<void(protocol::LeaderVersion fencing_token)> on_elected;
         // It is not the leader any more: lease expired, superseded, or resigned.
         std::function<void()> on_leadership_lost;
         // Whether another controller should lead rather than this one, as far as is known; may be empty.
@@ -55,8 +55,8 @@
     [[nodiscard]] bool may_act() const { return is_leader() && timers_.now() < authority_expiry_; }
     // Steady time (seconds) at which the authority to act ends unless a renewal succeeds; 0 while not leader.
     [[nodiscard]] double authority_expiry() const { return authority_expiry_; }
-    // Of the latest leadership of this controller; 0 if there was none.
-    [[nodiscard]] std::uint64_t fencing_token() const { return fencing_token_; }
+    // Of the latest leadership of this controller; none if there was none.
+    [[nodiscard]] protocol::LeaderVersion fencing_token() const { return fencing_token_; }
     [[nodiscard]] double lease_ttl_s() const { return lease_ttl_s_; }
 
     // The leaderships observed before this controller's latest claim, its own left out.
@@ -64,13 +64,13 @@
 
     // The latest known leader: its label (empty if unknown) and its fencing token.
     [[nodiscard]] const std::string& leader_label() const { return leader_label_; }
-    [[nodiscard]] std::uint64_t leader_fencing_token() const { return leader_fencing_token_; }
+    [[nodiscard]] protocol::LeaderVersion leader_fencing_token() const { return leader_fencing_token_; }
 
     // Another controller names a leader. Ignored unless its token is newer than the latest known one; steps
     // down if this controller led before it.
-    void observe_leader(const std::string& label, std::uint64_t fencing_token);
+    void observe_leader(const std::string& label, protocol::LeaderVersion fencing_token);
     // There is proof of a leadership with that token: steps down if it is newer than the own one.
-    void step_down_if_superseded(std::uint64_t fencing_token);
+    void step_down_if_superseded(protocol::LeaderVersion fencing_token);
     // Gives up leadership, ends the lease and defers to the others for a while (seconds).
     void resign(double pause_s);
 
@@ -96,7 +96,7 @@
     void give_up_claim(std::uint64_t lease_id);
 
     // Leader: renews the lease.
-    void become_leader(std::uint64_t version, kv::LeaseResult lease);
+    void become_leader(protocol::LeaderVersion version, kv::LeaseResult lease);
     void renew_lease();
     void lose_leadership();
     [[nodiscard]] double authority_expiry_of(double lease_sent_at) const;
@@ -113,13 +113,13 @@
     double authority_expiry_ = 0;             // steady time
     std::optional<double> deferring_until_;   // steady time, after a resignation
     std::optional<double> key_absent_since_;  // steady time at which the key was first found absent
-    std::uint64_t fencing_token_ = 0;
+    protocol::LeaderVersion fencing_token_;
     std::uint64_t lease_id_ = 0;
     // Counts leaderships won and lost: an answer or timer of an earlier one is ignored.
     std::uint64_t leadership_round_ = 0;
 
     std::string leader_label_;
-    std::uint64_t leader_fencing_token_ = 0;
+    protocol::LeaderVersion leader_fencing_token_;
     LeadershipHistory history_, history_before_claim_;
 };
 
--- a/src/election/leadership_history.cpp
+++ b/src/election/leadership_history.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t max_leaderships = 16;
 }  // namespace
 
-bool LeadershipHistory::ends_with(std::uint64_t version) const {
+bool LeadershipHistory::ends_with(protocol::LeaderVersion version) const {
     return !leaderships.empty() && leaderships.back().version == version;
 }
 
@@ -15,7 +15,7 @@
     if (ends_with(leadership.version)) return;
     leaderships.push_back(leadership);
     if (leaderships.size() > max_leaderships) leaderships.erase(leaderships.begin());
-    known_until_revision = leadership.version;
+    known_until_revision = leadership.version.value();  // the revision of its claim
 }
 
 void LeadershipHistory::append_after_gap(ObservedLeadership leadership) {
--- a/src/election/leadership_history.hpp
+++ b/src/election/leadership_history.hpp
@@ -7,10 +7,12 @@
 #include <cstdint>
 #include <vector>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::election {
 
 struct ObservedLeadership {
-    std::uint64_t version = 0;  // of the leader's key: its fencing token
+    protocol::LeaderVersion version;  // of the leader's key: its fencing token
     // Whether this leader stores who replicates from it before its first start, see protocol::LeaderRecord.
     bool keeps_record = false;
 };
@@ -20,7 +22,7 @@
     // Store revision up to which none is missing. What came after it must be read from the store.
     std::uint64_t known_until_revision = 0;
 
-    [[nodiscard]] bool ends_with(std::uint64_t version) const;
+    [[nodiscard]] bool ends_with(protocol::LeaderVersion version) const;
     // Adds the leadership that followed the latest one; nothing if it is the latest one.
     void append(ObservedLeadership leadership);
     // Adds a leadership that was read without a watch since the latest one: drops those before it, unless it
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -52,16 +52,17 @@
 
 // Which leaders there were since this controller's watch of the leader key last reported.
 void RecoveryLoader::read_leader_history() {
-    kv_.watch(
-        keys::leader, evidence_.chain.known_until_revision, 0, guarded_([this](kv::WatchResult result) {
-            if (!result.ok() && !result.compacted()) return retry_later();
-            evidence_.history_complete = result.ok();
-            evidence_.later_leaders.clear();
-            for (auto& event : result.events.events)
-                if (event.key == keys::leader && event.value && event.version != evidence_.leader_version)
-                    evidence_.later_leaders.push_back({event.version, protocol::keeps_record(*event.value)});
-            list_all();
-        }));
+    kv_.watch(keys::leader, evidence_.chain.known_until_revision, 0, guarded_([this](kv::WatchResult result) {
+                  if (!result.ok() && !result.compacted()) return retry_later();
+                  evidence_.history_complete = result.ok();
+                  evidence_.later_leaders.clear();
+                  for (auto& event : result.events.events) {
+                      const protocol::LeaderVersion version{event.version};
+                      if (event.key == keys::leader && event.value && version != evidence_.leader_version)
+                          evidence_.later_leaders.push_back({version, protocol::keeps_record(*event.value)});
+                  }
+                  list_all();
+              }));
 }
 
 void RecoveryLoader::list(const std::string& prefix, kv::ListResult RecoveredState::*target,
--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -12,11 +12,11 @@
 constexpr std::uint64_t low_water = numbers_per_revision / 2;
 }  // namespace
 
-AttemptNumbers::AttemptNumbers(kv::KvClient& state, std::uint64_t version, Begin begin)
+AttemptNumbers::AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, Begin begin)
     : state_(state),
       begin_(std::move(begin)),
-      last_(version << revision_bits),
-      bound_((version + 1) << revision_bits) {}
+      last_(version.value() << revision_bits),
+      bound_((version.value() + 1) << revision_bits) {}
 
 std::optional<std::uint64_t> AttemptNumbers::next() {
     if (last_ + 1 >= bound_) return std::nullopt;
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -22,7 +22,7 @@
     // A transaction on the condition that this leadership's key stands; nothing without authority.
     using Begin = std::function<std::optional<protocol::Txn>()>;
 
-    AttemptNumbers(kv::KvClient& state, std::uint64_t version, Begin begin);
+    AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, Begin begin);
     // Nothing while all numbers are used that are known to be this leadership's own.
     std::optional<std::uint64_t> next();
     // Asks for more when half of what one revision gives is left. To be called every now and then.
--- a/src/leader/authority.cpp
+++ b/src/leader/authority.cpp
@@ -9,7 +9,7 @@
 namespace coralhitch::leader {
 
 Authority::Authority(event_loop::Timers& timers, const config::Settings& settings,
-                     election::Election& election, std::uint64_t fencing_token,
+                     election::Election& election, protocol::LeaderVersion fencing_token,
                      CancellationsKnownUntil cancellations_known_until)
     : timers_(timers),
       settings_(settings),
@@ -31,7 +31,7 @@
 
 protocol::Txn Authority::fenced_transaction() const {
     protocol::Txn transaction;
-    transaction.conditions.push_back({kv::keys::leader, fencing_token_});
+    transaction.conditions.push_back({kv::keys::leader, fencing_token_.value()});
     return transaction;
 }
 
--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -24,12 +24,12 @@
 
     // The references must outlive this object.
     Authority(event_loop::Timers& timers, const config::Settings& settings, election::Election& election,
-              std::uint64_t fencing_token, CancellationsKnownUntil cancellations_known_until);
+              protocol::LeaderVersion fencing_token, CancellationsKnownUntil cancellations_known_until);
 
     // Whether this leader may act right now. Asked at every act: a timer may fire late.
     [[nodiscard]] bool holds() const { return !ended_ && election_.may_act(); }
     // The version of the leader's key under which this leadership began; no later leadership has a lower one.
-    [[nodiscard]] std::uint64_t fencing_token() const { return fencing_token_; }
+    [[nodiscard]] protocol::LeaderVersion fencing_token() const { return fencing_token_; }
 
     // Whether workers' leases may be renewed. That goes on for a while after the authority to act has ended,
     // since a successor waits that long, but never beyond what this leader knows of cancellations.
@@ -50,13 +50,15 @@
     // Gives leadership up, and stays out of elections for so many seconds.
     void resign(double pause_s) { election_.resign(pause_s); }
     // A message proved that a later leadership exists, by its fencing token.
-    void deposed_by(std::uint64_t fencing_token) { election_.step_down_if_superseded(fencing_token); }
+    void deposed_by(protocol::LeaderVersion fencing_token) {
+        election_.step_down_if_superseded(fencing_token);
+    }
 
   private:
     event_loop::Timers& timers_;
     const config::Settings& settings_;
     election::Election& election_;
-    std::uint64_t fencing_token_;
+    protocol::LeaderVersion fencing_token_;
     CancellationsKnownUntil cancellations_known_until_;
     double renewal_after_expiry_s_;
     bool ended_ = false;
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -56,7 +56,7 @@
 void FleetScaler::request(const autoscaler::ScaleOutRequest& request) {
     // Names are never used again, by any controller: the fencing token belongs to this leadership alone.
     std::string name =
-        "r-" + std::to_string(authority_.fencing_token()) + "-" + std::to_string(++requests_made_);
+        "r-" + std::to_string(authority_.fencing_token().value()) + "-" + std::to_string(++requests_made_);
     auto& pool = state_.cluster.pools()[request.pool];
     pending_[name] = {request.pool, request.count, false};
     spdlog::info("component=leader event=scale_out request={} machines={} type={} zone={} spot={}", name,
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -14,7 +14,8 @@
 constexpr double tick_reports = 1.0 / 6;  // report periods from one tick to the next
 
 // What this controller knew before its claim; the rest of the evidence is read.
-replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies, std::uint64_t version) {
+replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies,
+                                              protocol::LeaderVersion version) {
     replication::ReplicaEvidence evidence;
     evidence.label = dependencies.settings.label;
     evidence.incarnation = dependencies.incarnation;
@@ -26,7 +27,7 @@
 }  // namespace
 
 // The callbacks reach parts that are made later; none is called before `start`.
-Leader::Leader(LeaderDependencies dependencies, std::uint64_t version, std::uint64_t seed)
+Leader::Leader(LeaderDependencies dependencies, protocol::LeaderVersion version, std::uint64_t seed)
     : dependencies_(std::move(dependencies)),
       authority_(dependencies_.timers, dependencies_.settings, dependencies_.election, version,
                  [this] { return job_watcher_.complete_until(); }),
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -79,7 +79,7 @@
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     // `version`: of the leader's key as claimed, the fencing token. `seed`: of the plans' random draws.
-    Leader(LeaderDependencies dependencies, std::uint64_t version, std::uint64_t seed);
+    Leader(LeaderDependencies dependencies, protocol::LeaderVersion version, std::uint64_t seed);
     // Once, when a shared_ptr owns the object.
     void start();
     // The leadership is over, for ever.
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -14,7 +14,8 @@
 namespace coralhitch::leader {
 
 struct LeaderState {
-    LeaderState(std::uint64_t fencing_token, const std::vector<protocol::MachineType>& types, double value_kb)
+    LeaderState(protocol::LeaderVersion fencing_token, const std::vector<protocol::MachineType>& types,
+                double value_kb)
         : cluster(fencing_token, types), jobs(value_kb) {}
     // The index of the machine's zone among those of the cluster state.
     [[nodiscard]] std::size_t zone_of(const cluster::Machine& machine) const {
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -146,10 +146,10 @@
     struct Member {
         std::string label;
         Incarnation incarnation;  // of its process
-        std::uint64_t begun = 0;  // the leadership under which its copy was begun from nothing
+        LeaderVersion begun;      // the leadership under which its copy was begun from nothing
         bool operator==(const Member&) const = default;
     };
-    std::uint64_t version = 0;  // of the leader's key
+    LeaderVersion version;  // of the leader's key
     std::vector<Member> members;
 };
 
--- a/src/protocol/numbers.hpp
+++ b/src/protocol/numbers.hpp
@@ -9,6 +9,10 @@
 // the leader's key and a counter of each machine: see cluster::FencingTokens.
 using FencingToken = StrongNumber<struct FencingTokenTag>;
 
+// Which leadership: the version of the leader's key as it claimed it, the key-value store's revision of that.
+// A later leadership has a higher one. What machines are shown is the fencing token, which is far larger.
+using LeaderVersion = StrongNumber<struct LeaderVersionTag>;
+
 // Which life of a machine's agent: the agent begins a higher one with no tasks, after it has killed those of
 // the last. A machine that was set up anew may begin with low ones again.
 using AgentEpoch = StrongNumber<struct AgentEpochTag>;
--- a/src/protocol/peer_cancellation_messages.hpp
+++ b/src/protocol/peer_cancellation_messages.hpp
@@ -14,7 +14,7 @@
 };
 // The version before answers without a word.
 struct PeerCancelledAnswer {
-    std::uint64_t taken_by = 0;  // the leadership that has taken it in; 0: the answering one does not lead
+    LeaderVersion taken_by;  // the leadership that has taken it in; none: the answering one does not lead
     MSGPACK_DEFINE(taken_by)
 };
 
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -35,13 +35,13 @@
 struct PeerPing {
     std::string label;
     Incarnation incarnation;
-    std::uint64_t leader_version = 0;  // the newest leadership the sender knows of
+    LeaderVersion leader_version;  // the newest leadership the sender knows of
     std::string leader;
     bool state_ok = false;             // the key-value store answered the sender lately
     std::vector<std::string> workers;  // machines that lately reported to the sender, which does not lead
     std::vector<PeerCount> counts;     // of all live jobs, from a leader
     std::uint64_t features = 0;        // what its version can do: a sender that says nothing is an old one
-    std::uint64_t followed = 0;        // the last leadership that told it all that its machines hold
+    LeaderVersion followed;            // the last leadership that told it all that its machines hold
     std::vector<std::uint32_t> ages_ms{};  // since each of `workers` reported; an older version says nothing
     // From a leader: machines that it has not heard when it should have, and for how long.
     std::vector<std::string> silent{};
@@ -97,7 +97,7 @@
 struct PeerRelay {
     std::string label;
     Incarnation incarnation;
-    std::uint64_t leader_version = 0;  // of the leadership that it is meant for
+    LeaderVersion leader_version;  // of the leadership that it is meant for
     std::uint64_t number = 0;
     std::uint64_t answered = 0;        // the number of the last of these whose answer was taken in
     std::vector<std::string> reports;  // as the workers sent them; each worker waits for its answer
@@ -138,18 +138,18 @@
     MSGPACK_DEFINE(machine, known, gone, agent_epoch, sequence, tasks)
 };
 struct PeerFleet {
-    std::uint64_t leader_version = 0;
+    LeaderVersion leader_version;
     std::uint64_t number = 0;  // of this piece, growing; pieces of lower numbers that come later are refused
     std::vector<PeerMachineRow> rows;
     // The leadership under which the copy was begun that these rows go on from; 0: they begin one.
-    std::uint64_t begun = 0;
+    LeaderVersion begun;
     bool whole = false;  // all has been told by now, in this piece and those before
     MSGPACK_DEFINE(leader_version, number, rows, begun, whole)
 };
 struct PeerFleetAnswer {
     bool taken = false;
     Incarnation incarnation;  // of the process that took it: another one knows nothing of what came before
-    std::uint64_t begun = 0;  // the leadership under which its copy was begun; 0: none, or it does not say
+    LeaderVersion begun;      // the leadership under which its copy was begun; 0: none, or it does not say
     MSGPACK_DEFINE(taken, incarnation, begun)
 };
 
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -51,8 +51,8 @@
     json members = json::array();
     for (auto& m : r.members)
         members.push_back(
-            json{{"label", m.label}, {"incarnation", m.incarnation.value()}, {"begun", m.begun}});
-    return fields::dumped(json{{"version", r.version}, {"members", members}});
+            json{{"label", m.label}, {"incarnation", m.incarnation.value()}, {"begun", m.begun.value()}});
+    return fields::dumped(json{{"version", r.version.value()}, {"members", members}});
 }
 std::string stored_bits(const std::vector<bool>& bits) {
     constexpr char digits[] = "0123456789abcdef";
@@ -126,12 +126,12 @@
 }
 StandbyRecord parse_standby_record(std::string_view v) {
     json j = fields::parse_object(v);
-    StandbyRecord r{fields::count(j, "version"), {}};
+    StandbyRecord r{LeaderVersion{fields::count(j, "version")}, {}};
     for (auto& m : fields::list(j, "members")) {
         if (!m.is_object()) bad("members", "holds something that is not a member");
         // Versions before copies were carried over name only whom they told all themselves.
         r.members.push_back({fields::text(m, "label"), Incarnation{fields::count(m, "incarnation")},
-                             m.contains("begun") ? fields::count(m, "begun") : r.version});
+                             m.contains("begun") ? LeaderVersion{fields::count(m, "begun")} : r.version});
     }
     return r;
 }
--- a/src/relay/cancellation_notices.cpp
+++ b/src/relay/cancellation_notices.cpp
@@ -12,11 +12,11 @@
 }  // namespace
 
 CancellationNotices::CancellationNotices(event_loop::Timers& timers, http::Requester& http,
-                                         const config::Settings& settings, LeaderVersion leader_version)
+                                         const config::Settings& settings, LeaderVersionLookup leader_version)
     : timers_(timers), http_(http), settings_(settings), leader_version_(std::move(leader_version)) {}
 
 void CancellationNotices::announce(const std::string& job_id, std::uint64_t version,
-                                   std::uint64_t acknowledged_by) {
+                                   protocol::LeaderVersion acknowledged_by) {
     send(protocol::pack_peer(protocol::PeerCancelled{job_id, version}), {job_id, version, {}});
     if (static_cast<double>(notices_.size() + 1) > settings_.memory_mb * notices_per_mb && !notices_.empty())
         notices_.pop_front();
@@ -34,12 +34,12 @@
                        if (!response || response->status != 200) return;
                        // A controller of the previous version answers without a body: it is notified again.
                        auto answer = protocol::unpack_peer<protocol::PeerCancelledAnswer>(response->body);
-                       if (answer && answer->taken_by > 0) acknowledge(message, answer->taken_by);
+                       if (answer && answer->taken_by.is_set()) acknowledge(message, answer->taken_by);
                    }));
 }
 
 void CancellationNotices::acknowledge(const protocol::PeerCancelledAgain& message,
-                                      std::uint64_t leader_version) {
+                                      protocol::LeaderVersion leader_version) {
     std::set<std::string> job_ids{message.id};
     for (auto& more : message.more) job_ids.insert(more.id);
     for (auto& notice : notices_)
@@ -60,7 +60,7 @@
     protocol::PeerCancelledAgain message;
     std::size_t count = 0;
     for (auto& notice : notices_) {
-        if (notice.acknowledged_by > 0 && notice.acknowledged_by >= leader_version) continue;
+        if (notice.acknowledged_by.is_set() && notice.acknowledged_by >= leader_version) continue;
         if (count == max_notices_per_message) break;
         // A controller of the previous version reads only the first; it was notified of each once.
         if (count++ == 0) {
--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -24,14 +24,15 @@
 
 class CancellationNotices {
   public:
-    // The version of the newest leadership that this controller knows of; 0: none.
-    using LeaderVersion = std::function<std::uint64_t()>;
+    // The version of the newest leadership that this controller knows of, if any.
+    using LeaderVersionLookup = std::function<protocol::LeaderVersion()>;
 
     CancellationNotices(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                        LeaderVersion leader_version);
+                        LeaderVersionLookup leader_version);
     // The job's record says since `version` that it is cancelled, and its user is about to be answered.
-    // `acknowledged_by`: the version of the leadership that knows it already, if this controller leads, or 0.
-    void announce(const std::string& job_id, std::uint64_t version, std::uint64_t acknowledged_by);
+    // `acknowledged_by`: the version of the leadership that knows it already, if this controller leads, or
+    // none.
+    void announce(const std::string& job_id, std::uint64_t version, protocol::LeaderVersion acknowledged_by);
     // Notices that are kept for repetition.
     [[nodiscard]] std::size_t pending() const { return notices_.size(); }
     // Messages sent after the first ones.
@@ -40,19 +41,20 @@
   private:
     struct Notice {
         std::string job_id;
-        std::uint64_t version, acknowledged_by;
+        std::uint64_t version;  // of the job's record
+        protocol::LeaderVersion acknowledged_by;
         double expiry;  // steady time
     };
     void send(const std::string& body, const protocol::PeerCancelledAgain& message);
     void resend();
     void schedule_resend();
     [[nodiscard]] protocol::PeerCancelledAgain unacknowledged() const;
-    void acknowledge(const protocol::PeerCancelledAgain& message, std::uint64_t leader_version);
+    void acknowledge(const protocol::PeerCancelledAgain& message, protocol::LeaderVersion leader_version);
 
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    LeaderVersion leader_version_;
+    LeaderVersionLookup leader_version_;
     std::deque<Notice> notices_;  // oldest first
     bool resend_scheduled_ = false;
     std::uint64_t resent_ = 0;
--- a/src/relay/heartbeat_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -30,8 +30,8 @@
 
 // The leader that heartbeats are relayed to.
 struct LeaderEndpoint {
-    std::string addr;           // of its peer interface; empty: there is no leader to relay to
-    std::uint64_t version = 0;  // of its leadership
+    std::string addr;                 // of its peer interface; empty: there is no leader to relay to
+    protocol::LeaderVersion version;  // of its leadership
     bool operator==(const LeaderEndpoint&) const = default;
 };
 
--- a/src/replication/eligibility_checks.cpp
+++ b/src/replication/eligibility_checks.cpp
@@ -25,7 +25,7 @@
 // leadership. A replica that was wiped and begun anew since, by a leader that failed soon after, is not the
 // one that the record means.
 bool same_replica_as_record(const ReplicaEvidence& evidence) {
-    return evidence.replica && evidence.replica->base_version != 0 &&
+    return evidence.replica && evidence.replica->base_version.is_set() &&
            evidence.replica->base_version == own_member(evidence)->begun;
 }
 
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -16,7 +16,7 @@
 struct ReplicaEvidence {
     std::string label;                              // of this controller
     protocol::Incarnation incarnation;              // of this process
-    std::uint64_t leader_version = 0;               // of the leadership that was claimed
+    protocol::LeaderVersion leader_version;         // of the leadership that was claimed
     std::optional<protocol::StandbyRecord> record;  // the stored record of in-sync replicas
     election::LeadershipHistory chain;              // leaderships seen before the claim
     bool history_complete = false;                  // whether `later_leaders` leaves none out
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -12,8 +12,9 @@
 // Turns to a later leadership: it continues this replica, or begins a new one. False if it means to continue
 // another replica.
 bool Follower::follow_leader(const protocol::PeerFleet& batch) {
-    if (batch.begun != 0 && batch.begun != replica_.base_version) return false;
-    if (batch.begun == 0) replica_ = {0, 0, batch.leader_version, false, {}};
+    if (batch.begun.is_set() && batch.begun != replica_.base_version) return false;
+    if (!batch.begun.is_set())
+        replica_ = {protocol::LeaderVersion::none(), 0, batch.leader_version, false, {}};
     replica_.leader_version = batch.leader_version;
     return true;
 }
--- a/src/replication/follower_session.cpp
+++ b/src/replication/follower_session.cpp
@@ -10,7 +10,8 @@
     state_ = State::snapshotting;
     in_flight_ = resumed_ = announce_complete_ = false;
     incarnation_ = protocol::Incarnation::none();
-    base_version_ = acknowledged_ = 0;
+    base_version_ = protocol::LeaderVersion::none();
+    acknowledged_ = 0;
     waiting_since_.reset();
     queue_.clear();
     queued_machines_.clear();
@@ -76,9 +77,9 @@
 }
 
 void FollowerSession::acknowledge(const Batch& batch, const protocol::PeerFleetAnswer& answer,
-                                  std::uint64_t leader_version) {
+                                  protocol::LeaderVersion leader_version) {
     incarnation_ = answer.incarnation;
-    base_version_ = answer.begun ? answer.begun : leader_version;
+    base_version_ = answer.begun.is_set() ? answer.begun : leader_version;
     waiting_since_.reset();
     acknowledged_ = std::max(acknowledged_, batch.last_index);
 }
--- a/src/replication/follower_session.hpp
+++ b/src/replication/follower_session.hpp
@@ -61,7 +61,7 @@
     void requeue(const Batch& batch);
     // The follower has applied it. `leader_version`: of this leadership.
     void acknowledge(const Batch& batch, const protocol::PeerFleetAnswer& answer,
-                     std::uint64_t leader_version);
+                     protocol::LeaderVersion leader_version);
     [[nodiscard]] bool snapshot_acknowledged() const {
         return state_ == State::snapshotting && queue_.empty();
     }
@@ -76,7 +76,7 @@
     [[nodiscard]] protocol::Incarnation incarnation() const { return incarnation_; }
     void set_incarnation(protocol::Incarnation incarnation) { incarnation_ = incarnation; }
     // The leadership whose snapshot its replica began from.
-    [[nodiscard]] std::uint64_t base_version() const { return base_version_; }
+    [[nodiscard]] protocol::LeaderVersion base_version() const { return base_version_; }
     // Whether it continues a replica of an earlier leadership.
     [[nodiscard]] bool resumed() const { return resumed_; }
     [[nodiscard]] std::uint64_t acknowledged() const { return acknowledged_; }
@@ -98,7 +98,8 @@
     bool announce_complete_ = false;  // the follower is yet to be told that its replica is complete
     std::uint64_t session_ = 0;       // grows with each begin and end
     protocol::Incarnation incarnation_;
-    std::uint64_t base_version_ = 0, acknowledged_ = 0;
+    protocol::LeaderVersion base_version_;
+    std::uint64_t acknowledged_ = 0;
     std::deque<QueuedChange> queue_;  // by log index
     std::unordered_set<std::string> queued_machines_;
     std::optional<double> waiting_since_;
--- a/src/replication/in_sync_record.cpp
+++ b/src/replication/in_sync_record.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 InSyncRecord::InSyncRecord(event_loop::Timers& timers, const config::Settings& settings, kv::KvClient& kv,
-                           std::uint64_t leader_version, Callbacks callbacks)
+                           protocol::LeaderVersion leader_version, Callbacks callbacks)
     : timers_(timers),
       settings_(settings),
       kv_(kv),
--- a/src/replication/in_sync_record.hpp
+++ b/src/replication/in_sync_record.hpp
@@ -36,7 +36,7 @@
     };
     // `leader_version`: of this leadership.
     InSyncRecord(event_loop::Timers& timers, const config::Settings& settings, kv::KvClient& kv,
-                 std::uint64_t leader_version, Callbacks callbacks);
+                 protocol::LeaderVersion leader_version, Callbacks callbacks);
 
     // Allows writes. `record_version`: of the record's key as read after the claim; 0: there is none.
     void start(std::uint64_t record_version);
@@ -60,7 +60,7 @@
     event_loop::Timers& timers_;
     const config::Settings& settings_;
     kv::KvClient& kv_;
-    std::uint64_t leader_version_;
+    protocol::LeaderVersion leader_version_;
     Callbacks callbacks_;
     std::uint64_t record_version_ = 0;
     bool started_ = false, owned_ = false;
--- a/src/replication/replica_state.hpp
+++ b/src/replication/replica_state.hpp
@@ -12,10 +12,10 @@
 namespace coralhitch::replication {
 
 struct ReplicaState {
-    std::uint64_t leader_version = 0;  // of the leadership that sent it; 0: nothing has been received
-    std::uint64_t last_batch = 0;      // number of the last batch applied
-    std::uint64_t base_version = 0;    // the leadership whose snapshot it began from
-    bool complete = false;             // the leadership of `leader_version` has sent all its machines
+    protocol::LeaderVersion leader_version;  // of the leadership that sent it; none: nothing has come
+    std::uint64_t last_batch = 0;            // number of the last batch applied
+    protocol::LeaderVersion base_version;    // the leadership whose snapshot it began from
+    bool complete = false;                   // the leadership of `leader_version` has sent all its machines
     std::unordered_map<std::string, protocol::PeerMachineRow> machines;  // by id
 };
 
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -21,7 +21,7 @@
 
 ReplicationSender::ReplicationSender(event_loop::Timers& timers, http::Requester& http,
                                      const config::Settings& settings, kv::KvClient& kv,
-                                     std::uint64_t leader_version, Callbacks callbacks)
+                                     protocol::LeaderVersion leader_version, Callbacks callbacks)
     : timers_(timers),
       http_(http),
       settings_(settings),
@@ -162,7 +162,7 @@
     protocol::PeerFleet message{leader_version_,
                                 ++batches_sent_,
                                 {},
-                                session.resumed() ? session.base_version() : 0,
+                                session.resumed() ? session.base_version() : protocol::LeaderVersion::none(),
                                 session.in_sync()};
     auto batch = session.next_batch(max_batch_machines, log_index_, timers_.now());
     for (auto& machine : batch.machines)
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -44,7 +44,7 @@
     };
     // `leader_version`: of this leadership.
     ReplicationSender(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                      kv::KvClient& kv, std::uint64_t leader_version, Callbacks callbacks);
+                      kv::KvClient& kv, protocol::LeaderVersion leader_version, Callbacks callbacks);
     ~ReplicationSender();
     ReplicationSender(const ReplicationSender&) = delete;
     ReplicationSender& operator=(const ReplicationSender&) = delete;
@@ -94,7 +94,7 @@
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    std::uint64_t leader_version_;
+    protocol::LeaderVersion leader_version_;
     Callbacks callbacks_;
     std::map<std::string, FollowerSession> sessions_;  // by label, of all other controllers
     InSyncRecord record_;
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -10,7 +10,7 @@
 
 namespace coralhitch::cluster {
 
-inline constexpr std::uint64_t version = 7;
+inline constexpr protocol::LeaderVersion version{7};
 inline const protocol::TaskId task{"j-1", 0};
 
 struct ClusterStateFixture {
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -266,8 +266,8 @@
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(b.machine().reconciled);
     b.sequence += 1;
-    EXPECT_TRUE(
-        b.apply_heartbeat(protocol::FencingToken{(version + 1) << ClusterState::token_bits}).is_deposed());
+    EXPECT_TRUE(b.apply_heartbeat(protocol::FencingToken{(version.value() + 1) << ClusterState::token_bits})
+                    .is_deposed());
 }
 
 TEST(HeartbeatApplication, StopsTasksOfUnknownJobs) {
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -27,7 +27,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        ClusterState p(7, types);
+        ClusterState p(protocol::LeaderVersion{7}, types);
         auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
         m.known_from_replica = true;
         m.registration = Machine::Registration::stored;
--- a/tests/cluster/team_usage_test.cpp
+++ b/tests/cluster/team_usage_test.cpp
@@ -11,7 +11,7 @@
     std::vector<protocol::MachineType> types(1);
     types[0].name = "g";
     types[0].room = {16, 4, 64};
-    ClusterState p(7, types);
+    ClusterState p(protocol::LeaderVersion{7}, types);
     auto spec = std::make_shared<protocol::Job>();
     spec->id = "j-1";
     spec->team = "a";
@@ -35,7 +35,7 @@
 
 // Of a machine whose type is not known a known task seems to take more than there is.
 TEST(TeamUsage, IsNotLoweredByUnknownJobsOnMachineOfUnknownType) {
-    ClusterState p(7, {});
+    ClusterState p(protocol::LeaderVersion{7}, {});
     auto spec = std::make_shared<protocol::Job>();
     spec->id = "j-1";
     spec->team = "a";
--- a/tests/controller/heartbeat_intake_test.cpp
+++ b/tests/controller/heartbeat_intake_test.cpp
@@ -33,7 +33,7 @@
 TEST_F(HeartbeatIntakeTest, NamesALeaderThatTakesNoRelayedHeartbeats) {
     auto ping = ping_of_peer();
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     ping.features = protocol::peer_features_relay - 1;
     receive(ping);
     accept(heartbeat_of("vm-0"));
--- a/tests/controller/peer_monitor_test.cpp
+++ b/tests/controller/peer_monitor_test.cpp
@@ -53,7 +53,7 @@
     EXPECT_FALSE(peers.leading_peer());
     auto ping = ping_of_peer();
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     receive(ping);
     ASSERT_TRUE(peers.leading_peer());
     EXPECT_EQ(peers.leading_peer()->config.label, "berth-1");
@@ -80,7 +80,7 @@
 TEST_F(PeerMonitorTest, DefersToALaterReplica) {
     start_and_wait(1);
     auto ping = ping_of_peer();
-    ping.followed = 5;
+    ping.followed = protocol::LeaderVersion{5};
     receive(ping);
     EXPECT_TRUE(peers.should_defer());
     ping.state_ok = false;
@@ -98,7 +98,7 @@
         tracker.record("vm-" + std::to_string(k), protocol::AgentEpoch{1}, protocol::SequenceNumber{1},
                        timers.now());
     auto ping = ping_of_peer();
-    ping.followed = 5;
+    ping.followed = protocol::LeaderVersion{5};
     ping.workers = {"vm-0", "vm-1", "vm-2", "vm-3"};
     receive(ping);
     EXPECT_FALSE(peers.should_defer());
@@ -156,7 +156,7 @@
     EXPECT_TRUE(peers.answer_ping(ping).brief);
     EXPECT_TRUE(peers.answer_ping(ping).workers.empty());
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     auto answer = peers.answer_ping(ping);
     EXPECT_FALSE(answer.brief);
     EXPECT_EQ(answer.workers, std::vector<std::string>{"vm-0"});
@@ -169,7 +169,7 @@
     timers.run_until(100);
     auto ping = ping_of_peer();
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     ping.silent = {"vm-0", "vm-1"};
     ping.silent_ms = {8000, 9000};
     receive(ping);
--- a/tests/controller/task_count_service_test.cpp
+++ b/tests/controller/task_count_service_test.cpp
@@ -17,7 +17,7 @@
     void peer_leads() {
         auto ping = ping_of_peer();
         ping.leader = ping.label;
-        ping.leader_version = 5;
+        ping.leader_version = protocol::LeaderVersion{5};
         receive(ping);
     }
     TaskCountService service{timers, network, settings, leader, peers};
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -123,7 +123,8 @@
     EXPECT_FALSE(protocol::unpack_peer<protocol::PeerRelayAnswer>(relayed.body)->leads);
     auto cancelled = serve_peer("POST", protocol::peer_cancelled_path,
                                 protocol::pack_peer(protocol::PeerCancelled{"job-1", 3}));
-    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancelledAnswer>(cancelled.body)->taken_by, 0u);
+    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancelledAnswer>(cancelled.body)->taken_by,
+              protocol::LeaderVersion::none());
 }
 
 TEST_F(PeerMessageHandlerTest, KeepsTheImageCachesOfTheLeader) {
@@ -133,12 +134,12 @@
 }
 
 TEST_F(PeerMessageHandlerTest, ReplicatesUnlessItsOwnReplicaIsSwitchedOff) {
-    protocol::PeerFleet piece{5, 1, {}, 0, true};
+    protocol::PeerFleet piece{protocol::LeaderVersion{5}, 1, {}, protocol::LeaderVersion::none(), true};
     auto body = protocol::pack_peer(piece);
     EXPECT_TRUE(protocol::unpack_peer<protocol::PeerFleetAnswer>(
                     serve_peer("POST", protocol::peer_fleet_path, body).body)
                     ->taken);
-    EXPECT_EQ(replica.replica().leader_version, 5u);
+    EXPECT_EQ(replica.replica().leader_version, protocol::LeaderVersion{5});
     settings.op.standby = false;
     EXPECT_EQ(serve_peer("POST", protocol::peer_fleet_path, body).status, 400);
 }
--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -86,7 +86,7 @@
     }
     void start() {
         spdlog::set_level(spdlog::level::off);
-        election.start({[this](std::uint64_t) { ++won; }, [this] { ++lost; }});
+        election.start({[this](protocol::LeaderVersion) { ++won; }, [this] { ++lost; }});
     }
 };
 
@@ -95,7 +95,7 @@
     b.start();
     b.timers.run_until(1);
     EXPECT_TRUE(b.election.may_act());
-    EXPECT_EQ(b.election.fencing_token(), b.service.version);
+    EXPECT_EQ(b.election.fencing_token().value(), b.service.version);
     EXPECT_EQ(b.won, 1);
 }
 TEST(Election, ReadsTheKeyWhenTheAnswerToItsClaimIsLost) {
@@ -104,7 +104,7 @@
     b.start();
     b.timers.run_until(5);
     EXPECT_TRUE(b.election.is_leader());
-    EXPECT_EQ(b.election.fencing_token(), b.service.version);
+    EXPECT_EQ(b.election.fencing_token().value(), b.service.version);
     EXPECT_EQ(b.won, 1);
 }
 TEST(Election, MayActForTheLeaseFromTheSendingOfItsLastRenewal) {
@@ -140,9 +140,9 @@
     b.timers.run_until(1);
     EXPECT_FALSE(b.election.is_leader());
     EXPECT_EQ(b.election.leader_label(), "berth-1");
-    b.election.observe_leader("berth-2", 2);  // older than what is known
+    b.election.observe_leader("berth-2", protocol::LeaderVersion{2});  // older than what is known
     EXPECT_EQ(b.election.leader_label(), "berth-1");
-    b.election.observe_leader("berth-2", 8);
+    b.election.observe_leader("berth-2", protocol::LeaderVersion{8});
     EXPECT_EQ(b.election.leader_label(), "berth-2");
 }
 // A leader that is cut off from the key-value store learns of its successor from an agent's token.
@@ -152,7 +152,8 @@
         b.start();
         b.timers.run_until(1);
         b.service.refuse = true;
-        b.election.step_down_if_superseded(b.election.fencing_token() + static_cast<std::uint64_t>(ahead));
+        b.election.step_down_if_superseded(
+            protocol::LeaderVersion{b.election.fencing_token().value() + static_cast<std::uint64_t>(ahead)});
         EXPECT_EQ(b.lost, lost);
         EXPECT_EQ(b.election.is_leader(), lost == 0);
     }
@@ -162,7 +163,7 @@
 TEST(Election, DefersForABoundedTime) {
     Bench b;
     bool defer = true;
-    b.election.start({[&](std::uint64_t) { ++b.won; }, [] {}, [&] { return defer; }});
+    b.election.start({[&](protocol::LeaderVersion) { ++b.won; }, [] {}, [&] { return defer; }});
     b.timers.run_until(b.election.lease_ttl_s() * 0.9);
     EXPECT_EQ(b.won, 0);
     b.timers.run_until(b.election.lease_ttl_s() * 1.5);
@@ -187,7 +188,7 @@
     b.start();
     b.timers.run_until(3);
     EXPECT_TRUE(b.election.is_leader());
-    EXPECT_GT(b.election.fencing_token(), 3u);
+    EXPECT_GT(b.election.fencing_token(), protocol::LeaderVersion{3});
 }
 
 }  // namespace
--- a/tests/failover/reconciliation_test.cpp
+++ b/tests/failover/reconciliation_test.cpp
@@ -23,7 +23,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        cluster::ClusterState p(7, types);
+        cluster::ClusterState p(protocol::LeaderVersion{7}, types);
         Reconciliation reconciliation(p, report);
         for (int k = 0; k < 60; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
@@ -59,7 +59,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        cluster::ClusterState p(7, types);
+        cluster::ClusterState p(protocol::LeaderVersion{7}, types);
         Reconciliation reconciliation(p, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -30,11 +30,12 @@
         return version = service.revision;
     }
     std::unique_ptr<AttemptNumbers> leadership() {
-        return std::make_unique<AttemptNumbers>(client, version, [of = version, this] {
-            protocol::Txn t;
-            t.conditions.push_back({kv::keys::leader, of});
-            return authority ? std::optional(t) : std::nullopt;
-        });
+        return std::make_unique<AttemptNumbers>(client, protocol::LeaderVersion{version},
+                                                [of = version, this] {
+                                                    protocol::Txn t;
+                                                    t.conditions.push_back({kv::keys::leader, of});
+                                                    return authority ? std::optional(t) : std::nullopt;
+                                                });
     }
     FakeTimers timers;
     FakeKeyValueStore service{timers};
--- a/tests/leader/authority_test.cpp
+++ b/tests/leader/authority_test.cpp
@@ -31,7 +31,7 @@
     Bench() {
         spdlog::set_level(spdlog::level::off);
         settings.cancel_s = 60;
-        election.start({[this](std::uint64_t token) {
+        election.start({[this](protocol::LeaderVersion token) {
                             authority = std::make_unique<Authority>(
                                 timers, settings, election, token,
                                 [this] { return cancellations_known_until.value_or(timers.now()); });
@@ -100,8 +100,8 @@
     auto transaction = bench.authority->fenced_transaction();
     ASSERT_EQ(transaction.conditions.size(), 1u);
     EXPECT_EQ(transaction.conditions[0].key, kv::keys::leader);
-    EXPECT_EQ(transaction.conditions[0].version, bench.authority->fencing_token());
-    EXPECT_EQ(bench.authority->fencing_token(), bench.service.kv[kv::keys::leader].version);
+    EXPECT_EQ(transaction.conditions[0].version, bench.authority->fencing_token().value());
+    EXPECT_EQ(bench.authority->fencing_token().value(), bench.service.kv[kv::keys::leader].version);
 
     transaction.changes.push_back({"some/key", std::nullopt, 0});
     std::optional<kv::TxnResult::Status> status;
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -20,7 +20,7 @@
         message.number = number;
         return delegations.take_relay_message(message);
     }
-    cluster::ClusterState cluster{7, {}};
+    cluster::ClusterState cluster{protocol::LeaderVersion{7}, {}};
     cluster::Machine& machine =
         cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, 0);
     Delegations delegations{cluster};
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -44,7 +44,7 @@
     }
     LeadingFixture() {
         spdlog::set_level(spdlog::level::off);
-        election.start({[this](std::uint64_t token) { begin(token); }, [] {}});
+        election.start({[this](protocol::LeaderVersion token) { begin(token); }, [] {}});
         wait(5);
     }
     void wait(double seconds) { timers.run_until(timers.now() + seconds); }
@@ -80,7 +80,7 @@
     std::unique_ptr<PartContext> context;
 
   private:
-    void begin(std::uint64_t token) {
+    void begin(protocol::LeaderVersion token) {
         authority =
             std::make_unique<Authority>(timers, settings, election, token, [this] { return timers.now(); });
         guarded = std::make_unique<CallbackGuard>(*authority);
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -22,13 +22,13 @@
 PeerPing ping() {
     return {.label = "berth-1",
             .incarnation = Incarnation{UINT64_MAX},
-            .leader_version = 1ull << 60,
+            .leader_version = LeaderVersion{1ull << 60},
             .leader = "berth-2",
             .state_ok = true,
             .workers = {"vm-1", "vm-2"},
             .counts = {{.id = "j-1", .done = 3, .running = 300}, {.id = "j-2", .done = 70000, .running = 4}},
             .features = 5,
-            .followed = 129,
+            .followed = LeaderVersion{129},
             .ages_ms = {100, 70000},
             .silent = {"vm-3"},
             .silent_ms = {UINT32_MAX},
@@ -37,13 +37,13 @@
 PeerPing brief_ping() {
     return {.label = "berth-1",
             .incarnation = Incarnation{7},
-            .leader_version = 8,
+            .leader_version = LeaderVersion{8},
             .leader = "berth-2",
             .state_ok = false,
             .workers = {},
             .counts = {},
             .features = 5,
-            .followed = 6,
+            .followed = LeaderVersion{6},
             .ages_ms = {},
             .silent = {},
             .silent_ms = {},
@@ -52,7 +52,7 @@
 PeerRelay relayed_reports() {
     return {.label = "berth-1",
             .incarnation = Incarnation{7},
-            .leader_version = 8,
+            .leader_version = LeaderVersion{8},
             .number = 9,
             .answered = 5,
             .reports = {R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"},
@@ -67,7 +67,7 @@
             .recalled = {"vm-9"}};
 }
 PeerFleet fleet() {
-    return {.leader_version = 8,
+    return {.leader_version = LeaderVersion{8},
             .number = 3,
             .rows = {{.machine = "vm-1",
                       .known = true,
@@ -82,7 +82,7 @@
                       .agent_epoch = AgentEpoch{11},
                       .sequence = SequenceNumber{12},
                       .tasks = {}}},
-            .begun = 7,
+            .begun = LeaderVersion{7},
             .whole = true};
 }
 
@@ -120,7 +120,7 @@
                                    .version = 7,
                                    .more = {{.id = "j-2", .version = 8}, {.id = "j-3", .version = 9}}}),
         message("CancelledAnswer", peer_cancelled_answer, peer_cancelled_answer_unset,
-                PeerCancelledAnswer{.taken_by = 12}),
+                PeerCancelledAnswer{.taken_by = LeaderVersion{12}}),
         message("Images", peer_images, peer_images_unset,
                 PeerImages{
                     .names = {"img-1", "img-2"},
@@ -130,7 +130,7 @@
         message("RelayAnswer", peer_relay_answer, peer_relay_answer_unset, relay_answer()),
         message("Fleet", peer_fleet, peer_fleet_unset, fleet()),
         message("FleetAnswer", peer_fleet_answer, peer_fleet_answer_unset,
-                PeerFleetAnswer{.taken = true, .incarnation = Incarnation{9}, .begun = 8}),
+                PeerFleetAnswer{.taken = true, .incarnation = Incarnation{9}, .begun = LeaderVersion{8}}),
     };
 }
 
@@ -193,7 +193,7 @@
     auto p = read<PeerPing>(golden::peer_ping);
     EXPECT_EQ(p.label, "berth-1");
     EXPECT_EQ(p.incarnation, Incarnation{UINT64_MAX});
-    EXPECT_EQ(p.leader_version, 1ull << 60);
+    EXPECT_EQ(p.leader_version, LeaderVersion{1ull << 60});
     EXPECT_EQ(p.leader, "berth-2");
     EXPECT_TRUE(p.state_ok);
     EXPECT_EQ(p.workers, (std::vector<std::string>{"vm-1", "vm-2"}));
@@ -205,7 +205,7 @@
     EXPECT_EQ(p.counts[1].done, 70000u);
     EXPECT_EQ(p.counts[1].running, 4u);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.followed, 129u);
+    EXPECT_EQ(p.followed, LeaderVersion{129});
     EXPECT_EQ(p.ages_ms, (std::vector<std::uint32_t>{100, 70000}));
     EXPECT_EQ(p.silent, std::vector<std::string>{"vm-3"});
     EXPECT_EQ(p.silent_ms, std::vector<std::uint32_t>{UINT32_MAX});
@@ -215,11 +215,11 @@
     auto p = read<PeerPing>(golden::peer_ping_brief);
     EXPECT_EQ(p.label, "berth-1");
     EXPECT_EQ(p.incarnation, Incarnation{7});
-    EXPECT_EQ(p.leader_version, 8u);
+    EXPECT_EQ(p.leader_version, LeaderVersion{8});
     EXPECT_EQ(p.leader, "berth-2");
     EXPECT_FALSE(p.state_ok);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.followed, 6u);
+    EXPECT_EQ(p.followed, LeaderVersion{6});
     EXPECT_TRUE(p.brief);
     EXPECT_TRUE(p.workers.empty() && p.counts.empty() && p.ages_ms.empty() && p.silent.empty() &&
                 p.silent_ms.empty());
@@ -255,7 +255,7 @@
     EXPECT_EQ(again.more[0].version, 8u);
     EXPECT_EQ(again.more[1].id, "j-3");
     EXPECT_EQ(again.more[1].version, 9u);
-    EXPECT_EQ(read<PeerCancelledAnswer>(golden::peer_cancelled_answer).taken_by, 12u);
+    EXPECT_EQ(read<PeerCancelledAnswer>(golden::peer_cancelled_answer).taken_by, LeaderVersion{12});
 }
 // Both go to the same path.
 TEST(GoldenBytes, SingleAndRepeatedCancellationsAreReadAsEachOther) {
@@ -284,7 +284,7 @@
     auto r = read<PeerRelay>(golden::peer_relay);
     EXPECT_EQ(r.label, "berth-1");
     EXPECT_EQ(r.incarnation, Incarnation{7});
-    EXPECT_EQ(r.leader_version, 8u);
+    EXPECT_EQ(r.leader_version, LeaderVersion{8});
     EXPECT_EQ(r.number, 9u);
     EXPECT_EQ(r.answered, 5u);
     EXPECT_EQ(r.reports, (std::vector<std::string>{R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"}));
@@ -310,9 +310,9 @@
 }
 TEST(GoldenBytes, FleetIsReadFieldByField) {
     auto f = read<PeerFleet>(golden::peer_fleet);
-    EXPECT_EQ(f.leader_version, 8u);
+    EXPECT_EQ(f.leader_version, LeaderVersion{8});
     EXPECT_EQ(f.number, 3u);
-    EXPECT_EQ(f.begun, 7u);
+    EXPECT_EQ(f.begun, LeaderVersion{7});
     EXPECT_TRUE(f.whole);
     ASSERT_EQ(f.rows.size(), 2u);
     auto &first = f.rows[0], &second = f.rows[1];
@@ -339,7 +339,7 @@
     auto a = read<PeerFleetAnswer>(golden::peer_fleet_answer);
     EXPECT_TRUE(a.taken);
     EXPECT_EQ(a.incarnation, Incarnation{9});
-    EXPECT_EQ(a.begun, 8u);
+    EXPECT_EQ(a.begun, LeaderVersion{8});
 }
 
 // What stands within messages grows at its end, too.
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -310,24 +310,25 @@
 }
 
 TEST(GoldenBytes, StandbyRecordIsWrittenAsBefore) {
-    StandbyRecord r{.version = beyond_double,
-                    .members = {{.label = "berth-0", .incarnation = Incarnation{UINT64_MAX}, .begun = 11},
-                                {.label = "berth-2", .incarnation = Incarnation{5}, .begun = 12}}};
+    StandbyRecord r{
+        .version = LeaderVersion{beyond_double},
+        .members = {{.label = "berth-0", .incarnation = Incarnation{UINT64_MAX}, .begun = LeaderVersion{11}},
+                    {.label = "berth-2", .incarnation = Incarnation{5}, .begun = LeaderVersion{12}}}};
     EXPECT_EQ(stored(r), golden::standby);
-    EXPECT_EQ(stored(StandbyRecord{.version = 7, .members = {}}), golden::standby_nobody);
+    EXPECT_EQ(stored(StandbyRecord{.version = LeaderVersion{7}, .members = {}}), golden::standby_nobody);
 }
 TEST(GoldenBytes, StandbyRecordIsReadFieldByField) {
     auto r = parse_standby_record(golden::standby);
-    EXPECT_EQ(r.version, beyond_double);
+    EXPECT_EQ(r.version, LeaderVersion{beyond_double});
     ASSERT_EQ(r.members.size(), 2u);
     EXPECT_EQ(r.members[0].label, "berth-0");
     EXPECT_EQ(r.members[0].incarnation, Incarnation{UINT64_MAX});
-    EXPECT_EQ(r.members[0].begun, 11u);
+    EXPECT_EQ(r.members[0].begun, LeaderVersion{11});
     EXPECT_EQ(r.members[1].label, "berth-2");
     EXPECT_EQ(r.members[1].incarnation, Incarnation{5});
-    EXPECT_EQ(r.members[1].begun, 12u);
+    EXPECT_EQ(r.members[1].begun, LeaderVersion{12});
     auto nobody = parse_standby_record(golden::standby_nobody);
-    EXPECT_EQ(nobody.version, 7u);
+    EXPECT_EQ(nobody.version, LeaderVersion{7});
     EXPECT_TRUE(nobody.members.empty());
 }
 // A version that carried nothing over began each copy itself.
@@ -336,7 +337,7 @@
     ASSERT_EQ(r.members.size(), 1u);
     EXPECT_EQ(r.members[0].label, "berth-2");
     EXPECT_EQ(r.members[0].incarnation, Incarnation{5});
-    EXPECT_EQ(r.members[0].begun, 7u);
+    EXPECT_EQ(r.members[0].begun, LeaderVersion{7});
 }
 
 TEST(GoldenBytes, ProgressBitsAreWrittenAndReadAsBefore) {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -172,13 +172,13 @@
 }
 
 TEST(Peer, RoundTripsAndRefusesNoise) {
-    PeerPing p{"berth-1", Incarnation{7}, 1ull << 60,      "berth-2",
-               true,      {"vm-1"},       {{"j-1", 3, 4}}, peer_features};
+    PeerPing p{"berth-1",       Incarnation{7}, LeaderVersion{1ull << 60}, "berth-2", true, {"vm-1"},
+               {{"j-1", 3, 4}}, peer_features,  LeaderVersion::none()};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
     ASSERT_TRUE(back);
     ASSERT_EQ(back->counts.size(), 1u);
     EXPECT_EQ(back->counts[0].running, 4u);
-    EXPECT_EQ(back->leader_version, 1ull << 60);
+    EXPECT_EQ(back->leader_version, LeaderVersion{1ull << 60});
     PeerImages images{{"img-1", "img-2"}, {5, 7}, {{"vm-1", {1, 0}}}};
     auto told = unpack_peer<PeerImages>(pack_peer(images));
     ASSERT_TRUE(told && told->machines.size() == 1);
@@ -207,11 +207,12 @@
     auto ping = unpack_peer<PeerPing>(old);
     ASSERT_TRUE(ping);
     EXPECT_EQ(ping->label, "berth-1");
-    EXPECT_EQ(ping->leader_version, 8u);
+    EXPECT_EQ(ping->leader_version, LeaderVersion{8});
     ASSERT_EQ(ping->counts.size(), 1u);
     EXPECT_EQ(ping->features, 0u);  // unknown means old
-    auto back = unpack_peer<OldPing>(
-        pack_peer(PeerPing{"a", Incarnation{1}, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
+    const PeerPing present{"a", Incarnation{1},       LeaderVersion{2}, "b", true, {"vm-2"}, {{"j-2", 5, 6}},
+                           9,   LeaderVersion::none()};
+    auto back = unpack_peer<OldPing>(pack_peer(present));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
     EXPECT_EQ(back->counts.at(0).done, 5u);
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -22,7 +22,7 @@
         std::vector<std::string> ids{m.id};
         for (auto& more : m.more) ids.push_back(more.id);
         received[addr].push_back(ids);
-        auto body = protocol::pack_peer(protocol::PeerCancelledAnswer{leads[addr]});
+        auto body = protocol::pack_peer(protocol::PeerCancelledAnswer{protocol::LeaderVersion{leads[addr]}});
         timers.after(0.01, [result, body] { result(http::Response{200, body}); });
     }
 };
@@ -38,13 +38,14 @@
         return s;
     }();
     std::uint64_t leadership = 5;
-    CancellationNotices notices{timers, peers, settings, [this] { return leadership; }};
+    CancellationNotices notices{timers, peers, settings,
+                                [this] { return protocol::LeaderVersion{leadership}; }};
 };
 
 TEST(CancellationNotices, AreSentToAllOnceIfTheLeaderAcknowledges) {
     NoticesFixture fixture;
     fixture.peers.leads["one"] = 5;
-    fixture.notices.announce("j-1", 9, 0);
+    fixture.notices.announce("j-1", 9, protocol::LeaderVersion::none());
     fixture.timers.run_until(60);
     EXPECT_EQ(fixture.peers.received["one"].size(), 1u);
     EXPECT_EQ(fixture.peers.received["two"].size(), 1u);
@@ -54,8 +55,8 @@
     NoticesFixture fixture;
     fixture.peers.leads["one"] = 5;
     fixture.peers.cut = {"one"};
-    fixture.notices.announce("j-1", 9, 0);
-    fixture.notices.announce("j-2", 10, 0);
+    fixture.notices.announce("j-1", 9, protocol::LeaderVersion::none());
+    fixture.notices.announce("j-2", 10, protocol::LeaderVersion::none());
     fixture.timers.run_until(4);
     EXPECT_TRUE(fixture.peers.received["one"].empty());
     fixture.peers.cut.clear();
@@ -76,13 +77,13 @@
 TEST(CancellationNotices, AreResentAfterAnAcknowledgementOfAnOlderLeadership) {
     NoticesFixture fixture;
     fixture.peers.leads["one"] = 4;
-    fixture.notices.announce("j-1", 9, 4);
+    fixture.notices.announce("j-1", 9, protocol::LeaderVersion{4});
     fixture.timers.run_until(10);
     EXPECT_GT(fixture.peers.received["two"].size(), 5u);
 }
 TEST(CancellationNotices, ExpireAfterCancelSeconds) {
     NoticesFixture fixture;
-    fixture.notices.announce("j-1", 9, 0);
+    fixture.notices.announce("j-1", 9, protocol::LeaderVersion::none());
     fixture.timers.run_until(46);
     EXPECT_EQ(fixture.notices.pending(), 0u);
     auto messages = fixture.peers.received["two"].size();
@@ -92,10 +93,12 @@
 }
 TEST(CancellationNotices, BoundTheirNumberAndTheMessageSize) {
     NoticesFixture fixture;
-    for (int k = 0; k < 1000; ++k) fixture.notices.announce("j-" + std::to_string(k), 9, 0);
+    for (int k = 0; k < 1000; ++k)
+        fixture.notices.announce("j-" + std::to_string(k), 9, protocol::LeaderVersion::none());
     EXPECT_EQ(fixture.notices.pending(), 20u);
     fixture.settings.memory_mb = 1000;
-    for (int k = 0; k < 1000; ++k) fixture.notices.announce("j-" + std::to_string(k), 9, 0);
+    for (int k = 0; k < 1000; ++k)
+        fixture.notices.announce("j-" + std::to_string(k), 9, protocol::LeaderVersion::none());
     fixture.peers.received.clear();
     fixture.timers.run_until(1);
     ASSERT_EQ(fixture.peers.received["one"].size(), 1u);
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -28,7 +28,7 @@
     FakeTimers timers;
     Network net;
     config::Settings settings;
-    LeaderEndpoint leader{"10.0.0.1:1", 5};
+    LeaderEndpoint leader{"10.0.0.1:1", protocol::LeaderVersion{5}};
     HeartbeatRelay relay;
     std::vector<int> statuses;
 
@@ -109,7 +109,8 @@
         {"another machine revoked", [](RelayFixture& fixture) { fixture.answer(extension(6000, {"vm-2"})); },
          true},
         {"a delegation of no length", [](RelayFixture& fixture) { fixture.answer(extension(0)); }, false},
-        {"another leadership", [](RelayFixture& fixture) { fixture.leader.version = 6; }, false},
+        {"another leadership",
+         [](RelayFixture& fixture) { fixture.leader.version = protocol::LeaderVersion{6}; }, false},
         {"the same controller leads no more", [](RelayFixture& fixture) { fixture.leader = {}; }, false},
         {"no answer, the previous delegation still lasts", [](RelayFixture& fixture) { fixture.lose(); },
          false},
@@ -172,10 +173,10 @@
          [](RelayFixture& fixture) {
              fixture.leader = {};
              fixture.run(1);
-             fixture.leader = {"10.0.0.2:1", 9};
+             fixture.leader = {"10.0.0.2:1", protocol::LeaderVersion{9}};
              fixture.run(0.6);
              ASSERT_FALSE(fixture.net.sent.empty());
-             EXPECT_EQ(fixture.net.sent.front().message.leader_version, 9u);
+             EXPECT_EQ(fixture.net.sent.front().message.leader_version, protocol::LeaderVersion{9});
              fixture.answer(extension(6000));
          },
          0.1,
--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -7,41 +7,47 @@
 
 namespace coralhitch::replication {
 namespace {
+using protocol::LeaderVersion;
 
 // Without any one of the checks a start that was sent could go unnoticed: the invariant at risk is
 // `ran_twice`.
 TEST(EligibilityChecks, AcceptAReplicaOnlyIfNothingCanBeMissing) {
-    ReplicaState replica{20, 7, 20, true, {}};
-    ReplicaEvidence good{
-        "me",
-        protocol::Incarnation{3},
-        40,
-        protocol::StandbyRecord{
-            20, {{"me", protocol::Incarnation{3}, 20}, {"other", protocol::Incarnation{4}, 20}}},
-        {{{10, false}, {20, true}}, 25},
-        true,
-        {},
-        &replica};
+    ReplicaState replica{LeaderVersion{20}, 7, LeaderVersion{20}, true, {}};
+    ReplicaEvidence good{"me",
+                         protocol::Incarnation{3},
+                         LeaderVersion{40},
+                         protocol::StandbyRecord{LeaderVersion{20},
+                                                 {{"me", protocol::Incarnation{3}, LeaderVersion{20}},
+                                                  {"other", protocol::Incarnation{4}, LeaderVersion{20}}}},
+                         {{{LeaderVersion{10}, false}, {LeaderVersion{20}, true}}, 25},
+                         true,
+                         {},
+                         &replica};
     struct Case {
         const char* name;
         std::function<void(ReplicaEvidence&)> change;
         bool proof;
     };
-    ReplicaState older{10, 7, 10, true, {}}, continued{20, 7, 10, true, {}}, later{30, 7, 20, true, {}};
-    auto continues_from = [](ReplicaEvidence& e, std::uint64_t begun) { e.record->members[0].begun = begun; };
+    ReplicaState older{LeaderVersion{10}, 7, LeaderVersion{10}, true, {}},
+        continued{LeaderVersion{20}, 7, LeaderVersion{10}, true, {}},
+        later{LeaderVersion{30}, 7, LeaderVersion{20}, true, {}};
+    auto continues_from = [](ReplicaEvidence& e, std::uint64_t begun) {
+        e.record->members[0].begun = LeaderVersion{begun};
+    };
     const Case cases[] = {
         {"all checks pass", [](ReplicaEvidence&) {}, true},
         {"no record: the leader may never have waited for any follower",
          [](ReplicaEvidence& e) { e.record.reset(); }, false},
-        {"the record is of this leadership", [](ReplicaEvidence& e) { e.record->version = 40; }, false},
+        {"the record is of this leadership",
+         [](ReplicaEvidence& e) { e.record->version = LeaderVersion{40}; }, false},
         {"it was removed, and starts were sent without it since",
          [](ReplicaEvidence& e) {
-             e.record->members = {{"other", protocol::Incarnation{4}, 20}};
+             e.record->members = {{"other", protocol::Incarnation{4}, LeaderVersion{20}}};
          },
          false},
         {"another process of this controller was recorded",
          [](ReplicaEvidence& e) {
-             e.record->members = {{"me", protocol::Incarnation{2}, 20}};
+             e.record->members = {{"me", protocol::Incarnation{2}, LeaderVersion{20}}};
          },
          false},
         {"the replica is of the previous leader", [&](ReplicaEvidence& e) { e.replica = &older; }, false},
@@ -68,27 +74,27 @@
          [](ReplicaEvidence& e) { e.history_complete = false; }, false},
         {"it was away, and saw only a later leader",
          [](ReplicaEvidence& e) {
-             e.chain.leaderships = {{30, true}};
+             e.chain.leaderships = {{LeaderVersion{30}, true}};
          },
          false},
         {"a leader that keeps a record won and ended before it started anything",
          [](ReplicaEvidence& e) {
-             e.chain.leaderships.push_back({30, true});
+             e.chain.leaderships.push_back({LeaderVersion{30}, true});
          },
          true},
         {"an old version led in between",
          [](ReplicaEvidence& e) {
-             e.chain.leaderships.push_back({30, false});
+             e.chain.leaderships.push_back({LeaderVersion{30}, false});
          },
          false},
         {"an old version led in between, found after the claim",
          [](ReplicaEvidence& e) {
-             e.later_leaders = {{30, false}};
+             e.later_leaders = {{LeaderVersion{30}, false}};
          },
          false},
         {"two that keep records led in between, found after the claim",
          [](ReplicaEvidence& e) {
-             e.later_leaders = {{30, true}, {35, true}};
+             e.later_leaders = {{LeaderVersion{30}, true}, {LeaderVersion{35}, true}};
          },
          true},
     };
--- a/tests/replication/follower_session_test.cpp
+++ b/tests/replication/follower_session_test.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t no_limit = 100;
 
 protocol::PeerFleetAnswer applied(std::uint64_t incarnation = 1) {
-    return {true, protocol::Incarnation{incarnation}, 0};
+    return {true, protocol::Incarnation{incarnation}, protocol::LeaderVersion::none()};
 }
 
 TEST(FollowerSession, IsInSyncOnceTheSnapshotIsAcknowledged) {
@@ -22,16 +22,17 @@
     EXPECT_EQ(batch.machines, std::vector<std::string>{"vm-1"});
     EXPECT_FALSE(session.ready_to_send()) << "one batch at a time";
     session.batch_finished();
-    session.acknowledge(batch, applied(), 7);
+    session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     EXPECT_FALSE(session.snapshot_acknowledged());
     EXPECT_EQ(session.acknowledged(), 0u) << "no change counts before all machines were sent";
     batch = session.next_batch(1, 5, 11);
     session.batch_finished();
-    session.acknowledge(batch, applied(), 7);
+    session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     ASSERT_TRUE(session.snapshot_acknowledged());
     session.set_in_sync(11);
     EXPECT_EQ(session.acknowledged(), 5u);
-    EXPECT_EQ(session.member(), (FollowerSession::Member{"x", protocol::Incarnation{1}, 7}));
+    EXPECT_EQ(session.member(),
+              (FollowerSession::Member{"x", protocol::Incarnation{1}, protocol::LeaderVersion{7}}));
     EXPECT_TRUE(session.ready_to_send()) << "the follower is yet to be told that its replica is complete";
 }
 
@@ -39,7 +40,7 @@
 // failed.
 TEST(FollowerSession, AcknowledgesOnlyWhatWasSent) {
     FollowerSession session({"x", "a", "x:1"});
-    session.resume({"x", protocol::Incarnation{1}, 4}, 0);
+    session.resume({"x", protocol::Incarnation{1}, protocol::LeaderVersion{4}}, 0);
     session.enqueue("vm-1", 1);
     session.enqueue("vm-2", 2);
     auto batch = session.next_batch(no_limit, 2, 0);
@@ -50,12 +51,12 @@
     batch = session.next_batch(1, 3, 1);
     EXPECT_EQ(batch.last_index, 0u) << "the other machine is still to be sent";
     session.batch_finished();
-    session.acknowledge(batch, applied(), 7);
+    session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     EXPECT_EQ(session.acknowledged(), 0u);
     batch = session.next_batch(no_limit, 3, 2);
     session.enqueue("vm-1", 4);
     session.batch_finished();
-    session.acknowledge(batch, applied(), 7);
+    session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     EXPECT_EQ(session.acknowledged(), 3u);
     EXPECT_EQ(session.queue_size(), 1u);
 }
--- a/tests/replication/follower_test.cpp
+++ b/tests/replication/follower_test.cpp
@@ -32,12 +32,13 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        auto a = f.apply({c.version, c.number, {c.row}});
+        auto a =
+            f.apply({protocol::LeaderVersion{c.version}, c.number, {c.row}, protocol::LeaderVersion::none()});
         EXPECT_EQ(a.taken, c.taken);
         EXPECT_EQ(a.incarnation, protocol::Incarnation{9});
         EXPECT_EQ(f.replica().machines.size(), c.rows);
     }
-    EXPECT_EQ(f.replica().leader_version, 8u);
+    EXPECT_EQ(f.replica().leader_version, protocol::LeaderVersion{8});
 }
 
 }  // namespace
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -33,7 +33,7 @@
     InSyncRecord record{timers,
                         settings,
                         client,
-                        50,
+                        protocol::LeaderVersion{50},
                         {[this] { return members; },
                          [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
                          [this] { ++committed; }, [] {}}};
@@ -80,7 +80,7 @@
         fixture.record.update();
         fixture.timers.run_until(1);
         EXPECT_FALSE(fixture.record.may_name("x"));
-        fixture.members = {{"x", protocol::Incarnation{1}, 50}};
+        fixture.members = {{"x", protocol::Incarnation{1}, protocol::LeaderVersion{50}}};
         fixture.record.update();
         EXPECT_TRUE(fixture.record.may_name("x"));
         fixture.members.clear();  // out of sync while the write is under way
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -70,15 +70,22 @@
     bool authority = true;
     std::map<std::string, protocol::PeerPing> pings;
     void ping(const std::string& label, std::uint64_t incarnation) {
-        pings[label] = {
-            label, protocol::Incarnation{incarnation}, 0, "", true, {}, {}, protocol::peer_features, 0};
+        pings[label] = {label,
+                        protocol::Incarnation{incarnation},
+                        protocol::LeaderVersion::none(),
+                        "",
+                        true,
+                        {},
+                        {},
+                        protocol::peer_features,
+                        protocol::LeaderVersion::none()};
     }
     ReplicationSender sender{
         timers,
         service,
         settings,
         client,
-        50,
+        protocol::LeaderVersion{50},
         {[this](const std::string& id) { return std::optional(row_of(id, machines.at(id))); },
          [this] {
              std::vector<std::string> ids;
@@ -167,10 +174,16 @@
         b.pings["x"].features = c.features;
         auto& f = b.followers.at("x").follower = Follower(protocol::Incarnation{c.incarnation});
         b.followers.at("y").silent = true;
-        if (c.begun) f.apply({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
-        b.sender.start(0,
-                       protocol::StandbyRecord{
-                           40, {{"x", protocol::Incarnation{1}, 40}, {"y", protocol::Incarnation{7}, 40}}});
+        if (c.begun)
+            f.apply({protocol::LeaderVersion{c.begun},
+                     1,
+                     {row_of("vm-1"), row_of("vm-9")},
+                     protocol::LeaderVersion::none(),
+                     true});
+        b.sender.start(
+            0, protocol::StandbyRecord{protocol::LeaderVersion{40},
+                                       {{"x", protocol::Incarnation{1}, protocol::LeaderVersion{40}},
+                                        {"y", protocol::Incarnation{7}, protocol::LeaderVersion{40}}}});
         for (double t = 0; !b.service.kv.contains(kv::keys::standby); t += 0.001) b.timers.run_until(t);
         EXPECT_EQ(b.named().contains("x"), c.at_once);
         auto log_index = b.start("vm-2");
@@ -179,7 +192,7 @@
             b.sender.tick();
             if (b.sender.replicated(log_index) && b.named().contains("x")) {
                 EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch.value(), b.machines["vm-2"]);
-                EXPECT_EQ(f.replica().base_version,
+                EXPECT_EQ(f.replica().base_version.value(),
                           b.service.kv.at(kv::keys::standby).value["members"][0]["begun"]);
             }
         }
