--- a/scale/hollow_worker.cpp
+++ b/scale/hollow_worker.cpp
@@ -91,7 +91,7 @@
     r.sequence = sequence_ = sequence_.next();
     r.token = token_;
     for (auto& [key, task] : tasks_)
-        r.tasks.push_back({key.first, key.second, task.state, task.cause, false});
+        r.tasks.push_back({key.first, protocol::AttemptNumber{key.second}, task.state, task.cause, false});
     return outside::report_body(r);
 }
 void HollowWorker::send_report() {
@@ -232,7 +232,7 @@
 void HollowWorker::execute(const std::vector<protocol::Command>& commands) {
     site_.counts().commands += commands.size();
     for (auto& command : commands) {
-        Key key{command.task, command.attempt};
+        Key key{command.task, command.attempt.value()};
         auto it = tasks_.find(key);
         switch (command.op) {
             case protocol::CommandKind::start:
--- a/scale/outside.cpp
+++ b/scale/outside.cpp
@@ -42,8 +42,8 @@
                       R"(,"warning_s":null,"shards":[)";
     for (auto& t : r.tasks) {
         if (out.back() == '}') out += ',';
-        out +=
-            R"({"shard":")" + t.task.str() + R"(","launch":)" + std::to_string(t.attempt) + R"(,"status":")";
+        out += R"({"shard":")" + t.task.str() + R"(","launch":)" + std::to_string(t.attempt.value()) +
+               R"(,"status":")";
         out += name_of(task_state_names, t.state);
         out += '"';
         if (t.state == TaskState::exited) {
@@ -65,7 +65,7 @@
         Command c;
         c.op = named(op_names, o.value("verb", ""), "verb");
         c.task = task_id(o.value("shard", ""));
-        c.attempt = o.value("launch", std::uint64_t{0});
+        c.attempt = AttemptNumber{o.value("launch", std::uint64_t{0})};
         c.grace_s = o.value("slack_s", 0.0);
         out.commands.push_back(std::move(c));
     }
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -90,7 +90,7 @@
 
 namespace {
 Instance& replace_instance(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                           std::uint64_t attempt, double now) {
+                           protocol::AttemptNumber attempt, double now) {
     auto& instance = machine.tasks[task];
     instance = Instance{};
     instance.spec = std::move(spec);
@@ -101,7 +101,7 @@
 }  // namespace
 
 Instance& ClusterState::place(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                              std::uint64_t attempt, double now) {
+                              protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.machine_stored = machine.is_stored();
     instance.replicated = !hold_starts_;
@@ -112,7 +112,7 @@
 }
 
 Instance& ClusterState::place_from_replica(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                                           std::uint64_t attempt, double now) {
+                                           protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.ever_reported = true;
     instance.run.highest_token = tokens_.highest_before();  // of any `run` that may still be on its way
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -63,12 +63,12 @@
 
     // --- Instances ---
     // Replaces whatever was known of the task there.
-    Instance& place(Machine& machine, const protocol::TaskId& task, JobSpec spec, std::uint64_t attempt,
-                    double now);
+    Instance& place(Machine& machine, const protocol::TaskId& task, JobSpec spec,
+                    protocol::AttemptNumber attempt, double now);
     // What the previous leader, which replicated all it started, knew to be on the machine: it may be there.
     // A report under this leader's token proves what is; the previous leader's tokens were all lower.
     Instance& place_from_replica(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                                 std::uint64_t attempt, double now);
+                                 protocol::AttemptNumber attempt, double now);
     void stop(Machine& machine, const protocol::TaskId& task, double grace_s);
     // Stops it for good, at once; for the deadline see `may_renew_lease`.
     void cancel(Machine& machine, const protocol::TaskId& task, double lease_renewal_deadline);
--- a/src/cluster/instance.hpp
+++ b/src/cluster/instance.hpp
@@ -27,7 +27,7 @@
 
 struct Instance {
     JobSpec spec;  // null: of an unknown job; it is stopped, and its machine gets nothing new
-    std::uint64_t attempt = 0;
+    protocol::AttemptNumber attempt;
     protocol::TaskState state = protocol::TaskState::fetching;  // as last reported by the agent
     bool ever_reported = false;                                 // by the agent, or known from the replica
     bool in_last_heartbeat = false;                             // the agent's newest report contains it
@@ -52,7 +52,7 @@
 // One attempt to run a task.
 struct AttemptId {
     protocol::TaskId task;
-    std::uint64_t attempt = 0;
+    protocol::AttemptNumber attempt;
     auto operator<=>(const AttemptId&) const = default;
 };
 
--- a/src/cluster/instance_end.hpp
+++ b/src/cluster/instance_end.hpp
@@ -12,7 +12,7 @@
 struct InstanceEnd {
     std::string machine;
     protocol::TaskId task;
-    std::uint64_t attempt = 0;
+    protocol::AttemptNumber attempt;
     // The agent reported the exit. False: the machine, the agent epoch or the command is proven terminated.
     bool reported = false;
     bool orphaned = false;  // see Instance
--- a/src/jobs/job_entry.hpp
+++ b/src/jobs/job_entry.hpp
@@ -17,7 +17,7 @@
 // A task instance on a machine that is not proven terminated.
 struct ActiveTask {
     std::string machine;  // its id
-    std::uint64_t attempt = 0;
+    protocol::AttemptNumber attempt;
     std::size_t zone_index = 0;  // in the cluster state
 };
 
--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -18,13 +18,13 @@
       last_(version.value() << revision_bits),
       bound_((version.value() + 1) << revision_bits) {}
 
-std::optional<std::uint64_t> AttemptNumbers::next() {
-    if (last_ + 1 >= bound_) return std::nullopt;
-    return ++last_;
+std::optional<protocol::AttemptNumber> AttemptNumbers::next() {
+    if (last_.next() >= bound_) return std::nullopt;
+    return last_ = last_.next();
 }
 
 void AttemptNumbers::extend() {
-    if (extending_ || bound_ - last_ > low_water) return;
+    if (extending_ || bound_.value() - last_.value() > low_water) return;
     auto transaction = begin_();
     if (!transaction) return;
     // What is written does not matter, but that the revision grows while the leader's key stands.
@@ -33,7 +33,7 @@
     state_.txn(std::move(*transaction), kv::RequestPriority::write, guarded_([this](kv::TxnResult c) {
                    extending_ = false;
                    if (c.status != kv::TxnResult::Status::committed) return;  // asked again
-                   bound_ = std::max(bound_, (c.revision + 1) << revision_bits);
+                   bound_ = std::max(bound_, protocol::AttemptNumber{(c.revision + 1) << revision_bits});
                    spdlog::info("leader: attempt numbers extended at revision {}", c.revision);
                }));
 }
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -24,15 +24,15 @@
 
     AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, Begin begin);
     // Nothing while all numbers are used that are known to be this leadership's own.
-    std::optional<std::uint64_t> next();
+    std::optional<protocol::AttemptNumber> next();
     // Asks for more when half of what one revision gives is left. To be called every now and then.
     void extend();
 
   private:
     kv::KvClient& state_;
     Begin begin_;
-    std::uint64_t last_;   // number given
-    std::uint64_t bound_;  // numbers stay below it
+    protocol::AttemptNumber last_;   // number given
+    protocol::AttemptNumber bound_;  // numbers stay below it
     bool extending_ = false;
     event_loop::LifetimeGuard guarded_;  // last, so that it goes first
 };
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -47,7 +47,7 @@
 // terminated: what shows the older one came late, if it is of another agent epoch or machine by now. Going by
 // the order of the reports instead stopped the newer one whenever its report came second.
 void InstanceTracker::record_location(jobs::JobEntry& job, const protocol::TaskId& task, Machine& machine,
-                                      std::uint64_t attempt) {
+                                      protocol::AttemptNumber attempt) {
     auto [active, inserted] =
         job.active.try_emplace(task.index, jobs::ActiveTask{machine.id, attempt, state_.zone_of(machine)});
     if (inserted || active->second.machine == machine.id) return;
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -39,7 +39,7 @@
   private:
     [[nodiscard]] double now() const { return timers_.now(); }
     void record_location(jobs::JobEntry& job, const protocol::TaskId& task, cluster::Machine& machine,
-                         std::uint64_t attempt);
+                         protocol::AttemptNumber attempt);
     bool release_place(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void task_done(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void task_lost(jobs::JobEntry& job, const cluster::InstanceEnd& end);
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -139,7 +139,8 @@
 }
 
 void PlanExecutor::start_group(const Plan& plan, std::span<const scheduler::Start> group,
-                               std::uint64_t attempt, TeamUsage& used, std::vector<StartedTask>& started) {
+                               protocol::AttemptNumber attempt, TeamUsage& used,
+                               std::vector<StartedTask>& started) {
     auto& planned = *plan.in.jobs[group.front().job].spec;
     auto* job = state_.jobs.find(planned.id);
     auto* team = job ? team_of(*job) : nullptr;
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -92,8 +92,8 @@
     // How many starts from this index on go together: all of a gang, or one.
     [[nodiscard]] static std::size_t group_size(const Plan& plan, std::size_t first);
     // Enters all starts of the group in the state, or none.
-    void start_group(const Plan& plan, std::span<const scheduler::Start> group, std::uint64_t attempt,
-                     TeamUsage& used, std::vector<StartedTask>& started);
+    void start_group(const Plan& plan, std::span<const scheduler::Start> group,
+                     protocol::AttemptNumber attempt, TeamUsage& used, std::vector<StartedTask>& started);
     static void undo(jobs::JobEntry& job, std::span<const PlacedTask> placed, TeamUsage& used);
     [[nodiscard]] const config::Team* team_of(const jobs::JobEntry& job) const;
     [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -13,7 +13,7 @@
     if (commands.empty()) return "[]";
     json out = json::array();
     for (auto& c : commands) {
-        json o{{"verb", name_of(op_names, c.op)}, {"shard", c.task.str()}, {"launch", c.attempt}};
+        json o{{"verb", name_of(op_names, c.op)}, {"shard", c.task.str()}, {"launch", c.attempt.value()}};
         if (c.op == CommandKind::stop) o["slack_s"] = c.grace_s;
         out.push_back(std::move(o));
     }
--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -20,7 +20,7 @@
     auto o = reader::as_object(e, "shards");
     TaskStatus t;
     t.task = task_id(reader::text(o, "shard"));
-    t.attempt = reader::count(o, "launch");
+    t.attempt = AttemptNumber{reader::count(o, "launch")};
     t.state = named(task_state_names, reader::text(o, "status"), "status");
     element other;
     // A cause this program doesn't know still is an end of the task.
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -70,7 +70,7 @@
 
 struct TaskStatus {
     TaskId task;
-    std::uint64_t attempt = 0;
+    AttemptNumber attempt;
     TaskState state = TaskState::fetching;
     ExitCause cause = ExitCause::none;
     bool saved = false;
@@ -90,7 +90,7 @@
 struct Command {
     CommandKind op = CommandKind::start;
     TaskId task;
-    std::uint64_t attempt = 0;
+    AttemptNumber attempt;
     double grace_s = 0;
 };
 
--- a/src/protocol/numbers.hpp
+++ b/src/protocol/numbers.hpp
@@ -24,4 +24,8 @@
 // Which process of a controller: drawn at random at its start, so neither of two is the newer one.
 using Incarnation = StrongNumber<struct IncarnationTag>;
 
+// One try to run a task, or all tasks of a gang: each is used once, and a later try has a higher one, also
+// under a later leadership. See leader::AttemptNumbers.
+using AttemptNumber = StrongNumber<struct AttemptNumberTag>;
+
 }  // namespace coralhitch::protocol
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -125,7 +125,7 @@
 struct PeerPlaced {
     std::string job;
     std::uint32_t index = 0;
-    std::uint64_t attempt = 0;
+    AttemptNumber attempt;
     MSGPACK_DEFINE(job, index, attempt)
 };
 struct PeerMachineRow {
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -56,7 +56,7 @@
     std::vector<protocol::Command> place_and_send_run() {
         apply_heartbeat(base());
         machine().registration = Machine::Registration::stored;
-        cluster_state.place(machine(), task, spec, 5, 0);
+        cluster_state.place(machine(), task, spec, protocol::AttemptNumber{5}, 0);
         return cluster_state.take_direct_commands(machine(), 0, true);
     }
     bool reply_contains(protocol::CommandKind kind) {
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -32,7 +32,8 @@
     const Case cases[] = {
         {"reported as exited",
          [](ClusterStateFixture& b) {
-             b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::stopped, true}};
+             b.reported_tasks = {
+                 {task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::stopped, true}};
              return b.apply_heartbeat(b.base()).ends;
          }},
         {"a new agent epoch",
@@ -47,21 +48,21 @@
     for (auto& c : cases) {
         ClusterStateFixture b;
         b.place_and_send_run();
-        b.reported_tasks = {{task, 5, TaskState::running}};
+        b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
         EXPECT_TRUE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).ends.empty()) << c.name;
         auto ends = c.proof(b);
         ASSERT_EQ(ends.size(), 1u) << c.name;
-        EXPECT_EQ(ends[0].attempt, 5u) << c.name;
+        EXPECT_EQ(ends[0].attempt, protocol::AttemptNumber{5}) << c.name;
     }
 }
 
 TEST(HeartbeatApplication, IgnoresOlderHeartbeat) {
     ClusterStateFixture b;
     b.place_and_send_run();
-    b.reported_tasks = {{task, 5, TaskState::running}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     b.sequence = 10;
     b.apply_heartbeat(b.base());
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::done}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
     b.sequence = 3;
     auto outcome = b.apply_heartbeat(b.base());
     EXPECT_FALSE(outcome.is_newer());
@@ -78,7 +79,7 @@
 // received none of those.
 TEST(HeartbeatApplication, IgnoresLateCopiesOfTerminatedInstances) {
     ClusterStateFixture b;  // a new leader: the machine was deleted under the one before, and is in no page
-    b.reported_tasks = {{task, 5, TaskState::running}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     EXPECT_TRUE(b.apply_heartbeat(b.below_base(1)).is_terminated());
     EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
     // What it answers now counts.
@@ -87,7 +88,7 @@
 
     ClusterStateFixture c;  // its lease was out: the task may run elsewhere by now
     c.place_and_send_run();
-    c.reported_tasks = {{task, 5, TaskState::running}};
+    c.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     c.apply_heartbeat(c.base());
     EXPECT_EQ(c.cluster_state.expire_lease(c.machine()).size(), 1u);
     EXPECT_TRUE(c.apply_heartbeat(c.base()).is_terminated());
@@ -98,7 +99,7 @@
     ClusterStateFixture d;  // the same, of a machine that this leader had no report of
     d.store_by_earlier_leader();
     d.cluster_state.expire_lease(d.machine());
-    d.reported_tasks = {{task, 5, TaskState::running}};
+    d.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     EXPECT_TRUE(d.apply_heartbeat(d.base()).is_terminated());
     EXPECT_FALSE(d.apply_heartbeat(d.base(), ReportChannel::direct_reply).is_terminated());
 }
@@ -112,8 +113,9 @@
         std::size_t found, ends;  // by it
         bool there, confirmed;    // afterwards
     };
-    const protocol::TaskStatus shown{task, 3, TaskState::running, ExitCause::none, false};
-    auto known_from_replica = [&](ClusterStateFixture& b, std::uint64_t attempt) {
+    const protocol::TaskStatus shown{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none,
+                                     false};
+    auto known_from_replica = [&](ClusterStateFixture& b, protocol::AttemptNumber attempt) {
         b.store_by_earlier_leader();
         b.machine().known_from_replica = true;
         b.cluster_state.place_from_replica(b.machine(), task, b.spec, attempt, 0);
@@ -163,7 +165,8 @@
                                                   apply(b, protocol::FencingToken{1});
          },
          1, 1, false, false},
-        {"known from the replica", [&](ClusterStateFixture& b) { known_from_replica(b, 3), old(b); }, 0, 0,
+        {"known from the replica",
+         [&](ClusterStateFixture& b) { known_from_replica(b, protocol::AttemptNumber{3}), old(b); }, 0, 0,
          true, true},
         {"known from the replica that nothing is there",
          [&](ClusterStateFixture& b) {
@@ -172,8 +175,8 @@
          0, 0, false, false},
         {"of an earlier attempt than the one in the replica",
          [&](ClusterStateFixture& b) {
-             known_from_replica(b, 5), old(b);
-             EXPECT_EQ(b.machine().tasks.at(task).attempt, 5u);
+             known_from_replica(b, protocol::AttemptNumber{5}), old(b);
+             EXPECT_EQ(b.machine().tasks.at(task).attempt, protocol::AttemptNumber{5});
          },
          0, 0, true, true},
         {"of a later agent epoch than one that is terminated",
@@ -219,7 +222,7 @@
     for (auto& c : cases) {
         ClusterStateFixture b;
         b.store_by_earlier_leader();
-        b.reported_tasks = {{task, 3, TaskState::running, ExitCause::none, false}};
+        b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none, false}};
         b.sequence = c.sequence;
         b.apply_heartbeat(b.below_base(1), ReportChannel::heartbeat, c.agent_epoch);
         b.sequence = 7;
@@ -259,7 +262,7 @@
 TEST(HeartbeatApplication, ReconcilesMachineOnlyByReportUnderThisLeadersToken) {
     ClusterStateFixture b;
     b.store_by_earlier_leader();
-    b.reported_tasks = {{task, 3, TaskState::running}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running}};
     auto outcome = b.apply_heartbeat(b.below_base(1));
     EXPECT_EQ(outcome.found.size(), 1u);
     EXPECT_FALSE(b.machine().reconciled);
@@ -273,7 +276,7 @@
 TEST(HeartbeatApplication, StopsTasksOfUnknownJobs) {
     ClusterStateFixture b;
     b.store_by_earlier_leader();
-    b.reported_tasks = {{{"j-2", 0}, 3, TaskState::running}};
+    b.reported_tasks = {{{"j-2", 0}, protocol::AttemptNumber{3}, TaskState::running}};
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(b.machine().has_instance_of_unknown_job());
     EXPECT_TRUE(b.reply_contains(CommandKind::stop));
--- a/tests/cluster/image_cache_test.cpp
+++ b/tests/cluster/image_cache_test.cpp
@@ -27,7 +27,9 @@
             j->image = "img-" + std::to_string(image);
             j->image_gb = 40;
             b.spec = j;
-            b.reported_tasks = {{{"j-1", static_cast<std::uint32_t>(specs.size())}, 5, TaskState::running}};
+            b.reported_tasks = {{{"j-1", static_cast<std::uint32_t>(specs.size())},
+                                 protocol::AttemptNumber{5},
+                                 TaskState::running}};
             specs.push_back(j);
             b.apply_heartbeat(b.base());
         }
@@ -45,7 +47,7 @@
     for (bool newer : {false, true}) {
         ClusterStateFixture b;
         b.store_by_earlier_leader();
-        if (newer) b.reported_tasks = {{task, 5, TaskState::running}};
+        if (newer) b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
         b.apply_heartbeat(b.base());
         auto old = b.cluster_state.image_number("old");
         b.cluster_state.restore_image_cache(b.machine(),
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -34,15 +34,18 @@
         m.agent_epoch = protocol::AgentEpoch{3};
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
-        p.place_from_replica(m, {"j-1", 0}, spec, 11, 0);
+        p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
         protocol::Heartbeat r;
         r.machine = "vm-1";
         r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
         r.sequence = protocol::SequenceNumber{20};
         r.token = c.token;
         if (c.shown)
-            r.tasks.push_back(
-                {{"j-1", 0}, 11, protocol::TaskState::running, protocol::ExitCause::none, false});
+            r.tasks.push_back({{"j-1", 0},
+                               protocol::AttemptNumber{11},
+                               protocol::TaskState::running,
+                               protocol::ExitCause::none,
+                               false});
         auto heard = p.apply_heartbeat(r, ReportChannel::heartbeat, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -20,7 +20,7 @@
         ClusterStateFixture b;
         b.apply_heartbeat(reconciled ? b.base() : protocol::FencingToken::none());
         b.machine().registration = stored ? Machine::Registration::stored : Machine::Registration::none;
-        b.cluster_state.place(b.machine(), task, b.spec, 5, 0);
+        b.cluster_state.place(b.machine(), task, b.spec, protocol::AttemptNumber{5}, 0);
         EXPECT_EQ(b.cluster_state.take_direct_commands(b.machine(), 0, authority).size(),
                   reconciled && stored && authority ? 1u : 0u);
     }
@@ -33,7 +33,7 @@
     auto& m = b.machine();
     m.registration = Machine::Registration::stored;
     auto raise = [&] {
-        b.cluster_state.place(m, task, b.spec, 5, 0);
+        b.cluster_state.place(m, task, b.spec, protocol::AttemptNumber{5}, 0);
         b.cluster_state.take_direct_commands(m, 0, true);
         b.cluster_state.stop(m, task, 0);
     };
@@ -60,12 +60,12 @@
         {"nothing is on it", [](ClusterStateFixture& b) { b.machine().tasks.clear(); }, true},
         {"another task was placed, not sent yet",
          [](ClusterStateFixture& b) {
-             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, 6, 0);
+             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, protocol::AttemptNumber{6}, 0);
          },
          false},
         {"a start was sent, its answer is missing",
          [](ClusterStateFixture& b) {
-             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, 6, 0);
+             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, protocol::AttemptNumber{6}, 0);
              b.cluster_state.take_direct_commands(b.machine(), 0, true);
          },
          false},
@@ -97,7 +97,7 @@
         ClusterStateFixture b;
         auto sent = b.place_and_send_run();
         b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), true);
-        b.reported_tasks = {{task, 5, TaskState::running, ExitCause::none, false}};
+        b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running, ExitCause::none, false}};
         b.apply_heartbeat(b.base());
         c.then(b);
         EXPECT_EQ(b.cluster_state.nothing_pending(b.machine()), c.nothing_pending) << c.what;
@@ -121,7 +121,7 @@
     ClusterStateFixture b;
     auto sent = b.place_and_send_run();
     b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), true);
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::stopped}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::stopped}};
     b.apply_heartbeat(b.base());
     ASSERT_TRUE(b.reply_contains(CommandKind::forget));
     EXPECT_GT(b.machine().token, b.base());
@@ -130,7 +130,7 @@
 TEST(MachineCommands, ForgetsAttemptOnlyWhenStoredAndNoRunMayBeLate) {
     ClusterStateFixture b;
     auto sent = b.place_and_send_run();
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::done}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
     b.apply_heartbeat(b.base());
     EXPECT_FALSE(b.reply_contains(CommandKind::forget));  // not stored
     b.cluster_state.record_outcome_stored("j-1");
@@ -151,7 +151,7 @@
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(
         b.reply_contains(CommandKind::start));  // this answer may reach the worker up to a few seconds later
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::no_room}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::no_room}};
     b.apply_heartbeat(b.base(), ReportChannel::direct_reply);  // a direct answer overtakes it
     EXPECT_FALSE(b.reply_contains(CommandKind::forget));
     b.apply_heartbeat(b.base());
--- a/tests/cluster/team_usage_test.cpp
+++ b/tests/cluster/team_usage_test.cpp
@@ -20,11 +20,11 @@
     teams[0].name = "a";
     teams[1].name = "b";
     auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
-    p.place_from_replica(m, {"j-1", 0}, spec, 1, 0);
+    p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
     auto before = team_usage(p, teams);
     EXPECT_EQ(before["a"].gpus, 1);
     EXPECT_EQ(before["b"].gpus, 0);
-    p.place_from_replica(m, {"j-0", 5}, nullptr, 1, 0);
+    p.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
     auto after = team_usage(p, teams);
     EXPECT_EQ(after["a"].gpus, 4);
     EXPECT_EQ(after["b"].gpus, 3);
@@ -43,8 +43,8 @@
     std::vector<config::Team> teams(1);
     teams[0].name = "a";
     auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
-    p.place_from_replica(m, {"j-1", 0}, spec, 1, 0);
-    p.place_from_replica(m, {"j-0", 5}, nullptr, 1, 0);
+    p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
+    p.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
     EXPECT_EQ(team_usage(p, teams)["a"].gpus, 1);
     EXPECT_EQ(team_usage(p, teams)["a"].cpus, 2);
 }
--- a/tests/jobs/job_entry_test.cpp
+++ b/tests/jobs/job_entry_test.cpp
@@ -11,7 +11,7 @@
     JobEntry job;
     job.done.resize(5);
     job.mark_done(0);
-    job.active[2] = {"vm-1", 1, 0};
+    job.active[2] = {"vm-1", protocol::AttemptNumber{1}, 0};
     EXPECT_EQ(job.pending_tasks(10), (Tasks{1, 3, 4}));
     EXPECT_EQ(job.pending_tasks(2), (Tasks{1, 3}));
     EXPECT_EQ(job.open_count(), 4u);
@@ -26,7 +26,7 @@
     JobEntry job;
     job.done.resize(2);
     job.mark_done(0);
-    job.active[0] = {"vm-1", 1, 0};
+    job.active[0] = {"vm-1", protocol::AttemptNumber{1}, 0};
     EXPECT_TRUE(job.has_pending_tasks());
     EXPECT_EQ(job.pending_tasks(10), Tasks{1});
 }
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -55,9 +55,9 @@
             ++missed;
             return;
         }
-        if (count++ == 0) first = *n;
-        grew &= *n > last;
-        last = *n;
+        if (count++ == 0) first = n->value();
+        grew &= n->value() > last;
+        last = n->value();
     }
 };
 
@@ -80,13 +80,14 @@
     bench.claim();
     auto next = bench.leadership()->next();
     ASSERT_TRUE(next);
-    EXPECT_GT(*next, run.last);
+    EXPECT_GT(next->value(), run.last);
 }
 
 TEST(AttemptNumbers, TheFirstAreThoseOfTheVersionAsEver) {
     Bench bench;
     auto numbers = bench.leadership();
-    for (std::uint64_t k = 1; k <= 100; ++k) EXPECT_EQ(numbers->next(), (bench.version << 20) + k);
+    for (std::uint64_t k = 1; k <= 100; ++k)
+        EXPECT_EQ(numbers->next(), protocol::AttemptNumber{(bench.version << 20) + k});
     numbers->extend();
     bench.timers.run_until(1);
     EXPECT_EQ(bench.service.changes, 0);  // none is asked for before it is needed
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -21,7 +21,8 @@
     // An instance on this machine, as a report shows it.
     cluster::Instance& show(const std::string& job, cluster::Machine& machine, std::uint32_t task,
                             std::uint64_t attempt) {
-        auto& instance = state->cluster.place(machine, {job, task}, state->jobs.find(job)->spec, attempt, 0);
+        auto& instance = state->cluster.place(machine, {job, task}, state->jobs.find(job)->spec,
+                                              protocol::AttemptNumber{attempt}, 0);
         tracker.instance_found({job, task}, machine.id);
         return instance;
     }
@@ -82,7 +83,7 @@
     auto& job = bench.add_job("j-1", 1);
     auto& machine = bench.add_machine("vm-1");
     bench.show("j-1", machine, 0, 6);
-    cluster::InstanceEnd older{"vm-1", {"j-1", 0}, 5, true};
+    cluster::InstanceEnd older{"vm-1", {"j-1", 0}, protocol::AttemptNumber{5}, true};
     bench.tracker.instance_ended(older);
     EXPECT_TRUE(job.active.contains(0));
 }
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -23,7 +23,7 @@
     Bench bench;
     auto& machine = bench.add_machine(1);
     auto& job = bench.add_job("j-1", 1);
-    auto& instance = bench.state->cluster.place(machine, {"j-1", 0}, job.spec, 5, 0);
+    auto& instance = bench.state->cluster.place(machine, {"j-1", 0}, job.spec, protocol::AttemptNumber{5}, 0);
     EXPECT_FALSE(instance.machine_stored);
     bench.store.store_if_new(machine);
     EXPECT_TRUE(machine.registration == cluster::Machine::Registration::write_pending);
--- a/tests/leader/plan_snapshot_test.cpp
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -47,7 +47,7 @@
     auto& job = bench.add_job("j-000001", 3);
     job.consecutive_failures = jobs::JobEntry::crash_loop_threshold + 1;
     EXPECT_EQ(bench.input().jobs.at(0).waiting.size(), 1u);
-    job.active[0] = {"vm-1", 1, 0};
+    job.active[0] = {"vm-1", protocol::AttemptNumber{1}, 0};
     EXPECT_TRUE(bench.input().jobs.at(0).waiting.empty());
 }
 
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -74,8 +74,8 @@
                       .gone = false,
                       .agent_epoch = AgentEpoch{5},
                       .sequence = SequenceNumber{6},
-                      .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
-                                {.job = "j-2", .index = 0, .attempt = 1}}},
+                      .tasks = {{.job = "j-1", .index = 2, .attempt = AttemptNumber{3}},
+                                {.job = "j-2", .index = 0, .attempt = AttemptNumber{1}}}},
                      {.machine = "vm-2",
                       .known = false,
                       .gone = true,
@@ -324,10 +324,10 @@
     ASSERT_EQ(first.tasks.size(), 2u);
     EXPECT_EQ(first.tasks[0].job, "j-1");
     EXPECT_EQ(first.tasks[0].index, 2u);
-    EXPECT_EQ(first.tasks[0].attempt, 3u);
+    EXPECT_EQ(first.tasks[0].attempt, AttemptNumber{3});
     EXPECT_EQ(first.tasks[1].job, "j-2");
     EXPECT_EQ(first.tasks[1].index, 0u);
-    EXPECT_EQ(first.tasks[1].attempt, 1u);
+    EXPECT_EQ(first.tasks[1].attempt, AttemptNumber{1});
     EXPECT_EQ(second.machine, "vm-2");
     EXPECT_FALSE(second.known);
     EXPECT_TRUE(second.gone);
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -528,9 +528,12 @@
 // ---- Workers
 
 std::vector<Command> commands_of_each_kind() {
-    return {{.op = CommandKind::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
-            {.op = CommandKind::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
-            {.op = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
+    return {{.op = CommandKind::start, .task = {"j-7", 0}, .attempt = AttemptNumber{3}, .grace_s = 9},
+            {.op = CommandKind::stop,
+             .task = {"j-000412", 15},
+             .attempt = AttemptNumber{beyond_double},
+             .grace_s = 1.5},
+            {.op = CommandKind::forget, .task = {"j-9", 99999}, .attempt = AttemptNumber{5}, .grace_s = 9}};
 }
 TEST(GoldenBytes, ReportAnswerIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_response(FencingToken{UINT64_MAX}, commands_of_each_kind()),
@@ -559,12 +562,12 @@
     EXPECT_EQ(r.preemption_notice_s, 12.5);
     ASSERT_EQ(r.tasks.size(), 2u);
     EXPECT_EQ(r.tasks[0].task, (TaskId{"j-7", 3}));
-    EXPECT_EQ(r.tasks[0].attempt, beyond_double + 4);
+    EXPECT_EQ(r.tasks[0].attempt, AttemptNumber{beyond_double + 4});
     EXPECT_EQ(r.tasks[0].state, TaskState::exited);
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
     EXPECT_EQ(r.tasks[1].task, (TaskId{"j-000412", 15}));
-    EXPECT_EQ(r.tasks[1].attempt, 2u);
+    EXPECT_EQ(r.tasks[1].attempt, AttemptNumber{2});
     EXPECT_EQ(r.tasks[1].state, TaskState::running);
     EXPECT_EQ(r.tasks[1].cause, ExitCause::none);
     EXPECT_FALSE(r.tasks[1].saved);
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -44,7 +44,7 @@
     for (std::size_t k = 0; k < 1024; ++k) {  // replication::ReplicationSender's max_batch_machines
         PeerMachineRow row{name("vm-%06zu", k), true, false, AgentEpoch{1}, SequenceNumber{70000}, {}};
         for (std::uint32_t t = 0; t < tasks_per_machine; ++t)
-            row.tasks.push_back({name("j-%09zu", k), 70000 + t, version << 20});
+            row.tasks.push_back({name("j-%09zu", k), 70000 + t, AttemptNumber{version << 20}});
         piece.rows.push_back(std::move(row));
     }
     EXPECT_LT(packed_bytes("piece of 1,024 machines for a follower", piece), body_limit / 4);
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -144,7 +144,7 @@
                   {"shard":"j-7/4","launch":1,"status":"exited","cause":"a new one"}]})");
     EXPECT_EQ(r.sequence, SequenceNumber{18446744073709551615ull});
     EXPECT_EQ(r.token, FencingToken{9007199254740993ull});
-    EXPECT_EQ(r.tasks[0].attempt, 9007199254740995ull);
+    EXPECT_EQ(r.tasks[0].attempt, AttemptNumber{9007199254740995ull});
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
     EXPECT_EQ(r.tasks[1].cause, ExitCause::error);  // an end of a kind not known yet still is an end
