--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -45,11 +45,11 @@
         protocol::LeaderVersion acknowledged_by;
         double expiry;  // steady time
     };
-    void send(const std::string& body, const protocol::PeerCancelledAgain& message);
+    void send(const std::string& body, const protocol::PeerCancellationBatch& message);
     void resend();
     void schedule_resend();
-    [[nodiscard]] protocol::PeerCancelledAgain unacknowledged() const;
-    void acknowledge(const protocol::PeerCancelledAgain& message, protocol::LeaderVersion leader_version);
+    [[nodiscard]] protocol::PeerCancellationBatch unacknowledged() const;
+    void acknowledge(const protocol::PeerCancellationBatch& message, protocol::LeaderVersion leader_version);
 
     event_loop::Timers& timers_;
     http::Requester& http_;
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -14,12 +14,12 @@
 
 // What the checks go by. All of it is read after the claim, except `replica` and `chain`.
 struct ReplicaEvidence {
-    std::string label;                              // of this controller
-    protocol::Incarnation incarnation;              // of this process
-    protocol::LeaderVersion leader_version;         // of the leadership that was claimed
-    std::optional<protocol::StandbyRecord> record;  // the stored record of in-sync replicas
-    election::LeadershipHistory chain;              // leaderships seen before the claim
-    bool history_complete = false;                  // whether `later_leaders` leaves none out
+    std::string label;                               // of this controller
+    protocol::Incarnation incarnation;               // of this process
+    protocol::LeaderVersion leader_version;          // of the leadership that was claimed
+    std::optional<protocol::InSyncReplicas> record;  // the stored record of in-sync replicas
+    election::LeadershipHistory chain;               // leaderships seen before the claim
+    bool history_complete = false;                   // whether `later_leaders` leaves none out
     std::vector<election::ObservedLeadership>
         later_leaders;                      // after `chain` and up to the claim, own one left out
     const ReplicaState* replica = nullptr;  // not owned
