--- a/scale/protocol/worker_messages.hpp
+++ b/scale/protocol/worker_messages.hpp
@@ -12,7 +12,8 @@
 std::string heartbeat_body(const protocol::Heartbeat& heartbeat);
 
 struct Orders {
-    std::optional<std::uint64_t> token, agent_epoch;
+    std::optional<protocol::FencingToken> token;
+    std::optional<protocol::AgentEpoch> agent_epoch;
     std::vector<protocol::Command> commands;
 };
 // An answer to a heartbeat, or direct commands. Throws if it is malformed.
--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -101,7 +101,7 @@
     counts.repeated_bytes += bytes;
 }
 
-void HeartbeatSender::on_answer(std::uint64_t agent_epoch, double sent_at,
+void HeartbeatSender::on_answer(protocol::AgentEpoch agent_epoch, double sent_at,
                                 const std::optional<http::Response>& response) {
     if (stopped_) return;
     in_flight_ = false;
--- a/scale/workers/heartbeat_sender.hpp
+++ b/scale/workers/heartbeat_sender.hpp
@@ -18,11 +18,11 @@
   public:
     struct OutgoingHeartbeat {
         std::string body;
-        std::uint64_t agent_epoch = 0;
+        protocol::AgentEpoch agent_epoch;
     };
     struct Answer {
-        std::uint64_t agent_epoch = 0;  // of the heartbeat
-        double sent_at = 0;             // the heartbeat
+        protocol::AgentEpoch agent_epoch;  // of the heartbeat
+        double sent_at = 0;                // the heartbeat
         std::string body;
     };
     // The worker that the heartbeats are of.
@@ -51,7 +51,8 @@
     void on_timer();
     void send();
     void count_sent(const std::string& body, std::uint64_t bytes);
-    void on_answer(std::uint64_t agent_epoch, double sent_at, const std::optional<http::Response>& response);
+    void on_answer(protocol::AgentEpoch agent_epoch, double sent_at,
+                   const std::optional<http::Response>& response);
     void on_redirect(const std::string& body);
     void turn_to_next_controller();
 
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -53,7 +53,8 @@
     heartbeat.zone = host_.zone;
     heartbeat.spot = host_.spot;
     heartbeat.agent_epoch = agent_epoch_;
-    heartbeat.sequence = ++sequence_;
+    sequence_ = sequence_.next();
+    heartbeat.sequence = sequence_;
     heartbeat.token = token_;
     heartbeat.tasks = tasks_.statuses();
     return messages::heartbeat_body(heartbeat);
@@ -113,7 +114,7 @@
 void HollowWorker::execute(const std::vector<protocol::Command>& commands) {
     context_.counts().commands += commands.size();
     for (auto& command : commands) {
-        TaskAttempt attempt{command.task, command.attempt};
+        TaskAttempt attempt{command.task, command.attempt.value()};
         switch (command.kind) {
             case protocol::CommandKind::start:
                 tasks_.start(attempt);
@@ -129,7 +130,7 @@
 }
 
 // A new leader learns soon, but not with every answer, that its token has come.
-void HollowWorker::see_token(std::uint64_t token) {
+void HollowWorker::see_token(protocol::FencingToken token) {
     if (token <= token_) return;
     token_ = token;
     double now = context_.loop().now();
@@ -158,8 +159,8 @@
     lease_renewed_at_ = now;
     ++context_.counts().leases_expired;
     tasks_.end_all(expiry);
-    ++agent_epoch_;
-    sequence_ = 0;
+    agent_epoch_ = agent_epoch_.next();
+    sequence_ = protocol::SequenceNumber::none();
     heartbeats_.status_changed();
 }
 
--- a/scale/workers/hollow_worker.hpp
+++ b/scale/workers/hollow_worker.hpp
@@ -34,7 +34,7 @@
     http::Response serve(const http::Request& request);
     http::Response serve_commands(const http::Request& request);
     void execute(const std::vector<protocol::Command>& commands);
-    void see_token(std::uint64_t token);
+    void see_token(protocol::FencingToken token);
     // Lease
     void schedule_lease_check();
     void check_lease() override;
@@ -43,7 +43,9 @@
     WorkerContext& context_;
     protocol::Host host_;
     bool silent_ = false;
-    std::uint64_t agent_epoch_ = 1, sequence_ = 0, token_ = 0;
+    protocol::AgentEpoch agent_epoch_{1};
+    protocol::SequenceNumber sequence_;
+    protocol::FencingToken token_;
     double lease_renewed_at_ = 0;  // when the last answered heartbeat was sent
     double token_reported_at_ = -1e9;
     event_loop::TimerId lease_timer_ = 0;
--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -176,7 +176,8 @@
     std::vector<protocol::TaskStatus> statuses;
     statuses.reserve(tasks_.size());
     for (auto& [attempt, task] : tasks_)
-        statuses.push_back({attempt.task, attempt.attempt, task.state, task.cause, false});
+        statuses.push_back(
+            {attempt.task, protocol::AttemptNumber{attempt.attempt}, task.state, task.cause, false});
     return statuses;
 }
 
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -6,7 +6,8 @@
 
 namespace coralhitch::cluster {
 
-ClusterState::ClusterState(std::uint64_t leadership_version, const std::vector<protocol::MachineType>& types)
+ClusterState::ClusterState(protocol::LeaderVersion leadership_version,
+                           const std::vector<protocol::MachineType>& types)
     : tokens_(leadership_version) {
     set_types(types);
 }
@@ -59,7 +60,7 @@
     auto ends = terminate_all(machine);
     machine.reconciled = true;
     machine.terminated_epoch = std::max(machine.terminated_epoch, machine.agent_epoch);
-    machine.only_direct_reply_counts = machine.agent_epoch == 0;
+    machine.only_direct_reply_counts = !machine.agent_epoch.is_set();
     schedule_replication(machine);
     return ends;
 }
@@ -89,7 +90,7 @@
 
 namespace {
 Instance& replace_instance(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                           std::uint64_t attempt, double now) {
+                           protocol::AttemptNumber attempt, double now) {
     auto& instance = machine.tasks[task];
     instance = Instance{};
     instance.spec = std::move(spec);
@@ -100,7 +101,7 @@
 }  // namespace
 
 Instance& ClusterState::place(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                              std::uint64_t attempt, double now) {
+                              protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.machine_stored = machine.is_stored();
     instance.replicated = !hold_starts_;
@@ -111,10 +112,10 @@
 }
 
 Instance& ClusterState::place_from_replica(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                                           std::uint64_t attempt, double now) {
+                                           protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.ever_reported = true;
-    instance.run.highest_token = tokens_.base() - 1;  // of any `run` that may still be on its way
+    instance.run.highest_token = tokens_.highest_before();  // of any `run` that may still be on its way
     return instance;
 }
 
@@ -155,7 +156,7 @@
 }
 
 void ClusterState::complete_direct_commands(Machine& machine, const std::vector<protocol::Command>& commands,
-                                            std::uint64_t token, bool answered) {
+                                            protocol::FencingToken token, bool answered) {
     commands_.complete_direct(machine, commands, token, answered);
 }
 
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -35,7 +35,7 @@
     static constexpr int token_bits = FencingTokens::token_bits;
 
     // `leadership_version`: of the leader's key; each leadership has a higher one.
-    ClusterState(std::uint64_t leadership_version, const std::vector<protocol::MachineType>& types);
+    ClusterState(protocol::LeaderVersion leadership_version, const std::vector<protocol::MachineType>& types);
     ClusterState(const ClusterState&) = delete;  // parts refer to each other
     ClusterState& operator=(const ClusterState&) = delete;
 
@@ -63,12 +63,12 @@
 
     // --- Instances ---
     // Replaces whatever was known of the task there.
-    Instance& place(Machine& machine, const protocol::TaskId& task, JobSpec spec, std::uint64_t attempt,
-                    double now);
+    Instance& place(Machine& machine, const protocol::TaskId& task, JobSpec spec,
+                    protocol::AttemptNumber attempt, double now);
     // What the previous leader, which replicated all it started, knew to be on the machine: it may be there.
     // A report under this leader's token proves what is; the previous leader's tokens were all lower.
     Instance& place_from_replica(Machine& machine, const protocol::TaskId& task, JobSpec spec,
-                                 std::uint64_t attempt, double now);
+                                 protocol::AttemptNumber attempt, double now);
     void stop(Machine& machine, const protocol::TaskId& task, double grace_s);
     // Stops it for good, at once; for the deadline see `may_renew_lease`.
     void cancel(Machine& machine, const protocol::TaskId& task, double lease_renewal_deadline);
@@ -79,7 +79,7 @@
     std::vector<protocol::Command> reply_commands(Machine& machine, double now, bool authority);
     std::vector<protocol::Command> take_direct_commands(Machine& machine, double now, bool authority);
     void complete_direct_commands(Machine& machine, const std::vector<protocol::Command>& commands,
-                                  std::uint64_t token, bool answered);
+                                  protocol::FencingToken token, bool answered);
     bool nothing_pending(const Machine& machine) const { return cluster::nothing_pending(machine); }
     bool may_renew_lease(const Machine& machine, double now) const {
         return cluster::may_renew_lease(machine, now);
@@ -96,7 +96,7 @@
     void hold_starts_until_replicated() { hold_starts_ = true; }
 
     // --- Tokens, pools, images ---
-    std::uint64_t base_token() const { return tokens_.base(); }
+    protocol::FencingToken base_token() const { return tokens_.base(); }
     bool tokens_nearly_exhausted() const { return tokens_.nearly_exhausted(); }
     const std::vector<protocol::Pool>& pools() const { return pools_.pools(); }
     std::size_t zone_count() const { return pools_.zone_count(); }
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -26,11 +26,11 @@
 }
 
 void HeartbeatApplication::begin_agent_epoch() {
-    if (heartbeat_.agent_epoch <= machine_.agent_epoch || machine_.agent_epoch == 0) return;
+    if (heartbeat_.agent_epoch <= machine_.agent_epoch || !machine_.agent_epoch.is_set()) return;
     // Proof: an agent that moves on to a new epoch has killed and forgotten all tasks of the old one.
     // Commands under way for the old epoch are refused by the agent.
     outcome_.ends = terminate_all(machine_);
-    machine_.heartbeat_sequence = 0;
+    machine_.heartbeat_sequence = protocol::SequenceNumber::none();
 }
 
 // All that the report says of the machine itself.
@@ -38,7 +38,7 @@
     auto& m = machine_;
     // A report of a life of the machine that began later than the one on record, but had not come as far.
     if (std::pair(heartbeat_.agent_epoch, heartbeat_.sequence) < std::pair(m.agent_epoch, m.sequence))
-        m.heartbeat_sequence = 0;
+        m.heartbeat_sequence = protocol::SequenceNumber::none();
     m.agent_epoch = heartbeat_.agent_epoch;
     m.sequence = heartbeat_.sequence;
     if (channel_ == ReportChannel::heartbeat) m.heartbeat_sequence = heartbeat_.sequence;
@@ -145,7 +145,7 @@
 void HeartbeatApplication::terminate_unreported(const std::set<protocol::TaskId>& reported) {
     for (auto it = machine_.tasks.begin(); it != machine_.tasks.end();) {
         auto& instance = it->second;
-        bool never_sent = !instance.ever_reported && instance.run.highest_token == 0;
+        bool never_sent = !instance.ever_reported && !instance.run.highest_token.is_set();
         instance.in_last_heartbeat = reported.contains(it->first);
         if (instance.in_last_heartbeat || (never_sent && !instance.stop_requested)) {
             ++it;
--- a/src/cluster/instance.hpp
+++ b/src/cluster/instance.hpp
@@ -19,15 +19,15 @@
 
 // How far the `run` commands for one attempt have got, as far as the leader can know.
 struct RunDelivery {
-    std::uint64_t highest_token = 0;         // that a `run` was sent under; 0: none was sent
-    std::uint64_t unacknowledged_token = 0;  // highest token of a direct `run` that got no answer
-    std::uint64_t reply_sequence = 0;        // the heartbeat whose reply carried the last `run`
-    int direct_in_flight = 0;                // direct `run`s that are neither answered nor timed out
+    protocol::FencingToken highest_token;         // that a `run` was sent under; none: none was sent
+    protocol::FencingToken unacknowledged_token;  // highest token of a direct `run` that got no answer
+    protocol::SequenceNumber reply_sequence;      // the heartbeat whose reply carried the last `run`
+    int direct_in_flight = 0;                     // direct `run`s that are neither answered nor timed out
 };
 
 struct Instance {
     JobSpec spec;  // null: of an unknown job; it is stopped, and its machine gets nothing new
-    std::uint64_t attempt = 0;
+    protocol::AttemptNumber attempt;
     protocol::TaskState state = protocol::TaskState::fetching;  // as last reported by the agent
     bool ever_reported = false;                                 // by the agent, or known from the replica
     bool in_last_heartbeat = false;                             // the agent's newest report contains it
@@ -52,7 +52,7 @@
 // One attempt to run a task.
 struct AttemptId {
     protocol::TaskId task;
-    std::uint64_t attempt = 0;
+    protocol::AttemptNumber attempt;
     bool operator<(const AttemptId& other) const {
         return std::tie(task, attempt) < std::tie(other.task, other.attempt);
     }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -61,7 +61,7 @@
     void notify_cancelled(const std::string& id, std::uint64_t version) override;
 
   private:
-    void on_elected(std::uint64_t version);
+    void on_elected(protocol::LeaderVersion version);
     void on_lease_lost();
     [[nodiscard]] leader::LeaderDependencies leader_dependencies();
     bool resign_leadership();
@@ -72,7 +72,7 @@
     const config::Settings& settings_;
     leader::Planner& planner_;
     std::mt19937_64 random_;
-    std::uint64_t incarnation_;
+    protocol::Incarnation incarnation_;
     metrics::Metrics metrics_;
     std::optional<double> last_resigned_at_;  // steady seconds
 
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -37,7 +37,7 @@
     const LocalLeader& leader;
     const relay::HeartbeatTracker& heartbeats;  // that came here while another controller led
     const replication::Follower& replica;
-    std::uint64_t incarnation;  // of this process
+    protocol::Incarnation incarnation;  // of this process
 };
 
 class PeerMonitor {
@@ -95,7 +95,7 @@
     [[nodiscard]] bool is_recent(const Peer& peer) const;
     [[nodiscard]] std::size_t heartbeats_seen_by(const Peer& peer,
                                                  const std::map<std::string, double>& silent_s) const;
-    [[nodiscard]] std::uint64_t replicated_leadership() const;
+    [[nodiscard]] protocol::LeaderVersion replicated_leadership() const;
 
     PeerMonitorDependencies dependencies_;
     TaskCountsReceived task_counts_received_;
--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -12,31 +12,31 @@
 constexpr std::uint64_t low_water = numbers_per_revision / 2;
 }  // namespace
 
-AttemptNumbers::AttemptNumbers(kv::KvClient& state, std::uint64_t version, Begin begin)
+AttemptNumbers::AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, Begin begin)
     : state_(state),
       begin_(std::move(begin)),
-      last_(version << revision_bits),
-      bound_((version + 1) << revision_bits) {}
+      last_(version.value() << revision_bits),
+      bound_((version.value() + 1) << revision_bits) {}
 
-std::optional<std::uint64_t> AttemptNumbers::next() {
-    if (last_ + 1 >= bound_) return std::nullopt;
-    return ++last_;
+std::optional<protocol::AttemptNumber> AttemptNumbers::next() {
+    if (last_.next() >= bound_) return std::nullopt;
+    return last_ = last_.next();
 }
 
 void AttemptNumbers::extend() {
-    if (extending_ || bound_ - last_ > low_water) return;
+    if (extending_ || bound_.value() - last_.value() > low_water) return;
     auto transaction = begin_();
     if (!transaction) return;
     // What is written does not matter, but that the revision grows while the leader's key stands.
     transaction->changes.push_back({kv::keys::attempts, "{}", 0});
     extending_ = true;
-    state_.txn(std::move(*transaction), kv::RequestPriority::write,
-               guarded_([this](const kv::TxnResult& result) {
-                   extending_ = false;
-                   if (result.status != kv::TxnResult::Status::committed) return;  // asked again
-                   bound_ = std::max(bound_, (result.revision + 1) << revision_bits);
-                   spdlog::info("leader: attempt numbers extended at revision {}", result.revision);
-               }));
+    state_.txn(
+        std::move(*transaction), kv::RequestPriority::write, guarded_([this](const kv::TxnResult& result) {
+            extending_ = false;
+            if (result.status != kv::TxnResult::Status::committed) return;  // asked again
+            bound_ = std::max(bound_, protocol::AttemptNumber{(result.revision + 1) << revision_bits});
+            spdlog::info("component=leader event=attempt_numbers_extended revision={}", result.revision);
+        }));
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -53,7 +53,7 @@
     struct SentCommands {
         std::string machine_id;
         std::vector<protocol::Command> commands;  // none: a probe
-        std::uint64_t token = 0;
+        protocol::FencingToken token;
     };
     void flush_some();
     void schedule_probes();
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -98,7 +98,8 @@
     bool unreachable = parts_.supervisor.is_outbound_unreachable(*machine);
     if (unreachable || !state_.cluster.may_renew_lease(*machine, now())) {
         // It was not answered: should the same heartbeat come again, the lease counts from then.
-        machine->heartbeat_sequence = std::min(machine->heartbeat_sequence, status.sequence - 1);
+        machine->heartbeat_sequence =
+            std::min(machine->heartbeat_sequence, protocol::SequenceNumber{status.sequence.value() - 1});
         parts_.commands.probe(*machine);
         return reject(unreachable ? HeartbeatRejection::outbound_unreachable
                                   : HeartbeatRejection::cancellation_unsent);
@@ -203,7 +204,7 @@
                                                   cluster::ReportChannel via) {
     auto outcome = apply_to_state(status, via);
     if (outcome.is_deposed()) {
-        auto fencing_token = status.token >> cluster::ClusterState::token_bits;
+        auto fencing_token = cluster::FencingTokens::leadership_version(status.token);
         spdlog::info("component=leader event=deposed_by_heartbeat machine={} fencing_token={}",
                      status.machine, fencing_token);
         // Not from within what the worker's message set off: this object would be gone before it is done.
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -12,7 +12,7 @@
 constexpr double tick_reports = 1.0 / 6;  // report periods from one tick to the next
 }  // namespace
 
-Leader::Leader(LeaderDependencies dependencies, std::uint64_t version, std::uint64_t seed)
+Leader::Leader(LeaderDependencies dependencies, protocol::LeaderVersion version, std::uint64_t seed)
     : parts_(std::move(dependencies), version, seed, [this] { tick(); }) {}
 
 void Leader::start() {
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -28,7 +28,7 @@
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     // `version`: of the leader's key as claimed, the fencing token. `seed`: of the plans' random draws.
-    Leader(LeaderDependencies dependencies, std::uint64_t version, std::uint64_t seed);
+    Leader(LeaderDependencies dependencies, protocol::LeaderVersion version, std::uint64_t seed);
     // Once, when a shared_ptr owns the object.
     void start();
     // The leadership is over, for ever.
@@ -57,7 +57,7 @@
     std::map<std::string, double> suspected() const { return parts_.supervisor.suspected(); }
     void types_changed();
     // The controller with this label is a new process.
-    void controller_restarted(const std::string& controller, std::uint64_t incarnation) {
+    void controller_restarted(const std::string& controller, protocol::Incarnation incarnation) {
         parts_.start_replication.controller_restarted(controller, incarnation);
     }
     // The job's record says since this version that it is cancelled.
--- a/src/leader/leader_dependencies.hpp
+++ b/src/leader/leader_dependencies.hpp
@@ -42,7 +42,7 @@
     const protocol::PeerImages& inherited_image_caches;
     // Whether to resign for a self-suspicion; noted if so.
     std::function<bool()> resign_leadership;
-    std::uint64_t incarnation;  // of this controller's process
+    protocol::Incarnation incarnation;  // of this controller's process
     // Machines that the previous leader suspected: silent for so many seconds by now.
     std::map<std::string, double> inherited_suspicions;
     // Of what the previous leader knew of its machines.
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -14,7 +14,7 @@
 }
 
 // What this controller knew before its claim; the rest of the evidence is read.
-replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies, std::uint64_t version) {
+replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies, protocol::LeaderVersion version) {
     replication::ReplicaEvidence evidence;
     evidence.label = dependencies.settings.label;
     evidence.incarnation = dependencies.incarnation;
@@ -25,7 +25,7 @@
 }
 }  // namespace
 
-LeaderParts::LeaderParts(LeaderDependencies given, std::uint64_t version, std::uint64_t seed,
+LeaderParts::LeaderParts(LeaderDependencies given, protocol::LeaderVersion version, std::uint64_t seed,
                          std::function<void()> begin_ticks)
     : dependencies(std::move(given)),
       authority(dependencies.timers, dependencies.settings, dependencies.election, version,
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -44,7 +44,7 @@
 class LeaderParts {
   public:
     // `version` and `seed`: see Leader. `begin_ticks` is called once, when heartbeats are taken.
-    LeaderParts(LeaderDependencies given, std::uint64_t version, std::uint64_t seed,
+    LeaderParts(LeaderDependencies given, protocol::LeaderVersion version, std::uint64_t seed,
                 std::function<void()> begin_ticks);
     LeaderParts(const LeaderParts&) = delete;  // the parts refer to each other
     LeaderParts& operator=(const LeaderParts&) = delete;
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -80,9 +80,10 @@
     machine.lease_renewed_at = now() + authority_.renewal_after_expiry_s();
 }
 
-// The replica's row says all that may be on the machine: see docs/replication.md. The machine is not used before
-// it has reconciled. The previous leader replicated all machines that were stored when it came to lead, and
-// each other one before the first `run` to it: of what it never replicated, or as deleted, nothing is left.
+// The replica's row says all that may be on the machine: see docs/replication.md. The machine is not used
+// before it has reconciled. The previous leader replicated all machines that were stored when it came to
+// lead, and each other one before the first `run` to it: of what it never replicated, or as deleted, nothing
+// is left.
 void Recovery::inherit(Machine& machine) {
     auto& rows = inheritance_.replica.machines;
     auto row = rows.find(machine.id);
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -60,7 +60,8 @@
 std::optional<protocol::ReplicatedMachine> StartReplication::row_of(const std::string& machine_id) const {
     auto found = state_.cluster.machines().find(machine_id);
     if (found == state_.cluster.machines().end())
-        return protocol::ReplicatedMachine{machine_id, false, true, 0, 0, {}};
+        return protocol::ReplicatedMachine{
+            machine_id, false, true, protocol::AgentEpoch::none(), protocol::SequenceNumber::none(), {}};
     auto& machine = found->second;
     if (machine.life == Machine::Life::booting) return std::nullopt;
     protocol::ReplicatedMachine row{machine_id,
--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -15,7 +15,7 @@
     for (auto& command : commands) {
         json object{{"verb", name_of(command_names, command.kind)},
                     {"shard", command.task.str()},
-                    {"launch", command.attempt}};
+                    {"launch", command.attempt.value()}};
         if (command.kind == CommandKind::stop) object["slack_s"] = command.grace_s;
         list.push_back(std::move(object));
     }
@@ -39,22 +39,24 @@
     outline.sequence_offset = value_at(sequence_field);
     if (machine_end == npos || agent_epoch_at == npos || outline.sequence_offset == npos) return std::nullopt;
     auto* text_end = body.data() + body.size();
-    if (std::from_chars(body.data() + agent_epoch_at, text_end, outline.agent_epoch).ec != std::errc())
+    std::uint64_t agent_epoch = 0, sequence = 0;
+    if (std::from_chars(body.data() + agent_epoch_at, text_end, agent_epoch).ec != std::errc())
         return std::nullopt;
+    outline.agent_epoch = AgentEpoch{agent_epoch};
     outline.machine = body.substr(machine_at, machine_end - machine_at);
-    auto [last, error] = std::from_chars(body.data() + outline.sequence_offset, text_end, outline.sequence);
+    auto [last, error] = std::from_chars(body.data() + outline.sequence_offset, text_end, sequence);
+    outline.sequence = SequenceNumber{sequence};
     outline.sequence_digits = static_cast<std::size_t>(last - body.data()) - outline.sequence_offset;
     // An escape would make the name another one.
     if (error != std::errc() || outline.machine.find('\\') != npos) return std::nullopt;
     return outline;
 }
-std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands) {
-    return R"({"helm":)" + std::to_string(token) + R"(,"orders":)" + command_list(commands) + '}';
+std::string heartbeat_response(FencingToken token, std::span<const Command> commands) {
+    return R"({"helm":)" + std::to_string(token.value()) + R"(,"orders":)" + command_list(commands) + '}';
 }
-std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
-                            std::span<const Command> commands) {
-    return R"({"helm":)" + std::to_string(token) + R"(,"watch":)" + std::to_string(agent_epoch) +
-           R"(,"orders":)" + command_list(commands) + '}';
+std::string direct_commands(FencingToken token, AgentEpoch agent_epoch, std::span<const Command> commands) {
+    return R"({"helm":)" + std::to_string(token.value()) + R"(,"watch":)" +
+           std::to_string(agent_epoch.value()) + R"(,"orders":)" + command_list(commands) + '}';
 }
 std::string heartbeat_redirect(std::string_view label) {
     return label.empty() ? "{}" : fields::dumped(json{{"harbor", label}});
--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -47,18 +47,18 @@
 // stands in the text.
 struct HeartbeatOutline {
     std::string_view machine;  // part of the body
-    std::uint64_t agent_epoch = 0, sequence = 0;
+    AgentEpoch agent_epoch;
+    SequenceNumber sequence;
     std::size_t sequence_offset = 0, sequence_digits = 0;  // where its digits stand in the body
 };
 // Found without reading the rest; nothing if the text is laid out in a way that this does not expect.
 std::optional<HeartbeatOutline> outline_heartbeat(std::string_view body);
 
 // The body of a 200 to a heartbeat. `token`: the fencing token.
-std::string heartbeat_response(std::uint64_t token, std::span<const Command> commands);
+std::string heartbeat_response(FencingToken token, std::span<const Command> commands);
 // The body of a 421: send heartbeats to that controller instead; an empty label if none is known.
 std::string heartbeat_redirect(std::string_view label);
 // The body of commands that are sent to a machine's own address.
-std::string direct_commands(std::uint64_t token, std::uint64_t agent_epoch,
-                            std::span<const Command> commands);
+std::string direct_commands(FencingToken token, AgentEpoch agent_epoch, std::span<const Command> commands);
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -30,7 +30,7 @@
     auto task = reader::as_object(row, "shards");
     TaskStatus status;
     status.task = task_id(reader::text(task, "shard"));
-    status.attempt = reader::count(task, "launch");
+    status.attempt = AttemptNumber{reader::count(task, "launch")};
     status.state = named(task_state_names, reader::text(task, "status"), "status");
     if (status.state == TaskState::exited) status.cause = exit_cause(task);
     element field;
@@ -54,9 +54,9 @@
     heartbeat.type = reader::text(object, "hull");
     heartbeat.zone = reader::text(object, "reef");
     heartbeat.spot = reader::flag(object, "driftwood");
-    heartbeat.agent_epoch = reader::count(object, "watch");
-    heartbeat.sequence = reader::count(object, "tally");
-    heartbeat.token = reader::count(object, "helm");
+    heartbeat.agent_epoch = AgentEpoch{reader::count(object, "watch")};
+    heartbeat.sequence = SequenceNumber{reader::count(object, "tally")};
+    heartbeat.token = FencingToken{reader::count(object, "helm")};
     element notice;
     if (reader::find(object, "warning_s", notice)) {
         double seconds = 0;
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -8,6 +8,8 @@
 #include <string_view>
 #include <vector>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::protocol {
 
 enum class JobKind { array, gang, service };
@@ -92,7 +94,7 @@
 // A task as the agent reports it.
 struct TaskStatus {
     TaskId task;
-    std::uint64_t attempt = 0;
+    AttemptNumber attempt;
     TaskState state = TaskState::fetching;
     ExitCause cause = ExitCause::none;  // none: it has not exited
     bool saved = false;                 // it had stored a checkpoint when it exited
@@ -102,7 +104,9 @@
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
-    std::uint64_t agent_epoch = 0, sequence = 0, token = 0;
+    AgentEpoch agent_epoch;
+    SequenceNumber sequence;
+    FencingToken token;
     std::optional<double> preemption_notice_s;  // a spot instance is taken back in so many seconds
     std::vector<TaskStatus> tasks;
 };
@@ -112,7 +116,7 @@
 struct Command {
     CommandKind kind = CommandKind::start;
     TaskId task;
-    std::uint64_t attempt = 0;
+    AttemptNumber attempt;
     double grace_s = 0;
 };
 
--- a/src/protocol/peer_cancellation_messages.hpp
+++ b/src/protocol/peer_cancellation_messages.hpp
@@ -13,7 +13,7 @@
 };
 // The previous version answers without a body.
 struct PeerCancellationResponse {
-    std::uint64_t taken_by = 0;  // the leadership that has applied it; 0: the answering one does not lead
+    LeaderVersion taken_by;  // the leadership that has applied it; none: the answering one does not lead
     MSGPACK_DEFINE(taken_by)
 };
 
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -9,6 +9,8 @@
 #include <string_view>
 #include <vector>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::protocol {
 
 // Paths of the peers' HTTP servers. Their texts are what versions before this one use.
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -125,7 +125,7 @@
 }
 LeaderRecord parse_leader_record(std::string_view text) {
     json object = fields::parse_object(text);
-    return {fields::text(object, "label"), fields::count(object, "incarnation"),
+    return {fields::text(object, "label"), Incarnation{fields::count(object, "incarnation")},
             object.contains("standby") && fields::flag(object, "standby")};
 }
 bool stores_in_sync_replicas(std::string_view leader_record) {
@@ -137,13 +137,14 @@
 }
 InSyncReplicas parse_in_sync_replicas(std::string_view text) {
     json object = fields::parse_object(text);
-    InSyncReplicas replicas{fields::count(object, "version"), {}};
+    InSyncReplicas replicas{LeaderVersion{fields::count(object, "version")}, {}};
     for (auto& member : fields::list(object, "members")) {
         if (!member.is_object()) bad("members", "holds something that is not a member");
         // Versions before replicas were handed over name only those that they sent a snapshot themselves.
-        replicas.members.push_back(
-            {fields::text(member, "label"), fields::count(member, "incarnation"),
-             member.contains("begun") ? fields::count(member, "begun") : replicas.leader_version});
+        replicas.members.push_back({fields::text(member, "label"),
+                                    Incarnation{fields::count(member, "incarnation")},
+                                    member.contains("begun") ? LeaderVersion{fields::count(member, "begun")}
+                                                             : replicas.leader_version});
     }
     return replicas;
 }
--- a/src/relay/heartbeat_tracker.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -15,6 +15,8 @@
 #include <tuple>
 #include <unordered_map>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::relay {
 
 class HeartbeatTracker {
@@ -25,7 +27,8 @@
 
     // A heartbeat has arrived. Ignored unless it is newer, by agent epoch and sequence number, than all that
     // came from this machine before.
-    void record(std::string_view machine, std::uint64_t agent_epoch, std::uint64_t sequence, double now) {
+    void record(std::string_view machine, protocol::AgentEpoch agent_epoch, protocol::SequenceNumber sequence,
+                double now) {
         auto& entry = entries_[std::string(machine)];
         Position position{agent_epoch, sequence};
         if (!position.is_after(entry.newest)) return;
@@ -60,7 +63,8 @@
 
   private:
     struct Position {
-        std::uint64_t agent_epoch = 0, sequence = 0;
+        protocol::AgentEpoch agent_epoch;
+        protocol::SequenceNumber sequence;
         [[nodiscard]] bool is_after(const Position& other) const {
             return std::tie(agent_epoch, sequence) > std::tie(other.agent_epoch, other.sequence);
         }
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -15,8 +15,8 @@
 // What the checks go by. All of it is read after the claim, except `replica` and `chain`.
 struct ReplicaEvidence {
     std::string label;                               // of this controller
-    std::uint64_t incarnation = 0;                   // of this process
-    std::uint64_t leader_version = 0;                // of the leadership that was claimed
+    protocol::Incarnation incarnation;               // of this process
+    protocol::LeaderVersion leader_version;          // of the leadership that was claimed
     std::optional<protocol::InSyncReplicas> record;  // the stored record of in-sync replicas
     election::LeadershipHistory chain;               // leaderships seen before the claim
     bool history_complete = false;                   // whether `later_leaders` leaves none out
--- a/src/replication/follower_session.cpp
+++ b/src/replication/follower_session.cpp
@@ -9,7 +9,9 @@
 void FollowerSession::begin_snapshot(const std::vector<std::string>& machines) {
     state_ = State::snapshotting;
     in_flight_ = resumed_ = announce_complete_ = false;
-    incarnation_ = base_version_ = acknowledged_ = 0;
+    incarnation_ = protocol::Incarnation::none();
+    base_version_ = protocol::LeaderVersion::none();
+    acknowledged_ = 0;
     waiting_since_.reset();
     queue_.clear();
     queued_machines_.clear();
@@ -75,9 +77,9 @@
 }
 
 void FollowerSession::acknowledge(const Batch& batch, const protocol::ReplicationResponse& answer,
-                                  std::uint64_t leader_version) {
+                                  protocol::LeaderVersion leader_version) {
     incarnation_ = answer.incarnation;
-    base_version_ = answer.base_version ? answer.base_version : leader_version;
+    base_version_ = answer.base_version.is_set() ? answer.base_version : leader_version;
     waiting_since_.reset();
     acknowledged_ = std::max(acknowledged_, batch.last_index);
 }
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -21,7 +21,7 @@
 
 ReplicationSender::ReplicationSender(event_loop::Timers& timers, http::Requester& http,
                                      const config::Settings& settings, kv::KvClient& kv,
-                                     std::uint64_t leader_version, Callbacks callbacks)
+                                     protocol::LeaderVersion leader_version, Callbacks callbacks)
     : timers_(timers),
       http_(http),
       settings_(settings),
@@ -89,7 +89,7 @@
 
 // A new process gets its snapshot at once, without backoff: it can be in sync again long before a failing one
 // would be retried.
-void ReplicationSender::follower_restarted(const std::string& label, std::uint64_t incarnation) {
+void ReplicationSender::follower_restarted(const std::string& label, protocol::Incarnation incarnation) {
     auto it = sessions_.find(label);
     if (!record_.started() || it == sessions_.end() || it->second.incarnation() == incarnation) return;
     auto& session = it->second;
@@ -161,11 +161,12 @@
 void ReplicationSender::send(FollowerSession& session) {
     // Not before the record is of this leadership: no replica may be newer than the record.
     if (!record_.owned() || !session.ready_to_send()) return;
-    protocol::ReplicationRequest message{leader_version_,
-                                         ++batches_sent_,
-                                         {},
-                                         session.resumed() ? session.base_version() : 0,
-                                         session.in_sync()};
+    protocol::ReplicationRequest message{
+        leader_version_,
+        ++batches_sent_,
+        {},
+        session.resumed() ? session.base_version() : protocol::LeaderVersion::none(),
+        session.in_sync()};
     auto batch = session.next_batch(max_batch_machines, log_index_, timers_.now());
     for (auto& machine : batch.machines)
         if (auto row = callbacks_.machine_row(machine)) message.rows.push_back(std::move(*row));
@@ -186,7 +187,7 @@
     if (response && response->status == 200)
         answer = protocol::unpack_peer<protocol::ReplicationResponse>(response->body);
     if (!answer) return handle_no_answer(session, batch);
-    if (session.incarnation() != 0 && answer->incarnation != session.incarnation())
+    if (session.incarnation().is_set() && answer->incarnation != session.incarnation())
         return follower_restarted(session.peer().label, answer->incarnation);
     if (!answer->applied) return handle_rejection(session, *answer);
     handle_acknowledgement(session, batch, *answer);
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -46,7 +46,7 @@
     };
     // `leader_version`: of this leadership.
     ReplicationSender(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
-                      kv::KvClient& kv, std::uint64_t leader_version, Callbacks callbacks);
+                      kv::KvClient& kv, protocol::LeaderVersion leader_version, Callbacks callbacks);
     ~ReplicationSender();
     ReplicationSender(const ReplicationSender&) = delete;
     ReplicationSender& operator=(const ReplicationSender&) = delete;
@@ -56,7 +56,7 @@
     // proof; the followers it names continue their replicas.
     void start(std::uint64_t record_version, const std::optional<protocol::InSyncReplicas>& inherited);
     // The controller is now another process.
-    void follower_restarted(const std::string& label, std::uint64_t incarnation);
+    void follower_restarted(const std::string& label, protocol::Incarnation incarnation);
     // A machine has changed, and is sent within a tenth of a report period.
     void machine_changed(const std::string& machine);
     // Index of the last change.
@@ -96,7 +96,7 @@
     event_loop::Timers& timers_;
     http::Requester& http_;
     const config::Settings& settings_;
-    std::uint64_t leader_version_;
+    protocol::LeaderVersion leader_version_;
     Callbacks callbacks_;
     std::map<std::string, FollowerSession> sessions_;  // by label, of all other controllers
     InSyncRecord record_;
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -33,7 +33,8 @@
     const Case cases[] = {
         {"reported as exited",
          [](ClusterStateFixture& b) {
-             b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::stopped, true}};
+             b.reported_tasks = {
+                 {task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::stopped, true}};
              return b.apply_heartbeat(b.base()).ends;
          }},
         {"a new agent epoch",
@@ -48,21 +49,21 @@
     for (auto& c : cases) {
         ClusterStateFixture b;
         b.place_and_send_run();
-        b.reported_tasks = {{task, 5, TaskState::running}};
+        b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
         EXPECT_TRUE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).ends.empty()) << c.name;
         auto ends = c.proof(b);
         ASSERT_EQ(ends.size(), 1u) << c.name;
-        EXPECT_EQ(ends[0].attempt, 5u) << c.name;
+        EXPECT_EQ(ends[0].attempt, protocol::AttemptNumber{5}) << c.name;
     }
 }
 
 TEST(HeartbeatApplication, IgnoresOlderHeartbeat) {
     ClusterStateFixture b;
     b.place_and_send_run();
-    b.reported_tasks = {{task, 5, TaskState::running}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     b.sequence = 10;
     b.apply_heartbeat(b.base());
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::done}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
     b.sequence = 3;
     auto outcome = b.apply_heartbeat(b.base());
     EXPECT_FALSE(outcome.is_newer());
@@ -79,8 +80,8 @@
 // received none of those.
 TEST(HeartbeatApplication, IgnoresLateCopiesOfTerminatedInstances) {
     ClusterStateFixture b;  // a new leader: the machine was deleted under the one before, and is in no page
-    b.reported_tasks = {{task, 5, TaskState::running}};
-    EXPECT_TRUE(b.apply_heartbeat(b.base() - 1).is_terminated());
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
+    EXPECT_TRUE(b.apply_heartbeat(b.below_base(1)).is_terminated());
     EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
     // What it answers now counts.
     EXPECT_FALSE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).is_terminated());
@@ -88,7 +89,7 @@
 
     ClusterStateFixture c;  // its lease was out: the task may run elsewhere by now
     c.place_and_send_run();
-    c.reported_tasks = {{task, 5, TaskState::running}};
+    c.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     c.apply_heartbeat(c.base());
     EXPECT_EQ(c.cluster_state.expire_lease(c.machine()).size(), 1u);
     EXPECT_TRUE(c.apply_heartbeat(c.base()).is_terminated());
@@ -99,7 +100,7 @@
     ClusterStateFixture d;  // the same, of a machine that this leader had no report of
     d.store_by_earlier_leader();
     d.cluster_state.expire_lease(d.machine());
-    d.reported_tasks = {{task, 5, TaskState::running}};
+    d.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     EXPECT_TRUE(d.apply_heartbeat(d.base()).is_terminated());
     EXPECT_FALSE(d.apply_heartbeat(d.base(), ReportChannel::direct_reply).is_terminated());
 }
@@ -113,14 +114,15 @@
         std::size_t found, ends;  // by it
         bool there, confirmed;    // afterwards
     };
-    const protocol::TaskStatus shown{task, 3, TaskState::running, ExitCause::none, false};
-    auto known_from_replica = [&](ClusterStateFixture& b, std::uint64_t attempt) {
+    const protocol::TaskStatus shown{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none,
+                                     false};
+    auto known_from_replica = [&](ClusterStateFixture& b, protocol::AttemptNumber attempt) {
         b.store_by_earlier_leader();
         b.machine().known_from_replica = true;
         b.cluster_state.place_from_replica(b.machine(), task, b.spec, attempt, 0);
     };
     std::size_t found = 0, ends = 0;
-    auto apply = [&](ClusterStateFixture& b, std::uint64_t token,
+    auto apply = [&](ClusterStateFixture& b, protocol::FencingToken token,
                      ReportChannel channel = ReportChannel::heartbeat, std::uint64_t agent_epoch = 1) {
         auto o = b.apply_heartbeat(token, channel, agent_epoch);
         found += o.found.size();
@@ -129,13 +131,13 @@
     };
     auto old = [&](ClusterStateFixture& b) {
         b.reported_tasks = {shown};
-        return apply(b, b.base() - 1);
+        return apply(b, b.below_base(1));
     };
     const Case cases[] = {
         {"it alone", [&](ClusterStateFixture& b) { b.store_by_earlier_leader(), old(b); }, 1, 0, true, false},
         {"reported again in a direct reply",
          [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), apply(b, b.base() - 1, ReportChannel::direct_reply);
+             b.store_by_earlier_leader(), old(b), apply(b, b.below_base(1), ReportChannel::direct_reply);
          },
          2, 0, true, true},
         {"shown again under this leader's token",
@@ -149,21 +151,23 @@
         {"not reported in a direct reply",
          [&](ClusterStateFixture& b) {
              b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, 1, ReportChannel::direct_reply);
+                 apply(b, protocol::FencingToken{1}, ReportChannel::direct_reply);
          },
          1, 0, false, false},
         {"terminated by a new agent epoch",
          [&](ClusterStateFixture& b) {
              b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, 1, ReportChannel::heartbeat, 2);
+                 apply(b, protocol::FencingToken{1}, ReportChannel::heartbeat, 2);
          },
          1, 0, false, false},
         {"exited",
          [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), b.reported_tasks[0].state = TaskState::exited, apply(b, 1);
+             b.store_by_earlier_leader(), old(b), b.reported_tasks[0].state = TaskState::exited,
+                                                  apply(b, protocol::FencingToken{1});
          },
          1, 1, false, false},
-        {"known from the replica", [&](ClusterStateFixture& b) { known_from_replica(b, 3), old(b); }, 0, 0,
+        {"known from the replica",
+         [&](ClusterStateFixture& b) { known_from_replica(b, protocol::AttemptNumber{3}), old(b); }, 0, 0,
          true, true},
         {"known from the replica that nothing is there",
          [&](ClusterStateFixture& b) {
@@ -172,20 +176,20 @@
          0, 0, false, false},
         {"of an earlier attempt than the one in the replica",
          [&](ClusterStateFixture& b) {
-             known_from_replica(b, 5), old(b);
-             EXPECT_EQ(b.machine().tasks.at(task).attempt, 5u);
+             known_from_replica(b, protocol::AttemptNumber{5}), old(b);
+             EXPECT_EQ(b.machine().tasks.at(task).attempt, protocol::AttemptNumber{5});
          },
          0, 0, true, true},
         {"of a later agent epoch than one that is terminated",
          [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), apply(b, b.base() - 1), b.cluster_state.expire_lease(b.machine()),
-                 b.reported_tasks = {shown};
-             EXPECT_TRUE(apply(b, b.base() - 1, ReportChannel::heartbeat, 2).is_terminated());
+             b.store_by_earlier_leader(), apply(b, b.below_base(1)),
+                 b.cluster_state.expire_lease(b.machine()), b.reported_tasks = {shown};
+             EXPECT_TRUE(apply(b, b.below_base(1), ReportChannel::heartbeat, 2).is_terminated());
          },
          0, 0, false, false},
         {"of a machine that only this leader stored",
          [&](ClusterStateFixture& b) {
-             apply(b, b.base() - 1), b.machine().registration = Machine::Registration::stored;
+             apply(b, b.below_base(1)), b.machine().registration = Machine::Registration::stored;
              EXPECT_TRUE(old(b).is_terminated());
          },
          0, 0, false, false},
@@ -208,7 +212,7 @@
 TEST(HeartbeatApplication, PrefersMachineOverReportsOfItsEarlierLife) {
     struct Case {
         std::uint64_t agent_epoch, sequence;  // of the earlier life
-        std::uint64_t token;  // below this leader's: the agent epoch asked for was not its own
+        std::uint64_t tokens_below;  // below this leader's: the agent epoch asked for was not its own
         ReportChannel channel;
         bool fresh;
     };
@@ -219,13 +223,13 @@
     for (auto& c : cases) {
         ClusterStateFixture b;
         b.store_by_earlier_leader();
-        b.reported_tasks = {{task, 3, TaskState::running, ExitCause::none, false}};
+        b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none, false}};
         b.sequence = c.sequence;
-        b.apply_heartbeat(b.base() - 1, ReportChannel::heartbeat, c.agent_epoch);
+        b.apply_heartbeat(b.below_base(1), ReportChannel::heartbeat, c.agent_epoch);
         b.sequence = 7;
         b.reported_tasks.clear();
-        EXPECT_EQ(b.apply_heartbeat(b.base() - c.token, c.channel).is_newer(), c.fresh);
-        EXPECT_EQ(b.machine().sequence, c.fresh ? 8 : c.sequence + 1);
+        EXPECT_EQ(b.apply_heartbeat(b.below_base(c.tokens_below), c.channel).is_newer(), c.fresh);
+        EXPECT_EQ(b.machine().sequence.value(), c.fresh ? 8 : c.sequence + 1);
         EXPECT_EQ(b.machine().tasks.empty(), c.fresh);
         b.apply_heartbeat(b.base());
         EXPECT_TRUE(b.machine().reconciled);
@@ -239,7 +243,7 @@
     ClusterStateFixture b;
     b.store_by_earlier_leader();
     b.preemption_notice_s = 90;
-    b.apply_heartbeat(b.base() - 1);
+    b.apply_heartbeat(b.below_base(1));
     b.preemption_notice_s = 20;
     b.apply_heartbeat(b.base());
     EXPECT_DOUBLE_EQ(b.machine().preemption_deadline.value(), 20);
@@ -259,20 +263,21 @@
 TEST(HeartbeatApplication, ReconcilesMachineOnlyByReportUnderThisLeadersToken) {
     ClusterStateFixture b;
     b.store_by_earlier_leader();
-    b.reported_tasks = {{task, 3, TaskState::running}};
-    auto outcome = b.apply_heartbeat(b.base() - 1);
+    b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running}};
+    auto outcome = b.apply_heartbeat(b.below_base(1));
     EXPECT_EQ(outcome.found.size(), 1u);
     EXPECT_FALSE(b.machine().reconciled);
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(b.machine().reconciled);
     b.sequence += 1;
-    EXPECT_TRUE(b.apply_heartbeat((version + 1) << ClusterState::token_bits).is_deposed());
+    EXPECT_TRUE(b.apply_heartbeat(protocol::FencingToken{(version.value() + 1) << ClusterState::token_bits})
+                    .is_deposed());
 }
 
 TEST(HeartbeatApplication, StopsTasksOfUnknownJobs) {
     ClusterStateFixture b;
     b.store_by_earlier_leader();
-    b.reported_tasks = {{{"j-2", 0}, 3, TaskState::running}};
+    b.reported_tasks = {{{"j-2", 0}, protocol::AttemptNumber{3}, TaskState::running}};
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(b.machine().has_instance_of_unknown_job());
     EXPECT_TRUE(b.reply_contains(CommandKind::stop));
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -11,11 +11,12 @@
 TEST(ClusterState, KeepsInheritedTasksUntilProvenEnded) {
     struct Case {
         const char* name;
-        std::uint64_t agent_epoch, token;
+        std::uint64_t agent_epoch;
+        protocol::FencingToken token;
         bool shown;
         std::size_t left, ends;
     };
-    const std::uint64_t mine = 7ull << ClusterState::token_bits, before = mine - 5;
+    const protocol::FencingToken mine{7ull << ClusterState::token_bits}, before{mine.value() - 5};
     const Case cases[] = {
         {"a report from before the takeover does not show it: its `run` may come yet", 3, before, false, 1,
          0},
@@ -27,22 +28,25 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        ClusterState p(7, types);
+        ClusterState p(protocol::LeaderVersion{7}, types);
         auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
         m.known_from_replica = true;
         m.registration = Machine::Registration::stored;
-        m.agent_epoch = 3;
+        m.agent_epoch = protocol::AgentEpoch{3};
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
-        p.place_from_replica(m, {"j-1", 0}, spec, 11, 0);
+        p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
         protocol::Heartbeat r;
         r.machine = "vm-1";
-        r.agent_epoch = c.agent_epoch;
-        r.sequence = 20;
+        r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
+        r.sequence = protocol::SequenceNumber{20};
         r.token = c.token;
         if (c.shown)
-            r.tasks.push_back(
-                {{"j-1", 0}, 11, protocol::TaskState::running, protocol::ExitCause::none, false});
+            r.tasks.push_back({{"j-1", 0},
+                               protocol::AttemptNumber{11},
+                               protocol::TaskState::running,
+                               protocol::ExitCause::none,
+                               false});
         auto heard = p.apply_heartbeat(r, ReportChannel::heartbeat, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -19,9 +19,9 @@
     for (auto [reconciled, stored, authority] :
          {std::tuple(false, true, true), {true, false, true}, {true, true, false}, {true, true, true}}) {
         ClusterStateFixture b;
-        b.apply_heartbeat(reconciled ? b.base() : 0);
+        b.apply_heartbeat(reconciled ? b.base() : protocol::FencingToken::none());
         b.machine().registration = stored ? Machine::Registration::stored : Machine::Registration::none;
-        b.cluster_state.place(b.machine(), task, b.spec, 5, 0);
+        b.cluster_state.place(b.machine(), task, b.spec, protocol::AttemptNumber{5}, 0);
         EXPECT_EQ(b.cluster_state.take_direct_commands(b.machine(), 0, authority).size(),
                   reconciled && stored && authority ? 1u : 0u);
     }
@@ -34,18 +34,18 @@
     auto& m = b.machine();
     m.registration = Machine::Registration::stored;
     auto raise = [&] {
-        b.cluster_state.place(m, task, b.spec, 5, 0);
+        b.cluster_state.place(m, task, b.spec, protocol::AttemptNumber{5}, 0);
         b.cluster_state.take_direct_commands(m, 0, true);
         b.cluster_state.stop(m, task, 0);
     };
     constexpr std::uint64_t next_leadership = 1ull << 20;
     std::uint64_t raised = 0;
     for (; !b.cluster_state.tokens_nearly_exhausted() && raised < next_leadership; ++raised) raise();
-    EXPECT_EQ(m.token, b.base() + raised);
+    EXPECT_EQ(m.token.value(), b.base().value() + raised);
     EXPECT_GT(raised, 900000u);  // not more hand-overs than need be
     // What happens until the hand-over, at the leader's next tick, stays below too.
     for (int k = 0; k < 60000; ++k) raise();
-    EXPECT_LT(m.token, b.base() + next_leadership);
+    EXPECT_LT(m.token.value(), b.base().value() + next_leadership);
 }
 
 // Another controller may go on answering a machine for which nothing is to be said. Each of these would be
@@ -61,12 +61,12 @@
         {"nothing is on it", [](ClusterStateFixture& b) { b.machine().tasks.clear(); }, true},
         {"another task was placed, not sent yet",
          [](ClusterStateFixture& b) {
-             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, 6, 0);
+             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, protocol::AttemptNumber{6}, 0);
          },
          false},
         {"a start was sent, its answer is missing",
          [](ClusterStateFixture& b) {
-             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, 6, 0);
+             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, protocol::AttemptNumber{6}, 0);
              b.cluster_state.take_direct_commands(b.machine(), 0, true);
          },
          false},
@@ -85,7 +85,8 @@
              b.apply_heartbeat(b.base());
          },
          false},
-        {"a higher token that it has not seen", [](ClusterStateFixture& b) { ++b.machine().token; }, false},
+        {"a higher token that it has not seen",
+         [](ClusterStateFixture& b) { b.machine().token = b.machine().token.next(); }, false},
         {"it is to be deleted",
          [](ClusterStateFixture& b) { b.machine().life = Machine::Life::marked_for_deletion; }, false},
         {"it has notice", [](ClusterStateFixture& b) { b.machine().preemption_deadline = 9; }, false},
@@ -97,7 +98,7 @@
         ClusterStateFixture b;
         auto sent = b.place_and_send_run();
         b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), true);
-        b.reported_tasks = {{task, 5, TaskState::running, ExitCause::none, false}};
+        b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running, ExitCause::none, false}};
         b.apply_heartbeat(b.base());
         c.then(b);
         EXPECT_EQ(b.cluster_state.nothing_pending(b.machine()), c.nothing_pending) << c.what;
@@ -121,7 +122,7 @@
     ClusterStateFixture b;
     auto sent = b.place_and_send_run();
     b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), true);
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::stopped}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::stopped}};
     b.apply_heartbeat(b.base());
     ASSERT_TRUE(b.reply_contains(CommandKind::forget));
     EXPECT_GT(b.machine().token, b.base());
@@ -130,7 +131,7 @@
 TEST(MachineCommands, ForgetsAttemptOnlyWhenStoredAndNoRunMayBeLate) {
     ClusterStateFixture b;
     auto sent = b.place_and_send_run();
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::done}};
+    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
     b.apply_heartbeat(b.base());
     EXPECT_FALSE(b.reply_contains(CommandKind::forget));  // not stored
     b.cluster_state.record_outcome_stored("j-1");
@@ -151,7 +152,8 @@
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(
         b.reply_contains(CommandKind::start));  // this answer may reach the worker up to a few seconds later
-    b.reported_tasks = {{task, 5, TaskState::exited, ExitCause::insufficient_resources}};
+    b.reported_tasks = {
+        {task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::insufficient_resources}};
     b.apply_heartbeat(b.base(), ReportChannel::direct_reply);  // a direct answer overtakes it
     EXPECT_FALSE(b.reply_contains(CommandKind::forget));
     b.apply_heartbeat(b.base());
--- a/tests/controller/heartbeat_intake_test.cpp
+++ b/tests/controller/heartbeat_intake_test.cpp
@@ -16,7 +16,8 @@
     [[nodiscard]] std::uint64_t rejected(relay::HeartbeatRejection why) {
         return intake.rejections().count(why);
     }
-    HeartbeatIntake intake{{timers, network, settings, election, leader, peers, tracker, 1}};
+    HeartbeatIntake intake{
+        {timers, network, settings, election, leader, peers, tracker, protocol::Incarnation{1}}};
     std::vector<http::Response> responses;
 };
 
@@ -33,7 +34,7 @@
 TEST_F(HeartbeatIntakeTest, NamesALeaderThatTakesNoRelayedHeartbeats) {
     auto ping = ping_of_peer();
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     ping.features = protocol::peer_features::relay - 1;
     receive(ping);
     accept(heartbeat_of("vm-0"));
--- a/tests/controller/peer_monitor_test.cpp
+++ b/tests/controller/peer_monitor_test.cpp
@@ -29,7 +29,7 @@
     };
     peers.start();
     ASSERT_TRUE(peers.recent_ping("berth-1"));
-    EXPECT_EQ(peers.recent_ping("berth-1")->incarnation, 77u);
+    EXPECT_EQ(peers.recent_ping("berth-1")->incarnation, protocol::Incarnation{77});
 }
 
 TEST_F(PeerMonitorTest, ForgetsAPingAfterOneAndAHalfHeartbeatPeriods) {
@@ -54,7 +54,7 @@
     EXPECT_FALSE(peers.leading_peer());
     auto ping = ping_of_peer();
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     receive(ping);
     ASSERT_TRUE(peers.leading_peer());
     EXPECT_EQ(peers.leading_peer()->config.label, "berth-1");
@@ -81,7 +81,7 @@
 TEST_F(PeerMonitorTest, DefersToALaterReplica) {
     start_and_wait(1);
     auto ping = ping_of_peer();
-    ping.replicated_leadership = 5;
+    ping.replicated_leadership = protocol::LeaderVersion{5};
     receive(ping);
     EXPECT_TRUE(peers.should_defer());
     ping.kv_reachable = false;
@@ -95,9 +95,11 @@
 
 TEST_F(PeerMonitorTest, DoesNotDeferToALaterReplicaThatFewMachinesReportTo) {
     start_and_wait(1);
-    for (int k = 0; k < 10; ++k) tracker.record("vm-" + std::to_string(k), 1, 1, timers.now());
+    for (int k = 0; k < 10; ++k)
+        tracker.record("vm-" + std::to_string(k), protocol::AgentEpoch{1}, protocol::SequenceNumber{1},
+                       timers.now());
     auto ping = ping_of_peer();
-    ping.replicated_leadership = 5;
+    ping.replicated_leadership = protocol::LeaderVersion{5};
     ping.reporting_machines = {"vm-0", "vm-1", "vm-2", "vm-3"};
     receive(ping);
     EXPECT_FALSE(peers.should_defer());
@@ -108,7 +110,7 @@
 
 TEST_F(PeerMonitorTest, DefersToAnEqualReplicaWithMoreThanTwiceTheMachines) {
     start_and_wait(1);
-    tracker.record("vm-0", 1, 1, timers.now());
+    tracker.record("vm-0", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     auto ping = ping_of_peer();
     ping.reporting_machines = {"vm-1", "vm-2"};
     receive(ping);
@@ -144,18 +146,18 @@
     // The age counts on from the full ping.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.2}}), 0u);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 1u);
-    brief.incarnation = 78;
+    brief.incarnation = protocol::Incarnation{78};
     receive(brief);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 0u) << "a restarted peer has no lists yet";
 }
 
 TEST_F(PeerMonitorTest, AnswersALeaderInFullAndOthersBriefly) {
-    tracker.record("vm-0", 1, 1, timers.now());
+    tracker.record("vm-0", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     auto ping = ping_of_peer();
     EXPECT_TRUE(peers.answer_ping(ping).lists_omitted);
     EXPECT_TRUE(peers.answer_ping(ping).reporting_machines.empty());
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     auto answer = peers.answer_ping(ping);
     EXPECT_FALSE(answer.lists_omitted);
     EXPECT_EQ(answer.reporting_machines, std::vector<std::string>{"vm-0"});
@@ -168,12 +170,12 @@
     timers.run_until(100);
     auto ping = ping_of_peer();
     ping.leader = ping.label;
-    ping.leader_version = 5;
+    ping.leader_version = protocol::LeaderVersion{5};
     ping.suspected = {"vm-0", "vm-1"};
     ping.suspected_silence_ms = {8000, 9000};
     receive(ping);
     timers.run_until(101);
-    tracker.record("vm-1", 1, 1, timers.now());
+    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     EXPECT_EQ(peers.inherited_suspicions(), (std::map<std::string, double>{{"vm-0", 9}}));
 }
 
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -128,7 +128,8 @@
     EXPECT_FALSE(protocol::unpack_peer<protocol::RelayResponse>(relayed.body)->is_leader);
     auto cancelled = serve_peer("POST", protocol::peer_cancellation_path,
                                 protocol::pack_peer(protocol::PeerCancellation{"job-1", 3}));
-    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancellationResponse>(cancelled.body)->taken_by, 0u);
+    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancellationResponse>(cancelled.body)->taken_by,
+              protocol::LeaderVersion::none());
 }
 
 TEST_F(PeerMessageHandlerTest, KeepsTheImageCachesOfTheLeader) {
@@ -138,12 +139,13 @@
 }
 
 TEST_F(PeerMessageHandlerTest, ReplicatesUnlessItsOwnReplicaIsSwitchedOff) {
-    protocol::ReplicationRequest piece{5, 1, {}, 0, true};
+    protocol::ReplicationRequest piece{
+        protocol::LeaderVersion{5}, 1, {}, protocol::LeaderVersion::none(), true};
     auto body = protocol::pack_peer(piece);
     EXPECT_TRUE(protocol::unpack_peer<protocol::ReplicationResponse>(
                     serve_peer("POST", protocol::peer_replication_path, body).body)
                     ->applied);
-    EXPECT_EQ(replica.replica().leader_version, 5u);
+    EXPECT_EQ(replica.replica().leader_version, protocol::LeaderVersion{5});
     settings.op.replicate_starts = false;
     EXPECT_EQ(serve_peer("POST", protocol::peer_replication_path, body).status, 400);
 }
--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -23,11 +23,12 @@
         return version = service.revision;
     }
     std::unique_ptr<AttemptNumbers> leadership() {
-        return std::make_unique<AttemptNumbers>(client, version, [of = version, this] {
-            protocol::Txn t;
-            t.conditions.push_back({kv::keys::leader, of});
-            return authority ? std::optional(t) : std::nullopt;
-        });
+        return std::make_unique<AttemptNumbers>(client, protocol::LeaderVersion{version},
+                                                [of = version, this] {
+                                                    protocol::Txn t;
+                                                    t.conditions.push_back({kv::keys::leader, of});
+                                                    return authority ? std::optional(t) : std::nullopt;
+                                                });
     }
     FakeTimers timers;
     FakeKeyValueStore service{timers};
@@ -47,9 +48,9 @@
             ++missed;
             return;
         }
-        if (count++ == 0) first = *n;
-        grew &= *n > last;
-        last = *n;
+        if (count++ == 0) first = n->value();
+        grew &= n->value() > last;
+        last = n->value();
     }
 };
 
@@ -72,13 +73,14 @@
     bench.claim();
     auto next = bench.leadership()->next();
     ASSERT_TRUE(next);
-    EXPECT_GT(*next, run.last);
+    EXPECT_GT(next->value(), run.last);
 }
 
 TEST(AttemptNumbers, TheFirstAreThoseOfTheVersionAsEver) {
     Bench bench;
     auto numbers = bench.leadership();
-    for (std::uint64_t k = 1; k <= 100; ++k) EXPECT_EQ(numbers->next(), (bench.version << 20) + k);
+    for (std::uint64_t k = 1; k <= 100; ++k)
+        EXPECT_EQ(numbers->next(), protocol::AttemptNumber{(bench.version << 20) + k});
     numbers->extend();
     bench.timers.run_until(1);
     EXPECT_EQ(bench.service.changes, 0);  // none is asked for before it is needed
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -18,11 +18,11 @@
     bool take_message(std::uint64_t incarnation, std::uint64_t number) {
         protocol::RelayRequest message;
         message.label = "controller-1";
-        message.incarnation = incarnation;
+        message.incarnation = protocol::Incarnation{incarnation};
         message.sequence_number = number;
         return delegations.take_relay_message(message);
     }
-    cluster::ClusterState cluster{7, {}};
+    cluster::ClusterState cluster{protocol::LeaderVersion{7}, {}};
     cluster::Machine& machine =
         cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, 0);
     Delegations delegations{cluster};
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -16,13 +16,14 @@
         auto& machine =
             state->cluster.add(id, "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, timers.now());
         machine.reported_to_this_leader = machine.reconciled = true;
-        machine.agent_epoch = 1;
+        machine.agent_epoch = protocol::AgentEpoch{1};
         return machine;
     }
     // An instance on this machine, as a report shows it.
     cluster::Instance& show(const std::string& job, cluster::Machine& machine, std::uint32_t task,
                             std::uint64_t attempt) {
-        auto& instance = state->cluster.place(machine, {job, task}, state->jobs.find(job)->spec, attempt, 0);
+        auto& instance = state->cluster.place(machine, {job, task}, state->jobs.find(job)->spec,
+                                              protocol::AttemptNumber{attempt}, 0);
         tracker.instance_found({job, task}, machine.id);
         return instance;
     }
@@ -83,7 +84,7 @@
     auto& job = bench.add_job("j-1", 1);
     auto& machine = bench.add_machine("vm-1");
     bench.show("j-1", machine, 0, 6);
-    cluster::InstanceEnd older{"vm-1", {"j-1", 0}, 5, true};
+    cluster::InstanceEnd older{"vm-1", {"j-1", 0}, protocol::AttemptNumber{5}, true};
     bench.tracker.instance_ended(older);
     EXPECT_TRUE(job.active.contains(0));
 }
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -47,7 +47,7 @@
     }
     explicit LeadingFixture(config::Settings given = settings_of_one()) : settings(std::move(given)) {
         spdlog::set_level(spdlog::level::off);
-        election.start({[this](std::uint64_t token) { begin(token); }, [] {}});
+        election.start({[this](protocol::LeaderVersion token) { begin(token); }, [] {}});
         wait(5);
     }
     void wait(double seconds) { timers.run_until(timers.now() + seconds); }
@@ -80,7 +80,7 @@
     FakeLeases network{timers, service};
     config::Settings settings;
     kv::KvClient kv{timers, network, settings};
-    election::Election election{timers, kv, settings, 77, 1};
+    election::Election election{timers, kv, settings, protocol::Incarnation{77}, 1};
     const std::vector<protocol::MachineType> types{{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a", "b"}}};
     std::shared_ptr<int> leader = std::make_shared<int>();  // what callbacks keep alive
     std::unique_ptr<Authority> authority;
@@ -89,7 +89,7 @@
     std::unique_ptr<PartContext> context;
 
   private:
-    void begin(std::uint64_t token) {
+    void begin(protocol::LeaderVersion token) {
         authority =
             std::make_unique<Authority>(timers, settings, election, token, [this] { return timers.now(); });
         guarded = std::make_unique<CallbackGuard>(*authority);
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -12,7 +12,7 @@
     cluster::Machine& add_machine(std::uint64_t agent_epoch) {
         auto& machine = state->cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up,
                                            timers.now());
-        machine.agent_epoch = agent_epoch;
+        machine.agent_epoch = protocol::AgentEpoch{agent_epoch};
         return machine;
     }
     int confirmed = 0;
@@ -23,7 +23,7 @@
     Bench bench;
     auto& machine = bench.add_machine(1);
     auto& job = bench.add_job("j-1", 1);
-    auto& instance = bench.state->cluster.place(machine, {"j-1", 0}, job.spec, 5, 0);
+    auto& instance = bench.state->cluster.place(machine, {"j-1", 0}, job.spec, protocol::AttemptNumber{5}, 0);
     EXPECT_FALSE(instance.machine_stored);
     bench.store.store_if_new(machine);
     EXPECT_TRUE(machine.registration == cluster::Machine::Registration::write_pending);
@@ -41,8 +41,9 @@
     bench.store.store_if_new(machine);
     EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending)
         << "its agent has not reported";
-    machine.agent_epoch = 1;
-    machine.token_seen = 3;  // an earlier leader's: the machine may have been deleted meanwhile
+    machine.agent_epoch = protocol::AgentEpoch{1};
+    machine.token_seen =
+        protocol::FencingToken{3};  // an earlier leader's: the machine may have been deleted meanwhile
     bench.store.store_if_new(machine);
     EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending);
     machine.reported_to_this_leader = true;
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -22,14 +22,14 @@
 PeerPing ping() {
     return {
         .label = "berth-1",
-        .incarnation = UINT64_MAX,
-        .leader_version = 1ull << 60,
+        .incarnation = Incarnation{UINT64_MAX},
+        .leader_version = LeaderVersion{1ull << 60},
         .leader = "berth-2",
         .kv_reachable = true,
         .reporting_machines = {"vm-1", "vm-2"},
         .task_counts = {{.id = "j-1", .done = 3, .running = 300}, {.id = "j-2", .done = 70000, .running = 4}},
         .features = 5,
-        .replicated_leadership = 129,
+        .replicated_leadership = LeaderVersion{129},
         .heartbeat_ages_ms = {100, 70000},
         .suspected = {"vm-3"},
         .suspected_silence_ms = {UINT32_MAX},
@@ -37,14 +37,14 @@
 }
 PeerPing brief_ping() {
     return {.label = "berth-1",
-            .incarnation = 7,
-            .leader_version = 8,
+            .incarnation = Incarnation{7},
+            .leader_version = LeaderVersion{8},
             .leader = "berth-2",
             .kv_reachable = false,
             .reporting_machines = {},
             .task_counts = {},
             .features = 5,
-            .replicated_leadership = 6,
+            .replicated_leadership = LeaderVersion{6},
             .heartbeat_ages_ms = {},
             .suspected = {},
             .suspected_silence_ms = {},
@@ -53,8 +53,8 @@
 RelayRequest relayed_reports() {
     return {
         .label = "berth-1",
-        .incarnation = 7,
-        .leader_version = 8,
+        .incarnation = Incarnation{7},
+        .leader_version = LeaderVersion{8},
         .sequence_number = 9,
         .acknowledged_sequence_number = 5,
         .heartbeats = {R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"},
@@ -69,22 +69,22 @@
             .revoked = {"vm-9"}};
 }
 ReplicationRequest fleet() {
-    return {.leader_version = 8,
+    return {.leader_version = LeaderVersion{8},
             .sequence_number = 3,
             .rows = {{.machine = "vm-1",
                       .tasks_known = true,
                       .deleted = false,
-                      .agent_epoch = 5,
-                      .sequence = 6,
-                      .tasks = {{.job = "j-1", .index = 2, .attempt = 3},
-                                {.job = "j-2", .index = 0, .attempt = 1}}},
+                      .agent_epoch = AgentEpoch{5},
+                      .sequence = SequenceNumber{6},
+                      .tasks = {{.job = "j-1", .index = 2, .attempt = AttemptNumber{3}},
+                                {.job = "j-2", .index = 0, .attempt = AttemptNumber{1}}}},
                      {.machine = "vm-2",
                       .tasks_known = false,
                       .deleted = true,
-                      .agent_epoch = 11,
-                      .sequence = 12,
+                      .agent_epoch = AgentEpoch{11},
+                      .sequence = SequenceNumber{12},
                       .tasks = {}}},
-            .base_version = 7,
+            .base_version = LeaderVersion{7},
             .snapshot_complete = true};
 }
 
@@ -122,7 +122,7 @@
                                       .version = 7,
                                       .more = {{.id = "j-2", .version = 8}, {.id = "j-3", .version = 9}}}),
         message("CancelledAnswer", peer_cancelled_answer, peer_cancelled_answer_unset,
-                PeerCancellationResponse{.taken_by = 12}),
+                PeerCancellationResponse{.taken_by = LeaderVersion{12}}),
         message("Images", peer_images, peer_images_unset,
                 PeerImages{
                     .names = {"img-1", "img-2"},
@@ -132,7 +132,8 @@
         message("RelayAnswer", peer_relay_answer, peer_relay_answer_unset, relay_answer()),
         message("Fleet", peer_fleet, peer_fleet_unset, fleet()),
         message("FleetAnswer", peer_fleet_answer, peer_fleet_answer_unset,
-                ReplicationResponse{.applied = true, .incarnation = 9, .base_version = 8}),
+                ReplicationResponse{
+                    .applied = true, .incarnation = Incarnation{9}, .base_version = LeaderVersion{8}}),
     };
 }
 
@@ -194,8 +195,8 @@
 TEST(GoldenBytes, PingIsReadFieldByField) {
     auto p = read<PeerPing>(golden::peer_ping);
     EXPECT_EQ(p.label, "berth-1");
-    EXPECT_EQ(p.incarnation, UINT64_MAX);
-    EXPECT_EQ(p.leader_version, 1ull << 60);
+    EXPECT_EQ(p.incarnation, Incarnation{UINT64_MAX});
+    EXPECT_EQ(p.leader_version, LeaderVersion{1ull << 60});
     EXPECT_EQ(p.leader, "berth-2");
     EXPECT_TRUE(p.kv_reachable);
     EXPECT_EQ(p.reporting_machines, (std::vector<std::string>{"vm-1", "vm-2"}));
@@ -207,7 +208,7 @@
     EXPECT_EQ(p.task_counts[1].done, 70000u);
     EXPECT_EQ(p.task_counts[1].running, 4u);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.replicated_leadership, 129u);
+    EXPECT_EQ(p.replicated_leadership, LeaderVersion{129});
     EXPECT_EQ(p.heartbeat_ages_ms, (std::vector<std::uint32_t>{100, 70000}));
     EXPECT_EQ(p.suspected, std::vector<std::string>{"vm-3"});
     EXPECT_EQ(p.suspected_silence_ms, std::vector<std::uint32_t>{UINT32_MAX});
@@ -216,12 +217,12 @@
 TEST(GoldenBytes, BriefPingIsReadFieldByField) {
     auto p = read<PeerPing>(golden::peer_ping_brief);
     EXPECT_EQ(p.label, "berth-1");
-    EXPECT_EQ(p.incarnation, 7u);
-    EXPECT_EQ(p.leader_version, 8u);
+    EXPECT_EQ(p.incarnation, Incarnation{7});
+    EXPECT_EQ(p.leader_version, LeaderVersion{8});
     EXPECT_EQ(p.leader, "berth-2");
     EXPECT_FALSE(p.kv_reachable);
     EXPECT_EQ(p.features, 5u);
-    EXPECT_EQ(p.replicated_leadership, 6u);
+    EXPECT_EQ(p.replicated_leadership, LeaderVersion{6});
     EXPECT_TRUE(p.lists_omitted);
     EXPECT_TRUE(p.reporting_machines.empty() && p.task_counts.empty() && p.heartbeat_ages_ms.empty() &&
                 p.suspected.empty() && p.suspected_silence_ms.empty());
@@ -257,7 +258,7 @@
     EXPECT_EQ(again.more[0].version, 8u);
     EXPECT_EQ(again.more[1].id, "j-3");
     EXPECT_EQ(again.more[1].version, 9u);
-    EXPECT_EQ(read<PeerCancellationResponse>(golden::peer_cancelled_answer).taken_by, 12u);
+    EXPECT_EQ(read<PeerCancellationResponse>(golden::peer_cancelled_answer).taken_by, LeaderVersion{12});
 }
 // Both go to the same path.
 TEST(GoldenBytes, SingleAndRepeatedCancellationsAreReadAsEachOther) {
@@ -285,8 +286,8 @@
 TEST(GoldenBytes, RelayIsReadFieldByField) {
     auto r = read<RelayRequest>(golden::peer_relay);
     EXPECT_EQ(r.label, "berth-1");
-    EXPECT_EQ(r.incarnation, 7u);
-    EXPECT_EQ(r.leader_version, 8u);
+    EXPECT_EQ(r.incarnation, Incarnation{7});
+    EXPECT_EQ(r.leader_version, LeaderVersion{8});
     EXPECT_EQ(r.sequence_number, 9u);
     EXPECT_EQ(r.acknowledged_sequence_number, 5u);
     EXPECT_EQ(r.heartbeats, (std::vector<std::string>{R"({"berth":"vm-1"})", R"({"berth":"vm-2"})"}));
@@ -312,36 +313,36 @@
 }
 TEST(GoldenBytes, FleetIsReadFieldByField) {
     auto f = read<ReplicationRequest>(golden::peer_fleet);
-    EXPECT_EQ(f.leader_version, 8u);
+    EXPECT_EQ(f.leader_version, LeaderVersion{8});
     EXPECT_EQ(f.sequence_number, 3u);
-    EXPECT_EQ(f.base_version, 7u);
+    EXPECT_EQ(f.base_version, LeaderVersion{7});
     EXPECT_TRUE(f.snapshot_complete);
     ASSERT_EQ(f.rows.size(), 2u);
     auto &first = f.rows[0], &second = f.rows[1];
     EXPECT_EQ(first.machine, "vm-1");
     EXPECT_TRUE(first.tasks_known);
     EXPECT_FALSE(first.deleted);
-    EXPECT_EQ(first.agent_epoch, 5u);
-    EXPECT_EQ(first.sequence, 6u);
+    EXPECT_EQ(first.agent_epoch, AgentEpoch{5});
+    EXPECT_EQ(first.sequence, SequenceNumber{6});
     ASSERT_EQ(first.tasks.size(), 2u);
     EXPECT_EQ(first.tasks[0].job, "j-1");
     EXPECT_EQ(first.tasks[0].index, 2u);
-    EXPECT_EQ(first.tasks[0].attempt, 3u);
+    EXPECT_EQ(first.tasks[0].attempt, AttemptNumber{3});
     EXPECT_EQ(first.tasks[1].job, "j-2");
     EXPECT_EQ(first.tasks[1].index, 0u);
-    EXPECT_EQ(first.tasks[1].attempt, 1u);
+    EXPECT_EQ(first.tasks[1].attempt, AttemptNumber{1});
     EXPECT_EQ(second.machine, "vm-2");
     EXPECT_FALSE(second.tasks_known);
     EXPECT_TRUE(second.deleted);
-    EXPECT_EQ(second.agent_epoch, 11u);
-    EXPECT_EQ(second.sequence, 12u);
+    EXPECT_EQ(second.agent_epoch, AgentEpoch{11});
+    EXPECT_EQ(second.sequence, SequenceNumber{12});
     EXPECT_TRUE(second.tasks.empty());
 }
 TEST(GoldenBytes, FleetAnswerIsReadFieldByField) {
     auto a = read<ReplicationResponse>(golden::peer_fleet_answer);
     EXPECT_TRUE(a.applied);
-    EXPECT_EQ(a.incarnation, 9u);
-    EXPECT_EQ(a.base_version, 8u);
+    EXPECT_EQ(a.incarnation, Incarnation{9});
+    EXPECT_EQ(a.base_version, LeaderVersion{8});
 }
 
 // What stands within messages grows at its end, too.
@@ -380,7 +381,7 @@
     EXPECT_EQ(fleet.rows[0].machine, "vm-1");
     EXPECT_TRUE(fleet.rows[0].tasks_known);
     EXPECT_TRUE(fleet.rows[0].deleted);
-    EXPECT_EQ(fleet.rows[0].agent_epoch, 0u);
+    EXPECT_EQ(fleet.rows[0].agent_epoch, AgentEpoch{0});
     EXPECT_TRUE(fleet.rows[0].tasks.empty());
 }
 
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -293,21 +293,23 @@
 
 TEST(GoldenBytes, LeaderRecordIsWrittenAsBefore) {
     EXPECT_EQ(
-        stored(LeaderRecord{.label = "berth-0", .incarnation = UINT64_MAX, .stores_in_sync_replicas = false}),
+        stored(LeaderRecord{
+            .label = "berth-0", .incarnation = Incarnation{UINT64_MAX}, .stores_in_sync_replicas = false}),
         golden::leader_old);
-    EXPECT_EQ(stored(LeaderRecord{
-                  .label = "berth-1", .incarnation = beyond_double, .stores_in_sync_replicas = true}),
-              golden::leader);
+    EXPECT_EQ(
+        stored(LeaderRecord{
+            .label = "berth-1", .incarnation = Incarnation{beyond_double}, .stores_in_sync_replicas = true}),
+        golden::leader);
 }
 TEST(GoldenBytes, LeaderRecordIsReadFieldByField) {
     auto old = parse_leader_record(golden::leader_old);
     EXPECT_EQ(old.label, "berth-0");
-    EXPECT_EQ(old.incarnation, UINT64_MAX);
+    EXPECT_EQ(old.incarnation, Incarnation{UINT64_MAX});
     EXPECT_FALSE(old.stores_in_sync_replicas);
     EXPECT_FALSE(stores_in_sync_replicas(golden::leader_old));
     auto now = parse_leader_record(golden::leader);
     EXPECT_EQ(now.label, "berth-1");
-    EXPECT_EQ(now.incarnation, beyond_double);
+    EXPECT_EQ(now.incarnation, Incarnation{beyond_double});
     EXPECT_TRUE(now.stores_in_sync_replicas);
     EXPECT_TRUE(stores_in_sync_replicas(golden::leader));
 }
@@ -317,24 +319,27 @@
 }
 
 TEST(GoldenBytes, InSyncReplicasAreWrittenAsBefore) {
-    InSyncReplicas r{.leader_version = beyond_double,
-                     .members = {{.label = "berth-0", .incarnation = UINT64_MAX, .base_version = 11},
-                                 {.label = "berth-2", .incarnation = 5, .base_version = 12}}};
+    InSyncReplicas r{
+        .leader_version = LeaderVersion{beyond_double},
+        .members = {
+            {.label = "berth-0", .incarnation = Incarnation{UINT64_MAX}, .base_version = LeaderVersion{11}},
+            {.label = "berth-2", .incarnation = Incarnation{5}, .base_version = LeaderVersion{12}}}};
     EXPECT_EQ(stored(r), golden::standby);
-    EXPECT_EQ(stored(InSyncReplicas{.leader_version = 7, .members = {}}), golden::standby_nobody);
+    EXPECT_EQ(stored(InSyncReplicas{.leader_version = LeaderVersion{7}, .members = {}}),
+              golden::standby_nobody);
 }
 TEST(GoldenBytes, InSyncReplicasAreReadFieldByField) {
     auto r = parse_in_sync_replicas(golden::standby);
-    EXPECT_EQ(r.leader_version, beyond_double);
+    EXPECT_EQ(r.leader_version, LeaderVersion{beyond_double});
     ASSERT_EQ(r.members.size(), 2u);
     EXPECT_EQ(r.members[0].label, "berth-0");
-    EXPECT_EQ(r.members[0].incarnation, UINT64_MAX);
-    EXPECT_EQ(r.members[0].base_version, 11u);
+    EXPECT_EQ(r.members[0].incarnation, Incarnation{UINT64_MAX});
+    EXPECT_EQ(r.members[0].base_version, LeaderVersion{11});
     EXPECT_EQ(r.members[1].label, "berth-2");
-    EXPECT_EQ(r.members[1].incarnation, 5u);
-    EXPECT_EQ(r.members[1].base_version, 12u);
+    EXPECT_EQ(r.members[1].incarnation, Incarnation{5});
+    EXPECT_EQ(r.members[1].base_version, LeaderVersion{12});
     auto nobody = parse_in_sync_replicas(golden::standby_nobody);
-    EXPECT_EQ(nobody.leader_version, 7u);
+    EXPECT_EQ(nobody.leader_version, LeaderVersion{7});
     EXPECT_TRUE(nobody.members.empty());
 }
 // A version that carried nothing over began each copy itself.
@@ -342,8 +347,8 @@
     auto r = parse_in_sync_replicas(golden::standby_old);
     ASSERT_EQ(r.members.size(), 1u);
     EXPECT_EQ(r.members[0].label, "berth-2");
-    EXPECT_EQ(r.members[0].incarnation, 5u);
-    EXPECT_EQ(r.members[0].base_version, 7u);
+    EXPECT_EQ(r.members[0].incarnation, Incarnation{5});
+    EXPECT_EQ(r.members[0].base_version, LeaderVersion{7});
 }
 
 TEST(GoldenBytes, ProgressBitsAreWrittenAndReadAsBefore) {
@@ -534,17 +539,22 @@
 // ---- Workers
 
 std::vector<Command> commands_of_each_kind() {
-    return {{.kind = CommandKind::start, .task = {"j-7", 0}, .attempt = 3, .grace_s = 9},
-            {.kind = CommandKind::stop, .task = {"j-000412", 15}, .attempt = beyond_double, .grace_s = 1.5},
-            {.kind = CommandKind::forget, .task = {"j-9", 99999}, .attempt = 5, .grace_s = 9}};
+    return {{.kind = CommandKind::start, .task = {"j-7", 0}, .attempt = AttemptNumber{3}, .grace_s = 9},
+            {.kind = CommandKind::stop,
+             .task = {"j-000412", 15},
+             .attempt = AttemptNumber{beyond_double},
+             .grace_s = 1.5},
+            {.kind = CommandKind::forget, .task = {"j-9", 99999}, .attempt = AttemptNumber{5}, .grace_s = 9}};
 }
 TEST(GoldenBytes, ReportAnswerIsWrittenAsBefore) {
-    EXPECT_EQ(heartbeat_response(UINT64_MAX, commands_of_each_kind()), golden::heartbeat_response);
-    EXPECT_EQ(heartbeat_response(7, {}), golden::report_answer_empty);
+    EXPECT_EQ(heartbeat_response(FencingToken{UINT64_MAX}, commands_of_each_kind()),
+              golden::heartbeat_response);
+    EXPECT_EQ(heartbeat_response(FencingToken{7}, {}), golden::report_answer_empty);
 }
 TEST(GoldenBytes, DirectCommandsAreWrittenAsBefore) {
-    EXPECT_EQ(direct_commands(beyond_double, UINT64_MAX, commands_of_each_kind()), golden::direct_commands);
-    EXPECT_EQ(direct_commands(7, 8, {}), golden::direct_commands_empty);
+    EXPECT_EQ(direct_commands(FencingToken{beyond_double}, AgentEpoch{UINT64_MAX}, commands_of_each_kind()),
+              golden::direct_commands);
+    EXPECT_EQ(direct_commands(FencingToken{7}, AgentEpoch{8}, {}), golden::direct_commands_empty);
 }
 TEST(GoldenBytes, AnswerThatPointsElsewhereIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_redirect("berth-2"), golden::elsewhere);
@@ -557,18 +567,18 @@
     EXPECT_EQ(r.type, "g8");
     EXPECT_EQ(r.zone, "a");
     EXPECT_TRUE(r.spot);
-    EXPECT_EQ(r.agent_epoch, beyond_double);
-    EXPECT_EQ(r.sequence, UINT64_MAX);
-    EXPECT_EQ(r.token, beyond_double + 2);
+    EXPECT_EQ(r.agent_epoch, AgentEpoch{beyond_double});
+    EXPECT_EQ(r.sequence, SequenceNumber{UINT64_MAX});
+    EXPECT_EQ(r.token, FencingToken{beyond_double + 2});
     EXPECT_EQ(r.preemption_notice_s, 12.5);
     ASSERT_EQ(r.tasks.size(), 2u);
     EXPECT_EQ(r.tasks[0].task, (TaskId{"j-7", 3}));
-    EXPECT_EQ(r.tasks[0].attempt, beyond_double + 4);
+    EXPECT_EQ(r.tasks[0].attempt, AttemptNumber{beyond_double + 4});
     EXPECT_EQ(r.tasks[0].state, TaskState::exited);
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
     EXPECT_EQ(r.tasks[1].task, (TaskId{"j-000412", 15}));
-    EXPECT_EQ(r.tasks[1].attempt, 2u);
+    EXPECT_EQ(r.tasks[1].attempt, AttemptNumber{2});
     EXPECT_EQ(r.tasks[1].state, TaskState::running);
     EXPECT_EQ(r.tasks[1].cause, ExitCause::none);
     EXPECT_FALSE(r.tasks[1].saved);
@@ -585,9 +595,9 @@
     EXPECT_EQ(r.type, "c4");
     EXPECT_EQ(r.zone, "b");
     EXPECT_FALSE(r.spot);
-    EXPECT_EQ(r.agent_epoch, 1u);
-    EXPECT_EQ(r.sequence, 2u);
-    EXPECT_EQ(r.token, 3u);
+    EXPECT_EQ(r.agent_epoch, AgentEpoch{1});
+    EXPECT_EQ(r.sequence, SequenceNumber{2});
+    EXPECT_EQ(r.token, FencingToken{3});
     EXPECT_FALSE(r.preemption_notice_s);
     EXPECT_TRUE(r.tasks.empty());
 }
@@ -602,8 +612,8 @@
     auto o = outline_heartbeat(golden::report);
     ASSERT_TRUE(o);
     EXPECT_EQ(o->machine, "vm-1");
-    EXPECT_EQ(o->agent_epoch, beyond_double);
-    EXPECT_EQ(o->sequence, UINT64_MAX);
+    EXPECT_EQ(o->agent_epoch, AgentEpoch{beyond_double});
+    EXPECT_EQ(o->sequence, SequenceNumber{UINT64_MAX});
     EXPECT_EQ(golden::report.substr(o->sequence_offset, o->sequence_digits), "18446744073709551615");
 }
 TEST(GoldenBytes, TaskStatesHaveTheirWords) {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -146,9 +146,9 @@
         "watch":2,"tally":18446744073709551615,"helm":9007199254740993,"warning_s":12.5,"news":1,
         "shards":[{"shard":"j-7/3","launch":9007199254740995,"status":"exited","cause":"halted","saved":true},
                   {"shard":"j-7/4","launch":1,"status":"exited","cause":"a new one"}]})");
-    EXPECT_EQ(r.sequence, 18446744073709551615ull);
-    EXPECT_EQ(r.token, 9007199254740993ull);
-    EXPECT_EQ(r.tasks[0].attempt, 9007199254740995ull);
+    EXPECT_EQ(r.sequence, SequenceNumber{18446744073709551615ull});
+    EXPECT_EQ(r.token, FencingToken{9007199254740993ull});
+    EXPECT_EQ(r.tasks[0].attempt, AttemptNumber{9007199254740995ull});
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
     EXPECT_EQ(r.tasks[1].cause, ExitCause::error);  // an end of a kind not known yet still is an end
@@ -176,12 +176,13 @@
 }
 
 TEST(Peer, RoundTripsAndRefusesNoise) {
-    PeerPing p{"berth-1", 7, 1ull << 60, "berth-2", true, {"vm-1"}, {{"j-1", 3, 4}}, peer_features::latest};
+    PeerPing p{"berth-1",       Incarnation{7},        LeaderVersion{1ull << 60}, "berth-2", true, {"vm-1"},
+               {{"j-1", 3, 4}}, peer_features::latest, LeaderVersion::none()};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
     ASSERT_TRUE(back);
     ASSERT_EQ(back->task_counts.size(), 1u);
     EXPECT_EQ(back->task_counts[0].running, 4u);
-    EXPECT_EQ(back->leader_version, 1ull << 60);
+    EXPECT_EQ(back->leader_version, LeaderVersion{1ull << 60});
     PeerImages images{{"img-1", "img-2"}, {5, 7}, {{"vm-1", {1, 0}}}};
     auto told = unpack_peer<PeerImages>(pack_peer(images));
     ASSERT_TRUE(told && told->machines.size() == 1);
@@ -210,10 +211,12 @@
     auto ping = unpack_peer<PeerPing>(old);
     ASSERT_TRUE(ping);
     EXPECT_EQ(ping->label, "berth-1");
-    EXPECT_EQ(ping->leader_version, 8u);
+    EXPECT_EQ(ping->leader_version, LeaderVersion{8});
     ASSERT_EQ(ping->task_counts.size(), 1u);
     EXPECT_EQ(ping->features, 0u);  // unknown means old
-    auto back = unpack_peer<OldPing>(pack_peer(PeerPing{"a", 1, 2, "b", true, {"vm-2"}, {{"j-2", 5, 6}}, 9}));
+    const PeerPing present{"a", Incarnation{1},       LeaderVersion{2}, "b", true, {"vm-2"}, {{"j-2", 5, 6}},
+                           9,   LeaderVersion::none()};
+    auto back = unpack_peer<OldPing>(pack_peer(present));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
     EXPECT_EQ(back->counts.at(0).done, 5u);
--- a/tests/replication/follower_test.cpp
+++ b/tests/replication/follower_test.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 protocol::ReplicatedMachine row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
-    return {id, true, false, agent_epoch, 0, {}};
+    return {id, true, false, protocol::AgentEpoch{agent_epoch}, protocol::SequenceNumber::none(), {}};
 }
 
 TEST(Follower, AppliesBatchesInOrderOfOneLeadershipAtATime) {
-    Follower f(9);
+    Follower f(protocol::Incarnation{9});
     struct Case {
         const char* name;
         std::uint64_t version, number;
@@ -34,12 +34,13 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        auto a = f.apply({c.version, c.number, {c.row}});
+        auto a =
+            f.apply({protocol::LeaderVersion{c.version}, c.number, {c.row}, protocol::LeaderVersion::none()});
         EXPECT_EQ(a.applied, c.taken);
-        EXPECT_EQ(a.incarnation, 9u);
+        EXPECT_EQ(a.incarnation, protocol::Incarnation{9});
         EXPECT_EQ(f.replica().machines.size(), c.rows);
     }
-    EXPECT_EQ(f.replica().leader_version, 8u);
+    EXPECT_EQ(f.replica().leader_version, protocol::LeaderVersion{8});
 }
 
 }  // namespace
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 protocol::ReplicatedMachine row_of(const std::string& id, std::uint64_t agent_epoch = 1) {
-    return {id, true, false, agent_epoch, 0, {}};
+    return {id, true, false, protocol::AgentEpoch{agent_epoch}, protocol::SequenceNumber::none(), {}};
 }
 
 struct Bench {
@@ -67,19 +67,22 @@
     FakeKeyValueStore service{timers};
     config::Settings settings = settings_for();
     kv::KvClient client{timers, service, settings};
-    std::map<std::string, Peer> followers{{"x", {Follower(1)}}, {"y", {Follower(2)}}};
+    std::map<std::string, Peer> followers{{"x", {Follower(protocol::Incarnation{1})}},
+                                          {"y", {Follower(protocol::Incarnation{2})}}};
     std::map<std::string, std::uint64_t> machines{{"vm-1", 1}, {"vm-2", 1}};
     bool authority = true;
     std::map<std::string, protocol::PeerPing> pings;
     void ping(const std::string& label, std::uint64_t incarnation) {
-        pings[label] = {label, incarnation, 0, "", true, {}, {}, protocol::peer_features::latest, 0};
+        pings[label] = {
+            label, protocol::Incarnation{incarnation}, protocol::LeaderVersion::none(), "", true, {},
+            {},    protocol::peer_features::latest,    protocol::LeaderVersion::none()};
     }
     ReplicationSender sender{
         timers,
         service,
         settings,
         client,
-        50,
+        protocol::LeaderVersion{50},
         {[this](const std::string& id) { return std::optional(row_of(id, machines.at(id))); },
          [this] {
              std::vector<std::string> ids;
@@ -107,7 +110,8 @@
     EXPECT_FALSE(b.sender.replicated(log_index));
     b.timers.run_until(1.05);
     EXPECT_TRUE(b.sender.replicated(log_index));
-    EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch, b.machines["vm-1"]);
+    EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value(),
+              b.machines["vm-1"]);
     // A follower that no longer answers delays starts until it is removed from the record, and no longer.
     b.followers.at("x").silent = true;
     log_index = b.start("vm-2");
@@ -135,8 +139,8 @@
             b.timers.run_until(t);
             if (t > 0.3) b.followers.at("x").silent = true;
             auto log_index = b.start("vm-1");
-            bool knows =
-                b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch == b.machines["vm-1"];
+            bool knows = b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value() ==
+                         b.machines["vm-1"];
             if (!knows && b.sender.replicated(log_index)) {
                 EXPECT_FALSE(b.named().contains("x")) << t;
             }
@@ -165,10 +169,18 @@
         Bench b;
         b.ping("x", c.incarnation);
         b.pings["x"].features = c.features;
-        auto& f = b.followers.at("x").follower = Follower(c.incarnation);
+        auto& f = b.followers.at("x").follower = Follower(protocol::Incarnation{c.incarnation});
         b.followers.at("y").silent = true;
-        if (c.begun) f.apply({c.begun, 1, {row_of("vm-1"), row_of("vm-9")}, 0, true});
-        b.sender.start(0, protocol::InSyncReplicas{40, {{"x", 1, 40}, {"y", 7, 40}}});
+        if (c.begun)
+            f.apply({protocol::LeaderVersion{c.begun},
+                     1,
+                     {row_of("vm-1"), row_of("vm-9")},
+                     protocol::LeaderVersion::none(),
+                     true});
+        b.sender.start(
+            0, protocol::InSyncReplicas{protocol::LeaderVersion{40},
+                                        {{"x", protocol::Incarnation{1}, protocol::LeaderVersion{40}},
+                                         {"y", protocol::Incarnation{7}, protocol::LeaderVersion{40}}}});
         for (double t = 0; !b.service.kv.contains(kv::keys::in_sync_replicas); t += 0.001)
             b.timers.run_until(t);
         EXPECT_EQ(b.named().contains("x"), c.at_once);
@@ -177,8 +189,8 @@
             b.timers.run_until(t);
             b.sender.tick();
             if (b.sender.replicated(log_index) && b.named().contains("x")) {
-                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch, b.machines["vm-2"]);
-                EXPECT_EQ(f.replica().base_version,
+                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch.value(), b.machines["vm-2"]);
+                EXPECT_EQ(f.replica().base_version.value(),
                           b.service.kv.at(kv::keys::in_sync_replicas).value["members"][0]["begun"]);
             }
         }
@@ -197,10 +209,10 @@
         b.followers.at("y").silent = true;
         b.sender.start(0, std::nullopt);
         b.timers.run_until(1);
-        b.followers.at("x").follower = Follower(11);
+        b.followers.at("x").follower = Follower(protocol::Incarnation{11});
         b.ping("x", 11);
         if (says_so)
-            b.sender.follower_restarted("x", 11);
+            b.sender.follower_restarted("x", protocol::Incarnation{11});
         else
             b.start("vm-1");  // the answer shows it
         b.timers.run_until(1.2);
@@ -249,7 +261,8 @@
                 for (auto& label : b.named()) {
                     auto& rows = b.followers.at(label).follower.replica().machines;
                     ASSERT_TRUE(rows.contains(s.machine)) << label << " step " << step;
-                    ASSERT_GE(rows.at(s.machine).agent_epoch, s.agent_epoch) << label << " step " << step;
+                    ASSERT_GE(rows.at(s.machine).agent_epoch.value(), s.agent_epoch)
+                        << label << " step " << step;
                 }
             }
         }
