--- a/bench/takeovers.py
+++ b/bench/takeovers.py
@@ -14,8 +14,9 @@
 import statistics
 
 LOG_LINE = re.compile(r"\s*([\d.]+) (\S+) \d\d:\d\d:\d\d\.\d+ \w+ (.*)")
-ELECTED = "election: won"
-SILENT = " is silent"
+# Today's form, then that of logs written before log lines had events.
+ELECTED = ("component=election event=elected ", "election: won")
+FENCED_AS_SILENT = re.compile(r"event=machine_marked_for_deletion .*\bsilence_s=| is silent")
 EARLY_S = 15
 STEP = "component=failover event=step_completed step="
 # Of each step the line of today, then that of logs written before log lines had events.
@@ -37,7 +38,7 @@
         for step, starts in STEP_LINES.items():
             if text.startswith(starts):
                 self.seconds.setdefault(step, time - self.elected_at)
-        if SILENT in text and time - self.elected_at < EARLY_S:
+        if FENCED_AS_SILENT.search(text) and time - self.elected_at < EARLY_S:
             self.fenced_early += 1
 
 
@@ -48,7 +49,7 @@
         if not (match := LOG_LINE.match(line)):
             continue
         time, controller, text = float(match[1]), match[2], match[3]
-        if SILENT in text and time > after_s:
+        if FENCED_AS_SILENT.search(text) and time > after_s:
             fenced += 1
         if time > after_s and text.startswith(ELECTED):
             failovers.append(Failover(time, controller))
