--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -174,7 +174,7 @@
 // The value of the leader's key.
 struct LeaderRecord {
     std::string label;
-    std::uint64_t incarnation = 0;
+    Incarnation incarnation;
     // This leader stores `InSyncReplicas` before its first start. Versions that do not store it leave this
     // out.
     bool stores_in_sync_replicas = false;
@@ -183,11 +183,11 @@
 struct InSyncReplicas {
     struct Member {
         std::string label;
-        std::uint64_t incarnation = 0;   // of its process
-        std::uint64_t base_version = 0;  // the leadership whose snapshot its replica began from
+        Incarnation incarnation;     // of its process
+        LeaderVersion base_version;  // the leadership whose snapshot its replica began from
         bool operator==(const Member&) const = default;
     };
-    std::uint64_t leader_version = 0;  // of the leader's key
+    LeaderVersion leader_version;  // of the leader's key
     std::vector<Member> members;
 };
 
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -42,14 +42,14 @@
 // What a controller says of itself several times in a heartbeat period, and in answer to a peer's ping.
 struct PeerPing {
     std::string label;
-    std::uint64_t incarnation = 0;
-    std::uint64_t leader_version = 0;  // the newest leadership the sender knows of
+    Incarnation incarnation;
+    LeaderVersion leader_version;  // the newest leadership the sender knows of
     std::string leader;
     bool kv_reachable = false;                    // the key-value store answered the sender lately
     std::vector<std::string> reporting_machines;  // whose heartbeats came lately to the sender, a follower
     std::vector<PeerTaskCounts> task_counts;      // of all live jobs, from a leader
     std::uint64_t features = 0;                   // a level of the above; 0: an older version
-    std::uint64_t replicated_leadership = 0;      // the last one of which the sender has a complete replica
+    LeaderVersion replicated_leadership;          // the last one of which the sender has a complete replica
     // Since the last heartbeat of each of `reporting_machines`; empty from an older version.
     std::vector<std::uint32_t> heartbeat_ages_ms{};
     // From a leader: machines that it suspects, and since how long each has missed heartbeats.
@@ -113,8 +113,8 @@
 // number.
 struct RelayRequest {
     std::string label;
-    std::uint64_t incarnation = 0;
-    std::uint64_t leader_version = 0;  // of the leadership that it is meant for
+    Incarnation incarnation;
+    LeaderVersion leader_version;  // of the leadership that it is meant for
     std::uint64_t sequence_number = 0;
     std::uint64_t acknowledged_sequence_number = 0;  // of the last request whose response the relay applied
     std::vector<std::string> heartbeats;  // as the workers sent them; each worker waits for its answer
@@ -144,7 +144,7 @@
 struct ReplicatedTask {
     std::string job;
     std::uint32_t index = 0;
-    std::uint64_t attempt = 0;
+    AttemptNumber attempt;
     MSGPACK_DEFINE(job, index, attempt)
 };
 // A machine of the leader's as of the sending; replaces what an earlier request said of it.
@@ -152,25 +152,26 @@
     std::string machine;
     bool tasks_known = false;  // it holds no others than `tasks`; otherwise anything may be on it
     bool deleted = false;
-    std::uint64_t agent_epoch = 0, sequence = 0;  // of the last heartbeat that the leader received
+    AgentEpoch agent_epoch;
+    SequenceNumber sequence;  // of the last heartbeat that the leader received
     std::vector<ReplicatedTask> tasks;
     MSGPACK_DEFINE(machine, tasks_known, deleted, agent_epoch, sequence, tasks)
 };
 // From the leader to a follower: machines that have changed, or a part of a snapshot of all.
 struct ReplicationRequest {
-    std::uint64_t leader_version = 0;
+    LeaderVersion leader_version;
     std::uint64_t sequence_number = 0;  // grows; a lower one that comes later is rejected
     std::vector<ReplicatedMachine> rows;
     // The leadership whose snapshot the replica began from that these rows continue; 0: they begin a new one.
-    std::uint64_t base_version = 0;
+    LeaderVersion base_version;
     bool snapshot_complete = false;  // with this request the follower has all machines
     MSGPACK_DEFINE(leader_version, sequence_number, rows, base_version, snapshot_complete)
 };
 // The follower's response to a ReplicationRequest.
 struct ReplicationResponse {
     bool applied = false;
-    std::uint64_t incarnation = 0;   // of the process that applied it: another one has no replica
-    std::uint64_t base_version = 0;  // of its replica; 0: it has none, or is of a version that does not say
+    Incarnation incarnation;     // of the process that applied it: another one has no replica
+    LeaderVersion base_version;  // of its replica; 0: it has none, or is of a version that does not say
     MSGPACK_DEFINE(applied, incarnation, base_version)
 };
 
