--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -136,7 +136,7 @@
     if (path == paths::report) {
         if (check_method("POST")) heartbeats_.accept(std::move(request.body), std::move(reply));
     } else if (path.starts_with(paths::jobs)) {
-        users_.serve(request, std::move(reply));
+        users_.serve(request, reply);
     } else if (path == paths::health) {
         if (check_method("GET")) reply({healthy() ? 200 : 503, "{}"});
     } else if (path == paths::metrics) {
@@ -146,14 +146,14 @@
     }
 }
 
-void Controller::serve_peer(http::Request request, http::Reply reply) {
-    peer_messages_.serve(request, std::move(reply));
+void Controller::serve_peer(const http::Request& request, const http::Reply& reply) {
+    peer_messages_.serve(request, reply);
 }
 
 // --- For the user API -----------------------------------------------------------------------------------
 
 void Controller::task_counts(const std::string& id, TaskCountsCallback done) {
-    task_counts_.query(id, std::move(done));
+    task_counts_.query(id, done);
 }
 
 // The other controllers are notified also if this one leads: its lease may have expired without its knowing.
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -43,7 +43,7 @@
     // A request of a user, worker, load balancer or Prometheus. `reply` is called at once or later.
     void serve(http::Request request, http::Reply reply);
     // A request of another controller.
-    void serve_peer(http::Request request, http::Reply reply);
+    void serve_peer(const http::Request& request, const http::Reply& reply);
 
     // To be reported in metrics and in the log; `sockets` must outlive the controller.
     void watch_sockets(const http::SocketBudget& sockets);
--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -27,7 +27,7 @@
     else if (!unable_since_)
         unable_since_ = timers_.now();
     kv_.get(kv::keys::leader, kv::RequestPriority::lease,
-            [this](kv::GetResult result) { kv_has_answered_ |= result.ok(); });
+            [this](const kv::GetResult& result) { kv_has_answered_ |= result.ok(); });
 }
 
 }  // namespace coralhitch::controller
--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -56,7 +56,7 @@
     protocol::Txn txn;
     txn.conditions = {{kv::keys::leader, election_.fencing_token()}};
     txn.changes = {{kv::keys::types, value, 0}};
-    kv_.txn(std::move(txn), kv::RequestPriority::background, [this, value](kv::TxnResult result) {
+    kv_.txn(std::move(txn), kv::RequestPriority::background, [this, value](const kv::TxnResult& result) {
         if (result.status == kv::TxnResult::Status::committed) stored_value_ = value;
     });
 }
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -1,10 +1,11 @@
 // The `coralhitch` process: reads its command line and settings, builds the network, the planner and one
 // controller, and runs the event loop until the process is killed.
-#include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
+#include <csignal>
+#include <cstdio>
 #include <cstdlib>
 #include <iostream>
 #include <random>
@@ -16,8 +17,8 @@
 #include "http/server.hpp"
 #include "http/socket_budget.hpp"
 
+namespace coralhitch {
 namespace {
-using namespace coralhitch;
 
 // In heartbeat periods, from which workers differ by a quarter: after the first a worker that has not sent a
 // heartbeat has gone to another controller or hangs, after the second its connection is closed in any case.
@@ -94,7 +95,7 @@
 
 // Does not return while the process lives; throws if an address can't be bound.
 void run_controller(const config::Settings& settings) {
-    ::signal(SIGPIPE, SIG_IGN);  // a peer that closed its connection is an error of that connection alone
+    std::signal(SIGPIPE, SIG_IGN);  // a peer that closed its connection is an error of that connection alone
     event_loop::EventLoop loop;
     http::SocketBudget sockets(static_cast<std::size_t>(settings.sockets * http::usable_sockets),
                                http::controller_shares);
@@ -129,9 +130,8 @@
         run_controller(settings);
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+// The process's exit status.
+int run_command_line(int argc, char** argv) {
     CLI::App app("coralhitch: a cluster scheduler");
     CommandLine command_line;
     app.add_option("--config", command_line.settings_file, "the platform's settings (TOML)")->required();
@@ -141,11 +141,18 @@
     app.set_version_flag("--version", std::string(controller::version));
     CLI11_PARSE(app, argc, argv);
     set_up_log();
+    run(command_line);
+    return 0;
+}
+
+}  // namespace
+}  // namespace coralhitch
+
+int main(int argc, char** argv) {
     try {
-        run(command_line);
-        return 0;
+        return coralhitch::run_command_line(argc, argv);
     } catch (const std::exception& error) {
-        std::cerr << "coralhitch: " << error.what() << "\n";
+        std::fprintf(stderr, "coralhitch: %s\n", error.what());
         return 1;
     }
 }
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -25,7 +25,7 @@
     handle(std::move(*message));
 }
 
-void PeerMessageHandler::serve(const http::Request& request, http::Reply reply) {
+void PeerMessageHandler::serve(const http::Request& request, const http::Reply& reply) {
     if (request.method != "POST") return reply({405, {}});
     if (request.target == protocol::peer_ping_path) {
         with_message<protocol::PeerPing>(request, reply, [&](protocol::PeerPing ping) {
@@ -57,8 +57,9 @@
     }
 }
 
-void PeerMessageHandler::relay_heartbeats(const protocol::PeerRelay& message, http::Reply reply) const {
-    if (dependencies_.leader) return dependencies_.leader->relay(message, std::move(reply));
+void PeerMessageHandler::relay_heartbeats(const protocol::PeerRelay& message,
+                                          const http::Reply& reply) const {
+    if (dependencies_.leader) return dependencies_.leader->relay(message, reply);
     reply_packed(reply, protocol::PeerRelayAnswer{});
 }
 
--- a/src/controller/peer_message_handler.hpp
+++ b/src/controller/peer_message_handler.hpp
@@ -33,13 +33,14 @@
   public:
     explicit PeerMessageHandler(PeerMessageHandlerDependencies dependencies) : dependencies_(dependencies) {}
 
-    void serve(const http::Request& request, http::Reply reply);
+    // A request of another controller; answered at once.
+    void serve(const http::Request& request, const http::Reply& reply);
 
   private:
     // Reads the body as a Message and hands it on; answers 400 if it is none.
     template <class Message, class Handle>
     static void with_message(const http::Request& request, const http::Reply& reply, Handle handle);
-    void relay_heartbeats(const protocol::PeerRelay& message, http::Reply reply) const;
+    void relay_heartbeats(const protocol::PeerRelay& message, const http::Reply& reply) const;
     void replicate(const http::Request& request, const http::Reply& reply);
     [[nodiscard]] protocol::PeerCancelledAnswer take_cancellations(
         const protocol::PeerCancelledAgain& message) const;
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 PeerMonitor::PeerMonitor(PeerMonitorDependencies dependencies, TaskCountsReceived task_counts_received)
-    : dependencies_(std::move(dependencies)), task_counts_received_(std::move(task_counts_received)) {
+    : dependencies_(dependencies), task_counts_received_(std::move(task_counts_received)) {
     for (auto& peer : dependencies_.settings.peers) peers_[peer.label].config = peer;
 }
 
@@ -62,7 +62,7 @@
     for (auto& [label, peer] : peers_)
         dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_images_path, body),
                                 dependencies_.settings.report_s * ping_interval_periods,
-                                [](std::optional<http::Response>) {});
+                                [](const std::optional<http::Response>&) {});
 }
 
 protocol::PeerPing PeerMonitor::own_ping(bool brief) const {
--- a/src/controller/task_count_service.cpp
+++ b/src/controller/task_count_service.cpp
@@ -21,14 +21,14 @@
     return received_at_ && timers_.now() - *received_at_ < settings_.report_s * recent_periods;
 }
 
-void TaskCountService::query(const std::string& job, Done done) const {
+void TaskCountService::query(const std::string& job, const Done& done) const {
     if (leader_) return done(leader_->counts(job));
-    if (!is_recent()) return ask_leader(job, std::move(done));
+    if (!is_recent()) return ask_leader(job, done);
     auto it = counts_.find(job);
     done(it == counts_.end() ? api::TaskCounts{} : it->second);
 }
 
-void TaskCountService::ask_leader(const std::string& job, Done done) const {
+void TaskCountService::ask_leader(const std::string& job, const Done& done) const {
     auto* peer = peers_.leading_peer();
     if (!peer) return done(std::nullopt);
     auto body = protocol::pack_peer(protocol::PeerJobQuery{job});
--- a/src/controller/task_count_service.hpp
+++ b/src/controller/task_count_service.hpp
@@ -31,13 +31,13 @@
     // All live jobs' counts, as the leader says them now.
     void set_all(const std::vector<protocol::PeerCount>& counts);
     // Calls `done` at once or when the leader has answered.
-    void query(const std::string& job, Done done) const;
+    void query(const std::string& job, const Done& done) const;
     // The answer to another controller's query; unknown if this controller does not lead.
     [[nodiscard]] protocol::PeerJobCounts answer_peer(const protocol::PeerJobQuery& query) const;
 
   private:
     [[nodiscard]] bool is_recent() const;
-    void ask_leader(const std::string& job, Done done) const;
+    void ask_leader(const std::string& job, const Done& done) const;
 
     const event_loop::Timers& timers_;
     http::Requester& http_;
--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -24,10 +24,10 @@
 
 // --- Forwarding -----------------------------------------------------------------------------------------
 
-void UserRouter::serve(const http::Request& request, http::Reply reply) {
+void UserRouter::serve(const http::Request& request, const http::Reply& reply) {
     if (auto* peer = peer_to_forward_to(request)) {
         const http::Response fallback{503, "{}", "application/json", 1};
-        return forward(request, peer->config, fallback, std::move(reply));
+        return forward(request, peer->config, fallback, reply);
     }
     serve_here(request, [this, request, reply](http::Response response) {
         // The key-value store may have become unreachable while the request waited for it.
@@ -47,7 +47,7 @@
 
 // `fallback`: answered if the peer does not.
 void UserRouter::forward(const http::Request& request, const config::Peer& peer, http::Response fallback,
-                         http::Reply reply) {
+                         const http::Reply& reply) {
     auto body = protocol::pack_peer(protocol::PeerUserRequest{request.method, request.target, request.body});
     dependencies_.http.send(
         peer.addr, msgpack_request(protocol::peer_user_path, std::move(body)),
@@ -60,7 +60,7 @@
         });
 }
 
-void UserRouter::serve_forwarded(const protocol::PeerUserRequest& forwarded, http::Reply reply) {
+void UserRouter::serve_forwarded(const protocol::PeerUserRequest& forwarded, const http::Reply& reply) {
     serve_here({forwarded.method, forwarded.target, forwarded.body}, [reply](http::Response response) {
         protocol::PeerUserAnswer answer{response.status, std::move(response.body), response.retry_after_s};
         reply(msgpack_response(protocol::pack_peer(answer)));
@@ -75,7 +75,7 @@
     std::string rest = path.substr(paths::jobs.size());
     if (rest.empty()) {
         if (request.method != "POST") return refuse(reply, 405, "wrong method");
-        return submit(request, std::move(reply));
+        return submit(request, reply);
     }
     if (rest[0] != '/') return refuse(reply, 404, "no such path");
     rest.erase(0, 1);
@@ -89,7 +89,7 @@
     dependencies_.user_api.query(rest, counted("query", std::move(reply)));
 }
 
-void UserRouter::submit(const http::Request& request, http::Reply reply) {
+void UserRouter::submit(const http::Request& request, const http::Reply& reply) {
     const double started_at = dependencies_.timers.now();
     dependencies_.user_api.submit(request.body, [this, started_at, reply](http::Response response) {
         dependencies_.metrics.observe_submission(dependencies_.timers.now() - started_at);
--- a/src/controller/user_router.hpp
+++ b/src/controller/user_router.hpp
@@ -38,18 +38,18 @@
 
     // A user's request under protocol::paths::jobs. Answered here, or by a peer if this controller is cut
     // off.
-    void serve(const http::Request& request, http::Reply reply);
+    void serve(const http::Request& request, const http::Reply& reply);
     // A request that a peer forwarded. Never forwarded again: two controllers must not send a request back
     // and forth.
-    void serve_forwarded(const protocol::PeerUserRequest& forwarded, http::Reply reply);
+    void serve_forwarded(const protocol::PeerUserRequest& forwarded, const http::Reply& reply);
 
   private:
     void serve_here(const http::Request& request, http::Reply reply);
-    void submit(const http::Request& request, http::Reply reply);
+    void submit(const http::Request& request, const http::Reply& reply);
     [[nodiscard]] http::Reply counted(const char* route, http::Reply reply);
     [[nodiscard]] const PeerMonitor::Peer* peer_to_forward_to(const http::Request& request) const;
     void forward(const http::Request& request, const config::Peer& peer, http::Response fallback,
-                 http::Reply reply);
+                 const http::Reply& reply);
 
     UserRouterDependencies dependencies_;
 };
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -161,7 +161,7 @@
         settings_.report_s * (request == Request::probe ? probe_timeout_reports : command_timeout_reports);
     http_.send(machine.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
                guarded_([this, sent = std::move(sent), request,
-                         sent_at = now()](std::optional<http::Response> response) {
+                         sent_at = now()](const std::optional<http::Response>& response) {
                    if (response) reconciliation_.record_answer(now() - sent_at, now());
                    if (request == Request::probe) {
                        --probes_in_flight_;
--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -22,7 +22,7 @@
         if (in_flight_.size() >= max_in_flight) return;
         if (tried_.contains(id) || !in_flight_.insert(id).second) continue;
         kv_.get(kv::keys::final(id), kv::RequestPriority::write,
-                guarded_([this, id](kv::GetResult result) { answered(id, result); }));
+                guarded_([this, id](const kv::GetResult& result) { answered(id, result); }));
     }
 }
 
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -64,7 +64,7 @@
     auto& pool = state_.cluster.pools()[request.pool];
     cloud_.create_machines(
         {name, pool.type, pool.zone, pool.spot, request.count},
-        guarded_([this, name](cloud::CreateMachinesResult result) { answered(name, result); }));
+        guarded_([this, name](const cloud::CreateMachinesResult& result) { answered(name, result); }));
 }
 
 void FleetScaler::answered(const std::string& name, const cloud::CreateMachinesResult& result) {
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -97,7 +97,7 @@
         transaction.changes.push_back({keys::job(id), std::nullopt, 0});
     }
     ++ends_in_flight(state);
-    kv_.txn(std::move(transaction), priority, guarded_([this, ids, state](TxnResult result) {
+    kv_.txn(std::move(transaction), priority, guarded_([this, ids, state](const TxnResult& result) {
                 --ends_in_flight(state);
                 ends_answered(ids, state, result);
                 bool committed = result.status == TxnResult::Status::committed;
@@ -174,7 +174,8 @@
             {std::move(key),
              state_.jobs.progress_layout().encode(job.done, block, kv_.limits().value_bytes()), 0});
     }
-    kv_.txn(std::move(transaction), RequestPriority::write, guarded_([this, id, written](TxnResult result) {
+    kv_.txn(std::move(transaction), RequestPriority::write,
+            guarded_([this, id, written](const TxnResult& result) {
                 if (result.status != TxnResult::Status::committed) return write_failed(id, result);
                 progress_stored(id, written, result.revision);
             }));
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -108,7 +108,7 @@
     auditing_ = true;
     state_.jobs.set_list_in_progress(true);
     last_audit_ = timers_.now();
-    kv_.list(keys::jobs, RequestPriority::background, guarded_([this](kv::ListResult stored) {
+    kv_.list(keys::jobs, RequestPriority::background, guarded_([this](const kv::ListResult& stored) {
                  auditing_ = false;
                  state_.jobs.set_list_in_progress(false);
                  if (stored.ok()) compare(stored);
