--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -15,6 +15,7 @@
 #include "leader/command_sender.hpp"
 #include "leader/leader_part.hpp"
 #include "leader/machine_deletion.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -14,6 +14,7 @@
 #include "leader/leader_part.hpp"
 #include "leader/stale_key_remover.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -40,8 +40,8 @@
     return parts_.recovery.loaded() ? task_counts(parts_.state, id) : std::nullopt;
 }
 
-std::vector<protocol::PeerCount> Leader::all_counts() {
-    return parts_.recovery.loaded() ? all_task_counts(parts_.state) : std::vector<protocol::PeerCount>{};
+std::vector<protocol::PeerTaskCounts> Leader::all_counts() {
+    return parts_.recovery.loaded() ? all_task_counts(parts_.state) : std::vector<protocol::PeerTaskCounts>{};
 }
 
 // Whether it has resigned: a later leadership's fencing tokens begin above all of this one's.
@@ -56,7 +56,7 @@
 void Leader::tick() {
     if (parts_.authority.ended()) return;
     auto& timers = parts_.dependencies.timers;
-    double interval_s = parts_.dependencies.settings.report_s * tick_reports;
+    double interval_s = parts_.dependencies.settings.heartbeat_interval_s * tick_reports;
     tick_timer_ = timers.after(interval_s, parts_.guarded([this] { tick(); }));
     parts_.heartbeats.begin_tick();
     parts_.dependency_resolver.retry();
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -58,7 +58,7 @@
     // Used by several of the others
     cluster::TeamActivity team_activity;
     membership::FailureDetector failure_detector;
-    failover::Reconciliation reconciliation{state.cluster, dependencies.settings.report_s};
+    failover::Reconciliation reconciliation{state.cluster, dependencies.settings.heartbeat_interval_s};
     Delegations delegations{state.cluster};
     AttemptNumbers attempts;
     StaleKeyRemover stale_keys{context, dependencies.kv};
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -14,6 +14,7 @@
 #include "kv/kv_client.hpp"
 #include "leader/leader_part.hpp"
 #include "machine_registry/machine_registry.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -23,6 +23,7 @@
 #include "leader/leader_part.hpp"
 #include "leader/planner.hpp"
 #include "metrics/metrics.hpp"
+#include "protocol/model.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace coralhitch::leader {
