--- a/tests/leader/machine_supervisor_test.cpp
+++ b/tests/leader/machine_supervisor_test.cpp
@@ -128,6 +128,7 @@
 TEST(MachineSupervisor, EvictsNothingWhileItMayBeTheLeaderThatIsIsolated) {
     Bench bench;
     std::vector<Machine*> machines;
+    machines.reserve(20);
     for (int k = 0; k < 20; ++k) machines.push_back(&bench.add_reconciled_machine("vm-" + std::to_string(k)));
     bench.add_start("j-1", *machines[0]);
     double silent_since = bench.timers.now();
