--- a/tests/leader/heartbeat_handler_test.cpp
+++ b/tests/leader/heartbeat_handler_test.cpp
@@ -5,6 +5,8 @@
 #include <gtest/gtest.h>
 
 #include "leader/recovery_fixture.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace coralhitch::leader {
 namespace {
@@ -17,7 +19,7 @@
 
 config::Settings settings_without_replication() {
     auto settings = LeadingFixture::settings_of_one();
-    settings.op.standby = false;
+    settings.op.replicate_starts = false;
     return settings;
 }
 
@@ -47,21 +49,21 @@
         return response;
     }
     // A message of a relay that carries this heartbeat.
-    protocol::PeerRelay relayed(const nlohmann::json& status) {
-        protocol::PeerRelay message;
+    protocol::RelayRequest relayed(const nlohmann::json& status) {
+        protocol::RelayRequest message;
         message.label = relay_label;
         message.incarnation = 1;
         message.leader_version = authority->fencing_token();
         message.number = ++relay_messages;
-        message.reports = {status.dump()};
+        message.heartbeats = {status.dump()};
         return message;
     }
-    protocol::PeerRelayAnswer answer_to(const protocol::PeerRelay& message) {
+    protocol::RelayResponse answer_to(const protocol::RelayRequest& message) {
         http::Response response;
         heartbeats().handle_relayed(message, [&](http::Response given) { response = std::move(given); });
-        auto relay_answer = protocol::unpack_peer<protocol::PeerRelayAnswer>(response.body);
+        auto relay_answer = protocol::unpack_peer<protocol::RelayResponse>(response.body);
         EXPECT_TRUE(relay_answer);
-        return relay_answer.value_or(protocol::PeerRelayAnswer{});
+        return relay_answer.value_or(protocol::RelayResponse{});
     }
     std::uint64_t rejected(HeartbeatRejection reason) const { return rejections.count(reason); }
 
@@ -242,11 +244,11 @@
     bench.lose_authority();
     bench.timers.run_until(bench.authority->lease_renewal_deadline() - 1);
     auto relay_answer = bench.answer_to(bench.relayed(status_of(bench.machine, 2)));
-    ASSERT_THAT(relay_answer.answers, SizeIs(1));
-    EXPECT_EQ(relay_answer.answers[0].status, 200);
+    ASSERT_THAT(relay_answer.replies, SizeIs(1));
+    EXPECT_EQ(relay_answer.replies[0].status, 200);
     EXPECT_EQ(bench.delegations.count(), 1u);
-    EXPECT_LE(relay_answer.grant_ms, 1000u);
-    double granted_until = bench.timers.now() + static_cast<double>(relay_answer.grant_ms) / 1000;
+    EXPECT_LE(relay_answer.delegation_ms, 1000u);
+    double granted_until = bench.timers.now() + static_cast<double>(relay_answer.delegation_ms) / 1000;
     EXPECT_GE(bench.delegations.last_possible_renewal(bench.machine), granted_until);
 }
 
@@ -257,8 +259,8 @@
     auto status = status_of(bench.machine, 2);
     status["shards"] = {running_task("j-1", first_attempt)};
     auto relay_answer = bench.answer_to(bench.relayed(status));
-    ASSERT_THAT(relay_answer.answers, SizeIs(1));
-    EXPECT_THAT(verbs(relay_answer.answers[0].body), ElementsAre("kill"));
+    ASSERT_THAT(relay_answer.replies, SizeIs(1));
+    EXPECT_THAT(verbs(relay_answer.replies[0].body), ElementsAre("kill"));
     EXPECT_EQ(bench.delegations.count(), 0u);
 }
 
@@ -267,8 +269,8 @@
     auto message = bench.relayed(status_of(bench.machine, 2));
     ++message.leader_version;
     auto relay_answer = bench.answer_to(message);
-    EXPECT_FALSE(relay_answer.leads);
-    EXPECT_THAT(relay_answer.answers, IsEmpty());
+    EXPECT_FALSE(relay_answer.is_leader);
+    EXPECT_THAT(relay_answer.replies, IsEmpty());
     EXPECT_EQ(bench.machine.sequence, 1u);
 }
 
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -9,6 +9,8 @@
 
 #include "kv/keys.hpp"
 #include "leader/part_context.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/test_settings.hpp"
 
@@ -35,7 +37,7 @@
 
 struct LeadingFixture {
     static config::Settings settings_of_one() {
-        auto settings = settings_of({.report_s = 3, .lease_s = 30, .cancel_s = 60});
+        auto settings = settings_of({.heartbeat_interval_s = 3, .lease_s = 30, .cancel_s = 60});
         settings.label = "controller-0";
         settings.cloud_addr = "cloud";
         settings.cloud_rps = 10;
@@ -61,13 +63,13 @@
                             std::vector<std::string> awaits = {}) {
         protocol::JobRecord record;
         record.job.id = id;
-        record.job.cls = "batch";
+        record.job.job_class = "batch";
         record.job.team = "t";
         record.job.image = "img";
         record.job.request = {1, 0, 1};
         record.job.tasks = tasks;
-        record.job.estimate_s = 10;
-        record.job.awaits = std::move(awaits);
+        record.job.estimated_run_s = 10;
+        record.job.dependencies = std::move(awaits);
         service.kv[kv::keys::job(id)] = {nlohmann::json::parse(protocol::stored(record)), ++service.revision};
         state->jobs.put(id, service.revision, record);
         return *state->jobs.find(id);
--- a/tests/leader/machine_deletion_test.cpp
+++ b/tests/leader/machine_deletion_test.cpp
@@ -93,7 +93,7 @@
         EXPECT_TRUE(bench.machine.tasks.contains({"j-1", 0})) << "no answer is no proof";
         bench.deletion.delete_marked();
         EXPECT_EQ(bench.requested(), 0u);
-        bench.wait(bench.settings.report_s / 3);
+        bench.wait(bench.settings.heartbeat_interval_s / 3);
         bench.deletion.delete_marked();
         EXPECT_EQ(bench.requested(), 1u);
     }
--- a/tests/leader/parts_fixture.hpp
+++ b/tests/leader/parts_fixture.hpp
@@ -12,6 +12,7 @@
 #include "leader/machine_deletion.hpp"
 #include "leader/machine_store.hpp"
 #include "membership/failure_detector.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 
@@ -120,9 +121,10 @@
     int deletions_answered = 0, plans = 0;
 
     metrics::Metrics metrics;
-    membership::FailureDetector failure_detector{
-        {settings.report_s, settings.lease_s, settings.op.silence_reports, settings.peers.size()}};
-    failover::Reconciliation reconciliation{state->cluster, settings.report_s};
+    membership::FailureDetector failure_detector{{settings.heartbeat_interval_s, settings.lease_s,
+                                                  settings.op.suspicion_timeout_periods,
+                                                  settings.peers.size()}};
+    failover::Reconciliation reconciliation{state->cluster, settings.heartbeat_interval_s};
     Delegations delegations{state->cluster};
     cluster::TeamActivity team_activity;
     InstanceTracker instances{*context, metrics, team_activity, [this](Machine& machine, const char* reason) {
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -7,6 +7,10 @@
 
 #include "leader/parts_fixture.hpp"
 #include "leader/recovery.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/model.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 
--- a/tests/leader/recovery_test.cpp
+++ b/tests/leader/recovery_test.cpp
@@ -5,6 +5,8 @@
 #include <gtest/gtest.h>
 
 #include "leader/recovery_fixture.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 
 namespace coralhitch::leader {
 namespace {
@@ -18,9 +20,10 @@
     // This controller follows a previous leader whose replica it has and whose record names it.
     void follow_previous_leader() {
         constexpr std::uint64_t previous_version = 2;
-        protocol::StandbyRecord record{previous_version,
-                                       {{settings.label, own_incarnation, previous_version}}};
-        service.kv[kv::keys::standby] = {nlohmann::json::parse(protocol::stored(record)), ++service.revision};
+        protocol::InSyncReplicas record{previous_version,
+                                        {{settings.label, own_incarnation, previous_version}}};
+        service.kv[kv::keys::in_sync_replicas] = {nlohmann::json::parse(protocol::stored(record)),
+                                                  ++service.revision};
         history.leaderships = {{previous_version, true}};
         history.known_until_revision = previous_version;
         replica.leader_version = replica.base_version = previous_version;
@@ -99,9 +102,9 @@
     bench.add_job("j-1", 1);
     bench.store_machine("vm-1");
     bench.follow_previous_leader();
-    auto another_process = bench.service.kv[kv::keys::standby].value;
+    auto another_process = bench.service.kv[kv::keys::in_sync_replicas].value;
     another_process["members"][0]["incarnation"] = 76;
-    bench.service.kv[kv::keys::standby].value = another_process;
+    bench.service.kv[kv::keys::in_sync_replicas].value = another_process;
     bench.replicate_task("vm-1", "j-1");
     bench.recover();
     ASSERT_EQ(bench.inherits, false);
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -5,6 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "leader/parts_fixture.hpp"
+#include "protocol/peer_messages.hpp"
 #include "replication/follower.hpp"
 
 namespace coralhitch::leader {
@@ -19,7 +20,7 @@
 config::Settings settings_with_follower(bool replicates_starts) {
     auto settings = LeadingFixture::settings_of_one();
     settings.peers = {{follower_label, "b", follower_addr}};
-    settings.op.standby = replicates_starts;
+    settings.op.replicate_starts = replicates_starts;
     return settings;
 }
 
@@ -50,7 +51,7 @@
     // The follower takes in the batch that waits for its answer.
     void acknowledge() {
         ASSERT_TRUE(batch_waits());
-        auto batch = protocol::unpack_peer<protocol::PeerFleet>(sent.front().request.body);
+        auto batch = protocol::unpack_peer<protocol::ReplicationRequest>(sent.front().request.body);
         ASSERT_TRUE(batch);
         answer(http::Response{200, protocol::pack_peer(follower.apply(std::move(*batch)))});
     }
@@ -106,7 +107,7 @@
     bench.wait(0.5);
     EXPECT_THAT(bench.started_on(), IsEmpty()) << "whom it names would believe to know all starts";
     bench.wait(10);
-    ASSERT_TRUE(bench.service.kv.contains(kv::keys::standby));
+    ASSERT_TRUE(bench.service.kv.contains(kv::keys::in_sync_replicas));
     EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
 }
 
@@ -115,12 +116,12 @@
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.begin_in_sync();
     bench.start("j-1", machine);
-    bench.wait(bench.settings.report_s / 5 + 0.01);
+    bench.wait(bench.settings.heartbeat_interval_s / 5 + 0.01);
     bench.ping.features = 0;
     bench.answer(std::nullopt);
     EXPECT_THAT(bench.started_on(), IsEmpty()) << "the record still names it";
     bench.wait(1);
-    EXPECT_EQ(bench.service.kv[kv::keys::standby].value["members"].size(), 0u);
+    EXPECT_EQ(bench.service.kv[kv::keys::in_sync_replicas].value["members"].size(), 0u);
     EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
 }
 
