--- a/scale/load/gang_coordinator.cpp
+++ b/scale/load/gang_coordinator.cpp
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "protocol/model.hpp"
 #include "scale/process/control_server.hpp"
 
 namespace coralhitch::scale {
--- a/scale/load/load_generator.cpp
+++ b/scale/load/load_generator.cpp
@@ -64,7 +64,7 @@
     job.image = "img-" + std::to_string(random_() % load.images);
     job.image_gb = load.image_gb;
     job.spot = true;
-    job.cls = class_of(kind);
+    job.job_class = class_of(kind);
     return job;
 }
 
@@ -103,13 +103,13 @@
     }
     if (share(random_) < load.urgent_share) {
         arrival.job.priority = protocol::Priority::production;
-        arrival.job.cls = "urgent";
+        arrival.job.job_class = "urgent";
     } else if (!is_gang && load.tight_cpus > 0 && random_() % (load.teams + 1) == 0) {
         arrival.job.team = "team-tight";
-        arrival.job.cls = "tight";
+        arrival.job.job_class = "tight";
     }
     arrival.spec.run_s = experiment_.turnover_run_s();
-    arrival.job.estimate_s = arrival.spec.run_s;
+    arrival.job.estimated_run_s = arrival.spec.run_s;
     arrival.to_be_cancelled = share(random_) < load.cancel_share;
     submit(std::move(arrival));
 }
@@ -121,7 +121,7 @@
     job.spec.image = job.job.image;
     job.spec.image_gb = job.job.image_gb;
     job.phase = phase_;
-    job.job_class = job.job.cls;
+    job.job_class = job.job.job_class;
     client_.submit(std::move(job));
 }
 
--- a/scale/load/worker_event_handler.cpp
+++ b/scale/load/worker_event_handler.cpp
@@ -1,5 +1,7 @@
 #include "scale/load/worker_event_handler.hpp"
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::scale {
 
 WorkerEventHandler::WorkerEventHandler(event_loop::EventLoop& loop, http::Client& http,
--- a/scale/protocol/json_object.hpp
+++ b/scale/protocol/json_object.hpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-#include "protocol/protocol.hpp"
+#include "protocol/malformed.hpp"
 
 namespace coralhitch::scale::messages {
 
--- a/scale/protocol/kv_messages.hpp
+++ b/scale/protocol/kv_messages.hpp
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <vector>
 
-#include "protocol/protocol.hpp"
+#include "protocol/kv_api.hpp"
 
 namespace coralhitch::scale::messages {
 
--- a/scale/protocol/user_messages.hpp
+++ b/scale/protocol/user_messages.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <string_view>
 
-#include "protocol/protocol.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::scale::messages {
 
--- a/scale/protocol/worker_messages.cpp
+++ b/scale/protocol/worker_messages.cpp
@@ -1,5 +1,6 @@
 #include "scale/protocol/worker_messages.hpp"
 
+#include "protocol/malformed.hpp"
 #include "protocol/names.hpp"
 #include "scale/protocol/json_object.hpp"
 
@@ -50,7 +51,7 @@
     if (!object.contains("orders")) return orders;
     for (auto& order : object["orders"]) {
         protocol::Command command;
-        command.op = protocol::named(protocol::op_names, order.value("verb", ""), "verb");
+        command.kind = protocol::named(protocol::command_names, order.value("verb", ""), "verb");
         command.task = parse_task_id(order.value("shard", ""));
         command.attempt = order.value("launch", std::uint64_t{0});
         command.grace_s = order.value("slack_s", 0.0);
--- a/scale/runner/cluster_processes.cpp
+++ b/scale/runner/cluster_processes.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <fstream>
 
-#include "protocol/protocol.hpp"
+#include "protocol/user_api.hpp"
 #include "scale/config/controller_settings.hpp"
 #include "scale/process/control_server.hpp"
 
--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <string_view>
 
-#include "protocol/protocol.hpp"
+#include "protocol/agent_api.hpp"
 #include "scale/protocol/message_sizes.hpp"
 #include "scale/protocol/worker_messages.hpp"
 
@@ -76,13 +76,13 @@
     double now = context_.loop().now();
     auto controller = experiment.controller_addr(controller_);
     auto heartbeat = agent_.next_heartbeat();
-    http::Request request{"POST", std::string(protocol::paths::report), std::move(heartbeat.body)};
+    http::Request request{"POST", std::string(protocol::paths::heartbeat), std::move(heartbeat.body)};
     count_sent(request.body, request_bytes(controller, request));
     last_body_ = request.body;
     in_flight_ = true;
     status_changed_ = false;
     last_sent_ = now;
-    regular_due_ = now + experiment.worker.report_s *
+    regular_due_ = now + experiment.worker.heartbeat_interval_s *
                              draw_uniform(context_.random(), 1 - interval_spread, 1 + interval_spread);
     // Its own timeout, since the lease may expire while an answer is awaited.
     client_.send(controller, std::move(request), protocol::heartbeat_timeout_s,
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "protocol/agent_api.hpp"
 #include "scale/protocol/message_sizes.hpp"
 #include "scale/protocol/worker_messages.hpp"
 
@@ -113,7 +114,7 @@
     context_.counts().commands += commands.size();
     for (auto& command : commands) {
         TaskAttempt attempt{command.task, command.attempt};
-        switch (command.op) {
+        switch (command.kind) {
             case protocol::CommandKind::start:
                 tasks_.start(attempt);
                 break;
--- a/scale/workers/worker_process.cpp
+++ b/scale/workers/worker_process.cpp
@@ -7,6 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
+#include "protocol/model.hpp"
 #include "scale/process/control_server.hpp"
 #include "scale/process/process_roles.hpp"
 #include "scale/process/timer_lateness.hpp"
