--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -68,6 +68,7 @@
     if (outcome == StartOutcome::no_room) return;
     check_place(now, *job, observations_.place_of(machine), task.str());
     observations_.add_task(*job, task.index, machine);
+    if (job->cancelled_at) cancelled_.insert(task.job);  // the next look sees it, whatever the last one saw
 }
 void Checker::ended(double, const std::string& machine, const protocol::TaskId& task,
                     protocol::ExitCause cause) {
