--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -81,7 +81,7 @@
     cluster.start_cloud_outage(options.lease_s * 3);
     cluster.at(from + 4, [&cluster] { cluster.cancel("j-2"); });
     std::size_t kept_by_leader = 0;
-    cluster.at(from + options.lease_s + options.report_s * 1.5,
+    cluster.at(from + options.lease_s + options.heartbeat_interval_s * 1.5,
                [&] { kept_by_leader = on_machines(cluster, "j-1", "b"); });
     cluster.run_until(from + options.lease_s * 3);
     // Nobody but these was to lose anything.
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -2,6 +2,8 @@
 #include <algorithm>
 
 #include "controller/controller.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/peer_messages.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -64,7 +66,7 @@
 void SimulatedCluster::copy_sometimes(const std::string& from, const std::string& to,
                                       const http::Request& request) {
     constexpr std::size_t most_kept = 200;
-    bool heartbeat = request.target == protocol::paths::report;
+    bool heartbeat = request.target == protocol::paths::heartbeat;
     if (now() < duplicates_until_ && random_() % 4 == 0) {
         double late = std::uniform_real_distribution<double>(0.05, duplicates_max_delay_s_)(random_);
         auto receiver = heartbeat ? addr_of(random_() % 3) : to;
@@ -128,7 +130,7 @@
     }
     if (to == node.settings.peer_listen)
         return node.controller->serve_peer(std::move(request), std::move(reply));
-    if (request.target == protocol::paths::report)
+    if (request.target == protocol::paths::heartbeat)
         return process_in_turn(node, [&node, request, reply] { node.controller->serve(request, reply); });
     node.controller->serve(std::move(request), std::move(reply));
 }
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -1,6 +1,7 @@
 // The workers.
 #include <algorithm>
 
+#include "protocol/model.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
@@ -15,7 +16,7 @@
 protocol::ExitCause parse_cause(const std::string& cause) {
     if (cause == "done") return protocol::ExitCause::done;
     if (cause == "halted") return protocol::ExitCause::stopped;
-    return cause == "incomplete" ? protocol::ExitCause::alone : protocol::ExitCause::error;
+    return cause == "incomplete" ? protocol::ExitCause::gang_incomplete : protocol::ExitCause::error;
 }
 }  // namespace
 
@@ -121,7 +122,7 @@
         if (higher) return send_heartbeats_after(worker, new_leader_s);
     }
     double jitter = std::uniform_real_distribution<double>(0.75, 1.25)(random_);
-    send_heartbeats_after(worker, options_.report_s * jitter);
+    send_heartbeats_after(worker, options_.heartbeat_interval_s * jitter);
 }
 http::Response SimulatedCluster::serve_command(Worker& worker, const http::Request& request) {
     check_lease(worker);
