--- a/scale/protocol/worker_messages.cpp
+++ b/scale/protocol/worker_messages.cpp
@@ -2,6 +2,7 @@
 
 #include "protocol/malformed.hpp"
 #include "protocol/names.hpp"
+#include "protocol/numbers.hpp"
 #include "scale/protocol/json_object.hpp"
 
 namespace coralhitch::scale::messages {
--- a/scale/protocol/worker_messages.hpp
+++ b/scale/protocol/worker_messages.hpp
@@ -6,6 +6,7 @@
 #include <vector>
 
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::scale::messages {
 
--- a/scale/workers/heartbeat_sender.hpp
+++ b/scale/workers/heartbeat_sender.hpp
@@ -8,6 +8,7 @@
 #include "event_loop/event_loop.hpp"
 #include "event_loop/lifetime_guard.hpp"
 #include "http/client.hpp"
+#include "protocol/numbers.hpp"
 #include "scale/workers/worker_context.hpp"
 
 namespace coralhitch::scale {
--- a/scale/workers/hollow_worker.hpp
+++ b/scale/workers/hollow_worker.hpp
@@ -8,6 +8,7 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "http/server.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "scale/workers/heartbeat_sender.hpp"
 #include "scale/workers/task_runner.hpp"
 #include "scale/workers/worker_context.hpp"
--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "protocol/numbers.hpp"
+
 namespace coralhitch::scale {
 namespace {
 
--- a/src/autoscaler/bin_packer.cpp
+++ b/src/autoscaler/bin_packer.cpp
@@ -119,7 +119,7 @@
     }
     if (!best) return false;
     ++machines_per_zone_[pool(*best).zone_index];
-    bins_of(zones).push_back({*best, types_[*best]->room, nullptr});
+    bins_of(zones).push_back({*best, types_[*best]->capacity, nullptr});
     return true;
 }
 
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -27,6 +27,7 @@
 #include "cluster/machine_commands.hpp"
 #include "cluster/machine_pools.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 
--- a/src/cluster/fencing_tokens.hpp
+++ b/src/cluster/fencing_tokens.hpp
@@ -5,6 +5,7 @@
 #include <cstdint>
 
 #include "cluster/machine.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "cluster/heartbeat_freshness.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 using protocol::ExitCause;
--- a/src/cluster/instance.hpp
+++ b/src/cluster/instance.hpp
@@ -10,6 +10,7 @@
 #include <tuple>
 
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 
--- a/src/cluster/instance_end.hpp
+++ b/src/cluster/instance_end.hpp
@@ -6,6 +6,7 @@
 
 #include "cluster/machine.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -11,6 +11,7 @@
 #include "cluster/instance.hpp"
 #include "membership/reachability.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 
--- a/src/cluster/machine_commands.hpp
+++ b/src/cluster/machine_commands.hpp
@@ -7,6 +7,7 @@
 #include "cluster/fencing_tokens.hpp"
 #include "cluster/machine.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -24,6 +24,7 @@
 #include "http/socket_budget.hpp"
 #include "leader/leader.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "relay/cancellation_notices.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "replication/follower.hpp"
--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -14,6 +14,7 @@
 #include "election/election.hpp"
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
+#include "protocol/numbers.hpp"
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_rejections.hpp"
 #include "relay/heartbeat_relay.hpp"
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "controller/peer_http.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::controller {
 namespace {
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -21,6 +21,7 @@
 #include "election/election.hpp"
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_tracker.hpp"
 #include "replication/follower.hpp"
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -25,6 +25,7 @@
 #include "kv/kv_client.hpp"
 #include "protocol/kv_api.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::election {
 
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -6,6 +6,7 @@
 
 #include "kv/keys.hpp"
 #include "protocol/malformed.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/records.hpp"
 
 namespace coralhitch::failover {
--- a/src/jobs/job_entry.hpp
+++ b/src/jobs/job_entry.hpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::jobs {
 
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -13,6 +13,7 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "kv/kv_client.hpp"
 #include "protocol/kv_api.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -13,6 +13,7 @@
 #include "election/election.hpp"
 #include "event_loop/timers.hpp"
 #include "protocol/kv_api.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -22,6 +22,7 @@
 #include "leader/leader_part.hpp"
 #include "protocol/agent_api.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "protocol/malformed.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/user_api.hpp"
 
 namespace coralhitch::leader {
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -17,6 +17,7 @@
 #include "leader/leader_part.hpp"
 #include "metrics/metrics.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -20,6 +20,7 @@
 #include "leader/image_handover.hpp"
 #include "leader/leader_dependencies.hpp"
 #include "leader/leader_parts.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_queue.hpp"
 
--- a/src/leader/leader_dependencies.hpp
+++ b/src/leader/leader_dependencies.hpp
@@ -17,6 +17,7 @@
 #include "leader/planner.hpp"
 #include "metrics/metrics.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_rejections.hpp"
 #include "replication/replica_state.hpp"
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -37,6 +37,7 @@
 #include "leader/stale_key_remover.hpp"
 #include "leader/start_replication.hpp"
 #include "membership/failure_detector.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -11,6 +11,7 @@
 #include "cluster/cluster_state.hpp"
 #include "jobs/job_table.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::leader {
 
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -24,6 +24,7 @@
 #include "leader/planner.hpp"
 #include "metrics/metrics.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace coralhitch::leader {
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -15,6 +15,7 @@
 #include "kv/kv_client.hpp"
 #include "leader/leader_part.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/replication_sender.hpp"
 
--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -11,6 +11,7 @@
 
 #include "protocol/malformed.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::protocol {
 
--- a/src/protocol/peer_cancellation_messages.hpp
+++ b/src/protocol/peer_cancellation_messages.hpp
@@ -1,5 +1,6 @@
 // Messages between controllers about cancellations, beside the single notice (`PeerCancellation`).
 #pragma once
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 
 namespace coralhitch::protocol {
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -2,6 +2,7 @@
 
 #include "protocol/job_json.hpp"
 #include "protocol/json_fields.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::protocol {
 using nlohmann::json;
@@ -58,16 +59,17 @@
     return fields::dumped(json{{"machines", std::move(rows)}});
 }
 std::string stored(const LeaderRecord& record) {
-    json object{{"label", record.label}, {"incarnation", record.incarnation}};
+    json object{{"label", record.label}, {"incarnation", record.incarnation.value()}};
     if (record.stores_in_sync_replicas) object["standby"] = true;
     return fields::dumped(object);
 }
 std::string stored(const InSyncReplicas& replicas) {
     json members = json::array();
     for (auto& member : replicas.members)
-        members.push_back(json{
-            {"label", member.label}, {"incarnation", member.incarnation}, {"begun", member.base_version}});
-    return fields::dumped(json{{"version", replicas.leader_version}, {"members", members}});
+        members.push_back(json{{"label", member.label},
+                               {"incarnation", member.incarnation.value()},
+                               {"begun", member.base_version.value()}});
+    return fields::dumped(json{{"version", replicas.leader_version.value()}, {"members", members}});
 }
 std::string stored_bits(const std::vector<bool>& bits) {
     constexpr std::string_view digits = "0123456789abcdef";
--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -18,6 +18,7 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_cancellation_messages.hpp"
 
 namespace coralhitch::relay {
--- a/src/relay/heartbeat_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -21,6 +21,7 @@
 #include "event_loop/lifetime_guard.hpp"
 #include "event_loop/timers.hpp"
 #include "http/message.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "relay/heartbeat_queue.hpp"
 #include "relay/heartbeat_rejections.hpp"
--- a/src/relay/reply_cache.hpp
+++ b/src/relay/reply_cache.hpp
@@ -14,6 +14,7 @@
 #include <unordered_map>
 
 #include "protocol/agent_api.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::relay {
 
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -1,6 +1,7 @@
 // Decides whether a new leader may take its replica for proof of what machines run. Pure functions.
 //
-// docs/replication.md argues each check; `eligibility_checks()` lists them in the order in which they are made.
+// docs/replication.md argues each check; `eligibility_checks()` lists them in the order in which they are
+// made.
 #pragma once
 #include <optional>
 #include <span>
@@ -8,6 +9,7 @@
 
 #include "election/election.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "replication/replica_state.hpp"
 
 namespace coralhitch::replication {
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -4,6 +4,7 @@
 #pragma once
 #include <cstdint>
 
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/replica_state.hpp"
 
--- a/src/replication/follower_session.hpp
+++ b/src/replication/follower_session.hpp
@@ -15,6 +15,7 @@
 
 #include "config/settings.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 
 namespace coralhitch::replication {
--- a/src/replication/in_sync_record.hpp
+++ b/src/replication/in_sync_record.hpp
@@ -19,6 +19,7 @@
 #include "kv/kv_client.hpp"
 #include "protocol/kv_api.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::replication {
 
--- a/src/replication/replica_state.hpp
+++ b/src/replication/replica_state.hpp
@@ -7,6 +7,7 @@
 #include <string>
 #include <unordered_map>
 
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 
 namespace coralhitch::replication {
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -24,6 +24,7 @@
 #include "kv/kv_client.hpp"
 #include "protocol/kv_api.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "replication/follower_session.hpp"
 #include "replication/in_sync_record.hpp"
--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -84,7 +84,7 @@
 std::size_t Observations::places_for(const protocol::Job& job, const std::string& machine) const {
     auto known = machines_.find(machine);
     if (known == machines_.end()) return 0;
-    auto free = known->second.room;
+    auto free = known->second.capacity;
     if (auto tasks = tasks_of_machine_.find(machine); tasks != tasks_of_machine_.end())
         for (auto& task : tasks->second) free -= jobs_.at(task.job).job.request;
     double fewest = std::min({places(free.cpus, job.request.cpus), places(free.gpus, job.request.gpus),
--- a/src/verification/observations.hpp
+++ b/src/verification/observations.hpp
@@ -14,7 +14,7 @@
 struct MachinePlace {
     std::string type, zone;
     bool spot = false;
-    protocol::Resources room;
+    protocol::Resources capacity;
 };
 
 struct ObservedJob {
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -8,6 +8,7 @@
 
 #include "cluster/cluster_state.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::cluster {
 
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -14,6 +14,7 @@
 #include "controller/local_leader.hpp"
 #include "controller/peer_monitor.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "protocol/records.hpp"
 
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -10,6 +10,7 @@
 #include "kv/keys.hpp"
 #include "leader/part_context.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/records.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/test_settings.hpp"
