--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -41,7 +41,7 @@
     std::vector<std::string> workers;  // machines that lately reported to the sender, which does not lead
     std::vector<PeerCount> counts;     // of all live jobs, from a leader
     std::uint64_t features = 0;        // what its version can do: a sender that says nothing is an old one
-    LeaderVersion followed;            // the last leadership that told it all that its machines hold
+    LeaderVersion followed{};          // the last leadership that told it all that its machines hold
     std::vector<std::uint32_t> ages_ms{};  // since each of `workers` reported; an older version says nothing
     // From a leader: machines that it has not heard when it should have, and for how long.
     std::vector<std::string> silent{};
@@ -142,14 +142,14 @@
     std::uint64_t number = 0;  // of this piece, growing; pieces of lower numbers that come later are refused
     std::vector<PeerMachineRow> rows;
     // The leadership under which the copy was begun that these rows go on from; 0: they begin one.
-    LeaderVersion begun;
+    LeaderVersion begun{};
     bool whole = false;  // all has been told by now, in this piece and those before
     MSGPACK_DEFINE(leader_version, number, rows, begun, whole)
 };
 struct PeerFleetAnswer {
     bool taken = false;
     Incarnation incarnation;  // of the process that took it: another one knows nothing of what came before
-    LeaderVersion begun;      // the leadership under which its copy was begun; 0: none, or it does not say
+    LeaderVersion begun{};    // the leadership under which its copy was begun; 0: none, or it does not say
     MSGPACK_DEFINE(taken, incarnation, begun)
 };
 
