--- a/src/protocol/strong_number.hpp
+++ b/src/protocol/strong_number.hpp
@@ -26,7 +26,7 @@
     [[nodiscard]] constexpr std::uint64_t value() const { return value_; }
     [[nodiscard]] constexpr StrongNumber next() const { return StrongNumber{value_ + 1}; }
 
-    constexpr auto operator<=>(const StrongNumber&) const = default;
+    constexpr auto operator<=>(const StrongNumber&) const = default;  // NOLINT(modernize-use-nullptr)
 
     friend std::ostream& operator<<(std::ostream& out, const StrongNumber& number) {
         return out << number.value_;
