--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -5,6 +5,8 @@
 
 #include <functional>
 
+#include "protocol/model.hpp"
+
 namespace coralhitch::replication {
 namespace {
 using protocol::LeaderVersion;
@@ -16,9 +18,9 @@
     ReplicaEvidence good{"me",
                          protocol::Incarnation{3},
                          LeaderVersion{40},
-                         protocol::StandbyRecord{LeaderVersion{20},
-                                                 {{"me", protocol::Incarnation{3}, LeaderVersion{20}},
-                                                  {"other", protocol::Incarnation{4}, LeaderVersion{20}}}},
+                         protocol::InSyncReplicas{LeaderVersion{20},
+                                                  {{"me", protocol::Incarnation{3}, LeaderVersion{20}},
+                                                   {"other", protocol::Incarnation{4}, LeaderVersion{20}}}},
                          {{{LeaderVersion{10}, false}, {LeaderVersion{20}, true}}, 25},
                          true,
                          {},
@@ -32,14 +34,14 @@
         continued{LeaderVersion{20}, 7, LeaderVersion{10}, true, {}},
         later{LeaderVersion{30}, 7, LeaderVersion{20}, true, {}};
     auto continues_from = [](ReplicaEvidence& e, std::uint64_t begun) {
-        e.record->members[0].begun = LeaderVersion{begun};
+        e.record->members[0].base_version = LeaderVersion{begun};
     };
     const Case cases[] = {
         {"all checks pass", [](ReplicaEvidence&) {}, true},
         {"no record: the leader may never have waited for any follower",
          [](ReplicaEvidence& e) { e.record.reset(); }, false},
         {"the record is of this leadership",
-         [](ReplicaEvidence& e) { e.record->version = LeaderVersion{40}; }, false},
+         [](ReplicaEvidence& e) { e.record->leader_version = LeaderVersion{40}; }, false},
         {"it was removed, and starts were sent without it since",
          [](ReplicaEvidence& e) {
              e.record->members = {{"other", protocol::Incarnation{4}, LeaderVersion{20}}};
