--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -1,6 +1,7 @@
 // What users are told.
 #include <limits>
 
+#include "protocol/model.hpp"
 #include "verification/checker.hpp"
 
 namespace coralhitch::verification {
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -22,7 +22,7 @@
     observations_.remove_task(job, task.index, machine);  // it takes its place there once
 }
 void Checker::check_awaits(double now, const protocol::Job& job, const std::string& task) {
-    for (auto& awaited : job.awaits)
+    for (auto& awaited : job.dependencies)
         if (!observations_.is_done(awaited)) report(now, "too_early " + task + " before " + awaited);
 }
 void Checker::check_quota(double now, const protocol::Job& job, const std::string& task) {
--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -6,6 +6,7 @@
 
 #include <sstream>
 
+#include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
@@ -47,7 +48,7 @@
     void keep(SimulatedCluster& cluster, double until) {
         cluster.on_message = [this, &cluster, until](const std::string& from, const std::string&,
                                                      const http::Request& request) {
-            bool shows = request.target == protocol::paths::report &&
+            bool shows = request.target == protocol::paths::heartbeat &&
                          request.body.find("running") != std::string::npos;
             if (shows && cluster.now() < until) kept_[from] = request;
         };
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -1,4 +1,5 @@
 // Jobs that are cancelled in the seconds in which one controller's work changes hands.
+#include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -22,7 +22,7 @@
 // before having renewed leases for as long as `cancel_s` allows. Some heartbeat periods are for the plan and
 // the start.
 double quota_release_bound_s(const Options& options) {
-    return options.cancel_s + 2 * options.report_s;
+    return options.cancel_s + 2 * options.heartbeat_interval_s;
 }
 
 // Both teams are at their limits. Their machines are away while the jobs are cancelled, and the leader
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -117,7 +117,8 @@
     // Those that are partitioned can't be deleted either: only the time proves anything. The bound is that of
     // docs/design.md for a new leader, with two heartbeat periods for the plan and the start.
     bool partitioned = test_case.loss == Loss::zone_partitioned;
-    double proven_s = options.cancel_s + 2 * options.report_s, away_s = partitioned ? proven_s + 10 : 40;
+    double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s,
+           away_s = partitioned ? proven_s + 10 : 40;
     if (partitioned) cluster.start_cloud_outage(away_s);
     ASSERT_GT(lose_machines(cluster, test_case.loss, first, away_s), 0u);
     if (test_case.leader_crashes) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
@@ -148,7 +149,7 @@
     cluster.at(8, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
     cluster.run_until(30);
     ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
-    double proven_s = options.cancel_s + 2 * options.report_s;
+    double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s;
     cluster.start_cloud_outage(proven_s + 10);
     cluster.partition("10.0.", cluster.workers[GetParam()]->addr, proven_s + 10);
     cluster.run_until(30 + proven_s);
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -3,6 +3,8 @@
 #include <spdlog/spdlog.h>
 
 #include "kv/kv_client.hpp"
+#include "protocol/agent_api.hpp"
+#include "protocol/kv_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 #include "support/fake_key_value_store.hpp"
@@ -25,7 +27,7 @@
 // with the heartbeat that reports the end. The end is stored a moment later.
 bool is_moment_of_cancellation(const http::Request& request, double after) {
     if (after >= 0) return ends(request, "j-1");
-    return request.target == protocol::paths::report && request.body.find("\"done\"") != std::string::npos;
+    return request.target == protocol::paths::heartbeat && request.body.find("\"done\"") != std::string::npos;
 }
 // The state that won; empty if none was stored.
 std::string cancel_at_end(std::size_t nodes, double after) {
@@ -112,7 +114,7 @@
         EXPECT_EQ(told, (std::set<std::string>{"done"}));
         EXPECT_EQ(cluster.starts, 3u);
         // It is read what became of the first, so that no second one is spent on a job that has ended.
-        EXPECT_EQ(written, late < options.report_s / 2 ? 1u : 2u);
+        EXPECT_EQ(written, late < options.heartbeat_interval_s / 2 ? 1u : 2u);
         EXPECT_FALSE(cluster.key_value_store.stored("job/j-1"));
         EXPECT_TRUE(cluster.jobs["j-2"].done && cluster.jobs["j-3"].done);
         expect_no_violations(cluster);
@@ -185,9 +187,9 @@
     FakeKeyValueStore service(timers);
     config::Settings s;
     s.nodes = 3;
-    s.report_s = 5;
-    s.state_rps = 250;
-    s.state_write_rps = 50;
+    s.heartbeat_interval_s = 5;
+    s.kv_rps = 250;
+    s.kv_write_rps = 50;
     s.txn_ops = 24;
     s.safe_value_kb = 16;
     kv::KvClient client(timers, service, s);
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "controller/controller.hpp"
+#include "protocol/model.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace coralhitch::simulation {
