--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -17,7 +17,7 @@
 
 std::string read_file(const std::string& file) {
     std::ifstream stream(file);
-    if (!stream) throw BadSettings(file + ": can't be read");
+    if (!stream) throw BadSettings(file, "can't be read");
     std::ostringstream text;
     text << stream.rdbuf();
     return text.str();
@@ -118,8 +118,8 @@
     try {
         return toml::parse(text);
     } catch (const toml::parse_error& error) {
-        throw BadSettings(file + ": line " + std::to_string(error.source().begin.line) + ": " +
-                          std::string(error.description()));
+        throw BadSettings(file, "line " + std::to_string(error.source().begin.line) + ": " +
+                                    std::string(error.description()));
     }
 }
 
@@ -179,7 +179,7 @@
     FirstError error;
     google::protobuf::TextFormat::Parser parser;
     parser.RecordErrorsTo(&error);
-    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file + ": " + error.text());
+    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file, error.text());
     return fields;
 }
 
@@ -194,8 +194,8 @@
     auto checked = [&](const char* field, double value, const Range& range) {
         if (value >= range.least && value <= range.most) return value;
         std::ostringstream message;
-        message << file << ": field '" << field << "' must be from " << range.least << " to " << range.most;
-        throw BadSettings(message.str());
+        message << "must be from " << range.least << " to " << range.most;
+        throw BadSettings(file, field, message.str());
     };
     auto checked_count = [&](const char* field, std::uint32_t value, const Range& range) {
         return static_cast<std::uint32_t>(checked(field, value, range));
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,14 +1,34 @@
 // The platform's settings (TOML) and the operators' own (protobuf text format).
+//
+// Plain values, read once when the process starts and never changed. Times are in seconds. Names of fields in
+// the files are part of the interface, and stay.
 #pragma once
 #include <cstdint>
 #include <stdexcept>
 #include <string>
+#include <utility>
 #include <vector>
 
 namespace coralhitch::config {
 
-struct BadSettings : std::runtime_error {
-    using std::runtime_error::runtime_error;
+// A file that can't be used. what() is a line for operators: the file, the field with the sections that it is
+// in, and what it must be.
+class BadSettings : public std::runtime_error {
+  public:
+    // The file as a whole, or a place in it that is no field.
+    BadSettings(std::string file, const std::string& problem)
+        : std::runtime_error(file + ": " + problem), file_(std::move(file)) {}
+    BadSettings(std::string file, std::string field, const std::string& problem)
+        : std::runtime_error(file + ": field '" + field + "' " + problem),
+          file_(std::move(file)),
+          field_(std::move(field)) {}
+    [[nodiscard]] const std::string& file() const { return file_; }
+    // Like `cluster.workers.lease_s`; empty: not a single field.
+    [[nodiscard]] const std::string& field() const { return field_; }
+
+  private:
+    std::string file_;
+    std::string field_;
 };
 
 struct Peer {
@@ -55,15 +75,17 @@
     Operator op;
 };
 
+// Each throws BadSettings. `file` is the name for complaints.
 Settings parse_settings(const std::string& text, const std::string& file);
-// How many questions a second, each on a connection of its own, take half of the processor, at what they were
-// seen to cost: 0.25 ms, packets included.
-double questions_per_s(const Settings& s);
-// The share of a core with which a controller hears as many workers as it has sockets for, and does little
-// else.
-double share_expected(const Settings& s);
 Settings load_settings(const std::string& file);
 Operator parse_operator(const std::string& text, const std::string& file);
 Operator load_operator(const std::string& file);
 
+// How many probes of workers a second, each on a connection of its own, take half of the processor, at what
+// they were seen to cost: 0.25 ms, packets included.
+[[nodiscard]] double questions_per_s(const Settings& s);
+// The share of a core with which a controller receives the heartbeats of as many workers as it has sockets
+// for, and does little else.
+[[nodiscard]] double share_expected(const Settings& s);
+
 }  // namespace coralhitch::config
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -120,7 +120,7 @@
 }
 
 void TomlTable::fail(const char* field, const std::string& problem) const {
-    throw BadSettings(file_ + ": field '" + path(field) + "' " + problem);
+    throw BadSettings(file_, path(field), problem);
 }
 
 }  // namespace coralhitch::config
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -128,6 +128,27 @@
     }
     EXPECT_THROW(load_settings("/nowhere/at/all.toml"), BadSettings);
 }
+TEST(Settings, ComplaintsCarryTheFileAndTheField) {
+    auto text = good();
+    text.replace(text.find("report_s = 3.0"), 14, "report_s = 0.0");
+    try {
+        parse_settings(text, "f");
+        ADD_FAILURE();
+    } catch (const BadSettings& error) {
+        EXPECT_EQ(error.file(), "f");
+        EXPECT_EQ(error.field(), "cluster.workers.report_s");
+        EXPECT_STREQ(error.what(), "f: field 'cluster.workers.report_s' must be above 0");
+    }
+}
+TEST(Operator, ComplaintsCarryTheFileAndTheField) {
+    try {
+        parse_operator("draws: 1", "f");
+        ADD_FAILURE();
+    } catch (const BadSettings& error) {
+        EXPECT_EQ(error.field(), "draws");
+        EXPECT_STREQ(error.what(), "f: field 'draws' must be from 2 to 64");
+    }
+}
 TEST(Operator, IsReadAndRangesAreChecked) {
     auto o = parse_operator("draws: 3 reserve_ratio: 0.5 max_machines: 40", "f");
     EXPECT_EQ(o.draws, 3u);
