--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -32,11 +32,11 @@
       budget_(settings.cloud_rps * budget_share, std::max(1.0, settings.cloud_rps * budget_share)) {}
 
 void CloudClient::enqueue(http::Request request, QueuePosition position, http::Result done) {
-    Call call{std::move(request), std::move(done)};
+    QueuedRequest queued{std::move(request), std::move(done)};
     if (position == QueuePosition::front)
-        queue_.push_front(std::move(call));
+        queue_.push_front(std::move(queued));
     else
-        queue_.push_back(std::move(call));
+        queue_.push_back(std::move(queued));
     send_queued();
 }
 
@@ -44,10 +44,10 @@
     double now = timers_.now();
     while (!queue_.empty() && budget_.has(now)) {
         budget_.take(now);
-        auto call = std::move(queue_.front());
+        auto next = std::move(queue_.front());
         queue_.pop_front();
-        http_.send(settings_.cloud_addr, std::move(call.request), settings_.report_s * timeout_heartbeats,
-                   std::move(call.done));
+        http_.send(settings_.cloud_addr, std::move(next.request), settings_.report_s * timeout_heartbeats,
+                   std::move(next.done));
     }
     if (queue_.empty() || send_scheduled_) return;
     send_scheduled_ = true;
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -23,7 +23,8 @@
 struct CreateMachinesRequest {
     // Identifies the request: repeated under the same name, it creates nothing more.
     std::string name;
-    std::string type, zone;
+    std::string type;
+    std::string zone;
     bool spot = false;
     int count = 0;
 };
@@ -32,8 +33,9 @@
     enum class Status {
         created,      // perhaps fewer machines than requested
         no_capacity,  // none was created
-        failed        // no usable answer: machines may have been created; repeat it under the same name
-    } status = Status::failed;
+        failed,       // no usable answer: machines may have been created; repeat it under the same name
+    };
+    Status status = Status::failed;
     std::vector<std::string> machines;  // ids of those created
 };
 
@@ -51,7 +53,9 @@
     // is known.
     using DeleteMachinesCallback = std::function<void(bool deleted)>;
 
+    // The references must outlive the client, and the client its timers and requests.
     CloudClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
+    // Each sends one request, or one a page, and calls `done` once.
     void list_machine_types(const MachineTypesCallback& done);
     void list_machines(const MachinesCallback& done);
     void create_machines(const CreateMachinesRequest& request, const CreateMachinesCallback& done);
@@ -59,7 +63,7 @@
 
   private:
     enum class QueuePosition { front, back };
-    struct Call {
+    struct QueuedRequest {
         http::Request request;
         http::Result done;
     };
@@ -73,7 +77,7 @@
     http::Requester& http_;
     const config::Settings& settings_;
     event_loop::TokenBucket budget_;
-    std::deque<Call> queue_;
+    std::deque<QueuedRequest> queue_;
     bool send_scheduled_ = false;
 };
 
