--- a/tests/cloud/cloud_client_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -34,7 +34,8 @@
 };
 
 std::string host(const std::string& id) {
-    return R"({"id":")" + id + R"(","hull":"g4","reef":"z1","driftwood":false,"status":"running","age_s":10})";
+    return R"({"id":")" + id +
+           R"(","hull":"g4","reef":"z1","driftwood":false,"status":"running","age_s":10})";
 }
 
 TEST(CloudClient, SendsDeletionsFirstOnceTheBudgetAllows) {
