--- a/src/autoscaler/bin_packer.cpp
+++ b/src/autoscaler/bin_packer.cpp
@@ -90,15 +90,15 @@
 bool BinPacker::may_create(const protocol::Job& job, std::size_t pool_index, ZoneState zones) const {
     auto* type = types_[pool_index];
     bool is_zone_wanted = is_in_unreachable_zone(pool_index) == (zones == ZoneState::unreachable);
-    return type && is_zone_wanted && type->room.fits(job.request) &&
+    return type && is_zone_wanted && type->capacity.fits(job.request) &&
            !input_.pools_without_capacity.contains(pool_index);
 }
 
 double BinPacker::cost_per_task(const protocol::Job& job, std::size_t pool_index) const {
     auto& type = *types_[pool_index];
     auto& request = job.request;
-    double tasks = type.room.gpus > 0 && request.gpus > 0 ? type.room.gpus / request.gpus : 1;
-    if (request.cpus > 0) tasks = std::min(tasks, type.room.cpus / request.cpus);
+    double tasks = type.capacity.gpus > 0 && request.gpus > 0 ? type.capacity.gpus / request.gpus : 1;
+    if (request.cpus > 0) tasks = std::min(tasks, type.capacity.cpus / request.cpus);
     double price = pool(pool_index).spot ? type.spot_price : type.price;
     return price / std::max(1.0, std::floor(tasks));
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -37,7 +37,7 @@
 
 void read_endpoints(const TomlTable& endpoints, Settings& settings) {
     settings.cloud_addr = endpoints.address("cloud");
-    settings.state_addr = endpoints.address("state");
+    settings.kv_addr = endpoints.address("state");
 }
 
 Team read_team(const TomlTable& table) {
@@ -53,7 +53,7 @@
 Objective read_objective(const TomlTable& table) {
     Objective objective;
     objective.kind = table.text("kind");
-    if (table.has("class")) objective.cls = table.text("class");
+    if (table.has("class")) objective.job_class = table.text("class");
     if (table.has("within_s")) objective.within_s = table.number("within_s", 0);
     if (table.has("share")) objective.share = table.number("share", 0);
     return objective;
@@ -63,21 +63,21 @@
     constexpr double ms_per_s = 1000;
     settings.nodes = cluster.count("nodes", 1);
     settings.zones = cluster.texts("zones");
-    settings.clock_off_s = cluster.number("skew_ms", 0) / ms_per_s;
+    settings.max_clock_skew_s = cluster.number("skew_ms", 0) / ms_per_s;
     for (auto& team : cluster.rows("teams")) settings.teams.push_back(read_team(team));
     for (auto& objective : cluster.rows("objectives"))
         settings.objectives.push_back(read_objective(objective));
 }
 
 void read_workers(const TomlTable& workers, Settings& settings) {
-    settings.report_s = workers.positive_number("report_s");
+    settings.heartbeat_interval_s = workers.positive_number("report_s");
     settings.lease_s = workers.positive_number("lease_s");
     settings.gang_wait_s = workers.number("gang_wait_s", 0);
     settings.gang_peer_s = workers.number("gang_peer_s", 0);
     settings.cancel_s = workers.positive_number("cancel_s");
     // What ends the tasks of a cancelled job on a machine that no command reaches is its worker's lease. With
     // less time than this nobody could renew one without breaking the rule.
-    if (settings.cancel_s < settings.lease_s + settings.report_s)
+    if (settings.cancel_s < settings.lease_s + settings.heartbeat_interval_s)
         workers.fail("cancel_s", "must be at least lease_s + report_s");
 }
 
@@ -86,16 +86,16 @@
     auto lower = [&](const char* field, double& limit) {
         if (next.has(field)) limit = std::min(limit, next.positive_number(field));
     };
-    lower("rps", settings.state_rps);
-    lower("write_rps", settings.state_write_rps);
+    lower("rps", settings.kv_rps);
+    lower("write_rps", settings.kv_write_rps);
     lower("value_kb", settings.safe_value_kb);
     if (next.has("txn_ops"))
         settings.txn_ops = std::min(settings.txn_ops, next.count("txn_ops", min_txn_ops));
 }
 
 void read_key_value_store(const TomlTable& store, Settings& settings) {
-    settings.state_rps = store.positive_number("rps");
-    settings.state_write_rps = store.positive_number("write_rps");
+    settings.kv_rps = store.positive_number("rps");
+    settings.kv_write_rps = store.positive_number("write_rps");
     settings.value_kb = store.positive_number("value_kb");
     settings.txn_ops = store.count("txn_ops", min_txn_ops);
     settings.safe_value_kb = settings.value_kb;
@@ -141,18 +141,18 @@
     return settings;
 }
 
-double questions_per_s(const Settings& settings) {
+double status_queries_per_s(const Settings& settings) {
     constexpr double question_cost_s = 2.5e-4;
     constexpr double processor_share = 1.0 / 2;
     return settings.cpu_share * processor_share / question_cost_s;
 }
 
-double share_expected(const Settings& settings) {
+double expected_cpu_share(const Settings& settings) {
     // As many workers as there are sockets for them, each heartbeat and its answer at what they were seen to
     // cost.
     constexpr double heartbeat_cost_s = 1e-4;
     constexpr double workers_per_socket = 0.7;
-    return settings.sockets * workers_per_socket / settings.report_s * heartbeat_cost_s;
+    return settings.sockets * workers_per_socket / settings.heartbeat_interval_s * heartbeat_cost_s;
 }
 
 Settings load_settings(const std::string& file) {
@@ -203,15 +203,15 @@
     Operator op;
     if (fields.has_lease_ratio()) op.lease_ratio = checked("lease_ratio", fields.lease_ratio(), {0.02, 0.5});
     if (fields.has_silence_reports())
-        op.silence_reports = checked("silence_reports", fields.silence_reports(), {1.5, 100});
+        op.suspicion_timeout_periods = checked("silence_reports", fields.silence_reports(), {1.5, 100});
     if (fields.has_draws()) op.draws = checked_count("draws", fields.draws(), {2, 64});
     if (fields.has_draw_rounds())
         op.draw_rounds = checked_count("draw_rounds", fields.draw_rounds(), {1, 64});
     if (fields.has_reserve_ratio())
         op.reserve_ratio = checked("reserve_ratio", fields.reserve_ratio(), {0, 10});
     if (fields.has_max_machines()) op.max_machines = fields.max_machines();
-    if (fields.has_hearing()) op.hearing = fields.hearing();
-    if (fields.has_standby()) op.standby = fields.standby();
+    if (fields.has_hearing()) op.relay_heartbeats = fields.hearing();
+    if (fields.has_standby()) op.replicate_starts = fields.standby();
     if (fields.has_idle_boots()) op.idle_boots = checked("idle_boots", fields.idle_boots(), {0.1, 1000});
     return op;
 }
--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -41,7 +41,7 @@
 }
 
 bool GangPlacer::has_waited_long(const JobView& job) const {
-    return plan_.input.unix_now - job.ready_at >= plan_.settings.report_s * reservation_reports;
+    return plan_.input.unix_now - job.ready_at >= plan_.settings.heartbeat_interval_s * reservation_reports;
 }
 
 // Its team's smaller jobs would take each part of the hard limit that is given back.
--- a/tests/cloud/cloud_client_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -5,6 +5,8 @@
 
 #include <deque>
 
+#include "protocol/cloud_api.hpp"
+#include "protocol/model.hpp"
 #include "support/fake_timers.hpp"
 
 namespace coralhitch::cloud {
