--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -17,7 +17,7 @@
 
 std::string read_file(const std::string& file) {
     std::ifstream stream(file);
-    if (!stream) throw BadSettings(file + ": can't be read");
+    if (!stream) throw BadSettings(file, "can't be read");
     std::ostringstream text;
     text << stream.rdbuf();
     return text.str();
@@ -118,8 +118,8 @@
     try {
         return toml::parse(text);
     } catch (const toml::parse_error& error) {
-        throw BadSettings(file + ": line " + std::to_string(error.source().begin.line) + ": " +
-                          std::string(error.description()));
+        throw BadSettings(file, "line " + std::to_string(error.source().begin.line) + ": " +
+                                    std::string(error.description()));
     }
 }
 
@@ -177,7 +177,7 @@
     FirstError error;
     google::protobuf::TextFormat::Parser parser;
     parser.RecordErrorsTo(&error);
-    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file + ": " + error.text());
+    if (!parser.ParseFromString(text, &fields)) throw BadSettings(file, error.text());
     return fields;
 }
 
@@ -188,9 +188,9 @@
 
 double within(const std::string& file, const char* field, double value, Range range) {
     if (value >= range.least && value <= range.most) return value;
-    std::ostringstream error;
-    error << file << ": field '" << field << "' must be from " << range.least << " to " << range.most;
-    throw BadSettings(error.str());
+    std::ostringstream problem;
+    problem << "must be from " << range.least << " to " << range.most;
+    throw BadSettings(file, field, problem.str());
 }
 
 // Fields under the names that they had before; see operator.proto.
