--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -29,6 +29,7 @@
 
 namespace coralhitch::controller {
 
+// A controller without its network: requests come in through `serve` and `serve_peer`.
 class Controller : public api::ClusterQueries {
   public:
     // All references must outlive the controller. `seed`: of its random numbers, its incarnation among them.
--- a/src/controller/health_monitor.hpp
+++ b/src/controller/health_monitor.hpp
@@ -16,6 +16,7 @@
 
 namespace coralhitch::controller {
 
+// Answers the load balancer's question whether this controller is healthy.
 class HealthMonitor {
   public:
     HealthMonitor(const event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -33,6 +33,7 @@
     std::uint64_t incarnation;  // of this process
 };
 
+// Takes heartbeats to whoever answers them: the local leader, the relay, or the worker itself again.
 class HeartbeatIntake {
   public:
     explicit HeartbeatIntake(HeartbeatIntakeDependencies dependencies);
--- a/src/controller/kv_reachability.hpp
+++ b/src/controller/kv_reachability.hpp
@@ -7,10 +7,12 @@
 
 namespace coralhitch::controller {
 
+// Tells whether the key-value store has answered lately.
 class KvReachability {
   public:
     KvReachability(const event_loop::Timers& timers, const kv::KvClient& kv, const config::Settings& settings)
         : timers_(timers), kv_(kv), settings_(settings) {}
+    // True if a request was answered within the last heartbeat period.
     [[nodiscard]] bool reachable() const { return kv_.answered_within(settings_.report_s); }
 
   private:
--- a/src/controller/local_leader.hpp
+++ b/src/controller/local_leader.hpp
@@ -10,8 +10,10 @@
 
 namespace coralhitch::controller {
 
+// Holds the leader object, or none.
 class LocalLeader {
   public:
+    // This controller leads from now on.
     void begin(std::shared_ptr<leader::Leader> leader) {
         leader_ = std::move(leader);
         leader_->start();
@@ -21,6 +23,7 @@
         if (leader_) leader_->stop();
         leader_.reset();
     }
+    // Whether this controller leads; only then may the leader be called.
     explicit operator bool() const { return leader_ != nullptr; }
     leader::Leader* operator->() const { return leader_.get(); }
 
--- a/src/controller/machine_type_catalog.hpp
+++ b/src/controller/machine_type_catalog.hpp
@@ -17,6 +17,7 @@
 
 namespace coralhitch::controller {
 
+// The cloud's machine types, refreshed now and then and stored for the others.
 class MachineTypeCatalog {
   public:
     MachineTypeCatalog(event_loop::Timers& timers, cloud::CloudClient& cloud, kv::KvClient& kv,
--- a/src/controller/metrics_exporter.hpp
+++ b/src/controller/metrics_exporter.hpp
@@ -25,6 +25,7 @@
     const LocalLeader& leader;
 };
 
+// Fills the metrics from the parts' own figures whenever they are asked for.
 class MetricsExporter {
   public:
     MetricsExporter(metrics::Metrics& metrics, MetricsSources sources)
--- a/src/controller/overload_log.hpp
+++ b/src/controller/overload_log.hpp
@@ -12,6 +12,7 @@
 
 namespace coralhitch::controller {
 
+// Logs refused connections and requests, when there are new ones.
 class OverloadLog {
   public:
     OverloadLog(const event_loop::Timers& timers, const config::Settings& settings, const kv::KvClient& kv,
--- a/src/controller/peer_http.hpp
+++ b/src/controller/peer_http.hpp
@@ -14,6 +14,7 @@
 inline http::Response msgpack_response(std::string body) {
     return {200, std::move(body), msgpack_content_type};
 }
+// A request for this path with such a body.
 inline http::Request msgpack_request(std::string_view path, std::string body) {
     return {"POST", std::string(path), std::move(body), msgpack_content_type};
 }
--- a/src/controller/peer_message_handler.hpp
+++ b/src/controller/peer_message_handler.hpp
@@ -29,6 +29,7 @@
     replication::Follower& replica;
 };
 
+// Routes a message of another controller by its path.
 class PeerMessageHandler {
   public:
     explicit PeerMessageHandler(PeerMessageHandlerDependencies dependencies) : dependencies_(dependencies) {}
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -40,6 +40,7 @@
     std::uint64_t incarnation;  // of this process
 };
 
+// Sends and answers pings, and says what follows from those of the others.
 class PeerMonitor {
   public:
     struct Peer {
--- a/src/controller/task_count_service.hpp
+++ b/src/controller/task_count_service.hpp
@@ -20,6 +20,7 @@
 
 namespace coralhitch::controller {
 
+// Answers queries for a job's task counts, on the leader and on the others.
 class TaskCountService {
   public:
     using Done = std::function<void(std::optional<api::TaskCounts>)>;  // nothing: not known now
--- a/src/controller/user_router.hpp
+++ b/src/controller/user_router.hpp
@@ -32,6 +32,7 @@
 // The target without its query.
 [[nodiscard]] std::string path_of(const http::Request& request);
 
+// Serves users' requests here, or forwards them to a peer.
 class UserRouter {
   public:
     explicit UserRouter(UserRouterDependencies dependencies) : dependencies_(dependencies) {}
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -15,6 +15,7 @@
 
 namespace coralhitch::leader {
 
+// Gives one leadership its attempt numbers, and reserves more of them before they run out.
 class AttemptNumbers {
   public:
     // How many numbers each revision of the key-value store stands for, as a power of two.
--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -16,6 +16,7 @@
 
 namespace coralhitch::leader {
 
+// The authority of one leadership to act. Ends once, and for good.
 class Authority {
   public:
     // Steady seconds: all cancellations that were committed before then are known to this leader. Nothing
--- a/src/leader/callback_guard.hpp
+++ b/src/leader/callback_guard.hpp
@@ -8,6 +8,7 @@
 
 namespace coralhitch::leader {
 
+// Wraps a callback: `guarded(f)` may be called with the same arguments at any later time.
 class CallbackGuard {
   public:
     explicit CallbackGuard(const Authority& authority) : authority_(authority) {}
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -24,6 +24,7 @@
 
 namespace coralhitch::leader {
 
+// Sends commands and probes to machines, at a bounded rate, and takes in their answers.
 class CommandSender : private LeaderPart {
   public:
     // A machine answered a direct request with this status.
--- a/src/leader/delegations.hpp
+++ b/src/leader/delegations.hpp
@@ -14,6 +14,7 @@
 
 namespace coralhitch::leader {
 
+// Which machines relays answer, and until when that may have renewed their leases.
 class Delegations {
   public:
     explicit Delegations(cluster::ClusterState& cluster) : cluster_(cluster) {}
--- a/src/leader/dependency_resolver.hpp
+++ b/src/leader/dependency_resolver.hpp
@@ -14,6 +14,7 @@
 
 namespace coralhitch::leader {
 
+// Reads the final records of dependencies that are not live any more.
 class DependencyResolver : private LeaderPart {
   public:
     DependencyResolver(const PartContext& context, kv::KvClient& kv, JobStore& store,
--- a/src/leader/fleet_scaler.hpp
+++ b/src/leader/fleet_scaler.hpp
@@ -18,6 +18,7 @@
 
 namespace coralhitch::leader {
 
+// Carries out scale out: requests for machines until they are answered.
 class FleetScaler : private LeaderPart {
   public:
     // Whether nothing has lately been received from any machine of the zone, by its index.
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -32,6 +32,7 @@
 
 namespace coralhitch::leader {
 
+// Applies heartbeats to the state and answers them.
 class HeartbeatHandler : private LeaderPart {
   public:
     struct Parts {
--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -18,6 +18,7 @@
 
 namespace coralhitch::leader {
 
+// Asks the cloud for its list of hosts now and then, and takes it in.
 class HostLister : private LeaderPart {
   public:
     HostLister(const PartContext& context, cloud::CloudClient& cloud, CommandSender& commands,
--- a/src/leader/image_handover.hpp
+++ b/src/leader/image_handover.hpp
@@ -8,6 +8,7 @@
 
 namespace coralhitch::leader {
 
+// The image caches of all machines, as this leader knows them.
 [[nodiscard]] protocol::PeerImages images_to_hand_over(const cluster::ClusterState& cluster);
 // Notes the caches that the previous leader told of, where nothing newer is known. The caller holds the
 // cluster state's mutex.
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -19,6 +19,7 @@
 
 namespace coralhitch::leader {
 
+// Enters in the job table what is found on machines or has ended there.
 class InstanceTracker : private LeaderPart {
   public:
     // The machine is to be deleted, for this reason.
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -17,6 +17,7 @@
 
 namespace coralhitch::leader {
 
+// Writes jobs' progress and ends to the key-value store.
 class JobStore : private LeaderPart {
   public:
     struct Callbacks {
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -17,6 +17,7 @@
 
 namespace coralhitch::leader {
 
+// Follows the records of live jobs and audits the job table against them.
 class JobWatcher : private LeaderPart {
   public:
     struct Callbacks {
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -25,6 +25,7 @@
 
 namespace coralhitch::leader {
 
+// One leadership of this controller, from its claim to its end.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     // `version`: of the leader's key as claimed, the fencing token. `seed`: of the plans' random draws.
--- a/src/leader/leader_report.hpp
+++ b/src/leader/leader_report.hpp
@@ -13,6 +13,7 @@
 
 namespace coralhitch::leader {
 
+// Sets the leader's gauges and logs what each team got.
 class LeaderReport : private LeaderPart {
   public:
     LeaderReport(const PartContext& context, metrics::Metrics& metrics, cluster::TeamActivity& team_activity);
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -13,6 +13,7 @@
 
 namespace coralhitch::leader {
 
+// The state that all parts of the leader share; see above for who may change it.
 struct LeaderState {
     LeaderState(std::uint64_t fencing_token, const std::vector<protocol::MachineType>& types, double value_kb)
         : cluster(fencing_token, types), jobs(value_kb) {}
--- a/src/leader/machine_deletion.hpp
+++ b/src/leader/machine_deletion.hpp
@@ -20,6 +20,7 @@
 
 namespace coralhitch::leader {
 
+// Takes machines that are marked from their mark to their proven deletion.
 class MachineDeletion : private LeaderPart {
   public:
     struct Hooks {
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -17,6 +17,7 @@
 
 namespace coralhitch::leader {
 
+// Keeps the stored records of machines up to date with the cluster state.
 class MachineStore : private LeaderPart {
   public:
     using Record = machine_registry::StoredMachine;
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -26,6 +26,7 @@
 
 namespace coralhitch::leader {
 
+// Watches over the machines' health once a tick, and acts on it.
 class MachineSupervisor : private LeaderPart {
   public:
     struct Parts {
--- a/src/leader/part_context.hpp
+++ b/src/leader/part_context.hpp
@@ -10,6 +10,7 @@
 
 namespace coralhitch::leader {
 
+// The references that LeaderPart keeps for each part.
 struct PartContext {
     event_loop::Timers& timers;
     const config::Settings& settings;
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -33,6 +33,7 @@
     protocol::TaskId task;
 };
 
+// Makes and applies plans, one at a time.
 class PlanExecutor : private LeaderPart {
   public:
     // References to other parts of the leader; they must outlive this one.
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -25,6 +25,7 @@
 
 namespace coralhitch::leader {
 
+// Takes a new leader from its claim to the point where all machines have reconciled.
 class Recovery : private LeaderPart {
   public:
     struct Parts {
@@ -56,6 +57,7 @@
     Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
              const Parts& parts, Inheritance inheritance, Hooks hooks);
 
+    // Begins to load. Once.
     void start() { loader_.start(); }
     // Whether what is stored has been taken in.
     [[nodiscard]] bool loaded() const { return loaded_; }
--- a/src/leader/stale_key_remover.hpp
+++ b/src/leader/stale_key_remover.hpp
@@ -11,9 +11,11 @@
 
 namespace coralhitch::leader {
 
+// Removes keys that are given to it, when the key-value store has time.
 class StaleKeyRemover : private LeaderPart {
   public:
     StaleKeyRemover(const PartContext& context, kv::KvClient& kv);
+    // The key is to be removed some time.
     void add(const std::string& key) { keys_.insert(key); }
     // Sends the next transaction, if one is due, none is under way and the leader may act. Each tick.
     void remove_some();
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -19,6 +19,7 @@
 
 namespace coralhitch::leader {
 
+// Replicates changed machines to the followers, and holds starts back until they have them.
 class StartReplication : private LeaderPart {
   public:
     // What another controller last said of itself, if that is not long ago; else null.
