--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -112,8 +112,8 @@
                                    controller.serve(std::move(request), std::move(reply));
                                });
     http::Server peer_server(loop, settings.peer_listen, peer_server_limits(settings, sockets),
-                             [&](http::Request request, http::Reply reply) {
-                                 controller.serve_peer(std::move(request), std::move(reply));
+                             [&](const http::Request& request, const http::Reply& reply) {
+                                 controller.serve_peer(request, reply);
                              });
     log_start(settings);
     controller.watch_sockets(sockets);
