--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -34,6 +34,7 @@
     protocol::Incarnation incarnation;  // of this process
 };
 
+// Takes heartbeats to whoever answers them: the local leader, the relay, or the worker itself again.
 class HeartbeatIntake {
   public:
     explicit HeartbeatIntake(HeartbeatIntakeDependencies dependencies);
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -41,6 +41,7 @@
     protocol::Incarnation incarnation;  // of this process
 };
 
+// Sends and answers pings, and says what follows from those of the others.
 class PeerMonitor {
   public:
     struct Peer {
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -33,6 +33,7 @@
 
 namespace coralhitch::leader {
 
+// Applies heartbeats to the state and answers them.
 class HeartbeatHandler : private LeaderPart {
   public:
     struct Parts {
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -15,6 +15,7 @@
 
 namespace coralhitch::leader {
 
+// The state that all parts of the leader share; see above for who may change it.
 struct LeaderState {
     LeaderState(protocol::LeaderVersion fencing_token, const std::vector<protocol::MachineType>& types,
                 double value_kb)
