--- a/tests/leader/machine_supervisor_test.cpp
+++ b/tests/leader/machine_supervisor_test.cpp
@@ -165,7 +165,7 @@
     EXPECT_FALSE(restarts.stop_requested) << "it may be done by then";
 }
 
-TEST(MachineSupervisor, TakesNothingFromAMachineThatHasNotReconciledForProofThatItIsReached) {
+TEST(MachineSupervisor, TakesAMachineForUnreachableOnlyUntilItHasReconciled) {
     Bench bench;
     auto& machine = bench.add_machine("vm-1");
     bench.wait(1);
