--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -8,6 +8,10 @@
 
 #include "api/user_api.hpp"
 #include "kv/keys.hpp"
+#include "protocol/cloud_api.hpp"
+#include "protocol/kv_api.hpp"
+#include "protocol/model.hpp"
+#include "protocol/records.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
 #include "support/test_settings.hpp"
@@ -49,7 +53,7 @@
     FakeTimers timers;
     FakeKeyValueStore service{timers};
     config::Settings settings =
-        settings_of({.nodes = 3, .report_s = 5, .lease_s = 31, .state_rps = 250, .memory_mb = 100});
+        settings_of({.nodes = 3, .heartbeat_interval_s = 5, .lease_s = 31, .kv_rps = 250, .memory_mb = 100});
     FakeCluster cluster;
     struct Node {
         kv::KvClient client;
--- a/tests/leader/machine_supervisor_test.cpp
+++ b/tests/leader/machine_supervisor_test.cpp
@@ -5,6 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "leader/parts_fixture.hpp"
+#include "protocol/model.hpp"
 
 namespace coralhitch::leader {
 namespace {
@@ -30,7 +31,7 @@
     }
     // Seconds after the last renewal until a worker's lease has surely expired.
     double expiry_s() const {
-        return settings.lease_s * (1 + 2 * election::max_clock_drift) + settings.report_s / 3;
+        return settings.lease_s * (1 + 2 * election::max_clock_drift) + settings.heartbeat_interval_s / 3;
     }
     std::vector<Machine*> healthy;
     std::optional<std::size_t> seen_by_peers;  // how many of the silent machines
@@ -91,18 +92,18 @@
     bench.add_healthy_machines(19);
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.add_start("j-1", machine);  // others wait for it
-    double silent_since = bench.timers.now(), report_s = bench.settings.report_s;
-    EXPECT_TRUE(bench.check_at(silent_since + report_s * 1.2));
+    double silent_since = bench.timers.now(), heartbeat_interval_s = bench.settings.heartbeat_interval_s;
+    EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 1.2));
     EXPECT_FALSE(machine.suspected);
-    EXPECT_TRUE(bench.check_at(silent_since + report_s * 1.4));
+    EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 1.4));
     EXPECT_TRUE(machine.suspected);
     bench.wait(0);
     ASSERT_THAT(bench.sent, SizeIs(1)) << "it is probed";
     EXPECT_EQ(bench.sent[0].addr, machine.addr);
-    EXPECT_TRUE(bench.check_at(silent_since + report_s * 3));
+    EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 3));
     EXPECT_EQ(machine.life, Machine::Life::up) << "its answer may lie unread";
     bench.answer(std::nullopt);
-    EXPECT_TRUE(bench.check_at(silent_since + report_s * 3));
+    EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 3));
     EXPECT_EQ(machine.life, Machine::Life::marked_for_deletion);
     EXPECT_THAT(machine.tasks, SizeIs(1)) << "silence is no proof";
 }
@@ -155,8 +156,8 @@
     auto& saves = bench.add_running_task("j-saves", machine);
     auto& restarts = bench.add_running_task("j-restarts", machine);
     auto spec = *saves.spec;
-    spec.checkpoint_s = 60;
-    spec.save_s = 20;
+    spec.checkpoint_interval_s = 60;
+    spec.checkpoint_save_s = 20;
     saves.spec = std::make_shared<const protocol::Job>(spec);
     machine.preemption_deadline = bench.timers.now() + 12;
     bench.supervisor.handle_preemption_notice(machine);
