--- a/tests/leader/command_sender_test.cpp
+++ b/tests/leader/command_sender_test.cpp
@@ -27,8 +27,8 @@
     ASSERT_THAT(bench.sent, SizeIs(1));
     EXPECT_EQ(bench.sent[0].addr, machine.addr);
     auto body = nlohmann::json::parse(bench.sent[0].request.body);
-    EXPECT_EQ(body["helm"], machine.token);
-    EXPECT_EQ(body["watch"], machine.agent_epoch);
+    EXPECT_EQ(body["helm"], machine.token.value());
+    EXPECT_EQ(body["watch"], machine.agent_epoch.value());
     EXPECT_THAT(verbs(bench.sent[0].request.body), ElementsAre("run"));
 }
 
@@ -64,7 +64,7 @@
     bench.lose_authority();
     bench.commands.flush_all();
     EXPECT_THAT(bench.sent, IsEmpty());
-    EXPECT_EQ(instance.run.highest_token, 0u) << "no `run` can be on its way";
+    EXPECT_FALSE(instance.run.highest_token.is_set()) << "no `run` can be on its way";
 }
 
 TEST(CommandSender, KeepsAStartThatWasNotAnswered) {
@@ -85,7 +85,8 @@
     bench.add_start("j-1", machine);
     bench.commands.flush_all();
     EXPECT_EQ(bench.delegations.count(), 0u) << "the relay would go on giving an answer without commands";
-    EXPECT_DOUBLE_EQ(machine.delegation_expiry, bench.timers.now() + 3);
+    ASSERT_TRUE(machine.delegation_expiry);
+    EXPECT_DOUBLE_EQ(*machine.delegation_expiry, bench.timers.now() + 3);
 }
 
 TEST(CommandSender, HandsOnTheStatusThatAProbeIsAnsweredWith) {
--- a/tests/leader/heartbeat_handler_test.cpp
+++ b/tests/leader/heartbeat_handler_test.cpp
@@ -52,9 +52,9 @@
     protocol::RelayRequest relayed(const nlohmann::json& status) {
         protocol::RelayRequest message;
         message.label = relay_label;
-        message.incarnation = 1;
+        message.incarnation = protocol::Incarnation{1};
         message.leader_version = authority->fencing_token();
-        message.number = ++relay_messages;
+        message.sequence_number = ++relay_messages;
         message.heartbeats = {status.dump()};
         return message;
     }
@@ -95,7 +95,7 @@
     LoadedBench bench;
     auto response = bench.answer_to(status_of(bench.machine, 2));
     EXPECT_EQ(response.status, 200);
-    EXPECT_EQ(nlohmann::json::parse(response.body)["helm"], bench.machine.token);
+    EXPECT_EQ(nlohmann::json::parse(response.body)["helm"], bench.machine.token.value());
     EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, bench.timers.now());
 }
 
@@ -146,7 +146,7 @@
 TEST(HeartbeatHandler, StepsDownWhenAWorkerShowsTheTokenOfALaterLeader) {
     LoadedBench bench;
     auto status = status_of(bench.machine, 2);
-    status["helm"] = (bench.authority->fencing_token() + 1) << cluster::ClusterState::token_bits;
+    status["helm"] = bench.authority->fencing_token().next().value() << cluster::ClusterState::token_bits;
     EXPECT_EQ(bench.answer_to(status).status, 503);
     bench.wait(0);
     EXPECT_FALSE(bench.leads());
@@ -183,7 +183,7 @@
     EXPECT_EQ(bench.answer_to(unaware).status, 503);
     EXPECT_EQ(bench.rejected(HeartbeatRejection::cancellation_unsent), 1u);
     unaware["tally"] = 4;
-    unaware["helm"] = bench.machine.token;  // the one that fences the `run`
+    unaware["helm"] = bench.machine.token.value();  // the one that fences the `run`
     EXPECT_EQ(bench.answer_to(unaware).status, 200);
 }
 
@@ -267,11 +267,11 @@
 TEST(HeartbeatHandler, TakesNothingThatIsMeantForAnotherLeadership) {
     LoadedBench bench;
     auto message = bench.relayed(status_of(bench.machine, 2));
-    ++message.leader_version;
+    message.leader_version = message.leader_version.next();
     auto relay_answer = bench.answer_to(message);
     EXPECT_FALSE(relay_answer.is_leader);
     EXPECT_THAT(relay_answer.replies, IsEmpty());
-    EXPECT_EQ(bench.machine.sequence, 1u);
+    EXPECT_EQ(bench.machine.sequence, protocol::SequenceNumber{1});
 }
 
 }  // namespace
--- a/tests/leader/machine_deletion_test.cpp
+++ b/tests/leader/machine_deletion_test.cpp
@@ -104,7 +104,7 @@
     bench.delegate("vm-1", "controller-1", 30);
     bench.deletion.mark(bench.machine, "is not needed");
     EXPECT_EQ(bench.delegations.count(), 0u);
-    EXPECT_DOUBLE_EQ(bench.machine.delegation_expiry, 30);
+    EXPECT_EQ(bench.machine.delegation_expiry, 30);
 }
 
 TEST(MachineDeletion, IgnoresAnAnswerAfterTheLeadershipsEnd) {
--- a/tests/leader/parts_fixture.hpp
+++ b/tests/leader/parts_fixture.hpp
@@ -13,6 +13,7 @@
 #include "leader/machine_store.hpp"
 #include "membership/failure_detector.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 
 namespace coralhitch::leader {
 
@@ -40,7 +41,7 @@
     status["driftwood"] = machine.spot;
     status["watch"] = 1;
     status["tally"] = sequence;
-    status["helm"] = machine.token;
+    status["helm"] = machine.token.value();
     status["shards"] = nlohmann::json::array();
     return status;
 }
@@ -75,9 +76,9 @@
     Machine& add_reconciled_machine(const std::string& id) {
         auto& machine = add_machine(id);
         machine.registration = Machine::Registration::stored;
-        machine.agent_epoch = 1;
-        machine.sequence = 1;
-        machine.heartbeat_sequence = 1;
+        machine.agent_epoch = protocol::AgentEpoch{1};
+        machine.sequence = protocol::SequenceNumber{1};
+        machine.heartbeat_sequence = protocol::SequenceNumber{1};
         machine.token_seen = machine.token;
         machine.reported_to_this_leader = machine.reconciled = true;
         return machine;
@@ -94,8 +95,9 @@
     // A task of a job of one task, to be started on this machine.
     cluster::Instance& add_start(const std::string& job_id, Machine& machine) {
         auto& job = add_job(job_id, 1);
-        auto& instance = state->cluster.place(machine, {job_id, 0}, job.spec, first_attempt, timers.now());
-        job.active[0] = {machine.id, first_attempt, state->zone_of(machine)};
+        auto& instance = state->cluster.place(machine, {job_id, 0}, job.spec,
+                                              protocol::AttemptNumber{first_attempt}, timers.now());
+        job.active[0] = {machine.id, protocol::AttemptNumber{first_attempt}, state->zone_of(machine)};
         return instance;
     }
     // The machine's heartbeats are answered by this relay until then.
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -9,6 +9,7 @@
 #include "leader/recovery.hpp"
 #include "protocol/agent_api.hpp"
 #include "protocol/model.hpp"
+#include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 #include "protocol/records.hpp"
 
@@ -34,7 +35,7 @@
     void start_recovery() {
         replication::ReplicaEvidence evidence;
         evidence.label = settings.label;
-        evidence.incarnation = own_incarnation;
+        evidence.incarnation = protocol::Incarnation{own_incarnation};
         evidence.leader_version = authority->fencing_token();
         evidence.chain = history;
         evidence.replica = &replica;
@@ -58,7 +59,8 @@
     // The machine reports under this leader's token.
     void report(const std::string& machine_id) {
         auto& machine = *state->cluster.find(machine_id);
-        auto status = protocol::HeartbeatReader().read(status_of(machine, machine.sequence + 1).dump());
+        auto status =
+            protocol::HeartbeatReader().read(status_of(machine, machine.sequence.next().value()).dump());
         (void)state->cluster.apply_heartbeat(status, cluster::ReportChannel::heartbeat, timers.now(),
                                              [](const std::string&) { return nullptr; });
     }
--- a/tests/leader/recovery_test.cpp
+++ b/tests/leader/recovery_test.cpp
@@ -19,22 +19,22 @@
     bool may_place() const { return reconciliation.placement_allowed(); }
     // This controller follows a previous leader whose replica it has and whose record names it.
     void follow_previous_leader() {
-        constexpr std::uint64_t previous_version = 2;
-        protocol::InSyncReplicas record{previous_version,
-                                        {{settings.label, own_incarnation, previous_version}}};
+        constexpr protocol::LeaderVersion previous_version{2};
+        protocol::InSyncReplicas record{
+            previous_version, {{settings.label, protocol::Incarnation{own_incarnation}, previous_version}}};
         service.kv[kv::keys::in_sync_replicas] = {nlohmann::json::parse(protocol::stored(record)),
                                                   ++service.revision};
         history.leaderships = {{previous_version, true}};
-        history.known_until_revision = previous_version;
+        history.known_until_revision = previous_version.value();
         replica.leader_version = replica.base_version = previous_version;
     }
     // The previous leader replicated that the machine holds the job's only task.
     void replicate_task(const std::string& machine_id, const std::string& job_id) {
         auto& row = replica.machines[machine_id];
         row.machine = machine_id;
-        row.known = true;
-        row.agent_epoch = 1;
-        row.tasks = {{job_id, 0, first_attempt}};
+        row.tasks_known = true;
+        row.agent_epoch = protocol::AgentEpoch{1};
+        row.tasks = {{job_id, 0, protocol::AttemptNumber{first_attempt}}};
     }
 };
 
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -14,7 +14,7 @@
 using testing::ElementsAre;
 using testing::IsEmpty;
 
-constexpr std::uint64_t follower_incarnation = 9;
+constexpr protocol::Incarnation follower_incarnation{9};
 const std::string follower_label = "controller-1", follower_addr = "10.1.0.2:7000";
 
 config::Settings settings_with_follower(bool replicates_starts) {
@@ -81,7 +81,7 @@
     auto& rows = bench.follower.replica().machines;
     ASSERT_TRUE(rows.contains("vm-1"));
     ASSERT_EQ(rows.at("vm-1").tasks.size(), 1u);
-    EXPECT_EQ(rows.at("vm-1").tasks[0].attempt, first_attempt);
+    EXPECT_EQ(rows.at("vm-1").tasks[0].attempt, protocol::AttemptNumber{first_attempt});
 }
 
 TEST(StartReplication, HoldsOnlyStartsThatTheFollowerLacks) {
