--- a/scale/tests/checker_test.cpp
+++ b/scale/tests/checker_test.cpp
@@ -160,7 +160,7 @@
      [](Checker& checker) {
          begin(checker, job("j-1", 1));
          auto other = job("j-2", 1);
-         other.awaits = {"j-1"};
+         other.dependencies = {"j-1"};
          begin(checker, other);
          checker.task_started(1, "a1", {"j-2", 0});
      }},
--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -26,8 +26,10 @@
 bool repeats(const std::string& body, const std::string& last_body) {
     auto outline = protocol::outline_heartbeat(body), last_outline = protocol::outline_heartbeat(last_body);
     if (!outline || !last_outline) return false;
-    auto before = [](std::string_view text, const auto& of) { return text.substr(0, of.at); };
-    auto after = [](std::string_view text, const auto& of) { return text.substr(of.at + of.digits); };
+    auto before = [](std::string_view text, const auto& of) { return text.substr(0, of.sequence_offset); };
+    auto after = [](std::string_view text, const auto& of) {
+        return text.substr(of.sequence_offset + of.sequence_digits);
+    };
     return before(body, *outline) == before(last_body, *last_outline) &&
            after(body, *outline) == after(last_body, *last_outline);
 }
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -28,7 +28,7 @@
     explicit Bench(bool replicates_starts = true) : PartsFixture(settings_with_follower(replicates_starts)) {
         ping.label = follower_label;
         ping.incarnation = follower_incarnation;
-        ping.features = protocol::peer_features;
+        ping.features = protocol::peer_features::latest;
     }
     // The follower has taken in all that there is, and the stored record names it.
     void begin_in_sync() {
@@ -141,8 +141,8 @@
     bench.add_machine("vm-3").life = Machine::Life::booting;
     bench.begin_in_sync();
     auto& rows = bench.follower.replica().machines;
-    EXPECT_TRUE(rows.at("vm-1").known);
-    EXPECT_FALSE(rows.at("vm-2").known);
+    EXPECT_TRUE(rows.at("vm-1").tasks_known);
+    EXPECT_FALSE(rows.at("vm-2").tasks_known);
     EXPECT_FALSE(rows.contains("vm-3")) << "nothing can have been sent to it";
 }
 
