--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -33,7 +33,7 @@
     double first_request_s = 1;
     // Above this share of what its kind of peers may hold no connection is kept open.
     double keep_share = 0.9;
-    double retry_after_s = 1;            // told to those that are refused
+    double retry_after_s = 1;            // sent with each rejection
     std::size_t accepts_per_event = 16;  // at once, in between other events
     event_loop::Lane lane = event_loop::Lane::urgent;
     // Requests that wait for others when there is more to do than can be done, by their path. A connection
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -186,14 +186,14 @@
     else
         machine->reachability.record_unanswered_command(now());
     state_.cluster.complete_direct_commands(*machine, sent.commands, sent.token, reached);
-    // The refusal told the agent epoch: probe again at once, so that the machine reconciles.
+    // The rejection carried the agent epoch: probe again at once, so that the machine reconciles.
     if (reached && is_refused(*response) && new_epoch && !machine->reconciled)
         timers_.after(0, guarded_([this, id = sent.machine_id] {
                           if (auto* again = state_.cluster.find(id)) probe(*again);
                       }));
 }
 
-// Whether it told an agent epoch above the one that was known.
+// Whether it carried an agent epoch above the one that was known.
 bool CommandSender::apply_answer(const std::string& machine_id, const http::Response& response) {
     last_answer_at_ = now();
     bool new_epoch = false;
--- a/src/leader/image_handover.hpp
+++ b/src/leader/image_handover.hpp
@@ -1,4 +1,4 @@
-// The machines' image caches as told to the controller that leads next: heartbeats show only the images of
+// The machines' image caches as sent to the controller that leads next: heartbeats show only the images of
 // what is on a machine now, and a new leader that knew no others sent tasks to where all had to be fetched.
 //
 // On the event loop's thread.
@@ -10,7 +10,7 @@
 
 // The image caches of all machines, as this leader knows them.
 [[nodiscard]] protocol::PeerImages images_to_hand_over(const cluster::ClusterState& cluster);
-// Notes the caches that the previous leader told of, where nothing newer is known. The caller holds the
+// Notes the caches that the previous leader sent, where nothing newer is known. The caller holds the
 // cluster state's mutex.
 void recall_images(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over);
 
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -14,7 +14,8 @@
 }
 
 // What this controller knew before its claim; the rest of the evidence is read.
-replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies, protocol::LeaderVersion version) {
+replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies,
+                                              protocol::LeaderVersion version) {
     replication::ReplicaEvidence evidence;
     evidence.label = dependencies.settings.label;
     evidence.incarnation = dependencies.incarnation;
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -2,7 +2,8 @@
 //
 // A machine is stored, and that confirmed, before the first `run` goes to it; that a machine is to be deleted
 // is stored before the deletion is asked for. Owns the registry of stored machines, and writes
-// Machine::stored, storing and deletable; instances of a machine that has been stored become ready to start.
+// Machine::registration and Machine::deletion. Instances of a machine that has been stored become ready to
+// start.
 //
 // On the event loop's thread. The caller holds LeaderState::mutex during `store_if_new` and `update`.
 #pragma once
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -2,7 +2,7 @@
 // are evicted. Also what follows from a preemption notice.
 //
 // The rules of suspicion and eviction are the failure detector's (membership/failure_detector.hpp); this part
-// shows it the machines and carries out what it says. Writes Machine::suspected, mute and silent times, ends
+// shows it the machines and carries out what it says. Writes Machine::suspected and inbound_unreachable, ends
 // instances whose lease has expired, and marks machines for deletion.
 //
 // On the event loop's thread. `check` takes LeaderState::mutex itself; `handle_preemption_notice` is called
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -71,7 +71,7 @@
 
 enum class JobState { queued, running, done, cancelled };
 
-// What a user is told of a job.
+// The status of a job as a user sees it.
 struct JobStatus {
     std::string id;
     JobState state = JobState::queued;
--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -1,4 +1,4 @@
-// What users are told.
+// Rules of the answers that users get.
 #include <limits>
 
 #include "protocol/model.hpp"
