--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -2,7 +2,7 @@
 //
 // Safety rests on what is answered: a 200 renews the worker's lease, so it is given only while this leader
 // may renew leases, only to a machine whose status is current, and never to one that might run a task which
-// must be stopped (ClusterState::renewable). Everything else is refused, and counted by its reason.
+// must be stopped (ClusterState::may_renew_lease). Everything else is refused, and counted by its reason.
 //
 // Owns the heartbeats that came before the jobs were loaded, the replies that may be repeated, and how many
 // machines it has sent to relays. Writes of a machine what a heartbeat and its answer change: route, renewal
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -1,9 +1,9 @@
 // What the leader writes about jobs at the key-value store: progress blocks and final records. Reads back
 // what became of a write whose answer was lost.
 //
-// Owns the bookkeeping of writes in flight. Changes of the state: `writing`, `retry_at`, `unstored` and
-// `blocks` of a job's entry; a job leaves the table once its end is stored; workers may then be told to
-// forget its tasks. Used by the event loop's thread alone.
+// Owns the bookkeeping of writes in flight. Changes of the state: `write_in_flight`, `write_retry_at`,
+// `unstored_tasks` and `block_versions` of a job's entry; a job leaves the table once its end is stored;
+// workers may then be told to forget its tasks. Used by the event loop's thread alone.
 #pragma once
 #include <functional>
 #include <set>
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t machine_count = 8000, tasks_per_machine = 17, images_per_machine = 10;
 constexpr std::size_t live_jobs = 1400;
 constexpr std::size_t memory_bytes = 136 * 1024 * 1024;  // as sites of 1,300 machines grant it
-constexpr std::size_t body_limit = memory_bytes / 32;    // src/daemon/main.cpp
+constexpr std::size_t body_limit = memory_bytes / 32;    // src/controller/main.cpp
 constexpr std::uint64_t version = 1ull << 32;
 
 std::string name(const char* form, std::size_t k) {
@@ -68,8 +68,8 @@
 
 TEST(MessageSize, OfAMessageThatPassesReportsOn) {
     RelayRequest relay;
-    relay.heartbeats.assign(96,
-                            std::string(1900, 'x'));  // relay::ReportRelay's most_reports, 17 ends in each
+    // relay::HeartbeatRelay's max_batch_heartbeats, 17 ends in each
+    relay.heartbeats.assign(96, std::string(1900, 'x'));
     for (std::size_t k = 0; k < machine_count; ++k)
         relay.answered_heartbeats.push_back({name("vm-%06zu", k), 70000});
     EXPECT_LT(packed_bytes("96 reports passed on, 8,000 repeated", relay), body_limit / 4);
