--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -32,7 +32,7 @@
       random_(seed),
       incarnation_(random_()),
       kv_(timers, http, settings),
-      kv_reachability_(timers, kv_, settings),
+      kv_reachability_(kv_, settings),
       election_(timers, kv_, settings, incarnation_, random_()),
       cloud_(timers, http, settings),
       machine_types_(timers, cloud_, kv_, election_, settings, leader_),
--- a/src/controller/kv_reachability.hpp
+++ b/src/controller/kv_reachability.hpp
@@ -2,7 +2,6 @@
 // Reads the client's figures only; sends nothing.
 #pragma once
 #include "config/settings.hpp"
-#include "event_loop/timers.hpp"
 #include "kv/kv_client.hpp"
 
 namespace coralhitch::controller {
@@ -10,13 +9,12 @@
 // Tells whether the key-value store has answered lately.
 class KvReachability {
   public:
-    KvReachability(const event_loop::Timers& timers, const kv::KvClient& kv, const config::Settings& settings)
-        : timers_(timers), kv_(kv), settings_(settings) {}
+    // Both must outlive this.
+    KvReachability(const kv::KvClient& kv, const config::Settings& settings) : kv_(kv), settings_(settings) {}
     // True if a request was answered within the last heartbeat period.
     [[nodiscard]] bool reachable() const { return kv_.answered_within(settings_.heartbeat_interval_s); }
 
   private:
-    const event_loop::Timers& timers_;
     const kv::KvClient& kv_;
     const config::Settings& settings_;
 };
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -23,7 +23,8 @@
 }
 void Checker::check_awaits(double now, const protocol::Job& job, const std::string& task) {
     for (auto& awaited : job.dependencies)
-        if (!observations_.is_done(awaited)) report(now, "too_early " + task + " before " + awaited);
+        if (!observations_.is_done(awaited))
+            report(now, std::string("too_early ").append(task).append(" before ").append(awaited));
 }
 void Checker::check_quota(double now, const protocol::Job& job, const std::string& task) {
     auto limit = rules_.teams.find(job.team);
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -84,7 +84,7 @@
     PartsTestNetwork network;
     config::Settings settings = ControllerFixture::default_settings();  // heartbeat_interval_s is 3
     kv::KvClient kv{timers, network, settings};
-    KvReachability kv_reachability{timers, kv, settings};
+    KvReachability kv_reachability{kv, settings};
     election::Election election{timers, kv, settings, protocol::Incarnation{1}, 1};
     LocalLeader leader;
     replication::Follower replica{protocol::Incarnation{1}};
