--- a/scale/load/worker_event_handler.cpp
+++ b/scale/load/worker_event_handler.cpp
@@ -59,7 +59,7 @@
 }
 
 void WorkerEventHandler::check_end(const WorkerEvent& event, verification::Checker& checker) {
-    checker.task_ended(event.time, event.machine, event.task, event.cause);
+    checker.task_ended(event.machine, event.task, event.cause);
     if (event.cause != protocol::ExitCause::done) return;
     ++counts_.tasks_done;
     auto* job = jobs_.find(event.task.job);
--- a/scale/tests/checker_test.cpp
+++ b/scale/tests/checker_test.cpp
@@ -27,7 +27,7 @@
 }
 void finish(Checker& checker, double time, const std::string& id) {
     checker.task_started(time, "a1", {id, 0});
-    checker.task_ended(time + 1, "a1", {id, 0}, protocol::ExitCause::done);
+    checker.task_ended("a1", {id, 0}, protocol::ExitCause::done);
 }
 
 const History histories[] = {
@@ -35,7 +35,7 @@
      [](Checker& checker) {
          begin(checker, job("j-1"));
          checker.task_started(1, "a1", {"j-1", 0});
-         checker.task_ended(2, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
+         checker.task_ended("a1", {"j-1", 0}, protocol::ExitCause::stopped);
          checker.task_started(2, "b1", {"j-1", 0});
      }},
     {"twice", "ran_twice",
@@ -103,7 +103,7 @@
          checker.cancel_requested("j-1");
          checker.status_answered(2, "j-1", protocol::JobState::cancelled);
          checker.check_cancelled_jobs(11);
-         checker.task_ended(11.9, "a1", {"j-1", 0}, protocol::ExitCause::stopped);
+         checker.task_ended("a1", {"j-1", 0}, protocol::ExitCause::stopped);
          checker.check_cancelled_jobs(13);
      }},
     {"cancelled_runs_on", "ran_cancelled",
@@ -188,7 +188,7 @@
     for (std::uint32_t k = 0; k < 2; ++k) {
         checker.task_started(k, "a1", {"j-1", k});
         EXPECT_EQ(checker.tasks_on_machines(), 1u);
-        checker.task_ended(k + 0.5, "a1", {"j-1", k}, protocol::ExitCause::done);
+        checker.task_ended("a1", {"j-1", k}, protocol::ExitCause::done);
         EXPECT_EQ(checker.tasks_on_machines(), 0u);
     }
     EXPECT_TRUE(checker.violations().empty());
--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -1,7 +1,10 @@
 // Rules of the answers that users get.
 #include <limits>
+#include <optional>
+#include <string>
 
 #include "protocol/model.hpp"
+#include "protocol/names.hpp"
 #include "verification/checker.hpp"
 
 namespace coralhitch::verification {
@@ -15,20 +18,13 @@
 bool denies(const Answer& answer) {
     return answer.status == 404 || answer.status == 400 || answer.status == 422;
 }
-// As users read it.
-std::string word_of(std::optional<protocol::JobState> state) {
-    if (!state) return "no state";
-    switch (*state) {
-        case protocol::JobState::queued:
-            return "pending";
-        case protocol::JobState::running:
-            return "running";
-        case protocol::JobState::done:
-            return "done";
-        case protocol::JobState::cancelled:
-            return "withdrawn";
-    }
-    return "unknown";
+// A user has seen the job in a state that is never left, and this answer says another one.
+std::string went_back(const Answer& answer, protocol::JobState from) {
+    using protocol::job_state_names;
+    using protocol::name_of;
+    auto to = answer.state ? name_of(job_state_names, *answer.state) : "no state";
+    std::string text = "went_back " + answer.job + " from ";
+    return text.append(name_of(job_state_names, from)).append(" to ").append(to);
 }
 }  // namespace
 
@@ -69,9 +65,9 @@
     if (answer.status == created && before(job.accepted_at, answer))
         report(answer.received, "accepted_twice " + answer.job);
     if (before(job.done_at, answer) && answer.state != protocol::JobState::done)
-        report(answer.received, "went_back " + answer.job + " from done to " + word_of(answer.state));
+        report(answer.received, went_back(answer, protocol::JobState::done));
     if (before(job.cancelled_at, answer) && answer.state != protocol::JobState::cancelled)
-        report(answer.received, "went_back " + answer.job + " from withdrawn to " + word_of(answer.state));
+        report(answer.received, went_back(answer, protocol::JobState::cancelled));
 }
 // An answer that came so long after a job before this one was told to be cancelled must say cancelled too.
 void Checker::check_awaited(const Answer& answer) {
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -71,7 +71,7 @@
     observations_.add_task(*job, task.index, machine);
     if (job->cancelled_at) cancelled_.insert(task.job);  // the next look sees it, whatever the last one saw
 }
-void Checker::task_ended(double, const std::string& machine, const protocol::TaskId& task,
+void Checker::task_ended(const std::string& machine, const protocol::TaskId& task,
                          protocol::ExitCause cause) {
     auto* job = observations_.find(task.job);
     if (!job) return;
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -45,7 +45,7 @@
   public:
     explicit Checker(Rules rules) : rules_(std::move(rules)) {}
 
-    // What users do and are told.
+    // What users do, and what they are answered.
     void submitted(const protocol::Job& job);
     void must_be_refused(const std::string& id) { known_job(id).must_be_refused = true; }
     void fails_everywhere(const std::string& id) { known_job(id).fails_everywhere = true; }
@@ -57,7 +57,7 @@
     // An answer for which the caller has seen to the order: one that says neither done nor cancelled counts
     // only if the user had been told that the job is over before asking.
     void status_answered(double now, const std::string& id, protocol::JobState state);
-    // A question that got 404.
+    // A status query that got 404.
     void not_found_answered(double now, const std::string& id);
 
     // What happens on machines. A task takes its place when its worker carries out the command to start it.
@@ -66,8 +66,7 @@
     }
     void task_started(double now, const std::string& machine, const protocol::TaskId& task,
                       StartOutcome outcome = StartOutcome::placed);
-    void task_ended(double now, const std::string& machine, const protocol::TaskId& task,
-                    protocol::ExitCause cause);
+    void task_ended(const std::string& machine, const protocol::TaskId& task, protocol::ExitCause cause);
     // Its tasks run no more: it has crashed or was deleted, or its worker's lease has expired.
     void machine_terminated(const std::string& machine) { observations_.remove_tasks_of(machine); }
 
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -167,7 +167,7 @@
     it->second.status = "exited";
     it->second.cause = cause;
     it->second.saved = cause == "halted";
-    checker_.task_ended(now(), worker.id, parse_task_id(task), parse_cause(cause));
+    checker_.task_ended(worker.id, parse_task_id(task), parse_cause(cause));
     if (cause != "done") return;
     auto id = it->second.job;
     auto& job = jobs[id];
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -215,7 +215,7 @@
     protocol::Job job;
     job.id = "j-1";
     checker.submitted(job);
-    checker.task_ended(0, "vm-1", {"j-1", 0}, protocol::ExitCause::done);
+    checker.task_ended("vm-1", {"j-1", 0}, protocol::ExitCause::done);
     checker.cancel_requested("j-1");
     for (auto answer : history.answers) {
         ASSERT_TRUE(checker.violations().empty()) << history.name << ": " << checker.violations()[0];
