--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -22,9 +22,7 @@
 class JobStore : private LeaderPart {
   public:
     struct Callbacks {
-        // Takes in a job's stored record (see JobWatcher). Called with the state's mutex held.
-        std::function<void(const std::string& id, std::uint64_t version, const std::string& value)>
-            take_record;
+        TakeJobRecord take_record;
         std::function<void()> request_plan;
         // Whether it is known of each machine what may be on it (see Reconciliation).
         std::function<bool()> may_place;
--- a/src/leader/part_context.hpp
+++ b/src/leader/part_context.hpp
@@ -2,6 +2,10 @@
 //
 // References only; the Leader owns all of them and outlives its parts.
 #pragma once
+#include <cstdint>
+#include <functional>
+#include <string>
+
 #include "config/settings.hpp"
 #include "event_loop/timers.hpp"
 #include "leader/authority.hpp"
@@ -10,6 +14,10 @@
 
 namespace coralhitch::leader {
 
+// Takes in a job's stored record, of this version (see JobWatcher). Called with LeaderState::mutex held.
+using TakeJobRecord =
+    std::function<void(const std::string& job_id, std::uint64_t version, const std::string& record)>;
+
 // The references that LeaderPart keeps for each part.
 struct PartContext {
     event_loop::Timers& timers;
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -44,9 +44,7 @@
         std::map<std::string, double> silent_machine_s;  // machines that it suspected, silent for so long
     };
     struct Hooks {
-        // Takes in a job's stored record; the mutex is held.
-        std::function<void(const std::string& job_id, std::uint64_t version, const std::string& record)>
-            take_job;
+        TakeJobRecord take_job;
         // What was stored is taken in; nothing was sent to a machine yet.
         std::function<void(const failover::RecoveredState& stored)> state_loaded;
         // The jobs are loaded: what ended while nobody led may be read.
