--- a/tests/controller/legacy_metrics_test.cpp
+++ b/tests/controller/legacy_metrics_test.cpp
@@ -3,9 +3,9 @@
 #include <gtest/gtest.h>
 
 #include <map>
-#include <sstream>
 
 #include "controller/controller_fixture.hpp"
+#include "support/prometheus_series.hpp"
 
 namespace coralhitch::controller {
 namespace {
@@ -86,18 +86,6 @@
     R"(coralhitch_events_total{event="won"})",
 };
 
-// Series with its labels -> value, as written.
-std::map<std::string, std::string> parse_series(const std::string& text) {
-    std::map<std::string, std::string> series;
-    std::istringstream lines(text);
-    for (std::string line; std::getline(lines, line);)
-        if (!line.empty() && line[0] != '#') {
-            auto end_of_name = line.rfind(' ');
-            series[line.substr(0, end_of_name)] = line.substr(end_of_name + 1);
-        }
-    return series;
-}
-
 TEST(LegacyMetrics, EverySeriesOfTheReleaseBeforeIsServed) {
     ControllerFixture fixture;
     http::SocketBudget sockets(1000, http::controller_shares);
--- a/tests/metrics/metrics_test.cpp
+++ b/tests/metrics/metrics_test.cpp
@@ -5,23 +5,12 @@
 #include <algorithm>
 #include <map>
 #include <set>
-#include <sstream>
+
+#include "support/prometheus_series.hpp"
 
 namespace coralhitch::metrics {
 namespace {
 
-// Series with its labels -> value, as written.
-std::map<std::string, std::string> parse_series(const std::string& text) {
-    std::map<std::string, std::string> series;
-    std::istringstream lines(text);
-    for (std::string line; std::getline(lines, line);)
-        if (!line.empty() && line[0] != '#') {
-            auto end_of_name = line.rfind(' ');
-            series[line.substr(0, end_of_name)] = line.substr(end_of_name + 1);
-        }
-    return series;
-}
-
 struct Expected {
     Metric metric;
     std::string label_value, current, legacy;
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -74,6 +74,14 @@
     return a;
 }
 
+// The relay may answer repeated heartbeats, and the first one of vm-1 is on its way to the leader.
+void send_pending_heartbeat(RelayFixture& fixture) {
+    fixture.run(0.2);
+    fixture.answer(extension(6000));
+    fixture.offer(heartbeat_body("vm-1", 1));
+    fixture.run(0.2);
+}
+
 TEST(HeartbeatRelay, AnswersRepeatedHeartbeatsWhileDelegationLasts) {
     RelayFixture fixture;
     fixture.run(0.2);
@@ -118,10 +126,7 @@
     };
     for (auto& c : cases) {
         RelayFixture fixture;
-        fixture.run(0.2);
-        fixture.answer(extension(6000));
-        fixture.offer(heartbeat_body("vm-1", 1));
-        fixture.run(0.2);
+        send_pending_heartbeat(fixture);
         fixture.answer(extension(6000));
         ASSERT_EQ(fixture.statuses.size(), 1u);
         fixture.run(0.65);  // the next message goes without a report, to fetch revocations
@@ -197,10 +202,7 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.what);
         RelayFixture fixture;
-        fixture.run(0.2);
-        fixture.answer(extension(6000));
-        fixture.offer(heartbeat_body("vm-1", 1));
-        fixture.run(0.2);
+        send_pending_heartbeat(fixture);
         fixture.lose();
         double from = fixture.timers.now();
         EXPECT_TRUE(fixture.statuses.empty());
@@ -261,10 +263,7 @@
 // Heartbeats that wait when this controller becomes the leader are its own to answer.
 TEST(HeartbeatRelay, HandsOverPendingHeartbeats) {
     RelayFixture fixture;
-    fixture.run(0.2);
-    fixture.answer(extension(6000));
-    fixture.offer(heartbeat_body("vm-1", 1));
-    fixture.run(0.2);
+    send_pending_heartbeat(fixture);
     fixture.lose();
     fixture.leader = {};
     fixture.run(0.5);
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -8,25 +8,16 @@
 #include "protocol/kv_api.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::replication {
 namespace {
 
 struct RecordFixture {
     RecordFixture() { spdlog::set_level(spdlog::level::off); }
-    static config::Settings settings_for() {
-        config::Settings s;
-        s.heartbeat_interval_s = 4;
-        s.lease_s = 30;
-        s.kv_rps = 100;
-        s.kv_write_rps = 50;
-        s.value_kb = s.safe_value_kb = 16;
-        s.txn_ops = 8;
-        return s;
-    }
     FakeTimers timers;
     FakeKeyValueStore service{timers};
-    config::Settings settings = settings_for();
+    config::Settings settings = settings_of({.heartbeat_interval_s = 4, .lease_s = 30, .txn_ops = 8});
     kv::KvClient client{timers, service, settings};
     std::vector<InSyncRecord::Member> members;
     bool authority = true;
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -15,6 +15,7 @@
 #include "replication/follower.hpp"
 #include "support/fake_key_value_store.hpp"
 #include "support/fake_timers.hpp"
+#include "support/test_settings.hpp"
 
 namespace coralhitch::replication {
 namespace {
@@ -25,13 +26,7 @@
 
 struct Bench {
     static config::Settings settings_for() {
-        config::Settings s;
-        s.heartbeat_interval_s = 4;
-        s.lease_s = 30;
-        s.kv_rps = 100;
-        s.kv_write_rps = 50;
-        s.value_kb = s.safe_value_kb = 16;
-        s.txn_ops = 8;
+        auto s = settings_of({.heartbeat_interval_s = 4, .lease_s = 30, .txn_ops = 8});
         s.peers = {{"x", "a", "x:1"}, {"y", "b", "y:1"}};
         return s;
     }
--- a/tests/support/test_settings.hpp
+++ b/tests/support/test_settings.hpp
@@ -12,6 +12,7 @@
     double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
     double kv_rps = 100, kv_write_rps = 50;
     double memory_mb = 0;
+    std::uint32_t txn_ops = 24;
 };
 
 inline config::Settings settings_of(const TestPlatform& platform) {
@@ -23,7 +24,7 @@
     settings.kv_rps = platform.kv_rps;
     settings.kv_write_rps = platform.kv_write_rps;
     settings.value_kb = settings.safe_value_kb = 16;
-    settings.txn_ops = 24;
+    settings.txn_ops = platform.txn_ops;
     settings.memory_mb = platform.memory_mb;
     return settings;
 }
