--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -25,7 +25,7 @@
 }
 
 Machine& ClusterState::add(const std::string& id, const std::string& addr, const std::string& type,
-                           const std::string& zone, bool spot, Machine::Life life, double now) {
+                           const std::string& zone, bool spot, Machine::Life lifecycle, double now) {
     if (auto* known = find(id)) return *known;
     auto it = machines_.try_emplace(id).first;
     auto& machine = it->second;
@@ -35,7 +35,7 @@
     machine.created_at = machine.last_heartbeat_at = machine.idle_since = machine.lease_renewed_at = now;
     machine.reachability.record_renewable_heartbeat(now);
     machine.reachability.record_reached(now);
-    machine.life = life;
+    machine.lifecycle = lifecycle;
     machine.addr = addr;
     machine.type = type;
     machine.zone = zone;
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -37,7 +37,8 @@
 // All that the report says of the machine itself.
 void HeartbeatApplication::apply_header() {
     auto& m = machine_;
-    // A report of a life of the machine that began later than the one on record, but had not come as far.
+    // A report of a lifecycle of the machine that began later than the one on record, but had not come as
+    // far.
     if (std::pair(heartbeat_.agent_epoch, heartbeat_.sequence) < std::pair(m.agent_epoch, m.sequence))
         m.heartbeat_sequence = protocol::SequenceNumber::none();
     m.agent_epoch = heartbeat_.agent_epoch;
@@ -48,7 +49,7 @@
     m.last_heartbeat_at = now_;
     m.suspected = false;
     m.silence_hint_s = 0;
-    if (m.life == Machine::Life::booting) m.life = Machine::Life::up;
+    if (m.lifecycle == Machine::Life::booting) m.lifecycle = Machine::Life::up;
     apply_preemption_notice();
     // From a report under this leader's token on, the agent drops all commands of earlier leaders, so what
     // the report shows is all there is.
--- a/src/cluster/heartbeat_freshness.cpp
+++ b/src/cluster/heartbeat_freshness.cpp
@@ -29,7 +29,7 @@
 }
 
 // The larger (agent epoch, sequence) is the newer one. But a report from before this leader began may be of
-// another life of the machine, which had come further; what is known from the replica is not.
+// another lifecycle of the machine, which had come further; what is known from the replica is not.
 bool is_newer(const Machine& machine, const protocol::Heartbeat& heartbeat, ReportChannel channel,
               const FencingTokens& tokens) {
     if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) >
--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -38,9 +38,10 @@
                           : state_.cluster.add(host.id, host.addr, host.type, host.zone, host.spot,
                                                Machine::Life::booting, timers_.now());
     if (!known) machine.created_at = timers_.now() - host.age_s;
-    if (host.state == protocol::HostState::failed && machine.life != Machine::Life::marked_for_deletion) {
+    if (host.state == protocol::HostState::failed &&
+        machine.lifecycle != Machine::Life::marked_for_deletion) {
         deletion_.mark(machine, "has failed");
-    } else if (host.state == protocol::HostState::running && machine.life == Machine::Life::booting) {
+    } else if (host.state == protocol::HostState::running && machine.lifecycle == Machine::Life::booting) {
         if (machine.addr.empty()) machine.addr = host.addr;
         running.push_back(host.id);
     }
--- a/src/leader/machine_deletion.hpp
+++ b/src/leader/machine_deletion.hpp
@@ -1,8 +1,8 @@
 // Deletes machines: marks them, stores the mark, asks the cloud, and takes out of the cluster state what the
 // cloud's answer proves to be gone.
 //
-// Owns the deletion calls under way. Writes Machine::life and Machine::deletion, and removes machines from
-// the cluster state and the store.
+// Owns the deletion calls under way. Writes Machine::lifecycle and Machine::deletion, and removes machines
+// from the cluster state and the store.
 //
 // On the event loop's thread. The caller holds LeaderState::mutex during `mark`, and not during
 // `delete_marked`.
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -207,11 +207,11 @@
     }
 }
 
-// A machine back under its name begins with low numbers: copies of its earlier life, received first, had made
-// a new leader refuse it until its lease was out.
+// A machine back under its name begins with low numbers: copies of its earlier lifecycle, received first, had
+// made a new leader refuse it until its lease was out.
 TEST(HeartbeatApplication, PrefersMachineOverReportsOfItsEarlierLife) {
     struct Case {
-        std::uint64_t agent_epoch, sequence;  // of the earlier life
+        std::uint64_t agent_epoch, sequence;  // of the earlier lifecycle
         std::uint64_t tokens_below;  // below this leader's: the agent epoch asked for was not its own
         ReportChannel channel;
         bool fresh;
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -88,7 +88,7 @@
         {"a higher token that it has not seen",
          [](ClusterStateFixture& b) { b.machine().token = b.machine().token.next(); }, false},
         {"it is to be deleted",
-         [](ClusterStateFixture& b) { b.machine().life = Machine::Life::marked_for_deletion; }, false},
+         [](ClusterStateFixture& b) { b.machine().lifecycle = Machine::Life::marked_for_deletion; }, false},
         {"it has notice", [](ClusterStateFixture& b) { b.machine().preemption_deadline = 9; }, false},
         {"it is not reconciled", [](ClusterStateFixture& b) { b.machine().reconciled = false; }, false},
         {"it is not stored yet",
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -58,7 +58,7 @@
     bench.store.flush();
     bench.wait(5);
     ASSERT_TRUE(machine.is_stored());
-    machine.life = cluster::Machine::Life::marked_for_deletion;
+    machine.lifecycle = cluster::Machine::Life::marked_for_deletion;
     bench.store.update(machine.id);
     bench.store.flush();
     EXPECT_FALSE(machine.deletion == cluster::Machine::Deletion::allowed);
