--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -25,7 +25,7 @@
 }
 
 Machine& ClusterState::add(const std::string& id, const std::string& addr, const std::string& type,
-                           const std::string& zone, bool spot, Machine::Life lifecycle, double now) {
+                           const std::string& zone, bool spot, Machine::Lifecycle lifecycle, double now) {
     if (auto* known = find(id)) return *known;
     auto it = machines_.try_emplace(id).first;
     auto& machine = it->second;
@@ -75,7 +75,7 @@
     if (is_from_terminated_epoch(find(heartbeat.machine), heartbeat, channel, tokens_))
         return {.status = HeartbeatStatus::terminated};
     auto& machine = add(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot,
-                        Machine::Life::up, now);
+                        Machine::Lifecycle::up, now);
     if (!is_newer(machine, heartbeat, channel, tokens_))
         return {.status = status_of_older(machine, heartbeat, channel)};
     HeartbeatApplication application({tokens_, images_, pools_, exited_by_job_}, machine, heartbeat, channel,
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -45,7 +45,7 @@
     Machine* find(std::string_view id);
     // The machine as it is, if there is one of this id.
     Machine& add(const std::string& id, const std::string& addr, const std::string& type,
-                 const std::string& zone, bool spot, Machine::Life lifecycle, double now);
+                 const std::string& zone, bool spot, Machine::Lifecycle lifecycle, double now);
     // Proof: the cloud has answered the deletion, so all on the machine is terminated. Reports of this id are
     // ignored from now on.
     std::vector<InstanceEnd> remove_deleted(const std::string& id);
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -22,9 +22,9 @@
     std::size_t pool = 0;  // index into the cluster state's pools
     protocol::Resources total;
 
-    // --- Life cycle ---
-    enum class Life { booting, up, marked_for_deletion };
-    Life lifecycle = Life::booting;
+    // --- Lifecycle cycle ---
+    enum class Lifecycle { booting, up, marked_for_deletion };
+    Lifecycle lifecycle = Lifecycle::booting;
     // Its record in the key-value store. It is stored before the first `run` is sent to it.
     enum class Registration { none, write_pending, stored };
     Registration registration = Registration::none;
@@ -91,7 +91,7 @@
     bool usable(double now) const { return usable_unless_suspect(now) && !is_suspect(); }
     // The same, leaving out a suspicion, which may end any moment.
     bool usable_unless_suspect(double now) const {
-        return lifecycle == Life::up && reconciled && agent_epoch.is_set() && !preemption_deadline &&
+        return lifecycle == Lifecycle::up && reconciled && agent_epoch.is_set() && !preemption_deadline &&
                now >= quarantined_until;
     }
     // What is left beside the instances on it; negative if the machine's type is not known.
--- a/src/cluster/machine_commands.cpp
+++ b/src/cluster/machine_commands.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 bool may_get_starts(const Machine& machine, bool authority) {
-    return authority && machine.reconciled && machine.lifecycle == Machine::Life::up;
+    return authority && machine.reconciled && machine.lifecycle == Machine::Lifecycle::up;
 }
 
 bool any_direct_run_in_flight(const Machine& machine) {
@@ -131,7 +131,7 @@
 }
 
 bool nothing_pending(const Machine& machine) {
-    bool idle = machine.lifecycle == Machine::Life::up && machine.reconciled && machine.is_stored() &&
+    bool idle = machine.lifecycle == Machine::Lifecycle::up && machine.reconciled && machine.is_stored() &&
                 !machine.preemption_deadline && !machine.flush_scheduled && machine.exited_tasks.empty() &&
                 machine.token == machine.token_seen;
     return idle && std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -46,7 +46,7 @@
     // few such: dozens of failed machines used to keep a leader from scaling out and preempting for ten
     // seconds.
     auto not_awaited = [](const Machine& machine) {
-        return machine.reconciled || machine.lifecycle != Machine::Life::up ||
+        return machine.reconciled || machine.lifecycle != Machine::Lifecycle::up ||
                (machine.known_from_replica && machine.suspected);
     };
     return all_satisfy(unreconciled_, not_awaited) || (few_remaining_ && placement_allowed());
@@ -95,7 +95,8 @@
 // they had, and fenced up to 230 healthy machines; at 5,200 each believed itself isolated and resigned in
 // favour of the next.
 double Reconciliation::attributable_silence_s(const Machine& machine, double now) const {
-    if (machine.reconciled || machine.lifecycle != Machine::Life::up) return now - machine.last_heartbeat_at;
+    if (machine.reconciled || machine.lifecycle != Machine::Lifecycle::up)
+        return now - machine.last_heartbeat_at;
     // A machine that no answer reaches is not reconciled, however often it reports: its heartbeats held up
     // all placement for as long as they came.
     double silent_s =
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -82,8 +82,8 @@
         auto pool = state_.cluster.pools()[request.pool];
         for (auto& id : result.machines)
             if (!state_.cluster.is_deleted(id))
-                state_.cluster.add(id, "", pool.type, pool.zone, pool.spot, cluster::Machine::Life::booting,
-                                   timers_.now());
+                state_.cluster.add(id, "", pool.type, pool.zone, pool.spot,
+                                   cluster::Machine::Lifecycle::booting, timers_.now());
     }
     pending_.erase(it);
 }
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -225,7 +225,7 @@
                                                            cluster::ReportChannel via) {
     std::lock_guard lock(state_.mutex);
     auto* before = state_.cluster.find(status.machine);
-    if (before && before->lifecycle == Machine::Life::booting)
+    if (before && before->lifecycle == Machine::Lifecycle::booting)
         parts_.failure_detector.record_boot(parts_.supervisor.boot_times(*before));
     auto job_spec = [this](const std::string& job_id) -> cluster::JobSpec {
         auto* job = state_.jobs.find(job_id);
--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -36,12 +36,13 @@
     auto* known = state_.cluster.find(host.id);
     auto& machine = known ? *known
                           : state_.cluster.add(host.id, host.addr, host.type, host.zone, host.spot,
-                                               Machine::Life::booting, timers_.now());
+                                               Machine::Lifecycle::booting, timers_.now());
     if (!known) machine.created_at = timers_.now() - host.age_s;
     if (host.state == protocol::HostState::failed &&
-        machine.lifecycle != Machine::Life::marked_for_deletion) {
+        machine.lifecycle != Machine::Lifecycle::marked_for_deletion) {
         deletion_.mark(machine, "has failed");
-    } else if (host.state == protocol::HostState::running && machine.lifecycle == Machine::Life::booting) {
+    } else if (host.state == protocol::HostState::running &&
+               machine.lifecycle == Machine::Lifecycle::booting) {
         if (machine.addr.empty()) machine.addr = host.addr;
         running.push_back(host.id);
     }
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -25,13 +25,13 @@
       hooks_(std::move(hooks)) {}
 
 void MachineDeletion::mark(Machine& machine, const char* reason) {
-    if (machine.lifecycle == Machine::Life::marked_for_deletion) return;
+    if (machine.lifecycle == Machine::Lifecycle::marked_for_deletion) return;
     spdlog::info(
         "component=leader event=machine_marked_for_deletion machine={} reason=\"{}\" tasks={} "
         "last_heartbeat_by={}",
         machine.id, reason, machine.tasks.size(), machine.route.empty() ? settings_.label : machine.route);
     metrics_.increment(metrics::Metric::leader_machines_marked_for_deletion);
-    machine.lifecycle = Machine::Life::marked_for_deletion;
+    machine.lifecycle = Machine::Lifecycle::marked_for_deletion;
     delegations_.revoke(machine.id);  // a relay's grants would move the time at which its lease expires
     if (machine.registration == Machine::Registration::none) {
         machine.allow_deletion();
@@ -44,7 +44,7 @@
     while (calls_in_flight_ < most_calls && authority_.holds() && timers_.now() >= retry_at_) {
         std::vector<std::string> machine_ids;
         for (auto& [id, machine] : state_.cluster.machines())
-            if (machine.lifecycle == Machine::Life::marked_for_deletion &&
+            if (machine.lifecycle == Machine::Lifecycle::marked_for_deletion &&
                 machine.deletion == Machine::Deletion::allowed &&
                 machine_ids.size() < cloud::CloudClient::max_machines_per_delete) {
                 machine_ids.push_back(id);
--- a/src/leader/machine_store.cpp
+++ b/src/leader/machine_store.cpp
@@ -18,7 +18,7 @@
 void MachineStore::store_if_new(Machine& machine) {
     // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
     if (!machine.reported_to_this_leader && machine.token_seen.is_set()) return;
-    if (machine.registration != Machine::Registration::none || machine.lifecycle != Machine::Life::up ||
+    if (machine.registration != Machine::Registration::none || machine.lifecycle != Machine::Lifecycle::up ||
         !machine.agent_epoch.is_set())
         return;
     machine.registration = Machine::Registration::write_pending;
@@ -29,7 +29,7 @@
     auto* machine = state_.cluster.find(machine_id);
     if (!machine) return std::nullopt;
     return protocol::MachineRecord{machine->addr, machine->type, machine->zone, machine->spot,
-                                   machine->lifecycle == Machine::Life::marked_for_deletion};
+                                   machine->lifecycle == Machine::Lifecycle::marked_for_deletion};
 }
 
 void MachineStore::written(const std::vector<Record>& records) {
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -53,7 +53,7 @@
     Checked checked;
     checked.at = now();
     for (auto& [id, machine] : state_.cluster.machines()) {
-        if (machine.lifecycle != Machine::Life::up) continue;
+        if (machine.lifecycle != Machine::Lifecycle::up) continue;
         checked.machines.push_back(&machine);
         checked.observations.push_back(observe(machine, checked.at));
     }
@@ -127,8 +127,8 @@
 
 void MachineSupervisor::check_booting_and_marked(double at, bool may_evict) {
     for (auto& [id, machine] : state_.cluster.machines()) {
-        if (machine.lifecycle == Machine::Life::marked_for_deletion) check_lease(machine);
-        if (machine.lifecycle != Machine::Life::booting || !may_evict ||
+        if (machine.lifecycle == Machine::Lifecycle::marked_for_deletion) check_lease(machine);
+        if (machine.lifecycle != Machine::Lifecycle::booting || !may_evict ||
             !parts_.failure_detector.boot_overdue(boot_times(machine), state_.zone_of(machine), at))
             continue;
         std::lock_guard lock(state_.mutex);
@@ -224,7 +224,7 @@
 std::map<std::string, double> MachineSupervisor::suspected() const {
     std::map<std::string, double> silent_s;
     for (auto& [id, machine] : state_.cluster.machines()) {
-        if (machine.lifecycle != Machine::Life::up) continue;
+        if (machine.lifecycle != Machine::Lifecycle::up) continue;
         double since_heartbeat = now() - machine.last_heartbeat_at;
         if (machine.suspected ||
             (!machine.reconciled && since_heartbeat > settings_.heartbeat_interval_s / 2))
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -205,7 +205,7 @@
     for (auto& id : plan.fleet_out.scale_in) {
         auto* machine = state_.cluster.find(id);
         if (machine && machine->tasks.empty() &&
-            (machine->reconciled || machine->lifecycle == Machine::Life::booting))
+            (machine->reconciled || machine->lifecycle == Machine::Lifecycle::booting))
             callbacks_.mark_for_deletion(*machine, "is surplus");
     }
 }
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -118,10 +118,10 @@
     in.other_machines = state.cluster.machines().size();
     for (auto& view : planned.machines) {
         auto* machine = state.cluster.find(view.id);
-        if (!machine || machine->lifecycle == Machine::Life::marked_for_deletion ||
+        if (!machine || machine->lifecycle == Machine::Lifecycle::marked_for_deletion ||
             machine->preemption_deadline)
             continue;
-        bool booting = machine->lifecycle == Machine::Life::booting;
+        bool booting = machine->lifecycle == Machine::Lifecycle::booting;
         bool suspected = machine->is_suspect() && machine->usable_unless_suspect(planned.now) &&
                          !machine->has_instance_of_unknown_job();
         if (!booting && !view.usable && !suspected) continue;
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -64,7 +64,8 @@
 
 void Recovery::take_machine(const std::string& machine_id, const protocol::MachineRecord& record,
                             bool inherits) {
-    auto lifecycle = record.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up;
+    auto lifecycle =
+        record.marked_for_deletion ? Machine::Lifecycle::marked_for_deletion : Machine::Lifecycle::up;
     auto& machine =
         state_.cluster.add(machine_id, record.addr, record.type, record.zone, record.spot, lifecycle, now());
     machine.registration = Machine::Registration::stored;
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -63,7 +63,7 @@
         return protocol::ReplicatedMachine{
             machine_id, false, true, protocol::AgentEpoch::none(), protocol::SequenceNumber::none(), {}};
     auto& machine = found->second;
-    if (machine.lifecycle == Machine::Life::booting) return std::nullopt;
+    if (machine.lifecycle == Machine::Lifecycle::booting) return std::nullopt;
     protocol::ReplicatedMachine row{machine_id,
                                     machine.known_from_replica || machine.reconciled,
                                     false,
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -46,7 +46,7 @@
     Machine& machine() { return *cluster_state.find("vm-1"); }
     // Known to the leader from what is stored: tasks may be on it.
     void store_by_earlier_leader() {
-        auto& m = cluster_state.add("vm-1", "10.1.0.1:9", "g4", "a", false, Machine::Life::up, 0);
+        auto& m = cluster_state.add("vm-1", "10.1.0.1:9", "g4", "a", false, Machine::Lifecycle::up, 0);
         m.registration = Machine::Registration::stored, m.stored_by_earlier_leader = true;
     }
     protocol::FencingToken base() { return cluster_state.base_token(); }
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -29,7 +29,7 @@
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
         ClusterState p(protocol::LeaderVersion{7}, types);
-        auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
+        auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
         m.known_from_replica = true;
         m.registration = Machine::Registration::stored;
         m.agent_epoch = protocol::AgentEpoch{3};
--- a/tests/cluster/team_usage_test.cpp
+++ b/tests/cluster/team_usage_test.cpp
@@ -21,7 +21,7 @@
     std::vector<config::Team> teams(2);
     teams[0].name = "a";
     teams[1].name = "b";
-    auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
+    auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
     p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
     auto before = team_usage(p, teams);
     EXPECT_EQ(before["a"].gpus, 1);
@@ -44,7 +44,7 @@
     spec->request = {2, 1, 4};
     std::vector<config::Team> teams(1);
     teams[0].name = "a";
-    auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
+    auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
     p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
     p.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
     EXPECT_EQ(team_usage(p, teams)["a"].gpus, 1);
--- a/tests/failover/reconciliation_test.cpp
+++ b/tests/failover/reconciliation_test.cpp
@@ -29,7 +29,7 @@
         Reconciliation reconciliation(p, report);
         for (int k = 0; k < 60; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
-            p.add(id, "a:1", "g", "z", false, cluster::Machine::Life::up, 0).first_probed_at = 0;
+            p.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0).first_probed_at = 0;
             reconciliation.expect(id);
         }
         double next = c.reconciled_every;
@@ -65,7 +65,7 @@
         Reconciliation reconciliation(p, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
-            auto& m = p.add(id, "a:1", "g", "z", false, cluster::Machine::Life::up, 0);
+            auto& m = p.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0);
             m.reconciled = k >= c.left;
             m.known_from_replica = c.known;
             reconciliation.expect(id);
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -24,7 +24,7 @@
     }
     cluster::ClusterState cluster{protocol::LeaderVersion{7}, {}};
     cluster::Machine& machine =
-        cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, 0);
+        cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Lifecycle::up, 0);
     Delegations delegations{cluster};
 };
 
--- a/tests/leader/fleet_scaler_test.cpp
+++ b/tests/leader/fleet_scaler_test.cpp
@@ -39,7 +39,7 @@
     bench.scaler.retry_unanswered();
     EXPECT_EQ(bench.bodies.size(), 3u) << "it was answered";
     ASSERT_EQ(bench.state->cluster.machines().size(), 2u);
-    EXPECT_EQ(bench.state->cluster.find("vm-1")->lifecycle, cluster::Machine::Life::booting);
+    EXPECT_EQ(bench.state->cluster.find("vm-1")->lifecycle, cluster::Machine::Lifecycle::booting);
     EXPECT_TRUE(bench.scaler.autoscaler_input().machines.empty());
 }
 
--- a/tests/leader/host_lister_test.cpp
+++ b/tests/leader/host_lister_test.cpp
@@ -74,7 +74,7 @@
     for (auto* id : {"vm-1", "vm-2"}) {
         auto* machine = bench.state->cluster.find(id);
         ASSERT_NE(machine, nullptr) << id;
-        EXPECT_EQ(machine->lifecycle, Machine::Life::booting) << id;
+        EXPECT_EQ(machine->lifecycle, Machine::Lifecycle::booting) << id;
         EXPECT_DOUBLE_EQ(machine->created_at, bench.timers.now() - 40) << id;
     }
     ASSERT_THAT(bench.sent, SizeIs(1));
@@ -97,7 +97,7 @@
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.hosts.list_if_due();
     bench.answer(list({host("vm-1", "failed")}));
-    EXPECT_EQ(machine.lifecycle, Machine::Life::marked_for_deletion);
+    EXPECT_EQ(machine.lifecycle, Machine::Lifecycle::marked_for_deletion);
     EXPECT_EQ(machine.deletion, Machine::Deletion::not_allowed) << "not before that is stored";
 }
 
@@ -107,7 +107,7 @@
     bench.hosts.list_if_due();
     bench.authority->end();
     bench.answer(list({host("vm-1", "failed"), host("vm-2", "running")}));
-    EXPECT_EQ(machine.lifecycle, Machine::Life::up);
+    EXPECT_EQ(machine.lifecycle, Machine::Lifecycle::up);
     EXPECT_EQ(bench.state->cluster.find("vm-2"), nullptr);
     EXPECT_FALSE(bench.hosts.has_listed());
 }
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -13,8 +13,8 @@
 
 struct Bench : LeadingFixture {
     cluster::Machine& add_machine(const std::string& id) {
-        auto& machine =
-            state->cluster.add(id, "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up, timers.now());
+        auto& machine = state->cluster.add(id, "10.1.0.1:9", "g4", "a", false,
+                                           cluster::Machine::Lifecycle::up, timers.now());
         machine.reported_to_this_leader = machine.reconciled = true;
         machine.agent_epoch = protocol::AgentEpoch{1};
         return machine;
--- a/tests/leader/machine_deletion_test.cpp
+++ b/tests/leader/machine_deletion_test.cpp
@@ -34,7 +34,7 @@
 TEST(MachineDeletion, AsksForNoDeletionBeforeTheMarkIsStored) {
     Bench bench;
     bench.deletion.mark(bench.machine, "is not needed");
-    EXPECT_EQ(bench.machine.lifecycle, Machine::Life::marked_for_deletion);
+    EXPECT_EQ(bench.machine.lifecycle, Machine::Lifecycle::marked_for_deletion);
     bench.deletion.delete_marked();
     bench.machine_store.flush();
     bench.deletion.delete_marked();
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -10,8 +10,8 @@
 
 struct Bench : LeadingFixture {
     cluster::Machine& add_machine(std::uint64_t agent_epoch) {
-        auto& machine = state->cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false, cluster::Machine::Life::up,
-                                           timers.now());
+        auto& machine = state->cluster.add("vm-1", "10.1.0.1:9", "g4", "a", false,
+                                           cluster::Machine::Lifecycle::up, timers.now());
         machine.agent_epoch = protocol::AgentEpoch{agent_epoch};
         return machine;
     }
@@ -58,7 +58,7 @@
     bench.store.flush();
     bench.wait(5);
     ASSERT_TRUE(machine.is_stored());
-    machine.lifecycle = cluster::Machine::Life::marked_for_deletion;
+    machine.lifecycle = cluster::Machine::Lifecycle::marked_for_deletion;
     bench.store.update(machine.id);
     bench.store.flush();
     EXPECT_FALSE(machine.deletion == cluster::Machine::Deletion::allowed);
--- a/tests/leader/machine_supervisor_test.cpp
+++ b/tests/leader/machine_supervisor_test.cpp
@@ -53,7 +53,7 @@
     double renewed_at = machine.lease_renewed_at;
     EXPECT_TRUE(bench.check_at(renewed_at + bench.expiry_s() - 0.01));
     EXPECT_TRUE(job.active.contains(0));
-    EXPECT_EQ(machine.lifecycle, Machine::Life::up);
+    EXPECT_EQ(machine.lifecycle, Machine::Lifecycle::up);
     EXPECT_TRUE(bench.check_at(renewed_at + bench.expiry_s() + 0.01));
     EXPECT_FALSE(job.active.contains(0));
     EXPECT_THAT(machine.tasks, IsEmpty());
@@ -101,10 +101,10 @@
     ASSERT_THAT(bench.sent, SizeIs(1)) << "it is probed";
     EXPECT_EQ(bench.sent[0].addr, machine.addr);
     EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 3));
-    EXPECT_EQ(machine.lifecycle, Machine::Life::up) << "its answer may lie unread";
+    EXPECT_EQ(machine.lifecycle, Machine::Lifecycle::up) << "its answer may lie unread";
     bench.answer(std::nullopt);
     EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 3));
-    EXPECT_EQ(machine.lifecycle, Machine::Life::marked_for_deletion);
+    EXPECT_EQ(machine.lifecycle, Machine::Lifecycle::marked_for_deletion);
     EXPECT_THAT(machine.tasks, SizeIs(1)) << "silence is no proof";
 }
 
@@ -117,12 +117,12 @@
     noticed.preemption_deadline = 1e6;
     bench.healthy.push_back(&noticed);
     auto& booting = bench.add_machine("vm-3");
-    booting.lifecycle = Machine::Life::booting;
+    booting.lifecycle = Machine::Lifecycle::booting;
     double since = bench.timers.now();
     bench.lose_authority();
     EXPECT_TRUE(bench.check_at(since + bench.types[0].boot_s * 8));
     for (auto* machine : {&silent, &noticed, &booting})
-        EXPECT_NE(machine->lifecycle, Machine::Life::marked_for_deletion);
+        EXPECT_NE(machine->lifecycle, Machine::Lifecycle::marked_for_deletion);
     EXPECT_THAT(silent.tasks, IsEmpty()) << "that its lease has expired is true all the same";
 }
 
@@ -137,7 +137,7 @@
     bench.wait(0);
     while (!bench.sent.empty()) bench.answer(std::nullopt);  // to a probe
     EXPECT_TRUE(bench.check_at(silent_since + 20));
-    for (auto* machine : machines) EXPECT_EQ(machine->lifecycle, Machine::Life::up) << machine->id;
+    for (auto* machine : machines) EXPECT_EQ(machine->lifecycle, Machine::Lifecycle::up) << machine->id;
     EXPECT_EQ(bench.resignations, 0) << "no other controller receives their heartbeats either";
 }
 
--- a/tests/leader/parts_fixture.hpp
+++ b/tests/leader/parts_fixture.hpp
@@ -70,7 +70,7 @@
     // --- Machines ---
     // One that is up; nothing has come from it and it is not stored.
     Machine& add_machine(const std::string& id) {
-        return state->cluster.add(id, addr_of(id), "g4", "a", false, Machine::Life::up, timers.now());
+        return state->cluster.add(id, addr_of(id), "g4", "a", false, Machine::Lifecycle::up, timers.now());
     }
     // One that is stored and has reported under this leader's token.
     Machine& add_reconciled_machine(const std::string& id) {
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -28,7 +28,7 @@
         settings.teams = {{"t", 1000, 1000, 100, 100}};
         for (auto* id : {"vm-1", "vm-2"}) {
             auto& machine =
-                state->cluster.add(id, "", "g4", "a", false, cluster::Machine::Life::up, timers.now());
+                state->cluster.add(id, "", "g4", "a", false, cluster::Machine::Lifecycle::up, timers.now());
             machine.reconciled = true;
             machine.registration = cluster::Machine::Registration::stored;
             machine.agent_epoch = protocol::AgentEpoch{1};
--- a/tests/leader/plan_snapshot_test.cpp
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -53,11 +53,11 @@
 
 TEST(PlanSnapshot, CountsTheMachinesThatTheAutoscalerCannotRelyOn) {
     Bench bench;
-    using Life = cluster::Machine::Life;
+    using Lifecycle = cluster::Machine::Lifecycle;
     auto& cluster = bench.state->cluster;
-    cluster.add("vm-booting", "", "g4", "a", false, Life::booting, bench.timers.now());
-    cluster.add("vm-leaving", "", "g4", "a", false, Life::marked_for_deletion, bench.timers.now());
-    cluster.add("vm-unreconciled", "", "g4", "a", false, Life::up, bench.timers.now());
+    cluster.add("vm-booting", "", "g4", "a", false, Lifecycle::booting, bench.timers.now());
+    cluster.add("vm-leaving", "", "g4", "a", false, Lifecycle::marked_for_deletion, bench.timers.now());
+    cluster.add("vm-unreconciled", "", "g4", "a", false, Lifecycle::up, bench.timers.now());
     auto planned = bench.input();
     autoscaler::Input in;
     add_machines_and_demand(in, *bench.state, planned, {}, bench.timers.now());
--- a/tests/leader/recovery_test.cpp
+++ b/tests/leader/recovery_test.cpp
@@ -44,7 +44,7 @@
     bench.recover();
     auto* machine = bench.state->cluster.find("vm-1");
     ASSERT_NE(machine, nullptr);
-    EXPECT_EQ(machine->lifecycle, Machine::Life::up);
+    EXPECT_EQ(machine->lifecycle, Machine::Lifecycle::up);
     EXPECT_TRUE(machine->is_stored());
     EXPECT_TRUE(machine->stored_by_earlier_leader);
     EXPECT_FALSE(machine->reconciled);
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -138,7 +138,7 @@
     Bench bench;
     bench.add_reconciled_machine("vm-1");
     bench.add_machine("vm-2");  // stored by an earlier leader, has not reported
-    bench.add_machine("vm-3").lifecycle = Machine::Life::booting;
+    bench.add_machine("vm-3").lifecycle = Machine::Lifecycle::booting;
     bench.begin_in_sync();
     auto& rows = bench.follower.replica().machines;
     EXPECT_TRUE(rows.at("vm-1").tasks_known);
