--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -48,7 +48,7 @@
     m.addr = heartbeat_.addr;
     m.last_heartbeat_at = now_;
     m.suspected = false;
-    m.silence_hint_s = 0;
+    m.inherited_silence_s = 0;
     if (m.lifecycle == Machine::Lifecycle::booting) m.lifecycle = Machine::Lifecycle::up;
     apply_preemption_notice();
     // From a report under this leader's token on, the agent drops all commands of earlier leaders, so what
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -78,7 +78,7 @@
     // --- Health ---
     bool suspected = false;            // a heartbeat is overdue: nothing new goes there
     bool inbound_unreachable = false;  // no heartbeat comes, though it may answer commands: the same
-    double silence_hint_s = 0;         // seconds for which the previous leader had no heartbeat from it
+    double inherited_silence_s = 0;    // seconds for which the previous leader had no heartbeat from it
     membership::Reachability reachability;
 
     bool is_stored() const { return registration == Registration::stored; }
--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -108,7 +108,7 @@
     double counted_s = std::min({silent_s, probed_s, progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
     return counted_s +
-           (counted_s > heartbeat_interval_s_ * probe_timeout_periods ? machine.silence_hint_s : 0);
+           (counted_s > heartbeat_interval_s_ * probe_timeout_periods ? machine.inherited_silence_s : 0);
 }
 
 }  // namespace coralhitch::failover
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -228,7 +228,7 @@
         double since_heartbeat = now() - machine.last_heartbeat_at;
         if (machine.suspected ||
             (!machine.reconciled && since_heartbeat > settings_.heartbeat_interval_s / 2))
-            silent_s.emplace(id, since_heartbeat + machine.silence_hint_s);
+            silent_s.emplace(id, since_heartbeat + machine.inherited_silence_s);
     }
     return silent_s;
 }
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -75,8 +75,8 @@
     if (record.marked_for_deletion) machine.allow_deletion();
     auto silent = inheritance_.silent_machine_s.find(machine_id);
     if (silent != inheritance_.silent_machine_s.end() && machine.known_from_replica)
-        machine.silence_hint_s = silent->second;
-    parts_.failure_detector.record_heartbeat(state_.zone_of(machine), now() - machine.silence_hint_s);
+        machine.inherited_silence_s = silent->second;
+    parts_.failure_detector.record_heartbeat(state_.zone_of(machine), now() - machine.inherited_silence_s);
     // The previous leader may have gone on renewing leases for a while.
     machine.lease_renewed_at = now() + authority_.renewal_after_expiry_s();
 }
