--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -67,12 +67,12 @@
     std::optional<double> unreconciled_reply_at;  // last reply to it before it was reconciled
     std::optional<double> redirected_at;          // when it was last sent to another controller
     double lease_renewed_at = 0;  // last moment at which a controller may have renewed the agent's lease
-    std::optional<double> delegation_expiry;  // last moment at which a relay that gave it back may have
-    bool probing = false;                     // a probe is queued or under way
-    bool draining = false;                    // surplus, by the last scale-in plan
-    bool flush_scheduled = false;             // queued by `ClusterState::schedule_flush`
-    bool replication_scheduled = false;       // among what `take_machines_to_replicate` returns next
-    std::set<std::string> error_jobs;         // jobs of which a task has failed here
+    std::optional<double> delegation_expiry;       // last moment at which a relay that gave it back may have
+    bool probing = false;                          // a probe is queued or under way
+    bool draining = false;                         // surplus, by the last scale-in plan
+    bool flush_scheduled = false;                  // queued by `ClusterState::schedule_flush`
+    bool replication_scheduled = false;            // among what `take_machines_to_replicate` returns next
+    std::set<std::string> jobs_with_failed_tasks;  // jobs of which a task has failed here
     double quarantined_until = 0;
 
     // --- Health ---
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -106,7 +106,7 @@
     team_activity_.completed(job.spec->team, job.done_count - done_before);
     job.consecutive_failures = 0;
     job.backoff_until = 0;
-    if (auto* machine = state_.cluster.find(end.machine)) machine->error_jobs.clear();
+    if (auto* machine = state_.cluster.find(end.machine)) machine->jobs_with_failed_tasks.clear();
     if (job.is_done(end.task.index) && !job.unstored_tasks.contains(end.task.index))
         state_.cluster.record_outcome_stored(end.task.job, {end.task.index});
 }
@@ -149,21 +149,21 @@
     }
     auto* machine = state_.cluster.find(end.machine);
     if (!machine) return;
-    machine->error_jobs.insert(end.task.job);
+    machine->jobs_with_failed_tasks.insert(end.task.job);
     if (job.is_crash_looping()) return;  // says more about the job than about the machine
     blame_machine(*machine, end.task.job);
 }
 
 void InstanceTracker::blame_machine(Machine& machine, const std::string& job_id) {
-    if (machine.error_jobs.size() < 2) {
+    if (machine.jobs_with_failed_tasks.size() < 2) {
         machine.quarantined_until = now() + settings_.heartbeat_interval_s * one_failure_quarantine_reports;
         return;
     }
     spdlog::info("component=leader event=machine_quarantined machine={} failed_jobs={} last_job={}",
-                 machine.id, machine.error_jobs.size(), job_id);
+                 machine.id, machine.jobs_with_failed_tasks.size(), job_id);
     metrics_.increment(metrics::Metric::leader_machines_quarantined);
     machine.quarantined_until = now() + settings_.heartbeat_interval_s * many_failures_quarantine_reports;
-    machine.error_jobs.clear();
+    machine.jobs_with_failed_tasks.clear();
     if (machine.tasks.empty()) mark_for_deletion_(machine, "fails its tasks");
 }
 
