--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -68,7 +68,7 @@
     std::optional<double> redirected_at;          // when it was last sent to another controller
     double lease_renewed_at = 0;  // last moment at which a controller may have renewed the agent's lease
     std::optional<double> delegation_expiry;       // last moment at which a relay that gave it back may have
-    bool probing = false;                          // a probe is queued or under way
+    bool probe_pending = false;                    // a probe is queued or under way
     bool draining = false;                         // surplus, by the last scale-in plan
     bool flush_scheduled = false;                  // queued by `ClusterState::schedule_flush`
     bool replication_scheduled = false;            // among what `take_machines_to_replicate` returns next
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -84,8 +84,8 @@
 void CommandSender::probe(Machine& machine) {
     if (machine.addr.empty()) return;
     machine.last_probe_at = now();
-    if (machine.probing) return;
-    machine.probing = true;
+    if (machine.probe_pending) return;
+    machine.probe_pending = true;
     probe_queue_.push_back(machine.id);
     schedule_probes();
 }
@@ -110,7 +110,7 @@
         probe_queue_.pop_front();
         if (!machine) continue;
         if (needs_no_probe(*machine)) {
-            machine->probing = false;
+            machine->probe_pending = false;
             continue;
         }
         // While probes took all of a small share, reports that would have reconciled as many lay unread.
@@ -168,7 +168,8 @@
                    if (response) reconciliation_.record_answer(now() - sent_at, now());
                    if (request == Request::probe) {
                        --probes_in_flight_;
-                       if (auto* machine = state_.cluster.find(sent.machine_id)) machine->probing = false;
+                       if (auto* machine = state_.cluster.find(sent.machine_id))
+                           machine->probe_pending = false;
                    }
                    answered(sent, response);
                    if (request == Request::probe && !probe_queue_.empty()) schedule_probes();
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -147,7 +147,7 @@
     // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
     // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
     // until its lease had expired, and nothing was placed meanwhile.
-    bool awaits_answer = machine.reconciled && machine.probing && !lease_expired;
+    bool awaits_answer = machine.reconciled && machine.probe_pending && !lease_expired;
     if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
         std::lock_guard lock(state_.mutex);
         parts_.failure_detector.record_eviction(observation, now());
--- a/tests/leader/command_sender_test.cpp
+++ b/tests/leader/command_sender_test.cpp
@@ -100,7 +100,7 @@
     ASSERT_THAT(bench.statuses, SizeIs(1));
     EXPECT_EQ(bench.statuses[0].machine, "vm-1");
     EXPECT_EQ(bench.commands.last_answer_at(), bench.timers.now());
-    EXPECT_FALSE(machine.probing);
+    EXPECT_FALSE(machine.probe_pending);
 }
 
 TEST(CommandSender, IgnoresTheStatusOfAnotherMachine) {
