--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -88,9 +88,9 @@
     }
     bool is_suspect() const { return suspected || inbound_unreachable; }
     // Whether new tasks may be placed on it.
-    bool usable(double now) const { return usable_unless_suspect(now) && !is_suspect(); }
+    bool usable(double now) const { return usable_ignoring_suspicion(now) && !is_suspect(); }
     // The same, leaving out a suspicion, which may end any moment.
-    bool usable_unless_suspect(double now) const {
+    bool usable_ignoring_suspicion(double now) const {
         return lifecycle == Lifecycle::up && reconciled && agent_epoch.is_set() && !preemption_deadline &&
                now >= quarantined_until;
     }
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -122,7 +122,7 @@
             machine->preemption_deadline)
             continue;
         bool booting = machine->lifecycle == Machine::Lifecycle::booting;
-        bool suspected = machine->is_suspect() && machine->usable_unless_suspect(planned.now) &&
+        bool suspected = machine->is_suspect() && machine->usable_ignoring_suspicion(planned.now) &&
                          !machine->has_instance_of_unknown_job();
         if (!booting && !view.usable && !suspected) continue;
         // With what the plan has just decided to start.
