--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -67,7 +67,7 @@
 
 // --- Reports --------------------------------------------------------------------------------------------
 
-HeartbeatOutcome ClusterState::apply_heartbeat(const protocol::Heartbeat& heartbeat, ReportChannel channel,
+HeartbeatOutcome ClusterState::apply_heartbeat(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
                                                double now, const JobLookup& lookup) {
     // A machine once deleted stays deleted; what still arrives from it was under way.
     if (is_deleted(heartbeat.machine)) return {.status = HeartbeatStatus::terminated};
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -59,8 +59,8 @@
     bool any_reconciled() const { return any_reconciled_; }
 
     // --- Reports ---
-    HeartbeatOutcome apply_heartbeat(const protocol::Heartbeat& heartbeat, ReportChannel channel, double now,
-                                     const JobLookup& lookup);
+    HeartbeatOutcome apply_heartbeat(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
+                                     double now, const JobLookup& lookup);
 
     // --- Instances ---
     // Replaces whatever was known of the task there.
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -43,7 +43,7 @@
         m.heartbeat_sequence = protocol::SequenceNumber::none();
     m.agent_epoch = heartbeat_.agent_epoch;
     m.sequence = heartbeat_.sequence;
-    if (channel_ == ReportChannel::heartbeat) m.heartbeat_sequence = heartbeat_.sequence;
+    if (channel_ == HeartbeatChannel::heartbeat) m.heartbeat_sequence = heartbeat_.sequence;
     m.token_seen = heartbeat_.token;
     m.addr = heartbeat_.addr;
     m.last_heartbeat_at = now_;
--- a/src/cluster/heartbeat_application.hpp
+++ b/src/cluster/heartbeat_application.hpp
@@ -30,7 +30,7 @@
 class HeartbeatApplication {
   public:
     HeartbeatApplication(const HeartbeatTargets& targets, Machine& machine,
-                         const protocol::Heartbeat& heartbeat, ReportChannel channel, double now,
+                         const protocol::Heartbeat& heartbeat, HeartbeatChannel channel, double now,
                          const JobLookup& lookup)
         : targets_(targets),
           machine_(machine),
@@ -57,7 +57,7 @@
     HeartbeatTargets targets_;
     Machine& machine_;
     const protocol::Heartbeat& heartbeat_;
-    ReportChannel channel_;
+    HeartbeatChannel channel_;
     double now_;
     const JobLookup& lookup_;
     HeartbeatOutcome outcome_;
--- a/src/cluster/heartbeat_freshness.cpp
+++ b/src/cluster/heartbeat_freshness.cpp
@@ -4,16 +4,16 @@
 
 namespace coralhitch::cluster {
 
-bool sent_since_leadership_began(const protocol::Heartbeat& heartbeat, ReportChannel channel,
+bool sent_since_leadership_began(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
                                  const FencingTokens& tokens) {
-    return channel == ReportChannel::direct_reply || tokens.since_leadership_began(heartbeat.token);
+    return channel == HeartbeatChannel::direct_reply || tokens.since_leadership_began(heartbeat.token);
 }
 
 // Taken for true, such a report brought tasks back that ran elsewhere, and those were stopped.
 bool is_from_terminated_epoch(const Machine* known, const protocol::Heartbeat& heartbeat,
-                              ReportChannel channel, const FencingTokens& tokens) {
+                              HeartbeatChannel channel, const FencingTokens& tokens) {
     // What the machine answers to this leader's own question counts.
-    bool direct = channel == ReportChannel::direct_reply;
+    bool direct = channel == HeartbeatChannel::direct_reply;
     // A machine is stored before its first `run`, so tasks can't be on one that is not: it was deleted under
     // an earlier leader.
     if (!direct && !heartbeat.tasks.empty() && (!known || !known->is_stored())) return true;
@@ -30,21 +30,21 @@
 
 // The larger (agent epoch, sequence) is the newer one. But a report from before this leader began may be of
 // another lifecycle of the machine, which had come further; what is known from the replica is not.
-bool is_newer(const Machine& machine, const protocol::Heartbeat& heartbeat, ReportChannel channel,
+bool is_newer(const Machine& machine, const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
               const FencingTokens& tokens) {
     if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) >
         std::pair(machine.agent_epoch, machine.sequence))
         return true;
-    bool direct = channel == ReportChannel::direct_reply;
+    bool direct = channel == HeartbeatChannel::direct_reply;
     return !machine.reported_to_this_leader && !machine.known_from_replica &&
            (tokens.since_leadership_began(heartbeat.token) ||
             (direct && heartbeat.agent_epoch < machine.agent_epoch));
 }
 
 HeartbeatStatus status_of_older(Machine& machine, const protocol::Heartbeat& heartbeat,
-                                ReportChannel channel) {
+                                HeartbeatChannel channel) {
     if (heartbeat.agent_epoch != machine.agent_epoch) return HeartbeatStatus::outdated;
-    if (channel == ReportChannel::direct_reply) return HeartbeatStatus::answerable;
+    if (channel == HeartbeatChannel::direct_reply) return HeartbeatStatus::answerable;
     if (heartbeat.sequence == machine.heartbeat_sequence) return HeartbeatStatus::repeated;
     if (heartbeat.sequence < machine.heartbeat_sequence) return HeartbeatStatus::outdated;
     // A direct reply has overtaken the heartbeat; the agent still waits for the reply to it.
--- a/src/cluster/heartbeat_outcome.hpp
+++ b/src/cluster/heartbeat_outcome.hpp
@@ -9,7 +9,7 @@
 namespace coralhitch::cluster {
 
 // How a report came: as a heartbeat of the agent, or in its answer to a direct command.
-enum class ReportChannel { heartbeat, direct_reply };
+enum class HeartbeatChannel { heartbeat, direct_reply };
 
 enum class HeartbeatStatus {
     newer,       // than all before: it was applied. All others changed nothing that is known of the machine.
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -90,7 +90,7 @@
 
 protocol::RelayedReply HeartbeatHandler::answer(const protocol::Heartbeat& status,
                                                 const std::string& relay_label, bool may_act) {
-    auto outcome = apply(status, cluster::ReportChannel::heartbeat);
+    auto outcome = apply(status, cluster::HeartbeatChannel::heartbeat);
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(status.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
@@ -202,7 +202,7 @@
 }
 
 cluster::HeartbeatOutcome HeartbeatHandler::apply(const protocol::Heartbeat& status,
-                                                  cluster::ReportChannel via) {
+                                                  cluster::HeartbeatChannel via) {
     auto outcome = apply_to_state(status, via);
     if (outcome.is_deposed()) {
         auto fencing_token = cluster::FencingTokens::leadership_version(status.token);
@@ -222,7 +222,7 @@
 }
 
 cluster::HeartbeatOutcome HeartbeatHandler::apply_to_state(const protocol::Heartbeat& status,
-                                                           cluster::ReportChannel via) {
+                                                           cluster::HeartbeatChannel via) {
     std::lock_guard lock(state_.mutex);
     auto* before = state_.cluster.find(status.machine);
     if (before && before->lifecycle == Machine::Lifecycle::booting)
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -60,7 +60,7 @@
     void handle_relayed(const protocol::RelayRequest& message, const http::Reply& reply);
     // Takes in a status, which came in a heartbeat or as the answer to a direct request, and sets off what
     // follows from it.
-    cluster::HeartbeatOutcome apply(const protocol::Heartbeat& status, cluster::ReportChannel via);
+    cluster::HeartbeatOutcome apply(const protocol::Heartbeat& status, cluster::HeartbeatChannel via);
 
     // The jobs are loaded: handles the heartbeats that came before, some in each turn of the loop.
     void handle_early();
@@ -83,7 +83,8 @@
     [[nodiscard]] protocol::RelayedReply renew(cluster::Machine& machine, const std::string& relay_label,
                                                bool may_act);
     protocol::RelayedReply reject(relay::HeartbeatRejection reason);
-    cluster::HeartbeatOutcome apply_to_state(const protocol::Heartbeat& status, cluster::ReportChannel via);
+    cluster::HeartbeatOutcome apply_to_state(const protocol::Heartbeat& status,
+                                             cluster::HeartbeatChannel via);
     void record_route(cluster::Machine& machine, const std::string& route);
     [[nodiscard]] std::optional<std::string> relay_for(cluster::Machine& machine);
     void apply_relay_heartbeats(const protocol::RelayRequest& message);
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -70,7 +70,7 @@
 
 CommandSender::ApplyStatus LeaderParts::apply_status() {
     return [this](const protocol::Heartbeat& status) {
-        heartbeats.apply(status, cluster::ReportChannel::direct_reply);
+        heartbeats.apply(status, cluster::HeartbeatChannel::direct_reply);
     };
 }
 
--- a/tests/cluster/cluster_state_fixture.hpp
+++ b/tests/cluster/cluster_state_fixture.hpp
@@ -28,7 +28,7 @@
     std::vector<protocol::TaskStatus> reported_tasks;
     std::optional<double> preemption_notice_s;
     HeartbeatOutcome apply_heartbeat(protocol::FencingToken token,
-                                     ReportChannel channel = ReportChannel::heartbeat,
+                                     HeartbeatChannel channel = HeartbeatChannel::heartbeat,
                                      std::uint64_t agent_epoch = 1) {
         protocol::Heartbeat r{"vm-1",
                               "10.1.0.1:9",
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -40,7 +40,7 @@
         {"a new agent epoch",
          [](ClusterStateFixture& b) {
              b.sequence = 0;
-             return b.apply_heartbeat(b.base(), ReportChannel::heartbeat, 2).ends;
+             return b.apply_heartbeat(b.base(), HeartbeatChannel::heartbeat, 2).ends;
          }},
         {"deletion answered", [](ClusterStateFixture& b) { return b.cluster_state.remove_deleted("vm-1"); }},
         {"the lease has expired",
@@ -50,7 +50,7 @@
         ClusterStateFixture b;
         b.place_and_send_run();
         b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
-        EXPECT_TRUE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).ends.empty()) << c.name;
+        EXPECT_TRUE(b.apply_heartbeat(b.base(), HeartbeatChannel::direct_reply).ends.empty()) << c.name;
         auto ends = c.proof(b);
         ASSERT_EQ(ends.size(), 1u) << c.name;
         EXPECT_EQ(ends[0].attempt, protocol::AttemptNumber{5}) << c.name;
@@ -84,7 +84,7 @@
     EXPECT_TRUE(b.apply_heartbeat(b.below_base(1)).is_terminated());
     EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
     // What it answers now counts.
-    EXPECT_FALSE(b.apply_heartbeat(b.base(), ReportChannel::direct_reply).is_terminated());
+    EXPECT_FALSE(b.apply_heartbeat(b.base(), HeartbeatChannel::direct_reply).is_terminated());
     EXPECT_EQ(b.machine().tasks.size(), 1u);
 
     ClusterStateFixture c;  // its lease was out: the task may run elsewhere by now
@@ -95,14 +95,14 @@
     EXPECT_TRUE(c.apply_heartbeat(c.base()).is_terminated());
     EXPECT_TRUE(c.machine().tasks.empty());
     c.reported_tasks.clear();
-    EXPECT_TRUE(c.apply_heartbeat(c.base(), ReportChannel::heartbeat, 2).is_newer());
+    EXPECT_TRUE(c.apply_heartbeat(c.base(), HeartbeatChannel::heartbeat, 2).is_newer());
 
     ClusterStateFixture d;  // the same, of a machine that this leader had no report of
     d.store_by_earlier_leader();
     d.cluster_state.expire_lease(d.machine());
     d.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     EXPECT_TRUE(d.apply_heartbeat(d.base()).is_terminated());
-    EXPECT_FALSE(d.apply_heartbeat(d.base(), ReportChannel::direct_reply).is_terminated());
+    EXPECT_FALSE(d.apply_heartbeat(d.base(), HeartbeatChannel::direct_reply).is_terminated());
 }
 
 // What a report from before this leader began shows takes up its resources, but is no evidence of where the
@@ -123,7 +123,7 @@
     };
     std::size_t found = 0, ends = 0;
     auto apply = [&](ClusterStateFixture& b, protocol::FencingToken token,
-                     ReportChannel channel = ReportChannel::heartbeat, std::uint64_t agent_epoch = 1) {
+                     HeartbeatChannel channel = HeartbeatChannel::heartbeat, std::uint64_t agent_epoch = 1) {
         auto o = b.apply_heartbeat(token, channel, agent_epoch);
         found += o.found.size();
         ends += o.ends.size();
@@ -137,7 +137,7 @@
         {"it alone", [&](ClusterStateFixture& b) { b.store_by_earlier_leader(), old(b); }, 1, 0, true, false},
         {"reported again in a direct reply",
          [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), apply(b, b.below_base(1), ReportChannel::direct_reply);
+             b.store_by_earlier_leader(), old(b), apply(b, b.below_base(1), HeartbeatChannel::direct_reply);
          },
          2, 0, true, true},
         {"shown again under this leader's token",
@@ -151,13 +151,13 @@
         {"not reported in a direct reply",
          [&](ClusterStateFixture& b) {
              b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, protocol::FencingToken{1}, ReportChannel::direct_reply);
+                 apply(b, protocol::FencingToken{1}, HeartbeatChannel::direct_reply);
          },
          1, 0, false, false},
         {"terminated by a new agent epoch",
          [&](ClusterStateFixture& b) {
              b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, protocol::FencingToken{1}, ReportChannel::heartbeat, 2);
+                 apply(b, protocol::FencingToken{1}, HeartbeatChannel::heartbeat, 2);
          },
          1, 0, false, false},
         {"exited",
@@ -184,7 +184,7 @@
          [&](ClusterStateFixture& b) {
              b.store_by_earlier_leader(), apply(b, b.below_base(1)),
                  b.cluster_state.expire_lease(b.machine()), b.reported_tasks = {shown};
-             EXPECT_TRUE(apply(b, b.below_base(1), ReportChannel::heartbeat, 2).is_terminated());
+             EXPECT_TRUE(apply(b, b.below_base(1), HeartbeatChannel::heartbeat, 2).is_terminated());
          },
          0, 0, false, false},
         {"of a machine that only this leader stored",
@@ -213,19 +213,19 @@
     struct Case {
         std::uint64_t agent_epoch, sequence;  // of the earlier lifecycle
         std::uint64_t tokens_below;  // below this leader's: the agent epoch asked for was not its own
-        ReportChannel channel;
+        HeartbeatChannel channel;
         bool fresh;
     };
     const Case cases[] = {
-        {1, 500, 0, ReportChannel::heartbeat, true},     {1, 500, 0, ReportChannel::direct_reply, true},
-        {3, 500, 1, ReportChannel::direct_reply, true},  {3, 500, 1, ReportChannel::heartbeat, false},
-        {1, 500, 1, ReportChannel::direct_reply, false}, {1, 500, 1, ReportChannel::heartbeat, false}};
+        {1, 500, 0, HeartbeatChannel::heartbeat, true},     {1, 500, 0, HeartbeatChannel::direct_reply, true},
+        {3, 500, 1, HeartbeatChannel::direct_reply, true},  {3, 500, 1, HeartbeatChannel::heartbeat, false},
+        {1, 500, 1, HeartbeatChannel::direct_reply, false}, {1, 500, 1, HeartbeatChannel::heartbeat, false}};
     for (auto& c : cases) {
         ClusterStateFixture b;
         b.store_by_earlier_leader();
         b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none, false}};
         b.sequence = c.sequence;
-        b.apply_heartbeat(b.below_base(1), ReportChannel::heartbeat, c.agent_epoch);
+        b.apply_heartbeat(b.below_base(1), HeartbeatChannel::heartbeat, c.agent_epoch);
         b.sequence = 7;
         b.reported_tasks.clear();
         EXPECT_EQ(b.apply_heartbeat(b.below_base(c.tokens_below), c.channel).is_newer(), c.fresh);
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -47,7 +47,7 @@
                                protocol::TaskState::running,
                                protocol::ExitCause::none,
                                false});
-        auto heard = p.apply_heartbeat(r, ReportChannel::heartbeat, 1, [&](auto&) { return spec; });
+        auto heard = p.apply_heartbeat(r, HeartbeatChannel::heartbeat, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found.empty());
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -155,7 +155,7 @@
         b.reply_contains(CommandKind::start));  // this answer may reach the worker up to a few seconds later
     b.reported_tasks = {
         {task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::insufficient_resources}};
-    b.apply_heartbeat(b.base(), ReportChannel::direct_reply);  // a direct answer overtakes it
+    b.apply_heartbeat(b.base(), HeartbeatChannel::direct_reply);  // a direct answer overtakes it
     EXPECT_FALSE(b.reply_contains(CommandKind::forget));
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(b.reply_contains(CommandKind::forget));
--- a/tests/leader/heartbeat_handler_test.cpp
+++ b/tests/leader/heartbeat_handler_test.cpp
@@ -26,7 +26,7 @@
 struct Bench : RecoveryFixture {
     Bench() : RecoveryFixture(settings_without_replication()) {
         apply_status = [this](const protocol::Heartbeat& status) {
-            (void)heartbeats().apply(status, cluster::ReportChannel::direct_reply);
+            (void)heartbeats().apply(status, cluster::HeartbeatChannel::direct_reply);
         };
         on_ready = [this] { heartbeats().handle_early(); };
     }
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -61,7 +61,7 @@
         auto& machine = *state->cluster.find(machine_id);
         auto status =
             protocol::HeartbeatReader().read(status_of(machine, machine.sequence.next().value()).dump());
-        (void)state->cluster.apply_heartbeat(status, cluster::ReportChannel::heartbeat, timers.now(),
+        (void)state->cluster.apply_heartbeat(status, cluster::HeartbeatChannel::heartbeat, timers.now(),
                                              [](const std::string&) { return nullptr; });
     }
 
