--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -22,7 +22,7 @@
     apply_header();
     apply_tasks();
     if (!machine_.tasks.empty()) machine_.idle_since = now_;
-    changed_ |= !outcome_.ends.empty() || !outcome_.found.empty();
+    changed_ |= !outcome_.ends.empty() || !outcome_.found_instances.empty();
     return std::move(outcome_);
 }
 
@@ -121,7 +121,7 @@
         instance.placed_at = now_;
         instance.confirmed = machine_.reported_to_this_leader;
         it = machine_.tasks.emplace(status.task, std::move(instance)).first;
-        outcome_.found.push_back({status.task, machine_.id});
+        outcome_.found_instances.push_back({status.task, machine_.id});
     } else if (!on_record) {
         // Another attempt than the one on record is there; the one reported is what takes up the resources.
         it->second.attempt = status.attempt;
@@ -129,7 +129,7 @@
     }
     auto& instance = it->second;
     if (machine_.reported_to_this_leader && !std::exchange(instance.confirmed, true))
-        outcome_.found.push_back({status.task, machine_.id});
+        outcome_.found_instances.push_back({status.task, machine_.id});
     note_progress(instance, status);
 }
 
--- a/src/cluster/heartbeat_outcome.hpp
+++ b/src/cluster/heartbeat_outcome.hpp
@@ -29,7 +29,7 @@
 struct HeartbeatOutcome {
     HeartbeatStatus status = HeartbeatStatus::outdated;
     std::vector<InstanceEnd> ends{};
-    std::vector<FoundInstance> found{};
+    std::vector<FoundInstance> found_instances{};
 
     bool is_newer() const { return status == HeartbeatStatus::newer; }
     bool may_be_answered() const {
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -214,7 +214,7 @@
     }
     parts_.recovery.check_reconciled();
     parts_.start_replication.replicate_changes();
-    if (outcome.ends.empty() && outcome.found.empty()) return outcome;
+    if (outcome.ends.empty() && outcome.found_instances.empty()) return outcome;
     parts_.commands.flush_all();
     if (parts_.recovery.loaded()) hooks_.request_job_store();
     hooks_.request_plan();
@@ -233,7 +233,8 @@
     };
     auto outcome = state_.cluster.apply_heartbeat(status, via, now(), job_spec);
     for (auto& end : outcome.ends) parts_.instances.instance_ended(end);
-    for (auto& [task, machine_id] : outcome.found) parts_.instances.instance_found(task, machine_id);
+    for (auto& [task, machine_id] : outcome.found_instances)
+        parts_.instances.instance_found(task, machine_id);
     auto* machine = state_.cluster.find(status.machine);
     if (!machine || !outcome.is_newer()) return outcome;
     parts_.machine_store.store_if_new(*machine);
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -111,8 +111,8 @@
     struct Case {
         const char* what;
         std::function<void(ClusterStateFixture&)> then;
-        std::size_t found, ends;  // by it
-        bool there, confirmed;    // afterwards
+        std::size_t found_instances, ends;  // by it
+        bool there, confirmed;              // afterwards
     };
     const protocol::TaskStatus shown{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none,
                                      false};
@@ -121,11 +121,11 @@
         b.machine().known_from_replica = true;
         b.cluster_state.place_from_replica(b.machine(), task, b.spec, attempt, 0);
     };
-    std::size_t found = 0, ends = 0;
+    std::size_t found_instances = 0, ends = 0;
     auto apply = [&](ClusterStateFixture& b, protocol::FencingToken token,
                      HeartbeatChannel channel = HeartbeatChannel::heartbeat, std::uint64_t agent_epoch = 1) {
         auto o = b.apply_heartbeat(token, channel, agent_epoch);
-        found += o.found.size();
+        found_instances += o.found_instances.size();
         ends += o.ends.size();
         return o;
     };
@@ -196,9 +196,9 @@
     };
     for (auto& c : cases) {
         ClusterStateFixture b;
-        found = ends = 0;
+        found_instances = ends = 0;
         c.then(b);
-        EXPECT_EQ(found, c.found) << c.what;
+        EXPECT_EQ(found_instances, c.found_instances) << c.what;
         EXPECT_EQ(ends, c.ends) << c.what;
         auto* m = b.cluster_state.find("vm-1");
         ASSERT_TRUE(m) << c.what;
@@ -265,7 +265,7 @@
     b.store_by_earlier_leader();
     b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running}};
     auto outcome = b.apply_heartbeat(b.below_base(1));
-    EXPECT_EQ(outcome.found.size(), 1u);
+    EXPECT_EQ(outcome.found_instances.size(), 1u);
     EXPECT_FALSE(b.machine().reconciled);
     b.apply_heartbeat(b.base());
     EXPECT_TRUE(b.machine().reconciled);
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -50,7 +50,7 @@
         auto heard = p.apply_heartbeat(r, HeartbeatChannel::heartbeat, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
-        EXPECT_TRUE(heard.found.empty());
+        EXPECT_TRUE(heard.found_instances.empty());
     }
 }
 
