--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -43,7 +43,7 @@
             }));
 }
 void RecoveryLoader::handle_record(const kv::GetResult& result) {
-    recovered_.record_version = result.entry ? result.entry->version : 0;
+    recovered_.in_sync_record_version = result.entry ? result.entry->version : 0;
     evidence_.record.reset();
     if (!result.entry) return;
     try {
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -20,8 +20,9 @@
 
 // The stored state as read after the claim.
 struct RecoveredState {
-    bool replica_eligible = false;     // this controller's replica is proof of what machines run
-    std::uint64_t record_version = 0;  // of the key of the record of in-sync replicas; 0: there is none
+    bool replica_eligible = false;  // this controller's replica is proof of what machines run
+    std::uint64_t in_sync_record_version =
+        0;  // of the key of the record of in-sync replicas; 0: there is none
     std::optional<protocol::InSyncReplicas> in_sync_record;
     kv::ListResult jobs, progress, machines;
     double jobs_listed_at = 0;  // steady time at which the list of jobs was requested
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -136,7 +136,7 @@
 }
 
 void LeaderParts::stored_state_loaded(const failover::RecoveredState& stored) {
-    start_replication.begin(stored.record_version,
+    start_replication.begin(stored.in_sync_record_version,
                             stored.replica_eligible ? stored.in_sync_record : std::nullopt);
     job_watcher.start(stored.jobs.revision, stored.jobs_listed_at);
 }
