--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -16,7 +16,8 @@
 constexpr double late_tick_intervals = 3;
 // One in so many of the expected machines: so few that are not reconciled hardly change the free resources.
 constexpr std::size_t few_divisor = 16;
-// An answer is late after so many report periods; the leader is overloaded if most of some ten answers are.
+// An answer is late after so many report periods; the leader is is_overloaded if most of some ten answers
+// are.
 constexpr double late_answer_periods = 1.0 / 8, overloaded_share = 1.0 / 2, late_share_decay = 0.9;
 }  // namespace
 
@@ -82,7 +83,7 @@
     late_share_ = late_share_ * late_share_decay + (late ? 1 - late_share_decay : 0);
     last_answer_ = now;
 }
-bool Reconciliation::overloaded(double now) const {
+bool Reconciliation::is_overloaded(double now) const {
     return late_share_ > overloaded_share && last_answer_ &&
            now - *last_answer_ <= heartbeat_interval_s_ * progress_periods;
 }
@@ -104,7 +105,7 @@
                                                            : machine.last_heartbeat_at);
     double probed_s = !machine.first_probed_at ? silent_s - heartbeat_interval_s_ * unprobed_periods
                                                : now - *machine.first_probed_at;
-    if (overloaded(now)) return 0;
+    if (is_overloaded(now)) return 0;
     double counted_s = std::min({silent_s, probed_s, progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
     return counted_s +
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -33,7 +33,7 @@
     // Whether most answers arrive so late that they must have waited here: this leader lacks the processor
     // time to process heartbeats as they come. Missed heartbeats are then no machine's fault, and no sign
     // that this leader is isolated.
-    [[nodiscard]] bool overloaded(double now) const;
+    [[nodiscard]] bool is_overloaded(double now) const;
     // For how long nothing came from a machine, as far as that is the machine's fault. Seconds.
     [[nodiscard]] double attributable_silence_s(const cluster::Machine& machine, double now) const;
 
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -39,7 +39,7 @@
     double recently_s = settings_.heartbeat_interval_s * settings_.op.suspicion_timeout_periods;
     auto last_answer_at = parts_.commands.last_answer_at();
     parts_.failure_detector.observe(checked.observations,
-                                    {parts_.reconciliation.overloaded(checked.at),
+                                    {parts_.reconciliation.is_overloaded(checked.at),
                                      last_answer_at && checked.at - *last_answer_at < recently_s},
                                     checked.at);
     if (resigns_if_isolated()) return false;
@@ -189,7 +189,7 @@
 
 bool MachineSupervisor::is_outbound_unreachable(const Machine& machine) const {
     return !machine.reconciled && machine.reachability.outbound_unreachable() &&
-           now() > machine.lease_renewed_at && !parts_.reconciliation.overloaded(now());
+           now() > machine.lease_renewed_at && !parts_.reconciliation.is_overloaded(now());
 }
 
 double MachineSupervisor::boot_times(const Machine& machine) const {
