--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -87,7 +87,7 @@
     return late_share_ > overloaded_share && last_answer_ &&
            now - *last_answer_ <= heartbeat_interval_s_ * progress_periods;
 }
-bool Reconciliation::progressing(double now) const {
+bool Reconciliation::is_progressing(double now) const {
     return progressed_at_ && now - *progressed_at_ <= heartbeat_interval_s_ * progress_periods;
 }
 
@@ -106,7 +106,7 @@
     double probed_s = !machine.first_probed_at ? silent_s - heartbeat_interval_s_ * unprobed_periods
                                                : now - *machine.first_probed_at;
     if (is_overloaded(now)) return 0;
-    double counted_s = std::min({silent_s, probed_s, progressing(now) ? now - *progressed_at_ : probed_s});
+    double counted_s = std::min({silent_s, probed_s, is_progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
     return counted_s +
            (counted_s > heartbeat_interval_s_ * probe_timeout_periods ? machine.inherited_silence_s : 0);
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -45,7 +45,7 @@
     };
     bool all_satisfy(std::set<std::string>& machines, Predicate satisfied) const;
     std::size_t remaining() const;
-    bool progressing(double now) const;
+    bool is_progressing(double now) const;
 
     const cluster::ClusterState& cluster_state_;
     double heartbeat_interval_s_;
