--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -92,7 +92,7 @@
                     .reported = true,
                     .cause = status.cause,
                     .saved = status.saved};
-    ExitedTask exited;
+    ExitedAttempt exited;
     if (auto it = machine_.tasks.find(status.task);
         it != machine_.tasks.end() && it->second.attempt == status.attempt) {
         auto& instance = it->second;
--- a/src/cluster/instance.hpp
+++ b/src/cluster/instance.hpp
@@ -60,7 +60,7 @@
 };
 
 // An attempt that has exited and that the agent still reports.
-struct ExitedTask {
+struct ExitedAttempt {
     RunDelivery run;
     bool outcome_stored = false;  // what it means for the job is stored, so the agent may forget it
 };
--- a/src/cluster/machine_commands.cpp
+++ b/src/cluster/machine_commands.cpp
@@ -19,7 +19,7 @@
 
 // No `run` of the exited attempt may be executed any more. A reply that carried one is executed or dropped
 // once a later heartbeat has come.
-bool may_be_forgotten(const Machine& machine, const ExitedTask& exited) {
+bool may_be_forgotten(const Machine& machine, const ExitedAttempt& exited) {
     return exited.outcome_stored && exited.run.direct_in_flight == 0 &&
            machine.token_seen > exited.run.unacknowledged_token &&
            machine.heartbeat_sequence > exited.run.reply_sequence;
