--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -135,7 +135,7 @@
     if (holders == exited_by_job_.end()) return;
     for (auto& id : holders->second)
         if (auto* machine = find(id))
-            for (auto& [attempt, exited] : machine->exited_tasks)
+            for (auto& [attempt, exited] : machine->exited_attempts)
                 if (attempt.task.job == job && (tasks.empty() || tasks.contains(attempt.task.index)))
                     exited.outcome_stored = true;
     if (tasks.empty()) exited_by_job_.erase(holders);
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -85,7 +85,7 @@
 // Proof of exit: the agent says that this attempt has exited.
 void HeartbeatApplication::apply_exited(const protocol::TaskStatus& status) {
     AttemptId id{status.task, status.attempt};
-    if (machine_.exited_tasks.contains(id)) return;
+    if (machine_.exited_attempts.contains(id)) return;
     InstanceEnd end{.machine = machine_.id,
                     .task = status.task,
                     .attempt = status.attempt,
@@ -102,7 +102,7 @@
         machine_.tasks.erase(it);
     }
     exited.outcome_stored = status.cause != ExitCause::done;  // nothing to store for other ends
-    machine_.exited_tasks.emplace(id, exited);
+    machine_.exited_attempts.emplace(id, exited);
     if (!exited.outcome_stored) targets_.exited_by_job[status.task.job].insert(machine_.id);
     outcome_.ends.push_back(std::move(end));
 }
@@ -170,7 +170,7 @@
 
 // The agent has forgotten them, as a `forget` command said once their outcome was stored.
 void HeartbeatApplication::drop_forgotten(const std::set<AttemptId>& reported) {
-    std::erase_if(machine_.exited_tasks, [&](auto& entry) {
+    std::erase_if(machine_.exited_attempts, [&](auto& entry) {
         return !reported.contains(entry.first) && entry.second.outcome_stored;
     });
 }
--- a/src/cluster/instance_end.cpp
+++ b/src/cluster/instance_end.cpp
@@ -18,7 +18,7 @@
     for (auto& [task, instance] : machine.tasks)
         if (instance.confirmed) ends.push_back(unreported_end(machine, task, instance));
     machine.tasks.clear();
-    machine.exited_tasks.clear();
+    machine.exited_attempts.clear();
     return ends;
 }
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -56,7 +56,7 @@
     std::string route;                   // controller that its last heartbeat came through; empty: the leader
     bool heartbeat_route_known = false;  // a heartbeat came, so `route` says by which way
     std::map<protocol::TaskId, Instance> tasks;
-    std::map<AttemptId, ExitedAttempt> exited_tasks;
+    std::map<AttemptId, ExitedAttempt> exited_attempts;
     ImageCache image_cache;
 
     // --- Leader's dealings with it ---
--- a/src/cluster/machine_commands.cpp
+++ b/src/cluster/machine_commands.cpp
@@ -42,14 +42,14 @@
 // `forget` makes the agent forget an attempt, so a `run` of it that arrives afterwards would start it again.
 // An unanswered direct `run` may arrive minutes late: only a higher token, seen by the agent, stops it.
 void MachineCommands::fence_unacknowledged_runs(Machine& machine) {
-    for (auto& [id, exited] : machine.exited_tasks)
+    for (auto& [id, exited] : machine.exited_attempts)
         if (exited.outcome_stored && exited.run.direct_in_flight == 0)
             tokens_.raise(machine, exited.run.unacknowledged_token);
 }
 
 // A copy of a `run` that was answered may come late, too. From this reply on the agent drops it.
 void MachineCommands::fence_answered_runs(Machine& machine) {
-    for (auto& [id, exited] : machine.exited_tasks)
+    for (auto& [id, exited] : machine.exited_attempts)
         if (may_be_forgotten(machine, exited)) tokens_.raise(machine, exited.run.highest_token);
 }
 
@@ -72,7 +72,7 @@
         }
     }
     if (may_forget)
-        for (auto& [id, exited] : machine.exited_tasks)
+        for (auto& [id, exited] : machine.exited_attempts)
             if (may_be_forgotten(machine, exited))
                 commands.push_back({CommandKind::forget, id.task, id.attempt, 0});
     return commands;
@@ -111,8 +111,8 @@
         if (auto it = machine.tasks.find(command.task);
             it != machine.tasks.end() && it->second.attempt == command.attempt)
             complete(it->second.run);
-        else if (auto exited = machine.exited_tasks.find({command.task, command.attempt});
-                 exited != machine.exited_tasks.end())
+        else if (auto exited = machine.exited_attempts.find({command.task, command.attempt});
+                 exited != machine.exited_attempts.end())
             complete(exited->second.run);
     }
 }
@@ -132,7 +132,7 @@
 
 bool nothing_pending(const Machine& machine) {
     bool idle = machine.lifecycle == Machine::Lifecycle::up && machine.reconciled && machine.is_stored() &&
-                !machine.preemption_deadline && !machine.flush_scheduled && machine.exited_tasks.empty() &&
+                !machine.preemption_deadline && !machine.flush_scheduled && machine.exited_attempts.empty() &&
                 machine.token == machine.token_seen;
     return idle && std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
                auto& instance = entry.second;
