--- a/src/cluster/heartbeat_application.hpp
+++ b/src/cluster/heartbeat_application.hpp
@@ -16,14 +16,14 @@
 namespace coralhitch::cluster {
 
 // By job: ids of machines that hold, or held, exited tasks of it whose outcome is not stored yet.
-using ExitedTaskIndex = std::unordered_map<std::string, std::set<std::string>>;
+using UnstoredExitIndex = std::unordered_map<std::string, std::set<std::string>>;
 
 // The parts of the cluster state that a report may change besides its machine. All outlive the application.
 struct HeartbeatTargets {
     FencingTokens& tokens;
     ImageNumbers& images;
     const MachinePools& pools;
-    ExitedTaskIndex& exited_by_job;
+    UnstoredExitIndex& exited_by_job;
 };
 
 // For one report, used once. Holds references to all it is given.
