--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -78,8 +78,8 @@
                         Machine::Lifecycle::up, now);
     if (!is_newer(machine, heartbeat, channel, tokens_))
         return {.status = status_of_older(machine, heartbeat, channel)};
-    HeartbeatApplication application({tokens_, images_, pools_, exited_by_job_}, machine, heartbeat, channel,
-                                     now, lookup);
+    HeartbeatApplication application({tokens_, images_, pools_, machines_with_unstored_exits_}, machine,
+                                     heartbeat, channel, now, lookup);
     auto outcome = application.apply();
     any_reconciled_ |= tokens_.since_leadership_began(heartbeat.token);
     if (application.must_be_replicated()) schedule_replication(machine);
@@ -131,14 +131,14 @@
 }
 
 void ClusterState::record_outcome_stored(const std::string& job, const std::set<std::uint32_t>& tasks) {
-    auto holders = exited_by_job_.find(job);
-    if (holders == exited_by_job_.end()) return;
+    auto holders = machines_with_unstored_exits_.find(job);
+    if (holders == machines_with_unstored_exits_.end()) return;
     for (auto& id : holders->second)
         if (auto* machine = find(id))
             for (auto& [attempt, exited] : machine->exited_attempts)
                 if (attempt.task.job == job && (tasks.empty() || tasks.contains(attempt.task.index)))
                     exited.outcome_stored = true;
-    if (tasks.empty()) exited_by_job_.erase(holders);
+    if (tasks.empty()) machines_with_unstored_exits_.erase(holders);
 }
 
 // --- Commands -------------------------------------------------------------------------------------------
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -117,7 +117,7 @@
     std::unordered_map<std::string_view, Machine*> machines_by_id_;
     std::unordered_set<std::string> deleted_machines_;
     // Walking all machines for each outcome that was stored took as long as the reports.
-    UnstoredExitIndex exited_by_job_;
+    UnstoredExitIndex machines_with_unstored_exits_;
     std::vector<std::string> machines_to_flush_, machines_to_replicate_;
     bool hold_starts_ = false, any_reconciled_ = false;
 };
