--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -103,7 +103,7 @@
     }
     exited.outcome_stored = status.cause != ExitCause::done;  // nothing to store for other ends
     machine_.exited_attempts.emplace(id, exited);
-    if (!exited.outcome_stored) targets_.exited_by_job[status.task.job].insert(machine_.id);
+    if (!exited.outcome_stored) targets_.machines_with_unstored_exits[status.task.job].insert(machine_.id);
     outcome_.ends.push_back(std::move(end));
 }
 
--- a/src/cluster/heartbeat_application.hpp
+++ b/src/cluster/heartbeat_application.hpp
@@ -23,7 +23,7 @@
     FencingTokens& tokens;
     ImageNumbers& images;
     const MachinePools& pools;
-    UnstoredExitIndex& exited_by_job;
+    UnstoredExitIndex& machines_with_unstored_exits;
 };
 
 // For one report, used once. Holds references to all it is given.
