--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -60,7 +60,7 @@
     auto ends = terminate_all(machine);
     machine.reconciled = true;
     machine.terminated_epoch = std::max(machine.terminated_epoch, machine.agent_epoch);
-    machine.only_direct_reply_counts = !machine.agent_epoch.is_set();
+    machine.accepts_only_direct_replies = !machine.agent_epoch.is_set();
     schedule_replication(machine);
     return ends;
 }
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -12,7 +12,7 @@
 
 HeartbeatOutcome HeartbeatApplication::apply() {
     outcome_.status = HeartbeatStatus::newer;
-    machine_.only_direct_reply_counts = false;
+    machine_.accepts_only_direct_replies = false;
     machine_.reported_to_this_leader |= sent_since_leadership_began(heartbeat_, channel_, targets_.tokens);
     // Of a machine that was known from the replica before it is reconciled, the replicas know all, too.
     changed_ = heartbeat_.agent_epoch > machine_.agent_epoch ||
--- a/src/cluster/heartbeat_freshness.cpp
+++ b/src/cluster/heartbeat_freshness.cpp
@@ -24,8 +24,8 @@
     bool expected = known && known->stored_by_earlier_leader && !known->reconciled;
     if (from_before && !heartbeat.tasks.empty() && !expected) return true;
     // Nothing is left of an agent epoch whose lease has expired.
-    return known &&
-           (heartbeat.agent_epoch <= known->terminated_epoch || (known->only_direct_reply_counts && !direct));
+    return known && (heartbeat.agent_epoch <= known->terminated_epoch ||
+                     (known->accepts_only_direct_replies && !direct));
 }
 
 // The larger (agent epoch, sequence) is the newer one. But a report from before this leader began may be of
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -45,7 +45,7 @@
     // All that was in agent epochs up to this one is proven terminated by time. Reports of it came late.
     protocol::AgentEpoch terminated_epoch;
     // The same, though no agent epoch of it was ever reported: only a direct reply counts now.
-    bool only_direct_reply_counts = false;
+    bool accepts_only_direct_replies = false;
 
     // --- Reported by the agent ---
     protocol::AgentEpoch agent_epoch;             // none: never reported
