--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -59,7 +59,7 @@
 std::vector<InstanceEnd> ClusterState::expire_lease(Machine& machine) {
     auto ends = terminate_all(machine);
     machine.reconciled = true;
-    machine.terminated_epoch = std::max(machine.terminated_epoch, machine.agent_epoch);
+    machine.terminated_agent_epoch = std::max(machine.terminated_agent_epoch, machine.agent_epoch);
     machine.accepts_only_direct_replies = !machine.agent_epoch.is_set();
     schedule_replication(machine);
     return ends;
--- a/src/cluster/heartbeat_freshness.cpp
+++ b/src/cluster/heartbeat_freshness.cpp
@@ -24,7 +24,7 @@
     bool expected = known && known->stored_by_earlier_leader && !known->reconciled;
     if (from_before && !heartbeat.tasks.empty() && !expected) return true;
     // Nothing is left of an agent epoch whose lease has expired.
-    return known && (heartbeat.agent_epoch <= known->terminated_epoch ||
+    return known && (heartbeat.agent_epoch <= known->terminated_agent_epoch ||
                      (known->accepts_only_direct_replies && !direct));
 }
 
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -43,7 +43,7 @@
     // reconciled.
     bool known_from_replica = false;
     // All that was in agent epochs up to this one is proven terminated by time. Reports of it came late.
-    protocol::AgentEpoch terminated_epoch;
+    protocol::AgentEpoch terminated_agent_epoch;
     // The same, though no agent epoch of it was ever reported: only a direct reply counts now.
     bool accepts_only_direct_replies = false;
 
