--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -81,7 +81,7 @@
     HeartbeatApplication application({tokens_, images_, pools_, machines_with_unstored_exits_}, machine,
                                      heartbeat, channel, now, lookup);
     auto outcome = application.apply();
-    any_reconciled_ |= tokens_.since_leadership_began(heartbeat.token);
+    any_reconciled_ |= tokens_.is_from_this_leader_or_later(heartbeat.token);
     if (application.must_be_replicated()) schedule_replication(machine);
     return outcome;
 }
--- a/src/cluster/fencing_tokens.hpp
+++ b/src/cluster/fencing_tokens.hpp
@@ -29,7 +29,7 @@
         return protocol::LeaderVersion{token.value() >> token_bits};
     }
     // Whoever shows this token has had a message of this leader, or of a later one.
-    bool since_leadership_began(protocol::FencingToken token) const { return token >= base_; }
+    bool is_from_this_leader_or_later(protocol::FencingToken token) const { return token >= base_; }
     bool of_later_leadership(protocol::FencingToken token) const {
         return token.value() >= base_.value() + tokens_per_leadership;
     }
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -16,7 +16,7 @@
     machine_.reported_to_this_leader |= sent_since_leadership_began(heartbeat_, channel_, targets_.tokens);
     // Of a machine that was known from the replica before it is reconciled, the replicas know all, too.
     changed_ = heartbeat_.agent_epoch > machine_.agent_epoch ||
-               (targets_.tokens.since_leadership_began(heartbeat_.token) && !machine_.reconciled &&
+               (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token) && !machine_.reconciled &&
                 !machine_.known_from_replica);
     begin_agent_epoch();
     apply_header();
@@ -53,7 +53,7 @@
     apply_preemption_notice();
     // From a report under this leader's token on, the agent drops all commands of earlier leaders, so what
     // the report shows is all there is.
-    if (targets_.tokens.since_leadership_began(heartbeat_.token)) m.reconciled = true;
+    if (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token)) m.reconciled = true;
 }
 
 // A notice is never put off: a report that came late says too much.
--- a/src/cluster/heartbeat_freshness.cpp
+++ b/src/cluster/heartbeat_freshness.cpp
@@ -6,7 +6,7 @@
 
 bool sent_since_leadership_began(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
                                  const FencingTokens& tokens) {
-    return channel == HeartbeatChannel::direct_reply || tokens.since_leadership_began(heartbeat.token);
+    return channel == HeartbeatChannel::direct_reply || tokens.is_from_this_leader_or_later(heartbeat.token);
 }
 
 // Taken for true, such a report brought tasks back that ran elsewhere, and those were stopped.
@@ -37,7 +37,7 @@
         return true;
     bool direct = channel == HeartbeatChannel::direct_reply;
     return !machine.reported_to_this_leader && !machine.known_from_replica &&
-           (tokens.since_leadership_began(heartbeat.token) ||
+           (tokens.is_from_this_leader_or_later(heartbeat.token) ||
             (direct && heartbeat.agent_epoch < machine.agent_epoch));
 }
 
