--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -71,7 +71,7 @@
                                                double now, const JobLookup& lookup) {
     // A machine once deleted stays deleted; what still arrives from it was under way.
     if (is_deleted(heartbeat.machine)) return {.status = HeartbeatStatus::terminated};
-    if (tokens_.of_later_leadership(heartbeat.token)) return {.status = HeartbeatStatus::deposed};
+    if (tokens_.is_from_later_leader(heartbeat.token)) return {.status = HeartbeatStatus::deposed};
     if (is_from_terminated_epoch(find(heartbeat.machine), heartbeat, channel, tokens_))
         return {.status = HeartbeatStatus::terminated};
     auto& machine = add(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot,
--- a/src/cluster/fencing_tokens.hpp
+++ b/src/cluster/fencing_tokens.hpp
@@ -30,7 +30,7 @@
     }
     // Whoever shows this token has had a message of this leader, or of a later one.
     bool is_from_this_leader_or_later(protocol::FencingToken token) const { return token >= base_; }
-    bool of_later_leadership(protocol::FencingToken token) const {
+    bool is_from_later_leader(protocol::FencingToken token) const {
         return token.value() >= base_.value() + tokens_per_leadership;
     }
     // Commands to the machine carry a token above this one from now on.
