--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -40,7 +40,7 @@
     machine.type = type;
     machine.zone = zone;
     machine.spot = spot;
-    machine.pool = pools_.index_of(type, zone, spot);
+    machine.pool = pools_.find_or_add(type, zone, spot);
     machine.total = pools()[machine.pool].total;
     return machine;
 }
--- a/src/cluster/machine_pools.cpp
+++ b/src/cluster/machine_pools.cpp
@@ -10,7 +10,7 @@
     for (auto& pool : pools_) apply_type(pool);
     for (auto& type : types)
         for (auto& zone : type.zones)
-            for (bool spot : {false, true}) index_of(type.name, zone, spot);
+            for (bool spot : {false, true}) find_or_add(type.name, zone, spot);
 }
 
 void MachinePools::apply_type(protocol::Pool& pool) const {
@@ -20,7 +20,7 @@
     pool.fetch_gb_per_s = it->second.fetch_gb_per_s;
 }
 
-std::size_t MachinePools::index_of(const std::string& type, const std::string& zone, bool spot) {
+std::size_t MachinePools::find_or_add(const std::string& type, const std::string& zone, bool spot) {
     for (std::size_t index = 0; index < pools_.size(); ++index)
         if (pools_[index].spot == spot && pools_[index].zone == zone && pools_[index].type == type)
             return index;
--- a/src/cluster/machine_pools.hpp
+++ b/src/cluster/machine_pools.hpp
@@ -14,7 +14,7 @@
     // Adds or replaces types by name, and adds a pool for each zone of each.
     void set_types(const std::vector<protocol::MachineType>& types);
     // The pool's index; the pool is added if there is none. Indexes stay valid.
-    std::size_t index_of(const std::string& type, const std::string& zone, bool spot);
+    std::size_t find_or_add(const std::string& type, const std::string& zone, bool spot);
     const std::vector<protocol::Pool>& pools() const { return pools_; }
     std::size_t zone_count() const { return zones_.size(); }
     // Image cache of machines of this type; the largest double if the type is unknown or gives none.
