--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -104,7 +104,7 @@
                               protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.machine_stored = machine.is_stored();
-    instance.replicated = !hold_starts_;
+    instance.replicated = !hold_starts_until_replicated_;
     machine.idle_since = now;
     schedule_flush(machine);
     schedule_replication(machine);
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -94,7 +94,7 @@
     // Machines of which something has changed that the replicas must know, deleted ones included.
     std::vector<std::string> take_machines_to_replicate();
     // New starts are held back until `Instance::replicated` is set.
-    void hold_starts_until_replicated() { hold_starts_ = true; }
+    void hold_starts_until_replicated() { hold_starts_until_replicated_ = true; }
 
     // --- Tokens, pools, images ---
     protocol::FencingToken base_token() const { return tokens_.base(); }
@@ -119,7 +119,7 @@
     // Walking all machines for each outcome that was stored took as long as the reports.
     UnstoredExitIndex machines_with_unstored_exits_;
     std::vector<std::string> machines_to_flush_, machines_to_replicate_;
-    bool hold_starts_ = false, any_reconciled_ = false;
+    bool hold_starts_until_replicated_ = false, any_reconciled_ = false;
 };
 
 }  // namespace coralhitch::cluster
