--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -79,7 +79,7 @@
         }
     }
     terminate_unreported(reported);
-    drop_forgotten(reported_exits);
+    drop_forgotten_attempts(reported_exits);
 }
 
 // Proof of exit: the agent says that this attempt has exited.
@@ -169,7 +169,7 @@
 }
 
 // The agent has forgotten them, as a `forget` command said once their outcome was stored.
-void HeartbeatApplication::drop_forgotten(const std::set<AttemptId>& reported) {
+void HeartbeatApplication::drop_forgotten_attempts(const std::set<AttemptId>& reported) {
     std::erase_if(machine_.exited_attempts, [&](auto& entry) {
         return !reported.contains(entry.first) && entry.second.outcome_stored;
     });
--- a/src/cluster/heartbeat_application.hpp
+++ b/src/cluster/heartbeat_application.hpp
@@ -52,7 +52,7 @@
     void apply_reported(const protocol::TaskStatus& status);
     void note_progress(Instance& instance, const protocol::TaskStatus& status);
     void terminate_unreported(const std::set<protocol::TaskId>& reported);
-    void drop_forgotten(const std::set<AttemptId>& reported);
+    void drop_forgotten_attempts(const std::set<AttemptId>& reported);
 
     HeartbeatTargets targets_;
     Machine& machine_;
