--- a/src/cluster/image_cache.cpp
+++ b/src/cluster/image_cache.cpp
@@ -8,16 +8,16 @@
 void ImageCache::use(const CachedImage& image, double capacity_gb) {
     std::erase_if(entries_, [&](auto& entry) { return entry.image == image.image; });
     entries_.push_back(image);
-    drop_what_does_not_fit(capacity_gb);
+    evict_to_capacity(capacity_gb);
 }
 
 void ImageCache::restore(std::vector<CachedImage> images, double capacity_gb) {
     if (!entries_.empty()) return;
     entries_ = std::move(images);
-    drop_what_does_not_fit(capacity_gb);
+    evict_to_capacity(capacity_gb);
 }
 
-void ImageCache::drop_what_does_not_fit(double capacity_gb) {
+void ImageCache::evict_to_capacity(double capacity_gb) {
     double left_gb = capacity_gb;
     protocol::ImageIds images;
     std::size_t kept = 0;
--- a/src/cluster/image_cache.hpp
+++ b/src/cluster/image_cache.hpp
@@ -41,7 +41,7 @@
     const std::shared_ptr<const protocol::ImageIds>& images() const { return images_; }
 
   private:
-    void drop_what_does_not_fit(double capacity_gb);
+    void evict_to_capacity(double capacity_gb);
     std::vector<CachedImage> entries_;
     std::shared_ptr<const protocol::ImageIds> images_;
 };
