--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -130,10 +130,10 @@
     auto& instance = it->second;
     if (machine_.reported_to_this_leader && !std::exchange(instance.confirmed, true))
         outcome_.found_instances.push_back({status.task, machine_.id});
-    note_progress(instance, status);
+    record_progress(instance, status);
 }
 
-void HeartbeatApplication::note_progress(Instance& instance, const protocol::TaskStatus& status) {
+void HeartbeatApplication::record_progress(Instance& instance, const protocol::TaskStatus& status) {
     instance.ever_reported = instance.in_last_heartbeat = true;
     instance.state = status.state;
     if (status.state == TaskState::fetching) return;
