--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -75,7 +75,7 @@
             apply_exited(status);
         } else {
             reported.insert(status.task);
-            apply_reported(status);
+            apply_active(status);
         }
     }
     terminate_unreported(reported);
@@ -110,7 +110,7 @@
 // A report from before this leader began is no evidence against what is known from the replica: that holds
 // all there is. Nor is it relied on before the machine has confirmed it: it made a gang that ran elsewhere by
 // now stop when the next report did not show it.
-void HeartbeatApplication::apply_reported(const protocol::TaskStatus& status) {
+void HeartbeatApplication::apply_active(const protocol::TaskStatus& status) {
     auto it = machine_.tasks.find(status.task);
     bool on_record = it != machine_.tasks.end() && it->second.attempt == status.attempt;
     if (machine_.known_from_replica && !machine_.reported_to_this_leader && !on_record) return;
--- a/src/cluster/heartbeat_application.hpp
+++ b/src/cluster/heartbeat_application.hpp
@@ -49,7 +49,7 @@
     void apply_preemption_notice();
     void apply_tasks();
     void apply_exited(const protocol::TaskStatus& status);
-    void apply_reported(const protocol::TaskStatus& status);
+    void apply_active(const protocol::TaskStatus& status);
     void record_progress(Instance& instance, const protocol::TaskStatus& status);
     void terminate_unreported(const std::set<protocol::TaskId>& reported);
     void drop_forgotten_attempts(const std::set<AttemptId>& reported);
