--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -15,14 +15,14 @@
     machine_.accepts_only_direct_replies = false;
     machine_.reported_to_this_leader |= sent_since_leadership_began(heartbeat_, channel_, targets_.tokens);
     // Of a machine that was known from the replica before it is reconciled, the replicas know all, too.
-    changed_ = heartbeat_.agent_epoch > machine_.agent_epoch ||
-               (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token) && !machine_.reconciled &&
-                !machine_.known_from_replica);
+    must_be_replicated_ = heartbeat_.agent_epoch > machine_.agent_epoch ||
+                          (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token) &&
+                           !machine_.reconciled && !machine_.known_from_replica);
     begin_agent_epoch();
     apply_header();
     apply_tasks();
     if (!machine_.tasks.empty()) machine_.idle_since = now_;
-    changed_ |= !outcome_.ends.empty() || !outcome_.found_instances.empty();
+    must_be_replicated_ |= !outcome_.ends.empty() || !outcome_.found_instances.empty();
     return std::move(outcome_);
 }
 
@@ -125,7 +125,7 @@
     } else if (!on_record) {
         // Another attempt than the one on record is there; the one reported is what takes up the resources.
         it->second.attempt = status.attempt;
-        changed_ = true;
+        must_be_replicated_ = true;
     }
     auto& instance = it->second;
     if (machine_.reported_to_this_leader && !std::exchange(instance.confirmed, true))
--- a/src/cluster/heartbeat_application.hpp
+++ b/src/cluster/heartbeat_application.hpp
@@ -41,7 +41,7 @@
 
     HeartbeatOutcome apply();
     // After `apply`: something has changed that the replicas must know.
-    bool must_be_replicated() const { return changed_; }
+    bool must_be_replicated() const { return must_be_replicated_; }
 
   private:
     void begin_agent_epoch();
@@ -61,7 +61,7 @@
     double now_;
     const JobLookup& lookup_;
     HeartbeatOutcome outcome_;
-    bool changed_ = false;
+    bool must_be_replicated_ = false;
 };
 
 }  // namespace coralhitch::cluster
