--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -28,14 +28,14 @@
       on_loaded_(std::move(on_loaded)) {}
 
 void RecoveryLoader::start() {
-    settings_.op.replicate_starts ? read_record() : list_all();
+    settings_.op.replicate_starts ? read_in_sync_record() : list_all();
 }
 void RecoveryLoader::retry_later() {
     timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] { start(); }));
 }
 
 // Which followers of the previous leader were in sync.
-void RecoveryLoader::read_record() {
+void RecoveryLoader::read_in_sync_record() {
     kv_.get(keys::in_sync_replicas, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
                 if (!result.ok()) return retry_later();
                 handle_record(result);
