--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -41,7 +41,7 @@
   private:
     void retry_later();
     void read_in_sync_record();
-    void handle_record(const kv::GetResult& result);
+    void store_in_sync_record(const kv::GetResult& result);
     void read_leader_history();
     void list(const std::string& prefix, kv::ListResult RecoveredState::*target,
               const std::function<void()>& next);
