--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -28,7 +28,7 @@
       on_loaded_(std::move(on_loaded)) {}
 
 void RecoveryLoader::start() {
-    settings_.op.replicate_starts ? read_in_sync_record() : list_all();
+    settings_.op.replicate_starts ? read_in_sync_record() : list_stored_state();
 }
 void RecoveryLoader::retry_later() {
     timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] { start(); }));
@@ -65,7 +65,7 @@
                           evidence_.later_leaders.push_back(
                               {version, protocol::stores_in_sync_replicas(*event.value)});
                   }
-                  list_all();
+                  list_stored_state();
               }));
 }
 
@@ -79,7 +79,7 @@
 }
 
 // The stored state is final by now: what the previous leader may still write fails on its version.
-void RecoveryLoader::list_all() {
+void RecoveryLoader::list_stored_state() {
     recovered_.jobs_listed_at = timers_.now();
     list(keys::jobs, &RecoveredState::jobs, [this] {
         list(keys::progress, &RecoveredState::progress,
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -45,7 +45,7 @@
     void read_leader_history();
     void list(const std::string& prefix, kv::ListResult RecoveredState::*target,
               const std::function<void()>& next);
-    void list_all();
+    void list_stored_state();
     void finish();
 
     event_loop::Timers& timers_;
