--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -14,7 +14,7 @@
 using kv::RequestPriority;
 
 namespace {
-constexpr double retry_periods = 1.0 / 10;  // in report periods
+constexpr double retry_heartbeat_periods = 1.0 / 10;  // in report periods
 }  // namespace
 
 RecoveryLoader::RecoveryLoader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
@@ -31,7 +31,7 @@
     settings_.op.replicate_starts ? read_in_sync_record() : list_stored_state();
 }
 void RecoveryLoader::retry_later() {
-    timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] { start(); }));
+    timers_.after(settings_.heartbeat_interval_s * retry_heartbeat_periods, guarded_([this] { start(); }));
 }
 
 // Which followers of the previous leader were in sync.
