--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -8,7 +8,7 @@
 namespace {
 // Reconciliation makes progress as long as in so many report periods at least this share of the remaining
 // machines is reconciled.
-constexpr double progress_periods = 1.0 / 2, progress_share = 1.0 / 64;
+constexpr double progress_window_heartbeat_periods = 1.0 / 2, progress_share = 1.0 / 64;
 // A machine that was not probed yet is given this much longer, in report periods.
 constexpr double unprobed_periods = 2;
 // Time for a direct command to go unanswered, in report periods.
@@ -73,7 +73,7 @@
         std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * progress_share));
     if (left + step <= last_progress_.remaining)
         progressed_at_ = now;
-    else if (now - last_progress_.at < heartbeat_interval_s_ * progress_periods)
+    else if (now - last_progress_.at < heartbeat_interval_s_ * progress_window_heartbeat_periods)
         return;
     last_progress_ = {left, now};
 }
@@ -85,10 +85,11 @@
 }
 bool Reconciliation::is_overloaded(double now) const {
     return late_share_ > overloaded_share && last_answer_ &&
-           now - *last_answer_ <= heartbeat_interval_s_ * progress_periods;
+           now - *last_answer_ <= heartbeat_interval_s_ * progress_window_heartbeat_periods;
 }
 bool Reconciliation::is_progressing(double now) const {
-    return progressed_at_ && now - *progressed_at_ <= heartbeat_interval_s_ * progress_periods;
+    return progressed_at_ &&
+           now - *progressed_at_ <= heartbeat_interval_s_ * progress_window_heartbeat_periods;
 }
 
 // A machine that is not reconciled may have answered long ago: while others are reconciled, its answer may
