--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -8,7 +8,7 @@
 namespace {
 // Reconciliation makes progress as long as in so many report periods at least this share of the remaining
 // machines is reconciled.
-constexpr double progress_window_heartbeat_periods = 1.0 / 2, progress_share = 1.0 / 64;
+constexpr double progress_window_heartbeat_periods = 1.0 / 2, min_progress_share = 1.0 / 64;
 // A machine that was not probed yet is given this much longer, in report periods.
 constexpr double unprobed_periods = 2;
 // Time for a direct command to go unanswered, in report periods.
@@ -70,7 +70,7 @@
     few_remaining_ = left * few_divisor <= expected_;
     if (left == 0) return;
     auto step =
-        std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * progress_share));
+        std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * min_progress_share));
     if (left + step <= last_progress_.remaining)
         progressed_at_ = now;
     else if (now - last_progress_.at < heartbeat_interval_s_ * progress_window_heartbeat_periods)
