--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -10,7 +10,7 @@
 // machines is reconciled.
 constexpr double progress_window_heartbeat_periods = 1.0 / 2, min_progress_share = 1.0 / 64;
 // A machine that was not probed yet is given this much longer, in report periods.
-constexpr double unprobed_periods = 2;
+constexpr double unprobed_allowance_heartbeat_periods = 2;
 // Time for a direct command to go unanswered, in report periods.
 constexpr double probe_timeout_periods = 1.0 / 2;
 constexpr double late_tick_intervals = 3;
@@ -104,8 +104,9 @@
     double silent_s =
         now - (machine.reachability.outbound_unreachable() ? machine.reachability.last_reached_at()
                                                            : machine.last_heartbeat_at);
-    double probed_s = !machine.first_probed_at ? silent_s - heartbeat_interval_s_ * unprobed_periods
-                                               : now - *machine.first_probed_at;
+    double probed_s = !machine.first_probed_at
+                          ? silent_s - heartbeat_interval_s_ * unprobed_allowance_heartbeat_periods
+                          : now - *machine.first_probed_at;
     if (is_overloaded(now)) return 0;
     double counted_s = std::min({silent_s, probed_s, is_progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
