--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -12,7 +12,7 @@
 // A machine that was not probed yet is given this much longer, in report periods.
 constexpr double unprobed_allowance_heartbeat_periods = 2;
 // Time for a direct command to go unanswered, in report periods.
-constexpr double probe_timeout_periods = 1.0 / 2;
+constexpr double probe_timeout_heartbeat_periods = 1.0 / 2;
 constexpr double late_tick_intervals = 3;
 // One in so many of the expected machines: so few that are not reconciled hardly change the free resources.
 constexpr std::size_t few_divisor = 16;
@@ -110,8 +110,9 @@
     if (is_overloaded(now)) return 0;
     double counted_s = std::min({silent_s, probed_s, is_progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
-    return counted_s +
-           (counted_s > heartbeat_interval_s_ * probe_timeout_periods ? machine.inherited_silence_s : 0);
+    return counted_s + (counted_s > heartbeat_interval_s_ * probe_timeout_heartbeat_periods
+                            ? machine.inherited_silence_s
+                            : 0);
 }
 
 }  // namespace coralhitch::failover
