--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -15,7 +15,7 @@
 constexpr double probe_timeout_heartbeat_periods = 1.0 / 2;
 constexpr double late_tick_intervals = 3;
 // One in so many of the expected machines: so few that are not reconciled hardly change the free resources.
-constexpr std::size_t few_divisor = 16;
+constexpr std::size_t few_remaining_divisor = 16;
 // An answer is late after so many report periods; the leader is is_overloaded if most of some ten answers
 // are.
 constexpr double late_answer_heartbeat_periods = 1.0 / 8, overloaded_share = 1.0 / 2, late_share_decay = 0.9;
@@ -67,7 +67,7 @@
     if (last_tick_ && now - *last_tick_ > interval_s * late_tick_intervals) progressed_at_ = now;
     last_tick_ = now;
     auto left = remaining();
-    few_remaining_ = left * few_divisor <= expected_;
+    few_remaining_ = left * few_remaining_divisor <= expected_;
     if (left == 0) return;
     auto step =
         std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * min_progress_share));
