--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -18,7 +18,8 @@
 constexpr std::size_t few_remaining_divisor = 16;
 // An answer is late after so many report periods; the leader is is_overloaded if most of some ten answers
 // are.
-constexpr double late_answer_heartbeat_periods = 1.0 / 8, overloaded_share = 1.0 / 2, late_share_decay = 0.9;
+constexpr double late_answer_heartbeat_periods = 1.0 / 8, overloaded_share = 1.0 / 2,
+                 late_answer_share_decay = 0.9;
 }  // namespace
 
 void Reconciliation::expect(const std::string& machine) {
@@ -80,7 +81,7 @@
 
 void Reconciliation::record_answer(double latency_s, double now) {
     bool late = latency_s > heartbeat_interval_s_ * late_answer_heartbeat_periods;
-    late_share_ = late_share_ * late_share_decay + (late ? 1 - late_share_decay : 0);
+    late_share_ = late_share_ * late_answer_share_decay + (late ? 1 - late_answer_share_decay : 0);
     last_answer_ = now;
 }
 bool Reconciliation::is_overloaded(double now) const {
