--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t few_remaining_divisor = 16;
 // An answer is late after so many report periods; the leader is is_overloaded if most of some ten answers
 // are.
-constexpr double late_answer_heartbeat_periods = 1.0 / 8, overloaded_share = 1.0 / 2,
+constexpr double late_answer_heartbeat_periods = 1.0 / 8, overloaded_late_answer_share = 1.0 / 2,
                  late_answer_share_decay = 0.9;
 }  // namespace
 
@@ -85,7 +85,7 @@
     last_answer_ = now;
 }
 bool Reconciliation::is_overloaded(double now) const {
-    return late_share_ > overloaded_share && last_answer_ &&
+    return late_share_ > overloaded_late_answer_share && last_answer_ &&
            now - *last_answer_ <= heartbeat_interval_s_ * progress_window_heartbeat_periods;
 }
 bool Reconciliation::is_progressing(double now) const {
