--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -81,11 +81,12 @@
 
 void Reconciliation::record_answer(double latency_s, double now) {
     bool late = latency_s > heartbeat_interval_s_ * late_answer_heartbeat_periods;
-    late_share_ = late_share_ * late_answer_share_decay + (late ? 1 - late_answer_share_decay : 0);
+    late_answer_share_ =
+        late_answer_share_ * late_answer_share_decay + (late ? 1 - late_answer_share_decay : 0);
     last_answer_ = now;
 }
 bool Reconciliation::is_overloaded(double now) const {
-    return late_share_ > overloaded_late_answer_share && last_answer_ &&
+    return late_answer_share_ > overloaded_late_answer_share && last_answer_ &&
            now - *last_answer_ <= heartbeat_interval_s_ * progress_window_heartbeat_periods;
 }
 bool Reconciliation::is_progressing(double now) const {
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -56,7 +56,7 @@
     Progress last_progress_;               // when it last was as much as is asked for, or was counted anew
     std::optional<double> progressed_at_;  // when the reconciliation last made progress
     std::optional<double> last_tick_;
-    double late_share_ = 0;  // of the last answers, the newest counting most
+    double late_answer_share_ = 0;  // of the last answers, the newest counting most
     std::optional<double> last_answer_;
 };
 
