--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -83,11 +83,11 @@
     bool late = latency_s > heartbeat_interval_s_ * late_answer_heartbeat_periods;
     late_answer_share_ =
         late_answer_share_ * late_answer_share_decay + (late ? 1 - late_answer_share_decay : 0);
-    last_answer_ = now;
+    last_answer_at_ = now;
 }
 bool Reconciliation::is_overloaded(double now) const {
-    return late_answer_share_ > overloaded_late_answer_share && last_answer_ &&
-           now - *last_answer_ <= heartbeat_interval_s_ * progress_window_heartbeat_periods;
+    return late_answer_share_ > overloaded_late_answer_share && last_answer_at_ &&
+           now - *last_answer_at_ <= heartbeat_interval_s_ * progress_window_heartbeat_periods;
 }
 bool Reconciliation::is_progressing(double now) const {
     return progressed_at_ &&
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -57,7 +57,7 @@
     std::optional<double> progressed_at_;  // when the reconciliation last made progress
     std::optional<double> last_tick_;
     double late_answer_share_ = 0;  // of the last answers, the newest counting most
-    std::optional<double> last_answer_;
+    std::optional<double> last_answer_at_;
 };
 
 }  // namespace coralhitch::failover
