--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -65,8 +65,8 @@
 
 void Reconciliation::tick(double now, double interval_s) {
     // A leader whose tick is late has not processed heartbeats in time either.
-    if (last_tick_ && now - *last_tick_ > interval_s * late_tick_intervals) progressed_at_ = now;
-    last_tick_ = now;
+    if (last_tick_at_ && now - *last_tick_at_ > interval_s * late_tick_intervals) progressed_at_ = now;
+    last_tick_at_ = now;
     auto left = remaining();
     few_remaining_ = left * few_remaining_divisor <= expected_;
     if (left == 0) return;
