--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -72,11 +72,11 @@
     if (left == 0) return;
     auto step =
         std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(left) * min_progress_share));
-    if (left + step <= last_progress_.remaining)
+    if (left + step <= progress_baseline_.remaining)
         progressed_at_ = now;
-    else if (now - last_progress_.at < heartbeat_interval_s_ * progress_window_heartbeat_periods)
+    else if (now - progress_baseline_.at < heartbeat_interval_s_ * progress_window_heartbeat_periods)
         return;
-    last_progress_ = {left, now};
+    progress_baseline_ = {left, now};
 }
 
 void Reconciliation::record_answer(double latency_s, double now) {
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -53,7 +53,7 @@
     bool few_remaining_ = false;  // at the last tick
     // Machines leave these for good, as soon as all before them have left.
     mutable std::set<std::string> unreconciled_, unknown_;
-    Progress last_progress_;               // when it last was as much as is asked for, or was counted anew
+    Progress progress_baseline_;           // when it last was as much as is asked for, or was counted anew
     std::optional<double> progressed_at_;  // when the reconciliation last made progress
     std::optional<double> last_tick_at_;
     double late_answer_share_ = 0;  // of the last answers, the newest counting most
