--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -25,7 +25,7 @@
 void Reconciliation::expect(const std::string& machine) {
     unreconciled_.insert(machine);
     ++expected_;
-    unknown_.insert(machine);
+    with_unknown_tasks_.insert(machine);
 }
 
 // Whether all machines satisfy the predicate or are gone. Those in front that do are removed.
@@ -39,8 +39,9 @@
 }
 
 bool Reconciliation::placement_allowed() const {
-    return all_satisfy(
-        unknown_, [](const Machine& machine) { return machine.reconciled || machine.known_from_replica; });
+    return all_satisfy(with_unknown_tasks_, [](const Machine& machine) {
+        return machine.reconciled || machine.known_from_replica;
+    });
 }
 
 bool Reconciliation::complete() const {
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -52,7 +52,7 @@
     std::size_t expected_ = 0;
     bool few_remaining_ = false;  // at the last tick
     // Machines leave these for good, as soon as all before them have left.
-    mutable std::set<std::string> unreconciled_, unknown_;
+    mutable std::set<std::string> unreconciled_, with_unknown_tasks_;
     Progress progress_baseline_;           // when it last was as much as is asked for, or was counted anew
     std::optional<double> progressed_at_;  // when the reconciliation last made progress
     std::optional<double> last_tick_at_;
