--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -111,11 +111,12 @@
                           ? silent_s - heartbeat_interval_s_ * unprobed_allowance_heartbeat_periods
                           : now - *machine.first_probed_at;
     if (is_overloaded(now)) return 0;
-    double counted_s = std::min({silent_s, probed_s, is_progressing(now) ? now - *progressed_at_ : probed_s});
+    double attributed_s =
+        std::min({silent_s, probed_s, is_progressing(now) ? now - *progressed_at_ : probed_s});
     // The previous leader had probed it too, in vain. It is given the time to answer this one.
-    return counted_s + (counted_s > heartbeat_interval_s_ * probe_timeout_heartbeat_periods
-                            ? machine.inherited_silence_s
-                            : 0);
+    return attributed_s + (attributed_s > heartbeat_interval_s_ * probe_timeout_heartbeat_periods
+                               ? machine.inherited_silence_s
+                               : 0);
 }
 
 }  // namespace coralhitch::failover
