--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -16,13 +16,14 @@
 using protocol::TaskState;
 
 TEST(HeartbeatApplication, KeepsUnreportedTaskWhileItsRunMayStillArrive) {
-    ClusterStateFixture b;
-    auto sent = b.place_and_send_run();
-    b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), false);  // no answer: not a proof
-    EXPECT_TRUE(b.apply_heartbeat(b.base()).ends.empty());
-    EXPECT_EQ(b.machine().tasks.size(), 1u);
-    EXPECT_TRUE(b.reply_contains(CommandKind::start));  // wanted: sent again
-    EXPECT_DOUBLE_EQ(b.machine().free().gpus, 3);
+    ClusterStateFixture fixture;
+    auto sent = fixture.place_and_send_run();
+    fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(),
+                                                   false);  // no answer: not a proof
+    EXPECT_TRUE(fixture.apply_heartbeat(fixture.base()).ends.empty());
+    EXPECT_EQ(fixture.machine().tasks.size(), 1u);
+    EXPECT_TRUE(fixture.reply_contains(CommandKind::start));  // wanted: sent again
+    EXPECT_DOUBLE_EQ(fixture.machine().free().gpus, 3);
 }
 
 TEST(HeartbeatApplication, EndsInstanceOnEachProofOfExit) {
@@ -32,46 +33,48 @@
     };
     const Case cases[] = {
         {"reported as exited",
-         [](ClusterStateFixture& b) {
-             b.reported_tasks = {
+         [](ClusterStateFixture& fixture) {
+             fixture.reported_tasks = {
                  {task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::stopped, true}};
-             return b.apply_heartbeat(b.base()).ends;
+             return fixture.apply_heartbeat(fixture.base()).ends;
          }},
         {"a new agent epoch",
-         [](ClusterStateFixture& b) {
-             b.sequence = 0;
-             return b.apply_heartbeat(b.base(), HeartbeatChannel::heartbeat, 2).ends;
+         [](ClusterStateFixture& fixture) {
+             fixture.sequence = 0;
+             return fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::heartbeat, 2).ends;
          }},
-        {"deletion answered", [](ClusterStateFixture& b) { return b.cluster_state.remove_deleted("vm-1"); }},
+        {"deletion answered",
+         [](ClusterStateFixture& fixture) { return fixture.cluster_state.remove_deleted("vm-1"); }},
         {"the lease has expired",
-         [](ClusterStateFixture& b) { return b.cluster_state.expire_lease(b.machine()); }},
+         [](ClusterStateFixture& fixture) { return fixture.cluster_state.expire_lease(fixture.machine()); }},
     };
     for (auto& c : cases) {
-        ClusterStateFixture b;
-        b.place_and_send_run();
-        b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
-        EXPECT_TRUE(b.apply_heartbeat(b.base(), HeartbeatChannel::direct_reply).ends.empty()) << c.name;
-        auto ends = c.proof(b);
+        ClusterStateFixture fixture;
+        fixture.place_and_send_run();
+        fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
+        EXPECT_TRUE(fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::direct_reply).ends.empty())
+            << c.name;
+        auto ends = c.proof(fixture);
         ASSERT_EQ(ends.size(), 1u) << c.name;
         EXPECT_EQ(ends[0].attempt, protocol::AttemptNumber{5}) << c.name;
     }
 }
 
 TEST(HeartbeatApplication, IgnoresOlderHeartbeat) {
-    ClusterStateFixture b;
-    b.place_and_send_run();
-    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
-    b.sequence = 10;
-    b.apply_heartbeat(b.base());
-    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
-    b.sequence = 3;
-    auto outcome = b.apply_heartbeat(b.base());
+    ClusterStateFixture fixture;
+    fixture.place_and_send_run();
+    fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
+    fixture.sequence = 10;
+    fixture.apply_heartbeat(fixture.base());
+    fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
+    fixture.sequence = 3;
+    auto outcome = fixture.apply_heartbeat(fixture.base());
     EXPECT_FALSE(outcome.is_newer());
     // A worker has one report under way: nobody waits for this one's answer.
     EXPECT_FALSE(outcome.may_be_answered());
-    EXPECT_EQ(b.machine().tasks.size(), 1u);
-    b.sequence = 10;
-    outcome = b.apply_heartbeat(b.base());
+    EXPECT_EQ(fixture.machine().tasks.size(), 1u);
+    fixture.sequence = 10;
+    outcome = fixture.apply_heartbeat(fixture.base());
     // The newest once more: its sender may wait.
     EXPECT_TRUE(outcome.is_repeated() && outcome.may_be_answered() && !outcome.is_newer());
 }
@@ -79,13 +82,14 @@
 // Copies of reports come well over a lease late, after any number of newer ones, also to a leader that has
 // received none of those.
 TEST(HeartbeatApplication, IgnoresLateCopiesOfTerminatedInstances) {
-    ClusterStateFixture b;  // a new leader: the machine was deleted under the one before, and is in no page
-    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
-    EXPECT_TRUE(b.apply_heartbeat(b.below_base(1)).is_terminated());
-    EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
+    ClusterStateFixture
+        fixture;  // a new leader: the machine was deleted under the one before, and is in no page
+    fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
+    EXPECT_TRUE(fixture.apply_heartbeat(fixture.below_base(1)).is_terminated());
+    EXPECT_EQ(fixture.cluster_state.find("vm-1"), nullptr);
     // What it answers now counts.
-    EXPECT_FALSE(b.apply_heartbeat(b.base(), HeartbeatChannel::direct_reply).is_terminated());
-    EXPECT_EQ(b.machine().tasks.size(), 1u);
+    EXPECT_FALSE(fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::direct_reply).is_terminated());
+    EXPECT_EQ(fixture.machine().tasks.size(), 1u);
 
     ClusterStateFixture c;  // its lease was out: the task may run elsewhere by now
     c.place_and_send_run();
@@ -116,91 +120,101 @@
     };
     const protocol::TaskStatus shown{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none,
                                      false};
-    auto known_from_replica = [&](ClusterStateFixture& b, protocol::AttemptNumber attempt) {
-        b.store_by_earlier_leader();
-        b.machine().known_from_replica = true;
-        b.cluster_state.place_from_replica(b.machine(), task, b.spec, attempt, 0);
+    auto known_from_replica = [&](ClusterStateFixture& fixture, protocol::AttemptNumber attempt) {
+        fixture.store_by_earlier_leader();
+        fixture.machine().known_from_replica = true;
+        fixture.cluster_state.place_from_replica(fixture.machine(), task, fixture.spec, attempt, 0);
     };
     std::size_t found_instances = 0, ends = 0;
-    auto apply = [&](ClusterStateFixture& b, protocol::FencingToken token,
+    auto apply = [&](ClusterStateFixture& fixture, protocol::FencingToken token,
                      HeartbeatChannel channel = HeartbeatChannel::heartbeat, std::uint64_t agent_epoch = 1) {
-        auto o = b.apply_heartbeat(token, channel, agent_epoch);
+        auto o = fixture.apply_heartbeat(token, channel, agent_epoch);
         found_instances += o.found_instances.size();
         ends += o.ends.size();
         return o;
     };
-    auto old = [&](ClusterStateFixture& b) {
-        b.reported_tasks = {shown};
-        return apply(b, b.below_base(1));
+    auto old = [&](ClusterStateFixture& fixture) {
+        fixture.reported_tasks = {shown};
+        return apply(fixture, fixture.below_base(1));
     };
     const Case cases[] = {
-        {"it alone", [&](ClusterStateFixture& b) { b.store_by_earlier_leader(), old(b); }, 1, 0, true, false},
+        {"it alone", [&](ClusterStateFixture& fixture) { fixture.store_by_earlier_leader(), old(fixture); },
+         1, 0, true, false},
         {"reported again in a direct reply",
-         [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), apply(b, b.below_base(1), HeartbeatChannel::direct_reply);
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), old(fixture),
+                 apply(fixture, fixture.below_base(1), HeartbeatChannel::direct_reply);
          },
          2, 0, true, true},
         {"shown again under this leader's token",
-         [&](ClusterStateFixture& b) { b.store_by_earlier_leader(), old(b), apply(b, b.base()); }, 2, 0, true,
-         true},
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), old(fixture), apply(fixture, fixture.base());
+         },
+         2, 0, true, true},
         {"not reported under this leader's token",
-         [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(), apply(b, b.base());
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), old(fixture), fixture.reported_tasks.clear(),
+                 apply(fixture, fixture.base());
          },
          1, 0, false, false},
         {"not reported in a direct reply",
-         [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, protocol::FencingToken{1}, HeartbeatChannel::direct_reply);
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), old(fixture), fixture.reported_tasks.clear(),
+                 apply(fixture, protocol::FencingToken{1}, HeartbeatChannel::direct_reply);
          },
          1, 0, false, false},
         {"terminated by a new agent epoch",
-         [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), b.reported_tasks.clear(),
-                 apply(b, protocol::FencingToken{1}, HeartbeatChannel::heartbeat, 2);
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), old(fixture), fixture.reported_tasks.clear(),
+                 apply(fixture, protocol::FencingToken{1}, HeartbeatChannel::heartbeat, 2);
          },
          1, 0, false, false},
         {"exited",
-         [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), old(b), b.reported_tasks[0].state = TaskState::exited,
-                                                  apply(b, protocol::FencingToken{1});
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), old(fixture),
+                 fixture.reported_tasks[0].state = TaskState::exited,
+                 apply(fixture, protocol::FencingToken{1});
          },
          1, 1, false, false},
         {"known from the replica",
-         [&](ClusterStateFixture& b) { known_from_replica(b, protocol::AttemptNumber{3}), old(b); }, 0, 0,
-         true, true},
+         [&](ClusterStateFixture& fixture) {
+             known_from_replica(fixture, protocol::AttemptNumber{3}), old(fixture);
+         },
+         0, 0, true, true},
         {"known from the replica that nothing is there",
-         [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), b.machine().known_from_replica = true, old(b);
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), fixture.machine().known_from_replica = true, old(fixture);
          },
          0, 0, false, false},
         {"of an earlier attempt than the one in the replica",
-         [&](ClusterStateFixture& b) {
-             known_from_replica(b, protocol::AttemptNumber{5}), old(b);
-             EXPECT_EQ(b.machine().tasks.at(task).attempt, protocol::AttemptNumber{5});
+         [&](ClusterStateFixture& fixture) {
+             known_from_replica(fixture, protocol::AttemptNumber{5}), old(fixture);
+             EXPECT_EQ(fixture.machine().tasks.at(task).attempt, protocol::AttemptNumber{5});
          },
          0, 0, true, true},
         {"of a later agent epoch than one that is terminated",
-         [&](ClusterStateFixture& b) {
-             b.store_by_earlier_leader(), apply(b, b.below_base(1)),
-                 b.cluster_state.expire_lease(b.machine()), b.reported_tasks = {shown};
-             EXPECT_TRUE(apply(b, b.below_base(1), HeartbeatChannel::heartbeat, 2).is_terminated());
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), apply(fixture, fixture.below_base(1)),
+                 fixture.cluster_state.expire_lease(fixture.machine()), fixture.reported_tasks = {shown};
+             EXPECT_TRUE(
+                 apply(fixture, fixture.below_base(1), HeartbeatChannel::heartbeat, 2).is_terminated());
          },
          0, 0, false, false},
         {"of a machine that only this leader stored",
-         [&](ClusterStateFixture& b) {
-             apply(b, b.below_base(1)), b.machine().registration = Machine::Registration::stored;
-             EXPECT_TRUE(old(b).is_terminated());
+         [&](ClusterStateFixture& fixture) {
+             apply(fixture, fixture.below_base(1)),
+                 fixture.machine().registration = Machine::Registration::stored;
+             EXPECT_TRUE(old(fixture).is_terminated());
          },
          0, 0, false, false},
     };
     for (auto& c : cases) {
-        ClusterStateFixture b;
+        ClusterStateFixture fixture;
         found_instances = ends = 0;
-        c.then(b);
+        c.then(fixture);
         EXPECT_EQ(found_instances, c.found_instances) << c.what;
         EXPECT_EQ(ends, c.ends) << c.what;
-        auto* m = b.cluster_state.find("vm-1");
+        auto* m = fixture.cluster_state.find("vm-1");
         ASSERT_TRUE(m) << c.what;
         EXPECT_EQ(m->tasks.contains(task), c.there) << c.what;
         EXPECT_EQ(c.there && m->tasks.at(task).confirmed, c.confirmed) << c.what;
@@ -221,66 +235,68 @@
         {3, 500, 1, HeartbeatChannel::direct_reply, true},  {3, 500, 1, HeartbeatChannel::heartbeat, false},
         {1, 500, 1, HeartbeatChannel::direct_reply, false}, {1, 500, 1, HeartbeatChannel::heartbeat, false}};
     for (auto& c : cases) {
-        ClusterStateFixture b;
-        b.store_by_earlier_leader();
-        b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none, false}};
-        b.sequence = c.sequence;
-        b.apply_heartbeat(b.below_base(1), HeartbeatChannel::heartbeat, c.agent_epoch);
-        b.sequence = 7;
-        b.reported_tasks.clear();
-        EXPECT_EQ(b.apply_heartbeat(b.below_base(c.tokens_below), c.channel).is_newer(), c.fresh);
-        EXPECT_EQ(b.machine().sequence.value(), c.fresh ? 8 : c.sequence + 1);
-        EXPECT_EQ(b.machine().tasks.empty(), c.fresh);
-        b.apply_heartbeat(b.base());
-        EXPECT_TRUE(b.machine().reconciled);
+        ClusterStateFixture fixture;
+        fixture.store_by_earlier_leader();
+        fixture.reported_tasks = {
+            {task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none, false}};
+        fixture.sequence = c.sequence;
+        fixture.apply_heartbeat(fixture.below_base(1), HeartbeatChannel::heartbeat, c.agent_epoch);
+        fixture.sequence = 7;
+        fixture.reported_tasks.clear();
+        EXPECT_EQ(fixture.apply_heartbeat(fixture.below_base(c.tokens_below), c.channel).is_newer(), c.fresh);
+        EXPECT_EQ(fixture.machine().sequence.value(), c.fresh ? 8 : c.sequence + 1);
+        EXPECT_EQ(fixture.machine().tasks.empty(), c.fresh);
+        fixture.apply_heartbeat(fixture.base());
+        EXPECT_TRUE(fixture.machine().reconciled);
         // From here on the larger is the newer.
-        b.sequence = 3;
-        EXPECT_FALSE(b.apply_heartbeat(b.base()).is_newer());
+        fixture.sequence = 3;
+        EXPECT_FALSE(fixture.apply_heartbeat(fixture.base()).is_newer());
     }
 }
 
 TEST(HeartbeatApplication, NeverPostponesPreemptionDeadline) {
-    ClusterStateFixture b;
-    b.store_by_earlier_leader();
-    b.preemption_notice_s = 90;
-    b.apply_heartbeat(b.below_base(1));
-    b.preemption_notice_s = 20;
-    b.apply_heartbeat(b.base());
-    EXPECT_DOUBLE_EQ(b.machine().preemption_deadline.value(), 20);
-    b.preemption_notice_s = 30;
-    b.apply_heartbeat(b.base());
-    EXPECT_DOUBLE_EQ(b.machine().preemption_deadline.value(), 20);
+    ClusterStateFixture fixture;
+    fixture.store_by_earlier_leader();
+    fixture.preemption_notice_s = 90;
+    fixture.apply_heartbeat(fixture.below_base(1));
+    fixture.preemption_notice_s = 20;
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_DOUBLE_EQ(fixture.machine().preemption_deadline.value(), 20);
+    fixture.preemption_notice_s = 30;
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_DOUBLE_EQ(fixture.machine().preemption_deadline.value(), 20);
 }
 
 TEST(HeartbeatApplication, IgnoresLateHeartbeatOfDeletedMachine) {
-    ClusterStateFixture b;
-    b.place_and_send_run();
-    b.cluster_state.remove_deleted("vm-1");
-    EXPECT_TRUE(b.apply_heartbeat(b.base()).is_terminated());
-    EXPECT_EQ(b.cluster_state.find("vm-1"), nullptr);
+    ClusterStateFixture fixture;
+    fixture.place_and_send_run();
+    fixture.cluster_state.remove_deleted("vm-1");
+    EXPECT_TRUE(fixture.apply_heartbeat(fixture.base()).is_terminated());
+    EXPECT_EQ(fixture.cluster_state.find("vm-1"), nullptr);
 }
 
 TEST(HeartbeatApplication, ReconcilesMachineOnlyByReportUnderThisLeadersToken) {
-    ClusterStateFixture b;
-    b.store_by_earlier_leader();
-    b.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running}};
-    auto outcome = b.apply_heartbeat(b.below_base(1));
+    ClusterStateFixture fixture;
+    fixture.store_by_earlier_leader();
+    fixture.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running}};
+    auto outcome = fixture.apply_heartbeat(fixture.below_base(1));
     EXPECT_EQ(outcome.found_instances.size(), 1u);
-    EXPECT_FALSE(b.machine().reconciled);
-    b.apply_heartbeat(b.base());
-    EXPECT_TRUE(b.machine().reconciled);
-    b.sequence += 1;
-    EXPECT_TRUE(b.apply_heartbeat(protocol::FencingToken{(version.value() + 1) << ClusterState::token_bits})
-                    .is_deposed());
+    EXPECT_FALSE(fixture.machine().reconciled);
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_TRUE(fixture.machine().reconciled);
+    fixture.sequence += 1;
+    EXPECT_TRUE(
+        fixture.apply_heartbeat(protocol::FencingToken{(version.value() + 1) << ClusterState::token_bits})
+            .is_deposed());
 }
 
 TEST(HeartbeatApplication, StopsTasksOfUnknownJobs) {
-    ClusterStateFixture b;
-    b.store_by_earlier_leader();
-    b.reported_tasks = {{{"j-2", 0}, protocol::AttemptNumber{3}, TaskState::running}};
-    b.apply_heartbeat(b.base());
-    EXPECT_TRUE(b.machine().has_instance_of_unknown_job());
-    EXPECT_TRUE(b.reply_contains(CommandKind::stop));
+    ClusterStateFixture fixture;
+    fixture.store_by_earlier_leader();
+    fixture.reported_tasks = {{{"j-2", 0}, protocol::AttemptNumber{3}, TaskState::running}};
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_TRUE(fixture.machine().has_instance_of_unknown_job());
+    EXPECT_TRUE(fixture.reply_contains(CommandKind::stop));
 }
 
 }  // namespace
--- a/tests/cluster/image_cache_test.cpp
+++ b/tests/cluster/image_cache_test.cpp
@@ -20,43 +20,43 @@
     };
     const Case cases[] = {{{1}, {1}}, {{1, 2}, {1, 2}}, {{1, 2, 3}, {2, 3}}, {{1, 2, 1, 3}, {1, 3}}};
     for (auto& c : cases) {
-        ClusterStateFixture b;
-        b.store_by_earlier_leader();
+        ClusterStateFixture fixture;
+        fixture.store_by_earlier_leader();
         std::vector<JobSpec> specs;
         for (int image : c.uses) {
-            auto j = std::make_shared<protocol::Job>(*b.spec);
+            auto j = std::make_shared<protocol::Job>(*fixture.spec);
             j->image = "img-" + std::to_string(image);
             j->image_gb = 40;
-            b.spec = j;
-            b.reported_tasks = {{{"j-1", static_cast<std::uint32_t>(specs.size())},
-                                 protocol::AttemptNumber{5},
-                                 TaskState::running}};
+            fixture.spec = j;
+            fixture.reported_tasks = {{{"j-1", static_cast<std::uint32_t>(specs.size())},
+                                       protocol::AttemptNumber{5},
+                                       TaskState::running}};
             specs.push_back(j);
-            b.apply_heartbeat(b.base());
+            fixture.apply_heartbeat(fixture.base());
         }
         protocol::ImageIds expected;
         for (int image : c.there)
-            expected.push_back(b.cluster_state.image_number("img-" + std::to_string(image)));
+            expected.push_back(fixture.cluster_state.image_number("img-" + std::to_string(image)));
         std::sort(expected.begin(), expected.end());
-        ASSERT_TRUE(b.machine().image_cache.images());
-        EXPECT_EQ(*b.machine().image_cache.images(), expected);
+        ASSERT_TRUE(fixture.machine().image_cache.images());
+        EXPECT_EQ(*fixture.machine().image_cache.images(), expected);
     }
 }
 
 // What an earlier leader knew counts until something newer is known.
 TEST(ImageCache, IsRestoredUnlessNewerImagesAreKnown) {
     for (bool newer : {false, true}) {
-        ClusterStateFixture b;
-        b.store_by_earlier_leader();
-        if (newer) b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
-        b.apply_heartbeat(b.base());
-        auto old = b.cluster_state.image_number("old");
-        b.cluster_state.restore_image_cache(b.machine(),
-                                            {{old, 30}, {b.cluster_state.image_number("older"), 80}});
-        ASSERT_TRUE(b.machine().image_cache.images());
+        ClusterStateFixture fixture;
+        fixture.store_by_earlier_leader();
+        if (newer) fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
+        fixture.apply_heartbeat(fixture.base());
+        auto old = fixture.cluster_state.image_number("old");
+        fixture.cluster_state.restore_image_cache(
+            fixture.machine(), {{old, 30}, {fixture.cluster_state.image_number("older"), 80}});
+        ASSERT_TRUE(fixture.machine().image_cache.images());
         // 100 GB: of the recalled ones only the last used fits.
-        EXPECT_EQ(*b.machine().image_cache.images(),
-                  protocol::ImageIds{b.cluster_state.image_number(newer ? "img" : "older")});
+        EXPECT_EQ(*fixture.machine().image_cache.images(),
+                  protocol::ImageIds{fixture.cluster_state.image_number(newer ? "img" : "older")});
     }
 }
 
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -18,34 +18,34 @@
 TEST(MachineCommands, StartsOnlyWithAuthorityOnReconciledStoredMachines) {
     for (auto [reconciled, stored, authority] :
          {std::tuple(false, true, true), {true, false, true}, {true, true, false}, {true, true, true}}) {
-        ClusterStateFixture b;
-        b.apply_heartbeat(reconciled ? b.base() : protocol::FencingToken::none());
-        b.machine().registration = stored ? Machine::Registration::stored : Machine::Registration::none;
-        b.cluster_state.place(b.machine(), task, b.spec, protocol::AttemptNumber{5}, 0);
-        EXPECT_EQ(b.cluster_state.take_direct_commands(b.machine(), 0, authority).size(),
+        ClusterStateFixture fixture;
+        fixture.apply_heartbeat(reconciled ? fixture.base() : protocol::FencingToken::none());
+        fixture.machine().registration = stored ? Machine::Registration::stored : Machine::Registration::none;
+        fixture.cluster_state.place(fixture.machine(), task, fixture.spec, protocol::AttemptNumber{5}, 0);
+        EXPECT_EQ(fixture.cluster_state.take_direct_commands(fixture.machine(), 0, authority).size(),
                   reconciled && stored && authority ? 1u : 0u);
     }
 }
 
 // Each `run` that is called back before it is seen raises its machine's token by one.
 TEST(MachineCommands, ReportsTokensNearlyExhaustedBeforeNextLeadershipsBegin) {
-    ClusterStateFixture b;
-    b.apply_heartbeat(b.base());
-    auto& m = b.machine();
+    ClusterStateFixture fixture;
+    fixture.apply_heartbeat(fixture.base());
+    auto& m = fixture.machine();
     m.registration = Machine::Registration::stored;
     auto raise = [&] {
-        b.cluster_state.place(m, task, b.spec, protocol::AttemptNumber{5}, 0);
-        b.cluster_state.take_direct_commands(m, 0, true);
-        b.cluster_state.stop(m, task, 0);
+        fixture.cluster_state.place(m, task, fixture.spec, protocol::AttemptNumber{5}, 0);
+        fixture.cluster_state.take_direct_commands(m, 0, true);
+        fixture.cluster_state.stop(m, task, 0);
     };
     constexpr std::uint64_t next_leadership = 1ull << 20;
     std::uint64_t raised = 0;
-    for (; !b.cluster_state.tokens_nearly_exhausted() && raised < next_leadership; ++raised) raise();
-    EXPECT_EQ(m.token.value(), b.base().value() + raised);
+    for (; !fixture.cluster_state.tokens_nearly_exhausted() && raised < next_leadership; ++raised) raise();
+    EXPECT_EQ(m.token.value(), fixture.base().value() + raised);
     EXPECT_GT(raised, 900000u);  // not more hand-overs than need be
     // What happens until the hand-over, at the leader's next tick, stays below too.
     for (int k = 0; k < 60000; ++k) raise();
-    EXPECT_LT(m.token.value(), b.base().value() + next_leadership);
+    EXPECT_LT(m.token.value(), fixture.base().value() + next_leadership);
 }
 
 // Another controller may go on answering a machine for which nothing is to be said. Each of these would be
@@ -58,107 +58,118 @@
     };
     const Case cases[] = {
         {"a task runs, and was shown", [](ClusterStateFixture&) {}, true},
-        {"nothing is on it", [](ClusterStateFixture& b) { b.machine().tasks.clear(); }, true},
+        {"nothing is on it", [](ClusterStateFixture& fixture) { fixture.machine().tasks.clear(); }, true},
         {"another task was placed, not sent yet",
-         [](ClusterStateFixture& b) {
-             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, protocol::AttemptNumber{6}, 0);
+         [](ClusterStateFixture& fixture) {
+             fixture.cluster_state.place(fixture.machine(), {"j-1", 1}, fixture.spec,
+                                         protocol::AttemptNumber{6}, 0);
          },
          false},
         {"a start was sent, its answer is missing",
-         [](ClusterStateFixture& b) {
-             b.cluster_state.place(b.machine(), {"j-1", 1}, b.spec, protocol::AttemptNumber{6}, 0);
-             b.cluster_state.take_direct_commands(b.machine(), 0, true);
+         [](ClusterStateFixture& fixture) {
+             fixture.cluster_state.place(fixture.machine(), {"j-1", 1}, fixture.spec,
+                                         protocol::AttemptNumber{6}, 0);
+             fixture.cluster_state.take_direct_commands(fixture.machine(), 0, true);
          },
          false},
         {"a task is to stop",
-         [](ClusterStateFixture& b) {
-             b.cluster_state.stop(b.machine(), task, 0);
-             b.cluster_state.take_direct_commands(b.machine(), 0, true);
+         [](ClusterStateFixture& fixture) {
+             fixture.cluster_state.stop(fixture.machine(), task, 0);
+             fixture.cluster_state.take_direct_commands(fixture.machine(), 0, true);
          },
          false},
         {"a task of a job that nobody knows",
-         [](ClusterStateFixture& b) { b.machine().tasks.begin()->second.spec = nullptr; }, false},
+         [](ClusterStateFixture& fixture) { fixture.machine().tasks.begin()->second.spec = nullptr; }, false},
         {"an end that the worker may forget soon",
-         [](ClusterStateFixture& b) {
-             b.reported_tasks[0].state = TaskState::exited;
-             b.reported_tasks[0].cause = ExitCause::done;
-             b.apply_heartbeat(b.base());
+         [](ClusterStateFixture& fixture) {
+             fixture.reported_tasks[0].state = TaskState::exited;
+             fixture.reported_tasks[0].cause = ExitCause::done;
+             fixture.apply_heartbeat(fixture.base());
          },
          false},
         {"a higher token that it has not seen",
-         [](ClusterStateFixture& b) { b.machine().token = b.machine().token.next(); }, false},
+         [](ClusterStateFixture& fixture) { fixture.machine().token = fixture.machine().token.next(); },
+         false},
         {"it is to be deleted",
-         [](ClusterStateFixture& b) { b.machine().lifecycle = Machine::Lifecycle::marked_for_deletion; },
+         [](ClusterStateFixture& fixture) {
+             fixture.machine().lifecycle = Machine::Lifecycle::marked_for_deletion;
+         },
+         false},
+        {"it has notice", [](ClusterStateFixture& fixture) { fixture.machine().preemption_deadline = 9; },
+         false},
+        {"it is not reconciled", [](ClusterStateFixture& fixture) { fixture.machine().reconciled = false; },
          false},
-        {"it has notice", [](ClusterStateFixture& b) { b.machine().preemption_deadline = 9; }, false},
-        {"it is not reconciled", [](ClusterStateFixture& b) { b.machine().reconciled = false; }, false},
         {"it is not stored yet",
-         [](ClusterStateFixture& b) { b.machine().registration = Machine::Registration::none; }, false},
+         [](ClusterStateFixture& fixture) { fixture.machine().registration = Machine::Registration::none; },
+         false},
     };
     for (auto& c : cases) {
-        ClusterStateFixture b;
-        auto sent = b.place_and_send_run();
-        b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), true);
-        b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running, ExitCause::none, false}};
-        b.apply_heartbeat(b.base());
-        c.then(b);
-        EXPECT_EQ(b.cluster_state.nothing_pending(b.machine()), c.nothing_pending) << c.what;
+        ClusterStateFixture fixture;
+        auto sent = fixture.place_and_send_run();
+        fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), true);
+        fixture.reported_tasks = {
+            {task, protocol::AttemptNumber{5}, TaskState::running, ExitCause::none, false}};
+        fixture.apply_heartbeat(fixture.base());
+        c.then(fixture);
+        EXPECT_EQ(fixture.cluster_state.nothing_pending(fixture.machine()), c.nothing_pending) << c.what;
     }
 }
 
 TEST(MachineCommands, FencesUnwantedRunWithHigherToken) {
-    ClusterStateFixture b;
-    auto sent = b.place_and_send_run();
-    b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), false);
-    b.cluster_state.stop(b.machine(), task, 0);
-    EXPECT_GT(b.machine().token, b.base());
-    EXPECT_FALSE(b.reply_contains(CommandKind::start));
-    EXPECT_TRUE(b.apply_heartbeat(b.base()).ends.empty());  // the worker would still take the late command
-    EXPECT_EQ(b.apply_heartbeat(b.machine().token).ends.size(), 1u);  // now it drops it
-    EXPECT_TRUE(b.machine().tasks.empty());
+    ClusterStateFixture fixture;
+    auto sent = fixture.place_and_send_run();
+    fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), false);
+    fixture.cluster_state.stop(fixture.machine(), task, 0);
+    EXPECT_GT(fixture.machine().token, fixture.base());
+    EXPECT_FALSE(fixture.reply_contains(CommandKind::start));
+    EXPECT_TRUE(fixture.apply_heartbeat(fixture.base())
+                    .ends.empty());  // the worker would still take the late command
+    EXPECT_EQ(fixture.apply_heartbeat(fixture.machine().token).ends.size(), 1u);  // now it drops it
+    EXPECT_TRUE(fixture.machine().tasks.empty());
 }
 
 // Forgotten, an attempt is started again by a copy of its `run`.
 TEST(MachineCommands, ForgetsAttemptUnderTokenAboveThatOfItsRun) {
-    ClusterStateFixture b;
-    auto sent = b.place_and_send_run();
-    b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), true);
-    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::stopped}};
-    b.apply_heartbeat(b.base());
-    ASSERT_TRUE(b.reply_contains(CommandKind::forget));
-    EXPECT_GT(b.machine().token, b.base());
+    ClusterStateFixture fixture;
+    auto sent = fixture.place_and_send_run();
+    fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), true);
+    fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::stopped}};
+    fixture.apply_heartbeat(fixture.base());
+    ASSERT_TRUE(fixture.reply_contains(CommandKind::forget));
+    EXPECT_GT(fixture.machine().token, fixture.base());
 }
 
 TEST(MachineCommands, ForgetsAttemptOnlyWhenStoredAndNoRunMayBeLate) {
-    ClusterStateFixture b;
-    auto sent = b.place_and_send_run();
-    b.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
-    b.apply_heartbeat(b.base());
-    EXPECT_FALSE(b.reply_contains(CommandKind::forget));  // not stored
-    b.cluster_state.record_outcome_stored("j-1");
-    b.apply_heartbeat(b.base());
-    EXPECT_FALSE(b.reply_contains(CommandKind::forget));  // the direct `run` is still under way
-    b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), false);
-    b.apply_heartbeat(b.base());
-    EXPECT_FALSE(b.reply_contains(CommandKind::forget));  // it got no answer: a higher token goes out first
-    EXPECT_GT(b.machine().token, b.base());
-    b.apply_heartbeat(b.machine().token);
-    EXPECT_TRUE(b.reply_contains(CommandKind::forget));
+    ClusterStateFixture fixture;
+    auto sent = fixture.place_and_send_run();
+    fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));  // not stored
+    fixture.cluster_state.record_outcome_stored("j-1");
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));  // the direct `run` is still under way
+    fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), false);
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_FALSE(
+        fixture.reply_contains(CommandKind::forget));  // it got no answer: a higher token goes out first
+    EXPECT_GT(fixture.machine().token, fixture.base());
+    fixture.apply_heartbeat(fixture.machine().token);
+    EXPECT_TRUE(fixture.reply_contains(CommandKind::forget));
 }
 
 TEST(MachineCommands, ForgetsAttemptOnlyAfterHeartbeatThatFollowsReplyWithRun) {
-    ClusterStateFixture b;
-    auto sent = b.place_and_send_run();
-    b.cluster_state.complete_direct_commands(b.machine(), sent, b.base(), true);
-    b.apply_heartbeat(b.base());
-    EXPECT_TRUE(
-        b.reply_contains(CommandKind::start));  // this answer may reach the worker up to a few seconds later
-    b.reported_tasks = {
+    ClusterStateFixture fixture;
+    auto sent = fixture.place_and_send_run();
+    fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), true);
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_TRUE(fixture.reply_contains(
+        CommandKind::start));  // this answer may reach the worker up to a few seconds later
+    fixture.reported_tasks = {
         {task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::insufficient_resources}};
-    b.apply_heartbeat(b.base(), HeartbeatChannel::direct_reply);  // a direct answer overtakes it
-    EXPECT_FALSE(b.reply_contains(CommandKind::forget));
-    b.apply_heartbeat(b.base());
-    EXPECT_TRUE(b.reply_contains(CommandKind::forget));
+    fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::direct_reply);  // a direct answer overtakes it
+    EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));
+    fixture.apply_heartbeat(fixture.base());
+    EXPECT_TRUE(fixture.reply_contains(CommandKind::forget));
 }
 
 }  // namespace
