--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -28,14 +28,14 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        ClusterState p(protocol::LeaderVersion{7}, types);
-        auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
+        ClusterState cluster_state(protocol::LeaderVersion{7}, types);
+        auto& m = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
         m.known_from_replica = true;
         m.registration = Machine::Registration::stored;
         m.agent_epoch = protocol::AgentEpoch{3};
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
-        p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
+        cluster_state.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
         protocol::Heartbeat r;
         r.machine = "vm-1";
         r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
@@ -47,7 +47,8 @@
                                protocol::TaskState::running,
                                protocol::ExitCause::none,
                                false});
-        auto heard = p.apply_heartbeat(r, HeartbeatChannel::heartbeat, 1, [&](auto&) { return spec; });
+        auto heard =
+            cluster_state.apply_heartbeat(r, HeartbeatChannel::heartbeat, 1, [&](auto&) { return spec; });
         EXPECT_EQ(m.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found_instances.empty());
--- a/tests/cluster/team_usage_test.cpp
+++ b/tests/cluster/team_usage_test.cpp
@@ -13,7 +13,7 @@
     std::vector<protocol::MachineType> types(1);
     types[0].name = "g";
     types[0].capacity = {16, 4, 64};
-    ClusterState p(protocol::LeaderVersion{7}, types);
+    ClusterState cluster_state(protocol::LeaderVersion{7}, types);
     auto spec = std::make_shared<protocol::Job>();
     spec->id = "j-1";
     spec->team = "a";
@@ -21,34 +21,34 @@
     std::vector<config::Team> teams(2);
     teams[0].name = "a";
     teams[1].name = "b";
-    auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
-    p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
-    auto before = team_usage(p, teams);
+    auto& m = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
+    cluster_state.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
+    auto before = team_usage(cluster_state, teams);
     EXPECT_EQ(before["a"].gpus, 1);
     EXPECT_EQ(before["b"].gpus, 0);
-    p.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
-    auto after = team_usage(p, teams);
+    cluster_state.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
+    auto after = team_usage(cluster_state, teams);
     EXPECT_EQ(after["a"].gpus, 4);
     EXPECT_EQ(after["b"].gpus, 3);
     EXPECT_EQ(after["b"].cpus, 14);
-    p.remove_deleted("vm-1");
-    EXPECT_EQ(team_usage(p, teams)["b"].gpus, 0);
+    cluster_state.remove_deleted("vm-1");
+    EXPECT_EQ(team_usage(cluster_state, teams)["b"].gpus, 0);
 }
 
 // Of a machine whose type is not known a known task seems to take more than there is.
 TEST(TeamUsage, IsNotLoweredByUnknownJobsOnMachineOfUnknownType) {
-    ClusterState p(protocol::LeaderVersion{7}, {});
+    ClusterState cluster_state(protocol::LeaderVersion{7}, {});
     auto spec = std::make_shared<protocol::Job>();
     spec->id = "j-1";
     spec->team = "a";
     spec->request = {2, 1, 4};
     std::vector<config::Team> teams(1);
     teams[0].name = "a";
-    auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
-    p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
-    p.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
-    EXPECT_EQ(team_usage(p, teams)["a"].gpus, 1);
-    EXPECT_EQ(team_usage(p, teams)["a"].cpus, 2);
+    auto& m = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
+    cluster_state.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
+    cluster_state.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
+    EXPECT_EQ(team_usage(cluster_state, teams)["a"].gpus, 1);
+    EXPECT_EQ(team_usage(cluster_state, teams)["a"].cpus, 2);
 }
 
 }  // namespace
--- a/tests/failover/reconciliation_test.cpp
+++ b/tests/failover/reconciliation_test.cpp
@@ -25,22 +25,23 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        cluster::ClusterState p(protocol::LeaderVersion{7}, types);
-        Reconciliation reconciliation(p, report);
+        cluster::ClusterState cluster_state(protocol::LeaderVersion{7}, types);
+        Reconciliation reconciliation(cluster_state, report);
         for (int k = 0; k < 60; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
-            p.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0).first_probed_at = 0;
+            cluster_state.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0)
+                .first_probed_at = 0;
             reconciliation.expect(id);
         }
         double next = c.reconciled_every;
         int reconciled = 100;
         for (double t = 0; t <= 20; t += 0.5) {
             for (; next > 0 && next <= t; next += c.reconciled_every)
-                p.find("vm-" + std::to_string(reconciled++))->reconciled = true;
+                cluster_state.find("vm-" + std::to_string(reconciled++))->reconciled = true;
             if (c.answers_after >= 0) reconciliation.record_answer(c.answers_after, t);
             reconciliation.tick(t, 0.7);
         }
-        EXPECT_NEAR(reconciliation.attributable_silence_s(*p.find("vm-159"), 20), c.counted, 1);
+        EXPECT_NEAR(reconciliation.attributable_silence_s(*cluster_state.find("vm-159"), 20), c.counted, 1);
         EXPECT_FALSE(reconciliation.placement_allowed());
         EXPECT_FALSE(reconciliation.complete());
     }
@@ -61,11 +62,11 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        cluster::ClusterState p(protocol::LeaderVersion{7}, types);
-        Reconciliation reconciliation(p, 4);
+        cluster::ClusterState cluster_state(protocol::LeaderVersion{7}, types);
+        Reconciliation reconciliation(cluster_state, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
-            auto& m = p.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0);
+            auto& m = cluster_state.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0);
             m.reconciled = k >= c.left;
             m.known_from_replica = c.known;
             reconciliation.expect(id);
