--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -214,10 +214,10 @@
         c.then(fixture);
         EXPECT_EQ(found_instances, c.found_instances) << c.what;
         EXPECT_EQ(ends, c.ends) << c.what;
-        auto* m = fixture.cluster_state.find("vm-1");
-        ASSERT_TRUE(m) << c.what;
-        EXPECT_EQ(m->tasks.contains(task), c.there) << c.what;
-        EXPECT_EQ(c.there && m->tasks.at(task).confirmed, c.confirmed) << c.what;
+        auto* machine = fixture.cluster_state.find("vm-1");
+        ASSERT_TRUE(machine) << c.what;
+        EXPECT_EQ(machine->tasks.contains(task), c.there) << c.what;
+        EXPECT_EQ(c.there && machine->tasks.at(task).confirmed, c.confirmed) << c.what;
     }
 }
 
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -29,13 +29,13 @@
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
         ClusterState cluster_state(protocol::LeaderVersion{7}, types);
-        auto& m = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
-        m.known_from_replica = true;
-        m.registration = Machine::Registration::stored;
-        m.agent_epoch = protocol::AgentEpoch{3};
+        auto& machine = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
+        machine.known_from_replica = true;
+        machine.registration = Machine::Registration::stored;
+        machine.agent_epoch = protocol::AgentEpoch{3};
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
-        cluster_state.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
+        cluster_state.place_from_replica(machine, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
         protocol::Heartbeat r;
         r.machine = "vm-1";
         r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
@@ -49,7 +49,7 @@
                                false});
         auto heard =
             cluster_state.apply_heartbeat(r, HeartbeatChannel::heartbeat, 1, [&](auto&) { return spec; });
-        EXPECT_EQ(m.tasks.size(), c.left);
+        EXPECT_EQ(machine.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found_instances.empty());
     }
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -31,21 +31,21 @@
 TEST(MachineCommands, ReportsTokensNearlyExhaustedBeforeNextLeadershipsBegin) {
     ClusterStateFixture fixture;
     fixture.apply_heartbeat(fixture.base());
-    auto& m = fixture.machine();
-    m.registration = Machine::Registration::stored;
+    auto& machine = fixture.machine();
+    machine.registration = Machine::Registration::stored;
     auto raise = [&] {
-        fixture.cluster_state.place(m, task, fixture.spec, protocol::AttemptNumber{5}, 0);
-        fixture.cluster_state.take_direct_commands(m, 0, true);
-        fixture.cluster_state.stop(m, task, 0);
+        fixture.cluster_state.place(machine, task, fixture.spec, protocol::AttemptNumber{5}, 0);
+        fixture.cluster_state.take_direct_commands(machine, 0, true);
+        fixture.cluster_state.stop(machine, task, 0);
     };
     constexpr std::uint64_t next_leadership = 1ull << 20;
     std::uint64_t raised = 0;
     for (; !fixture.cluster_state.tokens_nearly_exhausted() && raised < next_leadership; ++raised) raise();
-    EXPECT_EQ(m.token.value(), fixture.base().value() + raised);
+    EXPECT_EQ(machine.token.value(), fixture.base().value() + raised);
     EXPECT_GT(raised, 900000u);  // not more hand-overs than need be
     // What happens until the hand-over, at the leader's next tick, stays below too.
     for (int k = 0; k < 60000; ++k) raise();
-    EXPECT_LT(m.token.value(), fixture.base().value() + next_leadership);
+    EXPECT_LT(machine.token.value(), fixture.base().value() + next_leadership);
 }
 
 // Another controller may go on answering a machine for which nothing is to be said. Each of these would be
--- a/tests/cluster/team_usage_test.cpp
+++ b/tests/cluster/team_usage_test.cpp
@@ -21,12 +21,12 @@
     std::vector<config::Team> teams(2);
     teams[0].name = "a";
     teams[1].name = "b";
-    auto& m = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
-    cluster_state.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
+    auto& machine = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
+    cluster_state.place_from_replica(machine, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
     auto before = team_usage(cluster_state, teams);
     EXPECT_EQ(before["a"].gpus, 1);
     EXPECT_EQ(before["b"].gpus, 0);
-    cluster_state.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
+    cluster_state.place_from_replica(machine, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
     auto after = team_usage(cluster_state, teams);
     EXPECT_EQ(after["a"].gpus, 4);
     EXPECT_EQ(after["b"].gpus, 3);
@@ -44,9 +44,9 @@
     spec->request = {2, 1, 4};
     std::vector<config::Team> teams(1);
     teams[0].name = "a";
-    auto& m = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
-    cluster_state.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
-    cluster_state.place_from_replica(m, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
+    auto& machine = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
+    cluster_state.place_from_replica(machine, {"j-1", 0}, spec, protocol::AttemptNumber{1}, 0);
+    cluster_state.place_from_replica(machine, {"j-0", 5}, nullptr, protocol::AttemptNumber{1}, 0);
     EXPECT_EQ(team_usage(cluster_state, teams)["a"].gpus, 1);
     EXPECT_EQ(team_usage(cluster_state, teams)["a"].cpus, 2);
 }
--- a/tests/failover/reconciliation_test.cpp
+++ b/tests/failover/reconciliation_test.cpp
@@ -66,9 +66,9 @@
         Reconciliation reconciliation(cluster_state, 4);
         for (int k = 0; k < 64; ++k) {
             auto id = "vm-" + std::to_string(100 + k);
-            auto& m = cluster_state.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0);
-            m.reconciled = k >= c.left;
-            m.known_from_replica = c.known;
+            auto& machine = cluster_state.add(id, "a:1", "g", "z", false, cluster::Machine::Lifecycle::up, 0);
+            machine.reconciled = k >= c.left;
+            machine.known_from_replica = c.known;
             reconciliation.expect(id);
         }
         reconciliation.tick(1, 0.7);
