--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -36,19 +36,19 @@
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
         cluster_state.place_from_replica(machine, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
-        protocol::Heartbeat r;
-        r.machine = "vm-1";
-        r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
-        r.sequence = protocol::SequenceNumber{20};
-        r.token = c.token;
+        protocol::Heartbeat heartbeat;
+        heartbeat.machine = "vm-1";
+        heartbeat.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
+        heartbeat.sequence = protocol::SequenceNumber{20};
+        heartbeat.token = c.token;
         if (c.shown)
-            r.tasks.push_back({{"j-1", 0},
-                               protocol::AttemptNumber{11},
-                               protocol::TaskState::running,
-                               protocol::ExitCause::none,
-                               false});
-        auto heard =
-            cluster_state.apply_heartbeat(r, HeartbeatChannel::heartbeat, 1, [&](auto&) { return spec; });
+            heartbeat.tasks.push_back({{"j-1", 0},
+                                       protocol::AttemptNumber{11},
+                                       protocol::TaskState::running,
+                                       protocol::ExitCause::none,
+                                       false});
+        auto heard = cluster_state.apply_heartbeat(heartbeat, HeartbeatChannel::heartbeat, 1,
+                                                   [&](auto&) { return spec; });
         EXPECT_EQ(machine.tasks.size(), c.left);
         EXPECT_EQ(heard.ends.size(), c.ends);
         EXPECT_TRUE(heard.found_instances.empty());
