--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -65,11 +65,11 @@
     return ends;
 }
 
-// --- Reports --------------------------------------------------------------------------------------------
+// --- Heartbeats -----------------------------------------------------------------------------------------
 
 HeartbeatOutcome ClusterState::apply_heartbeat(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
                                                double now, const JobLookup& lookup) {
-    // A machine once deleted stays deleted; what still arrives from it was under way.
+    // A deleted machine never comes back, so this heartbeat was delayed on its way.
     if (is_deleted(heartbeat.machine)) return {.status = HeartbeatStatus::terminated};
     if (tokens_.is_from_later_leader(heartbeat.token)) return {.status = HeartbeatStatus::deposed};
     if (is_from_terminated_epoch(find(heartbeat.machine), heartbeat, channel, tokens_))
@@ -115,7 +115,8 @@
                                            protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.ever_reported = true;
-    instance.run.highest_token = tokens_.highest_before();  // of any `run` that may still be on its way
+    // A `run` of an earlier leader that may still arrive has at most this token.
+    instance.run.highest_token = tokens_.highest_before();
     return instance;
 }
 
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -1,11 +1,14 @@
-// The leader's record of its machines: what is on each, as proven by their reports, plus what was sent since.
-// Bookkeeping only: no I/O, no clock of its own; times are steady seconds of the leader's clock.
+// The cluster state: the leader's record of its machines and of the instances on each, built from the agents'
+// heartbeats and from the commands sent since. Does no I/O and has no clock: callers pass the time, in
+// seconds of the leader's steady clock.
 //
-// The one question that matters here is "is this task surely terminated on this machine?". Resources are
-// freed only on proof; every branch that takes an instance away names its proof.
+// The invariant of this module: an instance is removed, and its resources are freed, only on evidence that
+// the task has terminated on that machine. Each branch that removes an instance names its evidence in a
+// comment.
 //
 // Composes MachinePools, ImageNumbers, FencingTokens, MachineCommands and HeartbeatApplication. Not
-// thread-safe: whoever shares it guards it. References to machines stay valid until `remove_deleted`.
+// thread-safe: a caller that shares the cluster state between threads guards it with a lock. References to
+// machines stay valid until `remove_deleted`.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -31,49 +34,61 @@
 
 namespace coralhitch::cluster {
 
+// All machines of the cluster during one leadership. A new leader begins with an empty cluster state.
 class ClusterState {
   public:
     static constexpr int token_bits = FencingTokens::token_bits;
 
-    // `leadership_version`: of the leader's key; each leadership has a higher one.
+    // `leadership_version`: version of the leader key in the key-value store; it grows with each leadership.
     ClusterState(protocol::LeaderVersion leadership_version, const std::vector<protocol::MachineType>& types);
-    ClusterState(const ClusterState&) = delete;  // parts refer to each other
+    ClusterState(const ClusterState&) = delete;  // members refer to each other
     ClusterState& operator=(const ClusterState&) = delete;
 
     // --- Machines ---
     void set_types(const std::vector<protocol::MachineType>& types);
     Machine* find(std::string_view id);
-    // The machine as it is, if there is one of this id.
+    // Adds a machine and returns it. If the id is known already, returns that machine unchanged.
     Machine& add(const std::string& id, const std::string& addr, const std::string& type,
                  const std::string& zone, bool spot, Machine::Lifecycle lifecycle, double now);
-    // Proof: the cloud has answered the deletion, so all on the machine is terminated. Reports of this id are
-    // ignored from now on.
+    // Removes a machine and returns the ends of its instances. Call it once the cloud has confirmed the
+    // deletion, which is the evidence that all tasks on the machine have terminated. Heartbeats of this id
+    // are ignored from then on. Returns nothing if the id is unknown.
     std::vector<InstanceEnd> remove_deleted(const std::string& id);
     bool is_deleted(const std::string& id) const { return deleted_machines_.contains(id); }
-    // Proof by time: the agent's lease has surely expired, so it has killed all its tasks. The machine itself
-    // may come back with a new agent epoch.
+    // Removes all instances from a machine and returns their ends. Call it once the agent's lease must have
+    // expired, which is the evidence that the agent has killed its tasks. The machine itself stays, and its
+    // agent may return with a new agent epoch.
     std::vector<InstanceEnd> expire_lease(Machine& machine);
     std::map<std::string, Machine>& machines() { return machines_; }
     const std::map<std::string, Machine>& machines() const { return machines_; }
-    // A machine has reported under this leader's token.
+    // Returns true once any machine has sent a heartbeat under this leader's token.
     bool any_reconciled() const { return any_reconciled_; }
 
-    // --- Reports ---
+    // --- Heartbeats ---
+    // Applies a heartbeat if it is newer than all before from that machine, and adds the machine if it is
+    // unknown. `lookup` finds the spec of a job. Returns what became of the heartbeat, with the instances
+    // that ended or were found.
     HeartbeatOutcome apply_heartbeat(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
                                      double now, const JobLookup& lookup);
 
     // --- Instances ---
-    // Replaces whatever was known of the task there.
+    // Records that an attempt of a task is to run on the machine, and schedules its `run` command. Replaces
+    // any earlier instance of the task on that machine.
     Instance& place(Machine& machine, const protocol::TaskId& task, JobSpec spec,
                     protocol::AttemptNumber attempt, double now);
-    // What the previous leader, which replicated all it started, knew to be on the machine: it may be there.
-    // A report under this leader's token proves what is; the previous leader's tokens were all lower.
+    // Records an instance from the replica of the previous leader, which replicated every start: the task may
+    // be on the machine. Only a heartbeat under this leader's token shows if it is, because a `run` of the
+    // previous leader, whose tokens were all lower, may still arrive until then.
     Instance& place_from_replica(Machine& machine, const protocol::TaskId& task, JobSpec spec,
                                  protocol::AttemptNumber attempt, double now);
+    // Schedules a `stop` command with `grace_s` seconds for a checkpoint. Has no effect if the task is not on
+    // the machine. A pending stop can only be made shorter.
     void stop(Machine& machine, const protocol::TaskId& task, double grace_s);
-    // Stops it for good, at once; for the deadline see `may_renew_lease`.
+    // Stops a task of a cancelled job without grace. After `lease_renewal_deadline`, the machine's lease is
+    // not renewed while the agent's heartbeats do not show the task; see `may_renew_lease`.
     void cancel(Machine& machine, const protocol::TaskId& task, double lease_renewal_deadline);
-    // What the exits of these tasks mean is stored; all tasks of the job if none are named.
+    // Notes that the outcome of these exited tasks is in the key-value store, so their agents may forget
+    // them. An empty `tasks` means all tasks of the job.
     void record_outcome_stored(const std::string& job, const std::set<std::uint32_t>& tasks = {});
 
     // --- Commands; see MachineCommands ---
@@ -85,15 +100,17 @@
     bool may_renew_lease(const Machine& machine, double now) const {
         return cluster::may_renew_lease(machine, now);
     }
-    // Machines for which direct commands may be due; walking all of them after every report took longer than
-    // the reports themselves.
+    // Queues the machine as one for which direct commands may be due. Scanning all machines after every
+    // heartbeat instead took longer than processing the heartbeats themselves.
     void schedule_flush(Machine& machine);
+    // Returns the ids of the queued machines and empties the queue.
     std::vector<std::string> take_machines_to_flush() { return std::exchange(machines_to_flush_, {}); }
 
     // --- Replication ---
-    // Machines of which something has changed that the replicas must know, deleted ones included.
+    // Returns the ids of machines with changes to be replicated, including deleted machines, and empties the
+    // list.
     std::vector<std::string> take_machines_to_replicate();
-    // New starts are held back until `Instance::replicated` is set.
+    // Makes each new start wait until `Instance::replicated` is set for it.
     void hold_starts_until_replicated() { hold_starts_until_replicated_ = true; }
 
     // --- Tokens, pools, images ---
@@ -113,10 +130,10 @@
     MachinePools pools_;
     ImageNumbers images_;
     std::map<std::string, Machine> machines_;
-    // The same, found faster; the keys refer to those of the map.
+    // Index of `machines_` for faster lookup. Its keys are views of the keys of `machines_`.
     std::unordered_map<std::string_view, Machine*> machines_by_id_;
     std::unordered_set<std::string> deleted_machines_;
-    // Walking all machines for each outcome that was stored took as long as the reports.
+    // Scanning all machines for each stored outcome instead took as long as processing the heartbeats.
     UnstoredExitIndex machines_with_unstored_exits_;
     std::vector<std::string> machines_to_flush_, machines_to_replicate_;
     bool hold_starts_until_replicated_ = false, any_reconciled_ = false;
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -14,7 +14,8 @@
     outcome_.status = HeartbeatStatus::newer;
     machine_.accepts_only_direct_replies = false;
     machine_.reported_to_this_leader |= sent_since_leadership_began(heartbeat_, channel_, targets_.tokens);
-    // Of a machine that was known from the replica before it is reconciled, the replicas know all, too.
+    // If the machine is known from the replica, the replicas already hold its instances, so its
+    // reconciliation alone need not be replicated.
     must_be_replicated_ = heartbeat_.agent_epoch > machine_.agent_epoch ||
                           (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token) &&
                            !machine_.reconciled && !machine_.known_from_replica);
@@ -28,17 +29,16 @@
 
 void HeartbeatApplication::begin_agent_epoch() {
     if (heartbeat_.agent_epoch <= machine_.agent_epoch || !machine_.agent_epoch.is_set()) return;
-    // Proof: an agent that moves on to a new epoch has killed and forgotten all tasks of the old one.
-    // Commands under way for the old epoch are refused by the agent.
+    // Evidence: an agent kills and forgets all tasks of its old epoch before it begins a new one, and it
+    // refuses delayed commands for the old epoch.
     outcome_.ends = terminate_all(machine_);
     machine_.heartbeat_sequence = protocol::SequenceNumber::none();
 }
 
-// All that the report says of the machine itself.
+// Applies everything but the list of tasks.
 void HeartbeatApplication::apply_header() {
     auto& m = machine_;
-    // A report of a lifecycle of the machine that began later than the one on record, but had not come as
-    // far.
+    // This heartbeat has smaller numbers although it is newer: the machine was set up anew under the same id.
     if (std::pair(heartbeat_.agent_epoch, heartbeat_.sequence) < std::pair(m.agent_epoch, m.sequence))
         m.heartbeat_sequence = protocol::SequenceNumber::none();
     m.agent_epoch = heartbeat_.agent_epoch;
@@ -51,12 +51,12 @@
     m.inherited_silence_s = 0;
     if (m.lifecycle == Machine::Lifecycle::booting) m.lifecycle = Machine::Lifecycle::up;
     apply_preemption_notice();
-    // From a report under this leader's token on, the agent drops all commands of earlier leaders, so what
-    // the report shows is all there is.
+    // An agent that has seen this leader's token drops all commands of earlier leaders, so the heartbeat
+    // shows every instance that there is.
     if (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token)) m.reconciled = true;
 }
 
-// A notice is never put off: a report that came late says too much.
+// A deadline is never moved to a later time: the remaining time in a delayed heartbeat is too long.
 void HeartbeatApplication::apply_preemption_notice() {
     if (!heartbeat_.preemption_notice_s) {
         machine_.preemption_deadline.reset();
@@ -82,7 +82,7 @@
     drop_forgotten_attempts(reported_exits);
 }
 
-// Proof of exit: the agent says that this attempt has exited.
+// Evidence for the removal of the instance: the agent reports that this attempt has exited.
 void HeartbeatApplication::apply_exited(const protocol::TaskStatus& status) {
     AttemptId id{status.task, status.attempt};
     if (machine_.exited_attempts.contains(id)) return;
@@ -101,15 +101,17 @@
         end.started = instance.running_since.has_value();
         machine_.tasks.erase(it);
     }
-    exited.outcome_stored = status.cause != ExitCause::done;  // nothing to store for other ends
+    exited.outcome_stored = status.cause != ExitCause::done;  // other causes need no stored outcome
     machine_.exited_attempts.emplace(id, exited);
     if (!exited.outcome_stored) targets_.machines_with_unstored_exits[status.task.job].insert(machine_.id);
     outcome_.ends.push_back(std::move(end));
 }
 
-// A report from before this leader began is no evidence against what is known from the replica: that holds
-// all there is. Nor is it relied on before the machine has confirmed it: it made a gang that ran elsewhere by
-// now stop when the next report did not show it.
+// A heartbeat from before this leadership cannot add to what is known from the replica, which holds every
+// instance that may be on the machine. For a machine that is not known from the replica, an instance that
+// only such a heartbeat shows stays unconfirmed until the machine shows it to this leader. When unconfirmed
+// instances were relied on, a gang that ran on other machines by then was stopped because the next heartbeat
+// did not show them.
 void HeartbeatApplication::apply_active(const protocol::TaskStatus& status) {
     auto it = machine_.tasks.find(status.task);
     bool on_record = it != machine_.tasks.end() && it->second.attempt == status.attempt;
@@ -123,7 +125,7 @@
         it = machine_.tasks.emplace(status.task, std::move(instance)).first;
         outcome_.found_instances.push_back({status.task, machine_.id});
     } else if (!on_record) {
-        // Another attempt than the one on record is there; the one reported is what takes up the resources.
+        // The machine runs another attempt than the one on record. The reported attempt holds the resources.
         it->second.attempt = status.attempt;
         must_be_replicated_ = true;
     }
@@ -143,7 +145,8 @@
     if (status.state != TaskState::waiting && !instance.running_since) instance.running_since = now_;
 }
 
-// What the report does not show, though it is on record.
+// Removes the instances on record that the heartbeat does not show, if this is evidence that they have
+// terminated.
 void HeartbeatApplication::terminate_unreported(const std::set<protocol::TaskId>& reported) {
     for (auto it = machine_.tasks.begin(); it != machine_.tasks.end();) {
         auto& instance = it->second;
@@ -154,21 +157,23 @@
             continue;
         }
         if (heartbeat_.token > instance.run.highest_token) {
-            // Proof: not on the machine, and every `run` for it went out under a token that the agent drops
-            // now.
+            // Evidence: the task is not on the machine, and every `run` for it was sent under a token that
+            // the agent drops now.
             if (instance.confirmed) outcome_.ends.push_back(unreported_end(machine_, it->first, instance));
             it = machine_.tasks.erase(it);
             continue;
         }
-        // Not reported is no proof while a `run` may still arrive. One that is not wanted any more, or that
-        // was there before, is fenced with a higher token; one that is wanted is sent again.
+        // The absence of the task is not evidence while a `run` for it may still arrive. If the instance is
+        // to be stopped, or was on the machine before, a higher token fences that `run`. Otherwise the task
+        // is still to be started, and the reply to a heartbeat repeats its `run`.
         if (instance.stop_requested || instance.ever_reported)
             targets_.tokens.raise(machine_, instance.run.highest_token);
         ++it;
     }
 }
 
-// The agent has forgotten them, as a `forget` command said once their outcome was stored.
+// Removes the exited attempts that the agent no longer reports. It forgets them on a `forget` command, which
+// is sent once their outcome is stored.
 void HeartbeatApplication::drop_forgotten_attempts(const std::set<AttemptId>& reported) {
     std::erase_if(machine_.exited_attempts, [&](auto& entry) {
         return !reported.contains(entry.first) && entry.second.outcome_stored;
--- a/src/cluster/heartbeat_application.hpp
+++ b/src/cluster/heartbeat_application.hpp
@@ -1,6 +1,6 @@
-// Applies one report that is newer than all before to its machine: what it shows there, and the proofs of
-// exit that it gives. "Is this task surely terminated?" is the question that matters: resources are freed
-// only on proof, and every branch that takes an instance away names its proof.
+// Applies one heartbeat, which must be newer than all before, to the record of its machine. An instance is
+// removed, and its resources are freed, only on evidence that the task has terminated. Each branch that
+// removes an instance names its evidence in a comment.
 #pragma once
 #include <set>
 #include <string>
@@ -15,10 +15,12 @@
 
 namespace coralhitch::cluster {
 
-// By job: ids of machines that hold, or held, exited tasks of it whose outcome is not stored yet.
+// Maps a job id to the ids of the machines whose exited attempts of that job may not have their outcome
+// stored yet.
 using UnstoredExitIndex = std::unordered_map<std::string, std::set<std::string>>;
 
-// The parts of the cluster state that a report may change besides its machine. All outlive the application.
+// The parts of the cluster state, besides the machine, that applying a heartbeat reads or changes. All must
+// outlive the HeartbeatApplication.
 struct HeartbeatTargets {
     FencingTokens& tokens;
     ImageNumbers& images;
@@ -26,7 +28,9 @@
     UnstoredExitIndex& machines_with_unstored_exits;
 };
 
-// For one report, used once. Holds references to all it is given.
+// The application of one heartbeat to one machine, used once. Keeps references to the constructor's
+// arguments, except for copies of `targets`, `channel` and `now`. `now`: seconds of the leader's steady
+// clock.
 class HeartbeatApplication {
   public:
     HeartbeatApplication(const HeartbeatTargets& targets, Machine& machine,
@@ -39,8 +43,9 @@
           now_(now),
           lookup_(lookup) {}
 
+    // Applies the heartbeat. Call once.
     HeartbeatOutcome apply();
-    // After `apply`: something has changed that the replicas must know.
+    // Returns true if `apply` changed something that must be replicated.
     bool must_be_replicated() const { return must_be_replicated_; }
 
   private:
--- a/src/cluster/heartbeat_freshness.cpp
+++ b/src/cluster/heartbeat_freshness.cpp
@@ -9,27 +9,31 @@
     return channel == HeartbeatChannel::direct_reply || tokens.is_from_this_leader_or_later(heartbeat.token);
 }
 
-// Taken for true, such a report brought tasks back that ran elsewhere, and those were stopped.
+// When such heartbeats were applied, they restored instances of tasks that ran on other machines by then, and
+// the running instances were stopped.
 bool is_from_terminated_epoch(const Machine* known, const protocol::Heartbeat& heartbeat,
                               HeartbeatChannel channel, const FencingTokens& tokens) {
-    // What the machine answers to this leader's own question counts.
+    // A reply to a command of this leader cannot be from before this leadership, so the next two checks do
+    // not apply to it.
     bool direct = channel == HeartbeatChannel::direct_reply;
-    // A machine is stored before its first `run`, so tasks can't be on one that is not: it was deleted under
-    // an earlier leader.
+    // A machine is stored before its first `run`, so a machine that shows tasks and is not stored was deleted
+    // under an earlier leader.
     if (!direct && !heartbeat.tasks.empty() && (!known || !known->is_stored())) return true;
-    // A report that may be from before this leader began tells of tasks only if an earlier leader may have
-    // started some, and nothing newer is known.
+    // Tasks in a heartbeat that may be older than this leadership are believed only if an earlier leader may
+    // have started some on the machine, and nothing newer is known.
     bool from_before = !sent_since_leadership_began(heartbeat, channel, tokens) &&
                        !(known && known->reported_to_this_leader);
     bool expected = known && known->stored_by_earlier_leader && !known->reconciled;
     if (from_before && !heartbeat.tasks.empty() && !expected) return true;
-    // Nothing is left of an agent epoch whose lease has expired.
+    // No task of an agent epoch survives the expiry of the agent's lease.
     return known && (heartbeat.agent_epoch <= known->terminated_agent_epoch ||
                      (known->accepts_only_direct_replies && !direct));
 }
 
-// The larger (agent epoch, sequence) is the newer one. But a report from before this leader began may be of
-// another lifecycle of the machine, which had come further; what is known from the replica is not.
+// As a rule, the heartbeat with the larger (agent epoch, sequence number) is newer. But a machine that was
+// set up anew under the same id begins with low numbers. A heartbeat from before this leadership may stem
+// from the earlier machine of that id and have larger numbers, so it does not outrank one that was sent
+// since. This cannot happen with what is known from the replica.
 bool is_newer(const Machine& machine, const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
               const FencingTokens& tokens) {
     if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) >
@@ -47,7 +51,7 @@
     if (channel == HeartbeatChannel::direct_reply) return HeartbeatStatus::answerable;
     if (heartbeat.sequence == machine.heartbeat_sequence) return HeartbeatStatus::repeated;
     if (heartbeat.sequence < machine.heartbeat_sequence) return HeartbeatStatus::outdated;
-    // A direct reply has overtaken the heartbeat; the agent still waits for the reply to it.
+    // A direct reply has overtaken this heartbeat, and the agent still waits for the reply to the heartbeat.
     machine.heartbeat_sequence = heartbeat.sequence;
     return HeartbeatStatus::answerable;
 }
--- a/src/cluster/heartbeat_freshness.hpp
+++ b/src/cluster/heartbeat_freshness.hpp
@@ -1,5 +1,6 @@
-// Which reports count. Reports, and copies of them, may come well over a lease late, after any number of
-// newer ones, and to a leader that has received none of those. Pure.
+// Decides which heartbeats are applied. A heartbeat, or a copy of it, may arrive more than a lease duration
+// late, after any number of newer ones, and at a leader that has received none of the newer ones. Functions
+// without state of their own.
 #pragma once
 #include "cluster/fencing_tokens.hpp"
 #include "cluster/heartbeat_outcome.hpp"
@@ -8,19 +9,21 @@
 
 namespace coralhitch::cluster {
 
-// The agent had received a message of this leader when it sent the report.
+// Returns true if the agent had received a message of this leader when it sent the heartbeat.
 bool sent_since_leadership_began(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
                                  const FencingTokens& tokens);
 
-// What the report shows is proven terminated. `known`: the machine on record, or null.
+// Returns true if everything that the heartbeat shows is known to have terminated. `known`: the machine on
+// record, or null if there is none.
 bool is_from_terminated_epoch(const Machine* known, const protocol::Heartbeat& heartbeat,
                               HeartbeatChannel channel, const FencingTokens& tokens);
 
-// The report is newer than all that is known of the machine.
+// Returns true if the heartbeat is newer than everything on record for the machine.
 bool is_newer(const Machine& machine, const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
               const FencingTokens& tokens);
 
-// What to do with a report that is not newer. Notes that a heartbeat which a direct reply has overtaken came.
+// Classifies a heartbeat that is not newer than the record. If a direct reply has overtaken a periodic
+// heartbeat, records the sequence number of the latter in `machine.heartbeat_sequence`.
 HeartbeatStatus status_of_older(Machine& machine, const protocol::Heartbeat& heartbeat,
                                 HeartbeatChannel channel);
 
--- a/src/cluster/image_cache.cpp
+++ b/src/cluster/image_cache.cpp
@@ -21,7 +21,7 @@
     double left_gb = capacity_gb;
     protocol::ImageIds images;
     std::size_t kept = 0;
-    // The last used is kept in any case: a task runs with it.
+    // The most recently used image is kept even if it is larger than the cache: a task runs with it.
     for (auto entry = entries_.rbegin(); entry != entries_.rend() && (kept == 0 || left_gb >= entry->size_gb);
          ++entry, ++kept) {
         left_gb -= entry->size_gb;
--- a/src/cluster/machine_commands.cpp
+++ b/src/cluster/machine_commands.cpp
@@ -17,8 +17,8 @@
                        [](auto& entry) { return entry.second.run.direct_in_flight > 0; });
 }
 
-// No `run` of the exited attempt may be executed any more. A reply that carried one is executed or dropped
-// once a later heartbeat has come.
+// Returns true if the outcome of the exited attempt is stored and no `run` for it can be executed any more. A
+// `run` in a heartbeat reply has been executed or dropped once a later heartbeat has arrived.
 bool may_be_forgotten(const Machine& machine, const ExitedAttempt& exited) {
     return exited.outcome_stored && exited.run.direct_in_flight == 0 &&
            machine.token_seen > exited.run.unacknowledged_token &&
@@ -31,7 +31,7 @@
 
 void append_stop(std::vector<Command>& commands, const protocol::TaskId& task, Instance& instance,
                  double now) {
-    // One that saves its work already, within its grace, needs no other command.
+    // A task that is already writing a checkpoint within its grace needs no further command.
     bool stopping = instance.state == TaskState::checkpointing && instance.grace_s > 0;
     if (!instance.ever_reported || stopping) return;
     commands.push_back({CommandKind::stop, task, instance.attempt, instance.spec ? instance.grace_s : 0});
@@ -39,15 +39,17 @@
 }
 }  // namespace
 
-// `forget` makes the agent forget an attempt, so a `run` of it that arrives afterwards would start it again.
-// An unanswered direct `run` may arrive minutes late: only a higher token, seen by the agent, stops it.
+// After a `forget`, the agent would execute a delayed `run` of the same attempt and start it again. A direct
+// `run` without an answer may arrive minutes late. The agent drops it only if it has seen a higher token, so
+// the token is raised before the `forget` is sent.
 void MachineCommands::fence_unacknowledged_runs(Machine& machine) {
     for (auto& [id, exited] : machine.exited_attempts)
         if (exited.outcome_stored && exited.run.direct_in_flight == 0)
             tokens_.raise(machine, exited.run.unacknowledged_token);
 }
 
-// A copy of a `run` that was answered may come late, too. From this reply on the agent drops it.
+// A copy of a `run` that was answered may also arrive late. The reply with the `forget` carries a higher
+// token, so the agent drops such a copy from then on.
 void MachineCommands::fence_answered_runs(Machine& machine) {
     for (auto& [id, exited] : machine.exited_attempts)
         if (may_be_forgotten(machine, exited)) tokens_.raise(machine, exited.run.highest_token);
@@ -57,7 +59,8 @@
     std::vector<Command> commands;
     fence_unacknowledged_runs(machine);
     bool may_start = may_get_starts(machine, authority);
-    // Not while a `run` is under way, which the higher token would stop, too.
+    // While a direct `run` is in flight nothing is forgotten, because the higher token would fence that `run`
+    // too.
     bool may_forget = may_start && !any_direct_run_in_flight(machine);
     if (may_forget) fence_answered_runs(machine);
     for (auto& [task, instance] : machine.tasks) {
@@ -65,7 +68,7 @@
             append_stop(commands, task, instance, now);
         } else if (!instance.ever_reported && instance.machine_stored && may_start &&
                    instance.run.highest_token.is_set()) {
-            // It was sent directly, and may not have arrived.
+            // The `run` was sent directly but may not have arrived.
             commands.push_back({CommandKind::start, task, instance.attempt, 0});
             instance.run.highest_token = machine.token;
             instance.run.reply_sequence = machine.heartbeat_sequence;
@@ -125,7 +128,7 @@
     instance.stop_requested = true;
     instance.grace_s = grace_s;
     instance.stop_sent_at.reset();
-    // A `run` that was sent may not have arrived yet.
+    // A `run` that was sent may still arrive, so a higher token fences it.
     if (!instance.ever_reported) tokens_.raise(machine, instance.run.highest_token);
     return true;
 }
--- a/src/cluster/team_activity.hpp
+++ b/src/cluster/team_activity.hpp
@@ -1,4 +1,4 @@
-// What became of the teams' tasks since the last summary, for the log.
+// Counts of started, completed and stopped tasks per team, for the log.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -6,14 +6,15 @@
 
 namespace coralhitch::cluster {
 
+// Counts the tasks of each team since the last summary.
 class TeamActivity {
   public:
     void started(const std::string& team) { ++teams_[team].started; }
     void completed(const std::string& team, std::size_t tasks) { teams_[team].completed += tasks; }
-    // Preempted, or lost with a machine.
+    // Counts a task that was preempted or lost with its machine.
     void stopped(const std::string& team) { ++teams_[team].stopped; }
-    // "a 5 started 4 done 0 stopped, b ..."; empty if nothing has happened. Counting begins anew. The form is
-    // read by bench/teams.py.
+    // Returns the counts as "a 5 started 4 done 0 stopped, b ...", or an empty string if there are none, and
+    // resets them. bench/teams.py parses this format.
     [[nodiscard]] std::string take_summary();
 
   private:
--- a/src/cluster/team_usage.cpp
+++ b/src/cluster/team_usage.cpp
@@ -6,8 +6,8 @@
 namespace coralhitch::cluster {
 
 namespace {
-// On a machine whose type is not known, its instances seem to take more than there is: as a negative number,
-// that lowered what every team was thought to use.
+// Returns the free resources of the machine, at least zero. On a machine of unknown type the total is zero,
+// so the free resources are negative. Without the lower bound this reduced the computed usage of every team.
 protocol::Resources left_on(const Machine& machine) {
     auto free = machine.free();
     return {std::max(0.0, free.cpus), std::max(0.0, free.gpus), std::max(0.0, free.memory_gb)};
@@ -25,9 +25,10 @@
         if (!usage) usage = &used_[instance.spec->team];
         *usage += instance.spec->request;
     }
-    // Tasks of a job that was done, started twice by leaders that did not know it, outlive its record. The
-    // next leader counted them for nobody, and filled the team's limit once more beside them. They take no
-    // more than the machine has left.
+    // A task that was started twice by different leaders may outlive the record of its completed job. A new
+    // leader then did not count it against any team, and started tasks up to the team's full limit beside it.
+    // Instances of unknown jobs are assumed to use everything that is free on the machine, which is the most
+    // they can use.
     if (any_unknown) by_unknown_jobs_ += left_on(machine);
 }
 
