--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -140,8 +140,9 @@
     instance.state = status.state;
     if (status.state == TaskState::fetching) return;
     if (instance.spec && !std::exchange(instance.image_counted, true))
-        machine_.image_cache.use({targets_.images.number(instance.spec->image), instance.spec->image_gb},
-                                 targets_.pools.cache_gb(machine_.type));
+        machine_.image_cache.record_use(
+            {targets_.images.number(instance.spec->image), instance.spec->image_gb},
+            targets_.pools.cache_gb(machine_.type));
     if (status.state != TaskState::waiting && !instance.running_since) instance.running_since = now_;
 }
 
--- a/src/cluster/image_cache.cpp
+++ b/src/cluster/image_cache.cpp
@@ -5,7 +5,7 @@
 
 namespace coralhitch::cluster {
 
-void ImageCache::use(const CachedImage& image, double capacity_gb) {
+void ImageCache::record_use(const CachedImage& image, double capacity_gb) {
     std::erase_if(entries_, [&](auto& entry) { return entry.image == image.image; });
     entries_.push_back(image);
     evict_to_capacity(capacity_gb);
--- a/src/cluster/image_cache.hpp
+++ b/src/cluster/image_cache.hpp
@@ -37,7 +37,7 @@
   public:
     // Records that a task on the machine uses `image`. `capacity_gb`: size of the cache, from the machine
     // type; the largest double if unknown.
-    void use(const CachedImage& image, double capacity_gb);
+    void record_use(const CachedImage& image, double capacity_gb);
     // Fills the cache with the images that an earlier leader knew, least recently used first. Has no effect
     // if an image has been recorded already.
     void restore(std::vector<CachedImage> images, double capacity_gb);
