--- a/src/failover/failover_steps.cpp
+++ b/src/failover/failover_steps.cpp
@@ -6,7 +6,7 @@
 
 namespace coralhitch::failover {
 namespace {
-// By the values of FailoverStep, in the log.
+// Names of the steps in the log, indexed by FailoverStep.
 constexpr std::array<std::string_view, failover_step_labels.size()> log_names = {
     "state_read", "loaded", "placement_allowed", "reconciled"};
 
--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -6,15 +6,17 @@
 using cluster::Machine;
 
 namespace {
-// Reconciliation makes progress as long as in so many report periods at least this share of the remaining
-// machines is reconciled.
+// Reconciliation is progressing as long as, within this many heartbeat periods, at least this share of the
+// remaining machines is reconciled.
 constexpr double progress_window_heartbeat_periods = 1.0 / 2, min_progress_share = 1.0 / 64;
-// A machine that was not probed yet is given this much longer, in report periods.
+// Extra time before the silence of a machine counts that has not been probed yet.
 constexpr double unprobed_allowance_heartbeat_periods = 2;
-// Time for a direct command to go unanswered, in report periods.
+// Time for which a probe must be unanswered before the silence that the previous leader observed counts, too.
 constexpr double probe_timeout_heartbeat_periods = 1.0 / 2;
+// A tick is late if this many tick intervals have passed since the previous one.
 constexpr double late_tick_intervals = 3;
-// One in so many of the expected machines: so few that are not reconciled hardly change the free resources.
+// "A few" machines are at most one in this many of the expected ones. So few machines that are not reconciled
+// hardly change the free resources.
 constexpr std::size_t few_remaining_divisor = 16;
 // An answer is late after so many report periods; the leader is is_overloaded if most of some ten answers
 // are.
@@ -28,7 +30,8 @@
     with_unknown_tasks_.insert(machine);
 }
 
-// Whether all machines satisfy the predicate or are gone. Those in front that do are removed.
+// Returns true if each machine in the set satisfies the predicate or is no longer in the cluster state.
+// Removes such machines from the front of the set, up to the first one that does not satisfy the predicate.
 bool Reconciliation::all_satisfy(std::set<std::string>& machines, Predicate satisfied) const {
     while (!machines.empty()) {
         auto it = cluster_state_.machines().find(*machines.begin());
@@ -45,9 +48,9 @@
 }
 
 bool Reconciliation::complete() const {
-    // A machine whose tasks are known and that is suspected to have failed holds nothing else up, nor do a
-    // few such: dozens of failed machines used to keep a leader from scaling out and preempting for ten
-    // seconds.
+    // Reconciliation does not wait for suspected machines whose tasks are known from the replica, nor for the
+    // last few machines if the tasks of all are known. When it did, dozens of failed machines kept a new
+    // leader from scaling out and preempting for ten seconds.
     auto not_awaited = [](const Machine& machine) {
         return machine.reconciled || machine.lifecycle != Machine::Lifecycle::up ||
                (machine.known_from_replica && machine.suspected);
@@ -65,7 +68,7 @@
 }
 
 void Reconciliation::tick(double now, double interval_s) {
-    // A leader whose tick is late has not processed heartbeats in time either.
+    // A leader whose tick is late has not processed heartbeats in time either, so this counts as progress.
     if (last_tick_at_ && now - *last_tick_at_ > interval_s * late_tick_intervals) progressed_at_ = now;
     last_tick_at_ = now;
     auto left = remaining();
@@ -95,15 +98,17 @@
            now - *progressed_at_ <= heartbeat_interval_s_ * progress_window_heartbeat_periods;
 }
 
-// A machine that is not reconciled may have answered long ago: while others are reconciled, its answer may
-// lie unread. New leaders of 2,600 machines took 7 to 10 s to process all reports with the processor time
-// they had, and fenced up to 230 healthy machines; at 5,200 each believed itself isolated and resigned in
+// A machine that is not reconciled may have answered long ago: as long as other machines are being
+// reconciled, its answer may be waiting unread in this process. Before this was considered, new leaders of
+// 2,600 machines, which took 7 to 10 s to process all heartbeats with the processor time they had, fenced up
+// to 230 healthy machines. At 5,200 machines each new leader believed that it was isolated and resigned in
 // favour of the next.
 double Reconciliation::attributable_silence_s(const Machine& machine, double now) const {
     if (machine.reconciled || machine.lifecycle != Machine::Lifecycle::up)
         return now - machine.last_heartbeat_at;
-    // A machine that no answer reaches is not reconciled, however often it reports: its heartbeats held up
-    // all placement for as long as they came.
+    // A machine that replies do not reach never becomes reconciled, however many heartbeats it sends, so its
+    // silence counts from the last time that a message reached it. When it counted from the last heartbeat,
+    // such a machine blocked all placement for as long as its heartbeats arrived.
     double silent_s =
         now - (machine.reachability.outbound_unreachable() ? machine.reachability.last_reached_at()
                                                            : machine.last_heartbeat_at);
@@ -113,7 +118,8 @@
     if (is_overloaded(now)) return 0;
     double attributed_s =
         std::min({silent_s, probed_s, is_progressing(now) ? now - *progressed_at_ : probed_s});
-    // The previous leader had probed it too, in vain. It is given the time to answer this one.
+    // The previous leader had also probed the machine without an answer. The silence under that leader is
+    // added once the machine has had time to answer this one.
     return attributed_s + (attributed_s > heartbeat_interval_s_ * probe_timeout_heartbeat_periods
                                ? machine.inherited_silence_s
                                : 0);
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -1,7 +1,8 @@
-// Tracks which of the stored machines a new leader has reconciled, that is, has received a report from under
-// its own token; and what the leader may do before that.
+// Tracks which of the stored machines a new leader has reconciled, and what the leader may do before all of
+// them are. A machine is reconciled once it has sent a heartbeat under the new leader's token, or once its
+// lease has expired.
 //
-// Bookkeeping only, not thread safe; times are seconds of the leader's clock.
+// Does no I/O. Not thread-safe. Times are seconds of the leader's steady clock.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,35 +13,40 @@
 
 namespace coralhitch::failover {
 
+// The progress of reconciliation during one leadership.
 class Reconciliation {
   public:
-    // `cluster_state` must outlive this. `heartbeat_interval_s`: the report period.
+    // `cluster_state` must outlive this object. `heartbeat_interval_s`: the time between two heartbeats of an
+    // agent.
     Reconciliation(const cluster::ClusterState& cluster_state, double heartbeat_interval_s)
         : cluster_state_(cluster_state), heartbeat_interval_s_(heartbeat_interval_s) {}
-    // A machine that an earlier leader stored must be reconciled.
+    // Adds a machine that an earlier leader stored to those that must be reconciled.
     void expect(const std::string& machine);
-    // Whether tasks may be started: of each expected machine it is known what may run on it, from its report
-    // or from the replica. Otherwise neither a task, a quota nor a zone is safe.
+    // Returns true if tasks may be started: for each expected machine, a heartbeat or the replica shows what
+    // may run on it. If tasks were started earlier, a task could run twice, and team limits and the spread
+    // over zones could be violated.
     [[nodiscard]] bool placement_allowed() const;
-    // Whether each machine that may still answer has answered. Until then the cluster state lacks most of the
-    // free resources: nothing is scaled out or in or preempted for want of them.
+    // Returns true if each machine that may still answer has been reconciled, or if only a few with known
+    // tasks are left. Until then the cluster state lacks most of the free resources, so the leader neither
+    // scales out or in nor preempts tasks.
     [[nodiscard]] bool complete() const;
 
-    // Call periodically, as a rule every `interval_s`.
+    // Updates the progress of reconciliation. Call about every `interval_s` seconds.
     void tick(double now, double interval_s);
-    // A machine answered a direct command of this leader after `latency_s`.
+    // Records that a machine answered a direct command of this leader after `latency_s` seconds.
     void record_answer(double latency_s, double now);
-    // Whether most answers arrive so late that they must have waited here: this leader lacks the processor
-    // time to process heartbeats as they come. Missed heartbeats are then no machine's fault, and no sign
-    // that this leader is isolated.
+    // Returns true if most answers of the last seconds were so late that they must have waited in this
+    // process, which then lacks the processor time to process heartbeats as they arrive. While this is so,
+    // missed heartbeats indicate neither a failed machine nor that this leader is isolated.
     [[nodiscard]] bool is_overloaded(double now) const;
-    // For how long nothing came from a machine, as far as that is the machine's fault. Seconds.
+    // Returns for how many seconds nothing arrived from a machine, counting only the time for which the
+    // machine rather than this leader is responsible.
     [[nodiscard]] double attributable_silence_s(const cluster::Machine& machine, double now) const;
 
   private:
     using Predicate = bool (*)(const cluster::Machine&);
     struct Progress {
-        std::size_t remaining = SIZE_MAX;  // machines not reconciled
+        std::size_t remaining = SIZE_MAX;  // number of machines not reconciled
         double at = 0;
     };
     bool all_satisfy(std::set<std::string>& machines, Predicate satisfied) const;
@@ -50,13 +56,17 @@
     const cluster::ClusterState& cluster_state_;
     double heartbeat_interval_s_;
     std::size_t expected_ = 0;
-    bool few_remaining_ = false;  // at the last tick
-    // Machines leave these for good, as soon as all before them have left.
+    bool few_remaining_ = false;  // as of the last tick
+    // Expected machines that are not reconciled, and those whose tasks are unknown. A machine is removed when
+    // it no longer belongs in the set and is the first one left, and it is never added again.
     mutable std::set<std::string> unreconciled_, with_unknown_tasks_;
-    Progress progress_baseline_;           // when it last was as much as is asked for, or was counted anew
-    std::optional<double> progressed_at_;  // when the reconciliation last made progress
+    // Machines left at the last tick that made enough progress or, failing that, that began a new progress
+    // window.
+    Progress progress_baseline_;
+    std::optional<double> progressed_at_;  // when enough progress was last made, or a tick was late
     std::optional<double> last_tick_at_;
-    double late_answer_share_ = 0;  // of the last answers, the newest counting most
+    // Share of late answers, as an exponential moving average over the answers.
+    double late_answer_share_ = 0;
     std::optional<double> last_answer_at_;
 };
 
--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -14,7 +14,7 @@
 using kv::RequestPriority;
 
 namespace {
-constexpr double retry_heartbeat_periods = 1.0 / 10;  // in report periods
+constexpr double retry_heartbeat_periods = 1.0 / 10;  // pause before failed reads are repeated
 }  // namespace
 
 RecoveryLoader::RecoveryLoader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
@@ -34,7 +34,7 @@
     timers_.after(settings_.heartbeat_interval_s * retry_heartbeat_periods, guarded_([this] { start(); }));
 }
 
-// Which followers of the previous leader were in sync.
+// Reads the record of the followers of the previous leader that were in sync.
 void RecoveryLoader::read_in_sync_record() {
     kv_.get(keys::in_sync_replicas, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
                 if (!result.ok()) return retry_later();
@@ -53,7 +53,8 @@
     }
 }
 
-// Which leaders there were since this controller's watch of the leader key last reported.
+// Reads the leaderships that began since the last event that this controller's watch of the leader key
+// delivered.
 void RecoveryLoader::read_leader_history() {
     kv_.watch(keys::leader, evidence_.chain.known_until_revision, 0, guarded_([this](kv::WatchResult result) {
                   if (!result.ok() && !result.compacted()) return retry_later();
@@ -78,7 +79,8 @@
              }));
 }
 
-// The stored state is final by now: what the previous leader may still write fails on its version.
+// Reads the stored jobs, their progress and the machines. The previous leader can no longer change them,
+// because each of its writes depends on the version of the leader key, which has changed.
 void RecoveryLoader::list_stored_state() {
     recovered_.jobs_listed_at = timers_.now();
     list(keys::jobs, &RecoveredState::jobs, [this] {
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -1,7 +1,8 @@
-// Reads what a new leader needs after its claim, in the order that docs/replication.md argues, and decides
-// whether it may inherit the replica that it kept of the previous leader's machines.
+// Reads the stored state that a new leader needs after it has claimed leadership, and decides if it may
+// inherit the replica of the previous leader's machines that this controller kept. docs/replication.md gives
+// the reasons for the order of the reads.
 //
-// Not thread safe; all callbacks run on the event loop.
+// Not thread-safe. All callbacks run on the event loop.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,24 +19,27 @@
 
 namespace coralhitch::failover {
 
-// The stored state as read after the claim.
+// The stored state as read after leadership was claimed.
 struct RecoveredState {
-    bool replica_eligible = false;  // this controller's replica is proof of what machines run
-    std::uint64_t in_sync_record_version =
-        0;  // of the key of the record of in-sync replicas; 0: there is none
+    // This controller's replica may be inherited: it shows every instance that may be on the machines in it.
+    bool replica_eligible = false;
+    std::uint64_t in_sync_record_version = 0;  // version of the key of the in-sync record; 0: no such key
     std::optional<protocol::InSyncReplicas> in_sync_record;
     kv::ListResult jobs, progress, machines;
-    double jobs_listed_at = 0;  // steady time at which the list of jobs was requested
+    double jobs_listed_at = 0;  // when the list of jobs was requested, seconds of the steady clock
 };
 
+// Loads the stored state once, for one new leader.
 class RecoveryLoader {
   public:
     using LoadedCallback = std::function<void(RecoveredState)>;
-    // `evidence` as known before the claim: label, incarnation, leader version, chain and replica. The rest
-    // is read. All references must outlive the loader; destroying it cancels the callback.
+    // `evidence`: the fields known before the first read, which are label, incarnation, leader version, chain
+    // and replica; the loader reads the others. `on_loaded` is called once, when everything has been read.
+    // All references must outlive the loader. Its destructor cancels the callback.
     RecoveryLoader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
                    FailoverSteps& steps, replication::ReplicaEvidence evidence, LoadedCallback on_loaded);
-    // Call once. Failed reads are retried from the beginning until all succeed.
+    // Starts reading. Call once. If a read fails, all reads are repeated from the first one after a pause,
+    // until all succeed.
     void start();
 
   private:
@@ -55,7 +59,7 @@
     replication::ReplicaEvidence evidence_;
     LoadedCallback on_loaded_;
     RecoveredState recovered_;
-    event_loop::LifetimeGuard guarded_;  // last, so that it is destroyed first
+    event_loop::LifetimeGuard guarded_;  // last member, so that it is destroyed first
 };
 
 }  // namespace coralhitch::failover
