--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -38,11 +38,11 @@
 void RecoveryLoader::read_in_sync_record() {
     kv_.get(keys::in_sync_replicas, RequestPriority::write, guarded_([this](const kv::GetResult& result) {
                 if (!result.ok()) return retry_later();
-                store_in_sync_record(result);
+                parse_in_sync_record(result);
                 read_leader_history();
             }));
 }
-void RecoveryLoader::store_in_sync_record(const kv::GetResult& result) {
+void RecoveryLoader::parse_in_sync_record(const kv::GetResult& result) {
     recovered_.in_sync_record_version = result.entry ? result.entry->version : 0;
     evidence_.record.reset();
     if (!result.entry) return;
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -45,7 +45,7 @@
   private:
     void retry_later();
     void read_in_sync_record();
-    void store_in_sync_record(const kv::GetResult& result);
+    void parse_in_sync_record(const kv::GetResult& result);
     void read_leader_history();
     void list(const std::string& prefix, kv::ListResult RecoveredState::*target,
               const std::function<void()>& next);
