--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -18,8 +18,8 @@
 // "A few" machines are at most one in this many of the expected ones. So few machines that are not reconciled
 // hardly change the free resources.
 constexpr std::size_t few_remaining_divisor = 16;
-// An answer is late after so many report periods; the leader is is_overloaded if most of some ten answers
-// are.
+// An answer is late after this many heartbeat periods. The leader is overloaded if more than this share of
+// the answers is late, in an exponential moving average over about ten answers.
 constexpr double late_answer_heartbeat_periods = 1.0 / 8, overloaded_late_answer_share = 1.0 / 2,
                  late_answer_share_decay = 0.9;
 }  // namespace
