--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -23,8 +23,8 @@
     // Adds a machine that an earlier leader stored to those that must be reconciled.
     void expect(const std::string& machine);
     // Returns true if tasks may be started: for each expected machine, a heartbeat or the replica shows what
-    // may run on it. Before that, the leader could
-    // start a task that already runs, exceed a team's limit, or misjudge the zones that are in use.
+    // may run on it. Before that, the leader could start a task that already runs, exceed a
+    // team's limit, or misjudge the zones that are in use.
     [[nodiscard]] bool placement_allowed() const;
     // Returns true if each machine that may still answer has been reconciled, or if only a few with known
     // tasks are left. Until then the cluster state lacks most of the free resources, so the leader neither
--- a/tests/cluster/heartbeat_application_test.cpp
+++ b/tests/cluster/heartbeat_application_test.cpp
@@ -1,4 +1,4 @@
-// What a report changes, and when a task counts as terminated.
+// Tests what a heartbeat changes, and which heartbeats are evidence that a task has terminated.
 #include "cluster/heartbeat_application.hpp"
 
 #include <gtest/gtest.h>
@@ -18,18 +18,18 @@
 TEST(HeartbeatApplication, KeepsUnreportedTaskWhileItsRunMayStillArrive) {
     ClusterStateFixture fixture;
     auto sent = fixture.place_and_send_run();
-    fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(),
-                                                   false);  // no answer: not a proof
+    // The `run` got no answer, which is no evidence that it was not executed.
+    fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), false);
     EXPECT_TRUE(fixture.apply_heartbeat(fixture.base()).ends.empty());
     EXPECT_EQ(fixture.machine().tasks.size(), 1u);
-    EXPECT_TRUE(fixture.reply_contains(CommandKind::start));  // wanted: sent again
+    EXPECT_TRUE(fixture.reply_contains(CommandKind::start));  // the `run` is sent again
     EXPECT_DOUBLE_EQ(fixture.machine().free().gpus, 3);
 }
 
-TEST(HeartbeatApplication, EndsInstanceOnEachProofOfExit) {
+TEST(HeartbeatApplication, EndsInstanceOnEachKindOfEvidence) {
     struct Case {
         const char* name;
-        std::function<std::vector<InstanceEnd>(ClusterStateFixture&)> proof;
+        std::function<std::vector<InstanceEnd>(ClusterStateFixture&)> apply_evidence;
     };
     const Case cases[] = {
         {"reported as exited",
@@ -43,7 +43,7 @@
              fixture.sequence = 0;
              return fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::heartbeat, 2).ends;
          }},
-        {"deletion answered",
+        {"deletion confirmed by the cloud",
          [](ClusterStateFixture& fixture) { return fixture.cluster_state.remove_deleted("vm-1"); }},
         {"the lease has expired",
          [](ClusterStateFixture& fixture) { return fixture.cluster_state.expire_lease(fixture.machine()); }},
@@ -54,7 +54,7 @@
         fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
         EXPECT_TRUE(fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::direct_reply).ends.empty())
             << c.name;
-        auto ends = c.proof(fixture);
+        auto ends = c.apply_evidence(fixture);
         ASSERT_EQ(ends.size(), 1u) << c.name;
         EXPECT_EQ(ends[0].attempt, protocol::AttemptNumber{5}) << c.name;
     }
@@ -70,53 +70,58 @@
     fixture.sequence = 3;
     auto outcome = fixture.apply_heartbeat(fixture.base());
     EXPECT_FALSE(outcome.is_newer());
-    // A worker has one report under way: nobody waits for this one's answer.
+    // An agent has only one heartbeat in flight, so it does not wait for the reply to this one any more.
     EXPECT_FALSE(outcome.may_be_answered());
     EXPECT_EQ(fixture.machine().tasks.size(), 1u);
     fixture.sequence = 10;
     outcome = fixture.apply_heartbeat(fixture.base());
-    // The newest once more: its sender may wait.
+    // A repetition of the newest heartbeat may be answered, because the agent may be waiting for the reply.
     EXPECT_TRUE(outcome.is_repeated() && outcome.may_be_answered() && !outcome.is_newer());
 }
 
-// Copies of reports come well over a lease late, after any number of newer ones, also to a leader that has
-// received none of those.
+// Copies of heartbeats may arrive more than a lease duration late, after any number of newer ones, and also
+// at a leader that has received none of the newer ones. They must not bring terminated instances back.
 TEST(HeartbeatApplication, IgnoresLateCopiesOfTerminatedInstances) {
-    ClusterStateFixture
-        fixture;  // a new leader: the machine was deleted under the one before, and is in no page
+    // The machine was deleted under the previous leader, so the new leader finds no stored record of it.
+    ClusterStateFixture fixture;
     fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
     EXPECT_TRUE(fixture.apply_heartbeat(fixture.below_base(1)).is_terminated());
     EXPECT_EQ(fixture.cluster_state.find("vm-1"), nullptr);
-    // What it answers now counts.
+    // A reply to a command of this leader is current, so it is applied.
     EXPECT_FALSE(fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::direct_reply).is_terminated());
     EXPECT_EQ(fixture.machine().tasks.size(), 1u);
 
-    ClusterStateFixture c;  // its lease was out: the task may run elsewhere by now
-    c.place_and_send_run();
-    c.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
-    c.apply_heartbeat(c.base());
-    EXPECT_EQ(c.cluster_state.expire_lease(c.machine()).size(), 1u);
-    EXPECT_TRUE(c.apply_heartbeat(c.base()).is_terminated());
-    EXPECT_TRUE(c.machine().tasks.empty());
-    c.reported_tasks.clear();
-    EXPECT_TRUE(c.apply_heartbeat(c.base(), HeartbeatChannel::heartbeat, 2).is_newer());
+    // The lease of the machine has expired, so the task may run on another machine by now.
+    ClusterStateFixture with_expired_lease;
+    with_expired_lease.place_and_send_run();
+    with_expired_lease.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
+    with_expired_lease.apply_heartbeat(with_expired_lease.base());
+    EXPECT_EQ(with_expired_lease.cluster_state.expire_lease(with_expired_lease.machine()).size(), 1u);
+    EXPECT_TRUE(with_expired_lease.apply_heartbeat(with_expired_lease.base()).is_terminated());
+    EXPECT_TRUE(with_expired_lease.machine().tasks.empty());
+    with_expired_lease.reported_tasks.clear();
+    EXPECT_TRUE(with_expired_lease.apply_heartbeat(with_expired_lease.base(), HeartbeatChannel::heartbeat, 2)
+                    .is_newer());
 
-    ClusterStateFixture d;  // the same, of a machine that this leader had no report of
-    d.store_by_earlier_leader();
-    d.cluster_state.expire_lease(d.machine());
-    d.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
-    EXPECT_TRUE(d.apply_heartbeat(d.base()).is_terminated());
-    EXPECT_FALSE(d.apply_heartbeat(d.base(), HeartbeatChannel::direct_reply).is_terminated());
+    // This leader has received no heartbeat of the machine before its lease expired.
+    ClusterStateFixture without_heartbeat;
+    without_heartbeat.store_by_earlier_leader();
+    without_heartbeat.cluster_state.expire_lease(without_heartbeat.machine());
+    without_heartbeat.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::running}};
+    EXPECT_TRUE(without_heartbeat.apply_heartbeat(without_heartbeat.base()).is_terminated());
+    EXPECT_FALSE(without_heartbeat.apply_heartbeat(without_heartbeat.base(), HeartbeatChannel::direct_reply)
+                     .is_terminated());
 }
 
-// What a report from before this leader began shows takes up its resources, but is no evidence of where the
-// task is before the machine confirms it, and none against what is known from the replica.
-TEST(HeartbeatApplication, ConfirmsInstancesOnlyByReportsToThisLeader) {
+// An instance that only a heartbeat from before this leadership shows holds its resources, but is not
+// confirmed before the machine shows it to this leader. Such a heartbeat never overrides what is known from
+// the replica.
+TEST(HeartbeatApplication, ConfirmsInstancesOnlyByHeartbeatsToThisLeader) {
     struct Case {
         const char* what;
-        std::function<void(ClusterStateFixture&)> then;
-        std::size_t found_instances, ends;  // by it
-        bool there, confirmed;              // afterwards
+        std::function<void(ClusterStateFixture&)> apply_heartbeats;
+        std::size_t found_instances, ends;  // totals over all heartbeats of the case
+        bool there, confirmed;              // the instance, afterwards
     };
     const protocol::TaskStatus shown{task, protocol::AttemptNumber{3}, TaskState::running, ExitCause::none,
                                      false};
@@ -128,67 +133,74 @@
     std::size_t found_instances = 0, ends = 0;
     auto apply = [&](ClusterStateFixture& fixture, protocol::FencingToken token,
                      HeartbeatChannel channel = HeartbeatChannel::heartbeat, std::uint64_t agent_epoch = 1) {
-        auto o = fixture.apply_heartbeat(token, channel, agent_epoch);
-        found_instances += o.found_instances.size();
-        ends += o.ends.size();
-        return o;
+        auto outcome = fixture.apply_heartbeat(token, channel, agent_epoch);
+        found_instances += outcome.found_instances.size();
+        ends += outcome.ends.size();
+        return outcome;
     };
-    auto old = [&](ClusterStateFixture& fixture) {
+    auto apply_earlier_heartbeat = [&](ClusterStateFixture& fixture) {
         fixture.reported_tasks = {shown};
         return apply(fixture, fixture.below_base(1));
     };
     const Case cases[] = {
-        {"it alone", [&](ClusterStateFixture& fixture) { fixture.store_by_earlier_leader(), old(fixture); },
+        {"only a heartbeat from before this leadership",
+         [&](ClusterStateFixture& fixture) {
+             fixture.store_by_earlier_leader(), apply_earlier_heartbeat(fixture);
+         },
          1, 0, true, false},
         {"reported again in a direct reply",
          [&](ClusterStateFixture& fixture) {
-             fixture.store_by_earlier_leader(), old(fixture),
+             fixture.store_by_earlier_leader(), apply_earlier_heartbeat(fixture),
                  apply(fixture, fixture.below_base(1), HeartbeatChannel::direct_reply);
          },
          2, 0, true, true},
         {"shown again under this leader's token",
          [&](ClusterStateFixture& fixture) {
-             fixture.store_by_earlier_leader(), old(fixture), apply(fixture, fixture.base());
+             fixture.store_by_earlier_leader(), apply_earlier_heartbeat(fixture),
+                 apply(fixture, fixture.base());
          },
          2, 0, true, true},
         {"not reported under this leader's token",
          [&](ClusterStateFixture& fixture) {
-             fixture.store_by_earlier_leader(), old(fixture), fixture.reported_tasks.clear(),
-                 apply(fixture, fixture.base());
+             fixture.store_by_earlier_leader(), apply_earlier_heartbeat(fixture),
+                 fixture.reported_tasks.clear(), apply(fixture, fixture.base());
          },
          1, 0, false, false},
         {"not reported in a direct reply",
          [&](ClusterStateFixture& fixture) {
-             fixture.store_by_earlier_leader(), old(fixture), fixture.reported_tasks.clear(),
+             fixture.store_by_earlier_leader(), apply_earlier_heartbeat(fixture),
+                 fixture.reported_tasks.clear(),
                  apply(fixture, protocol::FencingToken{1}, HeartbeatChannel::direct_reply);
          },
          1, 0, false, false},
         {"terminated by a new agent epoch",
          [&](ClusterStateFixture& fixture) {
-             fixture.store_by_earlier_leader(), old(fixture), fixture.reported_tasks.clear(),
+             fixture.store_by_earlier_leader(), apply_earlier_heartbeat(fixture),
+                 fixture.reported_tasks.clear(),
                  apply(fixture, protocol::FencingToken{1}, HeartbeatChannel::heartbeat, 2);
          },
          1, 0, false, false},
         {"exited",
          [&](ClusterStateFixture& fixture) {
-             fixture.store_by_earlier_leader(), old(fixture),
+             fixture.store_by_earlier_leader(), apply_earlier_heartbeat(fixture),
                  fixture.reported_tasks[0].state = TaskState::exited,
                  apply(fixture, protocol::FencingToken{1});
          },
          1, 1, false, false},
         {"known from the replica",
          [&](ClusterStateFixture& fixture) {
-             known_from_replica(fixture, protocol::AttemptNumber{3}), old(fixture);
+             known_from_replica(fixture, protocol::AttemptNumber{3}), apply_earlier_heartbeat(fixture);
          },
          0, 0, true, true},
-        {"known from the replica that nothing is there",
+        {"the replica shows that nothing is on the machine",
          [&](ClusterStateFixture& fixture) {
-             fixture.store_by_earlier_leader(), fixture.machine().known_from_replica = true, old(fixture);
+             fixture.store_by_earlier_leader(), fixture.machine().known_from_replica = true,
+                                                apply_earlier_heartbeat(fixture);
          },
          0, 0, false, false},
         {"of an earlier attempt than the one in the replica",
          [&](ClusterStateFixture& fixture) {
-             known_from_replica(fixture, protocol::AttemptNumber{5}), old(fixture);
+             known_from_replica(fixture, protocol::AttemptNumber{5}), apply_earlier_heartbeat(fixture);
              EXPECT_EQ(fixture.machine().tasks.at(task).attempt, protocol::AttemptNumber{5});
          },
          0, 0, true, true},
@@ -204,14 +216,14 @@
          [&](ClusterStateFixture& fixture) {
              apply(fixture, fixture.below_base(1)),
                  fixture.machine().registration = Machine::Registration::stored;
-             EXPECT_TRUE(old(fixture).is_terminated());
+             EXPECT_TRUE(apply_earlier_heartbeat(fixture).is_terminated());
          },
          0, 0, false, false},
     };
     for (auto& c : cases) {
         ClusterStateFixture fixture;
         found_instances = ends = 0;
-        c.then(fixture);
+        c.apply_heartbeats(fixture);
         EXPECT_EQ(found_instances, c.found_instances) << c.what;
         EXPECT_EQ(ends, c.ends) << c.what;
         auto* machine = fixture.cluster_state.find("vm-1");
@@ -221,12 +233,15 @@
     }
 }
 
-// A machine back under its name begins with low numbers: copies of its earlier lifecycle, received first, had
-// made a new leader refuse it until its lease was out.
-TEST(HeartbeatApplication, PrefersMachineOverReportsOfItsEarlierLife) {
+// A machine that is set up anew under the same id begins with low agent epochs and sequence numbers. When a
+// new leader first received delayed heartbeats of the earlier machine, it rejected those of the present one
+// until the lease had expired.
+TEST(HeartbeatApplication, PrefersMachineOverHeartbeatsOfEarlierMachineWithSameId) {
     struct Case {
-        std::uint64_t agent_epoch, sequence;  // of the earlier lifecycle
-        std::uint64_t tokens_below;  // below this leader's: the agent epoch asked for was not its own
+        std::uint64_t agent_epoch, sequence;  // of the earlier machine
+        // Distance of the token in the present machine's heartbeat below this leader's first token. It is not
+        // zero if the agent refused the leader's command because the command named another agent epoch.
+        std::uint64_t tokens_below;
         HeartbeatChannel channel;
         bool fresh;
     };
@@ -248,7 +263,7 @@
         EXPECT_EQ(fixture.machine().tasks.empty(), c.fresh);
         fixture.apply_heartbeat(fixture.base());
         EXPECT_TRUE(fixture.machine().reconciled);
-        // From here on the larger is the newer.
+        // From here on the heartbeat with the larger numbers is the newer one.
         fixture.sequence = 3;
         EXPECT_FALSE(fixture.apply_heartbeat(fixture.base()).is_newer());
     }
@@ -275,7 +290,7 @@
     EXPECT_EQ(fixture.cluster_state.find("vm-1"), nullptr);
 }
 
-TEST(HeartbeatApplication, ReconcilesMachineOnlyByReportUnderThisLeadersToken) {
+TEST(HeartbeatApplication, ReconcilesMachineOnlyByHeartbeatUnderThisLeadersToken) {
     ClusterStateFixture fixture;
     fixture.store_by_earlier_leader();
     fixture.reported_tasks = {{task, protocol::AttemptNumber{3}, TaskState::running}};
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -1,4 +1,4 @@
-// Tasks that a new leader knows from its replica only.
+// Tests tasks that a new leader knows only from its replica.
 #include <gtest/gtest.h>
 
 #include "cluster/cluster_state.hpp"
@@ -7,8 +7,10 @@
 namespace coralhitch::cluster {
 namespace {
 
-// What the leader before knew stays on the machine until a report under the new token shows otherwise.
-TEST(ClusterState, KeepsInheritedTasksUntilProvenEnded) {
+// A task that the previous leader replicated stays on record until there is evidence that it has terminated.
+// A heartbeat without the task is evidence only under the new leader's token, because a `run` of the previous
+// leader may still arrive before.
+TEST(ClusterState, KeepsInheritedTasksUntilEvidenceOfTermination) {
     struct Case {
         const char* name;
         std::uint64_t agent_epoch;
@@ -16,14 +18,15 @@
         bool shown;
         std::size_t left, ends;
     };
-    const protocol::FencingToken mine{7ull << ClusterState::token_bits}, before{mine.value() - 5};
+    const protocol::FencingToken first_token{7ull << ClusterState::token_bits},
+        earlier_token{first_token.value() - 5};
     const Case cases[] = {
-        {"a report from before the takeover does not show it: its `run` may come yet", 3, before, false, 1,
-         0},
-        {"one under the new token does not show it", 3, mine, false, 0, 1},
-        {"one under the new token shows it", 3, mine, true, 1, 0},
-        {"a later session: all of the old one was killed", 4, before, false, 0, 1},
-        {"a report of an earlier session came late", 2, mine, false, 1, 0},
+        {"a heartbeat from before the failover does not show it: its `run` may still arrive", 3,
+         earlier_token, false, 1, 0},
+        {"a heartbeat under the new token does not show it", 3, first_token, false, 0, 1},
+        {"a heartbeat under the new token shows it", 3, first_token, true, 1, 0},
+        {"a later agent epoch: all tasks of the old one were killed", 4, earlier_token, false, 0, 1},
+        {"a delayed heartbeat of an earlier agent epoch", 2, first_token, false, 1, 0},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
@@ -47,11 +50,11 @@
                                        protocol::TaskState::running,
                                        protocol::ExitCause::none,
                                        false});
-        auto heard = cluster_state.apply_heartbeat(heartbeat, HeartbeatChannel::heartbeat, 1,
-                                                   [&](auto&) { return spec; });
+        auto outcome = cluster_state.apply_heartbeat(heartbeat, HeartbeatChannel::heartbeat, 1,
+                                                     [&](auto&) { return spec; });
         EXPECT_EQ(machine.tasks.size(), c.left);
-        EXPECT_EQ(heard.ends.size(), c.ends);
-        EXPECT_TRUE(heard.found_instances.empty());
+        EXPECT_EQ(outcome.ends.size(), c.ends);
+        EXPECT_TRUE(outcome.found_instances.empty());
     }
 }
 
--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -1,4 +1,4 @@
-// Which commands a machine gets, and when the agent may be told to forget an attempt.
+// Tests which commands a machine gets, and when its agent may be told to forget an attempt.
 #include "cluster/machine_commands.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,8 @@
     }
 }
 
-// Each `run` that is called back before it is seen raises its machine's token by one.
+// Stopping a task whose `run` the agent may not have received raises the machine's token by one. The
+// leadership must end before a token reaches the range of the next leadership.
 TEST(MachineCommands, ReportsTokensNearlyExhaustedBeforeNextLeadershipsBegin) {
     ClusterStateFixture fixture;
     fixture.apply_heartbeat(fixture.base());
@@ -42,64 +43,65 @@
     std::uint64_t raised = 0;
     for (; !fixture.cluster_state.tokens_nearly_exhausted() && raised < next_leadership; ++raised) raise();
     EXPECT_EQ(machine.token.value(), fixture.base().value() + raised);
-    EXPECT_GT(raised, 900000u);  // not more hand-overs than need be
-    // What happens until the hand-over, at the leader's next tick, stays below too.
-    for (int k = 0; k < 60000; ++k) raise();
+    EXPECT_GT(raised, 900000u);  // leadership must not end too early either
+    // Raises before the leader resigns, at its next tick, stay within the range as well.
+    for (int extra = 0; extra < 60000; ++extra) raise();
     EXPECT_LT(machine.token.value(), fixture.base().value() + next_leadership);
 }
 
-// Another controller may go on answering a machine for which nothing is to be said. Each of these would be
-// left unsaid for as long as its reports repeat.
-TEST(MachineCommands, HasNothingPendingOnlyWhenNoCommandOrReportIsDue) {
+// A relay may answer the heartbeats of a machine with nothing pending by itself. Anything that was pending
+// all the same would be delayed for as long as the machine's heartbeats keep the same content.
+TEST(MachineCommands, HasNothingPendingOnlyWhenNoCommandOrHeartbeatIsDue) {
     struct Case {
         const char* what;
-        std::function<void(ClusterStateFixture&)> then;
+        std::function<void(ClusterStateFixture&)> change;
         bool nothing_pending;
     };
     const Case cases[] = {
-        {"a task runs, and was shown", [](ClusterStateFixture&) {}, true},
-        {"nothing is on it", [](ClusterStateFixture& fixture) { fixture.machine().tasks.clear(); }, true},
-        {"another task was placed, not sent yet",
+        {"the only task runs and was reported", [](ClusterStateFixture&) {}, true},
+        {"no task is on the machine", [](ClusterStateFixture& fixture) { fixture.machine().tasks.clear(); },
+         true},
+        {"another task was placed and its `run` not sent yet",
          [](ClusterStateFixture& fixture) {
              fixture.cluster_state.place(fixture.machine(), {"j-1", 1}, fixture.spec,
                                          protocol::AttemptNumber{6}, 0);
          },
          false},
-        {"a start was sent, its answer is missing",
+        {"a `run` was sent and not answered yet",
          [](ClusterStateFixture& fixture) {
              fixture.cluster_state.place(fixture.machine(), {"j-1", 1}, fixture.spec,
                                          protocol::AttemptNumber{6}, 0);
              fixture.cluster_state.take_direct_commands(fixture.machine(), 0, true);
          },
          false},
-        {"a task is to stop",
+        {"a task is to be stopped",
          [](ClusterStateFixture& fixture) {
              fixture.cluster_state.stop(fixture.machine(), task, 0);
              fixture.cluster_state.take_direct_commands(fixture.machine(), 0, true);
          },
          false},
-        {"a task of a job that nobody knows",
+        {"a task belongs to an unknown job",
          [](ClusterStateFixture& fixture) { fixture.machine().tasks.begin()->second.spec = nullptr; }, false},
-        {"an end that the worker may forget soon",
+        {"an exited attempt is still reported",
          [](ClusterStateFixture& fixture) {
              fixture.reported_tasks[0].state = TaskState::exited;
              fixture.reported_tasks[0].cause = ExitCause::done;
              fixture.apply_heartbeat(fixture.base());
          },
          false},
-        {"a higher token that it has not seen",
+        {"the agent has not seen the current token",
          [](ClusterStateFixture& fixture) { fixture.machine().token = fixture.machine().token.next(); },
          false},
-        {"it is to be deleted",
+        {"the machine is marked for deletion",
          [](ClusterStateFixture& fixture) {
              fixture.machine().lifecycle = Machine::Lifecycle::marked_for_deletion;
          },
          false},
-        {"it has notice", [](ClusterStateFixture& fixture) { fixture.machine().preemption_deadline = 9; },
-         false},
-        {"it is not reconciled", [](ClusterStateFixture& fixture) { fixture.machine().reconciled = false; },
-         false},
-        {"it is not stored yet",
+        {"the machine has a preemption notice",
+         [](ClusterStateFixture& fixture) { fixture.machine().preemption_deadline = 9; }, false},
+        {"the machine is not reconciled",
+         [](ClusterStateFixture& fixture) { fixture.machine().reconciled = false; }, false},
+        {"the machine is not stored yet",
          [](ClusterStateFixture& fixture) { fixture.machine().registration = Machine::Registration::none; },
          false},
     };
@@ -110,7 +112,7 @@
         fixture.reported_tasks = {
             {task, protocol::AttemptNumber{5}, TaskState::running, ExitCause::none, false}};
         fixture.apply_heartbeat(fixture.base());
-        c.then(fixture);
+        c.change(fixture);
         EXPECT_EQ(fixture.cluster_state.nothing_pending(fixture.machine()), c.nothing_pending) << c.what;
     }
 }
@@ -123,12 +125,13 @@
     EXPECT_GT(fixture.machine().token, fixture.base());
     EXPECT_FALSE(fixture.reply_contains(CommandKind::start));
     EXPECT_TRUE(fixture.apply_heartbeat(fixture.base())
-                    .ends.empty());  // the worker would still take the late command
-    EXPECT_EQ(fixture.apply_heartbeat(fixture.machine().token).ends.size(), 1u);  // now it drops it
+                    .ends.empty());  // the agent would still execute the late `run`
+    EXPECT_EQ(fixture.apply_heartbeat(fixture.machine().token).ends.size(),
+              1u);  // the agent drops the late `run` now
     EXPECT_TRUE(fixture.machine().tasks.empty());
 }
 
-// Forgotten, an attempt is started again by a copy of its `run`.
+// An agent that has forgotten an attempt would start it again on receiving a late copy of its `run`.
 TEST(MachineCommands, ForgetsAttemptUnderTokenAboveThatOfItsRun) {
     ClusterStateFixture fixture;
     auto sent = fixture.place_and_send_run();
@@ -144,14 +147,14 @@
     auto sent = fixture.place_and_send_run();
     fixture.reported_tasks = {{task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::done}};
     fixture.apply_heartbeat(fixture.base());
-    EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));  // not stored
+    EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));  // the outcome is not stored
     fixture.cluster_state.record_outcome_stored("j-1");
     fixture.apply_heartbeat(fixture.base());
-    EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));  // the direct `run` is still under way
+    EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));  // the direct `run` is still in flight
     fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), false);
     fixture.apply_heartbeat(fixture.base());
-    EXPECT_FALSE(
-        fixture.reply_contains(CommandKind::forget));  // it got no answer: a higher token goes out first
+    EXPECT_FALSE(fixture.reply_contains(
+        CommandKind::forget));  // the `run` got no answer: a higher token is sent first
     EXPECT_GT(fixture.machine().token, fixture.base());
     fixture.apply_heartbeat(fixture.machine().token);
     EXPECT_TRUE(fixture.reply_contains(CommandKind::forget));
@@ -162,11 +165,11 @@
     auto sent = fixture.place_and_send_run();
     fixture.cluster_state.complete_direct_commands(fixture.machine(), sent, fixture.base(), true);
     fixture.apply_heartbeat(fixture.base());
-    EXPECT_TRUE(fixture.reply_contains(
-        CommandKind::start));  // this answer may reach the worker up to a few seconds later
+    EXPECT_TRUE(
+        fixture.reply_contains(CommandKind::start));  // this reply may reach the agent a few seconds late
     fixture.reported_tasks = {
         {task, protocol::AttemptNumber{5}, TaskState::exited, ExitCause::insufficient_resources}};
-    fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::direct_reply);  // a direct answer overtakes it
+    fixture.apply_heartbeat(fixture.base(), HeartbeatChannel::direct_reply);  // a direct reply overtakes it
     EXPECT_FALSE(fixture.reply_contains(CommandKind::forget));
     fixture.apply_heartbeat(fixture.base());
     EXPECT_TRUE(fixture.reply_contains(CommandKind::forget));
--- a/tests/cluster/machine_pools_test.cpp
+++ b/tests/cluster/machine_pools_test.cpp
@@ -1,4 +1,4 @@
-// Which pools there are, and that their indexes stay valid.
+// Tests which pools exist, and that their indexes stay valid.
 #include "cluster/machine_pools.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace coralhitch::cluster {
 namespace {
 
-TEST(MachinePools, HasAnOrdinaryAndASpotPoolForEachZoneOfAType) {
+TEST(MachinePools, HasAnOnDemandAndASpotPoolForEachZoneOfAType) {
     MachinePools pools;
     pools.set_types({{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a", "b"}}});
     EXPECT_EQ(pools.pools().size(), 4u);
@@ -20,7 +20,7 @@
     EXPECT_EQ(pools.cache_gb("g4"), 100);
 }
 
-// A machine may be known before the list of types is.
+// A machine may become known before the list of machine types does.
 TEST(MachinePools, KeepsIndexesWhenTypesBecomeKnown) {
     MachinePools pools;
     auto early = pools.find_or_add("g4", "a", false);
--- a/tests/cluster/team_activity_test.cpp
+++ b/tests/cluster/team_activity_test.cpp
@@ -1,4 +1,5 @@
-// The summary of what became of the teams' tasks, in the form that bench/teams.py reads.
+// Tests the summary of the teams' started, completed and stopped tasks, in the format that bench/teams.py
+// parses.
 #include "cluster/team_activity.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/cluster/team_usage_test.cpp
+++ b/tests/cluster/team_usage_test.cpp
@@ -1,4 +1,4 @@
-// What counts against a team's limit, also of jobs that nobody knows any more.
+// Tests what counts against a team's limit, including instances of jobs that are no longer known.
 #include "cluster/team_usage.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,8 @@
 namespace coralhitch::cluster {
 namespace {
 
-// A limit holds against tasks of a job that is over, whose team a new leader can't know.
+// Instances may outlive the record of their job, so that a new leader cannot know their team. They count
+// against the limit of each team, or a team could exceed its limit.
 TEST(TeamUsage, CountsUnknownJobsAgainstEachTeam) {
     std::vector<protocol::MachineType> types(1);
     types[0].name = "g";
@@ -35,7 +36,8 @@
     EXPECT_EQ(team_usage(cluster_state, teams)["b"].gpus, 0);
 }
 
-// Of a machine whose type is not known a known task seems to take more than there is.
+// On a machine of unknown type the total is zero, so the free resources are negative beside a known task.
+// They must not reduce the usage.
 TEST(TeamUsage, IsNotLoweredByUnknownJobsOnMachineOfUnknownType) {
     ClusterState cluster_state(protocol::LeaderVersion{7}, {});
     auto spec = std::make_shared<protocol::Job>();
