--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -45,7 +45,9 @@
     ClusterState& operator=(const ClusterState&) = delete;
 
     // --- Machines ---
+    // Adds or replaces machine types, and updates the total resources of the machines.
     void set_types(const std::vector<protocol::MachineType>& types);
+    // Returns the machine, or null if the id is unknown.
     Machine* find(std::string_view id);
     // Adds a machine and returns it. If the id is known already, returns that machine unchanged.
     Machine& add(const std::string& id, const std::string& addr, const std::string& type,
@@ -120,6 +122,7 @@
     std::size_t zone_count() const { return pools_.zone_count(); }
     std::uint32_t image_number(const std::string& name) { return images_.number(name); }
     const std::map<std::string, std::uint32_t>& image_numbers() const { return images_.by_name(); }
+    // Fills the machine's image cache with what an earlier leader knew; see ImageCache::restore.
     void restore_image_cache(Machine& machine, std::vector<CachedImage> images);
 
   private:
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -16,7 +16,7 @@
 
 namespace coralhitch::cluster {
 
-// A machine and the instances on it. Not thread-safe: guarded by the lock of the cluster state that owns it.
+// A machine and the instances on it. Not thread-safe: guarded by the lock that guards its cluster state.
 struct Machine {
     // --- Identity ---
     std::string id, addr, type, zone;
@@ -51,8 +51,8 @@
     // All instances of agent epochs up to this one have terminated, because the agent's lease expired.
     // Heartbeats of these epochs that still arrive were delayed and are ignored.
     protocol::AgentEpoch terminated_agent_epoch;
-    // The lease expired before this leader had learned any agent epoch, so delayed heartbeats cannot be told
-    // by their epoch. Only a reply to a direct command is accepted until one has arrived.
+    // The lease expired before this leader had learned any agent epoch, so delayed heartbeats cannot be
+    // recognized by their epoch. Only a reply to a direct command is accepted until one has arrived.
     bool accepts_only_direct_replies = false;
 
     // --- Reported by the agent ---
@@ -76,12 +76,12 @@
     std::optional<double> last_probe_at;          // last time this leader queued or sent a probe
     std::optional<double> first_probed_at;        // first time this leader sent a probe
     std::optional<double> unreconciled_reply_at;  // last heartbeat reply before the machine was reconciled
-    std::optional<double> redirected_at;  // last time the agent was told to report to another controller
+    std::optional<double> redirected_at;          // last time the agent was redirected to another controller
     double lease_renewed_at = 0;  // latest time at which a controller may have renewed the agent's lease
     // Latest time at which a relay that no longer holds the delegation may have renewed the agent's lease.
     std::optional<double> delegation_expiry;
     bool probe_pending = false;                    // a probe is queued or in flight
-    bool draining = false;                         // the last scale-in plan wants the machine emptied
+    bool draining = false;                         // surplus according to the last scale-in plan
     bool flush_scheduled = false;                  // queued by `ClusterState::schedule_flush`
     bool replication_scheduled = false;            // queued for `ClusterState::take_machines_to_replicate`
     std::set<std::string> jobs_with_failed_tasks;  // ids of jobs of which a task has failed on the machine
