--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -25,7 +25,7 @@
 }
 
 Machine& ClusterState::add(const std::string& id, const std::string& addr, const std::string& type,
-                           const std::string& zone, bool spot, Machine::Life life, double now) {
+                           const std::string& zone, bool spot, Machine::Lifecycle lifecycle, double now) {
     if (auto* known = find(id)) return *known;
     auto it = machines_.try_emplace(id).first;
     auto& machine = it->second;
@@ -35,12 +35,12 @@
     machine.created_at = machine.last_heartbeat_at = machine.idle_since = machine.lease_renewed_at = now;
     machine.reachability.record_renewable_heartbeat(now);
     machine.reachability.record_reached(now);
-    machine.life = life;
+    machine.lifecycle = lifecycle;
     machine.addr = addr;
     machine.type = type;
     machine.zone = zone;
     machine.spot = spot;
-    machine.pool = pools_.index_of(type, zone, spot);
+    machine.pool = pools_.find_or_add(type, zone, spot);
     machine.total = pools()[machine.pool].total;
     return machine;
 }
@@ -59,29 +59,29 @@
 std::vector<InstanceEnd> ClusterState::expire_lease(Machine& machine) {
     auto ends = terminate_all(machine);
     machine.reconciled = true;
-    machine.terminated_epoch = std::max(machine.terminated_epoch, machine.agent_epoch);
-    machine.only_direct_reply_counts = !machine.agent_epoch.is_set();
+    machine.terminated_agent_epoch = std::max(machine.terminated_agent_epoch, machine.agent_epoch);
+    machine.accepts_only_direct_replies = !machine.agent_epoch.is_set();
     schedule_replication(machine);
     return ends;
 }
 
-// --- Reports --------------------------------------------------------------------------------------------
+// --- Heartbeats -----------------------------------------------------------------------------------------
 
-HeartbeatOutcome ClusterState::apply_heartbeat(const protocol::Heartbeat& heartbeat, ReportChannel channel,
+HeartbeatOutcome ClusterState::apply_heartbeat(const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
                                                double now, const JobLookup& lookup) {
-    // A machine once deleted stays deleted; what still arrives from it was under way.
+    // A deleted machine never comes back, so this heartbeat was delayed on its way.
     if (is_deleted(heartbeat.machine)) return {.status = HeartbeatStatus::terminated};
-    if (tokens_.of_later_leadership(heartbeat.token)) return {.status = HeartbeatStatus::deposed};
+    if (tokens_.is_from_later_leader(heartbeat.token)) return {.status = HeartbeatStatus::deposed};
     if (is_from_terminated_epoch(find(heartbeat.machine), heartbeat, channel, tokens_))
         return {.status = HeartbeatStatus::terminated};
     auto& machine = add(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot,
-                        Machine::Life::up, now);
+                        Machine::Lifecycle::up, now);
     if (!is_newer(machine, heartbeat, channel, tokens_))
         return {.status = status_of_older(machine, heartbeat, channel)};
-    HeartbeatApplication application({tokens_, images_, pools_, exited_by_job_}, machine, heartbeat, channel,
-                                     now, lookup);
+    HeartbeatApplication application({tokens_, images_, pools_, machines_with_unstored_exits_}, machine,
+                                     heartbeat, channel, now, lookup);
     auto outcome = application.apply();
-    any_reconciled_ |= tokens_.since_leadership_began(heartbeat.token);
+    any_reconciled_ |= tokens_.is_from_this_leader_or_later(heartbeat.token);
     if (application.must_be_replicated()) schedule_replication(machine);
     return outcome;
 }
@@ -104,7 +104,7 @@
                               protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.machine_stored = machine.is_stored();
-    instance.replicated = !hold_starts_;
+    instance.replicated = !hold_starts_until_replicated_;
     machine.idle_since = now;
     schedule_flush(machine);
     schedule_replication(machine);
@@ -115,7 +115,8 @@
                                            protocol::AttemptNumber attempt, double now) {
     auto& instance = replace_instance(machine, task, std::move(spec), attempt, now);
     instance.ever_reported = true;
-    instance.run.highest_token = tokens_.highest_before();  // of any `run` that may still be on its way
+    // A `run` of an earlier leader that may still arrive has at most this token.
+    instance.run.highest_token = tokens_.highest_before();
     return instance;
 }
 
@@ -131,14 +132,14 @@
 }
 
 void ClusterState::record_outcome_stored(const std::string& job, const std::set<std::uint32_t>& tasks) {
-    auto holders = exited_by_job_.find(job);
-    if (holders == exited_by_job_.end()) return;
+    auto holders = machines_with_unstored_exits_.find(job);
+    if (holders == machines_with_unstored_exits_.end()) return;
     for (auto& id : holders->second)
         if (auto* machine = find(id))
-            for (auto& [attempt, exited] : machine->exited_tasks)
+            for (auto& [attempt, exited] : machine->exited_attempts)
                 if (attempt.task.job == job && (tasks.empty() || tasks.contains(attempt.task.index)))
                     exited.outcome_stored = true;
-    if (tasks.empty()) exited_by_job_.erase(holders);
+    if (tasks.empty()) machines_with_unstored_exits_.erase(holders);
 }
 
 // --- Commands -------------------------------------------------------------------------------------------
--- a/src/cluster/heartbeat_application.cpp
+++ b/src/cluster/heartbeat_application.cpp
@@ -12,50 +12,51 @@
 
 HeartbeatOutcome HeartbeatApplication::apply() {
     outcome_.status = HeartbeatStatus::newer;
-    machine_.only_direct_reply_counts = false;
+    machine_.accepts_only_direct_replies = false;
     machine_.reported_to_this_leader |= sent_since_leadership_began(heartbeat_, channel_, targets_.tokens);
-    // Of a machine that was known from the replica before it is reconciled, the replicas know all, too.
-    changed_ = heartbeat_.agent_epoch > machine_.agent_epoch ||
-               (targets_.tokens.since_leadership_began(heartbeat_.token) && !machine_.reconciled &&
-                !machine_.known_from_replica);
+    // If the machine is known from the replica, the replicas already hold its instances, so its
+    // reconciliation alone need not be replicated.
+    must_be_replicated_ = heartbeat_.agent_epoch > machine_.agent_epoch ||
+                          (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token) &&
+                           !machine_.reconciled && !machine_.known_from_replica);
     begin_agent_epoch();
     apply_header();
     apply_tasks();
     if (!machine_.tasks.empty()) machine_.idle_since = now_;
-    changed_ |= !outcome_.ends.empty() || !outcome_.found.empty();
+    must_be_replicated_ |= !outcome_.ends.empty() || !outcome_.found_instances.empty();
     return std::move(outcome_);
 }
 
 void HeartbeatApplication::begin_agent_epoch() {
     if (heartbeat_.agent_epoch <= machine_.agent_epoch || !machine_.agent_epoch.is_set()) return;
-    // Proof: an agent that moves on to a new epoch has killed and forgotten all tasks of the old one.
-    // Commands under way for the old epoch are refused by the agent.
+    // Evidence: an agent kills and forgets all tasks of its old epoch before it begins a new one, and it
+    // refuses delayed commands for the old epoch.
     outcome_.ends = terminate_all(machine_);
     machine_.heartbeat_sequence = protocol::SequenceNumber::none();
 }
 
-// All that the report says of the machine itself.
+// Applies everything but the list of tasks.
 void HeartbeatApplication::apply_header() {
     auto& m = machine_;
-    // A report of a life of the machine that began later than the one on record, but had not come as far.
+    // This heartbeat has smaller numbers although it is newer: the machine was set up anew under the same id.
     if (std::pair(heartbeat_.agent_epoch, heartbeat_.sequence) < std::pair(m.agent_epoch, m.sequence))
         m.heartbeat_sequence = protocol::SequenceNumber::none();
     m.agent_epoch = heartbeat_.agent_epoch;
     m.sequence = heartbeat_.sequence;
-    if (channel_ == ReportChannel::heartbeat) m.heartbeat_sequence = heartbeat_.sequence;
+    if (channel_ == HeartbeatChannel::heartbeat) m.heartbeat_sequence = heartbeat_.sequence;
     m.token_seen = heartbeat_.token;
     m.addr = heartbeat_.addr;
     m.last_heartbeat_at = now_;
     m.suspected = false;
-    m.silence_hint_s = 0;
-    if (m.life == Machine::Life::booting) m.life = Machine::Life::up;
+    m.inherited_silence_s = 0;
+    if (m.lifecycle == Machine::Lifecycle::booting) m.lifecycle = Machine::Lifecycle::up;
     apply_preemption_notice();
-    // From a report under this leader's token on, the agent drops all commands of earlier leaders, so what
-    // the report shows is all there is.
-    if (targets_.tokens.since_leadership_began(heartbeat_.token)) m.reconciled = true;
+    // An agent that has seen this leader's token drops all commands of earlier leaders, so the heartbeat
+    // shows every instance that there is.
+    if (targets_.tokens.is_from_this_leader_or_later(heartbeat_.token)) m.reconciled = true;
 }
 
-// A notice is never put off: a report that came late says too much.
+// A deadline is never moved to a later time: the remaining time in a delayed heartbeat is too long.
 void HeartbeatApplication::apply_preemption_notice() {
     if (!heartbeat_.preemption_notice_s) {
         machine_.preemption_deadline.reset();
@@ -74,24 +75,24 @@
             apply_exited(status);
         } else {
             reported.insert(status.task);
-            apply_reported(status);
+            apply_active(status);
         }
     }
     terminate_unreported(reported);
-    drop_forgotten(reported_exits);
+    drop_forgotten_attempts(reported_exits);
 }
 
-// Proof of exit: the agent says that this attempt has exited.
+// Evidence for the removal of the instance: the agent reports that this attempt has exited.
 void HeartbeatApplication::apply_exited(const protocol::TaskStatus& status) {
     AttemptId id{status.task, status.attempt};
-    if (machine_.exited_tasks.contains(id)) return;
+    if (machine_.exited_attempts.contains(id)) return;
     InstanceEnd end{.machine = machine_.id,
                     .task = status.task,
                     .attempt = status.attempt,
                     .reported = true,
                     .cause = status.cause,
                     .saved = status.saved};
-    ExitedTask exited;
+    ExitedAttempt exited;
     if (auto it = machine_.tasks.find(status.task);
         it != machine_.tasks.end() && it->second.attempt == status.attempt) {
         auto& instance = it->second;
@@ -100,16 +101,18 @@
         end.started = instance.running_since.has_value();
         machine_.tasks.erase(it);
     }
-    exited.outcome_stored = status.cause != ExitCause::done;  // nothing to store for other ends
-    machine_.exited_tasks.emplace(id, exited);
-    if (!exited.outcome_stored) targets_.exited_by_job[status.task.job].insert(machine_.id);
+    exited.outcome_stored = status.cause != ExitCause::done;  // other causes need no stored outcome
+    machine_.exited_attempts.emplace(id, exited);
+    if (!exited.outcome_stored) targets_.machines_with_unstored_exits[status.task.job].insert(machine_.id);
     outcome_.ends.push_back(std::move(end));
 }
 
-// A report from before this leader began is no evidence against what is known from the replica: that holds
-// all there is. Nor is it relied on before the machine has confirmed it: it made a gang that ran elsewhere by
-// now stop when the next report did not show it.
-void HeartbeatApplication::apply_reported(const protocol::TaskStatus& status) {
+// A heartbeat from before this leadership cannot add to what is known from the replica, which holds every
+// instance that may be on the machine. For a machine that is not known from the replica, an instance that
+// only such a heartbeat shows stays unconfirmed until the machine shows it to this leader. When unconfirmed
+// instances were relied on, a gang that ran on other machines by then was stopped because the next heartbeat
+// did not show them.
+void HeartbeatApplication::apply_active(const protocol::TaskStatus& status) {
     auto it = machine_.tasks.find(status.task);
     bool on_record = it != machine_.tasks.end() && it->second.attempt == status.attempt;
     if (machine_.known_from_replica && !machine_.reported_to_this_leader && !on_record) return;
@@ -120,29 +123,31 @@
         instance.placed_at = now_;
         instance.confirmed = machine_.reported_to_this_leader;
         it = machine_.tasks.emplace(status.task, std::move(instance)).first;
-        outcome_.found.push_back({status.task, machine_.id});
+        outcome_.found_instances.push_back({status.task, machine_.id});
     } else if (!on_record) {
-        // Another attempt than the one on record is there; the one reported is what takes up the resources.
+        // The machine runs another attempt than the one on record. The reported attempt holds the resources.
         it->second.attempt = status.attempt;
-        changed_ = true;
+        must_be_replicated_ = true;
     }
     auto& instance = it->second;
     if (machine_.reported_to_this_leader && !std::exchange(instance.confirmed, true))
-        outcome_.found.push_back({status.task, machine_.id});
-    note_progress(instance, status);
+        outcome_.found_instances.push_back({status.task, machine_.id});
+    record_progress(instance, status);
 }
 
-void HeartbeatApplication::note_progress(Instance& instance, const protocol::TaskStatus& status) {
+void HeartbeatApplication::record_progress(Instance& instance, const protocol::TaskStatus& status) {
     instance.ever_reported = instance.in_last_heartbeat = true;
     instance.state = status.state;
     if (status.state == TaskState::fetching) return;
     if (instance.spec && !std::exchange(instance.image_counted, true))
-        machine_.image_cache.use({targets_.images.number(instance.spec->image), instance.spec->image_gb},
-                                 targets_.pools.cache_gb(machine_.type));
+        machine_.image_cache.record_use(
+            {targets_.images.number(instance.spec->image), instance.spec->image_gb},
+            targets_.pools.cache_gb(machine_.type));
     if (status.state != TaskState::waiting && !instance.running_since) instance.running_since = now_;
 }
 
-// What the report does not show, though it is on record.
+// Removes the instances on record that the heartbeat does not show, if this is evidence that they have
+// terminated.
 void HeartbeatApplication::terminate_unreported(const std::set<protocol::TaskId>& reported) {
     for (auto it = machine_.tasks.begin(); it != machine_.tasks.end();) {
         auto& instance = it->second;
@@ -153,23 +158,25 @@
             continue;
         }
         if (heartbeat_.token > instance.run.highest_token) {
-            // Proof: not on the machine, and every `run` for it went out under a token that the agent drops
-            // now.
+            // Evidence: the task is not on the machine, and every `run` for it was sent under a token that
+            // the agent drops now.
             if (instance.confirmed) outcome_.ends.push_back(unreported_end(machine_, it->first, instance));
             it = machine_.tasks.erase(it);
             continue;
         }
-        // Not reported is no proof while a `run` may still arrive. One that is not wanted any more, or that
-        // was there before, is fenced with a higher token; one that is wanted is sent again.
+        // The absence of the task is not evidence while a `run` for it may still arrive. If the instance is
+        // to be stopped, or was on the machine before, a higher token fences that `run`. Otherwise the task
+        // is still to be started, and the reply to a heartbeat repeats its `run`.
         if (instance.stop_requested || instance.ever_reported)
             targets_.tokens.raise(machine_, instance.run.highest_token);
         ++it;
     }
 }
 
-// The agent has forgotten them, as a `forget` command said once their outcome was stored.
-void HeartbeatApplication::drop_forgotten(const std::set<AttemptId>& reported) {
-    std::erase_if(machine_.exited_tasks, [&](auto& entry) {
+// Removes the exited attempts that the agent no longer reports. It forgets them on a `forget` command, which
+// is sent once their outcome is stored.
+void HeartbeatApplication::drop_forgotten_attempts(const std::set<AttemptId>& reported) {
+    std::erase_if(machine_.exited_attempts, [&](auto& entry) {
         return !reported.contains(entry.first) && entry.second.outcome_stored;
     });
 }
--- a/src/cluster/image_cache.cpp
+++ b/src/cluster/image_cache.cpp
@@ -5,23 +5,23 @@
 
 namespace coralhitch::cluster {
 
-void ImageCache::use(const CachedImage& image, double capacity_gb) {
+void ImageCache::record_use(const CachedImage& image, double capacity_gb) {
     std::erase_if(entries_, [&](auto& entry) { return entry.image == image.image; });
     entries_.push_back(image);
-    drop_what_does_not_fit(capacity_gb);
+    evict_to_capacity(capacity_gb);
 }
 
 void ImageCache::restore(std::vector<CachedImage> images, double capacity_gb) {
     if (!entries_.empty()) return;
     entries_ = std::move(images);
-    drop_what_does_not_fit(capacity_gb);
+    evict_to_capacity(capacity_gb);
 }
 
-void ImageCache::drop_what_does_not_fit(double capacity_gb) {
+void ImageCache::evict_to_capacity(double capacity_gb) {
     double left_gb = capacity_gb;
     protocol::ImageIds images;
     std::size_t kept = 0;
-    // The last used is kept in any case: a task runs with it.
+    // The most recently used image is kept even if it is larger than the cache: a task runs with it.
     for (auto entry = entries_.rbegin(); entry != entries_.rend() && (kept == 0 || left_gb >= entry->size_gb);
          ++entry, ++kept) {
         left_gb -= entry->size_gb;
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -90,7 +90,7 @@
 
 protocol::RelayedReply HeartbeatHandler::answer(const protocol::Heartbeat& status,
                                                 const std::string& relay_label, bool may_act) {
-    auto outcome = apply(status, cluster::ReportChannel::heartbeat);
+    auto outcome = apply(status, cluster::HeartbeatChannel::heartbeat);
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(status.machine);
     // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
@@ -202,7 +202,7 @@
 }
 
 cluster::HeartbeatOutcome HeartbeatHandler::apply(const protocol::Heartbeat& status,
-                                                  cluster::ReportChannel via) {
+                                                  cluster::HeartbeatChannel via) {
     auto outcome = apply_to_state(status, via);
     if (outcome.is_deposed()) {
         auto fencing_token = cluster::FencingTokens::leadership_version(status.token);
@@ -214,7 +214,7 @@
     }
     parts_.recovery.check_reconciled();
     parts_.start_replication.replicate_changes();
-    if (outcome.ends.empty() && outcome.found.empty()) return outcome;
+    if (outcome.ends.empty() && outcome.found_instances.empty()) return outcome;
     parts_.commands.flush_all();
     if (parts_.recovery.loaded()) hooks_.request_job_store();
     hooks_.request_plan();
@@ -222,10 +222,10 @@
 }
 
 cluster::HeartbeatOutcome HeartbeatHandler::apply_to_state(const protocol::Heartbeat& status,
-                                                           cluster::ReportChannel via) {
+                                                           cluster::HeartbeatChannel via) {
     std::lock_guard lock(state_.mutex);
     auto* before = state_.cluster.find(status.machine);
-    if (before && before->life == Machine::Life::booting)
+    if (before && before->lifecycle == Machine::Lifecycle::booting)
         parts_.failure_detector.record_boot(parts_.supervisor.boot_times(*before));
     auto job_spec = [this](const std::string& job_id) -> cluster::JobSpec {
         auto* job = state_.jobs.find(job_id);
@@ -233,7 +233,8 @@
     };
     auto outcome = state_.cluster.apply_heartbeat(status, via, now(), job_spec);
     for (auto& end : outcome.ends) parts_.instances.instance_ended(end);
-    for (auto& [task, machine_id] : outcome.found) parts_.instances.instance_found(task, machine_id);
+    for (auto& [task, machine_id] : outcome.found_instances)
+        parts_.instances.instance_found(task, machine_id);
     auto* machine = state_.cluster.find(status.machine);
     if (!machine || !outcome.is_newer()) return outcome;
     parts_.machine_store.store_if_new(*machine);
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -39,7 +39,7 @@
     double recently_s = settings_.heartbeat_interval_s * settings_.op.suspicion_timeout_periods;
     auto last_answer_at = parts_.commands.last_answer_at();
     parts_.failure_detector.observe(checked.observations,
-                                    {parts_.reconciliation.overloaded(checked.at),
+                                    {parts_.reconciliation.is_overloaded(checked.at),
                                      last_answer_at && checked.at - *last_answer_at < recently_s},
                                     checked.at);
     if (resigns_if_isolated()) return false;
@@ -53,7 +53,7 @@
     Checked checked;
     checked.at = now();
     for (auto& [id, machine] : state_.cluster.machines()) {
-        if (machine.life != Machine::Life::up) continue;
+        if (machine.lifecycle != Machine::Lifecycle::up) continue;
         checked.machines.push_back(&machine);
         checked.observations.push_back(observe(machine, checked.at));
     }
@@ -127,8 +127,8 @@
 
 void MachineSupervisor::check_booting_and_marked(double at, bool may_evict) {
     for (auto& [id, machine] : state_.cluster.machines()) {
-        if (machine.life == Machine::Life::marked_for_deletion) check_lease(machine);
-        if (machine.life != Machine::Life::booting || !may_evict ||
+        if (machine.lifecycle == Machine::Lifecycle::marked_for_deletion) check_lease(machine);
+        if (machine.lifecycle != Machine::Lifecycle::booting || !may_evict ||
             !parts_.failure_detector.boot_overdue(boot_times(machine), state_.zone_of(machine), at))
             continue;
         std::lock_guard lock(state_.mutex);
@@ -147,7 +147,7 @@
     // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
     // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
     // until its lease had expired, and nothing was placed meanwhile.
-    bool awaits_answer = machine.reconciled && machine.probing && !lease_expired;
+    bool awaits_answer = machine.reconciled && machine.probe_pending && !lease_expired;
     if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
         std::lock_guard lock(state_.mutex);
         parts_.failure_detector.record_eviction(observation, now());
@@ -189,7 +189,7 @@
 
 bool MachineSupervisor::is_outbound_unreachable(const Machine& machine) const {
     return !machine.reconciled && machine.reachability.outbound_unreachable() &&
-           now() > machine.lease_renewed_at && !parts_.reconciliation.overloaded(now());
+           now() > machine.lease_renewed_at && !parts_.reconciliation.is_overloaded(now());
 }
 
 double MachineSupervisor::boot_times(const Machine& machine) const {
@@ -224,11 +224,11 @@
 std::map<std::string, double> MachineSupervisor::suspected() const {
     std::map<std::string, double> silent_s;
     for (auto& [id, machine] : state_.cluster.machines()) {
-        if (machine.life != Machine::Life::up) continue;
+        if (machine.lifecycle != Machine::Lifecycle::up) continue;
         double since_heartbeat = now() - machine.last_heartbeat_at;
         if (machine.suspected ||
             (!machine.reconciled && since_heartbeat > settings_.heartbeat_interval_s / 2))
-            silent_s.emplace(id, since_heartbeat + machine.silence_hint_s);
+            silent_s.emplace(id, since_heartbeat + machine.inherited_silence_s);
     }
     return silent_s;
 }
--- a/tests/cluster/inherited_tasks_test.cpp
+++ b/tests/cluster/inherited_tasks_test.cpp
@@ -1,4 +1,4 @@
-// Tasks that a new leader knows from its replica only.
+// Tests tasks that a new leader knows only from its replica.
 #include <gtest/gtest.h>
 
 #include "cluster/cluster_state.hpp"
@@ -7,8 +7,10 @@
 namespace coralhitch::cluster {
 namespace {
 
-// What the leader before knew stays on the machine until a report under the new token shows otherwise.
-TEST(ClusterState, KeepsInheritedTasksUntilProvenEnded) {
+// A task that the previous leader replicated stays on record until there is evidence that it has terminated.
+// A heartbeat without the task is evidence only under the new leader's token, because a `run` of the previous
+// leader may still arrive before.
+TEST(ClusterState, KeepsInheritedTasksUntilEvidenceOfTermination) {
     struct Case {
         const char* name;
         std::uint64_t agent_epoch;
@@ -16,41 +18,43 @@
         bool shown;
         std::size_t left, ends;
     };
-    const protocol::FencingToken mine{7ull << ClusterState::token_bits}, before{mine.value() - 5};
+    const protocol::FencingToken first_token{7ull << ClusterState::token_bits},
+        earlier_token{first_token.value() - 5};
     const Case cases[] = {
-        {"a report from before the takeover does not show it: its `run` may come yet", 3, before, false, 1,
-         0},
-        {"one under the new token does not show it", 3, mine, false, 0, 1},
-        {"one under the new token shows it", 3, mine, true, 1, 0},
-        {"a later session: all of the old one was killed", 4, before, false, 0, 1},
-        {"a report of an earlier session came late", 2, mine, false, 1, 0},
+        {"a heartbeat from before the failover does not show it: its `run` may still arrive", 3,
+         earlier_token, false, 1, 0},
+        {"a heartbeat under the new token does not show it", 3, first_token, false, 0, 1},
+        {"a heartbeat under the new token shows it", 3, first_token, true, 1, 0},
+        {"a later agent epoch: all tasks of the old one were killed", 4, earlier_token, false, 0, 1},
+        {"a delayed heartbeat of an earlier agent epoch", 2, first_token, false, 1, 0},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         std::vector<protocol::MachineType> types;
-        ClusterState p(protocol::LeaderVersion{7}, types);
-        auto& m = p.add("vm-1", "a:1", "g", "z", false, Machine::Life::up, 0);
-        m.known_from_replica = true;
-        m.registration = Machine::Registration::stored;
-        m.agent_epoch = protocol::AgentEpoch{3};
+        ClusterState cluster_state(protocol::LeaderVersion{7}, types);
+        auto& machine = cluster_state.add("vm-1", "a:1", "g", "z", false, Machine::Lifecycle::up, 0);
+        machine.known_from_replica = true;
+        machine.registration = Machine::Registration::stored;
+        machine.agent_epoch = protocol::AgentEpoch{3};
         auto spec = std::make_shared<protocol::Job>();
         spec->id = "j-1";
-        p.place_from_replica(m, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
-        protocol::Heartbeat r;
-        r.machine = "vm-1";
-        r.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
-        r.sequence = protocol::SequenceNumber{20};
-        r.token = c.token;
+        cluster_state.place_from_replica(machine, {"j-1", 0}, spec, protocol::AttemptNumber{11}, 0);
+        protocol::Heartbeat heartbeat;
+        heartbeat.machine = "vm-1";
+        heartbeat.agent_epoch = protocol::AgentEpoch{c.agent_epoch};
+        heartbeat.sequence = protocol::SequenceNumber{20};
+        heartbeat.token = c.token;
         if (c.shown)
-            r.tasks.push_back({{"j-1", 0},
-                               protocol::AttemptNumber{11},
-                               protocol::TaskState::running,
-                               protocol::ExitCause::none,
-                               false});
-        auto heard = p.apply_heartbeat(r, ReportChannel::heartbeat, 1, [&](auto&) { return spec; });
-        EXPECT_EQ(m.tasks.size(), c.left);
-        EXPECT_EQ(heard.ends.size(), c.ends);
-        EXPECT_TRUE(heard.found.empty());
+            heartbeat.tasks.push_back({{"j-1", 0},
+                                       protocol::AttemptNumber{11},
+                                       protocol::TaskState::running,
+                                       protocol::ExitCause::none,
+                                       false});
+        auto outcome = cluster_state.apply_heartbeat(heartbeat, HeartbeatChannel::heartbeat, 1,
+                                                     [&](auto&) { return spec; });
+        EXPECT_EQ(machine.tasks.size(), c.left);
+        EXPECT_EQ(outcome.ends.size(), c.ends);
+        EXPECT_TRUE(outcome.found_instances.empty());
     }
 }
 
