--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -47,7 +47,7 @@
     // To be called each tick: controllers that do not follow yet may begin to.
     void tick() { sender_.tick(); }
     void controller_restarted(const std::string& label, protocol::Incarnation incarnation) {
-        sender_.follower_restarted(label, incarnation);
+        sender_.handle_follower_restart(label, incarnation);
     }
     [[nodiscard]] const replication::ReplicationSender& sender() const { return sender_; }
 
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -89,7 +89,7 @@
 
 // A new process gets its snapshot at once, without backoff: it can be in sync again long before a failing one
 // would be retried.
-void ReplicationSender::follower_restarted(const std::string& label, protocol::Incarnation incarnation) {
+void ReplicationSender::handle_follower_restart(const std::string& label, protocol::Incarnation incarnation) {
     auto it = sessions_.find(label);
     if (!record_.started() || it == sessions_.end() || it->second.incarnation() == incarnation) return;
     auto& session = it->second;
@@ -188,7 +188,7 @@
         answer = protocol::unpack_peer<protocol::ReplicationResponse>(response->body);
     if (!answer) return handle_no_answer(session, batch);
     if (session.incarnation().is_set() && answer->incarnation != session.incarnation())
-        return follower_restarted(session.peer().label, answer->incarnation);
+        return handle_follower_restart(session.peer().label, answer->incarnation);
     if (!answer->applied) return handle_rejection(session, *answer);
     handle_acknowledgement(session, batch, *answer);
 }
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -57,7 +57,7 @@
     // proof; the followers it names continue their replicas.
     void start(std::uint64_t record_version, const std::optional<protocol::InSyncReplicas>& inherited);
     // The controller is now another process.
-    void follower_restarted(const std::string& label, protocol::Incarnation incarnation);
+    void handle_follower_restart(const std::string& label, protocol::Incarnation incarnation);
     // A machine has changed, and is sent within a tenth of a report period.
     void machine_changed(const std::string& machine);
     // Index of the last change.
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -207,7 +207,7 @@
         b.followers.at("x").follower = Follower(protocol::Incarnation{11});
         b.ping("x", 11);
         if (says_so)
-            b.sender.follower_restarted("x", protocol::Incarnation{11});
+            b.sender.handle_follower_restart("x", protocol::Incarnation{11});
         else
             b.start("vm-1");  // the answer shows it
         b.timers.run_until(1.2);
