--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -34,7 +34,7 @@
         changed = state_.cluster.take_machines_to_replicate();
     }
     if (!settings_.op.replicate_starts) return;
-    for (auto& machine_id : changed) sender_.machine_changed(machine_id);
+    for (auto& machine_id : changed) sender_.record_machine_change(machine_id);
 }
 
 void StartReplication::hold(const std::string& machine_id, const protocol::TaskId& task) {
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -121,7 +121,7 @@
 
 // --- Changes --------------------------------------------------------------------------------------------
 
-void ReplicationSender::machine_changed(const std::string& machine) {
+void ReplicationSender::record_machine_change(const std::string& machine) {
     ++log_index_;
     for (auto& [label, session] : sessions_) session.enqueue(machine, log_index_);
     schedule_send();
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -59,7 +59,7 @@
     // The controller is now another process.
     void handle_follower_restart(const std::string& label, protocol::Incarnation incarnation);
     // A machine has changed, and is sent within a tenth of a report period.
-    void machine_changed(const std::string& machine);
+    void record_machine_change(const std::string& machine);
     // Index of the last change.
     [[nodiscard]] std::uint64_t log_index() const { return log_index_; }
     // Whether starts that are part of the changes up to this index may be sent.
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -88,7 +88,7 @@
          [this](const std::string& label) { return &pings[label]; }, [] {}}};
     std::uint64_t start(const std::string& id) {
         ++machines[id];
-        sender.machine_changed(id);
+        sender.record_machine_change(id);
         sender.flush();
         return sender.log_index();
     }
