--- a/src/failover/recovery_loader.cpp
+++ b/src/failover/recovery_loader.cpp
@@ -55,7 +55,8 @@
 
 // Which leaders there were since this controller's watch of the leader key last reported.
 void RecoveryLoader::read_leader_history() {
-    kv_.watch(keys::leader, evidence_.chain.known_until_revision, 0, guarded_([this](kv::WatchResult result) {
+    kv_.watch(keys::leader, evidence_.history_before_claim.known_until_revision, 0,
+              guarded_([this](kv::WatchResult result) {
                   if (!result.ok() && !result.compacted()) return retry_later();
                   evidence_.history_complete = result.ok();
                   evidence_.later_leaders.clear();
--- a/src/failover/recovery_loader.hpp
+++ b/src/failover/recovery_loader.hpp
@@ -30,8 +30,8 @@
 class RecoveryLoader {
   public:
     using LoadedCallback = std::function<void(RecoveredState)>;
-    // `evidence` as known before the claim: label, incarnation, leader version, chain and replica. The rest
-    // is read. All references must outlive the loader; destroying it cancels the callback.
+    // `evidence` as known before the claim: label, incarnation, leader version, history_before_claim and
+    // replica. The rest is read. All references must outlive the loader; destroying it cancels the callback.
     RecoveryLoader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
                    FailoverSteps& steps, replication::ReplicaEvidence evidence, LoadedCallback on_loaded);
     // Call once. Failed reads are retried from the beginning until all succeed.
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -20,7 +20,7 @@
     evidence.label = dependencies.settings.label;
     evidence.incarnation = dependencies.incarnation;
     evidence.leader_version = version;
-    evidence.chain = dependencies.election.history_before_claim();
+    evidence.history_before_claim = dependencies.election.history_before_claim();
     evidence.replica = &dependencies.replica;
     return evidence;
 }
--- a/src/replication/eligibility_checks.cpp
+++ b/src/replication/eligibility_checks.cpp
@@ -36,7 +36,7 @@
 }
 
 bool leaders_since_record_known(const ReplicaEvidence& evidence) {
-    auto& links = evidence.chain.leaderships;
+    auto& links = evidence.history_before_claim.leaderships;
     return evidence.history_complete && std::any_of(links.begin(), links.end(), [&](auto& link) {
                return link.version == evidence.record->leader_version;
            });
@@ -48,7 +48,8 @@
     auto harmless = [&](auto& link) {
         return link.version <= evidence.record->leader_version || link.stores_in_sync_replicas;
     };
-    return std::all_of(evidence.chain.leaderships.begin(), evidence.chain.leaderships.end(), harmless) &&
+    return std::all_of(evidence.history_before_claim.leaderships.begin(),
+                       evidence.history_before_claim.leaderships.end(), harmless) &&
            std::all_of(evidence.later_leaders.begin(), evidence.later_leaders.end(), harmless);
 }
 
--- a/src/replication/eligibility_checks.hpp
+++ b/src/replication/eligibility_checks.hpp
@@ -14,16 +14,16 @@
 
 namespace coralhitch::replication {
 
-// What the checks go by. All of it is read after the claim, except `replica` and `chain`.
+// What the checks go by. All of it is read after the claim, except `replica` and `history_before_claim`.
 struct ReplicaEvidence {
-    std::string label;                               // of this controller
-    protocol::Incarnation incarnation;               // of this process
-    protocol::LeaderVersion leader_version;          // of the leadership that was claimed
-    std::optional<protocol::InSyncReplicas> record;  // the stored record of in-sync replicas
-    election::LeadershipHistory chain;               // leaderships seen before the claim
-    bool history_complete = false;                   // whether `later_leaders` leaves none out
+    std::string label;                                 // of this controller
+    protocol::Incarnation incarnation;                 // of this process
+    protocol::LeaderVersion leader_version;            // of the leadership that was claimed
+    std::optional<protocol::InSyncReplicas> record;    // the stored record of in-sync replicas
+    election::LeadershipHistory history_before_claim;  // leaderships seen before the claim
+    bool history_complete = false;                     // whether `later_leaders` leaves none out
     std::vector<election::ObservedLeadership>
-        later_leaders;                      // after `chain` and up to the claim, own one left out
+        later_leaders;  // after `history_before_claim` and up to the claim, own one left out
     const ReplicaState* replica = nullptr;  // not owned
 };
 
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -37,7 +37,7 @@
         evidence.label = settings.label;
         evidence.incarnation = protocol::Incarnation{own_incarnation};
         evidence.leader_version = authority->fencing_token();
-        evidence.chain = history;
+        evidence.history_before_claim = history;
         evidence.replica = &replica;
         recovery.emplace(
             *context, kv, evidence,
--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -76,17 +76,17 @@
          [](ReplicaEvidence& e) { e.history_complete = false; }, false},
         {"it was away, and saw only a later leader",
          [](ReplicaEvidence& e) {
-             e.chain.leaderships = {{LeaderVersion{30}, true}};
+             e.history_before_claim.leaderships = {{LeaderVersion{30}, true}};
          },
          false},
         {"a leader that keeps a record won and ended before it started anything",
          [](ReplicaEvidence& e) {
-             e.chain.leaderships.push_back({LeaderVersion{30}, true});
+             e.history_before_claim.leaderships.push_back({LeaderVersion{30}, true});
          },
          true},
         {"an old version led in between",
          [](ReplicaEvidence& e) {
-             e.chain.leaderships.push_back({LeaderVersion{30}, false});
+             e.history_before_claim.leaderships.push_back({LeaderVersion{30}, false});
          },
          false},
         {"an old version led in between, found after the claim",
