--- a/src/replication/follower_session.hpp
+++ b/src/replication/follower_session.hpp
@@ -57,7 +57,7 @@
     [[nodiscard]] bool is_current(std::uint64_t session) const { return session == session_; }
 
     // The batch in flight was answered, or failed.
-    void batch_finished() { in_flight_ = false; }
+    void finish_batch() { in_flight_ = false; }
     // It failed: its machines are sent again before all others.
     void requeue(const Batch& batch);
     // The follower has applied it. `leader_version`: of this leadership.
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -182,7 +182,7 @@
 void ReplicationSender::handle_answer(FollowerSession& session, const FollowerSession::Batch& batch,
                                       const std::optional<http::Response>& response) {
     if (!session.is_current(batch.session)) return;
-    session.batch_finished();
+    session.finish_batch();
     std::optional<protocol::ReplicationResponse> answer;
     if (response && response->status == 200)
         answer = protocol::unpack_peer<protocol::ReplicationResponse>(response->body);
--- a/tests/replication/follower_session_test.cpp
+++ b/tests/replication/follower_session_test.cpp
@@ -23,12 +23,12 @@
     auto batch = session.next_batch(1, 5, 10);
     EXPECT_EQ(batch.machines, std::vector<std::string>{"vm-1"});
     EXPECT_FALSE(session.ready_to_send()) << "one batch at a time";
-    session.batch_finished();
+    session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     EXPECT_FALSE(session.snapshot_acknowledged());
     EXPECT_EQ(session.acknowledged(), 0u) << "no change counts before all machines were sent";
     batch = session.next_batch(1, 5, 11);
-    session.batch_finished();
+    session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     ASSERT_TRUE(session.snapshot_acknowledged());
     session.set_in_sync(11);
@@ -47,17 +47,17 @@
     session.enqueue("vm-2", 2);
     auto batch = session.next_batch(no_limit, 2, 0);
     session.enqueue("vm-1", 3);
-    session.batch_finished();
+    session.finish_batch();
     session.requeue(batch);  // it failed: both are sent again, vm-1 once
     EXPECT_EQ(session.queue_size(), 2u);
     batch = session.next_batch(1, 3, 1);
     EXPECT_EQ(batch.last_index, 0u) << "the other machine is still to be sent";
-    session.batch_finished();
+    session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     EXPECT_EQ(session.acknowledged(), 0u);
     batch = session.next_batch(no_limit, 3, 2);
     session.enqueue("vm-1", 4);
-    session.batch_finished();
+    session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     EXPECT_EQ(session.acknowledged(), 3u);
     EXPECT_EQ(session.queue_size(), 1u);
