--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -6,7 +6,8 @@
 
 bool Follower::outdated(const protocol::ReplicationRequest& batch) const {
     return batch.leader_version < replica_.leader_version ||
-           (batch.leader_version == replica_.leader_version && batch.sequence_number <= replica_.last_batch);
+           (batch.leader_version == replica_.leader_version &&
+            batch.sequence_number <= replica_.last_batch_number);
 }
 
 // Turns to a later leadership: it continues this replica, or begins a new one. False if it means to continue
@@ -22,7 +23,7 @@
 protocol::ReplicationResponse Follower::apply(protocol::ReplicationRequest batch) {
     if (outdated(batch) || (batch.leader_version > replica_.leader_version && !follow_leader(batch)))
         return {false, incarnation_, replica_.base_version};
-    replica_.last_batch = batch.sequence_number;
+    replica_.last_batch_number = batch.sequence_number;
     replica_.complete |= batch.snapshot_complete;
     for (auto& row : batch.rows) {
         if (row.deleted) {
--- a/src/replication/replica_state.hpp
+++ b/src/replication/replica_state.hpp
@@ -14,7 +14,7 @@
 
 struct ReplicaState {
     protocol::LeaderVersion leader_version;  // of the leadership that sent it; none: nothing has come
-    std::uint64_t last_batch = 0;            // number of the last batch applied
+    std::uint64_t last_batch_number = 0;     // number of the last batch applied
     protocol::LeaderVersion base_version;    // the leadership whose snapshot it began from
     bool complete = false;                   // the leadership of `leader_version` has sent all its machines
     std::unordered_map<std::string, protocol::ReplicatedMachine> machines;  // by id
