--- a/src/relay/delegation_table.cpp
+++ b/src/relay/delegation_table.cpp
@@ -4,7 +4,7 @@
 
 namespace coralhitch::relay {
 
-void DelegationTable::reset(const std::string& relay_label, ReportRelay& relay,
+void DelegationTable::reset(const std::string& relay_label, RelayState& relay,
                             protocol::Incarnation incarnation, const ReturnedCallback& returned) {
     relay.incarnation = incarnation;
     relay.last_message = 0;
--- a/src/relay/delegation_table.hpp
+++ b/src/relay/delegation_table.hpp
@@ -60,17 +60,17 @@
         std::uint64_t first_message;  // carried by the answers to this and all later messages
         std::string machine;
     };
-    struct ReportRelay {
+    struct RelayState {
         protocol::Incarnation incarnation;
         std::uint64_t last_message = 0;
         std::optional<double> delegation_expiry;  // nothing until the first extension
         std::size_t machines = 0;
         std::deque<Revocation> revocations;  // not acknowledged, oldest first
     };
-    void reset(const std::string& relay_label, ReportRelay& relay, protocol::Incarnation incarnation,
+    void reset(const std::string& relay_label, RelayState& relay, protocol::Incarnation incarnation,
                const ReturnedCallback& returned);
 
-    std::map<std::string, ReportRelay> relays_;                    // by label
+    std::map<std::string, RelayState> relays_;                     // by label
     std::unordered_map<std::string, std::string> machine_relays_;  // machine to relay label
 };
 
