--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -210,7 +210,7 @@
                     static_cast<double>(missed + evicted) > share(up + evicted, mass_silence_share);
     bool many = static_cast<double>(suspicion.missed_heartbeats.size() + evicted) >
                 share(whole_fleet, mass_silence_share);
-    if (!leader_.behind && (suspicion.isolated || third_missing || many))
+    if (!leader_.overloaded && (suspicion.isolated || third_missing || many))
         self_suspicion_ = std::move(suspicion);
 }
 
@@ -234,7 +234,7 @@
 // --- Evaluation -----------------------------------------------------------------------------------------
 
 bool FailureDetector::may_evict() const {
-    return !leader_.behind &&
+    return !leader_.overloaded &&
            (!self_suspicion_ ||
             (seen_by_peers_ && *seen_by_peers_ * 2 < self_suspicion_->missed_heartbeats.size()));
 }
--- a/src/membership/observation.hpp
+++ b/src/membership/observation.hpp
@@ -26,7 +26,7 @@
 
 // What the leader knows of itself.
 struct LeaderCondition {
-    bool behind = false;           // it has not the processor time to read heartbeats as they come
+    bool overloaded = false;       // it has not the processor time to read heartbeats as they come
     bool probes_answered = false;  // a machine answered a direct probe lately
 };
 
