--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -81,7 +81,7 @@
     auto fleet = count_by_zone(machines);
     find_unreachable_zones(now);
     find_lost_routes(machines, now);
-    learn_from_returns(machines, now);
+    record_ended_silences(machines, now);
     update_self_suspicion(machines, fleet);
 }
 
@@ -162,7 +162,7 @@
 }
 
 // Silences of single machines. One that is over tells how long such take.
-void FailureDetector::learn_from_returns(std::span<const Observation> machines, double now) {
+void FailureDetector::record_ended_silences(std::span<const Observation> machines, double now) {
     history_.drop_expired(now);
     std::map<std::string, double, std::less<>> silent;
     for (auto& machine : machines) {
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -101,7 +101,7 @@
     FleetCounts count_by_zone(std::span<const Observation> machines);
     void find_unreachable_zones(double now);
     void find_lost_routes(std::span<const Observation> machines, double now);
-    void learn_from_returns(std::span<const Observation> machines, double now);
+    void record_ended_silences(std::span<const Observation> machines, double now);
     void update_self_suspicion(std::span<const Observation> machines, const FleetCounts& fleet);
 
     [[nodiscard]] double unreconciled_timeout_s() const;
