--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -203,14 +203,15 @@
                 suspicion.missed_heartbeats.emplace(machine.id, machine.silence_s);
     // That a third is silent shows in what is missing before a third has missed a heartbeat: the first that
     // became due used to be deleted, a tenth of the fleet, before their leader began to suspect itself.
-    bool third_missing = silence_is_new && up >= min_isolated_fleet &&
-                         static_cast<double>(recent) <
-                             share(up, recent_s_ / limits_.heartbeat_interval_s * (1 - mass_silence_share));
-    mass_silence_ = suspicion.isolated || third_missing ||
+    bool mass_silence_likely =
+        silence_is_new && up >= min_isolated_fleet &&
+        static_cast<double>(recent) <
+            share(up, recent_s_ / limits_.heartbeat_interval_s * (1 - mass_silence_share));
+    mass_silence_ = suspicion.isolated || mass_silence_likely ||
                     static_cast<double>(missed + evicted) > share(up + evicted, mass_silence_share);
     bool many = static_cast<double>(suspicion.missed_heartbeats.size() + evicted) >
                 share(whole_fleet, mass_silence_share);
-    if (!leader_.overloaded && (suspicion.isolated || third_missing || many))
+    if (!leader_.overloaded && (suspicion.isolated || mass_silence_likely || many))
         self_suspicion_ = std::move(suspicion);
 }
 
