--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -63,7 +63,7 @@
     FakeTimers& timers_;
 };
 
-struct Bench {
+struct ElectionFixture {
     FakeTimers timers;
     FakeLeaderKeyStore service{timers};
     config::Settings settings = [] {
@@ -91,7 +91,7 @@
 };
 
 TEST(Election, ClaimsAnAbsentKeyAndTakesItsVersionAsToken) {
-    Bench b;
+    ElectionFixture b;
     b.start();
     b.timers.run_until(1);
     EXPECT_TRUE(b.election.may_act());
@@ -99,7 +99,7 @@
     EXPECT_EQ(b.won, 1);
 }
 TEST(Election, ReadsTheKeyWhenTheAnswerToItsClaimIsLost) {
-    Bench b;
+    ElectionFixture b;
     b.service.lose_txn_answer = true;  // executed, but not answered
     b.start();
     b.timers.run_until(5);
@@ -109,7 +109,7 @@
 }
 TEST(Election, MayActForTheLeaseFromTheSendingOfItsLastRenewal) {
     for (bool lost : {true, false}) {
-        Bench b;
+        ElectionFixture b;
         b.start();
         b.timers.run_until(1);
         (lost ? b.service.lose_renewals : b.service.refuse) = true;
@@ -123,7 +123,7 @@
     }
 }
 TEST(Election, LosesLeadershipWithItsLeaseAndWinsWithAHigherToken) {
-    Bench b;
+    ElectionFixture b;
     b.start();
     b.timers.run_until(1);
     auto first = b.election.fencing_token();
@@ -134,7 +134,7 @@
     EXPECT_GT(b.election.fencing_token(), first);
 }
 TEST(Election, FollowsTheLeaderWithTheNewestToken) {
-    Bench b;
+    ElectionFixture b;
     b.held_by("berth-1");
     b.start();
     b.timers.run_until(1);
@@ -148,7 +148,7 @@
 // A leader that is cut off from the key-value store learns of its successor from an agent's token.
 TEST(Election, StepsDownOnProofOfALaterLeadership) {
     for (auto [ahead, lost] : {std::pair(0, 0), {1, 1}}) {
-        Bench b;
+        ElectionFixture b;
         b.start();
         b.timers.run_until(1);
         b.service.refuse = true;
@@ -161,7 +161,7 @@
 // A controller that is cut off from the agents defers to one that receives their heartbeats, but not for
 // ever: that one may be unable to lead.
 TEST(Election, DefersForABoundedTime) {
-    Bench b;
+    ElectionFixture b;
     bool defer = true;
     b.election.start({[&](protocol::LeaderVersion) { ++b.won; }, [] {}, [&] { return defer; }});
     b.timers.run_until(b.election.lease_ttl_s() * 0.9);
@@ -172,7 +172,7 @@
 // While a version is rolled out, controllers that run the new one already must win against the old ones,
 // which read the key before they claim it.
 TEST(Election, ClaimsWithoutAReadWhenTheWatchReportsTheDeletion) {
-    Bench b;
+    ElectionFixture b;
     b.held_by("berth-1");
     b.service.lease_ends_at = 2;
     b.start();
@@ -183,7 +183,7 @@
     EXPECT_EQ(b.service.reads, reads);
 }
 TEST(Election, EndsTheLeaseOfItsPreviousIncarnation) {
-    Bench b;
+    ElectionFixture b;
     b.held_by("berth-0");
     b.start();
     b.timers.run_until(3);
