--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -24,13 +24,13 @@
     return {id, true, false, protocol::AgentEpoch{agent_epoch}, protocol::SequenceNumber::none(), {}};
 }
 
-struct Bench {
+struct SenderFixture {
     static config::Settings settings_for() {
         auto s = settings_of({.heartbeat_interval_s = 4, .lease_s = 30, .txn_ops = 8});
         s.peers = {{"x", "a", "x:1"}, {"y", "b", "y:1"}};
         return s;
     }
-    Bench() {
+    SenderFixture() {
         spdlog::set_level(spdlog::level::off);
         ping("x", 1);
         ping("y", 2);
@@ -95,7 +95,7 @@
 };
 
 TEST(ReplicationSender, HoldsStartsUntilAllRecordedFollowersAcknowledge) {
-    Bench b;
+    SenderFixture b;
     b.followers.at("y").silent = true;
     b.sender.start(0, std::nullopt);
     EXPECT_FALSE(b.sender.replicated(b.start("vm-1")));  // an earlier record may still stand
@@ -126,7 +126,7 @@
     for (auto fate : {FakeKeyValueStore::TxnFate::answer_lost, FakeKeyValueStore::TxnFate::executed_late,
                       FakeKeyValueStore::TxnFate::never_executed}) {
         SCOPED_TRACE(static_cast<int>(fate));
-        Bench b;
+        SenderFixture b;
         b.followers.at("y").silent = true;
         b.service.txn_fates = {FakeKeyValueStore::TxnFate::answered, fate};  // the first names nobody
         b.sender.start(0, std::nullopt);
@@ -161,7 +161,7 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        Bench b;
+        SenderFixture b;
         b.ping("x", c.incarnation);
         b.pings["x"].features = c.features;
         auto& f = b.followers.at("x").follower = Follower(protocol::Incarnation{c.incarnation});
@@ -200,7 +200,7 @@
 TEST(ReplicationSender, SendsASnapshotToARestartedFollowerAtOnce) {
     for (bool says_so : {true, false}) {
         SCOPED_TRACE(says_so);
-        Bench b;
+        SenderFixture b;
         b.followers.at("y").silent = true;
         b.sender.start(0, std::nullopt);
         b.timers.run_until(1);
@@ -224,7 +224,7 @@
     std::size_t sent = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         SCOPED_TRACE(seed);
-        Bench b;
+        SenderFixture b;
         std::mt19937_64 random(seed);
         for (int k = 0; k < 700; ++k) b.machines["vm-" + std::to_string(1000 + k)] = 1;
         b.sender.start(0, std::nullopt);
