--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -10,8 +10,8 @@
             batch.sequence_number <= replica_.last_batch_number);
 }
 
-// Turns to a later leadership: it continues this replica, or begins a new one. False if it means to continue
-// another replica.
+// Switches to a later leadership, which either continues this replica or begins a new one. Returns false and
+// changes nothing if the batch continues a replica other than this one.
 bool Follower::follow_leader(const protocol::ReplicationRequest& batch) {
     if (batch.base_version.is_set() && batch.base_version != replica_.base_version) return false;
     if (!batch.base_version.is_set())
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -10,13 +10,14 @@
 
 namespace coralhitch::replication {
 
+// Holds this controller's replica and decides which batches may change it.
 class Follower {
   public:
-    // `incarnation`: of this process.
+    // `incarnation` identifies this process.
     explicit Follower(protocol::Incarnation incarnation) : incarnation_(incarnation) {}
-    // Applies a batch. Rejected (`taken` false in the answer) is a batch of an earlier leadership or one that
-    // arrives after a later batch: it was delayed, and its contents may be outdated. So is one that continues
-    // another replica than this one.
+    // Applies a batch, or rejects it (`applied` is false in the response). A batch of an earlier leadership,
+    // or one that arrives after a later batch, is rejected because it was delayed and its contents may be
+    // outdated. A batch that continues a replica other than this one is rejected as well.
     protocol::ReplicationResponse apply(protocol::ReplicationRequest batch);
     [[nodiscard]] const ReplicaState& replica() const { return replica_; }
 
--- a/src/replication/follower_session.cpp
+++ b/src/replication/follower_session.cpp
@@ -16,7 +16,8 @@
     queue_.clear();
     queued_machines_.clear();
     ++session_;
-    for (auto& machine : machines) enqueue(machine, 1);  // no change counts before the snapshot is complete
+    // Log index 1 keeps `acknowledged_` at 0 until the whole snapshot is acknowledged.
+    for (auto& machine : machines) enqueue(machine, 1);
 }
 
 void FollowerSession::resume(const Member& member, double now) {
@@ -64,8 +65,9 @@
     return batch;
 }
 
-// The batch was not applied, as far as is known. A machine that has changed once more meanwhile stands
-// further back in the queue; left there, its earlier change would be acknowledged too early.
+// It is not known whether the follower applied the batch. A machine of the batch that has changed again since
+// is also further back in the queue. That later entry is removed: the queue holds each machine once, and the
+// earlier change must not count as acknowledged before the machine is sent again.
 void FollowerSession::requeue(const Batch& batch) {
     announce_complete_ = in_sync();
     std::unordered_set<std::string_view> repeated(batch.machines.begin(), batch.machines.end());
--- a/src/replication/in_sync_record.cpp
+++ b/src/replication/in_sync_record.cpp
@@ -11,7 +11,7 @@
 
 namespace coralhitch::replication {
 namespace {
-constexpr double retry_periods = 1.0 / 40;  // in report periods
+constexpr double retry_heartbeat_periods = 1.0 / 40;  // delay before a failed write or read is retried
 }  // namespace
 
 InSyncRecord::InSyncRecord(event_loop::Timers& timers, const config::Settings& settings, kv::KvClient& kv,
@@ -32,12 +32,12 @@
                                                      [&](auto& member) { return member.label == label; });
 }
 
-// One write at a time, each on the version last read, so that an unanswered one that is executed late cannot
-// name a follower that was removed since.
+// Only one write is under way at a time, and each is conditional on the record's last known version. An
+// unanswered write that the store executes late therefore cannot restore a follower that was removed since.
 void InSyncRecord::update() {
     if (busy_ || !started_) return;
     auto members = callbacks_.in_sync_members();
-    // Names of an unanswered write count until another write, on the version after it, is confirmed.
+    // Followers named by an unanswered write count as recorded until a later write is confirmed.
     if (owned_ && members == confirmed_ && attempted_.empty()) return;
     auto txn = callbacks_.begin_txn();
     if (!txn) return retry_later();
@@ -46,7 +46,7 @@
                             protocol::stored(protocol::InSyncReplicas{leader_version_, members}), 0});
     for (auto& member : members) attempted_.insert(member.label);
     busy_ = true;
-    // With the priority of lease renewals: no start is sent before it is answered.
+    // The write has the priority of lease renewals because no start is sent before it is answered.
     kv_.txn(std::move(*txn), kv::RequestPriority::lease,
             guarded_([this, members](const kv::TxnResult& result) { handle_result(members, result); }));
 }
@@ -67,13 +67,13 @@
 
 void InSyncRecord::retry_later() {
     if (std::exchange(busy_, true)) return;
-    timers_.after(settings_.heartbeat_interval_s * retry_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * retry_heartbeat_periods, guarded_([this] {
                       busy_ = false;
                       update();
                   }));
 }
 
-// The result of a write is unknown: the stored record tells.
+// Reads the stored record after a write whose result is unknown, to learn whether it was executed.
 void InSyncRecord::read_back() {
     busy_ = true;
     kv_.get(kv::keys::in_sync_replicas, kv::RequestPriority::lease, guarded_([this](kv::GetResult result) {
--- a/src/replication/in_sync_record.hpp
+++ b/src/replication/in_sync_record.hpp
@@ -1,8 +1,8 @@
-// Stores which followers are in sync, in the record that decides who may take its replica for proof after a
-// failover.
+// Stores which followers are in sync. After a failover, a new leader may rely on its replica only if this
+// record names it.
 //
-// A follower that a write under way names counts as named until a later write without it is confirmed: an
-// unanswered write may still be executed.
+// A follower named by a write under way counts as recorded until a later write without that follower is
+// confirmed, because the store may still execute an unanswered write.
 //
 // Not thread safe; all callbacks run on the event loop.
 #pragma once
@@ -23,34 +23,37 @@
 
 namespace coralhitch::replication {
 
+// Keeps the stored record equal to the set of followers in sync.
 class InSyncRecord {
   public:
     using Member = protocol::InSyncReplicas::Member;
     struct Callbacks {
-        // Who is to be named: the followers in sync at present.
+        // Returns the followers that are in sync now, which the record must name.
         std::function<std::vector<Member>()> in_sync_members;
-        // A transaction on the condition that this leadership lasts; nothing without authority.
+        // Returns a transaction conditional on this leadership; nullopt while this leader has no authority.
         std::function<std::optional<protocol::Txn>()> begin_txn;
-        // A write was confirmed.
+        // Called after a write was confirmed.
         std::function<void()> on_committed;
-        // A read has found the record of this leadership, after a write whose result was unknown.
+        // Called after a write with an unknown result, when a read finds a record of this leadership.
         std::function<void()> on_read_back;
     };
-    // `leader_version`: of this leadership.
+    // `leader_version` identifies this leadership.
     InSyncRecord(event_loop::Timers& timers, const config::Settings& settings, kv::KvClient& kv,
                  protocol::LeaderVersion leader_version, Callbacks callbacks);
 
-    // Allows writes. `record_version`: of the record's key as read after the claim; 0: there is none.
+    // Allows writes. `record_version` is the version of the record's key as read after this controller
+    // claimed leadership; 0 if the key does not exist.
     void start(std::uint64_t record_version);
     [[nodiscard]] bool started() const { return started_; }
-    // Writes the record if it does not name exactly the followers in sync; retried until it does.
+    // Writes the record unless it already names exactly the followers in sync. Retries until it does. Has no
+    // effect before `start`.
     void update();
 
-    // Whether the stored record is confirmed to be of this leadership.
+    // Returns true once a write or a read has confirmed that the stored record is of this leadership.
     [[nodiscard]] bool owned() const { return owned_; }
-    // Whether the stored record names this controller, or may come to by a write under way.
+    // Returns true if the stored record names this controller, or a write that may still be executed does.
     [[nodiscard]] bool may_name(const std::string& label) const;
-    // Followers named by the last confirmed record.
+    // Returns the number of followers in the last confirmed record.
     [[nodiscard]] std::size_t confirmed_count() const { return confirmed_.size(); }
 
   private:
@@ -68,7 +71,7 @@
     bool started_ = false, owned_ = false;
     bool busy_ = false;  // a write, a read or a retry is pending
     std::vector<Member> confirmed_;
-    std::set<std::string> attempted_;    // labels named by writes since the last confirmed one
+    std::set<std::string> attempted_;    // labels in writes that were sent since the last confirmed write
     event_loop::LifetimeGuard guarded_;  // last, so that it is destroyed first
 };
 
--- a/src/replication/replica_state.hpp
+++ b/src/replication/replica_state.hpp
@@ -1,7 +1,7 @@
 // The replica of the leader's machines that a controller keeps while it follows.
 //
-// It is a hint until `replication::evaluate_eligibility` accepts it: a replica may be old, incomplete, or of
-// a leadership that others followed.
+// A new leader must not rely on it before `replication::evaluate_eligibility` has accepted it, because it may
+// be old or incomplete, or come from a leadership that was followed by others.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,10 +12,11 @@
 
 namespace coralhitch::replication {
 
+// The machines as the leader last replicated them, and the origin of that data.
 struct ReplicaState {
-    protocol::LeaderVersion leader_version;  // of the leadership that sent it; none: nothing has come
+    protocol::LeaderVersion leader_version;  // leadership that sent the last batch; none: no batch received
     std::uint64_t last_batch_number = 0;     // number of the last batch applied
-    protocol::LeaderVersion base_version;    // the leadership whose snapshot it began from
+    protocol::LeaderVersion base_version;    // leadership whose snapshot the replica began from
     bool complete = false;                   // the leadership of `leader_version` has sent all its machines
     std::unordered_map<std::string, protocol::ReplicatedMachine> machines;  // by id
 };
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -7,15 +7,18 @@
 
 namespace coralhitch::replication {
 namespace {
-// In report periods.
-constexpr double batch_interval_periods = 1.0 / 10;  // changes that no start waits for are sent together
-constexpr double in_sync_timeout_periods = 1.0 / 5;  // starts wait so long for a follower that fails
-constexpr double snapshot_timeout_periods = 2;       // no start waits for one that is not in sync yet
-constexpr double min_backoff_periods = 1.0 / 2;
-constexpr double retry_timeout_share = 1.0 / 4;  // of the timeout, after an answer that failed at once
-// In a batch, so that processing it does not block the event loop for long. A new leader is so busy that each
-// batch of a snapshot takes a fifth of a second: with smaller batches no follower was in sync when the leader
-// was killed a second after it began.
+// Changes that no start waits for are collected for this long and sent together.
+constexpr double batch_interval_heartbeat_periods = 1.0 / 10;
+// If a follower in sync stops answering, starts are delayed by up to this long.
+constexpr double in_sync_timeout_heartbeat_periods = 1.0 / 5;
+// No start waits for a follower that is not in sync yet, so its timeout can be longer.
+constexpr double snapshot_timeout_heartbeat_periods = 2;
+constexpr double min_backoff_heartbeat_periods = 1.0 / 2;
+// Delay before a batch is sent again, as a share of the answer timeout. The request may have failed at once.
+constexpr double retry_timeout_share = 1.0 / 4;
+// Limits a batch so that processing it does not block the event loop for long. A new leader is so busy that
+// each batch of a snapshot takes a fifth of a second: with smaller batches, no follower was in sync when the
+// leader was killed a second after its leadership began.
 constexpr std::size_t max_batch_machines = 1024;
 }  // namespace
 
@@ -45,8 +48,8 @@
     record_.start(record_version);
     if (inherited)
         for (auto& member : inherited->members) resume(member);
-    // Even if nobody follows: whoever is named in the record of an earlier leader would otherwise believe
-    // that it knows all starts.
+    // The record is replaced even if there is no follower. Otherwise a controller named by an earlier
+    // leader's record would conclude that its replica contains every start.
     record_.update();
     tick();
 }
@@ -56,7 +59,7 @@
     for (auto& [label, session] : sessions_) {
         if (session.may_retry(timers_.now()) && capable_peer(label, protocol::peer_features::replication))
             begin_snapshot(session);
-        // A follower that has been in sync for long starts over with the shortest backoff.
+        // After a lease in sync, the follower's next failure is retried with the shortest backoff again.
         if (session.in_sync() && timers_.now() - session.in_sync_since() > settings_.lease_s)
             session.reset_backoff();
     }
@@ -65,7 +68,7 @@
 
 // --- Sessions -------------------------------------------------------------------------------------------
 
-// The last ping of a controller whose software version has these features; null if there is none.
+// Returns the controller's last ping if its software version has these features; null otherwise.
 const protocol::PeerPing* ReplicationSender::capable_peer(const std::string& label,
                                                           std::uint64_t features) const {
     auto* ping = callbacks_.last_ping(label);
@@ -77,9 +80,10 @@
     send(session);
 }
 
-// The follower's replica holds all that may run on the machines, as this leader's own did, and from now on it
-// gets all changes. So it is named from the first record on: when three leaders were killed a second apart,
-// none left an in-sync follower, since a snapshot takes longer.
+// Continues the replica of a follower that the inherited record names. That replica contains all tasks that
+// may run, as this leader's own replica did, and from now on it receives all changes. The follower therefore
+// counts as in sync from the first record on. With a snapshot instead, which takes longer than a second, no
+// leader left an in-sync follower when three leaders were killed a second apart.
 void ReplicationSender::resume(const protocol::InSyncReplicas::Member& member) {
     auto it = sessions_.find(member.label);
     if (it == sessions_.end()) return;
@@ -87,8 +91,8 @@
     if (ping && ping->incarnation == member.incarnation) it->second.resume(member, timers_.now());
 }
 
-// A new process gets its snapshot at once, without backoff: it can be in sync again long before a failing one
-// would be retried.
+// Sends a snapshot to the new process at once. A backoff would delay it for no reason: it is meant for
+// followers that fail, and a new process can be in sync long before the backoff ends.
 void ReplicationSender::handle_follower_restart(const std::string& label, protocol::Incarnation incarnation) {
     auto it = sessions_.find(label);
     if (!record_.started() || it == sessions_.end() || it->second.incarnation() == incarnation) return;
@@ -104,10 +108,11 @@
     spdlog::info("component=replication event=session_ended follower={} reason={}", session.peer().label,
                  reason);
     if (session.in_sync()) ++in_sync_sessions_ended_;
-    double delay_s = backoff == Backoff::none
-                         ? 0
-                         : session.increase_backoff(settings_.heartbeat_interval_s * min_backoff_periods,
-                                                    settings_.lease_s);
+    double delay_s =
+        backoff == Backoff::none
+            ? 0
+            : session.increase_backoff(settings_.heartbeat_interval_s * min_backoff_heartbeat_periods,
+                                       settings_.lease_s);
     session.end(timers_.now() + delay_s);
     record_.update();
 }
@@ -140,7 +145,7 @@
 
 void ReplicationSender::schedule_send() {
     if (std::exchange(send_scheduled_, true)) return;
-    timers_.after(settings_.heartbeat_interval_s * batch_interval_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * batch_interval_heartbeat_periods, guarded_([this] {
                       send_scheduled_ = false;
                       send_all();
                   }));
@@ -151,7 +156,7 @@
 double ReplicationSender::answer_timeout_s(const FollowerSession& session) const {
     bool starts_wait = session.in_sync() || record_.may_name(session.peer().label);
     return settings_.heartbeat_interval_s *
-           (starts_wait ? in_sync_timeout_periods : snapshot_timeout_periods);
+           (starts_wait ? in_sync_timeout_heartbeat_periods : snapshot_timeout_heartbeat_periods);
 }
 
 void ReplicationSender::send_all() {
@@ -159,7 +164,8 @@
 }
 
 void ReplicationSender::send(FollowerSession& session) {
-    // Not before the record is of this leadership: no replica may be newer than the record.
+    // No replica may be newer than the stored record, so nothing is sent before this leadership has stored
+    // it.
     if (!record_.owned() || !session.ready_to_send()) return;
     protocol::ReplicationRequest message{
         leader_version_,
@@ -218,7 +224,7 @@
         session.set_in_sync(timers_.now());
         record_.update();
     }
-    // A start may have begun to wait while this batch was under way.
+    // A start may have begun to wait for later changes while this batch was in flight.
     if (!session.in_sync() || session.acknowledged() < urgent_index_ ||
         session.queue_size() >= max_batch_machines)
         send(session);
--- a/src/replication/replication_sender.hpp
+++ b/src/replication/replication_sender.hpp
@@ -1,10 +1,10 @@
-// The leader's side of replication: keeps followers' replicas of its machines up to date, and decides when a
-// start may be sent to a worker.
+// The leader's side of replication: keeps the followers' replicas of its machines up to date, and decides
+// when the start of a task may be sent to an agent.
 //
-// A start may be sent once every controller that the stored record names, or may come to name by a write
-// under way, has acknowledged a batch that contains it. A follower that lags is removed from the record
-// first, and the removal confirmed. So whoever is named in the record knows every start that can have been
-// sent, and may take its replica for proof after a failover.
+// A start may be sent once a batch that contains it has been acknowledged by every controller that the stored
+// record names, or will name if a write under way is executed. A follower that does not acknowledge in time
+// must first be removed from the record, and the removal confirmed. Every controller named in the record
+// therefore knows all starts that can have been sent, and may rely on its replica after a failover.
 //
 // `FollowerSession` holds the state of each follower, `InSyncRecord` the stored record.
 //
@@ -31,48 +31,50 @@
 
 namespace coralhitch::replication {
 
+// Replicates the leader's machines to all other controllers that can follow.
 class ReplicationSender {
   public:
     struct Callbacks {
-        // The machine as it is now; nothing if there is nothing to replicate of it yet.
+        // Returns the current state of the machine; nullopt if there is nothing to replicate yet.
         std::function<std::optional<protocol::ReplicatedMachine>(const std::string& machine)> machine_row;
-        // Ids of all machines, for a snapshot.
+        // Returns the ids of all machines, for a snapshot.
         std::function<std::vector<std::string>()> all_machines;
-        // A transaction on the condition that this leadership lasts; nothing without authority.
+        // Returns a transaction conditional on this leadership; nullopt while this leader has no authority.
         std::function<std::optional<protocol::Txn>()> begin_txn;
-        // The last ping of another controller; null if that is too long ago.
+        // Returns the last ping of another controller; null if that ping is too old.
         std::function<const protocol::PeerPing*(const std::string& label)> last_ping;
-        // `replicated` may be true for later log indexes than before.
+        // Called when `replicated` may have become true for further log indexes.
         std::function<void()> on_progress;
     };
-    // `leader_version`: of this leadership.
+    // `leader_version` identifies this leadership.
     ReplicationSender(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                       kv::KvClient& kv, protocol::LeaderVersion leader_version, Callbacks callbacks);
     ~ReplicationSender();
     ReplicationSender(const ReplicationSender&) = delete;
     ReplicationSender& operator=(const ReplicationSender&) = delete;
 
-    // Call once, before anything changes in the cluster state. `record_version`: of the record's key as read
-    // after the claim; 0: there is none. `inherited`: the record itself, if this leader's own replica was
-    // proof; the followers it names continue their replicas.
+    // Starts replication. Must be called once, before the cluster state changes. `record_version` is the
+    // version of the record's key as read after this controller claimed leadership; 0 if the key does not
+    // exist. `inherited` is the record itself if this leader could rely on its own replica: the followers
+    // named there continue their replicas.
     void start(std::uint64_t record_version, const std::optional<protocol::InSyncReplicas>& inherited);
-    // The controller is now another process.
+    // Begins a new session if the controller's process has another incarnation than the session's follower.
     void handle_follower_restart(const std::string& label, protocol::Incarnation incarnation);
-    // A machine has changed, and is sent within a tenth of a report period.
+    // Records that a machine has changed. The change is sent within a tenth of a heartbeat period.
     void record_machine_change(const std::string& machine);
-    // Index of the last change.
+    // Returns the log index of the latest change.
     [[nodiscard]] std::uint64_t log_index() const { return log_index_; }
-    // Whether starts that are part of the changes up to this index may be sent.
+    // Returns true if starts that are part of the changes up to this index may be sent.
     [[nodiscard]] bool replicated(std::uint64_t log_index) const;
-    // Sends all changes at once: a start waits for them.
+    // Sends all changes at once. To be called when a start waits for them.
     void flush();
-    // Begins sessions with controllers that may follow. Call periodically.
+    // Begins sessions with controllers that can follow and have none. Must be called periodically.
     void tick();
 
-    // Followers named by the stored record.
+    // Returns the number of followers named by the last confirmed record.
     [[nodiscard]] std::size_t in_sync_count() const { return record_.confirmed_count(); }
     [[nodiscard]] std::uint64_t batches_sent() const { return batches_sent_; }
-    // Sessions that ended after they were in sync.
+    // Returns the number of sessions that ended after the follower had been in sync.
     [[nodiscard]] std::uint64_t in_sync_sessions_ended() const { return in_sync_sessions_ended_; }
 
   private:
@@ -102,7 +104,7 @@
     std::map<std::string, FollowerSession> sessions_;  // by label, of all other controllers
     InSyncRecord record_;
     std::uint64_t log_index_ = 0;
-    std::uint64_t urgent_index_ = 0;  // a start waits for the changes up to this one
+    std::uint64_t urgent_index_ = 0;  // a start waits for the changes up to this log index
     std::uint64_t batches_sent_ = 0, in_sync_sessions_ended_ = 0;
     bool send_scheduled_ = false;
     event_loop::LifetimeGuard guarded_;  // last, so that it is destroyed first
--- a/tests/replication/eligibility_checks_test.cpp
+++ b/tests/replication/eligibility_checks_test.cpp
@@ -1,4 +1,4 @@
-// When a new leader may rely on its replica.
+// Tests the conditions under which a new leader may rely on its replica.
 #include "replication/eligibility_checks.hpp"
 
 #include <gtest/gtest.h>
@@ -11,8 +11,8 @@
 namespace {
 using protocol::LeaderVersion;
 
-// Without any one of the checks a start that was sent could go unnoticed: the invariant at risk is
-// `ran_twice`.
+// If any one of the checks were missing, a new leader could miss a start that was sent, and start the task a
+// second time: the invariant at risk is `ran_twice`.
 TEST(EligibilityChecks, AcceptAReplicaOnlyIfNothingCanBeMissing) {
     ReplicaState replica{LeaderVersion{20}, 7, LeaderVersion{20}, true, {}};
     ReplicaEvidence good{"me",
@@ -28,7 +28,7 @@
     struct Case {
         const char* name;
         std::function<void(ReplicaEvidence&)> change;
-        bool proof;
+        bool eligible;
     };
     ReplicaState older{LeaderVersion{10}, 7, LeaderVersion{10}, true, {}},
         continued{LeaderVersion{20}, 7, LeaderVersion{10}, true, {}},
@@ -42,18 +42,18 @@
          [](ReplicaEvidence& e) { e.record.reset(); }, false},
         {"the record is of this leadership",
          [](ReplicaEvidence& e) { e.record->leader_version = LeaderVersion{40}; }, false},
-        {"it was removed, and starts were sent without it since",
+        {"this follower was removed from the record, and starts were sent without its acknowledgement",
          [](ReplicaEvidence& e) {
              e.record->members = {{"other", protocol::Incarnation{4}, LeaderVersion{20}}};
          },
          false},
-        {"another process of this controller was recorded",
+        {"the record names another process of this controller",
          [](ReplicaEvidence& e) {
              e.record->members = {{"me", protocol::Incarnation{2}, LeaderVersion{20}}};
          },
          false},
         {"the replica is of the previous leader", [&](ReplicaEvidence& e) { e.replica = &older; }, false},
-        {"it continues the replica of an earlier leader, as the record says",
+        {"the replica continues that of an earlier leader, as the record says",
          [&](ReplicaEvidence& e) {
              e.replica = &continued;
              continues_from(e, 10);
@@ -65,36 +65,36 @@
              continues_from(e, 10);
          },
          true},
-        {"a leader that failed soon after has wiped the replica that is meant",
+        {"a leader that failed soon after has replaced the replica that the record means",
          [&](ReplicaEvidence& e) { continues_from(e, 10); }, false},
-        {"it continues another replica than the record says",
+        {"the replica continues another one than the record says",
          [&](ReplicaEvidence& e) { e.replica = &continued; }, false},
-        {"a leader without a record of its own has replicated more",
+        {"a later leader, which stored no record, has sent changes",
          [&](ReplicaEvidence& e) { e.replica = &later; }, false},
-        {"nothing was received", [](ReplicaEvidence& e) { e.replica = nullptr; }, false},
-        {"what came after the last watch is not known",
+        {"no batch was received", [](ReplicaEvidence& e) { e.replica = nullptr; }, false},
+        {"the leaderships after the last watch are not known",
          [](ReplicaEvidence& e) { e.history_complete = false; }, false},
-        {"it was away, and saw only a later leader",
+        {"the history has a gap and contains only a later leader",
          [](ReplicaEvidence& e) {
              e.history_before_claim.leaderships = {{LeaderVersion{30}, true}};
          },
          false},
-        {"a leader that keeps a record won and ended before it started anything",
+        {"a leader that stores records was elected in between, and ended before it started anything",
          [](ReplicaEvidence& e) {
              e.history_before_claim.leaderships.push_back({LeaderVersion{30}, true});
          },
          true},
-        {"an old version led in between",
+        {"a leader of an old software version came in between",
          [](ReplicaEvidence& e) {
              e.history_before_claim.leaderships.push_back({LeaderVersion{30}, false});
          },
          false},
-        {"an old version led in between, found after the claim",
+        {"a leader of an old software version came in between, found after the claim",
          [](ReplicaEvidence& e) {
              e.later_leaders = {{LeaderVersion{30}, false}};
          },
          false},
-        {"two that keep records led in between, found after the claim",
+        {"two leaders that store records came in between, found after the claim",
          [](ReplicaEvidence& e) {
              e.later_leaders = {{LeaderVersion{30}, true}, {LeaderVersion{35}, true}};
          },
@@ -105,7 +105,7 @@
         auto e = good;
         c.change(e);
         auto* failed = evaluate_eligibility(e);
-        EXPECT_EQ(!failed, c.proof) << (failed ? failed->failure : "");
+        EXPECT_EQ(!failed, c.eligible) << (failed ? failed->failure : "");
     }
     EXPECT_EQ(eligibility_checks().size(), 6u);
 }
--- a/tests/replication/follower_session_test.cpp
+++ b/tests/replication/follower_session_test.cpp
@@ -1,4 +1,4 @@
-// What is sent to a follower, and what its acknowledgements cover.
+// Tests which machines are sent to a follower, and which changes its acknowledgements cover.
 #include "replication/follower_session.hpp"
 
 #include <gtest/gtest.h>
@@ -35,11 +35,12 @@
     EXPECT_EQ(session.acknowledged(), 5u);
     EXPECT_EQ(session.member(),
               (FollowerSession::Member{"x", protocol::Incarnation{1}, protocol::LeaderVersion{7}}));
-    EXPECT_TRUE(session.ready_to_send()) << "the follower is yet to be told that its replica is complete";
+    EXPECT_TRUE(session.ready_to_send())
+        << "the follower must still be informed that its replica is complete";
 }
 
-// A change that came after a batch was sent must not be acknowledged with it, nor a change whose batch
-// failed.
+// A change made after a batch was sent must not count as acknowledged with that batch, and neither must a
+// change whose batch failed. Otherwise a start could be sent that the follower does not know.
 TEST(FollowerSession, AcknowledgesOnlyWhatWasSent) {
     FollowerSession session({"x", "a", "x:1"});
     session.resume({"x", protocol::Incarnation{1}, protocol::LeaderVersion{4}}, 0);
@@ -48,7 +49,7 @@
     auto batch = session.next_batch(no_limit, 2, 0);
     session.enqueue("vm-1", 3);
     session.finish_batch();
-    session.requeue(batch);  // it failed: both are sent again, vm-1 once
+    session.requeue(batch);  // the batch failed: both machines are sent again, vm-1 only once
     EXPECT_EQ(session.queue_size(), 2u);
     batch = session.next_batch(1, 3, 1);
     EXPECT_EQ(batch.last_index, 0u) << "the other machine is still to be sent";
--- a/tests/replication/follower_test.cpp
+++ b/tests/replication/follower_test.cpp
@@ -1,4 +1,4 @@
-// Which batches a follower applies.
+// Tests which batches a follower applies and which it rejects.
 #include "replication/follower.hpp"
 
 #include <gtest/gtest.h>
@@ -13,34 +13,34 @@
 }
 
 TEST(Follower, AppliesBatchesInOrderOfOneLeadershipAtATime) {
-    Follower f(protocol::Incarnation{9});
+    Follower follower(protocol::Incarnation{9});
     struct Case {
         const char* name;
         std::uint64_t version, number;
         protocol::ReplicatedMachine row;
-        bool taken;
-        std::size_t rows;
+        bool applied;
+        std::size_t rows;  // in the replica afterwards
     };
-    auto gone = row_of("vm-1");
-    gone.deleted = true;
+    auto deleted = row_of("vm-1");
+    deleted.deleted = true;
     const Case cases[] = {
-        {"the first", 5, 3, row_of("vm-1"), true, 1},
-        {"more", 5, 4, row_of("vm-2"), true, 2},
-        {"delayed, and older than what came", 5, 2, gone, false, 2},
-        {"again", 5, 4, gone, false, 2},
-        {"a machine is gone", 5, 6, gone, true, 1},
-        {"of the previous leader, which woke", 4, 90, row_of("vm-7"), false, 1},
-        {"of the next leader: what came before is dropped", 8, 1, row_of("vm-3"), true, 1},
+        {"the first batch", 5, 3, row_of("vm-1"), true, 1},
+        {"another machine", 5, 4, row_of("vm-2"), true, 2},
+        {"a delayed batch, older than the last one applied", 5, 2, deleted, false, 2},
+        {"the number of the last batch again", 5, 4, deleted, false, 2},
+        {"a machine was deleted", 5, 6, deleted, true, 1},
+        {"a batch of the previous leader, which resumed after a pause", 4, 90, row_of("vm-7"), false, 1},
+        {"a new replica of the next leader, which replaces the old one", 8, 1, row_of("vm-3"), true, 1},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        auto a =
-            f.apply({protocol::LeaderVersion{c.version}, c.number, {c.row}, protocol::LeaderVersion::none()});
-        EXPECT_EQ(a.applied, c.taken);
-        EXPECT_EQ(a.incarnation, protocol::Incarnation{9});
-        EXPECT_EQ(f.replica().machines.size(), c.rows);
+        auto response = follower.apply(
+            {protocol::LeaderVersion{c.version}, c.number, {c.row}, protocol::LeaderVersion::none()});
+        EXPECT_EQ(response.applied, c.applied);
+        EXPECT_EQ(response.incarnation, protocol::Incarnation{9});
+        EXPECT_EQ(follower.replica().machines.size(), c.rows);
     }
-    EXPECT_EQ(f.replica().leader_version, protocol::LeaderVersion{8});
+    EXPECT_EQ(follower.replica().leader_version, protocol::LeaderVersion{8});
 }
 
 }  // namespace
--- a/tests/replication/in_sync_record_test.cpp
+++ b/tests/replication/in_sync_record_test.cpp
@@ -1,4 +1,4 @@
-// What the stored record of in-sync followers says, and who may come to be named by it.
+// Tests which followers the stored record of in-sync followers names, or may name after a pending write.
 #include "replication/in_sync_record.hpp"
 
 #include <gtest/gtest.h>
@@ -61,8 +61,9 @@
     EXPECT_TRUE(fixture.record.owned());
 }
 
-// Who is named by a write without an answer may be named at any later time, until another write is confirmed.
-TEST(InSyncRecord, MayNameWhomAnUnansweredWriteNames) {
+// The store may execute an unanswered write at any later time. Followers named by it must count as recorded
+// until another write is confirmed.
+TEST(InSyncRecord, MayNameFollowersOfAnUnansweredWrite) {
     using TxnFate = FakeKeyValueStore::TxnFate;
     for (auto fate : {TxnFate::answer_lost, TxnFate::executed_late, TxnFate::never_executed}) {
         SCOPED_TRACE(static_cast<int>(fate));
@@ -75,7 +76,7 @@
         fixture.members = {{"x", protocol::Incarnation{1}, protocol::LeaderVersion{50}}};
         fixture.record.update();
         EXPECT_TRUE(fixture.record.may_name("x"));
-        fixture.members.clear();  // out of sync while the write is under way
+        fixture.members.clear();  // the follower falls out of sync while the write is under way
         for (double t = 1; t < 30; t += 0.1) {
             fixture.timers.run_until(t);
             if (!fixture.record.may_name("x")) {
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -1,4 +1,4 @@
-// When starts may be sent, whatever followers and the key-value store do.
+// Tests when starts may be sent while followers and the key-value store fail, restart or do not answer.
 #include "replication/replication_sender.hpp"
 
 #include <gtest/gtest.h>
@@ -98,7 +98,7 @@
     SenderFixture b;
     b.followers.at("y").silent = true;
     b.sender.start(0, std::nullopt);
-    EXPECT_FALSE(b.sender.replicated(b.start("vm-1")));  // an earlier record may still stand
+    EXPECT_FALSE(b.sender.replicated(b.start("vm-1")));  // an earlier leader's record may still be stored
     b.timers.run_until(1);
     EXPECT_EQ(b.named(), std::set<std::string>{"x"});
     auto log_index = b.start("vm-1");
@@ -107,7 +107,7 @@
     EXPECT_TRUE(b.sender.replicated(log_index));
     EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value(),
               b.machines["vm-1"]);
-    // A follower that no longer answers delays starts until it is removed from the record, and no longer.
+    // A follower that stops answering delays starts only until it is removed from the record.
     b.followers.at("x").silent = true;
     log_index = b.start("vm-2");
     for (double t = 1.1; !b.sender.replicated(log_index) && t < 6; t += 0.01) {
@@ -120,15 +120,15 @@
     EXPECT_LT(b.timers.now(), 1.1 + 4.0 / 5 + 0.1);
 }
 
-// An unanswered write that names a follower may be executed at any later time, until one on the version
-// after it is confirmed.
+// An unanswered write that names a follower may be executed at any later time, until a later write, which is
+// conditional on the record's version, is confirmed.
 TEST(ReplicationSender, WaitsForFollowersThatAnUnansweredWriteNames) {
     for (auto fate : {FakeKeyValueStore::TxnFate::answer_lost, FakeKeyValueStore::TxnFate::executed_late,
                       FakeKeyValueStore::TxnFate::never_executed}) {
         SCOPED_TRACE(static_cast<int>(fate));
         SenderFixture b;
         b.followers.at("y").silent = true;
-        b.service.txn_fates = {FakeKeyValueStore::TxnFate::answered, fate};  // the first names nobody
+        b.service.txn_fates = {FakeKeyValueStore::TxnFate::answered, fate};  // the first names no follower
         b.sender.start(0, std::nullopt);
         for (double t = 0.1; t < 12; t += 0.05) {
             b.timers.run_until(t);
@@ -145,19 +145,21 @@
     }
 }
 
-// Three leaders killed a second apart: each records the followers of its predecessor from its first record
-// on, as long as each is still the process, with the replica, that was recorded.
+// If leaders are killed a second apart, there is no time for snapshots. Each leader therefore names the
+// followers of its predecessor from its first record on, provided that each is still the recorded process and
+// has the recorded replica.
 TEST(ReplicationSender, ResumesFollowersOfThePreviousLeader) {
     struct Case {
         const char* name;
-        std::uint64_t incarnation, features, begun;  // of `x`: its process, its version, its replica
-        bool at_once, resumed;
+        // Of follower `x`: its process, its software version and the leadership that its replica began from.
+        std::uint64_t incarnation, features, base_version;
+        bool in_first_record, resumed;
     };
     const Case cases[] = {
-        {"it resumes", 1, protocol::peer_features::latest, 40, true, true},
-        {"it was restarted", 3, protocol::peer_features::latest, 0, false, false},
-        {"its version cannot resume", 1, protocol::peer_features::replication, 40, false, false},
-        {"another leader has wiped its replica since", 1, protocol::peer_features::latest, 45, true, false},
+        {"the follower resumes", 1, protocol::peer_features::latest, 40, true, true},
+        {"the follower was restarted", 3, protocol::peer_features::latest, 0, false, false},
+        {"its software version cannot resume", 1, protocol::peer_features::replication, 40, false, false},
+        {"another leader has replaced its replica", 1, protocol::peer_features::latest, 45, true, false},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
@@ -166,8 +168,8 @@
         b.pings["x"].features = c.features;
         auto& f = b.followers.at("x").follower = Follower(protocol::Incarnation{c.incarnation});
         b.followers.at("y").silent = true;
-        if (c.begun)
-            f.apply({protocol::LeaderVersion{c.begun},
+        if (c.base_version)
+            f.apply({protocol::LeaderVersion{c.base_version},
                      1,
                      {row_of("vm-1"), row_of("vm-9")},
                      protocol::LeaderVersion::none(),
@@ -178,7 +180,7 @@
                                          {"y", protocol::Incarnation{7}, protocol::LeaderVersion{40}}}});
         for (double t = 0; !b.service.kv.contains(kv::keys::in_sync_replicas); t += 0.001)
             b.timers.run_until(t);
-        EXPECT_EQ(b.named().contains("x"), c.at_once);
+        EXPECT_EQ(b.named().contains("x"), c.in_first_record);
         auto log_index = b.start("vm-2");
         for (double t = b.timers.now(); t < 0.8; t += 0.01) {
             b.timers.run_until(t);
@@ -190,26 +192,27 @@
             }
         }
         EXPECT_TRUE(b.sender.replicated(log_index));
-        EXPECT_TRUE(b.named().contains("x"));  // by a snapshot, if need be
+        EXPECT_TRUE(b.named().contains("x"));  // after a snapshot if it could not resume
         EXPECT_EQ(f.replica().machines.contains("vm-9"), c.resumed);
         EXPECT_TRUE(f.replica().complete);
     }
 }
 
-// It used to be left out for half a report period, longer than the next leader lasted.
+// A restarted follower used to wait out a backoff of half a heartbeat period before its snapshot. If the
+// leader was killed within that time, it left no follower in sync.
 TEST(ReplicationSender, SendsASnapshotToARestartedFollowerAtOnce) {
-    for (bool says_so : {true, false}) {
-        SCOPED_TRACE(says_so);
+    for (bool announced : {true, false}) {
+        SCOPED_TRACE(announced);
         SenderFixture b;
         b.followers.at("y").silent = true;
         b.sender.start(0, std::nullopt);
         b.timers.run_until(1);
         b.followers.at("x").follower = Follower(protocol::Incarnation{11});
         b.ping("x", 11);
-        if (says_so)
+        if (announced)
             b.sender.handle_follower_restart("x", protocol::Incarnation{11});
         else
-            b.start("vm-1");  // the answer shows it
+            b.start("vm-1");  // the follower's answer carries the new incarnation
         b.timers.run_until(1.2);
         auto& members = b.service.kv.at(kv::keys::in_sync_replicas).value["members"];
         ASSERT_EQ(members.size(), 1u);
@@ -218,8 +221,8 @@
     }
 }
 
-// Followers that fail, do not answer or restart, with hundreds of changes queued: whatever counts as
-// replicated is in the replicas of all that the record names.
+// Followers fail or do not answer while hundreds of changes are queued. Every change that counts as
+// replicated must be in the replicas of all followers that the record names.
 TEST(ReplicationSender, ReplicatedChangesAreOnAllRecordedFollowers) {
     std::size_t sent = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
