--- a/src/relay/cancellation_notices.cpp
+++ b/src/relay/cancellation_notices.cpp
@@ -6,9 +6,9 @@
 
 namespace coralhitch::relay {
 namespace {
-constexpr double resend_interval_periods = 1.0 / 4;   // in report periods
-constexpr std::size_t notices_per_mb = 20;            // of the memory limit; the oldest make room
-constexpr std::size_t max_notices_per_message = 256;  // some 5 KB
+constexpr double resend_interval_heartbeat_periods = 1.0 / 4;
+constexpr std::size_t max_notices_per_mb = 20;        // of the memory limit; the oldest notice is dropped
+constexpr std::size_t max_notices_per_message = 256;  // about 5 KB
 }  // namespace
 
 CancellationNotices::CancellationNotices(event_loop::Timers& timers, http::Requester& http,
@@ -18,21 +18,22 @@
 void CancellationNotices::announce(const std::string& job_id, std::uint64_t version,
                                    protocol::LeaderVersion acknowledged_by) {
     send(protocol::pack_peer(protocol::PeerCancellation{job_id, version}), {job_id, version, {}});
-    if (static_cast<double>(notices_.size() + 1) > settings_.memory_mb * notices_per_mb && !notices_.empty())
+    if (static_cast<double>(notices_.size() + 1) > settings_.memory_mb * max_notices_per_mb &&
+        !notices_.empty())
         notices_.pop_front();
     notices_.push_back({job_id, version, acknowledged_by, timers_.now() + settings_.cancel_s});
     schedule_resend();
 }
 
-// To all: the controller that this one takes for the leader may have lost its lease, and the next leader is
-// not known here yet.
+// Sends to all controllers, since the leader known here may have lost its lease to one that is not known yet.
 void CancellationNotices::send(const std::string& body, const protocol::PeerCancellationBatch& message) {
     for (auto& peer : settings_.peers)
         http_.send(
             peer.addr, {"POST", std::string(protocol::peer_cancellation_path), body, "application/msgpack"},
             settings_.heartbeat_interval_s, guarded_([this, message](std::optional<http::Response> response) {
                 if (!response || response->status != 200) return;
-                // A controller of the previous version answers without a body: it is notified again.
+                // A controller of the previous software version answers without a body, which does not count
+                // as an acknowledgement.
                 auto answer = protocol::unpack_peer<protocol::PeerCancellationResponse>(response->body);
                 if (answer && answer->taken_by.is_set()) acknowledge(message, answer->taken_by);
             }));
@@ -49,7 +50,7 @@
 
 void CancellationNotices::schedule_resend() {
     if (std::exchange(resend_scheduled_, true)) return;
-    timers_.after(settings_.heartbeat_interval_s * resend_interval_periods, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * resend_interval_heartbeat_periods, guarded_([this] {
                       resend_scheduled_ = false;
                       resend();
                   }));
@@ -62,7 +63,8 @@
     for (auto& notice : notices_) {
         if (notice.acknowledged_by.is_set() && notice.acknowledged_by >= leader_version) continue;
         if (count == max_notices_per_message) break;
-        // A controller of the previous version reads only the first; it was notified of each once.
+        // A controller of the previous software version reads only the first notice of a repeated message. It
+        // received each notice once in a message of its own.
         if (count++ == 0) {
             message.id = notice.job_id;
             message.version = notice.version;
--- a/src/relay/cancellation_notices.hpp
+++ b/src/relay/cancellation_notices.hpp
@@ -1,11 +1,11 @@
-// Notifies the other controllers of the cancellations that this one has confirmed, until the present leader
+// Notifies the other controllers of the cancellations that this one has confirmed, until the current leader
 // has acknowledged them.
 //
-// The leader watches the jobs; the direct notice stops the tasks at once, also while the key-value store
-// answers nobody. A notice that is sent only once can be lost, or reach a leader that is about to resign or
-// has not loaded the jobs yet. A new leader lists the jobs after its claim, and a cancellation confirmed
-// during that time is sent to it as well. So each notice is repeated for `cancel_s`, after which no task of
-// the job is left to stop.
+// The leader also watches the jobs in the key-value store. The direct notice stops the tasks without delay,
+// even while the store does not answer. A notice that is sent only once can be lost, or reach a leader that
+// is about to resign or has not loaded the jobs yet. A new leader lists the jobs after it has claimed
+// leadership, and must also learn of cancellations confirmed during that time. Each notice is therefore
+// repeated for up to `cancel_s` seconds, after which no task of the job is left to stop.
 //
 // Not thread safe; all callbacks run on the event loop.
 #pragma once
@@ -23,20 +23,22 @@
 
 namespace coralhitch::relay {
 
+// Sends and repeats the notices of one controller.
 class CancellationNotices {
   public:
-    // The version of the newest leadership that this controller knows of, if any.
+    // Returns the version of the latest leadership that this controller knows of; none if it knows none.
     using LeaderVersionLookup = std::function<protocol::LeaderVersion()>;
 
     CancellationNotices(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                         LeaderVersionLookup leader_version);
-    // The job's record says since `version` that it is cancelled, and its user is about to be answered.
-    // `acknowledged_by`: the version of the leadership that knows it already, if this controller leads, or
-    // none.
+    // Sends a notice that the job is cancelled, and repeats it until it is acknowledged. To be called before
+    // the cancellation is confirmed to the user. `version` is the version of the job's record with the
+    // cancellation. `acknowledged_by` is the version of this controller's own leadership if it leads, since
+    // that leader knows of the cancellation already; otherwise none.
     void announce(const std::string& job_id, std::uint64_t version, protocol::LeaderVersion acknowledged_by);
-    // Notices that are kept for repetition.
+    // Returns the number of notices that have not expired. Acknowledged notices are included.
     [[nodiscard]] std::size_t pending() const { return notices_.size(); }
-    // Messages sent after the first ones.
+    // Returns the number of repeated messages, counted once for each receiver.
     [[nodiscard]] std::uint64_t resent() const { return resent_; }
 
   private:
--- a/src/relay/delegation_table.cpp
+++ b/src/relay/delegation_table.cpp
@@ -11,7 +11,7 @@
     relay.revocations.clear();
     std::erase_if(machine_relays_, [&](auto& entry) {
         if (entry.second != relay_label) return false;
-        // The last answers of the previous process may still be on their way to workers.
+        // The last replies of the previous process may still be in transit to agents.
         if (relay.delegation_expiry) returned(entry.first, *relay.delegation_expiry);
         return true;
     });
@@ -25,7 +25,7 @@
     if (relay.incarnation != incarnation) reset(relay_label, relay, incarnation, returned);
     if (number <= relay.last_message) return false;
     relay.last_message = number;
-    // A revocation is in the answers to its first message and to all later ones.
+    // The answers to `first_message` and all later messages carry the revocation.
     while (!relay.revocations.empty() && relay.revocations.front().first_message <= acknowledged)
         relay.revocations.pop_front();
     return true;
@@ -45,7 +45,8 @@
     auto it = machine_relays_.find(machine);
     if (it == machine_relays_.end()) return std::nullopt;
     auto& relay = relays_.at(it->second);
-    // The answer to `last_message` may have left already: the next one carries the revocation for certain.
+    // The answer to `last_message` may already have been sent, so the next answer is the first that is
+    // certain to carry the revocation.
     relay.revocations.push_back({relay.last_message + 1, machine});
     --relay.machines;
     machine_relays_.erase(it);
--- a/src/relay/heartbeat_queue.hpp
+++ b/src/relay/heartbeat_queue.hpp
@@ -1,11 +1,11 @@
-// Heartbeats that have been received and wait to be processed by this controller.
+// The queue of heartbeats that this controller has received and not processed yet.
 //
-// A worker abandons a heartbeat `heartbeat_timeout_s` after it sent it and ignores a later answer. A queue
-// that serves the oldest first and lets each wait for all of that time answers, once it is behind, every
-// heartbeat just too late: the controller is busy, no worker gets an answer, and every worker lease expires.
-// So a heartbeat waits for a share of that time only, which leaves the rest for transit and processing. Those
-// that waited longer are rejected unread; their workers, which are still waiting, try another controller at
-// once.
+// An agent abandons a heartbeat `heartbeat_timeout_s` after sending it, and ignores a later answer. If each
+// heartbeat could wait for all of that time, an overloaded first-in-first-out queue would answer every
+// heartbeat just too late: the controller is busy, no agent gets an answer, and all agent leases expire. A
+// heartbeat may therefore wait for only a share of that time, which leaves the rest for transit and
+// processing. A heartbeat that has waited longer is rejected without being parsed. Its agent is still waiting
+// at that time, and tries another controller at once.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -20,22 +20,23 @@
 
 namespace coralhitch::relay {
 
-// A heartbeat whose worker waits for the answer.
+// A heartbeat whose agent is waiting for the answer.
 struct PendingHeartbeat {
-    std::string body;  // as the worker sent it
+    std::string body;  // as sent by the agent
     http::Reply reply;
     double received_at = 0;  // seconds of the injected clock
 };
 
+// A first-in-first-out queue that rejects heartbeats with status 503 after `max_wait_s`. Not thread safe.
 class HeartbeatQueue {
   public:
     static constexpr double max_wait_s = protocol::heartbeat_timeout_s * 0.6;
 
-    // `rejections` counts those that waited too long; it must outlive the queue.
+    // `rejections` counts the rejected heartbeats, and must outlive the queue.
     explicit HeartbeatQueue(HeartbeatRejections& rejections) : rejections_(rejections) {}
     void push(PendingHeartbeat heartbeat) { waiting_.push_back(std::move(heartbeat)); }
-    // The oldest heartbeat whose worker can still be answered in time; older ones are rejected. A rejection
-    // may push further heartbeats.
+    // Removes and returns the oldest heartbeat that has not waited too long; nullopt if there is none.
+    // Rejects all older heartbeats. Their reply callbacks may push further heartbeats.
     [[nodiscard]] std::optional<PendingHeartbeat> pop(double now) {
         while (!waiting_.empty()) {
             auto heartbeat = std::move(waiting_.front());
@@ -48,7 +49,7 @@
         return std::nullopt;
     }
     [[nodiscard]] bool empty() const { return waiting_.empty(); }
-    // Removes and returns all that wait, oldest first.
+    // Removes and returns all heartbeats, oldest first.
     [[nodiscard]] std::deque<PendingHeartbeat> take_all() { return std::exchange(waiting_, {}); }
     [[nodiscard]] std::uint64_t rejected() const { return rejected_; }
 
--- a/src/relay/heartbeat_rejections.hpp
+++ b/src/relay/heartbeat_rejections.hpp
@@ -1,4 +1,4 @@
-// Counts heartbeats that were rejected on purpose, by reason, and logs a summary at a limited rate.
+// Counts heartbeats that this controller rejected, by reason, and logs a summary at a limited rate.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -10,25 +10,29 @@
 
 namespace coralhitch::relay {
 
+// The reason for which a heartbeat was rejected.
 enum class HeartbeatRejection {
-    lease_lost,               // this leader lost its own lease, or is about to stop
-    renewal_deadline_passed,  // cancellations are known only up to a time too long ago to renew leases
-    cancellation_unsent,      // the machine may run a cancelled task that no command has reached
-    outdated,                 // not the machine's newest heartbeat, or the machine is unknown or deleted
-    no_leader,                // there is no leader, or it does not accept what is forwarded to it
-    redirected,               // the worker was sent to the leader instead
-    queue_timeout,            // waited in a queue until its worker had stopped waiting
-    socket_limit,             // all sockets for workers are in use
-    outbound_unreachable,  // no answer of this leader reaches the machine: its lease must be seen to expire
+    lease_lost,  // this leader has lost its own lease or is about to stop
+    // The leader knows all cancellations only up to a time that is too long ago for renewing leases.
+    renewal_deadline_passed,
+    cancellation_unsent,  // the machine may run a cancelled task, and the command to stop it was not received
+    outdated,             // not the machine's latest heartbeat, or the machine is unknown or deleted
+    no_leader,            // there is no leader, or the leader does not accept forwarded heartbeats
+    redirected,           // the agent was redirected to the leader
+    queue_timeout,        // the heartbeat waited too long for its agent to be answered in time
+    socket_limit,         // all sockets for agents are in use
+    // No reply of this leader reaches the machine, so its lease must be allowed to expire.
+    outbound_unreachable,
 };
-// Labels in metrics and in the log, by the values of HeartbeatRejection. Dashboards depend on them.
+// Labels in metrics and in the log, indexed by HeartbeatRejection. Dashboards depend on them.
 inline constexpr std::array<std::string_view, 9> heartbeat_rejection_labels = {
     "no_lease",  "bound_over", "stop_unsent", "older",    "no_leader",
     "elsewhere", "late",       "sockets",     "unreached"};
 
+// The counters of rejected heartbeats. Not thread safe.
 class HeartbeatRejections {
   public:
-    // Logs at most once in `log_interval_s` seconds.
+    // Logs at most one summary in `log_interval_s` seconds.
     HeartbeatRejections(event_loop::Timers& timers, double log_interval_s)
         : timers_(timers), log_interval_s_(log_interval_s) {}
     // Counts one rejection, and logs the summary if the interval has passed.
@@ -36,9 +40,10 @@
     [[nodiscard]] std::uint64_t count(HeartbeatRejection reason) const {
         return counts_[static_cast<std::size_t>(reason)];
     }
-    // Each reason with its count since the last log line, as "3 late, 1 sockets"; empty if there are none.
+    // Returns each reason with its count since the last log line, such as "3 late, 1 sockets"; empty if there
+    // were no rejections since then.
     [[nodiscard]] std::string summary() const;
-    // Log lines written so far.
+    // Returns the number of log lines written so far.
     [[nodiscard]] std::uint64_t log_lines() const { return log_lines_; }
 
   private:
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -8,22 +8,22 @@
 
 namespace coralhitch::relay {
 namespace {
-// In report periods.
-constexpr double rejection_log_periods = 2;
-// A message is sent at least so often: its answer brings revocations and extends the delegation.
-constexpr double idle_send_periods = 1.0 / 10;
-constexpr double retry_periods = 1.0 / 5;  // after a failed message
-
-// Shares of the time for which a worker waits. It waits longer than its controller waits for the leader: the
-// answer must still find it waiting.
+constexpr double rejection_log_heartbeat_periods = 2;
+// The longest time between two messages. Without heartbeats an empty message is sent, because its answer
+// carries revocations and extends the delegation.
+constexpr double idle_send_heartbeat_periods = 1.0 / 10;
+constexpr double retry_heartbeat_periods = 1.0 / 5;  // delay after a failed message
+
+// Shares of the time for which an agent waits for its answer. The relay stops waiting for the leader earlier,
+// so that its own answer reaches the agent in time.
 constexpr double leader_timeout_share = 0.5;
 constexpr double failover_wait_share = 0.75;  // while there is no leader
 
-constexpr std::size_t max_batch_heartbeats = 96;      // the leader processes them in one go
+constexpr std::size_t max_batch_heartbeats = 96;      // the leader processes a message in one go
 constexpr double max_batch_memory_share = 1.0 / 128;  // of the memory limit
 constexpr double failover_window_ttls = 1.5;  // in TTLs of the leader's lease; a failover rarely takes longer
-// In worker leases. A heartbeat is forwarded in full so often, whatever it repeats: a wrong reply, once
-// cached, would otherwise be given for ever.
+// In agent leases. A cached reply that is older is not used, and the heartbeat is forwarded to the leader.
+// Otherwise a wrong reply, once cached, would be repeated without end.
 constexpr double max_reply_age_leases = 4;
 }  // namespace
 
@@ -35,7 +35,7 @@
       settings_(settings),
       incarnation_(incarnation),
       leader_lookup_(std::move(leader_lookup)),
-      rejections_(timers, settings.heartbeat_interval_s * rejection_log_periods) {}
+      rejections_(timers, settings.heartbeat_interval_s * rejection_log_heartbeat_periods) {}
 HeartbeatRelay::~HeartbeatRelay() = default;
 
 void HeartbeatRelay::tick() {
@@ -43,12 +43,15 @@
     if (connection_ != LeaderConnection::connected) reject_expired(failover_wait_share);
     if (!waiting_.empty() && !within_failover_window() && connection_ == LeaderConnection::failed)
         reject_all(waiting_);
-    timers_.after(settings_.heartbeat_interval_s * idle_send_periods / 2, guarded_([this] { tick(); }));
-    if (!last_sent_ || timers_.now() - *last_sent_ >= settings_.heartbeat_interval_s * idle_send_periods)
+    timers_.after(settings_.heartbeat_interval_s * idle_send_heartbeat_periods / 2,
+                  guarded_([this] { tick(); }));
+    if (!last_sent_ ||
+        timers_.now() - *last_sent_ >= settings_.heartbeat_interval_s * idle_send_heartbeat_periods)
         send();
 }
 
-// Delegations and cached replies of a previous leadership don't hold for the next one.
+// Updates the known leader. Delegations and cached replies of the previous leadership are invalid under the
+// next one, so they are dropped.
 void HeartbeatRelay::refresh_leader() {
     auto leader = leader_lookup_();
     if (leader == leader_) return;
@@ -58,13 +61,13 @@
     delegation_expiry_.reset();
     reply_cache_.clear();
     unreported_heartbeats_.clear();
-    // The heartbeats that wait have been processed by nobody: the next leader may take them.
+    // No leader has processed the waiting heartbeats, so they can be sent to the new one.
     schedule_send();
 }
 
-// The leader seems to have ended. Until its successor accepts messages, workers are kept waiting for as long
-// as they do wait: when they were rejected, all workers of a large cluster called every controller each
-// second, and the next leader came up so far behind that it lost its lease.
+// Begins the failover window: the leader has probably ended, and heartbeats wait until its successor accepts
+// messages or their agents would time out. When they were rejected instead, all agents of a large cluster
+// called every controller each second, and the next leader was so overloaded that it lost its lease.
 void HeartbeatRelay::record_disconnect() {
     disconnected_at_ = timers_.now();
 }
@@ -106,7 +109,7 @@
     return delegation_expiry_ && timers_.now() < *delegation_expiry_;
 }
 
-// The reply that may be given to this heartbeat here; null if it must go to the leader.
+// Returns the cached reply that this relay may give to the heartbeat; null if it must be forwarded.
 const CachedReply* HeartbeatRelay::find_repeated(const std::string& body, double now) {
     auto outline = protocol::outline_heartbeat(body);
     if (!outline || connection_ != LeaderConnection::connected || !delegation_valid()) return nullptr;
@@ -131,13 +134,13 @@
     return true;
 }
 
-void HeartbeatRelay::schedule_send(double interval_periods) {
+void HeartbeatRelay::schedule_send(double interval_heartbeat_periods) {
     if (in_flight_ || send_scheduled_) return;
     send_scheduled_ = true;
     double delay_s =
-        last_sent_
-            ? std::max(0.0, *last_sent_ + settings_.heartbeat_interval_s * interval_periods - timers_.now())
-            : 0;
+        last_sent_ ? std::max(0.0, *last_sent_ + settings_.heartbeat_interval_s * interval_heartbeat_periods -
+                                       timers_.now())
+                   : 0;
     timers_.after(delay_s, guarded_([this] {
                       send_scheduled_ = false;
                       send();
@@ -152,7 +155,7 @@
         auto heartbeat = std::move(waiting_.front());
         waiting_.pop_front();
         if (now - heartbeat.received_at > protocol::heartbeat_timeout_s * leader_timeout_share) {
-            reject_timed_out(heartbeat);  // its worker will have stopped waiting when the leader answers
+            reject_timed_out(heartbeat);  // its agent will have timed out before the leader answers
             continue;
         }
         bytes += heartbeat.body.size();
@@ -177,7 +180,7 @@
     if (in_flight_ || leader_.addr.empty()) return;
     double now = timers_.now();
     if (connection_ == LeaderConnection::failed && last_sent_ &&
-        now - *last_sent_ < settings_.heartbeat_interval_s * retry_periods)
+        now - *last_sent_ < settings_.heartbeat_interval_s * retry_heartbeat_periods)
         return;
     auto batch = next_batch(now);
     auto message = next_message(batch, now);
@@ -195,7 +198,8 @@
         }));
 }
 
-// The receiver says that it does not lead, or did not answer: it has answered none of these heartbeats.
+// Handles a message that was not answered, or whose receiver does not lead. None of its heartbeats has been
+// answered. Within the failover window they wait for the next leader; otherwise they are rejected.
 void HeartbeatRelay::handle_failure(const LeaderEndpoint& receiver, Batch batch) {
     if (connection_ == LeaderConnection::connected) record_disconnect();
     if (receiver == leader_) connection_ = LeaderConnection::failed;
@@ -215,7 +219,8 @@
         return handle_failure(receiver, std::move(batch));
     connection_ = LeaderConnection::connected;
     if (!answer->ready) {
-        // It has only begun to lead: the heartbeats are sent again, as long as their workers wait.
+        // The leader has just been elected and is still loading its state. The heartbeats are sent again
+        // while their agents wait.
         requeue(std::move(batch));
         if (!waiting_.empty()) schedule_send();
         return;
@@ -224,15 +229,16 @@
     for (std::size_t k = 0; k < answered; ++k) deliver(std::move(batch[k]), answer->replies[k]);
     batch.erase(batch.begin(), batch.begin() + static_cast<std::ptrdiff_t>(answered));
     reject_all(batch);
-    // Revocations before the extension: without them a machine's lease could be renewed for longer than the
-    // leader expects.
+    // Revocations are applied before the extension. Otherwise a revoked machine's lease could be renewed for
+    // longer than the leader expects.
     for (auto& machine : answer->revoked) reply_cache_.forget(machine);
     acknowledged_message_ = number;
     delegation_expiry_ =
         sent_at + static_cast<double>(answer->delegation_ms) / 1000 * (1 - 2 * election::max_clock_drift);
-    // A full batch gains nothing by waiting for more heartbeats: at one full message per interval, the only
-    // relay of 4,000 machines fell behind when most heartbeats were not repetitions.
-    if (!waiting_.empty()) schedule_send(waiting_.size() < max_batch_heartbeats ? batch_interval_periods : 0);
+    // A full batch is sent at once, since it cannot take more heartbeats. With one full message per interval,
+    // the only relay of 4,000 machines could not keep up when most heartbeats were not repetitions.
+    if (!waiting_.empty())
+        schedule_send(waiting_.size() < max_batch_heartbeats ? batch_interval_heartbeat_periods : 0);
 }
 
 void HeartbeatRelay::deliver(PendingHeartbeat heartbeat, const protocol::RelayedReply& answer) {
--- a/src/relay/heartbeat_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -1,11 +1,10 @@
-// The work of a relaying controller: one that does not lead, and that takes workers' heartbeats for the
-// leader.
+// Relays agents' heartbeats to the leader, in a controller that does not lead.
 //
-// A heartbeat that repeats the last one of its machine is answered here while the leader's delegation lasts.
-// All others are forwarded to the leader, many in one message, and its answers are passed back to the
-// workers; that needs no delegation, since the leader itself answers. Without a leader that accepts them
-// heartbeats are rejected, except for a short time after the connection to a leader was lost: they wait for
-// its successor.
+// A heartbeat that repeats the last one of its machine is answered by the relay itself while the leader's
+// delegation is valid. All other heartbeats are forwarded to the leader, many in one message, and the
+// leader's answers are passed back to the agents. Forwarding needs no delegation, since the leader itself
+// answers. While no leader accepts heartbeats they are rejected, except for a short time after the connection
+// to a leader was lost, when they wait for its successor.
 //
 // Not thread safe; all callbacks run on the event loop.
 #pragma once
@@ -29,16 +28,17 @@
 
 namespace coralhitch::relay {
 
-// The leader that heartbeats are relayed to.
+// The leader to which heartbeats are relayed.
 struct LeaderEndpoint {
-    std::string addr;                 // of its peer interface; empty: there is no leader to relay to
-    protocol::LeaderVersion version;  // of its leadership
+    std::string addr;                 // address of its peer interface; empty: there is no leader to relay to
+    protocol::LeaderVersion version;  // version of its leadership
     bool operator==(const LeaderEndpoint&) const = default;
 };
 
+// Answers or forwards heartbeats, and keeps the delegation from the leader.
 class HeartbeatRelay {
   public:
-    // The present leader; read at every heartbeat and before every message.
+    // Returns the current leader. Called for every heartbeat and before every message.
     using LeaderLookup = std::function<LeaderEndpoint()>;
 
     HeartbeatRelay(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
@@ -47,27 +47,29 @@
     HeartbeatRelay(const HeartbeatRelay&) = delete;
     HeartbeatRelay& operator=(const HeartbeatRelay&) = delete;
 
-    // Begins the periodic work. Call once.
+    // Starts the periodic work. Must be called once.
     void start() { tick(); }
-    // Accepts a heartbeat, takes both arguments and answers later, perhaps only once there is a leader again;
-    // or returns false and leaves both arguments as they are.
+    // Accepts a heartbeat, or returns false and leaves both arguments unchanged if there is no leader to
+    // relay to. An accepted heartbeat is answered at once or later, possibly only after a failover, and its
+    // arguments may be moved from.
     [[nodiscard]] bool try_accept(std::string& body, http::Reply& reply);
-    // Removes and returns the heartbeats that wait, for when this controller becomes the leader itself.
+    // Removes and returns the waiting heartbeats. To be called when this controller becomes the leader.
     [[nodiscard]] std::deque<PendingHeartbeat> take_pending();
 
-    // Heartbeats answered here, forwarded to the leader, and rejected since their workers had stopped
-    // waiting.
+    // Returns the number of heartbeats answered by this relay.
     [[nodiscard]] std::uint64_t answered_locally() const { return answered_locally_; }
+    // Returns the number of heartbeats sent to the leader. One that is sent again counts again.
     [[nodiscard]] std::uint64_t forwarded() const { return forwarded_; }
+    // Returns the number of heartbeats rejected because their agents could not be answered in time.
     [[nodiscard]] std::uint64_t timed_out() const { return timed_out_; }
-    // Of this controller, whoever leads.
+    // Returns the rejection counters of this controller. They are also used while it leads.
     [[nodiscard]] HeartbeatRejections& rejections() { return rejections_; }
 
   private:
     using Batch = std::deque<PendingHeartbeat>;
     enum class LeaderConnection {
-        untried,    // a leader is known, nothing has been sent to it yet
-        connected,  // it accepted the last message
+        untried,    // a leader is known, and no message to it has been answered yet
+        connected,  // the leader accepted the last message
         failed,     // there is no leader, or the last message failed
     };
     void tick();
@@ -80,9 +82,9 @@
     void reject_expired(double timeout_share);
     void reject_timed_out(const PendingHeartbeat& heartbeat);
     const CachedReply* find_repeated(const std::string& body, double now);
-    // Minimum interval between two messages, in report periods, so that heartbeats are sent together.
-    static constexpr double batch_interval_periods = 1.0 / 20;
-    void schedule_send(double interval_periods = batch_interval_periods);
+    // Minimum time between two messages, so that several heartbeats are sent together.
+    static constexpr double batch_interval_heartbeat_periods = 1.0 / 20;
+    void schedule_send(double interval_heartbeat_periods = batch_interval_heartbeat_periods);
     void send();
     Batch next_batch(double now);
     protocol::RelayRequest next_message(const Batch& batch, double now);
@@ -100,10 +102,10 @@
     LeaderEndpoint leader_;
     LeaderConnection connection_ = LeaderConnection::failed;
     std::optional<double> delegation_expiry_;
-    std::optional<double> disconnected_at_;  // when a leader was last known to accept messages
+    std::optional<double> disconnected_at_;  // when the connection to a leader was last lost
     ReplyCache reply_cache_;
     Batch waiting_;
-    // Machines answered here since the last message, and when.
+    // The machines whose heartbeats this relay answered since the last message, with the time of the answer.
     std::unordered_map<std::string, double> unreported_heartbeats_;
     bool in_flight_ = false;  // a message awaits its answer
     bool send_scheduled_ = false;
--- a/src/relay/heartbeat_tracker.hpp
+++ b/src/relay/heartbeat_tracker.hpp
@@ -1,9 +1,9 @@
-// Which machines have recently sent a heartbeat to this controller while another one led.
+// Tracks which machines have recently sent a heartbeat to this controller while another controller led.
 //
-// The list goes out in this controller's pings; a leader that misses heartbeats compares it with its own view
-// before it fences machines or resigns. Delayed copies of a heartbeat can arrive seconds to several worker
-// leases late, after any number of newer ones. They must not count as a sign of life: a healthy leader would
-// resign, or a dead machine would be kept.
+// This controller's pings contain the list. A leader that misses heartbeats compares the list with its own
+// view before it evicts machines or resigns. Delayed copies of a heartbeat can arrive seconds or several
+// agent leases late, after any number of newer heartbeats. They must not count as a sign of life: a healthy
+// leader would resign, or a dead machine would not be evicted.
 //
 // Not thread safe; times are seconds of the injected clock.
 #pragma once
@@ -19,14 +19,15 @@
 
 namespace coralhitch::relay {
 
+// The latest heartbeat of each machine.
 class HeartbeatTracker {
   public:
-    // `recent_s`: for so long after its last heartbeat a machine counts as recently seen. `retention_s`: for
-    // so long the newest heartbeat of a machine is remembered, to recognise late copies.
+    // A machine counts as recently seen for `recent_s` seconds after its last heartbeat. Its latest heartbeat
+    // is remembered for `retention_s` seconds, to recognise delayed copies.
     HeartbeatTracker(double recent_s, double retention_s) : recent_s_(recent_s), retention_s_(retention_s) {}
 
-    // A heartbeat has arrived. Ignored unless it is newer, by agent epoch and sequence number, than all that
-    // came from this machine before.
+    // Records a heartbeat. Ignores it unless it is newer, by agent epoch and sequence number, than all
+    // earlier heartbeats of this machine.
     void record(std::string_view machine, protocol::AgentEpoch agent_epoch, protocol::SequenceNumber sequence,
                 double now) {
         auto& entry = entries_[std::string(machine)];
@@ -34,12 +35,12 @@
         if (!position.is_after(entry.newest)) return;
         entry = {now, now, position};
     }
-    // Whether the machine sent a new heartbeat at `since` or later.
+    // Returns true if a new heartbeat of the machine arrived at `since` or later.
     [[nodiscard]] bool seen_since(const std::string& machine, double since) const {
         auto it = entries_.find(machine);
         return it != entries_.end() && it->second.last_seen && *it->second.last_seen >= since;
     }
-    // Number of machines seen within `recent_s`.
+    // Returns the number of machines seen within `recent_s`.
     [[nodiscard]] std::size_t recent_count(double now) const {
         auto count = std::count_if(entries_.begin(), entries_.end(),
                                    [&](auto& entry) { return recent(entry.second, now); });
@@ -51,8 +52,8 @@
         for (auto& [machine, entry] : entries_)
             if (recent(entry, now)) visit(machine, now - *entry.last_seen);
     }
-    // Called when this controller becomes the leader, whose heartbeats are recorded elsewhere: no machine
-    // counts as recently seen, but the newest heartbeats stay known.
+    // Makes no machine count as recently seen, but keeps the latest heartbeats for recognising copies. Called
+    // when this controller becomes the leader, since a leader records heartbeats elsewhere.
     void reset_recent() {
         for (auto& [machine, entry] : entries_) entry.last_seen.reset();
     }
--- a/src/relay/reply_cache.cpp
+++ b/src/relay/reply_cache.cpp
@@ -7,7 +7,7 @@
     if (it == by_machine_.end()) return nullptr;
     auto& cached = it->second;
     std::string_view previous = cached.heartbeat;
-    // A repetition has a higher sequence number: an equal or lower one is a message that arrived late.
+    // A repetition has a higher sequence number. A message with an equal or lower number arrived late.
     bool repeats =
         cached.sequence_offset == outline.sequence_offset && outline.sequence > cached.sequence &&
         previous.substr(0, cached.sequence_offset) == heartbeat.substr(0, outline.sequence_offset) &&
@@ -22,7 +22,7 @@
     if (!outline || outline->machine != machine || outline->sequence != sequence) return forget(machine);
     CachedReply cached{{},  outline->sequence_offset, outline->sequence_digits, sequence,
                        now, std::move(reply_body)};
-    cached.heartbeat = std::move(heartbeat);  // last: the outline points into it
+    cached.heartbeat = std::move(heartbeat);  // moved last, because the outline points into it
     by_machine_.insert_or_assign(machine, std::move(cached));
 }
 
--- a/src/relay/reply_cache.hpp
+++ b/src/relay/reply_cache.hpp
@@ -1,10 +1,14 @@
-// Recognises heartbeats that repeat the last one of their machine, and keeps the reply to give again.
+// Recognises heartbeats that repeat the last one of their machine, and keeps the reply so that it can be
+// given again.
 //
-// Most heartbeats do: a worker sends one every few seconds, and its tasks change every few minutes. Parsing
-// each of them took a leader more time than all its decisions.
+// Most heartbeats are repetitions: an agent sends one every few seconds, and its tasks change every few
+// minutes. Parsing each heartbeat took a leader more time than all its decisions.
 //
-// The whole text is kept and compared except for the digits of the sequence number: no hash, so no collisions
-// to argue about. A heartbeat has some hundred bytes for each task, so 10,000 machines take a few megabytes.
+// The cache keeps the whole text and compares all of it except the digits of the sequence number. It uses no
+// hash of the text, so there are no collisions. A heartbeat has about a hundred bytes for each task, so
+// 10,000 machines take a few megabytes.
+//
+// Not thread safe.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,21 +22,24 @@
 
 namespace coralhitch::relay {
 
+// A heartbeat and the reply to it.
 struct CachedReply {
-    std::string heartbeat;                                 // the text that was parsed in full
-    std::size_t sequence_offset = 0, sequence_digits = 0;  // where the sequence number stands in it
-    protocol::SequenceNumber sequence;                     // of the last heartbeat with this content
-    double parsed_at = 0;                                  // seconds of the injected clock
-    std::string reply_body;                                // of the 200 that may be given again
+    std::string heartbeat;                                 // body of the heartbeat that was parsed in full
+    std::size_t sequence_offset = 0, sequence_digits = 0;  // position of the sequence number in `heartbeat`
+    protocol::SequenceNumber sequence;  // sequence number of the last heartbeat with this content
+    double parsed_at = 0;               // seconds of the injected clock
+    std::string reply_body;             // body of the reply, whose status was 200
 };
 
+// The last heartbeat of each machine with its reply.
 class ReplyCache {
   public:
-    // The entry that this heartbeat repeats, with `sequence` still that of the previous one, which the caller
-    // updates; null if there is none. Owned by the cache, valid until the next change of it.
+    // Returns the entry that this heartbeat repeats; null if there is none. `sequence` of the entry is still
+    // that of the previous heartbeat, and the caller updates it. The cache owns the entry, which is valid
+    // until the cache changes.
     [[nodiscard]] CachedReply* find(std::string_view heartbeat, const protocol::HeartbeatOutline& outline);
-    // Stores the reply to a heartbeat that was parsed in full as this machine's with this sequence number. If
-    // its outline says otherwise, the machine's entry is removed instead.
+    // Stores the reply to a heartbeat. `machine` and `sequence` are the result of parsing it in full. If the
+    // outline of the heartbeat differs from them, the machine's entry is removed instead.
     void put(std::string heartbeat, const std::string& machine, protocol::SequenceNumber sequence,
              std::string reply_body, double now);
     void forget(std::string_view machine);
--- a/tests/relay/cancellation_notices_test.cpp
+++ b/tests/relay/cancellation_notices_test.cpp
@@ -1,4 +1,4 @@
-// To whom confirmed cancellations are sent, how often and for how long, on an injected clock.
+// Tests which controllers receive notices of confirmed cancellations, how often and for how long.
 #include "relay/cancellation_notices.hpp"
 
 #include <gtest/gtest.h>
@@ -16,11 +16,13 @@
 struct Peers : http::Requester {
     explicit Peers(FakeTimers& t) : timers(t) {}
     FakeTimers& timers;
-    std::map<std::string, std::uint64_t> leads;  // by address, its leadership
-    std::set<std::string> cut;
-    std::map<std::string, std::vector<std::vector<std::string>>> received;  // by address, the jobs of each
+    std::map<std::string, std::uint64_t>
+        leads;                          // by address: the version with which it acknowledges; 0: none
+    std::set<std::string> unreachable;  // addresses
+    std::map<std::string, std::vector<std::vector<std::string>>>
+        received;  // by address: jobs of each message
     void send(const std::string& addr, http::Request r, double timeout, http::Result result) override {
-        if (cut.contains(addr)) return void(timers.after(timeout, [result] { result({}); }));
+        if (unreachable.contains(addr)) return void(timers.after(timeout, [result] { result({}); }));
         auto m = protocol::unpack_peer<protocol::PeerCancellationBatch>(r.body).value();
         std::vector<std::string> ids{m.id};
         for (auto& more : m.more) ids.push_back(more.id);
@@ -52,18 +54,18 @@
 TEST(CancellationNotices, AreResentUntilTheLeaderOfTheNewestLeadershipAcknowledges) {
     NoticesFixture fixture;
     fixture.peers.leads["one"] = 5;
-    fixture.peers.cut = {"one"};
+    fixture.peers.unreachable = {"one"};
     fixture.notices.announce("j-1", 9, protocol::LeaderVersion::none());
     fixture.notices.announce("j-2", 10, protocol::LeaderVersion::none());
     fixture.timers.run_until(4);
     EXPECT_TRUE(fixture.peers.received["one"].empty());
-    fixture.peers.cut.clear();
+    fixture.peers.unreachable.clear();
     fixture.timers.run_until(5);
     ASSERT_EQ(fixture.peers.received["one"].size(), 1u);
     EXPECT_EQ(fixture.peers.received["one"][0], (std::vector<std::string>{"j-1", "j-2"}));
     fixture.timers.run_until(20);
     EXPECT_EQ(fixture.peers.received["one"].size(), 1u);
-    fixture.leadership = 8;  // that of the other one, which does not say so yet: it is loading
+    fixture.leadership = 8;  // controller "two" leads now, but does not acknowledge while it loads its state
     fixture.peers.leads["one"] = 0;
     fixture.timers.run_until(23);
     auto messages = fixture.peers.received["two"].size();
@@ -103,7 +105,7 @@
     EXPECT_EQ(fixture.peers.received["one"][0].size(), 256u);
 }
 TEST(CancellationNotices, AreCompatibleWithThePreviousVersion) {
-    // The layout of the version before: id and version only, and an empty answer.
+    // The previous software version sends only the id and the version, and answers without a body.
     msgpack::sbuffer old;
     msgpack::packer(old).pack_array(2).pack(std::string("j-1")).pack(9);
     auto m = protocol::unpack_peer<protocol::PeerCancellationBatch>({old.data(), old.size()});
--- a/tests/relay/delegation_table_test.cpp
+++ b/tests/relay/delegation_table_test.cpp
@@ -1,4 +1,4 @@
-// What the leader may conclude about the leases of machines that it delegated.
+// Tests until when the lease of a delegated machine can have been renewed.
 #include "relay/delegation_table.hpp"
 
 #include <gtest/gtest.h>
@@ -14,26 +14,25 @@
     EXPECT_TRUE(table.extend("b", 100).empty());
     EXPECT_EQ(table.renewal_bound("vm-1", 50), 100);
     EXPECT_EQ(table.renewal_bound("vm-2", 50), 50);
-    // Revoked: it may still be answered until the last expiry, not until a later one, since each answer that
-    // extends the delegation names it until one is acknowledged.
+    // The relay may still answer a revoked machine until the last expiry, but not until a later one: each
+    // answer that extends the delegation names the revoked machine until the relay acknowledges one of them.
     EXPECT_EQ(table.revoke("vm-1"), 100);
     EXPECT_EQ(table.revoke("vm-1"), std::nullopt);
     EXPECT_FALSE(table.delegated_to("vm-1", "b"));
-    EXPECT_FALSE(table.accept_message("b", protocol::Incarnation{1}, 1, 1, none))
-        << "a message that came late";
+    EXPECT_FALSE(table.accept_message("b", protocol::Incarnation{1}, 1, 1, none)) << "a delayed message";
     ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{1}, 2, 1, none));
     EXPECT_EQ(table.extend("b", 105), std::vector<std::string>{"vm-1"});
     ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{1}, 3, 1, none))
-        << "the answer to the second was lost";
+        << "the answer to the second message was lost";
     EXPECT_EQ(table.extend("b", 106), std::vector<std::string>{"vm-1"});
     ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{1}, 4, 3, none));
     EXPECT_TRUE(table.extend("b", 107).empty());
-    // A relay that was restarted: its machines are returned, with the bound of its last delegation.
+    // If a relay is restarted, its machines are returned with the bound of its last delegation.
     table.delegate("vm-3", "b");
-    std::vector<std::pair<std::string, double>> back;
+    std::vector<std::pair<std::string, double>> returned;
     ASSERT_TRUE(table.accept_message("b", protocol::Incarnation{2}, 1, 0,
-                                     [&](auto& id, double until) { back.emplace_back(id, until); }));
-    EXPECT_EQ(back, (std::vector<std::pair<std::string, double>>{{"vm-3", 107}}));
+                                     [&](auto& id, double until) { returned.emplace_back(id, until); }));
+    EXPECT_EQ(returned, (std::vector<std::pair<std::string, double>>{{"vm-3", 107}}));
     EXPECT_EQ(table.count("b"), 0u);
     // A machine that moves from one relay to another is revoked from the first.
     table.delegate("vm-4", "b");
--- a/tests/relay/heartbeat_queue_test.cpp
+++ b/tests/relay/heartbeat_queue_test.cpp
@@ -1,4 +1,4 @@
-// Which heartbeats are answered when more arrive than can be processed.
+// Tests which heartbeats are answered when more arrive than can be processed.
 #include "relay/heartbeat_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -11,41 +11,43 @@
 namespace coralhitch::relay {
 namespace {
 
-// A controller that gets more reports than it can read answers as many workers as it can read reports: what
-// it answers must still find its worker waiting.
+// An overloaded controller must not spend its time on heartbeats whose agents have already timed out.
+// Otherwise it would answer every heartbeat too late. Here it processes as many heartbeats as it can, and
+// answers each of them in time.
 TEST(HeartbeatQueue, AnswersInTimeWhenOverloaded) {
     struct Case {
-        double per_s, read_per_s;  // reports that come, and that can be read
-        double way_s;              // from a worker to the queue and back
+        double arrivals_per_s, capacity_per_s;  // heartbeats that arrive, and that can be processed
+        double round_trip_s;                    // from the agent to the queue and back
     };
     const Case cases[] = {{50, 100, 0.1}, {150, 100, 0.1}, {300, 100, 0.5}, {2000, 100, 1}, {300, 100, 1.2}};
     for (auto& c : cases) {
         FakeTimers timers;
         HeartbeatRejections rejections(timers, 60);
         HeartbeatQueue queue(rejections);
-        std::size_t answered = 0, refused = 0, in_time = 0;
-        double come = 0, read = 0;
+        std::size_t answered = 0, rejected = 0, in_time = 0;
+        double arrived = 0, processable = 0;
         for (double t = 0; t < 60; t += 0.002) {
-            for (come += c.per_s * 0.002; come >= 1; --come)
+            for (arrived += c.arrivals_per_s * 0.002; arrived >= 1; --arrived)
                 queue.push(
-                    {"", [&, t](http::Response r) { (r.status == 200 ? answered : refused) += t >= 0; }, t});
-            for (read += c.read_per_s * 0.002; read >= 1; --read)
+                    {"", [&, t](http::Response r) { (r.status == 200 ? answered : rejected) += t >= 0; }, t});
+            for (processable += c.capacity_per_s * 0.002; processable >= 1; --processable)
                 if (auto r = queue.pop(t)) {
                     r->reply({200, ""});
-                    in_time += t + c.way_s - r->received_at < protocol::heartbeat_timeout_s;
+                    in_time += t + c.round_trip_s - r->received_at < protocol::heartbeat_timeout_s;
                 }
-            read = std::min(read, 1.0);
+            processable = std::min(processable, 1.0);
         }
-        double most = std::min(c.per_s, c.read_per_s) * 60;
-        EXPECT_EQ(answered, in_time) << c.per_s;
-        EXPECT_GT(static_cast<double>(in_time), most * 0.9) << c.per_s;
-        EXPECT_EQ(refused, queue.rejected());
-        EXPECT_EQ(refused, rejections.count(HeartbeatRejection::queue_timeout));
-        EXPECT_EQ(refused > 0, c.per_s > c.read_per_s) << c.per_s;
+        double max_answered = std::min(c.arrivals_per_s, c.capacity_per_s) * 60;
+        EXPECT_EQ(answered, in_time) << c.arrivals_per_s;
+        EXPECT_GT(static_cast<double>(in_time), max_answered * 0.9) << c.arrivals_per_s;
+        EXPECT_EQ(rejected, queue.rejected());
+        EXPECT_EQ(rejected, rejections.count(HeartbeatRejection::queue_timeout));
+        EXPECT_EQ(rejected > 0, c.arrivals_per_s > c.capacity_per_s) << c.arrivals_per_s;
     }
 }
 
-// Heartbeats that are handed over keep the time at which they were received.
+// The reply callback of a rejected heartbeat may push another one. Heartbeats that are handed over keep the
+// time at which they were received.
 TEST(HeartbeatQueue, AcceptsAPushDuringARejection) {
     FakeTimers timers;
     HeartbeatRejections rejections(timers, 60);
--- a/tests/relay/heartbeat_rejections_test.cpp
+++ b/tests/relay/heartbeat_rejections_test.cpp
@@ -1,4 +1,4 @@
-// Counting and logging of rejections.
+// Tests the counting and logging of rejected heartbeats.
 #include "relay/heartbeat_rejections.hpp"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,7 @@
 namespace coralhitch::relay {
 namespace {
 
-// Every rejection is counted by its reason and logged at a limited rate, however many there
-// are.
+// Every rejection is counted by its reason. Log lines are written at a limited rate.
 TEST(HeartbeatRejections, AreCountedAndLoggedAtALimitedRate) {
     spdlog::set_level(spdlog::level::off);
     FakeTimers timers;
--- a/tests/relay/heartbeat_relay_test.cpp
+++ b/tests/relay/heartbeat_relay_test.cpp
@@ -1,4 +1,4 @@
-// What a relaying controller answers by itself and until when, and what it forwards, keeps and rejects.
+// Tests which heartbeats a relay answers by itself and until when, and which it forwards, holds or rejects.
 #include "relay/heartbeat_relay.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace coralhitch::relay {
 namespace {
 
-// Keeps what was sent to the leader; the test answers, late or not at all.
+// Stores the messages sent to the leader, so that a test can answer them late or not at all.
 struct Network : http::Requester {
     struct Sent {
         protocol::RelayRequest message;
@@ -46,13 +46,14 @@
         s.memory_mb = 100;
         return s;
     }
-    // A worker's report; true if it was taken. Its answer's status, once there is one, goes to `statuses`.
+    // Offers an agent's heartbeat to the relay and returns true if it was accepted. The status of the answer
+    // is added to `statuses` once there is one.
     bool offer(std::string body) {
         http::Reply reply = [this](http::Response r) { statuses.push_back(r.status); };
         return relay.try_accept(body, reply);
     }
     void run(double seconds) { timers.run_until(timers.now() + seconds); }
-    // Answers the oldest message: all its reports with 200.
+    // Answers the oldest message, and all its heartbeats with status 200.
     void answer(protocol::RelayResponse a, bool quiet = true) {
         auto s = std::move(net.sent.front());
         net.sent.pop_front();
@@ -60,21 +61,22 @@
         for (std::size_t k = 0; k < s.message.heartbeats.size(); ++k) a.replies.push_back({200, "{}", quiet});
         s.result(http::Response{200, protocol::pack_peer(a), "application/msgpack"});
     }
+    // Makes the oldest message fail without an answer.
     void lose() {
         auto s = std::move(net.sent.front());
         net.sent.pop_front();
         s.result(std::nullopt);
     }
 };
-protocol::RelayResponse extension(std::uint64_t ms, std::vector<std::string> recalled = {}) {
+protocol::RelayResponse extension(std::uint64_t ms, std::vector<std::string> revoked = {}) {
     protocol::RelayResponse a;
     a.ready = true;
     a.delegation_ms = ms;
-    a.revoked = std::move(recalled);
+    a.revoked = std::move(revoked);
     return a;
 }
 
-// The relay may answer repeated heartbeats, and the first one of vm-1 is on its way to the leader.
+// Gives the relay a delegation and makes it forward the first heartbeat of vm-1, which stays unanswered.
 void send_pending_heartbeat(RelayFixture& fixture) {
     fixture.run(0.2);
     fixture.answer(extension(6000));
@@ -85,7 +87,7 @@
 TEST(HeartbeatRelay, AnswersRepeatedHeartbeatsWhileDelegationLasts) {
     RelayFixture fixture;
     fixture.run(0.2);
-    fixture.answer(extension(6000));  // the first message, without reports
+    fixture.answer(extension(6000));  // the first message, without heartbeats
     EXPECT_TRUE(fixture.offer(heartbeat_body("vm-1", 1)));
     EXPECT_TRUE(fixture.statuses.empty()) << "only the leader knows an answer";
     while (fixture.net.sent.empty() && fixture.timers.now() < 1) fixture.run(0.01);
@@ -98,8 +100,8 @@
     EXPECT_TRUE(fixture.offer(heartbeat_body("vm-1", 2)));
     EXPECT_EQ(fixture.statuses.size(), 2u) << "answered at once";
     EXPECT_TRUE(fixture.offer(heartbeat_body("vm-1", 3, task)));
-    EXPECT_EQ(fixture.statuses.size(), 2u) << "something is new";
-    // Counted from the sending of the message that was answered, less the drift of two clocks.
+    EXPECT_EQ(fixture.statuses.size(), 2u) << "the content has changed";
+    // The delegation counts from the sending of the answered message, less the drift of two clocks.
     fixture.run(sent + 5.995 - fixture.timers.now());
     std::size_t before = fixture.statuses.size();
     EXPECT_TRUE(fixture.offer(heartbeat_body("vm-1", 4)));
@@ -108,42 +110,42 @@
 
 TEST(HeartbeatRelay, StopsAnsweringAfterRevocationOrNewLeadership) {
     struct Case {
-        const char* what;
-        std::function<void(RelayFixture&)> then;
+        const char* name;
+        std::function<void(RelayFixture&)> act;
         bool answers;
     };
     const Case cases[] = {
-        {"nothing", [](RelayFixture& fixture) { fixture.answer(extension(6000)); }, true},
+        {"the delegation is extended", [](RelayFixture& fixture) { fixture.answer(extension(6000)); }, true},
         {"revoked", [](RelayFixture& fixture) { fixture.answer(extension(6000, {"vm-1"})); }, false},
         {"another machine revoked", [](RelayFixture& fixture) { fixture.answer(extension(6000, {"vm-2"})); },
          true},
         {"a delegation of no length", [](RelayFixture& fixture) { fixture.answer(extension(0)); }, false},
         {"another leadership",
          [](RelayFixture& fixture) { fixture.leader.version = protocol::LeaderVersion{6}; }, false},
-        {"the same controller leads no more", [](RelayFixture& fixture) { fixture.leader = {}; }, false},
-        {"no answer, the previous delegation still lasts", [](RelayFixture& fixture) { fixture.lose(); },
-         false},
+        {"there is no leader", [](RelayFixture& fixture) { fixture.leader = {}; }, false},
+        {"no answer, though the previous delegation is still valid",
+         [](RelayFixture& fixture) { fixture.lose(); }, false},
     };
     for (auto& c : cases) {
         RelayFixture fixture;
         send_pending_heartbeat(fixture);
         fixture.answer(extension(6000));
         ASSERT_EQ(fixture.statuses.size(), 1u);
-        fixture.run(0.65);  // the next message goes without a report, to fetch revocations
-        ASSERT_EQ(fixture.net.sent.size(), 1u) << c.what;
-        c.then(fixture);
-        bool taken = fixture.offer(heartbeat_body("vm-1", 2));
-        EXPECT_EQ(taken && fixture.statuses.size() == 2, c.answers) << c.what;
+        fixture.run(0.65);  // the next message contains no heartbeat, and serves to fetch revocations
+        ASSERT_EQ(fixture.net.sent.size(), 1u) << c.name;
+        c.act(fixture);
+        bool accepted = fixture.offer(heartbeat_body("vm-1", 2));
+        EXPECT_EQ(accepted && fixture.statuses.size() == 2, c.answers) << c.name;
     }
 }
 
-// While the first message has no answer two reports wait: for too long, or until it turns out that it is
-// lost.
+// Two heartbeats wait while the first message has no answer. They are rejected because the message has
+// failed, or because they have waited too long, and must be counted by that reason.
 TEST(HeartbeatRelay, CountsRejectionsByReason) {
-    for (auto [seconds, why] :
+    for (auto [seconds, reason] :
          {std::pair(0.0, HeartbeatRejection::no_leader), {4.0, HeartbeatRejection::queue_timeout}}) {
         RelayFixture fixture;
-        fixture.settings.op.relay_heartbeats = false;  // nothing is held for the next leader
+        fixture.settings.op.relay_heartbeats = false;  // no heartbeat is held for the next leader
         ASSERT_TRUE(fixture.offer("{}"));
         fixture.run(0.5);
         ASSERT_EQ(fixture.net.sent.size(), 1u);
@@ -151,22 +153,23 @@
         fixture.run(seconds);
         fixture.lose();
         EXPECT_EQ(fixture.statuses, (std::vector{503, 503}));
-        EXPECT_EQ(fixture.relay.rejections().count(why), 2u);
+        EXPECT_EQ(fixture.relay.rejections().count(reason), 2u);
     }
 }
 
-// While there is no leader, or it does not answer, workers are kept waiting: rejected, all workers call
-// every controller each second.
+// While there is no leader, or the leader does not answer, heartbeats wait for a limited time. If they were
+// rejected, all agents would call every controller each second.
 TEST(HeartbeatRelay, KeepsHeartbeatsWaitingDuringAFailoverAndNoLonger) {
     struct Case {
-        const char* what;
-        std::function<void(RelayFixture&)> then;
-        double offered_after;  // of the interruption
-        bool taken;
-        std::vector<int> statuses;  // 4.6 s after the interruption, of the report before it and the one after
+        const char* name;
+        std::function<void(RelayFixture&)> act;
+        double offered_after;  // time of the second heartbeat, seconds after the interruption
+        bool accepted;
+        // Statuses, 4.6 s after the interruption, of the heartbeats sent before and after it.
+        std::vector<int> statuses;
     };
     const Case cases[] = {
-        {"no answer, the next message gets through",
+        {"no answer, then the next message succeeds",
          [](RelayFixture& fixture) {
              fixture.run(1.6);
              ASSERT_FALSE(fixture.net.sent.empty());
@@ -175,7 +178,7 @@
          0.1,
          true,
          {200, 200}},
-        {"no leader, then another",
+        {"no leader, then another leader",
          [](RelayFixture& fixture) {
              fixture.leader = {};
              fixture.run(1);
@@ -188,19 +191,19 @@
          0.1,
          true,
          {200, 200}},
-        {"no leader: not for longer than workers wait",
+        {"no leader: heartbeats wait no longer than their agents",
          [](RelayFixture& fixture) { fixture.leader = {}; },
          0.1,
          true,
          {503, 503}},
-        {"a failover takes no longer than this",
+        {"no leader: rejected after the failover window",
          [](RelayFixture& fixture) { fixture.leader = {}; },
          4.55,
          false,
          {503}},
     };
     for (auto& c : cases) {
-        SCOPED_TRACE(c.what);
+        SCOPED_TRACE(c.name);
         RelayFixture fixture;
         send_pending_heartbeat(fixture);
         fixture.lose();
@@ -208,21 +211,21 @@
         EXPECT_TRUE(fixture.statuses.empty());
         if (c.offered_after < 1) {
             fixture.run(c.offered_after);
-            EXPECT_EQ(fixture.offer(heartbeat_body("vm-2", 1)), c.taken);
-            c.then(fixture);
+            EXPECT_EQ(fixture.offer(heartbeat_body("vm-2", 1)), c.accepted);
+            c.act(fixture);
         } else {
-            c.then(fixture);
+            c.act(fixture);
             fixture.run(c.offered_after);
-            EXPECT_EQ(fixture.offer(heartbeat_body("vm-2", 1)), c.taken);
+            EXPECT_EQ(fixture.offer(heartbeat_body("vm-2", 1)), c.accepted);
         }
         fixture.run(from + 4.6 - fixture.timers.now());
         EXPECT_EQ(fixture.statuses, c.statuses);
     }
 }
 
-// One controller of three is down and another leads, so this one gets nine tenths of all heartbeats; half of
-// them are no repetitions, 0.43 a machine and second, as in a failover at the target's peak. The leader
-// takes 20 ms for each message.
+// One of three controllers is down and another one leads, so this one receives nine tenths of all heartbeats.
+// Each machine sends 0.43 heartbeats per second, and half of them are not repetitions, as in a failover at
+// the peak load that the system is designed for. The leader takes 20 ms for each message.
 TEST(HeartbeatRelay, ForwardsTheHeartbeatsOf8000MachinesAsTheOnlyRelay) {
     for (int machines : {4000, 8000}) {
         SCOPED_TRACE(machines);
@@ -243,7 +246,7 @@
     }
 }
 
-// A leader that is not ready yet is retried at a limited rate, however many heartbeats wait.
+// A leader that is not ready yet is retried at a limited rate, even if many heartbeats wait.
 TEST(HeartbeatRelay, RetriesALeaderThatIsNotReadyAtALimitedRate) {
     RelayFixture fixture;
     fixture.settings.heartbeat_interval_s = 3;
@@ -260,7 +263,8 @@
     EXPECT_LE(messages, 11);
 }
 
-// Heartbeats that wait when this controller becomes the leader are its own to answer.
+// When this controller becomes the leader, it answers the waiting heartbeats itself: the relay hands them
+// over and must not reject them later.
 TEST(HeartbeatRelay, HandsOverPendingHeartbeats) {
     RelayFixture fixture;
     send_pending_heartbeat(fixture);
@@ -269,7 +273,8 @@
     fixture.run(0.5);
     auto waiting = fixture.relay.take_pending();
     ASSERT_EQ(waiting.size(), 1u);
-    EXPECT_LT(waiting.front().received_at, fixture.timers.now() - 0.6) << "its worker has waited since then";
+    EXPECT_LT(waiting.front().received_at, fixture.timers.now() - 0.6)
+        << "the time at which the agent began to wait";
     fixture.run(5);
     EXPECT_TRUE(fixture.statuses.empty());
 }
--- a/tests/relay/heartbeat_tracker_test.cpp
+++ b/tests/relay/heartbeat_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Which machines count as recently seen.
+// Tests which machines count as recently seen.
 #include "relay/heartbeat_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -6,14 +6,15 @@
 namespace coralhitch::relay {
 namespace {
 
-// Only heartbeats that are newer than all before count as a sign of life.
+// Only a heartbeat that is newer than all earlier ones of its machine counts as a sign of life. A delayed
+// copy does not.
 TEST(HeartbeatTracker, IgnoresLateCopies) {
     HeartbeatTracker tracker(5, 100);
     tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{10}, 0);
     tracker.record("vm-2", protocol::AgentEpoch{3}, protocol::SequenceNumber{10}, 0);
     EXPECT_EQ(tracker.recent_count(4), 2u);
-    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{10}, 10);  // the same again
-    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{9}, 10);   // and an older one
+    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{10}, 10);  // a copy
+    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{9}, 10);   // an older heartbeat
     tracker.record("vm-2", protocol::AgentEpoch{2}, protocol::SequenceNumber{99},
                    10);  // of an earlier agent epoch
     EXPECT_EQ(tracker.recent_count(10), 0u);
@@ -22,10 +23,11 @@
     tracker.reset_recent();
     EXPECT_EQ(tracker.recent_count(11), 0u);
     tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{11},
-                   12);  // its newest heartbeat is still known
+                   12);  // a copy: the latest heartbeat is still remembered
     EXPECT_EQ(tracker.recent_count(12), 0u);
     tracker.expire(112);
-    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{11}, 112);  // forgotten by now
+    tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{11},
+                   112);  // no longer remembered
     EXPECT_EQ(tracker.recent_count(112), 1u);
 }
 
--- a/tests/relay/worker_lease_test.cpp
+++ b/tests/relay/worker_lease_test.cpp
@@ -1,4 +1,4 @@
-// Until when worker leases may be renewed.
+// Tests until when agents' leases may be renewed.
 #include "relay/worker_lease.hpp"
 
 #include <gtest/gtest.h>
@@ -6,12 +6,13 @@
 namespace coralhitch::relay {
 namespace {
 
-// Whatever the settings: a task of a job that was cancelled right after the leader was last complete is gone
-// in time, if a report that came at the last moment was answered and no command ever arrives.
+// A job is cancelled right after the time up to which the leader knows all cancellations, a heartbeat is
+// answered at the last permitted moment, and no command reaches the machine. For all settings, the expiry of
+// the agent's lease must then end the task within `cancel_s`.
 TEST(WorkerLease, RenewalEndsEarlyEnoughForEveryCancellation) {
     struct Case {
         double heartbeat_interval_s, lease_s, cancel_s;
-        bool some;  // whether anything is left after the authority's end
+        bool grace;  // leases may be renewed for some time after the end of the leader's authority
     };
     const Case cases[] = {{3, 24, 44, true},      {3, 31, 61, true},  {6, 31, 51, true},
                           {3, 24, 27, false},     {3, 24, 29, false}, {6, 31, 37, false},
@@ -24,10 +25,10 @@
         double ttl = s.lease_s * s.op.lease_ratio, slow = 1 + 0.0005;
         double complete_at = 100, last = lease_renewal_deadline(s, ttl, complete_at, 1e9);
         EXPECT_LT((last - complete_at) * slow + s.lease_s * slow, s.cancel_s) << c.cancel_s;
-        EXPECT_EQ(renewal_grace_s(s, ttl) > 0, c.some) << c.cancel_s;
-        // A successor counts on no more than the predecessor does, however complete that is.
+        EXPECT_EQ(renewal_grace_s(s, ttl) > 0, c.grace) << c.cancel_s;
+        // The successor relies on the grace period. No later cancellation knowledge may extend it.
         EXPECT_LE(lease_renewal_deadline(s, ttl, 1e9, 50), 50 + renewal_grace_s(s, ttl));
-        // What was not complete for so long renews nothing, though its authority goes on.
+        // A leader that does not learn of new cancellations stops renewing leases, even with authority.
         EXPECT_LE(last, complete_at + s.cancel_s - s.lease_s);
     }
 }
