--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -13,11 +13,11 @@
 using kv::RequestPriority;
 
 namespace {
-// Ratios to the lease's time to live.
-constexpr double authority_margin_ratio = 1.0 / 20;  // between a check of the clock and the act that follows
-constexpr double renewal_interval_ratio = 1.0 / 4;
-constexpr double renewal_retry_ratio = 1.0 / 16;
-constexpr double max_deferral_ratio = 1;
+// Covers the time between a check of the clock and the action that follows.
+constexpr double authority_margin_ttls = 1.0 / 20;
+constexpr double renewal_interval_ttls = 1.0 / 4;
+constexpr double renewal_retry_ttls = 1.0 / 16;
+constexpr double max_deferral_ttls = 1;
 }  // namespace
 
 Election::Election(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
@@ -56,8 +56,9 @@
     try {
         auto record = protocol::parse_leader_record(entry.value);
         handle_leader_record(entry, record);
-        // An earlier process of this controller held the key. It is dead, since this one runs in its place;
-        // what it sent and is still under way is fenced by token and condition.
+        // An earlier process of this controller holds the key. That process has ended, since this one runs in
+        // its place. Its messages that are still in transit are fenced by the token, and its transactions by
+        // their conditions.
         if (is_previous_incarnation(record) && entry.lease) {
             spdlog::info("component=election event=ending_lease_of_previous_incarnation");
             return kv_.end_lease(entry.lease, [this](bool) { schedule_read(); });
@@ -106,15 +107,16 @@
     }
     history_.extend_to(next_revision);
     if (was_put) return read_leader_key();
-    // The claim's condition makes sure that the key is absent, so it need not be read first. Earlier versions
-    // read it: while a version is rolled out, controllers that run the new one already so win against those
-    // that are still to be stopped.
+    // The claim's condition ensures that the key is absent, so the key need not be read first. Earlier
+    // software versions do read it. During a rollout, controllers that already run the new version therefore
+    // win against those that are still to be stopped.
     if (is_deleted) return campaign_unless_deferring();
     watch_leader_key(next_revision);
 }
 
-// The leader's key is older than the changes that the store keeps: a list says from which revision to watch
-// on. Watched by the key's version again and again, each watch would be refused as compacted.
+// Handles a watch that was refused as compacted, because the leader's key is older than the changes that the
+// store keeps. A list returns the revision from which to watch. If the watch began at the key's version
+// again, it would be refused each time.
 void Election::list_leader_key() {
     kv_.list(kv::keys::leader, RequestPriority::lease, [this](kv::ListResult result) {
         if (role_ != Role::follower) return;
@@ -129,18 +131,18 @@
 
 // --- Candidate ------------------------------------------------------------------------------------------
 
-// A controller that is cut off from the agents would win as easily as one that receives their heartbeats, and
-// each leadership that comes to nothing costs the agents' leases seconds. Deferring is bounded: whom it
-// defers to may not be able to lead. The bound holds for one that resigned, too: the controller that it
-// resigned for may have ended, and without the bound nobody led for ten seconds although this one knew all
-// that had been started.
+// Claims leadership, unless another controller should lead. A controller that is cut off from the agents
+// would win as easily as one that receives their heartbeats, and each failed leadership takes seconds off the
+// agents' leases. The deferral is bounded, because the other controller may be unable to lead. The bound also
+// applies after a resignation, because the controller that was to take over may have ended. Without the bound
+// there was no leader for ten seconds, although this controller knew all tasks that had been started.
 void Election::campaign_unless_deferring() {
     leader_label_.clear();
     double now = timers_.now();
     if (!key_absent_since_) key_absent_since_ = now;
     bool should_defer = (deferring_until_ && now < *deferring_until_) ||
                         (callbacks_.should_defer && callbacks_.should_defer());
-    if (should_defer && now - *key_absent_since_ < lease_ttl_s_ * max_deferral_ratio) return schedule_read();
+    if (should_defer && now - *key_absent_since_ < lease_ttl_s_ * max_deferral_ttls) return schedule_read();
     campaign();
 }
 
@@ -171,8 +173,9 @@
     });
 }
 
-// The answer to the claim was lost; the key tells whether it was executed. While it still may be, the lease
-// is ended first, so that a late claim finds no lease.
+// Reads the key to learn whether a claim whose answer was lost has been executed. If it has not, the claim
+// may still be executed later, so its lease is ended: a late claim then fails because the lease does not
+// exist.
 void Election::resolve_unknown_claim(kv::LeaseResult lease) {
     kv_.get(kv::keys::leader, RequestPriority::lease, [this, lease](kv::GetResult result) {
         if (role_ != Role::candidate) return;
@@ -214,7 +217,7 @@
 }
 
 double Election::authority_expiry_of(double lease_sent_at) const {
-    return lease_sent_at + lease_ttl_s_ * (1 - max_clock_drift - authority_margin_ratio);
+    return lease_sent_at + lease_ttl_s_ * (1 - max_clock_drift - authority_margin_ttls);
 }
 
 void Election::renew_lease() {
@@ -223,7 +226,7 @@
         if (lease.status == kv::LeaseResult::Status::expired) return lose_leadership();
         bool renewed = lease.status == kv::LeaseResult::Status::ok;
         if (renewed) authority_expiry_ = std::max(authority_expiry_, authority_expiry_of(lease.sent_at));
-        double next_s = lease_ttl_s_ * (renewed ? renewal_interval_ratio : renewal_retry_ratio);
+        double next_s = lease_ttl_s_ * (renewed ? renewal_interval_ttls : renewal_retry_ttls);
         timers_.after(next_s, [this, round] {
             if (round == leadership_round_ && role_ == Role::leader) renew_lease();
         });
@@ -246,10 +249,10 @@
     if (fencing_token <= leader_fencing_token_ || label.empty()) return;
     leader_label_ = label;
     leader_fencing_token_ = fencing_token;
-    // Tokens only grow, so a newer leadership means that this one is over, whatever its lease says.
+    // Tokens only grow, so a newer leadership proves that this one has ended, even if its lease seems valid.
     if (is_leader() && fencing_token > fencing_token_) {
         lose_leadership();
-        leader_label_ = label;  // losing leadership has cleared it
+        leader_label_ = label;  // lose_leadership() has cleared it
     }
 }
 
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -1,15 +1,17 @@
-// Leader election among the controllers: whoever holds the key `leader` of the key-value store, under a lease
-// that it renews, is the leader.
+// Leader election among the controllers. The leader is the controller that holds the key `leader` of the
+// key-value store under a lease that it renews.
 //
-// Why no two leaders act at once. The store counts a lease from the moment at which it executes the creation
-// or renewal, which is never before the request was sent. The leader counts from the sending, and acts only
-// until `sent_at + ttl`, less the drift of the clocks and a margin for the time between its check of the
-// clock and the act (`may_act`). The store may end a lease late, but never early. So its authority ends
-// before the store can delete its key, and nobody else can claim the key before that.
+// Two leaders never act at the same time, for the following reason. The store counts a lease from the time at
+// which it executes the creation or renewal, which is never before the request was sent. The leader counts
+// from the time of sending, and acts only until `sent_at + ttl`, less the drift of the clocks and a margin
+// for the time between its check of the clock and the action (`may_act`). The store may end a lease late, but
+// never early. The leader's authority therefore ends before the store can delete its key, and no other
+// controller can claim the key before that.
 //
-// What a leader sent while it had authority may still arrive later. That is fenced by the fencing token, the
-// version of the leader's key: versions only grow, agents ignore commands with a token lower than the highest
-// that they have seen, and every transaction of a leader has its key's version as a condition.
+// Messages that a leader sent while it had authority may still arrive later. They are fenced by the fencing
+// token, which is the version of the leader's key. Versions only grow, agents ignore commands with a token
+// lower than the highest that they have seen, and every transaction of a leader is conditional on the version
+// of its key.
 //
 // Runs on the event loop's thread.
 #pragma once
@@ -29,52 +31,59 @@
 
 namespace coralhitch::election {
 
-// Steady clocks of two machines drift apart by up to 0.05%; twice that, as a ratio, for whatever is decided
-// by time.
+// The clock drift, as a ratio, that decisions by time allow for. It is twice the 0.05% by which the steady
+// clocks of two machines drift apart at most.
 inline constexpr double max_clock_drift = 0.001;
 
+// One controller's part in elections: follows the leader, claims leadership when there is none, and renews
+// its lease while it leads.
 class Election {
   public:
     struct Callbacks {
-        // This controller became the leader.
+        // Called when this controller has become the leader.
         std::function<void(protocol::LeaderVersion fencing_token)> on_elected;
-        // It is not the leader any more: lease expired, superseded, or resigned.
+        // Called when this controller is no longer the leader: its lease has expired, a later leadership
+        // exists, or it has resigned.
         std::function<void()> on_leadership_lost;
-        // Whether another controller should lead rather than this one, as far as is known; may be empty.
+        // Returns true if, as far as is known, another controller should lead instead. May be empty.
         std::function<bool()> should_defer = {};
     };
 
-    // `incarnation` identifies this process among those of the same controller; `seed` is for the jitter of
+    // `incarnation` identifies this process among those of the same controller. `seed` is for the jitter of
     // retries. The references must outlive this object, and it must outlive its timers and requests.
     Election(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
              protocol::Incarnation incarnation, std::uint64_t seed);
 
-    // Takes part in elections from now on. To be called once.
+    // Begins to take part in elections. Must be called once.
     void start(Callbacks callbacks);
 
-    // Whether this controller is the leader as far as it knows; its lease may have run out meanwhile.
+    // Returns true if this controller believes that it is the leader. Its lease may have expired since.
     [[nodiscard]] bool is_leader() const { return role_ == Role::leader; }
-    // Whether it may act as the leader right now. To be asked at every act: a timer may fire late.
+    // Returns true if this controller may act as the leader now. Must be called before every action, because
+    // a timer may fire late.
     [[nodiscard]] bool may_act() const { return is_leader() && timers_.now() < authority_expiry_; }
-    // Steady time (seconds) at which the authority to act ends unless a renewal succeeds; 0 while not leader.
+    // Returns the steady time, in seconds, at which the authority to act ends unless a renewal succeeds; 0
+    // while this controller is not the leader.
     [[nodiscard]] double authority_expiry() const { return authority_expiry_; }
-    // Of the latest leadership of this controller; none if there was none.
+    // Returns the token of this controller's latest leadership; none if it has never led.
     [[nodiscard]] protocol::LeaderVersion fencing_token() const { return fencing_token_; }
     [[nodiscard]] double lease_ttl_s() const { return lease_ttl_s_; }
 
-    // The leaderships observed before this controller's latest claim, its own left out.
+    // Returns the leaderships observed before this controller's latest successful claim.
     [[nodiscard]] const LeadershipHistory& history_before_claim() const { return history_before_claim_; }
 
-    // The latest known leader: its label (empty if unknown) and its fencing token.
+    // Returns the label of the latest known leader; empty if it is unknown.
     [[nodiscard]] const std::string& leader_label() const { return leader_label_; }
+    // Returns the highest fencing token of a leader known so far.
     [[nodiscard]] protocol::LeaderVersion leader_fencing_token() const { return leader_fencing_token_; }
 
-    // Another controller names a leader. Ignored unless its token is newer than the latest known one; steps
-    // down if this controller led before it.
+    // Records a leader that another controller has named. Does nothing unless its token is newer than the
+    // latest known one. If this controller leads with an older token, it steps down.
     void observe_leader(const std::string& label, protocol::LeaderVersion fencing_token);
-    // There is proof of a leadership with that token: steps down if it is newer than the own one.
+    // Steps down if this controller leads with an older token than `fencing_token`, which is evidence that a
+    // leadership with that token exists.
     void step_down_if_superseded(protocol::LeaderVersion fencing_token);
-    // Gives up leadership, ends the lease and defers to the others for a while (seconds).
+    // Gives up leadership, ends the lease, and defers to the other controllers for up to `pause_s` seconds.
     void resign(double pause_s);
 
   private:
@@ -118,7 +127,7 @@
     std::optional<double> key_absent_since_;  // steady time at which the key was first found absent
     protocol::LeaderVersion fencing_token_;
     std::uint64_t lease_id_ = 0;
-    // Counts leaderships won and lost: an answer or timer of an earlier one is ignored.
+    // Incremented with each leadership won or lost. Answers and timers of an earlier round are ignored.
     std::uint64_t leadership_round_ = 0;
 
     std::string leader_label_;
--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -1,4 +1,4 @@
-// Leader election under late, lost and repeated answers, with an injected clock and network.
+// Tests leader election under late, lost and repeated answers, with an injected clock and network.
 #include "election/election.hpp"
 
 #include <gtest/gtest.h>
@@ -10,14 +10,14 @@
 namespace coralhitch::election {
 namespace {
 
-// A key-value store of one key. Requests can be refused, or their answers lost after they were executed.
+// A key-value store of one key. It can refuse requests, or lose answers after executing the request.
 class FakeLeaderKeyStore : public http::Requester {
   public:
     explicit FakeLeaderKeyStore(FakeTimers& t) : timers_(t) {}
     bool refuse = false, lose_txn_answer = false, lose_renewals = false;
     std::uint64_t version = 0, lease = 0, leases = 0, revision = 4;
     std::string value;
-    std::optional<double> lease_ends_at;  // a watch reports then that the key is deleted
+    std::optional<double> lease_ends_at;  // at this time, a watch reports that the key was deleted
     int reads = 0;
 
     void send(const std::string&, http::Request r, double timeout, http::Result result) override {
@@ -58,7 +58,7 @@
             if (r.method == "DELETE") version = 0;
             return http::Response{version ? 200 : 404, "{\"mooring\":1}"};
         }
-        return std::nullopt;  // watches wait
+        return std::nullopt;  // a watch gets no answer
     }
     FakeTimers& timers_;
 };
@@ -78,7 +78,7 @@
     kv::KvClient client{timers, service, settings};
     Election election{timers, client, settings, protocol::Incarnation{77}, 1};
     int won = 0, lost = 0;
-    // The key as another process left it.
+    // Stores the key as held by another process, of the controller `label`.
     void held_by(const std::string& label) {
         service.version = 3;
         service.lease = 9;
@@ -114,8 +114,8 @@
         b.timers.run_until(1);
         (lost ? b.service.lose_renewals : b.service.refuse) = true;
         b.timers.run_until(1 + b.election.lease_ttl_s());
-        EXPECT_TRUE(b.election.is_leader());  // no answer said that the lease has expired
-        EXPECT_FALSE(b.election.may_act());   // but it may have
+        EXPECT_TRUE(b.election.is_leader());  // no answer has reported the expiry of the lease
+        EXPECT_FALSE(b.election.may_act());   // the lease may have expired
         b.service.lose_renewals = b.service.refuse = false;
         b.timers.run_until(2 + 2 * b.election.lease_ttl_s());
         EXPECT_TRUE(b.election.may_act());
@@ -145,8 +145,9 @@
     b.election.observe_leader("berth-2", protocol::LeaderVersion{8});
     EXPECT_EQ(b.election.leader_label(), "berth-2");
 }
-// A leader that is cut off from the key-value store learns of its successor from an agent's token.
-TEST(Election, StepsDownOnProofOfALaterLeadership) {
+// A leader that is cut off from the key-value store learns of its successor from the token that an agent
+// sends.
+TEST(Election, StepsDownWhenSupersededByALaterLeadership) {
     for (auto [ahead, lost] : {std::pair(0, 0), {1, 1}}) {
         ElectionFixture b;
         b.start();
@@ -158,8 +159,8 @@
         EXPECT_EQ(b.election.is_leader(), lost == 0);
     }
 }
-// A controller that is cut off from the agents defers to one that receives their heartbeats, but not for
-// ever: that one may be unable to lead.
+// A controller that is cut off from the agents defers to one that receives their heartbeats. The deferral
+// must end, because the other controller may be unable to lead.
 TEST(Election, DefersForABoundedTime) {
     ElectionFixture b;
     bool defer = true;
@@ -169,8 +170,8 @@
     b.timers.run_until(b.election.lease_ttl_s() * 1.5);
     EXPECT_EQ(b.won, 1);
 }
-// While a version is rolled out, controllers that run the new one already must win against the old ones,
-// which read the key before they claim it.
+// During a rollout, controllers of the new software version must win against those of the old version, which
+// read the key before they claim it.
 TEST(Election, ClaimsWithoutAReadWhenTheWatchReportsTheDeletion) {
     ElectionFixture b;
     b.held_by("berth-1");
--- a/tests/election/leadership_history_test.cpp
+++ b/tests/election/leadership_history_test.cpp
@@ -1,3 +1,4 @@
+// Tests the order, the bound and the completeness of the recorded leaderships.
 #include "election/leadership_history.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 TEST(LeadershipHistory, KeepsTheLatestLeadershipsInOrder) {
     LeadershipHistory history;
     for (std::uint64_t version = 1; version <= 20; ++version) history.append({LeaderVersion{version}, true});
-    history.append({LeaderVersion{20}, true});  // the same again
+    history.append({LeaderVersion{20}, true});  // no effect: it is the latest already
     ASSERT_EQ(history.leaderships.size(), 16u);
     EXPECT_EQ(history.leaderships.front().version, LeaderVersion{5});
     EXPECT_TRUE(history.ends_with(LeaderVersion{20}));
