--- a/src/membership/eviction_cost.hpp
+++ b/src/membership/eviction_cost.hpp
@@ -1,13 +1,18 @@
-// What evicting a machine, or waiting for one that is dead, costs.
+// The cost of evicting a machine, or of waiting for a dead one.
 #pragma once
 
 namespace coralhitch::membership {
 
-// Who pays if the machine is dead and it is waited for. Decides for how long it is.
+// The kind of tasks on a machine. It decides for how long the leader waits for a silent machine.
 enum class EvictionCost {
-    none,         // nobody: no task is on it
-    own_work,     // tasks that run and checkpoint by themselves: evicted, they lose as much again
-    others_wait,  // users of replicas, the other tasks of a gang, or a task that has not started
+    none,  // no task is on the machine
+    // Only running tasks that are independent and checkpoint: an eviction costs them as much work as the
+    // wait.
+    own_work,
+    // checkpoint
+    // Something waits for the machine's tasks: users of a service's replicas, the other tasks of a gang, or
+    // the user of a task that has not started.
+    others_wait,
 };
 
 }  // namespace coralhitch::membership
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,11 +1,11 @@
-// Which machines, zones and routes are alive. All decisions about that, in the order in which they are made:
-// heartbeats are recorded, machines are suspected, peers are asked, machines are evaluated.
+// Decides which machines, zones and routes are alive. The steps are, in this order: heartbeats are recorded,
+// machines are suspected, peers are asked, and machines are evaluated.
 //
-// A suspicion costs nothing that can't be taken back. An eviction deletes a machine and all that is on it, so
-// it weighs what that costs against what waiting costs. docs/membership.md argues the rules.
+// A suspicion has no lasting effect. An eviction deletes a machine with all its tasks, so its cost is weighed
+// against the cost of waiting. docs/membership.md justifies the rules.
 //
-// Pure: no I/O, and the clock is handed in. All times are seconds of the leader's clock. Not thread-safe:
-// used from the event loop only.
+// No I/O, and the caller passes the time. All times are seconds of the leader's clock. Not thread safe: used
+// on the event loop's thread only.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -22,77 +22,87 @@
 
 namespace coralhitch::membership {
 
+// The settings of the failure detector.
 struct FailureDetectorLimits {
-    double heartbeat_interval_s = 0;       // heartbeat period of the agents, seconds
-    double lease_s = 0;                    // lease of the agents, seconds
-    double suspicion_timeout_periods = 0;  // heartbeat periods of silence after which others wait too long
-    std::size_t peers = 0;                 // other controllers
+    double heartbeat_interval_s = 0;  // heartbeat period of the agents, seconds
+    double lease_s = 0;               // lease of the agents, seconds
+    // Timeout, in heartbeat periods, of a machine with tasks that others wait for.
+    double suspicion_timeout_periods = 0;
+    std::size_t peers = 0;  // number of other controllers
 };
 
-// Why the leader may be the one that is cut off. Peers are asked before any machine is evicted.
+// The reason for which the leader suspects that it is cut off itself. Peers must be asked before any machine
+// is evicted.
 struct SelfSuspicion {
-    bool isolated = false;                            // it receives next to no heartbeats
-    std::map<std::string, double> missed_heartbeats;  // machines to ask the peers about; silence, seconds
+    bool isolated = false;  // the leader receives almost no heartbeats
+    // The machines to ask the peers about, with their silence in seconds.
+    std::map<std::string, double> missed_heartbeats;
 };
 
+// The verdict on a machine. A suspected machine may still be alive, a dead one is to be evicted.
 enum class Health { alive, suspected, dead };
 
+// The failure detector of the leader. `observe` must be called before the functions that follow it.
 class FailureDetector {
   public:
     explicit FailureDetector(const FailureDetectorLimits& limits);
 
     // --- Recording ---
-    // A heartbeat came from a machine of this zone. An earlier time than the last one changes nothing.
+    // Records a heartbeat from a machine of this zone. A time before the last one has no effect.
     void record_heartbeat(std::size_t zone, double now);
-    // No heartbeat comes from a zone where machines were up: it is cut off, rather than its machines all
-    // dead. True for a bounded time only, since a zone of few machines may really lose them all.
+    // Returns true if no heartbeats come from a zone that has sent some before. The zone is then assumed to
+    // be cut off. This assumption holds for a bounded time, since all machines of a small zone may really be
+    // dead.
     [[nodiscard]] bool zone_silent(std::size_t zone, double now) const;
 
     // --- Suspicion ---
-    // Once a tick, with all machines that are up. Raises the silence of those that nothing reaches to the
-    // time for which that is so, and replaces all that the last call found. Everything below refers to it.
+    // Evaluates all machines that are up. Must be called once in each tick of the leader. Raises `silence_s`
+    // of a machine that no message reaches to `unreached_s`. The results replace those of the last call, and
+    // all functions below use them.
     void observe(std::span<Observation> machines, const LeaderCondition& leader, double now);
     [[nodiscard]] std::size_t machines_up() const { return machines_up_; }
+    // Returns the leader's suspicion of itself; nullopt if there is none.
     [[nodiscard]] const std::optional<SelfSuspicion>& self_suspicion() const { return self_suspicion_; }
-    // Next to no heartbeats come from this zone, while others send theirs as usual.
+    // Returns true if this zone sends almost no heartbeats while other zones send theirs as usual.
     [[nodiscard]] bool zone_unreachable(std::size_t zone) const { return unreachable_zones_.contains(zone); }
-    // A heartbeat is overdue, so the machine is probed.
+    // Returns true if a heartbeat is overdue. The leader then probes the machine.
     [[nodiscard]] bool missed_heartbeat(const Observation& machine) const;
 
     // --- Asking peers ---
-    // From how many of `SelfSuspicion::missed_heartbeats` a peer has received heartbeats; nullopt if no peer
-    // answered. Valid until the next `observe`.
+    // Sets the number of machines in `SelfSuspicion::missed_heartbeats` from which a peer has received
+    // heartbeats; nullopt if no peer answered. Valid until the next `observe`.
     void set_heartbeats_seen_by_peers(std::optional<std::size_t> machines) { seen_by_peers_ = machines; }
-    // A peer receives the heartbeats that this leader misses, so it should lead.
+    // Returns true if a peer receives heartbeats that this leader misses, so that the peer should lead.
     [[nodiscard]] bool should_resign() const;
 
     // --- Evaluation ---
-    // Whether machines may be evicted at all.
+    // Returns true if machines may be evicted: the leader is not overloaded, and either does not suspect
+    // itself or knows that its peers see fewer than half of the machines asked about.
     [[nodiscard]] bool may_evict() const;
     [[nodiscard]] Health evaluate(const Observation& machine) const;
-    // After so many seconds of silence a machine like this is dead.
+    // Returns the silence, in seconds, after which a machine in this condition is dead.
     [[nodiscard]] double suspicion_timeout_s(const Observation& machine) const;
-    // The machine is to be deleted.
+    // Records that the machine is about to be deleted.
     void record_eviction(const Observation& machine, double now);
 
     // --- Booting machines; durations in nominal boot times of the machine type ---
-    // A machine came up after so long.
+    // Records that a machine came up after `boots` nominal boot times.
     void record_boot(double boots);
-    // One that has not come up after so long is not expected any more.
+    // Returns true if a machine that is not up after `boots` nominal boot times should be replaced.
     [[nodiscard]] bool boot_overdue(double boots, std::size_t zone, double now) const;
 
-    // For the log, as key=value: what an eviction of this machine rests on.
+    // Returns the reasons for an eviction of this machine for the log, as key=value pairs.
     [[nodiscard]] std::string evidence(const Observation& machine) const;
 
   private:
     struct Zone {
         std::optional<double> last_heartbeat_at;
-        std::size_t up = 0, recent = 0;  // machines that are up; those of them with a recent heartbeat
+        std::size_t up = 0, recent = 0;  // machines that are up; machines with a recent heartbeat
     };
-    // The whole fleet in the present observation.
+    // Figures of the whole fleet in the current observation.
     struct FleetCounts {
-        std::size_t recent = 0;
-        double new_silence_s = 0;  // the longest silence that is no longer than twice the timeout
+        std::size_t recent = 0;    // machines with a recent heartbeat
+        double new_silence_s = 0;  // the longest silence below twice the base timeout
     };
 
     // The steps of `observe`, in this order.
@@ -108,21 +118,22 @@
     [[nodiscard]] double unreachable_zone_timeout_s(const Observation& machine) const;
 
     FailureDetectorLimits limits_;
-    double base_timeout_s_;    // for a machine that others wait for
-    double recent_s_;          // half of a fleet that is well sent a heartbeat within this time
+    double base_timeout_s_;  // timeout of a machine that others wait for
+    double recent_s_;  // a heartbeat is recent for this long; half of a healthy fleet sends one within it
     std::vector<Zone> zones_;  // by index
     std::set<std::size_t> unreachable_zones_;
-    std::map<std::string, double, std::less<>> lost_routes_;      // until when machines get more time for it
-    std::deque<double> evictions_;                                // times of those within the last lease
-    std::map<std::string, double, std::less<>> silent_machines_;  // at the last observation; silence, seconds
+    std::map<std::string, double, std::less<>> lost_routes_;  // by route: time until which it counts as lost
+    std::deque<double> evictions_;                            // times of the evictions within the last lease
+    // Machines that had missed a heartbeat at the last observation, with their silence in seconds.
+    std::map<std::string, double, std::less<>> silent_machines_;
     HeartbeatHistory history_;
     std::optional<SelfSuspicion> self_suspicion_;
     std::optional<std::size_t> seen_by_peers_;
     LeaderCondition leader_;
     std::size_t machines_up_ = 0;
-    bool mass_silence_ = false;  // many machines are silent that no unreachable zone explains
+    bool mass_silence_ = false;  // many machines outside unreachable zones are silent
     double longest_silence_s_ = 0;
-    double slowest_boot_;  // nominal boot times
+    double slowest_boot_;  // estimate of the slowest recent boot, in nominal boot times
 };
 
 }  // namespace coralhitch::membership
--- a/src/membership/heartbeat_history.cpp
+++ b/src/membership/heartbeat_history.cpp
@@ -4,7 +4,8 @@
 
 namespace coralhitch::membership {
 namespace {
-// So many silences that never ended are added to those observed: two or three returns prove nothing yet.
+// The number of silences without a return that is added to the observed ones. Without it, two or three
+// returns would already give a high probability.
 constexpr double assumed_losses = 3;
 }  // namespace
 
@@ -27,12 +28,12 @@
     silences_.pop_front();
 }
 
-// Called for each silent machine, so it must not walk all silences: of thousands lost at once, each would
-// walk the thousands before it.
+// Called for each silent machine, so it must not iterate over all silences. If thousands of machines were
+// lost at once, the time would grow with the square of their number.
 double HeartbeatHistory::return_probability(double silence_s, double within_s) const {
     auto from = std::ranges::lower_bound(returned_, silence_s);
     auto returned = std::ranges::upper_bound(returned_, silence_s + within_s) - from;
-    // What a machine that was evicted sooner would have done is not known.
+    // A machine that was evicted earlier is not counted: it is unknown whether it would have returned.
     auto stayed_silent = evicted_.end() - std::ranges::lower_bound(evicted_, silence_s + within_s);
     auto observed = (returned_.end() - from) + stayed_silent;
     return static_cast<double>(returned) / (assumed_losses + static_cast<double>(observed));
--- a/src/membership/heartbeat_history.hpp
+++ b/src/membership/heartbeat_history.hpp
@@ -1,10 +1,11 @@
-// How long machines that missed heartbeats lately stayed silent, and what that says of one that is silent
-// now.
+// Records for how long machines stayed silent recently, and estimates from that whether a machine that is
+// silent now will return.
 //
-// A silence that ended tells its length; one that was cut short by evicting the machine tells only that it
-// was longer (Kaplan and Meier, "Nonparametric estimation from incomplete observations", 1958). Machines for
-// which nobody waits are given more time anyway, so long silences are observed too. Pure; times are seconds
-// of one clock, lengths are seconds.
+// The length of a silence that ended with a heartbeat is known. A silence that ended with the eviction of the
+// machine would have been longer, by an unknown time (Kaplan and Meier, "Nonparametric estimation from
+// incomplete observations", 1958). Machines whose tasks no one waits for get more time before an eviction, so
+// long silences are observed as well. No I/O; times are seconds of one clock, and lengths are seconds. Not
+// thread safe.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -12,22 +13,23 @@
 
 namespace coralhitch::membership {
 
+// The silences that ended within a retention period.
 class HeartbeatHistory {
   public:
-    // Silences are forgotten after `retention_s` seconds.
+    // Silences are dropped `retention_s` seconds after their end.
     explicit HeartbeatHistory(double retention_s) : retention_s_(retention_s) {}
 
-    // A machine sent a heartbeat again after a silence of this length.
+    // Records that a machine sent a heartbeat after a silence of this length.
     void record_return(double length_s, double now) { add({now, length_s, Outcome::returned}); }
-    // A machine was evicted after a silence of this length.
+    // Records that a machine was evicted after a silence of this length.
     void record_eviction(double length_s, double now) { add({now, length_s, Outcome::evicted}); }
     void drop_expired(double now);
 
-    // At most so many are kept: four times the silences of 8,000 machines that are lost together.
+    // The maximum number of silences kept: four times as many as a simultaneous loss of 8,000 machines adds.
     static constexpr std::size_t max_silences = 32768;
 
-    // The probability, 0 to 1, that a machine that has been silent for `silence_s` sends a heartbeat within
-    // `within_s` more. Low where little is known.
+    // Returns the probability, 0 to 1, that a machine that has been silent for `silence_s` seconds sends a
+    // heartbeat within another `within_s` seconds. The result is low if there are few observations.
     [[nodiscard]] double return_probability(double silence_s, double within_s) const;
 
   private:
--- a/src/membership/observation.hpp
+++ b/src/membership/observation.hpp
@@ -1,5 +1,5 @@
-// What the leader hands to the failure detector once a tick: one value for each machine that is up, one for
-// itself.
+// The input of the failure detector in each tick of the leader: one value for each machine that is up, and
+// one for the leader itself.
 #pragma once
 #include <cstddef>
 #include <string_view>
@@ -8,26 +8,27 @@
 
 namespace coralhitch::membership {
 
-// A machine that is up, at one moment. Times are seconds of the leader's clock; the views are valid for the
-// calls they are passed to only.
+// The state of a machine that is up, at one time. Times are seconds of the leader's clock. The string views
+// are valid only during the call that they are passed to.
 struct Observation {
     std::string_view id;
-    std::string_view route;  // the controller that its last heartbeat came through; empty: the leader itself
+    std::string_view route;  // the controller that relayed the last heartbeat; empty: the leader received it
     std::size_t zone = 0;    // index of the zone
-    double silence_s = 0;    // since its last heartbeat, as far as that is the machine's fault
+    double silence_s = 0;  // seconds since the last heartbeat, as far as the machine is responsible for them
     double last_heartbeat_at = 0;
-    bool reconciled = false;  // it has reported under this leader's fencing token
-    // The replica of the previous leader says what may be on it. A machine that is neither known from there
-    // nor reconciled holds up all placing.
+    bool reconciled = false;  // the machine has sent a heartbeat with this leader's fencing token
+    // The tasks that may be on the machine are known from the replica of the previous leader's state. A
+    // machine that is neither known from there nor reconciled blocks all placement.
     bool known_from_replica = false;
     EvictionCost eviction_cost = EvictionCost::none;
-    double unreached_s = 0;  // for how long nothing showed that messages reach it, though its heartbeats come
+    // Seconds without evidence that messages reach the machine, although its heartbeats arrive.
+    double unreached_s = 0;
 };
 
-// What the leader knows of itself.
+// The state of the leader itself.
 struct LeaderCondition {
-    bool overloaded = false;       // it has not the processor time to read heartbeats as they come
-    bool probes_answered = false;  // a machine answered a direct probe lately
+    bool overloaded = false;       // the leader lacks processor time to read heartbeats as they arrive
+    bool probes_answered = false;  // a machine has recently answered a direct probe
 };
 
 }  // namespace coralhitch::membership
--- a/src/membership/reachability.hpp
+++ b/src/membership/reachability.hpp
@@ -1,22 +1,24 @@
-// Whether messages get through between the controllers and one machine, each way by itself.
+// Tracks for one machine whether messages arrive from it and whether messages arrive at it.
 //
-// A machine's heartbeats may come while replies and commands don't arrive there. Only what comes from its
-// side is evidence that they do: it answers a command, or its agent, which stays with the controller that
-// replies and tries the next one otherwise, stays. Pure; times are seconds of the leader's clock.
+// A machine's heartbeats may arrive while replies and commands do not reach the machine. There are two kinds
+// of evidence that they do. The machine answers a command, or its agent sends its next heartbeat by the same
+// route: an agent stays with a controller that replies, and tries the next one otherwise. No I/O; times are
+// seconds of the leader's clock. Not thread safe.
 #pragma once
 #include <algorithm>
 #include <optional>
 
 namespace coralhitch::membership {
 
+// The evidence about one machine's connection, in both directions.
 class Reachability {
   public:
-    // The machine showed that a message reached it.
+    // Records evidence that a message reached the machine.
     void record_reached(double now) {
         last_reached_at_ = now;
         route_changes_ = 0;
     }
-    // A new heartbeat came, by the route of the one before or by another.
+    // Records a new heartbeat. `same_route` is true if the previous one came through the same controller.
     void record_heartbeat(bool same_route, double now) {
         last_heartbeat_at_ = now;
         if (same_route)
@@ -24,22 +26,22 @@
         else
             ++route_changes_;
     }
-    // A heartbeat came to a controller whose reply renews the machine's lease. The answer to a direct command
-    // is none.
+    // Records a heartbeat received by a controller whose reply renews the machine's lease. The answer to a
+    // direct command does not count as such a heartbeat.
     void record_renewable_heartbeat(double at) {
         renewable_heartbeat_at_ = std::max(renewable_heartbeat_at_, at);
     }
     void record_unanswered_command(double now) { unanswered_command_at_ = now; }
 
-    // No heartbeat has come within so many seconds. The machine may answer commands, but its lease goes
-    // unrenewed, and all that is started there is killed when that expires.
+    // Returns true if no heartbeat has arrived within the last `within_s` seconds. The machine may answer
+    // commands, but its lease is not renewed, and every task started there is killed when the lease expires.
     [[nodiscard]] bool inbound_unreachable(double now, double within_s) const {
         return now - renewable_heartbeat_at_ > within_s;
     }
-    // Its heartbeats come, but nothing shows that replies and commands arrive there. One change of route may
-    // be due to a controller that has ended, or to a machine that hung: then only a command that went
-    // unanswered after that heartbeat counts. Without that, machines that are well got no starts for a
-    // heartbeat period after each silence of some seconds.
+    // Returns true if heartbeats arrive, but there is no evidence that replies and commands reach the
+    // machine. A single change of route is not enough, since a controller may have ended or the machine may
+    // have been paused. In that case a command must also have gone unanswered after that heartbeat. Without
+    // this rule, healthy machines got no starts for a heartbeat period after each silence of some seconds.
     [[nodiscard]] bool outbound_unreachable() const {
         return route_changes_ >= 2 || (route_changes_ == 1 && unanswered_command_at_ &&
                                        *unanswered_command_at_ > last_heartbeat_at_);
@@ -49,7 +51,7 @@
   private:
     double last_reached_at_ = 0, last_heartbeat_at_ = 0, renewable_heartbeat_at_ = 0;
     std::optional<double> unanswered_command_at_;
-    int route_changes_ = 0;  // since it was last reached
+    int route_changes_ = 0;  // since the last evidence that a message reached the machine
 };
 
 }  // namespace coralhitch::membership
--- a/tests/membership/failure_detector_test.cpp
+++ b/tests/membership/failure_detector_test.cpp
@@ -1,5 +1,5 @@
-// Which machines are suspected, which the peers are asked about, and which are evicted: the detector alone,
-// on fleets that a small model of heartbeats and silences plays.
+// Tests which machines the failure detector suspects, asks the peers about, and evicts. A small model of
+// heartbeats and silences supplies the fleets.
 #include "membership/failure_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -12,51 +12,54 @@
 namespace coralhitch::membership {
 namespace {
 
-constexpr double report = 5, lease = 31;
-const FailureDetectorLimits limits{report, lease, 1.6, 2};
+constexpr double heartbeat_interval_s = 5, lease_s = 31;
+const FailureDetectorLimits limits{heartbeat_interval_s, lease_s, 1.6, 2};
 constexpr double never = 1e9;
 
-// Machines that report once a period. One is silent from some moment for some time; then it goes on.
+// Machines that send one heartbeat in each period, except during one silence of each machine.
 struct FleetModel {
     struct Machine {
         std::string id, route;
         std::size_t zone = 0;
         EvictionCost eviction_cost = EvictionCost::others_wait;
+        // Seconds. `evicted_after_s` counts from the beginning of the silence; -1: not evicted.
         double phase = 0, silent_at = never, silent_for = 0, evicted_after_s = -1;
         bool reconciled = true, known_from_replica = true;
         bool silent(double t) const { return t >= silent_at && t < silent_at + silent_for; }
-        double heard(double t) const {  // the last report before t
-            double last = std::floor((t - phase) / report) * report + phase;
-            while (silent(last)) last -= report;
-            // It answers at once when it goes on: probes were waiting there.
+        // Returns the time of the last heartbeat before t.
+        double last_heartbeat_at(double t) const {
+            double last = std::floor((t - phase) / heartbeat_interval_s) * heartbeat_interval_s + phase;
+            while (silent(last)) last -= heartbeat_interval_s;
+            // A machine answers waiting probes as soon as its silence ends.
             return t >= silent_at + silent_for ? std::max(last, silent_at + silent_for) : last;
         }
     };
     explicit FleetModel(std::size_t n, std::uint64_t seed = 1) {
         std::mt19937_64 random(seed);
         for (std::size_t k = 0; k < n; ++k)
-            machines.push_back(
-                {"vm-" + std::to_string(1000 + k), k % 5 ? "controller-" + std::to_string(k % 2) : "", k % 3,
-                 EvictionCost::others_wait, std::uniform_real_distribution<double>(0, report)(random)});
+            machines.push_back({"vm-" + std::to_string(1000 + k),
+                                k % 5 ? "controller-" + std::to_string(k % 2) : "", k % 3,
+                                EvictionCost::others_wait,
+                                std::uniform_real_distribution<double>(0, heartbeat_interval_s)(random)});
     }
     void silence(std::size_t from, std::size_t to, double at, double for_s) {
         for (std::size_t k = from; k < to; ++k) machines[k].silent_at = at, machines[k].silent_for = for_s;
     }
-    // Once a sixth of a period, as a leader does. `seen_by_peers`: of how many of the machines asked about
-    // peers receive heartbeats.
+    // Runs the detector six times in each heartbeat period, as a leader does. `seen_by_peers` returns from
+    // how many of the machines asked about a peer receives heartbeats; nullopt if no peer answers.
     void run_scenario(
         double from, double until,
         const std::function<std::optional<std::size_t>(const SelfSuspicion&)>& seen_by_peers = [](auto&) {
             return std::optional<std::size_t>(0);
         }) {
-        for (double t = from; t < until; t += report / 6) {
+        for (double t = from; t < until; t += heartbeat_interval_s / 6) {
             std::vector<Observation> seen;
             std::vector<Machine*> up;
             for (auto& m : machines) {
                 if (m.evicted_after_s >= 0) continue;
-                double heard = m.heard(t);
-                if (!m.silent(t)) detector.record_heartbeat(m.zone, heard);
-                seen.push_back({m.id, m.route, m.zone, t - heard, heard, m.reconciled, m.known_from_replica,
+                double last = m.last_heartbeat_at(t);
+                if (!m.silent(t)) detector.record_heartbeat(m.zone, last);
+                seen.push_back({m.id, m.route, m.zone, t - last, last, m.reconciled, m.known_from_replica,
                                 m.eviction_cost});
                 up.push_back(&m);
             }
@@ -73,7 +76,7 @@
             }
         }
     }
-    std::size_t gone() const {
+    std::size_t evicted_count() const {
         return static_cast<std::size_t>(
             std::count_if(machines.begin(), machines.end(), [](auto& m) { return m.evicted_after_s >= 0; }));
     }
@@ -85,56 +88,58 @@
     std::vector<Machine> machines;
     FailureDetector detector{limits};
     bool resigned = false;
-    std::size_t suspected = 0;  // evaluations that suspected a machine that is well
+    std::size_t suspected = 0;  // number of evaluations that suspected a healthy machine
 };
 
 TEST(FailureDetector, EvictsDeadMachinesAndWaitsForThoseThatReturn) {
     struct Case {
         const char* name;
-        std::function<void(FleetModel&)> what;
-        std::size_t least, most;  // evicted
-        double by;                // at the latest so many seconds after they fell silent
+        std::function<void(FleetModel&)> set_up;
+        std::size_t min_evicted, max_evicted;
+        double max_evicted_after_s;  // since the silence began
     };
     auto zone = [](FleetModel& m, std::size_t z, double at, double for_s) {
         for (auto& k : m.machines)
             if (k.zone == z) k.silent_at = at, k.silent_for = for_s;
     };
-    auto eviction_cost = [](FleetModel& m, EvictionCost s) {
-        for (auto& k : m.machines) k.eviction_cost = s;
+    auto eviction_cost = [](FleetModel& m, EvictionCost cost) {
+        for (auto& k : m.machines) k.eviction_cost = cost;
     };
     const Case cases[] = {
-        {"nothing happens", [](FleetModel&) {}, 0, 0, 0},
-        {"a few die, others wait for them", [](FleetModel& m) { m.silence(0, 9, 50, never); }, 9, 9, 9},
-        {"thirty die, others wait for them", [](FleetModel& m) { m.silence(0, 30, 50, never); }, 30, 30, 9},
-        {"they save by themselves: they are waited for as long as they lose",
+        {"no machine is silent", [](FleetModel&) {}, 0, 0, 0},
+        {"a few machines die, with tasks that others wait for",
+         [](FleetModel& m) { m.silence(0, 9, 50, never); }, 9, 9, 9},
+        {"thirty machines die, with tasks that others wait for",
+         [](FleetModel& m) { m.silence(0, 30, 50, never); }, 30, 30, 9},
+        {"thirty die, with independent tasks that checkpoint: evicted later",
          [&](FleetModel& m) {
              eviction_cost(m, EvictionCost::own_work);
              m.silence(0, 30, 50, never);
          },
          30, 30, 21},
-        {"and go on before",
+        {"independent tasks, and the silence ends before the timeout",
          [&](FleetModel& m) {
              eviction_cost(m, EvictionCost::own_work);
              m.silence(0, 30, 50, 14);
          },
          0, 0, 0},
-        {"nobody waits for them: for a lease",
+        {"no tasks, and the silence ends within a lease",
          [&](FleetModel& m) {
              eviction_cost(m, EvictionCost::none);
              m.silence(0, 30, 50, 25);
          },
          0, 0, 0},
         {"a zone is cut off for ten seconds", [&](FleetModel& m) { zone(m, 1, 50, 10); }, 0, 0, 0},
-        {"for nearly a lease", [&](FleetModel& m) { zone(m, 1, 50, 28); }, 0, 0, 0},
-        {"it never comes back: until what is on it has died by itself",
-         [&](FleetModel& m) { zone(m, 1, 50, never); }, 100, 100, lease * 1.1 + 1},
-        {"it holds nothing: for two",
+        {"a zone is cut off for nearly a lease", [&](FleetModel& m) { zone(m, 1, 50, 28); }, 0, 0, 0},
+        {"a zone stays cut off: evicted only after the leases have ended its tasks",
+         [&](FleetModel& m) { zone(m, 1, 50, never); }, 100, 100, lease_s * 1.1 + 1},
+        {"a zone without tasks is cut off for nearly two leases",
          [&](FleetModel& m) {
              eviction_cost(m, EvictionCost::none);
              zone(m, 1, 50, 56);
          },
          0, 0, 0},
-        {"a machine of it dies beside others",
+        {"a machine of another zone dies while a zone is cut off",
          [&](FleetModel& m) {
              zone(m, 1, 50, 12);
              m.silence(0, 1, 50, never);
@@ -144,17 +149,18 @@
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
         FleetModel m(300);
-        c.what(m);
+        c.set_up(m);
         m.run_scenario(0, 130);
-        EXPECT_GE(m.gone(), c.least);
-        EXPECT_LE(m.gone(), c.most);
-        EXPECT_LE(m.last_evicted_after_s(), c.by);
+        EXPECT_GE(m.evicted_count(), c.min_evicted);
+        EXPECT_LE(m.evicted_count(), c.max_evicted);
+        EXPECT_LE(m.last_evicted_after_s(), c.max_evicted_after_s);
         EXPECT_FALSE(m.resigned);
         EXPECT_EQ(m.suspected, 0u);
     }
 }
 
-// Heartbeats come, but nothing reaches the machine: as if silent, unless that is so of many.
+// A machine whose heartbeats arrive, but that no message reaches, is treated as silent. If there are many
+// such machines, the network or the leader is the cause, and they must not be evicted.
 TEST(FailureDetector, EvictsSingleUnreachedMachinesButNotMany) {
     for (std::size_t unreached : {1u, 20u}) {
         FailureDetector detector(limits);
@@ -163,13 +169,14 @@
         for (std::size_t k = 0; k < 30; ++k) ids.push_back("vm-" + std::to_string(k));
         for (std::size_t k = 0; k < 30; ++k)
             seen.push_back({ids[k], "", 0, 1, 99, true, true, EvictionCost::others_wait,
-                            k < unreached ? 2 * report : 0});
+                            k < unreached ? 2 * heartbeat_interval_s : 0});
         detector.observe(seen, {false, true}, 100);
         EXPECT_EQ(detector.evaluate(seen[0]), unreached == 1 ? Health::dead : Health::alive);
         EXPECT_EQ(detector.evaluate(seen[29]), Health::alive);
     }
 }
-// A wave of silences that end teaches how long such take; dead machines are waited for no longer than that.
+// After many silences that ended, the detector waits longer for silent machines. The effect must expire, so
+// that machines that die later are evicted at the usual time.
 TEST(FailureDetector, WaitsLongerAfterSilencesThatEnded) {
     for (bool hung_before : {false, true}) {
         SCOPED_TRACE(hung_before);
@@ -179,10 +186,10 @@
         m.silence(0, 40, 70, 11);
         m.run_scenario(0, 100);
         if (hung_before)
-            EXPECT_LT(m.gone(), 5u);
+            EXPECT_LT(m.evicted_count(), 5u);
         else
-            EXPECT_GT(m.gone(), 20u);
-        // Long afterwards nothing of it counts any more.
+            EXPECT_GT(m.evicted_count(), 20u);
+        // Much later, the earlier silences have no effect any more.
         for (std::size_t k = 200; k < 240; ++k)
             m.machines[k].silent_at = 500, m.machines[k].silent_for = never;
         m.run_scenario(495, 540);
@@ -191,24 +198,25 @@
     }
 }
 
-// Many silent at once: the peers are asked first, and no leader deletes a fleet that only it gets no
-// heartbeats from.
+// If many machines are silent at once, the leader may be cut off itself. It must ask its peers before it
+// deletes machines whose heartbeats reach the other controllers.
 TEST(FailureDetector, AsksPeersBeforeEvictingMany) {
     struct Case {
         const char* name;
         std::size_t silent;
-        std::optional<double> seen_by_peers;  // share of the machines asked about that a peer hears from
+        std::optional<double>
+            seen_by_peers;  // share of the machines asked about that send heartbeats to a peer
         bool resigns;
-        std::size_t least, most;
+        std::size_t min_evicted, max_evicted;
     };
     const Case cases[] = {
         {"no heartbeats, and no peer answers", 300, std::nullopt, false, 0, 0},
         {"no heartbeats, a peer receives them", 300, 1.0, true, 0, 0},
         {"half the fleet, a peer receives its heartbeats", 150, 1.0, true, 0, 0},
-        {"half the fleet, no peer receives its heartbeats: it is dead", 150, 0.0, false, 150, 150},
+        {"half the fleet, no peer receives its heartbeats: the machines are dead", 150, 0.0, false, 150, 150},
         {"half the fleet, no peer answers", 150, std::nullopt, false, 0, 0},
         {"half the fleet, a peer receives a few of its heartbeats", 150, 0.1, false, 150, 150},
-        {"a tenth, about which no peer is asked", 30, 1.0, false, 30, 30},
+        {"a tenth of the fleet, about which no peer is asked", 30, 1.0, false, 30, 30},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
@@ -220,25 +228,26 @@
                                             static_cast<double>(suspicion.missed_heartbeats.size()));
         });
         EXPECT_EQ(m.resigned, c.resigns);
-        EXPECT_GE(m.gone(), c.least);
-        EXPECT_LE(m.gone(), c.most);
+        EXPECT_GE(m.evicted_count(), c.min_evicted);
+        EXPECT_LE(m.evicted_count(), c.max_evicted);
     }
 }
 
-// All that came by one controller fall silent together: its failure, until they had the time to turn to
-// another.
+// All machines that sent heartbeats through one controller fall silent together. The controller has probably
+// ended, so the machines must not be evicted before their agents had time to switch to another controller.
 TEST(FailureDetector, WaitsForMachinesWhoseControllerEnded) {
     FleetModel m(300);
     for (auto& k : m.machines)
         if (k.route == "controller-1") k.silent_at = 50, k.silent_for = 15;
-    for (auto& k : m.machines) k.zone = 0;  // and no zone explains it
-    m.silence(299, 300, 50, never);         // one dies
+    for (auto& k : m.machines) k.zone = 0;  // no unreachable zone explains the silence
+    m.silence(299, 300, 50, never);         // one machine dies
     m.machines[299].route = "controller-0";
     m.run_scenario(0, 100);
-    EXPECT_EQ(m.gone(), 1u);
+    EXPECT_EQ(m.evicted_count(), 1u);
 }
 
-// What holds up all placing is not waited for; what is known from the replica is.
+// A machine whose tasks are unknown blocks all placement, so it is evicted sooner than one whose tasks are
+// known from the replica.
 TEST(FailureDetector, EvictsUnknownMachinesSooner) {
     for (bool known : {false, true}) {
         FleetModel m(60);
--- a/tests/membership/heartbeat_history_test.cpp
+++ b/tests/membership/heartbeat_history_test.cpp
@@ -1,4 +1,4 @@
-// What silences that are over say of one that goes on, also when thousands ended or were cut short at once.
+// Tests the estimate of whether a silent machine returns, also when thousands of silences end at once.
 #include "membership/heartbeat_history.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 constexpr double retention_s = 248;
 constexpr std::size_t machine_count = 8000;
 
-// Before the zones were lost, 500 machines came back after 9 s. The loss of a third of 8,000 machines, and of
-// all of them, must not make that forgotten while it is young enough.
+// 500 machines returned after a silence of 9 s. The loss of a third of 8,000 machines, or of all of them,
+// must not displace these observations within the retention period.
 TEST(HeartbeatHistory, KeepsReturnsWhen8000MachinesAreLost) {
     for (std::size_t lost : {machine_count / 3, machine_count}) {
         SCOPED_TRACE(lost);
@@ -36,7 +36,7 @@
     EXPECT_EQ(history.return_probability(8, 3), 0);
 }
 
-// The counts by sorted lengths are those that a walk over all silences gives.
+// The result computed from sorted lengths must equal that of an iteration over all silences.
 TEST(HeartbeatHistory, EqualsCountOverAllSilences) {
     struct Silence {
         double at, length;
@@ -51,18 +51,18 @@
         all.push_back(s);
         s.returned ? history.record_return(s.length, now) : history.record_eviction(s.length, now);
         double silent_s = tenths(random) / 10.0, more_s = 3;
-        double longer = 3, spoke = 0;
+        double longer = 3, returned_in_time = 0;
         for (auto& [at, length, returned] : all) {
             if (now - at > retention_s || length < silent_s) continue;
             if (!returned && length < silent_s + more_s) continue;
             ++longer;
-            spoke += returned && length <= silent_s + more_s;
+            returned_in_time += returned && length <= silent_s + more_s;
         }
-        ASSERT_EQ(history.return_probability(silent_s, more_s), spoke / longer) << now;
+        ASSERT_EQ(history.return_probability(silent_s, more_s), returned_in_time / longer) << now;
     }
 }
 
-// A bound stays, so that a fleet that comes and goes can't take all memory.
+// The number of silences is bounded, so that a fleet with frequent silences cannot exhaust the memory.
 TEST(HeartbeatHistory, DropsOldestAboveMaximum) {
     HeartbeatHistory history(retention_s);
     history.record_return(9, 10);
