--- a/tests/election/election_test.cpp
+++ b/tests/election/election_test.cpp
@@ -91,105 +91,105 @@
 };
 
 TEST(Election, ClaimsAnAbsentKeyAndTakesItsVersionAsToken) {
-    ElectionFixture b;
-    b.start();
-    b.timers.run_until(1);
-    EXPECT_TRUE(b.election.may_act());
-    EXPECT_EQ(b.election.fencing_token().value(), b.service.version);
-    EXPECT_EQ(b.won, 1);
+    ElectionFixture fixture;
+    fixture.start();
+    fixture.timers.run_until(1);
+    EXPECT_TRUE(fixture.election.may_act());
+    EXPECT_EQ(fixture.election.fencing_token().value(), fixture.service.version);
+    EXPECT_EQ(fixture.won, 1);
 }
 TEST(Election, ReadsTheKeyWhenTheAnswerToItsClaimIsLost) {
-    ElectionFixture b;
-    b.service.lose_txn_answer = true;  // executed, but not answered
-    b.start();
-    b.timers.run_until(5);
-    EXPECT_TRUE(b.election.is_leader());
-    EXPECT_EQ(b.election.fencing_token().value(), b.service.version);
-    EXPECT_EQ(b.won, 1);
+    ElectionFixture fixture;
+    fixture.service.lose_txn_answer = true;  // executed, but not answered
+    fixture.start();
+    fixture.timers.run_until(5);
+    EXPECT_TRUE(fixture.election.is_leader());
+    EXPECT_EQ(fixture.election.fencing_token().value(), fixture.service.version);
+    EXPECT_EQ(fixture.won, 1);
 }
 TEST(Election, MayActForTheLeaseFromTheSendingOfItsLastRenewal) {
     for (bool lost : {true, false}) {
-        ElectionFixture b;
-        b.start();
-        b.timers.run_until(1);
-        (lost ? b.service.lose_renewals : b.service.refuse) = true;
-        b.timers.run_until(1 + b.election.lease_ttl_s());
-        EXPECT_TRUE(b.election.is_leader());  // no answer has reported the expiry of the lease
-        EXPECT_FALSE(b.election.may_act());   // the lease may have expired
-        b.service.lose_renewals = b.service.refuse = false;
-        b.timers.run_until(2 + 2 * b.election.lease_ttl_s());
-        EXPECT_TRUE(b.election.may_act());
-        EXPECT_EQ(b.lost, 0);
+        ElectionFixture fixture;
+        fixture.start();
+        fixture.timers.run_until(1);
+        (lost ? fixture.service.lose_renewals : fixture.service.refuse) = true;
+        fixture.timers.run_until(1 + fixture.election.lease_ttl_s());
+        EXPECT_TRUE(fixture.election.is_leader());  // no answer has reported the expiry of the lease
+        EXPECT_FALSE(fixture.election.may_act());   // the lease may have expired
+        fixture.service.lose_renewals = fixture.service.refuse = false;
+        fixture.timers.run_until(2 + 2 * fixture.election.lease_ttl_s());
+        EXPECT_TRUE(fixture.election.may_act());
+        EXPECT_EQ(fixture.lost, 0);
     }
 }
 TEST(Election, LosesLeadershipWithItsLeaseAndWinsWithAHigherToken) {
-    ElectionFixture b;
-    b.start();
-    b.timers.run_until(1);
-    auto first = b.election.fencing_token();
-    b.service.version = 0;
-    b.timers.run_until(10);
-    EXPECT_EQ(b.lost, 1);
-    EXPECT_EQ(b.won, 2);
-    EXPECT_GT(b.election.fencing_token(), first);
+    ElectionFixture fixture;
+    fixture.start();
+    fixture.timers.run_until(1);
+    auto first = fixture.election.fencing_token();
+    fixture.service.version = 0;
+    fixture.timers.run_until(10);
+    EXPECT_EQ(fixture.lost, 1);
+    EXPECT_EQ(fixture.won, 2);
+    EXPECT_GT(fixture.election.fencing_token(), first);
 }
 TEST(Election, FollowsTheLeaderWithTheNewestToken) {
-    ElectionFixture b;
-    b.held_by("berth-1");
-    b.start();
-    b.timers.run_until(1);
-    EXPECT_FALSE(b.election.is_leader());
-    EXPECT_EQ(b.election.leader_label(), "berth-1");
-    b.election.observe_leader("berth-2", protocol::LeaderVersion{2});  // older than what is known
-    EXPECT_EQ(b.election.leader_label(), "berth-1");
-    b.election.observe_leader("berth-2", protocol::LeaderVersion{8});
-    EXPECT_EQ(b.election.leader_label(), "berth-2");
+    ElectionFixture fixture;
+    fixture.held_by("berth-1");
+    fixture.start();
+    fixture.timers.run_until(1);
+    EXPECT_FALSE(fixture.election.is_leader());
+    EXPECT_EQ(fixture.election.leader_label(), "berth-1");
+    fixture.election.observe_leader("berth-2", protocol::LeaderVersion{2});  // older than what is known
+    EXPECT_EQ(fixture.election.leader_label(), "berth-1");
+    fixture.election.observe_leader("berth-2", protocol::LeaderVersion{8});
+    EXPECT_EQ(fixture.election.leader_label(), "berth-2");
 }
 // A leader that is cut off from the key-value store learns of its successor from the token that an agent
 // sends.
 TEST(Election, StepsDownWhenSupersededByALaterLeadership) {
     for (auto [ahead, lost] : {std::pair(0, 0), {1, 1}}) {
-        ElectionFixture b;
-        b.start();
-        b.timers.run_until(1);
-        b.service.refuse = true;
-        b.election.step_down_if_superseded(
-            protocol::LeaderVersion{b.election.fencing_token().value() + static_cast<std::uint64_t>(ahead)});
-        EXPECT_EQ(b.lost, lost);
-        EXPECT_EQ(b.election.is_leader(), lost == 0);
+        ElectionFixture fixture;
+        fixture.start();
+        fixture.timers.run_until(1);
+        fixture.service.refuse = true;
+        fixture.election.step_down_if_superseded(protocol::LeaderVersion{
+            fixture.election.fencing_token().value() + static_cast<std::uint64_t>(ahead)});
+        EXPECT_EQ(fixture.lost, lost);
+        EXPECT_EQ(fixture.election.is_leader(), lost == 0);
     }
 }
 // A controller that is cut off from the agents defers to one that receives their heartbeats. The deferral
 // must end, because the other controller may be unable to lead.
 TEST(Election, DefersForABoundedTime) {
-    ElectionFixture b;
+    ElectionFixture fixture;
     bool defer = true;
-    b.election.start({[&](protocol::LeaderVersion) { ++b.won; }, [] {}, [&] { return defer; }});
-    b.timers.run_until(b.election.lease_ttl_s() * 0.9);
-    EXPECT_EQ(b.won, 0);
-    b.timers.run_until(b.election.lease_ttl_s() * 1.5);
-    EXPECT_EQ(b.won, 1);
+    fixture.election.start({[&](protocol::LeaderVersion) { ++fixture.won; }, [] {}, [&] { return defer; }});
+    fixture.timers.run_until(fixture.election.lease_ttl_s() * 0.9);
+    EXPECT_EQ(fixture.won, 0);
+    fixture.timers.run_until(fixture.election.lease_ttl_s() * 1.5);
+    EXPECT_EQ(fixture.won, 1);
 }
 // During a rollout, controllers of the new software version must win against those of the old version, which
 // read the key before they claim it.
 TEST(Election, ClaimsWithoutAReadWhenTheWatchReportsTheDeletion) {
-    ElectionFixture b;
-    b.held_by("berth-1");
-    b.service.lease_ends_at = 2;
-    b.start();
-    b.timers.run_until(1.9);
-    auto reads = b.service.reads;
-    b.timers.run_until(2.05);
-    EXPECT_EQ(b.won, 1);
-    EXPECT_EQ(b.service.reads, reads);
+    ElectionFixture fixture;
+    fixture.held_by("berth-1");
+    fixture.service.lease_ends_at = 2;
+    fixture.start();
+    fixture.timers.run_until(1.9);
+    auto reads = fixture.service.reads;
+    fixture.timers.run_until(2.05);
+    EXPECT_EQ(fixture.won, 1);
+    EXPECT_EQ(fixture.service.reads, reads);
 }
 TEST(Election, EndsTheLeaseOfItsPreviousIncarnation) {
-    ElectionFixture b;
-    b.held_by("berth-0");
-    b.start();
-    b.timers.run_until(3);
-    EXPECT_TRUE(b.election.is_leader());
-    EXPECT_GT(b.election.fencing_token(), protocol::LeaderVersion{3});
+    ElectionFixture fixture;
+    fixture.held_by("berth-0");
+    fixture.start();
+    fixture.timers.run_until(3);
+    EXPECT_TRUE(fixture.election.is_leader());
+    EXPECT_GT(fixture.election.fencing_token(), protocol::LeaderVersion{3});
 }
 
 }  // namespace
--- a/tests/membership/failure_detector_test.cpp
+++ b/tests/membership/failure_detector_test.cpp
@@ -98,64 +98,64 @@
         std::size_t min_evicted, max_evicted;
         double max_evicted_after_s;  // since the silence began
     };
-    auto zone = [](FleetModel& m, std::size_t z, double at, double for_s) {
-        for (auto& k : m.machines)
-            if (k.zone == z) k.silent_at = at, k.silent_for = for_s;
+    auto zone = [](FleetModel& fleet, std::size_t z, double at, double for_s) {
+        for (auto& machine : fleet.machines)
+            if (machine.zone == z) machine.silent_at = at, machine.silent_for = for_s;
     };
-    auto eviction_cost = [](FleetModel& m, EvictionCost cost) {
-        for (auto& k : m.machines) k.eviction_cost = cost;
+    auto eviction_cost = [](FleetModel& fleet, EvictionCost cost) {
+        for (auto& machine : fleet.machines) machine.eviction_cost = cost;
     };
     const Case cases[] = {
         {"no machine is silent", [](FleetModel&) {}, 0, 0, 0},
         {"a few machines die, with tasks that others wait for",
-         [](FleetModel& m) { m.silence(0, 9, 50, never); }, 9, 9, 9},
+         [](FleetModel& fleet) { fleet.silence(0, 9, 50, never); }, 9, 9, 9},
         {"thirty machines die, with tasks that others wait for",
-         [](FleetModel& m) { m.silence(0, 30, 50, never); }, 30, 30, 9},
+         [](FleetModel& fleet) { fleet.silence(0, 30, 50, never); }, 30, 30, 9},
         {"thirty die, with independent tasks that checkpoint: evicted later",
-         [&](FleetModel& m) {
-             eviction_cost(m, EvictionCost::own_work);
-             m.silence(0, 30, 50, never);
+         [&](FleetModel& fleet) {
+             eviction_cost(fleet, EvictionCost::own_work);
+             fleet.silence(0, 30, 50, never);
          },
          30, 30, 21},
         {"independent tasks, and the silence ends before the timeout",
-         [&](FleetModel& m) {
-             eviction_cost(m, EvictionCost::own_work);
-             m.silence(0, 30, 50, 14);
+         [&](FleetModel& fleet) {
+             eviction_cost(fleet, EvictionCost::own_work);
+             fleet.silence(0, 30, 50, 14);
          },
          0, 0, 0},
         {"no tasks, and the silence ends within a lease",
-         [&](FleetModel& m) {
-             eviction_cost(m, EvictionCost::none);
-             m.silence(0, 30, 50, 25);
+         [&](FleetModel& fleet) {
+             eviction_cost(fleet, EvictionCost::none);
+             fleet.silence(0, 30, 50, 25);
          },
          0, 0, 0},
-        {"a zone is cut off for ten seconds", [&](FleetModel& m) { zone(m, 1, 50, 10); }, 0, 0, 0},
-        {"a zone is cut off for nearly a lease", [&](FleetModel& m) { zone(m, 1, 50, 28); }, 0, 0, 0},
+        {"a zone is cut off for ten seconds", [&](FleetModel& fleet) { zone(fleet, 1, 50, 10); }, 0, 0, 0},
+        {"a zone is cut off for nearly a lease", [&](FleetModel& fleet) { zone(fleet, 1, 50, 28); }, 0, 0, 0},
         {"a zone stays cut off: evicted only after the leases have ended its tasks",
-         [&](FleetModel& m) { zone(m, 1, 50, never); }, 100, 100, lease_s * 1.1 + 1},
+         [&](FleetModel& fleet) { zone(fleet, 1, 50, never); }, 100, 100, lease_s * 1.1 + 1},
         {"a zone without tasks is cut off for nearly two leases",
-         [&](FleetModel& m) {
-             eviction_cost(m, EvictionCost::none);
-             zone(m, 1, 50, 56);
+         [&](FleetModel& fleet) {
+             eviction_cost(fleet, EvictionCost::none);
+             zone(fleet, 1, 50, 56);
          },
          0, 0, 0},
         {"a machine of another zone dies while a zone is cut off",
-         [&](FleetModel& m) {
-             zone(m, 1, 50, 12);
-             m.silence(0, 1, 50, never);
+         [&](FleetModel& fleet) {
+             zone(fleet, 1, 50, 12);
+             fleet.silence(0, 1, 50, never);
          },
          1, 1, 20},
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        FleetModel m(300);
-        c.set_up(m);
-        m.run_scenario(0, 130);
-        EXPECT_GE(m.evicted_count(), c.min_evicted);
-        EXPECT_LE(m.evicted_count(), c.max_evicted);
-        EXPECT_LE(m.last_evicted_after_s(), c.max_evicted_after_s);
-        EXPECT_FALSE(m.resigned);
-        EXPECT_EQ(m.suspected, 0u);
+        FleetModel fleet(300);
+        c.set_up(fleet);
+        fleet.run_scenario(0, 130);
+        EXPECT_GE(fleet.evicted_count(), c.min_evicted);
+        EXPECT_LE(fleet.evicted_count(), c.max_evicted);
+        EXPECT_LE(fleet.last_evicted_after_s(), c.max_evicted_after_s);
+        EXPECT_FALSE(fleet.resigned);
+        EXPECT_EQ(fleet.suspected, 0u);
     }
 }
 
@@ -180,21 +180,21 @@
 TEST(FailureDetector, WaitsLongerAfterSilencesThatEnded) {
     for (bool hung_before : {false, true}) {
         SCOPED_TRACE(hung_before);
-        FleetModel m(300);
-        for (std::size_t k = 100; k < 160; ++k) m.machines[k].eviction_cost = EvictionCost::own_work;
-        if (hung_before) m.silence(100, 160, 20, 11);
-        m.silence(0, 40, 70, 11);
-        m.run_scenario(0, 100);
+        FleetModel fleet(300);
+        for (std::size_t k = 100; k < 160; ++k) fleet.machines[k].eviction_cost = EvictionCost::own_work;
+        if (hung_before) fleet.silence(100, 160, 20, 11);
+        fleet.silence(0, 40, 70, 11);
+        fleet.run_scenario(0, 100);
         if (hung_before)
-            EXPECT_LT(m.evicted_count(), 5u);
+            EXPECT_LT(fleet.evicted_count(), 5u);
         else
-            EXPECT_GT(m.evicted_count(), 20u);
+            EXPECT_GT(fleet.evicted_count(), 20u);
         // Much later, the earlier silences have no effect any more.
         for (std::size_t k = 200; k < 240; ++k)
-            m.machines[k].silent_at = 500, m.machines[k].silent_for = never;
-        m.run_scenario(495, 540);
-        EXPECT_LE(m.machines[200].evicted_after_s, 9);
-        EXPECT_GE(m.machines[200].evicted_after_s, 0);
+            fleet.machines[k].silent_at = 500, fleet.machines[k].silent_for = never;
+        fleet.run_scenario(495, 540);
+        EXPECT_LE(fleet.machines[200].evicted_after_s, 9);
+        EXPECT_GE(fleet.machines[200].evicted_after_s, 0);
     }
 }
 
@@ -220,43 +220,43 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        FleetModel m(300);
-        m.silence(0, c.silent, 50, never);
-        m.run_scenario(0, 80, [&](const SelfSuspicion& suspicion) -> std::optional<std::size_t> {
+        FleetModel fleet(300);
+        fleet.silence(0, c.silent, 50, never);
+        fleet.run_scenario(0, 80, [&](const SelfSuspicion& suspicion) -> std::optional<std::size_t> {
             if (!c.seen_by_peers) return std::nullopt;
             return static_cast<std::size_t>(*c.seen_by_peers *
                                             static_cast<double>(suspicion.missed_heartbeats.size()));
         });
-        EXPECT_EQ(m.resigned, c.resigns);
-        EXPECT_GE(m.evicted_count(), c.min_evicted);
-        EXPECT_LE(m.evicted_count(), c.max_evicted);
+        EXPECT_EQ(fleet.resigned, c.resigns);
+        EXPECT_GE(fleet.evicted_count(), c.min_evicted);
+        EXPECT_LE(fleet.evicted_count(), c.max_evicted);
     }
 }
 
 // All machines that sent heartbeats through one controller fall silent together. The controller has probably
 // ended, so the machines must not be evicted before their agents had time to switch to another controller.
 TEST(FailureDetector, WaitsForMachinesWhoseControllerEnded) {
-    FleetModel m(300);
-    for (auto& k : m.machines)
-        if (k.route == "controller-1") k.silent_at = 50, k.silent_for = 15;
-    for (auto& k : m.machines) k.zone = 0;  // no unreachable zone explains the silence
-    m.silence(299, 300, 50, never);         // one machine dies
-    m.machines[299].route = "controller-0";
-    m.run_scenario(0, 100);
-    EXPECT_EQ(m.evicted_count(), 1u);
+    FleetModel fleet(300);
+    for (auto& machine : fleet.machines)
+        if (machine.route == "controller-1") machine.silent_at = 50, machine.silent_for = 15;
+    for (auto& machine : fleet.machines) machine.zone = 0;  // no unreachable zone explains the silence
+    fleet.silence(299, 300, 50, never);                     // one machine dies
+    fleet.machines[299].route = "controller-0";
+    fleet.run_scenario(0, 100);
+    EXPECT_EQ(fleet.evicted_count(), 1u);
 }
 
 // A machine whose tasks are unknown blocks all placement, so it is evicted sooner than one whose tasks are
 // known from the replica.
 TEST(FailureDetector, EvictsUnknownMachinesSooner) {
     for (bool known : {false, true}) {
-        FleetModel m(60);
-        m.machines[0].reconciled = false;
-        m.machines[0].known_from_replica = known;
-        m.silence(0, 1, 50, never);
-        m.run_scenario(0, 100);
-        EXPECT_LE(m.machines[0].evicted_after_s, known ? 9 : 5.5);
-        EXPECT_GE(m.machines[0].evicted_after_s, 0);
+        FleetModel fleet(60);
+        fleet.machines[0].reconciled = false;
+        fleet.machines[0].known_from_replica = known;
+        fleet.silence(0, 1, 50, never);
+        fleet.run_scenario(0, 100);
+        EXPECT_LE(fleet.machines[0].evicted_after_s, known ? 9 : 5.5);
+        EXPECT_GE(fleet.machines[0].evicted_after_s, 0);
     }
 }
 
--- a/tests/replication/replication_sender_test.cpp
+++ b/tests/replication/replication_sender_test.cpp
@@ -95,29 +95,30 @@
 };
 
 TEST(ReplicationSender, HoldsStartsUntilAllRecordedFollowersAcknowledge) {
-    SenderFixture b;
-    b.followers.at("y").silent = true;
-    b.sender.start(0, std::nullopt);
-    EXPECT_FALSE(b.sender.replicated(b.start("vm-1")));  // an earlier leader's record may still be stored
-    b.timers.run_until(1);
-    EXPECT_EQ(b.named(), std::set<std::string>{"x"});
-    auto log_index = b.start("vm-1");
-    EXPECT_FALSE(b.sender.replicated(log_index));
-    b.timers.run_until(1.05);
-    EXPECT_TRUE(b.sender.replicated(log_index));
-    EXPECT_EQ(b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value(),
-              b.machines["vm-1"]);
+    SenderFixture fixture;
+    fixture.followers.at("y").silent = true;
+    fixture.sender.start(0, std::nullopt);
+    EXPECT_FALSE(
+        fixture.sender.replicated(fixture.start("vm-1")));  // an earlier leader's record may still be stored
+    fixture.timers.run_until(1);
+    EXPECT_EQ(fixture.named(), std::set<std::string>{"x"});
+    auto log_index = fixture.start("vm-1");
+    EXPECT_FALSE(fixture.sender.replicated(log_index));
+    fixture.timers.run_until(1.05);
+    EXPECT_TRUE(fixture.sender.replicated(log_index));
+    EXPECT_EQ(fixture.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value(),
+              fixture.machines["vm-1"]);
     // A follower that stops answering delays starts only until it is removed from the record.
-    b.followers.at("x").silent = true;
-    log_index = b.start("vm-2");
-    for (double t = 1.1; !b.sender.replicated(log_index) && t < 6; t += 0.01) {
-        b.timers.run_until(t);
-        if (b.sender.replicated(log_index)) {
-            EXPECT_TRUE(b.named().empty());
+    fixture.followers.at("x").silent = true;
+    log_index = fixture.start("vm-2");
+    for (double t = 1.1; !fixture.sender.replicated(log_index) && t < 6; t += 0.01) {
+        fixture.timers.run_until(t);
+        if (fixture.sender.replicated(log_index)) {
+            EXPECT_TRUE(fixture.named().empty());
         }
     }
-    EXPECT_TRUE(b.sender.replicated(log_index));
-    EXPECT_LT(b.timers.now(), 1.1 + 4.0 / 5 + 0.1);
+    EXPECT_TRUE(fixture.sender.replicated(log_index));
+    EXPECT_LT(fixture.timers.now(), 1.1 + 4.0 / 5 + 0.1);
 }
 
 // An unanswered write that names a follower may be executed at any later time, until a later write, which is
@@ -126,22 +127,24 @@
     for (auto fate : {FakeKeyValueStore::TxnFate::answer_lost, FakeKeyValueStore::TxnFate::executed_late,
                       FakeKeyValueStore::TxnFate::never_executed}) {
         SCOPED_TRACE(static_cast<int>(fate));
-        SenderFixture b;
-        b.followers.at("y").silent = true;
-        b.service.txn_fates = {FakeKeyValueStore::TxnFate::answered, fate};  // the first names no follower
-        b.sender.start(0, std::nullopt);
+        SenderFixture fixture;
+        fixture.followers.at("y").silent = true;
+        fixture.service.txn_fates = {FakeKeyValueStore::TxnFate::answered,
+                                     fate};  // the first names no follower
+        fixture.sender.start(0, std::nullopt);
         for (double t = 0.1; t < 12; t += 0.05) {
-            b.timers.run_until(t);
-            if (t > 0.3) b.followers.at("x").silent = true;
-            auto log_index = b.start("vm-1");
-            bool knows = b.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value() ==
-                         b.machines["vm-1"];
-            if (!knows && b.sender.replicated(log_index)) {
-                EXPECT_FALSE(b.named().contains("x")) << t;
+            fixture.timers.run_until(t);
+            if (t > 0.3) fixture.followers.at("x").silent = true;
+            auto log_index = fixture.start("vm-1");
+            bool knows =
+                fixture.followers.at("x").follower.replica().machines.at("vm-1").agent_epoch.value() ==
+                fixture.machines["vm-1"];
+            if (!knows && fixture.sender.replicated(log_index)) {
+                EXPECT_FALSE(fixture.named().contains("x")) << t;
             }
         }
-        EXPECT_TRUE(b.named().empty());
-        EXPECT_TRUE(b.sender.replicated(b.sender.log_index()));
+        EXPECT_TRUE(fixture.named().empty());
+        EXPECT_TRUE(fixture.sender.replicated(fixture.sender.log_index()));
     }
 }
 
@@ -163,36 +166,36 @@
     };
     for (auto& c : cases) {
         SCOPED_TRACE(c.name);
-        SenderFixture b;
-        b.ping("x", c.incarnation);
-        b.pings["x"].features = c.features;
-        auto& f = b.followers.at("x").follower = Follower(protocol::Incarnation{c.incarnation});
-        b.followers.at("y").silent = true;
+        SenderFixture fixture;
+        fixture.ping("x", c.incarnation);
+        fixture.pings["x"].features = c.features;
+        auto& f = fixture.followers.at("x").follower = Follower(protocol::Incarnation{c.incarnation});
+        fixture.followers.at("y").silent = true;
         if (c.base_version)
             f.apply({protocol::LeaderVersion{c.base_version},
                      1,
                      {row_of("vm-1"), row_of("vm-9")},
                      protocol::LeaderVersion::none(),
                      true});
-        b.sender.start(
+        fixture.sender.start(
             0, protocol::InSyncReplicas{protocol::LeaderVersion{40},
                                         {{"x", protocol::Incarnation{1}, protocol::LeaderVersion{40}},
                                          {"y", protocol::Incarnation{7}, protocol::LeaderVersion{40}}}});
-        for (double t = 0; !b.service.kv.contains(kv::keys::in_sync_replicas); t += 0.001)
-            b.timers.run_until(t);
-        EXPECT_EQ(b.named().contains("x"), c.in_first_record);
-        auto log_index = b.start("vm-2");
-        for (double t = b.timers.now(); t < 0.8; t += 0.01) {
-            b.timers.run_until(t);
-            b.sender.tick();
-            if (b.sender.replicated(log_index) && b.named().contains("x")) {
-                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch.value(), b.machines["vm-2"]);
+        for (double t = 0; !fixture.service.kv.contains(kv::keys::in_sync_replicas); t += 0.001)
+            fixture.timers.run_until(t);
+        EXPECT_EQ(fixture.named().contains("x"), c.in_first_record);
+        auto log_index = fixture.start("vm-2");
+        for (double t = fixture.timers.now(); t < 0.8; t += 0.01) {
+            fixture.timers.run_until(t);
+            fixture.sender.tick();
+            if (fixture.sender.replicated(log_index) && fixture.named().contains("x")) {
+                EXPECT_EQ(f.replica().machines.at("vm-2").agent_epoch.value(), fixture.machines["vm-2"]);
                 EXPECT_EQ(f.replica().base_version.value(),
-                          b.service.kv.at(kv::keys::in_sync_replicas).value["members"][0]["begun"]);
+                          fixture.service.kv.at(kv::keys::in_sync_replicas).value["members"][0]["begun"]);
             }
         }
-        EXPECT_TRUE(b.sender.replicated(log_index));
-        EXPECT_TRUE(b.named().contains("x"));  // after a snapshot if it could not resume
+        EXPECT_TRUE(fixture.sender.replicated(log_index));
+        EXPECT_TRUE(fixture.named().contains("x"));  // after a snapshot if it could not resume
         EXPECT_EQ(f.replica().machines.contains("vm-9"), c.resumed);
         EXPECT_TRUE(f.replica().complete);
     }
@@ -203,21 +206,21 @@
 TEST(ReplicationSender, SendsASnapshotToARestartedFollowerAtOnce) {
     for (bool announced : {true, false}) {
         SCOPED_TRACE(announced);
-        SenderFixture b;
-        b.followers.at("y").silent = true;
-        b.sender.start(0, std::nullopt);
-        b.timers.run_until(1);
-        b.followers.at("x").follower = Follower(protocol::Incarnation{11});
-        b.ping("x", 11);
+        SenderFixture fixture;
+        fixture.followers.at("y").silent = true;
+        fixture.sender.start(0, std::nullopt);
+        fixture.timers.run_until(1);
+        fixture.followers.at("x").follower = Follower(protocol::Incarnation{11});
+        fixture.ping("x", 11);
         if (announced)
-            b.sender.handle_follower_restart("x", protocol::Incarnation{11});
+            fixture.sender.handle_follower_restart("x", protocol::Incarnation{11});
         else
-            b.start("vm-1");  // the follower's answer carries the new incarnation
-        b.timers.run_until(1.2);
-        auto& members = b.service.kv.at(kv::keys::in_sync_replicas).value["members"];
+            fixture.start("vm-1");  // the follower's answer carries the new incarnation
+        fixture.timers.run_until(1.2);
+        auto& members = fixture.service.kv.at(kv::keys::in_sync_replicas).value["members"];
         ASSERT_EQ(members.size(), 1u);
         EXPECT_EQ(members[0]["incarnation"], 11u);
-        EXPECT_EQ(b.followers.at("x").follower.replica().machines.size(), 2u);
+        EXPECT_EQ(fixture.followers.at("x").follower.replica().machines.size(), 2u);
     }
 }
 
@@ -227,10 +230,10 @@
     std::size_t sent = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         SCOPED_TRACE(seed);
-        SenderFixture b;
+        SenderFixture fixture;
         std::mt19937_64 random(seed);
-        for (int k = 0; k < 700; ++k) b.machines["vm-" + std::to_string(1000 + k)] = 1;
-        b.sender.start(0, std::nullopt);
+        for (int k = 0; k < 700; ++k) fixture.machines["vm-" + std::to_string(1000 + k)] = 1;
+        fixture.sender.start(0, std::nullopt);
         struct Start {
             std::uint64_t log_index;
             std::string machine;
@@ -238,26 +241,26 @@
         };
         std::deque<Start> starts;
         for (int step = 0; step < 250; ++step) {
-            b.timers.run_until(b.timers.now() + 0.01 * static_cast<double>(1 + random() % 30));
-            if (random() % 12 == 0) b.authority = random() % 3 != 0;
-            for (auto& [label, f] : b.followers) {
+            fixture.timers.run_until(fixture.timers.now() + 0.01 * static_cast<double>(1 + random() % 30));
+            if (random() % 12 == 0) fixture.authority = random() % 3 != 0;
+            for (auto& [label, f] : fixture.followers) {
                 f.silent = f.silent ? random() % 5 != 0 : random() % 25 == 0;
                 f.fails = f.fails ? random() % 3 != 0 : random() % 8 == 0;
             }
             if (random() % 20 == 0)
-                b.service.txn_fates.push_back(static_cast<FakeKeyValueStore::TxnFate>(random() % 4));
-            if (random() % 3 == 0) b.sender.tick();
+                fixture.service.txn_fates.push_back(static_cast<FakeKeyValueStore::TxnFate>(random() % 4));
+            if (random() % 3 == 0) fixture.sender.tick();
             for (std::size_t n = random() % 10 == 0 ? 500 : random() % 3; n > 0; --n) {
                 auto id = "vm-" + std::to_string(1000 + random() % 700);
-                auto log_index = b.start(id);
-                starts.push_back({log_index, id, b.machines[id]});
+                auto log_index = fixture.start(id);
+                starts.push_back({log_index, id, fixture.machines[id]});
             }
-            while (!starts.empty() && b.sender.replicated(starts.front().log_index)) {
+            while (!starts.empty() && fixture.sender.replicated(starts.front().log_index)) {
                 auto s = starts.front();
                 starts.pop_front();
                 ++sent;
-                for (auto& label : b.named()) {
-                    auto& rows = b.followers.at(label).follower.replica().machines;
+                for (auto& label : fixture.named()) {
+                    auto& rows = fixture.followers.at(label).follower.replica().machines;
                     ASSERT_TRUE(rows.contains(s.machine)) << label << " step " << step;
                     ASSERT_GE(rows.at(s.machine).agent_epoch.value(), s.agent_epoch)
                         << label << " step " << step;
