--- a/src/replication/follower_session.cpp
+++ b/src/replication/follower_session.cpp
@@ -11,12 +11,12 @@
     in_flight_ = resumed_ = announce_complete_ = false;
     incarnation_ = protocol::Incarnation::none();
     base_version_ = protocol::LeaderVersion::none();
-    acknowledged_ = 0;
+    acknowledged_index_ = 0;
     waiting_since_.reset();
     queue_.clear();
     queued_machines_.clear();
     ++session_;
-    // Log index 1 keeps `acknowledged_` at 0 until the whole snapshot is acknowledged.
+    // Log index 1 keeps `acknowledged_index_` at 0 until the whole snapshot is acknowledged.
     for (auto& machine : machines) enqueue(machine, 1);
 }
 
@@ -74,7 +74,7 @@
     std::erase_if(queue_, [&](auto& change) { return repeated.contains(change.machine); });
     for (auto& machine : batch.machines) {
         queued_machines_.insert(machine);
-        queue_.push_front({acknowledged_ + 1, machine});
+        queue_.push_front({acknowledged_index_ + 1, machine});
     }
 }
 
@@ -83,7 +83,7 @@
     incarnation_ = answer.incarnation;
     base_version_ = answer.base_version.is_set() ? answer.base_version : leader_version;
     waiting_since_.reset();
-    acknowledged_ = std::max(acknowledged_, batch.last_index);
+    acknowledged_index_ = std::max(acknowledged_index_, batch.last_index);
 }
 
 void FollowerSession::set_in_sync(double now) {
--- a/src/replication/follower_session.hpp
+++ b/src/replication/follower_session.hpp
@@ -29,7 +29,7 @@
     enum class State {
         inactive,      // nothing is sent to the follower
         snapshotting,  // the follower has not acknowledged the whole snapshot yet
-        in_sync,       // the replica is complete and contains all changes up to `acknowledged()`
+        in_sync,       // the replica is complete and contains all changes up to `acknowledged_index()`
     };
     // Machines to send in one request.
     struct Batch {
@@ -88,7 +88,7 @@
     // Returns true if this session continues a replica of an earlier leadership.
     [[nodiscard]] bool resumed() const { return resumed_; }
     // Returns the log index up to which the follower has acknowledged all changes; 0 if there is none.
-    [[nodiscard]] std::uint64_t acknowledged() const { return acknowledged_; }
+    [[nodiscard]] std::uint64_t acknowledged_index() const { return acknowledged_index_; }
     // Returns the number of machines still to be sent.
     [[nodiscard]] std::size_t queue_size() const { return queue_.size(); }
     // Returns the time at which the first batch since the last acknowledgement was sent; nullopt if no
@@ -110,7 +110,7 @@
     std::uint64_t session_ = 0;       // grows with each begin and end
     protocol::Incarnation incarnation_;
     protocol::LeaderVersion base_version_;
-    std::uint64_t acknowledged_ = 0;
+    std::uint64_t acknowledged_index_ = 0;
     std::deque<QueuedChange> queue_;  // by log index
     std::unordered_set<std::string> queued_machines_;
     std::optional<double> waiting_since_;
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -134,7 +134,7 @@
 
 bool ReplicationSender::replicated(std::uint64_t log_index) const {
     return record_.owned() && std::all_of(sessions_.begin(), sessions_.end(), [&](auto& entry) {
-               return entry.second.acknowledged() >= log_index || !record_.may_name(entry.first);
+               return entry.second.acknowledged_index() >= log_index || !record_.may_name(entry.first);
            });
 }
 
@@ -225,7 +225,7 @@
         record_.update();
     }
     // A start may have begun to wait for later changes while this batch was in flight.
-    if (!session.in_sync() || session.acknowledged() < urgent_index_ ||
+    if (!session.in_sync() || session.acknowledged_index() < urgent_index_ ||
         session.queue_size() >= max_batch_machines)
         send(session);
     if (session.queue_size() > 0) schedule_send();
--- a/tests/replication/follower_session_test.cpp
+++ b/tests/replication/follower_session_test.cpp
@@ -26,13 +26,13 @@
     session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     EXPECT_FALSE(session.snapshot_acknowledged());
-    EXPECT_EQ(session.acknowledged(), 0u) << "no change counts before all machines were sent";
+    EXPECT_EQ(session.acknowledged_index(), 0u) << "no change counts before all machines were sent";
     batch = session.next_batch(1, 5, 11);
     session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
     ASSERT_TRUE(session.snapshot_acknowledged());
     session.set_in_sync(11);
-    EXPECT_EQ(session.acknowledged(), 5u);
+    EXPECT_EQ(session.acknowledged_index(), 5u);
     EXPECT_EQ(session.member(),
               (FollowerSession::Member{"x", protocol::Incarnation{1}, protocol::LeaderVersion{7}}));
     EXPECT_TRUE(session.ready_to_send())
@@ -55,12 +55,12 @@
     EXPECT_EQ(batch.last_index, 0u) << "the other machine is still to be sent";
     session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
-    EXPECT_EQ(session.acknowledged(), 0u);
+    EXPECT_EQ(session.acknowledged_index(), 0u);
     batch = session.next_batch(no_limit, 3, 2);
     session.enqueue("vm-1", 4);
     session.finish_batch();
     session.acknowledge(batch, applied(), protocol::LeaderVersion{7});
-    EXPECT_EQ(session.acknowledged(), 3u);
+    EXPECT_EQ(session.acknowledged_index(), 3u);
     EXPECT_EQ(session.queue_size(), 1u);
 }
 
