--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -162,7 +162,7 @@
     double interval_s = settings_.heartbeat_interval_s *
                         (machine.reconciled ? reconciled_probe_reports : unreconciled_probe_reports);
     if (machine.last_probe_at && now() - *machine.last_probe_at <= interval_s) return;
-    bool due = machine.reconciled ? parts_.failure_detector.missed_heartbeat(observation)
+    bool due = machine.reconciled ? parts_.failure_detector.has_missed_heartbeat(observation)
                                   : now() - machine.created_at >
                                         settings_.heartbeat_interval_s * CommandSender::first_probe_reports;
     if (due) parts_.commands.probe(machine);
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -79,7 +79,7 @@
 
 // For a machine that is not reconciled, a heartbeat counts as missed as soon as the machine could be evicted.
 // A new leader that is cut off from the agents must suspect itself before it evicts machines.
-bool FailureDetector::missed_heartbeat(const Observation& machine) const {
+bool FailureDetector::has_missed_heartbeat(const Observation& machine) const {
     return machine.silence_s >
            limits_.heartbeat_interval_s * (machine.reconciled ? missed_periods : unreconciled_periods);
 }
@@ -179,7 +179,7 @@
     std::map<std::string, double, std::less<>> silent;
     for (auto& machine : machines) {
         if (!machine.reconciled || zone_unreachable(machine.zone)) continue;
-        if (missed_heartbeat(machine)) {
+        if (has_missed_heartbeat(machine)) {
             silent.emplace(machine.id, machine.silence_s);
         } else if (auto it = silent_machines_.find(machine.id); it != silent_machines_.end()) {
             history_.record_return(it->second, now);
@@ -192,7 +192,7 @@
     SelfSuspicion suspicion;
     std::size_t up = 0, missed = 0, recent = 0;  // machines that are not in an unreachable zone
     for (auto& machine : machines) {
-        bool has_missed = missed_heartbeat(machine);
+        bool has_missed = has_missed_heartbeat(machine);
         if (has_missed) suspicion.missed_heartbeats.emplace(machine.id, machine.silence_s);
         if (zone_unreachable(machine.zone)) continue;
         ++up;
@@ -299,7 +299,8 @@
     if (machine.silence_s > limits_.heartbeat_interval_s * unreconciled_periods &&
         machine.silence_s > suspicion_timeout_s(machine))
         return Health::dead;
-    return missed_heartbeat(machine) || zone_unreachable(machine.zone) ? Health::suspected : Health::alive;
+    return has_missed_heartbeat(machine) || zone_unreachable(machine.zone) ? Health::suspected
+                                                                           : Health::alive;
 }
 
 void FailureDetector::record_eviction(const Observation& machine, double now) {
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -66,7 +66,7 @@
     // Returns true if this zone sends almost no heartbeats while other zones send theirs as usual.
     [[nodiscard]] bool zone_unreachable(std::size_t zone) const { return unreachable_zones_.contains(zone); }
     // Returns true if a heartbeat is overdue. The leader then probes the machine.
-    [[nodiscard]] bool missed_heartbeat(const Observation& machine) const;
+    [[nodiscard]] bool has_missed_heartbeat(const Observation& machine) const;
 
     // --- Asking peers ---
     // Sets the number of machines in `SelfSuspicion::missed_heartbeats` from which a peer has received
