--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -226,7 +226,7 @@
                 if (!result.ok())
                     job->write_retry_at = now() + settings_.heartbeat_interval_s * retry_reports;
                 else if (result.entry)
-                    callbacks_.take_record(id, result.entry->version, result.entry->value);
+                    callbacks_.apply_record(id, result.entry->version, result.entry->value);
                 else
                     read_final_record(id);
             }));
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -50,7 +50,7 @@
     {
         std::lock_guard lock(state_.mutex);
         for (auto& event : events)
-            if (event.value) news |= take_record(id_of(event.key), event.version, *event.value);
+            if (event.value) news |= apply_record(id_of(event.key), event.version, *event.value);
         state_.jobs.forget_ended_before(complete_revision);
     }
     if (news) callbacks_.jobs_changed();
@@ -60,12 +60,12 @@
     if (authority_.ended()) return;
     {
         std::lock_guard lock(state_.mutex);
-        for (auto& entry : all.entries) take_record(id_of(entry.key), entry.version, entry.value);
+        for (auto& entry : all.entries) apply_record(id_of(entry.key), entry.version, entry.value);
     }
     callbacks_.jobs_changed();
 }
 
-bool JobWatcher::take_record(const std::string& id, std::uint64_t version, const std::string& value) {
+bool JobWatcher::apply_record(const std::string& id, std::uint64_t version, const std::string& value) {
     if (state_.jobs.has_version(id, version)) return false;
     try {
         auto record = protocol::parse_job_record(value);
@@ -141,7 +141,7 @@
         auto id = id_of(entry.key);
         if (!state_.jobs.has_version(id, entry.version)) {
             ++unknown;
-            take_record(id, entry.version, entry.value);
+            apply_record(id, entry.version, entry.value);
         }
         ids.insert(std::move(id));
     }
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -37,7 +37,7 @@
     [[nodiscard]] std::optional<double> complete_until() const { return watch_.complete_until(); }
 
     // Takes in a job's stored record; whether it was news. With the state's mutex held.
-    bool take_record(const std::string& id, std::uint64_t version, const std::string& value);
+    bool apply_record(const std::string& id, std::uint64_t version, const std::string& value);
     // The job's record says since this version that it is cancelled; whether tasks of it may have been
     // stopped by that, so that commands are due.
     [[nodiscard]] bool cancelled(const std::string& id, std::uint64_t version);
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -40,7 +40,7 @@
                         stale_keys,
                         metrics,
                         {[this](const std::string& id, std::uint64_t version, const std::string& value) {
-                             watcher.take_record(id, version, value);
+                             watcher.apply_record(id, version, value);
                          },
                          [this] { ++plans; }, [] { return true; }}};
     JobWatcher watcher{*context,
@@ -121,9 +121,9 @@
 TEST(JobWatcher, StopsACancelledJobWhoseRecordCannotBeRead) {
     Bench bench;
     auto& job = bench.add_job("j-000001", 1);
-    EXPECT_FALSE(bench.watcher.take_record("j-000001", job.version + 1, R"({"cancelled":false})"));
+    EXPECT_FALSE(bench.watcher.apply_record("j-000001", job.version + 1, R"({"cancelled":false})"));
     EXPECT_TRUE(bench.cancelled.empty());
-    EXPECT_TRUE(bench.watcher.take_record("j-000001", job.version + 2, R"({"cancelled":true})"));
+    EXPECT_TRUE(bench.watcher.apply_record("j-000001", job.version + 2, R"({"cancelled":true})"));
     EXPECT_EQ(bench.cancelled, std::vector<std::string>{"j-000001"});
 }
 
