--- a/src/leader/delegations.cpp
+++ b/src/leader/delegations.cpp
@@ -4,7 +4,7 @@
 
 namespace coralhitch::leader {
 
-bool Delegations::take_relay_message(const protocol::RelayRequest& message) {
+bool Delegations::accept_relay_message(const protocol::RelayRequest& message) {
     return table_.accept_message(message.label, message.incarnation, message.sequence_number,
                                  message.acknowledged_sequence_number,
                                  [this](const std::string& machine_id, double renewed_until) {
--- a/src/leader/delegations.hpp
+++ b/src/leader/delegations.hpp
@@ -20,7 +20,7 @@
     explicit Delegations(cluster::ClusterState& cluster) : cluster_(cluster) {}
 
     // A relay's message has come: takes in what it acknowledges. False if a newer one came before it.
-    [[nodiscard]] bool take_relay_message(const protocol::RelayRequest& message);
+    [[nodiscard]] bool accept_relay_message(const protocol::RelayRequest& message);
     // From now on the machine's heartbeats must come to the leader itself. Does nothing if they do.
     void revoke(const std::string& machine_id);
     // Steady seconds: the last moment at which this leader or a relay can have renewed the machine's lease.
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -168,7 +168,7 @@
     relay_answer.ready = relay_answer.is_leader && parts_.recovery.loaded();
     auto send = [&] { reply({200, protocol::pack_peer(relay_answer), "application/msgpack"}); };
     if (!relay_answer.ready) return send();
-    if (!parts_.delegations.take_relay_message(message)) return reply({503, {}, "application/msgpack"});
+    if (!parts_.delegations.accept_relay_message(message)) return reply({503, {}, "application/msgpack"});
     for (auto& body : message.heartbeats) relay_answer.replies.push_back(answer(body, message.label).reply);
     apply_relay_heartbeats(message);
     parts_.commands.flush_all();
--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -20,7 +20,7 @@
         message.label = "controller-1";
         message.incarnation = protocol::Incarnation{incarnation};
         message.sequence_number = number;
-        return delegations.take_relay_message(message);
+        return delegations.accept_relay_message(message);
     }
     cluster::ClusterState cluster{protocol::LeaderVersion{7}, {}};
     cluster::Machine& machine =
