--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -242,13 +242,13 @@
     return outcome;
 }
 
-void HeartbeatHandler::handle_early() {
+void HeartbeatHandler::handle_early_heartbeats() {
     for (std::size_t handled = 0; handled < early_heartbeats_per_turn; ++handled) {
         auto report = early_.pop(now());
         if (!report) break;
         handle(std::move(*report));
     }
-    if (!early_.empty()) timers_.after(0, guarded_([this] { handle_early(); }));
+    if (!early_.empty()) timers_.after(0, guarded_([this] { handle_early_heartbeats(); }));
 }
 
 void HeartbeatHandler::stop() {
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -63,7 +63,7 @@
     cluster::HeartbeatOutcome apply(const protocol::Heartbeat& status, cluster::ReportChannel via);
 
     // The jobs are loaded: handles the heartbeats that came before, some in each turn of the loop.
-    void handle_early();
+    void handle_early_heartbeats();
     // A tick begins: that many more machines may be sent to relays.
     void begin_tick() { redirected_since_tick_ = 0; }
     // The machine is deleted.
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -93,7 +93,7 @@
             [this](const failover::RecoveredState& stored) { stored_state_loaded(stored); },
             [this] { dependency_resolver.resolve(); },
             [this, begin_ticks = std::move(begin_ticks)] {
-                heartbeats.handle_early();
+                heartbeats.handle_early_heartbeats();
                 begin_ticks();
             },
             request_plan()};
--- a/tests/leader/heartbeat_handler_test.cpp
+++ b/tests/leader/heartbeat_handler_test.cpp
@@ -28,7 +28,7 @@
         apply_status = [this](const protocol::Heartbeat& status) {
             (void)heartbeats().apply(status, cluster::ReportChannel::direct_reply);
         };
-        on_ready = [this] { heartbeats().handle_early(); };
+        on_ready = [this] { heartbeats().handle_early_heartbeats(); };
     }
     // Before the jobs are loaded, if `recover` was not called.
     HeartbeatHandler& heartbeats() {
