--- a/src/leader/image_handover.cpp
+++ b/src/leader/image_handover.cpp
@@ -23,7 +23,7 @@
     return images;
 }
 
-void recall_images(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over) {
+void restore_image_caches(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over) {
     std::vector<std::uint32_t> indices;  // here, by the index there
     for (auto& name : handed_over.names) indices.push_back(cluster.image_number(name));
     for (auto& row : handed_over.machines) {
--- a/src/leader/image_handover.hpp
+++ b/src/leader/image_handover.hpp
@@ -12,6 +12,6 @@
 [[nodiscard]] protocol::PeerImages images_to_hand_over(const cluster::ClusterState& cluster);
 // Notes the caches that the previous leader sent, where nothing newer is known. The caller holds the
 // cluster state's mutex.
-void recall_images(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over);
+void restore_image_caches(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over);
 
 }  // namespace coralhitch::leader
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -103,7 +103,7 @@
     loaded_ = true;
     {
         std::lock_guard lock(state_.mutex);
-        recall_images(state_.cluster, inheritance_.images);
+        restore_image_caches(state_.cluster, inheritance_.images);
     }
     auto& machines = state_.cluster.machines();
     auto known = std::count_if(machines.begin(), machines.end(),
