--- a/src/leader/image_handover.cpp
+++ b/src/leader/image_handover.cpp
@@ -6,7 +6,7 @@
 
 namespace coralhitch::leader {
 
-protocol::PeerImages images_to_hand_over(const cluster::ClusterState& cluster) {
+protocol::PeerImages image_caches_to_hand_over(const cluster::ClusterState& cluster) {
     protocol::PeerImages images;
     images.names.resize(cluster.image_numbers().size());
     images.sizes.resize(images.names.size());
--- a/src/leader/image_handover.hpp
+++ b/src/leader/image_handover.hpp
@@ -9,7 +9,7 @@
 namespace coralhitch::leader {
 
 // The image caches of all machines, as this leader knows them.
-[[nodiscard]] protocol::PeerImages images_to_hand_over(const cluster::ClusterState& cluster);
+[[nodiscard]] protocol::PeerImages image_caches_to_hand_over(const cluster::ClusterState& cluster);
 // Notes the caches that the previous leader sent, where nothing newer is known. The caller holds the
 // cluster state's mutex.
 void restore_image_caches(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over);
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -54,7 +54,7 @@
     // Of all live jobs with tasks that run or are done.
     std::vector<protocol::PeerTaskCounts> all_counts();
     // The machines' image caches, for the next leader.
-    protocol::PeerImages images() const { return images_to_hand_over(parts_.state.cluster); }
+    protocol::PeerImages images() const { return image_caches_to_hand_over(parts_.state.cluster); }
     // Machines whose heartbeats are missing, and for how long, seconds.
     std::map<std::string, double> suspected() const { return parts_.supervisor.suspected(); }
     void types_changed();
