--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -93,7 +93,7 @@
     return true;
 }
 
-bool JobWatcher::cancelled(const std::string& id, std::uint64_t version) {
+bool JobWatcher::apply_cancellation(const std::string& id, std::uint64_t version) {
     std::lock_guard lock(state_.mutex);
     auto* job = state_.jobs.find(id);
     if (job && job->cancelled) return false;
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -40,7 +40,7 @@
     bool apply_record(const std::string& id, std::uint64_t version, const std::string& value);
     // The job's record says since this version that it is cancelled; whether tasks of it may have been
     // stopped by that, so that commands are due.
-    [[nodiscard]] bool cancelled(const std::string& id, std::uint64_t version);
+    [[nodiscard]] bool apply_cancellation(const std::string& id, std::uint64_t version);
     // Compares the table with what is stored, if the last time is long ago. To be called each tick.
     void audit();
 
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -112,9 +112,9 @@
 TEST(JobWatcher, CancelsAJobOnce) {
     Bench bench;
     auto& job = bench.add_job("j-000001", 1);
-    EXPECT_TRUE(bench.watcher.cancelled("j-000001", job.version + 1));
-    EXPECT_FALSE(bench.watcher.cancelled("j-000001", job.version + 1));
-    EXPECT_FALSE(bench.watcher.cancelled("not read yet", 9));
+    EXPECT_TRUE(bench.watcher.apply_cancellation("j-000001", job.version + 1));
+    EXPECT_FALSE(bench.watcher.apply_cancellation("j-000001", job.version + 1));
+    EXPECT_FALSE(bench.watcher.apply_cancellation("not read yet", 9));
     EXPECT_EQ(bench.cancelled, std::vector<std::string>{"j-000001"});
 }
 
