--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -226,7 +226,7 @@
     std::lock_guard lock(state_.mutex);
     auto* before = state_.cluster.find(status.machine);
     if (before && before->life == Machine::Life::booting)
-        parts_.failure_detector.record_boot(parts_.supervisor.boot_times(*before));
+        parts_.failure_detector.record_boot(parts_.supervisor.age_in_boot_times(*before));
     auto job_spec = [this](const std::string& job_id) -> cluster::JobSpec {
         auto* job = state_.jobs.find(job_id);
         return job ? job->spec : nullptr;
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -129,7 +129,7 @@
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.life == Machine::Life::marked_for_deletion) check_lease(machine);
         if (machine.life != Machine::Life::booting || !may_evict ||
-            !parts_.failure_detector.boot_overdue(boot_times(machine), state_.zone_of(machine), at))
+            !parts_.failure_detector.boot_overdue(age_in_boot_times(machine), state_.zone_of(machine), at))
             continue;
         std::lock_guard lock(state_.mutex);
         parts_.deletion.mark(machine, "does not come up");
@@ -192,7 +192,7 @@
            now() > machine.lease_renewed_at && !parts_.reconciliation.overloaded(now());
 }
 
-double MachineSupervisor::boot_times(const Machine& machine) const {
+double MachineSupervisor::age_in_boot_times(const Machine& machine) const {
     for (auto& type : types_)
         if (type.name == machine.type && type.boot_s > 0) return (now() - machine.created_at) / type.boot_s;
     return 0;
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -60,7 +60,7 @@
     // then on only a probe reaches it.
     [[nodiscard]] bool is_outbound_unreachable(const cluster::Machine& machine) const;
     // How long ago the machine was created, in nominal boot times of its type; 0: not known.
-    [[nodiscard]] double boot_times(const cluster::Machine& machine) const;
+    [[nodiscard]] double age_in_boot_times(const cluster::Machine& machine) const;
     // Machines whose heartbeats are missing, and for how long, seconds.
     [[nodiscard]] std::map<std::string, double> suspected() const;
 
