--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -25,7 +25,7 @@
         TakeJobRecord apply_record;
         std::function<void()> request_plan;
         // Whether it is known of each machine what may be on it (see Reconciliation).
-        std::function<bool()> may_place;
+        std::function<bool()> placement_allowed;
     };
     JobStore(const PartContext& context, kv::KvClient& kv, StaleKeyRemover& stale_keys,
              metrics::Metrics& metrics, Callbacks callbacks);
