--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -27,10 +27,10 @@
       rejections_(rejections),
       parts_(parts),
       hooks_(std::move(hooks)),
-      early_(rejections) {}
+      early_heartbeats_(rejections) {}
 
 void HeartbeatHandler::handle(relay::PendingHeartbeat report) {
-    if (!parts_.recovery.loaded()) return early_.push(std::move(report));
+    if (!parts_.recovery.loaded()) return early_heartbeats_.push(std::move(report));
     auto& [body, reply, since] = report;
     if (repeat_reply(body, reply)) return;
     auto [answered, machine_id] = answer(body, "");
@@ -244,15 +244,15 @@
 
 void HeartbeatHandler::handle_early_heartbeats() {
     for (std::size_t handled = 0; handled < early_heartbeats_per_turn; ++handled) {
-        auto report = early_.pop(now());
+        auto report = early_heartbeats_.pop(now());
         if (!report) break;
         handle(std::move(*report));
     }
-    if (!early_.empty()) timers_.after(0, guarded_([this] { handle_early_heartbeats(); }));
+    if (!early_heartbeats_.empty()) timers_.after(0, guarded_([this] { handle_early_heartbeats(); }));
 }
 
 void HeartbeatHandler::stop() {
-    for (auto& report : early_.take_all()) report.reply({503, "{}"});
+    for (auto& report : early_heartbeats_.take_all()) report.reply({503, "{}"});
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -94,8 +94,8 @@
     Parts parts_;
     Hooks hooks_;
     protocol::HeartbeatReader reader_;
-    relay::HeartbeatQueue early_;    // came before the jobs were loaded
-    relay::ReplyCache reply_cache_;  // of machines that report here
+    relay::HeartbeatQueue early_heartbeats_;  // came before the jobs were loaded
+    relay::ReplyCache reply_cache_;           // of machines that report here
     std::size_t redirected_since_tick_ = 0;
 };
 
