--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -16,7 +16,7 @@
 namespace {
 // Of the machines that are up: how many report to the leader itself while others relay; how many it sends to
 // them in a tick; and for how many leases a machine is not sent again.
-constexpr double direct_share = 0.1, redirected_share = 1.0 / 50, redirect_pause_leases = 4;
+constexpr double direct_share = 0.1, redirects_per_tick_share = 1.0 / 50, redirect_pause_leases = 4;
 constexpr std::size_t early_heartbeats_per_turn = 16;
 }  // namespace
 
@@ -147,7 +147,8 @@
     auto& table = parts_.delegations.table();
     auto relays = static_cast<double>(std::max<std::size_t>(1, settings_.peers.size()));
     bool many_here = machines_up - static_cast<double>(table.count()) > machines_up * direct_share;
-    bool many_redirected = static_cast<double>(redirected_since_tick_) > machines_up * redirected_share;
+    bool many_redirected =
+        static_cast<double>(redirected_since_tick_) > machines_up * redirects_per_tick_share;
     bool redirected_lately =
         machine.redirected_at && now() - *machine.redirected_at < settings_.lease_s * redirect_pause_leases;
     if (!settings_.op.relay_heartbeats || !many_here || many_redirected || redirected_lately)
