--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -17,7 +17,7 @@
 namespace {
 // Half of a worker's lease is left then; it tries all controllers in turn and comes back well within the
 // first.
-constexpr double missing_heartbeat_leases = 1.0 / 2;
+constexpr double inbound_unreachable_after_leases = 1.0 / 2;
 // Report periods between two probes of a machine.
 constexpr double reconciled_probe_reports = 1.0 / 2, unreconciled_probe_reports = 1.0 / 3;
 // Report periods that pass after a lease's end before it counts as expired.
@@ -115,7 +115,7 @@
             std::lock_guard lock(state_.mutex);
             machine.suspected = health != Health::alive || machine.reachability.outbound_unreachable();
             machine.inbound_unreachable = machine.reachability.inbound_unreachable(
-                checked.at, settings_.lease_s * missing_heartbeat_leases);
+                checked.at, settings_.lease_s * inbound_unreachable_after_leases);
         }
         // Each grant to its relay would move the time at which its lease expires, and it never did.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
