--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -19,7 +19,8 @@
 // first.
 constexpr double inbound_unreachable_after_leases = 1.0 / 2;
 // Report periods between two probes of a machine.
-constexpr double reconciled_probe_interval_heartbeat_periods = 1.0 / 2, unreconciled_probe_reports = 1.0 / 3;
+constexpr double reconciled_probe_interval_heartbeat_periods = 1.0 / 2,
+                 unreconciled_probe_interval_heartbeat_periods = 1.0 / 3;
 // Report periods that pass after a lease's end before it counts as expired.
 constexpr double lease_margin_reports = 1.0 / 3;
 }  // namespace
@@ -160,8 +161,8 @@
 
 void MachineSupervisor::probe_if_due(Machine& machine, const Observation& observation) {
     double interval_s =
-        settings_.heartbeat_interval_s *
-        (machine.reconciled ? reconciled_probe_interval_heartbeat_periods : unreconciled_probe_reports);
+        settings_.heartbeat_interval_s * (machine.reconciled ? reconciled_probe_interval_heartbeat_periods
+                                                             : unreconciled_probe_interval_heartbeat_periods);
     if (machine.last_probe_at && now() - *machine.last_probe_at <= interval_s) return;
     bool due = machine.reconciled ? parts_.failure_detector.missed_heartbeat(observation)
                                   : now() - machine.created_at >
