--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -22,7 +22,7 @@
 constexpr double reconciled_probe_interval_heartbeat_periods = 1.0 / 2,
                  unreconciled_probe_interval_heartbeat_periods = 1.0 / 3;
 // Report periods that pass after a lease's end before it counts as expired.
-constexpr double lease_margin_reports = 1.0 / 3;
+constexpr double lease_margin_heartbeat_periods = 1.0 / 3;
 }  // namespace
 
 MachineSupervisor::MachineSupervisor(const PartContext& context, metrics::Metrics& metrics,
@@ -177,7 +177,7 @@
     double renewed_at = parts_.delegations.last_possible_renewal(machine);
     double lease_s = settings_.lease_s;
     bool expired = now() > renewed_at + lease_s * (1 + 2 * election::max_clock_drift) +
-                               settings_.heartbeat_interval_s * lease_margin_reports;
+                               settings_.heartbeat_interval_s * lease_margin_heartbeat_periods;
     bool silent = now() - machine.last_heartbeat_at > lease_s || is_outbound_unreachable(machine);
     if (expired && silent && (!machine.tasks.empty() || !machine.reconciled)) {
         spdlog::info("component=leader event=lease_expired machine={} tasks={}", machine.id,
