--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -50,8 +50,8 @@
     return true;
 }
 
-MachineSupervisor::Checked MachineSupervisor::observe() const {
-    Checked checked;
+MachineSupervisor::ObservedMachines MachineSupervisor::observe() const {
+    ObservedMachines checked;
     checked.at = now();
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.life != Machine::Life::up) continue;
@@ -107,7 +107,7 @@
     return true;
 }
 
-void MachineSupervisor::check_up(const Checked& checked, bool may_evict) {
+void MachineSupervisor::check_up(const ObservedMachines& checked, bool may_evict) {
     std::size_t suspected = 0;
     for (std::size_t index = 0; index < checked.machines.size(); ++index) {
         auto& machine = *checked.machines[index];
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -66,16 +66,16 @@
 
   private:
     // A machine that is up, and what the failure detector is shown of it.
-    struct Checked {
+    struct ObservedMachines {
         double at = 0;  // steady seconds
         std::vector<cluster::Machine*> machines;
         std::vector<membership::Observation> observations;  // of the machine with the same index
     };
-    [[nodiscard]] Checked observe() const;
+    [[nodiscard]] ObservedMachines observe() const;
     [[nodiscard]] membership::Observation observe(const cluster::Machine& machine, double at) const;
     [[nodiscard]] membership::EvictionCost eviction_cost(const cluster::Machine& machine) const;
     [[nodiscard]] bool resigns_if_isolated();
-    void check_up(const Checked& checked, bool may_evict);
+    void check_up(const ObservedMachines& checked, bool may_evict);
     void check_booting_and_marked(double at, bool may_evict);
     void check_machine(cluster::Machine& machine, const membership::Observation& observation,
                        membership::Health health, bool may_evict);
