--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -36,29 +36,29 @@
       hooks_(std::move(hooks)) {}
 
 bool MachineSupervisor::check() {
-    auto checked = observe();
+    auto observed = observe();
     double recently_s = settings_.heartbeat_interval_s * settings_.op.suspicion_timeout_periods;
     auto last_answer_at = parts_.commands.last_answer_at();
-    parts_.failure_detector.observe(checked.observations,
-                                    {parts_.reconciliation.overloaded(checked.at),
-                                     last_answer_at && checked.at - *last_answer_at < recently_s},
-                                    checked.at);
+    parts_.failure_detector.observe(observed.observations,
+                                    {parts_.reconciliation.overloaded(observed.at),
+                                     last_answer_at && observed.at - *last_answer_at < recently_s},
+                                    observed.at);
     if (resigns_if_isolated()) return false;
     bool may_evict = authority_.holds() && parts_.failure_detector.may_evict();
-    check_up(checked, may_evict);
-    check_booting_and_marked(checked.at, may_evict);
+    check_up(observed, may_evict);
+    check_booting_and_marked(observed.at, may_evict);
     return true;
 }
 
 MachineSupervisor::ObservedMachines MachineSupervisor::observe() const {
-    ObservedMachines checked;
-    checked.at = now();
+    ObservedMachines observed;
+    observed.at = now();
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.life != Machine::Life::up) continue;
-        checked.machines.push_back(&machine);
-        checked.observations.push_back(observe(machine, checked.at));
+        observed.machines.push_back(&machine);
+        observed.observations.push_back(observe(machine, observed.at));
     }
-    return checked;
+    return observed;
 }
 
 Observation MachineSupervisor::observe(const Machine& machine, double at) const {
@@ -107,21 +107,21 @@
     return true;
 }
 
-void MachineSupervisor::check_up(const ObservedMachines& checked, bool may_evict) {
+void MachineSupervisor::check_up(const ObservedMachines& observed, bool may_evict) {
     std::size_t suspected = 0;
-    for (std::size_t index = 0; index < checked.machines.size(); ++index) {
-        auto& machine = *checked.machines[index];
-        auto health = parts_.failure_detector.evaluate(checked.observations[index]);
+    for (std::size_t index = 0; index < observed.machines.size(); ++index) {
+        auto& machine = *observed.machines[index];
+        auto health = parts_.failure_detector.evaluate(observed.observations[index]);
         {
             std::lock_guard lock(state_.mutex);
             machine.suspected = health != Health::alive || machine.reachability.outbound_unreachable();
             machine.inbound_unreachable = machine.reachability.inbound_unreachable(
-                checked.at, settings_.lease_s * inbound_unreachable_after_leases);
+                observed.at, settings_.lease_s * inbound_unreachable_after_leases);
         }
         // Each grant to its relay would move the time at which its lease expires, and it never did.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
         suspected += machine.is_suspect();
-        check_machine(machine, checked.observations[index], health, may_evict);
+        check_machine(machine, observed.observations[index], health, may_evict);
     }
     metrics_.set(metrics::Metric::leader_suspected_machines, static_cast<double>(suspected));
 }
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -75,7 +75,7 @@
     [[nodiscard]] membership::Observation observe(const cluster::Machine& machine, double at) const;
     [[nodiscard]] membership::EvictionCost eviction_cost(const cluster::Machine& machine) const;
     [[nodiscard]] bool resigns_if_isolated();
-    void check_up(const ObservedMachines& checked, bool may_evict);
+    void check_up(const ObservedMachines& observed, bool may_evict);
     void check_booting_and_marked(double at, bool may_evict);
     void check_machine(cluster::Machine& machine, const membership::Observation& observation,
                        membership::Health health, bool may_evict);
