--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 // Several calls at once: after a wave of losses, quotas and places wait for the deletions.
-constexpr int most_calls = 4;
+constexpr int max_calls_in_flight = 4;
 constexpr double retry_reports = 1.0 / 3;
 }  // namespace
 
@@ -41,7 +41,7 @@
 }
 
 void MachineDeletion::delete_marked() {
-    while (calls_in_flight_ < most_calls && authority_.holds() && timers_.now() >= retry_at_) {
+    while (calls_in_flight_ < max_calls_in_flight && authority_.holds() && timers_.now() >= retry_at_) {
         std::vector<std::string> machine_ids;
         for (auto& [id, machine] : state_.cluster.machines())
             if (machine.life == Machine::Life::marked_for_deletion &&
