--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -10,7 +10,7 @@
 namespace {
 // Several calls at once: after a wave of losses, quotas and places wait for the deletions.
 constexpr int max_calls_in_flight = 4;
-constexpr double retry_reports = 1.0 / 3;
+constexpr double retry_delay_heartbeat_periods = 1.0 / 3;
 }  // namespace
 
 MachineDeletion::MachineDeletion(const PartContext& context, cloud::CloudClient& cloud,
@@ -62,7 +62,7 @@
     if (!ok) {
         for (auto& id : machine_ids)
             if (auto* machine = state_.cluster.find(id)) machine->deletion = Machine::Deletion::allowed;
-        retry_at_ = timers_.now() + settings_.heartbeat_interval_s * retry_reports;
+        retry_at_ = timers_.now() + settings_.heartbeat_interval_s * retry_delay_heartbeat_periods;
         return;
     }
     {
