--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -53,11 +53,11 @@
         if (machine_ids.empty()) return;
         ++calls_in_flight_;
         cloud_.delete_machines(machine_ids,
-                               guarded_([this, machine_ids](bool ok) { answered(machine_ids, ok); }));
+                               guarded_([this, machine_ids](bool ok) { handle_answer(machine_ids, ok); }));
     }
 }
 
-void MachineDeletion::answered(const std::vector<std::string>& machine_ids, bool ok) {
+void MachineDeletion::handle_answer(const std::vector<std::string>& machine_ids, bool ok) {
     --calls_in_flight_;
     if (!ok) {
         for (auto& id : machine_ids)
--- a/src/leader/machine_deletion.hpp
+++ b/src/leader/machine_deletion.hpp
@@ -39,7 +39,7 @@
     void delete_marked();
 
   private:
-    void answered(const std::vector<std::string>& machine_ids, bool ok);
+    void handle_answer(const std::vector<std::string>& machine_ids, bool ok);
 
     cloud::CloudClient& cloud_;
     metrics::Metrics& metrics_;
