--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -25,11 +25,11 @@
         if (in_flight_.size() >= max_in_flight) return;
         if (tried_.contains(id) || !in_flight_.insert(id).second) continue;
         kv_.get(kv::keys::final(id), kv::RequestPriority::write,
-                guarded_([this, id](const kv::GetResult& result) { answered(id, result); }));
+                guarded_([this, id](const kv::GetResult& result) { handle_answer(id, result); }));
     }
 }
 
-void DependencyResolver::answered(const std::string& id, const kv::GetResult& result) {
+void DependencyResolver::handle_answer(const std::string& id, const kv::GetResult& result) {
     in_flight_.erase(id);
     tried_.insert(id);  // unless its end is entered below, the next tick asks again
     if (!result.entry) return resolve();
--- a/src/leader/dependency_resolver.hpp
+++ b/src/leader/dependency_resolver.hpp
@@ -27,7 +27,7 @@
     void retry();
 
   private:
-    void answered(const std::string& id, const kv::GetResult& result);
+    void handle_answer(const std::string& id, const kv::GetResult& result);
 
     kv::KvClient& kv_;
     JobStore& store_;
