--- a/src/leader/machine_store.cpp
+++ b/src/leader/machine_store.cpp
@@ -12,7 +12,7 @@
                 {[this](const std::string& machine_id) { return record_of(machine_id); },
                  [this] { return authority_.begin_transaction(); },
                  [this](const std::vector<Record>& records) {
-                     if (!authority_.ended()) written(records);
+                     if (!authority_.ended()) handle_stored(records);
                  }}) {}
 
 void MachineStore::store_if_new(Machine& machine) {
@@ -32,7 +32,7 @@
                                    machine->life == Machine::Life::marked_for_deletion};
 }
 
-void MachineStore::written(const std::vector<Record>& records) {
+void MachineStore::handle_stored(const std::vector<Record>& records) {
     {
         std::lock_guard lock(state_.mutex);
         for (auto& [machine_id, record] : records) {
