--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -41,7 +41,7 @@
 
   private:
     [[nodiscard]] std::optional<protocol::MachineRecord> record_of(const std::string& machine_id);
-    void written(const std::vector<Record>& records);
+    void handle_stored(const std::vector<Record>& records);
 
     std::function<void()> confirmed_;
     machine_registry::MachineRegistry registry_;
