--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -101,7 +101,7 @@
     ++ends_in_flight(state);
     kv_.txn(std::move(transaction), priority, guarded_([this, ids, state](const TxnResult& result) {
                 --ends_in_flight(state);
-                ends_answered(ids, state, result);
+                handle_ends_result(ids, state, result);
                 bool committed = result.status == TxnResult::Status::committed;
                 if (std::exchange(ends_deferred_, false) || !committed) request_store();
             }));
@@ -109,7 +109,7 @@
 
 // One job that was cancelled, or ended by a transaction whose answer was lost, holds up all that are in its
 // transaction: only those that failed are read, the others go again at once without them.
-void JobStore::ends_answered(const Ids& ids, JobState state, const TxnResult& result) {
+void JobStore::handle_ends_result(const Ids& ids, JobState state, const TxnResult& result) {
     using Status = TxnResult::Status;
     auto failed_on = [&](const std::string& id) { return result.failed_on(keys::job(id)); };
     bool any_failed = std::any_of(ids.begin(), ids.end(), failed_on);
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -46,7 +46,7 @@
     [[nodiscard]] std::size_t most_ends_per_transaction() const;
     void store_ends(const Ids& ids, protocol::JobState state);
     void write_ends(const Ids& ids, protocol::JobState state, kv::RequestPriority priority);
-    void ends_answered(const Ids& ids, protocol::JobState state, const kv::TxnResult& result);
+    void handle_ends_result(const Ids& ids, protocol::JobState state, const kv::TxnResult& result);
     void end_stored(const std::string& id, std::uint64_t revision, protocol::JobState state);
 
     // The progress of tasks, and the blocks that hold it.
