--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -119,7 +119,7 @@
         if (result.status == Status::committed) {
             spdlog::debug("component=leader event=job_end_stored job={} tasks_done={} delay_s={:.2f}", id,
                           job->done_count, now() - job->storable_since.value_or(now()));
-            end_stored(id, result.revision, state);
+            handle_end_stored(id, result.revision, state);
         } else if (failed_on(id) || result.status == Status::unknown) {
             // Cancelled by some controller, or stored by a transaction whose answer was lost: read, then
             // decide. To write again without knowing costs the changes of the whole transaction.
@@ -133,7 +133,7 @@
 }
 
 // What awaited the job goes on at once: a short stage must not wait for the next heartbeat.
-void JobStore::end_stored(const std::string& id, std::uint64_t revision, JobState state) {
+void JobStore::handle_end_stored(const std::string& id, std::uint64_t revision, JobState state) {
     bool awaited = state_.jobs.dependencies().has_dependents(id);
     {
         std::lock_guard lock(state_.mutex);
@@ -257,7 +257,7 @@
                 if (!result.entry) return;
                 try {
                     auto state = protocol::parse_final_record(result.entry->value).state;
-                    end_stored(id, job->version, state);
+                    handle_end_stored(id, job->version, state);
                 } catch (const protocol::Malformed& error) {
                     spdlog::error("component=leader event=malformed_final_record job={} error=\"{}\"", id,
                                   error.what());
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -47,7 +47,7 @@
     void store_ends(const Ids& ids, protocol::JobState state);
     void write_ends(const Ids& ids, protocol::JobState state, kv::RequestPriority priority);
     void handle_ends_result(const Ids& ids, protocol::JobState state, const kv::TxnResult& result);
-    void end_stored(const std::string& id, std::uint64_t revision, protocol::JobState state);
+    void handle_end_stored(const std::string& id, std::uint64_t revision, protocol::JobState state);
 
     // The progress of tasks, and the blocks that hold it.
     struct ProgressWrite {
