--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -179,11 +179,12 @@
     kv_.txn(std::move(transaction), RequestPriority::write,
             guarded_([this, id, written](const TxnResult& result) {
                 if (result.status != TxnResult::Status::committed) return write_failed(id, result);
-                progress_stored(id, written, result.revision);
+                handle_progress_stored(id, written, result.revision);
             }));
 }
 
-void JobStore::progress_stored(const std::string& id, const ProgressWrite& written, std::uint64_t revision) {
+void JobStore::handle_progress_stored(const std::string& id, const ProgressWrite& written,
+                                      std::uint64_t revision) {
     std::lock_guard lock(state_.mutex);
     auto* job = state_.jobs.find(id);
     if (!job) return;
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -56,7 +56,7 @@
     };
     [[nodiscard]] ProgressWrite next_progress(const jobs::JobEntry& job) const;
     void write_progress(const std::string& id, jobs::JobEntry& job);
-    void progress_stored(const std::string& id, const ProgressWrite& written, std::uint64_t revision);
+    void handle_progress_stored(const std::string& id, const ProgressWrite& written, std::uint64_t revision);
 
     void write_failed(const std::string& id, const kv::TxnResult& result);
     void read_job_record(const std::string& id);
