--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -127,7 +127,7 @@
         } else if (any_failed) {
             job->write_in_flight = false;
         } else {
-            write_failed(id, result);
+            handle_write_failure(id, result);
         }
     }
 }
@@ -178,7 +178,7 @@
     }
     kv_.txn(std::move(transaction), RequestPriority::write,
             guarded_([this, id, written](const TxnResult& result) {
-                if (result.status != TxnResult::Status::committed) return write_failed(id, result);
+                if (result.status != TxnResult::Status::committed) return handle_write_failure(id, result);
                 handle_progress_stored(id, written, result.revision);
             }));
 }
@@ -195,7 +195,7 @@
     state_.cluster.record_outcome_stored(id, written.tasks);
 }
 
-void JobStore::write_failed(const std::string& id, const TxnResult& result) {
+void JobStore::handle_write_failure(const std::string& id, const TxnResult& result) {
     std::lock_guard lock(state_.mutex);
     auto* job = state_.jobs.find(id);
     if (!job) return;
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -58,7 +58,7 @@
     void write_progress(const std::string& id, jobs::JobEntry& job);
     void handle_progress_stored(const std::string& id, const ProgressWrite& written, std::uint64_t revision);
 
-    void write_failed(const std::string& id, const kv::TxnResult& result);
+    void handle_write_failure(const std::string& id, const kv::TxnResult& result);
     void read_job_record(const std::string& id);
     void read_block_version(const std::string& id, const std::string& block);
 
