--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -58,7 +58,7 @@
     store_ends(due.cancelled_jobs, JobState::cancelled);
 }
 
-std::size_t JobStore::most_ends_per_transaction() const {
+std::size_t JobStore::max_ends_per_transaction() const {
     auto changes = std::min(static_cast<std::size_t>(settings_.kv_write_rps * transaction_share_s),
                             kv_.limits().txn_ops());
     return std::max<std::size_t>(1, changes / changes_per_end);
@@ -73,7 +73,7 @@
 void JobStore::store_ends(const Ids& ids, JobState state) {
     bool done = state == JobState::done;
     int max_in_flight = done ? max_done_in_flight : max_cancelled_in_flight;
-    auto most = most_ends_per_transaction();
+    auto most = max_ends_per_transaction();
     for (std::size_t first = 0; first < ids.size(); first += most) {
         if (ends_in_flight(state) >= max_in_flight) {
             ends_deferred_ = true;
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] int& ends_in_flight(protocol::JobState state) {
         return state == protocol::JobState::done ? done_in_flight_ : cancelled_in_flight_;
     }
-    [[nodiscard]] std::size_t most_ends_per_transaction() const;
+    [[nodiscard]] std::size_t max_ends_per_transaction() const;
     void store_ends(const Ids& ids, protocol::JobState state);
     void write_ends(const Ids& ids, protocol::JobState state, kv::RequestPriority priority);
     void handle_ends_result(const Ids& ids, protocol::JobState state, const kv::TxnResult& result);
