--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 // Ratios to the report period.
-constexpr double store_delay_reports = 1.0 / 60;
+constexpr double store_delay_heartbeat_periods = 1.0 / 60;
 constexpr double progress_interval_reports = 1.0 / 6;  // tasks that end together are stored together
 constexpr double retry_reports = 1.0 / 10, rejected_retry_reports = 1.0 / 2;
 // Transactions in flight that store ends of jobs that are done: a lost answer holds up its own jobs only.
@@ -41,7 +41,7 @@
 // share while a thousand jobs were live.
 void JobStore::request_store() {
     if (std::exchange(store_requested_, true)) return;
-    timers_.after(settings_.heartbeat_interval_s * store_delay_reports, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * store_delay_heartbeat_periods, guarded_([this] {
                       store_requested_ = false;
                       store_due();
                   }));
