--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -18,7 +18,8 @@
 namespace {
 // Ratios to the report period.
 constexpr double store_delay_heartbeat_periods = 1.0 / 60;
-constexpr double progress_interval_reports = 1.0 / 6;  // tasks that end together are stored together
+constexpr double progress_interval_heartbeat_periods =
+    1.0 / 6;  // tasks that end together are stored together
 constexpr double retry_reports = 1.0 / 10, rejected_retry_reports = 1.0 / 2;
 // Transactions in flight that store ends of jobs that are done: a lost answer holds up its own jobs only.
 constexpr int max_done_in_flight = 4;
@@ -189,7 +190,7 @@
     auto* job = state_.jobs.find(id);
     if (!job) return;
     job->write_in_flight = false;
-    job->write_retry_at = now() + settings_.heartbeat_interval_s * progress_interval_reports;
+    job->write_retry_at = now() + settings_.heartbeat_interval_s * progress_interval_heartbeat_periods;
     for (auto task : written.tasks) job->unstored_tasks.erase(task);
     for (auto& block : written.blocks) job->block_versions[block] = revision;
     state_.cluster.record_outcome_stored(id, written.tasks);
