--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -20,7 +20,7 @@
 constexpr double store_delay_heartbeat_periods = 1.0 / 60;
 constexpr double progress_interval_heartbeat_periods =
     1.0 / 6;  // tasks that end together are stored together
-constexpr double retry_delay_heartbeat_periods = 1.0 / 10, rejected_retry_reports = 1.0 / 2;
+constexpr double retry_delay_heartbeat_periods = 1.0 / 10, rejected_retry_delay_heartbeat_periods = 1.0 / 2;
 // Transactions in flight that store ends of jobs that are done: a lost answer holds up its own jobs only.
 constexpr int max_done_in_flight = 4;
 constexpr int max_cancelled_in_flight = 1;
@@ -203,8 +203,9 @@
     job->write_in_flight = false;
     // What was too large is written in smaller parts the next time; if it can't be, not without pause.
     bool rejected = result.status == TxnResult::Status::rejected;
-    job->write_retry_at = now() + settings_.heartbeat_interval_s *
-                                      (rejected ? rejected_retry_reports : retry_delay_heartbeat_periods);
+    job->write_retry_at =
+        now() + settings_.heartbeat_interval_s *
+                    (rejected ? rejected_retry_delay_heartbeat_periods : retry_delay_heartbeat_periods);
     if (result.status != TxnResult::Status::conflict) return;
     if (result.failed_on(keys::job(id))) return read_job_record(id);
     // A write whose answer was lost was carried out. Of several such blocks the next try shows the next.
