--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t changes_per_end = 2;  // the final record is put, the live one removed
 // Of all changes that the key-value store allows, one transaction takes at most those of so many seconds.
 constexpr double transaction_share_s = 0.2;
-constexpr double cancelled_delay_leases = 2;  // for which the end of a cancelled job may be put off
+constexpr double max_cancelled_delay_leases = 2;  // for which the end of a cancelled job may be put off
 }  // namespace
 
 JobStore::JobStore(const PartContext& context, kv::KvClient& kv, StaleKeyRemover& stale_keys,
@@ -83,7 +83,7 @@
         auto begin = ids.begin() + static_cast<std::ptrdiff_t>(first);
         auto end = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), first + most));
         double waited_s = now() - *state_.jobs.find(*begin)->storable_since;
-        bool overdue = waited_s > settings_.lease_s * cancelled_delay_leases;
+        bool overdue = waited_s > settings_.lease_s * max_cancelled_delay_leases;
         write_ends({begin, end}, state,
                    done || overdue ? RequestPriority::write : RequestPriority::background);
     }
