--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -26,7 +26,7 @@
 constexpr int max_cancelled_in_flight = 1;
 constexpr std::size_t changes_per_end = 2;  // the final record is put, the live one removed
 // Of all changes that the key-value store allows, one transaction takes at most those of so many seconds.
-constexpr double transaction_share_s = 0.2;
+constexpr double write_quota_per_transaction_s = 0.2;
 constexpr double max_cancelled_delay_leases = 2;  // for which the end of a cancelled job may be put off
 }  // namespace
 
@@ -60,7 +60,7 @@
 }
 
 std::size_t JobStore::max_ends_per_transaction() const {
-    auto changes = std::min(static_cast<std::size_t>(settings_.kv_write_rps * transaction_share_s),
+    auto changes = std::min(static_cast<std::size_t>(settings_.kv_write_rps * write_quota_per_transaction_s),
                             kv_.limits().txn_ops());
     return std::max<std::size_t>(1, changes / changes_per_end);
 }
