--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -14,7 +14,7 @@
 using kv::RequestPriority;
 
 namespace {
-constexpr double audit_leases = 4;  // from one audit to the next
+constexpr double audit_interval_leases = 4;  // from one audit to the next
 
 // Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
 // enough that what an interruption leaves of the time for renewals is nearly all of it.
@@ -106,7 +106,8 @@
 // What the watch brings is all there is to know, as far as anyone can tell. A job that it lost would wait for
 // ever, though its user was answered that it is accepted: so what is stored is compared with the table.
 void JobWatcher::audit() {
-    if (auditing_ || !authority_.holds() || timers_.now() - last_audit_ < settings_.lease_s * audit_leases)
+    if (auditing_ || !authority_.holds() ||
+        timers_.now() - last_audit_ < settings_.lease_s * audit_interval_leases)
         return;
     auditing_ = true;
     state_.jobs.set_list_in_progress(true);
