--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -121,7 +121,7 @@
 
 void JobWatcher::compare(const kv::ListResult& stored) {
     std::set<std::string> ids;
-    auto unknown = take_unknown(stored, ids);
+    auto unknown = apply_unknown(stored, ids);
     std::size_t not_stored = 0;
     // The end of such a job may have been stored by a transaction of this leader whose answer was lost.
     for (auto& [id, job] : state_.jobs.entries()) {
@@ -135,7 +135,7 @@
 }
 
 // Puts the ids of all jobs of the list into `ids`; how many of them the table did not have.
-std::size_t JobWatcher::take_unknown(const kv::ListResult& stored, std::set<std::string>& ids) {
+std::size_t JobWatcher::apply_unknown(const kv::ListResult& stored, std::set<std::string>& ids) {
     std::lock_guard lock(state_.mutex);
     std::size_t unknown = 0;
     for (auto& entry : stored.entries) {
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -50,7 +50,7 @@
     bool malformed_record(const std::string& id, std::uint64_t version, const std::string& value,
                           const char* error);
     void compare(const kv::ListResult& stored);
-    [[nodiscard]] std::size_t take_unknown(const kv::ListResult& stored, std::set<std::string>& ids);
+    [[nodiscard]] std::size_t apply_unknown(const kv::ListResult& stored, std::set<std::string>& ids);
 
     kv::KvClient& kv_;
     JobStore& store_;
