--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -78,13 +78,13 @@
         if (job.cancelled) callbacks_.cancel_active(id, job);
         return true;
     } catch (const protocol::Malformed& error) {
-        return malformed_record(id, version, value, error.what());
+        return handle_malformed_record(id, version, value, error.what());
     }
 }
 
 // The tasks of a job that was cancelled must go all the same.
-bool JobWatcher::malformed_record(const std::string& id, std::uint64_t version, const std::string& value,
-                                  const char* error) {
+bool JobWatcher::handle_malformed_record(const std::string& id, std::uint64_t version,
+                                         const std::string& value, const char* error) {
     spdlog::error("component=leader event=malformed_job_record job={} error=\"{}\"", id, error);
     auto* job = state_.jobs.find(id);
     if (!job || job->cancelled || !protocol::is_cancelled_record(value)) return false;
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -47,8 +47,8 @@
   private:
     void changed(const std::vector<protocol::Event>& events, std::uint64_t complete_revision);
     void listed(const kv::ListResult& all);
-    bool malformed_record(const std::string& id, std::uint64_t version, const std::string& value,
-                          const char* error);
+    bool handle_malformed_record(const std::string& id, std::uint64_t version, const std::string& value,
+                                 const char* error);
     void compare(const kv::ListResult& stored);
     [[nodiscard]] std::size_t apply_unknown(const kv::ListResult& stored, std::set<std::string>& ids);
 
