--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -37,7 +37,7 @@
              {[this](const std::vector<protocol::Event>& events, std::uint64_t complete_revision) {
                   changed(events, complete_revision);
               },
-              [this](const kv::ListResult& all) { listed(all); }}) {}
+              [this](const kv::ListResult& all) { apply_list(all); }}) {}
 
 void JobWatcher::start(std::uint64_t revision, double listed_at) {
     last_audit_ = timers_.now();
@@ -56,7 +56,7 @@
     if (news) callbacks_.jobs_changed();
 }
 
-void JobWatcher::listed(const kv::ListResult& all) {
+void JobWatcher::apply_list(const kv::ListResult& all) {
     if (authority_.ended()) return;
     {
         std::lock_guard lock(state_.mutex);
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -46,7 +46,7 @@
 
   private:
     void changed(const std::vector<protocol::Event>& events, std::uint64_t complete_revision);
-    void listed(const kv::ListResult& all);
+    void apply_list(const kv::ListResult& all);
     bool handle_malformed_record(const std::string& id, std::uint64_t version, const std::string& value,
                                  const char* error);
     void compare(const kv::ListResult& stored);
