--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -16,11 +16,11 @@
         in_flight_ = false;
         if (!hosts) return;
         has_listed_ = true;
-        listed(*hosts);
+        apply_list(*hosts);
     }));
 }
 
-void HostLister::listed(const std::vector<protocol::Host>& hosts) {
+void HostLister::apply_list(const std::vector<protocol::Host>& hosts) {
     std::vector<std::string> running;
     {
         std::lock_guard lock(state_.mutex);
--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -30,7 +30,7 @@
     [[nodiscard]] bool has_listed() const { return has_listed_; }
 
   private:
-    void listed(const std::vector<protocol::Host>& hosts);
+    void apply_list(const std::vector<protocol::Host>& hosts);
     void take_host(const protocol::Host& host, std::vector<std::string>& running);
 
     cloud::CloudClient& cloud_;
