--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -24,14 +24,14 @@
     std::vector<std::string> running;
     {
         std::lock_guard lock(state_.mutex);
-        for (auto& host : hosts) take_host(host, running);
+        for (auto& host : hosts) apply_host(host, running);
     }
     for (auto& id : running)
         if (auto* machine = state_.cluster.find(id)) commands_.probe(*machine);
 }
 
 // `running`: gets the machine's id if the cloud says that it runs and it has not reported yet.
-void HostLister::take_host(const protocol::Host& host, std::vector<std::string>& running) {
+void HostLister::apply_host(const protocol::Host& host, std::vector<std::string>& running) {
     if (state_.cluster.is_deleted(host.id)) return;
     auto* known = state_.cluster.find(host.id);
     auto& machine = known ? *known
--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -31,7 +31,7 @@
 
   private:
     void apply_list(const std::vector<protocol::Host>& hosts);
-    void take_host(const protocol::Host& host, std::vector<std::string>& running);
+    void apply_host(const protocol::Host& host, std::vector<std::string>& running);
 
     cloud::CloudClient& cloud_;
     CommandSender& commands_;
