--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -16,7 +16,7 @@
 namespace {
 // Report periods for which a machine gets nothing new: after a task failed on it, and after tasks of several
 // jobs did.
-constexpr double one_failure_quarantine_reports = 2, many_failures_quarantine_reports = 20;
+constexpr double one_failure_quarantine_heartbeat_periods = 2, many_failures_quarantine_reports = 20;
 // Pauses of a job that keeps failing double this many times at the most.
 constexpr int most_doublings = 5;
 constexpr std::size_t most_failed_machines = 8;
@@ -156,7 +156,8 @@
 
 void InstanceTracker::blame_machine(Machine& machine, const std::string& job_id) {
     if (machine.error_jobs.size() < 2) {
-        machine.quarantined_until = now() + settings_.heartbeat_interval_s * one_failure_quarantine_reports;
+        machine.quarantined_until =
+            now() + settings_.heartbeat_interval_s * one_failure_quarantine_heartbeat_periods;
         return;
     }
     spdlog::info("component=leader event=machine_quarantined machine={} failed_jobs={} last_job={}",
