--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -19,7 +19,7 @@
 constexpr double one_failure_quarantine_heartbeat_periods = 2,
                  many_failures_quarantine_heartbeat_periods = 20;
 // Pauses of a job that keeps failing double this many times at the most.
-constexpr int most_doublings = 5;
+constexpr int max_backoff_doublings = 5;
 constexpr std::size_t most_failed_machines = 8;
 }  // namespace
 
@@ -143,8 +143,8 @@
     ++job.consecutive_failures;
     job.failed_on.insert(end.machine);
     if (job.is_crash_looping()) {
-        int doublings =
-            std::min(job.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1, most_doublings);
+        int doublings = std::min(job.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1,
+                                 max_backoff_doublings);
         job.backoff_until = now() + settings_.heartbeat_interval_s * std::pow(2.0, doublings);
         if (job.failed_on.size() > most_failed_machines) job.failed_on.clear();
     }
