--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -20,7 +20,7 @@
                  many_failures_quarantine_heartbeat_periods = 20;
 // Pauses of a job that keeps failing double this many times at the most.
 constexpr int max_backoff_doublings = 5;
-constexpr std::size_t most_failed_machines = 8;
+constexpr std::size_t max_failed_machines = 8;
 }  // namespace
 
 InstanceTracker::InstanceTracker(const PartContext& context, metrics::Metrics& metrics,
@@ -146,7 +146,7 @@
         int doublings = std::min(job.consecutive_failures - jobs::JobEntry::crash_loop_threshold - 1,
                                  max_backoff_doublings);
         job.backoff_until = now() + settings_.heartbeat_interval_s * std::pow(2.0, doublings);
-        if (job.failed_on.size() > most_failed_machines) job.failed_on.clear();
+        if (job.failed_on.size() > max_failed_machines) job.failed_on.clear();
     }
     auto* machine = state_.cluster.find(end.machine);
     if (!machine) return;
