--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -152,10 +152,10 @@
     if (!machine) return;
     machine->error_jobs.insert(end.task.job);
     if (job.is_crash_looping()) return;  // says more about the job than about the machine
-    blame_machine(*machine, end.task.job);
+    quarantine(*machine, end.task.job);
 }
 
-void InstanceTracker::blame_machine(Machine& machine, const std::string& job_id) {
+void InstanceTracker::quarantine(Machine& machine, const std::string& job_id) {
     if (machine.error_jobs.size() < 2) {
         machine.quarantined_until =
             now() + settings_.heartbeat_interval_s * one_failure_quarantine_heartbeat_periods;
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -46,7 +46,7 @@
     void task_done(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void task_lost(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end);
-    void blame_machine(cluster::Machine& machine, const std::string& job_id);
+    void quarantine(cluster::Machine& machine, const std::string& job_id);
 
     metrics::Metrics& metrics_;
     cluster::TeamActivity& team_activity_;
