--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -80,7 +80,8 @@
     if (end.orphaned) --job->orphaned_instances;
     bool was_active = release_place(*job, end);
     if (end.task.index >= job->spec->tasks) return;
-    if (end.cause == ExitCause::done && job->spec->kind != JobKind::service) return task_done(*job, end);
+    if (end.cause == ExitCause::done && job->spec->kind != JobKind::service)
+        return handle_task_done(*job, end);
     if (end.cause == ExitCause::done) state_.cluster.record_outcome_stored(end.task.job, {end.task.index});
     if (was_active) task_lost(*job, end);
 }
@@ -97,7 +98,7 @@
 }
 
 // The tasks of a gang complete together: if one is done, all are.
-void InstanceTracker::task_done(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
+void InstanceTracker::handle_task_done(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
     auto done_before = job.done_count;
     if (job.spec->kind == JobKind::gang) {
         for (std::uint32_t task = 0; task < job.spec->tasks; ++task) job.mark_done(task);
