--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -83,7 +83,7 @@
     if (end.cause == ExitCause::done && job->spec->kind != JobKind::service)
         return handle_task_done(*job, end);
     if (end.cause == ExitCause::done) state_.cluster.record_outcome_stored(end.task.job, {end.task.index});
-    if (was_active) task_lost(*job, end);
+    if (was_active) handle_task_lost(*job, end);
 }
 
 // Whether the job's task was there. Its place is free if the cluster state holds nothing there any more: an
@@ -114,7 +114,7 @@
 }
 
 // An active task ended before it was done.
-void InstanceTracker::task_lost(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
+void InstanceTracker::handle_task_lost(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
     if (end.started) team_activity_.stopped(job.spec->team);
     switch (end.cause) {
         case ExitCause::error:
