--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -118,7 +118,7 @@
     if (end.started) team_activity_.stopped(job.spec->team);
     switch (end.cause) {
         case ExitCause::error:
-            task_failed(job, end);
+            handle_task_failed(job, end);
             break;
         case ExitCause::insufficient_resources:
         case ExitCause::other_attempt_present:
@@ -140,7 +140,7 @@
 
 // The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on several
 // machines gets pauses that grow, up to a bound, and holds nobody else up.
-void InstanceTracker::task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
+void InstanceTracker::handle_task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
     ++job.consecutive_failures;
     job.failed_on.insert(end.machine);
     if (job.is_crash_looping()) {
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -45,7 +45,7 @@
     bool release_place(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void handle_task_done(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void handle_task_lost(jobs::JobEntry& job, const cluster::InstanceEnd& end);
-    void task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end);
+    void handle_task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void quarantine(cluster::Machine& machine, const std::string& job_id);
 
     metrics::Metrics& metrics_;
