--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -78,7 +78,7 @@
     spdlog::debug("component=leader event=instance_ended task={} attempt={} machine={} reported={} cause={}",
                   end.task.str(), end.attempt, end.machine, end.reported, static_cast<int>(end.cause));
     if (end.orphaned) --job->orphaned_instances;
-    bool was_active = release_place(*job, end);
+    bool was_active = clear_location(*job, end);
     if (end.task.index >= job->spec->tasks) return;
     if (end.cause == ExitCause::done && job->spec->kind != JobKind::service)
         return handle_task_done(*job, end);
@@ -88,7 +88,7 @@
 
 // Whether the job's task was there. Its place is free if the cluster state holds nothing there any more: an
 // old attempt that is reported as exited once more says nothing about the one that came after it.
-bool InstanceTracker::release_place(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
+bool InstanceTracker::clear_location(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
     auto active = job.active.find(end.task.index);
     auto* machine = state_.cluster.find(end.machine);
     bool was_active = active != job.active.end() && active->second.machine == end.machine &&
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -42,7 +42,7 @@
   private:
     void record_location(jobs::JobEntry& job, const protocol::TaskId& task, cluster::Machine& machine,
                          protocol::AttemptNumber attempt);
-    bool release_place(jobs::JobEntry& job, const cluster::InstanceEnd& end);
+    bool clear_location(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void handle_task_done(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void handle_task_lost(jobs::JobEntry& job, const cluster::InstanceEnd& end);
     void handle_task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end);
