--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -23,7 +23,7 @@
     // Stores what is due until nothing is left, some report periods at the most.
     void store() {
         for (int k = 0; k < 30; ++k) {
-            store_part.store_due();
+            job_store.store_due();
             wait(settings.heartbeat_interval_s / 6);
         }
     }
@@ -35,20 +35,20 @@
     int plans = 0, changes = 0;
     std::vector<std::string> cancelled;
     StaleKeyRemover stale_keys{*context, kv};
-    JobStore store_part{*context,
-                        kv,
-                        stale_keys,
-                        metrics,
-                        {[this](const std::string& id, std::uint64_t version, const std::string& value) {
-                             watcher.apply_record(id, version, value);
-                         },
-                         [this] { ++plans; }, [] { return true; }}};
+    JobStore job_store{*context,
+                       kv,
+                       stale_keys,
+                       metrics,
+                       {[this](const std::string& id, std::uint64_t version, const std::string& value) {
+                            watcher.apply_record(id, version, value);
+                        },
+                        [this] { ++plans; }, [] { return true; }}};
     JobWatcher watcher{*context,
                        kv,
-                       store_part,
+                       job_store,
                        {[this](const std::string& id, jobs::JobEntry&) { cancelled.push_back(id); },
                         [this] { ++changes; }, [this] { ++plans; }}};
-    DependencyResolver resolver{*context, kv, store_part, [this] { ++plans; }};
+    DependencyResolver resolver{*context, kv, job_store, [this] { ++plans; }};
 };
 
 TEST(JobStore, StoresTheEndOfAJobAndDropsItFromTheTable) {
