--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -35,7 +35,7 @@
       callbacks_(std::move(callbacks)),
       watch_(context.timers, kv, keys::jobs, watch_pace(context.settings),
              {[this](const std::vector<protocol::Event>& events, std::uint64_t complete_revision) {
-                  changed(events, complete_revision);
+                  apply_changes(events, complete_revision);
               },
               [this](const kv::ListResult& all) { apply_list(all); }}) {}
 
@@ -44,16 +44,16 @@
     watch_.start(revision, listed_at);
 }
 
-void JobWatcher::changed(const std::vector<protocol::Event>& events, std::uint64_t complete_revision) {
+void JobWatcher::apply_changes(const std::vector<protocol::Event>& events, std::uint64_t complete_revision) {
     if (authority_.ended()) return;
-    bool news = false;
+    bool any_new = false;
     {
         std::lock_guard lock(state_.mutex);
         for (auto& event : events)
-            if (event.value) news |= apply_record(id_of(event.key), event.version, *event.value);
+            if (event.value) any_new |= apply_record(id_of(event.key), event.version, *event.value);
         state_.jobs.forget_ended_before(complete_revision);
     }
-    if (news) callbacks_.jobs_changed();
+    if (any_new) callbacks_.jobs_changed();
 }
 
 void JobWatcher::apply_list(const kv::ListResult& all) {
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -45,7 +45,7 @@
     void audit();
 
   private:
-    void changed(const std::vector<protocol::Event>& events, std::uint64_t complete_revision);
+    void apply_changes(const std::vector<protocol::Event>& events, std::uint64_t complete_revision);
     void apply_list(const kv::ListResult& all);
     bool handle_malformed_record(const std::string& id, std::uint64_t version, const std::string& value,
                                  const char* error);
