--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -14,8 +14,9 @@
 using relay::HeartbeatRejection;
 
 namespace {
-// Of the machines that are up: how many report to the leader itself while others relay; how many it sends to
-// them in a tick; and for how many leases a machine is not sent again.
+// direct_share: share of the machines that are up which send heartbeats to the leader itself while the other
+// controllers relay. redirects_per_tick_share: share of them that may be redirected to relays in one tick.
+// redirect_pause_leases: time, in leases, for which a machine that was redirected is not redirected again.
 constexpr double direct_share = 0.1, redirects_per_tick_share = 1.0 / 50, redirect_pause_leases = 4;
 constexpr std::size_t early_heartbeats_per_turn = 16;
 }  // namespace
@@ -29,9 +30,9 @@
       hooks_(std::move(hooks)),
       early_heartbeats_(rejections) {}
 
-void HeartbeatHandler::handle(relay::PendingHeartbeat report) {
-    if (!parts_.recovery.loaded()) return early_heartbeats_.push(std::move(report));
-    auto& [body, reply, since] = report;
+void HeartbeatHandler::handle(relay::PendingHeartbeat heartbeat) {
+    if (!parts_.recovery.loaded()) return early_heartbeats_.push(std::move(heartbeat));
+    auto& [body, reply, since] = heartbeat;
     if (repeat_reply(body, reply)) return;
     auto [answered, machine_id] = answer(body, "");
     auto* machine = state_.cluster.find(machine_id);
@@ -46,8 +47,8 @@
     if (machine) parts_.commands.flush(*machine);
 }
 
-// Whether the heartbeat was answered as the last one of its machine was: it says the same, and that one is
-// the last that the machine sent.
+// Answers the heartbeat with the cached reply to the machine's previous heartbeat, if it says the same as
+// that one and no other status of the machine has been applied since. Returns whether it was answered.
 bool HeartbeatHandler::repeat_reply(const std::string& body, const http::Reply& reply) {
     auto outline = protocol::outline_heartbeat(body);
     if (!outline || !authority_.holds() || !authority_.may_renew_worker_leases()) return false;
@@ -71,7 +72,7 @@
     return {};
 }
 
-// `relay_label`: the relay that passes it on; empty if it came here.
+// `relay_label`: the relay that forwarded the heartbeat; empty if the agent sent it to this controller.
 HeartbeatHandler::Answer HeartbeatHandler::answer(const std::string& body, const std::string& relay_label) {
     if (!authority_.may_renew_worker_leases())
         return {reject(authority_.ended() ? HeartbeatRejection::lease_lost
@@ -93,19 +94,22 @@
     auto outcome = apply(status, cluster::ReportChannel::heartbeat);
     std::lock_guard lock(state_.mutex);
     auto* machine = state_.cluster.find(status.machine);
-    // Never a 200 that the worker would drop: a later leader's token, a machine that is deleted.
+    // Never answers 200 if the agent would discard the answer, because it has seen a later leader's fencing
+    // token, or because its machine is deleted.
     if (authority_.ended()) return reject(HeartbeatRejection::lease_lost);
     if (!outcome.may_be_answered() || !machine) return reject(HeartbeatRejection::outdated);
     bool unreachable = parts_.supervisor.is_outbound_unreachable(*machine);
     if (unreachable || !state_.cluster.may_renew_lease(*machine, now())) {
-        // It was not answered: should the same heartbeat come again, the lease counts from then.
+        // This heartbeat gets no answer that renews the lease. If a copy arrives, it must not count as
+        // repeated: an answer to the copy does renew the lease, which is then counted from that time.
         machine->heartbeat_sequence =
             std::min(machine->heartbeat_sequence, protocol::SequenceNumber{status.sequence.value() - 1});
         parts_.commands.probe(*machine);
         return reject(unreachable ? HeartbeatRejection::outbound_unreachable
                                   : HeartbeatRejection::cancellation_unsent);
     }
-    // Its worker may still wait for it, but a copy that came late says nothing new of lease and route.
+    // The agent may still wait for the answer. A late copy tells nothing new about the lease and the route,
+    // so neither is recorded.
     if (outcome.is_repeated()) {
         auto commands = state_.cluster.reply_commands(*machine, now(), may_act);
         return {200, protocol::heartbeat_response(machine->token, commands), false};
@@ -113,13 +117,14 @@
     return renew(*machine, relay_label, may_act);
 }
 
-// The 200 that renews the machine's lease, and who answers its heartbeats from now on.
+// Returns the 200 that renews the machine's lease. Decides whether the relay or this leader answers the
+// machine's next heartbeats.
 protocol::RelayedReply HeartbeatHandler::renew(Machine& machine, const std::string& relay_label,
                                                bool may_act) {
     auto& delegations = parts_.delegations;
     record_route(machine, relay_label);
     if (!delegations.table().delegated_to(machine.id, relay_label))
-        delegations.revoke(machine.id);  // it has left the relay that answered it
+        delegations.revoke(machine.id);  // no longer reaches the leader through the relay it was delegated to
     auto commands = state_.cluster.reply_commands(machine, now(), may_act);
     machine.lease_renewed_at = machine.reconciled ? now() : std::max(machine.lease_renewed_at, now());
     if (!machine.reconciled) machine.unreconciled_reply_at = now();
@@ -140,21 +145,23 @@
     machine.inbound_unreachable = false;
 }
 
-// The leader has most to do besides heartbeats, so relays answer most machines: it sends quiet ones to them,
-// a few at a time, and none twice within some leases, in case that one can't reach the relay.
+// Returns the relay that the machine is to send its heartbeats to, or nothing if it stays with the leader.
+// The leader has more other work than the relays, so relays answer most machines. The leader redirects
+// machines for which nothing is pending, a few per tick. It does not redirect a machine again within
+// redirect_pause_leases, since the machine may be unable to reach the relay.
 std::optional<std::string> HeartbeatHandler::relay_for(Machine& machine) {
     double machines_up = static_cast<double>(parts_.failure_detector.machines_up());
     auto& table = parts_.delegations.table();
     auto relays = static_cast<double>(std::max<std::size_t>(1, settings_.peers.size()));
-    bool many_here = machines_up - static_cast<double>(table.count()) > machines_up * direct_share;
+    bool many_direct = machines_up - static_cast<double>(table.count()) > machines_up * direct_share;
     bool many_redirected =
         static_cast<double>(redirected_since_tick_) > machines_up * redirects_per_tick_share;
     bool redirected_lately =
         machine.redirected_at && now() - *machine.redirected_at < settings_.lease_s * redirect_pause_leases;
-    if (!settings_.op.relay_heartbeats || !many_here || many_redirected || redirected_lately)
+    if (!settings_.op.relay_heartbeats || !many_direct || many_redirected || redirected_lately)
         return std::nullopt;
-    auto most = static_cast<std::size_t>(machines_up * (1 - direct_share) / relays) + 1;
-    auto relay_label = table.least_loaded(now(), most);
+    auto max_per_relay = static_cast<std::size_t>(machines_up * (1 - direct_share) / relays) + 1;
+    auto relay_label = table.least_loaded(now(), max_per_relay);
     if (!relay_label) return std::nullopt;
     machine.redirected_at = now();
     ++redirected_since_tick_;
@@ -180,23 +187,24 @@
     send();
 }
 
-// Heartbeats that the relay has answered itself: when each machine's last one came.
+// Records when the last heartbeat came from each machine whose heartbeats the relay has answered itself.
 void HeartbeatHandler::apply_relay_heartbeats(const protocol::RelayRequest& message) {
     std::lock_guard lock(state_.mutex);
     for (auto& heartbeat : message.answered_heartbeats) {
         auto* machine = state_.cluster.find(heartbeat.machine);
         if (!machine || !parts_.delegations.table().delegated_to(heartbeat.machine, message.label)) continue;
-        double came_at = now() - static_cast<double>(heartbeat.age_ms) / 1000;
-        machine->last_heartbeat_at = std::max(machine->last_heartbeat_at, came_at);
+        double received_at = now() - static_cast<double>(heartbeat.age_ms) / 1000;
+        machine->last_heartbeat_at = std::max(machine->last_heartbeat_at, received_at);
         machine->reachability.record_reached(now());
-        machine->reachability.record_renewable_heartbeat(came_at);
+        machine->reachability.record_renewable_heartbeat(received_at);
         machine->suspected = machine->inbound_unreachable = false;
         parts_.failure_detector.record_heartbeat(state_.zone_of(*machine), now());
     }
 }
 
-// For how long a relay may renew leases: within the time for which this leader itself may, which its
-// successor counts on, and which ends early enough for tasks that are cancelled.
+// Returns for how many seconds a relay may renew leases on its own. That time lies within the time in which
+// this leader itself may renew them: a successor relies on that bound, and it is early enough for cancelled
+// tasks to terminate in time.
 double HeartbeatHandler::relay_grant_s() const {
     return std::max(0.0, std::min({settings_.heartbeat_interval_s, authority_.renewal_after_expiry_s(),
                                    authority_.lease_renewal_deadline() - now()}));
@@ -209,7 +217,8 @@
         auto fencing_token = cluster::FencingTokens::leadership_version(status.token);
         spdlog::info("component=leader event=deposed_by_heartbeat machine={} fencing_token={}",
                      status.machine, fencing_token);
-        // Not from within what the worker's message set off: this object would be gone before it is done.
+        // Deferred to a later turn of the event loop: the end of the leadership destroys this object, which
+        // is still handling the agent's message.
         timers_.after(0, guarded_([this, fencing_token] { leadership_.deposed_by(fencing_token); }));
         return outcome;
     }
@@ -245,15 +254,15 @@
 
 void HeartbeatHandler::handle_early_heartbeats() {
     for (std::size_t handled = 0; handled < early_heartbeats_per_turn; ++handled) {
-        auto report = early_heartbeats_.pop(now());
-        if (!report) break;
-        handle(std::move(*report));
+        auto heartbeat = early_heartbeats_.pop(now());
+        if (!heartbeat) break;
+        handle(std::move(*heartbeat));
     }
     if (!early_heartbeats_.empty()) timers_.after(0, guarded_([this] { handle_early_heartbeats(); }));
 }
 
 void HeartbeatHandler::stop() {
-    for (auto& report : early_heartbeats_.take_all()) report.reply({503, "{}"});
+    for (auto& heartbeat : early_heartbeats_.take_all()) heartbeat.reply({503, "{}"});
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -1,14 +1,15 @@
-// Heartbeats in, answers out: those that workers send here, and those that other controllers pass on.
+// Handles agents' heartbeats: those that agents send to this controller, and those that a relay forwards.
 //
-// Safety rests on what is answered: a 200 renews the worker's lease, so it is given only while this leader
-// may renew leases, only to a machine whose status is current, and never to one that might run a task which
-// must be stopped (ClusterState::may_renew_lease). Everything else is refused, and counted by its reason.
+// Safety depends on which heartbeats are answered, since a 200 renews the agent's lease. A heartbeat gets a
+// 200 only while this leader may renew leases, only if its status is current, and never if the machine might
+// run a task that must be stopped (ClusterState::may_renew_lease). All other heartbeats are rejected and
+// counted by reason.
 //
-// Owns the heartbeats that came before the jobs were loaded, the replies that may be repeated, and how many
-// machines it has sent to relays. Writes of a machine what a heartbeat and its answer change: route, renewal
-// and reachability; the status itself is ClusterState's to apply.
+// HeartbeatHandler owns the heartbeats that arrived before the jobs were loaded, the cache of replies that
+// may be repeated, and the number of machines redirected to relays in the present tick. It writes the route,
+// the lease renewal and the reachability of a machine. ClusterState applies the status itself.
 //
-// On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold it.
+// Runs on the event loop's thread. Takes LeaderState::mutex itself, so the caller must not hold it.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -33,9 +34,10 @@
 
 namespace coralhitch::leader {
 
-// Applies heartbeats to the state and answers them.
+// Applies heartbeats to the cluster state and answers them.
 class HeartbeatHandler : private LeaderPart {
   public:
+    // The parts of the leader that a heartbeat may affect. All of them must outlive the handler.
     struct Parts {
         Delegations& delegations;
         membership::FailureDetector& failure_detector;
@@ -46,35 +48,42 @@
         StartReplication& start_replication;
         Recovery& recovery;
     };
+    // Callbacks, called without LeaderState::mutex.
     struct Hooks {
         std::function<void()> request_plan;
-        // What jobs have ended, or got done, is to be stored soon.
+        // Requests that ends and progress of jobs be stored soon.
         std::function<void()> request_job_store;
     };
     HeartbeatHandler(const PartContext& context, relay::HeartbeatRejections& rejections, const Parts& parts,
                      Hooks hooks);
 
-    // A heartbeat that came here; its reply is called now, or once the jobs are loaded.
-    void handle(relay::PendingHeartbeat report);
-    // Heartbeats that a relay passes on: each is answered as if it had come here.
+    // Answers a heartbeat that an agent sent to this controller. Calls its reply at once or, if the jobs are
+    // not loaded yet, after they have been loaded.
+    void handle(relay::PendingHeartbeat heartbeat);
+    // Answers a relay's message. Each heartbeat in it is answered as if the agent had sent it here. The reply
+    // says so if this leader does not accept forwarded heartbeats now, and is a 503 if a later message of the
+    // relay arrived before.
     void handle_relayed(const protocol::RelayRequest& message, const http::Reply& reply);
-    // Takes in a status, which came in a heartbeat or as the answer to a direct request, and sets off what
-    // follows from it.
+    // Applies a status that arrived in a heartbeat or in the answer to a direct request. Then sends the
+    // commands, requests the plan and the writes that follow from it. Ends the leadership, in a later turn of
+    // the event loop, if the agent has seen the fencing token of a later leader.
     cluster::HeartbeatOutcome apply(const protocol::Heartbeat& status, cluster::ReportChannel via);
 
-    // The jobs are loaded: handles the heartbeats that came before, some in each turn of the loop.
+    // Handles the heartbeats that arrived before the jobs were loaded, a bounded number in each turn of the
+    // event loop. Called once the jobs are loaded.
     void handle_early_heartbeats();
-    // A tick begins: that many more machines may be sent to relays.
+    // Resets the count of machines redirected to relays, which is limited per tick.
     void begin_tick() { redirected_since_tick_ = 0; }
-    // The machine is deleted.
+    // Drops the cached reply to a machine that has been deleted.
     void forget(const std::string& machine_id) { reply_cache_.forget(machine_id); }
-    // The leadership is over: heartbeats that still wait are turned away.
+    // Answers all heartbeats that still wait with 503. Called when the leadership ends.
     void stop();
 
   private:
+    // The answer to one heartbeat, and the machine that sent it.
     struct Answer {
         protocol::RelayedReply reply;
-        std::string machine_id;  // empty if the heartbeat was not read
+        std::string machine_id;  // empty if the heartbeat was rejected unread or malformed
     };
     [[nodiscard]] bool repeat_reply(const std::string& body, const http::Reply& reply);
     [[nodiscard]] Answer answer(const std::string& body, const std::string& relay_label);
@@ -89,13 +98,13 @@
     void apply_relay_heartbeats(const protocol::RelayRequest& message);
     [[nodiscard]] double relay_grant_s() const;
 
-    Authority& leadership_;  // this part may end it
+    Authority& leadership_;  // the same object as authority_, not const: this part may end the leadership
     relay::HeartbeatRejections& rejections_;
     Parts parts_;
     Hooks hooks_;
     protocol::HeartbeatReader reader_;
-    relay::HeartbeatQueue early_heartbeats_;  // came before the jobs were loaded
-    relay::ReplyCache reply_cache_;           // of machines that report here
+    relay::HeartbeatQueue early_heartbeats_;  // arrived before the jobs were loaded
+    relay::ReplyCache reply_cache_;           // replies to machines that send their heartbeats here
     std::size_t redirected_since_tick_ = 0;
 };
 
