--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -15,13 +15,14 @@
 using protocol::JobKind;
 
 namespace {
-// Half of a worker's lease is left then; it tries all controllers in turn and comes back well within the
-// first.
+// Time without a heartbeat, in leases, after which a machine counts as inbound unreachable. The other half of
+// the agent's lease is left then. An agent tries all controllers in turn and reaches one well within the
+// first half.
 constexpr double inbound_unreachable_after_leases = 1.0 / 2;
-// Report periods between two probes of a machine.
+// Heartbeat periods between two probes of a machine.
 constexpr double reconciled_probe_interval_heartbeat_periods = 1.0 / 2,
                  unreconciled_probe_interval_heartbeat_periods = 1.0 / 3;
-// Report periods that pass after a lease's end before it counts as expired.
+// Heartbeat periods that must pass after the end of a lease before it counts as expired.
 constexpr double lease_margin_heartbeat_periods = 1.0 / 3;
 }  // namespace
 
@@ -70,8 +71,9 @@
                             machine.reconciled,
                             machine.known_from_replica,
                             {}};
-    // What runs there goes on until its worker's lease expires, and that is reported. What was sent there and
-    // has not been reported would wait for as long.
+    // Commands may not reach this machine, though its heartbeats arrive. Tasks that it has reported run until
+    // the agent's lease expires, and the agent reports that. Tasks that were sent to it and never reported
+    // would wait for as long, so the time without contact counts against the machine.
     if (machine.reconciled && machine.reachability.outbound_unreachable() &&
         !machine.has_reported_instances())
         observation.unreached_s =
@@ -81,7 +83,8 @@
     return observation;
 }
 
-// Who would wait for a machine that is dead.
+// Returns whose work is held up while a dead machine is not evicted: nobody's, that of the array tasks
+// running on it, or also that of others.
 EvictionCost MachineSupervisor::eviction_cost(const Machine& machine) const {
     if (machine.tasks.empty()) return EvictionCost::none;
     bool only_running_arrays = std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
@@ -91,7 +94,7 @@
     return only_running_arrays ? EvictionCost::own_work : EvictionCost::others_wait;
 }
 
-// Whether the leader seems to be the one that is cut off, and has resigned for it.
+// Resigns if this leader, rather than the machines, seems to be isolated. Returns whether it has resigned.
 bool MachineSupervisor::resigns_if_isolated() {
     auto& detector = parts_.failure_detector;
     auto& suspicion = detector.self_suspicion();
@@ -118,7 +121,8 @@
             machine.inbound_unreachable = machine.reachability.inbound_unreachable(
                 observed.at, settings_.lease_s * inbound_unreachable_after_leases);
         }
-        // Each grant to its relay would move the time at which its lease expires, and it never did.
+        // Each time its relay's delegation is extended, the time at which the machine's lease counts as
+        // expired moves on. Without the revocation that lease never expired.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
         suspected += machine.is_suspect();
         check_machine(machine, observed.observations[index], health, may_evict);
@@ -141,13 +145,16 @@
                                       bool may_evict) {
     probe_if_due(machine, observation);
     bool dead = health == Health::dead;
-    // A machine that has reported within a lease has nothing to be proven terminated: not worth it each tick.
-    bool look_at_lease =
+    // On a machine whose last heartbeat is younger than a lease, no task can count as terminated by the
+    // expiry of the lease. The check is skipped for such machines because it costs too much for all machines
+    // in each tick.
+    bool lease_may_have_expired =
         dead || is_outbound_unreachable(machine) || now() - machine.last_heartbeat_at > settings_.lease_s;
-    bool lease_expired = look_at_lease && check_lease(machine);
-    // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
-    // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
-    // until its lease had expired, and nothing was placed meanwhile.
+    bool lease_expired = lease_may_have_expired && check_lease(machine);
+    // A reconciled machine is not evicted while a probe of it is in flight: its answer may have arrived and
+    // stay unread until the probe times out. A machine that has not reconciled is probed continuously. When
+    // its eviction waited for probes too, it was delayed until the lease had expired, and nothing was placed
+    // meanwhile.
     bool awaits_answer = machine.reconciled && machine.probing && !lease_expired;
     if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
         std::lock_guard lock(state_.mutex);
@@ -170,9 +177,10 @@
     if (due) parts_.commands.probe(machine);
 }
 
-// Whether the machine's lease has expired; what was on it is ended then. Proof by time: the worker kills its
-// tasks lease_s after it sent the last heartbeat that was answered. That heartbeat was sent before its
-// answer; an answer to a delayed heartbeat counts too, and a relay may have given it.
+// Returns whether the machine's lease has expired, and if so ends all instances on it. The evidence that they
+// have terminated is time: the agent kills its tasks lease_s after it sent the last heartbeat that was
+// answered, and it sent that heartbeat before the answer. The answer to a delayed heartbeat counts as well,
+// and so does one that a relay may have given.
 bool MachineSupervisor::check_lease(Machine& machine) {
     double renewed_at = parts_.delegations.last_possible_renewal(machine);
     double lease_s = settings_.lease_s;
