--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -30,7 +30,8 @@
         if (auto* machine = state_.cluster.find(id)) commands_.probe(*machine);
 }
 
-// `running`: gets the machine's id if the cloud says that it runs and it has not reported yet.
+// Applies one row of the list. Appends the machine's id to `running` if the cloud says that it is running but
+// it is still booting here, that is, no heartbeat has come from it.
 void HostLister::apply_host(const protocol::Host& host, std::vector<std::string>& running) {
     if (state_.cluster.is_deleted(host.id)) return;
     auto* known = state_.cluster.find(host.id);
--- a/src/leader/host_lister.hpp
+++ b/src/leader/host_lister.hpp
@@ -1,10 +1,10 @@
-// The cloud's list of hosts: shows machines that no heartbeat has shown yet, those that have failed, and the
-// addresses of those that are running.
+// Reads the cloud's list of hosts. The list contains machines that have not sent a heartbeat yet, shows which
+// machines have failed, and has the addresses of those that are running.
 //
-// Owns the list call under way. Adds machines to the cluster state as booting. The list lags behind: it never
-// brings back what is known to be deleted.
+// HostLister owns the list call in flight. It adds unknown machines to the cluster state as booting. The list
+// lags behind the cloud's state, so a machine that is known to be deleted is never added again.
 //
-// On the event loop's thread; the caller must not hold LeaderState::mutex.
+// Runs on the event loop's thread. The caller must not hold LeaderState::mutex.
 #pragma once
 #include <functional>
 #include <optional>
@@ -19,14 +19,16 @@
 
 namespace coralhitch::leader {
 
-// Asks the cloud for its list of hosts now and then, and takes it in.
+// Periodically lists the cloud's hosts and applies the list to the cluster state.
 class HostLister : private LeaderPart {
   public:
     HostLister(const PartContext& context, cloud::CloudClient& cloud, CommandSender& commands,
                MachineDeletion& deletion);
-    // Asks for the list if the last one is older than the time by which lists lag. Each tick.
+    // Requests the list if the last request is longer ago than lists lag behind, none is in flight, and the
+    // leader has the authority to act. Called each tick.
     void list_if_due();
-    // Whether a list has come: what an earlier leader created last may be in no heartbeat yet.
+    // Returns whether a list has been received. Before that, machines that an earlier leader created last may
+    // be unknown, since they may not have sent a heartbeat yet.
     [[nodiscard]] bool has_listed() const { return has_listed_; }
 
   private:
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -8,7 +8,8 @@
 using cluster::Machine;
 
 namespace {
-// Several calls at once: after a wave of losses, quotas and places wait for the deletions.
+// Several calls run in parallel: after many machines are lost at once, quotas and the placement of their
+// tasks wait for the deletions.
 constexpr int max_calls_in_flight = 4;
 constexpr double retry_delay_heartbeat_periods = 1.0 / 3;
 }  // namespace
@@ -32,7 +33,8 @@
         machine.id, reason, machine.tasks.size(), machine.route.empty() ? settings_.label : machine.route);
     metrics_.increment(metrics::Metric::leader_machines_marked_for_deletion);
     machine.life = Machine::Life::marked_for_deletion;
-    delegations_.revoke(machine.id);  // a relay's grants would move the time at which its lease expires
+    // Otherwise its relay's delegation is extended, and the time at which its lease expires moves on.
+    delegations_.revoke(machine.id);
     if (machine.registration == Machine::Registration::none) {
         machine.allow_deletion();
         return;
@@ -72,7 +74,7 @@
             store_.remove(id);
             delegations_.revoke(id);
             hooks_.machine_removed(id);
-            // Proof: by the time of the answer the machine and everything on it are gone.
+            // Evidence that the tasks have terminated: when the cloud answers, the machine no longer exists.
             for (auto& end : state_.cluster.remove_deleted(id)) instances_.instance_ended(end);
         }
     }
--- a/src/leader/machine_deletion.hpp
+++ b/src/leader/machine_deletion.hpp
@@ -1,11 +1,11 @@
-// Deletes machines: marks them, stores the mark, asks the cloud, and takes out of the cluster state what the
-// cloud's answer proves to be gone.
+// Deletes machines: marks them, has the mark stored, asks the cloud to delete them, and removes them from the
+// cluster state once the cloud has confirmed the deletion.
 //
-// Owns the deletion calls under way. Writes Machine::life and Machine::deletion, and removes machines from
-// the cluster state and the store.
+// MachineDeletion owns the deletion calls in flight. It writes Machine::life and Machine::deletion, and
+// removes machines from the cluster state and from the MachineStore.
 //
-// On the event loop's thread. The caller holds LeaderState::mutex during `mark`, and not during
-// `delete_marked`.
+// Runs on the event loop's thread. The caller holds LeaderState::mutex during `mark`, and must not hold it
+// during `delete_marked`.
 #pragma once
 #include <functional>
 #include <string>
@@ -20,22 +20,26 @@
 
 namespace coralhitch::leader {
 
-// Takes machines that are marked from their mark to their proven deletion.
+// Marks machines for deletion and deletes them at the cloud.
 class MachineDeletion : private LeaderPart {
   public:
+    // Callbacks to other parts of the leader.
     struct Hooks {
-        // The machine is being taken out of the cluster state; the mutex is held.
+        // Called just before a deleted machine is removed from the cluster state, with LeaderState::mutex
+        // held.
         std::function<void(const std::string& machine_id)> machine_removed;
-        // The answer to a call was taken in; the mutex is not held.
+        // Called after the machines of a successful call have been removed, without the mutex.
         std::function<void()> call_done;
     };
     MachineDeletion(const PartContext& context, cloud::CloudClient& cloud, metrics::Metrics& metrics,
                     Delegations& delegations, MachineStore& store, InstanceTracker& instances, Hooks hooks);
 
-    // The machine is never used again, and deleted once that is stored, so that a later leader keeps to it.
-    // The reason completes the sentence "machine m-1 ...", for the log.
+    // Marks the machine for deletion: it is never used again. It is deleted only after the mark has been
+    // stored, so that a later leader does not use it either, or at once if the machine itself was never stored.
+    // `reason` completes the sentence "machine m-1 ..." in the log.
     void mark(cluster::Machine& machine, const char* reason);
-    // Asks for the deletion of what is marked and may be deleted.
+    // Asks the cloud to delete the marked machines that may be deleted. Does nothing without authority,
+    // during the delay after a failed call, or while the maximum number of calls is in flight.
     void delete_marked();
 
   private:
@@ -48,7 +52,7 @@
     InstanceTracker& instances_;
     Hooks hooks_;
     int calls_in_flight_ = 0;
-    double retry_at_ = 0;  // steady seconds: no call before then
+    double retry_at_ = 0;  // steady seconds; no call is made before this time
 };
 
 }  // namespace coralhitch::leader
--- a/src/leader/machine_store.cpp
+++ b/src/leader/machine_store.cpp
@@ -16,7 +16,7 @@
                  }}) {}
 
 void MachineStore::store_if_new(Machine& machine) {
-    // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
+    // A status that shows an earlier leader's fencing token may come from a machine that was deleted since.
     if (!machine.reported_to_this_leader && machine.token_seen.is_set()) return;
     if (machine.registration != Machine::Registration::none || machine.life != Machine::Life::up ||
         !machine.agent_epoch.is_set())
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -1,11 +1,12 @@
-// Which machines are stored at the key-value store, so that whoever leads next knows where tasks may be.
+// Stores records of machines in the key-value store, so that the next leader knows where tasks may be
+// running.
 //
-// A machine is stored, and that confirmed, before the first `run` goes to it; that a machine is to be deleted
-// is stored before the deletion is asked for. Owns the registry of stored machines, and writes
-// Machine::registration and Machine::deletion. Instances of a machine that has been stored become ready to
-// start.
+// The first `run` command is sent to a machine only after the write of its record has been confirmed. A
+// machine is deleted only after the mark for its deletion has been stored. MachineStore owns the registry of
+// stored machines, and writes Machine::registration and Machine::deletion. Once a machine is stored, the
+// instances placed on it become ready to start.
 //
-// On the event loop's thread. The caller holds LeaderState::mutex during `store_if_new` and `update`.
+// Runs on the event loop's thread. The caller holds LeaderState::mutex during `store_if_new` and `update`.
 #pragma once
 #include <functional>
 #include <optional>
@@ -24,19 +25,21 @@
   public:
     using Record = machine_registry::StoredMachine;
 
-    // `confirmed` is called after each confirmed write, without the mutex: commands and deletions that waited
-    // for it are due.
+    // `confirmed` is called after each confirmed write, without the mutex, since commands and deletions that
+    // waited for the write are then due.
     MachineStore(const PartContext& context, kv::KvClient& kv, std::function<void()> confirmed);
 
-    // What earlier leaders stored; once, before any other call.
+    // Loads the records that earlier leaders stored from a list of the key-value store. Returns them. Called
+    // once, before any other function.
     [[nodiscard]] std::vector<Record> load(const kv::ListResult& listed) { return registry_.load(listed); }
-    // Stores a machine that is up and has reported, unless it is stored or being stored.
+    // Stores the record of a machine that is up and has sent a status, unless it is stored or being stored.
+    // Does nothing if the only statuses came from the time of an earlier leader.
     void store_if_new(cluster::Machine& machine);
-    // The machine's stored record is to be written again.
+    // Queues the machine's record to be written again.
     void update(const std::string& machine_id) { registry_.put(machine_id); }
-    // The machine is proven gone.
+    // Queues the record of a machine that no longer exists to be removed.
     void remove(const std::string& machine_id) { registry_.remove(machine_id); }
-    // Writes what is due. Each tick.
+    // Sends the writes that are due. Called each tick.
     void flush() { registry_.flush(); }
 
   private:
