--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -14,12 +14,13 @@
 using protocol::JobKind;
 
 namespace {
-// Report periods for which a machine gets nothing new: after a task failed on it, and after tasks of several
-// jobs did.
+// Heartbeat periods for which a machine gets no new tasks after a task of one job has failed on it, and after
+// tasks of several jobs have.
 constexpr double one_failure_quarantine_heartbeat_periods = 2,
                  many_failures_quarantine_heartbeat_periods = 20;
-// Pauses of a job that keeps failing double this many times at the most.
+// Bounds how often the backoff of a crash-looping job doubles.
 constexpr int max_backoff_doublings = 5;
+// A crash-looping job's list of machines on which it failed is cleared when it has more entries than this.
 constexpr std::size_t max_failed_machines = 8;
 }  // namespace
 
@@ -35,26 +36,30 @@
     auto* machine = state_.cluster.find(machine_id);
     auto instance = machine->tasks.find(task);
     if (!job || instance == machine->tasks.end())
-        return;  // of a job that is over: the cluster state stops it
+        return;  // the job has ended: the cluster state stops the instance
     if (instance->second.confirmed) record_location(*job, task, *machine, instance->second.attempt);
     if (job->cancelled) state_.cluster.cancel(*machine, task, authority_.lease_renewal_deadline());
     if (job->is_done(task.index)) state_.cluster.stop(*machine, task, 0);
 }
 
-// Attempts are numbered in the order of their starts, and one starts when the one before is proven
-// terminated: what shows the older one came late, if it is of another agent epoch or machine by now. Going by
-// the order of the reports instead stopped the newer one whenever its report came second.
+// Records the machine on which a task's active attempt is. If the task is already recorded on another
+// machine, keeps the attempt with the higher number and stops the other instance as orphaned. Attempts are
+// numbered in the order of their starts, and an attempt starts only when there is evidence that the previous
+// one has terminated. A status that shows the older attempt in another agent epoch or on another machine has
+// therefore arrived late. Deciding by the order in which the statuses arrive stopped the newer attempt
+// whenever its status came second.
 void InstanceTracker::record_location(jobs::JobEntry& job, const protocol::TaskId& task, Machine& machine,
                                       protocol::AttemptNumber attempt) {
     auto [active, inserted] =
         job.active.try_emplace(task.index, jobs::ActiveTask{machine.id, attempt, state_.zone_of(machine)});
     if (inserted || active->second.machine == machine.id) return;
     auto* other = state_.cluster.find(active->second.machine);
-    // If one of them has not reported to this leader, what may be on it is known from the previous leader.
-    bool proven = machine.reported_to_this_leader && other && other->reported_to_this_leader;
-    spdlog::log(proven ? spdlog::level::err : spdlog::level::info,
+    // If one of the machines has sent no status to this leader, its instances are known only from the
+    // previous leader and may have terminated.
+    bool both_reported = machine.reported_to_this_leader && other && other->reported_to_this_leader;
+    spdlog::log(both_reported ? spdlog::level::err : spdlog::level::info,
                 "component=leader event={} task={} machine={} other_machine={}",
-                proven ? "task_runs_twice" : "task_may_run_twice", task.str(), machine.id,
+                both_reported ? "task_runs_twice" : "task_may_run_twice", task.str(), machine.id,
                 active->second.machine);
     auto* older = &machine;
     if (attempt > active->second.attempt) {
@@ -72,7 +77,7 @@
 void InstanceTracker::instance_ended(const cluster::InstanceEnd& end) {
     auto* job = state_.jobs.find(end.task.job);
     if (!job) {
-        state_.cluster.record_outcome_stored(end.task.job);  // the job is over and stored
+        state_.cluster.record_outcome_stored(end.task.job);  // the job has ended, and its end is stored
         return;
     }
     spdlog::debug("component=leader event=instance_ended task={} attempt={} machine={} reported={} cause={}",
@@ -86,8 +91,9 @@
     if (was_active) handle_task_lost(*job, end);
 }
 
-// Whether the job's task was there. Its place is free if the cluster state holds nothing there any more: an
-// old attempt that is reported as exited once more says nothing about the one that came after it.
+// Removes the task from the job's active tasks if it was recorded on the machine where the instance ended and
+// the cluster state has no instance of the task there any more. Returns whether it was removed. An exit of an
+// old attempt that is reported once more does not affect the attempt that followed on the same machine.
 bool InstanceTracker::clear_location(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
     auto active = job.active.find(end.task.index);
     auto* machine = state_.cluster.find(end.machine);
@@ -113,7 +119,8 @@
         state_.cluster.record_outcome_stored(end.task.job, {end.task.index});
 }
 
-// An active task ended before it was done.
+// Handles the end of an active task that is not done: decides when the task may be started again, and stops
+// the rest of its gang.
 void InstanceTracker::handle_task_lost(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
     if (end.started) team_activity_.stopped(job.spec->team);
     switch (end.cause) {
@@ -122,7 +129,8 @@
             break;
         case ExitCause::insufficient_resources:
         case ExitCause::other_attempt_present:
-            // The cluster state of this machine was wrong: let reports mend it first.
+            // The cluster state of this machine was wrong. It gets no new tasks until heartbeats have had
+            // time to correct it.
             if (auto* machine = state_.cluster.find(end.machine))
                 machine->quarantined_until = now() + settings_.heartbeat_interval_s;
             break;
@@ -132,14 +140,15 @@
         default:
             break;
     }
-    // A gang that lost a task is stopped as one; its next attempt starts when all of the old one is
-    // terminated.
+    // If a gang loses a task, all of its tasks are stopped. Its next attempt starts when all tasks of the old
+    // one have terminated.
     if (job.spec->kind == JobKind::gang && !job.all_done())
         stop_active(end.task.job, job, scheduler::grace_of(*job.spec));
 }
 
-// The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on several
-// machines gets pauses that grow, up to a bound, and holds nobody else up.
+// Handles a task that exited with an error. The first failures are attributed to the machine, and the task is
+// started elsewhere at once. A job that keeps failing is crash-looping: it is started again only after a
+// backoff that grows up to a bound, so that it does not hold up other jobs.
 void InstanceTracker::handle_task_failed(jobs::JobEntry& job, const cluster::InstanceEnd& end) {
     ++job.consecutive_failures;
     job.failed_on.insert(end.machine);
@@ -152,10 +161,12 @@
     auto* machine = state_.cluster.find(end.machine);
     if (!machine) return;
     machine->error_jobs.insert(end.task.job);
-    if (job.is_crash_looping()) return;  // says more about the job than about the machine
+    if (job.is_crash_looping()) return;  // the failure is attributed to the job, not to the machine
     quarantine(*machine, end.task.job);
 }
 
+// Quarantines a machine on which a task of this job failed, for longer if tasks of several jobs have failed
+// there. In that case an empty machine is marked for deletion too.
 void InstanceTracker::quarantine(Machine& machine, const std::string& job_id) {
     if (machine.error_jobs.size() < 2) {
         machine.quarantined_until =
@@ -177,8 +188,9 @@
             state_.cluster.stop(*machine, {job_id, task}, grace_s);
 }
 
-// A cancellation that this leader did not know when its knowledge of them was last complete was sent after
-// that, so no lease may be renewed beyond that time.
+// This leader knows all cancellations that were committed before a certain time, which the lease renewal
+// deadline is derived from. A cancellation that it learns now was committed later, so the machine's lease may
+// be renewed only until that deadline while the agent may not have received the stop.
 void InstanceTracker::cancel_active(const std::string& job_id, jobs::JobEntry& job) {
     for (auto& [task, active] : job.active)
         if (auto* machine = state_.cluster.find(active.machine))
--- a/src/leader/instance_tracker.hpp
+++ b/src/leader/instance_tracker.hpp
@@ -1,11 +1,11 @@
-// What an instance that was found on a machine, or has left one, means for its job: where its tasks are,
-// which of them are done, and when the rest may be tried again.
+// Updates the job table when an instance is found on a machine or has ended: where a job's tasks are, which
+// of them are done, and when the others may be started again.
 //
-// Changes the job table (locations, done tasks, failures, orphans), and of the cluster state what follows
-// from it: stops, quarantine, ends that need not be reported any more. Owns nothing of its own and sends
-// nothing; commands that it brings about are sent when the caller flushes them.
+// InstanceTracker changes the job table (locations, done tasks, failures, orphaned instances). In the cluster
+// state it changes what follows from that: stops, quarantines, and which ends agents no longer need to
+// report. It owns no state and sends nothing. Commands that it causes are sent when the caller flushes them.
 //
-// On the event loop's thread. The caller holds LeaderState::mutex during every call.
+// Runs on the event loop's thread. The caller holds LeaderState::mutex during every call.
 #pragma once
 #include <functional>
 #include <string>
@@ -21,22 +21,24 @@
 
 namespace coralhitch::leader {
 
-// Enters in the job table what is found on machines or has ended there.
+// Records in the job table which instances are on machines and which have ended.
 class InstanceTracker : private LeaderPart {
   public:
-    // The machine is to be deleted, for this reason.
+    // Marks the machine for deletion. For `reason` see MachineDeletion::mark.
     using MarkForDeletion = std::function<void(cluster::Machine& machine, const char* reason)>;
 
     InstanceTracker(const PartContext& context, metrics::Metrics& metrics,
                     cluster::TeamActivity& team_activity, MarkForDeletion mark_for_deletion);
 
-    // An instance was proven terminated.
+    // Applies the end of an instance, of which there is evidence that it has terminated. A task that is done
+    // is recorded as done. Otherwise the task may be started again, after a delay that depends on the cause.
     void instance_ended(const cluster::InstanceEnd& end);
-    // The machine, which must be in the cluster state, holds an instance that was not known there.
+    // Records an instance that was not known on this machine, or not confirmed. Stops it if its job is
+    // cancelled or its task is done. The machine must be in the cluster state.
     void instance_found(const protocol::TaskId& task, const std::string& machine_id);
-    // Stops all active tasks of the job; they get so many seconds to save.
+    // Stops all active tasks of the job. They get `grace_s` seconds to save a checkpoint.
     void stop_active(const std::string& job_id, jobs::JobEntry& job, double grace_s);
-    // Stops all active tasks of the job at once and for good.
+    // Stops all active tasks of a cancelled job, without time to save a checkpoint.
     void cancel_active(const std::string& job_id, jobs::JobEntry& job);
 
   private:
