--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -16,18 +16,21 @@
 using protocol::JobState;
 
 namespace {
-// Ratios to the report period.
+// Times in heartbeat periods.
 constexpr double store_delay_heartbeat_periods = 1.0 / 60;
 constexpr double progress_interval_heartbeat_periods =
     1.0 / 6;  // tasks that end together are stored together
 constexpr double retry_delay_heartbeat_periods = 1.0 / 10, rejected_retry_delay_heartbeat_periods = 1.0 / 2;
-// Transactions in flight that store ends of jobs that are done: a lost answer holds up its own jobs only.
+// Several transactions with ends of done jobs may be in flight, so a lost answer delays only the jobs of its
+// own transaction.
 constexpr int max_done_in_flight = 4;
 constexpr int max_cancelled_in_flight = 1;
 constexpr std::size_t changes_per_end = 2;  // the final record is put, the live one removed
-// Of all changes that the key-value store allows, one transaction takes at most those of so many seconds.
+// One transaction has at most as many changes as the key-value store's write limit allows in this many
+// seconds.
 constexpr double write_quota_per_transaction_s = 0.2;
-constexpr double max_cancelled_delay_leases = 2;  // for which the end of a cancelled job may be put off
+// Time, in leases, after which the end of a cancelled job is no longer written at background priority.
+constexpr double max_cancelled_delay_leases = 2;
 }  // namespace
 
 JobStore::JobStore(const PartContext& context, kv::KvClient& kv, StaleKeyRemover& stale_keys,
@@ -38,8 +41,8 @@
       metrics_(metrics),
       callbacks_(std::move(callbacks)) {}
 
-// Ends come by the hundred: stored with each heartbeat, a walk over all jobs took a fifth of the processor's
-// share while a thousand jobs were live.
+// Ends of jobs come by the hundred. When `store_due` ran with each heartbeat, its loop over all jobs took a
+// fifth of the processor time while a thousand jobs were live.
 void JobStore::request_store() {
     if (std::exchange(store_requested_, true)) return;
     timers_.after(settings_.heartbeat_interval_s * store_delay_heartbeat_periods, guarded_([this] {
@@ -65,23 +68,25 @@
     return std::max<std::size_t>(1, changes / changes_per_end);
 }
 
-// An end that a user waits for costs two changes. Those that come while the last ones are in flight go
-// together in the next transactions, oldest first; what waits here has no deadline, while what waits in the
-// client's queue is refused after a while and would begin anew, behind younger ones. The end of a cancelled
-// job can wait: its live record gives its users the same answer, and every version takes it for what it is.
-// It goes one transaction at a time with what no user waits for, unless that was put off for so long that the
+// Writes the ends of these jobs, oldest first, in as many transactions as may be in flight. Ends that do not
+// fit wait here and go together in the next transactions. Waiting here has no deadline, whereas a request
+// that waits too long in the KvClient's queue is refused and would start again behind younger ones.
+//
+// Users wait for the ends of done jobs. The end of a cancelled job can wait: the live record already gives
+// users the same answer, and every version of the software reads that record as cancelled. Such ends are
+// written one transaction at a time at background priority, unless they have waited for so long that the job
 // table would grow.
 void JobStore::store_ends(const Ids& ids, JobState state) {
     bool done = state == JobState::done;
     int max_in_flight = done ? max_done_in_flight : max_cancelled_in_flight;
-    auto most = max_ends_per_transaction();
-    for (std::size_t first = 0; first < ids.size(); first += most) {
+    auto max_ends = max_ends_per_transaction();
+    for (std::size_t first = 0; first < ids.size(); first += max_ends) {
         if (ends_in_flight(state) >= max_in_flight) {
             ends_deferred_ = true;
             return;
         }
         auto begin = ids.begin() + static_cast<std::ptrdiff_t>(first);
-        auto end = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), first + most));
+        auto end = ids.begin() + static_cast<std::ptrdiff_t>(std::min(ids.size(), first + max_ends));
         double waited_s = now() - *state_.jobs.find(*begin)->storable_since;
         bool overdue = waited_s > settings_.lease_s * max_cancelled_delay_leases;
         write_ends({begin, end}, state,
@@ -108,8 +113,9 @@
             }));
 }
 
-// One job that was cancelled, or ended by a transaction whose answer was lost, holds up all that are in its
-// transaction: only those that failed are read, the others go again at once without them.
+// Handles the result of a transaction that stores the ends of these jobs. The transaction fails for all of
+// them if one was cancelled meanwhile, or if its end was stored by a transaction whose answer was lost. Only
+// the records of the jobs that failed are read; the other jobs are written again at once without them.
 void JobStore::handle_ends_result(const Ids& ids, JobState state, const TxnResult& result) {
     using Status = TxnResult::Status;
     auto failed_on = [&](const std::string& id) { return result.failed_on(keys::job(id)); };
@@ -122,8 +128,9 @@
                           job->done_count, now() - job->storable_since.value_or(now()));
             handle_end_stored(id, result.revision, state);
         } else if (failed_on(id) || result.status == Status::unknown) {
-            // Cancelled by some controller, or stored by a transaction whose answer was lost: read, then
-            // decide. To write again without knowing costs the changes of the whole transaction.
+            // Some controller has cancelled the job, or its end was stored by a transaction whose answer was
+            // lost. The record tells which. Writing again without reading would cost the changes of the whole
+            // transaction.
             read_job_record(id);
         } else if (any_failed) {
             job->write_in_flight = false;
@@ -133,19 +140,22 @@
     }
 }
 
-// What awaited the job goes on at once: a short stage must not wait for the next heartbeat.
+// Ends a job whose final record is stored. Requests a plan if other jobs depend on it, so that the next stage
+// of a pipeline does not wait for the next heartbeat.
 void JobStore::handle_end_stored(const std::string& id, std::uint64_t revision, JobState state) {
     bool awaited = state_.jobs.dependencies().has_dependents(id);
     {
         std::lock_guard lock(state_.mutex);
         state_.cluster.record_outcome_stored(id);
-        // Its progress means nothing any more, and is removed when there is time.
+        // The job's progress blocks are no longer needed. They are removed at background priority.
         if (auto* job = state_.jobs.find(id))
             for (auto& [block, version] : job->block_versions) stale_keys_.add(keys::progress_of(id, block));
         state_.jobs.erase(id, revision);
         state_.jobs.apply_outcome(id, state, timers_.unix_time());
     }
-    if (state == JobState::cancelled) request_store();  // the jobs before it may leave now
+    // The end of a cancelled job can be stored only after the ends of its dependents, so the ends of its
+    // dependencies may be storable now.
+    if (state == JobState::cancelled) request_store();
     if (awaited) callbacks_.request_plan();
 }
 
@@ -167,9 +177,9 @@
     transaction.conditions.push_back({keys::job(id), job.version});
     auto written = next_progress(job);
     for (auto& block : written.blocks) {
-        // A block is written whole. One whose answer was lost may be carried out after newer ones, and would
-        // take out what they added, whose tasks the workers have been told to forget: it fails on the
-        // version.
+        // A block is always written as a whole. A write whose answer was lost may be executed after newer
+        // ones. It would remove the progress that they added, of tasks that agents have been told to forget.
+        // The condition on the block's version makes such a write fail.
         auto stored = job.block_versions.find(block);
         auto key = keys::progress_of(id, block);
         transaction.conditions.push_back({key, stored == job.block_versions.end() ? 0 : stored->second});
@@ -201,14 +211,16 @@
     auto* job = state_.jobs.find(id);
     if (!job) return;
     job->write_in_flight = false;
-    // What was too large is written in smaller parts the next time; if it can't be, not without pause.
+    // A transaction that was rejected as too large is split into smaller ones the next time. If that is not
+    // possible, the longer delay avoids a busy loop.
     bool rejected = result.status == TxnResult::Status::rejected;
     job->write_retry_at =
         now() + settings_.heartbeat_interval_s *
                     (rejected ? rejected_retry_delay_heartbeat_periods : retry_delay_heartbeat_periods);
     if (result.status != TxnResult::Status::conflict) return;
     if (result.failed_on(keys::job(id))) return read_job_record(id);
-    // A write whose answer was lost was carried out. Of several such blocks the next try shows the next.
+    // An earlier write of this block was executed although its answer was lost. If that is so for several
+    // blocks, each retry finds the next one.
     auto progress = keys::progress_of(id, "");
     for (auto& key : result.failed)
         if (key.starts_with(progress)) {
@@ -217,7 +229,8 @@
         }
 }
 
-// This leader does not know what the live record says by now, or whether there is one.
+// Reads the live record of a job when this leader does not know its present content or whether it still
+// exists. Applies the record, or reads the final record if there is no live one.
 void JobStore::read_job_record(const std::string& id) {
     state_.jobs.find(id)->write_in_flight = true;
     kv_.get(keys::job(id), RequestPriority::write, guarded_([this, id](kv::GetResult result) {
@@ -249,8 +262,9 @@
             }));
 }
 
-// Only a leader removes the key, and only this one leads: a transaction whose answer was lost was executed.
-// Which of them, the final record says: the job may have been done, or cancelled in between.
+// Only a leader removes the key of a live record, and this is the only leader, so a transaction whose answer
+// was lost must have been executed. The final record tells which one: the job may have been done, or it may
+// have been cancelled in between.
 void JobStore::read_final_record(const std::string& id) {
     state_.jobs.find(id)->write_in_flight = true;
     kv_.get(keys::final(id), RequestPriority::write, guarded_([this, id](kv::GetResult result) {
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -1,9 +1,11 @@
-// What the leader writes about jobs at the key-value store: progress blocks and final records. Reads back
-// what became of a write whose answer was lost.
+// Writes what the leader stores about jobs in the key-value store: progress blocks and final records. When
+// the answer to a write is lost, reads the records to find out whether the write was executed.
 //
-// Owns the bookkeeping of writes in flight. Changes of the state: `write_in_flight`, `write_retry_at`,
-// `unstored_tasks` and `block_versions` of a job's entry; a job leaves the table once its end is stored;
-// workers may then be told to forget its tasks. Used by the event loop's thread alone.
+// JobStore owns the bookkeeping of writes in flight. It changes `write_in_flight`, `write_retry_at`,
+// `unstored_tasks` and `block_versions` of a job's entry. Once the end of a job is stored, it removes the job
+// from the job table and records in the cluster state that agents may forget its tasks.
+//
+// Runs on the event loop's thread. The caller must not hold LeaderState::mutex.
 #pragma once
 #include <functional>
 #include <set>
@@ -18,24 +20,27 @@
 
 namespace coralhitch::leader {
 
-// Writes jobs' progress and ends to the key-value store.
+// Writes the progress and the ends of jobs to the key-value store.
 class JobStore : private LeaderPart {
   public:
+    // Callbacks to other parts of the leader.
     struct Callbacks {
         TakeJobRecord apply_record;
         std::function<void()> request_plan;
-        // Whether it is known of each machine what may be on it (see Reconciliation).
+        // Returns whether this leader knows of each machine which tasks may be on it (see Reconciliation).
+        // Until then no end of a cancelled job is stored.
         std::function<bool()> placement_allowed;
     };
     JobStore(const PartContext& context, kv::KvClient& kv, StaleKeyRemover& stale_keys,
              metrics::Metrics& metrics, Callbacks callbacks);
 
-    // Writes what is due a little later, together with what else comes until then.
+    // Schedules `store_due` after a short delay, so that changes made until then are written together.
     void request_store();
-    // Writes what is due now: ends of jobs that are done, progress, ends of cancelled jobs, in this order.
+    // Writes everything that can be stored now: ends of jobs that are done, then progress, then ends of
+    // cancelled jobs. Does nothing without authority.
     void store_due();
-    // The live record of this job is not at the key-value store: its end may have been stored by a write of
-    // this leader whose answer was lost. Reads the final record, and ends the job if there is one.
+    // Reads the final record of a job whose live record is no longer in the key-value store, and ends the job
+    // if there is one. Its end may have been stored by a write of this leader whose answer was lost.
     void read_final_record(const std::string& id);
 
   private:
@@ -49,7 +54,8 @@
     void handle_ends_result(const Ids& ids, protocol::JobState state, const kv::TxnResult& result);
     void handle_end_stored(const std::string& id, std::uint64_t revision, protocol::JobState state);
 
-    // The progress of tasks, and the blocks that hold it.
+    // The tasks whose progress one transaction writes, and the names of the progress blocks that contain
+    // them.
     struct ProgressWrite {
         std::set<std::uint32_t> tasks;
         std::set<std::string> blocks;
@@ -68,7 +74,7 @@
     Callbacks callbacks_;
     bool store_requested_ = false;
     int done_in_flight_ = 0, cancelled_in_flight_ = 0;  // transactions that store ends of such jobs
-    bool ends_deferred_ = false;                        // until one of these is answered
+    bool ends_deferred_ = false;  // some ends wait until one of these transactions is answered
 };
 
 }  // namespace coralhitch::leader
