--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -18,7 +18,7 @@
     resolve();
 }
 
-// With neither a live nor a final record the watch of the live jobs is behind.
+// A dependency that has neither a live nor a final record is retried: the watch of live jobs is then behind.
 void DependencyResolver::resolve() {
     constexpr std::size_t max_in_flight = 8;
     for (auto& id : state_.jobs.dependencies().unresolved()) {
@@ -31,7 +31,7 @@
 
 void DependencyResolver::handle_answer(const std::string& id, const kv::GetResult& result) {
     in_flight_.erase(id);
-    tried_.insert(id);  // unless its end is entered below, the next tick asks again
+    tried_.insert(id);  // if its end is not recorded below, the next tick reads it again
     if (!result.entry) return resolve();
     try {
         auto state = protocol::parse_final_record(result.entry->value).state;
--- a/src/leader/dependency_resolver.hpp
+++ b/src/leader/dependency_resolver.hpp
@@ -1,8 +1,10 @@
-// Finds out how jobs ended that others depend on and that are not live any more. Only their final record says
-// whether they were done: a live record that is gone proves nothing, since the job may have been cancelled.
+// Finds out how dependencies that are no longer live have ended. Only the final record of a job says whether
+// it was done. A missing live record is no evidence of that, since the job may have been cancelled.
 //
-// Owns the reads in flight. Enters the ends in the job table, whose DependencyGraph releases or cancels the
-// dependents. Used by the event loop's thread alone.
+// DependencyResolver owns the reads in flight. It records the ends in the job table, whose DependencyGraph
+// releases or cancels the dependents.
+//
+// Runs on the event loop's thread. The caller must not hold LeaderState::mutex.
 #pragma once
 #include <functional>
 #include <set>
@@ -14,16 +16,16 @@
 
 namespace coralhitch::leader {
 
-// Reads the final records of dependencies that are not live any more.
+// Reads the final records of dependencies that are no longer live.
 class DependencyResolver : private LeaderPart {
   public:
     DependencyResolver(const PartContext& context, kv::KvClient& kv, JobStore& store,
                        std::function<void()> request_plan);
 
-    // Reads the final records of dependencies whose end is not known, a few at a time, but for those that
-    // were read since the last `retry`.
+    // Reads the final records of dependencies whose end is not known, a few at a time. Skips those that have
+    // been read since the last `retry`.
     void resolve();
-    // The same for all of them. To be called each tick.
+    // Reads the final records of all dependencies whose end is not known, a few at a time. Called each tick.
     void retry();
 
   private:
@@ -33,7 +35,7 @@
     JobStore& store_;
     std::function<void()> request_plan_;
     std::set<std::string> in_flight_;
-    std::set<std::string> tried_;  // since the last `retry`
+    std::set<std::string> tried_;  // ids of the jobs whose final record was read since the last `retry`
 };
 
 }  // namespace coralhitch::leader
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -14,10 +14,12 @@
 using kv::RequestPriority;
 
 namespace {
-constexpr double audit_interval_leases = 4;  // from one audit to the next
+constexpr double audit_interval_leases = 4;
 
-// Changes of jobs come together, so that watching costs few requests under load. They are confirmed often
-// enough that what an interruption leaves of the time for renewals is nearly all of it.
+// Returns the timing of the watch. Its interval collects changes, so that watching costs few requests under
+// load. Leases may be renewed only for a limited time after the watch was last confirmed to be complete. It
+// is confirmed often enough that nearly all of that time is left when the connection to the store is
+// interrupted.
 kv::ListWatch::Timing watch_pace(const config::Settings& settings) {
     double confirm_s = std::min(settings.heartbeat_interval_s / 3, relay::renewal_window_s(settings) / 8);
     return {settings.lease_s / 2, settings.heartbeat_interval_s / 60, settings.heartbeat_interval_s / 10,
@@ -82,7 +84,8 @@
     }
 }
 
-// The tasks of a job that was cancelled must go all the same.
+// Logs a malformed record. If the record says that the job is cancelled, cancels it: its tasks must be
+// stopped even though the rest of the record can't be read. Returns whether it did.
 bool JobWatcher::handle_malformed_record(const std::string& id, std::uint64_t version,
                                          const std::string& value, const char* error) {
     spdlog::error("component=leader event=malformed_job_record job={} error=\"{}\"", id, error);
@@ -98,13 +101,13 @@
     auto* job = state_.jobs.find(id);
     if (job && job->cancelled) return false;
     state_.jobs.cancel(id, version);
-    if (!job) return false;  // its record is not read yet
+    if (!job) return false;  // the job's record has not been read yet
     callbacks_.cancel_active(id, *job);
     return true;
 }
 
-// What the watch brings is all there is to know, as far as anyone can tell. A job that it lost would wait for
-// ever, though its user was answered that it is accepted: so what is stored is compared with the table.
+// A job that the watch missed would never run, although its user was told that it is accepted, and nothing
+// else would show that it is missing. The audit therefore compares the job table with all stored jobs.
 void JobWatcher::audit() {
     if (auditing_ || !authority_.holds() ||
         timers_.now() - last_audit_ < settings_.lease_s * audit_interval_leases)
@@ -123,7 +126,8 @@
     std::set<std::string> ids;
     auto unknown = apply_unknown(stored, ids);
     std::size_t not_stored = 0;
-    // The end of such a job may have been stored by a transaction of this leader whose answer was lost.
+    // If a job of the table is not stored any more, its end may have been stored by a transaction of this
+    // leader whose answer was lost.
     for (auto& [id, job] : state_.jobs.entries()) {
         if (ids.contains(id) || job.version > stored.revision || job.write_in_flight) continue;
         ++not_stored;
@@ -134,7 +138,8 @@
     callbacks_.request_plan();
 }
 
-// Puts the ids of all jobs of the list into `ids`; how many of them the table did not have.
+// Applies the listed records that are missing from the job table or newer there. Adds the ids of all listed
+// jobs to `ids`. Returns the number of records that the table did not have.
 std::size_t JobWatcher::apply_unknown(const kv::ListResult& stored, std::set<std::string>& ids) {
     std::lock_guard lock(state_.mutex);
     std::size_t unknown = 0;
--- a/src/leader/job_watcher.hpp
+++ b/src/leader/job_watcher.hpp
@@ -1,8 +1,11 @@
-// Keeps the leader's job table equal to the live jobs at the key-value store: follows their records, takes in
-// cancellations that other controllers report, and compares the table with all stored jobs now and then.
+// Keeps the leader's job table equal to the live jobs in the key-value store. Watches the jobs' records,
+// applies cancellations that other controllers announce, and periodically compares the table with all stored
+// jobs.
 //
-// Owns the watch and the audit. Changes the job table; what a cancelled job has on machines is stopped
-// through a callback. Used by the event loop's thread alone.
+// JobWatcher owns the watch and the audit. It changes the job table. The tasks of a cancelled job are stopped
+// through a callback.
+//
+// Runs on the event loop's thread. Takes LeaderState::mutex itself, except where a function says otherwise.
 #pragma once
 #include <functional>
 #include <optional>
@@ -18,30 +21,35 @@
 
 namespace coralhitch::leader {
 
-// Follows the records of live jobs and audits the job table against them.
+// Watches the records of live jobs and audits the job table against them.
 class JobWatcher : private LeaderPart {
   public:
+    // Callbacks to other parts of the leader.
     struct Callbacks {
-        // Stops all tasks of a job that was cancelled. Called with the state's mutex held.
+        // Stops all tasks of a job that was cancelled. Called with LeaderState::mutex held.
         std::function<void(const std::string& id, jobs::JobEntry& job)> cancel_active;
-        // The watch brought something new.
+        // Called without the mutex after the watch has changed the job table.
         std::function<void()> jobs_changed;
         std::function<void()> request_plan;
     };
     JobWatcher(const PartContext& context, kv::KvClient& kv, JobStore& store, Callbacks callbacks);
 
-    // Follows all changes after a list of the jobs: of that revision, read from that steady time on.
+    // Starts to watch for changes that follow a list of the jobs. `revision` is the revision of that list,
+    // and `listed_at` the time at which its reading began, steady seconds.
     void start(std::uint64_t revision, double listed_at);
-    // Steady seconds: all changes that were committed before then are in the job table; nothing before
-    // `start`.
+    // Returns the time, in steady seconds, such that all changes committed before it are in the job table.
+    // Returns nothing before `start`.
     [[nodiscard]] std::optional<double> complete_until() const { return watch_.complete_until(); }
 
-    // Takes in a job's stored record; whether it was news. With the state's mutex held.
+    // Applies a job's stored record of this version. Returns whether it changed the job table. A malformed
+    // record is logged, and has an effect only if it says that the job is cancelled. The caller holds the
+    // mutex.
     bool apply_record(const std::string& id, std::uint64_t version, const std::string& value);
-    // The job's record says since this version that it is cancelled; whether tasks of it may have been
-    // stopped by that, so that commands are due.
+    // Applies a cancellation that the job's record contains since this version. Returns whether that may have
+    // stopped tasks, so that commands are due.
     [[nodiscard]] bool apply_cancellation(const std::string& id, std::uint64_t version);
-    // Compares the table with what is stored, if the last time is long ago. To be called each tick.
+    // Starts to compare the job table with all stored jobs, if the last audit is long enough ago and the
+    // leader has the authority to act. Called each tick.
     void audit();
 
   private:
@@ -56,7 +64,7 @@
     JobStore& store_;
     Callbacks callbacks_;
     bool auditing_ = false;
-    double last_audit_ = 0;  // steady seconds; before the first one, when the jobs were loaded
+    double last_audit_ = 0;  // start of the last audit, or of the watch before the first one; steady seconds
     kv::ListWatch watch_;
 };
 
