--- a/src/leader/delegations.hpp
+++ b/src/leader/delegations.hpp
@@ -1,9 +1,10 @@
-// The machines whose heartbeats relaying controllers answer for this leader.
+// Tracks the machines whose heartbeats are delegated to relays, which answer them for this leader.
 //
-// Owns the table of delegations, and writes Machine::delegation_expiry: the last moment at which a relay that
-// no longer has the machine can have renewed its lease. Proof by lease expiry counts from there.
+// Delegations owns the delegation table. It writes Machine::delegation_expiry, the last moment at which a
+// relay that the machine is no longer delegated to can have renewed its lease. The lease can expire, and so
+// serve as evidence that the machine's tasks have terminated, only a lease period after that.
 //
-// On the event loop's thread.
+// Runs on the event loop's thread.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -14,18 +15,21 @@
 
 namespace coralhitch::leader {
 
-// Which machines relays answer, and until when that may have renewed their leases.
+// Knows which machines are delegated, and until when relays may have renewed the machines' leases.
 class Delegations {
   public:
     explicit Delegations(cluster::ClusterState& cluster) : cluster_(cluster) {}
 
-    // A relay's message has come: takes in what it acknowledges. False if a newer one came before it.
+    // Applies the acknowledgment in a relay's message. Returns false if a later message of the same relay
+    // process arrived before.
     [[nodiscard]] bool accept_relay_message(const protocol::RelayRequest& message);
-    // From now on the machine's heartbeats must come to the leader itself. Does nothing if they do.
+    // Ends the delegation of a machine, so that the leader itself must answer its heartbeats. Does nothing if
+    // the machine is not delegated.
     void revoke(const std::string& machine_id);
-    // Steady seconds: the last moment at which this leader or a relay can have renewed the machine's lease.
+    // Returns the last moment at which this leader or a relay can have renewed the machine's lease, steady
+    // seconds.
     [[nodiscard]] double last_possible_renewal(const cluster::Machine& machine) const;
-    // Machines that relays answer now.
+    // Returns the number of machines that are delegated now.
     [[nodiscard]] std::size_t count() const { return table_.count(); }
     [[nodiscard]] relay::DelegationTable& table() { return table_; }
 
--- a/src/leader/image_handover.cpp
+++ b/src/leader/image_handover.cpp
@@ -24,15 +24,15 @@
 }
 
 void restore_image_caches(cluster::ClusterState& cluster, const protocol::PeerImages& handed_over) {
-    std::vector<std::uint32_t> indices;  // here, by the index there
-    for (auto& name : handed_over.names) indices.push_back(cluster.image_number(name));
+    std::vector<std::uint32_t> local_numbers;  // this leader's numbers, by the index in `handed_over.names`
+    for (auto& name : handed_over.names) local_numbers.push_back(cluster.image_number(name));
     for (auto& row : handed_over.machines) {
         auto* machine = cluster.find(row.machine);
         if (!machine) continue;
         std::vector<cluster::CachedImage> cache;
         for (auto image : row.images)
-            if (image < indices.size() && image < handed_over.sizes.size())
-                cache.push_back({indices[image], handed_over.sizes[image]});
+            if (image < local_numbers.size() && image < handed_over.sizes.size())
+                cache.push_back({local_numbers[image], handed_over.sizes[image]});
         cluster.restore_image_cache(*machine, std::move(cache));
     }
 }
--- a/src/leader/stale_key_remover.hpp
+++ b/src/leader/stale_key_remover.hpp
@@ -1,7 +1,7 @@
-// Keys at the key-value store that mean nothing any more, such as the progress of jobs that are over: removed
-// when there is time, some at a time, at the priority of what no user waits for.
+// Removes keys that are no longer needed from the key-value store, such as the progress of jobs that have
+// ended. No user waits for this, so the removal runs in small transactions at background priority.
 //
-// Owns the set of these keys. On the event loop's thread.
+// StaleKeyRemover owns the set of these keys, and runs on the event loop's thread.
 #pragma once
 #include <set>
 #include <string>
@@ -11,13 +11,14 @@
 
 namespace coralhitch::leader {
 
-// Removes keys that are given to it, when the key-value store has time.
+// Removes the keys that are added to it, at background priority.
 class StaleKeyRemover : private LeaderPart {
   public:
     StaleKeyRemover(const PartContext& context, kv::KvClient& kv);
-    // The key is to be removed some time.
+    // Adds a key to be removed at a later time.
     void add(const std::string& key) { keys_.insert(key); }
-    // Sends the next transaction, if one is due, none is under way and the leader may act. Each tick.
+    // Sends the next transaction, if there are keys to remove, none is in flight and the leader has the
+    // authority to act. Keys stay in the set until their removal has been committed. Called each tick.
     void remove_some();
 
   private:
