--- a/src/leader/dependency_resolver.hpp
+++ b/src/leader/dependency_resolver.hpp
@@ -4,7 +4,7 @@
 // DependencyResolver owns the reads in flight. It records the ends in the job table, whose DependencyGraph
 // releases or cancels the dependents.
 //
-// Runs on the event loop's thread. The caller must not hold LeaderState::mutex.
+// Runs on the event loop's thread.
 #pragma once
 #include <functional>
 #include <set>
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -18,8 +18,7 @@
 namespace {
 // Times in heartbeat periods.
 constexpr double store_delay_heartbeat_periods = 1.0 / 60;
-constexpr double progress_interval_heartbeat_periods =
-    1.0 / 6;  // tasks that end together are stored together
+constexpr double progress_interval_heartbeat_periods = 1.0 / 6;  // stores tasks that end together at once
 constexpr double retry_delay_heartbeat_periods = 1.0 / 10, rejected_retry_delay_heartbeat_periods = 1.0 / 2;
 // Several transactions with ends of done jobs may be in flight, so a lost answer delays only the jobs of its
 // own transaction.
@@ -115,7 +114,8 @@
 
 // Handles the result of a transaction that stores the ends of these jobs. The transaction fails for all of
 // them if one was cancelled meanwhile, or if its end was stored by a transaction whose answer was lost. Only
-// the records of the jobs that failed are read; the other jobs are written again at once without them.
+// the records of the jobs that failed are read. The ends of the others are written again at once without
+// them.
 void JobStore::handle_ends_result(const Ids& ids, JobState state, const TxnResult& result) {
     using Status = TxnResult::Status;
     auto failed_on = [&](const std::string& id) { return result.failed_on(keys::job(id)); };
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -5,7 +5,7 @@
 // `unstored_tasks` and `block_versions` of a job's entry. Once the end of a job is stored, it removes the job
 // from the job table and records in the cluster state that agents may forget its tasks.
 //
-// Runs on the event loop's thread. The caller must not hold LeaderState::mutex.
+// Runs on the event loop's thread.
 #pragma once
 #include <functional>
 #include <set>
