--- a/tests/leader/delegations_test.cpp
+++ b/tests/leader/delegations_test.cpp
@@ -1,4 +1,5 @@
-// Delegations: the last moment at which a relay can have renewed a machine's lease is never forgotten.
+// Tests of Delegations: the last moment at which a relay can have renewed a machine's lease stays known after
+// the delegation has ended. Otherwise the lease would count as expired too early.
 #include "leader/delegations.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
         machine.lease_renewed_at = 10;
         EXPECT_TRUE(take_message(1, 1));
         delegations.table().delegate("vm-1", "controller-1");
-        (void)delegations.table().extend("controller-1", 25);  // a grant until then
+        (void)delegations.table().extend("controller-1", 25);  // the relay may renew leases until 25 s
     }
     bool take_message(std::uint64_t incarnation, std::uint64_t number) {
         protocol::RelayRequest message;
@@ -28,13 +29,13 @@
     Delegations delegations{cluster};
 };
 
-TEST(Delegations, TheRelaysGrantCountsWhileItHasTheMachine) {
+TEST(Delegations, CountsRenewalsByTheRelayDuringTheDelegation) {
     Bench bench;
     EXPECT_EQ(bench.delegations.count(), 1u);
     EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 25);
 }
 
-TEST(Delegations, TheRelaysGrantCountsAfterItsRevocation) {
+TEST(Delegations, CountsRenewalsByTheRelayAfterTheRevocation) {
     Bench bench;
     bench.delegations.revoke("vm-1");
     EXPECT_EQ(bench.delegations.count(), 0u);
@@ -44,14 +45,14 @@
     EXPECT_DOUBLE_EQ(bench.delegations.last_possible_renewal(bench.machine), 40);
 }
 
-TEST(Delegations, ARelayThatWasStartedAnewGivesItsMachinesBack) {
+TEST(Delegations, EndsTheDelegationsOfARestartedRelay) {
     Bench bench;
     EXPECT_TRUE(bench.take_message(2, 1));
     EXPECT_EQ(bench.delegations.count(), 0u);
     EXPECT_EQ(bench.machine.delegation_expiry, 25);
 }
 
-TEST(Delegations, TellsWhetherARelaysMessageIsOlderThanOneBefore) {
+TEST(Delegations, RejectsARelaysMessageThatIsOlderThanAPreviousOne) {
     Bench bench;
     EXPECT_TRUE(bench.take_message(1, 3));
     EXPECT_FALSE(bench.take_message(1, 2));
--- a/tests/leader/heartbeat_handler_test.cpp
+++ b/tests/leader/heartbeat_handler_test.cpp
@@ -1,4 +1,5 @@
-// HeartbeatHandler: which heartbeats are answered, since an answer renews the worker's lease, and with what.
+// Tests of HeartbeatHandler: which heartbeats are answered, and with what. Each answer renews an agent's
+// lease, so a wrong one would let tasks run that must have terminated.
 #include "leader/heartbeat_handler.hpp"
 
 #include <gmock/gmock.h>
@@ -30,7 +31,7 @@
         };
         on_ready = [this] { heartbeats().handle_early_heartbeats(); };
     }
-    // Before the jobs are loaded, if `recover` was not called.
+    // Returns the handler. The jobs are not loaded yet if `recover` was not called.
     HeartbeatHandler& heartbeats() {
         if (!recovery) start_recovery();
         if (!handler)
@@ -40,7 +41,7 @@
                             HeartbeatHandler::Hooks{[this] { ++plans; }, [this] { ++job_stores; }});
         return *handler;
     }
-    // The answer to a heartbeat that comes here.
+    // Returns the answer to a heartbeat that the agent sends to this controller.
     http::Response answer_to(const nlohmann::json& status) {
         http::Response response{0, ""};
         heartbeats().handle(
@@ -48,7 +49,7 @@
         EXPECT_NE(response.status, 0) << "not answered";
         return response;
     }
-    // A message of a relay that carries this heartbeat.
+    // Returns a relay's message that forwards this heartbeat.
     protocol::RelayRequest relayed(const nlohmann::json& status) {
         protocol::RelayRequest message;
         message.label = relay_label;
@@ -58,6 +59,7 @@
         message.heartbeats = {status.dump()};
         return message;
     }
+    // Returns the answer to a relay's message.
     protocol::RelayResponse answer_to(const protocol::RelayRequest& message) {
         http::Response response;
         heartbeats().handle_relayed(message, [&](http::Response given) { response = std::move(given); });
@@ -82,7 +84,7 @@
     std::optional<HeartbeatHandler> handler;
 };
 
-// The jobs are loaded and one machine has reconciled.
+// A leader that has loaded the jobs, with one machine that has reconciled.
 struct LoadedBench : Bench {
     LoadedBench() {
         recover();
@@ -91,7 +93,7 @@
     cluster::Machine& machine = add_reconciled_machine("vm-1");
 };
 
-TEST(HeartbeatHandler, RenewsTheLeaseOfAMachineThatReports) {
+TEST(HeartbeatHandler, RenewsTheLeaseOfAMachineThatSendsAHeartbeat) {
     LoadedBench bench;
     auto response = bench.answer_to(status_of(bench.machine, 2));
     EXPECT_EQ(response.status, 200);
@@ -111,7 +113,7 @@
     EXPECT_EQ(status, 200);
 }
 
-TEST(HeartbeatHandler, RenewsLeasesUntilTheDeadlineAfterItsAuthorityAndNotBeyond) {
+TEST(HeartbeatHandler, RenewsLeasesAfterLosingItsAuthorityOnlyUntilTheDeadline) {
     LoadedBench bench;
     bench.lose_authority();
     EXPECT_EQ(bench.answer_to(status_of(bench.machine, 2)).status, 200);
@@ -131,11 +133,11 @@
     EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, renewed_at);
 }
 
-TEST(HeartbeatHandler, GivesNoStartWithoutAuthority) {
+TEST(HeartbeatHandler, SendsNoStartWithoutAuthority) {
     for (bool has_authority : {true, false}) {
         LoadedBench bench;
         auto& instance = bench.add_start("j-1", bench.machine);
-        instance.run.highest_token = bench.machine.token;  // sent directly; it may not have arrived
+        instance.run.highest_token = bench.machine.token;  // a direct `run` was sent and may not have arrived
         if (!has_authority) bench.lose_authority();
         auto response = bench.answer_to(status_of(bench.machine, 2));
         ASSERT_EQ(response.status, 200);
@@ -143,7 +145,7 @@
     }
 }
 
-TEST(HeartbeatHandler, StepsDownWhenAWorkerShowsTheTokenOfALaterLeader) {
+TEST(HeartbeatHandler, StepsDownWhenAnAgentShowsTheTokenOfALaterLeader) {
     LoadedBench bench;
     auto status = status_of(bench.machine, 2);
     status["helm"] = bench.authority->fencing_token().next().value() << cluster::ClusterState::token_bits;
@@ -152,7 +154,7 @@
     EXPECT_FALSE(bench.leads());
 }
 
-TEST(HeartbeatHandler, RefusesAMachineThatIsDeleted) {
+TEST(HeartbeatHandler, RejectsADeletedMachine) {
     LoadedBench bench;
     auto status = status_of(bench.machine, 2);
     (void)bench.state->cluster.remove_deleted("vm-1");
@@ -160,21 +162,21 @@
     EXPECT_EQ(bench.rejected(HeartbeatRejection::outdated), 1u);
 }
 
-TEST(HeartbeatHandler, RenewsNothingForACopyOfTheLastHeartbeat) {
+TEST(HeartbeatHandler, RenewsNoLeaseForACopyOfTheLastHeartbeat) {
     LoadedBench bench;
     auto status = status_of(bench.machine, 2);
     ASSERT_EQ(bench.answer_to(status).status, 200);
     double renewed_at = bench.machine.lease_renewed_at;
     bench.wait(2);
-    EXPECT_EQ(bench.answer_to(status).status, 200) << "its worker may wait";
+    EXPECT_EQ(bench.answer_to(status).status, 200) << "the agent may still wait for the answer";
     EXPECT_DOUBLE_EQ(bench.machine.lease_renewed_at, renewed_at);
 }
 
-TEST(HeartbeatHandler, RefusesAMachineThatMayRunACancelledTaskThatNoStopHasReached) {
+TEST(HeartbeatHandler, RejectsAMachineThatMayRunACancelledTaskWithoutHavingReceivedAStop) {
     LoadedBench bench;
     auto& instance = bench.add_start("j-1", bench.machine);
     instance.run.highest_token = bench.machine.token;
-    auto unaware = status_of(bench.machine, 2);  // under the token of that `run`
+    auto unaware = status_of(bench.machine, 2);  // shows the fencing token of that `run`
     double deadline = bench.timers.now() + 1;
     bench.state->cluster.cancel(bench.machine, {"j-1", 0}, deadline);
     EXPECT_EQ(bench.answer_to(unaware).status, 200);
@@ -183,11 +185,12 @@
     EXPECT_EQ(bench.answer_to(unaware).status, 503);
     EXPECT_EQ(bench.rejected(HeartbeatRejection::cancellation_unsent), 1u);
     unaware["tally"] = 4;
-    unaware["helm"] = bench.machine.token.value();  // the one that fences the `run`
+    unaware["helm"] =
+        bench.machine.token.value();  // the token of the stop, under which the `run` is rejected
     EXPECT_EQ(bench.answer_to(unaware).status, 200);
 }
 
-TEST(HeartbeatHandler, StopsATaskOfAJobThatIsOver) {
+TEST(HeartbeatHandler, StopsATaskOfAJobThatHasEnded) {
     LoadedBench bench;
     auto status = status_of(bench.machine, 2);
     status["shards"] = {running_task("j-over", 3)};
@@ -220,10 +223,12 @@
     auto& instance = bench.add_running_task("j-1", bench.machine);
     instance.stop_requested = true;
     auto with_stop = status_of(bench.machine, 4);
-    EXPECT_NE(bench.answer_to(with_stop).body, first.body) << "a command is due";
+    EXPECT_NE(bench.answer_to(with_stop).body, first.body) << "the stop must be sent";
 }
 
-TEST(HeartbeatHandler, RefusesAMachineThatItsAnswersDoNotReachUntilItHasReconciled) {
+// If answers do not reach a machine, each would still postpone the time at which its lease counts as expired,
+// and the machine would never reconcile.
+TEST(HeartbeatHandler, RejectsAnOutboundUnreachableMachineUntilItHasReconciled) {
     Bench bench;
     bench.store_machine("vm-1");
     bench.recover();
@@ -236,7 +241,7 @@
     double renewed_at = machine.lease_renewed_at;
     EXPECT_EQ(bench.answer_to(status).status, 503);
     EXPECT_EQ(bench.rejected(HeartbeatRejection::outbound_unreachable), 1u);
-    EXPECT_DOUBLE_EQ(machine.lease_renewed_at, renewed_at) << "else its lease would never expire";
+    EXPECT_DOUBLE_EQ(machine.lease_renewed_at, renewed_at) << "otherwise its lease would never expire";
 }
 
 TEST(HeartbeatHandler, DelegatesAQuietMachineToItsRelayNoLongerThanLeasesMayBeRenewed) {
@@ -255,7 +260,7 @@
 TEST(HeartbeatHandler, DelegatesNoMachineForWhichACommandIsDue) {
     LoadedBench bench;
     bench.add_running_task("j-1", bench.machine).stop_requested = true;
-    bench.commands.flush_all();  // sent directly, it may not have arrived
+    bench.commands.flush_all();  // the direct stop may not have arrived
     auto status = status_of(bench.machine, 2);
     status["shards"] = {running_task("j-1", first_attempt)};
     auto relay_answer = bench.answer_to(bench.relayed(status));
@@ -264,7 +269,7 @@
     EXPECT_EQ(bench.delegations.count(), 0u);
 }
 
-TEST(HeartbeatHandler, TakesNothingThatIsMeantForAnotherLeadership) {
+TEST(HeartbeatHandler, IgnoresARelaysMessageForAnotherLeadership) {
     LoadedBench bench;
     auto message = bench.relayed(status_of(bench.machine, 2));
     message.leader_version = message.leader_version.next();
--- a/tests/leader/host_lister_test.cpp
+++ b/tests/leader/host_lister_test.cpp
@@ -1,4 +1,5 @@
-// HostLister: what the cloud's list adds to the cluster state, and what it must not bring back.
+// Tests of HostLister: the cloud's list adds unknown machines to the cluster state. The list lags behind, so
+// it must not add a deleted machine again.
 #include "leader/host_lister.hpp"
 
 #include <gmock/gmock.h>
@@ -12,6 +13,7 @@
 using testing::IsEmpty;
 using testing::SizeIs;
 
+// Returns one row of the cloud's list.
 nlohmann::json host(const std::string& id, const std::string& host_state) {
     nlohmann::json row;
     row["id"] = id;
@@ -24,6 +26,7 @@
     return row;
 }
 
+// Returns the cloud's answer with these hosts.
 http::Response list(const std::vector<nlohmann::json>& hosts) {
     return {200, nlohmann::json{{"berths", hosts}, {"more", false}}.dump()};
 }
@@ -45,7 +48,7 @@
     EXPECT_THAT(bench.sent, SizeIs(1));
     bench.wait(bench.settings.list_lag_s * 2);
     bench.hosts.list_if_due();
-    EXPECT_THAT(bench.sent, SizeIs(1)) << "one at a time";
+    EXPECT_THAT(bench.sent, SizeIs(1)) << "only one request at a time";
 }
 
 TEST(HostLister, AsksForNothingWithoutAuthority) {
@@ -55,7 +58,7 @@
     EXPECT_THAT(bench.sent, IsEmpty());
 }
 
-TEST(HostLister, HasListedOnceAListHasCome) {
+TEST(HostLister, HasListedOnceAListWasReceived) {
     Bench bench;
     bench.hosts.list_if_due();
     bench.answer(http::Response{503, "{}"});
@@ -66,7 +69,7 @@
     EXPECT_TRUE(bench.hosts.has_listed());
 }
 
-TEST(HostLister, AddsNewMachinesAsBootingAndProbesThoseThatRun) {
+TEST(HostLister, AddsNewMachinesAsBootingAndProbesRunningOnes) {
     Bench bench;
     bench.hosts.list_if_due();
     bench.answer(list({host("vm-1", "booting"), host("vm-2", "running")}));
@@ -81,7 +84,7 @@
     EXPECT_EQ(bench.sent[0].addr, addr_of("vm-2"));
 }
 
-TEST(HostLister, NeverBringsBackADeletedMachine) {
+TEST(HostLister, NeverAddsADeletedMachineAgain) {
     Bench bench;
     bench.add_machine("vm-1");
     (void)bench.state->cluster.remove_deleted("vm-1");
@@ -98,7 +101,7 @@
     bench.hosts.list_if_due();
     bench.answer(list({host("vm-1", "failed")}));
     EXPECT_EQ(machine.life, Machine::Life::marked_for_deletion);
-    EXPECT_EQ(machine.deletion, Machine::Deletion::not_allowed) << "not before that is stored";
+    EXPECT_EQ(machine.deletion, Machine::Deletion::not_allowed) << "the mark must be stored first";
 }
 
 TEST(HostLister, IgnoresAListAfterTheLeadershipsEnd) {
--- a/tests/leader/instance_tracker_test.cpp
+++ b/tests/leader/instance_tracker_test.cpp
@@ -1,5 +1,5 @@
-// InstanceTracker: which attempt stays, what becomes of a gang that lost a task, and when a machine is
-// blamed.
+// Tests of InstanceTracker: which attempt of a task is kept, what happens to a gang that has lost a task, and
+// when a machine is quarantined.
 #include "leader/instance_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
         machine.agent_epoch = protocol::AgentEpoch{1};
         return machine;
     }
-    // An instance on this machine, as a report shows it.
+    // Adds an instance to this machine, as a heartbeat that reports it does.
     cluster::Instance& show(const std::string& job, cluster::Machine& machine, std::uint32_t task,
                             std::uint64_t attempt) {
         auto& instance = state->cluster.place(machine, {job, task}, state->jobs.find(job)->spec,
@@ -27,7 +27,7 @@
         tracker.instance_found({job, task}, machine.id);
         return instance;
     }
-    // The instance leaves the machine for this reason.
+    // Ends the instance on this machine for this reason.
     void end(const std::string& job, cluster::Machine& machine, std::uint32_t task, ExitCause cause) {
         cluster::InstanceEnd ended;
         ended.machine = machine.id;
@@ -45,6 +45,8 @@
                             [this](cluster::Machine& machine, const char*) { marked.push_back(machine.id); }};
 };
 
+// Attempts were once kept in the order of their reports, so the newer one was stopped if it was reported
+// second.
 TEST(InstanceTracker, KeepsTheNewerAttemptWhicheverIsReportedFirst) {
     for (bool newer_first : {false, true}) {
         Bench bench;
@@ -62,7 +64,7 @@
     }
 }
 
-TEST(InstanceTracker, StopsAGangThatLostATaskAsOne) {
+TEST(InstanceTracker, StopsAllTasksOfAGangThatHasLostOne) {
     Bench bench;
     auto& job = bench.add_job("j-1", 2);
     auto gang = std::make_shared<protocol::Job>(*job.spec);
@@ -71,15 +73,15 @@
     auto& first = bench.add_machine("vm-1");
     auto& second = bench.add_machine("vm-2");
     bench.show("j-1", first, 0, 5);
-    auto& left = bench.show("j-1", second, 1, 5);
-    EXPECT_FALSE(left.stop_requested);
+    auto& remaining = bench.show("j-1", second, 1, 5);
+    EXPECT_FALSE(remaining.stop_requested);
     bench.end("j-1", first, 0, ExitCause::unknown);
-    EXPECT_TRUE(left.stop_requested);
+    EXPECT_TRUE(remaining.stop_requested);
     EXPECT_FALSE(job.active.contains(0));
-    EXPECT_TRUE(job.active.contains(1)) << "its place is taken until it is proven terminated";
+    EXPECT_TRUE(job.active.contains(1)) << "it stays active until there is evidence that it has terminated";
 }
 
-TEST(InstanceTracker, AnAttemptThatEndsOnceMoreFreesNoPlaceOfTheNext) {
+TEST(InstanceTracker, ARepeatedEndOfAnOldAttemptDoesNotEndTheNextOne) {
     Bench bench;
     auto& job = bench.add_job("j-1", 1);
     auto& machine = bench.add_machine("vm-1");
@@ -89,7 +91,7 @@
     EXPECT_TRUE(job.active.contains(0));
 }
 
-TEST(InstanceTracker, BlamesAMachineThatFailsTheTasksOfSeveralJobs) {
+TEST(InstanceTracker, QuarantinesAMachineOnWhichTasksOfSeveralJobsFail) {
     Bench bench;
     bench.add_job("j-1", 1);
     bench.add_job("j-2", 1);
@@ -102,7 +104,7 @@
     bench.show("j-2", machine, 0, 6);
     bench.end("j-2", machine, 0, ExitCause::error);
     EXPECT_DOUBLE_EQ(machine.quarantined_until, now + heartbeat_interval_s * 20);
-    EXPECT_EQ(bench.marked, std::vector<std::string>{"vm-1"}) << "it is empty, so it goes";
+    EXPECT_EQ(bench.marked, std::vector<std::string>{"vm-1"}) << "it is empty, so it is deleted";
 }
 
 }  // namespace
--- a/tests/leader/job_store_test.cpp
+++ b/tests/leader/job_store_test.cpp
@@ -1,4 +1,5 @@
-// What is written about jobs, and what is known of them after a write whose answer was lost.
+// Tests of JobStore, JobWatcher and DependencyResolver: what is written about jobs, what the leader concludes
+// after a write whose answer was lost, and how it learns of cancellations and of the ends of dependencies.
 #include "leader/job_store.hpp"
 
 #include <gtest/gtest.h>
@@ -15,18 +16,21 @@
 namespace keys = kv::keys;
 
 struct Bench : LeadingFixture {
+    // Returns whether the key-value store has this key.
     bool stored(const std::string& key) { return service.kv.contains(key); }
+    // Marks all tasks of the job as done.
     void complete(const std::string& id) {
         auto& job = *state->jobs.find(id);
         for (std::uint32_t task = 0; task < job.spec->tasks; ++task) job.mark_done(task);
     }
-    // Stores what is due until nothing is left, some report periods at the most.
+    // Calls `store_due` repeatedly for five heartbeat periods, which is enough to write everything.
     void store() {
-        for (int k = 0; k < 30; ++k) {
+        for (int call = 0; call < 30; ++call) {
             job_store.store_due();
             wait(settings.heartbeat_interval_s / 6);
         }
     }
+    // Stores a final record.
     void store_final(const std::string& id, protocol::JobState end) {
         service.kv[keys::final(id)] = {nlohmann::json::parse(protocol::stored(protocol::FinalRecord{end, 1})),
                                        ++service.revision};
@@ -51,7 +55,7 @@
     DependencyResolver resolver{*context, kv, job_store, [this] { ++plans; }};
 };
 
-TEST(JobStore, StoresTheEndOfAJobAndDropsItFromTheTable) {
+TEST(JobStore, StoresTheEndOfAJobAndRemovesItFromTheTable) {
     Bench bench;
     ASSERT_TRUE(bench.leads());
     bench.add_job("j-000001", 2);
@@ -64,7 +68,7 @@
               protocol::JobState::done);
 }
 
-TEST(JobStore, StoresProgressOfAJobThatGoesOn) {
+TEST(JobStore, StoresTheProgressOfAJobThatIsNotDone) {
     Bench bench;
     ASSERT_TRUE(bench.leads());
     auto& job = bench.add_job("j-000001", 2);
@@ -76,7 +80,7 @@
     EXPECT_FALSE(job.write_in_flight);
 }
 
-TEST(JobStore, FindsOutThatAnEndWasStoredThoughItsAnswerWasLost) {
+TEST(JobStore, DetectsThatAnEndWasStoredAlthoughTheAnswerWasLost) {
     Bench bench;
     ASSERT_TRUE(bench.leads());
     bench.add_job("j-000001", 1);
@@ -87,7 +91,7 @@
     EXPECT_TRUE(bench.stored(keys::final("j-000001")));
 }
 
-TEST(JobStore, TakesInACancellationThatAnEndRunsInto) {
+TEST(JobStore, AppliesACancellationThatConflictsWithTheWriteOfAnEnd) {
     Bench bench;
     ASSERT_TRUE(bench.leads());
     auto record = protocol::JobRecord{*bench.add_job("j-000001", 1).spec, 1, true};
@@ -127,13 +131,13 @@
     EXPECT_EQ(bench.cancelled, std::vector<std::string>{"j-000001"});
 }
 
-TEST(JobWatcher, AuditTakesInAJobThatTheWatchLost) {
+TEST(JobWatcher, AuditAddsAJobThatTheWatchMissed) {
     Bench bench;
     ASSERT_TRUE(bench.leads());
     bench.add_job("j-000001", 1);
-    protocol::JobRecord lost{*bench.state->jobs.find("j-000001")->spec, 1, false};
-    lost.job.id = "j-000002";
-    bench.service.kv[keys::job("j-000002")] = {nlohmann::json::parse(protocol::stored(lost)),
+    protocol::JobRecord missed{*bench.state->jobs.find("j-000001")->spec, 1, false};
+    missed.job.id = "j-000002";
+    bench.service.kv[keys::job("j-000002")] = {nlohmann::json::parse(protocol::stored(missed)),
                                                ++bench.service.revision};
     bench.timers.run_until(bench.settings.lease_s * 5);
     bench.watcher.audit();
@@ -148,11 +152,11 @@
     auto& job = bench.add_job("j-000002", 1, {"j-000001"});
     bench.resolver.resolve();
     bench.wait(1);
-    EXPECT_TRUE(job.is_blocked()) << "no final record so far";
+    EXPECT_TRUE(job.is_blocked()) << "there is no final record yet";
     bench.store_final("j-000001", protocol::JobState::done);
     bench.resolver.resolve();
     bench.wait(1);
-    EXPECT_TRUE(job.is_blocked()) << "it was read before";
+    EXPECT_TRUE(job.is_blocked()) << "the final record is read only once between two calls of retry";
     bench.resolver.retry();
     bench.wait(1);
     EXPECT_FALSE(job.is_blocked());
@@ -167,7 +171,7 @@
     bench.store_final("j-000001", protocol::JobState::cancelled);
     bench.resolver.resolve();
     bench.wait(1);
-    // Only a cancelled job leaves the table: its end is stored by now.
+    // The job is removed from the table only after it has been cancelled and its end has been stored.
     EXPECT_EQ(bench.state->jobs.find("j-000002"), nullptr);
 }
 
--- a/tests/leader/machine_deletion_test.cpp
+++ b/tests/leader/machine_deletion_test.cpp
@@ -1,5 +1,5 @@
-// MachineDeletion: a machine is deleted only once its mark is stored, and what was on it has ended only once
-// the cloud has answered.
+// Tests of MachineDeletion: a machine is deleted only after its mark has been stored, and its tasks count as
+// terminated only after the cloud has confirmed the deletion.
 #include "leader/machine_deletion.hpp"
 
 #include <gmock/gmock.h>
@@ -15,14 +15,14 @@
 
 struct Bench : PartsFixture {
     Bench() : machine(add_reconciled_machine("vm-1")) {}
-    // Marks the machine and waits until that is stored and its deletion asked for.
+    // Marks the machine, and waits until the mark is stored and the deletion has been requested.
     void request_deletion() {
         deletion.mark(machine, "is not needed");
         machine_store.flush();
         wait(1);
         ASSERT_EQ(requested(), 1u);
     }
-    // Deletions that wait for the cloud's answer.
+    // Returns the number of deletion calls that wait for the cloud's answer.
     std::size_t requested() {
         for (auto& request : sent) EXPECT_EQ(request.addr, settings.cloud_addr);
         return sent.size();
@@ -38,7 +38,7 @@
     bench.deletion.delete_marked();
     bench.machine_store.flush();
     bench.deletion.delete_marked();
-    EXPECT_EQ(bench.requested(), 0u) << "a later leader would start tasks there";
+    EXPECT_EQ(bench.requested(), 0u) << "otherwise a later leader could start tasks there";
     bench.wait(1);
     ASSERT_EQ(bench.requested(), 1u);
     EXPECT_EQ(nlohmann::json::parse(bench.sent[0].request.body)["berths"], nlohmann::json({"vm-1"}));
@@ -46,7 +46,7 @@
 
 TEST(MachineDeletion, AsksForNoDeletionIfTheMarkCannotBeStored) {
     Bench bench;
-    bench.service.kv[kv::keys::leader].version = ++bench.service.revision;  // a later leadership's
+    bench.service.kv[kv::keys::leader].version = ++bench.service.revision;  // written by a later leader
     bench.deletion.mark(bench.machine, "is not needed");
     bench.machine_store.flush();
     bench.wait(1);
@@ -84,13 +84,14 @@
     EXPECT_EQ(bench.deletions_answered, 1);
 }
 
-TEST(MachineDeletion, AsksAgainAfterAPauseIfTheCloudFails) {
+TEST(MachineDeletion, RetriesAfterADelayIfTheCloudFails) {
     for (const auto& failure : {std::optional(http::Response{503, "{}"}), std::optional<http::Response>()}) {
         Bench bench;
         bench.add_running_task("j-1", bench.machine);
         bench.request_deletion();
         bench.answer(failure);
-        EXPECT_TRUE(bench.machine.tasks.contains({"j-1", 0})) << "no answer is no proof";
+        EXPECT_TRUE(bench.machine.tasks.contains({"j-1", 0}))
+            << "a failed call is no evidence of the deletion";
         bench.deletion.delete_marked();
         EXPECT_EQ(bench.requested(), 0u);
         bench.wait(bench.settings.heartbeat_interval_s / 3);
@@ -99,7 +100,7 @@
     }
 }
 
-TEST(MachineDeletion, TakesBackTheDelegationOfAMarkedMachine) {
+TEST(MachineDeletion, RevokesTheDelegationOfAMarkedMachine) {
     Bench bench;
     bench.delegate("vm-1", "controller-1", 30);
     bench.deletion.mark(bench.machine, "is not needed");
--- a/tests/leader/machine_store_test.cpp
+++ b/tests/leader/machine_store_test.cpp
@@ -1,4 +1,5 @@
-// MachineStore: no task starts on a machine before the machine is stored.
+// Tests of MachineStore: no task may start on a machine before the machine's record is stored, since a later
+// leader would not know of the task.
 #include "leader/machine_store.hpp"
 
 #include <gtest/gtest.h>
@@ -35,15 +36,15 @@
     EXPECT_EQ(bench.confirmed, 1);
 }
 
-TEST(MachineStore, StoresOnlyMachinesThatHaveReportedToThisLeadership) {
+TEST(MachineStore, StoresOnlyMachinesThatHaveSentAStatusToThisLeader) {
     Bench bench;
     auto& machine = bench.add_machine(0);
     bench.store.store_if_new(machine);
     EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending)
-        << "its agent has not reported";
+        << "its agent has sent no status";
     machine.agent_epoch = protocol::AgentEpoch{1};
     machine.token_seen =
-        protocol::FencingToken{3};  // an earlier leader's: the machine may have been deleted meanwhile
+        protocol::FencingToken{3};  // of an earlier leader: the machine may have been deleted since
     bench.store.store_if_new(machine);
     EXPECT_FALSE(machine.registration == cluster::Machine::Registration::write_pending);
     machine.reported_to_this_leader = true;
--- a/tests/leader/machine_supervisor_test.cpp
+++ b/tests/leader/machine_supervisor_test.cpp
@@ -1,4 +1,5 @@
-// MachineSupervisor: what counts as proof that a machine's tasks have ended, and when a machine is given up.
+// Tests of MachineSupervisor: what counts as evidence that a machine's tasks have terminated, and when a
+// machine is evicted.
 #include "leader/machine_supervisor.hpp"
 
 #include <gmock/gmock.h>
@@ -14,11 +15,13 @@
 using testing::SizeIs;
 
 struct Bench : PartsFixture {
-    // Machines that are well, beside those that a test is about: without them the leader suspects itself.
+    // Adds machines that send heartbeats in every check. If only the silent machines of a test existed, the
+    // leader would suspect that it is isolated itself.
     void add_healthy_machines(int count) {
-        for (int k = 0; k < count; ++k) healthy.push_back(&add_reconciled_machine("ok-" + std::to_string(k)));
+        for (int index = 0; index < count; ++index)
+            healthy.push_back(&add_reconciled_machine("ok-" + std::to_string(index)));
     }
-    // Checks once, at this time; the healthy machines have just reported.
+    // Runs one check at this time, just after heartbeats of the healthy machines.
     bool check_at(double time) {
         timers.run_until(time);
         for (auto* machine : healthy) {
@@ -29,12 +32,12 @@
         }
         return supervisor.check();
     }
-    // Seconds after the last renewal until a worker's lease has surely expired.
+    // Returns the seconds from the last renewal to the time at which the agent's lease counts as expired.
     double expiry_s() const {
         return settings.lease_s * (1 + 2 * election::max_clock_drift) + settings.heartbeat_interval_s / 3;
     }
     std::vector<Machine*> healthy;
-    std::optional<std::size_t> seen_by_peers;  // how many of the silent machines
+    std::optional<std::size_t> seen_by_peers;  // number of silent machines that a peer has heartbeats from
     int resignations = 0;
     MachineSupervisor supervisor{
         *context,
@@ -45,7 +48,7 @@
          [this] { return ++resignations, true; }, [this] { ++plans; }}};
 };
 
-TEST(MachineSupervisor, EndsTasksOnceTheWorkersLeaseHasSurelyExpired) {
+TEST(MachineSupervisor, EndsTasksOnceTheAgentsLeaseHasExpired) {
     Bench bench;
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.add_running_task("j-1", machine);
@@ -67,7 +70,7 @@
     double granted_until = machine.lease_renewed_at + 10;
     bench.delegate("vm-1", "controller-1", granted_until);
     EXPECT_TRUE(bench.check_at(granted_until + 10));
-    EXPECT_EQ(bench.delegations.count(), 0u) << "its relay may not renew it for ever";
+    EXPECT_EQ(bench.delegations.count(), 0u) << "otherwise the relay would renew the lease indefinitely";
     EXPECT_TRUE(bench.check_at(granted_until + bench.expiry_s() - 0.01));
     EXPECT_THAT(machine.tasks, SizeIs(1));
     EXPECT_TRUE(bench.check_at(granted_until + bench.expiry_s() + 0.01));
@@ -91,7 +94,7 @@
     Bench bench;
     bench.add_healthy_machines(19);
     auto& machine = bench.add_reconciled_machine("vm-1");
-    bench.add_start("j-1", machine);  // others wait for it
+    bench.add_start("j-1", machine);  // a task that has not started, so its user waits for the eviction
     double silent_since = bench.timers.now(), heartbeat_interval_s = bench.settings.heartbeat_interval_s;
     EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 1.2));
     EXPECT_FALSE(machine.suspected);
@@ -101,11 +104,11 @@
     ASSERT_THAT(bench.sent, SizeIs(1)) << "it is probed";
     EXPECT_EQ(bench.sent[0].addr, machine.addr);
     EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 3));
-    EXPECT_EQ(machine.life, Machine::Life::up) << "its answer may lie unread";
+    EXPECT_EQ(machine.life, Machine::Life::up) << "the answer to its probe may have arrived unread";
     bench.answer(std::nullopt);
     EXPECT_TRUE(bench.check_at(silent_since + heartbeat_interval_s * 3));
     EXPECT_EQ(machine.life, Machine::Life::marked_for_deletion);
-    EXPECT_THAT(machine.tasks, SizeIs(1)) << "silence is no proof";
+    EXPECT_THAT(machine.tasks, SizeIs(1)) << "silence is no evidence that the task has terminated";
 }
 
 TEST(MachineSupervisor, MarksNoMachineWithoutAuthority) {
@@ -123,19 +126,20 @@
     EXPECT_TRUE(bench.check_at(since + bench.types[0].boot_s * 8));
     for (auto* machine : {&silent, &noticed, &booting})
         EXPECT_NE(machine->life, Machine::Life::marked_for_deletion);
-    EXPECT_THAT(silent.tasks, IsEmpty()) << "that its lease has expired is true all the same";
+    EXPECT_THAT(silent.tasks, IsEmpty()) << "the expiry of its lease does not depend on authority";
 }
 
-TEST(MachineSupervisor, EvictsNothingWhileItMayBeTheLeaderThatIsIsolated) {
+TEST(MachineSupervisor, EvictsNothingWhileTheLeaderItselfMayBeIsolated) {
     Bench bench;
     std::vector<Machine*> machines;
     machines.reserve(20);
-    for (int k = 0; k < 20; ++k) machines.push_back(&bench.add_reconciled_machine("vm-" + std::to_string(k)));
+    for (int index = 0; index < 20; ++index)
+        machines.push_back(&bench.add_reconciled_machine("vm-" + std::to_string(index)));
     bench.add_start("j-1", *machines[0]);
     double silent_since = bench.timers.now();
     EXPECT_TRUE(bench.check_at(silent_since + 20));
     bench.wait(0);
-    while (!bench.sent.empty()) bench.answer(std::nullopt);  // to a probe
+    while (!bench.sent.empty()) bench.answer(std::nullopt);  // lets each probe time out
     EXPECT_TRUE(bench.check_at(silent_since + 20));
     for (auto* machine : machines) EXPECT_EQ(machine->life, Machine::Life::up) << machine->id;
     EXPECT_EQ(bench.resignations, 0) << "no other controller receives their heartbeats either";
@@ -143,14 +147,14 @@
 
 TEST(MachineSupervisor, ResignsIfAPeerReceivesTheHeartbeatsThatItMisses) {
     Bench bench;
-    for (int k = 0; k < 20; ++k) bench.add_reconciled_machine("vm-" + std::to_string(k));
+    for (int index = 0; index < 20; ++index) bench.add_reconciled_machine("vm-" + std::to_string(index));
     bench.seen_by_peers = 20;
     EXPECT_FALSE(bench.check_at(bench.timers.now() + 5));
     EXPECT_EQ(bench.resignations, 1);
     EXPECT_FALSE(bench.leads());
 }
 
-TEST(MachineSupervisor, StopsForANoticeWhatCanSaveItsWorkInTime) {
+TEST(MachineSupervisor, StopsTasksThatCanSaveTheirWorkBeforeAPreemption) {
     Bench bench;
     auto& machine = bench.add_reconciled_machine("vm-1");
     auto& saves = bench.add_running_task("j-saves", machine);
@@ -162,11 +166,11 @@
     machine.preemption_deadline = bench.timers.now() + 12;
     bench.supervisor.handle_preemption_notice(machine);
     EXPECT_TRUE(saves.stop_requested);
-    EXPECT_DOUBLE_EQ(saves.grace_s, 12) << "not the 31 s that it may take elsewhere";
-    EXPECT_FALSE(restarts.stop_requested) << "it may be done by then";
+    EXPECT_DOUBLE_EQ(saves.grace_s, 12) << "less than the usual grace period of 31 s";
+    EXPECT_FALSE(restarts.stop_requested) << "it can't save, and may be done before the preemption";
 }
 
-TEST(MachineSupervisor, TakesAMachineForUnreachableOnlyUntilItHasReconciled) {
+TEST(MachineSupervisor, TreatsAMachineAsOutboundUnreachableOnlyUntilItHasReconciled) {
     Bench bench;
     auto& machine = bench.add_machine("vm-1");
     bench.wait(1);
--- a/tests/leader/parts_fixture.hpp
+++ b/tests/leader/parts_fixture.hpp
@@ -1,5 +1,5 @@
-// The leader's parts that deal with machines, wired to each other as Leader does it, among machines, other
-// controllers and a cloud that answer when the test says so.
+// A fixture with the parts of the leader that deal with machines, connected as in LeaderParts. Requests to
+// machines, other controllers and the cloud are recorded, and answered when the test calls `answer`.
 #pragma once
 #include <deque>
 #include <optional>
@@ -17,21 +17,21 @@
 
 namespace coralhitch::leader {
 
-// A request to anybody but the key-value store, which waits for its answer.
+// A request that was not sent to the key-value store and waits for its answer.
 struct SentRequest {
     std::string addr;
     http::Request request;
     http::Result answer;
 };
 
-// The number of the attempt that a test starts or shows.
+// The attempt number of tasks that the fixture adds.
 inline constexpr std::uint64_t first_attempt = 5;
 
 inline std::string addr_of(const std::string& machine_id) {
     return machine_id + ":9";
 }
 
-// What the machine's agent reports under this leader's token, without tasks.
+// Returns the status that the machine's agent sends under this leader's fencing token, without tasks.
 inline nlohmann::json status_of(const cluster::Machine& machine, std::uint64_t sequence) {
     nlohmann::json status;
     status["berth"] = machine.id;
@@ -46,11 +46,12 @@
     return status;
 }
 
+// Returns the entry of a status that reports the job's first task as running.
 inline nlohmann::json running_task(const std::string& job_id, std::uint64_t attempt) {
     return {{"shard", job_id + "/0"}, {"launch", attempt}, {"status", "running"}};
 }
 
-// The verbs of the commands in a request to a machine, or in the answer to its heartbeat.
+// Returns the verbs of the commands in a request to a machine, or in the answer to its heartbeat.
 inline std::vector<std::string> verbs(const std::string& body) {
     std::vector<std::string> names;
     auto message = nlohmann::json::parse(body);
@@ -58,6 +59,7 @@
     return names;
 }
 
+// A leadership with the parts that deal with machines.
 struct PartsFixture : LeadingFixture {
     using Machine = cluster::Machine;
     explicit PartsFixture(config::Settings given = settings_of_one()) : LeadingFixture(std::move(given)) {
@@ -68,11 +70,11 @@
     }
 
     // --- Machines ---
-    // One that is up; nothing has come from it and it is not stored.
+    // Adds a machine that is up, has sent no status, and is not stored.
     Machine& add_machine(const std::string& id) {
         return state->cluster.add(id, addr_of(id), "g4", "a", false, Machine::Life::up, timers.now());
     }
-    // One that is stored and has reported under this leader's token.
+    // Adds a machine that is stored and has sent a status under this leader's fencing token.
     Machine& add_reconciled_machine(const std::string& id) {
         auto& machine = add_machine(id);
         machine.registration = Machine::Registration::stored;
@@ -83,7 +85,7 @@
         machine.reported_to_this_leader = machine.reconciled = true;
         return machine;
     }
-    // A task of a job of one task on this machine, whose agent reports it as running.
+    // Adds a job with one task, which this machine's agent reports as running.
     cluster::Instance& add_running_task(const std::string& job_id, Machine& machine) {
         auto& instance = add_start(job_id, machine);
         instance.ever_reported = instance.in_last_heartbeat = true;
@@ -92,7 +94,7 @@
         instance.run.highest_token = machine.token;
         return instance;
     }
-    // A task of a job of one task, to be started on this machine.
+    // Adds a job with one task, which is to be started on this machine.
     cluster::Instance& add_start(const std::string& job_id, Machine& machine) {
         auto& job = add_job(job_id, 1);
         auto& instance = state->cluster.place(machine, {job_id, 0}, job.spec,
@@ -100,14 +102,14 @@
         job.active[0] = {machine.id, protocol::AttemptNumber{first_attempt}, state->zone_of(machine)};
         return instance;
     }
-    // The machine's heartbeats are answered by this relay until then.
+    // Delegates the machine to this relay until the given time, steady seconds.
     void delegate(const std::string& machine_id, const std::string& relay_label, double until) {
         delegations.table().delegate(machine_id, relay_label);
         (void)delegations.table().extend(relay_label, until);
     }
 
     // --- Requests ---
-    // Answers the oldest request that waits, or lets it time out.
+    // Answers the oldest request that waits. Without a response the request times out.
     void answer(std::optional<http::Response> response) {
         ASSERT_FALSE(sent.empty());
         auto oldest = std::move(sent.front());
@@ -115,11 +117,11 @@
         oldest.answer(std::move(response));
     }
     std::deque<SentRequest> sent;
-    std::vector<protocol::Heartbeat> statuses;  // that machines answered to direct requests
+    std::vector<protocol::Heartbeat> statuses;  // from the machines' answers to direct requests
     CommandSender::ApplyStatus apply_status = [this](const protocol::Heartbeat& status) {
         statuses.push_back(status);
     };
-    std::vector<std::string> removed;  // machines whose deletion the cloud has answered
+    std::vector<std::string> removed;  // ids of machines whose deletion the cloud has confirmed
     int deletions_answered = 0, plans = 0;
 
     metrics::Metrics metrics;
