--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -40,7 +40,7 @@
                                                Machine::Life::booting, timers_.now());
     if (!known) machine.created_at = timers_.now() - host.age_s;
     if (host.state == protocol::HostState::failed && machine.life != Machine::Life::marked_for_deletion) {
-        deletion_.mark(machine, "has failed");
+        deletion_.mark(machine, "has failed according to the cloud");
     } else if (host.state == protocol::HostState::running && machine.life == Machine::Life::booting) {
         if (machine.addr.empty()) machine.addr = host.addr;
         running.push_back(host.id);
--- a/src/leader/job_store.cpp
+++ b/src/leader/job_store.cpp
@@ -16,9 +16,10 @@
 using protocol::JobState;
 
 namespace {
-// Times in heartbeat periods.
+// Times in heartbeat periods. A job's progress is written at most once in its interval, so that tasks which
+// end together are stored together.
 constexpr double store_delay_heartbeat_periods = 1.0 / 60;
-constexpr double progress_interval_heartbeat_periods = 1.0 / 6;  // stores tasks that end together at once
+constexpr double progress_interval_heartbeat_periods = 1.0 / 6;
 constexpr double retry_delay_heartbeat_periods = 1.0 / 10, rejected_retry_delay_heartbeat_periods = 1.0 / 2;
 // Several transactions with ends of done jobs may be in flight, so a lost answer delays only the jobs of its
 // own transaction.
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -33,7 +33,7 @@
         machine.id, reason, machine.tasks.size(), machine.route.empty() ? settings_.label : machine.route);
     metrics_.increment(metrics::Metric::leader_machines_marked_for_deletion);
     machine.life = Machine::Life::marked_for_deletion;
-    // Otherwise its relay's delegation is extended, and the time at which its lease expires moves on.
+    // Otherwise each extension of its relay's delegation would postpone the time at which its lease expires.
     delegations_.revoke(machine.id);
     if (machine.registration == Machine::Registration::none) {
         machine.allow_deletion();
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -121,8 +121,8 @@
             machine.inbound_unreachable = machine.reachability.inbound_unreachable(
                 observed.at, settings_.lease_s * inbound_unreachable_after_leases);
         }
-        // Each time its relay's delegation is extended, the time at which the machine's lease counts as
-        // expired moves on. Without the revocation that lease never expired.
+        // Each extension of its relay's delegation postpones the time at which the machine's lease counts as
+        // expired. Without the revocation that lease never expired.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
         suspected += machine.is_suspect();
         check_machine(machine, observed.observations[index], health, may_evict);
@@ -137,7 +137,7 @@
             !parts_.failure_detector.boot_overdue(age_in_boot_times(machine), state_.zone_of(machine), at))
             continue;
         std::lock_guard lock(state_.mutex);
-        parts_.deletion.mark(machine, "does not come up");
+        parts_.deletion.mark(machine, "has not come up in time");
     }
 }
 
@@ -162,7 +162,7 @@
         parts_.deletion.mark(machine, parts_.failure_detector.evidence(observation).c_str());
     } else if (may_evict && machine.preemption_deadline && machine.tasks.empty() && machine.reconciled) {
         std::lock_guard lock(state_.mutex);
-        parts_.deletion.mark(machine, "has notice and is empty");
+        parts_.deletion.mark(machine, "has a preemption notice and no tasks");
     }
 }
 
--- a/tests/leader/machine_deletion_test.cpp
+++ b/tests/leader/machine_deletion_test.cpp
@@ -57,7 +57,7 @@
 TEST(MachineDeletion, DeletesAMachineThatWasNeverStoredWithoutAWrite) {
     Bench bench;
     auto& booting = bench.add_machine("vm-2");
-    bench.deletion.mark(booting, "does not come up");
+    bench.deletion.mark(booting, "has not come up in time");
     bench.deletion.delete_marked();
     EXPECT_EQ(bench.requested(), 1u);
 }
@@ -65,7 +65,7 @@
 TEST(MachineDeletion, AsksForNothingWithoutAuthority) {
     Bench bench;
     auto& booting = bench.add_machine("vm-2");
-    bench.deletion.mark(booting, "does not come up");
+    bench.deletion.mark(booting, "has not come up in time");
     bench.lose_authority();
     bench.deletion.delete_marked();
     EXPECT_EQ(bench.requested(), 0u);
