--- a/src/leader/machine_deletion.hpp
+++ b/src/leader/machine_deletion.hpp
@@ -35,8 +35,8 @@
                     Delegations& delegations, MachineStore& store, InstanceTracker& instances, Hooks hooks);
 
     // Marks the machine for deletion: it is never used again. It is deleted only after the mark has been
-    // stored, so that a later leader does not use it either, or at once if the machine itself was never stored.
-    // `reason` completes the sentence "machine m-1 ..." in the log.
+    // stored, so that a later leader does not use it either, or at once if the machine itself was never
+    // stored. `reason` completes the sentence "machine m-1 ..." in the log.
     void mark(cluster::Machine& machine, const char* reason);
     // Asks the cloud to delete the marked machines that may be deleted. Does nothing without authority,
     // during the delay after a failed call, or while the maximum number of calls is in flight.
