--- a/src/leader/host_lister.cpp
+++ b/src/leader/host_lister.cpp
@@ -16,22 +16,23 @@
         in_flight_ = false;
         if (!hosts) return;
         has_listed_ = true;
-        listed(*hosts);
+        apply_list(*hosts);
     }));
 }
 
-void HostLister::listed(const std::vector<protocol::Host>& hosts) {
+void HostLister::apply_list(const std::vector<protocol::Host>& hosts) {
     std::vector<std::string> running;
     {
         std::lock_guard lock(state_.mutex);
-        for (auto& host : hosts) take_host(host, running);
+        for (auto& host : hosts) apply_host(host, running);
     }
     for (auto& id : running)
         if (auto* machine = state_.cluster.find(id)) commands_.probe(*machine);
 }
 
-// `running`: gets the machine's id if the cloud says that it runs and it has not reported yet.
-void HostLister::take_host(const protocol::Host& host, std::vector<std::string>& running) {
+// Applies one row of the list. Appends the machine's id to `running` if the cloud says that it is running but
+// it is still booting here, that is, no heartbeat has come from it.
+void HostLister::apply_host(const protocol::Host& host, std::vector<std::string>& running) {
     if (state_.cluster.is_deleted(host.id)) return;
     auto* known = state_.cluster.find(host.id);
     auto& machine = known ? *known
@@ -40,7 +41,7 @@
     if (!known) machine.created_at = timers_.now() - host.age_s;
     if (host.state == protocol::HostState::failed &&
         machine.lifecycle != Machine::Lifecycle::marked_for_deletion) {
-        deletion_.mark(machine, "has failed");
+        deletion_.mark(machine, "has failed according to the cloud");
     } else if (host.state == protocol::HostState::running &&
                machine.lifecycle == Machine::Lifecycle::booting) {
         if (machine.addr.empty()) machine.addr = host.addr;
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -60,7 +60,7 @@
 
 TakeJobRecord LeaderParts::take_job_record() {
     return [this](const std::string& job_id, std::uint64_t version, const std::string& record) {
-        job_watcher.take_record(job_id, version, record);
+        job_watcher.apply_record(job_id, version, record);
     };
 }
 
@@ -93,7 +93,7 @@
             [this](const failover::RecoveredState& stored) { stored_state_loaded(stored); },
             [this] { dependency_resolver.resolve(); },
             [this, begin_ticks = std::move(begin_ticks)] {
-                heartbeats.handle_early();
+                heartbeats.handle_early_heartbeats();
                 begin_ticks();
             },
             request_plan()};
--- a/src/leader/machine_deletion.cpp
+++ b/src/leader/machine_deletion.cpp
@@ -8,9 +8,10 @@
 using cluster::Machine;
 
 namespace {
-// Several calls at once: after a wave of losses, quotas and places wait for the deletions.
-constexpr int most_calls = 4;
-constexpr double retry_reports = 1.0 / 3;
+// Several calls run in parallel: after many machines are lost at once, quotas and the placement of their
+// tasks wait for the deletions.
+constexpr int max_calls_in_flight = 4;
+constexpr double retry_delay_heartbeat_periods = 1.0 / 3;
 }  // namespace
 
 MachineDeletion::MachineDeletion(const PartContext& context, cloud::CloudClient& cloud,
@@ -32,7 +33,8 @@
         machine.id, reason, machine.tasks.size(), machine.route.empty() ? settings_.label : machine.route);
     metrics_.increment(metrics::Metric::leader_machines_marked_for_deletion);
     machine.lifecycle = Machine::Lifecycle::marked_for_deletion;
-    delegations_.revoke(machine.id);  // a relay's grants would move the time at which its lease expires
+    // Otherwise each extension of its relay's delegation would postpone the time at which its lease expires.
+    delegations_.revoke(machine.id);
     if (machine.registration == Machine::Registration::none) {
         machine.allow_deletion();
         return;
@@ -41,7 +43,7 @@
 }
 
 void MachineDeletion::delete_marked() {
-    while (calls_in_flight_ < most_calls && authority_.holds() && timers_.now() >= retry_at_) {
+    while (calls_in_flight_ < max_calls_in_flight && authority_.holds() && timers_.now() >= retry_at_) {
         std::vector<std::string> machine_ids;
         for (auto& [id, machine] : state_.cluster.machines())
             if (machine.lifecycle == Machine::Lifecycle::marked_for_deletion &&
@@ -53,16 +55,16 @@
         if (machine_ids.empty()) return;
         ++calls_in_flight_;
         cloud_.delete_machines(machine_ids,
-                               guarded_([this, machine_ids](bool ok) { answered(machine_ids, ok); }));
+                               guarded_([this, machine_ids](bool ok) { handle_answer(machine_ids, ok); }));
     }
 }
 
-void MachineDeletion::answered(const std::vector<std::string>& machine_ids, bool ok) {
+void MachineDeletion::handle_answer(const std::vector<std::string>& machine_ids, bool ok) {
     --calls_in_flight_;
     if (!ok) {
         for (auto& id : machine_ids)
             if (auto* machine = state_.cluster.find(id)) machine->deletion = Machine::Deletion::allowed;
-        retry_at_ = timers_.now() + settings_.heartbeat_interval_s * retry_reports;
+        retry_at_ = timers_.now() + settings_.heartbeat_interval_s * retry_delay_heartbeat_periods;
         return;
     }
     {
@@ -72,7 +74,7 @@
             store_.remove(id);
             delegations_.revoke(id);
             hooks_.machine_removed(id);
-            // Proof: by the time of the answer the machine and everything on it are gone.
+            // Evidence that the tasks have terminated: when the cloud answers, the machine no longer exists.
             for (auto& end : state_.cluster.remove_deleted(id)) instances_.instance_ended(end);
         }
     }
--- a/src/leader/machine_store.cpp
+++ b/src/leader/machine_store.cpp
@@ -12,11 +12,11 @@
                 {[this](const std::string& machine_id) { return record_of(machine_id); },
                  [this] { return authority_.begin_transaction(); },
                  [this](const std::vector<Record>& records) {
-                     if (!authority_.ended()) written(records);
+                     if (!authority_.ended()) handle_stored(records);
                  }}) {}
 
 void MachineStore::store_if_new(Machine& machine) {
-    // What shows an earlier leader's token may be of a machine that was deleted meanwhile.
+    // A status that shows an earlier leader's fencing token may come from a machine that was deleted since.
     if (!machine.reported_to_this_leader && machine.token_seen.is_set()) return;
     if (machine.registration != Machine::Registration::none || machine.lifecycle != Machine::Lifecycle::up ||
         !machine.agent_epoch.is_set())
@@ -32,7 +32,7 @@
                                    machine->lifecycle == Machine::Lifecycle::marked_for_deletion};
 }
 
-void MachineStore::written(const std::vector<Record>& records) {
+void MachineStore::handle_stored(const std::vector<Record>& records) {
     {
         std::lock_guard lock(state_.mutex);
         for (auto& [machine_id, record] : records) {
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -15,13 +15,15 @@
 using protocol::JobKind;
 
 namespace {
-// Half of a worker's lease is left then; it tries all controllers in turn and comes back well within the
-// first.
-constexpr double missing_heartbeat_leases = 1.0 / 2;
-// Report periods between two probes of a machine.
-constexpr double reconciled_probe_reports = 1.0 / 2, unreconciled_probe_reports = 1.0 / 3;
-// Report periods that pass after a lease's end before it counts as expired.
-constexpr double lease_margin_reports = 1.0 / 3;
+// Time without a heartbeat, in leases, after which a machine counts as inbound unreachable. The other half of
+// the agent's lease is left then. An agent tries all controllers in turn and reaches one well within the
+// first half.
+constexpr double inbound_unreachable_after_leases = 1.0 / 2;
+// Heartbeat periods between two probes of a machine.
+constexpr double reconciled_probe_interval_heartbeat_periods = 1.0 / 2,
+                 unreconciled_probe_interval_heartbeat_periods = 1.0 / 3;
+// Heartbeat periods that must pass after the end of a lease before it counts as expired.
+constexpr double lease_margin_heartbeat_periods = 1.0 / 3;
 }  // namespace
 
 MachineSupervisor::MachineSupervisor(const PartContext& context, metrics::Metrics& metrics,
@@ -35,29 +37,29 @@
       hooks_(std::move(hooks)) {}
 
 bool MachineSupervisor::check() {
-    auto checked = observe();
+    auto observed = observe();
     double recently_s = settings_.heartbeat_interval_s * settings_.op.suspicion_timeout_periods;
     auto last_answer_at = parts_.commands.last_answer_at();
-    parts_.failure_detector.observe(checked.observations,
-                                    {parts_.reconciliation.is_overloaded(checked.at),
-                                     last_answer_at && checked.at - *last_answer_at < recently_s},
-                                    checked.at);
+    parts_.failure_detector.observe(observed.observations,
+                                    {parts_.reconciliation.is_overloaded(observed.at),
+                                     last_answer_at && observed.at - *last_answer_at < recently_s},
+                                    observed.at);
     if (resigns_if_isolated()) return false;
     bool may_evict = authority_.holds() && parts_.failure_detector.may_evict();
-    check_up(checked, may_evict);
-    check_booting_and_marked(checked.at, may_evict);
+    check_up(observed, may_evict);
+    check_booting_and_marked(observed.at, may_evict);
     return true;
 }
 
-MachineSupervisor::Checked MachineSupervisor::observe() const {
-    Checked checked;
-    checked.at = now();
+MachineSupervisor::ObservedMachines MachineSupervisor::observe() const {
+    ObservedMachines observed;
+    observed.at = now();
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.lifecycle != Machine::Lifecycle::up) continue;
-        checked.machines.push_back(&machine);
-        checked.observations.push_back(observe(machine, checked.at));
+        observed.machines.push_back(&machine);
+        observed.observations.push_back(observe(machine, observed.at));
     }
-    return checked;
+    return observed;
 }
 
 Observation MachineSupervisor::observe(const Machine& machine, double at) const {
@@ -69,8 +71,9 @@
                             machine.reconciled,
                             machine.known_from_replica,
                             {}};
-    // What runs there goes on until its worker's lease expires, and that is reported. What was sent there and
-    // has not been reported would wait for as long.
+    // Commands may not reach this machine, though its heartbeats arrive. Tasks that it has reported run until
+    // the agent's lease expires, and the agent reports that. Tasks that were sent to it and never reported
+    // would wait for as long, so the time without contact counts against the machine.
     if (machine.reconciled && machine.reachability.outbound_unreachable() &&
         !machine.has_reported_instances())
         observation.unreached_s =
@@ -80,7 +83,8 @@
     return observation;
 }
 
-// Who would wait for a machine that is dead.
+// Returns whose work is held up while a dead machine is not evicted: nobody's, that of the array tasks
+// running on it, or also that of others.
 EvictionCost MachineSupervisor::eviction_cost(const Machine& machine) const {
     if (machine.tasks.empty()) return EvictionCost::none;
     bool only_running_arrays = std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
@@ -90,7 +94,7 @@
     return only_running_arrays ? EvictionCost::own_work : EvictionCost::others_wait;
 }
 
-// Whether the leader seems to be the one that is cut off, and has resigned for it.
+// Resigns if this leader, rather than the machines, seems to be isolated. Returns whether it has resigned.
 bool MachineSupervisor::resigns_if_isolated() {
     auto& detector = parts_.failure_detector;
     auto& suspicion = detector.self_suspicion();
@@ -106,21 +110,22 @@
     return true;
 }
 
-void MachineSupervisor::check_up(const Checked& checked, bool may_evict) {
+void MachineSupervisor::check_up(const ObservedMachines& observed, bool may_evict) {
     std::size_t suspected = 0;
-    for (std::size_t index = 0; index < checked.machines.size(); ++index) {
-        auto& machine = *checked.machines[index];
-        auto health = parts_.failure_detector.evaluate(checked.observations[index]);
+    for (std::size_t index = 0; index < observed.machines.size(); ++index) {
+        auto& machine = *observed.machines[index];
+        auto health = parts_.failure_detector.evaluate(observed.observations[index]);
         {
             std::lock_guard lock(state_.mutex);
             machine.suspected = health != Health::alive || machine.reachability.outbound_unreachable();
             machine.inbound_unreachable = machine.reachability.inbound_unreachable(
-                checked.at, settings_.lease_s * missing_heartbeat_leases);
+                observed.at, settings_.lease_s * inbound_unreachable_after_leases);
         }
-        // Each grant to its relay would move the time at which its lease expires, and it never did.
+        // Each extension of its relay's delegation postpones the time at which the machine's lease counts as
+        // expired. Without the revocation that lease never expired.
         if (machine.inbound_unreachable) parts_.delegations.revoke(machine.id);
         suspected += machine.is_suspect();
-        check_machine(machine, checked.observations[index], health, may_evict);
+        check_machine(machine, observed.observations[index], health, may_evict);
     }
     metrics_.set(metrics::Metric::leader_suspected_machines, static_cast<double>(suspected));
 }
@@ -129,10 +134,10 @@
     for (auto& [id, machine] : state_.cluster.machines()) {
         if (machine.lifecycle == Machine::Lifecycle::marked_for_deletion) check_lease(machine);
         if (machine.lifecycle != Machine::Lifecycle::booting || !may_evict ||
-            !parts_.failure_detector.boot_overdue(boot_times(machine), state_.zone_of(machine), at))
+            !parts_.failure_detector.boot_overdue(age_in_boot_times(machine), state_.zone_of(machine), at))
             continue;
         std::lock_guard lock(state_.mutex);
-        parts_.deletion.mark(machine, "does not come up");
+        parts_.deletion.mark(machine, "has not come up in time");
     }
 }
 
@@ -140,13 +145,16 @@
                                       bool may_evict) {
     probe_if_due(machine, observation);
     bool dead = health == Health::dead;
-    // A machine that has reported within a lease has nothing to be proven terminated: not worth it each tick.
-    bool look_at_lease =
+    // On a machine whose last heartbeat is younger than a lease, no task can count as terminated by the
+    // expiry of the lease. The check is skipped for such machines because it costs too much for all machines
+    // in each tick.
+    bool lease_may_have_expired =
         dead || is_outbound_unreachable(machine) || now() - machine.last_heartbeat_at > settings_.lease_s;
-    bool lease_expired = look_at_lease && check_lease(machine);
-    // One that has reconciled is not evicted while it is being probed: its answer may lie unread until the
-    // time for it is up. One that has not is probed again and again, without a pause; it was waited for then
-    // until its lease had expired, and nothing was placed meanwhile.
+    bool lease_expired = lease_may_have_expired && check_lease(machine);
+    // A reconciled machine is not evicted while a probe of it is in flight: its answer may have arrived and
+    // stay unread until the probe times out. A machine that has not reconciled is probed continuously. When
+    // its eviction waited for probes too, it was delayed until the lease had expired, and nothing was placed
+    // meanwhile.
     bool awaits_answer = machine.reconciled && machine.probe_pending && !lease_expired;
     if (dead && !awaits_answer && (may_evict || (lease_expired && authority_.holds()))) {
         std::lock_guard lock(state_.mutex);
@@ -154,13 +162,14 @@
         parts_.deletion.mark(machine, parts_.failure_detector.evidence(observation).c_str());
     } else if (may_evict && machine.preemption_deadline && machine.tasks.empty() && machine.reconciled) {
         std::lock_guard lock(state_.mutex);
-        parts_.deletion.mark(machine, "has notice and is empty");
+        parts_.deletion.mark(machine, "has a preemption notice and no tasks");
     }
 }
 
 void MachineSupervisor::probe_if_due(Machine& machine, const Observation& observation) {
-    double interval_s = settings_.heartbeat_interval_s *
-                        (machine.reconciled ? reconciled_probe_reports : unreconciled_probe_reports);
+    double interval_s =
+        settings_.heartbeat_interval_s * (machine.reconciled ? reconciled_probe_interval_heartbeat_periods
+                                                             : unreconciled_probe_interval_heartbeat_periods);
     if (machine.last_probe_at && now() - *machine.last_probe_at <= interval_s) return;
     bool due = machine.reconciled ? parts_.failure_detector.has_missed_heartbeat(observation)
                                   : now() - machine.created_at >
@@ -168,14 +177,15 @@
     if (due) parts_.commands.probe(machine);
 }
 
-// Whether the machine's lease has expired; what was on it is ended then. Proof by time: the worker kills its
-// tasks lease_s after it sent the last heartbeat that was answered. That heartbeat was sent before its
-// answer; an answer to a delayed heartbeat counts too, and a relay may have given it.
+// Returns whether the machine's lease has expired, and if so ends all instances on it. The evidence that they
+// have terminated is time: the agent kills its tasks lease_s after it sent the last heartbeat that was
+// answered, and it sent that heartbeat before the answer. The answer to a delayed heartbeat counts as well,
+// and so does one that a relay may have given.
 bool MachineSupervisor::check_lease(Machine& machine) {
     double renewed_at = parts_.delegations.last_possible_renewal(machine);
     double lease_s = settings_.lease_s;
     bool expired = now() > renewed_at + lease_s * (1 + 2 * election::max_clock_drift) +
-                               settings_.heartbeat_interval_s * lease_margin_reports;
+                               settings_.heartbeat_interval_s * lease_margin_heartbeat_periods;
     bool silent = now() - machine.last_heartbeat_at > lease_s || is_outbound_unreachable(machine);
     if (expired && silent && (!machine.tasks.empty() || !machine.reconciled)) {
         spdlog::info("component=leader event=lease_expired machine={} tasks={}", machine.id,
@@ -192,7 +202,7 @@
            now() > machine.lease_renewed_at && !parts_.reconciliation.is_overloaded(now());
 }
 
-double MachineSupervisor::boot_times(const Machine& machine) const {
+double MachineSupervisor::age_in_boot_times(const Machine& machine) const {
     for (auto& type : types_)
         if (type.name == machine.type && type.boot_s > 0) return (now() - machine.created_at) / type.boot_s;
     return 0;
