--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -40,7 +40,8 @@
       delegations_(delegations),
       reconciliation_(reconciliation),
       apply_status_(std::move(apply_status)),
-      probe_tokens_(config::status_queries_per_s(settings_), probes_within(settings_, first_probe_reports)) {}
+      probe_tokens_(config::status_queries_per_s(settings_),
+                    probes_within(settings_, first_probe_heartbeat_periods)) {}
 
 void CommandSender::flush_all() {
     std::vector<std::string> machine_ids;
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -32,7 +32,7 @@
     // A machine answered a direct request with this status.
     using ApplyStatus = std::function<void(const protocol::Heartbeat& status)>;
     // Report periods: a new leader probes most machines only if they have not been heard from by then.
-    static constexpr double first_probe_reports = 1.0 / 10;
+    static constexpr double first_probe_heartbeat_periods = 1.0 / 10;
     // As many probes as the processor's share answers in so many report periods; at least one.
     [[nodiscard]] static double probes_within(const config::Settings& settings, double reports);
 
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -162,9 +162,10 @@
     double interval_s = settings_.heartbeat_interval_s *
                         (machine.reconciled ? reconciled_probe_reports : unreconciled_probe_reports);
     if (machine.last_probe_at && now() - *machine.last_probe_at <= interval_s) return;
-    bool due = machine.reconciled ? parts_.failure_detector.missed_heartbeat(observation)
-                                  : now() - machine.created_at >
-                                        settings_.heartbeat_interval_s * CommandSender::first_probe_reports;
+    bool due = machine.reconciled
+                   ? parts_.failure_detector.missed_heartbeat(observation)
+                   : now() - machine.created_at >
+                         settings_.heartbeat_interval_s * CommandSender::first_probe_heartbeat_periods;
     if (due) parts_.commands.probe(machine);
 }
 
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -121,12 +121,13 @@
 // hold up all placing.
 void Recovery::probe_first() {
     auto& machines = state_.cluster.machines();
-    double at_once = CommandSender::probes_within(settings_, CommandSender::first_probe_reports);
+    double at_once = CommandSender::probes_within(settings_, CommandSender::first_probe_heartbeat_periods);
     auto stride = static_cast<std::size_t>(static_cast<double>(machines.size()) / at_once) + 1;
     std::size_t index = 0;
     for (auto& [id, machine] : machines)
         if (index++ % stride == 0) parts_.commands.probe(machine);
-    timers_.after(settings_.heartbeat_interval_s * CommandSender::first_probe_reports, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * CommandSender::first_probe_heartbeat_periods,
+                  guarded_([this] {
                       for (bool known : {false, true})
                           for (auto& [id, machine] : state_.cluster.machines())
                               if (!machine.reconciled && machine.known_from_replica == known)
