--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -52,7 +52,7 @@
     // Gives leadership up, and stays out of elections for so many seconds.
     void resign(double pause_s) { election_.resign(pause_s); }
     // A message proved that a later leadership exists, by its fencing token.
-    void deposed_by(protocol::LeaderVersion fencing_token) {
+    void step_down_if_superseded(protocol::LeaderVersion fencing_token) {
         election_.step_down_if_superseded(fencing_token);
     }
 
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -209,7 +209,8 @@
         spdlog::info("component=leader event=deposed_by_heartbeat machine={} fencing_token={}",
                      status.machine, fencing_token);
         // Not from within what the worker's message set off: this object would be gone before it is done.
-        timers_.after(0, guarded_([this, fencing_token] { leadership_.deposed_by(fencing_token); }));
+        timers_.after(
+            0, guarded_([this, fencing_token] { leadership_.step_down_if_superseded(fencing_token); }));
         return outcome;
     }
     parts_.recovery.check_reconciled();
