--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -50,7 +50,7 @@
 void MachineTypeCatalog::set(std::vector<protocol::MachineType> types) {
     if (types.empty()) return;
     types_ = std::move(types);
-    if (leader_) leader_->types_changed();
+    if (leader_) leader_->update_machine_types();
 }
 
 void MachineTypeCatalog::store() {
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -31,7 +31,7 @@
     if (parts_.job_watcher.cancelled(id, version)) parts_.commands.flush_all();
 }
 
-void Leader::types_changed() {
+void Leader::update_machine_types() {
     std::lock_guard lock(parts_.state.mutex);
     parts_.state.cluster.set_types(parts_.dependencies.machine_types);
 }
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -57,7 +57,7 @@
     protocol::PeerImages images() const { return images_to_hand_over(parts_.state.cluster); }
     // Machines whose heartbeats are missing, and for how long, seconds.
     std::map<std::string, double> suspected() const { return parts_.supervisor.suspected(); }
-    void types_changed();
+    void update_machine_types();
     // The controller with this label is a new process.
     void controller_restarted(const std::string& controller, protocol::Incarnation incarnation) {
         parts_.start_replication.controller_restarted(controller, incarnation);
--- a/src/leader/leader_dependencies.hpp
+++ b/src/leader/leader_dependencies.hpp
@@ -34,7 +34,7 @@
     cloud::CloudClient& cloud;
     Planner& planner;
     metrics::Metrics& metrics;
-    // Of the cloud; may change, see Leader::types_changed.
+    // Of the cloud; may change, see Leader::update_machine_types.
     const std::vector<protocol::MachineType>& machine_types;
     // How many of these machines, silent here for so many seconds, another controller has had a heartbeat
     // from since, at the most; nothing if no other answers and could lead.
