--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -22,7 +22,7 @@
 class JobStore : private LeaderPart {
   public:
     struct Callbacks {
-        TakeJobRecord take_record;
+        ApplyJobRecord take_record;
         std::function<void()> request_plan;
         // Whether it is known of each machine what may be on it (see Reconciliation).
         std::function<bool()> may_place;
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -58,7 +58,7 @@
     return [this] { plan_executor.request_plan(); };
 }
 
-TakeJobRecord LeaderParts::take_job_record() {
+ApplyJobRecord LeaderParts::take_job_record() {
     return [this](const std::string& job_id, std::uint64_t version, const std::string& record) {
         job_watcher.take_record(job_id, version, record);
     };
--- a/src/leader/part_context.hpp
+++ b/src/leader/part_context.hpp
@@ -15,7 +15,7 @@
 namespace coralhitch::leader {
 
 // Takes in a job's stored record, of this version (see JobWatcher). Called with LeaderState::mutex held.
-using TakeJobRecord =
+using ApplyJobRecord =
     std::function<void(const std::string& job_id, std::uint64_t version, const std::string& record)>;
 
 // The references that LeaderPart keeps for each part.
