--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -39,7 +39,7 @@
     std::set<std::string> live;
     for (auto& entry : stored.jobs.entries) {
         auto job_id = entry.key.substr(keys::jobs.size());
-        hooks_.take_job(job_id, entry.version, entry.value);
+        hooks_.apply_job_record(job_id, entry.version, entry.value);
         live.insert(std::move(job_id));
     }
     for (auto& entry : stored.progress.entries) {
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -44,7 +44,7 @@
         std::map<std::string, double> silent_machine_s;  // machines that it suspected, silent for so long
     };
     struct Hooks {
-        ApplyJobRecord take_job;
+        ApplyJobRecord apply_job_record;
         // What was stored is taken in; nothing was sent to a machine yet.
         std::function<void(const failover::RecoveredState& stored)> state_loaded;
         // The jobs are loaded: what ended while nobody led may be read.
