--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -58,7 +58,7 @@
     return [this] { plan_executor.request_plan(); };
 }
 
-ApplyJobRecord LeaderParts::take_job_record() {
+ApplyJobRecord LeaderParts::apply_job_record() {
     return [this](const std::string& job_id, std::uint64_t version, const std::string& record) {
         job_watcher.take_record(job_id, version, record);
     };
@@ -80,7 +80,7 @@
 }
 
 JobStore::Callbacks LeaderParts::job_store_callbacks() {
-    return {take_job_record(), request_plan(), [this] { return reconciliation.placement_allowed(); }};
+    return {apply_job_record(), request_plan(), [this] { return reconciliation.placement_allowed(); }};
 }
 
 JobWatcher::Callbacks LeaderParts::job_watcher_callbacks() {
@@ -89,7 +89,7 @@
 }
 
 Recovery::Hooks LeaderParts::recovery_hooks(std::function<void()> begin_ticks) {
-    return {take_job_record(),
+    return {apply_job_record(),
             [this](const failover::RecoveredState& stored) { stored_state_loaded(stored); },
             [this] { dependency_resolver.resolve(); },
             [this, begin_ticks = std::move(begin_ticks)] {
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -89,7 +89,7 @@
   private:
     // The callbacks of the parts.
     [[nodiscard]] std::function<void()> request_plan();
-    [[nodiscard]] ApplyJobRecord take_job_record();
+    [[nodiscard]] ApplyJobRecord apply_job_record();
     [[nodiscard]] std::function<void(cluster::Machine&, const char* reason)> mark_for_deletion();
     [[nodiscard]] CommandSender::ApplyStatus apply_status();
     [[nodiscard]] MachineDeletion::Hooks deletion_hooks();
