--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -23,12 +23,12 @@
       steps_(timers_),
       loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::RecoveredState& stored) {
           if (authority_.ended()) return;
-          take_stored(stored);
+          apply_stored_state(stored);
           hooks_.state_loaded(stored);
           finish_load();
       }) {}
 
-void Recovery::take_stored(const failover::RecoveredState& stored) {
+void Recovery::apply_stored_state(const failover::RecoveredState& stored) {
     std::lock_guard lock(state_.mutex);
     take_jobs(stored);
     for (auto& [machine_id, record] : parts_.machine_store.load(stored.machines))
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -66,7 +66,7 @@
     void check_reconciled();
 
   private:
-    void take_stored(const failover::RecoveredState& stored);
+    void apply_stored_state(const failover::RecoveredState& stored);
     void take_jobs(const failover::RecoveredState& stored);
     void take_machine(const std::string& machine_id, const protocol::MachineRecord& record, bool inherits);
     void inherit(cluster::Machine& machine);
