--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -30,12 +30,12 @@
 
 void Recovery::apply_stored_state(const failover::RecoveredState& stored) {
     std::lock_guard lock(state_.mutex);
-    take_jobs(stored);
+    load_jobs(stored);
     for (auto& [machine_id, record] : parts_.machine_store.load(stored.machines))
         take_machine(machine_id, record, stored.replica_eligible);
 }
 
-void Recovery::take_jobs(const failover::RecoveredState& stored) {
+void Recovery::load_jobs(const failover::RecoveredState& stored) {
     std::set<std::string> live;
     for (auto& entry : stored.jobs.entries) {
         auto job_id = entry.key.substr(keys::jobs.size());
