--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -32,7 +32,7 @@
     std::lock_guard lock(state_.mutex);
     load_jobs(stored);
     for (auto& [machine_id, record] : parts_.machine_store.load(stored.machines))
-        take_machine(machine_id, record, stored.replica_eligible);
+        add_stored_machine(machine_id, record, stored.replica_eligible);
 }
 
 void Recovery::load_jobs(const failover::RecoveredState& stored) {
@@ -62,8 +62,8 @@
     }
 }
 
-void Recovery::take_machine(const std::string& machine_id, const protocol::MachineRecord& record,
-                            bool inherits) {
+void Recovery::add_stored_machine(const std::string& machine_id, const protocol::MachineRecord& record,
+                                  bool inherits) {
     auto life = record.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up;
     auto& machine =
         state_.cluster.add(machine_id, record.addr, record.type, record.zone, record.spot, life, now());
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -68,7 +68,8 @@
   private:
     void apply_stored_state(const failover::RecoveredState& stored);
     void load_jobs(const failover::RecoveredState& stored);
-    void take_machine(const std::string& machine_id, const protocol::MachineRecord& record, bool inherits);
+    void add_stored_machine(const std::string& machine_id, const protocol::MachineRecord& record,
+                            bool inherits);
     void inherit(cluster::Machine& machine);
     void finish_load();
     void probe_first();
