--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -70,7 +70,7 @@
     machine.registration = Machine::Registration::stored;
     machine.stored_by_earlier_leader = true;
     parts_.reconciliation.expect(machine_id);
-    if (inherits) inherit(machine);
+    if (inherits) restore_from_replica(machine);
     if (record.marked_for_deletion) machine.allow_deletion();
     auto silent = inheritance_.silent_machine_s.find(machine_id);
     if (silent != inheritance_.silent_machine_s.end() && machine.known_from_replica)
@@ -84,7 +84,7 @@
 // before it has reconciled. The previous leader replicated all machines that were stored when it came to
 // lead, and each other one before the first `run` to it: of what it never replicated, or as deleted, nothing
 // is left.
-void Recovery::inherit(Machine& machine) {
+void Recovery::restore_from_replica(Machine& machine) {
     auto& rows = inheritance_.replica.machines;
     auto row = rows.find(machine.id);
     machine.known_from_replica = row == rows.end() || row->second.tasks_known;
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -70,7 +70,7 @@
     void load_jobs(const failover::RecoveredState& stored);
     void add_stored_machine(const std::string& machine_id, const protocol::MachineRecord& record,
                             bool inherits);
-    void inherit(cluster::Machine& machine);
+    void restore_from_replica(cluster::Machine& machine);
     void finish_load();
     void probe_first();
 
