--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -63,14 +63,14 @@
 }
 
 void Recovery::add_stored_machine(const std::string& machine_id, const protocol::MachineRecord& record,
-                                  bool inherits) {
+                                  bool replica_eligible) {
     auto life = record.marked_for_deletion ? Machine::Life::marked_for_deletion : Machine::Life::up;
     auto& machine =
         state_.cluster.add(machine_id, record.addr, record.type, record.zone, record.spot, life, now());
     machine.registration = Machine::Registration::stored;
     machine.stored_by_earlier_leader = true;
     parts_.reconciliation.expect(machine_id);
-    if (inherits) restore_from_replica(machine);
+    if (replica_eligible) restore_from_replica(machine);
     if (record.marked_for_deletion) machine.allow_deletion();
     auto silent = inheritance_.silent_machine_s.find(machine_id);
     if (silent != inheritance_.silent_machine_s.end() && machine.known_from_replica)
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -69,7 +69,7 @@
     void apply_stored_state(const failover::RecoveredState& stored);
     void load_jobs(const failover::RecoveredState& stored);
     void add_stored_machine(const std::string& machine_id, const protocol::MachineRecord& record,
-                            bool inherits);
+                            bool replica_eligible);
     void restore_from_replica(cluster::Machine& machine);
     void finish_load();
     void probe_first();
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -46,15 +46,16 @@
         recovery->start();
     }
     Recovery::Hooks hooks() {
-        return {[this](const std::string& job_id, std::uint64_t version, const std::string& record) {
-                    state->jobs.put(job_id, version, protocol::parse_job_record(record));
-                },
-                [this](const failover::RecoveredState& stored) { inherits = stored.replica_eligible; },
-                [this] { jobs_loaded = true; },
-                [this] {
-                    if (on_ready) on_ready();
-                },
-                [this] { ++plans; }};
+        return {
+            [this](const std::string& job_id, std::uint64_t version, const std::string& record) {
+                state->jobs.put(job_id, version, protocol::parse_job_record(record));
+            },
+            [this](const failover::RecoveredState& stored) { replica_eligible = stored.replica_eligible; },
+            [this] { jobs_loaded = true; },
+            [this] {
+                if (on_ready) on_ready();
+            },
+            [this] { ++plans; }};
     }
     // The machine reports under this leader's token.
     void report(const std::string& machine_id) {
@@ -70,7 +71,7 @@
     replication::ReplicaState replica;
     election::LeadershipHistory history;  // known before the claim
     std::map<std::string, double> silent_machine_s;
-    std::optional<bool> inherits;  // whether the replica was taken for proof
+    std::optional<bool> replica_eligible;  // whether the replica was taken for proof
     bool jobs_loaded = false;
     std::function<void()> on_ready;
     StaleKeyRemover stale_keys{*context, kv};
--- a/tests/leader/recovery_test.cpp
+++ b/tests/leader/recovery_test.cpp
@@ -87,7 +87,7 @@
     bench.follow_previous_leader();
     bench.replicate_task("vm-1", "j-1");
     bench.recover();
-    ASSERT_EQ(bench.inherits, true);
+    ASSERT_EQ(bench.replica_eligible, true);
     auto& machine = *bench.state->cluster.find("vm-1");
     EXPECT_TRUE(machine.known_from_replica);
     EXPECT_TRUE(machine.tasks.contains({"j-1", 0}));
@@ -107,7 +107,7 @@
     bench.service.kv[kv::keys::in_sync_replicas].value = another_process;
     bench.replicate_task("vm-1", "j-1");
     bench.recover();
-    ASSERT_EQ(bench.inherits, false);
+    ASSERT_EQ(bench.replica_eligible, false);
     auto& machine = *bench.state->cluster.find("vm-1");
     EXPECT_FALSE(machine.known_from_replica);
     EXPECT_THAT(machine.tasks, IsEmpty());
@@ -120,7 +120,7 @@
     bench.follow_previous_leader();
     bench.replica.machines["vm-1"].machine = "vm-1";  // `known` is false: anything may be on it
     bench.recover();
-    ASSERT_EQ(bench.inherits, true);
+    ASSERT_EQ(bench.replica_eligible, true);
     EXPECT_FALSE(bench.may_place());
 }
 
