--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -15,7 +15,7 @@
 using cluster::Machine;
 
 Recovery::Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
-                   const Parts& parts, Inheritance inheritance, Hooks hooks)
+                   const Parts& parts, PredecessorState inheritance, Hooks hooks)
     : LeaderPart(context),
       parts_(parts),
       inheritance_(std::move(inheritance)),
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -38,7 +38,7 @@
         StaleKeyRemover& stale_keys;
     };
     // What the previous leader left at this controller.
-    struct Inheritance {
+    struct PredecessorState {
         const protocol::PeerImages& images;              // of the machines' image caches
         const replication::ReplicaState& replica;        // of what may be on its machines
         std::map<std::string, double> silent_machine_s;  // machines that it suspected, silent for so long
@@ -54,7 +54,7 @@
         std::function<void()> request_plan;
     };
     Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
-             const Parts& parts, Inheritance inheritance, Hooks hooks);
+             const Parts& parts, PredecessorState inheritance, Hooks hooks);
 
     // Begins to load. Once.
     void start() { loader_.start(); }
@@ -75,7 +75,7 @@
     void probe_first();
 
     Parts parts_;
-    Inheritance inheritance_;
+    PredecessorState inheritance_;
     Hooks hooks_;
     bool loaded_ = false, all_reconciled_ = false;
     failover::FailoverSteps steps_;
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -42,7 +42,7 @@
         recovery.emplace(
             *context, kv, evidence,
             Recovery::Parts{failure_detector, reconciliation, instances, commands, machine_store, stale_keys},
-            Recovery::Inheritance{images, replica, silent_machine_s}, hooks());
+            Recovery::PredecessorState{images, replica, silent_machine_s}, hooks());
         recovery->start();
     }
     Recovery::Hooks hooks() {
