--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -18,7 +18,7 @@
                    const Parts& parts, PredecessorState inheritance, Hooks hooks)
     : LeaderPart(context),
       parts_(parts),
-      inheritance_(std::move(inheritance)),
+      predecessor_(std::move(inheritance)),
       hooks_(std::move(hooks)),
       steps_(timers_),
       loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::RecoveredState& stored) {
@@ -72,8 +72,8 @@
     parts_.reconciliation.expect(machine_id);
     if (replica_eligible) restore_from_replica(machine);
     if (record.marked_for_deletion) machine.allow_deletion();
-    auto silent = inheritance_.silent_machine_s.find(machine_id);
-    if (silent != inheritance_.silent_machine_s.end() && machine.known_from_replica)
+    auto silent = predecessor_.silent_machine_s.find(machine_id);
+    if (silent != predecessor_.silent_machine_s.end() && machine.known_from_replica)
         machine.silence_hint_s = silent->second;
     parts_.failure_detector.record_heartbeat(state_.zone_of(machine), now() - machine.silence_hint_s);
     // The previous leader may have gone on renewing leases for a while.
@@ -85,7 +85,7 @@
 // lead, and each other one before the first `run` to it: of what it never replicated, or as deleted, nothing
 // is left.
 void Recovery::restore_from_replica(Machine& machine) {
-    auto& rows = inheritance_.replica.machines;
+    auto& rows = predecessor_.replica.machines;
     auto row = rows.find(machine.id);
     machine.known_from_replica = row == rows.end() || row->second.tasks_known;
     if (row == rows.end() || !machine.known_from_replica) return;
@@ -103,7 +103,7 @@
     loaded_ = true;
     {
         std::lock_guard lock(state_.mutex);
-        recall_images(state_.cluster, inheritance_.images);
+        recall_images(state_.cluster, predecessor_.images);
     }
     auto& machines = state_.cluster.machines();
     auto known = std::count_if(machines.begin(), machines.end(),
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -75,7 +75,7 @@
     void probe_first();
 
     Parts parts_;
-    PredecessorState inheritance_;
+    PredecessorState predecessor_;
     Hooks hooks_;
     bool loaded_ = false, all_reconciled_ = false;
     failover::FailoverSteps steps_;
