--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -112,14 +112,14 @@
                                                         " machines=" + std::to_string(machines.size()) +
                                                         " known=" + std::to_string(known));
     hooks_.jobs_loaded();
-    probe_first();
+    begin_probing();
     hooks_.ready();
 }
 
 // With some of the machines placing can begin. Of the rest most heartbeats lie waiting or come within a
 // period: a probe costs three times as much as a heartbeat that is passed on. Those of which nothing is known
 // hold up all placing.
-void Recovery::probe_first() {
+void Recovery::begin_probing() {
     auto& machines = state_.cluster.machines();
     double at_once = CommandSender::probes_within(settings_, CommandSender::first_probe_heartbeat_periods);
     auto stride = static_cast<std::size_t>(static_cast<double>(machines.size()) / at_once) + 1;
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -72,7 +72,7 @@
                             bool replica_eligible);
     void restore_from_replica(cluster::Machine& machine);
     void finish_load();
-    void probe_first();
+    void begin_probing();
 
     Parts parts_;
     PredecessorState predecessor_;
