--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -118,7 +118,7 @@
 
 // --- What follows from an event -------------------------------------------------------------------------
 
-void LeaderParts::machines_stored() {
+void LeaderParts::on_machines_stored() {
     commands.flush_all();
     deletion.delete_marked();
 }
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -69,7 +69,7 @@
     CommandSender commands{context, dependencies.http, delegations, reconciliation, apply_status()};
     StartReplication start_replication{context, dependencies.http, dependencies.kv, dependencies.recent_ping,
                                        [this] { commands.flush_all(); }};
-    MachineStore machine_store{context, dependencies.kv, [this] { machines_stored(); }};
+    MachineStore machine_store{context, dependencies.kv, [this] { on_machines_stored(); }};
     MachineDeletion deletion;
     HostLister hosts{context, dependencies.cloud, commands, deletion};
 
@@ -102,7 +102,7 @@
     [[nodiscard]] PlanExecutor::Callbacks plan_callbacks();
 
     // What an event in one part sets off in several.
-    void machines_stored();
+    void on_machines_stored();
     void deletion_done();
     void jobs_changed();
     void stored_state_loaded(const failover::RecoveredState& stored);
