--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -76,7 +76,7 @@
 
 MachineDeletion::Hooks LeaderParts::deletion_hooks() {
     return {[this](const std::string& machine_id) { heartbeats.forget(machine_id); },
-            [this] { deletion_done(); }};
+            [this] { on_deletion_done(); }};
 }
 
 JobStore::Callbacks LeaderParts::job_store_callbacks() {
@@ -123,7 +123,7 @@
     deletion.delete_marked();
 }
 
-void LeaderParts::deletion_done() {
+void LeaderParts::on_deletion_done() {
     start_replication.replicate_changes();
     recovery.check_reconciled();
     plan_executor.request_plan();
