--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -85,7 +85,7 @@
 
 JobWatcher::Callbacks LeaderParts::job_watcher_callbacks() {
     return {[this](const std::string& job_id, jobs::JobEntry& job) { instances.cancel_active(job_id, job); },
-            [this] { jobs_changed(); }, request_plan()};
+            [this] { on_jobs_changed(); }, request_plan()};
 }
 
 Recovery::Hooks LeaderParts::recovery_hooks(std::function<void()> begin_ticks) {
@@ -129,7 +129,7 @@
     plan_executor.request_plan();
 }
 
-void LeaderParts::jobs_changed() {
+void LeaderParts::on_jobs_changed() {
     plan_executor.request_plan();
     dependency_resolver.resolve();
     commands.flush_all();
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -104,7 +104,7 @@
     // What an event in one part sets off in several.
     void on_machines_stored();
     void on_deletion_done();
-    void jobs_changed();
+    void on_jobs_changed();
     void stored_state_loaded(const failover::RecoveredState& stored);
     void replicate_starts(const std::vector<StartedTask>& started);
 };
