--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -90,7 +90,7 @@
 
 Recovery::Hooks LeaderParts::recovery_hooks(std::function<void()> begin_ticks) {
     return {apply_job_record(),
-            [this](const failover::RecoveredState& stored) { stored_state_loaded(stored); },
+            [this](const failover::RecoveredState& stored) { on_stored_state_loaded(stored); },
             [this] { dependency_resolver.resolve(); },
             [this, begin_ticks = std::move(begin_ticks)] {
                 heartbeats.handle_early();
@@ -135,7 +135,7 @@
     commands.flush_all();
 }
 
-void LeaderParts::stored_state_loaded(const failover::RecoveredState& stored) {
+void LeaderParts::on_stored_state_loaded(const failover::RecoveredState& stored) {
     start_replication.begin(stored.record_version,
                             stored.replica_eligible ? stored.in_sync_record : std::nullopt);
     job_watcher.start(stored.jobs.revision, stored.jobs_listed_at);
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -105,7 +105,7 @@
     void on_machines_stored();
     void on_deletion_done();
     void on_jobs_changed();
-    void stored_state_loaded(const failover::RecoveredState& stored);
+    void on_stored_state_loaded(const failover::RecoveredState& stored);
     void replicate_starts(const std::vector<StartedTask>& started);
 };
 
