--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -41,7 +41,7 @@
     // acknowledged.
     void hold(const std::string& machine_id, const protocol::TaskId& task);
     // Starts wait: the queue is sent now.
-    void expedite() { sender_.flush(); }
+    void flush() { sender_.flush(); }
     // Sends the held starts that all others have acknowledged, and whatever else is due to machines.
     void release_starts();
     // To be called each tick: controllers that do not follow yet may begin to.
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -44,7 +44,7 @@
         add_start(job_id, machine);
         replication.replicate_changes();
         replication.hold(machine.id, {job_id, 0});
-        replication.expedite();
+        replication.flush();
         replication.release_starts();
     }
     bool batch_waits() const { return !sent.empty() && sent.front().addr == follower_addr; }
