--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -143,7 +143,7 @@
 
 void LeaderParts::replicate_starts(const std::vector<StartedTask>& started) {
     start_replication.replicate_changes();
-    for (auto& [machine_id, task] : started) start_replication.hold(machine_id, task);
+    for (auto& [machine_id, task] : started) start_replication.hold_start(machine_id, task);
     start_replication.flush();
     start_replication.release_starts();
 }
--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -37,7 +37,7 @@
     for (auto& machine_id : changed) sender_.machine_changed(machine_id);
 }
 
-void StartReplication::hold(const std::string& machine_id, const protocol::TaskId& task) {
+void StartReplication::hold_start(const std::string& machine_id, const protocol::TaskId& task) {
     if (settings_.op.replicate_starts) held_starts_.push_back({sender_.log_index(), machine_id, task});
 }
 
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -1,10 +1,11 @@
 // Which starts may be sent: those that every controller which could lead next knows of. Tells the others what
-// the machines may hold and holds each start back until they have acknowledged it (see ReplicationSender).
+// the machines may hold_start and holds each start back until they have acknowledged it (see
+// ReplicationSender).
 //
 // Owns the sender of replicated changes and the starts that are held. Reads the cluster state's changed
 // machines and releases instances in it; commands are sent through `flush_commands`.
 //
-// On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold it.
+// On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold_start it.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -27,7 +28,8 @@
     // What another controller last said of itself, if that is not long ago; else null.
     using LatestPing = std::function<const protocol::PeerPing*(const std::string& label)>;
 
-    // Makes the cluster state hold starts back, if they are replicated at all (settings.op.replicate_starts).
+    // Makes the cluster state hold_start starts back, if they are replicated at all
+    // (settings.op.replicate_starts).
     StartReplication(const PartContext& context, http::Requester& http, kv::KvClient& kv,
                      const LatestPing& latest_ping, std::function<void()> flush_commands);
 
@@ -39,7 +41,7 @@
     void replicate_changes();
     // The start of this task, whose machine was among the last changes queued, is sent once they are
     // acknowledged.
-    void hold(const std::string& machine_id, const protocol::TaskId& task);
+    void hold_start(const std::string& machine_id, const protocol::TaskId& task);
     // Starts wait: the queue is sent now.
     void flush() { sender_.flush(); }
     // Sends the held starts that all others have acknowledged, and whatever else is due to machines.
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -43,7 +43,7 @@
     void start(const std::string& job_id, Machine& machine) {
         add_start(job_id, machine);
         replication.replicate_changes();
-        replication.hold(machine.id, {job_id, 0});
+        replication.hold_start(machine.id, {job_id, 0});
         replication.flush();
         replication.release_starts();
     }
