--- a/src/leader/start_replication.cpp
+++ b/src/leader/start_replication.cpp
@@ -15,7 +15,7 @@
 }
 
 replication::ReplicationSender::Callbacks StartReplication::sender_callbacks(const LatestPing& latest_ping) {
-    return {[this](const std::string& machine_id) { return row_of(machine_id); },
+    return {[this](const std::string& machine_id) { return replicated_machine(machine_id); },
             [this] { return machine_ids(); }, [this] { return authority_.begin_transaction(); }, latest_ping,
             [this] {
                 if (!authority_.ended()) release_starts();
@@ -57,7 +57,8 @@
     flush_commands_();
 }
 
-std::optional<protocol::ReplicatedMachine> StartReplication::row_of(const std::string& machine_id) const {
+std::optional<protocol::ReplicatedMachine> StartReplication::replicated_machine(
+    const std::string& machine_id) const {
     auto found = state_.cluster.machines().find(machine_id);
     if (found == state_.cluster.machines().end())
         return protocol::ReplicatedMachine{
--- a/src/leader/start_replication.hpp
+++ b/src/leader/start_replication.hpp
@@ -59,7 +59,8 @@
         std::string machine_id;
         protocol::TaskId task;
     };
-    [[nodiscard]] std::optional<protocol::ReplicatedMachine> row_of(const std::string& machine_id) const;
+    [[nodiscard]] std::optional<protocol::ReplicatedMachine> replicated_machine(
+        const std::string& machine_id) const;
     [[nodiscard]] std::vector<std::string> machine_ids() const;
     [[nodiscard]] replication::ReplicationSender::Callbacks sender_callbacks(const LatestPing& latest_ping);
 
