--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -113,7 +113,7 @@
 
 PlanExecutor::Callbacks LeaderParts::plan_callbacks() {
     return {[this] { return recovery.loaded(); }, [this] { return hosts.has_listed(); }, mark_for_deletion(),
-            [this](const std::vector<StartedTask>& started) { replicate_starts(started); }};
+            [this](const std::vector<PlannedStart>& started) { replicate_starts(started); }};
 }
 
 // --- What follows from an event -------------------------------------------------------------------------
@@ -141,7 +141,7 @@
     job_watcher.start(stored.jobs.revision, stored.jobs_listed_at);
 }
 
-void LeaderParts::replicate_starts(const std::vector<StartedTask>& started) {
+void LeaderParts::replicate_starts(const std::vector<PlannedStart>& started) {
     start_replication.replicate_changes();
     for (auto& [machine_id, task] : started) start_replication.hold_start(machine_id, task);
     start_replication.flush();
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -106,7 +106,7 @@
     void on_deletion_done();
     void on_jobs_changed();
     void on_stored_state_loaded(const failover::RecoveredState& stored);
-    void replicate_starts(const std::vector<StartedTask>& started);
+    void replicate_starts(const std::vector<PlannedStart>& started);
 };
 
 }  // namespace coralhitch::leader
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -94,7 +94,7 @@
     if (!authority_.holds()) return;
     parts_.metrics.observe_planning_round(last_plan_s_);
     log_plan(plan);
-    std::vector<StartedTask> started;
+    std::vector<PlannedStart> started;
     {
         std::lock_guard lock(state_.mutex);
         if (!parts_.reconciliation.placement_allowed()) return;
@@ -117,8 +117,8 @@
     return static_cast<std::size_t>(other - starts.begin()) - first;
 }
 
-std::vector<StartedTask> PlanExecutor::apply_starts(const Plan& plan) {
-    std::vector<StartedTask> started;
+std::vector<PlannedStart> PlanExecutor::apply_starts(const Plan& plan) {
+    std::vector<PlannedStart> started;
     std::span<const scheduler::Start> starts = plan.out.starts;
     if (starts.empty()) return started;  // most plans, and the sum walks the whole fleet
     auto used = cluster::team_usage(state_.cluster, settings_.teams);
@@ -134,7 +134,7 @@
 
 void PlanExecutor::start_group(const Plan& plan, std::span<const scheduler::Start> group,
                                protocol::AttemptNumber attempt, TeamUsage& used,
-                               std::vector<StartedTask>& started) {
+                               std::vector<PlannedStart>& started) {
     auto& planned = *plan.in.jobs[group.front().job].spec;
     auto* job = state_.jobs.find(planned.id);
     auto* team = job ? team_of(*job) : nullptr;
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -30,7 +30,7 @@
 namespace coralhitch::leader {
 
 // A task that a plan has placed on a machine; no command was sent so far.
-struct StartedTask {
+struct PlannedStart {
     std::string machine;
     protocol::TaskId task;
 };
@@ -56,7 +56,7 @@
         // Called with the state's mutex held.
         std::function<void(cluster::Machine&, const char* why)> mark_for_deletion;
         // A plan was applied, and these are its starts, also if there are none. Sends what may be sent.
-        std::function<void(const std::vector<StartedTask>&)> plan_applied;
+        std::function<void(const std::vector<PlannedStart>&)> plan_applied;
     };
     // `seed` is that of the random draws of the plans.
     PlanExecutor(const PartContext& context, const Parts& parts, Callbacks callbacks, std::uint64_t seed);
@@ -89,14 +89,14 @@
 
     void apply(const Plan& plan);
     // The three with the state's mutex held.
-    std::vector<StartedTask> apply_starts(const Plan& plan);
+    std::vector<PlannedStart> apply_starts(const Plan& plan);
     void apply_stops(const Plan& plan);
     void apply_scale_in(const Plan& plan);
     // How many starts from this index on go together: all of a gang, or one.
     [[nodiscard]] static std::size_t group_size(const Plan& plan, std::size_t first);
     // Enters all starts of the group in the state, or none.
     void start_group(const Plan& plan, std::span<const scheduler::Start> group,
-                     protocol::AttemptNumber attempt, TeamUsage& used, std::vector<StartedTask>& started);
+                     protocol::AttemptNumber attempt, TeamUsage& used, std::vector<PlannedStart>& started);
     static void undo(jobs::JobEntry& job, std::span<const PlacedTask> placed, TeamUsage& used);
     [[nodiscard]] const config::Team* team_of(const jobs::JobEntry& job) const;
     [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -63,13 +63,13 @@
     failover::Reconciliation reconciliation{state->cluster, settings.heartbeat_interval_s};
     cluster::TeamActivity team_activity;
     bool loaded = true;
-    std::vector<StartedTask> started;
+    std::vector<PlannedStart> started;
     int applied = 0;
     PlanExecutor executor{
         *context,
         {planner, scaler, attempts, reconciliation, team_activity, metrics},
         {[this] { return loaded; }, [] { return true; }, [](cluster::Machine&, const char*) {},
-         [this](const std::vector<StartedTask>& tasks) {
+         [this](const std::vector<PlannedStart>& tasks) {
              ++applied;
              started = tasks;
          }},
