--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -141,7 +141,7 @@
     if (!team || (planned.kind == JobKind::gang && !job->active.empty())) return;
     auto& spec = *job->spec;
     auto zones = zone_counts(*job, state_.cluster.zone_count());
-    std::vector<PlacedTask> placed;
+    std::vector<PlacedInstance> placed;
     for (auto& start : group) {
         auto* machine = state_.cluster.find(plan.in.machines[start.machine].id);
         // No command was sent so far: all tasks of a gang or none.
@@ -162,7 +162,7 @@
     }
 }
 
-void PlanExecutor::undo(jobs::JobEntry& job, std::span<const PlacedTask> placed, TeamUsage& used) {
+void PlanExecutor::undo(jobs::JobEntry& job, std::span<const PlacedInstance> placed, TeamUsage& used) {
     for (auto& [machine, task] : placed) {
         machine->tasks.erase({job.spec->id, task});
         job.active.erase(task);
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -76,7 +76,7 @@
     };
     using TeamUsage = std::map<std::string, protocol::Resources>;
     // A start of a plan that has been entered in the state.
-    struct PlacedTask {
+    struct PlacedInstance {
         cluster::Machine* machine = nullptr;
         std::uint32_t task = 0;
     };
@@ -97,7 +97,7 @@
     // Enters all starts of the group in the state, or none.
     void start_group(const Plan& plan, std::span<const scheduler::Start> group,
                      protocol::AttemptNumber attempt, TeamUsage& used, std::vector<PlannedStart>& started);
-    static void undo(jobs::JobEntry& job, std::span<const PlacedTask> placed, TeamUsage& used);
+    static void undo(jobs::JobEntry& job, std::span<const PlacedInstance> placed, TeamUsage& used);
     [[nodiscard]] const config::Team* team_of(const jobs::JobEntry& job) const;
     [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
                                  const cluster::Machine& machine, const scheduler::ZoneCounts& zones) const;
