--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -55,7 +55,7 @@
     auto plan = std::make_shared<Plan>();
     plan->with_fleet = fleet_plan_due();
     // Most plans found nothing to place: each copied the whole fleet to see that.
-    if (!plan->with_fleet && !any_task_waits(state_, now())) return;
+    if (!plan->with_fleet && !has_startable_tasks(state_, now())) return;
     computing_ = true;
     last_plan_at_ = now();
     if (plan->with_fleet) {
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -76,7 +76,7 @@
            job.orphaned_instances == 0;
 }
 
-bool any_task_waits(LeaderState& state, double now) {
+bool has_startable_tasks(LeaderState& state, double now) {
     return std::any_of(state.jobs.entries().begin(), state.jobs.entries().end(), [&](auto& entry) {
         return may_start_tasks(entry.second, now) && entry.second.has_pending_tasks();
     });
--- a/src/leader/plan_snapshot.hpp
+++ b/src/leader/plan_snapshot.hpp
@@ -21,7 +21,7 @@
 // Whether tasks of the job may start at that moment (steady seconds), as far as it is up to the job.
 [[nodiscard]] bool may_start_tasks(const jobs::JobEntry& job, double now);
 // Whether any job has tasks that may start at that moment (steady seconds).
-[[nodiscard]] bool any_task_waits(LeaderState& state, double now);
+[[nodiscard]] bool has_startable_tasks(LeaderState& state, double now);
 // In how many tasks of the job each zone has a share; `zones`: how many zones there are.
 [[nodiscard]] scheduler::ZoneCounts zone_counts(const jobs::JobEntry& job, std::size_t zones);
 
--- a/tests/leader/plan_snapshot_test.cpp
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -22,7 +22,7 @@
     ASSERT_EQ(in.jobs.size(), 1u);
     EXPECT_EQ(in.jobs[0].spec->id, "j-000001");
     EXPECT_EQ(in.jobs[0].waiting_tasks.size(), 3u);
-    EXPECT_TRUE(any_task_waits(*bench.state, bench.timers.now()));
+    EXPECT_TRUE(has_startable_tasks(*bench.state, bench.timers.now()));
 }
 
 TEST(PlanSnapshot, StartsNoTaskOfAJobThatMayNotStartAny) {
@@ -35,7 +35,7 @@
     job.backoff_until = 0;
     job.orphaned_instances = 1;
     EXPECT_FALSE(may_start_tasks(job, bench.timers.now()));
-    EXPECT_FALSE(any_task_waits(*bench.state, bench.timers.now()));
+    EXPECT_FALSE(has_startable_tasks(*bench.state, bench.timers.now()));
     auto in = bench.input();
     ASSERT_EQ(in.jobs.size(), 1u);
     EXPECT_FALSE(in.jobs[0].startable);
