--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -137,7 +137,7 @@
                                std::vector<PlannedStart>& started) {
     auto& planned = *plan.in.jobs[group.front().job].spec;
     auto* job = state_.jobs.find(planned.id);
-    auto* team = job ? team_of(*job) : nullptr;
+    auto* team = job ? find_team(*job) : nullptr;
     if (!team || (planned.kind == JobKind::gang && !job->active.empty())) return;
     auto& spec = *job->spec;
     auto zones = zone_counts(*job, state_.cluster.zone_count());
@@ -170,7 +170,7 @@
     }
 }
 
-const config::Team* PlanExecutor::team_of(const jobs::JobEntry& job) const {
+const config::Team* PlanExecutor::find_team(const jobs::JobEntry& job) const {
     auto it = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                            [&](auto& team) { return team.name == job.spec->team; });
     return it == settings_.teams.end() ? nullptr : &*it;
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -98,7 +98,7 @@
     void start_group(const Plan& plan, std::span<const scheduler::Start> group,
                      protocol::AttemptNumber attempt, TeamUsage& used, std::vector<PlannedStart>& started);
     static void undo(jobs::JobEntry& job, std::span<const PlacedInstance> placed, TeamUsage& used);
-    [[nodiscard]] const config::Team* team_of(const jobs::JobEntry& job) const;
+    [[nodiscard]] const config::Team* find_team(const jobs::JobEntry& job) const;
     [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
                                  const cluster::Machine& machine, const scheduler::ZoneCounts& zones) const;
     void log_plan(const Plan& plan) const;
