--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -147,7 +147,7 @@
         // No command was sent so far: all tasks of a gang or none.
         if (!machine || !may_start(*job, start.task, *machine, zones) ||
             !scheduler::team_allows(*team, used[spec.team], spec.request))
-            return undo(*job, placed, used);
+            return undo_placements(*job, placed, used);
         used[spec.team] += spec.request;
         state_.cluster.place(*machine, {spec.id, start.task}, job->spec, attempt, now());
         job->active[start.task] = {machine->id, attempt, state_.zone_of(*machine)};
@@ -162,7 +162,8 @@
     }
 }
 
-void PlanExecutor::undo(jobs::JobEntry& job, std::span<const PlacedInstance> placed, TeamUsage& used) {
+void PlanExecutor::undo_placements(jobs::JobEntry& job, std::span<const PlacedInstance> placed,
+                                   TeamUsage& used) {
     for (auto& [machine, task] : placed) {
         machine->tasks.erase({job.spec->id, task});
         job.active.erase(task);
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -97,7 +97,7 @@
     // Enters all starts of the group in the state, or none.
     void start_group(const Plan& plan, std::span<const scheduler::Start> group,
                      protocol::AttemptNumber attempt, TeamUsage& used, std::vector<PlannedStart>& started);
-    static void undo(jobs::JobEntry& job, std::span<const PlacedInstance> placed, TeamUsage& used);
+    static void undo_placements(jobs::JobEntry& job, std::span<const PlacedInstance> placed, TeamUsage& used);
     [[nodiscard]] const config::Team* find_team(const jobs::JobEntry& job) const;
     [[nodiscard]] bool may_start(const jobs::JobEntry& job, std::uint32_t task,
                                  const cluster::Machine& machine, const scheduler::ZoneCounts& zones) const;
