--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 // Ratios to the report period.
-constexpr double plan_interval_reports = 1.0 / 12;
+constexpr double plan_interval_heartbeat_periods = 1.0 / 12;
 constexpr double fleet_interval_reports = 1.0 / 2;
 // From the end of one plan to the next, in times of what it took.
 constexpr double idle_ratio = 3;
@@ -27,7 +27,7 @@
 // tasks waiting, plan upon plan kept heartbeats waiting until healthy machines counted as unreachable.
 double PlanExecutor::minimum_interval_s() const {
     double idle_s = std::min(last_plan_s_ * idle_ratio, settings_.heartbeat_interval_s);
-    return std::max(settings_.heartbeat_interval_s * plan_interval_reports, idle_s);
+    return std::max(settings_.heartbeat_interval_s * plan_interval_heartbeat_periods, idle_s);
 }
 
 void PlanExecutor::request_plan() {
