--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -14,7 +14,7 @@
 namespace {
 // Ratios to the report period.
 constexpr double plan_interval_heartbeat_periods = 1.0 / 12;
-constexpr double fleet_interval_reports = 1.0 / 2;
+constexpr double fleet_plan_interval_heartbeat_periods = 1.0 / 2;
 // From the end of one plan to the next, in times of what it took.
 constexpr double idle_ratio = 3;
 }  // namespace
@@ -42,7 +42,8 @@
 
 bool PlanExecutor::fleet_plan_due() const {
     return parts_.reconciliation.complete() &&
-           now() - last_fleet_plan_at_ > settings_.heartbeat_interval_s * fleet_interval_reports &&
+           now() - last_fleet_plan_at_ >
+               settings_.heartbeat_interval_s * fleet_plan_interval_heartbeat_periods &&
            parts_.fleet_scaler.knows_machine_types();
 }
 
