--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -16,7 +16,7 @@
 constexpr double plan_interval_heartbeat_periods = 1.0 / 12;
 constexpr double fleet_plan_interval_heartbeat_periods = 1.0 / 2;
 // From the end of one plan to the next, in times of what it took.
-constexpr double idle_ratio = 3;
+constexpr double idle_to_plan_time_ratio = 3;
 }  // namespace
 
 PlanExecutor::PlanExecutor(const PartContext& context, const Parts& parts, Callbacks callbacks,
@@ -26,7 +26,7 @@
 // A plan that takes long leaves the processor to the event loop for as long again and more: with thousands of
 // tasks waiting, plan upon plan kept heartbeats waiting until healthy machines counted as unreachable.
 double PlanExecutor::minimum_interval_s() const {
-    double idle_s = std::min(last_plan_s_ * idle_ratio, settings_.heartbeat_interval_s);
+    double idle_s = std::min(last_plan_s_ * idle_to_plan_time_ratio, settings_.heartbeat_interval_s);
     return std::max(settings_.heartbeat_interval_s * plan_interval_heartbeat_periods, idle_s);
 }
 
