--- a/tests/leader/authority_test.cpp
+++ b/tests/leader/authority_test.cpp
@@ -43,7 +43,7 @@
     FakeKeyValueStore service{timers};
     FakeLeases leases{timers, service};
     CuttableNetwork network{timers, leases};
-    config::Settings settings = LeadingFixture::settings_of_one();
+    config::Settings settings = LeadingFixture::single_controller_settings();
     kv::KvClient kv{timers, network, settings};
     election::Election election{timers, kv, settings, protocol::Incarnation{77}, 1};
     std::optional<double> cancellations_known_until;  // nothing: up to now, at any time
--- a/tests/leader/heartbeat_handler_test.cpp
+++ b/tests/leader/heartbeat_handler_test.cpp
@@ -18,7 +18,7 @@
 const std::string relay_label = "controller-1";
 
 config::Settings settings_without_replication() {
-    auto settings = LeadingFixture::settings_of_one();
+    auto settings = LeadingFixture::single_controller_settings();
     settings.op.replicate_starts = false;
     return settings;
 }
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -37,7 +37,7 @@
 };
 
 struct LeadingFixture {
-    static config::Settings settings_of_one() {
+    static config::Settings single_controller_settings() {
         auto settings = settings_of({.heartbeat_interval_s = 3, .lease_s = 30, .cancel_s = 60});
         settings.label = "controller-0";
         settings.cloud_addr = "cloud";
@@ -46,7 +46,8 @@
         settings.sockets = 800;
         return settings;
     }
-    explicit LeadingFixture(config::Settings given = settings_of_one()) : settings(std::move(given)) {
+    explicit LeadingFixture(config::Settings given = single_controller_settings())
+        : settings(std::move(given)) {
         spdlog::set_level(spdlog::level::off);
         election.start({[this](protocol::LeaderVersion token) { begin(token); }, [] {}});
         wait(5);
--- a/tests/leader/parts_fixture.hpp
+++ b/tests/leader/parts_fixture.hpp
@@ -60,7 +60,8 @@
 
 struct PartsFixture : LeadingFixture {
     using Machine = cluster::Machine;
-    explicit PartsFixture(config::Settings given = settings_of_one()) : LeadingFixture(std::move(given)) {
+    explicit PartsFixture(config::Settings given = single_controller_settings())
+        : LeadingFixture(std::move(given)) {
         service.others = [this](const std::string& addr, const http::Request& request, double,
                                 http::Result result) {
             sent.push_back({addr, request, std::move(result)});
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -18,7 +18,8 @@
 struct RecoveryFixture : PartsFixture {
     static constexpr std::uint64_t own_incarnation = 77;
 
-    explicit RecoveryFixture(config::Settings given = settings_of_one()) : PartsFixture(std::move(given)) {}
+    explicit RecoveryFixture(config::Settings given = single_controller_settings())
+        : PartsFixture(std::move(given)) {}
 
     // Stores the machine as an earlier leader did.
     void store_machine(const std::string& id, bool marked_for_deletion = false) {
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -18,7 +18,7 @@
 const std::string follower_label = "controller-1", follower_addr = "10.1.0.2:7000";
 
 config::Settings settings_with_follower(bool replicates_starts) {
-    auto settings = LeadingFixture::settings_of_one();
+    auto settings = LeadingFixture::single_controller_settings();
     settings.peers = {{follower_label, "b", follower_addr}};
     settings.op.replicate_starts = replicates_starts;
     return settings;
