--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t low_water = numbers_per_revision / 2;
 }  // namespace
 
-AttemptNumbers::AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, Begin begin)
+AttemptNumbers::AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, BeginTransaction begin)
     : state_(state),
       begin_(std::move(begin)),
       last_(version.value() << revision_bits),
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -23,9 +23,9 @@
     // How many numbers each revision of the key-value store stands for, as a power of two.
     static constexpr int revision_bits = 20;
     // A transaction on the condition that this leadership's key stands; nothing without authority.
-    using Begin = std::function<std::optional<protocol::Txn>()>;
+    using BeginTransaction = std::function<std::optional<protocol::Txn>()>;
 
-    AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, Begin begin);
+    AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, BeginTransaction begin);
     // Nothing while all numbers are used that are known to be this leadership's own.
     std::optional<protocol::AttemptNumber> next();
     // Asks for more when half of what one revision gives is left. To be called every now and then.
@@ -33,7 +33,7 @@
 
   private:
     kv::KvClient& state_;
-    Begin begin_;
+    BeginTransaction begin_;
     protocol::AttemptNumber last_;   // number given
     protocol::AttemptNumber bound_;  // numbers stay below it
     bool extending_ = false;
