--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -14,7 +14,7 @@
 
 AttemptNumbers::AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, BeginTransaction begin)
     : state_(state),
-      begin_(std::move(begin)),
+      begin_transaction_(std::move(begin)),
       last_(version.value() << revision_bits),
       bound_((version.value() + 1) << revision_bits) {}
 
@@ -25,7 +25,7 @@
 
 void AttemptNumbers::extend() {
     if (extending_ || bound_.value() - last_.value() > low_water) return;
-    auto transaction = begin_();
+    auto transaction = begin_transaction_();
     if (!transaction) return;
     // What is written does not matter, but that the revision grows while the leader's key stands.
     transaction->changes.push_back({kv::keys::attempts, "{}", 0});
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -33,7 +33,7 @@
 
   private:
     kv::KvClient& state_;
-    BeginTransaction begin_;
+    BeginTransaction begin_transaction_;
     protocol::AttemptNumber last_;   // number given
     protocol::AttemptNumber bound_;  // numbers stay below it
     bool extending_ = false;
