--- a/src/leader/attempt_numbers.cpp
+++ b/src/leader/attempt_numbers.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 AttemptNumbers::AttemptNumbers(kv::KvClient& state, protocol::LeaderVersion version, BeginTransaction begin)
-    : state_(state),
+    : kv_(state),
       begin_transaction_(std::move(begin)),
       last_(version.value() << revision_bits),
       bound_((version.value() + 1) << revision_bits) {}
@@ -30,13 +30,13 @@
     // What is written does not matter, but that the revision grows while the leader's key stands.
     transaction->changes.push_back({kv::keys::attempts, "{}", 0});
     extending_ = true;
-    state_.txn(
-        std::move(*transaction), kv::RequestPriority::write, guarded_([this](const kv::TxnResult& result) {
-            extending_ = false;
-            if (result.status != kv::TxnResult::Status::committed) return;  // asked again
-            bound_ = std::max(bound_, protocol::AttemptNumber{(result.revision + 1) << revision_bits});
-            spdlog::info("component=leader event=attempt_numbers_extended revision={}", result.revision);
-        }));
+    kv_.txn(std::move(*transaction), kv::RequestPriority::write,
+            guarded_([this](const kv::TxnResult& result) {
+                extending_ = false;
+                if (result.status != kv::TxnResult::Status::committed) return;  // asked again
+                bound_ = std::max(bound_, protocol::AttemptNumber{(result.revision + 1) << revision_bits});
+                spdlog::info("component=leader event=attempt_numbers_extended revision={}", result.revision);
+            }));
 }
 
 }  // namespace coralhitch::leader
--- a/src/leader/attempt_numbers.hpp
+++ b/src/leader/attempt_numbers.hpp
@@ -32,7 +32,7 @@
     void extend();
 
   private:
-    kv::KvClient& state_;
+    kv::KvClient& kv_;
     BeginTransaction begin_transaction_;
     protocol::AttemptNumber last_;   // number given
     protocol::AttemptNumber bound_;  // numbers stay below it
