--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -16,7 +16,7 @@
 constexpr double probe_sockets = 1.0 / 8;  // of all sockets
 // Report periods: what a machine that has reconciled said since then needs no probe.
 constexpr double recent_reports = 1.0 / 2;
-// Report periods in which a worker shows the token that it was answered with.
+// Report periods in which a worker shows the token that it was handle_response with.
 constexpr double answered_reports = 1.0 / 4;
 constexpr std::size_t requests_per_turn = 16;
 
@@ -129,8 +129,8 @@
         schedule_probes();
 }
 
-// It has reported meanwhile, or was answered and will say so in its next report, half a second later: of the
-// machines that a new leader must hear from, the reports of most lie waiting when it begins.
+// It has reported meanwhile, or was handle_response and will say so in its next report, half a second later:
+// of the machines that a new leader must hear from, the reports of most lie waiting when it begins.
 bool CommandSender::needs_no_probe(const Machine& machine) const {
     std::optional<double> since =
         machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
@@ -171,12 +171,12 @@
                        --probes_in_flight_;
                        if (auto* machine = state_.cluster.find(sent.machine_id)) machine->probing = false;
                    }
-                   answered(sent, response);
+                   handle_response(sent, response);
                    if (request == Request::probe && !probe_queue_.empty()) schedule_probes();
                }));
 }
 
-void CommandSender::answered(const SentCommands& sent, const std::optional<http::Response>& response) {
+void CommandSender::handle_response(const SentCommands& sent, const std::optional<http::Response>& response) {
     bool reached = response && has_status(*response);
     bool new_epoch = reached && apply_answer(sent.machine_id, *response);
     std::lock_guard lock(state_.mutex);
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -29,7 +29,7 @@
 // Sends commands and probes to machines, at a bounded rate, and takes in their answers.
 class CommandSender : private LeaderPart {
   public:
-    // A machine answered a direct request with this status.
+    // A machine handle_response a direct request with this status.
     using ApplyStatus = std::function<void(const protocol::Heartbeat& status)>;
     // Report periods: a new leader probes most machines only if they have not been heard from by then.
     static constexpr double first_probe_heartbeat_periods = 1.0 / 10;
@@ -47,7 +47,7 @@
     // Asks the machine for its status soon, if it has an address and is not being asked already. May be
     // called with the mutex held.
     void probe(cluster::Machine& machine);
-    // When a machine last answered a direct request, steady seconds.
+    // When a machine last handle_response a direct request, steady seconds.
     [[nodiscard]] std::optional<double> last_answer_at() const { return last_answer_at_; }
 
   private:
@@ -64,7 +64,7 @@
     void send_probe(cluster::Machine& machine);
     void wait_for_probe_tokens();
     void send(cluster::Machine& machine, std::vector<protocol::Command> commands);
-    void answered(const SentCommands& sent, const std::optional<http::Response>& response);
+    void handle_response(const SentCommands& sent, const std::optional<http::Response>& response);
     bool apply_answer(const std::string& machine_id, const http::Response& response);
 
     http::Requester& http_;
