--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -65,10 +65,10 @@
     auto& pool = state_.cluster.pools()[request.pool];
     cloud_.create_machines(
         {name, pool.type, pool.zone, pool.spot, request.count},
-        guarded_([this, name](const cloud::CreateMachinesResult& result) { answered(name, result); }));
+        guarded_([this, name](const cloud::CreateMachinesResult& result) { handle_response(name, result); }));
 }
 
-void FleetScaler::answered(const std::string& name, const cloud::CreateMachinesResult& result) {
+void FleetScaler::handle_response(const std::string& name, const cloud::CreateMachinesResult& result) {
     auto it = pending_.find(name);
     if (it == pending_.end()) return;
     auto& request = it->second;
--- a/src/leader/fleet_scaler.hpp
+++ b/src/leader/fleet_scaler.hpp
@@ -1,5 +1,5 @@
-// Scale out: asks the cloud for machines, each request again under the same name until it is answered, so
-// that nothing is created twice.
+// Scale out: asks the cloud for machines, each request again under the same name until it is handle_response,
+// so that nothing is created twice.
 //
 // Owns the requests without an answer and the pools that lately had no capacity. Adds the machines of an
 // answer to the cluster state, as booting; touches nothing else. Scale in is a deletion like any other: see
@@ -19,7 +19,7 @@
 
 namespace coralhitch::leader {
 
-// Carries out scale out: requests for machines until they are answered.
+// Carries out scale out: requests for machines until they are handle_response.
 class FleetScaler : private LeaderPart {
   public:
     // Whether nothing has lately been received from any machine of the zone, by its index.
@@ -46,7 +46,7 @@
     };
     void request(const autoscaler::ScaleOutRequest& request);
     void send(const std::string& name);
-    void answered(const std::string& name, const cloud::CreateMachinesResult& result);
+    void handle_response(const std::string& name, const cloud::CreateMachinesResult& result);
 
     cloud::CloudClient& cloud_;
     const std::vector<protocol::MachineType>& types_;
