--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 // Report periods until a request counts as unanswered.
-constexpr double probe_timeout_heartbeat_periods = 0.33, command_timeout_reports = 0.7;
+constexpr double probe_timeout_heartbeat_periods = 0.33, command_timeout_heartbeat_periods = 0.7;
 constexpr double probe_sockets = 1.0 / 8;  // of all sockets
 // Report periods: what a machine that has reconciled said since then needs no probe.
 constexpr double recent_reports = 1.0 / 2;
@@ -161,8 +161,9 @@
     // Most workers are in their first agent epoch still: a good guess saves the question.
     auto agent_epoch = std::max(protocol::AgentEpoch{1}, machine.agent_epoch);
     auto body = protocol::direct_commands(sent.token, agent_epoch, sent.commands);
-    double timeout = settings_.heartbeat_interval_s *
-                     (request == Request::probe ? probe_timeout_heartbeat_periods : command_timeout_reports);
+    double timeout =
+        settings_.heartbeat_interval_s *
+        (request == Request::probe ? probe_timeout_heartbeat_periods : command_timeout_heartbeat_periods);
     http_.send(machine.addr, {"POST", std::string(protocol::paths::commands), body}, timeout,
                guarded_([this, sent = std::move(sent), request,
                          sent_at = now()](const std::optional<http::Response>& response) {
