--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -15,7 +15,7 @@
 constexpr double probe_timeout_heartbeat_periods = 0.33, command_timeout_heartbeat_periods = 0.7;
 constexpr double probe_sockets = 1.0 / 8;  // of all sockets
 // Report periods: what a machine that has reconciled said since then needs no probe.
-constexpr double recent_reports = 1.0 / 2;
+constexpr double recent_heartbeat_periods = 1.0 / 2;
 // Report periods in which a worker shows the token that it was handle_response with.
 constexpr double answered_reports = 1.0 / 4;
 constexpr std::size_t requests_per_turn = 16;
@@ -135,7 +135,7 @@
     std::optional<double> since =
         machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
     double recent_s =
-        settings_.heartbeat_interval_s * (machine.reconciled ? recent_reports : answered_reports);
+        settings_.heartbeat_interval_s * (machine.reconciled ? recent_heartbeat_periods : answered_reports);
     return since && now() - *since < recent_s;
 }
 
