--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -17,7 +17,7 @@
 // Report periods: what a machine that has reconciled said since then needs no probe.
 constexpr double recent_heartbeat_periods = 1.0 / 2;
 // Report periods in which a worker shows the token that it was handle_response with.
-constexpr double answered_reports = 1.0 / 4;
+constexpr double token_echo_heartbeat_periods = 1.0 / 4;
 constexpr std::size_t requests_per_turn = 16;
 
 // Refused with a status: the worker's token is higher, or the agent epoch was wrong.
@@ -134,8 +134,8 @@
 bool CommandSender::needs_no_probe(const Machine& machine) const {
     std::optional<double> since =
         machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
-    double recent_s =
-        settings_.heartbeat_interval_s * (machine.reconciled ? recent_heartbeat_periods : answered_reports);
+    double recent_s = settings_.heartbeat_interval_s *
+                      (machine.reconciled ? recent_heartbeat_periods : token_echo_heartbeat_periods);
     return since && now() - *since < recent_s;
 }
 
