--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -13,7 +13,7 @@
 namespace {
 // Report periods until a request counts as unanswered.
 constexpr double probe_timeout_heartbeat_periods = 0.33, command_timeout_heartbeat_periods = 0.7;
-constexpr double probe_sockets = 1.0 / 8;  // of all sockets
+constexpr double probe_share_of_sockets = 1.0 / 8;  // of all sockets
 // Report periods: what a machine that has reconciled said since then needs no probe.
 constexpr double recent_heartbeat_periods = 1.0 / 2;
 // Report periods in which a worker shows the token that it was handle_response with.
@@ -102,7 +102,7 @@
 // A few in each turn of the loop: a new leader of 5,000 machines that probed an eighth of its sockets' worth
 // of them in one go lost its lease over it, and so did the next.
 void CommandSender::send_probes() {
-    auto most_in_flight = static_cast<std::size_t>(std::max(1.0, settings_.sockets * probe_sockets));
+    auto most_in_flight = static_cast<std::size_t>(std::max(1.0, settings_.sockets * probe_share_of_sockets));
     bool lacks_tokens = false;
     std::size_t left = probe_queue_.size();
     for (std::size_t sent = 0; sent < requests_per_turn && probes_in_flight_ < most_in_flight && left > 0;
