--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -9,7 +9,7 @@
 namespace coralhitch::leader {
 
 namespace {
-constexpr double tick_reports = 1.0 / 6;  // report periods from one tick to the next
+constexpr double tick_interval_heartbeat_periods = 1.0 / 6;  // report periods from one tick to the next
 }  // namespace
 
 Leader::Leader(LeaderDependencies dependencies, protocol::LeaderVersion version, std::uint64_t seed)
@@ -56,7 +56,7 @@
 void Leader::tick() {
     if (parts_.authority.ended()) return;
     auto& timers = parts_.dependencies.timers;
-    double interval_s = parts_.dependencies.settings.heartbeat_interval_s * tick_reports;
+    double interval_s = parts_.dependencies.settings.heartbeat_interval_s * tick_interval_heartbeat_periods;
     tick_timer_ = timers.after(interval_s, parts_.guarded([this] { tick(); }));
     parts_.heartbeats.begin_tick();
     parts_.dependency_resolver.retry();
