--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 // For how many report periods a pool that lacked capacity is not asked again.
-constexpr double no_capacity_reports = 3;
+constexpr double no_capacity_heartbeat_periods = 3;
 }  // namespace
 
 FleetScaler::FleetScaler(const PartContext& context, cloud::CloudClient& cloud,
@@ -76,7 +76,7 @@
     if (result.status == cloud::CreateMachinesResult::Status::failed) return;  // the next tick asks again
     if (static_cast<int>(result.machines.size()) < request.count)
         pools_without_capacity_[request.pool] =
-            timers_.now() + settings_.heartbeat_interval_s * no_capacity_reports;
+            timers_.now() + settings_.heartbeat_interval_s * no_capacity_heartbeat_periods;
     {
         std::lock_guard lock(state_.mutex);
         auto pool = state_.cluster.pools()[request.pool];
