--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -11,7 +11,7 @@
 using protocol::JobKind;
 
 namespace {
-constexpr std::size_t tasks_per_plan = 64;  // of one job that is neither a gang nor on probation
+constexpr std::size_t max_tasks_per_job_and_plan = 64;  // of one job that is neither a gang nor on probation
 
 // By the job's specification: its index in the scheduler's input.
 using JobIndex = std::unordered_map<const protocol::Job*, std::size_t>;
@@ -20,7 +20,7 @@
 std::vector<std::uint32_t> tasks_to_start(jobs::JobEntry& job) {
     if (job.is_crash_looping() && !job.active.empty()) return {};
     if (job.spec->kind == JobKind::gang) return job.pending_tasks(job.spec->tasks);
-    return job.pending_tasks(job.is_crash_looping() ? 1 : tasks_per_plan);
+    return job.pending_tasks(job.is_crash_looping() ? 1 : max_tasks_per_job_and_plan);
 }
 
 scheduler::JobView view_of(jobs::JobEntry& job, std::size_t zones, double now) {
