--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -12,10 +12,10 @@
 using protocol::JobKind;
 
 namespace {
-// Ratios to the report period.
+// Minimum intervals between two plans, and between two plans that cover the fleet, in heartbeat periods.
 constexpr double plan_interval_heartbeat_periods = 1.0 / 12;
 constexpr double fleet_plan_interval_heartbeat_periods = 1.0 / 2;
-// From the end of one plan to the next, in times of what it took.
+// Ratio of the minimum interval between the beginnings of two plans to the duration of the first.
 constexpr double idle_to_plan_time_ratio = 3;
 }  // namespace
 
@@ -23,11 +23,12 @@
                            std::uint64_t seed)
     : LeaderPart(context), parts_(parts), callbacks_(std::move(callbacks)), random_(seed) {}
 
-// A plan that takes long leaves the processor to the event loop for as long again and more: with thousands of
-// tasks waiting, plan upon plan kept heartbeats waiting until healthy machines counted as unreachable.
+// The interval grows with the duration of the last plan, up to one heartbeat period, so that slow plans leave
+// processor time to the event loop. With thousands of waiting tasks, back-to-back plans delayed heartbeats
+// until healthy machines were considered unreachable.
 double PlanExecutor::minimum_interval_s() const {
-    double idle_s = std::min(last_plan_s_ * idle_to_plan_time_ratio, settings_.heartbeat_interval_s);
-    return std::max(settings_.heartbeat_interval_s * plan_interval_heartbeat_periods, idle_s);
+    double load_limit_s = std::min(last_plan_s_ * idle_to_plan_time_ratio, settings_.heartbeat_interval_s);
+    return std::max(settings_.heartbeat_interval_s * plan_interval_heartbeat_periods, load_limit_s);
 }
 
 void PlanExecutor::request_plan() {
@@ -48,14 +49,14 @@
 }
 
 void PlanExecutor::begin_plan() {
-    // Unless it was replicated from the previous leader, a new leader can't know what unreconciled machines
-    // hold, so neither a task, a quota nor a zone is safe.
+    // A new leader does not know what unreconciled machines run, unless it holds a replica of the previous
+    // leader's state. A placement could then start a task twice, or violate a quota or a zone limit.
     if (computing_ || !callbacks_.loaded() || !authority_.holds() ||
         !parts_.reconciliation.placement_allowed())
         return;
     auto plan = std::make_shared<Plan>();
     plan->with_fleet = fleet_plan_due();
-    // Most plans found nothing to place: each copied the whole fleet to see that.
+    // Most plans found nothing to place, and each of them copied the whole fleet to find that out.
     if (!plan->with_fleet && !has_startable_tasks(state_, now())) return;
     computing_ = true;
     last_plan_at_ = now();
@@ -68,7 +69,7 @@
         computing_ = false;
         apply(*plan);
     });
-    // The leader must not go while the planner's thread reads its state.
+    // `leader` keeps the leader alive while the planner's thread reads its state.
     parts_.planner.submit([this, leader = guarded_.owner(), plan, seed, done]() -> event_loop::Task {
         compute(*plan, seed);
         return done;
@@ -121,12 +122,13 @@
 std::vector<PlannedStart> PlanExecutor::apply_starts(const Plan& plan) {
     std::vector<PlannedStart> started;
     std::span<const scheduler::Start> starts = plan.out.starts;
-    if (starts.empty()) return started;  // most plans, and the sum walks the whole fleet
+    // Most plans start nothing, and summing up the usage of the teams iterates over the whole fleet.
+    if (starts.empty()) return started;
     auto used = cluster::team_usage(state_.cluster, settings_.teams);
     for (std::size_t first = 0; first < starts.size();) {
         auto count = group_size(plan, first);
         auto attempt = parts_.attempts.next();
-        if (!attempt) break;  // the next plan starts the rest
+        if (!attempt) break;  // attempt numbers are used up; a later plan starts the remaining tasks
         start_group(plan, starts.subspan(first, count), *attempt, used, started);
         first += count;
     }
@@ -145,7 +147,7 @@
     std::vector<PlacedInstance> placed;
     for (auto& start : group) {
         auto* machine = state_.cluster.find(plan.in.machines[start.machine].id);
-        // No command was sent so far: all tasks of a gang or none.
+        // No command has been sent for the group yet, so a gang is started either as a whole or not at all.
         if (!machine || !may_start(*job, start.task, *machine, zones) ||
             !scheduler::team_allows(*team, used[spec.team], spec.request))
             return undo_placements(*job, placed, used);
@@ -214,7 +216,7 @@
 
 void PlanExecutor::log_plan(const Plan& plan) const {
     if (!spdlog::should_log(spdlog::level::debug)) return;
-    std::array<std::size_t, 3> unplaced{};  // by the kind of the job
+    std::array<std::size_t, 3> unplaced{};  // number of tasks, indexed by JobKind
     for (auto& [job, count] : plan.out.unplaced)
         unplaced[static_cast<std::size_t>(plan.in.jobs[job].spec->kind)] += count;
     std::size_t usable = 0, empty = 0;
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -1,9 +1,13 @@
-// Plans: decides when to make one, has it made on the planner's thread from a snapshot, and applies it.
+// Decides when to compute a plan, has the planner's thread compute it from a snapshot of the state, and
+// applies the result.
 //
-// Owns when plans were made and how long they took. Applying one changes the cluster state and the job table
-// (starts and stops; every start is checked again, since heartbeats and cancellations have come in since the
-// snapshot), and goes on through the FleetScaler and the callbacks. Public functions are for the event loop's
-// thread; `compute` alone runs on the planner's, and only reads the state, under its mutex.
+// The PlanExecutor owns the times at which plans began and the duration of the last plan. Applying a plan
+// starts and stops tasks in the cluster state and the job table, requests machines from the FleetScaler, and
+// calls the callbacks. Every start is validated again, since heartbeats and cancellations may have arrived
+// after the snapshot was taken.
+//
+// Public functions must be called on the event loop's thread. Only `compute` runs on the planner's thread. It
+// reads the state with the state's mutex locked.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -29,16 +33,16 @@
 
 namespace coralhitch::leader {
 
-// A task that a plan has placed on a machine; no command was sent so far.
+// A task that an applied plan has placed on a machine, before any command for it is sent.
 struct PlannedStart {
     std::string machine;
     protocol::TaskId task;
 };
 
-// Makes and applies plans, one at a time.
+// Computes and applies plans, one at a time.
 class PlanExecutor : private LeaderPart {
   public:
-    // References to other parts of the leader; they must outlive this one.
+    // The other parts of the leader that plans use. They must outlive the PlanExecutor.
     struct Parts {
         Planner& planner;
         FleetScaler& fleet_scaler;
@@ -47,35 +51,39 @@
         cluster::TeamActivity& team_activity;
         metrics::Metrics& metrics;
     };
+    // Queries and events that connect the PlanExecutor to parts that are constructed later.
     struct Callbacks {
-        // Whether jobs and machines are loaded from the key-value store.
+        // Returns true once jobs and machines have been loaded from the key-value store.
         std::function<bool()> loaded;
-        // Whether the cloud has listed the machines since this leadership began. Before that, nothing is
-        // asked for: what an earlier leader asked for last is known from that list alone.
+        // Returns true once the cloud has listed the machines since this leadership began. No machines are
+        // requested before then, because only that list shows what an earlier leader requested last.
         std::function<bool()> machines_listed;
-        // Called with the state's mutex held.
-        std::function<void(cluster::Machine&, const char* why)> mark_for_deletion;
-        // A plan was applied, and these are its starts, also if there are none. Sends what may be sent.
+        // Marks a machine for deletion. Called with the state's mutex locked.
+        std::function<void(cluster::Machine&, const char* reason)> mark_for_deletion;
+        // Called after each applied plan with the tasks that it started, which may be none. Sends the
+        // commands that may be sent.
         std::function<void(const std::vector<PlannedStart>&)> plan_applied;
     };
-    // `seed` is that of the random draws of the plans.
+    // `seed` initializes the random number generator that draws the seed of each plan.
     PlanExecutor(const PartContext& context, const Parts& parts, Callbacks callbacks, std::uint64_t seed);
 
-    // Makes a plan as soon as the minimum interval since the last one allows. Of several requests before then
-    // the first counts.
+    // Begins a plan as soon as the minimum interval since the beginning of the last plan has passed. Further
+    // requests before then have no effect.
     void request_plan();
 
   private:
+    // One plan: the snapshots that it is computed from, and its decisions.
     struct Plan {
-        scheduler::Input in;  // after the plan: with what it starts
+        scheduler::Input in;  // snapshot; the scheduler adds the starts that it decides on
         scheduler::Decisions out;
-        // Whether the fleet is planned, too; if not, the two below stay empty.
+        // True if the plan also covers scale-out and scale-in. Otherwise `fleet_in` and `fleet_out` are
+        // empty.
         bool with_fleet = false;
         autoscaler::Input fleet_in;
         autoscaler::Decisions fleet_out;
     };
     using TeamUsage = std::map<std::string, protocol::Resources>;
-    // A start of a plan that has been entered in the state.
+    // An instance that the plan being applied has added to the cluster state and the job table.
     struct PlacedInstance {
         cluster::Machine* machine = nullptr;
         std::uint32_t task = 0;
@@ -84,17 +92,18 @@
     [[nodiscard]] double minimum_interval_s() const;
     [[nodiscard]] bool fleet_plan_due() const;
     void begin_plan();
-    // On the planner's thread.
+    // Computes the plan. Runs on the planner's thread.
     void compute(Plan& plan, std::uint64_t seed) const;
 
     void apply(const Plan& plan);
-    // The three with the state's mutex held.
+    // The caller of `apply_starts`, `apply_stops` and `apply_scale_in` holds the state's mutex.
     std::vector<PlannedStart> apply_starts(const Plan& plan);
     void apply_stops(const Plan& plan);
     void apply_scale_in(const Plan& plan);
-    // How many starts from this index on go together: all of a gang, or one.
+    // Returns how many starts, beginning at index `first`, must be applied together: all starts of a gang,
+    // or one start of any other job.
     [[nodiscard]] static std::size_t group_size(const Plan& plan, std::size_t first);
-    // Enters all starts of the group in the state, or none.
+    // Adds all starts of the group to the state, or none of them.
     void start_group(const Plan& plan, std::span<const scheduler::Start> group,
                      protocol::AttemptNumber attempt, TeamUsage& used, std::vector<PlannedStart>& started);
     static void undo_placements(jobs::JobEntry& job, std::span<const PlacedInstance> placed, TeamUsage& used);
@@ -107,12 +116,12 @@
     Parts parts_;
     Callbacks callbacks_;
     std::mt19937_64 random_;
-    bool requested_ = false;              // a timer is set that begins a plan
-    bool computing_ = false;              // one is with the planner
-    double last_plan_s_ = 0;              // how long the last one took, seconds
-    std::optional<double> last_plan_at_;  // when the last one began (steady seconds)
-    // When the last one with the fleet began (steady seconds). Before the first one -1 rather than nothing:
-    // while the clock is younger than the interval, the first one waits too.
+    bool requested_ = false;              // a timer that begins a plan is set
+    bool computing_ = false;              // a plan was submitted to the planner and has not been applied
+    double last_plan_s_ = 0;              // time from the beginning of the last plan to its result, seconds
+    std::optional<double> last_plan_at_;  // when the last plan began (steady seconds)
+    // When the last plan that covered the fleet began (steady seconds). The initial value is -1 rather than
+    // an empty optional, so that the first fleet plan also waits until the clock has reached the interval.
     double last_fleet_plan_at_ = -1;
 };
 
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -11,12 +11,14 @@
 using protocol::JobKind;
 
 namespace {
-constexpr std::size_t max_tasks_per_job_and_plan = 64;  // of one job that is neither a gang nor on probation
+// Maximum number of tasks of one job in a plan. Gangs are offered as a whole, crash-looping jobs one task at
+// a time.
+constexpr std::size_t max_tasks_per_job_and_plan = 64;
 
-// By the job's specification: its index in the scheduler's input.
+// Maps the job's specification to the index of the job in the scheduler's input.
 using JobIndex = std::unordered_map<const protocol::Job*, std::size_t>;
 
-// Tasks of the job that the plan may start.
+// Returns the indexes of the job's tasks that the plan may start.
 std::vector<std::uint32_t> tasks_to_start(jobs::JobEntry& job) {
     if (job.is_crash_looping() && !job.active.empty()) return {};
     if (job.spec->kind == JobKind::gang) return job.pending_tasks(job.spec->tasks);
@@ -51,7 +53,7 @@
     return view;
 }
 
-// Adds the machine, and what is on it of the jobs of the input.
+// Adds the machine, and those of its instances whose jobs are part of the input.
 void add_machine(scheduler::Input& in, const Machine& machine, const JobIndex& job_index) {
     auto view = view_of(machine, in.now);
     for (auto& [task, instance] : machine.tasks) {
@@ -99,7 +101,7 @@
     in.jobs.reserve(state.jobs.entries().size());
     JobIndex job_index;
     for (auto& [id, job] : state.jobs.entries()) {
-        // Waits for other jobs: holds no part of a quota, preempts nobody, no machine is created for it.
+        // A job that waits for dependencies uses no quota, preempts no task, and causes no scale-out.
         if (job.is_blocked() && job.active.empty()) continue;
         job_index[job.spec.get()] = in.jobs.size();
         in.jobs.push_back(view_of(job, in.zones, in.now));
@@ -124,7 +126,7 @@
         bool suspected = machine->is_suspect() && machine->usable_unless_suspect(planned.now) &&
                          !machine->has_instance_of_unknown_job();
         if (!booting && !view.usable && !suspected) continue;
-        // With what the plan has just decided to start.
+        // Free resources, tasks and services include the starts that this plan has decided on.
         autoscaler::MachineView out;
         out.id = view.id;
         out.pool = view.pool;
--- a/src/leader/plan_snapshot.hpp
+++ b/src/leader/plan_snapshot.hpp
@@ -1,7 +1,8 @@
-// What a plan is made from: copies of the cluster state and the job table, as plain values of the scheduler
-// and the autoscaler. Functions only; they own nothing.
+// Snapshots of the cluster state and the job table, as input values for the scheduler and the autoscaler.
 //
-// Called on the planner's thread, with the state's mutex held by the caller.
+// The functions read LeaderState and keep no state of their own. The planner's thread calls them with the
+// state's mutex locked. The event loop's thread may call those that take a JobEntry, and
+// `has_startable_tasks`, without it.
 #pragma once
 #include <vector>
 
@@ -12,24 +13,27 @@
 
 namespace coralhitch::leader {
 
-// The moment of a snapshot.
+// The time of a snapshot, on both clocks.
 struct SnapshotTime {
     double now = 0;       // steady seconds
     double unix_now = 0;  // seconds since 1970
 };
 
-// Whether tasks of the job may start at that moment (steady seconds), as far as it is up to the job.
+// Returns true if the state of the job allows its tasks to start at `now` (steady seconds). Resources, quotas
+// and zone limits are not considered.
 [[nodiscard]] bool may_start_tasks(const jobs::JobEntry& job, double now);
-// Whether any job has tasks that may start at that moment (steady seconds).
+// Returns true if any job has pending tasks that its state allows to start at `now` (steady seconds).
 [[nodiscard]] bool has_startable_tasks(LeaderState& state, double now);
-// In how many tasks of the job each zone has a share; `zones`: how many zones there are.
+// Returns the number of active tasks of the job in each zone, by zone index. `zones` is the number of zones.
 [[nodiscard]] scheduler::ZoneCounts zone_counts(const jobs::JobEntry& job, std::size_t zones);
 
-// All machines, the jobs that hold or may take places, and what the teams use.
+// Returns the scheduler's input: all machines, the resources that each team uses, and all jobs except those
+// that wait for dependencies and have no active tasks.
 [[nodiscard]] scheduler::Input scheduler_input(LeaderState& state, const std::vector<config::Team>& teams,
                                                const SnapshotTime& time);
-// Adds to `in` the machines that can be counted on and the demand that found no place. `planned` is the
-// scheduler's input as the plan left it, with what it decided to start. `now` in steady seconds.
+// Adds to `in` the machines that are usable, booting or suspected, the number of all other machines, and the
+// tasks that the scheduler could not place. `planned` is the scheduler's input after planning, including the
+// starts that were decided. `now` is in steady seconds.
 void add_machines_and_demand(autoscaler::Input& in, LeaderState& state, const scheduler::Input& planned,
                              const scheduler::Decisions& decisions, double now);
 
--- a/src/leader/planner.hpp
+++ b/src/leader/planner.hpp
@@ -1,4 +1,5 @@
-// Runs planning beside the loop: on a thread of its own in the daemon, at once in simulated time.
+// Runs the computation of plans outside the event loop. The daemon uses a separate thread, and simulations
+// compute plans in simulated time.
 #pragma once
 #include <condition_variable>
 #include <functional>
@@ -10,22 +11,22 @@
 
 namespace coralhitch::leader {
 
-// Where planning runs. One piece of work at a time.
+// Executes the computation of plans, one at a time.
 class Planner {
   public:
-    // The work runs beside the loop and returns what the loop is to do with its result.
+    // Work runs outside the event loop and returns a task that applies its result on the event loop.
     using Work = std::function<event_loop::Task()>;
     virtual ~Planner() = default;
-    // Starts the work. What was submitted before must have ended.
+    // Starts the work. Work that was submitted earlier must have finished.
     virtual void submit(Work work) = 0;
 };
 
-// Runs the work on a thread of its own, and posts its result to the loop.
+// Runs the work on a thread of its own, and posts the task that it returns to the event loop.
 class ThreadPlanner : public Planner {
   public:
-    // The loop must outlive the planner.
+    // Starts the thread. The loop must outlive the planner.
     explicit ThreadPlanner(event_loop::EventLoop& loop);
-    // Waits for the work under way.
+    // Waits for running work to finish, and joins the thread. Work that has not begun is discarded.
     ~ThreadPlanner() override;
     void submit(Work work) override;
 
--- a/tests/leader/plan_executor_test.cpp
+++ b/tests/leader/plan_executor_test.cpp
@@ -1,4 +1,6 @@
-// Plans are made when something waits, and what they start is checked again when they are applied.
+// PlanExecutor: computes a plan only if tasks wait and the state is loaded, and validates every start again
+// when the plan is applied. Heartbeats, cancellations or the end of the leadership between the snapshot and
+// the application must not lead to a start that is no longer allowed.
 #include "leader/plan_executor.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +11,8 @@
 namespace coralhitch::leader {
 namespace {
 
-// Keeps the work until the test has it done: things can happen between a plan and its application.
+// Queues submitted work until the test runs it, so that a test can change the state between the snapshot and
+// the application of a plan.
 class HeldPlanner : public Planner {
   public:
     void submit(Work work) override { works.push_back(std::move(work)); }
@@ -55,7 +58,7 @@
     }
     HeldPlanner planner;
     metrics::Metrics metrics;
-    std::vector<protocol::MachineType> no_types;  // so that no plan is one of the fleet, too
+    std::vector<protocol::MachineType> no_types;  // without machine types, no plan covers the fleet
     cloud::CloudClient cloud{timers, network, settings};
     FleetScaler scaler{*context, cloud, no_types, [](std::size_t) { return false; }};
     AttemptNumbers attempts{kv, authority->fencing_token(),
@@ -87,7 +90,7 @@
     EXPECT_EQ(bench.state->jobs.find("j-000001")->active.size(), 3u);
 }
 
-TEST(PlanExecutor, MakesNoPlanIfNothingWaitsOrNothingIsLoaded) {
+TEST(PlanExecutor, ComputesNoPlanIfNoTaskWaitsOrTheStateIsNotLoaded) {
     Bench bench;
     bench.plan();
     EXPECT_TRUE(bench.planner.results.empty());
@@ -97,7 +100,7 @@
     EXPECT_TRUE(bench.planner.results.empty());
 }
 
-TEST(PlanExecutor, ChecksStartsAgainWhenItAppliesThem) {
+TEST(PlanExecutor, ValidatesStartsAgainWhenAPlanIsApplied) {
     Bench bench;
     bench.add_job("j-000001", 3);
     bench.add_job("j-000002", 2);
@@ -110,7 +113,7 @@
 
 TEST(PlanExecutor, StartsAllOfAGangOrNone) {
     Bench bench;
-    bench.add_gang("j-000001", 2, 10);  // one task to a machine
+    bench.add_gang("j-000001", 2, 10);  // 10 of 16 CPUs: one task per machine
     bench.plan();
     bench.state->cluster.find("vm-2")->suspected = true;
     bench.planner.apply();
--- a/tests/leader/plan_snapshot_test.cpp
+++ b/tests/leader/plan_snapshot_test.cpp
@@ -1,4 +1,5 @@
-// What the scheduler and the autoscaler get to see of the state.
+// Plan snapshots: the scheduler's input excludes jobs that wait for dependencies and tasks that must not
+// start yet, and the autoscaler's input contains only machines whose capacity it may count on.
 #include "leader/plan_snapshot.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
     }
 };
 
-TEST(PlanSnapshot, LeavesOutJobsThatAwaitOthers) {
+TEST(PlanSnapshot, ExcludesJobsThatWaitForDependencies) {
     Bench bench;
     bench.add_job("j-000001", 3);
     bench.add_job("j-000002", 2, {"j-000001"});
@@ -25,7 +26,7 @@
     EXPECT_TRUE(has_startable_tasks(*bench.state, bench.timers.now()));
 }
 
-TEST(PlanSnapshot, StartsNoTaskOfAJobThatMayNotStartAny) {
+TEST(PlanSnapshot, OffersNoTaskOfAJobInBackoffOrWithOrphanedInstances) {
     Bench bench;
     auto& job = bench.add_job("j-000001", 3);
     EXPECT_TRUE(may_start_tasks(job, bench.timers.now()));
@@ -42,7 +43,7 @@
     EXPECT_TRUE(in.jobs[0].waiting_tasks.empty());
 }
 
-TEST(PlanSnapshot, TriesAJobOnProbationOneTaskAtATime) {
+TEST(PlanSnapshot, OffersACrashLoopingJobOneTaskAtATime) {
     Bench bench;
     auto& job = bench.add_job("j-000001", 3);
     job.consecutive_failures = jobs::JobEntry::crash_loop_threshold + 1;
@@ -51,7 +52,7 @@
     EXPECT_TRUE(bench.input().jobs.at(0).waiting_tasks.empty());
 }
 
-TEST(PlanSnapshot, CountsTheMachinesThatTheAutoscalerCannotRelyOn) {
+TEST(PlanSnapshot, CountsMachinesThatAreNotAvailableToTheAutoscaler) {
     Bench bench;
     using Life = cluster::Machine::Life;
     auto& cluster = bench.state->cluster;
