--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -16,7 +16,7 @@
 constexpr double plan_interval_heartbeat_periods = 1.0 / 12;
 constexpr double fleet_plan_interval_heartbeat_periods = 1.0 / 2;
 // Ratio of the minimum interval between the beginnings of two plans to the duration of the first.
-constexpr double idle_to_plan_time_ratio = 3;
+constexpr double plan_interval_to_duration_ratio = 3;
 }  // namespace
 
 PlanExecutor::PlanExecutor(const PartContext& context, const Parts& parts, Callbacks callbacks,
@@ -27,7 +27,8 @@
 // processor time to the event loop. With thousands of waiting tasks, back-to-back plans delayed heartbeats
 // until healthy machines were considered unreachable.
 double PlanExecutor::minimum_interval_s() const {
-    double load_limit_s = std::min(last_plan_s_ * idle_to_plan_time_ratio, settings_.heartbeat_interval_s);
+    double load_limit_s =
+        std::min(last_plan_s_ * plan_interval_to_duration_ratio, settings_.heartbeat_interval_s);
     return std::max(settings_.heartbeat_interval_s * plan_interval_heartbeat_periods, load_limit_s);
 }
 
