--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -11,16 +11,19 @@
 using cluster::Machine;
 
 namespace {
-// Report periods until a request counts as unanswered.
+// Request timeouts, in heartbeat periods.
 constexpr double probe_timeout_heartbeat_periods = 0.33, command_timeout_heartbeat_periods = 0.7;
-constexpr double probe_share_of_sockets = 1.0 / 8;  // of all sockets
-// Report periods: what a machine that has reconciled said since then needs no probe.
+constexpr double probe_share_of_sockets =
+    1.0 / 8;  // maximum share of all sockets that probes in flight may use
+// A reconciled machine needs no probe if its last heartbeat is at most this old, in heartbeat periods.
 constexpr double recent_heartbeat_periods = 1.0 / 2;
-// Report periods in which a worker shows the token that it was handle_response with.
+// Time within which an agent's next heartbeat carries the fencing token from the last response, in heartbeat
+// periods.
 constexpr double token_echo_heartbeat_periods = 1.0 / 4;
 constexpr std::size_t requests_per_turn = 16;
 
-// Refused with a status: the worker's token is higher, or the agent epoch was wrong.
+// Returns true if the agent rejected the request but sent its status: it has seen a higher fencing token, or
+// the request carried a wrong agent epoch.
 bool is_refused(const http::Response& response) {
     return response.status == 409 || response.status == 400;
 }
@@ -29,8 +32,9 @@
 }
 }  // namespace
 
-double CommandSender::probes_within(const config::Settings& settings, double reports) {
-    return std::max(1.0, config::status_queries_per_s(settings) * settings.heartbeat_interval_s * reports);
+double CommandSender::probes_within(const config::Settings& settings, double heartbeat_periods) {
+    return std::max(
+        1.0, config::status_queries_per_s(settings) * settings.heartbeat_interval_s * heartbeat_periods);
 }
 
 CommandSender::CommandSender(const PartContext& context, http::Requester& http, Delegations& delegations,
@@ -57,8 +61,8 @@
     if (idle) flush_some();
 }
 
-// A few at a time: a plan may start a thousand tasks, and to send them all in one go took so long that the
-// lease ran out meanwhile.
+// Sends a few requests per iteration of the event loop. A plan may start a thousand tasks, and sending all
+// commands in one iteration took so long that the leader's lease expired.
 void CommandSender::flush_some() {
     for (std::size_t sent = 0; sent < requests_per_turn && !flush_queue_.empty(); ++sent) {
         auto* machine = state_.cluster.find(flush_queue_.front());
@@ -81,7 +85,8 @@
     if (!commands.empty()) send(machine, std::move(commands));
 }
 
-// Only some at a time: a failover probes hundreds, which must fit into the sockets and the processor's share.
+// Probes are queued rather than sent at once. A failover probes hundreds of machines, and these requests must
+// fit into the available sockets and the processor share for status queries.
 void CommandSender::probe(Machine& machine) {
     if (machine.addr.empty()) return;
     machine.last_probe_at = now();
@@ -99,8 +104,8 @@
                   }));
 }
 
-// A few in each turn of the loop: a new leader of 5,000 machines that probed an eighth of its sockets' worth
-// of them in one go lost its lease over it, and so did the next.
+// Sends a few probes per iteration of the event loop. A new leader of 5,000 machines that sent probes on an
+// eighth of its sockets in one iteration lost its lease because of that, and so did the next leader.
 void CommandSender::send_probes() {
     auto most_in_flight = static_cast<std::size_t>(std::max(1.0, settings_.sockets * probe_share_of_sockets));
     bool lacks_tokens = false;
@@ -114,7 +119,8 @@
             machine->probing = false;
             continue;
         }
-        // While probes took all of a small share, reports that would have reconciled as many lay unread.
+        // Without this limit, probes used up a small processor share while heartbeats that would have
+        // reconciled as many machines were waiting to be read.
         if (!machine->reconciled && !probe_tokens_.has(now())) {
             probe_queue_.push_back(machine->id);
             lacks_tokens = true;
@@ -129,8 +135,9 @@
         schedule_probes();
 }
 
-// It has reported meanwhile, or was handle_response and will say so in its next report, half a second later:
-// of the machines that a new leader must hear from, the reports of most lie waiting when it begins.
+// Returns true if a reconciled machine has sent a heartbeat recently, or an unreconciled machine was sent
+// this leader's fencing token recently. The agent's next heartbeat, half a second later, carries that token
+// and reconciles the machine. When a new leader starts, heartbeats of most machines are already waiting.
 bool CommandSender::needs_no_probe(const Machine& machine) const {
     std::optional<double> since =
         machine.reconciled ? machine.last_heartbeat_at : machine.unreconciled_reply_at;
@@ -158,7 +165,8 @@
 void CommandSender::send(Machine& machine, std::vector<protocol::Command> commands) {
     SentCommands sent{machine.id, std::move(commands), machine.token};
     auto request = sent.commands.empty() ? Request::probe : Request::commands;
-    // Most workers are in their first agent epoch still: a good guess saves the question.
+    // Most agents are in their first epoch, so guessing 1 for an unknown epoch usually saves a request that
+    // only returns the epoch.
     auto agent_epoch = std::max(protocol::AgentEpoch{1}, machine.agent_epoch);
     auto body = protocol::direct_commands(sent.token, agent_epoch, sent.commands);
     double timeout =
@@ -188,14 +196,15 @@
     else
         machine->reachability.record_unanswered_command(now());
     state_.cluster.complete_direct_commands(*machine, sent.commands, sent.token, reached);
-    // The rejection carried the agent epoch: probe again at once, so that the machine reconciles.
+    // The rejection contained the agent epoch. Probe again at once with that epoch, to reconcile the machine.
     if (reached && is_refused(*response) && new_epoch && !machine->reconciled)
         timers_.after(0, guarded_([this, id = sent.machine_id] {
                           if (auto* again = state_.cluster.find(id)) probe(*again);
                       }));
 }
 
-// Whether it carried an agent epoch above the one that was known.
+// Applies the status in the response. Returns true if it contains a higher agent epoch than was known. Logs a
+// malformed response and returns false.
 bool CommandSender::apply_answer(const std::string& machine_id, const http::Response& response) {
     last_answer_at_ = now();
     bool new_epoch = false;
@@ -204,7 +213,8 @@
         auto* before = state_.cluster.find(machine_id);
         new_epoch = before && before->agent_epoch < status.agent_epoch;
         if (status.machine == machine_id) apply_status_(status);
-        // The reply that a relay would go on giving may be out of date.
+        // The response that a relay continues to give may be out of date: commands are pending, or the
+        // machine's last heartbeat did not show all instances that are known to be on it.
         if (auto* machine = state_.cluster.find(machine_id);
             machine && !state_.cluster.nothing_pending(*machine))
             delegations_.revoke(machine_id);
--- a/src/leader/command_sender.hpp
+++ b/src/leader/command_sender.hpp
@@ -1,13 +1,14 @@
-// Direct requests to machines: commands that can't wait for the next heartbeat's answer, and probes, which
-// ask for a status and make the worker take this leader's token. Also what became of each.
+// Sends direct requests to machines and processes the responses. Requests carry either commands that cannot
+// wait for the response to the next heartbeat, or no commands. A request without commands is a probe: it asks
+// for the agent's status and gives the agent this leader's fencing token.
 //
-// Owns the queue of machines to probe, the queue of machines with commands to send, and the rate at which
-// machines that have not reconciled are probed. Writes the probe's times and state of a machine, its
-// reachability, and which commands are under way. An answer is a status like a heartbeat and goes to
-// `apply_status`.
+// The CommandSender owns the queue of machines to probe, the queue of machines with commands to send, and the
+// rate limit for probes of machines that have not reconciled. In a machine's state it writes the time and
+// state of its probes, its reachability, and which commands are in flight. The status in a response has the
+// format of a heartbeat and is passed to `apply_status`.
 //
-// On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold it, except where a
-// function says otherwise.
+// All functions must be called on the event loop's thread. They lock LeaderState::mutex themselves, so the
+// caller must not hold it, except where a function says otherwise.
 #pragma once
 #include <deque>
 #include <functional>
@@ -26,35 +27,39 @@
 
 namespace coralhitch::leader {
 
-// Sends commands and probes to machines, at a bounded rate, and takes in their answers.
+// Sends commands and probes to machines in small batches, and processes their responses.
 class CommandSender : private LeaderPart {
   public:
-    // A machine handle_response a direct request with this status.
+    // Called with the status that a machine sent in response to a direct request.
     using ApplyStatus = std::function<void(const protocol::Heartbeat& status)>;
-    // Report periods: a new leader probes most machines only if they have not been heard from by then.
+    // Time after its start, in heartbeat periods, at which a new leader probes the machines that have not
+    // reconciled by then. Only a sample of the machines is probed earlier.
     static constexpr double first_probe_heartbeat_periods = 1.0 / 10;
-    // As many probes as the processor's share answers in so many report periods; at least one.
-    [[nodiscard]] static double probes_within(const config::Settings& settings, double reports);
+    // Returns how many probes this controller can process in the given number of heartbeat periods with the
+    // share of the processor that config::status_queries_per_s allows. Returns at least 1.
+    [[nodiscard]] static double probes_within(const config::Settings& settings, double heartbeat_periods);
 
     CommandSender(const PartContext& context, http::Requester& http, Delegations& delegations,
                   failover::Reconciliation& reconciliation, ApplyStatus apply_status);
 
-    // Sends what is due to all machines that the cluster state names, a few in each turn of the loop. Their
-    // delegations are revoked: a relay would go on giving an answer without commands.
+    // Sends pending commands to all machines that the cluster state has scheduled for that, a few in each
+    // iteration of the event loop. Revokes the delegations of these machines, because a relay would continue
+    // to answer their heartbeats without commands.
     void flush_all();
-    // Sends what is due to this machine.
+    // Sends the commands that are pending for this machine, if there are any and its agent epoch is known.
     void flush(cluster::Machine& machine);
-    // Asks the machine for its status soon, if it has an address and is not being asked already. May be
-    // called with the mutex held.
+    // Queues a probe of the machine, unless its address is unknown or a probe is already queued or in flight.
+    // May be called with the mutex held.
     void probe(cluster::Machine& machine);
-    // When a machine last handle_response a direct request, steady seconds.
+    // Returns the time of the last response with a status to a direct request (steady seconds).
     [[nodiscard]] std::optional<double> last_answer_at() const { return last_answer_at_; }
 
   private:
     enum class Request { probe, commands };
+    // A direct request that was sent.
     struct SentCommands {
         std::string machine_id;
-        std::vector<protocol::Command> commands;  // none: a probe
+        std::vector<protocol::Command> commands;  // empty for a probe
         protocol::FencingToken token;
     };
     void flush_some();
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -47,8 +47,8 @@
         auto slash = rest.find('/');
         auto job_id = rest.substr(0, slash);
         if (!state_.jobs.find(job_id)) {
-            // Left over from a job that is over. One whose record can't be read is live and may be known to
-            // other versions.
+            // The record of progress remains from a job that has ended. A job whose record cannot be read is
+            // still live, and other software versions may be able to read it, so its progress is kept.
             if (!live.contains(job_id)) parts_.stale_keys.add(entry.key);
             continue;
         }
@@ -76,14 +76,16 @@
     if (silent != predecessor_.silent_machine_s.end() && machine.known_from_replica)
         machine.silence_hint_s = silent->second;
     parts_.failure_detector.record_heartbeat(state_.zone_of(machine), now() - machine.silence_hint_s);
-    // The previous leader may have gone on renewing leases for a while.
+    // The previous leader may have continued to renew leases for this long after its authority ended.
     machine.lease_renewed_at = now() + authority_.renewal_after_expiry_s();
 }
 
-// The replica's row says all that may be on the machine: see docs/replication.md. The machine is not used
-// before it has reconciled. The previous leader replicated all machines that were stored when it came to
-// lead, and each other one before the first `run` to it: of what it never replicated, or as deleted, nothing
-// is left.
+// Adds the instances in the machine's replica row to the cluster state. The row contains every instance that
+// may be on the machine; see docs/replication.md. The machine is not used before it has reconciled.
+//
+// A machine without a row has no instances. The previous leader replicated all machines that were stored when
+// it was elected, and every other machine before it sent the first `run` to it. So a machine that it never
+// replicated, or replicated as deleted, holds no instance.
 void Recovery::restore_from_replica(Machine& machine) {
     auto& rows = predecessor_.replica.machines;
     auto row = rows.find(machine.id);
@@ -116,13 +118,15 @@
     hooks_.ready();
 }
 
-// With some of the machines placing can begin. Of the rest most heartbeats lie waiting or come within a
-// period: a probe costs three times as much as a heartbeat that is passed on. Those of which nothing is known
-// hold up all placing.
+// Probes a sample of the machines at once, because placement can begin with a part of the fleet. Most
+// heartbeats of the other machines are already waiting or arrive within a heartbeat period, and a probe costs
+// three times as much as a relayed heartbeat. Machines that have not reconciled after a short wait are probed
+// then, first those whose instances are unknown, since each of them blocks all placement.
 void Recovery::begin_probing() {
     auto& machines = state_.cluster.machines();
-    double at_once = CommandSender::probes_within(settings_, CommandSender::first_probe_heartbeat_periods);
-    auto stride = static_cast<std::size_t>(static_cast<double>(machines.size()) / at_once) + 1;
+    double sample_size =
+        CommandSender::probes_within(settings_, CommandSender::first_probe_heartbeat_periods);
+    auto stride = static_cast<std::size_t>(static_cast<double>(machines.size()) / sample_size) + 1;
     std::size_t index = 0;
     for (auto& [id, machine] : machines)
         if (index++ % stride == 0) parts_.commands.probe(machine);
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -1,11 +1,12 @@
-// From the claim of a leadership to its first decision and on, until all machines have reconciled: loads what
-// is stored, takes over what the previous leader replicated, and probes the machines.
+// Prepares a new leader after its election: loads the stored state, restores instances from the replica of
+// the previous leader's state, and probes the machines until all of them have reconciled.
 //
-// Owns the loader, the steps of the failover, and whether the jobs are loaded. Fills the cluster state and
-// the job table once, with what is stored; afterwards only looks at them. What may be done before all
-// machines have reconciled is failover::Reconciliation's to say; see docs/replication.md.
+// Recovery owns the loader, the completed steps of the failover, and whether the stored state is loaded. It
+// fills the cluster state and the job table once and only reads them afterwards. failover::Reconciliation
+// decides what the leader may do before all machines have reconciled; see docs/replication.md.
 //
-// On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold it.
+// All functions must be called on the event loop's thread. They lock LeaderState::mutex themselves, so the
+// caller must not hold it.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -26,9 +27,10 @@
 
 namespace coralhitch::leader {
 
-// Takes a new leader from its claim to the point where all machines have reconciled.
+// Recovers the state of a new leader, from its election until all machines have reconciled.
 class Recovery : private LeaderPart {
   public:
+    // The other parts of the leader that recovery uses. They must outlive the Recovery object.
     struct Parts {
         membership::FailureDetector& failure_detector;
         failover::Reconciliation& reconciliation;
@@ -37,32 +39,36 @@
         MachineStore& machine_store;
         StaleKeyRemover& stale_keys;
     };
-    // What the previous leader left at this controller.
+    // State of the previous leader that this controller received before its own election.
     struct PredecessorState {
-        const protocol::PeerImages& images;              // of the machines' image caches
-        const replication::ReplicaState& replica;        // of what may be on its machines
-        std::map<std::string, double> silent_machine_s;  // machines that it suspected, silent for so long
+        const protocol::PeerImages& images;              // image caches of the machines
+        const replication::ReplicaState& replica;        // replicated instances on the machines
+        std::map<std::string, double> silent_machine_s;  // silence of each suspected machine, seconds
     };
+    // Events for parts that are constructed later.
     struct Hooks {
         ApplyJobRecord apply_job_record;
-        // What was stored is taken in; nothing was sent to a machine yet.
+        // Called when the stored state has been applied, before anything is sent to a machine.
         std::function<void(const failover::RecoveredState& stored)> state_loaded;
-        // The jobs are loaded: what ended while nobody led may be read.
+        // Called when all jobs are loaded. Dependencies that ended while there was no leader may now be read.
         std::function<void()> jobs_loaded;
-        // The first probes are under way: heartbeats are taken, and the ticks begin.
+        // Called when the first probes are queued. Heartbeats may now be handled and the periodic tick
+        // started.
         std::function<void()> ready;
         std::function<void()> request_plan;
     };
     Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
              const Parts& parts, PredecessorState inheritance, Hooks hooks);
 
-    // Begins to load. Once.
+    // Starts to load the stored state. Must be called once.
     void start() { loader_.start(); }
-    // Whether what is stored has been taken in.
+    // Returns true once the stored state has been applied.
     [[nodiscard]] bool loaded() const { return loaded_; }
+    // Returns the completed steps of the failover, with their times.
     [[nodiscard]] const failover::FailoverSteps& steps() const { return steps_; }
-    // Notes the first moment at which tasks may be placed, and that at which all machines have reconciled,
-    // and asks for a plan at each. To be called after whatever may have reconciled a machine.
+    // Records the failover steps "placement allowed" and "all machines reconciled" when they are first
+    // reached, and requests a plan at each. Must be called after every event that may have reconciled a
+    // machine.
     void check_reconciled();
 
   private:
