--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -1,9 +1,12 @@
-// Whether this leadership may act, until when, and with which fencing token: the one value that every part of
-// the leader asks before each act.
+// The authority of one leadership: whether it may act, until when, and with which fencing token. Every part
+// of the leader checks it before each action.
 //
-// A leader acts only while it holds its lease at the key-value store, counted from the *sending* of the last
-// renewal, less clock drift (see election::Election). Every transaction that it sends is conditioned on the
-// version of its key, so that one which arrives after another controller has taken over changes nothing.
+// A leader acts only while it holds its lease at the key-value store. The lease is counted from the *sending*
+// of the last renewal, less clock drift (see election::Election). Every transaction of the leader is
+// conditional on the version of its leader key. A transaction that arrives after another controller has
+// become the leader therefore changes nothing.
+//
+// All functions must be called on the event loop's thread.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,41 +20,44 @@
 
 namespace coralhitch::leader {
 
-// The authority of one leadership to act. Ends once, and for good.
+// Authority of one leadership to act. Once ended, it never holds again.
 class Authority {
   public:
-    // Steady seconds: all cancellations that were committed before then are known to this leader. Nothing
-    // while the jobs are being loaded.
+    // Returns the time (steady seconds) before which this leader knows all committed cancellations. Returns
+    // nothing while the jobs are being loaded.
     using CancellationsKnownUntil = std::function<std::optional<double>()>;
 
     // The references must outlive this object.
     Authority(event_loop::Timers& timers, const config::Settings& settings, election::Election& election,
               protocol::LeaderVersion fencing_token, CancellationsKnownUntil cancellations_known_until);
 
-    // Whether this leader may act right now. Asked at every act: a timer may fire late.
+    // Returns true if this leader may act now. Must be checked at every action, since a timer may fire late.
     [[nodiscard]] bool holds() const { return !ended_ && election_.may_act(); }
-    // The version of the leader's key under which this leadership began; no later leadership has a lower one.
+    // Returns the version of the leader key with which this leadership began. Later leaderships have higher
+    // ones.
     [[nodiscard]] protocol::LeaderVersion fencing_token() const { return fencing_token_; }
 
-    // Whether workers' leases may be renewed. That goes on for a while after the authority to act has ended,
-    // since a successor waits that long, but never beyond what this leader knows of cancellations.
+    // Returns true if the leases of agents may be renewed. Renewal is allowed for `renewal_after_expiry_s`
+    // after the authority has expired, because a successor waits that long. It is never allowed so late that
+    // a task could outlive a cancellation that this leader does not know.
     [[nodiscard]] bool may_renew_worker_leases() const;
-    // Steady seconds after which nothing that this leader answers, or lets others answer, renews a lease.
+    // Returns the time (steady seconds) after which no response of this leader or of its relays renews a
+    // lease.
     [[nodiscard]] double lease_renewal_deadline() const;
-    // For how long worker leases may still be renewed after the authority to act has ended, seconds.
+    // Returns for how many seconds after the authority has expired the leases of agents may still be renewed.
     [[nodiscard]] double renewal_after_expiry_s() const { return renewal_after_expiry_s_; }
 
-    // An empty transaction that fails unless this leadership's key stands.
+    // Returns a transaction without changes that fails unless this leadership's key still exists.
     [[nodiscard]] protocol::Txn fenced_transaction() const;
-    // The same, or nothing without authority.
+    // Returns a fenced transaction, or nothing if the authority does not hold.
     [[nodiscard]] std::optional<protocol::Txn> begin_transaction() const;
 
-    // The leadership is over, for ever; callbacks that arrive later do nothing.
+    // Ends the authority permanently. Guarded callbacks that run later do nothing (see CallbackGuard).
     void end() { ended_ = true; }
     [[nodiscard]] bool ended() const { return ended_; }
-    // Gives leadership up, and stays out of elections for so many seconds.
+    // Gives up leadership, and lets other controllers go first in elections for `pause_s` seconds.
     void resign(double pause_s) { election_.resign(pause_s); }
-    // A message proved that a later leadership exists, by its fencing token.
+    // Gives up leadership if `fencing_token`, received in a message, belongs to a later leadership.
     void step_down_if_superseded(protocol::LeaderVersion fencing_token) {
         election_.step_down_if_superseded(fencing_token);
     }
--- a/src/leader/fleet_scaler.cpp
+++ b/src/leader/fleet_scaler.cpp
@@ -7,7 +7,7 @@
 namespace coralhitch::leader {
 
 namespace {
-// For how many report periods a pool that lacked capacity is not asked again.
+// Time for which no machines are requested from a pool that lacked capacity, in heartbeat periods.
 constexpr double no_capacity_heartbeat_periods = 3;
 }  // namespace
 
@@ -42,13 +42,13 @@
 }
 
 void FleetScaler::retry_unanswered() {
-    std::vector<std::string> names;  // an answer that comes at once takes its request out of the map
+    std::vector<std::string> names;  // a copy, since a synchronous response erases its request from the map
     for (auto& [name, request] : pending_) names.push_back(name);
     for (auto& name : names) send(name);
 }
 
 void FleetScaler::request(const autoscaler::ScaleOutRequest& request) {
-    // Names are never used again, by any controller: the fencing token belongs to this leadership alone.
+    // No controller ever reuses a name, since no other leadership has the same fencing token.
     std::string name =
         "r-" + std::to_string(authority_.fencing_token().value()) + "-" + std::to_string(++requests_made_);
     auto& pool = state_.cluster.pools()[request.pool];
@@ -73,7 +73,7 @@
     if (it == pending_.end()) return;
     auto& request = it->second;
     request.in_flight = false;
-    if (result.status == cloud::CreateMachinesResult::Status::failed) return;  // the next tick asks again
+    if (result.status == cloud::CreateMachinesResult::Status::failed) return;  // retried at the next tick
     if (static_cast<int>(result.machines.size()) < request.count)
         pools_without_capacity_[request.pool] =
             timers_.now() + settings_.heartbeat_interval_s * no_capacity_heartbeat_periods;
--- a/src/leader/fleet_scaler.hpp
+++ b/src/leader/fleet_scaler.hpp
@@ -1,9 +1,11 @@
-// Scale out: asks the cloud for machines, each request again under the same name until it is handle_response,
-// so that nothing is created twice.
+// Scale-out: requests machines from the cloud. Each request is retried under the same name until the cloud
+// responds, so that no machine is created twice.
 //
-// Owns the requests without an answer and the pools that lately had no capacity. Adds the machines of an
-// answer to the cluster state, as booting; touches nothing else. Scale in is a deletion like any other: see
-// MachineSupervisor. Used by the event loop's thread alone.
+// The FleetScaler owns the pending requests and the list of pools that recently lacked capacity. It adds the
+// machines of a response to the cluster state as booting, and changes nothing else. Scale-in deletes machines
+// in the same way as all other deletions; see MachineDeletion.
+//
+// All functions must be called on the event loop's thread.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -19,29 +21,32 @@
 
 namespace coralhitch::leader {
 
-// Carries out scale out: requests for machines until they are handle_response.
+// Requests machines from the cloud, and retries each request until the cloud responds.
 class FleetScaler : private LeaderPart {
   public:
-    // Whether nothing has lately been received from any machine of the zone, by its index.
+    // Returns true if heartbeats from the zone with this index have stopped, for a limited time only (see
+    // membership::FailureDetector::zone_silent).
     using ZoneUnreachable = std::function<bool(std::size_t zone)>;
 
     FleetScaler(const PartContext& context, cloud::CloudClient& cloud,
                 const std::vector<protocol::MachineType>& types, ZoneUnreachable zone_unreachable);
 
-    // What the autoscaler needs beside the machines of the cluster state: types, pools and zones, pools
-    // without capacity, and as booting machines those that were asked for without an answer so far.
+    // Returns the autoscaler's input except for the machines of the cluster state and the demand. It contains
+    // the machine types, the pools, the zones, the pools without capacity, and one booting machine for each
+    // machine in a pending request.
     [[nodiscard]] autoscaler::Input autoscaler_input() const;
-    // Machine types come from the cloud; without them nothing can be planned.
+    // Returns true once the cloud has sent the machine types. Without them the fleet cannot be planned.
     [[nodiscard]] bool knows_machine_types() const { return !types_.empty(); }
-    // Asks for these machines, in calls of at most cloud::CloudClient::max_machines_per_create each.
+    // Requests these machines, in calls of at most cloud::CloudClient::max_machines_per_create machines each.
     void scale_out(std::span<const autoscaler::ScaleOutRequest> requests);
-    // Sends every request again that has no answer and is not under way. To be called each tick.
+    // Sends every pending request that is not in flight again. Must be called at each tick.
     void retry_unanswered();
 
   private:
+    // A request for machines to which the cloud has not responded.
     struct PendingRequest {
-        std::size_t pool = 0;  // its index in the cluster state
-        int count = 0;         // machines
+        std::size_t pool = 0;  // index of the pool in the cluster state
+        int count = 0;         // number of machines
         bool in_flight = false;
     };
     void request(const autoscaler::ScaleOutRequest& request);
@@ -51,8 +56,8 @@
     cloud::CloudClient& cloud_;
     const std::vector<protocol::MachineType>& types_;
     ZoneUnreachable zone_unreachable_;
-    std::map<std::string, PendingRequest> pending_;         // by their names
-    std::map<std::size_t, double> pools_without_capacity_;  // by index: until when (steady seconds)
+    std::map<std::string, PendingRequest> pending_;         // by request name
+    std::map<std::size_t, double> pools_without_capacity_;  // end of the wait (steady seconds), by pool index
     std::uint64_t requests_made_ = 0;
 };
 
