--- a/src/leader/callback_guard.hpp
+++ b/src/leader/callback_guard.hpp
@@ -1,5 +1,5 @@
-// Callbacks of the leader's parts: they do nothing once the leadership is over, and keep the leader alive
-// while they run, also when what they do ends the leadership.
+// Guards the callbacks of the leader's parts. A guarded callback does nothing once the leadership has ended.
+// It keeps the leader alive while it runs, even if it ends the leadership itself.
 #pragma once
 #include <memory>
 #include <utility>
@@ -8,16 +8,18 @@
 
 namespace coralhitch::leader {
 
-// Wraps a callback: `guarded(f)` may be called with the same arguments at any later time.
+// Wraps callbacks. The result of `guarded(f)` takes the arguments of `f`, and may be called at any later
+// time.
 class CallbackGuard {
   public:
     explicit CallbackGuard(const Authority& authority) : authority_(authority) {}
-    // Once, before the first callback is made: the leader that owns the parts.
+    // Sets the leader that owns the parts. Must be called once, before the first callback is wrapped.
     void bind(std::weak_ptr<void> leader) { leader_ = std::move(leader); }
 
-    // Keeps the leader alive for as long as it is held: for work on another thread.
+    // Returns a pointer that keeps the leader alive, for work on another thread. Null if the leader is gone.
     [[nodiscard]] std::shared_ptr<void> owner() const { return leader_.lock(); }
 
+    // Returns a callback that calls `f`, unless the leader is gone or the leadership has ended.
     template <class F>
     auto operator()(F f) const {
         return [leader = leader_, &authority = authority_, f = std::move(f)](auto&&... arguments) mutable {
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -9,7 +9,7 @@
 namespace coralhitch::leader {
 
 namespace {
-constexpr double tick_interval_heartbeat_periods = 1.0 / 6;  // report periods from one tick to the next
+constexpr double tick_interval_heartbeat_periods = 1.0 / 6;
 }  // namespace
 
 Leader::Leader(LeaderDependencies dependencies, protocol::LeaderVersion version, std::uint64_t seed)
@@ -44,7 +44,8 @@
     return parts_.recovery.loaded() ? all_task_counts(parts_.state) : std::vector<protocol::PeerTaskCounts>{};
 }
 
-// Whether it has resigned: a later leadership's fencing tokens begin above all of this one's.
+// Resigns and returns true if the fencing tokens of this leadership are nearly used up. The tokens of a later
+// leadership begin above all tokens of this one.
 bool Leader::resign_if_tokens_run_out() {
     if (!parts_.state.cluster.tokens_nearly_exhausted()) return false;
     spdlog::info("component=leader event=resigned reason=tokens_exhausted");
@@ -52,7 +53,8 @@
     return true;
 }
 
-// The leadership may end in here: by a resignation, or because the lease at the key-value store has expired.
+// The leadership may end during a tick: by a resignation, or because the lease at the key-value store has
+// expired.
 void Leader::tick() {
     if (parts_.authority.ended()) return;
     auto& timers = parts_.dependencies.timers;
@@ -68,7 +70,7 @@
     do_due_work();
 }
 
-// What each part has to do now and then, while the leader may act.
+// Runs the periodic work of each part. The caller has checked that the leader may act.
 void Leader::do_due_work() {
     parts_.attempts.extend();
     parts_.job_store.store_due();
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -1,11 +1,13 @@
-// What the controller does while it leads. The work is that of the parts in this folder, of which each says
-// in its header what it owns and may touch; LeaderParts puts them together, and this class passes on to them
-// what comes from outside, and ticks.
+// The work of a controller while it is the leader. It is done by the parts in this folder. The header of each
+// part says what the part owns and what it may change. LeaderParts constructs and connects the parts. The
+// Leader class forwards external events to them and runs the periodic tick.
 //
-// One object per leadership, on the event loop's thread. It is dropped when the leadership ends: answers that
-// come later find it gone (CallbackGuard), and each act before that asks whether it is allowed (Authority).
-// What happens in which order after a claim: Recovery loads and calls back, then heartbeats are answered and
-// the ticks begin; plans are made once enough machines have reconciled.
+// There is one Leader object per leadership, used on the event loop's thread. It is released when the
+// leadership ends. Callbacks that run later do nothing (CallbackGuard), and every earlier action first checks
+// that it is allowed (Authority).
+//
+// After an election, Recovery loads the stored state. Then heartbeats are answered and the tick starts. Plans
+// are computed once enough machines have reconciled.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -26,43 +28,49 @@
 
 namespace coralhitch::leader {
 
-// One leadership of this controller, from its claim to its end.
+// One leadership of this controller, from its election to its end.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
-    // `version`: of the leader's key as claimed, the fencing token. `seed`: of the plans' random draws.
+    // `version` is the version of the leader key that won the election, and serves as the fencing token.
+    // `seed` initializes the random number generator of the plans.
     Leader(LeaderDependencies dependencies, protocol::LeaderVersion version, std::uint64_t seed);
-    // Once, when a shared_ptr owns the object.
+    // Starts the recovery. Must be called once, after a shared_ptr owns the object.
     void start();
-    // The leadership is over, for ever.
+    // Ends the leadership permanently.
     void stop();
 
-    // A heartbeat that came here; answered now, or once the jobs are loaded.
-    void handle_heartbeat(relay::PendingHeartbeat report) { parts_.heartbeats.handle(std::move(report)); }
-    // Heartbeats that a relaying controller passes on.
+    // Handles a heartbeat that an agent sent to this controller. Answers it now, or once the jobs are loaded.
+    void handle_heartbeat(relay::PendingHeartbeat heartbeat) {
+        parts_.heartbeats.handle(std::move(heartbeat));
+    }
+    // Handles heartbeats that a relay forwarded.
     void relay(const protocol::RelayRequest& message, const http::Reply& reply) {
         parts_.heartbeats.handle_relayed(message, reply);
     }
-    // Machines whose heartbeats relaying controllers answer.
+    // Returns the number of machines whose heartbeats are delegated to relays.
     std::size_t delegated_machines() const { return parts_.delegations.count(); }
     const replication::ReplicationSender& replication() const { return parts_.start_replication.sender(); }
-    // The steps of the failover that are done, with their times.
+    // Returns the completed steps of the failover, with their times.
     const failover::FailoverSteps& steps() const { return parts_.recovery.steps(); }
-    // Whether it may be the leader that is cut off, rather than its machines.
+    // Returns true if heartbeats may be missing because the leader is isolated, not because machines failed.
     bool suspects_itself() const { return parts_.failure_detector.self_suspicion().has_value(); }
-    // Nothing if the job is not live, or jobs are not loaded.
+    // Returns the number of done and running tasks of the job, or nothing if the job is not live or the jobs
+    // are not loaded.
     std::optional<api::TaskCounts> counts(const std::string& id);
-    // Of all live jobs with tasks that run or are done.
+    // Returns the counts of all live jobs with running or done tasks. Empty while the jobs are not loaded.
     std::vector<protocol::PeerTaskCounts> all_counts();
-    // The machines' image caches, for the next leader.
+    // Returns the image caches of the machines, to be sent to the next leader.
     protocol::PeerImages images() const { return images_to_hand_over(parts_.state.cluster); }
-    // Machines whose heartbeats are missing, and for how long, seconds.
+    // Returns the machines whose heartbeats are missing, with the duration of their silence in seconds.
     std::map<std::string, double> suspected() const { return parts_.supervisor.suspected(); }
+    // Applies LeaderDependencies::machine_types again after they have changed.
     void update_machine_types();
-    // The controller with this label is a new process.
+    // Notes that the controller with this label is now another process.
     void controller_restarted(const std::string& controller, protocol::Incarnation incarnation) {
         parts_.start_replication.controller_restarted(controller, incarnation);
     }
-    // The job's record says since this version that it is cancelled.
+    // Cancels the job in the job table, and sends the commands that stop its tasks. `version` is the version
+    // of the job's stored record since which the job is cancelled.
     void cancelled(const std::string& id, std::uint64_t version);
 
   private:
--- a/src/leader/leader_dependencies.hpp
+++ b/src/leader/leader_dependencies.hpp
@@ -1,4 +1,4 @@
-// What a controller gives to the leader that it begins.
+// References, callbacks and inherited state that a controller passes to a new Leader.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -24,7 +24,7 @@
 
 namespace coralhitch::leader {
 
-// What the leader is given; the references must outlive it.
+// Constructor arguments of the Leader. All references must outlive the Leader.
 struct LeaderDependencies {
     event_loop::Timers& timers;
     http::Requester& http;
@@ -34,21 +34,23 @@
     cloud::CloudClient& cloud;
     Planner& planner;
     metrics::Metrics& metrics;
-    // Of the cloud; may change, see Leader::update_machine_types.
+    // Machine types that the cloud offers. After a change the controller calls Leader::update_machine_types.
     const std::vector<protocol::MachineType>& machine_types;
-    // How many of these machines, silent here for so many seconds, another controller has had a heartbeat
-    // from since, at the most; nothing if no other answers and could lead.
+    // Takes machines that sent no heartbeat to this controller, with the duration of their silence in
+    // seconds. Returns how many of them have sent a heartbeat to another controller since then, as the
+    // maximum over the other controllers. Returns nothing if no other controller that could lead sends pings.
     std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heartbeats_seen_by_peers;
-    // The machines' image caches, as the previous leader reported them.
+    // Image caches of the machines as the previous leader sent them.
     const protocol::PeerImages& inherited_image_caches;
-    // Whether to resign for a self-suspicion; noted if so.
+    // Returns true if the leader should resign because it suspects itself to be isolated, and records the
+    // time. Returns false if the last such resignation was too recent.
     std::function<bool()> resign_leadership;
     protocol::Incarnation incarnation;  // of this controller's process
-    // Machines that the previous leader suspected: silent for so many seconds by now.
+    // Machines that the previous leader suspected, with the duration of their silence until now in seconds.
     std::map<std::string, double> inherited_suspicions;
-    // Of what the previous leader knew of its machines.
+    // This controller's replica of the previous leader's state of the machines.
     const replication::ReplicaState& replica;
-    // What another controller last said of itself, if that is not long ago; else null.
+    // Returns the last ping from the controller with this label, or null if there was no recent one.
     std::function<const protocol::PeerPing*(const std::string& label)> recent_ping;
     relay::HeartbeatRejections& heartbeat_rejections;
 };
--- a/src/leader/leader_part.hpp
+++ b/src/leader/leader_part.hpp
@@ -1,14 +1,15 @@
-// What every part of the leader has at hand: the clock, the settings, the state, and whether it may act.
+// Base class of the leader's parts, with access to the clock, the settings, the shared state and the
+// authority.
 #pragma once
 #include "leader/part_context.hpp"
 
 namespace coralhitch::leader {
 
-// Base of the leader's parts: keeps the references of the PartContext. Parts inherit it privately; it is no
-// interface, and nothing refers to a part through it.
+// Base class of the leader's parts that stores the references of the PartContext. Parts inherit from it
+// privately. It is not an interface: no code refers to a part as a LeaderPart.
 class LeaderPart {
   public:
-    LeaderPart(const LeaderPart&) = delete;  // a part's callbacks refer to it
+    LeaderPart(const LeaderPart&) = delete;  // callbacks hold the address of a part
     LeaderPart& operator=(const LeaderPart&) = delete;
 
   protected:
@@ -20,13 +21,13 @@
           guarded_(context.guarded) {}
     ~LeaderPart() = default;
 
-    // Steady seconds.
+    // Returns the current time in steady seconds.
     [[nodiscard]] double now() const { return timers_.now(); }
 
     event_loop::Timers& timers_;
     const config::Settings& settings_;
     LeaderState& state_;
-    const Authority& authority_;  // the few parts that may end the leadership keep another reference
+    const Authority& authority_;  // parts that may end the leadership keep a non-const reference
     const CallbackGuard& guarded_;
 };
 
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -13,7 +13,8 @@
                                         settings.op.suspicion_timeout_periods, settings.peers.size()});
 }
 
-// What this controller knew before its claim; the rest of the evidence is read.
+// Returns the evidence on this controller's replica that was known before its election. The RecoveryLoader
+// reads the rest from the key-value store.
 replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies,
                                               protocol::LeaderVersion version) {
     replication::ReplicaEvidence evidence;
@@ -26,9 +27,9 @@
 }
 }  // namespace
 
-LeaderParts::LeaderParts(LeaderDependencies given, protocol::LeaderVersion version, std::uint64_t seed,
-                         std::function<void()> begin_ticks)
-    : dependencies(std::move(given)),
+LeaderParts::LeaderParts(LeaderDependencies leader_dependencies, protocol::LeaderVersion version,
+                         std::uint64_t seed, std::function<void()> begin_ticks)
+    : dependencies(std::move(leader_dependencies)),
       authority(dependencies.timers, dependencies.settings, dependencies.election, version,
                 [this] { return job_watcher.complete_until(); }),
       state(version, dependencies.machine_types, dependencies.settings.value_kb),
@@ -116,7 +117,8 @@
             [this](const std::vector<PlannedStart>& started) { replicate_starts(started); }};
 }
 
-// --- What follows from an event -------------------------------------------------------------------------
+// --- Events that affect several parts
+// -------------------------------------------------------------------------
 
 void LeaderParts::on_machines_stored() {
     commands.flush_all();
--- a/src/leader/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -1,10 +1,10 @@
-// The parts of one leadership, and how they are put together: what each refers to, and what an event in one
-// sets off in others.
+// Constructs the parts of one leadership and connects them: the references between parts, and the reactions
+// of other parts to an event in one of them.
 //
-// A part refers to those that are made before it. What it sets off in later ones goes through callbacks, of
-// which none is called before `recovery` is started.
+// A part holds references only to parts that are constructed before it. It reaches later parts through
+// callbacks. No callback is called before `recovery` is started.
 //
-// On the event loop's thread.
+// All functions must be called on the event loop's thread.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -41,11 +41,11 @@
 
 namespace coralhitch::leader {
 
-// Made and called by the Leader alone.
+// The parts of one leadership. Only the Leader constructs and uses it.
 class LeaderParts {
   public:
-    // `version` and `seed`: see Leader. `begin_ticks` is called once, when heartbeats are taken.
-    LeaderParts(LeaderDependencies given, protocol::LeaderVersion version, std::uint64_t seed,
+    // For `version` and `seed` see Leader. `begin_ticks` is called once, when heartbeats begin to be handled.
+    LeaderParts(LeaderDependencies leader_dependencies, protocol::LeaderVersion version, std::uint64_t seed,
                 std::function<void()> begin_ticks);
     LeaderParts(const LeaderParts&) = delete;  // the parts refer to each other
     LeaderParts& operator=(const LeaderParts&) = delete;
@@ -56,7 +56,7 @@
     LeaderState state;
     const PartContext context{dependencies.timers, dependencies.settings, state, authority, guarded};
 
-    // Used by several of the others
+    // Parts that several of the other parts use
     cluster::TeamActivity team_activity;
     membership::FailureDetector failure_detector;
     failover::Reconciliation reconciliation{state.cluster, dependencies.settings.heartbeat_interval_s};
@@ -78,7 +78,7 @@
     JobWatcher job_watcher{context, dependencies.kv, job_store, job_watcher_callbacks()};
     DependencyResolver dependency_resolver{context, dependencies.kv, job_store, request_plan()};
 
-    // What goes by both
+    // Parts that depend on both machines and jobs
     Recovery recovery;
     MachineSupervisor supervisor;
     HeartbeatHandler heartbeats;
@@ -87,7 +87,7 @@
     LeaderReport report{context, dependencies.metrics, team_activity};
 
   private:
-    // The callbacks of the parts.
+    // Create the callbacks of the parts.
     [[nodiscard]] std::function<void()> request_plan();
     [[nodiscard]] ApplyJobRecord apply_job_record();
     [[nodiscard]] std::function<void(cluster::Machine&, const char* reason)> mark_for_deletion();
@@ -101,7 +101,7 @@
     [[nodiscard]] FleetScaler::ZoneUnreachable zone_unreachable();
     [[nodiscard]] PlanExecutor::Callbacks plan_callbacks();
 
-    // What an event in one part sets off in several.
+    // Handle events of one part that affect several other parts.
     void on_machines_stored();
     void on_deletion_done();
     void on_jobs_changed();
--- a/src/leader/leader_report.cpp
+++ b/src/leader/leader_report.cpp
@@ -24,7 +24,8 @@
     if (!last_team_log_at_ || now() - *last_team_log_at_ > settings_.lease_s) log_team_activity();
 }
 
-// The lines of all leaders together tell what each team got; bench/teams.py adds them up.
+// Each line covers the time since the last one, so the sum over the lines of all leaders is the total
+// activity of each team. bench/teams.py computes that sum.
 void LeaderReport::log_team_activity() {
     last_team_log_at_ = now();
     std::lock_guard lock(state_.mutex);
--- a/src/leader/leader_report.hpp
+++ b/src/leader/leader_report.hpp
@@ -1,9 +1,10 @@
-// What the leader tells operators of its work as a whole: gauges of its jobs and machines, and now and then a
-// log line of what each team got.
+// Reports on the leader's work as a whole: gauges for its jobs and machines, and a periodic log line about
+// the activity of each team.
 //
-// Owns when the last line was logged. Reads the state; takes what is counted out of the TeamActivity.
+// LeaderReport owns the time of the last log line. It reads the state, and resets the counts of TeamActivity.
 //
-// On the event loop's thread; takes LeaderState::mutex itself, so the caller must not hold it.
+// All functions must be called on the event loop's thread. They lock LeaderState::mutex themselves, so the
+// caller must not hold it.
 #pragma once
 #include <optional>
 
@@ -13,16 +14,18 @@
 
 namespace coralhitch::leader {
 
-// Sets the leader's gauges and logs what each team got.
+// Sets the leader's gauges and logs the activity of each team.
 class LeaderReport : private LeaderPart {
   public:
     LeaderReport(const PartContext& context, metrics::Metrics& metrics, cluster::TeamActivity& team_activity);
 
-    // Sets the gauges. Each tick.
+    // Sets the gauges. Must be called at each tick.
     void set_gauges();
-    // Logs what the teams got since the last line, if that is more than a lease ago. Each tick.
+    // Logs the teams' activity since the last log line, if that line is older than the duration of a lease.
+    // Must be called at each tick.
     void log_team_activity_if_due();
-    // The same at once. When the leadership ends.
+    // Logs the teams' activity since the last log line, if there was any. Must be called when the leadership
+    // ends.
     void log_team_activity();
 
   private:
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -1,7 +1,7 @@
-// What the leader knows: the machines with what runs on them, and the live jobs.
+// The state that all parts of the leader share: the machines with their instances, and the live jobs.
 //
-// The event loop's thread alone changes both, and holds `mutex` while it does; it reads without. The
-// planner's thread only reads, and holds `mutex` while it does.
+// Only the event loop's thread changes the state. It locks `mutex` for changes, and reads without the lock.
+// The planner's thread only reads the state, and locks `mutex` while it reads.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,12 +15,12 @@
 
 namespace coralhitch::leader {
 
-// The state that all parts of the leader share; see above for who may change it.
+// Cluster state and job table of one leadership, with the mutex that protects both.
 struct LeaderState {
     LeaderState(protocol::LeaderVersion fencing_token, const std::vector<protocol::MachineType>& types,
                 double value_kb)
         : cluster(fencing_token, types), jobs(value_kb) {}
-    // The index of the machine's zone among those of the cluster state.
+    // Returns the index of the machine's zone in the cluster state.
     [[nodiscard]] std::size_t zone_of(const cluster::Machine& machine) const {
         return cluster.pools()[machine.pool].zone_index;
     }
--- a/src/leader/part_context.hpp
+++ b/src/leader/part_context.hpp
@@ -1,6 +1,5 @@
-// What every part of the leader is given: the clock, the settings, the state, and whether it may act.
-//
-// References only; the Leader owns all of them and outlives its parts.
+// The references that every part of the leader receives: the clock, the settings, the shared state, the
+// authority and the callback guard.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,17 +13,18 @@
 
 namespace coralhitch::leader {
 
-// Takes in a job's stored record, of this version (see JobWatcher). Called with LeaderState::mutex held.
+// Applies a job's stored record of the given version to the job table (see JobWatcher). Called with
+// LeaderState::mutex locked.
 using ApplyJobRecord =
     std::function<void(const std::string& job_id, std::uint64_t version, const std::string& record)>;
 
-// The references that LeaderPart keeps for each part.
+// References that LeaderPart stores for each part. The referenced objects must outlive all parts.
 struct PartContext {
     event_loop::Timers& timers;
     const config::Settings& settings;
     LeaderState& state;
     Authority& authority;
-    // Every callback that a part hands out goes through it.
+    // Wraps every callback that a part passes to a timer, a request or another thread.
     const CallbackGuard& guarded;
 };
 
--- a/src/leader/planner.hpp
+++ b/src/leader/planner.hpp
@@ -1,5 +1,5 @@
-// Runs the computation of plans outside the event loop. The daemon uses a separate thread, and simulations
-// compute plans in simulated time.
+// Runs the computation of plans. The daemon uses a separate thread, and simulations use a timer of the
+// simulated host.
 #pragma once
 #include <condition_variable>
 #include <functional>
@@ -14,7 +14,7 @@
 // Executes the computation of plans, one at a time.
 class Planner {
   public:
-    // Work runs outside the event loop and returns a task that applies its result on the event loop.
+    // Work computes a plan, and returns a task that applies the result on the event loop.
     using Work = std::function<event_loop::Task()>;
     virtual ~Planner() = default;
     // Starts the work. Work that was submitted earlier must have finished.
--- a/src/leader/task_counts.hpp
+++ b/src/leader/task_counts.hpp
@@ -1,5 +1,5 @@
-// How many tasks of live jobs are done and running, for answers to users. Functions only; for the event
-// loop's thread.
+// Counts the done and running tasks of live jobs, for responses to users. The functions must be called on the
+// event loop's thread.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,9 +11,10 @@
 
 namespace coralhitch::leader {
 
-// Of one job; nothing if it is not live.
+// Returns the counts of one job, or nothing if the job is not live.
 [[nodiscard]] std::optional<api::TaskCounts> task_counts(LeaderState& state, const std::string& id);
-// Of all live jobs, but for those with neither: that is what is assumed of a job without counts.
+// Returns the counts of all live jobs that have done or running tasks. Receivers assume zero for all other
+// jobs.
 [[nodiscard]] std::vector<protocol::PeerTaskCounts> all_task_counts(LeaderState& state);
 
 }  // namespace coralhitch::leader
