--- a/tests/leader/attempt_numbers_test.cpp
+++ b/tests/leader/attempt_numbers_test.cpp
@@ -1,4 +1,5 @@
-// Numbers of attempts: never one of another leadership, however many a leadership starts.
+// AttemptNumbers: a leadership never returns a number that another leadership may use, however many tasks it
+// starts. Otherwise two attempts of a task could have the same number.
 #include "leader/attempt_numbers.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,8 @@
         spdlog::set_level(spdlog::level::off);
         claim();
     }
-    // Another leadership: its key is written, and its version is the revision of that.
+    // Begins another leadership: writes the leader key, and returns the revision of that write as its
+    // version.
     std::uint64_t claim() {
         service.kv[kv::keys::leader] = {nlohmann::json::object(), ++service.revision};
         return version = service.revision;
@@ -38,24 +40,26 @@
     bool authority = true;
 };
 
-// Numbers, each above the last, and how many of them there were.
+// Takes numbers and records the first, the last, how many there were, how often there was none, and whether
+// they were strictly increasing.
 struct Series {
     std::uint64_t first = 0, last = 0, count = 0, missed = 0;
-    bool grew = true;
+    bool increasing = true;
     void take(AttemptNumbers& numbers) {
-        auto n = numbers.next();
-        if (!n) {
+        auto number = numbers.next();
+        if (!number) {
             ++missed;
             return;
         }
-        if (count++ == 0) first = n->value();
-        grew &= n->value() > last;
-        last = n->value();
+        if (count++ == 0) first = number->value();
+        increasing &= number->value() > last;
+        last = number->value();
     }
 };
 
-// The key-value store sees no other change in that hour, so the next leadership's version is as low as it can
-// be. The load is 8,000 machines at the target's peak, 0.2033 starts a machine and second.
+// The key-value store gets no other write in that hour, so the version of the next leadership is as low as
+// possible. The load is that of 8,000 machines at the peak of the target, 0.2033 starts per machine and
+// second.
 TEST(AttemptNumbers, AnHourAtThePeakOf8000MachinesStaysBelowTheNextLeadership) {
     Bench bench;
     auto numbers = bench.leadership();
@@ -68,25 +72,26 @@
     }
     EXPECT_EQ(run.missed, 0u);
     EXPECT_EQ(run.count, 5853600u);
-    EXPECT_TRUE(run.grew);
-    EXPECT_LE(bench.service.changes, 12);  // changes that it cost: one each half million
+    EXPECT_TRUE(run.increasing);
+    EXPECT_LE(bench.service.changes, 12);  // one reservation per half million numbers
     bench.claim();
     auto next = bench.leadership()->next();
     ASSERT_TRUE(next);
     EXPECT_GT(next->value(), run.last);
 }
 
-TEST(AttemptNumbers, TheFirstAreThoseOfTheVersionAsEver) {
+TEST(AttemptNumbers, TheFirstNumbersFollowFromTheVersion) {
     Bench bench;
     auto numbers = bench.leadership();
     for (std::uint64_t k = 1; k <= 100; ++k)
         EXPECT_EQ(numbers->next(), protocol::AttemptNumber{(bench.version << 20) + k});
     numbers->extend();
     bench.timers.run_until(1);
-    EXPECT_EQ(bench.service.changes, 0);  // none is asked for before it is needed
+    EXPECT_EQ(bench.service.changes, 0);  // no reservation before one is needed
 }
 
-// Without an answer nothing is known of the revision; a number beyond might be another leadership's.
+// Without a response to the reservation the current revision is unknown, and a number beyond the bound could
+// belong to another leadership.
 TEST(AttemptNumbers, StopsRatherThanUseAnotherLeadershipsNumbers) {
     struct Case {
         const char* name;
@@ -115,7 +120,7 @@
     }
 }
 
-TEST(AttemptNumbers, GoesOnWhenTheAnswerComesAtLast) {
+TEST(AttemptNumbers, ContinuesOnceAReservationSucceeds) {
     Bench bench;
     auto numbers = bench.leadership();
     bench.authority = false;
--- a/tests/leader/authority_test.cpp
+++ b/tests/leader/authority_test.cpp
@@ -1,5 +1,6 @@
-// Authority: acts only within the lease, renews workers' leases only as far as cancellations are known, and
-// fences whatever it sends by the version of its key.
+// Authority: holds only within the leader's lease, allows the renewal of agents' leases only while
+// cancellations are known recently enough, and fences every transaction with the version of the leader key.
+// Otherwise two leaders could act at the same time, or a cancelled task could run for too long.
 #include "leader/authority.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 namespace coralhitch::leader {
 namespace {
 
-// Loses all requests once it is cut.
+// Forwards requests, and loses all of them while `cut` is set.
 class CuttableNetwork : public http::Requester {
   public:
     CuttableNetwork(FakeTimers& timers, http::Requester& network) : timers_(timers), network_(network) {}
@@ -46,7 +47,7 @@
     config::Settings settings = LeadingFixture::single_controller_settings();
     kv::KvClient kv{timers, network, settings};
     election::Election election{timers, kv, settings, protocol::Incarnation{77}, 1};
-    std::optional<double> cancellations_known_until;  // nothing: up to now, at any time
+    std::optional<double> cancellations_known_until;  // if empty, all until the current time
     std::unique_ptr<Authority> authority;
 };
 
@@ -64,7 +65,7 @@
     EXPECT_FALSE(bench.authority->begin_transaction());
 }
 
-TEST(Authority, RenewsWorkerLeasesForAWhileAfterItsOwnHasExpired) {
+TEST(Authority, RenewsWorkerLeasesForSomeTimeAfterItsOwnLeaseHasExpired) {
     Bench bench;
     ASSERT_TRUE(bench.authority);
     bench.network.cut = true;
@@ -78,7 +79,7 @@
     EXPECT_FALSE(bench.authority->may_renew_worker_leases());
 }
 
-TEST(Authority, RenewalsEndWithWhatIsKnownOfCancellations) {
+TEST(Authority, RenewalsEndWhenCancellationsAreNotKnownRecentlyEnough) {
     Bench bench;
     ASSERT_TRUE(bench.authority);
     double known_until = bench.timers.now();
@@ -86,15 +87,15 @@
     double left = relay::renewal_window_s(bench.settings);
     ASSERT_GT(left, 0);
     bench.timers.run_until(known_until + left - 0.01);
-    // The lease was renewed meanwhile: what it allows goes on for longer.
+    // The leader's lease has been renewed, so cancellations set the earlier deadline.
     EXPECT_DOUBLE_EQ(bench.authority->lease_renewal_deadline(), known_until + left);
     EXPECT_TRUE(bench.authority->may_renew_worker_leases());
     bench.timers.run_until(known_until + left + 0.01);
     EXPECT_FALSE(bench.authority->may_renew_worker_leases());
-    EXPECT_TRUE(bench.authority->holds()) << "it may act all the same";
+    EXPECT_TRUE(bench.authority->holds()) << "the leader may still act";
 }
 
-TEST(Authority, FencedTransactionChangesNothingAfterALaterClaim) {
+TEST(Authority, FencedTransactionChangesNothingAfterALaterElection) {
     Bench bench;
     ASSERT_TRUE(bench.authority);
     auto transaction = bench.authority->fenced_transaction();
@@ -105,14 +106,14 @@
 
     transaction.changes.push_back({"some/key", std::nullopt, 0});
     std::optional<kv::TxnResult::Status> status;
-    bench.service.kv[kv::keys::leader].version = ++bench.service.revision;  // another controller claims it
+    bench.service.kv[kv::keys::leader].version = ++bench.service.revision;  // another controller is elected
     bench.kv.txn(std::move(transaction), kv::RequestPriority::write,
                  [&](const kv::TxnResult& result) { status = result.status; });
     bench.timers.run_until(bench.timers.now() + 1);
     EXPECT_EQ(status, kv::TxnResult::Status::conflict);
 }
 
-TEST(Authority, EndsForGood) {
+TEST(Authority, EndsPermanently) {
     Bench bench;
     ASSERT_TRUE(bench.authority);
     bench.authority->end();
--- a/tests/leader/command_sender_test.cpp
+++ b/tests/leader/command_sender_test.cpp
@@ -1,4 +1,6 @@
-// CommandSender: no start without authority or before its machine is stored, and no answer taken for a proof.
+// CommandSender: sends no `run` without authority, before the machine is stored, or before it has reconciled.
+// A `run` without a response may still arrive, so its instance is kept. Responses from other machines, or
+// after the end of the leadership, must not change the state.
 #include "leader/command_sender.hpp"
 
 #include <gmock/gmock.h>
@@ -14,7 +16,7 @@
 
 using Bench = PartsFixture;
 
-// The machine answers with its status.
+// Returns a successful response of the machine's agent, with its status.
 http::Response answer_of(const cluster::Machine& machine) {
     return {200, status_of(machine, 4).dump()};
 }
@@ -41,7 +43,7 @@
     bench.commands.flush_all();
     bench.machine_store.flush();
     bench.commands.flush_all();
-    EXPECT_THAT(bench.sent, IsEmpty()) << "the write is under way";
+    EXPECT_THAT(bench.sent, IsEmpty()) << "the write of the machine record is still in flight";
     bench.wait(1);
     ASSERT_TRUE(machine.is_stored());
     ASSERT_THAT(bench.sent, SizeIs(1));
@@ -64,32 +66,34 @@
     bench.lose_authority();
     bench.commands.flush_all();
     EXPECT_THAT(bench.sent, IsEmpty());
-    EXPECT_FALSE(instance.run.highest_token.is_set()) << "no `run` can be on its way";
+    EXPECT_FALSE(instance.run.highest_token.is_set()) << "no `run` can be in flight";
 }
 
-TEST(CommandSender, KeepsAStartThatWasNotAnswered) {
+TEST(CommandSender, KeepsAnInstanceWhoseRunGotNoResponse) {
     Bench bench;
     auto& machine = bench.add_reconciled_machine("vm-1");
     auto& instance = bench.add_start("j-1", machine);
     bench.commands.flush_all();
     bench.answer(std::nullopt);
-    EXPECT_TRUE(machine.tasks.contains({"j-1", 0})) << "it may have arrived, or arrive yet";
+    EXPECT_TRUE(machine.tasks.contains({"j-1", 0})) << "the `run` may have arrived, or may still arrive";
     EXPECT_EQ(instance.run.direct_in_flight, 0);
-    EXPECT_EQ(instance.run.unacknowledged_token, machine.token) << "must be fenced before it is forgotten";
+    EXPECT_EQ(instance.run.unacknowledged_token, machine.token)
+        << "the `run` must be fenced before the instance may be removed";
 }
 
-TEST(CommandSender, TakesBackTheDelegationOfAMachineThatItSendsTo) {
+TEST(CommandSender, RevokesTheDelegationOfAMachineThatItSendsCommandsTo) {
     Bench bench;
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.delegate("vm-1", "controller-1", bench.timers.now() + 3);
     bench.add_start("j-1", machine);
     bench.commands.flush_all();
-    EXPECT_EQ(bench.delegations.count(), 0u) << "the relay would go on giving an answer without commands";
+    EXPECT_EQ(bench.delegations.count(), 0u)
+        << "the relay would continue to answer heartbeats without commands";
     ASSERT_TRUE(machine.delegation_expiry);
     EXPECT_DOUBLE_EQ(*machine.delegation_expiry, bench.timers.now() + 3);
 }
 
-TEST(CommandSender, HandsOnTheStatusThatAProbeIsAnsweredWith) {
+TEST(CommandSender, AppliesTheStatusInTheResponseToAProbe) {
     Bench bench;
     auto& machine = bench.add_machine("vm-1");
     bench.commands.probe(machine);
@@ -106,14 +110,14 @@
 TEST(CommandSender, IgnoresTheStatusOfAnotherMachine) {
     Bench bench;
     auto& machine = bench.add_machine("vm-1");
-    auto& other = bench.add_machine("vm-2");  // has got the address of a machine that was deleted
+    auto& other = bench.add_machine("vm-2");  // uses the address of a deleted machine
     bench.commands.probe(machine);
     bench.wait(0);
     bench.answer(answer_of(other));
     EXPECT_THAT(bench.statuses, IsEmpty());
 }
 
-TEST(CommandSender, IgnoresAnAnswerAfterTheLeadershipsEnd) {
+TEST(CommandSender, IgnoresAResponseAfterTheEndOfTheLeadership) {
     Bench bench;
     auto& machine = bench.add_machine("vm-1");
     bench.commands.probe(machine);
@@ -124,7 +128,7 @@
     EXPECT_FALSE(bench.commands.last_answer_at());
 }
 
-TEST(CommandSender, SendsNoQueuedProbeAfterTheLeadershipsEnd) {
+TEST(CommandSender, SendsNoQueuedProbeAfterTheEndOfTheLeadership) {
     Bench bench;
     bench.commands.probe(bench.add_machine("vm-1"));
     bench.authority->end();
--- a/tests/leader/leading_fixture.hpp
+++ b/tests/leader/leading_fixture.hpp
@@ -1,5 +1,5 @@
-// A leadership that has just begun, for tests of the leader's parts: an election won at a key-value store in
-// memory, empty state, and the context that every part is given.
+// Test fixture with a leadership that has just begun, for tests of the leader's parts. It contains an
+// election won at an in-memory key-value store, an empty state, and the context that every part receives.
 #pragma once
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -17,11 +17,11 @@
 
 namespace coralhitch::leader {
 
-// Answers requests for leases, which FakeKeyValueStore does not know; passes on all others.
+// Answers lease requests, which FakeKeyValueStore does not support, and forwards all others.
 class FakeLeases : public http::Requester {
   public:
     FakeLeases(FakeTimers& timers, http::Requester& store) : timers_(timers), store_(store) {}
-    bool unanswered = false;  // requests for leases are lost from now on
+    bool unanswered = false;  // if set, lease requests are lost
     void send(const std::string& addr, http::Request request, double timeout, http::Result result) override {
         if (!addr.empty() || !request.target.starts_with("/holds"))
             store_.send(addr, std::move(request), timeout, std::move(result));
@@ -36,6 +36,7 @@
     http::Requester& store_;
 };
 
+// A leadership with simulated time. The constructor waits until the election is won.
 struct LeadingFixture {
     static config::Settings single_controller_settings() {
         auto settings = settings_of({.heartbeat_interval_s = 3, .lease_s = 30, .cancel_s = 60});
@@ -54,13 +55,13 @@
     }
     void wait(double seconds) { timers.run_until(timers.now() + seconds); }
     bool leads() const { return authority && authority->holds(); }
-    // The leader's lease expires; the leadership has not ended yet.
+    // Lets the leader's lease expire. The leadership itself has not ended yet.
     void lose_authority() {
         network.unanswered = true;
         wait(settings.lease_s * settings.op.lease_ratio);
         ASSERT_FALSE(leads());
     }
-    // Stores a live job, and enters it in the job table as if it had been read.
+    // Stores the record of a live job, and adds the job to the job table as if the record had been read.
     jobs::JobEntry& add_job(const std::string& id, std::uint32_t tasks,
                             std::vector<std::string> awaits = {}) {
         protocol::JobRecord record;
@@ -84,7 +85,7 @@
     kv::KvClient kv{timers, network, settings};
     election::Election election{timers, kv, settings, protocol::Incarnation{77}, 1};
     const std::vector<protocol::MachineType> types{{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"a", "b"}}};
-    std::shared_ptr<int> leader = std::make_shared<int>();  // what callbacks keep alive
+    std::shared_ptr<int> leader = std::make_shared<int>();  // kept alive by running callbacks
     std::unique_ptr<Authority> authority;
     std::unique_ptr<CallbackGuard> guarded;
     std::unique_ptr<LeaderState> state;
--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -1,4 +1,4 @@
-// A leadership whose Recovery loads what a test has stored.
+// Test fixture with a leadership whose Recovery loads the records that a test has stored.
 #pragma once
 #include <map>
 #include <optional>
@@ -15,24 +15,26 @@
 
 namespace coralhitch::leader {
 
+// PartsFixture with a Recovery object that is created by `recover` or `start_recovery`.
 struct RecoveryFixture : PartsFixture {
     static constexpr std::uint64_t own_incarnation = 77;
 
     explicit RecoveryFixture(config::Settings given = single_controller_settings())
         : PartsFixture(std::move(given)) {}
 
-    // Stores the machine as an earlier leader did.
+    // Stores the machine record as a previous leader would have.
     void store_machine(const std::string& id, bool marked_for_deletion = false) {
         page.emplace_back(id, protocol::MachineRecord{addr_of(id), "g4", "a", false, marked_for_deletion});
         service.kv[kv::keys::machine_page(0)] = {nlohmann::json::parse(protocol::stored(page)),
                                                  ++service.revision};
     }
-    // To be called once; loads everything.
+    // Starts the recovery and waits until the stored state is loaded. Must be called once.
     void recover() {
         start_recovery();
         wait(1);
         ASSERT_TRUE(recovery->loaded());
     }
+    // Starts the recovery without waiting. Must be called once.
     void start_recovery() {
         replication::ReplicaEvidence evidence;
         evidence.label = settings.label;
@@ -58,7 +60,7 @@
             },
             [this] { ++plans; }};
     }
-    // The machine reports under this leader's token.
+    // Applies a heartbeat from the machine with its current fencing token, which reconciles it.
     void report(const std::string& machine_id) {
         auto& machine = *state->cluster.find(machine_id);
         auto status =
@@ -70,9 +72,9 @@
     protocol::MachinePage page;
     protocol::PeerImages images;
     replication::ReplicaState replica;
-    election::LeadershipHistory history;  // known before the claim
+    election::LeadershipHistory history;  // known before the election
     std::map<std::string, double> silent_machine_s;
-    std::optional<bool> replica_eligible;  // whether the replica was taken for proof
+    std::optional<bool> replica_eligible;  // set when the stored state has been applied
     bool jobs_loaded = false;
     std::function<void()> on_ready;
     StaleKeyRemover stale_keys{*context, kv};
--- a/tests/leader/recovery_test.cpp
+++ b/tests/leader/recovery_test.cpp
@@ -1,4 +1,6 @@
-// Recovery: what a new leader takes over, and that it places nothing before it knows what may run where.
+// Recovery: a new leader restores the stored state and, if the stored record names its process, the replica
+// of the previous leader's state. It must not place tasks while a machine may run instances that it does not
+// know, since a task could then run twice.
 #include "leader/recovery.hpp"
 
 #include <gmock/gmock.h>
@@ -17,7 +19,8 @@
 
 struct Bench : RecoveryFixture {
     bool may_place() const { return reconciliation.placement_allowed(); }
-    // This controller follows a previous leader whose replica it has and whose record names it.
+    // Makes this controller an in-sync follower of a previous leader: it has the replica, and the stored
+    // record names it.
     void follow_previous_leader() {
         constexpr protocol::LeaderVersion previous_version{2};
         protocol::InSyncReplicas record{
@@ -28,7 +31,7 @@
         history.known_until_revision = previous_version.value();
         replica.leader_version = replica.base_version = previous_version;
     }
-    // The previous leader replicated that the machine holds the job's only task.
+    // Adds the job's only task to the machine's row in the replica of the previous leader's state.
     void replicate_task(const std::string& machine_id, const std::string& job_id) {
         auto& row = replica.machines[machine_id];
         row.machine = machine_id;
@@ -38,7 +41,7 @@
     }
 };
 
-TEST(Recovery, ExpectsAReportOfEachStoredMachine) {
+TEST(Recovery, ExpectsAHeartbeatFromEachStoredMachine) {
     Bench bench;
     bench.store_machine("vm-1");
     bench.recover();
@@ -51,14 +54,14 @@
     EXPECT_FALSE(bench.may_place());
 }
 
-TEST(Recovery, AsksForNoPlanBeforeAllStoredMachinesHaveReported) {
+TEST(Recovery, RequestsNoPlanBeforeAllStoredMachinesHaveReconciled) {
     Bench bench;
     bench.store_machine("vm-1");
     bench.store_machine("vm-2");
     bench.recover();
     bench.report("vm-1");
     bench.recovery->check_reconciled();
-    EXPECT_EQ(bench.plans, 0) << "the other one may hold anything";
+    EXPECT_EQ(bench.plans, 0) << "vm-2 may run unknown instances";
     bench.report("vm-2");
     bench.recovery->check_reconciled();
     EXPECT_GT(bench.plans, 0);
@@ -66,7 +69,7 @@
     EXPECT_TRUE(bench.recovery->steps().completed(FailoverStep::reconciled));
     int plans = bench.plans;
     bench.recovery->check_reconciled();
-    EXPECT_EQ(bench.plans, plans) << "once for each step";
+    EXPECT_EQ(bench.plans, plans) << "each step requests only one plan";
 }
 
 TEST(Recovery, CountsLeasesFromTheLastMomentThePreviousLeaderMayRenewThem) {
@@ -80,7 +83,7 @@
     EXPECT_GE(bench.state->cluster.find("vm-1")->lease_renewed_at, started_at + grace_s);
 }
 
-TEST(Recovery, TakesWhatTheReplicaShowsForProofIfTheRecordNamesThisProcess) {
+TEST(Recovery, RestoresInstancesFromTheReplicaIfTheRecordNamesThisProcess) {
     Bench bench;
     auto& job = bench.add_job("j-1", 1);
     bench.store_machine("vm-1");
@@ -91,13 +94,13 @@
     auto& machine = *bench.state->cluster.find("vm-1");
     EXPECT_TRUE(machine.known_from_replica);
     EXPECT_TRUE(machine.tasks.contains({"j-1", 0}));
-    ASSERT_TRUE(job.active.contains(0)) << "it is not started elsewhere";
+    ASSERT_TRUE(job.active.contains(0)) << "the task must not be started on another machine";
     EXPECT_EQ(job.active.at(0).machine, "vm-1");
     EXPECT_TRUE(bench.may_place());
-    EXPECT_FALSE(machine.usable(bench.timers.now())) << "nothing new before it has reported";
+    EXPECT_FALSE(machine.usable(bench.timers.now())) << "no new task before the machine has reconciled";
 }
 
-TEST(Recovery, TakesNothingFromAReplicaThatTheRecordDoesNotName) {
+TEST(Recovery, IgnoresAReplicaThatTheRecordDoesNotName) {
     Bench bench;
     bench.add_job("j-1", 1);
     bench.store_machine("vm-1");
@@ -118,13 +121,13 @@
     Bench bench;
     bench.store_machine("vm-1");
     bench.follow_previous_leader();
-    bench.replica.machines["vm-1"].machine = "vm-1";  // `known` is false: anything may be on it
+    bench.replica.machines["vm-1"].machine = "vm-1";  // `tasks_known` is false: it may run unknown instances
     bench.recover();
     ASSERT_EQ(bench.replica_eligible, true);
     EXPECT_FALSE(bench.may_place());
 }
 
-TEST(Recovery, GoesOnWithDeletionsThatAreStored) {
+TEST(Recovery, ContinuesStoredDeletions) {
     Bench bench;
     bench.store_machine("vm-1", true);
     bench.recover();
@@ -133,7 +136,7 @@
     EXPECT_EQ(nlohmann::json::parse(bench.sent.back().request.body)["berths"], nlohmann::json({"vm-1"}));
 }
 
-TEST(Recovery, RestoresProgressAndGivesThatOfEndedJobsAway) {
+TEST(Recovery, RestoresProgressAndRemovesTheProgressOfEndedJobs) {
     Bench bench;
     auto& job = bench.add_job("j-1", 2);
     auto live = kv::keys::progress_of("j-1", "0"), stale = kv::keys::progress_of("j-0", "0");
@@ -148,7 +151,7 @@
     EXPECT_FALSE(bench.service.kv.contains(stale));
 }
 
-TEST(Recovery, TakesNothingInAfterTheLeadershipsEnd) {
+TEST(Recovery, AppliesNoStoredStateAfterTheEndOfTheLeadership) {
     Bench bench;
     bench.store_machine("vm-1");
     bench.start_recovery();
--- a/tests/leader/start_replication_test.cpp
+++ b/tests/leader/start_replication_test.cpp
@@ -1,4 +1,6 @@
-// StartReplication: a start is sent only once every controller that could lead next knows of it.
+// StartReplication: sends a start only after every controller that could become the next leader has
+// acknowledged it. Otherwise a next leader would not know the instance and could start the task a second
+// time.
 #include "leader/start_replication.hpp"
 
 #include <gmock/gmock.h>
@@ -30,7 +32,8 @@
         ping.incarnation = follower_incarnation;
         ping.features = protocol::peer_features::latest;
     }
-    // The follower has taken in all that there is, and the stored record names it.
+    // Starts the replication and brings the follower in sync: it has acknowledged all changes, and the stored
+    // record names it.
     void begin_in_sync() {
         replication.begin(0, std::nullopt);
         wait(1);
@@ -39,7 +42,7 @@
         while (batch_waits()) acknowledge();
         ASSERT_EQ(replication.sender().in_sync_count(), 1u);
     }
-    // Starts the job's only task as Leader does.
+    // Starts the job's only task with the same calls as LeaderParts::replicate_starts.
     void start(const std::string& job_id, Machine& machine) {
         add_start(job_id, machine);
         replication.replicate_changes();
@@ -48,14 +51,14 @@
         replication.release_starts();
     }
     bool batch_waits() const { return !sent.empty() && sent.front().addr == follower_addr; }
-    // The follower takes in the batch that waits for its answer.
+    // Lets the follower apply the first batch in flight, and delivers its response.
     void acknowledge() {
         ASSERT_TRUE(batch_waits());
         auto batch = protocol::unpack_peer<protocol::ReplicationRequest>(sent.front().request.body);
         ASSERT_TRUE(batch);
         answer(http::Response{200, protocol::pack_peer(follower.apply(std::move(*batch)))});
     }
-    // Machines to which a `run` was sent.
+    // Returns the addresses of the machines to which a `run` was sent.
     std::vector<std::string> started_on() {
         std::vector<std::string> addrs;
         for (auto& request : sent)
@@ -64,7 +67,7 @@
                 addrs.push_back(request.addr);
         return addrs;
     }
-    protocol::PeerPing ping;  // the follower's last
+    protocol::PeerPing ping;  // last ping from the follower
     replication::Follower follower{follower_incarnation};
     StartReplication replication{*context, network, kv, [this](const std::string&) { return &ping; },
                                  [this] { commands.flush_all(); }};
@@ -90,28 +93,29 @@
     auto& second = bench.add_reconciled_machine("vm-2");
     bench.begin_in_sync();
     bench.start("j-1", first);
-    bench.start("j-2", second);  // the batch with the first is under way
+    bench.start("j-2", second);  // the batch with the first start is still in flight
     bench.acknowledge();
     EXPECT_THAT(bench.started_on(), ElementsAre(first.addr));
     bench.acknowledge();
     EXPECT_THAT(bench.started_on(), ElementsAre(first.addr, second.addr));
 }
 
-TEST(StartReplication, HoldsStartsUntilItsRecordHasReplacedThatOfThePreviousLeader) {
+TEST(StartReplication, HoldsStartsUntilItsRecordHasReplacedTheRecordOfThePreviousLeader) {
     Bench bench;
-    bench.ping.features = 0;  // nobody can follow
+    bench.ping.features = 0;  // the peer does not support following
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.service.txn_fates = {FakeKeyValueStore::TxnFate::never_executed};
     bench.replication.begin(0, std::nullopt);
     bench.start("j-1", machine);
     bench.wait(0.5);
-    EXPECT_THAT(bench.started_on(), IsEmpty()) << "whom it names would believe to know all starts";
+    EXPECT_THAT(bench.started_on(), IsEmpty())
+        << "a controller named by the old record would assume that it knows all starts";
     bench.wait(10);
     ASSERT_TRUE(bench.service.kv.contains(kv::keys::in_sync_replicas));
     EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
 }
 
-TEST(StartReplication, TakesAFollowerThatDoesNotAnswerOutOfTheRecordBeforeTheStart) {
+TEST(StartReplication, RemovesAnUnresponsiveFollowerFromTheRecordBeforeTheStart) {
     Bench bench;
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.begin_in_sync();
@@ -119,7 +123,7 @@
     bench.wait(bench.settings.heartbeat_interval_s / 5 + 0.01);
     bench.ping.features = 0;
     bench.answer(std::nullopt);
-    EXPECT_THAT(bench.started_on(), IsEmpty()) << "the record still names it";
+    EXPECT_THAT(bench.started_on(), IsEmpty()) << "the record still names the follower";
     bench.wait(1);
     EXPECT_EQ(bench.service.kv[kv::keys::in_sync_replicas].value["members"].size(), 0u);
     EXPECT_THAT(bench.started_on(), ElementsAre(machine.addr));
@@ -134,19 +138,19 @@
     EXPECT_FALSE(bench.batch_waits());
 }
 
-TEST(StartReplication, TellsTheFollowerWhetherAllThatAMachineMayHoldIsKnown) {
+TEST(StartReplication, ReplicatesWhetherAllInstancesOfAMachineAreKnown) {
     Bench bench;
     bench.add_reconciled_machine("vm-1");
-    bench.add_machine("vm-2");  // stored by an earlier leader, has not reported
+    bench.add_machine("vm-2");  // stored by an earlier leader, not reconciled
     bench.add_machine("vm-3").life = Machine::Life::booting;
     bench.begin_in_sync();
     auto& rows = bench.follower.replica().machines;
     EXPECT_TRUE(rows.at("vm-1").tasks_known);
     EXPECT_FALSE(rows.at("vm-2").tasks_known);
-    EXPECT_FALSE(rows.contains("vm-3")) << "nothing can have been sent to it";
+    EXPECT_FALSE(rows.contains("vm-3")) << "no command can have been sent to a booting machine";
 }
 
-TEST(StartReplication, SendsNoHeldStartAfterTheLeadershipsEnd) {
+TEST(StartReplication, SendsNoHeldStartAfterTheEndOfTheLeadership) {
     Bench bench;
     auto& machine = bench.add_reconciled_machine("vm-1");
     bench.begin_in_sync();
