--- a/tests/leader/recovery_fixture.hpp
+++ b/tests/leader/recovery_fixture.hpp
@@ -61,7 +61,7 @@
             [this] { ++plans; }};
     }
     // Applies a heartbeat from the machine with its current fencing token, which reconciles it.
-    void report(const std::string& machine_id) {
+    void reconcile(const std::string& machine_id) {
         auto& machine = *state->cluster.find(machine_id);
         auto status =
             protocol::HeartbeatReader().read(status_of(machine, machine.sequence.next().value()).dump());
--- a/tests/leader/recovery_test.cpp
+++ b/tests/leader/recovery_test.cpp
@@ -59,10 +59,10 @@
     bench.store_machine("vm-1");
     bench.store_machine("vm-2");
     bench.recover();
-    bench.report("vm-1");
+    bench.reconcile("vm-1");
     bench.recovery->check_reconciled();
     EXPECT_EQ(bench.plans, 0) << "vm-2 may run unknown instances";
-    bench.report("vm-2");
+    bench.reconcile("vm-2");
     bench.recovery->check_reconciled();
     EXPECT_GT(bench.plans, 0);
     EXPECT_TRUE(bench.recovery->steps().completed(FailoverStep::placement_allowed));
