--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -13,8 +13,8 @@
 namespace {
 // Request timeouts, in heartbeat periods.
 constexpr double probe_timeout_heartbeat_periods = 0.33, command_timeout_heartbeat_periods = 0.7;
-constexpr double probe_share_of_sockets =
-    1.0 / 8;  // maximum share of all sockets that probes in flight may use
+// Maximum share of all sockets that probes in flight may use.
+constexpr double probe_share_of_sockets = 1.0 / 8;
 // A reconciled machine needs no probe if its last heartbeat is at most this old, in heartbeat periods.
 constexpr double recent_heartbeat_periods = 1.0 / 2;
 // Time within which an agent's next heartbeat carries the fencing token from the last response, in heartbeat
@@ -203,8 +203,8 @@
                       }));
 }
 
-// Applies the status in the response. Returns true if it contains a higher agent epoch than was known. Logs a
-// malformed response and returns false.
+// Applies the status in the response. Returns true if it contains a higher agent epoch than was known. Logs
+// malformed responses.
 bool CommandSender::apply_answer(const std::string& machine_id, const http::Response& response) {
     last_answer_at_ = now();
     bool new_epoch = false;
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -49,6 +49,7 @@
     }
     // Returns the number of machines whose heartbeats are delegated to relays.
     std::size_t delegated_machines() const { return parts_.delegations.count(); }
+    // Returns the sender of replicated changes, for its statistics.
     const replication::ReplicationSender& replication() const { return parts_.start_replication.sender(); }
     // Returns the completed steps of the failover, with their times.
     const failover::FailoverSteps& steps() const { return parts_.recovery.steps(); }
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -117,8 +117,7 @@
             [this](const std::vector<PlannedStart>& started) { replicate_starts(started); }};
 }
 
-// --- Events that affect several parts
-// -------------------------------------------------------------------------
+// --- Events that affect several parts -------------------------------------------------------------------
 
 void LeaderParts::on_machines_stored() {
     commands.flush_all();
--- a/src/leader/plan_executor.hpp
+++ b/src/leader/plan_executor.hpp
@@ -51,7 +51,7 @@
         cluster::TeamActivity& team_activity;
         metrics::Metrics& metrics;
     };
-    // Queries and events that connect the PlanExecutor to parts that are constructed later.
+    // Queries to and events for other parts of the leader.
     struct Callbacks {
         // Returns true once jobs and machines have been loaded from the key-value store.
         std::function<bool()> loaded;
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -15,10 +15,10 @@
 using cluster::Machine;
 
 Recovery::Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
-                   const Parts& parts, PredecessorState inheritance, Hooks hooks)
+                   const Parts& parts, PredecessorState predecessor, Hooks hooks)
     : LeaderPart(context),
       parts_(parts),
-      predecessor_(std::move(inheritance)),
+      predecessor_(std::move(predecessor)),
       hooks_(std::move(hooks)),
       steps_(timers_),
       loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::RecoveredState& stored) {
--- a/src/leader/recovery.hpp
+++ b/src/leader/recovery.hpp
@@ -45,7 +45,7 @@
         const replication::ReplicaState& replica;        // replicated instances on the machines
         std::map<std::string, double> silent_machine_s;  // silence of each suspected machine, seconds
     };
-    // Events for parts that are constructed later.
+    // Events for other parts of the leader.
     struct Hooks {
         ApplyJobRecord apply_job_record;
         // Called when the stored state has been applied, before anything is sent to a machine.
@@ -58,7 +58,7 @@
         std::function<void()> request_plan;
     };
     Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
-             const Parts& parts, PredecessorState inheritance, Hooks hooks);
+             const Parts& parts, PredecessorState predecessor, Hooks hooks);
 
     // Starts to load the stored state. Must be called once.
     void start() { loader_.start(); }
