--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -115,7 +115,7 @@
 
 void Controller::on_lease_lost() {
     metrics_.increment(metrics::Metric::leaderships_lost);
-    if (leader_) peers_.set_image_caches(leader_->images());
+    if (leader_) peers_.set_image_caches(leader_->image_caches());
     leader_.end();
 }
 
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -58,7 +58,7 @@
 }
 
 void PeerMonitor::send_image_caches() {
-    auto body = protocol::pack_peer(dependencies_.leader->images());
+    auto body = protocol::pack_peer(dependencies_.leader->image_caches());
     for (auto& [label, peer] : peers_)
         dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_images_path, body),
                                 dependencies_.settings.heartbeat_interval_s * ping_interval_periods,
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -61,7 +61,7 @@
     // Returns the counts of all live jobs with running or done tasks. Empty while the jobs are not loaded.
     std::vector<protocol::PeerTaskCounts> all_counts();
     // Returns the image caches of the machines, to be sent to the next leader.
-    protocol::PeerImages images() const { return images_to_hand_over(parts_.state.cluster); }
+    protocol::PeerImages image_caches() const { return images_to_hand_over(parts_.state.cluster); }
     // Returns the machines whose heartbeats are missing, with the duration of their silence in seconds.
     std::map<std::string, double> suspected() const { return parts_.supervisor.suspected(); }
     // Applies LeaderDependencies::machine_types again after they have changed.
