--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -162,7 +162,7 @@
 
 // The other controllers are notified also if this one leads: its lease may have expired without its knowing.
 void Controller::notify_cancelled(const std::string& id, std::uint64_t version) {
-    if (leader_) leader_->cancelled(id, version);
+    if (leader_) leader_->apply_cancellation(id, version);
     cancellations_.announce(id, version,
                             leader_ ? election_.fencing_token() : protocol::LeaderVersion::none());
 }
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -76,9 +76,9 @@
     const protocol::PeerCancellationBatch& message) const {
     const auto& leader = dependencies_.leader;
     if (!leader) return {protocol::LeaderVersion::none()};
-    leader->cancelled(message.id, message.version);
+    leader->apply_cancellation(message.id, message.version);
     for (auto& notice : message.more)
-        if (leader) leader->cancelled(notice.id, notice.version);
+        if (leader) leader->apply_cancellation(notice.id, notice.version);
     return {leader ? dependencies_.election.fencing_token() : protocol::LeaderVersion::none()};
 }
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -27,7 +27,7 @@
     parts_.heartbeats.stop();
 }
 
-void Leader::cancelled(const std::string& id, std::uint64_t version) {
+void Leader::apply_cancellation(const std::string& id, std::uint64_t version) {
     if (parts_.job_watcher.cancelled(id, version)) parts_.commands.flush_all();
 }
 
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -72,7 +72,7 @@
     }
     // Cancels the job in the job table, and sends the commands that stop its tasks. `version` is the version
     // of the job's stored record since which the job is cancelled.
-    void cancelled(const std::string& id, std::uint64_t version);
+    void apply_cancellation(const std::string& id, std::uint64_t version);
 
   private:
     void tick();
