--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -60,7 +60,7 @@
 
 void PeerMessageHandler::relay_heartbeats(const protocol::RelayRequest& message,
                                           const http::Reply& reply) const {
-    if (dependencies_.leader) return dependencies_.leader->relay(message, reply);
+    if (dependencies_.leader) return dependencies_.leader->handle_relayed_heartbeats(message, reply);
     reply_packed(reply, protocol::RelayResponse{});
 }
 
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -44,7 +44,7 @@
         parts_.heartbeats.handle(std::move(heartbeat));
     }
     // Handles heartbeats that a relay forwarded.
-    void relay(const protocol::RelayRequest& message, const http::Reply& reply) {
+    void handle_relayed_heartbeats(const protocol::RelayRequest& message, const http::Reply& reply) {
         parts_.heartbeats.handle_relayed(message, reply);
     }
     // Returns the number of machines whose heartbeats are delegated to relays.
