--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -60,7 +60,7 @@
 
 void PeerMessageHandler::relay_heartbeats(const protocol::RelayRequest& message,
                                           const http::Reply& reply) const {
-    if (dependencies_.leader) return dependencies_.leader->relay(message, reply);
+    if (dependencies_.leader) return dependencies_.leader->handle_relayed_heartbeats(message, reply);
     reply_packed(reply, protocol::RelayResponse{});
 }
 
@@ -76,9 +76,9 @@
     const protocol::PeerCancellationBatch& message) const {
     const auto& leader = dependencies_.leader;
     if (!leader) return {protocol::LeaderVersion::none()};
-    leader->cancelled(message.id, message.version);
+    leader->apply_cancellation(message.id, message.version);
     for (auto& notice : message.more)
-        if (leader) leader->cancelled(notice.id, notice.version);
+        if (leader) leader->apply_cancellation(notice.id, notice.version);
     return {leader ? dependencies_.election.fencing_token() : protocol::LeaderVersion::none()};
 }
 
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -219,7 +219,8 @@
                      status.machine, fencing_token);
         // Deferred to a later turn of the event loop: the end of the leadership destroys this object, which
         // is still handling the agent's message.
-        timers_.after(0, guarded_([this, fencing_token] { leadership_.deposed_by(fencing_token); }));
+        timers_.after(
+            0, guarded_([this, fencing_token] { leadership_.step_down_if_superseded(fencing_token); }));
         return outcome;
     }
     parts_.recovery.check_reconciled();
--- a/src/leader/job_store.hpp
+++ b/src/leader/job_store.hpp
@@ -25,7 +25,7 @@
   public:
     // Callbacks to other parts of the leader.
     struct Callbacks {
-        TakeJobRecord apply_record;
+        ApplyJobRecord apply_record;
         std::function<void()> request_plan;
         // Returns whether this leader knows of each machine which tasks may be on it (see Reconciliation).
         // Until then no end of a cancelled job is stored.
--- a/src/leader/leader_parts.cpp
+++ b/src/leader/leader_parts.cpp
@@ -13,7 +13,8 @@
                                         settings.op.suspicion_timeout_periods, settings.peers.size()});
 }
 
-// What this controller knew before its claim; the rest of the evidence is read.
+// Returns the evidence on this controller's replica that was known before its election. The RecoveryLoader
+// reads the rest from the key-value store.
 replication::ReplicaEvidence replica_evidence(const LeaderDependencies& dependencies,
                                               protocol::LeaderVersion version) {
     replication::ReplicaEvidence evidence;
@@ -26,9 +27,9 @@
 }
 }  // namespace
 
-LeaderParts::LeaderParts(LeaderDependencies given, protocol::LeaderVersion version, std::uint64_t seed,
-                         std::function<void()> begin_ticks)
-    : dependencies(std::move(given)),
+LeaderParts::LeaderParts(LeaderDependencies leader_dependencies, protocol::LeaderVersion version,
+                         std::uint64_t seed, std::function<void()> begin_ticks)
+    : dependencies(std::move(leader_dependencies)),
       authority(dependencies.timers, dependencies.settings, dependencies.election, version,
                 [this] { return job_watcher.complete_until(); }),
       state(version, dependencies.machine_types, dependencies.settings.value_kb),
@@ -58,7 +59,7 @@
     return [this] { plan_executor.request_plan(); };
 }
 
-TakeJobRecord LeaderParts::take_job_record() {
+ApplyJobRecord LeaderParts::apply_job_record() {
     return [this](const std::string& job_id, std::uint64_t version, const std::string& record) {
         job_watcher.apply_record(job_id, version, record);
     };
@@ -76,21 +77,21 @@
 
 MachineDeletion::Hooks LeaderParts::deletion_hooks() {
     return {[this](const std::string& machine_id) { heartbeats.forget(machine_id); },
-            [this] { deletion_done(); }};
+            [this] { on_deletion_done(); }};
 }
 
 JobStore::Callbacks LeaderParts::job_store_callbacks() {
-    return {take_job_record(), request_plan(), [this] { return reconciliation.placement_allowed(); }};
+    return {apply_job_record(), request_plan(), [this] { return reconciliation.placement_allowed(); }};
 }
 
 JobWatcher::Callbacks LeaderParts::job_watcher_callbacks() {
     return {[this](const std::string& job_id, jobs::JobEntry& job) { instances.cancel_active(job_id, job); },
-            [this] { jobs_changed(); }, request_plan()};
+            [this] { on_jobs_changed(); }, request_plan()};
 }
 
 Recovery::Hooks LeaderParts::recovery_hooks(std::function<void()> begin_ticks) {
-    return {take_job_record(),
-            [this](const failover::RecoveredState& stored) { stored_state_loaded(stored); },
+    return {apply_job_record(),
+            [this](const failover::RecoveredState& stored) { on_stored_state_loaded(stored); },
             [this] { dependency_resolver.resolve(); },
             [this, begin_ticks = std::move(begin_ticks)] {
                 heartbeats.handle_early_heartbeats();
@@ -113,38 +114,38 @@
 
 PlanExecutor::Callbacks LeaderParts::plan_callbacks() {
     return {[this] { return recovery.loaded(); }, [this] { return hosts.has_listed(); }, mark_for_deletion(),
-            [this](const std::vector<StartedTask>& started) { replicate_starts(started); }};
+            [this](const std::vector<PlannedStart>& started) { replicate_starts(started); }};
 }
 
-// --- What follows from an event -------------------------------------------------------------------------
+// --- Events that affect several parts -------------------------------------------------------------------
 
-void LeaderParts::machines_stored() {
+void LeaderParts::on_machines_stored() {
     commands.flush_all();
     deletion.delete_marked();
 }
 
-void LeaderParts::deletion_done() {
+void LeaderParts::on_deletion_done() {
     start_replication.replicate_changes();
     recovery.check_reconciled();
     plan_executor.request_plan();
 }
 
-void LeaderParts::jobs_changed() {
+void LeaderParts::on_jobs_changed() {
     plan_executor.request_plan();
     dependency_resolver.resolve();
     commands.flush_all();
 }
 
-void LeaderParts::stored_state_loaded(const failover::RecoveredState& stored) {
+void LeaderParts::on_stored_state_loaded(const failover::RecoveredState& stored) {
     start_replication.begin(stored.in_sync_record_version,
                             stored.replica_eligible ? stored.in_sync_record : std::nullopt);
     job_watcher.start(stored.jobs.revision, stored.jobs_listed_at);
 }
 
-void LeaderParts::replicate_starts(const std::vector<StartedTask>& started) {
+void LeaderParts::replicate_starts(const std::vector<PlannedStart>& started) {
     start_replication.replicate_changes();
-    for (auto& [machine_id, task] : started) start_replication.hold(machine_id, task);
-    start_replication.expedite();
+    for (auto& [machine_id, task] : started) start_replication.hold_start(machine_id, task);
+    start_replication.flush();
     start_replication.release_starts();
 }
 
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -171,9 +171,10 @@
         settings_.heartbeat_interval_s * (machine.reconciled ? reconciled_probe_interval_heartbeat_periods
                                                              : unreconciled_probe_interval_heartbeat_periods);
     if (machine.last_probe_at && now() - *machine.last_probe_at <= interval_s) return;
-    bool due = machine.reconciled ? parts_.failure_detector.has_missed_heartbeat(observation)
-                                  : now() - machine.created_at >
-                                        settings_.heartbeat_interval_s * CommandSender::first_probe_reports;
+    bool due = machine.reconciled
+                   ? parts_.failure_detector.has_missed_heartbeat(observation)
+                   : now() - machine.created_at >
+                         settings_.heartbeat_interval_s * CommandSender::first_probe_heartbeat_periods;
     if (due) parts_.commands.probe(machine);
 }
 
--- a/src/leader/recovery.cpp
+++ b/src/leader/recovery.cpp
@@ -15,31 +15,31 @@
 using cluster::Machine;
 
 Recovery::Recovery(const PartContext& context, kv::KvClient& kv, const replication::ReplicaEvidence& evidence,
-                   const Parts& parts, Inheritance inheritance, Hooks hooks)
+                   const Parts& parts, PredecessorState predecessor, Hooks hooks)
     : LeaderPart(context),
       parts_(parts),
-      inheritance_(std::move(inheritance)),
+      predecessor_(std::move(predecessor)),
       hooks_(std::move(hooks)),
       steps_(timers_),
       loader_(timers_, kv, settings_, steps_, evidence, [this](const failover::RecoveredState& stored) {
           if (authority_.ended()) return;
-          take_stored(stored);
+          apply_stored_state(stored);
           hooks_.state_loaded(stored);
           finish_load();
       }) {}
 
-void Recovery::take_stored(const failover::RecoveredState& stored) {
+void Recovery::apply_stored_state(const failover::RecoveredState& stored) {
     std::lock_guard lock(state_.mutex);
-    take_jobs(stored);
+    load_jobs(stored);
     for (auto& [machine_id, record] : parts_.machine_store.load(stored.machines))
-        take_machine(machine_id, record, stored.replica_eligible);
+        add_stored_machine(machine_id, record, stored.replica_eligible);
 }
 
-void Recovery::take_jobs(const failover::RecoveredState& stored) {
+void Recovery::load_jobs(const failover::RecoveredState& stored) {
     std::set<std::string> live;
     for (auto& entry : stored.jobs.entries) {
         auto job_id = entry.key.substr(keys::jobs.size());
-        hooks_.take_job(job_id, entry.version, entry.value);
+        hooks_.apply_job_record(job_id, entry.version, entry.value);
         live.insert(std::move(job_id));
     }
     for (auto& entry : stored.progress.entries) {
@@ -47,8 +47,8 @@
         auto slash = rest.find('/');
         auto job_id = rest.substr(0, slash);
         if (!state_.jobs.find(job_id)) {
-            // Left over from a job that is over. One whose record can't be read is live and may be known to
-            // other versions.
+            // The record of progress remains from a job that has ended. A job whose record cannot be read is
+            // still live, and other software versions may be able to read it, so its progress is kept.
             if (!live.contains(job_id)) parts_.stale_keys.add(entry.key);
             continue;
         }
@@ -62,8 +62,8 @@
     }
 }
 
-void Recovery::take_machine(const std::string& machine_id, const protocol::MachineRecord& record,
-                            bool inherits) {
+void Recovery::add_stored_machine(const std::string& machine_id, const protocol::MachineRecord& record,
+                                  bool replica_eligible) {
     auto lifecycle =
         record.marked_for_deletion ? Machine::Lifecycle::marked_for_deletion : Machine::Lifecycle::up;
     auto& machine =
@@ -71,22 +71,24 @@
     machine.registration = Machine::Registration::stored;
     machine.stored_by_earlier_leader = true;
     parts_.reconciliation.expect(machine_id);
-    if (inherits) inherit(machine);
+    if (replica_eligible) restore_from_replica(machine);
     if (record.marked_for_deletion) machine.allow_deletion();
-    auto silent = inheritance_.silent_machine_s.find(machine_id);
-    if (silent != inheritance_.silent_machine_s.end() && machine.known_from_replica)
+    auto silent = predecessor_.silent_machine_s.find(machine_id);
+    if (silent != predecessor_.silent_machine_s.end() && machine.known_from_replica)
         machine.inherited_silence_s = silent->second;
     parts_.failure_detector.record_heartbeat(state_.zone_of(machine), now() - machine.inherited_silence_s);
-    // The previous leader may have gone on renewing leases for a while.
+    // The previous leader may have continued to renew leases for this long after its authority ended.
     machine.lease_renewed_at = now() + authority_.renewal_after_expiry_s();
 }
 
-// The replica's row says all that may be on the machine: see docs/replication.md. The machine is not used
-// before it has reconciled. The previous leader replicated all machines that were stored when it came to
-// lead, and each other one before the first `run` to it: of what it never replicated, or as deleted, nothing
-// is left.
-void Recovery::inherit(Machine& machine) {
-    auto& rows = inheritance_.replica.machines;
+// Adds the instances in the machine's replica row to the cluster state. The row contains every instance that
+// may be on the machine; see docs/replication.md. The machine is not used before it has reconciled.
+//
+// A machine without a row has no instances. The previous leader replicated all machines that were stored when
+// it was elected, and every other machine before it sent the first `run` to it. So a machine that it never
+// replicated, or replicated as deleted, holds no instance.
+void Recovery::restore_from_replica(Machine& machine) {
+    auto& rows = predecessor_.replica.machines;
     auto row = rows.find(machine.id);
     machine.known_from_replica = row == rows.end() || row->second.tasks_known;
     if (row == rows.end() || !machine.known_from_replica) return;
@@ -104,7 +106,7 @@
     loaded_ = true;
     {
         std::lock_guard lock(state_.mutex);
-        restore_image_caches(state_.cluster, inheritance_.images);
+        restore_image_caches(state_.cluster, predecessor_.images);
     }
     auto& machines = state_.cluster.machines();
     auto known = std::count_if(machines.begin(), machines.end(),
@@ -113,21 +115,24 @@
                                                         " machines=" + std::to_string(machines.size()) +
                                                         " known=" + std::to_string(known));
     hooks_.jobs_loaded();
-    probe_first();
+    begin_probing();
     hooks_.ready();
 }
 
-// With some of the machines placing can begin. Of the rest most heartbeats lie waiting or come within a
-// period: a probe costs three times as much as a heartbeat that is passed on. Those of which nothing is known
-// hold up all placing.
-void Recovery::probe_first() {
+// Probes a sample of the machines at once, because placement can begin with a part of the fleet. Most
+// heartbeats of the other machines are already waiting or arrive within a heartbeat period, and a probe costs
+// three times as much as a relayed heartbeat. Machines that have not reconciled after a short wait are probed
+// then, first those whose instances are unknown, since each of them blocks all placement.
+void Recovery::begin_probing() {
     auto& machines = state_.cluster.machines();
-    double at_once = CommandSender::probes_within(settings_, CommandSender::first_probe_reports);
-    auto stride = static_cast<std::size_t>(static_cast<double>(machines.size()) / at_once) + 1;
+    double sample_size =
+        CommandSender::probes_within(settings_, CommandSender::first_probe_heartbeat_periods);
+    auto stride = static_cast<std::size_t>(static_cast<double>(machines.size()) / sample_size) + 1;
     std::size_t index = 0;
     for (auto& [id, machine] : machines)
         if (index++ % stride == 0) parts_.commands.probe(machine);
-    timers_.after(settings_.heartbeat_interval_s * CommandSender::first_probe_reports, guarded_([this] {
+    timers_.after(settings_.heartbeat_interval_s * CommandSender::first_probe_heartbeat_periods,
+                  guarded_([this] {
                       for (bool known : {false, true})
                           for (auto& [id, machine] : state_.cluster.machines())
                               if (!machine.reconciled && machine.known_from_replica == known)
