--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -28,7 +28,7 @@
 }
 
 void Leader::apply_cancellation(const std::string& id, std::uint64_t version) {
-    if (parts_.job_watcher.cancelled(id, version)) parts_.commands.flush_all();
+    if (parts_.job_watcher.apply_cancellation(id, version)) parts_.commands.flush_all();
 }
 
 void Leader::update_machine_types() {
