--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -5,9 +5,12 @@
 namespace coralhitch::api {
 
 namespace {
-constexpr double write_budget_share = 0.9;  // the same as the client of the key-value store uses
-// Share of the burst that a team leaves to other active teams. Half of it was too much: after an overload,
-// half a burst's time passed until it was there again, in which available writes went unused.
+// Share of the key-value store's write limit that controllers use. The client of the store uses the same
+// share.
+constexpr double write_budget_share = 0.9;
+// Share of the burst that a team leaves to other active teams. A reserve of half the burst was too large:
+// after an overload it took half of the burst's refill time to fill again, and available writes went unused
+// meanwhile.
 constexpr double reserve_share = 1.0 / 8;
 }  // namespace
 
@@ -24,7 +27,8 @@
     return shares_.try_emplace(team, TeamShare{{rate_ / team_count_, burst}, {}}).first->second;
 }
 
-// The level at which the common bucket is empty for this team: a single job while no other team is active.
+// Returns the number of tokens that the common bucket must hold before a team may draw on it beyond its own
+// share: the reserve while another team is active, and the one token that the job takes otherwise.
 double Admission::reserve_for_others(const std::string& team, double now) const {
     bool others_active = std::any_of(shares_.begin(), shares_.end(), [&](auto& entry) {
         auto& [name, share] = entry;
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -1,9 +1,9 @@
-// Admission control: how many jobs a controller accepts, no more than the key-value store can store to their
-// ends.
+// Admission control: limits the rate at which a controller accepts jobs to what the key-value store can
+// write.
 //
-// An accepted job causes writes later, most of them by the leader. If jobs were accepted faster than those
-// can be stored, users would see their jobs done minutes late, and the backlog would outlast the burst that
-// caused it.
+// An accepted job causes more writes later, most of them by the leader. If jobs were accepted faster than the
+// store can take these writes, users would see their jobs done minutes late, and the backlog would outlast
+// the burst that caused it.
 #pragma once
 #include <map>
 #include <optional>
@@ -14,41 +14,45 @@
 
 namespace coralhitch::api {
 
-// `now` is in seconds of the injected steady clock everywhere.
+// Admits jobs by token buckets, one for each team and a common one. One token admits one job.
+//
+// `now` is in seconds of the injected steady clock everywhere. All functions run on the event loop's thread.
 class Admission {
   public:
-    // Writes over the whole life of a job with one task: its live record, its final record, the removal of
+    // Number of writes that a job with one task causes: its live record, its final record, and the removal of
     // the live record.
     static constexpr double writes_per_job = 3;
-    // The burst accepted after an idle time, as the worker leases in which as much is accepted at the
-    // sustained rate.
+    // Size of the burst that is accepted after an idle time: the number of jobs that the sustained rate
+    // admits in this many machine leases.
     static constexpr double burst_leases = 1;
 
     explicit Admission(const config::Settings& settings);
-    // Admits one job of a team, if possible. Each team has an equal share of the rate for itself. Beyond it,
-    // a team may use all of the common burst if no other team has asked within a worker's lease; otherwise it
-    // leaves a reserve to the others.
+    // Admits one job of a team if a token is available, and returns whether it did. Each team has an equal
+    // share of the rate for itself. Beyond its share, a team may use the whole common burst if no other team
+    // has submitted a job within the last machine lease; otherwise it leaves a reserve to the other teams.
     bool admit(const std::string& team, double now);
-    // Whether `admit` would; changes nothing.
+    // Returns whether `admit` would admit a job now, without taking tokens or counting a rejection.
     [[nodiscard]] bool can_admit(const std::string& team, double now);
-    // An admitted job was not accepted after all, and causes no writes.
+    // Gives back the tokens of an admitted job that was not accepted after all and causes no writes.
     void refund(const std::string& team, double now);
-    // Seconds after which the team may try again.
+    // Returns the number of seconds after which `admit` would succeed for the team if no other job takes the
+    // tokens.
     [[nodiscard]] double retry_after_s(const std::string& team, double now);
-    // Jobs not admitted so far.
+    // Returns the number of calls of `admit` that were rejected since the process began.
     [[nodiscard]] double rejected_count() const { return rejected_; }
 
   private:
+    // Share of one team in the sustained rate.
     struct TeamShare {
         event_loop::TokenBucket tokens;
-        std::optional<double> last_request_at;
+        std::optional<double> last_request_at;  // steady seconds; empty before the first call of `admit`
     };
     TeamShare& share_of(const std::string& team);
     double reserve_for_others(const std::string& team, double now) const;
 
     double rate_, burst_;  // jobs per second, jobs
     double team_count_;
-    double active_window_s_;  // for which a team counts as active after its last request
+    double active_window_s_;  // A team counts as active for this time after its last request.
     event_loop::TokenBucket common_;
     std::map<std::string, TeamShare> shares_;
     double rejected_ = 0;
