--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -14,11 +14,13 @@
 namespace keys = kv::keys;
 
 namespace {
+// Attempts to read the live record of a job and store it as cancelled. An attempt fails if the record was
+// changed in between or if the answer of the key-value store was lost.
 constexpr int max_attempts = 4;
 }  // namespace
 
-// The state of a cancelled or ended job never changes, so all who ask for the same cancellation meanwhile may
-// have the answer.
+// Requests that arrive while a cancellation of the same job is in progress share its answer. They may,
+// because the state of a cancelled or ended job never changes.
 void CancellationHandler::cancel(const std::string& id, http::Reply reply) {
     if (!protocol::valid_job_id(id)) return reply(no_such_job());
     if (auto* record = reader_.cached_final(id)) return responder_.reply_state(id, *record, reply);
@@ -30,8 +32,8 @@
         id, [this, id](const http::Response& response) { answer_all(id, response); }, 0);
 }
 
-// That there is no such job is an answer only to the first, who asked before it was read: the others are to
-// repeat their request.
+// Only the first request gets the answer "no such job", since it arrived before the job was read. The job may
+// have been accepted between that read and a later request, so later requests are told to retry.
 void CancellationHandler::answer_all(const std::string& id, const http::Response& response) {
     auto replies = std::move(in_progress_.extract(id).mapped());
     for (std::size_t i = 0; i < replies.size(); ++i)
@@ -40,7 +42,8 @@
 
 void CancellationHandler::read_record(const std::string& id, const http::Reply& reply, int attempt) {
     if (attempt >= max_attempts) return reply(retry_later());
-    // The copy of the live jobs does not do: the record itself is needed, to be written again.
+    // Reads the record from the store, because it is written again as a whole. LiveJobs keeps only parts of
+    // it.
     kv_.get(keys::job(id), kv::RequestPriority::cancellation,
             [this, id, reply, attempt](const kv::GetResult& result) {
                 if (!result.ok()) return reply(retry_later());
@@ -61,7 +64,8 @@
         return reply(retry_later());
     }
     if (record.cancelled) {
-        // Perhaps by the previous attempt, whose answer was lost: then the leader was not notified yet.
+        // The previous attempt may have stored this and its answer was lost. The leader was not notified
+        // then.
         if (attempt > 0) cluster_.notify_cancelled(id, entry.version);
         return reply(cancelled_job(id));
     }
@@ -80,9 +84,10 @@
 protocol::Txn CancellationHandler::cancellation_txn(const std::string& id, const protocol::Entry& entry,
                                                     protocol::JobRecord record) const {
     record.cancelled = true;
-    record.job.dependencies.clear();  // versions that know no dependencies can't read a record with any
+    // Controllers of a version without support for dependencies can't read a record that has any.
+    record.job.dependencies.clear();
     auto value = protocol::stored(record);
-    // The record was stored when larger values were allowed.
+    // A record that was stored when larger values were allowed may exceed the present limit.
     if (value.size() > kv_.limits().value_bytes())
         value = protocol::stored(protocol::compact_cancelled_record(std::move(record)));
     protocol::Txn txn;
--- a/src/api/cancellation_handler.hpp
+++ b/src/api/cancellation_handler.hpp
@@ -1,4 +1,4 @@
-// Cancellations by users: marks the live record of a job as cancelled.
+// Handles cancellations by users: marks the live record of a job as cancelled.
 //
 // All functions and callbacks run on the event loop's thread.
 #pragma once
@@ -16,12 +16,15 @@
 
 namespace coralhitch::api {
 
+// Cancels jobs in the key-value store and notifies the leader. All arguments of the constructor must outlive
+// it.
 class CancellationHandler {
   public:
     CancellationHandler(kv::KvClient& kv, ClusterQueries& cluster, JobReader& reader,
                         JobStatusResponder& responder)
         : kv_(kv), cluster_(cluster), reader_(reader), responder_(responder) {}
-    // Answers with the job's state: cancelled, or final if it had ended before.
+    // Cancels a job and answers with its state: cancelled, or its final state if it had ended before. Answers
+    // 404 for an unknown job, and 503 if the cancellation could not be stored.
     void cancel(const std::string& id, http::Reply reply);
 
   private:
@@ -36,7 +39,8 @@
     ClusterQueries& cluster_;
     JobReader& reader_;
     JobStatusResponder& responder_;
-    // Cancellations in progress, by job, with all users who wait for their answer.
+    // Replies to all users who wait for a cancellation in progress, by job. The first one is that of the
+    // request that started the cancellation.
     std::unordered_map<std::string, std::vector<http::Reply>> in_progress_;
 };
 
--- a/src/api/cluster_queries.hpp
+++ b/src/api/cluster_queries.hpp
@@ -1,4 +1,4 @@
-// What the users' interface needs of the controller that it is part of.
+// Interface through which the user API asks the controller about the cluster.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -10,21 +10,24 @@
 
 namespace coralhitch::api {
 
-// Tasks of one job.
+// Numbers of tasks of one job, by state.
 struct TaskCounts {
     std::uint64_t done = 0, running = 0;
 };
 
+// Queries and notifications that the controller implements. All functions and callbacks run on the event
+// loop's thread.
 class ClusterQueries {
   public:
     using TaskCountsCallback = std::function<void(std::optional<TaskCounts>)>;
 
     virtual ~ClusterQueries() = default;
-    // Empty as long as they are not known.
+    // Returns the machine types of the platform. The list is empty while they are not known.
     virtual const std::vector<protocol::MachineType>& machine_types() const = 0;
-    // The counts of a live job as the leader knows them; nullopt if they can't be had.
+    // Passes the leader's task counts of a live job to `done`, or nullopt if they are not available.
     virtual void task_counts(const std::string& id, TaskCountsCallback done) = 0;
-    // A job was cancelled, by a live record of this version: the leader is to stop its tasks.
+    // Tells the leader to stop the tasks of a cancelled job. `version` is that of the live record that marks
+    // the job as cancelled.
     virtual void notify_cancelled(const std::string& id, std::uint64_t version) = 0;
 };
 
