--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -13,8 +13,10 @@
 namespace keys = kv::keys;
 
 namespace {
+// Maximum number of reads of the live jobs for one result. After each of them, the final records of the
+// unresolved dependencies that it found are read.
 constexpr int max_read_attempts = 4;
-constexpr std::size_t cached_finals_per_mb = 500;  // of the memory limit in the settings
+constexpr std::size_t cached_finals_per_mb = 500;  // per MB of the memory limit in the settings
 
 void log_unreadable_final(const std::string& id, const protocol::Malformed& error) {
     spdlog::error("component=api event=unreadable_final_record job={} error=\"{}\"", id, error.what());
@@ -32,8 +34,8 @@
           }
       }) {}
 
-// Evicts the oldest entry only. When all were dropped at once, every user who still asked for one of them
-// caused another read.
+// Evicts only the oldest entry when the cache is full. When the whole cache was cleared at once, each later
+// query for one of its jobs caused another read.
 void JobReader::cache_final(const std::string& id, const protocol::FinalRecord& record) {
     if (!finals_.emplace(id, record).second) return;
     finals_order_.push_back(id);
@@ -68,8 +70,8 @@
     });
 }
 
-// Whether the job is cancelled depends on how others ended, each of which is read once for all its
-// dependents.
+// Reads the final records of dependencies whose outcome decides whether the job is cancelled, and then reads
+// the job again. Each final record is read once for all jobs that depend on it.
 void JobReader::resolve_dependencies(const std::string& id, const std::vector<std::string>& dependencies,
                                      const Callback& done, kv::RequestPriority priority, int attempt) {
     auto remaining = std::make_shared<std::size_t>(dependencies.size());
@@ -84,9 +86,10 @@
             priority);
 }
 
-// One read at a time for a job, however many ask: hundreds of jobs of a long pipeline may depend on how the
-// same one ended. A final record never changes, so those who joined while the read was in flight get it too;
-// that there is none is an answer only to those who asked before the request was sent.
+// Keeps at most one read in flight for each job, because hundreds of jobs of a long pipeline may depend on
+// how the same job ended. A final record never changes, so callbacks that joined while the request was in
+// flight get it too. The result "no final record" goes only to callbacks that were added before the request
+// was sent; the request is repeated for the others.
 void JobReader::read_final(const std::string& id, Callback done, kv::RequestPriority priority) {
     if (auto* record = cached_final(id)) return done(*record);
     auto [read, first] = final_reads_.try_emplace(id);
--- a/src/api/job_reader.hpp
+++ b/src/api/job_reader.hpp
@@ -1,11 +1,11 @@
-// Reads of one job's state from the key-value store, for users' queries and for submissions.
+// Reads the state of single jobs from the key-value store, for users' queries and for submissions.
 //
-// A job moves in one direction only, from live to final, in one transaction. So the live jobs are read first
-// and the final record then: a job found in neither had not been accepted when the reads began.
+// A job moves in one direction only, from live to final, in one transaction. The live jobs are therefore read
+// first and the final record after them: a job found in neither had not been accepted when the reads began.
 //
-// Reads are shared: with one read for each question, users who asked eight times as often used up the
-// requests that the key-value store allows, and half of them got no answer. No answer is older than its
-// question, except for final states, which never change.
+// Reads share requests. When each query caused a read of its own, users who queried eight times as often used
+// up the request limit of the key-value store, and half of them got no answer. A result is never older than
+// the call of `read`, except for final states, which never change.
 //
 // All functions and callbacks run on the event loop's thread.
 #pragma once
@@ -25,35 +25,41 @@
 
 namespace coralhitch::api {
 
-// The key-value store did not answer, or its answer can't be read: nothing is known.
+// Result if the key-value store did not answer or its answer can't be parsed. The job's state is not known.
 struct ReadFailed {};
-// The job was never accepted.
+// Result if the job was never accepted.
 struct UnknownJob {};
+// Result of a read: the live job or its final record, if the job was accepted.
 using JobReadResult = std::variant<ReadFailed, UnknownJob, LiveJob, protocol::FinalRecord>;
 
+// Reads jobs and keeps the final records that it read in memory. The constructor's arguments must outlive it.
 class JobReader {
   public:
     using Callback = std::function<void(JobReadResult)>;
 
     JobReader(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings);
-    // Reads the state of a job. Reads for submissions have the priority of these, and do not wait behind
-    // queries.
+    // Reads the state of a job. `priority` applies to the requests for final records: submissions pass their
+    // own, so that they do not wait behind queries.
     void read(const std::string& id, const Callback& done,
               kv::RequestPriority priority = kv::RequestPriority::read);
-    // Reads the final record only. `UnknownJob` says that there is none: the job may be live.
+    // Reads the final record only. `UnknownJob` then means that there is no final record; the job may be
+    // live.
     void read_final(const std::string& id, Callback done,
                     kv::RequestPriority priority = kv::RequestPriority::read);
 
-    // From memory; null if not there.
+    // Returns the final record of a job if it is in memory, and null otherwise. The pointer is valid until
+    // the next final record is read.
     [[nodiscard]] const protocol::FinalRecord* cached_final(const std::string& id) const;
-    // Whether the job is known from memory to have been accepted.
+    // Returns whether memory holds the job as live or ended. It sends no request, so false does not mean that
+    // the job was never accepted.
     [[nodiscard]] bool is_known_accepted(const std::string& id) const;
     LiveJobs& live_jobs() { return live_jobs_; }
 
   private:
+    // Read of one final record that is in flight.
     struct FinalRead {
-        std::vector<Callback> waiting;  // since before the request was sent
-        std::vector<Callback> joined;   // while it was in flight
+        std::vector<Callback> waiting;  // callbacks that were added before the request was sent
+        std::vector<Callback> joined;   // callbacks that were added while the request was in flight
     };
     void read_attempt(const std::string& id, const Callback& done, kv::RequestPriority priority, int attempt);
     void resolve_dependencies(const std::string& id, const std::vector<std::string>& dependencies,
@@ -67,7 +73,7 @@
     LiveJobs live_jobs_;
     std::unordered_map<std::string, protocol::FinalRecord> finals_;
     std::deque<std::string> finals_order_;                    // ids in `finals_`, the oldest entry first
-    std::unordered_map<std::string, FinalRead> final_reads_;  // in flight, by job
+    std::unordered_map<std::string, FinalRead> final_reads_;  // reads in flight, by job
 };
 
 }  // namespace coralhitch::api
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -14,12 +14,12 @@
 namespace keys = kv::keys;
 
 namespace {
-// Minimum interval between two requests, in heartbeat intervals: reads gather meanwhile.
+// Minimum interval between two requests. Reads that arrive within it share the next request.
 constexpr double min_interval_heartbeats = 1.0 / 20;
-// Interval of `refresh_if_stale`, in worker leases: the changes in that time are far fewer than the key-value
-// store keeps.
+// Age of the last request after which `refresh_if_stale` sends another one. The number of changes in this
+// time is far below the number of changes that the key-value store keeps.
 constexpr double refresh_interval_leases = 0.5;
-// From so many jobs that ended together on, their final records are read with one request.
+// Minimum number of jobs ended between two requests for which all final records are read with one request.
 constexpr std::size_t min_ends_for_bulk_read = 2;
 }  // namespace
 
@@ -62,7 +62,8 @@
     request_in_flight_ = true;
     last_request_at_ = timers_.now();
     ++request_count_;
-    // Only reads that came before the request is sent: an answer must not be older than its question.
+    // The response answers only reads that arrived before the request is sent. For later reads it would be
+    // stale.
     auto batch = std::exchange(pending_reads_, {});
     if (revision_ == 0)
         read_all(std::move(batch));
@@ -100,10 +101,10 @@
     });
 }
 
-// A live record is removed by the transaction that stores the final one: so the final records of all jobs
-// removed since a revision are among those written since then, and one request brings them all. Read one by
-// one they took most of the remaining requests when many jobs ended together. If this request fails, they are
-// read one by one as they are needed.
+// Reads the final records of all jobs removed since a revision with one request. The transaction that removes
+// a live record stores the final record, so the final records in question were all written since that
+// revision. Reading them one by one took most of the remaining requests when many jobs ended together. If
+// this request fails, each final record is read when a query needs it.
 void LiveJobs::read_final_records(Batch batch, std::uint64_t since) {
     ++request_count_;
     kv_.watch(keys::finals, since, 0, [this, batch = std::move(batch)](kv::WatchResult result) mutable {
@@ -125,11 +126,12 @@
     schedule_request();
 }
 
-// `value`: the live record, null if it was removed.
+// Applies a listed entry or a change to the copy. `value` is the live record, null if it was removed.
 void LiveJobs::apply_entry(const std::string& key, std::uint64_t version, const std::string* value) {
     auto id = key.substr(keys::jobs.size());
     auto previous = jobs_.find(id);
-    // A list takes several requests, so its last pages may be ahead of the changes that are read next.
+    // A list takes several requests. Its last pages may be newer than the changes that the next watch
+    // returns.
     if (previous != jobs_.end() && previous->second.version > version) return;
     if (!value) return remove(id);
     LiveJob job{version, false, {}};
@@ -139,12 +141,12 @@
         job.dependencies = std::move(record.dependencies);
     } catch (const protocol::Malformed& error) {
         spdlog::error("component=api event=unreadable_job_record job={} error=\"{}\"", id, error.what());
-        // Perhaps written by another version: it is live all the same. As an unknown job, it would be refused
-        // for good.
+        // A controller of another version may have written the record. The job counts as live all the same:
+        // if it were treated as unknown, requests that name it would be refused permanently.
         job.cancelled = protocol::is_cancelled_record(*value);
     }
     if (previous != jobs_.end()) {
-        // Written again, which only a cancellation does.
+        // Only a cancellation writes a live record again.
         job.cancelled = job.cancelled || previous->second.cancelled;
         dependencies_.remove(id, previous->second.dependencies);
     }
@@ -176,7 +178,8 @@
     for (auto& dependent : dependencies_.resolve(id)) std::erase(jobs_.at(dependent).dependencies, id);
 }
 
-// Walks back from a job, but only while there are unresolved dependencies at all, which is seldom.
+// Searches the direct and transitive dependencies of a job for unresolved ones. The search ends at once if
+// there are no unresolved dependencies at all, which is the usual case.
 std::vector<std::string> LiveJobs::unresolved_dependencies_of(const std::string& id) const {
     std::vector<std::string> stack{id}, unresolved;
     std::set<std::string> visited{id};
--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -1,13 +1,15 @@
-// Which jobs are live, as the key-value store says at the time of each read; many reads share one request.
+// Reads live jobs from the key-value store. Many reads share one request, and no result is older than the
+// call of `read`.
 //
-// A copy of the live jobs is kept at some revision. A read is answered only after a request to the key-value
-// store that was sent after the read came in: a watch that does not wait returns all changes since that
-// revision, or shows that there are none. Reads that come while a request is in flight go with the next one.
+// LiveJobs keeps a copy of the live jobs as of one revision of the store. Each read is answered after a
+// request that was sent after the call of `read`: a watch that does not wait returns all changes since that
+// revision, or an empty list. Reads that arrive while a request is in flight are answered by the next
+// request.
 //
-// A job is cancelled with any of its direct or transitive dependencies. That is derived here from what is
-// stored, without waiting for a leader to store it for each dependent: while there is no leader, or the
-// key-value store takes no writes, users must not be told for longer than the platform allows that such a job
-// is still queued.
+// A job is cancelled if any of its direct or transitive dependencies is cancelled. LiveJobs derives this from
+// the stored records, without waiting for a leader to store it for each dependent. Otherwise, while there is
+// no leader or the key-value store takes no writes, users would be told for longer than the platform allows
+// that such a job is still queued.
 //
 // All functions and callbacks run on the event loop's thread.
 #pragma once
@@ -27,40 +29,49 @@
 
 namespace coralhitch::api {
 
+// Job that has been accepted and has no final record yet.
 struct LiveJob {
-    std::uint64_t version = 0;              // of its live record
-    bool cancelled = false;                 // itself, or through a dependency
-    std::vector<std::string> dependencies;  // those not known to be done
+    std::uint64_t version = 0;              // version of its live record
+    bool cancelled = false;                 // true if the job or one of its dependencies is cancelled
+    std::vector<std::string> dependencies;  // ids of the direct dependencies that are not known to be done
 };
 
+// Copy of the live jobs that is brought up to date before each answer. The constructor's references must
+// outlive it.
 class LiveJobs {
   public:
     struct ReadResult {
-        bool ok = false;              // false: the key-value store did not answer, and nothing is known
+        bool ok = false;              // false if the key-value store did not answer; the rest is empty then
         std::optional<LiveJob> live;  // empty if the job is not live
         // Direct or transitive dependencies that are not live and whose outcome decides whether this job is
-        // cancelled. They are to be reported with `apply_outcome`, and the job read again.
+        // cancelled. The caller passes their outcomes to `apply_outcome` and reads the job again.
         std::vector<std::string> unresolved_dependencies;
     };
     using ReadCallback = std::function<void(ReadResult)>;
-    // A final record, as stored. Called before the reads are answered that brought it.
+    // Receives the final record of a job as it is stored. The call comes before the answers to the reads
+    // whose request found that the job had ended.
     using FinalRecordCallback = std::function<void(const std::string& id, const std::string& record)>;
 
-    // Without `on_final_record`, final records are not requested.
+    // Final records are requested only if `on_final_record` is given.
     LiveJobs(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
              FinalRecordCallback on_final_record = {});
+    // Reads a job and calls `done` once the key-value store has answered or failed to.
     void read(const std::string& id, ReadCallback done);
-    // How a job ended, which never changes.
+    // Applies the outcome of an ended job to its dependents. Has no effect unless the outcome is unresolved.
     void apply_outcome(const std::string& id, protocol::JobState state);
-    // To be called regularly: sends a request if none was sent for long, so that the revision does not become
-    // too old to be watched from.
+    // Sends a request if the last one was sent more than half a machine lease ago, so that the store still
+    // keeps the changes since the revision of the copy. Must be called regularly. Does nothing before the
+    // first read.
     void refresh_if_stale();
 
-    // As of the last answer; null if the job was not live then. A cancelled job stays cancelled.
+    // Returns a job as of the last answer of the key-value store, null if it was not live then. The pointer
+    // is valid until the next answer. A cancelled job stays cancelled.
     [[nodiscard]] const LiveJob* cached(const std::string& id) const;
     [[nodiscard]] std::size_t size() const { return jobs_.size(); }
-    // Reads, and requests sent for them, so far.
+    // Returns the number of calls of `read` since the process began.
     [[nodiscard]] std::uint64_t read_count() const { return read_count_; }
+    // Returns the number of requests sent since the process began. A list counts as one request, whatever its
+    // number of pages.
     [[nodiscard]] std::uint64_t request_count() const { return request_count_; }
 
   private:
@@ -87,12 +98,12 @@
     FinalRecordCallback on_final_record_;
     std::unordered_map<std::string, LiveJob> jobs_;
     jobs::DependencyGraph dependencies_;
-    std::uint64_t revision_ = 0;  // of the copy; 0: all jobs must be listed first
+    std::uint64_t revision_ = 0;  // revision of the copy; 0 if all jobs must be listed first
     std::uint64_t read_count_ = 0, request_count_ = 0;
     Batch pending_reads_;
     bool request_in_flight_ = false, request_scheduled_ = false;
-    std::optional<double> last_request_at_;  // steady seconds
-    std::size_t removed_by_last_changes_ = 0;
+    std::optional<double> last_request_at_;    // steady seconds
+    std::size_t removed_by_last_changes_ = 0;  // jobs that the last watch response removed
 };
 
 }  // namespace coralhitch::api
