--- a/src/api/job_status_responder.cpp
+++ b/src/api/job_status_responder.cpp
@@ -55,8 +55,8 @@
 void JobStatusResponder::respond_live(const std::string& id, const LiveJob& job, TaskCountsField counts_field,
                                       const http::Reply& reply) {
     if (job.cancelled) return reply(cancelled_job(id));
-    // The counts may be out of date, and are for display only. That the job is live has just been read from
-    // the key-value store.
+    // The counts may be out of date and are for display only. The job itself was found live by a read of the
+    // key-value store for this request.
     cluster_.task_counts(id, [id, counts_field, reply](std::optional<TaskCounts> counts) {
         auto state = counts && counts->running > 0 ? JobState::running : JobState::queued;
         protocol::JobStatus status{id, state, {}, {}};
--- a/src/api/responses.hpp
+++ b/src/api/responses.hpp
@@ -1,4 +1,4 @@
-// The HTTP responses of the users' interface.
+// HTTP responses of the user API.
 #pragma once
 #include <string_view>
 
@@ -7,19 +7,21 @@
 
 namespace coralhitch::api {
 
-// 503: not decided; the user is to repeat the request after a second.
+// Returns 503 for a request that can't be answered now, or whose outcome is not known. The user retries after
+// one second.
 http::Response retry_later();
-// 503: more submissions than can be stored. The user is to repeat the request when there may be room, after
-// at least a second.
+// Returns 503 for a submission beyond the admitted rate. The user retries after `retry_after_s` seconds, and
+// after one second at the earliest.
 http::Response too_many_submissions(double retry_after_s);
-// 404
+// Returns 404.
 http::Response no_such_job();
-// 400: the body is no job.
+// Returns 400 for a body that can't be parsed as a job.
 http::Response malformed_submission(std::string_view reason);
-// 422: a job that can never run, or can't be stored.
+// Returns 422 for a job that can never run or can't be stored.
 http::Response invalid_submission(std::string_view reason);
-// The state of a job.
+// Returns the state of a job, with the given HTTP status.
 http::Response job_status(int http_status, const protocol::JobStatus& status);
+// Returns 200 with the state of a cancelled job, without task counts.
 http::Response cancelled_job(const std::string& id);
 
 }  // namespace coralhitch::api
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -1,9 +1,9 @@
-// The users' interface of a controller: submit, query and cancel jobs. Any controller answers, whether it is
-// the leader or not, on the authority of the key-value store.
+// User API of a controller: submit, query and cancel jobs. Any controller answers, whether it is the leader
+// or not, from what it reads in the key-value store.
 //
 //   SubmissionHandler    validation, admission, dependencies, storing a job
 //   CancellationHandler  cancellation
-//   JobStatusResponder   queries, and all other answers with a job's state
+//   JobStatusResponder   queries, and the job states in all other answers
 //   JobReader, LiveJobs  shared reads of the key-value store
 #pragma once
 #include <string>
@@ -21,7 +21,8 @@
 
 namespace coralhitch::api {
 
-// Runs on the event loop's thread. All arguments of the constructor must outlive it.
+// Entry point for users' requests. Runs on the event loop's thread. All arguments of the constructor must
+// outlive it.
 class UserApi {
   public:
     UserApi(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
@@ -33,7 +34,7 @@
     UserApi(const UserApi&) = delete;
     UserApi& operator=(const UserApi&) = delete;
 
-    // Each calls `reply` exactly once, at once or later.
+    // Handle one request each and call `reply` exactly once, before they return or later.
     void submit(const std::string& body, http::Reply reply) { submissions_.submit(body, std::move(reply)); }
     void query(const std::string& id, const http::Reply& reply) { responder_.query(id, reply); }
     void cancel(const std::string& id, http::Reply reply) { cancellations_.cancel(id, std::move(reply)); }
