--- a/src/api/submission_check.cpp
+++ b/src/api/submission_check.cpp
@@ -21,7 +21,7 @@
     if (team == settings.teams.end()) return SubmissionCheck::unknown_team;
     if (std::none_of(types.begin(), types.end(), [&](auto& type) { return fits_type(job, type); }))
         return SubmissionCheck::no_fitting_machine_type;
-    // The tasks of an array may run one by one, those of gangs and services run at the same time.
+    // The tasks of an array may run one by one. All tasks of a gang or a service run at the same time.
     double concurrent = job.kind == protocol::JobKind::array ? 1 : static_cast<double>(job.tasks);
     if (!scheduler::team_allows(*team, {}, job.request.times(concurrent)))
         return SubmissionCheck::exceeds_team_limit;
--- a/src/api/submission_check.hpp
+++ b/src/api/submission_check.hpp
@@ -1,4 +1,4 @@
-// Whether a submitted job can ever run on what the platform offers.
+// Checks whether a submitted job can ever run on the platform.
 #pragma once
 #include <cstddef>
 #include <string_view>
@@ -9,22 +9,25 @@
 
 namespace coralhitch::api {
 
+// Result of the check: `runnable`, or the first reason found why the job can never run.
 enum class SubmissionCheck { runnable, unknown_team, no_fitting_machine_type, exceeds_team_limit };
 
-// Checks the job against all machine types and the hard limit of its team, whatever is in use at present.
+// Checks a job against all machine types and the hard limit of its team. The machines and the part of the
+// limit that are in use at present do not matter.
 [[nodiscard]] SubmissionCheck check_submission(const protocol::Job& job,
                                                const std::vector<protocol::MachineType>& types,
                                                const config::Settings& settings);
 
-// The reason that users are given; empty for `runnable`.
+// Returns the reason as users read it in the response, empty for `runnable`.
 [[nodiscard]] std::string_view reason_of(SubmissionCheck check);
 
-// How many dependencies a job may have, if a transaction may have `txn_ops` operations: each dependency is a
-// condition of the transaction that stores the job, beside two conditions on the job itself.
+// Returns the number of dependencies that a job may have if a transaction may have `txn_ops` operations and
+// four conditions for each operation. Each dependency is a condition of the transaction that stores the job,
+// beside two conditions on the job itself.
 [[nodiscard]] std::size_t max_dependencies(std::size_t txn_ops);
 
-// Reduces the allowed machine types to those that exist, each once: others can't matter, and a long list of
-// them must not make the stored record too large.
+// Reduces the allowed machine types of a job to those that exist, sorted and without duplicates. Other types
+// have no effect, and a long list of them must not make the stored record too large.
 void normalize_allowed_types(protocol::Job& job, const std::vector<protocol::MachineType>& types);
 
 }  // namespace coralhitch::api
--- a/src/api/submission_handler.cpp
+++ b/src/api/submission_handler.cpp
@@ -52,7 +52,7 @@
     accept_with_dependencies(submission);
 }
 
-// A job without dependencies.
+// Accepts or refuses a job without dependencies.
 void SubmissionHandler::accept(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     if (auto storing = repeated_.find(id); storing != repeated_.end())
@@ -61,8 +61,9 @@
     bool can_admit = admission_.can_admit(submission->job.team, timers_.now());
     if (!known && can_admit && !kv_.short_of_changes()) return admit(submission);
     if (known || can_admit) return accept_if_unknown(submission);
-    // It will be rejected, unless it is a repeated one, which a shared read of the live jobs tells. Reading
-    // the final record as well, for each rejected submission, took most of the reads that queries waited for.
+    // Admission has no room for the job, so it is rejected unless it is a repeated submission, which a shared
+    // read of the live jobs shows. Reading the final record as well for each rejected submission took most of
+    // the reads that queries waited for.
     reader_.live_jobs().read(id, [this, id, submission](const LiveJobs::ReadResult& result) {
         if (!result.ok) return submission->reply(retry_later());
         if (result.live || reader_.cached_final(id)) return accept_if_unknown(submission);
@@ -84,7 +85,8 @@
         kv::RequestPriority::submission);
 }
 
-// A repeated submission is answered before the dependencies are checked.
+// Accepts or refuses a job with dependencies. The job itself is read first, so that a repeated submission is
+// answered before its dependencies are checked.
 void SubmissionHandler::accept_with_dependencies(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     auto limit = max_dependencies(kv_.limits().txn_ops());
@@ -111,8 +113,9 @@
     submission->reply(too_many_submissions(admission_.retry_after_s(submission->job.team, timers_.now())));
 }
 
-// The transaction that stores the job has what was read as its conditions: if a live dependency is cancelled
-// or ends before, nothing is stored and all dependencies are read again.
+// Reads all dependencies of a job. The versions of the live ones become conditions of the transaction that
+// stores the job: if one of them is cancelled or ends before that, nothing is stored and all dependencies are
+// read again.
 void SubmissionHandler::read_dependencies(const SubmissionPtr& submission) {
     submission->outstanding_reads = submission->job.dependencies.size();
     submission->read_failed = submission->cancelled = false;
@@ -149,7 +152,8 @@
             invalid_submission("awaits " + submission->unknown_dependency + ", which was never accepted"),
             submission->reply);
     if (submission->read_failed) return submission->reply(retry_later());
-    // Cancelled for good, whatever becomes of the other dependencies.
+    // One cancelled dependency cancels the job permanently, so the other dependencies need not stay
+    // unchanged.
     if (submission->cancelled) submission->conditions.clear();
     store(submission);
 }
@@ -157,7 +161,7 @@
 void SubmissionHandler::store(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
     protocol::JobRecord record{submission->job, timers_.unix_time(), submission->cancelled};
-    // Dependencies that are done need not be stored, nor any if the job is cancelled.
+    // Only unfinished dependencies are stored, and none if the job is cancelled.
     record.job.dependencies =
         submission->cancelled ? std::vector<std::string>{} : submission->unfinished_dependencies;
     auto value = protocol::stored(record);
@@ -173,12 +177,13 @@
             [this, submission](const kv::TxnResult& result) { handle_store_result(submission, result); });
 }
 
-// From now until the submission is answered, those that repeat it are held in `repeated_`. They must not get
-// its answer, which may be older than their question: the job is read again for them.
+// Holds the replies to repeated submissions of the job in `repeated_` until this submission is answered. Its
+// answer may be older than a repeated submission, so the job is then read again to answer those.
 void SubmissionHandler::hold_repeated_submissions(Submission& submission) {
     auto& id = submission.job.id;
     repeated_.try_emplace(id);
-    // On a further attempt to store the job this wraps the reply once more, and the outer one finds them all.
+    // A further attempt to store the job wraps the reply once more. The outermost wrapper takes out all
+    // held replies, and the inner ones find none.
     submission.reply = [this, id, reply = std::move(submission.reply)](http::Response response) {
         auto held = repeated_.extract(id);
         reply(std::move(response));
@@ -204,8 +209,8 @@
     if (dependency_changed && ++submission->store_attempts < max_store_attempts &&
         admission_.admit(team, timers_.now()))
         return read_dependencies(submission);
-    // The job exists already, or the answer was lost: its state decides. If it is not there, perhaps not yet,
-    // the user is to repeat the submission.
+    // The job exists already, the attempts are used up, or the answer was lost: the job is read again. If it
+    // is not found, a transaction whose answer was lost may still be executed, so the user is told to retry.
     responder_.refuse_unless_accepted(id, retry_later(), submission->reply);
 }
 
--- a/src/api/submission_handler.hpp
+++ b/src/api/submission_handler.hpp
@@ -1,8 +1,8 @@
-// Submissions: validation, idempotency, admission, dependencies, and storing the job.
+// Handles submissions: validation, idempotency, admission, dependencies, and storing the job.
 //
-// A submission is idempotent by the job's id: a repeated one is answered with the job's state. It costs no
-// write, as far as that can be known: users who repeated each submission at all controllers caused
-// transactions that failed, and those used up the writes that other submissions waited for.
+// A submission is idempotent by the job's id: a repeated submission is answered with the job's state. It
+// sends no transaction if the controller can know that the job exists. When users repeated each submission at
+// all controllers, the failing transactions used up the writes that other submissions waited for.
 //
 // All functions and callbacks run on the event loop's thread.
 #pragma once
@@ -25,26 +25,30 @@
 
 namespace coralhitch::api {
 
+// Stores submitted jobs in the key-value store. All references passed to the constructor must outlive it.
 class SubmissionHandler {
   public:
     SubmissionHandler(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
                       ClusterQueries& cluster, JobReader& reader, JobStatusResponder& responder);
-    // `body`: the job as JSON.
+    // Accepts or refuses a job, given as JSON in `body`, and calls `reply` exactly once. Answers 201 with the
+    // state of an accepted job, 200 with the state of a job accepted before, 400 for a malformed body, 422
+    // for a job that can never run or can't be stored, and 503 if the user is to retry.
     void submit(const std::string& body, http::Reply reply);
     const Admission& admission() const { return admission_; }
 
   private:
+    // Submission in progress.
     struct Submission {
         protocol::Job job;
         http::Reply reply;
-        int store_attempts = 0;
-        // What was read of the job's dependencies.
+        int store_attempts = 0;  // transactions that failed because a dependency had changed
+        // Results of the reads of the job's dependencies.
         std::size_t outstanding_reads = 0;
         bool read_failed = false;
-        bool cancelled = false;          // a dependency is cancelled, and so is the job from the beginning
-        std::string unknown_dependency;  // one that was never accepted; empty if there is none
+        bool cancelled = false;  // true if a dependency is cancelled; the job is stored as cancelled then
+        std::string unknown_dependency;  // id of a dependency that was never accepted; empty if there is none
         std::vector<std::string> unfinished_dependencies;
-        std::vector<protocol::Condition> conditions;  // that the live dependencies are as they were read
+        std::vector<protocol::Condition> conditions;  // live records of the dependencies must be unchanged
     };
     using SubmissionPtr = std::shared_ptr<Submission>;
 
@@ -67,7 +71,7 @@
     JobReader& reader_;
     JobStatusResponder& responder_;
     Admission admission_;
-    // Jobs that are being stored, with the submissions that repeat them meanwhile.
+    // Replies to submissions that repeat a job while it is being stored, by job.
     std::unordered_map<std::string, std::vector<http::Reply>> repeated_;
 };
 
