--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 // Minimum interval between two requests. Reads that arrive within it share the next request.
-constexpr double min_interval_heartbeats = 1.0 / 20;
+constexpr double min_interval_heartbeat_periods = 1.0 / 20;
 // Age of the last request after which `refresh_if_stale` sends another one. The number of changes in this
 // time is far below the number of changes that the key-value store keeps.
 constexpr double refresh_interval_leases = 0.5;
@@ -46,10 +46,10 @@
 
 void LiveJobs::schedule_request() {
     if (request_in_flight_ || request_scheduled_ || pending_reads_.empty()) return;
-    double wait_s =
-        last_request_at_
-            ? *last_request_at_ + settings_.heartbeat_interval_s * min_interval_heartbeats - timers_.now()
-            : 0;
+    double wait_s = last_request_at_
+                        ? *last_request_at_ +
+                              settings_.heartbeat_interval_s * min_interval_heartbeat_periods - timers_.now()
+                        : 0;
     if (wait_s <= 0) return send_request();
     request_scheduled_ = true;
     timers_.after(wait_s, [this] {
