--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -29,7 +29,7 @@
 
 // Returns the number of tokens that the common bucket must hold before a team may draw on it beyond its own
 // share: the reserve while another team is active, and the one token that the job takes otherwise.
-double Admission::reserve_for_others(const std::string& team, double now) const {
+double Admission::min_common_tokens(const std::string& team, double now) const {
     bool others_active = std::any_of(shares_.begin(), shares_.end(), [&](auto& entry) {
         auto& [name, share] = entry;
         return name != team && share.last_request_at && now - *share.last_request_at <= active_window_s_;
@@ -38,7 +38,7 @@
 }
 
 bool Admission::can_admit(const std::string& team, double now) {
-    return share_of(team).tokens.has(now) || common_.has(now, reserve_for_others(team, now));
+    return share_of(team).tokens.has(now) || common_.has(now, min_common_tokens(team, now));
 }
 
 bool Admission::admit(const std::string& team, double now) {
@@ -60,7 +60,7 @@
 
 double Admission::retry_after_s(const std::string& team, double now) {
     return std::min(share_of(team).tokens.seconds_until_available(now),
-                    common_.seconds_until_available(now, reserve_for_others(team, now)));
+                    common_.seconds_until_available(now, min_common_tokens(team, now)));
 }
 
 }  // namespace coralhitch::api
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -48,7 +48,7 @@
         std::optional<double> last_request_at;  // steady seconds; empty before the first call of `admit`
     };
     TeamShare& share_of(const std::string& team);
-    double reserve_for_others(const std::string& team, double now) const;
+    double min_common_tokens(const std::string& team, double now) const;
 
     double rate_, burst_;  // jobs per second, jobs
     double team_count_;
