--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -20,7 +20,7 @@
       burst_(std::max(1.0, rate_ * settings.lease_s * burst_leases)),
       team_count_(std::max(1.0, static_cast<double>(settings.teams.size()))),
       active_window_s_(settings.lease_s),
-      common_(rate_, burst_) {}
+      common_bucket_(rate_, burst_) {}
 
 Admission::TeamShare& Admission::share_of(const std::string& team) {
     double burst = std::max(1.0, burst_ / team_count_);
@@ -38,7 +38,7 @@
 }
 
 bool Admission::can_admit(const std::string& team, double now) {
-    return share_of(team).tokens.has(now) || common_.has(now, min_common_tokens(team, now));
+    return share_of(team).tokens.has(now) || common_bucket_.has(now, min_common_tokens(team, now));
 }
 
 bool Admission::admit(const std::string& team, double now) {
@@ -49,18 +49,18 @@
         return false;
     }
     if (share.tokens.has(now)) share.tokens.take(now);
-    common_.take(now);
+    common_bucket_.take(now);
     return true;
 }
 
 void Admission::refund(const std::string& team, double now) {
     share_of(team).tokens.take(now, -1);
-    common_.take(now, -1);
+    common_bucket_.take(now, -1);
 }
 
 double Admission::retry_after_s(const std::string& team, double now) {
     return std::min(share_of(team).tokens.seconds_until_available(now),
-                    common_.seconds_until_available(now, min_common_tokens(team, now)));
+                    common_bucket_.seconds_until_available(now, min_common_tokens(team, now)));
 }
 
 }  // namespace coralhitch::api
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -53,7 +53,7 @@
     double rate_, burst_;  // jobs per second, jobs
     double team_count_;
     double active_window_s_;  // A team counts as active for this time after its last request.
-    event_loop::TokenBucket common_;
+    event_loop::TokenBucket common_bucket_;
     std::map<std::string, TeamShare> shares_;
     double rejected_ = 0;
 };
