--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -24,13 +24,13 @@
 
 Admission::TeamShare& Admission::share_of(const std::string& team) {
     double burst = std::max(1.0, burst_ / team_count_);
-    return shares_.try_emplace(team, TeamShare{{rate_ / team_count_, burst}, {}}).first->second;
+    return team_shares_.try_emplace(team, TeamShare{{rate_ / team_count_, burst}, {}}).first->second;
 }
 
 // Returns the number of tokens that the common bucket must hold before a team may draw on it beyond its own
 // share: the reserve while another team is active, and the one token that the job takes otherwise.
 double Admission::min_common_tokens(const std::string& team, double now) const {
-    bool others_active = std::any_of(shares_.begin(), shares_.end(), [&](auto& entry) {
+    bool others_active = std::any_of(team_shares_.begin(), team_shares_.end(), [&](auto& entry) {
         auto& [name, share] = entry;
         return name != team && share.last_request_at && now - *share.last_request_at <= active_window_s_;
     });
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -54,7 +54,7 @@
     double team_count_;
     double active_window_s_;  // A team counts as active for this time after its last request.
     event_loop::TokenBucket common_bucket_;
-    std::map<std::string, TeamShare> shares_;
+    std::map<std::string, TeamShare> team_shares_;
     double rejected_ = 0;
 };
 
