--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -15,16 +15,17 @@
 }  // namespace
 
 Admission::Admission(const config::Settings& settings)
-    : rate_(settings.kv_write_rps * write_budget_share / writes_per_job /
-            std::max(1.0, static_cast<double>(settings.nodes))),
-      burst_(std::max(1.0, rate_ * settings.lease_s * burst_leases)),
+    : rate_jobs_per_s_(settings.kv_write_rps * write_budget_share / writes_per_job /
+                       std::max(1.0, static_cast<double>(settings.nodes))),
+      burst_(std::max(1.0, rate_jobs_per_s_ * settings.lease_s * burst_leases)),
       team_count_(std::max(1.0, static_cast<double>(settings.teams.size()))),
       active_window_s_(settings.lease_s),
-      common_bucket_(rate_, burst_) {}
+      common_bucket_(rate_jobs_per_s_, burst_) {}
 
 Admission::TeamShare& Admission::share_of(const std::string& team) {
     double burst = std::max(1.0, burst_ / team_count_);
-    return team_shares_.try_emplace(team, TeamShare{{rate_ / team_count_, burst}, {}}).first->second;
+    return team_shares_.try_emplace(team, TeamShare{{rate_jobs_per_s_ / team_count_, burst}, {}})
+        .first->second;
 }
 
 // Returns the number of tokens that the common bucket must hold before a team may draw on it beyond its own
