--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -17,13 +17,13 @@
 Admission::Admission(const config::Settings& settings)
     : rate_jobs_per_s_(settings.kv_write_rps * write_budget_share / writes_per_job /
                        std::max(1.0, static_cast<double>(settings.nodes))),
-      burst_(std::max(1.0, rate_jobs_per_s_ * settings.lease_s * burst_leases)),
+      burst_jobs_(std::max(1.0, rate_jobs_per_s_ * settings.lease_s * burst_leases)),
       team_count_(std::max(1.0, static_cast<double>(settings.teams.size()))),
       active_window_s_(settings.lease_s),
-      common_bucket_(rate_jobs_per_s_, burst_) {}
+      common_bucket_(rate_jobs_per_s_, burst_jobs_) {}
 
 Admission::TeamShare& Admission::share_of(const std::string& team) {
-    double burst = std::max(1.0, burst_ / team_count_);
+    double burst = std::max(1.0, burst_jobs_ / team_count_);
     return team_shares_.try_emplace(team, TeamShare{{rate_jobs_per_s_ / team_count_, burst}, {}})
         .first->second;
 }
@@ -35,7 +35,7 @@
         auto& [name, share] = entry;
         return name != team && share.last_request_at && now - *share.last_request_at <= active_window_s_;
     });
-    return others_active ? std::max(1.0, burst_ * reserve_share) : 1;
+    return others_active ? std::max(1.0, burst_jobs_ * reserve_share) : 1;
 }
 
 bool Admission::can_admit(const std::string& team, double now) {
