--- a/src/api/submission_handler.cpp
+++ b/src/api/submission_handler.cpp
@@ -55,7 +55,7 @@
 // Accepts or refuses a job without dependencies.
 void SubmissionHandler::accept(const SubmissionPtr& submission) {
     auto& id = submission->job.id;
-    if (auto storing = repeated_.find(id); storing != repeated_.end())
+    if (auto storing = held_replies_.find(id); storing != held_replies_.end())
         return storing->second.push_back(submission->reply);
     bool known = reader_.is_known_accepted(id);
     bool can_admit = admission_.can_admit(submission->job.team, timers_.now());
@@ -78,7 +78,7 @@
         [this, id, submission](const JobReadResult& result) {
             if (!std::holds_alternative<UnknownJob>(result))
                 return responder_.reply_state(id, result, submission->reply);
-            if (auto storing = repeated_.find(id); storing != repeated_.end())
+            if (auto storing = held_replies_.find(id); storing != held_replies_.end())
                 return storing->second.push_back(submission->reply);
             admit(submission);
         },
@@ -177,15 +177,15 @@
             [this, submission](const kv::TxnResult& result) { handle_store_result(submission, result); });
 }
 
-// Holds the replies to repeated submissions of the job in `repeated_` until this submission is answered. Its
-// answer may be older than a repeated submission, so the job is then read again to answer those.
+// Holds the replies to repeated submissions of the job in `held_replies_` until this submission is answered.
+// Its answer may be older than a repeated submission, so the job is then read again to answer those.
 void SubmissionHandler::hold_repeated_submissions(Submission& submission) {
     auto& id = submission.job.id;
-    repeated_.try_emplace(id);
+    held_replies_.try_emplace(id);
     // A further attempt to store the job wraps the reply once more. The outermost wrapper takes out all
     // held replies, and the inner ones find none.
     submission.reply = [this, id, reply = std::move(submission.reply)](http::Response response) {
-        auto held = repeated_.extract(id);
+        auto held = held_replies_.extract(id);
         reply(std::move(response));
         if (!held) return;
         for (auto& repeated : held.mapped()) responder_.refuse_unless_accepted(id, retry_later(), repeated);
--- a/src/api/submission_handler.hpp
+++ b/src/api/submission_handler.hpp
@@ -72,7 +72,7 @@
     JobStatusResponder& responder_;
     Admission admission_;
     // Replies to submissions that repeat a job while it is being stored, by job.
-    std::unordered_map<std::string, std::vector<http::Reply>> repeated_;
+    std::unordered_map<std::string, std::vector<http::Reply>> held_replies_;
 };
 
 }  // namespace coralhitch::api
