--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -23,7 +23,7 @@
 // because the state of a cancelled or ended job never changes.
 void CancellationHandler::cancel(const std::string& id, http::Reply reply) {
     if (!protocol::valid_job_id(id)) return reply(no_such_job());
-    if (auto* record = reader_.cached_final(id)) return responder_.reply_state(id, *record, reply);
+    if (auto* record = reader_.cached_final_record(id)) return responder_.reply_state(id, *record, reply);
     if (auto* live = reader_.live_jobs().cached(id); live && live->cancelled) return reply(cancelled_job(id));
     auto [waiting, first] = in_progress_.try_emplace(id);
     waiting->second.push_back(std::move(reply));
--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -44,13 +44,13 @@
     finals_order_.pop_front();
 }
 
-const protocol::FinalRecord* JobReader::cached_final(const std::string& id) const {
+const protocol::FinalRecord* JobReader::cached_final_record(const std::string& id) const {
     auto found = finals_.find(id);
     return found == finals_.end() ? nullptr : &found->second;
 }
 
 bool JobReader::is_known_accepted(const std::string& id) const {
-    return cached_final(id) || live_jobs_.cached(id);
+    return cached_final_record(id) || live_jobs_.cached(id);
 }
 
 void JobReader::read(const std::string& id, const Callback& done, kv::RequestPriority priority) {
@@ -59,7 +59,7 @@
 
 void JobReader::read_attempt(const std::string& id, const Callback& done, kv::RequestPriority priority,
                              int attempt) {
-    if (auto* record = cached_final(id)) return done(*record);
+    if (auto* record = cached_final_record(id)) return done(*record);
     if (attempt >= max_read_attempts) return done(ReadFailed{});
     live_jobs_.read(id, [this, id, done, priority, attempt](const LiveJobs::ReadResult& result) {
         if (!result.ok) return done(ReadFailed{});
@@ -91,7 +91,7 @@
 // flight get it too. The result "no final record" goes only to callbacks that were added before the request
 // was sent; the request is repeated for the others.
 void JobReader::read_final(const std::string& id, Callback done, kv::RequestPriority priority) {
-    if (auto* record = cached_final(id)) return done(*record);
+    if (auto* record = cached_final_record(id)) return done(*record);
     auto [read, first] = final_reads_.try_emplace(id);
     (first ? read->second.waiting : read->second.joined).push_back(std::move(done));
     if (first) send_final_read(id, priority);
--- a/src/api/job_reader.hpp
+++ b/src/api/job_reader.hpp
@@ -49,7 +49,7 @@
 
     // Returns the final record of a job if it is in memory, and null otherwise. The pointer is valid until
     // the next final record is read.
-    [[nodiscard]] const protocol::FinalRecord* cached_final(const std::string& id) const;
+    [[nodiscard]] const protocol::FinalRecord* cached_final_record(const std::string& id) const;
     // Returns whether memory holds the job as live or ended. It sends no request, so false does not mean that
     // the job was never accepted.
     [[nodiscard]] bool is_known_accepted(const std::string& id) const;
--- a/src/api/submission_handler.cpp
+++ b/src/api/submission_handler.cpp
@@ -66,7 +66,7 @@
     // the reads that queries waited for.
     reader_.live_jobs().read(id, [this, id, submission](const LiveJobs::ReadResult& result) {
         if (!result.ok) return submission->reply(retry_later());
-        if (result.live || reader_.cached_final(id)) return accept_if_unknown(submission);
+        if (result.live || reader_.cached_final_record(id)) return accept_if_unknown(submission);
         admit(submission);
     });
 }
