--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -28,7 +28,7 @@
       settings_(settings),
       live_jobs_(timers, kv, settings, [this](const std::string& id, const std::string& record) {
           try {
-              cache_final(id, protocol::parse_final_record(record));
+              cache_final_record(id, protocol::parse_final_record(record));
           } catch (const protocol::Malformed& error) {
               log_unreadable_final(id, error);
           }
@@ -36,7 +36,7 @@
 
 // Evicts only the oldest entry when the cache is full. When the whole cache was cleared at once, each later
 // query for one of its jobs caused another read.
-void JobReader::cache_final(const std::string& id, const protocol::FinalRecord& record) {
+void JobReader::cache_final_record(const std::string& id, const protocol::FinalRecord& record) {
     if (!finals_.emplace(id, record).second) return;
     finals_order_.push_back(id);
     if (static_cast<double>(finals_order_.size()) <= settings_.memory_mb * cached_finals_per_mb) return;
@@ -115,7 +115,7 @@
     if (!result.entry) return UnknownJob{};
     try {
         auto record = protocol::parse_final_record(result.entry->value);
-        cache_final(id, record);
+        cache_final_record(id, record);
         return record;
     } catch (const protocol::Malformed& error) {
         log_unreadable_final(id, error);
--- a/src/api/job_reader.hpp
+++ b/src/api/job_reader.hpp
@@ -66,7 +66,7 @@
                               const Callback& done, kv::RequestPriority priority, int attempt);
     void send_final_read(const std::string& id, kv::RequestPriority priority);
     JobReadResult parse_final(const std::string& id, const kv::GetResult& result);
-    void cache_final(const std::string& id, const protocol::FinalRecord& record);
+    void cache_final_record(const std::string& id, const protocol::FinalRecord& record);
 
     kv::KvClient& kv_;
     const config::Settings& settings_;
