--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -37,16 +37,16 @@
 // Evicts only the oldest entry when the cache is full. When the whole cache was cleared at once, each later
 // query for one of its jobs caused another read.
 void JobReader::cache_final_record(const std::string& id, const protocol::FinalRecord& record) {
-    if (!finals_.emplace(id, record).second) return;
+    if (!final_records_.emplace(id, record).second) return;
     finals_order_.push_back(id);
     if (static_cast<double>(finals_order_.size()) <= settings_.memory_mb * cached_finals_per_mb) return;
-    finals_.erase(finals_order_.front());
+    final_records_.erase(finals_order_.front());
     finals_order_.pop_front();
 }
 
 const protocol::FinalRecord* JobReader::cached_final_record(const std::string& id) const {
-    auto found = finals_.find(id);
-    return found == finals_.end() ? nullptr : &found->second;
+    auto found = final_records_.find(id);
+    return found == final_records_.end() ? nullptr : &found->second;
 }
 
 bool JobReader::is_known_accepted(const std::string& id) const {
--- a/src/api/job_reader.hpp
+++ b/src/api/job_reader.hpp
@@ -71,8 +71,8 @@
     kv::KvClient& kv_;
     const config::Settings& settings_;
     LiveJobs live_jobs_;
-    std::unordered_map<std::string, protocol::FinalRecord> finals_;
-    std::deque<std::string> finals_order_;                    // ids in `finals_`, the oldest entry first
+    std::unordered_map<std::string, protocol::FinalRecord> final_records_;
+    std::deque<std::string> finals_order_;  // ids in `final_records_`, the oldest entry first
     std::unordered_map<std::string, FinalRead> final_reads_;  // reads in flight, by job
 };
 
