--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -38,10 +38,10 @@
 // query for one of its jobs caused another read.
 void JobReader::cache_final_record(const std::string& id, const protocol::FinalRecord& record) {
     if (!final_records_.emplace(id, record).second) return;
-    finals_order_.push_back(id);
-    if (static_cast<double>(finals_order_.size()) <= settings_.memory_mb * cached_finals_per_mb) return;
-    final_records_.erase(finals_order_.front());
-    finals_order_.pop_front();
+    final_record_order_.push_back(id);
+    if (static_cast<double>(final_record_order_.size()) <= settings_.memory_mb * cached_finals_per_mb) return;
+    final_records_.erase(final_record_order_.front());
+    final_record_order_.pop_front();
 }
 
 const protocol::FinalRecord* JobReader::cached_final_record(const std::string& id) const {
--- a/src/api/job_reader.hpp
+++ b/src/api/job_reader.hpp
@@ -72,7 +72,7 @@
     const config::Settings& settings_;
     LiveJobs live_jobs_;
     std::unordered_map<std::string, protocol::FinalRecord> final_records_;
-    std::deque<std::string> finals_order_;  // ids in `final_records_`, the oldest entry first
+    std::deque<std::string> final_record_order_;  // ids in `final_records_`, the oldest entry first
     std::unordered_map<std::string, FinalRead> final_reads_;  // reads in flight, by job
 };
 
