--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -16,7 +16,7 @@
 // Maximum number of reads of the live jobs for one result. After each of them, the final records of the
 // unresolved dependencies that it found are read.
 constexpr int max_read_attempts = 4;
-constexpr std::size_t cached_finals_per_mb = 500;  // per MB of the memory limit in the settings
+constexpr std::size_t cached_final_records_per_mb = 500;  // per MB of the memory limit in the settings
 
 void log_unreadable_final(const std::string& id, const protocol::Malformed& error) {
     spdlog::error("component=api event=unreadable_final_record job={} error=\"{}\"", id, error.what());
@@ -39,7 +39,8 @@
 void JobReader::cache_final_record(const std::string& id, const protocol::FinalRecord& record) {
     if (!final_records_.emplace(id, record).second) return;
     final_record_order_.push_back(id);
-    if (static_cast<double>(final_record_order_.size()) <= settings_.memory_mb * cached_finals_per_mb) return;
+    if (static_cast<double>(final_record_order_.size()) <= settings_.memory_mb * cached_final_records_per_mb)
+        return;
     final_records_.erase(final_record_order_.front());
     final_record_order_.pop_front();
 }
