--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -29,23 +29,25 @@
             ClusterQueries& cluster)
         : reader_(timers, kv, settings),
           responder_(reader_, cluster),
-          submissions_(timers, kv, settings, cluster, reader_, responder_),
+          submission_handler_(timers, kv, settings, cluster, reader_, responder_),
           cancellations_(kv, cluster, reader_, responder_) {}
     UserApi(const UserApi&) = delete;
     UserApi& operator=(const UserApi&) = delete;
 
     // Handle one request each and call `reply` exactly once, before they return or later.
-    void submit(const std::string& body, http::Reply reply) { submissions_.submit(body, std::move(reply)); }
+    void submit(const std::string& body, http::Reply reply) {
+        submission_handler_.submit(body, std::move(reply));
+    }
     void query(const std::string& id, const http::Reply& reply) { responder_.query(id, reply); }
     void cancel(const std::string& id, http::Reply reply) { cancellations_.cancel(id, std::move(reply)); }
 
     LiveJobs& live_jobs() { return reader_.live_jobs(); }
-    const Admission& admission() const { return submissions_.admission(); }
+    const Admission& admission() const { return submission_handler_.admission(); }
 
   private:
     JobReader reader_;
     JobStatusResponder responder_;
-    SubmissionHandler submissions_;
+    SubmissionHandler submission_handler_;
     CancellationHandler cancellations_;
 };
 
