--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -30,7 +30,7 @@
         : reader_(timers, kv, settings),
           responder_(reader_, cluster),
           submission_handler_(timers, kv, settings, cluster, reader_, responder_),
-          cancellations_(kv, cluster, reader_, responder_) {}
+          cancellation_handler_(kv, cluster, reader_, responder_) {}
     UserApi(const UserApi&) = delete;
     UserApi& operator=(const UserApi&) = delete;
 
@@ -39,7 +39,9 @@
         submission_handler_.submit(body, std::move(reply));
     }
     void query(const std::string& id, const http::Reply& reply) { responder_.query(id, reply); }
-    void cancel(const std::string& id, http::Reply reply) { cancellations_.cancel(id, std::move(reply)); }
+    void cancel(const std::string& id, http::Reply reply) {
+        cancellation_handler_.cancel(id, std::move(reply));
+    }
 
     LiveJobs& live_jobs() { return reader_.live_jobs(); }
     const Admission& admission() const { return submission_handler_.admission(); }
@@ -48,7 +50,7 @@
     JobReader reader_;
     JobStatusResponder responder_;
     SubmissionHandler submission_handler_;
-    CancellationHandler cancellations_;
+    CancellationHandler cancellation_handler_;
 };
 
 }  // namespace coralhitch::api
