--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -25,7 +25,7 @@
     if (!protocol::valid_job_id(id)) return reply(no_such_job());
     if (auto* record = reader_.cached_final_record(id)) return responder_.reply_state(id, *record, reply);
     if (auto* live = reader_.live_jobs().cached(id); live && live->cancelled) return reply(cancelled_job(id));
-    auto [waiting, first] = in_progress_.try_emplace(id);
+    auto [waiting, first] = replies_by_job_.try_emplace(id);
     waiting->second.push_back(std::move(reply));
     if (!first) return;
     read_record(
@@ -35,7 +35,7 @@
 // Only the first request gets the answer "no such job", since it arrived before the job was read. The job may
 // have been accepted between that read and a later request, so later requests are told to retry.
 void CancellationHandler::answer_all(const std::string& id, const http::Response& response) {
-    auto replies = std::move(in_progress_.extract(id).mapped());
+    auto replies = std::move(replies_by_job_.extract(id).mapped());
     for (std::size_t i = 0; i < replies.size(); ++i)
         replies[i](i > 0 && response.status == 404 ? retry_later() : response);
 }
--- a/src/api/cancellation_handler.hpp
+++ b/src/api/cancellation_handler.hpp
@@ -41,7 +41,7 @@
     JobStatusResponder& responder_;
     // Replies to all users who wait for a cancellation in progress, by job. The first one is that of the
     // request that started the cancellation.
-    std::unordered_map<std::string, std::vector<http::Reply>> in_progress_;
+    std::unordered_map<std::string, std::vector<http::Reply>> replies_by_job_;
 };
 
 }  // namespace coralhitch::api
