--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -50,7 +50,7 @@
     TeamShare& share_of(const std::string& team);
     double min_common_tokens(const std::string& team, double now) const;
 
-    double rate_jobs_per_s_, burst_jobs_;  // jobs per second, jobs
+    double rate_jobs_per_s_, burst_jobs_;
     double team_count_;
     double active_window_s_;  // A team counts as active for this time after its last request.
     event_loop::TokenBucket common_bucket_;
