--- a/tests/api/cancellation_handler_test.cpp
+++ b/tests/api/cancellation_handler_test.cpp
@@ -1,4 +1,4 @@
-// CancellationHandler, through the UserApi of several controllers.
+// CancellationHandler, tested through the UserApi of several controllers.
 #include "api/cancellation_handler.hpp"
 
 #include <gtest/gtest.h>
@@ -8,6 +8,8 @@
 namespace coralhitch::api {
 namespace {
 
+// The store executes the first cancellation but its answer is lost. Repeated requests at the same controller
+// and at another one must all be answered, without further writes or notifications.
 TEST(CancellationHandler, NotifiesLeaderOnceWhenTheStoreAnswerIsLost) {
     UserApiCluster s;
     s.submit(0, "j-000001");
@@ -26,7 +28,7 @@
     EXPECT_EQ(s.cluster.notified, std::vector<std::string>{"j-000001"});
 }
 
-// Cancellations go before acceptances, which wait for the writes that are left.
+// Cancellations must be sent before the submissions that fill the queue and wait for the remaining writes.
 TEST(CancellationHandler, DoesNotWaitBehindSubmissions) {
     UserApiCluster s;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -1,4 +1,4 @@
-// LiveJobs: many reads share one request, and no answer is older than its question.
+// LiveJobs: many reads share one request, and no answer is older than its read.
 #include "api/live_jobs.hpp"
 
 #include <gtest/gtest.h>
@@ -13,14 +13,15 @@
 namespace {
 using nlohmann::json;
 
-// A key-value store that keeps the latest changes of job records; a test sets the fate of each request.
+// Key-value store that keeps the latest changes of job records. A test sets `fate`, which applies to each
+// request sent while it is set.
 class FakeKeyValueStore : public http::Requester {
   public:
     explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
     enum class Fate { answered, refused, lost };
     Fate fate = Fate::answered;
-    double latency = 0.01;
-    std::uint64_t revision = 0, forgotten = 0;  // changes up to `forgotten` are not kept
+    double latency_s = 0.01;
+    std::uint64_t revision = 0, forgotten = 0;  // changes up to `forgotten` are compacted
     int requests = 0;
 
     void put(const std::string& id, bool cancelled, std::vector<std::string> awaits = {}) {
@@ -44,7 +45,7 @@
         std::optional<http::Response> answer = execute(r);
         if (fate == Fate::refused) answer = http::Response{503, "{}"};
         if (fate == Fate::lost) answer = std::nullopt;
-        timers_.after(answer ? latency : timeout, [answer, result] { result(answer); });
+        timers_.after(answer ? latency_s : timeout, [answer, result] { result(answer); });
     }
 
   private:
@@ -103,7 +104,7 @@
          f.read("j-1");
      },
      {"live", "cancelled"}},
-    {"a change while a request is in flight: a read after it waits for the next request",
+    {"a change while a request is in flight: a read after the change waits for the next request",
      [](Fixture& f) {
          f.read("j-1");
          f.timers.run_until(0.005);
@@ -111,7 +112,7 @@
          f.read("j-1");
      },
      {"live", "cancelled"}},
-    {"a record that can't be read is of a known job",
+    {"a job whose record can't be parsed is live",
      [](Fixture& f) {
          f.service.put_unreadable("j-2");
          f.read("j-2");
@@ -126,7 +127,7 @@
          f.read("j-9");
      },
      {"live", "not live", "not live"}},
-    {"a refused request: no answer from the copy",
+    {"a refused request: the copy must not answer the read",
      [](Fixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
@@ -137,7 +138,7 @@
          f.read("j-1");
      },
      {"live", "no answer", "live"}},
-    {"a lost answer: its changes come again",
+    {"a lost answer: the next request returns its changes",
      [](Fixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
@@ -149,7 +150,7 @@
          f.read("j-1");
      },
      {"live", "no answer", "cancelled"}},
-    {"the changes are not kept any more: all is read again",
+    {"the changes were compacted: all live jobs are listed again",
      [](Fixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
@@ -160,7 +161,8 @@
          f.read("j-2");
      },
      {"live", "not live", "live"}},
-    {"direct and transitive dependents of a cancelled job, whichever is known first; no other jobs",
+    {"direct and transitive dependents of a cancelled job are cancelled, whichever is read first; no other "
+     "jobs",
      [](Fixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.put("j-4", false, {"j-3", "j-100"});
@@ -172,7 +174,7 @@
          for (auto id : {"j-2", "j-3", "j-4", "j-5"}) f.read(id);
      },
      {"depends on j-3", "cancelled", "cancelled", "cancelled", "live"}},
-    {"dependents of a job known to be cancelled, read in a list or as a change",
+    {"dependents of a job that is already cancelled, read from a list or from a change",
      [](Fixture& f) {
          f.service.put("j-1", true);
          f.service.put("j-2", false, {"j-1"});
@@ -182,7 +184,7 @@
          f.read("j-3");
      },
      {"cancelled", "cancelled"}},
-    {"a dependency that has ended decides by its outcome; other reads need not wait for that",
+    {"the outcome of an ended dependency decides; reads of other jobs do not wait for it",
      [](Fixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.put("j-3", false, {"j-2"});
@@ -193,7 +195,7 @@
          f.read("j-3");
      },
      {"depends on j-1", "live", "cancelled"}},
-    {"a dependency that was done blocks no read; after a new list its outcome is unknown again",
+    {"a dependency that is done blocks no read; after a new list its outcome is unknown again",
      [](Fixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.drop("j-1");
@@ -207,7 +209,7 @@
          f.read("j-2");
      },
      {"depends on j-1", "live", "depends on j-1"}},
-    {"a cancelled job: its dependencies do not matter",
+    {"the dependencies of a cancelled job do not matter",
      [](Fixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.drop("j-1");
@@ -240,23 +242,23 @@
     EXPECT_LE(f.service.requests, 1 / (f.settings.heartbeat_interval_s / 60) + 2);
 }
 
-// A long chain and a wide join cost no stack and little time.
+// Cancelling a long chain and a job with thousands of dependencies must not overflow the stack or take long.
 TEST(LiveJobs, CancelsAllDependentsInAChainOfThousands) {
     Fixture f;
-    constexpr int n = 5000;
+    constexpr int chain_length = 5000;
     auto id = [](int k) { return "j-" + std::to_string(k); };
     f.service.put(id(0), false);
     std::vector<std::string> all;
-    for (int k = 1; k < n; ++k) {
+    for (int k = 1; k < chain_length; ++k) {
         f.service.put(id(k), false, {id(k - 1)});
         all.push_back(id(k));
     }
-    f.service.put(id(n), false, all);
-    f.read(id(n));
+    f.service.put(id(chain_length), false, all);
+    f.read(id(chain_length));
     f.timers.run_until(1);
     f.service.put(id(0), true);
-    f.read(id(n));
-    f.read(id(n - 1));
+    f.read(id(chain_length));
+    f.read(id(chain_length - 1));
     f.timers.run_until(2);
     EXPECT_EQ(f.answers, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
 }
--- a/tests/api/submission_check_test.cpp
+++ b/tests/api/submission_check_test.cpp
@@ -1,4 +1,4 @@
-// SubmissionCheck: which jobs can ever run.
+// SubmissionCheck: finds the jobs that can never run, and the reason.
 #include "api/submission_check.hpp"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
          SubmissionCheck::no_fitting_machine_type},
         {"a zone that does not exist", [](auto& j) { j.zone = "z9"; },
          SubmissionCheck::no_fitting_machine_type},
-        {"an array larger than the limit runs in turns", [](auto& j) { j.tasks = 1000; },
+        {"an array larger than the limit runs a few tasks at a time", [](auto& j) { j.tasks = 1000; },
          SubmissionCheck::runnable},
         {"a gang larger than the limit never runs",
          [](auto& j) {
--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -1,4 +1,4 @@
-// SubmissionHandler, through the UserApi of several controllers.
+// SubmissionHandler, tested through the UserApi of several controllers.
 #include "api/submission_handler.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,8 @@
 namespace coralhitch::api {
 namespace {
 
-// The transaction is carried out at once and only its answer is lost; others read what it wrote.
+// The store executes the transaction at once but its answer is lost. Repeated submissions and queries at all
+// controllers must find the job as accepted, and nothing may be stored twice.
 TEST(SubmissionHandler, AcceptsOnceWhenTheStoreAnswerIsLost) {
     for (bool cancelled_meanwhile : {false, true}) {
         UserApiCluster s;
@@ -34,21 +35,22 @@
     }
 }
 
-// The outcome of a stream of submissions at one controller after its burst is used up: `factor` times what
-// the key-value store can store, with one of another team among each twenty.
+// Sends a stream of submissions to one controller and counts their outcomes after the burst is used up. The
+// rate is `factor` times what the key-value store can write. Team t2, the small team, sends one of each
+// twenty submissions.
 struct SubmissionStream {
-    double accepted = 0;  // of what can be stored
-    double slowest = 0;   // answer in seconds
+    double accepted = 0;  // accepted jobs as a share of those that can be stored
+    double slowest = 0;   // longest time until an answer, in seconds
     int rejected = 0, small_asked = 0, small_accepted = 0;
     explicit SubmissionStream(double factor) {
         UserApiCluster s;
-        auto& set = s.settings;
-        double capacity = set.kv_write_rps * 0.9 / Admission::writes_per_job / set.nodes;
+        auto& settings = s.settings;
+        double capacity = settings.kv_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
         constexpr double begin = 61, end = 121;
-        int n = 0;
+        int submitted = 0;
         for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
             s.timers.run_until(t);
-            bool small = t >= begin && ++n % 20 == 0;
+            bool small = t >= begin && ++submitted % 20 == 0;
             s.submit(0, "j-" + std::to_string(100000 + s.answers.size()), small ? "t2" : "t1");
             if (!small) continue;
             ++small_asked;
@@ -81,7 +83,8 @@
     EXPECT_LE(five.accepted, 1.1);
     for (auto* stream : {&once, &five}) EXPECT_LE(stream->slowest, 1);
     EXPECT_GT(five.rejected, 0);
-    EXPECT_GE(five.small_accepted, five.small_asked * 0.9) << "of the team that asks for little";
+    EXPECT_GE(five.small_accepted, five.small_asked * 0.9)
+        << "jobs of the team that submits few were rejected";
 }
 
 }  // namespace
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -1,4 +1,4 @@
-// UserApi at several controllers, for the tests of it and of its parts.
+// Fixture with the UserApi of several controllers, for tests of UserApi and of its parts.
 #pragma once
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -20,6 +20,7 @@
 namespace keys = kv::keys;
 using nlohmann::json;
 
+// Cluster with one machine type that records which cancellations the leader was notified of.
 struct FakeCluster : ClusterQueries {
     std::vector<protocol::MachineType> types{protocol::parse_types(
         R"({"hulls":[{"name":"g8","vcpus":96,"cards":8,"ram_gb":768,"cache_gb":200,"fetch_gb_per_s":1,)"
@@ -30,6 +31,7 @@
     void notify_cancelled(const std::string& id, std::uint64_t) override { notified.push_back(id); }
 };
 
+// Returns the body of a submission of a job with one task that fits the machine type of FakeCluster.
 inline std::string submission_body(const std::string& id, const std::string& team = "t1") {
     return json{{"id", id},         {"cohort", "c"},     {"crew", team},     {"shape", "batch"},
                 {"rank", "high"},   {"shards", 1},       {"vcpus", 1.0},     {"cards", 0.0},
@@ -39,16 +41,16 @@
         .dump();
 }
 
-// An answer, with the times of the question and of the answer.
+// Answer to one request. Times are in seconds of the fake clock.
 struct Answer {
     double sent = 0, answered = 0;
-    int status = 0;
-    std::string state;
+    int status = 0;     // HTTP status; 0 as long as there is no answer
+    std::string state;  // state of the job as in the body; empty if the body has none
     double retry_after_s = 0;
     bool rejected() const { return status == 503 || status == 429; }
 };
 
-// Three controllers, each with its UserApi, on one key-value store and one clock.
+// Three controllers, each with its own UserApi, that share one key-value store and one clock.
 struct UserApiCluster {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
@@ -69,6 +71,7 @@
         for (int k = 0; k < 3; ++k) nodes.push_back(std::make_unique<Node>(*this));
     }
     UserApi& at(std::size_t node) { return nodes[node]->users; }
+    // Creates the record of an answer in `kept` and returns a reply that fills it in.
     http::Reply record_answer(Answer*& kept) {
         answers.push_back(std::make_unique<Answer>());
         auto* a = kept = answers.back().get();
@@ -96,7 +99,8 @@
         at(node).cancel(id, std::move(reply));
         return a;
     }
-    // Stores the end of a job as the leader does: only if the live record is as it was read.
+    // Stores the end of a job like the leader does, on condition that the live record has not changed since
+    // it was read. Does nothing if the job is not live.
     void store_end(const std::string& id) {
         auto it = service.kv.find(keys::job(id));
         if (it == service.kv.end()) return;
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -12,11 +12,14 @@
 namespace coralhitch::api {
 namespace {
 
-// How far along a job is. Done and cancelled are both final: never one after the other.
+// Returns how far a job has come: 0 not accepted, 1 live, 2 final. Done and cancelled are both final, and
+// neither may follow the other.
 int progress_rank(const Answer& a) {
     if (a.status == 404) return 0;
     return a.state == "pending" || a.state == "running" ? 1 : 2;
 }
+// Expects that no request sent after another one was answered gets an older state of the job than that
+// answer.
 void expect_no_older_answer(const std::vector<Answer*>& all, const std::string& when) {
     for (auto* a : all)
         for (auto* b : all) {
@@ -24,19 +27,20 @@
                 continue;
             EXPECT_GE(progress_rank(*b), progress_rank(*a))
                 << when << ": " << a->state << " answered at " << a->answered << ", " << b->state << b->status
-                << " for a question of " << b->sent;
+                << " for a request sent at " << b->sent;
             if (progress_rank(*a) == 2) {
                 EXPECT_EQ(a->state, b->state) << when;
             }
         }
 }
 
-// Queries at all controllers every few milliseconds, and repeated submissions, while jobs are accepted,
-// cancelled at two controllers at once, and end somewhat before or after that.
+// Queries arrive at all controllers every few milliseconds, together with repeated submissions, while jobs
+// are accepted, cancelled at two controllers at once, and end shortly before or after the cancellation.
 TEST(UserApi, NeverAnswersWithAnOlderStateUnderFrequentQueries) {
     const double ends_ms[] = {-100, -20, -8, -3, 0, 3, 8, 20, 60, 150, 400};
     UserApiCluster s;
-    // Executed at once and answered later: an answer in flight may be older than answers already given.
+    // The store executes a request at once and answers later, so an answer in flight may be older than
+    // answers that were given already.
     std::minstd_rand random(7);
     s.service.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
     struct JobRun {
@@ -83,7 +87,7 @@
     EXPECT_GT(state_counts["pending"], 30);
 }
 
-// Ends are read with one request, and no final state twice at one controller.
+// Many final records are read with one request, and a controller reads no final record twice.
 TEST(UserApi, SharesReadsBetweenQueriesAndReadsFinalStatesOnce) {
     UserApiCluster s;
     constexpr int jobs = 60;
@@ -103,7 +107,7 @@
     s.timers.run_until(22);
     for (auto* a : answers) EXPECT_EQ(a->state, "done");
     EXPECT_EQ(s.service.requests["kv"], 0);
-    // For the first query, for all others together, and for all final records.
+    // One request for the first query, one for all other queries together, and one for all final records.
     EXPECT_LE(s.service.requests["watch"], 3);
     s.service.requests.clear();
     for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
@@ -111,7 +115,7 @@
     EXPECT_EQ(s.service.requests["kv"] + s.service.requests["watch"] + s.service.requests["txn"], 0);
 }
 
-// A repeated request uses up none of the writes that submissions wait for.
+// Repeated requests must not use up the writes that submissions wait for.
 TEST(UserApi, RepeatedSubmissionsAndCancellationsCostNoWrite) {
     UserApiCluster s;
     s.submit(0, "j-000001");
