--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -56,7 +56,7 @@
             ++small_asked;
             auto* a = s.answers.back().get();
             s.timers.run_until(t + 0.5 / (capacity * factor));
-            small_accepted_.push_back(a);
+            small_team_answers_.push_back(a);
         }
         s.timers.run_until(end + 10);
         for (auto& a : s.answers) {
@@ -69,11 +69,11 @@
             }
             accepted += (a->status == 201) / ((end - begin) * capacity);
         }
-        for (auto* a : small_accepted_) small_accepted += a->status == 201;
+        for (auto* a : small_team_answers_) small_accepted += a->status == 201;
     }
 
   private:
-    std::vector<Answer*> small_accepted_;
+    std::vector<Answer*> small_team_answers_;
 };
 
 TEST(SubmissionHandler, RejectsOverloadAtOnceAndFairlyBetweenTeams) {
