--- a/tests/api/admission_test.cpp
+++ b/tests/api/admission_test.cpp
@@ -11,7 +11,7 @@
 // At the beginning of a day one team submits many jobs at once. They must not be rejected to keep a reserve
 // for teams that submit nothing.
 TEST(Admission, LetsOneTeamUseTheWholeBurstUnlessOthersAreActive) {
-    auto settings = UserApiCluster().settings;
+    auto settings = UserApiFixture().settings;
     settings.teams = {{"t1", 0, 0, 0, 0}, {"t2", 0, 0, 0, 0}};
     double rate = settings.kv_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
     auto burst_jobs = static_cast<int>(rate * settings.lease_s * Admission::burst_leases);
--- a/tests/api/cancellation_handler_test.cpp
+++ b/tests/api/cancellation_handler_test.cpp
@@ -11,7 +11,7 @@
 // The store executes the first cancellation but its answer is lost. Repeated requests at the same controller
 // and at another one must all be answered, without further writes or notifications.
 TEST(CancellationHandler, NotifiesLeaderOnceWhenTheStoreAnswerIsLost) {
-    UserApiCluster s;
+    UserApiFixture s;
     s.submit(0, "j-000001");
     s.timers.run_until(1);
     s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
@@ -30,7 +30,7 @@
 
 // Cancellations must be sent before the submissions that fill the queue and wait for the remaining writes.
 TEST(CancellationHandler, DoesNotWaitBehindSubmissions) {
-    UserApiCluster s;
+    UserApiFixture s;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
     for (int k = 0; k < 10; ++k) s.submit(0, id(k));
     s.timers.run_until(5);
--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -12,7 +12,7 @@
 // controllers must find the job as accepted, and nothing may be stored twice.
 TEST(SubmissionHandler, AcceptsOnceWhenTheStoreAnswerIsLost) {
     for (bool cancelled_meanwhile : {false, true}) {
-        UserApiCluster s;
+        UserApiFixture s;
         s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
         auto* first = s.submit(0, "j-000001");
         s.timers.run_until(0.1);
@@ -43,7 +43,7 @@
     double slowest = 0;   // longest time until an answer, in seconds
     int rejected = 0, small_team_submitted = 0, small_team_accepted = 0;
     explicit SubmissionStream(double factor) {
-        UserApiCluster s;
+        UserApiFixture s;
         auto& settings = s.settings;
         double capacity = settings.kv_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
         constexpr double begin = 61, end = 121;
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -51,7 +51,7 @@
 };
 
 // Three controllers, each with its own UserApi, that share one key-value store and one clock.
-struct UserApiCluster {
+struct UserApiFixture {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
     config::Settings settings =
@@ -60,13 +60,13 @@
     struct Node {
         kv::KvClient client;
         UserApi users;
-        explicit Node(UserApiCluster& s)
+        explicit Node(UserApiFixture& s)
             : client(s.timers, s.service, s.settings), users(s.timers, client, s.settings, s.cluster) {}
     };
     std::vector<std::unique_ptr<Node>> nodes;
     std::vector<std::unique_ptr<Answer>> answers;
 
-    UserApiCluster() {
+    UserApiFixture() {
         settings.teams = {{"t1"}, {"t2"}};
         for (int k = 0; k < 3; ++k) nodes.push_back(std::make_unique<Node>(*this));
     }
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -38,7 +38,7 @@
 // are accepted, cancelled at two controllers at once, and end shortly before or after the cancellation.
 TEST(UserApi, NeverAnswersWithAnOlderStateUnderFrequentQueries) {
     const double ends_ms[] = {-100, -20, -8, -3, 0, 3, 8, 20, 60, 150, 400};
-    UserApiCluster s;
+    UserApiFixture s;
     // The store executes a request at once and answers later, so an answer in flight may be older than
     // answers that were given already.
     std::minstd_rand random(7);
@@ -89,7 +89,7 @@
 
 // Many final records are read with one request, and a controller reads no final record twice.
 TEST(UserApi, SharesReadsBetweenQueriesAndReadsFinalStatesOnce) {
-    UserApiCluster s;
+    UserApiFixture s;
     constexpr int jobs = 60;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
     for (int k = 0; k < jobs; ++k) {
@@ -117,7 +117,7 @@
 
 // Repeated requests must not use up the writes that submissions wait for.
 TEST(UserApi, RepeatedSubmissionsAndCancellationsCostNoWrite) {
-    UserApiCluster s;
+    UserApiFixture s;
     s.submit(0, "j-000001");
     for (int k = 0; k < 5; ++k) s.submit(0, "j-000001");
     s.timers.run_until(2);
