--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -67,7 +67,7 @@
     std::vector<json> history_;
 };
 
-struct Fixture {
+struct LiveJobsFixture {
     FakeTimers timers;
     FakeKeyValueStore service{timers};
     config::Settings settings = settings_of(
@@ -76,7 +76,7 @@
     LiveJobs live{timers, client, settings};
     std::vector<std::string> answers;
 
-    Fixture() { service.put("j-100", false); }
+    LiveJobsFixture() { service.put("j-100", false); }
     void read(const std::string& id) {
         live.read(id, [this](LiveJobs::ReadResult result) {
             answers.push_back(!result.ok     ? "no answer"
@@ -91,13 +91,13 @@
 
 struct Case {
     const char* name;
-    std::function<void(Fixture&)> run;
+    std::function<void(LiveJobsFixture&)> run;
     std::vector<std::string> answers;
 };
 const Case cases[] = {
-    {"a job accepted before the read", [](Fixture& f) { f.read("j-1"); }, {"live"}},
+    {"a job accepted before the read", [](LiveJobsFixture& f) { f.read("j-1"); }, {"live"}},
     {"a change since the last answer",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
          f.service.put("j-1", true);
@@ -105,7 +105,7 @@
      },
      {"live", "cancelled"}},
     {"a change while a request is in flight: a read after the change waits for the next request",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.read("j-1");
          f.timers.run_until(0.005);
          f.service.put("j-1", true);
@@ -113,13 +113,13 @@
      },
      {"live", "cancelled"}},
     {"a job whose record can't be parsed is live",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.service.put_unreadable("j-2");
          f.read("j-2");
      },
      {"live"}},
     {"a job that has ended, and one that was never submitted",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
          f.service.drop("j-1");
@@ -128,7 +128,7 @@
      },
      {"live", "not live", "not live"}},
     {"a refused request: the copy must not answer the read",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
          f.service.fate = FakeKeyValueStore::Fate::refused;
@@ -139,7 +139,7 @@
      },
      {"live", "no answer", "live"}},
     {"a lost answer: the next request returns its changes",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
          f.service.put("j-1", true);
@@ -151,7 +151,7 @@
      },
      {"live", "no answer", "cancelled"}},
     {"the changes were compacted: all live jobs are listed again",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.read("j-1");
          f.timers.run_until(1);
          f.service.put("j-2", false);
@@ -163,7 +163,7 @@
      {"live", "not live", "live"}},
     {"direct and transitive dependents of a cancelled job are cancelled, whichever is read first; no other "
      "jobs",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.put("j-4", false, {"j-3", "j-100"});
          f.read("j-4");
@@ -175,7 +175,7 @@
      },
      {"depends on j-3", "cancelled", "cancelled", "cancelled", "live"}},
     {"dependents of a job that is already cancelled, read from a list or from a change",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.service.put("j-1", true);
          f.service.put("j-2", false, {"j-1"});
          f.read("j-2");
@@ -185,7 +185,7 @@
      },
      {"cancelled", "cancelled"}},
     {"the outcome of an ended dependency decides; reads of other jobs do not wait for it",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.put("j-3", false, {"j-2"});
          f.service.drop("j-1");
@@ -196,7 +196,7 @@
      },
      {"depends on j-1", "live", "cancelled"}},
     {"a dependency that is done blocks no read; after a new list its outcome is unknown again",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.drop("j-1");
          f.read("j-2");
@@ -210,7 +210,7 @@
      },
      {"depends on j-1", "live", "depends on j-1"}},
     {"the dependencies of a cancelled job do not matter",
-     [](Fixture& f) {
+     [](LiveJobsFixture& f) {
          f.service.put("j-2", false, {"j-1"});
          f.service.drop("j-1");
          f.read("j-2");
@@ -223,7 +223,7 @@
 
 TEST(LiveJobs, NeverAnswersWithStateOlderThanTheRead) {
     for (auto& c : cases) {
-        Fixture f;
+        LiveJobsFixture f;
         f.service.put("j-1", false);
         c.run(f);
         f.timers.run_until(20);
@@ -231,7 +231,7 @@
     }
 }
 TEST(LiveJobs, SharesRequestsBetweenManyReads) {
-    Fixture f;
+    LiveJobsFixture f;
     f.service.put("j-1", false);
     for (int k = 0; k < 1000; ++k) {
         f.read("j-1");
@@ -244,7 +244,7 @@
 
 // Cancelling a long chain and a job with thousands of dependencies must not overflow the stack or take long.
 TEST(LiveJobs, CancelsAllDependentsInAChainOfThousands) {
-    Fixture f;
+    LiveJobsFixture f;
     constexpr int chain_length = 5000;
     auto id = [](int k) { return "j-" + std::to_string(k); };
     f.service.put(id(0), false);
