--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -95,172 +95,172 @@
     std::vector<std::string> answers;
 };
 const Case cases[] = {
-    {"a job accepted before the read", [](LiveJobsFixture& f) { f.read("j-1"); }, {"live"}},
+    {"a job accepted before the read", [](LiveJobsFixture& fixture) { fixture.read("j-1"); }, {"live"}},
     {"a change since the last answer",
-     [](LiveJobsFixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.put("j-1", true);
-         f.read("j-1");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.service.put("j-1", true);
+         fixture.read("j-1");
      },
      {"live", "cancelled"}},
     {"a change while a request is in flight: a read after the change waits for the next request",
-     [](LiveJobsFixture& f) {
-         f.read("j-1");
-         f.timers.run_until(0.005);
-         f.service.put("j-1", true);
-         f.read("j-1");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(0.005);
+         fixture.service.put("j-1", true);
+         fixture.read("j-1");
      },
      {"live", "cancelled"}},
     {"a job whose record can't be parsed is live",
-     [](LiveJobsFixture& f) {
-         f.service.put_unreadable("j-2");
-         f.read("j-2");
+     [](LiveJobsFixture& fixture) {
+         fixture.service.put_unreadable("j-2");
+         fixture.read("j-2");
      },
      {"live"}},
     {"a job that has ended, and one that was never submitted",
-     [](LiveJobsFixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.drop("j-1");
-         f.read("j-1");
-         f.read("j-9");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.service.drop("j-1");
+         fixture.read("j-1");
+         fixture.read("j-9");
      },
      {"live", "not live", "not live"}},
     {"a refused request: the copy must not answer the read",
-     [](LiveJobsFixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.fate = FakeKeyValueStore::Fate::refused;
-         f.read("j-1");
-         f.timers.run_until(2);
-         f.service.fate = FakeKeyValueStore::Fate::answered;
-         f.read("j-1");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.service.fate = FakeKeyValueStore::Fate::refused;
+         fixture.read("j-1");
+         fixture.timers.run_until(2);
+         fixture.service.fate = FakeKeyValueStore::Fate::answered;
+         fixture.read("j-1");
      },
      {"live", "no answer", "live"}},
     {"a lost answer: the next request returns its changes",
-     [](LiveJobsFixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.put("j-1", true);
-         f.service.fate = FakeKeyValueStore::Fate::lost;
-         f.read("j-1");
-         f.timers.run_until(5);
-         f.service.fate = FakeKeyValueStore::Fate::answered;
-         f.read("j-1");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.service.put("j-1", true);
+         fixture.service.fate = FakeKeyValueStore::Fate::lost;
+         fixture.read("j-1");
+         fixture.timers.run_until(5);
+         fixture.service.fate = FakeKeyValueStore::Fate::answered;
+         fixture.read("j-1");
      },
      {"live", "no answer", "cancelled"}},
     {"the changes were compacted: all live jobs are listed again",
-     [](LiveJobsFixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.put("j-2", false);
-         f.service.drop("j-1");
-         f.service.forgotten = f.service.revision;
-         f.read("j-1");
-         f.read("j-2");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.service.put("j-2", false);
+         fixture.service.drop("j-1");
+         fixture.service.forgotten = fixture.service.revision;
+         fixture.read("j-1");
+         fixture.read("j-2");
      },
      {"live", "not live", "live"}},
     {"direct and transitive dependents of a cancelled job are cancelled, whichever is read first; no other "
      "jobs",
-     [](LiveJobsFixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.put("j-4", false, {"j-3", "j-100"});
-         f.read("j-4");
-         f.timers.run_until(1);
-         f.service.put("j-3", false, {"j-2"});
-         f.service.put("j-5", false, {"j-100"});
-         f.service.put("j-1", true);
-         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) f.read(id);
+     [](LiveJobsFixture& fixture) {
+         fixture.service.put("j-2", false, {"j-1"});
+         fixture.service.put("j-4", false, {"j-3", "j-100"});
+         fixture.read("j-4");
+         fixture.timers.run_until(1);
+         fixture.service.put("j-3", false, {"j-2"});
+         fixture.service.put("j-5", false, {"j-100"});
+         fixture.service.put("j-1", true);
+         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) fixture.read(id);
      },
      {"depends on j-3", "cancelled", "cancelled", "cancelled", "live"}},
     {"dependents of a job that is already cancelled, read from a list or from a change",
-     [](LiveJobsFixture& f) {
-         f.service.put("j-1", true);
-         f.service.put("j-2", false, {"j-1"});
-         f.read("j-2");
-         f.timers.run_until(1);
-         f.service.put("j-3", false, {"j-2"});
-         f.read("j-3");
+     [](LiveJobsFixture& fixture) {
+         fixture.service.put("j-1", true);
+         fixture.service.put("j-2", false, {"j-1"});
+         fixture.read("j-2");
+         fixture.timers.run_until(1);
+         fixture.service.put("j-3", false, {"j-2"});
+         fixture.read("j-3");
      },
      {"cancelled", "cancelled"}},
     {"the outcome of an ended dependency decides; reads of other jobs do not wait for it",
-     [](LiveJobsFixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.put("j-3", false, {"j-2"});
-         f.service.drop("j-1");
-         for (auto id : {"j-3", "j-100"}) f.read(id);
-         f.timers.run_until(1);
-         f.live.apply_outcome("j-1", protocol::JobState::cancelled);
-         f.read("j-3");
+     [](LiveJobsFixture& fixture) {
+         fixture.service.put("j-2", false, {"j-1"});
+         fixture.service.put("j-3", false, {"j-2"});
+         fixture.service.drop("j-1");
+         for (auto id : {"j-3", "j-100"}) fixture.read(id);
+         fixture.timers.run_until(1);
+         fixture.live.apply_outcome("j-1", protocol::JobState::cancelled);
+         fixture.read("j-3");
      },
      {"depends on j-1", "live", "cancelled"}},
     {"a dependency that is done blocks no read; after a new list its outcome is unknown again",
-     [](LiveJobsFixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.drop("j-1");
-         f.read("j-2");
-         f.timers.run_until(1);
-         f.live.apply_outcome("j-1", protocol::JobState::done);
-         f.read("j-2");
-         f.timers.run_until(2);
-         f.service.forgotten = f.service.revision + 1;
-         f.service.put("j-9", false);
-         f.read("j-2");
+     [](LiveJobsFixture& fixture) {
+         fixture.service.put("j-2", false, {"j-1"});
+         fixture.service.drop("j-1");
+         fixture.read("j-2");
+         fixture.timers.run_until(1);
+         fixture.live.apply_outcome("j-1", protocol::JobState::done);
+         fixture.read("j-2");
+         fixture.timers.run_until(2);
+         fixture.service.forgotten = fixture.service.revision + 1;
+         fixture.service.put("j-9", false);
+         fixture.read("j-2");
      },
      {"depends on j-1", "live", "depends on j-1"}},
     {"the dependencies of a cancelled job do not matter",
-     [](LiveJobsFixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.drop("j-1");
-         f.read("j-2");
-         f.timers.run_until(1);
-         f.service.put("j-2", true);
-         f.read("j-2");
+     [](LiveJobsFixture& fixture) {
+         fixture.service.put("j-2", false, {"j-1"});
+         fixture.service.drop("j-1");
+         fixture.read("j-2");
+         fixture.timers.run_until(1);
+         fixture.service.put("j-2", true);
+         fixture.read("j-2");
      },
      {"depends on j-1", "cancelled"}},
 };
 
 TEST(LiveJobs, NeverAnswersWithStateOlderThanTheRead) {
     for (auto& c : cases) {
-        LiveJobsFixture f;
-        f.service.put("j-1", false);
-        c.run(f);
-        f.timers.run_until(20);
-        EXPECT_EQ(f.answers, c.answers) << c.name;
+        LiveJobsFixture fixture;
+        fixture.service.put("j-1", false);
+        c.run(fixture);
+        fixture.timers.run_until(20);
+        EXPECT_EQ(fixture.answers, c.answers) << c.name;
     }
 }
 TEST(LiveJobs, SharesRequestsBetweenManyReads) {
-    LiveJobsFixture f;
-    f.service.put("j-1", false);
+    LiveJobsFixture fixture;
+    fixture.service.put("j-1", false);
     for (int k = 0; k < 1000; ++k) {
-        f.read("j-1");
-        f.timers.run_until(k * 0.001);
+        fixture.read("j-1");
+        fixture.timers.run_until(k * 0.001);
     }
-    f.timers.run_until(5);
-    EXPECT_EQ(f.answers, std::vector<std::string>(1000, "live"));
-    EXPECT_LE(f.service.requests, 1 / (f.settings.heartbeat_interval_s / 60) + 2);
+    fixture.timers.run_until(5);
+    EXPECT_EQ(fixture.answers, std::vector<std::string>(1000, "live"));
+    EXPECT_LE(fixture.service.requests, 1 / (fixture.settings.heartbeat_interval_s / 60) + 2);
 }
 
 // Cancelling a long chain and a job with thousands of dependencies must not overflow the stack or take long.
 TEST(LiveJobs, CancelsAllDependentsInAChainOfThousands) {
-    LiveJobsFixture f;
+    LiveJobsFixture fixture;
     constexpr int chain_length = 5000;
     auto id = [](int k) { return "j-" + std::to_string(k); };
-    f.service.put(id(0), false);
+    fixture.service.put(id(0), false);
     std::vector<std::string> all;
     for (int k = 1; k < chain_length; ++k) {
-        f.service.put(id(k), false, {id(k - 1)});
+        fixture.service.put(id(k), false, {id(k - 1)});
         all.push_back(id(k));
     }
-    f.service.put(id(chain_length), false, all);
-    f.read(id(chain_length));
-    f.timers.run_until(1);
-    f.service.put(id(0), true);
-    f.read(id(chain_length));
-    f.read(id(chain_length - 1));
-    f.timers.run_until(2);
-    EXPECT_EQ(f.answers, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
+    fixture.service.put(id(chain_length), false, all);
+    fixture.read(id(chain_length));
+    fixture.timers.run_until(1);
+    fixture.service.put(id(0), true);
+    fixture.read(id(chain_length));
+    fixture.read(id(chain_length - 1));
+    fixture.timers.run_until(2);
+    EXPECT_EQ(fixture.answers, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
 }
 
 }  // namespace
