--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -21,7 +21,7 @@
     enum class Fate { answered, refused, lost };
     Fate fate = Fate::answered;
     double latency_s = 0.01;
-    std::uint64_t revision = 0, forgotten = 0;  // changes up to `forgotten` are compacted
+    std::uint64_t revision = 0, compacted_revision = 0;  // changes up to `compacted_revision` are compacted
     int requests = 0;
 
     void put(const std::string& id, bool cancelled, std::vector<std::string> awaits = {}) {
@@ -52,7 +52,7 @@
     http::Response execute(const http::Request& r) {
         if (r.target.starts_with("/watch")) {
             auto since = std::stoull(r.target.substr(r.target.find("since=") + 6));
-            if (since < forgotten) return {410, "{}"};
+            if (since < compacted_revision) return {410, "{}"};
             json news = json::array();
             for (auto& e : history_)
                 if (e["stamp"].get<std::uint64_t>() > since) news.push_back(e);
@@ -156,7 +156,7 @@
          fixture.timers.run_until(1);
          fixture.service.put("j-2", false);
          fixture.service.drop("j-1");
-         fixture.service.forgotten = fixture.service.revision;
+         fixture.service.compacted_revision = fixture.service.revision;
          fixture.read("j-1");
          fixture.read("j-2");
      },
@@ -204,7 +204,7 @@
          fixture.live.apply_outcome("j-1", protocol::JobState::done);
          fixture.read("j-2");
          fixture.timers.run_until(2);
-         fixture.service.forgotten = fixture.service.revision + 1;
+         fixture.service.compacted_revision = fixture.service.revision + 1;
          fixture.service.put("j-9", false);
          fixture.read("j-2");
      },
