--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -15,9 +15,9 @@
 
 // Key-value store that keeps the latest changes of job records. A test sets `fate`, which applies to each
 // request sent while it is set.
-class FakeKeyValueStore : public http::Requester {
+class FakeJobRecordStore : public http::Requester {
   public:
-    explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
+    explicit FakeJobRecordStore(FakeTimers& t) : timers_(t) {}
     enum class Fate { answered, refused, lost };
     Fate fate = Fate::answered;
     double latency_s = 0.01;
@@ -69,7 +69,7 @@
 
 struct LiveJobsFixture {
     FakeTimers timers;
-    FakeKeyValueStore service{timers};
+    FakeJobRecordStore service{timers};
     config::Settings settings = settings_of(
         {.nodes = 3, .heartbeat_interval_s = 3, .lease_s = 24, .kv_rps = 200, .kv_write_rps = 40});
     kv::KvClient client{timers, service, settings};
@@ -131,10 +131,10 @@
      [](LiveJobsFixture& fixture) {
          fixture.read("j-1");
          fixture.timers.run_until(1);
-         fixture.service.fate = FakeKeyValueStore::Fate::refused;
+         fixture.service.fate = FakeJobRecordStore::Fate::refused;
          fixture.read("j-1");
          fixture.timers.run_until(2);
-         fixture.service.fate = FakeKeyValueStore::Fate::answered;
+         fixture.service.fate = FakeJobRecordStore::Fate::answered;
          fixture.read("j-1");
      },
      {"live", "no answer", "live"}},
@@ -143,10 +143,10 @@
          fixture.read("j-1");
          fixture.timers.run_until(1);
          fixture.service.put("j-1", true);
-         fixture.service.fate = FakeKeyValueStore::Fate::lost;
+         fixture.service.fate = FakeJobRecordStore::Fate::lost;
          fixture.read("j-1");
          fixture.timers.run_until(5);
-         fixture.service.fate = FakeKeyValueStore::Fate::answered;
+         fixture.service.fate = FakeJobRecordStore::Fate::answered;
          fixture.read("j-1");
      },
      {"live", "no answer", "cancelled"}},
