--- a/tests/api/cancellation_handler_test.cpp
+++ b/tests/api/cancellation_handler_test.cpp
@@ -14,7 +14,7 @@
     UserApiFixture s;
     s.submit(0, "j-000001");
     s.timers.run_until(1);
-    s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
+    s.kv_store.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
     auto* first = s.cancel(0, "j-000001");
     s.timers.run_until(1.1);
     auto* repeated = s.cancel(0, "j-000001");
@@ -24,7 +24,7 @@
         EXPECT_EQ(a->status, 200);
         EXPECT_EQ(a->state, "withdrawn");
     }
-    EXPECT_EQ(s.service.changes, 2);
+    EXPECT_EQ(s.kv_store.changes, 2);
     EXPECT_EQ(s.cluster.notified, std::vector<std::string>{"j-000001"});
 }
 
--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -69,14 +69,14 @@
 
 struct LiveJobsFixture {
     FakeTimers timers;
-    FakeJobRecordStore service{timers};
+    FakeJobRecordStore kv_store{timers};
     config::Settings settings = settings_of(
         {.nodes = 3, .heartbeat_interval_s = 3, .lease_s = 24, .kv_rps = 200, .kv_write_rps = 40});
-    kv::KvClient client{timers, service, settings};
+    kv::KvClient client{timers, kv_store, settings};
     LiveJobs live{timers, client, settings};
     std::vector<std::string> answers;
 
-    LiveJobsFixture() { service.put("j-100", false); }
+    LiveJobsFixture() { kv_store.put("j-100", false); }
     void read(const std::string& id) {
         live.read(id, [this](LiveJobs::ReadResult result) {
             answers.push_back(!result.ok     ? "no answer"
@@ -100,7 +100,7 @@
      [](LiveJobsFixture& fixture) {
          fixture.read("j-1");
          fixture.timers.run_until(1);
-         fixture.service.put("j-1", true);
+         fixture.kv_store.put("j-1", true);
          fixture.read("j-1");
      },
      {"live", "cancelled"}},
@@ -108,13 +108,13 @@
      [](LiveJobsFixture& fixture) {
          fixture.read("j-1");
          fixture.timers.run_until(0.005);
-         fixture.service.put("j-1", true);
+         fixture.kv_store.put("j-1", true);
          fixture.read("j-1");
      },
      {"live", "cancelled"}},
     {"a job whose record can't be parsed is live",
      [](LiveJobsFixture& fixture) {
-         fixture.service.put_unreadable("j-2");
+         fixture.kv_store.put_unreadable("j-2");
          fixture.read("j-2");
      },
      {"live"}},
@@ -122,7 +122,7 @@
      [](LiveJobsFixture& fixture) {
          fixture.read("j-1");
          fixture.timers.run_until(1);
-         fixture.service.drop("j-1");
+         fixture.kv_store.drop("j-1");
          fixture.read("j-1");
          fixture.read("j-9");
      },
@@ -131,10 +131,10 @@
      [](LiveJobsFixture& fixture) {
          fixture.read("j-1");
          fixture.timers.run_until(1);
-         fixture.service.fate = FakeJobRecordStore::Fate::refused;
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::refused;
          fixture.read("j-1");
          fixture.timers.run_until(2);
-         fixture.service.fate = FakeJobRecordStore::Fate::answered;
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::answered;
          fixture.read("j-1");
      },
      {"live", "no answer", "live"}},
@@ -142,11 +142,11 @@
      [](LiveJobsFixture& fixture) {
          fixture.read("j-1");
          fixture.timers.run_until(1);
-         fixture.service.put("j-1", true);
-         fixture.service.fate = FakeJobRecordStore::Fate::lost;
+         fixture.kv_store.put("j-1", true);
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::lost;
          fixture.read("j-1");
          fixture.timers.run_until(5);
-         fixture.service.fate = FakeJobRecordStore::Fate::answered;
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::answered;
          fixture.read("j-1");
      },
      {"live", "no answer", "cancelled"}},
@@ -154,9 +154,9 @@
      [](LiveJobsFixture& fixture) {
          fixture.read("j-1");
          fixture.timers.run_until(1);
-         fixture.service.put("j-2", false);
-         fixture.service.drop("j-1");
-         fixture.service.compacted_revision = fixture.service.revision;
+         fixture.kv_store.put("j-2", false);
+         fixture.kv_store.drop("j-1");
+         fixture.kv_store.compacted_revision = fixture.kv_store.revision;
          fixture.read("j-1");
          fixture.read("j-2");
      },
@@ -164,31 +164,31 @@
     {"direct and transitive dependents of a cancelled job are cancelled, whichever is read first; no other "
      "jobs",
      [](LiveJobsFixture& fixture) {
-         fixture.service.put("j-2", false, {"j-1"});
-         fixture.service.put("j-4", false, {"j-3", "j-100"});
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.put("j-4", false, {"j-3", "j-100"});
          fixture.read("j-4");
          fixture.timers.run_until(1);
-         fixture.service.put("j-3", false, {"j-2"});
-         fixture.service.put("j-5", false, {"j-100"});
-         fixture.service.put("j-1", true);
+         fixture.kv_store.put("j-3", false, {"j-2"});
+         fixture.kv_store.put("j-5", false, {"j-100"});
+         fixture.kv_store.put("j-1", true);
          for (auto id : {"j-2", "j-3", "j-4", "j-5"}) fixture.read(id);
      },
      {"depends on j-3", "cancelled", "cancelled", "cancelled", "live"}},
     {"dependents of a job that is already cancelled, read from a list or from a change",
      [](LiveJobsFixture& fixture) {
-         fixture.service.put("j-1", true);
-         fixture.service.put("j-2", false, {"j-1"});
+         fixture.kv_store.put("j-1", true);
+         fixture.kv_store.put("j-2", false, {"j-1"});
          fixture.read("j-2");
          fixture.timers.run_until(1);
-         fixture.service.put("j-3", false, {"j-2"});
+         fixture.kv_store.put("j-3", false, {"j-2"});
          fixture.read("j-3");
      },
      {"cancelled", "cancelled"}},
     {"the outcome of an ended dependency decides; reads of other jobs do not wait for it",
      [](LiveJobsFixture& fixture) {
-         fixture.service.put("j-2", false, {"j-1"});
-         fixture.service.put("j-3", false, {"j-2"});
-         fixture.service.drop("j-1");
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.put("j-3", false, {"j-2"});
+         fixture.kv_store.drop("j-1");
          for (auto id : {"j-3", "j-100"}) fixture.read(id);
          fixture.timers.run_until(1);
          fixture.live.apply_outcome("j-1", protocol::JobState::cancelled);
@@ -197,25 +197,25 @@
      {"depends on j-1", "live", "cancelled"}},
     {"a dependency that is done blocks no read; after a new list its outcome is unknown again",
      [](LiveJobsFixture& fixture) {
-         fixture.service.put("j-2", false, {"j-1"});
-         fixture.service.drop("j-1");
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.drop("j-1");
          fixture.read("j-2");
          fixture.timers.run_until(1);
          fixture.live.apply_outcome("j-1", protocol::JobState::done);
          fixture.read("j-2");
          fixture.timers.run_until(2);
-         fixture.service.compacted_revision = fixture.service.revision + 1;
-         fixture.service.put("j-9", false);
+         fixture.kv_store.compacted_revision = fixture.kv_store.revision + 1;
+         fixture.kv_store.put("j-9", false);
          fixture.read("j-2");
      },
      {"depends on j-1", "live", "depends on j-1"}},
     {"the dependencies of a cancelled job do not matter",
      [](LiveJobsFixture& fixture) {
-         fixture.service.put("j-2", false, {"j-1"});
-         fixture.service.drop("j-1");
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.drop("j-1");
          fixture.read("j-2");
          fixture.timers.run_until(1);
-         fixture.service.put("j-2", true);
+         fixture.kv_store.put("j-2", true);
          fixture.read("j-2");
      },
      {"depends on j-1", "cancelled"}},
@@ -224,7 +224,7 @@
 TEST(LiveJobs, NeverAnswersWithStateOlderThanTheRead) {
     for (auto& c : cases) {
         LiveJobsFixture fixture;
-        fixture.service.put("j-1", false);
+        fixture.kv_store.put("j-1", false);
         c.run(fixture);
         fixture.timers.run_until(20);
         EXPECT_EQ(fixture.answers, c.answers) << c.name;
@@ -232,14 +232,14 @@
 }
 TEST(LiveJobs, SharesRequestsBetweenManyReads) {
     LiveJobsFixture fixture;
-    fixture.service.put("j-1", false);
+    fixture.kv_store.put("j-1", false);
     for (int k = 0; k < 1000; ++k) {
         fixture.read("j-1");
         fixture.timers.run_until(k * 0.001);
     }
     fixture.timers.run_until(5);
     EXPECT_EQ(fixture.answers, std::vector<std::string>(1000, "live"));
-    EXPECT_LE(fixture.service.requests, 1 / (fixture.settings.heartbeat_interval_s / 60) + 2);
+    EXPECT_LE(fixture.kv_store.requests, 1 / (fixture.settings.heartbeat_interval_s / 60) + 2);
 }
 
 // Cancelling a long chain and a job with thousands of dependencies must not overflow the stack or take long.
@@ -247,16 +247,16 @@
     LiveJobsFixture fixture;
     constexpr int chain_length = 5000;
     auto id = [](int k) { return "j-" + std::to_string(k); };
-    fixture.service.put(id(0), false);
+    fixture.kv_store.put(id(0), false);
     std::vector<std::string> all;
     for (int k = 1; k < chain_length; ++k) {
-        fixture.service.put(id(k), false, {id(k - 1)});
+        fixture.kv_store.put(id(k), false, {id(k - 1)});
         all.push_back(id(k));
     }
-    fixture.service.put(id(chain_length), false, all);
+    fixture.kv_store.put(id(chain_length), false, all);
     fixture.read(id(chain_length));
     fixture.timers.run_until(1);
-    fixture.service.put(id(0), true);
+    fixture.kv_store.put(id(0), true);
     fixture.read(id(chain_length));
     fixture.read(id(chain_length - 1));
     fixture.timers.run_until(2);
--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -13,7 +13,7 @@
 TEST(SubmissionHandler, AcceptsOnceWhenTheStoreAnswerIsLost) {
     for (bool cancelled_meanwhile : {false, true}) {
         UserApiFixture s;
-        s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
+        s.kv_store.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
         auto* first = s.submit(0, "j-000001");
         s.timers.run_until(0.1);
         auto* read = s.query(1, "j-000001");
@@ -31,7 +31,7 @@
             EXPECT_EQ(a->status, 200);
             EXPECT_EQ(a->state, now);
         }
-        EXPECT_EQ(s.service.changes, cancelled_meanwhile ? 2 : 1);
+        EXPECT_EQ(s.kv_store.changes, cancelled_meanwhile ? 2 : 1);
     }
 }
 
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -53,7 +53,7 @@
 // Three controllers, each with its own UserApi, that share one key-value store and one clock.
 struct UserApiFixture {
     FakeTimers timers;
-    FakeKeyValueStore service{timers};
+    FakeKeyValueStore kv_store{timers};
     config::Settings settings =
         settings_of({.nodes = 3, .heartbeat_interval_s = 5, .lease_s = 31, .kv_rps = 250, .memory_mb = 100});
     FakeCluster cluster;
@@ -61,7 +61,7 @@
         kv::KvClient client;
         UserApi users;
         explicit Node(UserApiFixture& s)
-            : client(s.timers, s.service, s.settings), users(s.timers, client, s.settings, s.cluster) {}
+            : client(s.timers, s.kv_store, s.settings), users(s.timers, client, s.settings, s.cluster) {}
     };
     std::vector<std::unique_ptr<Node>> nodes;
     std::vector<std::unique_ptr<Answer>> answers;
@@ -102,8 +102,8 @@
     // Stores the end of a job like the leader does, on condition that the live record has not changed since
     // it was read. Does nothing if the job is not live.
     void store_end(const std::string& id) {
-        auto it = service.kv.find(keys::job(id));
-        if (it == service.kv.end()) return;
+        auto it = kv_store.kv.find(keys::job(id));
+        if (it == kv_store.kv.end()) return;
         bool cancelled = it->second.value.dump().find("\"cancelled\":true") != std::string::npos;
         protocol::Txn t;
         t.conditions = {{keys::job(id), it->second.version}};
@@ -112,7 +112,7 @@
                           cancelled ? protocol::JobState::cancelled : protocol::JobState::done, 1}),
                       0},
                      {keys::job(id), std::nullopt, 0}};
-        service.send("", {"POST", "/txn", protocol::txn_request(t)}, 1, [](auto) {});
+        kv_store.send("", {"POST", "/txn", protocol::txn_request(t)}, 1, [](auto) {});
     }
 };
 
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -42,7 +42,7 @@
     // The store executes a request at once and answers later, so an answer in flight may be older than
     // answers that were given already.
     std::minstd_rand random(7);
-    s.service.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
+    s.kv_store.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
     struct JobRun {
         std::string id;
         double submitted, cancelled, ends;
@@ -100,19 +100,19 @@
     s.timers.run_until(20);
     for (int k = 0; k < jobs; ++k) s.store_end(id(k));
     s.timers.run_until(21);
-    s.service.requests.clear();
+    s.kv_store.requests.clear();
     std::vector<Answer*> answers;
     for (int round = 0; round < 20; ++round)
         for (int k = 0; k < jobs; ++k) answers.push_back(s.query(0, id(k)));
     s.timers.run_until(22);
     for (auto* a : answers) EXPECT_EQ(a->state, "done");
-    EXPECT_EQ(s.service.requests["kv"], 0);
+    EXPECT_EQ(s.kv_store.requests["kv"], 0);
     // One request for the first query, one for all other queries together, and one for all final records.
-    EXPECT_LE(s.service.requests["watch"], 3);
-    s.service.requests.clear();
+    EXPECT_LE(s.kv_store.requests["watch"], 3);
+    s.kv_store.requests.clear();
     for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
     s.timers.run_until(24);
-    EXPECT_EQ(s.service.requests["kv"] + s.service.requests["watch"] + s.service.requests["txn"], 0);
+    EXPECT_EQ(s.kv_store.requests["kv"] + s.kv_store.requests["watch"] + s.kv_store.requests["txn"], 0);
 }
 
 // Repeated requests must not use up the writes that submissions wait for.
@@ -123,13 +123,13 @@
     s.timers.run_until(2);
     s.query(0, "j-000001");
     s.timers.run_until(3);
-    s.service.requests.clear();
+    s.kv_store.requests.clear();
     for (int k = 0; k < 200; ++k) s.submit(0, "j-000001");
     s.timers.run_until(5);
-    EXPECT_EQ(s.service.requests["txn"], 0);
+    EXPECT_EQ(s.kv_store.requests["txn"], 0);
     for (int k = 0; k < 100; ++k) s.cancel(0, "j-000001");
     s.timers.run_until(8);
-    EXPECT_EQ(s.service.requests["txn"], 1);
+    EXPECT_EQ(s.kv_store.requests["txn"], 1);
     for (auto& a : s.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
 }
 
