--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -12,18 +12,18 @@
 // controllers must find the job as accepted, and nothing may be stored twice.
 TEST(SubmissionHandler, AcceptsOnceWhenTheStoreAnswerIsLost) {
     for (bool cancelled_meanwhile : {false, true}) {
-        UserApiFixture s;
-        s.kv_store.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
-        auto* first = s.submit(0, "j-000001");
-        s.timers.run_until(0.1);
-        auto* read = s.query(1, "j-000001");
-        auto* retry = s.submit(1, "j-000001");
-        auto* same = s.submit(0, "j-000001");
-        s.timers.run_until(1);
-        if (cancelled_meanwhile) s.cancel(2, "j-000001");
-        s.timers.run_until(10);
-        auto* again = s.submit(0, "j-000001");
-        s.timers.run_until(12);
+        UserApiFixture fixture;
+        fixture.kv_store.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
+        auto* first = fixture.submit(0, "j-000001");
+        fixture.timers.run_until(0.1);
+        auto* read = fixture.query(1, "j-000001");
+        auto* retry = fixture.submit(1, "j-000001");
+        auto* same = fixture.submit(0, "j-000001");
+        fixture.timers.run_until(1);
+        if (cancelled_meanwhile) fixture.cancel(2, "j-000001");
+        fixture.timers.run_until(10);
+        auto* again = fixture.submit(0, "j-000001");
+        fixture.timers.run_until(12);
         std::string now = cancelled_meanwhile ? "withdrawn" : "pending";
         EXPECT_EQ(read->state, "pending");
         EXPECT_EQ(retry->state, "pending");
@@ -31,7 +31,7 @@
             EXPECT_EQ(a->status, 200);
             EXPECT_EQ(a->state, now);
         }
-        EXPECT_EQ(s.kv_store.changes, cancelled_meanwhile ? 2 : 1);
+        EXPECT_EQ(fixture.kv_store.changes, cancelled_meanwhile ? 2 : 1);
     }
 }
 
@@ -43,23 +43,23 @@
     double slowest = 0;   // longest time until an answer, in seconds
     int rejected = 0, small_team_submitted = 0, small_team_accepted = 0;
     explicit SubmissionStream(double factor) {
-        UserApiFixture s;
-        auto& settings = s.settings;
+        UserApiFixture fixture;
+        auto& settings = fixture.settings;
         double capacity = settings.kv_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
         constexpr double begin = 61, end = 121;
         int submitted = 0;
         for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
-            s.timers.run_until(t);
+            fixture.timers.run_until(t);
             bool small = t >= begin && ++submitted % 20 == 0;
-            s.submit(0, "j-" + std::to_string(100000 + s.answers.size()), small ? "t2" : "t1");
+            fixture.submit(0, "j-" + std::to_string(100000 + fixture.answers.size()), small ? "t2" : "t1");
             if (!small) continue;
             ++small_team_submitted;
-            auto* a = s.answers.back().get();
-            s.timers.run_until(t + 0.5 / (capacity * factor));
+            auto* a = fixture.answers.back().get();
+            fixture.timers.run_until(t + 0.5 / (capacity * factor));
             small_team_answers_.push_back(a);
         }
-        s.timers.run_until(end + 10);
-        for (auto& a : s.answers) {
+        fixture.timers.run_until(end + 10);
+        for (auto& a : fixture.answers) {
             if (a->sent < begin) continue;
             EXPECT_NE(a->status, 0);
             slowest = std::max(slowest, a->answered - a->sent);
--- a/tests/api/user_api_fixture.hpp
+++ b/tests/api/user_api_fixture.hpp
@@ -60,8 +60,9 @@
     struct Node {
         kv::KvClient client;
         UserApi users;
-        explicit Node(UserApiFixture& s)
-            : client(s.timers, s.kv_store, s.settings), users(s.timers, client, s.settings, s.cluster) {}
+        explicit Node(UserApiFixture& fixture)
+            : client(fixture.timers, fixture.kv_store, fixture.settings),
+              users(fixture.timers, client, fixture.settings, fixture.cluster) {}
     };
     std::vector<std::unique_ptr<Node>> nodes;
     std::vector<std::unique_ptr<Answer>> answers;
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -38,11 +38,11 @@
 // are accepted, cancelled at two controllers at once, and end shortly before or after the cancellation.
 TEST(UserApi, NeverAnswersWithAnOlderStateUnderFrequentQueries) {
     const double ends_ms[] = {-100, -20, -8, -3, 0, 3, 8, 20, 60, 150, 400};
-    UserApiFixture s;
+    UserApiFixture fixture;
     // The store executes a request at once and answers later, so an answer in flight may be older than
     // answers that were given already.
     std::minstd_rand random(7);
-    s.kv_store.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
+    fixture.kv_store.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
     struct JobRun {
         std::string id;
         double submitted, cancelled, ends;
@@ -56,21 +56,21 @@
     }
     constexpr double step = 0.009, observed_s = 1.8;
     for (double now = 0.9; now < 15; now += step) {
-        s.timers.run_until(now);
+        fixture.timers.run_until(now);
         auto at = [&](double t) { return now >= t && now < t + step; };
         for (auto& run : runs) {
             if (now < run.submitted || now > run.submitted + observed_s) continue;
             if (at(run.cancelled))
-                for (std::size_t n : {0, 2}) run.answers.push_back(s.cancel(n, run.id));
-            if (at(run.ends)) s.store_end(run.id);
+                for (std::size_t n : {0, 2}) run.answers.push_back(fixture.cancel(n, run.id));
+            if (at(run.ends)) fixture.store_end(run.id);
             bool repeat = at(run.submitted) || at(run.submitted + 0.3) || at(run.cancelled + 0.05);
             for (std::size_t n : {0, 1, 2}) {
-                if (repeat) run.answers.push_back(s.submit(n, run.id));
-                run.answers.push_back(s.query(n, run.id));
+                if (repeat) run.answers.push_back(fixture.submit(n, run.id));
+                run.answers.push_back(fixture.query(n, run.id));
             }
         }
     }
-    s.timers.run_until(20);
+    fixture.timers.run_until(20);
     std::map<std::string, int> state_counts;
     for (auto& run : runs) {
         expect_no_older_answer(run.answers, run.id);
@@ -89,48 +89,51 @@
 
 // Many final records are read with one request, and a controller reads no final record twice.
 TEST(UserApi, SharesReadsBetweenQueriesAndReadsFinalStatesOnce) {
-    UserApiFixture s;
+    UserApiFixture fixture;
     constexpr int jobs = 60;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
     for (int k = 0; k < jobs; ++k) {
-        s.submit(0, id(k));
-        s.timers.run_until(1 + k * 0.2);
+        fixture.submit(0, id(k));
+        fixture.timers.run_until(1 + k * 0.2);
     }
-    s.query(0, id(0));
-    s.timers.run_until(20);
-    for (int k = 0; k < jobs; ++k) s.store_end(id(k));
-    s.timers.run_until(21);
-    s.kv_store.requests.clear();
+    fixture.query(0, id(0));
+    fixture.timers.run_until(20);
+    for (int k = 0; k < jobs; ++k) fixture.store_end(id(k));
+    fixture.timers.run_until(21);
+    fixture.kv_store.requests.clear();
     std::vector<Answer*> answers;
     for (int round = 0; round < 20; ++round)
-        for (int k = 0; k < jobs; ++k) answers.push_back(s.query(0, id(k)));
-    s.timers.run_until(22);
+        for (int k = 0; k < jobs; ++k) answers.push_back(fixture.query(0, id(k)));
+    fixture.timers.run_until(22);
     for (auto* a : answers) EXPECT_EQ(a->state, "done");
-    EXPECT_EQ(s.kv_store.requests["kv"], 0);
+    EXPECT_EQ(fixture.kv_store.requests["kv"], 0);
     // One request for the first query, one for all other queries together, and one for all final records.
-    EXPECT_LE(s.kv_store.requests["watch"], 3);
-    s.kv_store.requests.clear();
-    for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
-    s.timers.run_until(24);
-    EXPECT_EQ(s.kv_store.requests["kv"] + s.kv_store.requests["watch"] + s.kv_store.requests["txn"], 0);
+    EXPECT_LE(fixture.kv_store.requests["watch"], 3);
+    fixture.kv_store.requests.clear();
+    for (int k = 0; k < jobs; ++k)
+        fixture.query(0, id(k)), fixture.submit(0, id(k)), fixture.cancel(0, id(k));
+    fixture.timers.run_until(24);
+    EXPECT_EQ(fixture.kv_store.requests["kv"] + fixture.kv_store.requests["watch"] +
+                  fixture.kv_store.requests["txn"],
+              0);
 }
 
 // Repeated requests must not use up the writes that submissions wait for.
 TEST(UserApi, RepeatedSubmissionsAndCancellationsCostNoWrite) {
-    UserApiFixture s;
-    s.submit(0, "j-000001");
-    for (int k = 0; k < 5; ++k) s.submit(0, "j-000001");
-    s.timers.run_until(2);
-    s.query(0, "j-000001");
-    s.timers.run_until(3);
-    s.kv_store.requests.clear();
-    for (int k = 0; k < 200; ++k) s.submit(0, "j-000001");
-    s.timers.run_until(5);
-    EXPECT_EQ(s.kv_store.requests["txn"], 0);
-    for (int k = 0; k < 100; ++k) s.cancel(0, "j-000001");
-    s.timers.run_until(8);
-    EXPECT_EQ(s.kv_store.requests["txn"], 1);
-    for (auto& a : s.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
+    UserApiFixture fixture;
+    fixture.submit(0, "j-000001");
+    for (int k = 0; k < 5; ++k) fixture.submit(0, "j-000001");
+    fixture.timers.run_until(2);
+    fixture.query(0, "j-000001");
+    fixture.timers.run_until(3);
+    fixture.kv_store.requests.clear();
+    for (int k = 0; k < 200; ++k) fixture.submit(0, "j-000001");
+    fixture.timers.run_until(5);
+    EXPECT_EQ(fixture.kv_store.requests["txn"], 0);
+    for (int k = 0; k < 100; ++k) fixture.cancel(0, "j-000001");
+    fixture.timers.run_until(8);
+    EXPECT_EQ(fixture.kv_store.requests["txn"], 1);
+    for (auto& a : fixture.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
 }
 
 }  // namespace
