--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -44,8 +44,9 @@
     int rejected = 0, small_team_submitted = 0, small_team_accepted = 0;
     explicit SubmissionStream(double factor) {
         UserApiFixture fixture;
-        auto& settings = fixture.settings;
-        double capacity = settings.kv_write_rps * 0.9 / Admission::writes_per_job / settings.nodes;
+        auto& fixture_settings = fixture.settings;
+        double capacity =
+            fixture_settings.kv_write_rps * 0.9 / Admission::writes_per_job / fixture_settings.nodes;
         constexpr double begin = 61, end = 121;
         int submitted = 0;
         for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
