--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -57,7 +57,8 @@
              FinalRecordCallback on_final_record = {});
     // Reads a job and calls `done` once the key-value store has answered or failed to.
     void read(const std::string& id, ReadCallback done);
-    // Applies the outcome of an ended job to its dependents. Has no effect unless the outcome is unresolved.
+    // Applies the outcome of an ended job, which never changes, to its dependents. Has no effect unless the
+    // outcome is unresolved.
     void apply_outcome(const std::string& id, protocol::JobState state);
     // Sends a request if the last one was sent more than half a machine lease ago, so that the store still
     // keeps the changes since the revision of the copy. Must be called regularly. Does nothing before the
--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -21,7 +21,7 @@
     enum class Fate { answered, refused, lost };
     Fate fate = Fate::answered;
     double latency_s = 0.01;
-    std::uint64_t revision = 0, compacted_revision = 0;  // changes up to `compacted_revision` are compacted
+    std::uint64_t revision = 0, compacted_revision = 0;  // changes up to the latter are not kept
     int requests = 0;
 
     void put(const std::string& id, bool cancelled, std::vector<std::string> awaits = {}) {
--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -35,9 +35,9 @@
     }
 }
 
-// Sends a stream of submissions to one controller and counts their outcomes after the burst is used up. The
-// rate is `factor` times what the key-value store can write. Team t2, the small team, sends one of each
-// twenty submissions.
+// Outcomes of a stream of submissions that the constructor sends to one controller, counted after the burst
+// is used up. The rate is `factor` times what the key-value store can write. Team t2, the small team, sends
+// one of each twenty submissions.
 struct SubmissionStream {
     double accepted = 0;  // accepted jobs as a share of those that can be stored
     double slowest = 0;   // longest time until an answer, in seconds
