--- a/src/api/job_reader.cpp
+++ b/src/api/job_reader.cpp
@@ -13,8 +13,10 @@
 namespace keys = kv::keys;
 
 namespace {
+// Maximum number of reads of the live jobs for one result. After each of them, the final records of the
+// unresolved dependencies that it found are read.
 constexpr int max_read_attempts = 4;
-constexpr std::size_t cached_finals_per_mb = 500;  // of the memory limit in the settings
+constexpr std::size_t cached_final_records_per_mb = 500;  // per MB of the memory limit in the settings
 
 void log_unreadable_final(const std::string& id, const protocol::Malformed& error) {
     spdlog::error("component=api event=unreadable_final_record job={} error=\"{}\"", id, error.what());
@@ -26,29 +28,30 @@
       settings_(settings),
       live_jobs_(timers, kv, settings, [this](const std::string& id, const std::string& record) {
           try {
-              cache_final(id, protocol::parse_final_record(record));
+              cache_final_record(id, protocol::parse_final_record(record));
           } catch (const protocol::Malformed& error) {
               log_unreadable_final(id, error);
           }
       }) {}
 
-// Evicts the oldest entry only. When all were dropped at once, every user who still asked for one of them
-// caused another read.
-void JobReader::cache_final(const std::string& id, const protocol::FinalRecord& record) {
-    if (!finals_.emplace(id, record).second) return;
-    finals_order_.push_back(id);
-    if (static_cast<double>(finals_order_.size()) <= settings_.memory_mb * cached_finals_per_mb) return;
-    finals_.erase(finals_order_.front());
-    finals_order_.pop_front();
+// Evicts only the oldest entry when the cache is full. When the whole cache was cleared at once, each later
+// query for one of its jobs caused another read.
+void JobReader::cache_final_record(const std::string& id, const protocol::FinalRecord& record) {
+    if (!final_records_.emplace(id, record).second) return;
+    final_record_order_.push_back(id);
+    if (static_cast<double>(final_record_order_.size()) <= settings_.memory_mb * cached_final_records_per_mb)
+        return;
+    final_records_.erase(final_record_order_.front());
+    final_record_order_.pop_front();
 }
 
-const protocol::FinalRecord* JobReader::cached_final(const std::string& id) const {
-    auto found = finals_.find(id);
-    return found == finals_.end() ? nullptr : &found->second;
+const protocol::FinalRecord* JobReader::cached_final_record(const std::string& id) const {
+    auto found = final_records_.find(id);
+    return found == final_records_.end() ? nullptr : &found->second;
 }
 
 bool JobReader::is_known_accepted(const std::string& id) const {
-    return cached_final(id) || live_jobs_.cached(id);
+    return cached_final_record(id) || live_jobs_.cached(id);
 }
 
 void JobReader::read(const std::string& id, const Callback& done, kv::RequestPriority priority) {
@@ -57,7 +60,7 @@
 
 void JobReader::read_attempt(const std::string& id, const Callback& done, kv::RequestPriority priority,
                              int attempt) {
-    if (auto* record = cached_final(id)) return done(*record);
+    if (auto* record = cached_final_record(id)) return done(*record);
     if (attempt >= max_read_attempts) return done(ReadFailed{});
     live_jobs_.read(id, [this, id, done, priority, attempt](const LiveJobs::ReadResult& result) {
         if (!result.ok) return done(ReadFailed{});
@@ -68,8 +71,8 @@
     });
 }
 
-// Whether the job is cancelled depends on how others ended, each of which is read once for all its
-// dependents.
+// Reads the final records of dependencies whose outcome decides whether the job is cancelled, and then reads
+// the job again. Each final record is read once for all jobs that depend on it.
 void JobReader::resolve_dependencies(const std::string& id, const std::vector<std::string>& dependencies,
                                      const Callback& done, kv::RequestPriority priority, int attempt) {
     auto remaining = std::make_shared<std::size_t>(dependencies.size());
@@ -84,11 +87,12 @@
             priority);
 }
 
-// One read at a time for a job, however many ask: hundreds of jobs of a long pipeline may depend on how the
-// same one ended. A final record never changes, so those who joined while the read was in flight get it too;
-// that there is none is an answer only to those who asked before the request was sent.
+// Keeps at most one read in flight for each job, because hundreds of jobs of a long pipeline may depend on
+// how the same job ended. A final record never changes, so callbacks that joined while the request was in
+// flight get it too. The result "no final record" goes only to callbacks that were added before the request
+// was sent; the request is repeated for the others.
 void JobReader::read_final(const std::string& id, Callback done, kv::RequestPriority priority) {
-    if (auto* record = cached_final(id)) return done(*record);
+    if (auto* record = cached_final_record(id)) return done(*record);
     auto [read, first] = final_reads_.try_emplace(id);
     (first ? read->second.waiting : read->second.joined).push_back(std::move(done));
     if (first) send_final_read(id, priority);
@@ -112,7 +116,7 @@
     if (!result.entry) return UnknownJob{};
     try {
         auto record = protocol::parse_final_record(result.entry->value);
-        cache_final(id, record);
+        cache_final_record(id, record);
         return record;
     } catch (const protocol::Malformed& error) {
         log_unreadable_final(id, error);
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -1,9 +1,9 @@
-// The users' interface of a controller: submit, query and cancel jobs. Any controller answers, whether it is
-// the leader or not, on the authority of the key-value store.
+// User API of a controller: submit, query and cancel jobs. Any controller answers, whether it is the leader
+// or not, from what it reads in the key-value store.
 //
 //   SubmissionHandler    validation, admission, dependencies, storing a job
 //   CancellationHandler  cancellation
-//   JobStatusResponder   queries, and all other answers with a job's state
+//   JobStatusResponder   queries, and the job states in all other answers
 //   JobReader, LiveJobs  shared reads of the key-value store
 #pragma once
 #include <string>
@@ -21,31 +21,36 @@
 
 namespace coralhitch::api {
 
-// Runs on the event loop's thread. All arguments of the constructor must outlive it.
+// Entry point for users' requests. Runs on the event loop's thread. All arguments of the constructor must
+// outlive it.
 class UserApi {
   public:
     UserApi(event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
             ClusterQueries& cluster)
         : reader_(timers, kv, settings),
           responder_(reader_, cluster),
-          submissions_(timers, kv, settings, cluster, reader_, responder_),
-          cancellations_(kv, cluster, reader_, responder_) {}
+          submission_handler_(timers, kv, settings, cluster, reader_, responder_),
+          cancellation_handler_(kv, cluster, reader_, responder_) {}
     UserApi(const UserApi&) = delete;
     UserApi& operator=(const UserApi&) = delete;
 
-    // Each calls `reply` exactly once, at once or later.
-    void submit(const std::string& body, http::Reply reply) { submissions_.submit(body, std::move(reply)); }
+    // Handle one request each and call `reply` exactly once, before they return or later.
+    void submit(const std::string& body, http::Reply reply) {
+        submission_handler_.submit(body, std::move(reply));
+    }
     void query(const std::string& id, const http::Reply& reply) { responder_.query(id, reply); }
-    void cancel(const std::string& id, http::Reply reply) { cancellations_.cancel(id, std::move(reply)); }
+    void cancel(const std::string& id, http::Reply reply) {
+        cancellation_handler_.cancel(id, std::move(reply));
+    }
 
     LiveJobs& live_jobs() { return reader_.live_jobs(); }
-    const Admission& admission() const { return submissions_.admission(); }
+    const Admission& admission() const { return submission_handler_.admission(); }
 
   private:
     JobReader reader_;
     JobStatusResponder responder_;
-    SubmissionHandler submissions_;
-    CancellationHandler cancellations_;
+    SubmissionHandler submission_handler_;
+    CancellationHandler cancellation_handler_;
 };
 
 }  // namespace coralhitch::api
--- a/tests/api/live_jobs_test.cpp
+++ b/tests/api/live_jobs_test.cpp
@@ -1,4 +1,4 @@
-// LiveJobs: many reads share one request, and no answer is older than its question.
+// LiveJobs: many reads share one request, and no answer is older than its read.
 #include "api/live_jobs.hpp"
 
 #include <gtest/gtest.h>
@@ -13,14 +13,15 @@
 namespace {
 using nlohmann::json;
 
-// A key-value store that keeps the latest changes of job records; a test sets the fate of each request.
-class FakeKeyValueStore : public http::Requester {
+// Key-value store that keeps the latest changes of job records. A test sets `fate`, which applies to each
+// request sent while it is set.
+class FakeJobRecordStore : public http::Requester {
   public:
-    explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
+    explicit FakeJobRecordStore(FakeTimers& t) : timers_(t) {}
     enum class Fate { answered, refused, lost };
     Fate fate = Fate::answered;
-    double latency = 0.01;
-    std::uint64_t revision = 0, forgotten = 0;  // changes up to `forgotten` are not kept
+    double latency_s = 0.01;
+    std::uint64_t revision = 0, compacted_revision = 0;  // changes up to the latter are not kept
     int requests = 0;
 
     void put(const std::string& id, bool cancelled, std::vector<std::string> awaits = {}) {
@@ -44,14 +45,14 @@
         std::optional<http::Response> answer = execute(r);
         if (fate == Fate::refused) answer = http::Response{503, "{}"};
         if (fate == Fate::lost) answer = std::nullopt;
-        timers_.after(answer ? latency : timeout, [answer, result] { result(answer); });
+        timers_.after(answer ? latency_s : timeout, [answer, result] { result(answer); });
     }
 
   private:
     http::Response execute(const http::Request& r) {
         if (r.target.starts_with("/watch")) {
             auto since = std::stoull(r.target.substr(r.target.find("since=") + 6));
-            if (since < forgotten) return {410, "{}"};
+            if (since < compacted_revision) return {410, "{}"};
             json news = json::array();
             for (auto& e : history_)
                 if (e["stamp"].get<std::uint64_t>() > since) news.push_back(e);
@@ -66,16 +67,16 @@
     std::vector<json> history_;
 };
 
-struct Fixture {
+struct LiveJobsFixture {
     FakeTimers timers;
-    FakeKeyValueStore service{timers};
+    FakeJobRecordStore kv_store{timers};
     config::Settings settings = settings_of(
         {.nodes = 3, .heartbeat_interval_s = 3, .lease_s = 24, .kv_rps = 200, .kv_write_rps = 40});
-    kv::KvClient client{timers, service, settings};
+    kv::KvClient client{timers, kv_store, settings};
     LiveJobs live{timers, client, settings};
     std::vector<std::string> answers;
 
-    Fixture() { service.put("j-100", false); }
+    LiveJobsFixture() { kv_store.put("j-100", false); }
     void read(const std::string& id) {
         live.read(id, [this](LiveJobs::ReadResult result) {
             answers.push_back(!result.ok     ? "no answer"
@@ -90,175 +91,176 @@
 
 struct Case {
     const char* name;
-    std::function<void(Fixture&)> run;
+    std::function<void(LiveJobsFixture&)> run;
     std::vector<std::string> answers;
 };
 const Case cases[] = {
-    {"a job accepted before the read", [](Fixture& f) { f.read("j-1"); }, {"live"}},
+    {"a job accepted before the read", [](LiveJobsFixture& fixture) { fixture.read("j-1"); }, {"live"}},
     {"a change since the last answer",
-     [](Fixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.put("j-1", true);
-         f.read("j-1");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.kv_store.put("j-1", true);
+         fixture.read("j-1");
      },
      {"live", "cancelled"}},
-    {"a change while a request is in flight: a read after it waits for the next request",
-     [](Fixture& f) {
-         f.read("j-1");
-         f.timers.run_until(0.005);
-         f.service.put("j-1", true);
-         f.read("j-1");
+    {"a change while a request is in flight: a read after the change waits for the next request",
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(0.005);
+         fixture.kv_store.put("j-1", true);
+         fixture.read("j-1");
      },
      {"live", "cancelled"}},
-    {"a record that can't be read is of a known job",
-     [](Fixture& f) {
-         f.service.put_unreadable("j-2");
-         f.read("j-2");
+    {"a job whose record can't be parsed is live",
+     [](LiveJobsFixture& fixture) {
+         fixture.kv_store.put_unreadable("j-2");
+         fixture.read("j-2");
      },
      {"live"}},
     {"a job that has ended, and one that was never submitted",
-     [](Fixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.drop("j-1");
-         f.read("j-1");
-         f.read("j-9");
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.kv_store.drop("j-1");
+         fixture.read("j-1");
+         fixture.read("j-9");
      },
      {"live", "not live", "not live"}},
-    {"a refused request: no answer from the copy",
-     [](Fixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.fate = FakeKeyValueStore::Fate::refused;
-         f.read("j-1");
-         f.timers.run_until(2);
-         f.service.fate = FakeKeyValueStore::Fate::answered;
-         f.read("j-1");
+    {"a refused request: the copy must not answer the read",
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::refused;
+         fixture.read("j-1");
+         fixture.timers.run_until(2);
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::answered;
+         fixture.read("j-1");
      },
      {"live", "no answer", "live"}},
-    {"a lost answer: its changes come again",
-     [](Fixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.put("j-1", true);
-         f.service.fate = FakeKeyValueStore::Fate::lost;
-         f.read("j-1");
-         f.timers.run_until(5);
-         f.service.fate = FakeKeyValueStore::Fate::answered;
-         f.read("j-1");
+    {"a lost answer: the next request returns its changes",
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.kv_store.put("j-1", true);
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::lost;
+         fixture.read("j-1");
+         fixture.timers.run_until(5);
+         fixture.kv_store.fate = FakeJobRecordStore::Fate::answered;
+         fixture.read("j-1");
      },
      {"live", "no answer", "cancelled"}},
-    {"the changes are not kept any more: all is read again",
-     [](Fixture& f) {
-         f.read("j-1");
-         f.timers.run_until(1);
-         f.service.put("j-2", false);
-         f.service.drop("j-1");
-         f.service.forgotten = f.service.revision;
-         f.read("j-1");
-         f.read("j-2");
+    {"the changes were compacted: all live jobs are listed again",
+     [](LiveJobsFixture& fixture) {
+         fixture.read("j-1");
+         fixture.timers.run_until(1);
+         fixture.kv_store.put("j-2", false);
+         fixture.kv_store.drop("j-1");
+         fixture.kv_store.compacted_revision = fixture.kv_store.revision;
+         fixture.read("j-1");
+         fixture.read("j-2");
      },
      {"live", "not live", "live"}},
-    {"direct and transitive dependents of a cancelled job, whichever is known first; no other jobs",
-     [](Fixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.put("j-4", false, {"j-3", "j-100"});
-         f.read("j-4");
-         f.timers.run_until(1);
-         f.service.put("j-3", false, {"j-2"});
-         f.service.put("j-5", false, {"j-100"});
-         f.service.put("j-1", true);
-         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) f.read(id);
+    {"direct and transitive dependents of a cancelled job are cancelled, whichever is read first; no other "
+     "jobs",
+     [](LiveJobsFixture& fixture) {
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.put("j-4", false, {"j-3", "j-100"});
+         fixture.read("j-4");
+         fixture.timers.run_until(1);
+         fixture.kv_store.put("j-3", false, {"j-2"});
+         fixture.kv_store.put("j-5", false, {"j-100"});
+         fixture.kv_store.put("j-1", true);
+         for (auto id : {"j-2", "j-3", "j-4", "j-5"}) fixture.read(id);
      },
      {"depends on j-3", "cancelled", "cancelled", "cancelled", "live"}},
-    {"dependents of a job known to be cancelled, read in a list or as a change",
-     [](Fixture& f) {
-         f.service.put("j-1", true);
-         f.service.put("j-2", false, {"j-1"});
-         f.read("j-2");
-         f.timers.run_until(1);
-         f.service.put("j-3", false, {"j-2"});
-         f.read("j-3");
+    {"dependents of a job that is already cancelled, read from a list or from a change",
+     [](LiveJobsFixture& fixture) {
+         fixture.kv_store.put("j-1", true);
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.read("j-2");
+         fixture.timers.run_until(1);
+         fixture.kv_store.put("j-3", false, {"j-2"});
+         fixture.read("j-3");
      },
      {"cancelled", "cancelled"}},
-    {"a dependency that has ended decides by its outcome; other reads need not wait for that",
-     [](Fixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.put("j-3", false, {"j-2"});
-         f.service.drop("j-1");
-         for (auto id : {"j-3", "j-100"}) f.read(id);
-         f.timers.run_until(1);
-         f.live.apply_outcome("j-1", protocol::JobState::cancelled);
-         f.read("j-3");
+    {"the outcome of an ended dependency decides; reads of other jobs do not wait for it",
+     [](LiveJobsFixture& fixture) {
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.put("j-3", false, {"j-2"});
+         fixture.kv_store.drop("j-1");
+         for (auto id : {"j-3", "j-100"}) fixture.read(id);
+         fixture.timers.run_until(1);
+         fixture.live.apply_outcome("j-1", protocol::JobState::cancelled);
+         fixture.read("j-3");
      },
      {"depends on j-1", "live", "cancelled"}},
-    {"a dependency that was done blocks no read; after a new list its outcome is unknown again",
-     [](Fixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.drop("j-1");
-         f.read("j-2");
-         f.timers.run_until(1);
-         f.live.apply_outcome("j-1", protocol::JobState::done);
-         f.read("j-2");
-         f.timers.run_until(2);
-         f.service.forgotten = f.service.revision + 1;
-         f.service.put("j-9", false);
-         f.read("j-2");
+    {"a dependency that is done blocks no read; after a new list its outcome is unknown again",
+     [](LiveJobsFixture& fixture) {
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.drop("j-1");
+         fixture.read("j-2");
+         fixture.timers.run_until(1);
+         fixture.live.apply_outcome("j-1", protocol::JobState::done);
+         fixture.read("j-2");
+         fixture.timers.run_until(2);
+         fixture.kv_store.compacted_revision = fixture.kv_store.revision + 1;
+         fixture.kv_store.put("j-9", false);
+         fixture.read("j-2");
      },
      {"depends on j-1", "live", "depends on j-1"}},
-    {"a cancelled job: its dependencies do not matter",
-     [](Fixture& f) {
-         f.service.put("j-2", false, {"j-1"});
-         f.service.drop("j-1");
-         f.read("j-2");
-         f.timers.run_until(1);
-         f.service.put("j-2", true);
-         f.read("j-2");
+    {"the dependencies of a cancelled job do not matter",
+     [](LiveJobsFixture& fixture) {
+         fixture.kv_store.put("j-2", false, {"j-1"});
+         fixture.kv_store.drop("j-1");
+         fixture.read("j-2");
+         fixture.timers.run_until(1);
+         fixture.kv_store.put("j-2", true);
+         fixture.read("j-2");
      },
      {"depends on j-1", "cancelled"}},
 };
 
 TEST(LiveJobs, NeverAnswersWithStateOlderThanTheRead) {
     for (auto& c : cases) {
-        Fixture f;
-        f.service.put("j-1", false);
-        c.run(f);
-        f.timers.run_until(20);
-        EXPECT_EQ(f.answers, c.answers) << c.name;
+        LiveJobsFixture fixture;
+        fixture.kv_store.put("j-1", false);
+        c.run(fixture);
+        fixture.timers.run_until(20);
+        EXPECT_EQ(fixture.answers, c.answers) << c.name;
     }
 }
 TEST(LiveJobs, SharesRequestsBetweenManyReads) {
-    Fixture f;
-    f.service.put("j-1", false);
+    LiveJobsFixture fixture;
+    fixture.kv_store.put("j-1", false);
     for (int k = 0; k < 1000; ++k) {
-        f.read("j-1");
-        f.timers.run_until(k * 0.001);
+        fixture.read("j-1");
+        fixture.timers.run_until(k * 0.001);
     }
-    f.timers.run_until(5);
-    EXPECT_EQ(f.answers, std::vector<std::string>(1000, "live"));
-    EXPECT_LE(f.service.requests, 1 / (f.settings.heartbeat_interval_s / 60) + 2);
+    fixture.timers.run_until(5);
+    EXPECT_EQ(fixture.answers, std::vector<std::string>(1000, "live"));
+    EXPECT_LE(fixture.kv_store.requests, 1 / (fixture.settings.heartbeat_interval_s / 60) + 2);
 }
 
-// A long chain and a wide join cost no stack and little time.
+// Cancelling a long chain and a job with thousands of dependencies must not overflow the stack or take long.
 TEST(LiveJobs, CancelsAllDependentsInAChainOfThousands) {
-    Fixture f;
-    constexpr int n = 5000;
+    LiveJobsFixture fixture;
+    constexpr int chain_length = 5000;
     auto id = [](int k) { return "j-" + std::to_string(k); };
-    f.service.put(id(0), false);
+    fixture.kv_store.put(id(0), false);
     std::vector<std::string> all;
-    for (int k = 1; k < n; ++k) {
-        f.service.put(id(k), false, {id(k - 1)});
+    for (int k = 1; k < chain_length; ++k) {
+        fixture.kv_store.put(id(k), false, {id(k - 1)});
         all.push_back(id(k));
     }
-    f.service.put(id(n), false, all);
-    f.read(id(n));
-    f.timers.run_until(1);
-    f.service.put(id(0), true);
-    f.read(id(n));
-    f.read(id(n - 1));
-    f.timers.run_until(2);
-    EXPECT_EQ(f.answers, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
+    fixture.kv_store.put(id(chain_length), false, all);
+    fixture.read(id(chain_length));
+    fixture.timers.run_until(1);
+    fixture.kv_store.put(id(0), true);
+    fixture.read(id(chain_length));
+    fixture.read(id(chain_length - 1));
+    fixture.timers.run_until(2);
+    EXPECT_EQ(fixture.answers, (std::vector<std::string>{"live", "cancelled", "cancelled"}));
 }
 
 }  // namespace
--- a/tests/api/submission_handler_test.cpp
+++ b/tests/api/submission_handler_test.cpp
@@ -1,4 +1,4 @@
-// SubmissionHandler, through the UserApi of several controllers.
+// SubmissionHandler, tested through the UserApi of several controllers.
 #include "api/submission_handler.hpp"
 
 #include <gtest/gtest.h>
@@ -8,21 +8,22 @@
 namespace coralhitch::api {
 namespace {
 
-// The transaction is carried out at once and only its answer is lost; others read what it wrote.
+// The store executes the transaction at once but its answer is lost. Repeated submissions and queries at all
+// controllers must find the job as accepted, and nothing may be stored twice.
 TEST(SubmissionHandler, AcceptsOnceWhenTheStoreAnswerIsLost) {
     for (bool cancelled_meanwhile : {false, true}) {
-        UserApiCluster s;
-        s.service.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
-        auto* first = s.submit(0, "j-000001");
-        s.timers.run_until(0.1);
-        auto* read = s.query(1, "j-000001");
-        auto* retry = s.submit(1, "j-000001");
-        auto* same = s.submit(0, "j-000001");
-        s.timers.run_until(1);
-        if (cancelled_meanwhile) s.cancel(2, "j-000001");
-        s.timers.run_until(10);
-        auto* again = s.submit(0, "j-000001");
-        s.timers.run_until(12);
+        UserApiFixture fixture;
+        fixture.kv_store.txn_fates = {FakeKeyValueStore::TxnFate::answer_lost};
+        auto* first = fixture.submit(0, "j-000001");
+        fixture.timers.run_until(0.1);
+        auto* read = fixture.query(1, "j-000001");
+        auto* retry = fixture.submit(1, "j-000001");
+        auto* same = fixture.submit(0, "j-000001");
+        fixture.timers.run_until(1);
+        if (cancelled_meanwhile) fixture.cancel(2, "j-000001");
+        fixture.timers.run_until(10);
+        auto* again = fixture.submit(0, "j-000001");
+        fixture.timers.run_until(12);
         std::string now = cancelled_meanwhile ? "withdrawn" : "pending";
         EXPECT_EQ(read->state, "pending");
         EXPECT_EQ(retry->state, "pending");
@@ -30,34 +31,36 @@
             EXPECT_EQ(a->status, 200);
             EXPECT_EQ(a->state, now);
         }
-        EXPECT_EQ(s.service.changes, cancelled_meanwhile ? 2 : 1);
+        EXPECT_EQ(fixture.kv_store.changes, cancelled_meanwhile ? 2 : 1);
     }
 }
 
-// The outcome of a stream of submissions at one controller after its burst is used up: `factor` times what
-// the key-value store can store, with one of another team among each twenty.
+// Outcomes of a stream of submissions that the constructor sends to one controller, counted after the burst
+// is used up. The rate is `factor` times what the key-value store can write. Team t2, the small team, sends
+// one of each twenty submissions.
 struct SubmissionStream {
-    double accepted = 0;  // of what can be stored
-    double slowest = 0;   // answer in seconds
-    int rejected = 0, small_asked = 0, small_accepted = 0;
+    double accepted = 0;  // accepted jobs as a share of those that can be stored
+    double slowest = 0;   // longest time until an answer, in seconds
+    int rejected = 0, small_team_submitted = 0, small_team_accepted = 0;
     explicit SubmissionStream(double factor) {
-        UserApiCluster s;
-        auto& set = s.settings;
-        double capacity = set.kv_write_rps * 0.9 / Admission::writes_per_job / set.nodes;
+        UserApiFixture fixture;
+        auto& fixture_settings = fixture.settings;
+        double capacity =
+            fixture_settings.kv_write_rps * 0.9 / Admission::writes_per_job / fixture_settings.nodes;
         constexpr double begin = 61, end = 121;
-        int n = 0;
+        int submitted = 0;
         for (double t = 1; t < end; t += 1 / (capacity * (t < begin ? 5 : factor))) {
-            s.timers.run_until(t);
-            bool small = t >= begin && ++n % 20 == 0;
-            s.submit(0, "j-" + std::to_string(100000 + s.answers.size()), small ? "t2" : "t1");
+            fixture.timers.run_until(t);
+            bool small = t >= begin && ++submitted % 20 == 0;
+            fixture.submit(0, "j-" + std::to_string(100000 + fixture.answers.size()), small ? "t2" : "t1");
             if (!small) continue;
-            ++small_asked;
-            auto* a = s.answers.back().get();
-            s.timers.run_until(t + 0.5 / (capacity * factor));
-            small_accepted_.push_back(a);
+            ++small_team_submitted;
+            auto* a = fixture.answers.back().get();
+            fixture.timers.run_until(t + 0.5 / (capacity * factor));
+            small_team_answers_.push_back(a);
         }
-        s.timers.run_until(end + 10);
-        for (auto& a : s.answers) {
+        fixture.timers.run_until(end + 10);
+        for (auto& a : fixture.answers) {
             if (a->sent < begin) continue;
             EXPECT_NE(a->status, 0);
             slowest = std::max(slowest, a->answered - a->sent);
@@ -67,11 +70,11 @@
             }
             accepted += (a->status == 201) / ((end - begin) * capacity);
         }
-        for (auto* a : small_accepted_) small_accepted += a->status == 201;
+        for (auto* a : small_team_answers_) small_team_accepted += a->status == 201;
     }
 
   private:
-    std::vector<Answer*> small_accepted_;
+    std::vector<Answer*> small_team_answers_;
 };
 
 TEST(SubmissionHandler, RejectsOverloadAtOnceAndFairlyBetweenTeams) {
@@ -81,7 +84,8 @@
     EXPECT_LE(five.accepted, 1.1);
     for (auto* stream : {&once, &five}) EXPECT_LE(stream->slowest, 1);
     EXPECT_GT(five.rejected, 0);
-    EXPECT_GE(five.small_accepted, five.small_asked * 0.9) << "of the team that asks for little";
+    EXPECT_GE(five.small_team_accepted, five.small_team_submitted * 0.9)
+        << "jobs of the team that submits few were rejected";
 }
 
 }  // namespace
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -12,11 +12,14 @@
 namespace coralhitch::api {
 namespace {
 
-// How far along a job is. Done and cancelled are both final: never one after the other.
+// Returns how far a job has come: 0 not accepted, 1 live, 2 final. Done and cancelled are both final, and
+// neither may follow the other.
 int progress_rank(const Answer& a) {
     if (a.status == 404) return 0;
     return a.state == "pending" || a.state == "running" ? 1 : 2;
 }
+// Expects that no request sent after another one was answered gets an older state of the job than that
+// answer.
 void expect_no_older_answer(const std::vector<Answer*>& all, const std::string& when) {
     for (auto* a : all)
         for (auto* b : all) {
@@ -24,21 +27,22 @@
                 continue;
             EXPECT_GE(progress_rank(*b), progress_rank(*a))
                 << when << ": " << a->state << " answered at " << a->answered << ", " << b->state << b->status
-                << " for a question of " << b->sent;
+                << " for a request sent at " << b->sent;
             if (progress_rank(*a) == 2) {
                 EXPECT_EQ(a->state, b->state) << when;
             }
         }
 }
 
-// Queries at all controllers every few milliseconds, and repeated submissions, while jobs are accepted,
-// cancelled at two controllers at once, and end somewhat before or after that.
+// Queries arrive at all controllers every few milliseconds, together with repeated submissions, while jobs
+// are accepted, cancelled at two controllers at once, and end shortly before or after the cancellation.
 TEST(UserApi, NeverAnswersWithAnOlderStateUnderFrequentQueries) {
     const double ends_ms[] = {-100, -20, -8, -3, 0, 3, 8, 20, 60, 150, 400};
-    UserApiCluster s;
-    // Executed at once and answered later: an answer in flight may be older than answers already given.
+    UserApiFixture fixture;
+    // The store executes a request at once and answers later, so an answer in flight may be older than
+    // answers that were given already.
     std::minstd_rand random(7);
-    s.service.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
+    fixture.kv_store.latency = [&] { return std::uniform_real_distribution(0.002, 0.2)(random); };
     struct JobRun {
         std::string id;
         double submitted, cancelled, ends;
@@ -52,21 +56,21 @@
     }
     constexpr double step = 0.009, observed_s = 1.8;
     for (double now = 0.9; now < 15; now += step) {
-        s.timers.run_until(now);
+        fixture.timers.run_until(now);
         auto at = [&](double t) { return now >= t && now < t + step; };
         for (auto& run : runs) {
             if (now < run.submitted || now > run.submitted + observed_s) continue;
             if (at(run.cancelled))
-                for (std::size_t n : {0, 2}) run.answers.push_back(s.cancel(n, run.id));
-            if (at(run.ends)) s.store_end(run.id);
+                for (std::size_t n : {0, 2}) run.answers.push_back(fixture.cancel(n, run.id));
+            if (at(run.ends)) fixture.store_end(run.id);
             bool repeat = at(run.submitted) || at(run.submitted + 0.3) || at(run.cancelled + 0.05);
             for (std::size_t n : {0, 1, 2}) {
-                if (repeat) run.answers.push_back(s.submit(n, run.id));
-                run.answers.push_back(s.query(n, run.id));
+                if (repeat) run.answers.push_back(fixture.submit(n, run.id));
+                run.answers.push_back(fixture.query(n, run.id));
             }
         }
     }
-    s.timers.run_until(20);
+    fixture.timers.run_until(20);
     std::map<std::string, int> state_counts;
     for (auto& run : runs) {
         expect_no_older_answer(run.answers, run.id);
@@ -83,50 +87,53 @@
     EXPECT_GT(state_counts["pending"], 30);
 }
 
-// Ends are read with one request, and no final state twice at one controller.
+// Many final records are read with one request, and a controller reads no final record twice.
 TEST(UserApi, SharesReadsBetweenQueriesAndReadsFinalStatesOnce) {
-    UserApiCluster s;
+    UserApiFixture fixture;
     constexpr int jobs = 60;
     auto id = [](int k) { return "j-" + std::to_string(100000 + k); };
     for (int k = 0; k < jobs; ++k) {
-        s.submit(0, id(k));
-        s.timers.run_until(1 + k * 0.2);
+        fixture.submit(0, id(k));
+        fixture.timers.run_until(1 + k * 0.2);
     }
-    s.query(0, id(0));
-    s.timers.run_until(20);
-    for (int k = 0; k < jobs; ++k) s.store_end(id(k));
-    s.timers.run_until(21);
-    s.service.requests.clear();
+    fixture.query(0, id(0));
+    fixture.timers.run_until(20);
+    for (int k = 0; k < jobs; ++k) fixture.store_end(id(k));
+    fixture.timers.run_until(21);
+    fixture.kv_store.requests.clear();
     std::vector<Answer*> answers;
     for (int round = 0; round < 20; ++round)
-        for (int k = 0; k < jobs; ++k) answers.push_back(s.query(0, id(k)));
-    s.timers.run_until(22);
+        for (int k = 0; k < jobs; ++k) answers.push_back(fixture.query(0, id(k)));
+    fixture.timers.run_until(22);
     for (auto* a : answers) EXPECT_EQ(a->state, "done");
-    EXPECT_EQ(s.service.requests["kv"], 0);
-    // For the first query, for all others together, and for all final records.
-    EXPECT_LE(s.service.requests["watch"], 3);
-    s.service.requests.clear();
-    for (int k = 0; k < jobs; ++k) s.query(0, id(k)), s.submit(0, id(k)), s.cancel(0, id(k));
-    s.timers.run_until(24);
-    EXPECT_EQ(s.service.requests["kv"] + s.service.requests["watch"] + s.service.requests["txn"], 0);
+    EXPECT_EQ(fixture.kv_store.requests["kv"], 0);
+    // One request for the first query, one for all other queries together, and one for all final records.
+    EXPECT_LE(fixture.kv_store.requests["watch"], 3);
+    fixture.kv_store.requests.clear();
+    for (int k = 0; k < jobs; ++k)
+        fixture.query(0, id(k)), fixture.submit(0, id(k)), fixture.cancel(0, id(k));
+    fixture.timers.run_until(24);
+    EXPECT_EQ(fixture.kv_store.requests["kv"] + fixture.kv_store.requests["watch"] +
+                  fixture.kv_store.requests["txn"],
+              0);
 }
 
-// A repeated request uses up none of the writes that submissions wait for.
+// Repeated requests must not use up the writes that submissions wait for.
 TEST(UserApi, RepeatedSubmissionsAndCancellationsCostNoWrite) {
-    UserApiCluster s;
-    s.submit(0, "j-000001");
-    for (int k = 0; k < 5; ++k) s.submit(0, "j-000001");
-    s.timers.run_until(2);
-    s.query(0, "j-000001");
-    s.timers.run_until(3);
-    s.service.requests.clear();
-    for (int k = 0; k < 200; ++k) s.submit(0, "j-000001");
-    s.timers.run_until(5);
-    EXPECT_EQ(s.service.requests["txn"], 0);
-    for (int k = 0; k < 100; ++k) s.cancel(0, "j-000001");
-    s.timers.run_until(8);
-    EXPECT_EQ(s.service.requests["txn"], 1);
-    for (auto& a : s.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
+    UserApiFixture fixture;
+    fixture.submit(0, "j-000001");
+    for (int k = 0; k < 5; ++k) fixture.submit(0, "j-000001");
+    fixture.timers.run_until(2);
+    fixture.query(0, "j-000001");
+    fixture.timers.run_until(3);
+    fixture.kv_store.requests.clear();
+    for (int k = 0; k < 200; ++k) fixture.submit(0, "j-000001");
+    fixture.timers.run_until(5);
+    EXPECT_EQ(fixture.kv_store.requests["txn"], 0);
+    for (int k = 0; k < 100; ++k) fixture.cancel(0, "j-000001");
+    fixture.timers.run_until(8);
+    EXPECT_EQ(fixture.kv_store.requests["txn"], 1);
+    for (auto& a : fixture.answers) EXPECT_TRUE(a->status == 200 || a->status == 201) << a->status;
 }
 
 }  // namespace
