--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -133,7 +133,7 @@
     // A gang that lost a task is stopped as one; its next attempt starts when all of the old one is
     // terminated.
     if (job.spec->kind == JobKind::gang && !job.all_done())
-        stop_active(end.task.job, job, scheduler::grace_of(*job.spec));
+        stop_active(end.task.job, job, scheduler::checkpoint_grace_s(*job.spec));
 }
 
 // The first failure is taken for the machine's: the task goes elsewhere at once. A job that fails on several
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -208,7 +208,7 @@
     for (auto& [task, instance] : machine.tasks)
         if (instance.spec && instance.confirmed && !instance.stop_requested &&
             (instance.spec->checkpoint_interval_s > 0 || instance.spec->kind == JobKind::service))
-            stops.push_back({task, std::min(scheduler::grace_of(*instance.spec), left_s)});
+            stops.push_back({task, std::min(scheduler::checkpoint_grace_s(*instance.spec), left_s)});
     for (auto& [task, grace_s] : stops) {
         auto* job = state_.jobs.find(task.job);
         if (job && job->spec->kind == JobKind::gang)
--- a/src/leader/plan_executor.cpp
+++ b/src/leader/plan_executor.cpp
@@ -195,7 +195,7 @@
         if (!machine || !machine->tasks.contains({spec.id, instance.task})) continue;
         spdlog::debug("component=leader event=task_preempted task={}/{} for_job={}", spec.id, instance.task,
                       plan.in.jobs[stop.for_job].spec->id);
-        state_.cluster.stop(*machine, {spec.id, instance.task}, scheduler::grace_of(spec));
+        state_.cluster.stop(*machine, {spec.id, instance.task}, scheduler::checkpoint_grace_s(spec));
     }
 }
 
--- a/src/scheduler/rules.cpp
+++ b/src/scheduler/rules.cpp
@@ -50,7 +50,7 @@
     return std::max(0.0, share);
 }
 
-double grace_of(const protocol::Job& job) {
+double checkpoint_grace_s(const protocol::Job& job) {
     // Half as long again as the owner says, so that a slow machine still saves.
     constexpr double save_margin = 1.5, extra_s = 1;
     return job.checkpoint_interval_s > 0 ? job.checkpoint_save_s * save_margin + extra_s : 0;
--- a/src/scheduler/rules.hpp
+++ b/src/scheduler/rules.hpp
@@ -27,6 +27,6 @@
 // The smallest of these shares, from 0 to 1: what can still be used of free resources by tasks of any shape.
 [[nodiscard]] double least_share(const protocol::Resources& free, const protocol::Resources& total);
 // Seconds that a stopped task gets to save a checkpoint; 0 if it saves none.
-[[nodiscard]] double grace_of(const protocol::Job& job);
+[[nodiscard]] double checkpoint_grace_s(const protocol::Job& job);
 
 }  // namespace coralhitch::scheduler
