--- a/src/autoscaler/bin_packer.cpp
+++ b/src/autoscaler/bin_packer.cpp
@@ -51,7 +51,7 @@
 }
 
 double BinPacker::free_share(const Bin& bin) const {
-    return scheduler::least_share(bin.free, pool(bin.pool).total);
+    return scheduler::smallest_share(bin.free, pool(bin.pool).total);
 }
 
 std::vector<Bin>& BinPacker::bins_of(ZoneState zones) {
--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -50,7 +50,7 @@
     for (std::size_t machine = 0; machine < input.machines.size(); ++machine) {
         if (!input.machines[machine].usable) continue;
         ++usable;
-        spare_ += least_share(input.machines[machine].free, total(machine));
+        spare_ += smallest_share(input.machines[machine].free, total(machine));
     }
     double ratio = settings.op.reserve_ratio;
     kept_spare_ = usable * ratio / (1 + ratio);
@@ -123,9 +123,9 @@
 // is left over there, as processors are on a machine whose GPUs are all in use.
 double PlanState::spare_taken(const protocol::Job& job, std::size_t machine) const {
     auto free = input.machines[machine].free;
-    double before = least_share(free, total(machine));
+    double before = smallest_share(free, total(machine));
     free -= job.request;
-    return before - least_share(free, total(machine));
+    return before - smallest_share(free, total(machine));
 }
 
 bool PlanState::takes_kept_spare(const JobView& job, std::size_t machine) const {
--- a/src/scheduler/rules.cpp
+++ b/src/scheduler/rules.cpp
@@ -42,7 +42,7 @@
     return true;
 }
 
-double least_share(const Resources& free, const Resources& total) {
+double smallest_share(const Resources& free, const Resources& total) {
     double share = 1;
     if (total.cpus > 0) share = std::min(share, free.cpus / total.cpus);
     if (total.gpus > 0) share = std::min(share, free.gpus / total.gpus);
--- a/src/scheduler/rules.hpp
+++ b/src/scheduler/rules.hpp
@@ -25,7 +25,7 @@
 // The largest share of a whole machine that the request takes: of its processors, GPUs or memory.
 [[nodiscard]] double largest_share(const protocol::Resources& request, const protocol::Resources& total);
 // The smallest of these shares, from 0 to 1: what can still be used of free resources by tasks of any shape.
-[[nodiscard]] double least_share(const protocol::Resources& free, const protocol::Resources& total);
+[[nodiscard]] double smallest_share(const protocol::Resources& free, const protocol::Resources& total);
 // Seconds that a stopped task gets to save a checkpoint; 0 if it saves none.
 [[nodiscard]] double checkpoint_grace_s(const protocol::Job& job);
 
