--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -48,7 +48,7 @@
         auto team = teams.find(spec.team);
         if (team == teams.end()) continue;
         auto& sum = needed[spec.team];
-        sum += spec.request.times(static_cast<double>(input_.jobs[job].open_tasks));
+        sum += spec.request.times(static_cast<double>(input_.jobs[job].unfinished_tasks));
         guaranteed_[job] = guarantee_holds(*team->second, sum);
     }
 }
--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -33,7 +33,7 @@
     std::vector<bool> has_machines(input.pools.size());
     for (auto& machine : input.machines) has_machines[machine.pool] = true;
     for (auto& job : input.jobs) {
-        if (job.open_tasks == 0 || job.priority == Priority::low) continue;
+        if (job.unfinished_tasks == 0 || job.priority == Priority::low) continue;
         for (std::size_t pool = 0; pool < has_machines.size(); ++pool) {
             if (!has_machines[pool]) continue;
             double share = largest_share(job.spec->request, input.pools[pool].total);
--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -55,7 +55,7 @@
     // Unix seconds at which it should be done, so that it and all that depend on it are in time.
     double due_at = std::numeric_limits<double>::infinity();
     std::vector<std::uint32_t> waiting_tasks;  // that the plan may start
-    std::size_t open_tasks = 0;                // not done
+    std::size_t unfinished_tasks = 0;          // not done
     ZoneCounts zones;                          // where tasks may still be
     int active_tasks = 0;                      // that may still be on a machine
     std::uint32_t image = 0;
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -40,7 +40,7 @@
     j->image = "img";
     JobView v;
     v.spec = j;
-    v.open_tasks = tasks;
+    v.unfinished_tasks = tasks;
     for (std::uint32_t i = 0; i < tasks; ++i) v.waiting_tasks.push_back(i);
     return v;
 }
@@ -188,7 +188,7 @@
         in.jobs.push_back(job("j-2", JobKind::array, 4, 1, c.running_team));
         edit(in.jobs[1]).priority = c.running;
         in.jobs[1].waiting_tasks.clear();
-        in.jobs[1].open_tasks = static_cast<std::size_t>(c.running_open);
+        in.jobs[1].unfinished_tasks = static_cast<std::size_t>(c.running_open);
         for (std::uint32_t i = 0; i < 4; ++i) in.instances.push_back({1, 0, i, false, 100, 110});
         EXPECT_EQ(run(in).stops.size(), c.stops ? 1u : 0u) << c.name;
     }
