--- a/src/jobs/job_entry.cpp
+++ b/src/jobs/job_entry.cpp
@@ -36,7 +36,7 @@
 
 // Asked for every job of every plan: the walk over the active tasks is made only if the counts leave it open.
 bool JobEntry::has_pending_tasks() const {
-    return open_count() > active.size() || (done_count > 0 && open_count() > active_open_count());
+    return unfinished_count() > active.size() || (done_count > 0 && unfinished_count() > active_open_count());
 }
 
 }  // namespace coralhitch::jobs
--- a/src/jobs/job_entry.hpp
+++ b/src/jobs/job_entry.hpp
@@ -82,7 +82,7 @@
     [[nodiscard]] std::vector<std::uint32_t> pending_tasks(std::size_t limit);
     [[nodiscard]] bool has_pending_tasks() const;
     // Tasks that are not done, active or pending.
-    [[nodiscard]] std::size_t open_count() const { return done.size() - done_count; }
+    [[nodiscard]] std::size_t unfinished_count() const { return done.size() - done_count; }
 
   private:
     std::size_t active_open_count() const;
--- a/src/leader/plan_snapshot.cpp
+++ b/src/leader/plan_snapshot.cpp
@@ -31,7 +31,7 @@
     view.due_at = job.due_at;
     view.startable = may_start_tasks(job, now);
     if (view.startable) view.waiting_tasks = tasks_to_start(job);
-    view.unfinished_tasks = job.open_count();
+    view.unfinished_tasks = job.unfinished_count();
     view.zones = zone_counts(job, zones);
     view.active_tasks = static_cast<int>(job.active.size());
     view.failed_on = job.failed_on;
--- a/tests/jobs/job_entry_test.cpp
+++ b/tests/jobs/job_entry_test.cpp
@@ -14,7 +14,7 @@
     job.active[2] = {"vm-1", protocol::AttemptNumber{1}, 0};
     EXPECT_EQ(job.pending_tasks(10), (Tasks{1, 3, 4}));
     EXPECT_EQ(job.pending_tasks(2), (Tasks{1, 3}));
-    EXPECT_EQ(job.open_count(), 4u);
+    EXPECT_EQ(job.unfinished_count(), 4u);
     EXPECT_TRUE(job.has_pending_tasks());
     for (std::uint32_t task : {1u, 3u, 4u}) job.mark_done(task);
     EXPECT_TRUE(job.pending_tasks(10).empty());
