--- a/src/jobs/job_entry.cpp
+++ b/src/jobs/job_entry.cpp
@@ -17,7 +17,7 @@
     return true;
 }
 
-std::size_t JobEntry::active_open_count() const {
+std::size_t JobEntry::active_unfinished_count() const {
     return static_cast<std::size_t>(
         std::count_if(active.begin(), active.end(), [&](auto& entry) { return !done[entry.first]; }));
 }
@@ -36,7 +36,8 @@
 
 // Asked for every job of every plan: the walk over the active tasks is made only if the counts leave it open.
 bool JobEntry::has_pending_tasks() const {
-    return unfinished_count() > active.size() || (done_count > 0 && unfinished_count() > active_open_count());
+    return unfinished_count() > active.size() ||
+           (done_count > 0 && unfinished_count() > active_unfinished_count());
 }
 
 }  // namespace coralhitch::jobs
--- a/src/jobs/job_entry.hpp
+++ b/src/jobs/job_entry.hpp
@@ -85,7 +85,7 @@
     [[nodiscard]] std::size_t unfinished_count() const { return done.size() - done_count; }
 
   private:
-    std::size_t active_open_count() const;
+    std::size_t active_unfinished_count() const;
 };
 
 }  // namespace coralhitch::jobs
