--- a/src/jobs/job_entry.cpp
+++ b/src/jobs/job_entry.cpp
@@ -23,10 +23,10 @@
 }
 
 std::vector<std::uint32_t> JobEntry::pending_tasks(std::size_t limit) {
-    while (first_open_task < done.size() && done[first_open_task]) ++first_open_task;
+    while (first_unfinished_task < done.size() && done[first_unfinished_task]) ++first_unfinished_task;
     std::vector<std::uint32_t> pending;
-    auto next_active = active.lower_bound(first_open_task);
-    for (std::uint32_t task = first_open_task; task < done.size() && pending.size() < limit; ++task) {
+    auto next_active = active.lower_bound(first_unfinished_task);
+    for (std::uint32_t task = first_unfinished_task; task < done.size() && pending.size() < limit; ++task) {
         while (next_active != active.end() && next_active->first < task) ++next_active;
         if (done[task] || (next_active != active.end() && next_active->first == task)) continue;
         pending.push_back(task);
--- a/src/jobs/job_entry.hpp
+++ b/src/jobs/job_entry.hpp
@@ -50,7 +50,7 @@
 
     std::vector<bool> done;                      // by task index
     std::uint32_t done_count = 0;                // of the tasks in `done`
-    std::uint32_t first_open_task = 0;           // all tasks before it are done
+    std::uint32_t first_unfinished_task = 0;     // all tasks before it are done
     std::map<std::uint32_t, ActiveTask> active;  // by task index
     // Instances of its tasks beside those in `active` that are not proven terminated; none of the job's tasks
     // may start while there are any.
