--- a/src/scheduler/machine_choice.hpp
+++ b/src/scheduler/machine_choice.hpp
@@ -9,7 +9,7 @@
 namespace coralhitch::scheduler {
 
 // On which machines a job's tasks may start, as far as its image goes.
-enum class ImageNeed {
+enum class ImageRequirement {
     near,  // only where it is, or is being fetched
     none,
 };
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -29,7 +29,7 @@
             int rank = plan_.order.rank(*first);
             auto last =
                 std::find_if(first, order.end(), [&](auto job) { return plan_.order.rank(job) != rank; });
-            for (auto image_need : {ImageNeed::near, ImageNeed::none})
+            for (auto image_need : {ImageRequirement::near, ImageRequirement::none})
                 for (auto job = first; job != last; ++job) place(*job, image_need);
             first = last;
         }
@@ -37,12 +37,13 @@
     }
 
   private:
-    void place(std::size_t job, ImageNeed image_need) {
+    void place(std::size_t job, ImageRequirement image_need) {
         auto& view = plan_.input.jobs[job];
         if (view.waiting_tasks.empty()) return;
         bool may_wait = plan_.order.may_wait_for_image(job);
-        if (image_need == ImageNeed::none && !may_wait) return;  // was tried without the need the first time
-        if (!may_wait) image_need = ImageNeed::none;
+        if (image_need == ImageRequirement::none && !may_wait)
+            return;  // was tried without the need the first time
+        if (!may_wait) image_need = ImageRequirement::none;
         if (view.spec->kind == protocol::JobKind::gang)
             gangs_.place(job, image_need);
         else
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -2,11 +2,12 @@
 
 namespace coralhitch::scheduler {
 
-TieredMachines TaskPlacer::candidates(const JobView& job, const PoolSet& pools, ImageNeed image_need) const {
+TieredMachines TaskPlacer::candidates(const JobView& job, const PoolSet& pools,
+                                      ImageRequirement image_need) const {
     TieredMachines sets;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
         bool near = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
-        if ((image_need == ImageNeed::near && !near) || plan_.takes_kept_spare(job, machine)) continue;
+        if ((image_need == ImageRequirement::near && !near) || plan_.takes_kept_spare(job, machine)) continue;
         sets[tier_of(plan_, job, machine)].push_back(machine);
     }
     return sets;
@@ -32,7 +33,7 @@
         std::erase_if(set, [&](auto machine) { return !pools[plan_.input.machines[machine].pool]; });
 }
 
-void TaskPlacer::place(std::size_t index, ImageNeed image_need) {
+void TaskPlacer::place(std::size_t index, ImageRequirement image_need) {
     auto& job = plan_.input.jobs[index];
     auto& spec = *job.spec;
     auto pools = plan_.pools_of(job);
@@ -53,7 +54,7 @@
             drop_disallowed(job, pools, sets);
             continue;
         }
-        if (image_need == ImageNeed::near) break;
+        if (image_need == ImageRequirement::near) break;
         if (may_fit) plan_.record_exhausted(job, pools);
         may_fit = false;
         ++unplaced;
