--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -19,7 +19,7 @@
     return std::tie(worst, sum) < std::tie(other.worst, other.sum);
 }
 
-void GangPlacer::place(std::size_t index, ImageRequirement image_need) {
+void GangPlacer::place(std::size_t index, ImageRequirement image_requirement) {
     auto& job = plan_.input.jobs[index];
     // The tasks of an old attempt stay where they are until they exit; the next starts when all are gone.
     if (job.active_tasks > 0) return;
@@ -29,7 +29,8 @@
     }
     auto pools = plan_.pools_of(job);
     auto groups = pool_groups(job, pools);
-    if (place_nearest(index, groups, image_need) || image_need == ImageRequirement::near) return;
+    if (place_nearest(index, groups, image_requirement) || image_requirement == ImageRequirement::near)
+        return;
     plan_.decisions.unplaced.push_back({index, job.waiting_tasks.size()});
     if (job.waiting_tasks.size() == 1) {
         preemption_.reserve_place(index, pools);
@@ -78,7 +79,7 @@
 
 // A gang starts when the last of its tasks has the image: the group where it is nearest goes first.
 bool GangPlacer::place_nearest(std::size_t index, const std::vector<PoolSet>& groups,
-                               ImageRequirement image_need) {
+                               ImageRequirement image_requirement) {
     struct Group {
         Distance distance;
         const PoolSet* pools;
@@ -91,7 +92,7 @@
                      [](auto& group, auto& other) { return group.distance.is_nearer_than(other.distance); });
     return std::any_of(by_distance.begin(), by_distance.end(), [&](auto& group) {
         bool is_near = group.distance.worst <= furthest_near;
-        return (is_near || image_need == ImageRequirement::none) && place_all(index, *group.pools);
+        return (is_near || image_requirement == ImageRequirement::none) && place_all(index, *group.pools);
     });
 }
 
--- a/src/scheduler/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -17,7 +17,7 @@
   public:
     GangPlacer(PlanState& plan, Preemption& preemption) : plan_(plan), preemption_(preemption) {}
     // Starts all tasks of the gang, or records them as unplaced and tries to preempt others for it.
-    void place(std::size_t index, ImageRequirement image_need);
+    void place(std::size_t index, ImageRequirement image_requirement);
 
   private:
     // How far the places that a gang would take are from having the image, as numbers of `ImageDistance`.
@@ -28,7 +28,7 @@
     };
     [[nodiscard]] std::vector<PoolSet> pool_groups(const JobView& job, const PoolSet& pools);
     [[nodiscard]] bool place_nearest(std::size_t index, const std::vector<PoolSet>& groups,
-                                     ImageRequirement image_need);
+                                     ImageRequirement image_requirement);
     [[nodiscard]] std::optional<Distance> distance(const JobView& job, const PoolSet& pools);
     [[nodiscard]] bool place_all(std::size_t index, const PoolSet& pools);
     [[nodiscard]] bool has_waited_long(const JobView& job) const;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -29,25 +29,25 @@
             int rank = plan_.order.rank(*first);
             auto last =
                 std::find_if(first, order.end(), [&](auto job) { return plan_.order.rank(job) != rank; });
-            for (auto image_need : {ImageRequirement::near, ImageRequirement::none})
-                for (auto job = first; job != last; ++job) place(*job, image_need);
+            for (auto image_requirement : {ImageRequirement::near, ImageRequirement::none})
+                for (auto job = first; job != last; ++job) place(*job, image_requirement);
             first = last;
         }
         return std::move(plan_.decisions);
     }
 
   private:
-    void place(std::size_t job, ImageRequirement image_need) {
+    void place(std::size_t job, ImageRequirement image_requirement) {
         auto& view = plan_.input.jobs[job];
         if (view.waiting_tasks.empty()) return;
         bool may_wait = plan_.order.may_wait_for_image(job);
-        if (image_need == ImageRequirement::none && !may_wait)
+        if (image_requirement == ImageRequirement::none && !may_wait)
             return;  // was tried without the need the first time
-        if (!may_wait) image_need = ImageRequirement::none;
+        if (!may_wait) image_requirement = ImageRequirement::none;
         if (view.spec->kind == protocol::JobKind::gang)
-            gangs_.place(job, image_need);
+            gangs_.place(job, image_requirement);
         else
-            tasks_.place(job, image_need);
+            tasks_.place(job, image_requirement);
     }
 
     PlanState plan_;
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -3,11 +3,12 @@
 namespace coralhitch::scheduler {
 
 TieredMachines TaskPlacer::candidates(const JobView& job, const PoolSet& pools,
-                                      ImageRequirement image_need) const {
+                                      ImageRequirement image_requirement) const {
     TieredMachines sets;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
         bool near = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
-        if ((image_need == ImageRequirement::near && !near) || plan_.takes_kept_spare(job, machine)) continue;
+        if ((image_requirement == ImageRequirement::near && !near) || plan_.takes_kept_spare(job, machine))
+            continue;
         sets[tier_of(plan_, job, machine)].push_back(machine);
     }
     return sets;
@@ -33,13 +34,13 @@
         std::erase_if(set, [&](auto machine) { return !pools[plan_.input.machines[machine].pool]; });
 }
 
-void TaskPlacer::place(std::size_t index, ImageRequirement image_need) {
+void TaskPlacer::place(std::size_t index, ImageRequirement image_requirement) {
     auto& job = plan_.input.jobs[index];
     auto& spec = *job.spec;
     auto pools = plan_.pools_of(job);
     bool may_fit = !plan_.is_exhausted(spec.request, pools);
     TieredMachines sets;
-    if (may_fit) sets = candidates(job, pools, image_need);
+    if (may_fit) sets = candidates(job, pools, image_requirement);
     std::size_t unplaced = 0;
     std::size_t placed = 0;
     for (std::size_t i = 0; i < job.waiting_tasks.size(); ++i) {
@@ -54,7 +55,7 @@
             drop_disallowed(job, pools, sets);
             continue;
         }
-        if (image_need == ImageRequirement::near) break;
+        if (image_requirement == ImageRequirement::near) break;
         if (may_fit) plan_.record_exhausted(job, pools);
         may_fit = false;
         ++unplaced;
--- a/src/scheduler/task_placer.hpp
+++ b/src/scheduler/task_placer.hpp
@@ -14,11 +14,11 @@
   public:
     TaskPlacer(PlanState& plan, Preemption& preemption) : plan_(plan), preemption_(preemption) {}
     // Starts as many waiting tasks as find a place, and preempts others for the rest.
-    void place(std::size_t index, ImageRequirement image_need);
+    void place(std::size_t index, ImageRequirement image_requirement);
 
   private:
     [[nodiscard]] TieredMachines candidates(const JobView& job, const PoolSet& pools,
-                                            ImageRequirement image_need) const;
+                                            ImageRequirement image_requirement) const;
     [[nodiscard]] std::optional<std::size_t> choose(const JobView& job, const PoolSet& pools,
                                                     TieredMachines& sets);
     void drop_disallowed(const JobView& job, PoolSet& pools, TieredMachines& sets) const;
