--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -128,7 +128,7 @@
     return before - smallest_share(free, total(machine));
 }
 
-bool PlanState::takes_kept_spare(const JobView& job, std::size_t machine) const {
+bool PlanState::takes_withheld_spare(const JobView& job, std::size_t machine) const {
     if (job.priority != Priority::low) return false;
     constexpr double nothing = 1e-9;
     double taken = spare_taken(*job.spec, machine);
--- a/src/scheduler/plan_state.hpp
+++ b/src/scheduler/plan_state.hpp
@@ -88,7 +88,7 @@
     // Low priority lives on what is left over, and takes none of the last spare resources: on those, higher
     // priorities start at once. With a guest's thousands of small tasks on every machine hundreds of GPUs lay
     // idle, and each gang waited for a place to be emptied and for its image.
-    [[nodiscard]] bool takes_kept_spare(const JobView& job, std::size_t machine) const;
+    [[nodiscard]] bool takes_withheld_spare(const JobView& job, std::size_t machine) const;
 
     // --- Decisions ---
     void start(std::size_t job, std::uint32_t task, std::size_t machine);
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -81,7 +81,7 @@
     auto& view = input.jobs[job];
     auto& host = input.machines[machine];
     auto& request = view.spec->request;
-    if (plan_.takes_kept_spare(view, machine)) return std::nullopt;
+    if (plan_.takes_withheld_spare(view, machine)) return std::nullopt;
     Resources free = host.free_after_stops;
     free -= host.reserved;
     // A place that is being emptied already always goes first: otherwise each plan would stop others.
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -7,7 +7,8 @@
     TieredMachines sets;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
         bool near = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
-        if ((image_requirement == ImageRequirement::near && !near) || plan_.takes_kept_spare(job, machine))
+        if ((image_requirement == ImageRequirement::near && !near) ||
+            plan_.takes_withheld_spare(job, machine))
             continue;
         sets[tier_of(plan_, job, machine)].push_back(machine);
     }
@@ -20,7 +21,7 @@
     do {  // an earlier task may have taken the last resources that were to spare
         machine = plan_.needs_whole_machine(*job.spec, pools) ? choose_fullest(plan_, job, sets)
                                                               : choose_less_loaded(plan_, sets);
-    } while (machine && plan_.takes_kept_spare(job, *machine));
+    } while (machine && plan_.takes_withheld_spare(job, *machine));
     return machine;
 }
 
