--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -53,7 +53,7 @@
         spare_ += smallest_share(input.machines[machine].free, total(machine));
     }
     double ratio = settings.op.reserve_ratio;
-    kept_spare_ = usable * ratio / (1 + ratio);
+    withheld_spare_machines_ = usable * ratio / (1 + ratio);
 }
 
 const config::Team* PlanState::team(const std::string& name) const {
@@ -132,7 +132,7 @@
     if (job.priority != Priority::low) return false;
     constexpr double nothing = 1e-9;
     double taken = spare_taken(*job.spec, machine);
-    return taken > nothing && spare_ - taken < kept_spare_;
+    return taken > nothing && spare_ - taken < withheld_spare_machines_;
 }
 
 void PlanState::start(std::size_t job, std::uint32_t task, std::size_t machine) {
