--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -121,7 +121,7 @@
 
 // What a task takes of the free resources that others could use, in machines: nothing, if it only needs what
 // is left over there, as processors are on a machine whose GPUs are all in use.
-double PlanState::spare_taken(const protocol::Job& job, std::size_t machine) const {
+double PlanState::spare_machines_taken(const protocol::Job& job, std::size_t machine) const {
     auto free = input.machines[machine].free;
     double before = smallest_share(free, total(machine));
     free -= job.request;
@@ -131,14 +131,14 @@
 bool PlanState::takes_withheld_spare(const JobView& job, std::size_t machine) const {
     if (job.priority != Priority::low) return false;
     constexpr double nothing = 1e-9;
-    double taken = spare_taken(*job.spec, machine);
+    double taken = spare_machines_taken(*job.spec, machine);
     return taken > nothing && spare_ - taken < withheld_spare_machines_;
 }
 
 void PlanState::start(std::size_t job, std::uint32_t task, std::size_t machine) {
     auto& view = input.jobs[job];
     auto& host = input.machines[machine];
-    spare_ -= spare_taken(*view.spec, machine);
+    spare_ -= spare_machines_taken(*view.spec, machine);
     host.free -= view.spec->request;
     host.free_after_stops -= view.spec->request;
     ++host.tasks;
@@ -163,7 +163,7 @@
     --view.zones[zone(last.machine)];
     --view.active_tasks;
     input.team_used[view.spec->team] -= view.spec->request;
-    spare_ += spare_taken(*view.spec, last.machine);
+    spare_ += spare_machines_taken(*view.spec, last.machine);
     --decisions.counts.tasks;
 }
 
--- a/src/scheduler/plan_state.hpp
+++ b/src/scheduler/plan_state.hpp
@@ -102,7 +102,7 @@
     };
     void find_largest_request();
     void measure_spare();
-    [[nodiscard]] double spare_taken(const protocol::Job& job, std::size_t machine) const;
+    [[nodiscard]] double spare_machines_taken(const protocol::Job& job, std::size_t machine) const;
 
     std::map<std::string, const config::Team*> teams_;
     std::vector<Machines> by_pool_;  // usable ones
