--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -50,7 +50,7 @@
     for (std::size_t machine = 0; machine < input.machines.size(); ++machine) {
         if (!input.machines[machine].usable) continue;
         ++usable;
-        spare_ += smallest_share(input.machines[machine].free, total(machine));
+        spare_machines_ += smallest_share(input.machines[machine].free, total(machine));
     }
     double ratio = settings.op.reserve_ratio;
     withheld_spare_machines_ = usable * ratio / (1 + ratio);
@@ -132,13 +132,13 @@
     if (job.priority != Priority::low) return false;
     constexpr double nothing = 1e-9;
     double taken = spare_machines_taken(*job.spec, machine);
-    return taken > nothing && spare_ - taken < withheld_spare_machines_;
+    return taken > nothing && spare_machines_ - taken < withheld_spare_machines_;
 }
 
 void PlanState::start(std::size_t job, std::uint32_t task, std::size_t machine) {
     auto& view = input.jobs[job];
     auto& host = input.machines[machine];
-    spare_ -= spare_machines_taken(*view.spec, machine);
+    spare_machines_ -= spare_machines_taken(*view.spec, machine);
     host.free -= view.spec->request;
     host.free_after_stops -= view.spec->request;
     ++host.tasks;
@@ -163,7 +163,7 @@
     --view.zones[zone(last.machine)];
     --view.active_tasks;
     input.team_used[view.spec->team] -= view.spec->request;
-    spare_ += spare_machines_taken(*view.spec, last.machine);
+    spare_machines_ += spare_machines_taken(*view.spec, last.machine);
     --decisions.counts.tasks;
 }
 
