--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -19,8 +19,8 @@
 
     Decisions run() {
         for (auto& demand : input_.demand) packer_.pack(demand);
-        spare_ = packer_.suspected_spare();
-        for (auto& bin : packer_.bins()) spare_ += packer_.free_share(bin);
+        spare_machines_ = packer_.suspected_spare();
+        for (auto& bin : packer_.bins()) spare_machines_ += packer_.free_share(bin);
         add_reserve();
         Decisions decisions;
         decisions.scale_out = packer_.machines_to_create();
@@ -33,11 +33,12 @@
   private:
     // How much spare capacity there should be.
     [[nodiscard]] double wanted_spare() const {
-        double used = static_cast<double>(packer_.bins().size() + packer_.suspected_machines()) - spare_;
+        double used =
+            static_cast<double>(packer_.bins().size() + packer_.suspected_machines()) - spare_machines_;
         if (used <= 0) return 0;
         return std::max({1.0, used * settings_.op.reserve_ratio, guaranteed_machines() - used});
     }
-    [[nodiscard]] double surplus() const { return spare_ - wanted_spare(); }
+    [[nodiscard]] double surplus() const { return spare_machines_ - wanted_spare(); }
 
     // What the teams are guaranteed together, in machines of the largest type: they need not wait for it, so
     // it is there once anybody works.
@@ -64,7 +65,7 @@
             if (!packer_.open_bin(any, ordinary, ZoneState::reachable) &&
                 !packer_.open_bin(any, all, ZoneState::reachable))
                 return;
-            spare_ += 1;
+            spare_machines_ += 1;
         }
     }
 
@@ -115,7 +116,7 @@
     const Input& input_;
     const config::Settings& settings_;
     BinPacker packer_;
-    double spare_ = 0;  // in machines
+    double spare_machines_ = 0;  // in machines
 };
 
 }  // namespace
