--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -32,13 +32,13 @@
 
   private:
     // How much spare capacity there should be.
-    [[nodiscard]] double wanted_spare() const {
+    [[nodiscard]] double target_spare_machines() const {
         double used =
             static_cast<double>(packer_.bins().size() + packer_.suspected_machines()) - spare_machines_;
         if (used <= 0) return 0;
         return std::max({1.0, used * settings_.op.reserve_ratio, guaranteed_machines() - used});
     }
-    [[nodiscard]] double surplus() const { return spare_machines_ - wanted_spare(); }
+    [[nodiscard]] double surplus() const { return spare_machines_ - target_spare_machines(); }
 
     // What the teams are guaranteed together, in machines of the largest type: they need not wait for it, so
     // it is there once anybody works.
