--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -38,7 +38,7 @@
         if (used <= 0) return 0;
         return std::max({1.0, used * settings_.op.reserve_ratio, guaranteed_machines() - used});
     }
-    [[nodiscard]] double surplus() const { return spare_machines_ - target_spare_machines(); }
+    [[nodiscard]] double surplus_machines() const { return spare_machines_ - target_spare_machines(); }
 
     // What the teams are guaranteed together, in machines of the largest type: they need not wait for it, so
     // it is there once anybody works.
@@ -61,7 +61,7 @@
         auto ordinary = scheduler::allowed_pools(any, {}, input_.pools);
         any.spot = true;
         auto all = scheduler::allowed_pools(any, {}, input_.pools);
-        while (!input_.types.empty() && surplus() < 0) {
+        while (!input_.types.empty() && surplus_machines() < 0) {
             if (!packer_.open_bin(any, ordinary, ZoneState::reachable) &&
                 !packer_.open_bin(any, all, ZoneState::reachable))
                 return;
@@ -69,8 +69,9 @@
         }
     }
 
-    // Two random choices spread tasks over all machines, so none would ever become empty. The surplus is
-    // therefore left out of the draws: emptiest first, never a machine that holds a service.
+    // Two random choices spread tasks over all machines, so none would ever become empty. The
+    // surplus_machines is therefore left out of the draws: emptiest first, never a machine that holds a
+    // service.
     void drain(Decisions& decisions) const {
         std::vector<const Bin*> candidates;
         for (auto& bin : packer_.bins())
@@ -81,7 +82,7 @@
         };
         std::sort(candidates.begin(), candidates.end(),
                   [&](auto* bin, auto* other) { return key(bin) < key(other); });
-        double left = surplus();
+        double left = surplus_machines();
         for (auto* bin : candidates) {
             if (left < 1) return;
             decisions.drain.insert(bin->machine->id);
@@ -105,7 +106,7 @@
             if (is_idle(bin)) idle.push_back(&bin);
         auto key = [](const Bin* bin) { return std::tuple(bin->machine->booting, bin->machine->idle_s); };
         std::sort(idle.begin(), idle.end(), [&](auto* bin, auto* other) { return key(bin) > key(other); });
-        double left = surplus();
+        double left = surplus_machines();
         for (auto* bin : idle) {
             if (left < 1) return;
             decisions.scale_in.push_back(bin->machine->id);
