--- a/src/autoscaler/bin_packer.cpp
+++ b/src/autoscaler/bin_packer.cpp
@@ -29,7 +29,7 @@
 
 void BinPacker::add_machine(const MachineView& machine) {
     bool is_unreachable = is_in_unreachable_zone(machine.pool);
-    auto& bins = is_unreachable || machine.suspected ? unreachable_bins_ : bins_;
+    auto& bins = is_unreachable || machine.suspected ? last_resort_bins_ : bins_;
     bins.push_back({machine.pool, machine.booting ? pool(machine.pool).total : machine.free, &machine});
     if (machine.suspected && !is_unreachable) {
         ++suspected_machines_;
@@ -46,7 +46,7 @@
 // What exists counts, whether or not it can be used: the limit is one of money. Without those that had not
 // reconciled yet, new leaders scaled out beyond it.
 bool BinPacker::has_reached_limit() const {
-    auto machines = bins_.size() + unreachable_bins_.size() + input_.other_machines;
+    auto machines = bins_.size() + last_resort_bins_.size() + input_.other_machines;
     return settings_.op.max_machines > 0 && machines >= settings_.op.max_machines;
 }
 
@@ -55,7 +55,7 @@
 }
 
 std::vector<Bin>& BinPacker::bins_of(ZoneState zones) {
-    return zones == ZoneState::reachable ? bins_ : unreachable_bins_;
+    return zones == ZoneState::reachable ? bins_ : last_resort_bins_;
 }
 
 Bin* BinPacker::find_or_open(const protocol::Job& job, const scheduler::PoolSet& pools, ZoneState zones,
@@ -125,7 +125,7 @@
 
 std::vector<ScaleOutRequest> BinPacker::machines_to_create() const {
     std::map<std::size_t, int> count_by_pool;
-    for (auto* bins : {&bins_, &unreachable_bins_})
+    for (auto* bins : {&bins_, &last_resort_bins_})
         for (auto& bin : *bins)
             if (!bin.machine) ++count_by_pool[bin.pool];
     std::vector<ScaleOutRequest> requests;
--- a/src/autoscaler/bin_packer.hpp
+++ b/src/autoscaler/bin_packer.hpp
@@ -61,7 +61,7 @@
     const Input& input_;
     const config::Settings& settings_;
     std::vector<Bin> bins_;
-    std::vector<Bin> unreachable_bins_;  // of unreachable zones, and suspected ones
+    std::vector<Bin> last_resort_bins_;  // of unreachable zones, and suspected ones
     std::vector<int> machines_per_zone_;
     std::vector<const protocol::MachineType*> types_;  // by pool
     std::size_t suspected_machines_ = 0;
