--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -33,7 +33,7 @@
         return;
     plan_.decisions.unplaced.push_back({index, job.waiting_tasks.size()});
     if (job.waiting_tasks.size() == 1) {
-        preemption_.reserve_place(index, pools);
+        preemption_.reserve_slot(index, pools);
         return;
     }
     for (auto& group : groups)
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -131,7 +131,7 @@
     });
 }
 
-std::optional<std::size_t> Preemption::reserve_place(std::size_t job, const PoolSet& pools) {
+std::optional<std::size_t> Preemption::reserve_slot(std::size_t job, const PoolSet& pools) {
     if (is_known_to_fail(job, pools)) return std::nullopt;
     std::optional<std::size_t> best;
     Choice cheapest;
@@ -172,7 +172,7 @@
     auto stops = plan_.decisions.stops.size();
     Machines reserved;
     for (std::size_t count = 0; count < plan_.input.jobs[job].waiting_tasks.size(); ++count) {
-        auto machine = reserve_place(job, pools);
+        auto machine = reserve_slot(job, pools);
         if (!machine) {
             undo(job, reserved, stops);
             return false;
--- a/src/scheduler/preemption.hpp
+++ b/src/scheduler/preemption.hpp
@@ -19,7 +19,7 @@
 
     // Reserves a place for one waiting task, on a machine where enough is being stopped already or is stopped
     // for it. Returns the machine; nothing if nobody may be preempted for it.
-    std::optional<std::size_t> reserve_place(std::size_t job, const PoolSet& pools);
+    std::optional<std::size_t> reserve_slot(std::size_t job, const PoolSet& pools);
     // Reserves places for all tasks of a gang. False: for none, and nothing is stopped for it.
     bool reserve_places_for_all(std::size_t job, const PoolSet& pools);
 
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -60,7 +60,7 @@
         if (may_fit) plan_.record_exhausted(job, pools);
         may_fit = false;
         ++unplaced;
-        if (!preemption_.reserve_place(index, pools)) {
+        if (!preemption_.reserve_slot(index, pools)) {
             // No other task of this job fits either, unless its zone is another one.
             unplaced += job.waiting_tasks.size() - i - 1;
             break;
