--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -37,7 +37,7 @@
         return;
     }
     for (auto& group : groups)
-        if (preemption_.reserve_places_for_all(index, group)) return;
+        if (preemption_.reserve_slots_for_gang(index, group)) return;
     if (has_waited_long(job)) reserve_free_places(index, groups);
 }
 
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -168,7 +168,7 @@
     if (!reserved.empty()) failed_.clear();
 }
 
-bool Preemption::reserve_places_for_all(std::size_t job, const PoolSet& pools) {
+bool Preemption::reserve_slots_for_gang(std::size_t job, const PoolSet& pools) {
     auto stops = plan_.decisions.stops.size();
     Machines reserved;
     for (std::size_t count = 0; count < plan_.input.jobs[job].waiting_tasks.size(); ++count) {
--- a/src/scheduler/preemption.hpp
+++ b/src/scheduler/preemption.hpp
@@ -21,7 +21,7 @@
     // for it. Returns the machine; nothing if nobody may be preempted for it.
     std::optional<std::size_t> reserve_slot(std::size_t job, const PoolSet& pools);
     // Reserves places for all tasks of a gang. False: for none, and nothing is stopped for it.
-    bool reserve_places_for_all(std::size_t job, const PoolSet& pools);
+    bool reserve_slots_for_gang(std::size_t job, const PoolSet& pools);
 
   private:
     // How a machine gets the resources that a task requests, the best first.
