--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -146,7 +146,7 @@
 }
 
 // At most as many as the gang has waiting tasks; a machine with several is there several times.
-Machines GangPlacer::free_places(const JobView& job, const PoolSet& pools) const {
+Machines GangPlacer::free_slots(const JobView& job, const PoolSet& pools) const {
     auto& request = job.spec->request;
     Machines places;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
@@ -165,7 +165,7 @@
     auto& job = plan_.input.jobs[index];
     Machines best;
     for (auto& group : groups) {
-        auto places = free_places(job, group);
+        auto places = free_slots(job, group);
         if (places.size() > best.size()) best = std::move(places);
     }
     has_reserved_places_ = !best.empty();
