--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -38,7 +38,7 @@
     }
     for (auto& group : groups)
         if (preemption_.reserve_slots_for_gang(index, group)) return;
-    if (has_waited_long(job)) reserve_free_places(index, groups);
+    if (has_waited_long(job)) reserve_free_slots(index, groups);
 }
 
 bool GangPlacer::has_waited_long(const JobView& job) const {
@@ -160,7 +160,7 @@
 // The larger a gang, the less often it finds places for all: smaller and younger jobs took each one that came
 // free, for minutes. After some time those places are reserved for the one that has waited longest, where
 // most of them are, until it has enough. For one at a time: two would hold halves of what each requests.
-void GangPlacer::reserve_free_places(std::size_t index, const std::vector<PoolSet>& groups) {
+void GangPlacer::reserve_free_slots(std::size_t index, const std::vector<PoolSet>& groups) {
     if (has_reserved_places_) return;
     auto& job = plan_.input.jobs[index];
     Machines best;
--- a/src/scheduler/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -33,7 +33,7 @@
     [[nodiscard]] bool place_all(std::size_t index, const PoolSet& pools);
     [[nodiscard]] bool has_waited_long(const JobView& job) const;
     [[nodiscard]] Machines free_slots(const JobView& job, const PoolSet& pools) const;
-    void reserve_free_places(std::size_t index, const std::vector<PoolSet>& groups);
+    void reserve_free_slots(std::size_t index, const std::vector<PoolSet>& groups);
     void reserve_quota(const JobView& job);
     [[nodiscard]] bool quota_will_suffice(const protocol::Job& spec) const;
 
