--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -161,14 +161,14 @@
 // free, for minutes. After some time those places are reserved for the one that has waited longest, where
 // most of them are, until it has enough. For one at a time: two would hold halves of what each requests.
 void GangPlacer::reserve_free_slots(std::size_t index, const std::vector<PoolSet>& groups) {
-    if (has_reserved_places_) return;
+    if (has_reserved_slots_) return;
     auto& job = plan_.input.jobs[index];
     Machines best;
     for (auto& group : groups) {
         auto places = free_slots(job, group);
         if (places.size() > best.size()) best = std::move(places);
     }
-    has_reserved_places_ = !best.empty();
+    has_reserved_slots_ = !best.empty();
     for (auto machine : best) plan_.input.machines[machine].reserved += job.spec->request;
 }
 
--- a/src/scheduler/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -39,7 +39,7 @@
 
     PlanState& plan_;
     Preemption& preemption_;
-    bool has_reserved_places_ = false;  // for one gang of this plan
+    bool has_reserved_slots_ = false;  // for one gang of this plan
 };
 
 }  // namespace coralhitch::scheduler
