--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 // Report periods that a gang waits before free places are reserved for it.
-constexpr double reservation_reports = 20;
+constexpr double reservation_wait_heartbeat_periods = 20;
 constexpr auto furthest_near = static_cast<std::size_t>(ImageDistance::being_fetched);
 }  // namespace
 
@@ -42,7 +42,8 @@
 }
 
 bool GangPlacer::has_waited_long(const JobView& job) const {
-    return plan_.input.unix_now - job.ready_at >= plan_.settings.heartbeat_interval_s * reservation_reports;
+    return plan_.input.unix_now - job.ready_at >=
+           plan_.settings.heartbeat_interval_s * reservation_wait_heartbeat_periods;
 }
 
 // Its team's smaller jobs would take each part of the hard limit that is given back.
