--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -12,7 +12,7 @@
 namespace {
 // Report periods that a gang waits before free places are reserved for it.
 constexpr double reservation_wait_heartbeat_periods = 20;
-constexpr auto furthest_near = static_cast<std::size_t>(ImageDistance::being_fetched);
+constexpr auto max_nearby_distance = static_cast<std::size_t>(ImageDistance::being_fetched);
 }  // namespace
 
 bool GangPlacer::Distance::is_nearer_than(const Distance& other) const {
@@ -92,7 +92,7 @@
     std::stable_sort(by_distance.begin(), by_distance.end(),
                      [](auto& group, auto& other) { return group.distance.is_nearer_than(other.distance); });
     return std::any_of(by_distance.begin(), by_distance.end(), [&](auto& group) {
-        bool is_near = group.distance.worst <= furthest_near;
+        bool is_near = group.distance.worst <= max_nearby_distance;
         return (is_near || image_requirement == ImageRequirement::none) && place_all(index, *group.pools);
     });
 }
