--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 // Report periods after its start for which stopping a task counts as a loss by itself.
-constexpr double young_reports = 10;
+constexpr double start_loss_heartbeat_periods = 10;
 }  // namespace
 
 bool Preemption::Choice::is_better_than(const Choice& other) const {
@@ -42,7 +42,7 @@
     double lost = spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : ran;
     // Fetching the image again, and a start that counts for little if it is stopped soon after.
     return lost + spec.checkpoint_save_s +
-           std::max(0.0, plan_.settings.heartbeat_interval_s * young_reports - age);
+           std::max(0.0, plan_.settings.heartbeat_interval_s * start_loss_heartbeat_periods - age);
 }
 
 // How long a task of the job fetches its image there.
