--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -15,7 +15,7 @@
 namespace {
 // Ratios to the report period.
 // So long a job lets others whose image is at hand go first.
-constexpr double image_wait_reports = 20;
+constexpr double image_wait_heartbeat_periods = 20;
 constexpr double near_deadline_reports = 4;
 
 // Whether a team's guaranteed quota, of which 0 means none, holds as much.
@@ -76,7 +76,7 @@
 bool JobOrder::may_wait_for_image(std::size_t job) const {
     auto& view = input_.jobs[job];
     if (view.spec->kind == JobKind::service || is_near_deadline(job)) return false;
-    return input_.unix_now - view.ready_at < settings_.heartbeat_interval_s * image_wait_reports;
+    return input_.unix_now - view.ready_at < settings_.heartbeat_interval_s * image_wait_heartbeat_periods;
 }
 
 bool JobOrder::goes_before(std::size_t job, std::size_t other) const {
