--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -16,7 +16,7 @@
 // Ratios to the report period.
 // So long a job lets others whose image is at hand go first.
 constexpr double image_wait_heartbeat_periods = 20;
-constexpr double near_deadline_reports = 4;
+constexpr double near_deadline_heartbeat_periods = 4;
 
 // Whether a team's guaranteed quota, of which 0 means none, holds as much.
 bool guarantee_holds(const config::Team& team, const Resources& needed) {
@@ -70,7 +70,7 @@
 bool JobOrder::is_near_deadline(std::size_t job) const {
     auto& view = input_.jobs[job];
     return view.due_at - view.spec->estimated_run_s - input_.unix_now <
-           settings_.heartbeat_interval_s * near_deadline_reports;
+           settings_.heartbeat_interval_s * near_deadline_heartbeat_periods;
 }
 
 bool JobOrder::may_wait_for_image(std::size_t job) const {
