--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -30,11 +30,11 @@
 
 JobOrder::JobOrder(const Input& input, const config::Settings& settings)
     : input_(input), settings_(settings) {
-    find_guaranteed();
+    compute_guaranteed();
 }
 
 // A job is within its team's guarantee if it fits into it together with the team's earlier unfinished jobs.
-void JobOrder::find_guaranteed() {
+void JobOrder::compute_guaranteed() {
     std::map<std::string, const config::Team*> teams;
     for (auto& team : settings_.teams) teams[team.name] = &team;
     std::vector<std::size_t> by_age(input_.jobs.size());
--- a/src/scheduler/job_order.hpp
+++ b/src/scheduler/job_order.hpp
@@ -32,7 +32,7 @@
     [[nodiscard]] bool may_wait_for_image(std::size_t job) const;
 
   private:
-    void find_guaranteed();
+    void compute_guaranteed();
     [[nodiscard]] bool goes_before(std::size_t job, std::size_t other) const;
 
     const Input& input_;
