--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -38,8 +38,8 @@
             if (!has_machines[pool]) continue;
             double share = largest_share(job.spec->request, input.pools[pool].total);
             bool drawn = job.spec->kind != JobKind::gang && share <= whole_machine_share;
-            if (drawn || share > 1 || share <= largest_share_) continue;
-            largest_share_ = share;
+            if (drawn || share > 1 || share <= largest_request_share_) continue;
+            largest_request_share_ = share;
             largest_request_ = job.spec->request;
         }
     }
@@ -112,7 +112,7 @@
 }
 
 bool PlanState::splits_whole_machine(const protocol::Job& job, std::size_t machine) const {
-    if (largest_share_ <= 0) return false;
+    if (largest_request_share_ <= 0) return false;
     auto free = input.machines[machine].free;
     if (!free.fits(largest_request_)) return false;
     free -= job.request;
--- a/src/scheduler/plan_state.hpp
+++ b/src/scheduler/plan_state.hpp
@@ -109,7 +109,7 @@
     std::vector<ExhaustedRequest> exhausted_;
     // The largest task of live jobs, those of low priority apart, that goes to the fullest machine.
     protocol::Resources largest_request_;
-    double largest_share_ = 0;            // of a machine that it takes
+    double largest_request_share_ = 0;    // of a machine that it takes
     double spare_machines_ = 0;           // free resources, in machines
     double withheld_spare_machines_ = 0;  // how much of them low priority leaves alone
 };
