--- a/src/scheduler/machine_choice.cpp
+++ b/src/scheduler/machine_choice.cpp
@@ -10,7 +10,7 @@
 namespace {
 constexpr double small_replica_share = 0.25;  // replicas that take at most this share go together
 
-std::size_t take_out(Machines& set, std::size_t at) {
+std::size_t remove_at(Machines& set, std::size_t at) {
     auto machine = set[at];
     set[at] = set.back();
     set.pop_back();
@@ -40,7 +40,7 @@
         auto is_suitable = [](std::size_t) { return true; };
         auto load = [&](std::size_t at) { return plan.input.machines[set[at]].tasks; };
         auto at = draw(set.size(), is_suitable, load, plan.settings.op, plan.random, plan.decisions.counts);
-        if (at) return take_out(set, *at);
+        if (at) return remove_at(set, *at);
     }
     return std::nullopt;
 }
@@ -61,7 +61,7 @@
     }
     if (!from) return std::nullopt;
     ++plan.decisions.counts.packed;
-    return take_out(*from, at);
+    return remove_at(*from, at);
 }
 
 }  // namespace coralhitch::scheduler
