--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -88,7 +88,7 @@
 // A record of the layout with a key for each machine. Its key is deleted once the record is in a page.
 void MachineRegistry::load_single_record(const protocol::Entry& entry,
                                          std::map<std::string, MachineRecord>& all) {
-    old_keys_.insert(entry.key);
+    legacy_keys_.insert(entry.key);
     try {
         auto id = entry.key.substr(keys::machines.size());
         auto record = protocol::parse_machine_record(entry.value);
@@ -228,7 +228,7 @@
 }
 
 bool MachineRegistry::is_anything_due() const {
-    if (!old_keys_.empty()) return true;
+    if (!legacy_keys_.empty()) return true;
     bool is_cleanup_due = !last_cleanup_at_ || timers_.now() - *last_cleanup_at_ >
                                                    settings_.heartbeat_interval_s * cleanup_interval_reports;
     return std::any_of(pages_.begin(), pages_.end(), [&](const auto& entry) {
@@ -329,9 +329,10 @@
 
 void MachineRegistry::add_deletions_of_old_keys(protocol::Txn& transaction) {
     auto max_changes = kv_.limits().txn_ops();
-    for (auto it = old_keys_.begin(); it != old_keys_.end() && transaction.changes.size() < max_changes;) {
+    for (auto it = legacy_keys_.begin();
+         it != legacy_keys_.end() && transaction.changes.size() < max_changes;) {
         transaction.changes.push_back({*it, std::nullopt, 0});
-        it = old_keys_.erase(it);
+        it = legacy_keys_.erase(it);
     }
 }
 
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -127,7 +127,7 @@
     std::map<std::size_t, Page> pages_;
     std::map<std::string, std::size_t> page_of_;  // by machine: the page that is written for it
     std::set<std::string> unconfirmed_moves_;     // machines that are confirmed in an evacuating page only
-    std::set<std::string> old_keys_;              // of the layout with a key for each machine
+    std::set<std::string> legacy_keys_;           // of the layout with a key for each machine
     bool is_request_pending_ = false;             // a transaction, or a read of a version
     bool is_flush_scheduled_ = false;
     std::optional<double> last_write_at_;    // steady time
