--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -291,7 +291,7 @@
         add_page(batch, number);
     }
     // Only after all pages: an old key may go in the transaction that stores its record, but not before.
-    if (batch.is_complete) add_deletions_of_old_keys(batch.transaction);
+    if (batch.is_complete) add_deletions_of_legacy_keys(batch.transaction);
     last_write_at_ = timers_.now();
     if (batch.is_complete) last_cleanup_at_ = *last_write_at_;
     if (batch.transaction.changes.empty()) return;
@@ -327,7 +327,7 @@
     batch.pages.push_back({number, records.empty()});
 }
 
-void MachineRegistry::add_deletions_of_old_keys(protocol::Txn& transaction) {
+void MachineRegistry::add_deletions_of_legacy_keys(protocol::Txn& transaction) {
     auto max_changes = kv_.limits().txn_ops();
     for (auto it = legacy_keys_.begin();
          it != legacy_keys_.end() && transaction.changes.size() < max_changes;) {
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -116,7 +116,7 @@
     void read_version(std::size_t number);
     void write_due_pages();
     void add_page(Batch& batch, std::size_t number);
-    void add_deletions_of_old_keys(protocol::Txn& transaction);
+    void add_deletions_of_legacy_keys(protocol::Txn& transaction);
     void handle_write(const std::vector<PageWrite>& pages, const std::vector<StoredMachine>& machines,
                       const kv::TxnResult& result);
 
