--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -18,8 +18,8 @@
 using protocol::MachineRecord;
 
 namespace {
-// How full a page may be, of the largest value. Record sizes are estimates (`bytes_of`). Where values are
-// small, fuller pages save changes, and a page that is rejected all the same is split.
+// How full a page may be, of the largest value. Record sizes are estimates (`estimate_record_bytes`). Where
+// values are small, fuller pages save changes, and a page that is rejected all the same is split.
 constexpr double max_fill_ratio = 0.6, max_fill_ratio_of_small_values = 0.85;
 constexpr double small_value_bytes = 4 * 1024;
 constexpr std::size_t record_overhead_bytes = 32;
@@ -42,7 +42,7 @@
     return number;
 }
 
-std::size_t bytes_of(const std::string& id, const MachineRecord& record) {
+std::size_t estimate_record_bytes(const std::string& id, const MachineRecord& record) {
     return id.size() + record.addr.size() + record.type.size() + record.zone.size() + record_overhead_bytes;
 }
 }  // namespace
@@ -93,7 +93,7 @@
         auto id = entry.key.substr(keys::machines.size());
         auto record = protocol::parse_machine_record(entry.value);
         if (page_of_.contains(id)) return;
-        auto number = page_with_room(id, bytes_of(id, record));
+        auto number = page_with_room(id, estimate_record_bytes(id, record));
         load_record(number, id, record, all);
         pages_[number].has_new_records = true;
     } catch (const protocol::Malformed& error) {
@@ -106,7 +106,7 @@
                                   std::map<std::string, MachineRecord>& all) {
     auto& page = pages_[number];
     page.machine_ids.insert(id);
-    page.bytes += bytes_of(id, record);
+    page.bytes += estimate_record_bytes(id, record);
     auto [known, is_new] = all.emplace(id, record);
     auto home = page_of_.emplace(id, number).first;
     if (is_new) return;
@@ -191,7 +191,7 @@
 void MachineRegistry::put(const std::string& id) {
     auto record = callbacks_.current_record(id);
     if (!record) return;
-    auto bytes = bytes_of(id, *record);
+    auto bytes = estimate_record_bytes(id, *record);
     auto number = page_with_room(id, bytes);
     auto& page = pages_[number];
     if (page.machine_ids.insert(id).second) page.bytes += bytes;
@@ -310,7 +310,7 @@
     page.bytes = 0;
     for (const auto& id : page.machine_ids)
         if (auto record = callbacks_.current_record(id)) {
-            page.bytes += bytes_of(id, *record);
+            page.bytes += estimate_record_bytes(id, *record);
             batch.machines.push_back({id, *record});
             records.push_back({id, std::move(*record)});
         }
