--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -299,7 +299,7 @@
     auto priority = batch.is_urgent ? RequestPriority::write : RequestPriority::background;
     kv_.txn(std::move(batch.transaction), priority,
             guarded_([this, pages = std::move(batch.pages), machines = std::move(batch.machines)](
-                         const TxnResult& result) { handle_write(pages, machines, result); }));
+                         const TxnResult& result) { handle_write_result(pages, machines, result); }));
 }
 
 void MachineRegistry::add_page(Batch& batch, std::size_t number) {
@@ -336,8 +336,9 @@
     }
 }
 
-void MachineRegistry::handle_write(const std::vector<PageWrite>& pages,
-                                   const std::vector<StoredMachine>& machines, const TxnResult& result) {
+void MachineRegistry::handle_write_result(const std::vector<PageWrite>& pages,
+                                          const std::vector<StoredMachine>& machines,
+                                          const TxnResult& result) {
     is_request_pending_ = false;
     if (result.status == TxnResult::Status::committed) {
         for (const auto& machine : machines) unconfirmed_moves_.erase(machine.id);
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -117,8 +117,8 @@
     void write_due_pages();
     void add_page(Batch& batch, std::size_t number);
     void add_deletions_of_legacy_keys(protocol::Txn& transaction);
-    void handle_write(const std::vector<PageWrite>& pages, const std::vector<StoredMachine>& machines,
-                      const kv::TxnResult& result);
+    void handle_write_result(const std::vector<PageWrite>& pages, const std::vector<StoredMachine>& machines,
+                             const kv::TxnResult& result);
 
     event_loop::Timers& timers_;
     kv::KvClient& kv_;
