--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -227,7 +227,7 @@
     return page.is_evacuating && page.version > 0 && is_evacuated(page);
 }
 
-bool MachineRegistry::is_anything_due() const {
+bool MachineRegistry::has_due_writes() const {
     if (!legacy_keys_.empty()) return true;
     bool is_cleanup_due = !last_cleanup_at_ || timers_.now() - *last_cleanup_at_ >
                                                    settings_.heartbeat_interval_s * cleanup_interval_reports;
@@ -240,7 +240,7 @@
 void MachineRegistry::flush() {
     if (is_request_pending_) return;
     evacuate_pages();
-    if (!is_anything_due()) return;
+    if (!has_due_writes()) return;
     if (last_write_at_) {
         double wait_s =
             *last_write_at_ + settings_.heartbeat_interval_s * min_write_interval_reports - timers_.now();
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -110,7 +110,7 @@
 
     // Writing.
     [[nodiscard]] bool is_deletable(const Page& page) const;
-    [[nodiscard]] bool is_anything_due() const;
+    [[nodiscard]] bool has_due_writes() const;
     [[nodiscard]] std::vector<std::size_t> pages_to_write() const;
     void schedule_flush(double delay_s);
     void read_version(std::size_t number);
