--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t max_txn_bytes = std::size_t{48} * 1024;
 // In report periods. Machines that come up together are stored together; machines that are gone leave their
 // pages with the next write, or after the cleanup interval.
-constexpr double min_write_interval_reports = 1.0 / 20;
+constexpr double min_write_interval_heartbeat_periods = 1.0 / 20;
 constexpr double cleanup_interval_reports = 1;
 constexpr double retry_reports = 1.0 / 10;
 constexpr double retry_after_rejection_reports = 1.0 / 2;
@@ -242,8 +242,8 @@
     evacuate_pages();
     if (!has_due_writes()) return;
     if (last_write_at_) {
-        double wait_s =
-            *last_write_at_ + settings_.heartbeat_interval_s * min_write_interval_reports - timers_.now();
+        double wait_s = *last_write_at_ +
+                        settings_.heartbeat_interval_s * min_write_interval_heartbeat_periods - timers_.now();
         if (wait_s > 0) return schedule_flush(wait_s);
     }
     for (const auto& [number, page] : pages_)
