--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -28,7 +28,7 @@
 // In report periods. Machines that come up together are stored together; machines that are gone leave their
 // pages with the next write, or after the cleanup interval.
 constexpr double min_write_interval_heartbeat_periods = 1.0 / 20;
-constexpr double cleanup_interval_reports = 1;
+constexpr double cleanup_interval_heartbeat_periods = 1;
 constexpr double retry_reports = 1.0 / 10;
 constexpr double retry_after_rejection_reports = 1.0 / 2;
 
@@ -229,8 +229,9 @@
 
 bool MachineRegistry::has_due_writes() const {
     if (!legacy_keys_.empty()) return true;
-    bool is_cleanup_due = !last_cleanup_at_ || timers_.now() - *last_cleanup_at_ >
-                                                   settings_.heartbeat_interval_s * cleanup_interval_reports;
+    bool is_cleanup_due =
+        !last_cleanup_at_ || timers_.now() - *last_cleanup_at_ >
+                                 settings_.heartbeat_interval_s * cleanup_interval_heartbeat_periods;
     return std::any_of(pages_.begin(), pages_.end(), [&](const auto& entry) {
         const Page& page = entry.second;
         return page.has_new_records || (is_cleanup_due && page.has_removed) || is_deletable(page);
