--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -29,7 +29,7 @@
 // pages with the next write, or after the cleanup interval.
 constexpr double min_write_interval_heartbeat_periods = 1.0 / 20;
 constexpr double cleanup_interval_heartbeat_periods = 1;
-constexpr double retry_reports = 1.0 / 10;
+constexpr double retry_delay_heartbeat_periods = 1.0 / 10;
 constexpr double retry_after_rejection_reports = 1.0 / 2;
 
 std::optional<std::size_t> page_number(const std::string& key) {
@@ -258,7 +258,8 @@
     kv_.get(keys::machine_page(number), RequestPriority::write,
             guarded_([this, number](kv::GetResult result) {
                 is_request_pending_ = false;
-                if (!result.ok()) return schedule_flush(settings_.heartbeat_interval_s * retry_reports);
+                if (!result.ok())
+                    return schedule_flush(settings_.heartbeat_interval_s * retry_delay_heartbeat_periods);
                 auto& page = pages_[number];
                 page.version = result.entry ? result.entry->version : 0;
                 page.version_unknown = false;
@@ -356,7 +357,7 @@
     bool is_rejected = result.status == TxnResult::Status::rejected;
     if (is_rejected) shrink_pages();
     schedule_flush(settings_.heartbeat_interval_s *
-                   (is_rejected ? retry_after_rejection_reports : retry_reports));
+                   (is_rejected ? retry_after_rejection_reports : retry_delay_heartbeat_periods));
 }
 
 }  // namespace coralhitch::machine_registry
