--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -30,7 +30,7 @@
 constexpr double min_write_interval_heartbeat_periods = 1.0 / 20;
 constexpr double cleanup_interval_heartbeat_periods = 1;
 constexpr double retry_delay_heartbeat_periods = 1.0 / 10;
-constexpr double retry_after_rejection_reports = 1.0 / 2;
+constexpr double rejection_retry_delay_heartbeat_periods = 1.0 / 2;
 
 std::optional<std::size_t> page_number(const std::string& key) {
     if (!key.starts_with(keys::machine_pages)) return std::nullopt;
@@ -357,7 +357,7 @@
     bool is_rejected = result.status == TxnResult::Status::rejected;
     if (is_rejected) shrink_pages();
     schedule_flush(settings_.heartbeat_interval_s *
-                   (is_rejected ? retry_after_rejection_reports : retry_delay_heartbeat_periods));
+                   (is_rejected ? rejection_retry_delay_heartbeat_periods : retry_delay_heartbeat_periods));
 }
 
 }  // namespace coralhitch::machine_registry
