--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -60,7 +60,7 @@
     for (const auto& entry : listed.entries)
         if (!page_number(entry.key)) load_single_record(entry, all);
     for (auto& [number, page] : pages_)
-        if (page.is_evacuating) page.has_new_records = page.has_removed = false;
+        if (page.is_evacuating) page.has_new_records = page.has_removed_machines = false;
 
     std::vector<StoredMachine> machines;
     machines.reserve(all.size());
@@ -117,7 +117,7 @@
         known->second.marked_for_deletion = pages_[home->second].has_new_records = true;
     if (home->second == number || page.is_evacuating) return;
     page.machine_ids.erase(id);
-    page.has_removed = true;
+    page.has_removed_machines = true;
 }
 
 // --- Pages and their sizes ------------------------------------------------------------------------------
@@ -147,7 +147,7 @@
     for (auto& [number, page] : pages_)
         if (page.version > 0 && is_too_large(page)) {
             page.is_evacuating = true;
-            page.has_new_records = page.has_removed = false;
+            page.has_new_records = page.has_removed_machines = false;
         }
     for (auto& [number, page] : pages_) {
         if (page.version > 0 || !is_too_large(page)) continue;
@@ -161,7 +161,7 @@
     auto ids = std::exchange(page.machine_ids, {});
     page.bytes = 0;
     page.has_new_records = false;
-    page.has_removed = true;
+    page.has_removed_machines = true;
     for (const auto& id : ids) page_of_.erase(id);
     for (const auto& id : ids) put(id);
 }
@@ -208,7 +208,7 @@
     page.machine_ids.erase(id);
     // Its exact size is counted again when the page is written.
     page.bytes -= std::min(page.bytes, record_overhead_bytes + id.size());
-    page.has_removed = true;
+    page.has_removed_machines = true;
     page_of_.erase(it);
 }
 
@@ -234,7 +234,7 @@
                                  settings_.heartbeat_interval_s * cleanup_interval_heartbeat_periods;
     return std::any_of(pages_.begin(), pages_.end(), [&](const auto& entry) {
         const Page& page = entry.second;
-        return page.has_new_records || (is_cleanup_due && page.has_removed) || is_deletable(page);
+        return page.has_new_records || (is_cleanup_due && page.has_removed_machines) || is_deletable(page);
     });
 }
 
@@ -273,7 +273,8 @@
     for (const auto& [number, page] : pages_)
         if (!page.is_evacuating && page.has_new_records) numbers.push_back(number);
     for (const auto& [number, page] : pages_) {
-        bool is_due = page.is_evacuating ? is_deletable(page) : !page.has_new_records && page.has_removed;
+        bool is_due =
+            page.is_evacuating ? is_deletable(page) : !page.has_new_records && page.has_removed_machines;
         if (is_due) numbers.push_back(number);
     }
     return numbers;
@@ -318,7 +319,7 @@
         }
     batch.bytes += page.bytes;
     batch.is_urgent = batch.is_urgent || page.has_new_records;
-    page.has_new_records = page.has_removed = false;
+    page.has_new_records = page.has_removed_machines = false;
 
     auto key = keys::machine_page(number);
     batch.transaction.conditions.push_back({key, page.version});
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -71,9 +71,9 @@
     struct Page {
         std::uint64_t version = 0;  // of its key; 0: no such key
         std::set<std::string> machine_ids;
-        std::size_t bytes = 0;         // estimate of its value's size
-        bool has_new_records = false;  // to be written at once
-        bool has_removed = false;      // holds machines that are gone: to be written some time
+        std::size_t bytes = 0;              // estimate of its value's size
+        bool has_new_records = false;       // to be written at once
+        bool has_removed_machines = false;  // holds machines that are gone: to be written some time
         bool version_unknown = false;  // a write may have been executed: read the version before the next one
         // Larger than a value may be: stays as it is until its machines are confirmed in other pages.
         bool is_evacuating = false;
