--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -248,7 +248,7 @@
         if (wait_s > 0) return schedule_flush(wait_s);
     }
     for (const auto& [number, page] : pages_)
-        if (page.version_unknown) return read_version(number);
+        if (page.is_version_unknown) return read_version(number);
     write_due_pages();
 }
 
@@ -262,7 +262,7 @@
                     return schedule_flush(settings_.heartbeat_interval_s * retry_delay_heartbeat_periods);
                 auto& page = pages_[number];
                 page.version = result.entry ? result.entry->version : 0;
-                page.version_unknown = false;
+                page.is_version_unknown = false;
                 flush();
             }));
 }
@@ -353,7 +353,7 @@
     for (const auto& write : pages) {
         auto& page = pages_[write.number];
         page.has_new_records = true;
-        page.version_unknown = !result.not_executed();
+        page.is_version_unknown = !result.not_executed();
     }
     bool is_rejected = result.status == TxnResult::Status::rejected;
     if (is_rejected) shrink_pages();
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -74,7 +74,8 @@
         std::size_t bytes = 0;              // estimate of its value's size
         bool has_new_records = false;       // to be written at once
         bool has_removed_machines = false;  // holds machines that are gone: to be written some time
-        bool version_unknown = false;  // a write may have been executed: read the version before the next one
+        bool is_version_unknown =
+            false;  // a write may have been executed: read the version before the next one
         // Larger than a value may be: stays as it is until its machines are confirmed in other pages.
         bool is_evacuating = false;
     };
