--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -29,7 +29,8 @@
     }
     auto pools = plan_.pools_of(job);
     auto groups = pool_groups(job, pools);
-    if (place_nearest(index, groups, image_requirement) || image_requirement == ImageRequirement::near)
+    if (place_nearest(index, groups, image_requirement) ||
+        image_requirement == ImageRequirement::cached_or_being_fetched)
         return;
     plan_.decisions.unplaced.push_back({index, job.waiting_tasks.size()});
     if (job.waiting_tasks.size() == 1) {
--- a/src/scheduler/machine_choice.hpp
+++ b/src/scheduler/machine_choice.hpp
@@ -10,7 +10,7 @@
 
 // On which machines a job's tasks may start, as far as its image goes.
 enum class ImageRequirement {
-    near,  // only where it is, or is being fetched
+    cached_or_being_fetched,  // only where it is, or is being fetched
     none,
 };
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -29,7 +29,7 @@
             int rank = plan_.order.rank(*first);
             auto last =
                 std::find_if(first, order.end(), [&](auto job) { return plan_.order.rank(job) != rank; });
-            for (auto image_requirement : {ImageRequirement::near, ImageRequirement::none})
+            for (auto image_requirement : {ImageRequirement::cached_or_being_fetched, ImageRequirement::none})
                 for (auto job = first; job != last; ++job) place(*job, image_requirement);
             first = last;
         }
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -7,7 +7,7 @@
     TieredMachines sets;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
         bool near = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
-        if ((image_requirement == ImageRequirement::near && !near) ||
+        if ((image_requirement == ImageRequirement::cached_or_being_fetched && !near) ||
             plan_.takes_withheld_spare(job, machine))
             continue;
         sets[tier_of(plan_, job, machine)].push_back(machine);
@@ -56,7 +56,7 @@
             drop_disallowed(job, pools, sets);
             continue;
         }
-        if (image_requirement == ImageRequirement::near) break;
+        if (image_requirement == ImageRequirement::cached_or_being_fetched) break;
         if (may_fit) plan_.record_exhausted(job, pools);
         may_fit = false;
         ++unplaced;
