--- a/src/scheduler/gang_placer.cpp
+++ b/src/scheduler/gang_placer.cpp
@@ -10,7 +10,7 @@
 using protocol::Resources;
 
 namespace {
-// Report periods that a gang waits before free places are reserved for it.
+// Time that a gang waits before free slots are reserved for it.
 constexpr double reservation_wait_heartbeat_periods = 20;
 constexpr auto max_nearby_distance = static_cast<std::size_t>(ImageDistance::being_fetched);
 }  // namespace
@@ -21,7 +21,8 @@
 
 void GangPlacer::place(std::size_t index, ImageRequirement image_requirement) {
     auto& job = plan_.input.jobs[index];
-    // The tasks of an old attempt stay where they are until they exit; the next starts when all are gone.
+    // Instances of the previous attempt occupy their machines until they exit. The next attempt starts once
+    // all of them have terminated.
     if (job.active_tasks > 0) return;
     if (!plan_.quota_allows(*job.spec, static_cast<double>(job.waiting_tasks.size()))) {
         reserve_quota(job);
@@ -47,25 +48,28 @@
            plan_.settings.heartbeat_interval_s * reservation_wait_heartbeat_periods;
 }
 
-// Its team's smaller jobs would take each part of the hard limit that is given back.
+// Counts the whole gang as used quota of its team, so that the team's smaller jobs do not take each part of
+// the hard limit as it becomes free.
 void GangPlacer::reserve_quota(const JobView& job) {
     if (!has_waited_long(job) || !quota_will_suffice(*job.spec)) return;
     plan_.input.team_used[job.spec->team] +=
         job.spec->request.times(static_cast<double>(job.waiting_tasks.size()));
 }
 
-// Whether the team's hard limit allows all of it beside what does not end by itself.
+// Returns whether the team's hard limit can hold the whole gang in addition to the team's services, which do
+// not end by themselves.
 bool GangPlacer::quota_will_suffice(const protocol::Job& spec) const {
-    Resources stays;
+    Resources used_by_services;
     for (auto& instance : plan_.input.instances) {
         auto& other = *plan_.input.jobs[instance.job].spec;
-        if (other.team == spec.team && other.kind == JobKind::service) stays += other.request;
+        if (other.team == spec.team && other.kind == JobKind::service) used_by_services += other.request;
     }
     auto* team = plan_.team(spec.team);
-    return team && team_allows(*team, stays, spec.request.times(static_cast<double>(spec.tasks)));
+    return team && team_allows(*team, used_by_services, spec.request.times(static_cast<double>(spec.tasks)));
 }
 
-// The sets of pools of which it may use one: the zones in random order if it must be in one of them.
+// Returns sets of pools, each of which may hold the whole gang: one set for each zone, in random order, if
+// the gang must be in one zone, otherwise a single set with all of `pools`.
 std::vector<PoolSet> GangPlacer::pool_groups(const JobView& job, const PoolSet& pools) {
     if (!job.spec->one_zone) return {pools};
     std::vector<PoolSet> groups;
@@ -79,7 +83,8 @@
     return groups;
 }
 
-// A gang starts when the last of its tasks has the image: the group where it is nearest goes first.
+// Places the gang in the group of pools with the smallest image distance that has enough slots. The largest
+// distance counts first, because a gang starts only when the last of its machines has the image.
 bool GangPlacer::place_nearest(std::size_t index, const std::vector<PoolSet>& groups,
                                ImageRequirement image_requirement) {
     struct Group {
@@ -93,17 +98,18 @@
     std::stable_sort(by_distance.begin(), by_distance.end(),
                      [](auto& group, auto& other) { return group.distance.is_nearer_than(other.distance); });
     return std::any_of(by_distance.begin(), by_distance.end(), [&](auto& group) {
-        bool is_near = group.distance.worst <= max_nearby_distance;
-        return (is_near || image_requirement == ImageRequirement::none) && place_all(index, *group.pools);
+        bool is_nearby = group.distance.worst <= max_nearby_distance;
+        return (is_nearby || image_requirement == ImageRequirement::none) && place_all(index, *group.pools);
     });
 }
 
-// Of the places nearest to having the image; nothing if there are too few places.
+// Returns the distance over the free slots nearest to the image, one for each waiting task, or nothing if the
+// pools have fewer free slots than that.
 std::optional<GangPlacer::Distance> GangPlacer::distance(const JobView& job, const PoolSet& pools) {
     auto& request = job.spec->request;
     auto wanted = job.waiting_tasks.size();
     if (plan_.is_exhausted(request, pools)) return std::nullopt;
-    std::vector<std::size_t> distances;  // of all places
+    std::vector<std::size_t> distances;  // one for each free slot
     for (auto machine : plan_.machines_that_fit(job, pools)) {
         auto available = plan_.available(machine);
         for (std::size_t count = 0; count < wanted && available.fits(request); ++count, available -= request)
@@ -147,28 +153,32 @@
     return false;
 }
 
-// At most as many as the gang has waiting tasks; a machine with several is there several times.
+// Returns the machines with free slots, one entry for each slot and at most as many as the gang has waiting
+// tasks.
 Machines GangPlacer::free_slots(const JobView& job, const PoolSet& pools) const {
     auto& request = job.spec->request;
-    Machines places;
+    Machines slots;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
         auto available = plan_.available(machine);
-        for (; available.fits(request) && places.size() < job.waiting_tasks.size(); available -= request)
-            places.push_back(machine);
+        for (; available.fits(request) && slots.size() < job.waiting_tasks.size(); available -= request)
+            slots.push_back(machine);
     }
-    return places;
+    return slots;
 }
 
-// The larger a gang, the less often it finds places for all: smaller and younger jobs took each one that came
-// free, for minutes. After some time those places are reserved for the one that has waited longest, where
-// most of them are, until it has enough. For one at a time: two would hold halves of what each requests.
+// Reserves the gang's free slots, in the group of pools that has the most, for the rest of this plan.
+//
+// The larger a gang is, the less often enough slots are free at once: smaller and younger jobs took each slot
+// as it became free, for minutes. So the free slots are kept for the gang that has waited longest until it
+// has enough. Only one gang in a plan gets reservations, because two gangs would each hold half of the slots
+// that they need.
 void GangPlacer::reserve_free_slots(std::size_t index, const std::vector<PoolSet>& groups) {
     if (has_reserved_slots_) return;
     auto& job = plan_.input.jobs[index];
     Machines best;
     for (auto& group : groups) {
-        auto places = free_slots(job, group);
-        if (places.size() > best.size()) best = std::move(places);
+        auto slots = free_slots(job, group);
+        if (slots.size() > best.size()) best = std::move(slots);
     }
     has_reserved_slots_ = !best.empty();
     for (auto machine : best) plan_.input.machines[machine].reserved += job.spec->request;
--- a/src/scheduler/gang_placer.hpp
+++ b/src/scheduler/gang_placer.hpp
@@ -1,7 +1,7 @@
-// Places gangs: all tasks or none.
+// Placement of gangs, whose tasks start together or not at all.
 //
-// Owns only whether free places are reserved for a gang that has waited long. Changes the plan through
-// PlanState and Preemption. Jobs are indices of the input.
+// A *slot* is the amount of resources on one machine that one task requests. Jobs, machines and pools are
+// identified by their index in the input.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -13,17 +13,21 @@
 
 namespace coralhitch::scheduler {
 
+// Places the gangs of one plan. Changes the plan through PlanState and Preemption, which must outlive it, and
+// reserves free slots for at most one gang. Used by one thread.
 class GangPlacer {
   public:
     GangPlacer(PlanState& plan, Preemption& preemption) : plan_(plan), preemption_(preemption) {}
-    // Starts all tasks of the gang, or records them as unplaced and tries to preempt others for it.
+    // Starts all waiting tasks of the gang. If they do not fit, and `image_requirement` is `none`, records
+    // them as unplaced and tries to free slots for them by preemption. Starts nothing while instances of a
+    // previous attempt are active or while the team's hard limit does not allow the gang.
     void place(std::size_t index, ImageRequirement image_requirement);
 
   private:
-    // How far the places that a gang would take are from having the image, as numbers of `ImageDistance`.
+    // Image distances of the slots that a gang would take, as numeric values of `ImageDistance`.
     struct Distance {
-        std::size_t worst = 0;
-        std::size_t sum = 0;
+        std::size_t worst = 0;  // largest distance among the slots
+        std::size_t sum = 0;    // sum over the slots
         [[nodiscard]] bool is_nearer_than(const Distance& other) const;
     };
     [[nodiscard]] std::vector<PoolSet> pool_groups(const JobView& job, const PoolSet& pools);
@@ -39,7 +43,7 @@
 
     PlanState& plan_;
     Preemption& preemption_;
-    bool has_reserved_slots_ = false;  // for one gang of this plan
+    bool has_reserved_slots_ = false;  // `reserve_free_slots` has reserved slots for a gang in this plan
 };
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -13,12 +13,13 @@
 using protocol::Resources;
 
 namespace {
-// Ratios to the report period.
-// So long a job lets others whose image is at hand go first.
+// Time after it became ready for which a job waits for machines that have its image.
 constexpr double image_wait_heartbeat_periods = 20;
+// A job is near its deadline when less slack than this is left.
 constexpr double near_deadline_heartbeat_periods = 4;
 
-// Whether a team's guaranteed quota, of which 0 means none, holds as much.
+// Returns whether the resources are within the team's guaranteed quota. A resource with a quota of 0 is not
+// limited, but a team without any quota has no guarantee.
 bool guarantee_holds(const config::Team& team, const Resources& needed) {
     constexpr double slack = 1e-6;
     if (team.cpus <= 0 && team.gpus <= 0) return false;
@@ -33,7 +34,8 @@
     compute_guaranteed();
 }
 
-// A job is within its team's guarantee if it fits into it together with the team's earlier unfinished jobs.
+// A job is within its team's guarantee if its unfinished tasks fit into it together with those of the team's
+// jobs that became ready earlier.
 void JobOrder::compute_guaranteed() {
     std::map<std::string, const config::Team*> teams;
     for (auto& team : settings_.teams) teams[team.name] = &team;
--- a/src/scheduler/machine_choice.cpp
+++ b/src/scheduler/machine_choice.cpp
@@ -8,7 +8,8 @@
 namespace coralhitch::scheduler {
 
 namespace {
-constexpr double small_replica_share = 0.25;  // replicas that take at most this share go together
+// Replicas that take at most this share of a machine are placed on machines that hold replicas already.
+constexpr double small_replica_share = 0.25;
 
 std::size_t remove_at(Machines& set, std::size_t at) {
     auto machine = set[at];
@@ -17,8 +18,8 @@
     return machine;
 }
 
-// How empty a machine is, for a task that goes to the fullest one. Equally full: the one that is nearest to
-// having the image.
+// Returns a score that is lowest for the fullest machine. Among equally full machines, it is lowest for the
+// one nearest to having the job's image.
 double emptiness(const PlanState& plan, const JobView& job, std::size_t machine) {
     constexpr double tie_breaker = 1e-3;
     double left = largest_share(plan.available(machine), plan.total(machine));
@@ -29,9 +30,9 @@
 std::size_t tier_of(const PlanState& plan, const JobView& job, std::size_t machine) {
     auto& view = plan.input.machines[machine];
     if (view.draining) return last_tier;
-    bool stays = job.spec->kind == protocol::JobKind::service &&
-                 largest_share(job.spec->request, plan.total(machine)) <= small_replica_share;
-    bool suitable = stays ? view.services > 0 : !plan.splits_whole_machine(*job.spec, machine);
+    bool is_small_replica = job.spec->kind == protocol::JobKind::service &&
+                            largest_share(job.spec->request, plan.total(machine)) <= small_replica_share;
+    bool suitable = is_small_replica ? view.services > 0 : !plan.splits_whole_machine(*job.spec, machine);
     return 2 * static_cast<std::size_t>(plan.image_distance(job, machine)) + (suitable ? 0 : 1);
 }
 
--- a/src/scheduler/plan_state.cpp
+++ b/src/scheduler/plan_state.cpp
@@ -37,8 +37,8 @@
         for (std::size_t pool = 0; pool < has_machines.size(); ++pool) {
             if (!has_machines[pool]) continue;
             double share = largest_share(job.spec->request, input.pools[pool].total);
-            bool drawn = job.spec->kind != JobKind::gang && share <= whole_machine_share;
-            if (drawn || share > 1 || share <= largest_request_share_) continue;
+            bool is_drawn = job.spec->kind != JobKind::gang && share <= whole_machine_share;
+            if (is_drawn || share > 1 || share <= largest_request_share_) continue;
             largest_request_share_ = share;
             largest_request_ = job.spec->request;
         }
@@ -46,14 +46,14 @@
 }
 
 void PlanState::measure_spare() {
-    double usable = 0;
+    double usable_machines = 0;
     for (std::size_t machine = 0; machine < input.machines.size(); ++machine) {
         if (!input.machines[machine].usable) continue;
-        ++usable;
+        ++usable_machines;
         spare_machines_ += smallest_share(input.machines[machine].free, total(machine));
     }
     double ratio = settings.op.reserve_ratio;
-    withheld_spare_machines_ = usable * ratio / (1 + ratio);
+    withheld_spare_machines_ = usable_machines * ratio / (1 + ratio);
 }
 
 const config::Team* PlanState::team(const std::string& name) const {
@@ -87,8 +87,8 @@
     if (has_image(view, job.image)) return ImageDistance::cached;
     if (view.fetching_images.empty()) return ImageDistance::absent;
     auto& fetching = view.fetching_images;
-    bool is_fetched = std::find(fetching.begin(), fetching.end(), job.image) != fetching.end();
-    return is_fetched ? ImageDistance::being_fetched : ImageDistance::absent_behind_others;
+    bool is_being_fetched = std::find(fetching.begin(), fetching.end(), job.image) != fetching.end();
+    return is_being_fetched ? ImageDistance::being_fetched : ImageDistance::absent_behind_others;
 }
 
 bool PlanState::needs_whole_machine(const protocol::Job& job, const PoolSet& pools) const {
@@ -106,7 +106,8 @@
 }
 
 void PlanState::record_exhausted(const JobView& job, const PoolSet& pools) {
-    // What low priority leaves alone is there for others.
+    // The search for a job of low priority skips machines with resources that are withheld from low priority
+    // only, and a job that failed on some machines skips these.
     if (job.failed_on.empty() && job.priority != Priority::low)
         exhausted_.push_back({job.spec->request, pools});
 }
@@ -119,8 +120,9 @@
     return !free.fits(largest_request_);
 }
 
-// What a task takes of the free resources that others could use, in machines: nothing, if it only needs what
-// is left over there, as processors are on a machine whose GPUs are all in use.
+// Returns by how much a task on the machine reduces the spare resources, in machines. The result is 0 if the
+// task uses only resources that other tasks could not use, such as processors of a machine whose GPUs are all
+// in use.
 double PlanState::spare_machines_taken(const protocol::Job& job, std::size_t machine) const {
     auto free = input.machines[machine].free;
     double before = smallest_share(free, total(machine));
@@ -130,9 +132,9 @@
 
 bool PlanState::takes_withheld_spare(const JobView& job, std::size_t machine) const {
     if (job.priority != Priority::low) return false;
-    constexpr double nothing = 1e-9;
+    constexpr double rounding_tolerance = 1e-9;
     double taken = spare_machines_taken(*job.spec, machine);
-    return taken > nothing && spare_machines_ - taken < withheld_spare_machines_;
+    return taken > rounding_tolerance && spare_machines_ - taken < withheld_spare_machines_;
 }
 
 void PlanState::start(std::size_t job, std::uint32_t task, std::size_t machine) {
--- a/src/scheduler/plan_state.hpp
+++ b/src/scheduler/plan_state.hpp
@@ -1,7 +1,5 @@
-// The working state of one plan: the free resources that its decisions leave, and the decisions themselves.
-//
-// Owns the decisions and what it has found out about machines; the input is the caller's, and is changed with
-// each decision. Used by one thread, for one plan. Jobs, machines and pools are indices of the input.
+// The working state of one plan: the resources that remain free after its decisions, and the decisions
+// themselves.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -19,17 +17,22 @@
 
 using Machines = std::vector<std::size_t>;  // indices of `Input::machines`
 
-// How far a machine is from having a job's image, the nearest first.
+// State of a job's image on a machine, ordered by the expected time until the machine has it.
 enum class ImageDistance {
     cached,
     being_fetched,
     absent,
-    absent_behind_others,  // the machine fetches other images, which share the rate
+    absent_behind_others,  // absent, and the fetch would share the rate with fetches of other images
 };
 
-// A task that takes more than this share of a machine goes to the fullest one rather than to a drawn one.
+// A task that takes more than this share of a machine (a *whole-machine task*) is placed on the fullest
+// machine rather than on one drawn at random.
 inline constexpr double whole_machine_share = 0.5;
 
+// Holds the decisions of one plan and indexes its input.
+//
+// Owns the decisions. The input belongs to the caller, must outlive this object, and is changed with each
+// decision. Used by one thread. Jobs, machines and pools are identified by their index in the input.
 class PlanState {
   public:
     PlanState(Input& plan_input, const config::Settings& plan_settings, std::mt19937_64& generator);
@@ -50,17 +53,20 @@
         return input.pools[input.machines[machine].pool].zone_index;
     }
 
-    // --- Where a job may go ---
+    // --- Where a job may be placed ---
+
+    // Returns the pools that the job's next task may use, given where its other tasks are.
     [[nodiscard]] PoolSet pools_of(const JobView& job) const {
         return allowed_pools(*job.spec, job.zones, input.pools);
     }
-    // Whether so many more tasks of the job keep to its team's hard limit.
+    // Returns whether the team's hard limit allows `tasks` more tasks of the job. Returns false for an
+    // unknown team.
     [[nodiscard]] bool quota_allows(const protocol::Job& job, double tasks);
-    // The limits of a team; null if there is none of that name.
+    // Returns the limits of a team, or null if the settings have no team of that name.
     [[nodiscard]] const config::Team* team(const std::string& name) const;
-    // What is free on a machine and reserved for nobody.
+    // Returns the resources that are free on a machine now and not reserved.
     [[nodiscard]] protocol::Resources available(std::size_t machine) const;
-    // Calls visit(machine) for each usable machine of the pools on which the job has not failed.
+    // Calls visit(machine) for each usable machine of the pools, except those on which the job has failed.
     template <class Visitor>
     void for_each_machine(const JobView& job, const PoolSet& pools, Visitor visit) const {
         for (std::size_t pool = 0; pool < pools.size(); ++pool) {
@@ -70,32 +76,43 @@
                     visit(machine);
         }
     }
-    // Those of them on which one more task of the job fits.
+    // Returns the machines that `for_each_machine` visits and on which one more task of the job fits.
     [[nodiscard]] Machines machines_that_fit(const JobView& job, const PoolSet& pools) const;
     [[nodiscard]] ImageDistance image_distance(const JobView& job, std::size_t machine) const;
-    // Whether a task takes more than half of a machine of these pools.
+    // Returns whether one of these pools has usable machines of which a task takes more than
+    // `whole_machine_share`.
     [[nodiscard]] bool needs_whole_machine(const protocol::Job& job, const PoolSet& pools) const;
 
-    // What an earlier job of this plan found no place for, a later one that requests as much need not look
-    // for: within a plan free resources only shrink. With thousands of tasks waiting and hardly anything
-    // free, walking all machines for each of them took longer than everything else together.
+    // Returns whether the request is known to fit on no machine of the pools, because a request that is no
+    // larger did not fit earlier in this plan: within a plan, free resources only shrink. The search is then
+    // skipped. With thousands of tasks waiting and hardly anything free, scanning all machines for each task
+    // took longer than everything else together.
     [[nodiscard]] bool is_exhausted(const protocol::Resources& request, const PoolSet& pools) const;
+    // Records that the job's request fits on no machine of the pools. Ignores jobs whose search did not cover
+    // all free resources: those that avoid machines on which they failed, and those of low priority.
     void record_exhausted(const JobView& job, const PoolSet& pools);
 
-    // --- Resources kept for others ---
-    // Whether the task would take resources in which the largest whole-machine task still fits.
+    // --- Resources kept for other jobs ---
+
+    // Returns whether the largest whole-machine task fits on the machine now, but would no longer fit beside
+    // a task of this job.
     [[nodiscard]] bool splits_whole_machine(const protocol::Job& job, std::size_t machine) const;
-    // Low priority lives on what is left over, and takes none of the last spare resources: on those, higher
-    // priorities start at once. With a guest's thousands of small tasks on every machine hundreds of GPUs lay
-    // idle, and each gang waited for a place to be emptied and for its image.
+    // Returns whether the job has low priority and one more of its tasks on the machine would take spare
+    // resources that are withheld from low priority. On these resources, jobs of higher priority start at
+    // once. When a guest's thousands of small tasks occupied every machine, hundreds of GPUs were idle, and
+    // each gang had to wait for a preemption and for the fetch of its image.
     [[nodiscard]] bool takes_withheld_spare(const JobView& job, std::size_t machine) const;
 
     // --- Decisions ---
+
+    // Decides to start a task on a machine, and takes its request off the free resources. The caller removes
+    // the task from `JobView::waiting_tasks`.
     void start(std::size_t job, std::uint32_t task, std::size_t machine);
+    // Undoes the latest `start`, but keeps the image in the machine's list of images being fetched.
     void undo_last_start();
 
   private:
-    // A request that found no place in these pools.
+    // A request that fits on no machine of these pools.
     struct ExhaustedRequest {
         protocol::Resources request;
         PoolSet pools;
@@ -105,16 +122,17 @@
     [[nodiscard]] double spare_machines_taken(const protocol::Job& job, std::size_t machine) const;
 
     std::map<std::string, const config::Team*> teams_;
-    std::vector<Machines> by_pool_;  // usable ones
+    std::vector<Machines> by_pool_;  // usable machines, by pool index
     std::vector<ExhaustedRequest> exhausted_;
-    // The largest task of live jobs, those of low priority apart, that goes to the fullest machine.
+    // Request of the largest whole-machine task or gang task of the live jobs above low priority.
     protocol::Resources largest_request_;
-    double largest_request_share_ = 0;    // of a machine that it takes
-    double spare_machines_ = 0;           // free resources, in machines
-    double withheld_spare_machines_ = 0;  // how much of them low priority leaves alone
+    double largest_request_share_ =
+        0;                       // share of a machine that `largest_request_` takes; 0 if there is none
+    double spare_machines_ = 0;  // free resources of all usable machines, in machines
+    double withheld_spare_machines_ = 0;  // part of `spare_machines_` withheld from jobs of low priority
 };
 
-// Whether each pool of `part` is one of `set`.
+// Returns whether `set` contains every pool of `part`.
 [[nodiscard]] bool covers(const PoolSet& set, const PoolSet& part);
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -10,7 +10,7 @@
 using protocol::Resources;
 
 namespace {
-// Report periods after its start for which stopping a task counts as a loss by itself.
+// Time after the start of an instance within which stopping it has an extra cost.
 constexpr double start_loss_heartbeat_periods = 10;
 }  // namespace
 
@@ -34,22 +34,24 @@
     }
 }
 
-// What is lost by stopping an instance, in seconds of work.
+// Returns the cost of stopping an instance, in seconds of work.
 double Preemption::lost_work_s(const InstanceView& instance) const {
     auto& spec = *plan_.input.jobs[instance.job].spec;
     double ran = instance.running_since ? plan_.input.now - *instance.running_since : 0;
     double age = plan_.input.now - instance.placed_at;
     double lost = spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : ran;
-    // Fetching the image again, and a start that counts for little if it is stopped soon after.
+    // An instance that is stopped soon after its start has gained little from it, and its image is fetched
+    // again: the younger the instance, the larger the extra cost.
     return lost + spec.checkpoint_save_s +
            std::max(0.0, plan_.settings.heartbeat_interval_s * start_loss_heartbeat_periods - age);
 }
 
-// How long a task of the job fetches its image there.
+// Returns how long a task of the job would fetch its image on the machine, in seconds. Returns 0 if the image
+// is cached or being fetched, or if the pool's fetch rate is not positive.
 double Preemption::fetch_s(const JobView& job, std::size_t machine) const {
     double rate = plan_.input.pools[plan_.input.machines[machine].pool].fetch_gb_per_s;
-    bool at_hand = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
-    return rate <= 0 || at_hand ? 0 : job.spec->image_gb / rate;
+    bool is_nearby = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
+    return rate <= 0 || is_nearby ? 0 : job.spec->image_gb / rate;
 }
 
 std::vector<std::size_t> Preemption::preemptible_on(std::size_t job, std::size_t machine) const {
@@ -74,8 +76,8 @@
     return plan_.input.jobs[plan_.input.instances[instance].job].spec->kind == JobKind::gang;
 }
 
-// The cheapest instances to stop on a machine so that a task of the job fits there; nothing if that can't be
-// had by preemption.
+// Returns the cheapest instances to stop on a machine so that a task of the job fits there, or nothing if
+// even stopping all preemptible instances would not free enough.
 std::optional<Preemption::Choice> Preemption::cheapest_on(std::size_t job, std::size_t machine) const {
     auto& input = plan_.input;
     auto& view = input.jobs[job];
@@ -84,14 +86,15 @@
     if (plan_.takes_withheld_spare(view, machine)) return std::nullopt;
     Resources free = host.free_after_stops;
     free -= host.reserved;
-    // A place that is being emptied already always goes first: otherwise each plan would stop others.
+    // A slot that is being freed already is always preferred: otherwise each plan would stop further
+    // instances for the same task.
     if (free.fits(request))
         return Choice{{}, has_image(host, view.image) ? Source::stopping_with_image : Source::stopping, 0};
     if (lowest_rank_[machine] >= plan_.order.rank(job)) return std::nullopt;
     auto candidates = preemptible_on(job, machine);
-    Resources most = free;
-    for (auto candidate : candidates) most += plan_.request_of(input.instances[candidate]);
-    if (!most.fits(request)) return std::nullopt;
+    Resources free_at_most = free;
+    for (auto candidate : candidates) free_at_most += plan_.request_of(input.instances[candidate]);
+    if (!free_at_most.fits(request)) return std::nullopt;
     sort_by_cost(candidates);
     Choice choice{{}, Source::preemption, fetch_s(view, machine)};
     for (auto victim : candidates) {
@@ -99,9 +102,9 @@
         auto& instance = input.instances[victim];
         free += plan_.request_of(instance);
         choice.victims.push_back(victim);
-        // A gang is stopped whole.
-        double stopped = is_in_gang(victim) ? static_cast<double>(by_job_[instance.job].size()) : 1;
-        choice.lost_s += lost_work_s(instance) * stopped;
+        // If one instance of a gang is stopped, all others are stopped too.
+        double stopped_instances = is_in_gang(victim) ? static_cast<double>(by_job_[instance.job].size()) : 1;
+        choice.lost_s += lost_work_s(instance) * stopped_instances;
     }
     return choice;
 }
@@ -121,7 +124,8 @@
     }
 }
 
-// Jobs of one rank and team that request as much find nobody to preempt either, until a place is emptied.
+// Returns whether preemption failed earlier for a job of the same rank and team whose request was no larger.
+// It fails for this job too, until a further slot is freed.
 bool Preemption::is_known_to_fail(std::size_t job, const PoolSet& pools) const {
     auto& spec = *plan_.input.jobs[job].spec;
     return std::any_of(failed_.begin(), failed_.end(), [&](auto& failed) {
@@ -148,12 +152,13 @@
     }
     stop(cheapest, job);
     plan_.input.machines[*best].reserved += plan_.input.jobs[job].spec->request;
-    // A gang that is stopped whole leaves places elsewhere, too.
+    // The stopped instances may free further slots, on other machines too if a whole gang was stopped.
     if (!cheapest.victims.empty()) failed_.clear();
     return best;
 }
 
-// Undoes the reservations, and the stops after the first so many.
+// Undoes the job's reservations on the `reserved` machines, and all stops of the plan after the first
+// `stops`.
 void Preemption::undo(std::size_t job, const Machines& reserved, std::size_t stops) {
     auto& input = plan_.input;
     auto& decided = plan_.decisions.stops;
--- a/src/scheduler/rules.cpp
+++ b/src/scheduler/rules.cpp
@@ -16,8 +16,8 @@
         for (std::size_t other = 0; other < zones.size(); ++other)
             if (zones[other] > 0 && other != zone) return false;
     if (job.spread) {
-        int there = zone < zones.size() ? zones[zone] : 0;
-        if (there + 1 > static_cast<int>((job.tasks + 1) / 2)) return false;
+        int tasks_in_zone = zone < zones.size() ? zones[zone] : 0;
+        if (tasks_in_zone + 1 > static_cast<int>((job.tasks + 1) / 2)) return false;
     }
     return true;
 }
@@ -51,7 +51,7 @@
 }
 
 double checkpoint_grace_s(const protocol::Job& job) {
-    // Half as long again as the owner says, so that a slow machine still saves.
+    // 50 % more time than the job's owner states, so that a slow machine can finish saving.
     constexpr double save_margin = 1.5, extra_s = 1;
     return job.checkpoint_interval_s > 0 ? job.checkpoint_save_s * save_margin + extra_s : 0;
 }
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+// Makes one plan: places the waiting jobs in the order of their ranks.
 class Planner {
   public:
     Planner(Input& input, const config::Settings& settings, std::mt19937_64& random)
@@ -20,9 +21,11 @@
           tasks_(plan_, preemption_),
           gangs_(plan_, preemption_) {}
 
-    // Among jobs of one rank, those go first whose image is where free resources are. After a loss of many
-    // machines half of all places were fetching: each that came free went to the oldest job, whose image was
-    // elsewhere. Replicas don't wait for that, nor does a job that has waited long.
+    // Makes two passes over the jobs of each rank. The first one places tasks only on machines that have
+    // their image or are fetching it; the second one places the remaining tasks on any machine. In a single
+    // pass, after the loss of many machines, half of all slots were busy fetching images: each slot that
+    // became free went to the oldest job, whose image was on other machines. Service replicas and jobs that
+    // have waited long are placed on any machine in the first pass.
     Decisions run() {
         auto order = plan_.order.waiting_jobs();
         for (auto first = order.begin(); first != order.end();) {
@@ -41,8 +44,8 @@
         auto& view = plan_.input.jobs[job];
         if (view.waiting_tasks.empty()) return;
         bool may_wait = plan_.order.may_wait_for_image(job);
-        if (image_requirement == ImageRequirement::none && !may_wait)
-            return;  // was tried without the need the first time
+        // Such a job was allowed to use any machine in the first pass already.
+        if (image_requirement == ImageRequirement::none && !may_wait) return;
         if (!may_wait) image_requirement = ImageRequirement::none;
         if (view.spec->kind == protocol::JobKind::gang)
             gangs_.place(job, image_requirement);
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -1,7 +1,8 @@
-// What runs where: a pure function of the cluster state, the jobs and randomness.
+// The scheduler: decides which tasks start on which machines. A pure function of the cluster state, the jobs
+// and a random number generator.
 //
-// The ordinary path is the power of two choices (Mitzenmacher, "On the Analysis of Randomized Load Balancing
-// Schemes"): of two suitable machines drawn at random, a task goes to the less loaded one.
+// Most tasks are placed by the power of two choices (Mitzenmacher, "On the Analysis of Randomized Load
+// Balancing Schemes"): of two suitable machines drawn at random, a task goes to the less loaded one.
 #pragma once
 #include <random>
 
@@ -12,7 +13,8 @@
 
 namespace coralhitch::scheduler {
 
-// Decides on starts and stops. `input` is used up: it holds what is free and what teams use after the plan.
+// Returns the tasks to start and the instances to stop. Modifies `input`: afterwards it holds the resources
+// that are free, and those that teams use, once the plan has been carried out.
 [[nodiscard]] Decisions plan(Input& input, const config::Settings& settings, std::mt19937_64& random);
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -6,8 +6,8 @@
                                       ImageRequirement image_requirement) const {
     TieredMachines sets;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
-        bool near = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
-        if ((image_requirement == ImageRequirement::cached_or_being_fetched && !near) ||
+        bool is_nearby = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
+        if ((image_requirement == ImageRequirement::cached_or_being_fetched && !is_nearby) ||
             plan_.takes_withheld_spare(job, machine))
             continue;
         sets[tier_of(plan_, job, machine)].push_back(machine);
@@ -18,14 +18,15 @@
 std::optional<std::size_t> TaskPlacer::choose(const JobView& job, const PoolSet& pools,
                                               TieredMachines& sets) {
     std::optional<std::size_t> machine;
-    do {  // an earlier task may have taken the last resources that were to spare
+    do {  // earlier tasks of the job may have used up the spare resources that are not withheld
         machine = plan_.needs_whole_machine(*job.spec, pools) ? choose_fullest(plan_, job, sets)
                                                               : choose_less_loaded(plan_, sets);
     } while (machine && plan_.takes_withheld_spare(job, *machine));
     return machine;
 }
 
-// Where the job's zones matter, each start may close some to the tasks that follow.
+// Removes pools and machines that the job's next task may not use. For jobs with `spread` or `one_zone`, each
+// start may exclude zones for the following tasks.
 void TaskPlacer::drop_disallowed(const JobView& job, PoolSet& pools, TieredMachines& sets) const {
     if (!job.spec->spread && !job.spec->one_zone) return;
     auto allowed = plan_.pools_of(job);
@@ -61,7 +62,7 @@
         may_fit = false;
         ++unplaced;
         if (!preemption_.reserve_slot(index, pools)) {
-            // No other task of this job fits either, unless its zone is another one.
+            // The job's remaining tasks would fail the same way, unless they could use other zones.
             unplaced += job.waiting_tasks.size() - i - 1;
             break;
         }
--- a/src/scheduler/task_placer.hpp
+++ b/src/scheduler/task_placer.hpp
@@ -1,6 +1,4 @@
-// Places tasks that start one by one: those of arrays and services.
-//
-// Owns nothing; changes the plan through PlanState and Preemption. Jobs are indices of the input.
+// Placement of tasks that start independently of each other: those of array jobs and services.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -10,10 +8,14 @@
 
 namespace coralhitch::scheduler {
 
+// Places the array jobs and services of one plan. Has no state of its own: it changes the plan through
+// PlanState and Preemption, which must outlive it. Used by one thread. Jobs are identified by their index in
+// the input.
 class TaskPlacer {
   public:
     TaskPlacer(PlanState& plan, Preemption& preemption) : plan_(plan), preemption_(preemption) {}
-    // Starts as many waiting tasks as find a place, and preempts others for the rest.
+    // Starts as many waiting tasks as fit and the team's hard limit allows. If `image_requirement` is `none`,
+    // records tasks that do not fit as unplaced and tries to free slots for them by preemption.
     void place(std::size_t index, ImageRequirement image_requirement);
 
   private:
--- a/src/scheduler/two_choices.hpp
+++ b/src/scheduler/two_choices.hpp
@@ -10,9 +10,10 @@
 
 namespace coralhitch::scheduler {
 
-// Draws among `machines` machines at random, skips those that are not suitable, and returns the one with the
-// least load; after some fruitless rounds, the first that is suitable. Nothing: none is suitable. How many
-// are drawn a round and how many rounds there are is up to the operators.
+// Draws from the indices 0 to `machines - 1` at random, skips machines that are not suitable, and returns the
+// drawn machine with the least load. If all rounds of draws find no suitable machine, returns the first
+// suitable one, or nothing if no machine is suitable. The operators' settings `draws` and `draw_rounds` limit
+// the draws in a round and the rounds. Adds the draws, redraws and fallbacks to `counts`.
 [[nodiscard]] std::optional<std::size_t> draw(std::size_t machines,
                                               const std::function<bool(std::size_t)>& is_suitable,
                                               const std::function<double(std::size_t)>& load,
--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -1,7 +1,7 @@
-// What a plan is made from and what it decides: plain values, without behaviour.
+// The input and the output of the scheduler: plain values without behaviour.
 //
-// Machines, instances and jobs refer to each other by their index in the input. Times are steady seconds of
-// one clock, unless they are said to be unix seconds.
+// Pools, machines, instances and jobs refer to each other by their index in `Input`. Times are seconds of one
+// steady clock unless they are marked as Unix time.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -19,89 +19,102 @@
 using protocol::ImageIds;
 using protocol::Pool;
 
+// A machine as one plan sees it. The plan updates the free resources, the task counts and the image fetches
+// with each task that it starts.
 struct MachineView {
     std::string id;
-    std::size_t pool = 0;                    // index of its pool
-    bool usable = false;                     // tasks may start there
-    bool draining = false;                   // surplus: used only if there are no free resources elsewhere
-    protocol::Resources free;                // the plan's starts taken off
-    int tasks = 0;                           // with the plan's starts
-    int services = 0;                        // of `tasks`: those that run until they are cancelled
-    std::shared_ptr<const ImageIds> images;  // in its cache; null: none
-    std::vector<std::uint32_t> fetching_images;  // with those of the plan's starts
-    protocol::Resources free_after_stops;        // free once all that is being stopped has ended
-    protocol::Resources reserved;  // of `free_after_stops`, for tasks that wait until others have ended
+    std::size_t pool = 0;  // index of its pool
+    bool usable = false;   // tasks may start on the machine
+    // The autoscaler wants the machine to become empty: tasks start on it only if no other machine has enough
+    // free resources.
+    bool draining = false;
+    protocol::Resources free;                // what remains after the starts of this plan
+    int tasks = 0;                           // instances, including the starts of this plan
+    int services = 0;                        // instances in `tasks` that belong to services
+    std::shared_ptr<const ImageIds> images;  // cached images, sorted; null if there are none
+    std::vector<std::uint32_t>
+        fetching_images;                   // images being fetched, including those for starts of this plan
+    protocol::Resources free_after_stops;  // `free` plus the resources of all instances being stopped
+    protocol::Resources
+        reserved;  // part of `free_after_stops` kept for tasks that wait for instances to stop
 };
 
-// A task on a machine.
+// An instance: a task of a job on a machine.
 struct InstanceView {
     std::size_t job = 0;
     std::size_t machine = 0;
     std::uint32_t task = 0;
     bool stopping = false;
     double placed_at = 0;
-    std::optional<double> running_since;  // nothing: not reported as running so far
+    std::optional<double> running_since;  // empty until a heartbeat has reported the instance as running
 };
 
-// How many tasks of a job may be in each zone, by the zone's index.
+// Number of a job's instances in each zone, by zone index. Includes instances without evidence that they have
+// terminated.
 using ZoneCounts = std::vector<int>;
 
+// A live job as one plan sees it.
 struct JobView {
     std::shared_ptr<const protocol::Job> spec;
-    // Its own, or that of a job that depends on it.
+    // The highest priority of the job and of all jobs that depend on it.
     protocol::Priority priority = protocol::Priority::low;
-    double ready_at = 0;    // unix seconds: submitted, or since when its dependencies are done
-    bool startable = true;  // not cancelled, in no backoff, without orphaned instances
-    // Unix seconds at which it should be done, so that it and all that depend on it are in time.
+    double ready_at = 0;    // Unix time of its submission, or when the last of its dependencies was done
+    bool startable = true;  // not cancelled, not in backoff, and without orphaned instances
+    // Unix time by which the job must be done so that it and all its dependents meet their deadlines.
     double due_at = std::numeric_limits<double>::infinity();
-    std::vector<std::uint32_t> waiting_tasks;  // that the plan may start
-    std::size_t unfinished_tasks = 0;          // not done
-    ZoneCounts zones;                          // where tasks may still be
-    int active_tasks = 0;                      // that may still be on a machine
-    std::uint32_t image = 0;
-    std::set<std::string> failed_on;  // machines to which its tasks don't go again
+    std::vector<std::uint32_t> waiting_tasks;  // tasks that the plan may start
+    std::size_t unfinished_tasks = 0;          // tasks that are not done, active or not
+    ZoneCounts zones;                          // its active tasks by zone
+    int active_tasks = 0;                      // tasks with an instance that may still be on a machine
+    std::uint32_t image = 0;                   // index of its image in the cluster state
+    std::set<std::string> failed_on;           // ids of the machines on which its tasks must not start again
 };
 
+// Everything that one plan is made from. `plan` modifies it.
 struct Input {
-    double now = 0;
-    double unix_now = 0;
-    std::size_t zones = 0;  // how many there are
+    double now = 0;         // steady time
+    double unix_now = 0;    // Unix time
+    std::size_t zones = 0;  // number of zones
     std::vector<Pool> pools;
     std::vector<MachineView> machines;
     std::vector<InstanceView> instances;
     std::vector<JobView> jobs;
-    std::map<std::string, protocol::Resources> team_used;
+    std::map<std::string, protocol::Resources> team_used;  // resources in use, by team name
 };
 
+// Decision to start a task on a machine.
 struct Start {
     std::size_t job = 0;
     std::uint32_t task = 0;
     std::size_t machine = 0;
 };
 
+// Decision to stop an instance.
 struct Stop {
     std::size_t instance = 0;
-    std::size_t for_job = 0;  // the job that preempts it
+    std::size_t for_job = 0;  // index of the job that preempts the instance
 };
 
-// Tasks that may start, and found no place.
+// Number of a job's tasks that may start but for which no machine was found.
 struct UnplacedTasks {
     std::size_t job = 0;
     std::size_t count = 0;
 };
 
-// What one plan did, for metrics.
+// Counters of one plan, for metrics.
 struct PlanCounts {
-    std::uint64_t tasks = 0;    // placed
+    std::uint64_t tasks = 0;    // tasks placed
     std::uint64_t draws = 0;    // machines drawn at random
-    std::uint64_t redraws = 0;  // further rounds of draws, since too few of the machines drawn were suitable
-    std::uint64_t fallbacks = 0;  // no draw was suitable: the first suitable machine was looked for
-    std::uint64_t packed = 0;     // tasks that went to the fullest machine
+    std::uint64_t redraws = 0;  // rounds of draws after the first, made when too few machines were suitable
+    std::uint64_t fallbacks =
+        0;  // choices without a suitable draw, which scanned for the first suitable machine
+    std::uint64_t packed = 0;     // tasks placed on the fullest suitable machine
     std::uint64_t preempted = 0;  // instances to stop
 };
 
+// The decisions of one plan.
 struct Decisions {
-    std::vector<Start> starts;  // those of one gang in sequence
+    std::vector<Start> starts;  // the starts of one gang are consecutive
     std::vector<Stop> stops;
     std::vector<UnplacedTasks> unplaced;
     PlanCounts counts;
