--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -8,10 +8,10 @@
 namespace coralhitch::autoscaler {
 namespace {
 
-// A machine of which less than this is in use has nothing packed onto it.
-constexpr double rounding = 1e-9;
+// A machine of which a smaller share than this is in use counts as unused.
+constexpr double rounding_tolerance = 1e-9;
 
-// Spare capacity is what is free, in machines, once all demand is packed.
+// Makes one plan. Spare capacity is what remains free, in machines, once all demand is packed.
 class FleetPlanner {
   public:
     FleetPlanner(const Input& input, const config::Settings& settings)
@@ -31,7 +31,7 @@
     }
 
   private:
-    // How much spare capacity there should be.
+    // Returns the spare capacity that there should be, in machines.
     [[nodiscard]] double target_spare_machines() const {
         double used =
             static_cast<double>(packer_.bins().size() + packer_.suspected_machines()) - spare_machines_;
@@ -40,8 +40,8 @@
     }
     [[nodiscard]] double surplus_machines() const { return spare_machines_ - target_spare_machines(); }
 
-    // What the teams are guaranteed together, in machines of the largest type: they need not wait for it, so
-    // it is there once anybody works.
+    // Returns the sum of all teams' guaranteed quotas, in machines of the largest type. This capacity exists
+    // as soon as any machine is in use, so that no team has to wait for what it is guaranteed.
     [[nodiscard]] double guaranteed_machines() const {
         protocol::Resources guaranteed;
         protocol::Resources largest;
@@ -55,23 +55,25 @@
         return std::max(by_cpus, by_gpus);
     }
 
-    // Ordinary machines serve every job; where there are none, spot instances relieve them.
+    // Adds machines to create until the spare capacity reaches its target. Prefers on-demand machines, which
+    // any job may use. If none can be created, adds spot machines, which take load off the others.
     void add_reserve() {
-        protocol::Job any;
-        auto ordinary = scheduler::allowed_pools(any, {}, input_.pools);
-        any.spot = true;
-        auto all = scheduler::allowed_pools(any, {}, input_.pools);
+        protocol::Job any_job;
+        auto on_demand = scheduler::allowed_pools(any_job, {}, input_.pools);
+        any_job.spot = true;
+        auto all = scheduler::allowed_pools(any_job, {}, input_.pools);
         while (!input_.types.empty() && surplus_machines() < 0) {
-            if (!packer_.open_bin(any, ordinary, ZoneState::reachable) &&
-                !packer_.open_bin(any, all, ZoneState::reachable))
+            if (!packer_.open_bin(any_job, on_demand, ZoneState::reachable) &&
+                !packer_.open_bin(any_job, all, ZoneState::reachable))
                 return;
             spare_machines_ += 1;
         }
     }
 
-    // Two random choices spread tasks over all machines, so none would ever become empty. The
-    // surplus_machines is therefore left out of the draws: emptiest first, never a machine that holds a
-    // service.
+    // Chooses the surplus machines that are to become empty, those with the fewest tasks first, and never a
+    // machine that holds a service. The scheduler leaves them out of its random draws as long as other
+    // machines have enough free resources. Otherwise the two random choices would spread tasks over all
+    // machines, and none would ever become empty.
     void drain(Decisions& decisions) const {
         std::vector<const Bin*> candidates;
         for (auto& bin : packer_.bins())
@@ -82,22 +84,22 @@
         };
         std::sort(candidates.begin(), candidates.end(),
                   [&](auto* bin, auto* other) { return key(bin) < key(other); });
-        double left = surplus_machines();
+        double remaining_surplus = surplus_machines();
         for (auto* bin : candidates) {
-            if (left < 1) return;
+            if (remaining_surplus < 1) return;
             decisions.drain.insert(bin->machine->id);
-            left -= 1;
+            remaining_surplus -= 1;
         }
     }
 
-    // Empty, for long enough, and nothing that waits was packed onto it. A machine that is slow to boot is
-    // deleted like an idle one: some take several times as long as others.
+    // Returns whether the machine has been empty for long enough and no demand was packed onto it. A machine
+    // that is slow to boot is deleted like an idle one: some take several times as long as others.
     [[nodiscard]] bool is_idle(const Bin& bin) const {
         if (!bin.machine || !bin.machine->empty) return false;
         auto* type = packer_.type_of(bin.pool);
         double boot_s = type ? type->boot_s : 0;
-        bool is_untouched = packer_.free_share(bin) > 1 - rounding;
-        return is_untouched && bin.machine->idle_s > boot_s * settings_.op.idle_boots;
+        bool is_unused = packer_.free_share(bin) > 1 - rounding_tolerance;
+        return is_unused && bin.machine->idle_s > boot_s * settings_.op.idle_boots;
     }
 
     void scale_in(Decisions& decisions) const {
@@ -106,11 +108,11 @@
             if (is_idle(bin)) idle.push_back(&bin);
         auto key = [](const Bin* bin) { return std::tuple(bin->machine->booting, bin->machine->idle_s); };
         std::sort(idle.begin(), idle.end(), [&](auto* bin, auto* other) { return key(bin) > key(other); });
-        double left = surplus_machines();
+        double remaining_surplus = surplus_machines();
         for (auto* bin : idle) {
-            if (left < 1) return;
+            if (remaining_surplus < 1) return;
             decisions.scale_in.push_back(bin->machine->id);
-            left -= 1;
+            remaining_surplus -= 1;
         }
     }
 
--- a/src/autoscaler/bin_packer.cpp
+++ b/src/autoscaler/bin_packer.cpp
@@ -6,9 +6,9 @@
 
 namespace coralhitch::autoscaler {
 namespace {
-constexpr double equal_cost = 1e-9;  // costs that differ by less count as equal
+constexpr double cost_tolerance = 1e-9;  // costs that differ by less count as equal
 
-// The type of the machines that can be created in the pool; null if there is none.
+// Returns the type of the machines that can be created in the pool, or null if there is none.
 const protocol::MachineType* find_type(const std::vector<protocol::MachineType>& types,
                                        const scheduler::Pool& pool) {
     const protocol::MachineType* found = nullptr;
@@ -43,8 +43,8 @@
     return zone < input_.unreachable_zones.size() && input_.unreachable_zones[zone];
 }
 
-// What exists counts, whether or not it can be used: the limit is one of money. Without those that had not
-// reconciled yet, new leaders scaled out beyond it.
+// Every existing machine counts against the limit, available or not, because the limit bounds the cost. When
+// machines that had not reconciled yet were not counted, new leaders scaled out beyond the limit.
 bool BinPacker::has_reached_limit() const {
     auto machines = bins_.size() + last_resort_bins_.size() + input_.other_machines;
     return settings_.op.max_machines > 0 && machines >= settings_.op.max_machines;
@@ -71,12 +71,12 @@
     auto tasks_per_zone = demand.zones;
     tasks_per_zone.resize(input_.zones);
     auto pools = scheduler::allowed_pools(job, tasks_per_zone, input_.pools);
-    // The bins before these have no room for another of these tasks.
+    // No bin before these indices has enough free resources for another of these tasks.
     std::size_t next = 0;
     std::size_t next_unreachable = 0;
     for (std::size_t packed = 0; packed < demand.count; ++packed) {
-        // Machines of a zone from which no heartbeats arrive may come back any time, or late: what waits is
-        // counted on them only if there is nothing else to create.
+        // Machines of a zone from which no heartbeats arrive may become available again at any time, or late.
+        // Demand is packed on them only if no machine can be created in a reachable zone.
         auto* bin = find_or_open(job, pools, ZoneState::reachable, next);
         if (!bin) bin = find_or_open(job, pools, ZoneState::unreachable, next_unreachable);
         if (!bin) return;
@@ -110,9 +110,10 @@
     for (std::size_t candidate = 0; candidate < pools.size(); ++candidate) {
         if (!pools[candidate] || !may_create(job, candidate, zones)) continue;
         double cost = cost_per_task(job, candidate);
-        bool is_better = !best || cost < best_cost - equal_cost ||
-                         (cost < best_cost + equal_cost && machines_per_zone_[pool(candidate).zone_index] <
-                                                               machines_per_zone_[pool(*best).zone_index]);
+        bool is_better =
+            !best || cost < best_cost - cost_tolerance ||
+            (cost < best_cost + cost_tolerance &&
+             machines_per_zone_[pool(candidate).zone_index] < machines_per_zone_[pool(*best).zone_index]);
         if (!is_better) continue;
         best = candidate;
         best_cost = cost;
--- a/tests/autoscaler/autoscaler_test.cpp
+++ b/tests/autoscaler/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are created and deleted for a given demand.
+// Tests of the autoscaler: which machines are created and deleted for a given demand.
 #include "autoscaler/autoscaler.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
                                          {"g4", "z2", false, 1, {16, 4, 64}, 0.2},
                                          {"g4", "z1", true, 0, {16, 4, 64}, 0.2},
                                          {"g4", "z2", true, 1, {16, 4, 64}, 0.2}};
-// An array of tasks with a GPU each.
+// Returns an array job whose tasks request one GPU each.
 protocol::Job job(std::uint32_t tasks) {
     protocol::Job job;
     job.id = "j-1";
@@ -45,12 +45,12 @@
         for (auto& r : d.scale_out) n += r.count;
         return n;
     };
-    EXPECT_EQ(count(plan(in, s)), 3);  // two for the tasks, one in reserve
+    EXPECT_EQ(count(plan(in, s)), 3);  // two for the tasks, one as spare capacity
     for (int i = 0; i < 3; ++i) {
         MachineView b{"b" + std::to_string(i), 0, true, {}};
         in.machines.push_back(b);
     }
-    EXPECT_EQ(count(plan(in, s)), 0);  // on their way
+    EXPECT_EQ(count(plan(in, s)), 0);  // the booting machines suffice
     in.machines.clear();
     in.demand.clear();
     for (int i = 0; i < 4; ++i) {
@@ -62,14 +62,14 @@
     EXPECT_EQ(plan(in, s).scale_in.size(), 4u);
     in.machines[0].free = {8, 2, 32};
     in.machines[0].empty = false;
-    in.machines[3].booting = true;  // the first to go: it serves nobody yet
+    in.machines[3].booting = true;  // deleted first, since no task can run on it yet
     auto d = plan(in, s);
     EXPECT_EQ(d.scale_in.size(), 2u);
     EXPECT_EQ(std::count(d.scale_in.begin(), d.scale_in.end(), "u3"), 1);
     EXPECT_FALSE(std::count(d.scale_in.begin(), d.scale_in.end(), "u0"));
 }
-// Machines that can't be used exist all the same: a new leader that had not reconciled them yet scaled out
-// beyond the operators' limit.
+// Guards against scaling out beyond the operators' limit: a new leader did so because it did not count
+// machines that it had not reconciled yet.
 TEST(Autoscaler, CountsMachinesThatCannotBeUsedAgainstTheLimit) {
     struct Case {
         std::uint32_t max_machines;
@@ -111,8 +111,9 @@
     for (auto& r : plan(in, s).scale_out) EXPECT_EQ(r.pool, 1u);
 }
 
-// Machines created in a zone that is cut off are of no use until the cut ends, and those that boot there
-// must not stand for what others could do now.
+// Guards against relying on a zone that is partitioned from the leader. Machines created there can't be used
+// until the partition ends, and machines booting there must not keep the autoscaler from creating machines in
+// reachable zones.
 TEST(Autoscaler, CountsOnUnreachableZonesLast) {
     auto s = settings();
     s.op.reserve_ratio = 0;
