--- a/src/jobs/job_entry.cpp
+++ b/src/jobs/job_entry.cpp
@@ -34,7 +34,7 @@
     return pending;
 }
 
-// Asked for every job of every plan: the walk over the active tasks is made only if the counts leave it open.
+// Called for every job of every plan, so the active tasks are counted only if the totals do not decide.
 bool JobEntry::has_pending_tasks() const {
     return unfinished_count() > active.size() ||
            (done_count > 0 && unfinished_count() > active_unfinished_count());
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -23,7 +23,8 @@
     auto [position, inserted] = jobs_.try_emplace(id);
     auto& job = position->second;
     job.version = version;
-    // Never reset: a dependent of a cancelled job may be known to be cancelled before its own record says so.
+    // Never reset, because a dependent of a cancelled job may be known to be cancelled before its own record
+    // shows it.
     job.cancelled = job.cancelled || record.cancelled;
     if (auto early = early_cancellations_.extract(id)) {
         job.cancelled = true;
@@ -43,7 +44,7 @@
     return true;
 }
 
-// A new leader reads the jobs in any order: dependents of this one may be in the table already.
+// A new leader reads the jobs in any order, so dependents of this job may be in the table already.
 void JobTable::link_dependencies(const std::string& id, JobEntry& job) {
     dependencies_.add(id, job.unfinished_dependencies,
                       [&](auto& dependency) { return jobs_.contains(dependency); });
@@ -54,8 +55,8 @@
     if (job.cancelled) cancel_dependents(id);
 }
 
-// Passes the priority and the due time of a job on to its direct and transitive dependencies, as far as that
-// changes them.
+// Propagates the priority and the due time of a job to its direct and transitive dependencies that have a
+// lower priority or a later due time.
 void JobTable::propagate_urgency(const std::string& id) {
     std::vector<std::string> stack{id};
     while (!stack.empty()) {
@@ -91,7 +92,7 @@
 void JobTable::apply_outcome(const std::string& id, JobState state, std::optional<double> ended_at) {
     if (state == JobState::cancelled) cancel_dependents(id);
     for (auto& dependent : dependencies_.resolve(id)) {
-        // The dependents of a cancelled job stay blocked for good.
+        // The dependents of a cancelled job stay blocked: they never start.
         if (state != JobState::done) continue;
         auto& job = jobs_.at(dependent);
         job.unfinished_dependencies.erase(id);
@@ -124,9 +125,11 @@
     std::erase_if(early_cancellations_, [&](auto& early) { return early.second <= revision; });
 }
 
-// The live record of a cancelled job stays until its tasks are proven terminated, or a later leader would not
-// know to stop them. It also stays while the job has dependents: that those are cancelled must follow from
-// live jobs.
+// Returns whether the end of a job can be stored, which removes its live record.
+//
+// The live record of a cancelled job stays until there is evidence that all its tasks have terminated.
+// Otherwise a later leader would not know that it must stop them. The record also stays while the job has
+// dependents, because a later leader must be able to derive their cancellation from live jobs.
 bool JobTable::can_store_end(const std::string& id, const JobEntry& job, bool may_remove_cancelled) const {
     if (!job.cancelled) return job.all_done();
     return may_remove_cancelled && job.active.empty() && job.orphaned_instances == 0 &&
@@ -147,7 +150,8 @@
         else if (!job.cancelled && !job.unstored_tasks.empty())
             pending.progress.push_back(id);
     }
-    // By the age of the end, not by name: an end whose write was refused once keeps its place.
+    // Sorted by the age of the end and not by name, so that an end whose write was rejected keeps its
+    // position.
     auto older = [&](auto& a, auto& b) { return jobs_.at(a).storable_since < jobs_.at(b).storable_since; };
     for (auto* ids : {&pending.done_jobs, &pending.cancelled_jobs})
         std::stable_sort(ids->begin(), ids->end(), older);
--- a/src/jobs/job_table.hpp
+++ b/src/jobs/job_table.hpp
@@ -1,12 +1,4 @@
-// The leader's table of live jobs: their state, their dependencies, and what is still to be stored about
-// them.
-//
-// The key-value store is the authority on which jobs are live; the table is a copy of it, built by listing
-// and kept up by a watch. Records may arrive repeatedly and in any order, so each carries the version at
-// which it was stored and an older one is ignored.
-//
-// Not thread-safe: the leader changes the table under its lock, since the planner reads it from another
-// thread.
+// The leader's table of live jobs.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -23,54 +15,68 @@
 
 namespace coralhitch::jobs {
 
-// Ids of the jobs about which something can be stored now, in the order in which it is to be stored: first
-// the ends of done jobs, which users wait for, then progress, then the ends of cancelled jobs, which change
-// no answer to users. Ends are sorted by age, the oldest first.
+// Ids of the jobs about which something can be stored now. The lists are in the order in which they are to be
+// stored: first the ends of done jobs, which users wait for, then progress, then the ends of cancelled jobs,
+// which do not change any answer to users. Ends are sorted by age, the oldest first.
 struct PendingWrites {
     std::vector<std::string> done_jobs, progress, cancelled_jobs;
 };
 
+// Holds the state of all live jobs, their dependencies, and which writes about them are pending.
+//
+// The key-value store is the authority on which jobs are live. The table is a copy of it, built from a list
+// of the store and updated by a watch. Records may arrive repeatedly and in any order, so each one carries
+// the version at which it was stored, and older versions are ignored.
+//
+// Not thread-safe: the leader changes the table under its lock, since the planner reads it from another
+// thread.
 class JobTable {
   public:
-    // `value_kb`: the configured limit of a stored value, in KiB.
+    // Creates an empty table. `value_kb` is the configured size limit of a stored value, in KiB.
     explicit JobTable(double value_kb) : progress_layout_(value_kb) {}
 
-    // Null if the job is not live. Valid until the job is erased.
+    // Returns the entry of a live job, or null if the job is not live. The pointer is valid until the job is
+    // erased.
     [[nodiscard]] JobEntry* find(const std::string& id);
     [[nodiscard]] std::map<std::string, JobEntry>& entries() { return jobs_; }
     [[nodiscard]] const DependencyGraph& dependencies() const { return dependencies_; }
     [[nodiscard]] const ProgressLayout& progress_layout() const { return progress_layout_; }
 
-    // Whether the job's record at this version, or a newer one, has been applied.
+    // Returns whether this version of the job's record, or a newer one, has been applied, or the job has
+    // ended at this version or later.
     [[nodiscard]] bool has_version(const std::string& id, std::uint64_t version) const;
-    // Applies a live record that was stored at `version`. False if it is older than what is known, or of a
-    // job that has ended.
+    // Applies a live record that was stored at `version`. Returns false, and changes nothing, if
+    // `has_version` is true for it.
     bool put(const std::string& id, std::uint64_t version, protocol::JobRecord record);
-    // Applies a stored progress block; `block` is the name in its key. Ignored if the job is not live. Throws
-    // std::invalid_argument if the name is not understood.
+    // Applies a stored progress block; `block` is the name in its key. Does nothing if the job is not live.
+    // Throws std::invalid_argument if the name is malformed.
     void put_progress(const std::string& id, const std::string& block, const std::vector<bool>& bits,
                       std::uint64_t version);
 
-    // Removes a job whose end was stored at this revision.
+    // Removes a job whose end was stored at this revision. Its outcome stays unresolved until
+    // `apply_outcome`.
     void erase(const std::string& id, std::uint64_t revision);
-    // Applies how a job ended, as the key-value store says. A dependent of a done job may start once it has
-    // no other unfinished dependency; all direct and transitive dependents of a cancelled job are cancelled.
-    // `ended_at`: unix time of the end if it was just now, otherwise empty.
+    // Applies the outcome of a job that has ended, according to the key-value store. A dependent of a done
+    // job may start once it has no other unfinished dependency. All direct and transitive dependents of a
+    // cancelled job are cancelled. `ended_at` is the Unix time of the end if the job has ended just now,
+    // otherwise empty.
     void apply_outcome(const std::string& id, protocol::JobState state, std::optional<double> ended_at);
-    // The job's live record says that it is cancelled, since this version. For a job that is not in the table
-    // this is kept until its record arrives: cancellations are announced to a new leader before it has read
-    // the jobs.
+    // Marks a job, and all its direct and transitive dependents, as cancelled: its live record states this
+    // since `version`. If the job is not in the table, the cancellation is kept until the job's record
+    // arrives, because cancellations are announced to a new leader before it has read the jobs.
     void cancel(const std::string& id, std::uint64_t version);
 
-    // All changes up to this revision have been applied. Forgets jobs that ended before it, since no older
-    // record of them can arrive any more, except from a list that is being read.
+    // To be called when all changes up to this revision have been applied. Drops what is remembered about
+    // jobs that ended before it: older records of them can arrive only from a list that is being read, so
+    // while a list is in progress nothing is dropped.
     void forget_ended_before(std::uint64_t revision);
-    // While a list is being read, nothing is forgotten.
+    // Sets whether a list of the key-value store is being read.
     void set_list_in_progress(bool in_progress) { list_in_progress_ = in_progress; }
 
-    // What can be stored at `now`. Marks the jobs whose ends can be stored with the time when that was first
-    // so. `may_remove_cancelled`: no machine known from a previous leader may still hold a task of a
-    // cancelled job that is not in the table.
+    // Returns the writes that can be made at `now`, without those in flight or in backoff. Updates
+    // `JobEntry::storable_since`. `may_remove_cancelled` states that no machine known from a previous leader
+    // can still hold a task of a cancelled job that is not in the table. The ends of cancelled jobs are
+    // listed only if it is true.
     PendingWrites pending_writes(double now, bool may_remove_cancelled);
 
   private:
@@ -83,7 +89,7 @@
     std::map<std::string, JobEntry> jobs_;
     DependencyGraph dependencies_;
     bool list_in_progress_ = false;
-    // Cancellations of jobs whose records have not arrived, with the version that says so.
+    // Cancelled jobs whose records have not arrived, with the version since which they are cancelled.
     std::unordered_map<std::string, std::uint64_t> early_cancellations_;
     // Jobs that have ended, with the revision at which their end was stored.
     std::unordered_map<std::string, std::uint64_t> ended_revisions_;
--- a/src/jobs/progress_layout.cpp
+++ b/src/jobs/progress_layout.cpp
@@ -12,14 +12,15 @@
 namespace {
 constexpr std::string_view fine_prefix = "from-";
 constexpr std::size_t tasks_per_character = 4;
-constexpr std::size_t value_overhead_bytes = 32;  // of a stored value, beside its characters
+constexpr std::size_t value_overhead_bytes = 32;  // size of a stored value in addition to its characters
 constexpr std::size_t min_coarse_block_tasks = 64, min_fine_block_tasks = 256;
 
 bool is_fine(const std::string& block) {
     return block.starts_with(fine_prefix);
 }
 
-// A power of two, so that the blocks under a lower limit divide those under a higher one.
+// Returns the number of tasks in a fine block. It is a power of two, so that the blocks under a lower limit
+// divide those under a higher one.
 std::size_t fine_block_tasks(std::size_t value_bytes) {
     std::size_t tasks = min_fine_block_tasks;
     while (tasks * 2 / tasks_per_character + value_overhead_bytes <= value_bytes) tasks *= 2;
--- a/tests/jobs/dependency_graph_test.cpp
+++ b/tests/jobs/dependency_graph_test.cpp
@@ -1,4 +1,4 @@
-// DependencyGraph: edges, and dependencies whose outcome is unknown.
+// Tests of DependencyGraph: its edges, and dependencies whose outcome is unknown.
 #include "jobs/dependency_graph.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
     EXPECT_EQ(graph.unresolved(), IdSet{"x"});
     graph.mark_unresolved("a");
     EXPECT_EQ(graph.unresolved(), (IdSet{"a", "x"}));
-    graph.mark_unresolved("b");  // has no dependents: nobody needs its outcome
+    graph.mark_unresolved("b");  // has no dependents, so its outcome is not needed
     EXPECT_EQ(graph.unresolved(), (IdSet{"a", "x"}));
     EXPECT_EQ(graph.resolve("x"), IdSet{"b"});
     EXPECT_EQ(graph.unresolved(), IdSet{"a"});
--- a/tests/jobs/job_entry_test.cpp
+++ b/tests/jobs/job_entry_test.cpp
@@ -1,4 +1,4 @@
-// JobEntry: which tasks are pending.
+// Tests of JobEntry: which tasks are pending, and which are to be stored as done.
 #include "jobs/job_entry.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,8 @@
     EXPECT_FALSE(job.has_pending_tasks());
 }
 
-// An instance of a task that is done may still be active: it must not hide a pending one.
+// Guards against a miscount of pending tasks: a task that is done may still have an active instance, which
+// must not be counted in place of a pending task.
 TEST(JobEntry, FindsPendingTaskWhenADoneOneIsActive) {
     JobEntry job;
     job.done.resize(2);
--- a/tests/jobs/job_table_test.cpp
+++ b/tests/jobs/job_table_test.cpp
@@ -1,4 +1,4 @@
-// JobTable: dependencies between jobs, their outcomes, and the order in which ends are stored.
+// Tests of JobTable: dependencies between jobs, their outcomes, and the order in which ends are stored.
 #include "jobs/job_table.hpp"
 
 #include <gtest/gtest.h>
@@ -46,7 +46,7 @@
 };
 const Case cases[] = {
     {"as submitted", [](JobTable&) {}, {"a", "x"}, {}, {}},
-    {"the first is done",
+    {"the first job is done",
      [](JobTable& table) {
          table.erase("a", 50);
          table.apply_outcome("a", JobState::done, 130);
@@ -54,7 +54,7 @@
      {"b1", "b2", "x"},
      {},
      {}},
-    {"the first has left the table with its outcome unknown: it may have been cancelled",
+    {"the first job has left the table with its outcome unknown: it may have been cancelled",
      [](JobTable& table) { table.erase("a", 50); },
      {"x"},
      {},
@@ -69,19 +69,19 @@
      {"b2", "x"},
      {},
      {}},
-    {"the first is cancelled by its user",
+    {"the first job is cancelled by its user",
      [](JobTable& table) {
          table.put("a", 20, record({"a", {}, Priority::low, {}, true}));
      },
      {"x"},
      {"a", "b1", "b2", "c", "d"},
      {}},
-    {"one in the middle is cancelled, announced by a controller",
+    {"a job in the middle is cancelled, announced by a controller",
      [](JobTable& table) { table.cancel("b2", 0); },
      {"a", "x"},
      {"b2", "c", "d"},
      {}},
-    {"the first was cancelled under an earlier leader",
+    {"the first job was cancelled under an earlier leader",
      [](JobTable& table) {
          table.erase("a", 50);
          table.apply_outcome("a", JobState::cancelled, {});
@@ -111,7 +111,7 @@
 
 TEST(JobTable, BlocksJobUntilAllDependenciesAreKnownToBeDone) {
     for (auto& c : cases) {
-        for (bool backwards : {false, true}) {  // a new leader reads them in any order
+        for (bool backwards : {false, true}) {  // a new leader reads the jobs in any order
             SCOPED_TRACE(c.name);
             JobTable table(16);
             auto all = diamond;
@@ -149,11 +149,12 @@
         EXPECT_EQ(table.find("d")->due_at, 190);
         EXPECT_EQ(table.find("c")->due_at, 180);
         EXPECT_EQ(table.find("b2")->due_at, 170);
-        EXPECT_EQ(table.find("a")->due_at,
-                  160);  // leaves time for all stages in between, not only for the last
+        // Leaves time for all jobs in between, not only for the last one.
+        EXPECT_EQ(table.find("a")->due_at, 160);
     }
 }
-// A job whose last dependency was done under a previous leader is ready since its submission.
+// If a dependency was done under a previous leader, the time of its end is unknown, and a job counts as ready
+// since its submission.
 TEST(JobTable, SetsReadyTimeWhenLastDependencyIsSeenDone) {
     JobTable table(16);
     table.put("b", 2, record({"b", {"a", "a2"}}));
@@ -165,7 +166,8 @@
     EXPECT_EQ(table.find("b")->ready_at, 150);
     EXPECT_FALSE(table.find("b")->is_blocked());
 }
-// Neither recursion over what users submit nor quadratic time.
+// Guards against a stack overflow by recursion over chains of jobs that users submit, and against quadratic
+// time.
 TEST(JobTable, HandlesChainsAndJoinsOfThousandsOfJobs) {
     JobTable table(16);
     constexpr int n = 20000;
@@ -181,8 +183,8 @@
     EXPECT_TRUE(table.find("j-last")->cancelled);
 }
 
-// Ends are sorted by age, not by name; those of cancelled jobs are listed apart, since no user waits for
-// them.
+// Ends are sorted by age, not by name. The ends of cancelled jobs are listed separately, since no user waits
+// for them.
 TEST(JobTable, OrdersPendingWritesByAgeOfTheEnd) {
     JobTable table(16);
     for (auto* id : {"a", "b", "c", "d", "e"}) table.put(id, 5, record({id, {}}, 2));
@@ -196,7 +198,7 @@
     end("b", 12);
     table.find("d")->mark_done(0);
     table.cancel("e", 0);
-    table.find("c")->write_retry_at = 20;  // its write was refused once
+    table.find("c")->write_retry_at = 20;  // the store rejected its write once
     struct Case {
         const char* name;
         double now;
@@ -204,8 +206,8 @@
         std::vector<std::string> done, progress, cancelled;
     };
     const Case cases[] = {
-        {"the oldest is in backoff", 13, true, {"a", "b"}, {"d"}, {"e"}},
-        {"after its backoff it keeps its place", 20, true, {"c", "a", "b"}, {"d"}, {"e"}},
+        {"the write of the oldest end is in backoff", 13, true, {"a", "b"}, {"d"}, {"e"}},
+        {"after its backoff the oldest is first again", 20, true, {"c", "a", "b"}, {"d"}, {"e"}},
         {"machines may hold tasks of cancelled jobs", 20, false, {"c", "a", "b"}, {"d"}, {}},
     };
     for (auto& c : cases) {
@@ -215,7 +217,7 @@
         EXPECT_EQ(pending.progress, c.progress);
         EXPECT_EQ(pending.cancelled_jobs, c.cancelled);
     }
-    table.cancel("a", 0);  // by its user, before its end is stored
+    table.cancel("a", 0);  // the user cancels the job before its end is stored
     auto pending = table.pending_writes(20, true);
     EXPECT_EQ(pending.done_jobs, (std::vector<std::string>{"c", "b"}));
     EXPECT_EQ(pending.cancelled_jobs, (std::vector<std::string>{"a", "e"}));
--- a/tests/jobs/progress_layout_test.cpp
+++ b/tests/jobs/progress_layout_test.cpp
@@ -1,4 +1,4 @@
-// ProgressLayout, through the job table that uses it.
+// Tests of ProgressLayout, through the job table that uses it.
 #include "jobs/progress_layout.hpp"
 
 #include <gtest/gtest.h>
@@ -22,8 +22,8 @@
     return r;
 }
 
-// Every version must compute the same range for the same key, or the wrong tasks would be marked done. Blocks
-// of another size have names that previous versions can't parse as a number.
+// Guards against marking the wrong tasks as done, which happens if two versions compute different ranges for
+// the same key. Blocks of another size have names that previous versions can't parse as a number.
 TEST(ProgressLayout, NamesBlocksSoThatNoVersionMisreadsThem) {
     struct Case {
         std::uint32_t tasks, task;
@@ -46,7 +46,7 @@
         auto& e = *table.find("j");
         EXPECT_EQ(table.progress_layout().block_of(e.done.size(), c.task, c.value_bytes), c.block);
         for (std::uint32_t i = 0; i < c.tasks; i += 7) e.mark_done(i);
-        // What was stored under either limit is restored, and nothing else.
+        // Tasks stored under either limit are restored, and no others.
         JobTable next(16);
         next.put("j", 1, record(c.tasks));
         for (auto i : e.unstored_tasks) {
@@ -64,7 +64,7 @@
     table.put("j", 1, record(9));
     for (auto name : {"", "x", "from-", "from-x", "1x", "-1", "0/1"})
         EXPECT_THROW(table.put_progress("j", name, {true}, 7), std::invalid_argument) << name;
-    // As versions that do not know fine blocks parse the name of a block.
+    // Versions that do not know fine blocks parse the name of a block with std::stoul.
     EXPECT_THROW((void)std::stoul("from-4096"), std::invalid_argument);
 }
 
