--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -18,16 +18,18 @@
 using protocol::MachineRecord;
 
 namespace {
-// How full a page may be, of the largest value. Record sizes are estimates (`estimate_record_bytes`). Where
-// values are small, fuller pages save changes, and a page that is rejected all the same is split.
+// Size limit of a page, as a ratio of the largest value. The ratio is below 1 because record sizes are
+// estimates (`estimate_record_bytes`). Where values are small, fuller pages save changes, and a page that is
+// rejected nevertheless is split.
 constexpr double max_fill_ratio = 0.6, max_fill_ratio_of_small_values = 0.85;
 constexpr double small_value_bytes = 4 * 1024;
 constexpr std::size_t record_overhead_bytes = 32;
-// A request body holds 64 KiB; conditions and keys take some of it.
+// Limit of the records in a transaction. A request body holds 64 KiB, of which conditions and keys take a
+// part.
 constexpr std::size_t max_txn_bytes = std::size_t{48} * 1024;
-// In report periods. Machines that come up together are stored together; machines that are gone leave their
-// pages with the next write, or after the cleanup interval.
+// Machines that come up together are stored together, since writes are this far apart.
 constexpr double min_write_interval_heartbeat_periods = 1.0 / 20;
+// Machines that were removed leave their pages with the page's next write, or after this interval.
 constexpr double cleanup_interval_heartbeat_periods = 1;
 constexpr double retry_delay_heartbeat_periods = 1.0 / 10;
 constexpr double rejection_retry_delay_heartbeat_periods = 1.0 / 2;
@@ -77,7 +79,8 @@
         for (auto& [id, record] : protocol::parse_machine_page(entry.value))
             load_record(number, id, record, all);
     } catch (const protocol::Malformed& error) {
-        // Of a later version, perhaps: taken for full and left as it is, since it may hold machines.
+        // A later version may have written the page. It may hold machines, so it is left unchanged: it counts
+        // as full, and no machine is added to it.
         spdlog::error("component=machine_registry event=page_malformed key={} error=\"{}\"", entry.key,
                       error.what());
         page.is_evacuating = false;
@@ -85,7 +88,8 @@
     }
 }
 
-// A record of the layout with a key for each machine. Its key is deleted once the record is in a page.
+// Loads a record of the layout with one key for each machine. Its key is deleted once the record is in a
+// page.
 void MachineRegistry::load_single_record(const protocol::Entry& entry,
                                          std::map<std::string, MachineRecord>& all) {
     legacy_keys_.insert(entry.key);
@@ -110,8 +114,9 @@
     auto [known, is_new] = all.emplace(id, record);
     auto home = page_of_.emplace(id, number).first;
     if (is_new) return;
-    // Moved half-way by an earlier leader, or put into a second page by an older version. It stays in the
-    // page that was read first, unless that one is evacuating, and the page that it leaves is written later.
+    // The machine is in two pages, because an earlier leader did not complete its move, or because an older
+    // version put it into a second page. It stays in the page that was read first, unless that page is
+    // evacuating, and is removed from the other page, which is written later.
     if (pages_[home->second].is_evacuating) home->second = number;
     if (known->second.marked_for_deletion != record.marked_for_deletion)
         known->second.marked_for_deletion = pages_[home->second].has_new_records = true;
@@ -129,7 +134,7 @@
                                     (is_small ? max_fill_ratio_of_small_values : max_fill_ratio));
 }
 
-// The machine's page, or the first one with room for it, which may be a new one.
+// Returns the number of the machine's page, or of the first page with enough space for it, which may be new.
 std::size_t MachineRegistry::page_with_room(const std::string& id, std::size_t bytes) const {
     if (auto it = page_of_.find(id); it != page_of_.end()) return it->second;
     for (std::size_t number = 0;; ++number) {
@@ -139,7 +144,7 @@
     }
 }
 
-// After a rejection pages may hold less than they do.
+// Splits pages that exceed the size limit. To be called after a rejection, which may have lowered the limit.
 void MachineRegistry::shrink_pages() {
     auto is_too_large = [this](const Page& page) {
         return !page.is_evacuating && page.machine_ids.size() > 1 && page.bytes > max_page_bytes();
@@ -152,11 +157,11 @@
     for (auto& [number, page] : pages_) {
         if (page.version > 0 || !is_too_large(page)) continue;
         move_to_other_pages(page);
-        return shrink_pages();  // there may be new pages, and these may be too large
+        return shrink_pages();  // the move may have added pages, which may be too large as well
     }
 }
 
-// A page that was never stored needs no evacuation.
+// Moves the machines of a page that is not stored to other pages. Such a page needs no evacuation.
 void MachineRegistry::move_to_other_pages(Page& page) {
     auto ids = std::exchange(page.machine_ids, {});
     page.bytes = 0;
@@ -166,7 +171,8 @@
     for (const auto& id : ids) put(id);
 }
 
-// Puts the machines of evacuating pages into others; they are in both until that is confirmed.
+// Puts the machines of evacuating pages into other pages. They are in both pages until the new one is
+// confirmed.
 void MachineRegistry::evacuate_pages() {
     for (auto& [number, page] : pages_) {
         if (!page.is_evacuating) continue;
@@ -179,7 +185,7 @@
             unconfirmed_moves_.insert(id);
             put(id);
         }
-        if (!ids.empty()) return evacuate_pages();  // there may be new pages
+        if (!ids.empty()) return evacuate_pages();  // `put` may have added pages
     }
 }
 
@@ -206,7 +212,7 @@
     unconfirmed_moves_.erase(id);
     auto& page = pages_[it->second];
     page.machine_ids.erase(id);
-    // Its exact size is counted again when the page is written.
+    // The page's size is estimated anew, from its records, when the page is written.
     page.bytes -= std::min(page.bytes, record_overhead_bytes + id.size());
     page.has_removed_machines = true;
     page_of_.erase(it);
@@ -252,7 +258,8 @@
     write_due_pages();
 }
 
-// The answer to a write was lost, or its condition failed: which version does the key have now?
+// Reads the current version of a page's key. Called if the answer to a write was lost, or if the condition of
+// a write failed, so that the version is unknown.
 void MachineRegistry::read_version(std::size_t number) {
     is_request_pending_ = true;
     kv_.get(keys::machine_page(number), RequestPriority::write,
@@ -267,7 +274,8 @@
             }));
 }
 
-// Pages with new records go before those that only hold machines that are gone, and evacuated pages.
+// Returns the pages that are due, those with new records first, then evacuated pages and those from which
+// machines were removed.
 std::vector<std::size_t> MachineRegistry::pages_to_write() const {
     std::vector<std::size_t> numbers;
     for (const auto& [number, page] : pages_)
@@ -293,7 +301,8 @@
         }
         add_page(batch, number);
     }
-    // Only after all pages: an old key may go in the transaction that stores its record, but not before.
+    // A legacy key may be deleted in the transaction that stores its record in a page, but not earlier. So
+    // the deletions are added only if the batch has all pages that are due.
     if (batch.is_complete) add_deletions_of_legacy_keys(batch.transaction);
     last_write_at_ = timers_.now();
     if (batch.is_complete) last_cleanup_at_ = *last_write_at_;
@@ -307,7 +316,7 @@
 
 void MachineRegistry::add_page(Batch& batch, std::size_t number) {
     auto& page = pages_[number];
-    // The machines of an evacuated page are in other pages, or gone: it is written as an empty one.
+    // The machines of an evacuated page are in other pages or were removed, so the page is written as empty.
     if (std::exchange(page.is_evacuating, false)) page.machine_ids.clear();
     protocol::MachinePage records;
     page.bytes = 0;
--- a/tests/machine_registry/machine_registry_test.cpp
+++ b/tests/machine_registry/machine_registry_test.cpp
@@ -1,4 +1,5 @@
-// The machine registry: what is confirmed is stored, whatever becomes of the answers.
+// Tests of the machine registry: a record that was confirmed as stored is in the store, even if answers of
+// the store are lost or late.
 #include "machine_registry/machine_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -19,13 +20,14 @@
 
 std::set<std::string> machines_in(const FakeKeyValueStore& store) {
     std::set<std::string> out;
-    for (auto& [k, v] : store.kv)
-        if (k.starts_with(coralhitch::kv::keys::machine_pages))
-            for (auto& row : v.value.value("machines", json::array())) out.insert(row[0].get<std::string>());
+    for (auto& [key, entry] : store.kv)
+        if (key.starts_with(coralhitch::kv::keys::machine_pages))
+            for (auto& row : entry.value.value("machines", json::array()))
+                out.insert(row[0].get<std::string>());
     return out;
 }
 
-struct Bench {
+struct Fixture {
     static config::Settings settings_for(double safe_value_kb, std::uint32_t txn_ops) {
         config::Settings s;
         s.heartbeat_interval_s = 4;
@@ -36,7 +38,7 @@
         s.txn_ops = txn_ops;
         return s;
     }
-    explicit Bench(double safe_value_kb = 16, std::uint32_t txn_ops = 24)
+    explicit Fixture(double safe_value_kb = 16, std::uint32_t txn_ops = 24)
         : settings(settings_for(safe_value_kb, txn_ops)) {
         spdlog::set_level(spdlog::level::off);
     }
@@ -56,7 +58,7 @@
                               },
                               [this] { return authority ? std::optional(protocol::Txn{}) : std::nullopt; },
                               [this](const std::vector<StoredMachine>& records) {
-                                  for (auto& [id, r] : records)
+                                  for (auto& [id, record] : records)
                                       if (machines.contains(id)) confirmed.insert(id);
                               }}};
     void add(const std::string& id) {
@@ -68,19 +70,20 @@
         confirmed.erase(id);
         registry.remove(id);
     }
-    // As a new leader does at failover.
-    void fail_over(const Bench& before) {
+    // Loads the other registry's records, as a new leader does at failover.
+    void fail_over(const Fixture& before) {
         service.kv = before.service.kv;
         service.revision = before.service.revision;
         kv::ListResult listed;
         listed.status = kv::ReadStatus::ok;
-        for (auto& [k, v] : service.kv) listed.entries.push_back({k, v.value.dump(), v.version, 0});
-        for (auto& [id, r] : registry.load(listed)) {
-            machines[id] = r;
+        for (auto& [key, entry] : service.kv)
+            listed.entries.push_back({key, entry.value.dump(), entry.version, 0});
+        for (auto& [id, record] : registry.load(listed)) {
+            machines[id] = record;
             confirmed.insert(id);
         }
     }
-    // Through everything that becomes due, with a check after each step.
+    // Runs the timers for so many seconds, with regular flushes, and checks the invariant after each step.
     void run_scenario(double seconds) {
         for (double t = 0; t < seconds; t += 0.05) {
             if (static_cast<int>(t / 0.05) % 20 == 0) registry.flush();
@@ -95,71 +98,72 @@
 };
 
 TEST(MachineRegistry, StoresManyMachinesInAFewChanges) {
-    Bench b;
-    for (int k = 0; k < 600; ++k) b.add("vm-" + std::to_string(100000 + k));
-    b.timers.run_until(5);
-    EXPECT_EQ(b.confirmed.size(), 600u);
-    EXPECT_LE(b.service.changes, 10);
-    for (auto& [k, v] : b.service.kv) EXPECT_LE(v.value.dump().size(), 16u * 1024);
-    b.expect_all_confirmed_stored();
+    Fixture fixture;
+    for (int i = 0; i < 600; ++i) fixture.add("vm-" + std::to_string(100000 + i));
+    fixture.timers.run_until(5);
+    EXPECT_EQ(fixture.confirmed.size(), 600u);
+    EXPECT_LE(fixture.service.changes, 10);
+    for (auto& [key, entry] : fixture.service.kv) EXPECT_LE(entry.value.dump().size(), 16u * 1024);
+    fixture.expect_all_confirmed_stored();
 }
-// A write whose answer was lost may be executed late: it must fail then, or it would take machines that were
-// confirmed meanwhile out of their page, and the next leader would not ask for tasks on them.
+// A write whose answer was lost may be executed late. It must fail then, because otherwise it would remove
+// machines that were confirmed in the meantime from their page, and the next leader would not ask for tasks
+// on them.
 TEST(MachineRegistry, LostAndLateWritesNeverHideAConfirmedMachine) {
-    using F = FakeKeyValueStore::TxnFate;
-    const std::vector<F> cases[] = {
+    using Fate = FakeKeyValueStore::TxnFate;
+    const std::vector<Fate> cases[] = {
         {},
-        {F::answer_lost},
-        {F::executed_late},
-        {F::never_executed},
-        {F::executed_late, F::executed_late, F::answer_lost},
-        {F::answered, F::executed_late, F::answered, F::executed_late, F::never_executed}};
+        {Fate::answer_lost},
+        {Fate::executed_late},
+        {Fate::never_executed},
+        {Fate::executed_late, Fate::executed_late, Fate::answer_lost},
+        {Fate::answered, Fate::executed_late, Fate::answered, Fate::executed_late, Fate::never_executed}};
     for (auto& fates : cases) {
-        Bench b;
-        b.service.txn_fates.assign(fates.begin(), fates.end());
-        for (int k = 0; k < 12; ++k) {
-            b.add("vm-" + std::to_string(k));
-            if (k % 4 == 3) b.terminate("vm-" + std::to_string(k - 2));
+        Fixture fixture;
+        fixture.service.txn_fates.assign(fates.begin(), fates.end());
+        for (int i = 0; i < 12; ++i) {
+            fixture.add("vm-" + std::to_string(i));
+            if (i % 4 == 3) fixture.terminate("vm-" + std::to_string(i - 2));
             for (double t = 0; t < 1.5; t += 0.1) {
-                b.timers.run_until(b.timers.now() + 0.1);
-                b.expect_all_confirmed_stored();
+                fixture.timers.run_until(fixture.timers.now() + 0.1);
+                fixture.expect_all_confirmed_stored();
             }
         }
-        for (int k = 0; k < 10; ++k) {
-            b.registry.flush();
-            b.timers.run_until(b.timers.now() + 5);
+        for (int i = 0; i < 10; ++i) {
+            fixture.registry.flush();
+            fixture.timers.run_until(fixture.timers.now() + 5);
         }
-        b.expect_all_confirmed_stored();
-        EXPECT_EQ(b.confirmed.size(), b.machines.size());
-        EXPECT_EQ(machines_in(b.service).size(), b.machines.size());
+        fixture.expect_all_confirmed_stored();
+        EXPECT_EQ(fixture.confirmed.size(), fixture.machines.size());
+        EXPECT_EQ(machines_in(fixture.service).size(), fixture.machines.size());
     }
 }
 TEST(MachineRegistry, WritesNothingWithoutAuthority) {
-    Bench b;
-    b.authority = false;
-    b.add("vm-1");
-    b.timers.run_until(5);
-    EXPECT_TRUE(b.confirmed.empty());
-    EXPECT_TRUE(b.service.kv.empty());
-    b.authority = true;
-    b.registry.flush();
-    b.timers.run_until(6);
-    EXPECT_EQ(b.confirmed.size(), 1u);
+    Fixture fixture;
+    fixture.authority = false;
+    fixture.add("vm-1");
+    fixture.timers.run_until(5);
+    EXPECT_TRUE(fixture.confirmed.empty());
+    EXPECT_TRUE(fixture.service.kv.empty());
+    fixture.authority = true;
+    fixture.registry.flush();
+    fixture.timers.run_until(6);
+    EXPECT_EQ(fixture.confirmed.size(), 1u);
 }
 TEST(MachineRegistry, LoadsPagesAndTheLayoutWithAKeyForEachMachine) {
-    Bench b;
-    b.add("vm-1");
-    b.timers.run_until(1);
+    Fixture fixture;
+    fixture.add("vm-1");
+    fixture.timers.run_until(1);
     kv::ListResult listed;
     listed.status = kv::ReadStatus::ok;
-    auto& page = *b.service.kv.begin();
+    auto& page = *fixture.service.kv.begin();
     listed.entries = {{kv::keys::machines + "vm-0",
                        R"({"addr":"10.1.0.2:9","type":"g4","zone":"z1","spot":true,"condemned":true})", 3, 0},
                       {page.first, page.second.value.dump(), page.second.version, 0}};
-    Bench next;
-    next.service.kv = b.service.kv;
+    Fixture next;
+    next.service.kv = fixture.service.kv;
     next.service.kv[kv::keys::machines + "vm-0"] = {json::object(), 3};
-    for (auto& [id, r] : next.registry.load(listed)) next.machines[id] = r;
+    for (auto& [id, record] : next.registry.load(listed)) next.machines[id] = record;
     ASSERT_EQ(next.machines.size(), 2u);
     EXPECT_TRUE(next.machines["vm-0"].marked_for_deletion);
     next.registry.flush();
@@ -168,92 +172,94 @@
     EXPECT_FALSE(next.service.kv.contains(kv::keys::machines + "vm-0"));
 }
 
-// Pages filled under a larger limit are split, into more than one transaction takes. No machine may be out of
-// the store at any moment, whatever becomes of the answers: the next leader would not ask for tasks on it.
+// Pages filled under a larger limit are split, which takes several transactions. Guards against a moment at
+// which a machine is missing from the store, even if answers are lost or late: the next leader would not ask
+// for tasks on that machine.
 TEST(MachineRegistry, SplitsLargePagesWithoutAMachineEverMissing) {
-    using F = FakeKeyValueStore::TxnFate;
-    const std::vector<F> cases[] = {
-        {},
-        {F::answer_lost, F::executed_late, F::never_executed, F::answered, F::executed_late, F::answer_lost}};
+    using Fate = FakeKeyValueStore::TxnFate;
+    const std::vector<Fate> cases[] = {{},
+                                       {Fate::answer_lost, Fate::executed_late, Fate::never_executed,
+                                        Fate::answered, Fate::executed_late, Fate::answer_lost}};
     for (auto& fates : cases) {
-        Bench before;
-        for (int k = 0; k < 600; ++k) before.add("vm-" + std::to_string(100000 + k));
+        Fixture before;
+        for (int i = 0; i < 600; ++i) before.add("vm-" + std::to_string(100000 + i));
         before.timers.run_until(5);
-        Bench b(2, 8);
-        b.fail_over(before);
-        ASSERT_EQ(b.confirmed.size(), 600u);
-        b.service.value_bytes = 2048;
-        b.service.txn_ops = 8;
-        b.service.txn_fates.assign(fates.begin(), fates.end());
-        b.registry.flush();
-        b.timers.run_until(0.3);
-        b.expect_all_confirmed_stored();
-        for (int k = 0; k < 40; ++k)
-            b.terminate("vm-" + std::to_string(100007 + 11 * k));  // a wave, right then
-        b.add("vm-200000");
-        b.run_scenario(40);
-        EXPECT_EQ(b.confirmed.size(), 561u);
-        EXPECT_EQ(machines_in(b.service).size(), 561u);
-        for (auto& [k, v] : b.service.kv) EXPECT_LE(v.value.dump().size(), 2048u) << k;
-        // A leader that fails over in the middle of it finds every machine, too: the checks above stand for
-        // it.
-        Bench next(2, 8);
-        next.fail_over(b);
+        Fixture fixture(2, 8);
+        fixture.fail_over(before);
+        ASSERT_EQ(fixture.confirmed.size(), 600u);
+        fixture.service.value_bytes = 2048;
+        fixture.service.txn_ops = 8;
+        fixture.service.txn_fates.assign(fates.begin(), fates.end());
+        fixture.registry.flush();
+        fixture.timers.run_until(0.3);
+        fixture.expect_all_confirmed_stored();
+        for (int i = 0; i < 40; ++i)
+            fixture.terminate("vm-" +
+                              std::to_string(100007 + 11 * i));  // many machines fail during the split
+        fixture.add("vm-200000");
+        fixture.run_scenario(40);
+        EXPECT_EQ(fixture.confirmed.size(), 561u);
+        EXPECT_EQ(machines_in(fixture.service).size(), 561u);
+        for (auto& [key, entry] : fixture.service.kv) EXPECT_LE(entry.value.dump().size(), 2048u) << key;
+        // The checks above show that a leader would also find every machine after a failover during the
+        // split.
+        Fixture next(2, 8);
+        next.fail_over(fixture);
         EXPECT_EQ(next.machines.size(), 561u);
     }
 }
-// The limits may fall without notice, and lower than the settings say: what is refused is made smaller, and
-// refusals do not repeat for ever.
+// The store's limits may be lowered without notice, to less than the settings state. Guards against
+// rejections that repeat endlessly: rejected pages and transactions must become smaller.
 TEST(MachineRegistry, WritesSmallerPagesAfterARejection) {
     struct Case {
         std::size_t value_bytes, txn_ops;
     };
     for (auto& c : {Case{16 * 1024, 2}, Case{2048, 24}, Case{600, 3}}) {
-        Bench b;
-        for (int k = 0; k < 300; ++k) b.add("vm-" + std::to_string(100000 + k));
-        b.timers.run_until(5);
-        b.service.value_bytes = c.value_bytes;
-        b.service.txn_ops = c.txn_ops;
-        for (int k = 300; k < 420; ++k) b.add("vm-" + std::to_string(100000 + k));
-        b.run_scenario(120);
-        EXPECT_EQ(b.confirmed.size(), 420u) << c.value_bytes;
-        EXPECT_EQ(machines_in(b.service).size(), 420u) << c.value_bytes;
-        EXPECT_LE(b.client.rejections(), 24u) << c.value_bytes;
+        Fixture fixture;
+        for (int i = 0; i < 300; ++i) fixture.add("vm-" + std::to_string(100000 + i));
+        fixture.timers.run_until(5);
+        fixture.service.value_bytes = c.value_bytes;
+        fixture.service.txn_ops = c.txn_ops;
+        for (int i = 300; i < 420; ++i) fixture.add("vm-" + std::to_string(100000 + i));
+        fixture.run_scenario(120);
+        EXPECT_EQ(fixture.confirmed.size(), 420u) << c.value_bytes;
+        EXPECT_EQ(machines_in(fixture.service).size(), 420u) << c.value_bytes;
+        EXPECT_LE(fixture.client.rejections(), 24u) << c.value_bytes;
     }
 }
-// A page that can't be read may hold machines all the same: it is neither dropped as empty nor filled anew.
+// A page that can't be parsed may hold machines. Guards against deleting it as empty or overwriting it.
 TEST(MachineRegistry, LeavesAPageThatItCannotReadAsItIs) {
     for (std::size_t bytes : {10u, 4000u}) {
-        Bench before;
+        Fixture before;
         before.service.kv[kv::keys::machine_page(0)] = {json{{"later", std::string(bytes, 'x')}}, 2};
-        Bench b(2, 8);
-        b.fail_over(before);
-        b.add("vm-1");
-        b.run_scenario(12);
-        EXPECT_EQ(b.service.kv[kv::keys::machine_page(0)].version, 2u) << bytes;
-        EXPECT_EQ(b.service.kv.size(), 2u) << bytes;
+        Fixture fixture(2, 8);
+        fixture.fail_over(before);
+        fixture.add("vm-1");
+        fixture.run_scenario(12);
+        EXPECT_EQ(fixture.service.kv[kv::keys::machine_page(0)].version, 2u) << bytes;
+        EXPECT_EQ(fixture.service.kv.size(), 2u) << bytes;
     }
 }
 TEST(MachineRegistry, MergesAMachineInTwoPagesAndKeepsItsMarkForDeletion) {
     for (bool first : {true, false}) {
-        Bench before;
+        Fixture before;
         auto row = [](bool marked_for_deletion) {
             return json{{"machines", {{"vm-1", "10.1.0.1:9000", "g4", "z1", false, marked_for_deletion}}}};
         };
         before.service.kv[kv::keys::machine_page(0)] = {row(first), 2};
         before.service.kv[kv::keys::machine_page(7)] = {row(!first), 3};
-        Bench b;
-        b.fail_over(before);
-        ASSERT_EQ(b.machines.size(), 1u);
-        EXPECT_TRUE(b.machines["vm-1"].marked_for_deletion);
-        b.run_scenario(12);
-        Bench next;
-        next.fail_over(b);
+        Fixture fixture;
+        fixture.fail_over(before);
+        ASSERT_EQ(fixture.machines.size(), 1u);
+        EXPECT_TRUE(fixture.machines["vm-1"].marked_for_deletion);
+        fixture.run_scenario(12);
+        Fixture next;
+        next.fail_over(fixture);
         EXPECT_TRUE(next.machines["vm-1"].marked_for_deletion);
         EXPECT_EQ(next.service.kv.size(), 1u);
-        b.terminate("vm-1");
-        b.run_scenario(12);
-        EXPECT_TRUE(b.service.kv.empty());
+        fixture.terminate("vm-1");
+        fixture.run_scenario(12);
+        EXPECT_TRUE(fixture.service.kv.empty());
     }
 }
 
