--- a/tests/autoscaler/autoscaler_test.cpp
+++ b/tests/autoscaler/autoscaler_test.cpp
@@ -34,39 +34,39 @@
 
 TEST(Autoscaler, ScalesOutForDemandAndScalesTheSurplusIn) {
     auto s = settings();
-    Input in;
-    in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-    in.pools = pools;
-    in.zones = 2;
+    Input input;
+    input.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+    input.pools = pools;
+    input.zones = 2;
     auto waiting = job(8);
-    in.demand.push_back({&waiting, 8, {}});
-    auto count = [](const Decisions& d) {
+    input.demand.push_back({&waiting, 8, {}});
+    auto count = [](const Decisions& decisions) {
         int n = 0;
-        for (auto& r : d.scale_out) n += r.count;
+        for (auto& r : decisions.scale_out) n += r.count;
         return n;
     };
-    EXPECT_EQ(count(plan(in, s)), 3);  // two for the tasks, one as spare capacity
+    EXPECT_EQ(count(plan(input, s)), 3);  // two for the tasks, one as spare capacity
     for (int i = 0; i < 3; ++i) {
         MachineView b{"b" + std::to_string(i), 0, true, {}};
-        in.machines.push_back(b);
+        input.machines.push_back(b);
     }
-    EXPECT_EQ(count(plan(in, s)), 0);  // the booting machines suffice
-    in.machines.clear();
-    in.demand.clear();
+    EXPECT_EQ(count(plan(input, s)), 0);  // the booting machines suffice
+    input.machines.clear();
+    input.demand.clear();
     for (int i = 0; i < 4; ++i) {
         MachineView u{"u" + std::to_string(i), 0, false, {16, 4, 64}};
         u.empty = true;
         u.idle_s = 1000;
-        in.machines.push_back(u);
+        input.machines.push_back(u);
     }
-    EXPECT_EQ(plan(in, s).scale_in.size(), 4u);
-    in.machines[0].free = {8, 2, 32};
-    in.machines[0].empty = false;
-    in.machines[3].booting = true;  // deleted first, since no task can run on it yet
-    auto d = plan(in, s);
-    EXPECT_EQ(d.scale_in.size(), 2u);
-    EXPECT_EQ(std::count(d.scale_in.begin(), d.scale_in.end(), "u3"), 1);
-    EXPECT_FALSE(std::count(d.scale_in.begin(), d.scale_in.end(), "u0"));
+    EXPECT_EQ(plan(input, s).scale_in.size(), 4u);
+    input.machines[0].free = {8, 2, 32};
+    input.machines[0].empty = false;
+    input.machines[3].booting = true;  // deleted first, since no task can run on it yet
+    auto decisions = plan(input, s);
+    EXPECT_EQ(decisions.scale_in.size(), 2u);
+    EXPECT_EQ(std::count(decisions.scale_in.begin(), decisions.scale_in.end(), "u3"), 1);
+    EXPECT_FALSE(std::count(decisions.scale_in.begin(), decisions.scale_in.end(), "u0"));
 }
 // Guards against scaling out beyond the operators' limit: a new leader did so because it did not count
 // machines that it had not reconciled yet.
@@ -80,15 +80,15 @@
     for (auto& c : cases) {
         auto s = settings();
         s.op.max_machines = c.max_machines;
-        Input in;
-        in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-        in.pools = pools;
-        in.zones = 2;
-        in.other_machines = c.others;
+        Input input;
+        input.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+        input.pools = pools;
+        input.zones = 2;
+        input.other_machines = c.others;
         auto waiting = job(8);
-        in.demand.push_back({&waiting, 8, {}});
+        input.demand.push_back({&waiting, 8, {}});
         int created = 0;
-        for (auto& r : plan(in, s).scale_out) created += r.count;
+        for (auto& r : plan(input, s).scale_out) created += r.count;
         EXPECT_EQ(created, c.created) << c.max_machines << " " << c.others;
     }
 }
@@ -96,19 +96,19 @@
 TEST(Autoscaler, SkipsPoolsWithoutCapacityAndPrefersTheCheapest) {
     auto s = settings();
     s.op.reserve_ratio = 0;
-    Input in;
-    in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-    in.pools = pools;
-    in.zones = 2;
+    Input input;
+    input.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+    input.pools = pools;
+    input.zones = 2;
     auto waiting = job(1);
     waiting.spot = true;
-    in.demand.push_back({&waiting, 1, {}});
-    auto spot_first = plan(in, s).scale_out;
+    input.demand.push_back({&waiting, 1, {}});
+    auto spot_first = plan(input, s).scale_out;
     ASSERT_FALSE(spot_first.empty());
     EXPECT_TRUE(
         std::any_of(spot_first.begin(), spot_first.end(), [](auto& r) { return pools[r.pool].spot; }));
-    in.pools_without_capacity = {0, 2, 3};
-    for (auto& r : plan(in, s).scale_out) EXPECT_EQ(r.pool, 1u);
+    input.pools_without_capacity = {0, 2, 3};
+    for (auto& r : plan(input, s).scale_out) EXPECT_EQ(r.pool, 1u);
 }
 
 // Guards against relying on a zone that is partitioned from the leader. Machines created there can't be used
@@ -124,17 +124,17 @@
     };
     const Case cases[] = {{{}, 0, {1}}, {{}, 4, {1}}, {{1}, 0, {0}}, {{1}, 4, {}}};
     for (auto& c : cases) {
-        Input in;
-        in.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
-        in.pools = pools;
-        in.zones = 2;
-        in.unreachable_zones = {true, false};
-        in.pools_without_capacity = c.without_capacity;
+        Input input;
+        input.types = {{"g4", {16, 4, 64}, 100, 1, 10, 4, 30, {"z1", "z2"}}};
+        input.pools = pools;
+        input.zones = 2;
+        input.unreachable_zones = {true, false};
+        input.pools_without_capacity = c.without_capacity;
         auto waiting = job(8);
-        in.demand.push_back({&waiting, 8, {}});
-        for (int i = 0; i < c.booting_unreachable; ++i) in.machines.push_back({"b", 0, true, {}});
+        input.demand.push_back({&waiting, 8, {}});
+        for (int i = 0; i < c.booting_unreachable; ++i) input.machines.push_back({"b", 0, true, {}});
         std::set<std::size_t> created_in;
-        for (auto& r : plan(in, s).scale_out) created_in.insert(r.pool);
+        for (auto& r : plan(input, s).scale_out) created_in.insert(r.pool);
         EXPECT_EQ(created_in, c.created_in) << c.booting_unreachable;
     }
 }
