--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -97,7 +97,7 @@
         auto id = entry.key.substr(keys::machines.size());
         auto record = protocol::parse_machine_record(entry.value);
         if (page_of_.contains(id)) return;
-        auto number = page_with_room(id, estimate_record_bytes(id, record));
+        auto number = page_with_space(id, estimate_record_bytes(id, record));
         load_record(number, id, record, all);
         pages_[number].has_new_records = true;
     } catch (const protocol::Malformed& error) {
@@ -135,7 +135,7 @@
 }
 
 // Returns the number of the machine's page, or of the first page with enough space for it, which may be new.
-std::size_t MachineRegistry::page_with_room(const std::string& id, std::size_t bytes) const {
+std::size_t MachineRegistry::page_with_space(const std::string& id, std::size_t bytes) const {
     if (auto it = page_of_.find(id); it != page_of_.end()) return it->second;
     for (std::size_t number = 0;; ++number) {
         auto it = pages_.find(number);
@@ -198,7 +198,7 @@
     auto record = callbacks_.current_record(id);
     if (!record) return;
     auto bytes = estimate_record_bytes(id, *record);
-    auto number = page_with_room(id, bytes);
+    auto number = page_with_space(id, bytes);
     auto& page = pages_[number];
     if (page.machine_ids.insert(id).second) page.bytes += bytes;
     page.has_new_records = true;
--- a/src/machine_registry/machine_registry.hpp
+++ b/src/machine_registry/machine_registry.hpp
@@ -114,7 +114,7 @@
 
     // Pages and their sizes.
     [[nodiscard]] std::size_t max_page_bytes() const;
-    [[nodiscard]] std::size_t page_with_room(const std::string& id, std::size_t bytes) const;
+    [[nodiscard]] std::size_t page_with_space(const std::string& id, std::size_t bytes) const;
     void shrink_pages();
     void move_to_other_pages(Page& page);
     void evacuate_pages();
