--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -81,7 +81,7 @@
     return input_.unix_now - view.ready_at < settings_.heartbeat_interval_s * image_wait_heartbeat_periods;
 }
 
-bool JobOrder::goes_before(std::size_t job, std::size_t other) const {
+bool JobOrder::precedes(std::size_t job, std::size_t other) const {
     if (rank(job) != rank(other)) return rank(job) > rank(other);
     if (is_near_deadline(job) != is_near_deadline(other)) return is_near_deadline(job);
     auto& view = input_.jobs[job];
@@ -94,7 +94,7 @@
     std::vector<std::size_t> order;
     for (std::size_t job = 0; job < input_.jobs.size(); ++job)
         if (input_.jobs[job].startable && !input_.jobs[job].waiting_tasks.empty()) order.push_back(job);
-    std::sort(order.begin(), order.end(), [this](auto job, auto other) { return goes_before(job, other); });
+    std::sort(order.begin(), order.end(), [this](auto job, auto other) { return precedes(job, other); });
     return order;
 }
 
--- a/src/scheduler/job_order.hpp
+++ b/src/scheduler/job_order.hpp
@@ -39,7 +39,7 @@
 
   private:
     void compute_guaranteed();
-    [[nodiscard]] bool goes_before(std::size_t job, std::size_t other) const;
+    [[nodiscard]] bool precedes(std::size_t job, std::size_t other) const;
 
     const Input& input_;
     const config::Settings& settings_;
