--- a/src/scheduler/types.hpp
+++ b/src/scheduler/types.hpp
@@ -32,11 +32,11 @@
     int tasks = 0;                           // instances, including the starts of this plan
     int services = 0;                        // instances in `tasks` that belong to services
     std::shared_ptr<const ImageIds> images;  // cached images, sorted; null if there are none
-    std::vector<std::uint32_t>
-        fetching_images;                   // images being fetched, including those for starts of this plan
+    // Images being fetched, including those for starts of this plan.
+    std::vector<std::uint32_t> fetching_images;
     protocol::Resources free_after_stops;  // `free` plus the resources of all instances being stopped
-    protocol::Resources
-        reserved;  // part of `free_after_stops` kept for tasks that wait for instances to stop
+    // Part of `free_after_stops` that is kept for tasks that wait for instances to stop.
+    protocol::Resources reserved;
 };
 
 // An instance: a task of a job on a machine.
--- a/tests/jobs/job_table_test.cpp
+++ b/tests/jobs/job_table_test.cpp
@@ -153,8 +153,8 @@
         EXPECT_EQ(table.find("a")->due_at, 160);
     }
 }
-// A job whose last dependency was done under a previous leader counts as ready since its submission, because this
-// leader does not know when the dependency was done.
+// A job whose last dependency was done under a previous leader counts as ready since its submission, because
+// this leader does not know when the dependency was done.
 TEST(JobTable, SetsReadyTimeWhenLastDependencyIsSeenDone) {
     JobTable table(16);
     table.put("b", 2, record({"b", {"a", "a2"}}));
