--- a/src/jobs/job_entry.cpp
+++ b/src/jobs/job_entry.cpp
@@ -17,16 +17,16 @@
     return true;
 }
 
-std::size_t JobEntry::active_open_count() const {
+std::size_t JobEntry::active_unfinished_count() const {
     return static_cast<std::size_t>(
         std::count_if(active.begin(), active.end(), [&](auto& entry) { return !done[entry.first]; }));
 }
 
 std::vector<std::uint32_t> JobEntry::pending_tasks(std::size_t limit) {
-    while (first_open_task < done.size() && done[first_open_task]) ++first_open_task;
+    while (first_unfinished_task < done.size() && done[first_unfinished_task]) ++first_unfinished_task;
     std::vector<std::uint32_t> pending;
-    auto next_active = active.lower_bound(first_open_task);
-    for (std::uint32_t task = first_open_task; task < done.size() && pending.size() < limit; ++task) {
+    auto next_active = active.lower_bound(first_unfinished_task);
+    for (std::uint32_t task = first_unfinished_task; task < done.size() && pending.size() < limit; ++task) {
         while (next_active != active.end() && next_active->first < task) ++next_active;
         if (done[task] || (next_active != active.end() && next_active->first == task)) continue;
         pending.push_back(task);
@@ -34,9 +34,10 @@
     return pending;
 }
 
-// Asked for every job of every plan: the walk over the active tasks is made only if the counts leave it open.
+// Called for every job of every plan, so the active tasks are counted only if the totals do not decide.
 bool JobEntry::has_pending_tasks() const {
-    return open_count() > active.size() || (done_count > 0 && open_count() > active_open_count());
+    return unfinished_count() > active.size() ||
+           (done_count > 0 && unfinished_count() > active_unfinished_count());
 }
 
 }  // namespace coralhitch::jobs
--- a/src/leader/instance_tracker.cpp
+++ b/src/leader/instance_tracker.cpp
@@ -143,7 +143,7 @@
     // If a gang loses a task, all of its tasks are stopped. Its next attempt starts when all tasks of the old
     // one have terminated.
     if (job.spec->kind == JobKind::gang && !job.all_done())
-        stop_active(end.task.job, job, scheduler::grace_of(*job.spec));
+        stop_active(end.task.job, job, scheduler::checkpoint_grace_s(*job.spec));
 }
 
 // Handles a task that exited with an error. The first failures are attributed to the machine, and the task is
--- a/src/machine_registry/machine_registry.cpp
+++ b/src/machine_registry/machine_registry.cpp
@@ -18,19 +18,21 @@
 using protocol::MachineRecord;
 
 namespace {
-// How full a page may be, of the largest value. Record sizes are estimates (`bytes_of`). Where values are
-// small, fuller pages save changes, and a page that is rejected all the same is split.
+// Size limit of a page, as a ratio of the largest value. The ratio is below 1 because record sizes are
+// estimates (`estimate_record_bytes`). Where values are small, fuller pages save changes, and a page that is
+// rejected nevertheless is split.
 constexpr double max_fill_ratio = 0.6, max_fill_ratio_of_small_values = 0.85;
 constexpr double small_value_bytes = 4 * 1024;
 constexpr std::size_t record_overhead_bytes = 32;
-// A request body holds 64 KiB; conditions and keys take some of it.
+// Limit of the records in a transaction. A request body holds 64 KiB, of which conditions and keys take a
+// part.
 constexpr std::size_t max_txn_bytes = std::size_t{48} * 1024;
-// In report periods. Machines that come up together are stored together; machines that are gone leave their
-// pages with the next write, or after the cleanup interval.
-constexpr double min_write_interval_reports = 1.0 / 20;
-constexpr double cleanup_interval_reports = 1;
-constexpr double retry_reports = 1.0 / 10;
-constexpr double retry_after_rejection_reports = 1.0 / 2;
+// Machines that come up together are stored together, since writes are this far apart.
+constexpr double min_write_interval_heartbeat_periods = 1.0 / 20;
+// Machines that were removed leave their pages with the page's next write, or after this interval.
+constexpr double cleanup_interval_heartbeat_periods = 1;
+constexpr double retry_delay_heartbeat_periods = 1.0 / 10;
+constexpr double rejection_retry_delay_heartbeat_periods = 1.0 / 2;
 
 std::optional<std::size_t> page_number(const std::string& key) {
     if (!key.starts_with(keys::machine_pages)) return std::nullopt;
@@ -42,7 +44,7 @@
     return number;
 }
 
-std::size_t bytes_of(const std::string& id, const MachineRecord& record) {
+std::size_t estimate_record_bytes(const std::string& id, const MachineRecord& record) {
     return id.size() + record.addr.size() + record.type.size() + record.zone.size() + record_overhead_bytes;
 }
 }  // namespace
@@ -60,7 +62,7 @@
     for (const auto& entry : listed.entries)
         if (!page_number(entry.key)) load_single_record(entry, all);
     for (auto& [number, page] : pages_)
-        if (page.is_evacuating) page.has_new_records = page.has_removed = false;
+        if (page.is_evacuating) page.has_new_records = page.has_removed_machines = false;
 
     std::vector<StoredMachine> machines;
     machines.reserve(all.size());
@@ -77,7 +79,8 @@
         for (auto& [id, record] : protocol::parse_machine_page(entry.value))
             load_record(number, id, record, all);
     } catch (const protocol::Malformed& error) {
-        // Of a later version, perhaps: taken for full and left as it is, since it may hold machines.
+        // A later version may have written the page. It may hold machines, so it is left unchanged: it counts
+        // as full, and no machine is added to it.
         spdlog::error("component=machine_registry event=page_malformed key={} error=\"{}\"", entry.key,
                       error.what());
         page.is_evacuating = false;
@@ -85,15 +88,16 @@
     }
 }
 
-// A record of the layout with a key for each machine. Its key is deleted once the record is in a page.
+// Loads a record of the layout with one key for each machine. Its key is deleted once the record is in a
+// page.
 void MachineRegistry::load_single_record(const protocol::Entry& entry,
                                          std::map<std::string, MachineRecord>& all) {
-    old_keys_.insert(entry.key);
+    legacy_keys_.insert(entry.key);
     try {
         auto id = entry.key.substr(keys::machines.size());
         auto record = protocol::parse_machine_record(entry.value);
         if (page_of_.contains(id)) return;
-        auto number = page_with_room(id, bytes_of(id, record));
+        auto number = page_with_space(id, estimate_record_bytes(id, record));
         load_record(number, id, record, all);
         pages_[number].has_new_records = true;
     } catch (const protocol::Malformed& error) {
@@ -106,18 +110,19 @@
                                   std::map<std::string, MachineRecord>& all) {
     auto& page = pages_[number];
     page.machine_ids.insert(id);
-    page.bytes += bytes_of(id, record);
+    page.bytes += estimate_record_bytes(id, record);
     auto [known, is_new] = all.emplace(id, record);
     auto home = page_of_.emplace(id, number).first;
     if (is_new) return;
-    // Moved half-way by an earlier leader, or put into a second page by an older version. It stays in the
-    // page that was read first, unless that one is evacuating, and the page that it leaves is written later.
+    // The machine is in two pages, because an earlier leader did not complete its move, or because an older
+    // version put it into a second page. It stays in the page that was read first, unless that page is
+    // evacuating, and is removed from the other page, which is written later.
     if (pages_[home->second].is_evacuating) home->second = number;
     if (known->second.marked_for_deletion != record.marked_for_deletion)
         known->second.marked_for_deletion = pages_[home->second].has_new_records = true;
     if (home->second == number || page.is_evacuating) return;
     page.machine_ids.erase(id);
-    page.has_removed = true;
+    page.has_removed_machines = true;
 }
 
 // --- Pages and their sizes ------------------------------------------------------------------------------
@@ -129,8 +134,8 @@
                                     (is_small ? max_fill_ratio_of_small_values : max_fill_ratio));
 }
 
-// The machine's page, or the first one with room for it, which may be a new one.
-std::size_t MachineRegistry::page_with_room(const std::string& id, std::size_t bytes) const {
+// Returns the number of the machine's page, or of the first page with enough space for it, which may be new.
+std::size_t MachineRegistry::page_with_space(const std::string& id, std::size_t bytes) const {
     if (auto it = page_of_.find(id); it != page_of_.end()) return it->second;
     for (std::size_t number = 0;; ++number) {
         auto it = pages_.find(number);
@@ -139,7 +144,7 @@
     }
 }
 
-// After a rejection pages may hold less than they do.
+// Splits pages that exceed the size limit. To be called after a rejection, which may have lowered the limit.
 void MachineRegistry::shrink_pages() {
     auto is_too_large = [this](const Page& page) {
         return !page.is_evacuating && page.machine_ids.size() > 1 && page.bytes > max_page_bytes();
@@ -147,26 +152,27 @@
     for (auto& [number, page] : pages_)
         if (page.version > 0 && is_too_large(page)) {
             page.is_evacuating = true;
-            page.has_new_records = page.has_removed = false;
+            page.has_new_records = page.has_removed_machines = false;
         }
     for (auto& [number, page] : pages_) {
         if (page.version > 0 || !is_too_large(page)) continue;
         move_to_other_pages(page);
-        return shrink_pages();  // there may be new pages, and these may be too large
+        return shrink_pages();  // the move may have added pages, which may be too large as well
     }
 }
 
-// A page that was never stored needs no evacuation.
+// Moves the machines of a page that is not stored to other pages. Such a page needs no evacuation.
 void MachineRegistry::move_to_other_pages(Page& page) {
     auto ids = std::exchange(page.machine_ids, {});
     page.bytes = 0;
     page.has_new_records = false;
-    page.has_removed = true;
+    page.has_removed_machines = true;
     for (const auto& id : ids) page_of_.erase(id);
     for (const auto& id : ids) put(id);
 }
 
-// Puts the machines of evacuating pages into others; they are in both until that is confirmed.
+// Puts the machines of evacuating pages into other pages. They are in both pages until the new one is
+// confirmed.
 void MachineRegistry::evacuate_pages() {
     for (auto& [number, page] : pages_) {
         if (!page.is_evacuating) continue;
@@ -179,7 +185,7 @@
             unconfirmed_moves_.insert(id);
             put(id);
         }
-        if (!ids.empty()) return evacuate_pages();  // there may be new pages
+        if (!ids.empty()) return evacuate_pages();  // `put` may have added pages
     }
 }
 
@@ -191,8 +197,8 @@
 void MachineRegistry::put(const std::string& id) {
     auto record = callbacks_.current_record(id);
     if (!record) return;
-    auto bytes = bytes_of(id, *record);
-    auto number = page_with_room(id, bytes);
+    auto bytes = estimate_record_bytes(id, *record);
+    auto number = page_with_space(id, bytes);
     auto& page = pages_[number];
     if (page.machine_ids.insert(id).second) page.bytes += bytes;
     page.has_new_records = true;
@@ -206,9 +212,9 @@
     unconfirmed_moves_.erase(id);
     auto& page = pages_[it->second];
     page.machine_ids.erase(id);
-    // Its exact size is counted again when the page is written.
+    // The page's size is estimated anew, from its records, when the page is written.
     page.bytes -= std::min(page.bytes, record_overhead_bytes + id.size());
-    page.has_removed = true;
+    page.has_removed_machines = true;
     page_of_.erase(it);
 }
 
@@ -227,51 +233,56 @@
     return page.is_evacuating && page.version > 0 && is_evacuated(page);
 }
 
-bool MachineRegistry::is_anything_due() const {
-    if (!old_keys_.empty()) return true;
-    bool is_cleanup_due = !last_cleanup_at_ || timers_.now() - *last_cleanup_at_ >
-                                                   settings_.heartbeat_interval_s * cleanup_interval_reports;
+bool MachineRegistry::has_due_writes() const {
+    if (!legacy_keys_.empty()) return true;
+    bool is_cleanup_due =
+        !last_cleanup_at_ || timers_.now() - *last_cleanup_at_ >
+                                 settings_.heartbeat_interval_s * cleanup_interval_heartbeat_periods;
     return std::any_of(pages_.begin(), pages_.end(), [&](const auto& entry) {
         const Page& page = entry.second;
-        return page.has_new_records || (is_cleanup_due && page.has_removed) || is_deletable(page);
+        return page.has_new_records || (is_cleanup_due && page.has_removed_machines) || is_deletable(page);
     });
 }
 
 void MachineRegistry::flush() {
     if (is_request_pending_) return;
     evacuate_pages();
-    if (!is_anything_due()) return;
+    if (!has_due_writes()) return;
     if (last_write_at_) {
-        double wait_s =
-            *last_write_at_ + settings_.heartbeat_interval_s * min_write_interval_reports - timers_.now();
+        double wait_s = *last_write_at_ +
+                        settings_.heartbeat_interval_s * min_write_interval_heartbeat_periods - timers_.now();
         if (wait_s > 0) return schedule_flush(wait_s);
     }
     for (const auto& [number, page] : pages_)
-        if (page.version_unknown) return read_version(number);
+        if (page.is_version_unknown) return read_version(number);
     write_due_pages();
 }
 
-// The answer to a write was lost, or its condition failed: which version does the key have now?
+// Reads the current version of a page's key. Called if the answer to a write was lost, or if the condition of
+// a write failed, so that the version is unknown.
 void MachineRegistry::read_version(std::size_t number) {
     is_request_pending_ = true;
     kv_.get(keys::machine_page(number), RequestPriority::write,
             guarded_([this, number](kv::GetResult result) {
                 is_request_pending_ = false;
-                if (!result.ok()) return schedule_flush(settings_.heartbeat_interval_s * retry_reports);
+                if (!result.ok())
+                    return schedule_flush(settings_.heartbeat_interval_s * retry_delay_heartbeat_periods);
                 auto& page = pages_[number];
                 page.version = result.entry ? result.entry->version : 0;
-                page.version_unknown = false;
+                page.is_version_unknown = false;
                 flush();
             }));
 }
 
-// Pages with new records go before those that only hold machines that are gone, and evacuated pages.
+// Returns the pages that are due, those with new records first, then evacuated pages and those from which
+// machines were removed.
 std::vector<std::size_t> MachineRegistry::pages_to_write() const {
     std::vector<std::size_t> numbers;
     for (const auto& [number, page] : pages_)
         if (!page.is_evacuating && page.has_new_records) numbers.push_back(number);
     for (const auto& [number, page] : pages_) {
-        bool is_due = page.is_evacuating ? is_deletable(page) : !page.has_new_records && page.has_removed;
+        bool is_due =
+            page.is_evacuating ? is_deletable(page) : !page.has_new_records && page.has_removed_machines;
         if (is_due) numbers.push_back(number);
     }
     return numbers;
@@ -290,8 +301,9 @@
         }
         add_page(batch, number);
     }
-    // Only after all pages: an old key may go in the transaction that stores its record, but not before.
-    if (batch.is_complete) add_deletions_of_old_keys(batch.transaction);
+    // A legacy key may be deleted in the transaction that stores its record in a page, but not earlier. So
+    // the deletions are added only if the batch has all pages that are due.
+    if (batch.is_complete) add_deletions_of_legacy_keys(batch.transaction);
     last_write_at_ = timers_.now();
     if (batch.is_complete) last_cleanup_at_ = *last_write_at_;
     if (batch.transaction.changes.empty()) return;
@@ -299,24 +311,24 @@
     auto priority = batch.is_urgent ? RequestPriority::write : RequestPriority::background;
     kv_.txn(std::move(batch.transaction), priority,
             guarded_([this, pages = std::move(batch.pages), machines = std::move(batch.machines)](
-                         const TxnResult& result) { handle_write(pages, machines, result); }));
+                         const TxnResult& result) { handle_write_result(pages, machines, result); }));
 }
 
 void MachineRegistry::add_page(Batch& batch, std::size_t number) {
     auto& page = pages_[number];
-    // The machines of an evacuated page are in other pages, or gone: it is written as an empty one.
+    // The machines of an evacuated page are in other pages or were removed, so the page is written as empty.
     if (std::exchange(page.is_evacuating, false)) page.machine_ids.clear();
     protocol::MachinePage records;
     page.bytes = 0;
     for (const auto& id : page.machine_ids)
         if (auto record = callbacks_.current_record(id)) {
-            page.bytes += bytes_of(id, *record);
+            page.bytes += estimate_record_bytes(id, *record);
             batch.machines.push_back({id, *record});
             records.push_back({id, std::move(*record)});
         }
     batch.bytes += page.bytes;
     batch.is_urgent = batch.is_urgent || page.has_new_records;
-    page.has_new_records = page.has_removed = false;
+    page.has_new_records = page.has_removed_machines = false;
 
     auto key = keys::machine_page(number);
     batch.transaction.conditions.push_back({key, page.version});
@@ -327,16 +339,18 @@
     batch.pages.push_back({number, records.empty()});
 }
 
-void MachineRegistry::add_deletions_of_old_keys(protocol::Txn& transaction) {
+void MachineRegistry::add_deletions_of_legacy_keys(protocol::Txn& transaction) {
     auto max_changes = kv_.limits().txn_ops();
-    for (auto it = old_keys_.begin(); it != old_keys_.end() && transaction.changes.size() < max_changes;) {
+    for (auto it = legacy_keys_.begin();
+         it != legacy_keys_.end() && transaction.changes.size() < max_changes;) {
         transaction.changes.push_back({*it, std::nullopt, 0});
-        it = old_keys_.erase(it);
+        it = legacy_keys_.erase(it);
     }
 }
 
-void MachineRegistry::handle_write(const std::vector<PageWrite>& pages,
-                                   const std::vector<StoredMachine>& machines, const TxnResult& result) {
+void MachineRegistry::handle_write_result(const std::vector<PageWrite>& pages,
+                                          const std::vector<StoredMachine>& machines,
+                                          const TxnResult& result) {
     is_request_pending_ = false;
     if (result.status == TxnResult::Status::committed) {
         for (const auto& machine : machines) unconfirmed_moves_.erase(machine.id);
@@ -348,12 +362,12 @@
     for (const auto& write : pages) {
         auto& page = pages_[write.number];
         page.has_new_records = true;
-        page.version_unknown = !result.not_executed();
+        page.is_version_unknown = !result.not_executed();
     }
     bool is_rejected = result.status == TxnResult::Status::rejected;
     if (is_rejected) shrink_pages();
     schedule_flush(settings_.heartbeat_interval_s *
-                   (is_rejected ? retry_after_rejection_reports : retry_reports));
+                   (is_rejected ? rejection_retry_delay_heartbeat_periods : retry_delay_heartbeat_periods));
 }
 
 }  // namespace coralhitch::machine_registry
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -13,12 +13,13 @@
 using protocol::Resources;
 
 namespace {
-// Ratios to the report period.
-// So long a job lets others whose image is at hand go first.
-constexpr double image_wait_reports = 20;
-constexpr double near_deadline_reports = 4;
+// Time after it became ready for which a job waits for machines that have its image.
+constexpr double image_wait_heartbeat_periods = 20;
+// A job is near its deadline when less slack than this is left.
+constexpr double near_deadline_heartbeat_periods = 4;
 
-// Whether a team's guaranteed quota, of which 0 means none, holds as much.
+// Returns whether the resources are within the team's guaranteed quota. A resource with a quota of 0 is not
+// limited, but a team without any quota has no guarantee.
 bool guarantee_holds(const config::Team& team, const Resources& needed) {
     constexpr double slack = 1e-6;
     if (team.cpus <= 0 && team.gpus <= 0) return false;
@@ -30,11 +31,12 @@
 
 JobOrder::JobOrder(const Input& input, const config::Settings& settings)
     : input_(input), settings_(settings) {
-    find_guaranteed();
+    compute_guaranteed();
 }
 
-// A job is within its team's guarantee if it fits into it together with the team's earlier unfinished jobs.
-void JobOrder::find_guaranteed() {
+// A job is within its team's guarantee if its unfinished tasks fit into it together with those of the team's
+// jobs that became ready earlier.
+void JobOrder::compute_guaranteed() {
     std::map<std::string, const config::Team*> teams;
     for (auto& team : settings_.teams) teams[team.name] = &team;
     std::vector<std::size_t> by_age(input_.jobs.size());
@@ -48,7 +50,7 @@
         auto team = teams.find(spec.team);
         if (team == teams.end()) continue;
         auto& sum = needed[spec.team];
-        sum += spec.request.times(static_cast<double>(input_.jobs[job].open_tasks));
+        sum += spec.request.times(static_cast<double>(input_.jobs[job].unfinished_tasks));
         guaranteed_[job] = guarantee_holds(*team->second, sum);
     }
 }
@@ -70,16 +72,16 @@
 bool JobOrder::is_near_deadline(std::size_t job) const {
     auto& view = input_.jobs[job];
     return view.due_at - view.spec->estimated_run_s - input_.unix_now <
-           settings_.heartbeat_interval_s * near_deadline_reports;
+           settings_.heartbeat_interval_s * near_deadline_heartbeat_periods;
 }
 
 bool JobOrder::may_wait_for_image(std::size_t job) const {
     auto& view = input_.jobs[job];
     if (view.spec->kind == JobKind::service || is_near_deadline(job)) return false;
-    return input_.unix_now - view.ready_at < settings_.heartbeat_interval_s * image_wait_reports;
+    return input_.unix_now - view.ready_at < settings_.heartbeat_interval_s * image_wait_heartbeat_periods;
 }
 
-bool JobOrder::goes_before(std::size_t job, std::size_t other) const {
+bool JobOrder::precedes(std::size_t job, std::size_t other) const {
     if (rank(job) != rank(other)) return rank(job) > rank(other);
     if (is_near_deadline(job) != is_near_deadline(other)) return is_near_deadline(job);
     auto& view = input_.jobs[job];
@@ -92,7 +94,7 @@
     std::vector<std::size_t> order;
     for (std::size_t job = 0; job < input_.jobs.size(); ++job)
         if (input_.jobs[job].startable && !input_.jobs[job].waiting_tasks.empty()) order.push_back(job);
-    std::sort(order.begin(), order.end(), [this](auto job, auto other) { return goes_before(job, other); });
+    std::sort(order.begin(), order.end(), [this](auto job, auto other) { return precedes(job, other); });
     return order;
 }
 
--- a/src/scheduler/machine_choice.cpp
+++ b/src/scheduler/machine_choice.cpp
@@ -8,17 +8,18 @@
 namespace coralhitch::scheduler {
 
 namespace {
-constexpr double small_replica_share = 0.25;  // replicas that take at most this share go together
+// Replicas that take at most this share of a machine are placed on machines that hold replicas already.
+constexpr double small_replica_share = 0.25;
 
-std::size_t take_out(Machines& set, std::size_t at) {
+std::size_t remove_at(Machines& set, std::size_t at) {
     auto machine = set[at];
     set[at] = set.back();
     set.pop_back();
     return machine;
 }
 
-// How empty a machine is, for a task that goes to the fullest one. Equally full: the one that is nearest to
-// having the image.
+// Returns a score that is lowest for the fullest machine. Among equally full machines, it is lowest for the
+// one nearest to having the job's image.
 double emptiness(const PlanState& plan, const JobView& job, std::size_t machine) {
     constexpr double tie_breaker = 1e-3;
     double left = largest_share(plan.available(machine), plan.total(machine));
@@ -29,9 +30,9 @@
 std::size_t tier_of(const PlanState& plan, const JobView& job, std::size_t machine) {
     auto& view = plan.input.machines[machine];
     if (view.draining) return last_tier;
-    bool stays = job.spec->kind == protocol::JobKind::service &&
-                 largest_share(job.spec->request, plan.total(machine)) <= small_replica_share;
-    bool suitable = stays ? view.services > 0 : !plan.splits_whole_machine(*job.spec, machine);
+    bool is_small_replica = job.spec->kind == protocol::JobKind::service &&
+                            largest_share(job.spec->request, plan.total(machine)) <= small_replica_share;
+    bool suitable = is_small_replica ? view.services > 0 : !plan.splits_whole_machine(*job.spec, machine);
     return 2 * static_cast<std::size_t>(plan.image_distance(job, machine)) + (suitable ? 0 : 1);
 }
 
@@ -40,7 +41,7 @@
         auto is_suitable = [](std::size_t) { return true; };
         auto load = [&](std::size_t at) { return plan.input.machines[set[at]].tasks; };
         auto at = draw(set.size(), is_suitable, load, plan.settings.op, plan.random, plan.decisions.counts);
-        if (at) return take_out(set, *at);
+        if (at) return remove_at(set, *at);
     }
     return std::nullopt;
 }
@@ -61,7 +62,7 @@
     }
     if (!from) return std::nullopt;
     ++plan.decisions.counts.packed;
-    return take_out(*from, at);
+    return remove_at(*from, at);
 }
 
 }  // namespace coralhitch::scheduler
--- a/src/scheduler/task_placer.cpp
+++ b/src/scheduler/task_placer.cpp
@@ -2,11 +2,14 @@
 
 namespace coralhitch::scheduler {
 
-TieredMachines TaskPlacer::candidates(const JobView& job, const PoolSet& pools, ImageNeed image_need) const {
+TieredMachines TaskPlacer::candidates(const JobView& job, const PoolSet& pools,
+                                      ImageRequirement image_requirement) const {
     TieredMachines sets;
     for (auto machine : plan_.machines_that_fit(job, pools)) {
-        bool near = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
-        if ((image_need == ImageNeed::near && !near) || plan_.takes_kept_spare(job, machine)) continue;
+        bool is_nearby = plan_.image_distance(job, machine) <= ImageDistance::being_fetched;
+        if ((image_requirement == ImageRequirement::cached_or_being_fetched && !is_nearby) ||
+            plan_.takes_withheld_spare(job, machine))
+            continue;
         sets[tier_of(plan_, job, machine)].push_back(machine);
     }
     return sets;
@@ -15,14 +18,15 @@
 std::optional<std::size_t> TaskPlacer::choose(const JobView& job, const PoolSet& pools,
                                               TieredMachines& sets) {
     std::optional<std::size_t> machine;
-    do {  // an earlier task may have taken the last resources that were to spare
+    do {  // earlier tasks of the job may have used up the spare resources that are not withheld
         machine = plan_.needs_whole_machine(*job.spec, pools) ? choose_fullest(plan_, job, sets)
                                                               : choose_less_loaded(plan_, sets);
-    } while (machine && plan_.takes_kept_spare(job, *machine));
+    } while (machine && plan_.takes_withheld_spare(job, *machine));
     return machine;
 }
 
-// Where the job's zones matter, each start may close some to the tasks that follow.
+// Removes pools and machines that the job's next task may not use. For jobs with `spread` or `one_zone`, each
+// start may exclude zones for the following tasks.
 void TaskPlacer::drop_disallowed(const JobView& job, PoolSet& pools, TieredMachines& sets) const {
     if (!job.spec->spread && !job.spec->one_zone) return;
     auto allowed = plan_.pools_of(job);
@@ -32,13 +36,13 @@
         std::erase_if(set, [&](auto machine) { return !pools[plan_.input.machines[machine].pool]; });
 }
 
-void TaskPlacer::place(std::size_t index, ImageNeed image_need) {
+void TaskPlacer::place(std::size_t index, ImageRequirement image_requirement) {
     auto& job = plan_.input.jobs[index];
     auto& spec = *job.spec;
     auto pools = plan_.pools_of(job);
     bool may_fit = !plan_.is_exhausted(spec.request, pools);
     TieredMachines sets;
-    if (may_fit) sets = candidates(job, pools, image_need);
+    if (may_fit) sets = candidates(job, pools, image_requirement);
     std::size_t unplaced = 0;
     std::size_t placed = 0;
     for (std::size_t i = 0; i < job.waiting_tasks.size(); ++i) {
@@ -53,12 +57,12 @@
             drop_disallowed(job, pools, sets);
             continue;
         }
-        if (image_need == ImageNeed::near) break;
+        if (image_requirement == ImageRequirement::cached_or_being_fetched) break;
         if (may_fit) plan_.record_exhausted(job, pools);
         may_fit = false;
         ++unplaced;
-        if (!preemption_.reserve_place(index, pools)) {
-            // No other task of this job fits either, unless its zone is another one.
+        if (!preemption_.reserve_slot(index, pools)) {
+            // The job's remaining tasks would fail the same way, unless they could use other zones.
             unplaced += job.waiting_tasks.size() - i - 1;
             break;
         }
--- a/tests/jobs/job_entry_test.cpp
+++ b/tests/jobs/job_entry_test.cpp
@@ -1,4 +1,4 @@
-// JobEntry: which tasks are pending.
+// Tests of JobEntry: which tasks are pending, and which are to be stored as done.
 #include "jobs/job_entry.hpp"
 
 #include <gtest/gtest.h>
@@ -14,14 +14,15 @@
     job.active[2] = {"vm-1", protocol::AttemptNumber{1}, 0};
     EXPECT_EQ(job.pending_tasks(10), (Tasks{1, 3, 4}));
     EXPECT_EQ(job.pending_tasks(2), (Tasks{1, 3}));
-    EXPECT_EQ(job.open_count(), 4u);
+    EXPECT_EQ(job.unfinished_count(), 4u);
     EXPECT_TRUE(job.has_pending_tasks());
     for (std::uint32_t task : {1u, 3u, 4u}) job.mark_done(task);
     EXPECT_TRUE(job.pending_tasks(10).empty());
     EXPECT_FALSE(job.has_pending_tasks());
 }
 
-// An instance of a task that is done may still be active: it must not hide a pending one.
+// Guards against a miscount of pending tasks: a task that is done may still have an active instance, which
+// must not be counted in place of a pending task.
 TEST(JobEntry, FindsPendingTaskWhenADoneOneIsActive) {
     JobEntry job;
     job.done.resize(2);
