--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-// In heartbeat periods.
 constexpr double check_interval_periods = 1.0 / 3;
-// Long enough for every worker that turns away from a leader to come by; the ages in pings say which came
-// since.
+// A machine is listed in pings for this long after its last heartbeat. This is long enough for every agent
+// that leaves a leader to send a heartbeat here. The heartbeat ages in the pings show which heartbeats
+// arrived after the agent left.
 constexpr double recent_heartbeat_periods = 3;
 
-// In worker leases.
-constexpr double late_copy_leases = 8;  // within which copies of a heartbeat may come
-// After resigning, a controller keeps its next leadership for so long, even if it receives no heartbeats.
+// Delayed copies of a heartbeat may arrive for this long, relative to the agents' lease.
+constexpr double late_copy_leases = 8;
+// Minimum time between two resignations, relative to the agents' lease. A controller that is elected again
+// earlier keeps its leadership even if it receives no heartbeats.
 constexpr double resign_interval_leases = 4;
 
 }  // namespace
@@ -82,7 +83,8 @@
 
 void Controller::on_elected(protocol::LeaderVersion version) {
     auto dependencies = leader_dependencies();
-    // The leader keeps its own account; what is kept here says only whose heartbeats came since it led.
+    // The leader records heartbeats itself. The tracker must list only machines whose heartbeats arrive here
+    // after this leadership.
     heartbeat_tracker_.reset_recent();
     leader_.begin(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
     heartbeats_.take_back_from_relay();
@@ -119,7 +121,8 @@
     leader_.end();
 }
 
-// Whether the leader is to resign for its self-suspicion; remembered if so.
+// Returns true, and records the time, if the leader may resign because it suspects that it is cut off itself.
+// Returns false if the last resignation was too recent.
 bool Controller::resign_leadership() {
     const double now = timers_.now();
     if (last_resigned_at_ && now - *last_resigned_at_ < settings_.lease_s * resign_interval_leases)
@@ -154,13 +157,14 @@
     peer_messages_.serve(request, reply);
 }
 
-// --- For the user API -----------------------------------------------------------------------------------
+// --- api::ClusterQueries -----------------------------------------------------------------------------------
 
 void Controller::task_counts(const std::string& id, TaskCountsCallback done) {
     task_counts_.query(id, done);
 }
 
-// The other controllers are notified also if this one leads: its lease may have expired without its knowing.
+// Notifies the other controllers even if this one leads, because its lease may have expired without its
+// noticing.
 void Controller::notify_cancelled(const std::string& id, std::uint64_t version) {
     if (leader_) leader_->cancelled(id, version);
     cancellations_.announce(id, version,
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,6 +1,7 @@
-// One controller: puts its parts together, follows the election, and holds the leader object while it leads.
+// One controller without its network: creates its components, reacts to election results, and holds the
+// leader object while it leads.
 //
-// Everything runs on the event loop's thread.
+// All functions run on the event loop's thread.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -31,31 +32,34 @@
 
 namespace coralhitch::controller {
 
-// A controller without its network: requests come in through `serve` and `serve_peer`.
+// A controller process without its HTTP servers: requests are passed to `serve` and `serve_peer`.
 class Controller : public api::ClusterQueries {
   public:
-    // All references must outlive the controller. `seed`: of its random numbers, its incarnation among them.
+    // All references must outlive the controller. `seed` initialises the random number generator, which also
+    // generates the incarnation.
     Controller(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings,
                leader::Planner& planner, std::uint64_t seed);
     ~Controller() override;
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
 
-    // Stands for election and sends from now on. Once.
+    // Starts to take part in the election and to send requests. Call once.
     void start();
-    // A request of a user, worker, load balancer or Prometheus. `reply` is called at once or later.
+    // Serves a request of a user, an agent, the load balancer or Prometheus. Calls `reply` before it returns
+    // or later.
     void serve(http::Request request, http::Reply reply);
-    // A request of another controller.
+    // Serves a request of another controller.
     void serve_peer(const http::Request& request, const http::Reply& reply);
 
-    // To be reported in metrics and in the log; `sockets` must outlive the controller.
+    // Includes the use of `sockets` in the metrics and the log. `sockets` must outlive the controller.
     void watch_sockets(const http::SocketBudget& sockets);
+    // Returns the counts of heartbeats that this controller rejected.
     [[nodiscard]] relay::HeartbeatRejections& heartbeat_rejections() { return heartbeats_.rejections(); }
 
     [[nodiscard]] bool leads() const { return static_cast<bool>(leader_); }
     [[nodiscard]] bool healthy() const { return health_.healthy(); }
 
-    // What the user API needs to know of the cluster.
+    // Implementation of api::ClusterQueries, for the user API.
     const std::vector<protocol::MachineType>& machine_types() const override {
         return machine_types_.types();
     }
@@ -76,9 +80,9 @@
     std::mt19937_64 random_;
     protocol::Incarnation incarnation_;
     metrics::Metrics metrics_;
-    std::optional<double> last_resigned_at_;  // steady seconds
+    std::optional<double> last_resigned_at_;  // seconds of the steady clock
 
-    // Each may refer to those before it.
+    // In order of construction: each member may hold references to the members above it.
     kv::KvClient kv_;
     KvReachability kv_reachability_;
     election::Election election_;
--- a/src/controller/local_leader.hpp
+++ b/src/controller/local_leader.hpp
@@ -1,7 +1,8 @@
-// The leader object of this process, while this controller leads.
+// Gives access to the leader object of this process, which exists while this controller leads.
 //
-// `Controller` alone begins and ends it; all other parts ask whether there is one and call its public
-// functions. It may be gone after any call that returns to the event loop: don't keep the pointer.
+// Only `Controller` sets and removes the leader object. All other components check that there is one and call
+// its public functions. They must not keep the pointer, because the leader object may be removed whenever
+// control returns to the event loop.
 #pragma once
 #include <memory>
 #include <utility>
@@ -10,21 +11,22 @@
 
 namespace coralhitch::controller {
 
-// Holds the leader object, or none.
+// An owner of the leader object; empty while this controller does not lead. Not thread safe.
 class LocalLeader {
   public:
-    // This controller leads from now on.
+    // Stores and starts the leader object of a new leadership.
     void begin(std::shared_ptr<leader::Leader> leader) {
         leader_ = std::move(leader);
         leader_->start();
     }
-    // Nothing if this controller does not lead.
+    // Stops and removes the leader object. Does nothing if this controller does not lead.
     void end() {
         if (leader_) leader_->stop();
         leader_.reset();
     }
-    // Whether this controller leads; only then may the leader be called.
+    // Returns true if this controller leads.
     explicit operator bool() const { return leader_ != nullptr; }
+    // Returns the leader object. Must not be called while this controller does not lead.
     leader::Leader* operator->() const { return leader_.get(); }
 
   private:
--- a/src/controller/version.hpp
+++ b/src/controller/version.hpp
@@ -1,4 +1,4 @@
-// What `coralhitch --version` prints.
+// The version text that `coralhitch --version` prints.
 #pragma once
 #include <string_view>
 
