--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -4,7 +4,7 @@
 
 namespace coralhitch::controller {
 namespace {
-// Heartbeat periods for which the others must have been able to serve users alone.
+// A controller becomes unhealthy when only its peers have been able to serve users for this long.
 constexpr double unhealthy_after_periods = 1.0 / 2;
 }  // namespace
 
@@ -14,8 +14,8 @@
            timers_.now() - *unable_since_ < settings_.heartbeat_interval_s * unhealthy_after_periods;
 }
 
-// A controller that no other one pings either is the one that is cut off, as far as it can know: the balancer
-// would leave its users with it for as long as that lasts.
+// Also returns true if no peer has pinged recently: then this controller is probably the one that is cut off,
+// and the load balancer would otherwise keep sending users to it until the network has recovered.
 bool HealthMonitor::others_may_serve() const {
     if (peers_.peer_that_reaches_kv(0)) return true;
     return peers_.has_peers() && !peers_.any_reachable();
--- a/src/controller/health_monitor.hpp
+++ b/src/controller/health_monitor.hpp
@@ -1,9 +1,11 @@
-// Whether the load balancer should send users to this controller.
+// Decides if the load balancer should send users to this controller.
 //
-// Users are better served by a controller that reaches the key-value store. If none does, going away and
-// coming back slowly would only add to the outage. Each removal makes the balancer's next pause twice as
-// long, up to a minute: so a lost answer is no reason for one.
-// May touch: the key-value store (one read for each check); reads what peers said.
+// Users are better served by a controller that reaches the key-value store. If no controller reaches it,
+// becoming unhealthy would only prolong the outage: the load balancer sends no users to a removed controller
+// for some time, which doubles with each removal, up to one minute. For the same reason, a single lost answer
+// of the key-value store does not make a controller unhealthy.
+//
+// Side effects: one read of the key-value store for each check. Uses the last pings of the peers.
 #pragma once
 #include <optional>
 
@@ -16,7 +18,7 @@
 
 namespace coralhitch::controller {
 
-// Answers the load balancer's question whether this controller is healthy.
+// The state behind the health check that the load balancer requests. Not thread safe.
 class HealthMonitor {
   public:
     HealthMonitor(const event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
@@ -31,10 +33,12 @@
     HealthMonitor(const HealthMonitor&) = delete;  // callbacks refer to it
     HealthMonitor& operator=(const HealthMonitor&) = delete;
 
-    // To be called several times in a heartbeat period. Reads a key, so that there is an answer to go by.
+    // Updates the state and reads a key, so that reachability does not depend on other requests. Must be
+    // called several times in each heartbeat period.
     void check();
-    // False until the key-value store has answered once and the machine types are known; later while only
-    // other controllers can serve users, and have been able to for some time.
+    // Returns false until the key-value store has answered once and the machine types are known. Later
+    // returns false if for the last half heartbeat period this controller did not reach the key-value store
+    // and either a peer did, or no peer pinged this controller.
     [[nodiscard]] bool healthy() const;
 
   private:
@@ -47,7 +51,8 @@
     const PeerMonitor& peers_;
     const MachineTypeCatalog& machine_types_;
     bool kv_has_answered_ = false;
-    std::optional<double> unable_since_;  // steady seconds; that others may serve users and this one can't
+    // Seconds of the steady clock; since when peers can serve users and this controller cannot.
+    std::optional<double> unable_since_;
 };
 
 }  // namespace coralhitch::controller
--- a/src/controller/kv_queues.hpp
+++ b/src/controller/kv_queues.hpp
@@ -1,4 +1,5 @@
-// The key-value store client's queues that are shown to operators, with their names in metrics and log.
+// The request queues of the key-value store client that appear in metrics and the log, with their names
+// there.
 #pragma once
 #include <array>
 
@@ -6,12 +7,12 @@
 
 namespace coralhitch::controller {
 
-// One queue of requests: its priority at the client, and its name for operators.
+// A queue of requests to the key-value store: its priority at the client and its name in metrics and the log.
 struct KvQueue {
     kv::RequestPriority priority;
     const char* name;
 };
-// All that are shown.
+// All queues that appear in metrics and the log.
 inline constexpr std::array<KvQueue, 4> kv_queues = {{{kv::RequestPriority::cancellation, "cancellations"},
                                                       {kv::RequestPriority::submission, "acceptances"},
                                                       {kv::RequestPriority::write, "writes"},
--- a/src/controller/kv_reachability.hpp
+++ b/src/controller/kv_reachability.hpp
@@ -1,17 +1,17 @@
-// Whether this controller reaches the key-value store: its last request was answered, and that not long ago.
-// Reads the client's figures only; sends nothing.
+// Tells if this controller reaches the key-value store: the last request was answered, and recently.
+// Reads only the client's statistics and sends no requests.
 #pragma once
 #include "config/settings.hpp"
 #include "kv/kv_client.hpp"
 
 namespace coralhitch::controller {
 
-// Tells whether the key-value store has answered lately.
+// A predicate on the key-value store client: whether the store has answered recently.
 class KvReachability {
   public:
     // Both must outlive this.
     KvReachability(const kv::KvClient& kv, const config::Settings& settings) : kv_(kv), settings_(settings) {}
-    // True if a request was answered within the last heartbeat period.
+    // Returns true if the last request was answered and an answer arrived within the last heartbeat period.
     [[nodiscard]] bool reachable() const { return kv_.answered_within(settings_.heartbeat_interval_s); }
 
   private:
