--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -11,7 +11,7 @@
 
 namespace coralhitch::controller {
 namespace {
-constexpr std::size_t heartbeats_per_turn = 16;  // in between other events
+constexpr std::size_t heartbeats_per_turn = 16;  // handled before other events get their turn
 }  // namespace
 
 HeartbeatIntake::HeartbeatIntake(HeartbeatIntakeDependencies dependencies)
@@ -60,8 +60,9 @@
     redirect(heartbeat.reply);
 }
 
-// Throws protocol::Malformed. To read no more of a heartbeat than whose it is leaves time for others: without
-// a leader every worker calls each second.
+// Records the heartbeat in the tracker; throws protocol::Malformed if it cannot be parsed. Reads only the
+// machine, the agent epoch and the sequence number where possible, to save time: without a leader every agent
+// sends a heartbeat each second.
 void HeartbeatIntake::record(const std::string& body) {
     const double now = dependencies_.timers.now();
     if (auto outline = protocol::outline_heartbeat(body)) {
@@ -78,7 +79,8 @@
     reply({421, protocol::heartbeat_redirect(peer ? peer->config.label : "")});
 }
 
-// The leader, if its version takes heartbeats from others.
+// Returns the leading peer, or an empty endpoint if relaying is switched off, this controller leads, the
+// leader is unknown, or the leader's version does not accept relayed heartbeats.
 relay::LeaderEndpoint HeartbeatIntake::relay_target() const {
     auto* peer = dependencies_.peers.leading_peer();
     if (dependencies_.leader || !dependencies_.settings.op.relay_heartbeats || !peer ||
--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -1,10 +1,13 @@
-// Heartbeats of workers that were sent to this controller.
+// Handles the heartbeats that agents send to this controller.
 //
-// Heartbeats are most of the work. They are read as they come, but handled a few at a time in between other
-// events: after a failover, when every worker calls at once, users, health checks and the renewal of the
-// leader's lease must not wait behind all of them. Each goes to the local leader if there is one, otherwise
-// through the relay to the leader, otherwise its worker is redirected (421).
-// May touch: the local leader, the relay (which sends to the leading peer), the heartbeat tracker.
+// Heartbeats are most of a controller's work. They are read as they arrive, but handled in small batches in
+// between other events. After a failover all agents send heartbeats at once, and users, health checks and the
+// renewal of the leader's lease must not wait until all of these are handled. A heartbeat goes to the local
+// leader if there is one. Otherwise the relay sends it to the leader. If the relay does not accept it, the
+// agent is redirected with status 421.
+//
+// Side effects: calls the local leader, the relay (which sends to the leading peer) and the heartbeat
+// tracker.
 #pragma once
 #include <cstdint>
 
@@ -22,7 +25,7 @@
 
 namespace coralhitch::controller {
 
-// All must outlive the intake.
+// References to other components, which must outlive the HeartbeatIntake.
 struct HeartbeatIntakeDependencies {
     event_loop::Timers& timers;
     http::Requester& http;
@@ -34,22 +37,25 @@
     protocol::Incarnation incarnation;  // of this process
 };
 
-// Takes heartbeats to whoever answers them: the local leader, the relay, or the worker itself again.
+// A queue of received heartbeats, each of which is passed to the local leader or to the relay, or is answered
+// with a redirect. Not thread safe.
 class HeartbeatIntake {
   public:
     explicit HeartbeatIntake(HeartbeatIntakeDependencies dependencies);
 
-    // Lets the relay watch who leads. Once.
+    // Starts the relay, which then observes the current leader. Call once.
     void start() { relay_.start(); }
-    // Queues a heartbeat that was read just now; `reply` is called later.
+    // Queues a heartbeat that has just been read. Calls `reply` later, never before returning.
     void accept(std::string body, http::Reply reply);
-    // This controller leads now: what waits at the relay goes to its own leader.
+    // Moves the heartbeats that are waiting at the relay to this queue. Called when this controller becomes
+    // the leader, so that its own leader handles them.
     void take_back_from_relay();
 
-    // Heartbeats refused on purpose, by this controller and its leader.
+    // Returns the counts, by reason, of heartbeats that this controller and its leader rejected deliberately.
     [[nodiscard]] relay::HeartbeatRejections& rejections() { return relay_.rejections(); }
     [[nodiscard]] const relay::HeartbeatRelay& relay() const { return relay_; }
-    // So far: those whose workers had stopped waiting, in this queue and at the relay.
+    // Returns the number of heartbeats so far whose agents had stopped waiting for an answer while the
+    // heartbeat was in this queue or at the relay.
     [[nodiscard]] std::uint64_t expired() const { return relay_.timed_out() + queue_.rejected(); }
 
   private:
