--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -12,7 +12,7 @@
 
 namespace coralhitch::controller {
 namespace {
-// Heartbeat periods from an answer of the cloud to the next question, and from a failure to the next attempt.
+// Delay of the next request to the cloud after an answer, and after a failure.
 constexpr double refresh_periods = 20;
 constexpr double retry_periods = 1.0 / 2;
 }  // namespace
--- a/src/controller/machine_type_catalog.hpp
+++ b/src/controller/machine_type_catalog.hpp
@@ -1,8 +1,11 @@
-// Which machine types the cloud offers.
+// Keeps the list of machine types that the cloud offers.
 //
-// Asks the cloud now and then. A controller that starts while the cloud does not answer takes the list that a
-// leader stored last. A leader stores the list whenever the cloud's differs from what it stored.
-// May touch: the cloud client, the key `types` of the key-value store; tells the local leader of changes.
+// Requests the list from the cloud periodically. A controller that starts while the cloud does not answer
+// uses the list that a leader stored last. A leader stores the list whenever the cloud's list differs from
+// the one that it stored before.
+//
+// Side effects: sends requests to the cloud, reads and writes the key `types` of the key-value store, and
+// notifies the local leader of changes.
 #pragma once
 #include <optional>
 #include <string>
@@ -18,7 +21,7 @@
 
 namespace coralhitch::controller {
 
-// The cloud's machine types, refreshed now and then and stored for the others.
+// The machine types of the cloud, refreshed periodically and stored for other controllers. Not thread safe.
 class MachineTypeCatalog {
   public:
     MachineTypeCatalog(event_loop::Timers& timers, cloud::CloudClient& cloud, kv::KvClient& kv,
@@ -33,11 +36,12 @@
     MachineTypeCatalog(const MachineTypeCatalog&) = delete;  // callbacks refer to it
     MachineTypeCatalog& operator=(const MachineTypeCatalog&) = delete;
 
-    // Asks the cloud, and from then on again and again. Once.
+    // Requests the list from the cloud, now and periodically from then on. Call once.
     void start() { refresh(); }
-    // Empty: not known yet.
+    // Returns the machine types; empty while they are not known.
     [[nodiscard]] const std::vector<protocol::MachineType>& types() const { return types_; }
-    // Stores the list if this controller leads and what it stored last differs.
+    // Stores the list in the key-value store if this controller leads and the list differs from the one that
+    // it stored last. Does nothing if the list exceeds the store's limit for values.
     void store();
 
   private:
@@ -53,7 +57,7 @@
     const config::Settings& settings_;
     const LocalLeader& leader_;
     std::vector<protocol::MachineType> types_;
-    std::string stored_value_;  // as this process stored it last
+    std::string stored_value_;  // the list as this process stored it last
 };
 
 }  // namespace coralhitch::controller
