--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -21,14 +21,16 @@
 namespace coralhitch {
 namespace {
 
-// In heartbeat periods, from which workers differ by a quarter: after the first a worker that has not sent a
-// heartbeat has gone to another controller or hangs, after the second its connection is closed in any case.
+// Limits on the time without a heartbeat on an agent's connection. Agents vary the heartbeat period by up to
+// a quarter. After the first limit, the agent sends its heartbeats to another controller or hangs, and its
+// connection may be closed to free the socket. After the second limit, the connection is always closed.
 constexpr double worker_quiet_periods = 1.5, worker_idle_periods = 4;
 
-// Parts of the memory that one message may take.
+// Shares of the process's memory that one message may take.
 constexpr double response_memory_share = 1.0 / 8;
 constexpr double peer_message_memory_share = 1.0 / 32;
 
+// The parsed command line.
 struct CommandLine {
     std::string settings_file, operator_file;
     bool only_check = false;
@@ -63,7 +65,8 @@
     return limits;
 }
 
-// For users and workers. `on_worker_refused`: a worker's connection got no socket.
+// Returns the limits of the server for users and agents. `on_worker_refused` is called when an agent's
+// connection is refused because no socket is free.
 http::ServerLimits public_server_limits(const config::Settings& settings, http::SocketBudget& sockets,
                                         std::function<void()> on_worker_refused) {
     http::ServerLimits limits;
@@ -80,7 +83,7 @@
     http::ServerLimits limits;
     limits.budget = &sockets;
     limits.kind = http::PeerKind::controller;
-    // What controllers send each other grows with jobs and machines, beyond what a user may send.
+    // Messages between controllers grow with the numbers of jobs and machines and exceed the limit for users.
     limits.message.body = memory_share_bytes(settings, peer_message_memory_share);
     return limits;
 }
@@ -94,7 +97,7 @@
                      settings.cpu_share, needed);
 }
 
-// Does not return while the process lives; throws if an address can't be bound.
+// Runs the event loop and does not return. Throws if a listening address cannot be bound.
 void run_controller(const config::Settings& settings) {
     std::signal(SIGPIPE, SIG_IGN);  // a peer that closed its connection is an error of that connection alone
     event_loop::EventLoop loop;
@@ -131,7 +134,7 @@
         run_controller(settings);
 }
 
-// The process's exit status.
+// Returns the exit status of the process.
 int run_command_line(int argc, char** argv) {
     CLI::App app("coralhitch: a cluster scheduler");
     CommandLine command_line;
