--- a/src/controller/metrics_exporter.hpp
+++ b/src/controller/metrics_exporter.hpp
@@ -1,6 +1,7 @@
-// Collects the figures that the parts of a controller keep, for GET /metrics. The leader and the request
-// routes set theirs as they change.
-// May touch: the metrics; reads everything else.
+// Collects the statistics of a controller's components for GET /metrics. The leader and the user request
+// handlers update their metrics themselves.
+//
+// Side effects: writes the metrics; only reads the other components.
 #pragma once
 #include <string>
 
@@ -15,7 +16,7 @@
 
 namespace coralhitch::controller {
 
-// All must outlive the exporter.
+// The components whose statistics are exported. They must outlive the exporter.
 struct MetricsSources {
     api::UserApi& user_api;
     const kv::KvClient& kv;
@@ -25,15 +26,15 @@
     const LocalLeader& leader;
 };
 
-// Fills the metrics from the parts' own figures whenever they are asked for.
+// A collector that updates the metrics from the components' statistics on each request. Not thread safe.
 class MetricsExporter {
   public:
     MetricsExporter(metrics::Metrics& metrics, MetricsSources sources)
         : metrics_(metrics), sources_(sources) {}
 
-    // `sockets` must outlive the exporter. Without it no figures of sockets are served.
+    // Includes the socket metrics, which are left out otherwise. `sockets` must outlive the exporter.
     void watch_sockets(const http::SocketBudget& sockets) { sockets_ = &sockets; }
-    // All metrics as of now, in Prometheus' text format.
+    // Returns the current values of all metrics in the Prometheus text format.
     [[nodiscard]] std::string text();
 
   private:
--- a/src/controller/overload_log.cpp
+++ b/src/controller/overload_log.cpp
@@ -25,7 +25,8 @@
     return refused;
 }
 
-// At most once in a worker lease: which queue is the one that is too long.
+// Logs the statistics of all queues, which show the queue that is too long. Logs at most once in each agent
+// lease.
 void OverloadLog::log_requests() {
     const double refused = refused_requests();
     if (refused <= logged_refused_requests_) return;
--- a/src/controller/overload_log.hpp
+++ b/src/controller/overload_log.hpp
@@ -1,5 +1,5 @@
-// Log lines about what this controller had to refuse: connections without a socket, and requests to the
-// key-value store beyond its budget. Only while something is refused; it sends nothing.
+// Logs what this controller refused for lack of capacity: connections for which no socket was free, and
+// requests to the key-value store beyond its rate limit. Logs nothing while nothing is refused.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,16 +12,16 @@
 
 namespace coralhitch::controller {
 
-// Logs refused connections and requests, when there are new ones.
+// A logger of newly refused connections and requests. Not thread safe.
 class OverloadLog {
   public:
     OverloadLog(const event_loop::Timers& timers, const config::Settings& settings, const kv::KvClient& kv,
                 const api::Admission& admission)
         : timers_(timers), settings_(settings), kv_(kv), admission_(admission) {}
 
-    // `sockets` must outlive this.
+    // Includes refused connections in the log. `sockets` must outlive this object.
     void watch_sockets(const http::SocketBudget& sockets) { sockets_ = &sockets; }
-    // To be called now and then; logs what was refused since the last line.
+    // Logs the connections and requests that were refused since the last log line. Call periodically.
     void update();
 
   private:
@@ -36,7 +36,7 @@
     const http::SocketBudget* sockets_ = nullptr;
     std::uint64_t logged_refused_sockets_ = 0;
     double logged_refused_requests_ = 0;
-    std::optional<double> requests_logged_at_;  // steady seconds
+    std::optional<double> requests_logged_at_;  // seconds of the steady clock
 };
 
 }  // namespace coralhitch::controller
