--- a/src/controller/peer_http.hpp
+++ b/src/controller/peer_http.hpp
@@ -1,4 +1,4 @@
-// Requests and answers between controllers.
+// Builds HTTP requests and responses between controllers.
 #pragma once
 #include <string>
 #include <string_view>
@@ -10,11 +10,11 @@
 
 inline constexpr const char* msgpack_content_type = "application/msgpack";
 
-// `body`: packed by protocol::pack_peer, or empty.
+// Returns a response with status 200. `body` is packed by protocol::pack_peer, or empty.
 inline http::Response msgpack_response(std::string body) {
     return {200, std::move(body), msgpack_content_type};
 }
-// A request for this path with such a body.
+// Returns a POST request for `path`. `body` is packed by protocol::pack_peer.
 inline http::Request msgpack_request(std::string_view path, std::string body) {
     return {"POST", std::string(path), std::move(body), msgpack_content_type};
 }
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -64,7 +64,7 @@
     reply_packed(reply, protocol::RelayResponse{});
 }
 
-// With its own replica switched off, a controller has no part in that of others.
+// Rejects the request if replication is switched off on this controller.
 void PeerMessageHandler::replicate(const http::Request& request, const http::Reply& reply) {
     with_message<protocol::ReplicationRequest>(request, reply, [&](protocol::ReplicationRequest piece) {
         if (!dependencies_.settings.op.replicate_starts) return reply_malformed(reply);
--- a/src/controller/peer_message_handler.hpp
+++ b/src/controller/peer_message_handler.hpp
@@ -1,9 +1,9 @@
-// Messages from other controllers: each is read and handed to the part that it is for, and that part's answer
-// is sent back.
+// Dispatches messages from other controllers to the components that handle them, and returns their answers.
 //
-// The answer to a path that is not known is 404, to another method than POST 405, to a body that can't be
-// read, such as one of another version, 400.
-// May touch: the parts in its dependencies, each through one function.
+// Answers 404 to an unknown path, 405 to a method other than POST, and 400 to a body that cannot be unpacked,
+// for instance because the sender runs another version.
+//
+// Side effects: calls the components in its dependencies, each through one function.
 #pragma once
 #include "config/settings.hpp"
 #include "controller/local_leader.hpp"
@@ -18,7 +18,7 @@
 
 namespace coralhitch::controller {
 
-// All must outlive the handler.
+// References to other components, which must outlive the handler.
 struct PeerMessageHandlerDependencies {
     const config::Settings& settings;
     const election::Election& election;
@@ -29,16 +29,17 @@
     replication::Follower& replica;
 };
 
-// Routes a message of another controller by its path.
+// A dispatcher of other controllers' messages by their paths. Not thread safe.
 class PeerMessageHandler {
   public:
     explicit PeerMessageHandler(PeerMessageHandlerDependencies dependencies) : dependencies_(dependencies) {}
 
-    // A request of another controller; answered at once.
+    // Serves a request of another controller. The leader and the user API may call `reply` later; all other
+    // answers are sent before this returns.
     void serve(const http::Request& request, const http::Reply& reply);
 
   private:
-    // Reads the body as a Message and hands it on; answers 400 if it is none.
+    // Unpacks the body as a Message and passes it to `handle`. Answers 400 if it cannot be unpacked.
     template <class Message, class Handle>
     static void with_message(const http::Request& request, const http::Reply& reply, Handle handle);
     void relay_heartbeats(const protocol::RelayRequest& message, const http::Reply& reply) const;
