--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -8,13 +8,13 @@
 namespace coralhitch::controller {
 namespace {
 
-// In heartbeat periods.
 constexpr double ping_interval_periods = 1.0 / 2, ping_interval_while_suspecting_itself_periods = 1.0 / 6;
 constexpr double ping_recent_periods = 1.5;
-constexpr double relay_delay_periods = 1.0 / 10;   // a relay's heartbeats are known here so much later
-constexpr double startup_grace_periods = 1.0 / 5;  // for the others to answer the first ping
+constexpr double relay_delay_periods = 1.0 / 10;   // relayed heartbeats arrive here later by up to this
+constexpr double startup_grace_periods = 1.0 / 5;  // time for the peers to answer the first ping
 
-constexpr std::uint64_t ping_rounds_per_image_caches = 3;  // caches change slowly
+// Image caches are sent only with every third round of pings, since they change slowly.
+constexpr std::uint64_t ping_rounds_per_image_caches = 3;
 
 std::uint32_t to_milliseconds(double seconds) {
     return static_cast<std::uint32_t>(seconds * 1000);
@@ -50,7 +50,8 @@
     }
     const auto& leader = dependencies_.leader;
     if (leader && ping_rounds_as_leader_++ % ping_rounds_per_image_caches == 0) send_image_caches();
-    // A leader that suspects itself of being cut off goes by what the others say, while leases run out.
+    // A leader that suspects itself of being cut off decides by the peers' pings, and must do so before the
+    // agents' leases expire.
     const bool urgent = leader && leader->suspects_itself();
     const double interval_periods =
         urgent ? ping_interval_while_suspecting_itself_periods : ping_interval_periods;
@@ -95,8 +96,8 @@
 }
 
 protocol::PeerPing PeerMonitor::answer_ping(protocol::PeerPing ping) {
-    // Never brief to a leader: when it suspects itself it goes by whose heartbeats the others receive, and
-    // has little time.
+    // A leader always gets a full ping. When it suspects itself of being cut off, it needs the list of
+    // machines whose heartbeats the peers receive, and has little time.
     const bool brief = ping.features >= protocol::peer_features::brief_pings && ping.leader != ping.label;
     handle_ping(std::move(ping));
     return own_ping(brief);
@@ -133,7 +134,7 @@
             dependencies_.timers.now() - leader_ping.suspected_silence_ms[index] / 1000.0;
 }
 
-// --- What follows from pings ----------------------------------------------------------------------------
+// --- Evaluation of the pings ----------------------------------------------------------------------------
 
 bool PeerMonitor::is_recent(const Peer& peer) const {
     return peer.last_ping_at && dependencies_.timers.now() - *peer.last_ping_at <
@@ -170,12 +171,14 @@
     return most;
 }
 
-// What another controller received before the machine fell silent here says nothing: leaders used to resign
-// because of a network cut that silenced the same machines for all of them.
+// Counts only heartbeats that the peer received after the machine fell silent here. Earlier heartbeats are no
+// evidence that this controller is cut off. When they were counted, leaders resigned because of a network cut
+// that silenced the same machines for all controllers.
 std::size_t PeerMonitor::heartbeats_seen_by(const Peer& peer,
                                             const std::map<std::string, double>& silent_s) const {
     const auto& machines = peer.last_ping.reporting_machines;
-    const auto& ages_ms = peer.last_ping.heartbeat_ages_ms;  // empty from an older version: all count
+    const auto& ages_ms =
+        peer.last_ping.heartbeat_ages_ms;  // empty from an older version; then all machines count
     const double since_ping_s = dependencies_.timers.now() - peer.last_full_ping_at.value_or(0);
     const double slack_s = dependencies_.settings.heartbeat_interval_s * relay_delay_periods;
     std::size_t seen = 0;
@@ -187,13 +190,15 @@
     return seen;
 }
 
-// True if another controller that could lead has a replica of a later leadership, or one of the same and
-// clearly more machines that report to it. A leader that was restarted used to win before those that had
-// followed it, since its lease ends about when it is back. Nobody defers to an older version: it is about to
-// be stopped and replaced. Of two controllers, at most one defers to the other.
+// Returns true if a peer that could lead has a replica of a later leadership and receives heartbeats of at
+// least half as many machines as this controller, or has a replica of the same leadership and receives
+// heartbeats of more than twice as many machines. Without this rule, a restarted leader won the election
+// against its former followers, because its lease ends at about the time when it is back. A controller never
+// defers to a peer of an older version, since that peer is about to be stopped and replaced. Of two
+// controllers, at most one defers to the other.
 bool PeerMonitor::should_defer() const {
     const double now = dependencies_.timers.now();
-    // Just started, it can't know yet.
+    // Shortly after the start, this controller does not know its peers' replicas yet.
     const bool just_started =
         dependencies_.settings.op.replicate_starts &&
         now - started_at_ < dependencies_.settings.heartbeat_interval_s * startup_grace_periods;
