--- a/src/controller/task_count_service.cpp
+++ b/src/controller/task_count_service.cpp
@@ -6,7 +6,7 @@
 
 namespace coralhitch::controller {
 namespace {
-// In heartbeat periods. The leader pings each half a period: one ping may be late by half of that.
+// The leader pings every half heartbeat period. A ping may be late by half of that interval.
 constexpr double recent_periods = 1.0 / 2 * 1.5;
 constexpr double query_timeout_periods = 1.0 / 10;
 }  // namespace
--- a/src/controller/task_count_service.hpp
+++ b/src/controller/task_count_service.hpp
@@ -1,8 +1,10 @@
-// How many tasks of a job are done and running, for status queries on any controller.
+// Provides the numbers of done and running tasks of a job, for status queries on any controller.
 //
-// The leader counts them. On other controllers the counts come with the leader's pings: asking it for each
-// query took it more time than planning. Only without recent ones is the leader asked.
-// May touch: the leading peer (one query at a time for each call).
+// The leader counts the tasks. The other controllers receive the counts with the leader's pings, and query
+// the leader only while they have no recent counts. When they queried it for each status query, the answers
+// took the leader more time than planning.
+//
+// Side effects: sends queries to the leading peer, at most one for each call.
 #pragma once
 #include <functional>
 #include <optional>
@@ -20,20 +22,22 @@
 
 namespace coralhitch::controller {
 
-// Answers queries for a job's task counts, on the leader and on the others.
+// A source of jobs' task counts, on the leader and on other controllers. Not thread safe.
 class TaskCountService {
   public:
-    using Done = std::function<void(std::optional<api::TaskCounts>)>;  // nothing: not known now
+    // A callback that receives the counts, or nullopt if they cannot be determined now.
+    using Done = std::function<void(std::optional<api::TaskCounts>)>;
 
     TaskCountService(const event_loop::Timers& timers, http::Requester& http,
                      const config::Settings& settings, const LocalLeader& leader, const PeerMonitor& peers)
         : timers_(timers), http_(http), settings_(settings), leader_(leader), peers_(peers) {}
 
-    // All live jobs' counts, as the leader says them now.
+    // Replaces the stored counts by `counts`, which the leader has just sent for all live jobs.
     void set_all(const std::vector<protocol::PeerTaskCounts>& counts);
-    // Calls `done` at once or when the leader has answered.
+    // Passes the counts of `job` to `done`, before returning or when the leader has answered.
     void query(const std::string& job, const Done& done) const;
-    // The answer to another controller's query; unknown if this controller does not lead.
+    // Returns the answer to another controller's query; `known` is false if this controller does not lead or
+    // its leader does not know the counts.
     [[nodiscard]] protocol::PeerJobCounts answer_peer(const protocol::PeerJobQuery& query) const;
 
   private:
@@ -46,7 +50,7 @@
     const LocalLeader& leader_;
     const PeerMonitor& peers_;
     std::unordered_map<std::string, api::TaskCounts> counts_;  // by job
-    std::optional<double> received_at_;                        // steady seconds
+    std::optional<double> received_at_;                        // seconds of the steady clock
 };
 
 }  // namespace coralhitch::controller
