--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -11,7 +11,7 @@
 namespace paths = protocol::paths;
 
 namespace {
-constexpr double forward_timeout_periods = 1.0 / 3;  // in heartbeat periods
+constexpr double forward_timeout_periods = 1.0 / 3;
 constexpr int first_error_of_overload = 429;
 
 void refuse(const http::Reply& reply, int status, const char* error) {
@@ -38,8 +38,9 @@
     });
 }
 
-// Nobody if this controller reaches the key-value store. Otherwise one that does and understands the request:
-// a version that knows nothing of dependencies would store a job that awaits others as if it awaited none.
+// Returns null if this controller reaches the key-value store or no suitable peer does. A suitable peer
+// supports all features that the request uses: a version without dependencies would store a job that depends
+// on others as a job without dependencies.
 const PeerMonitor::Peer* UserRouter::peer_to_forward_to(const http::Request& request) const {
     if (dependencies_.kv_reachability.reachable()) return nullptr;
     const bool has_dependencies = request.method == "POST" && protocol::names_dependencies(request.body);
@@ -47,7 +48,7 @@
                                                                      : 0);
 }
 
-// `fallback`: answered if the peer does not.
+// Forwards the request and passes on the peer's answer. Answers `fallback` if the peer does not answer.
 void UserRouter::forward(const http::Request& request, const config::Peer& peer, http::Response fallback,
                          const http::Reply& reply) {
     auto body = protocol::pack_peer(protocol::PeerUserRequest{request.method, request.target, request.body});
--- a/src/controller/user_router.hpp
+++ b/src/controller/user_router.hpp
@@ -1,8 +1,11 @@
-// The paths of the users' interface, and which controller serves them.
+// Routes users' requests by path, to this controller's user API or to a peer.
 //
-// A controller that alone is cut off from the key-value store forwards its users' requests to one that
-// reaches it: they would otherwise come back to it until the load balancer has noticed.
-// May touch: the user API, the peers (one forwarded request for each user's request), the request metrics.
+// A controller that does not reach the key-value store forwards its users' requests to a peer that does.
+// Otherwise the requests would fail and be repeated at the same controller until the load balancer has
+// noticed.
+//
+// Side effects: calls the user API, sends at most one forwarded request to a peer for each user request, and
+// updates the request metrics.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -18,7 +21,7 @@
 
 namespace coralhitch::controller {
 
-// All must outlive the router.
+// References to other components, which must outlive the router.
 struct UserRouterDependencies {
     const event_loop::Timers& timers;
     http::Requester& http;
@@ -29,19 +32,20 @@
     const PeerMonitor& peers;
 };
 
-// The target without its query.
+// Returns the request's target without the query string.
 [[nodiscard]] std::string path_of(const http::Request& request);
 
-// Serves users' requests here, or forwards them to a peer.
+// A router that serves users' requests on this controller or forwards them to a peer. Not thread safe.
 class UserRouter {
   public:
     explicit UserRouter(UserRouterDependencies dependencies) : dependencies_(dependencies) {}
 
-    // A user's request under protocol::paths::jobs. Answered here, or by a peer if this controller is cut
-    // off.
+    // Serves a user's request for a path below protocol::paths::jobs. Forwards it to a peer if this
+    // controller does not reach the key-value store and a peer does. Answers 503 if that peer does not
+    // answer.
     void serve(const http::Request& request, const http::Reply& reply);
-    // A request that a peer forwarded. Never forwarded again: two controllers must not send a request back
-    // and forth.
+    // Serves a request that a peer forwarded. Never forwards it again, so that two controllers do not send a
+    // request back and forth.
     void serve_forwarded(const protocol::PeerUserRequest& forwarded, const http::Reply& reply);
 
   private:
