--- a/tests/controller/controller_fixture.hpp
+++ b/tests/controller/controller_fixture.hpp
@@ -1,4 +1,5 @@
-// One controller on an injected clock, with a key-value store in memory and one peer that never answers.
+// Test fixture: one controller on an injected clock, an in-memory key-value store, and one peer that never
+// answers.
 #pragma once
 #include <spdlog/spdlog.h>
 
@@ -13,7 +14,7 @@
 
 inline const std::string controller_test_peer_addr = "10.1.0.2:7000";
 
-// A worker's heartbeat, without tasks.
+// Returns the body of an agent's heartbeat without tasks.
 inline std::string heartbeat_of(const std::string& machine) {
     return nlohmann::json{{"berth", machine},
                           {"addr", "10.9.0.1:9000"},
@@ -27,7 +28,8 @@
         .dump();
 }
 
-// The key-value store with leases that are never refused; pings to the peer are kept, nobody else answers.
+// A network that reaches the key-value store, grants every lease, and keeps the last ping to the peer. All
+// other requests time out.
 class ControllerTestNetwork : public http::Requester {
   public:
     explicit ControllerTestNetwork(FakeTimers& timers) : timers_(timers), service(timers) {}
@@ -53,11 +55,13 @@
     std::size_t ping_bytes = 0;
 };
 
+// A planner that accepts work and never runs it.
 class PlannerThatNeverRuns : public leader::Planner {
   public:
     void submit(Work) override {}
 };
 
+// A controller with one configured peer; not started.
 struct ControllerFixture {
     static config::Settings default_settings() {
         config::Settings s;
--- a/tests/controller/health_monitor_test.cpp
+++ b/tests/controller/health_monitor_test.cpp
@@ -47,7 +47,7 @@
     machine_types.start();
     health.check();
     key_value_store_is_down();
-    health.check();  // fails
+    health.check();  // the read fails
     receive(ping_of_peer());
     timers.run_until(1);
     health.check();
@@ -66,7 +66,7 @@
     machine_types.start();
     health.check();
     key_value_store_is_down();
-    health.check();  // fails
+    health.check();  // the read fails
     timers.run_until(1);
     health.check();
     timers.run_until(2.6);
--- a/tests/controller/heartbeat_intake_test.cpp
+++ b/tests/controller/heartbeat_intake_test.cpp
@@ -13,8 +13,8 @@
     void accept(const std::string& body) {
         intake.accept(body, [this](http::Response response) { responses.push_back(std::move(response)); });
     }
-    [[nodiscard]] std::uint64_t rejected(relay::HeartbeatRejection why) {
-        return intake.rejections().count(why);
+    [[nodiscard]] std::uint64_t rejected(relay::HeartbeatRejection reason) {
+        return intake.rejections().count(reason);
     }
     HeartbeatIntake intake{
         {timers, network, settings, election, leader, peers, tracker, protocol::Incarnation{1}}};
@@ -23,7 +23,7 @@
 
 TEST_F(HeartbeatIntakeTest, RejectsWithoutALeader) {
     accept(heartbeat_of("vm-0"));
-    EXPECT_TRUE(responses.empty()) << "not handled while it is read";
+    EXPECT_TRUE(responses.empty()) << "a heartbeat must be queued, not handled while it is read";
     timers.run_until(0);
     ASSERT_EQ(responses.size(), 1u);
     EXPECT_EQ(responses[0].status, 421);
@@ -31,7 +31,7 @@
     EXPECT_EQ(tracker.recent_count(0), 1u);
 }
 
-TEST_F(HeartbeatIntakeTest, NamesALeaderThatTakesNoRelayedHeartbeats) {
+TEST_F(HeartbeatIntakeTest, RedirectsToALeaderThatAcceptsNoRelayedHeartbeats) {
     auto ping = ping_of_peer();
     ping.leader = ping.label;
     ping.leader_version = protocol::LeaderVersion{5};
@@ -53,9 +53,10 @@
     EXPECT_EQ(tracker.recent_count(0), 0u);
 }
 
-// Sixteen, then other events, then the next.
-TEST_F(HeartbeatIntakeTest, HandlesAFewAtATime) {
-    for (int k = 0; k < 40; ++k) accept(heartbeat_of("vm-" + std::to_string(k)));
+// Guards against other events waiting behind a burst of heartbeats: they get their turn after each batch
+// of 16.
+TEST_F(HeartbeatIntakeTest, HandlesHeartbeatsInBatches) {
+    for (int index = 0; index < 40; ++index) accept(heartbeat_of("vm-" + std::to_string(index)));
     std::vector<std::size_t> handled_before_other_events;
     std::function<void()> other_event = [&] {
         handled_before_other_events.push_back(responses.size());
--- a/tests/controller/legacy_metrics_test.cpp
+++ b/tests/controller/legacy_metrics_test.cpp
@@ -1,5 +1,6 @@
-// The series that a controller served before each figure had a metric of its own: dashboards and alerts go on
-// reading them for one release.
+// Tests that a controller still serves the metric series of the previous release, which had one metric with
+// many labels in place of a metric for each value. Dashboards and alerts use these series for one more
+// release.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,8 +11,8 @@
 namespace coralhitch::controller {
 namespace {
 
-// Served by a leader that has just reconciled an empty cluster, as recorded before the change. What other
-// events, placements and routes were called is tested in tests/metrics.
+// The series that a leader served just after it had reconciled an empty cluster, recorded before the change.
+// The names of other events, placements and routes are tested in tests/metrics.
 const std::vector<std::string> recorded_series = {
     R"(coralhitch_plan_seconds_count)",
     R"(coralhitch_plan_seconds_sum)",
@@ -86,7 +87,7 @@
     R"(coralhitch_events_total{event="won"})",
 };
 
-TEST(LegacyMetrics, EverySeriesOfTheReleaseBeforeIsServed) {
+TEST(LegacyMetrics, ServesEverySeriesOfThePreviousRelease) {
     ControllerFixture fixture;
     http::SocketBudget sockets(1000, http::controller_shares);
     fixture.controller.watch_sockets(sockets);
--- a/tests/controller/machine_type_catalog_test.cpp
+++ b/tests/controller/machine_type_catalog_test.cpp
@@ -36,7 +36,7 @@
     EXPECT_EQ(names(), std::vector<std::string>{"g16"});
 }
 
-TEST_F(MachineTypeCatalogTest, TakesTheStoredListWhileTheCloudDoesNotAnswer) {
+TEST_F(MachineTypeCatalogTest, UsesTheStoredListWhileTheCloudDoesNotAnswer) {
     key_value_store_answers({{"types", nlohmann::json::parse(machine_types_body("stored"))}});
     catalog.start();
     EXPECT_EQ(names(), std::vector<std::string>{"stored"});
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -1,5 +1,6 @@
-// The parts of a controller that does not lead, on an injected clock, without the controller around them. The
-// key-value store, the cloud and peers answer as the test says; nothing is elected.
+// Test fixture: the components of a controller that does not lead, on an injected clock, without the
+// Controller object. Each test sets the answers of the key-value store, the cloud and the peers. No election
+// takes place.
 #pragma once
 #include <spdlog/spdlog.h>
 
@@ -20,9 +21,11 @@
 
 namespace coralhitch::controller {
 
-// Answers at once. What a handler leaves unanswered (nothing) counts as a failed connection.
+// A network that answers each request at once from a handler for its receiver. A missing handler, or nullopt
+// from a handler, counts as a failed connection.
 class PartsTestNetwork : public http::Requester {
   public:
+    // A request that was sent, and its receiver's address.
     struct Sent {
         std::string addr;
         http::Request request;
@@ -42,7 +45,7 @@
     std::vector<Sent> sent;
 };
 
-// The cloud's list of machine types, and the stored one: one type of this name.
+// Returns a list with one machine type of this name, in the format of both the cloud and the key-value store.
 inline std::string machine_types_body(const std::string& name) {
     protocol::MachineType type;
     type.name = name;
@@ -50,12 +53,13 @@
     return protocol::stored_types(std::span(&type, 1));
 }
 
+// The components of a follower with one configured peer.
 struct PartsFixture {
     PartsFixture() {
         spdlog::set_level(spdlog::level::off);
         network.cloud_addr = settings.cloud_addr;
     }
-    // A key-value store that holds nothing but these.
+    // Makes the key-value store answer reads, with these keys and values only.
     void key_value_store_answers(std::map<std::string, nlohmann::json> values = {}) {
         network.key_value_store = [values](const http::Request& request) {
             auto it = values.find(request.target.substr(std::string("/kv/").size()));
@@ -65,11 +69,11 @@
         };
     }
     void key_value_store_is_down() { network.key_value_store = nullptr; }
-    // A read, so that reachability follows from its answer.
+    // Reads a key, so that its answer determines the reachability of the key-value store.
     void read_key_value_store() {
         kv.get("leader", kv::RequestPriority::lease, [](kv::GetResult) {});
     }
-    // A ping of the only peer, a follower that reaches the key-value store.
+    // Returns a ping of the only peer, a follower that reaches the key-value store.
     [[nodiscard]] static protocol::PeerPing ping_of_peer() {
         protocol::PeerPing ping;
         ping.label = "berth-1";
--- a/tests/controller/peer_monitor_test.cpp
+++ b/tests/controller/peer_monitor_test.cpp
@@ -10,10 +10,10 @@
 
 class PeerMonitorTest : public testing::Test, public PartsFixture {
   protected:
-    // Seconds; the pings before are answered by nobody.
-    void start_and_wait(double until) {
+    // Starts the monitor and runs the clock until `until_s`, in seconds. Pings are not answered until then.
+    void start_and_wait(double until_s) {
         peers.start();
-        timers.run_until(until);
+        timers.run_until(until_s);
     }
 };
 
@@ -23,7 +23,7 @@
     EXPECT_EQ(network.sent_to(protocol::peer_images_path), 0u) << "only a leader sends image caches";
 }
 
-TEST_F(PeerMonitorTest, TakesInTheAnswerToItsPing) {
+TEST_F(PeerMonitorTest, StoresTheAnswerToItsPing) {
     network.peer = [](const http::Request&) {
         return http::Response{200, protocol::pack_peer(ping_of_peer()), "application/msgpack"};
     };
@@ -50,7 +50,7 @@
     EXPECT_FALSE(peers.any_reachable());
 }
 
-TEST_F(PeerMonitorTest, KnowsTheLeaderFromPings) {
+TEST_F(PeerMonitorTest, LearnsTheLeaderFromPings) {
     EXPECT_FALSE(peers.leading_peer());
     auto ping = ping_of_peer();
     ping.leader = ping.label;
@@ -86,17 +86,17 @@
     EXPECT_TRUE(peers.should_defer());
     ping.kv_reachable = false;
     receive(ping);
-    EXPECT_FALSE(peers.should_defer()) << "it can't be elected";
+    EXPECT_FALSE(peers.should_defer()) << "a peer that does not reach the key-value store can't be elected";
     ping.kv_reachable = true;
     ping.features = protocol::peer_features::latest - 1;
     receive(ping);
-    EXPECT_FALSE(peers.should_defer()) << "an older version is about to be replaced";
+    EXPECT_FALSE(peers.should_defer()) << "a peer of an older version is about to be replaced";
 }
 
-TEST_F(PeerMonitorTest, DoesNotDeferToALaterReplicaThatFewMachinesReportTo) {
+TEST_F(PeerMonitorTest, DoesNotDeferToALaterReplicaOfAPeerThatReceivesFewHeartbeats) {
     start_and_wait(1);
-    for (int k = 0; k < 10; ++k)
-        tracker.record("vm-" + std::to_string(k), protocol::AgentEpoch{1}, protocol::SequenceNumber{1},
+    for (int index = 0; index < 10; ++index)
+        tracker.record("vm-" + std::to_string(index), protocol::AgentEpoch{1}, protocol::SequenceNumber{1},
                        timers.now());
     auto ping = ping_of_peer();
     ping.replicated_leadership = protocol::LeaderVersion{5};
@@ -122,14 +122,14 @@
 
 TEST_F(PeerMonitorTest, CountsOnlyHeartbeatsThatPeersReceivedSinceTheMachineFellSilent) {
     timers.run_until(20);
-    EXPECT_FALSE(peers.heartbeats_seen_by_peers({{"vm-0", 10}})) << "no peer pings";
+    EXPECT_FALSE(peers.heartbeats_seen_by_peers({{"vm-0", 10}})) << "no peer has pinged";
     auto ping = ping_of_peer();
     ping.reporting_machines = {"vm-0", "vm-1", "vm-2"};
     ping.heartbeat_ages_ms = {1000, 12000, 1000};
     receive(ping);
-    // vm-1's heartbeat came there before it fell silent here, vm-2 is not asked for.
+    // The peer received vm-1's heartbeat before vm-1 fell silent here, and vm-2 is not part of the question.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 10}, {"vm-1", 10}}), 1u);
-    // With a delay of 0.3 s for relayed ones.
+    // Relayed heartbeats may be delayed by 0.3 s, so the peer's must be newer by more than that.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 1.2}}), 0u);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 1.4}}), 1u);
 }
@@ -143,7 +143,7 @@
     auto brief = ping_of_peer();
     brief.lists_omitted = true;
     receive(brief);
-    // The age counts on from the full ping.
+    // The age of vm-0's heartbeat increases from the time of the full ping.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.2}}), 0u);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 1u);
     brief.incarnation = protocol::Incarnation{78};
@@ -166,7 +166,7 @@
     EXPECT_FALSE(peers.answer_ping(ping).lists_omitted) << "an older version can't read a brief one";
 }
 
-TEST_F(PeerMonitorTest, InheritsSuspicionsOfTheLeaderExceptOfMachinesHeardSince) {
+TEST_F(PeerMonitorTest, InheritsTheLeadersSuspicionsExceptOfMachinesSeenSince) {
     timers.run_until(100);
     auto ping = ping_of_peer();
     ping.leader = ping.label;
@@ -179,7 +179,7 @@
     EXPECT_EQ(peers.inherited_suspicions(), (std::map<std::string, double>{{"vm-0", 9}}));
 }
 
-TEST_F(PeerMonitorTest, HandsOnTaskCountsOfTheLeaderOnly) {
+TEST_F(PeerMonitorTest, PassesOnTaskCountsOfTheLeaderOnly) {
     auto ping = ping_of_peer();
     ping.task_counts = {{"job-1", 2, 3}};
     receive(ping);
--- a/tests/controller/task_count_service_test.cpp
+++ b/tests/controller/task_count_service_test.cpp
@@ -24,7 +24,7 @@
     TaskCountService service{timers, network, settings, leader, peers};
 };
 
-TEST_F(TaskCountServiceTest, KnowsNothingWithoutALeader) {
+TEST_F(TaskCountServiceTest, ReturnsNoCountsWithoutALeader) {
     EXPECT_FALSE(query("job-1"));
     EXPECT_TRUE(network.sent.empty());
 }
@@ -36,7 +36,7 @@
     ASSERT_TRUE(query("job-1"));
     EXPECT_EQ(query("job-1")->done, 2u);
     EXPECT_EQ(query("job-1")->running, 3u);
-    ASSERT_TRUE(query("job-2")) << "the ping names all live jobs with tasks";
+    ASSERT_TRUE(query("job-2")) << "a job that is not in the leader's ping has no tasks";
     EXPECT_EQ(query("job-2")->running, 0u);
     EXPECT_TRUE(network.sent.empty());
 }
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -15,6 +15,7 @@
 
 const std::string jobs_path(protocol::paths::jobs);
 
+// A cluster without machine types and task counts.
 class EmptyCluster : public api::ClusterQueries {
   public:
     const std::vector<protocol::MachineType>& machine_types() const override { return types_; }
@@ -29,7 +30,7 @@
 
 class UserRouterTest : public testing::Test, public PartsFixture {
   protected:
-    // Of a request that is answered at once.
+    // Serves a request and returns the answer, which must be sent before serve() returns.
     [[nodiscard]] http::Response serve(const std::string& method, const std::string& target,
                                        const std::string& body = {}) {
         std::optional<http::Response> answer;
@@ -122,7 +123,7 @@
         EXPECT_EQ(serve_peer("POST", path, "\xc1").status, 400) << path;
 }
 
-TEST_F(PeerMessageHandlerTest, TakesNoHeartbeatsOrCancellationsUnlessItLeads) {
+TEST_F(PeerMessageHandlerTest, AcceptsNoHeartbeatsOrCancellationsUnlessItLeads) {
     auto relayed =
         serve_peer("POST", protocol::peer_relay_path, protocol::pack_peer(protocol::RelayRequest{}));
     EXPECT_FALSE(protocol::unpack_peer<protocol::RelayResponse>(relayed.body)->is_leader);
@@ -132,7 +133,7 @@
               protocol::LeaderVersion::none());
 }
 
-TEST_F(PeerMessageHandlerTest, KeepsTheImageCachesOfTheLeader) {
+TEST_F(PeerMessageHandlerTest, StoresTheImageCachesOfTheLeader) {
     protocol::PeerImages images{{"base"}, {2.5}, {{"vm-0", {0}}}};
     EXPECT_EQ(serve_peer("POST", protocol::peer_images_path, protocol::pack_peer(images)).status, 200);
     ASSERT_EQ(peers.image_caches().names, std::vector<std::string>{"base"});
