--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double check_interval_periods = 1.0 / 3;
+constexpr double check_interval_heartbeat_periods = 1.0 / 3;
 // A machine is listed in pings for this long after its last heartbeat. This is long enough for every agent
 // that leaves a leader to send a heartbeat here. The heartbeat ages in the pings show which heartbeats
 // arrived after the agent left.
@@ -76,7 +76,8 @@
     health_.check();
     user_api_.live_jobs().refresh_if_stale();
     overload_log_.update();
-    timers_.after(settings_.heartbeat_interval_s * check_interval_periods, [this] { check_periodically(); });
+    timers_.after(settings_.heartbeat_interval_s * check_interval_heartbeat_periods,
+                  [this] { check_periodically(); });
 }
 
 // --- Leadership -----------------------------------------------------------------------------------------
