--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -17,7 +17,7 @@
 constexpr double recent_heartbeat_periods = 3;
 
 // Delayed copies of a heartbeat may arrive for this long, relative to the agents' lease.
-constexpr double late_copy_leases = 8;
+constexpr double duplicate_retention_leases = 8;
 // Minimum time between two resignations, relative to the agents' lease. A controller that is elected again
 // earlier keeps its leadership even if it receives no heartbeats.
 constexpr double resign_interval_leases = 4;
@@ -39,7 +39,7 @@
       machine_types_(timers, cloud_, kv_, election_, settings, leader_),
       replica_(incarnation_),
       heartbeat_tracker_(settings.heartbeat_interval_s * recent_heartbeat_periods,
-                         settings.lease_s * late_copy_leases),
+                         settings.lease_s * duplicate_retention_leases),
       peers_({timers, http, settings, election_, kv_reachability_, leader_, heartbeat_tracker_, replica_,
               incarnation_},
              [this](auto& counts) { task_counts_.set_all(counts); }),
