--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -87,7 +87,7 @@
     // The leader records heartbeats itself. The tracker must list only machines whose heartbeats arrive here
     // after this leadership.
     heartbeat_tracker_.reset_recent();
-    leader_.begin(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
+    leader_.start_leading(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
     heartbeats_.take_back_from_relay();
     metrics_.increment(metrics::Metric::elections_won);
     machine_types_.store();
--- a/src/controller/local_leader.hpp
+++ b/src/controller/local_leader.hpp
@@ -15,7 +15,7 @@
 class LocalLeader {
   public:
     // Stores and starts the leader object of a new leadership.
-    void begin(std::shared_ptr<leader::Leader> leader) {
+    void start_leading(std::shared_ptr<leader::Leader> leader) {
         leader_ = std::move(leader);
         leader_->start();
     }
