--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -54,7 +54,7 @@
       overload_log_(timers, settings, kv_, user_api_.admission()) {}
 
 Controller::~Controller() {
-    leader_.end();
+    leader_.stop_leading();
 }
 
 void Controller::start() {
@@ -119,7 +119,7 @@
 void Controller::on_lease_lost() {
     metrics_.increment(metrics::Metric::leaderships_lost);
     if (leader_) peers_.set_image_caches(leader_->images());
-    leader_.end();
+    leader_.stop_leading();
 }
 
 // Returns true, and records the time, if the leader may resign because it suspects that it is cut off itself.
--- a/src/controller/local_leader.hpp
+++ b/src/controller/local_leader.hpp
@@ -20,7 +20,7 @@
         leader_->start();
     }
     // Stops and removes the leader object. Does nothing if this controller does not lead.
-    void end() {
+    void stop_leading() {
         if (leader_) leader_->stop();
         leader_.reset();
     }
