--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -5,13 +5,14 @@
 namespace coralhitch::controller {
 namespace {
 // A controller becomes unhealthy when only its peers have been able to serve users for this long.
-constexpr double unhealthy_after_periods = 1.0 / 2;
+constexpr double unhealthy_after_heartbeat_periods = 1.0 / 2;
 }  // namespace
 
 bool HealthMonitor::healthy() const {
     if (!kv_has_answered_ || machine_types_.types().empty()) return false;
     return kv_reachability_.reachable() || !unable_since_ ||
-           timers_.now() - *unable_since_ < settings_.heartbeat_interval_s * unhealthy_after_periods;
+           timers_.now() - *unable_since_ <
+               settings_.heartbeat_interval_s * unhealthy_after_heartbeat_periods;
 }
 
 // Also returns true if no peer has pinged recently: then this controller is probably the one that is cut off,
