--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -17,13 +17,13 @@
 
 // Also returns true if no peer has pinged recently: then this controller is probably the one that is cut off,
 // and the load balancer would otherwise keep sending users to it until the network has recovered.
-bool HealthMonitor::others_may_serve() const {
+bool HealthMonitor::only_peers_can_serve() const {
     if (peers_.peer_that_reaches_kv(0)) return true;
     return peers_.has_peers() && !peers_.any_reachable();
 }
 
 void HealthMonitor::check() {
-    if (kv_reachability_.reachable() || !others_may_serve())
+    if (kv_reachability_.reachable() || !only_peers_can_serve())
         unable_since_.reset();
     else if (!unable_since_)
         unable_since_ = timers_.now();
