--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -10,8 +10,8 @@
 
 bool HealthMonitor::healthy() const {
     if (!kv_has_answered_ || machine_types_.types().empty()) return false;
-    return kv_reachability_.reachable() || !unable_since_ ||
-           timers_.now() - *unable_since_ <
+    return kv_reachability_.reachable() || !only_peers_can_serve_since_ ||
+           timers_.now() - *only_peers_can_serve_since_ <
                settings_.heartbeat_interval_s * unhealthy_after_heartbeat_periods;
 }
 
@@ -24,9 +24,9 @@
 
 void HealthMonitor::check() {
     if (kv_reachability_.reachable() || !only_peers_can_serve())
-        unable_since_.reset();
-    else if (!unable_since_)
-        unable_since_ = timers_.now();
+        only_peers_can_serve_since_.reset();
+    else if (!only_peers_can_serve_since_)
+        only_peers_can_serve_since_ = timers_.now();
     kv_.get(kv::keys::leader, kv::RequestPriority::lease,
             [this](const kv::GetResult& result) { kv_has_answered_ |= result.ok(); });
 }
--- a/src/controller/health_monitor.hpp
+++ b/src/controller/health_monitor.hpp
@@ -52,7 +52,7 @@
     const MachineTypeCatalog& machine_types_;
     bool kv_has_answered_ = false;
     // Seconds of the steady clock; since when peers can serve users and this controller cannot.
-    std::optional<double> unable_since_;
+    std::optional<double> only_peers_can_serve_since_;
 };
 
 }  // namespace coralhitch::controller
