--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -11,7 +11,7 @@
 
 namespace coralhitch::controller {
 namespace {
-constexpr std::size_t heartbeats_per_turn = 16;  // handled before other events get their turn
+constexpr std::size_t heartbeats_per_batch = 16;  // handled before other events get their turn
 }  // namespace
 
 HeartbeatIntake::HeartbeatIntake(HeartbeatIntakeDependencies dependencies)
@@ -39,7 +39,7 @@
 }
 
 void HeartbeatIntake::handle_some() {
-    for (std::size_t handled = 0; handled < heartbeats_per_turn; ++handled) {
+    for (std::size_t handled = 0; handled < heartbeats_per_batch; ++handled) {
         auto heartbeat = queue_.pop(dependencies_.timers.now());
         if (!heartbeat) break;
         handle(std::move(*heartbeat));
