--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -35,10 +35,10 @@
 
 void HeartbeatIntake::schedule() {
     scheduled_ = true;
-    dependencies_.timers.after(0, [this] { handle_some(); });
+    dependencies_.timers.after(0, [this] { handle_batch(); });
 }
 
-void HeartbeatIntake::handle_some() {
+void HeartbeatIntake::handle_batch() {
     for (std::size_t handled = 0; handled < heartbeats_per_batch; ++handled) {
         auto heartbeat = queue_.pop(dependencies_.timers.now());
         if (!heartbeat) break;
--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -61,7 +61,7 @@
   private:
     void enqueue(relay::PendingHeartbeat heartbeat);
     void schedule();
-    void handle_some();
+    void handle_batch();
     void handle(relay::PendingHeartbeat heartbeat);
     void record(const std::string& body);
     void redirect(const http::Reply& reply);
