--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -88,7 +88,7 @@
     // after this leadership.
     heartbeat_tracker_.reset_recent();
     leader_.start_leading(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
-    heartbeats_.take_back_from_relay();
+    heartbeats_.requeue_from_relay();
     metrics_.increment(metrics::Metric::elections_won);
     machine_types_.store();
 }
--- a/src/controller/heartbeat_intake.cpp
+++ b/src/controller/heartbeat_intake.cpp
@@ -24,7 +24,7 @@
     enqueue({std::move(body), std::move(reply), dependencies_.timers.now()});
 }
 
-void HeartbeatIntake::take_back_from_relay() {
+void HeartbeatIntake::requeue_from_relay() {
     for (auto& waiting : relay_.take_pending()) enqueue(std::move(waiting));
 }
 
--- a/src/controller/heartbeat_intake.hpp
+++ b/src/controller/heartbeat_intake.hpp
@@ -49,7 +49,7 @@
     void accept(std::string body, http::Reply reply);
     // Moves the heartbeats that are waiting at the relay to this queue. Called when this controller becomes
     // the leader, so that its own leader handles them.
-    void take_back_from_relay();
+    void requeue_from_relay();
 
     // Returns the counts, by reason, of heartbeats that this controller and its leader rejected deliberately.
     [[nodiscard]] relay::HeartbeatRejections& rejections() { return relay_.rejections(); }
