--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -13,7 +13,7 @@
 namespace coralhitch::controller {
 namespace {
 // Delay of the next request to the cloud after an answer, and after a failure.
-constexpr double refresh_periods = 20;
+constexpr double refresh_heartbeat_periods = 20;
 constexpr double retry_periods = 1.0 / 2;
 }  // namespace
 
@@ -31,7 +31,8 @@
     } else if (types_.empty()) {
         load_stored();
     }
-    const double delay_s = settings_.heartbeat_interval_s * (answered ? refresh_periods : retry_periods);
+    const double delay_s =
+        settings_.heartbeat_interval_s * (answered ? refresh_heartbeat_periods : retry_periods);
     timers_.after(delay_s, [this] { refresh(); });
 }
 
