--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -14,7 +14,7 @@
 namespace {
 // Delay of the next request to the cloud after an answer, and after a failure.
 constexpr double refresh_heartbeat_periods = 20;
-constexpr double retry_periods = 1.0 / 2;
+constexpr double retry_heartbeat_periods = 1.0 / 2;
 }  // namespace
 
 void MachineTypeCatalog::refresh() {
@@ -32,7 +32,7 @@
         load_stored();
     }
     const double delay_s =
-        settings_.heartbeat_interval_s * (answered ? refresh_heartbeat_periods : retry_periods);
+        settings_.heartbeat_interval_s * (answered ? refresh_heartbeat_periods : retry_heartbeat_periods);
     timers_.after(delay_s, [this] { refresh(); });
 }
 
