--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -19,11 +19,11 @@
 
 void MachineTypeCatalog::refresh() {
     cloud_.list_machine_types([this](std::optional<std::vector<protocol::MachineType>> types) {
-        take_from_cloud(std::move(types));
+        handle_cloud_response(std::move(types));
     });
 }
 
-void MachineTypeCatalog::take_from_cloud(std::optional<std::vector<protocol::MachineType>> types) {
+void MachineTypeCatalog::handle_cloud_response(std::optional<std::vector<protocol::MachineType>> types) {
     const bool answered = types && !types->empty();
     if (answered) {
         set(std::move(*types));
--- a/src/controller/machine_type_catalog.hpp
+++ b/src/controller/machine_type_catalog.hpp
@@ -46,7 +46,7 @@
 
   private:
     void refresh();
-    void take_from_cloud(std::optional<std::vector<protocol::MachineType>> types);
+    void handle_cloud_response(std::optional<std::vector<protocol::MachineType>> types);
     void load_stored();
     void set(std::vector<protocol::MachineType> types);
 
