--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -24,7 +24,7 @@
 // Limits on the time without a heartbeat on an agent's connection. Agents vary the heartbeat period by up to
 // a quarter. After the first limit, the agent sends its heartbeats to another controller or hangs, and its
 // connection may be closed to free the socket. After the second limit, the connection is always closed.
-constexpr double agent_reclaim_heartbeat_periods = 1.5, worker_idle_periods = 4;
+constexpr double agent_reclaim_heartbeat_periods = 1.5, agent_idle_heartbeat_periods = 4;
 
 // Shares of the process's memory that one message may take.
 constexpr double response_memory_share = 1.0 / 8;
@@ -72,7 +72,7 @@
     http::ServerLimits limits;
     limits.budget = &sockets;
     limits.bulk_reclaim_s = settings.heartbeat_interval_s * agent_reclaim_heartbeat_periods;
-    limits.bulk_idle_s = settings.heartbeat_interval_s * worker_idle_periods;
+    limits.bulk_idle_s = settings.heartbeat_interval_s * agent_idle_heartbeat_periods;
     limits.lane = event_loop::Lane::ordinary;
     limits.is_bulk = [](const std::string& path) { return path == protocol::paths::heartbeat; };
     limits.on_bulk_refused = std::move(on_worker_refused);
