--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -65,17 +65,17 @@
     return limits;
 }
 
-// Returns the limits of the server for users and agents. `on_worker_refused` is called when an agent's
+// Returns the limits of the server for users and agents. `on_agent_refused` is called when an agent's
 // connection is refused because no socket is free.
 http::ServerLimits public_server_limits(const config::Settings& settings, http::SocketBudget& sockets,
-                                        std::function<void()> on_worker_refused) {
+                                        std::function<void()> on_agent_refused) {
     http::ServerLimits limits;
     limits.budget = &sockets;
     limits.bulk_reclaim_s = settings.heartbeat_interval_s * agent_reclaim_heartbeat_periods;
     limits.bulk_idle_s = settings.heartbeat_interval_s * agent_idle_heartbeat_periods;
     limits.lane = event_loop::Lane::ordinary;
     limits.is_bulk = [](const std::string& path) { return path == protocol::paths::heartbeat; };
-    limits.on_bulk_refused = std::move(on_worker_refused);
+    limits.on_bulk_refused = std::move(on_agent_refused);
     return limits;
 }
 
@@ -107,11 +107,11 @@
     leader::ThreadPlanner planner(loop);
     controller::Controller controller(loop, client, settings, planner, random_seed());
 
-    const auto on_worker_refused = [&] {
+    const auto on_agent_refused = [&] {
         controller.heartbeat_rejections().record(relay::HeartbeatRejection::socket_limit);
     };
     http::Server public_server(loop, settings.listen,
-                               public_server_limits(settings, sockets, on_worker_refused),
+                               public_server_limits(settings, sockets, on_agent_refused),
                                [&](http::Request request, http::Reply reply) {
                                    controller.serve(std::move(request), std::move(reply));
                                });
