--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -52,7 +52,7 @@
         });
     } else if (request.target == protocol::peer_cancellation_path) {
         with_message<protocol::PeerCancellationBatch>(
-            request, reply, [&](const auto& message) { reply_packed(reply, take_cancellations(message)); });
+            request, reply, [&](const auto& message) { reply_packed(reply, apply_cancellations(message)); });
     } else {
         reply({404, {}});
     }
@@ -72,7 +72,7 @@
     });
 }
 
-protocol::PeerCancellationResponse PeerMessageHandler::take_cancellations(
+protocol::PeerCancellationResponse PeerMessageHandler::apply_cancellations(
     const protocol::PeerCancellationBatch& message) const {
     const auto& leader = dependencies_.leader;
     if (!leader) return {protocol::LeaderVersion::none()};
--- a/src/controller/peer_message_handler.hpp
+++ b/src/controller/peer_message_handler.hpp
@@ -44,7 +44,7 @@
     static void with_message(const http::Request& request, const http::Reply& reply, Handle handle);
     void relay_heartbeats(const protocol::RelayRequest& message, const http::Reply& reply) const;
     void replicate(const http::Request& request, const http::Reply& reply);
-    [[nodiscard]] protocol::PeerCancellationResponse take_cancellations(
+    [[nodiscard]] protocol::PeerCancellationResponse apply_cancellations(
         const protocol::PeerCancellationBatch& message) const;
 
     PeerMessageHandlerDependencies dependencies_;
