--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -8,7 +8,8 @@
 namespace coralhitch::controller {
 namespace {
 
-constexpr double ping_interval_periods = 1.0 / 2, ping_interval_while_suspecting_itself_periods = 1.0 / 6;
+constexpr double ping_interval_heartbeat_periods = 1.0 / 2,
+                 ping_interval_while_suspecting_itself_periods = 1.0 / 6;
 constexpr double ping_recent_periods = 1.5;
 constexpr double relay_delay_periods = 1.0 / 10;   // relayed heartbeats arrive here later by up to this
 constexpr double startup_grace_periods = 1.0 / 5;  // time for the peers to answer the first ping
@@ -40,7 +41,7 @@
     for (auto& entry : peers_) {
         auto& peer = entry.second;
         dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_ping_path, body),
-                                period_s * ping_interval_periods,
+                                period_s * ping_interval_heartbeat_periods,
                                 [this, &peer](std::optional<http::Response> response) {
                                     peer.responded = true;
                                     if (!response || response->status != 200) return;
@@ -54,7 +55,7 @@
     // agents' leases expire.
     const bool urgent = leader && leader->suspects_itself();
     const double interval_periods =
-        urgent ? ping_interval_while_suspecting_itself_periods : ping_interval_periods;
+        urgent ? ping_interval_while_suspecting_itself_periods : ping_interval_heartbeat_periods;
     dependencies_.timers.after(period_s * interval_periods, [this] { ping_peers(); });
 }
 
@@ -62,7 +63,7 @@
     auto body = protocol::pack_peer(dependencies_.leader->images());
     for (auto& [label, peer] : peers_)
         dependencies_.http.send(peer.config.addr, msgpack_request(protocol::peer_images_path, body),
-                                dependencies_.settings.heartbeat_interval_s * ping_interval_periods,
+                                dependencies_.settings.heartbeat_interval_s * ping_interval_heartbeat_periods,
                                 [](const std::optional<http::Response>&) {});
 }
 
