--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double ping_interval_heartbeat_periods = 1.0 / 2,
-                 ping_interval_while_suspecting_itself_periods = 1.0 / 6;
+                 ping_interval_while_suspecting_itself_heartbeat_periods = 1.0 / 6;
 constexpr double ping_recent_periods = 1.5;
 constexpr double relay_delay_periods = 1.0 / 10;   // relayed heartbeats arrive here later by up to this
 constexpr double startup_grace_periods = 1.0 / 5;  // time for the peers to answer the first ping
@@ -55,7 +55,7 @@
     // agents' leases expire.
     const bool urgent = leader && leader->suspects_itself();
     const double interval_periods =
-        urgent ? ping_interval_while_suspecting_itself_periods : ping_interval_heartbeat_periods;
+        urgent ? ping_interval_while_suspecting_itself_heartbeat_periods : ping_interval_heartbeat_periods;
     dependencies_.timers.after(period_s * interval_periods, [this] { ping_peers(); });
 }
 
