--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -10,7 +10,7 @@
 
 constexpr double ping_interval_heartbeat_periods = 1.0 / 2,
                  ping_interval_while_suspecting_itself_heartbeat_periods = 1.0 / 6;
-constexpr double ping_recent_periods = 1.5;
+constexpr double ping_recent_heartbeat_periods = 1.5;
 constexpr double relay_delay_periods = 1.0 / 10;   // relayed heartbeats arrive here later by up to this
 constexpr double startup_grace_periods = 1.0 / 5;  // time for the peers to answer the first ping
 
@@ -138,8 +138,9 @@
 // --- Evaluation of the pings ----------------------------------------------------------------------------
 
 bool PeerMonitor::is_recent(const Peer& peer) const {
-    return peer.last_ping_at && dependencies_.timers.now() - *peer.last_ping_at <
-                                    dependencies_.settings.heartbeat_interval_s * ping_recent_periods;
+    return peer.last_ping_at &&
+           dependencies_.timers.now() - *peer.last_ping_at <
+               dependencies_.settings.heartbeat_interval_s * ping_recent_heartbeat_periods;
 }
 
 const PeerMonitor::Peer* PeerMonitor::leading_peer() const {
