--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -11,7 +11,8 @@
 constexpr double ping_interval_heartbeat_periods = 1.0 / 2,
                  ping_interval_while_suspecting_itself_heartbeat_periods = 1.0 / 6;
 constexpr double ping_recent_heartbeat_periods = 1.5;
-constexpr double relay_delay_periods = 1.0 / 10;   // relayed heartbeats arrive here later by up to this
+constexpr double relay_delay_heartbeat_periods =
+    1.0 / 10;                                      // relayed heartbeats arrive here later by up to this
 constexpr double startup_grace_periods = 1.0 / 5;  // time for the peers to answer the first ping
 
 // Image caches are sent only with every third round of pings, since they change slowly.
@@ -182,7 +183,7 @@
     const auto& ages_ms =
         peer.last_ping.heartbeat_ages_ms;  // empty from an older version; then all machines count
     const double since_ping_s = dependencies_.timers.now() - peer.last_full_ping_at.value_or(0);
-    const double slack_s = dependencies_.settings.heartbeat_interval_s * relay_delay_periods;
+    const double slack_s = dependencies_.settings.heartbeat_interval_s * relay_delay_heartbeat_periods;
     std::size_t seen = 0;
     for (std::size_t index = 0; index < machines.size(); ++index) {
         auto it = silent_s.find(machines[index]);
