--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -12,8 +12,8 @@
                  ping_interval_while_suspecting_itself_heartbeat_periods = 1.0 / 6;
 constexpr double ping_recent_heartbeat_periods = 1.5;
 constexpr double relay_delay_heartbeat_periods =
-    1.0 / 10;                                      // relayed heartbeats arrive here later by up to this
-constexpr double startup_grace_periods = 1.0 / 5;  // time for the peers to answer the first ping
+    1.0 / 10;  // relayed heartbeats arrive here later by up to this
+constexpr double startup_grace_heartbeat_periods = 1.0 / 5;  // time for the peers to answer the first ping
 
 // Image caches are sent only with every third round of pings, since they change slowly.
 constexpr std::uint64_t ping_rounds_per_image_caches = 3;
@@ -204,7 +204,7 @@
     // Shortly after the start, this controller does not know its peers' replicas yet.
     const bool just_started =
         dependencies_.settings.op.replicate_starts &&
-        now - started_at_ < dependencies_.settings.heartbeat_interval_s * startup_grace_periods;
+        now - started_at_ < dependencies_.settings.heartbeat_interval_s * startup_grace_heartbeat_periods;
     const auto own_replica = replicated_leadership();
     const auto own_machines = dependencies_.heartbeats.recent_count(now);
     for (auto& [label, peer] : peers_) {
