--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -55,9 +55,9 @@
     // A leader that suspects itself of being cut off decides by the peers' pings, and must do so before the
     // agents' leases expire.
     const bool urgent = leader && leader->suspects_itself();
-    const double interval_periods =
+    const double interval_heartbeat_periods =
         urgent ? ping_interval_while_suspecting_itself_heartbeat_periods : ping_interval_heartbeat_periods;
-    dependencies_.timers.after(period_s * interval_periods, [this] { ping_peers(); });
+    dependencies_.timers.after(period_s * interval_heartbeat_periods, [this] { ping_peers(); });
 }
 
 void PeerMonitor::send_image_caches() {
