--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -121,14 +121,14 @@
     const bool from_leader = last_ping.leader == last_ping.label;
     peer.last_ping_at = dependencies_.timers.now();
     if (!brief) peer.last_full_ping_at = peer.last_ping_at;
-    if (from_leader && !brief) take_suspicions(last_ping);
+    if (from_leader && !brief) store_suspicions(last_ping);
     if (restarted && dependencies_.leader)
         dependencies_.leader->controller_restarted(last_ping.label, last_ping.incarnation);
     if (from_leader && !task_counts.empty()) task_counts_received_(task_counts);
     dependencies_.election.observe_leader(last_ping.leader, last_ping.leader_version);
 }
 
-void PeerMonitor::take_suspicions(const protocol::PeerPing& leader_ping) {
+void PeerMonitor::store_suspicions(const protocol::PeerPing& leader_ping) {
     suspected_since_.clear();
     const auto count = std::min(leader_ping.suspected.size(), leader_ping.suspected_silence_ms.size());
     for (std::size_t index = 0; index < count; ++index)
--- a/src/controller/peer_monitor.hpp
+++ b/src/controller/peer_monitor.hpp
@@ -106,7 +106,7 @@
     void ping_peers();
     void send_image_caches();
     void handle_ping(protocol::PeerPing ping);
-    void take_suspicions(const protocol::PeerPing& leader_ping);
+    void store_suspicions(const protocol::PeerPing& leader_ping);
     [[nodiscard]] protocol::PeerPing own_ping(bool brief) const;
     [[nodiscard]] protocol::PeerPing own_full_ping_with_leader_lists() const;
     [[nodiscard]] bool is_recent(const Peer& peer) const;
