--- a/src/controller/task_count_service.cpp
+++ b/src/controller/task_count_service.cpp
@@ -7,7 +7,7 @@
 namespace coralhitch::controller {
 namespace {
 // The leader pings every half heartbeat period. A ping may be late by half of that interval.
-constexpr double recent_periods = 1.0 / 2 * 1.5;
+constexpr double recent_counts_heartbeat_periods = 1.0 / 2 * 1.5;
 constexpr double query_timeout_periods = 1.0 / 10;
 }  // namespace
 
@@ -18,7 +18,8 @@
 }
 
 bool TaskCountService::is_recent() const {
-    return received_at_ && timers_.now() - *received_at_ < settings_.heartbeat_interval_s * recent_periods;
+    return received_at_ &&
+           timers_.now() - *received_at_ < settings_.heartbeat_interval_s * recent_counts_heartbeat_periods;
 }
 
 void TaskCountService::query(const std::string& job, const Done& done) const {
