--- a/src/controller/task_count_service.cpp
+++ b/src/controller/task_count_service.cpp
@@ -8,7 +8,7 @@
 namespace {
 // The leader pings every half heartbeat period. A ping may be late by half of that interval.
 constexpr double recent_counts_heartbeat_periods = 1.0 / 2 * 1.5;
-constexpr double query_timeout_periods = 1.0 / 10;
+constexpr double query_timeout_heartbeat_periods = 1.0 / 10;
 }  // namespace
 
 void TaskCountService::set_all(const std::vector<protocol::PeerTaskCounts>& counts) {
@@ -34,7 +34,7 @@
     if (!peer) return done(std::nullopt);
     auto body = protocol::pack_peer(protocol::PeerJobQuery{job});
     http_.send(peer->config.addr, msgpack_request(protocol::peer_job_path, std::move(body)),
-               settings_.heartbeat_interval_s * query_timeout_periods,
+               settings_.heartbeat_interval_s * query_timeout_heartbeat_periods,
                [done](std::optional<http::Response> response) {
                    if (!response || response->status != 200) return done(std::nullopt);
                    auto counts = protocol::unpack_peer<protocol::PeerJobCounts>(response->body);
