--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -11,7 +11,7 @@
 namespace paths = protocol::paths;
 
 namespace {
-constexpr double forward_timeout_periods = 1.0 / 3;
+constexpr double forward_timeout_heartbeat_periods = 1.0 / 3;
 constexpr int first_error_of_overload = 429;
 
 void refuse(const http::Reply& reply, int status, const char* error) {
@@ -54,7 +54,7 @@
     auto body = protocol::pack_peer(protocol::PeerUserRequest{request.method, request.target, request.body});
     dependencies_.http.send(
         peer.addr, msgpack_request(protocol::peer_user_path, std::move(body)),
-        dependencies_.settings.heartbeat_interval_s * forward_timeout_periods,
+        dependencies_.settings.heartbeat_interval_s * forward_timeout_heartbeat_periods,
         [fallback = std::move(fallback), reply](std::optional<http::Response> response) {
             if (!response || response->status != 200) return reply(fallback);
             auto answer = protocol::unpack_peer<protocol::PeerUserResponse>(response->body);
