--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -85,11 +85,11 @@
     if (rest.ends_with(paths::cancel)) {
         if (request.method != "POST") return refuse(reply, 405, "wrong method");
         const auto job = rest.substr(0, rest.size() - paths::cancel.size());
-        return dependencies_.user_api.cancel(job, counted("cancel", std::move(reply)));
+        return dependencies_.user_api.cancel(job, with_request_count("cancel", std::move(reply)));
     }
     if (rest.empty() || rest.find('/') != std::string::npos) return refuse(reply, 404, "no such path");
     if (request.method != "GET") return refuse(reply, 405, "wrong method");
-    dependencies_.user_api.query(rest, counted("query", std::move(reply)));
+    dependencies_.user_api.query(rest, with_request_count("query", std::move(reply)));
 }
 
 void UserRouter::submit(const http::Request& request, const http::Reply& reply) {
@@ -103,7 +103,7 @@
     });
 }
 
-http::Reply UserRouter::counted(const char* route, http::Reply reply) {
+http::Reply UserRouter::with_request_count(const char* route, http::Reply reply) {
     return [this, route, reply = std::move(reply)](http::Response response) {
         dependencies_.metrics.count_request(route, response.status);
         reply(std::move(response));
--- a/src/controller/user_router.hpp
+++ b/src/controller/user_router.hpp
@@ -51,7 +51,7 @@
   private:
     void serve_here(const http::Request& request, http::Reply reply);
     void submit(const http::Request& request, const http::Reply& reply);
-    [[nodiscard]] http::Reply counted(const char* route, http::Reply reply);
+    [[nodiscard]] http::Reply with_request_count(const char* route, http::Reply reply);
     [[nodiscard]] const PeerMonitor::Peer* peer_to_forward_to(const http::Request& request) const;
     void forward(const http::Request& request, const config::Peer& peer, http::Response fallback,
                  const http::Reply& reply);
