--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr double forward_timeout_heartbeat_periods = 1.0 / 3;
-constexpr int first_error_of_overload = 429;
+constexpr int min_overload_status = 429;
 
 void refuse(const http::Reply& reply, int status, const char* error) {
     reply({status, protocol::error_body(error)});
@@ -97,7 +97,7 @@
     dependencies_.user_api.submit(request.body, [this, started_at, reply](http::Response response) {
         dependencies_.metrics.observe_submission(dependencies_.timers.now() - started_at);
         dependencies_.metrics.count_request("submit", response.status);
-        if (response.status >= first_error_of_overload)
+        if (response.status >= min_overload_status)
             spdlog::debug("component=controller event=submission_deferred status={}", response.status);
         reply(std::move(response));
     });
