--- a/tests/controller/health_monitor_test.cpp
+++ b/tests/controller/health_monitor_test.cpp
@@ -36,7 +36,7 @@
     ping.kv_reachable = false;
     for (double t = 1; t <= 20; ++t) {
         timers.run_until(t);
-        receive(ping);
+        receive_ping(ping);
         health.check();
         EXPECT_TRUE(health.healthy()) << t;
     }
@@ -48,7 +48,7 @@
     health.check();
     key_value_store_is_down();
     health.check();  // the read fails
-    receive(ping_of_peer());
+    receive_ping(ping_of_peer());
     timers.run_until(1);
     health.check();
     EXPECT_TRUE(health.healthy());
--- a/tests/controller/heartbeat_intake_test.cpp
+++ b/tests/controller/heartbeat_intake_test.cpp
@@ -36,7 +36,7 @@
     ping.leader = ping.label;
     ping.leader_version = protocol::LeaderVersion{5};
     ping.features = protocol::peer_features::relay - 1;
-    receive(ping);
+    receive_ping(ping);
     accept(heartbeat_of("vm-0"));
     timers.run_until(0);
     ASSERT_EQ(responses.size(), 1u);
--- a/tests/controller/parts_fixture.hpp
+++ b/tests/controller/parts_fixture.hpp
@@ -82,7 +82,7 @@
         ping.features = protocol::peer_features::latest;
         return ping;
     }
-    void receive(const protocol::PeerPing& ping) { static_cast<void>(peers.answer_ping(ping)); }
+    void receive_ping(const protocol::PeerPing& ping) { static_cast<void>(peers.answer_ping(ping)); }
 
     FakeTimers timers;
     PartsTestNetwork network;
--- a/tests/controller/peer_monitor_test.cpp
+++ b/tests/controller/peer_monitor_test.cpp
@@ -33,7 +33,7 @@
 }
 
 TEST_F(PeerMonitorTest, ForgetsAPingAfterOneAndAHalfHeartbeatPeriods) {
-    receive(ping_of_peer());
+    receive_ping(ping_of_peer());
     timers.run_until(4.4);
     EXPECT_TRUE(peers.recent_ping("berth-1"));
     EXPECT_TRUE(peers.any_reachable());
@@ -45,7 +45,7 @@
 TEST_F(PeerMonitorTest, IgnoresControllersThatAreNotInTheSettings) {
     auto ping = ping_of_peer();
     ping.label = "berth-9";
-    receive(ping);
+    receive_ping(ping);
     EXPECT_FALSE(peers.recent_ping("berth-9"));
     EXPECT_FALSE(peers.any_reachable());
 }
@@ -55,7 +55,7 @@
     auto ping = ping_of_peer();
     ping.leader = ping.label;
     ping.leader_version = protocol::LeaderVersion{5};
-    receive(ping);
+    receive_ping(ping);
     ASSERT_TRUE(peers.leading_peer());
     EXPECT_EQ(peers.leading_peer()->config.label, "berth-1");
 }
@@ -63,11 +63,11 @@
 TEST_F(PeerMonitorTest, FindsAPeerThatReachesTheKeyValueStoreByItsFeatures) {
     auto ping = ping_of_peer();
     ping.features = 0;
-    receive(ping);
+    receive_ping(ping);
     EXPECT_TRUE(peers.peer_that_reaches_kv(0));
     EXPECT_FALSE(peers.peer_that_reaches_kv(protocol::peer_features::dependencies));
     ping.kv_reachable = false;
-    receive(ping);
+    receive_ping(ping);
     EXPECT_FALSE(peers.peer_that_reaches_kv(0));
 }
 
@@ -82,14 +82,14 @@
     start_and_wait(1);
     auto ping = ping_of_peer();
     ping.replicated_leadership = protocol::LeaderVersion{5};
-    receive(ping);
+    receive_ping(ping);
     EXPECT_TRUE(peers.should_defer());
     ping.kv_reachable = false;
-    receive(ping);
+    receive_ping(ping);
     EXPECT_FALSE(peers.should_defer()) << "a peer that does not reach the key-value store can't be elected";
     ping.kv_reachable = true;
     ping.features = protocol::peer_features::latest - 1;
-    receive(ping);
+    receive_ping(ping);
     EXPECT_FALSE(peers.should_defer()) << "a peer of an older version is about to be replaced";
 }
 
@@ -101,10 +101,10 @@
     auto ping = ping_of_peer();
     ping.replicated_leadership = protocol::LeaderVersion{5};
     ping.reporting_machines = {"vm-0", "vm-1", "vm-2", "vm-3"};
-    receive(ping);
+    receive_ping(ping);
     EXPECT_FALSE(peers.should_defer());
     ping.reporting_machines.push_back("vm-4");
-    receive(ping);
+    receive_ping(ping);
     EXPECT_TRUE(peers.should_defer());
 }
 
@@ -113,10 +113,10 @@
     tracker.record("vm-0", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     auto ping = ping_of_peer();
     ping.reporting_machines = {"vm-1", "vm-2"};
-    receive(ping);
+    receive_ping(ping);
     EXPECT_FALSE(peers.should_defer());
     ping.reporting_machines.push_back("vm-3");
-    receive(ping);
+    receive_ping(ping);
     EXPECT_TRUE(peers.should_defer());
 }
 
@@ -126,7 +126,7 @@
     auto ping = ping_of_peer();
     ping.reporting_machines = {"vm-0", "vm-1", "vm-2"};
     ping.heartbeat_ages_ms = {1000, 12000, 1000};
-    receive(ping);
+    receive_ping(ping);
     // The peer received vm-1's heartbeat before vm-1 fell silent here, and vm-2 is not part of the question.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 10}, {"vm-1", 10}}), 1u);
     // Relayed heartbeats may be delayed by 0.3 s, so the peer's must be newer by more than that.
@@ -138,16 +138,16 @@
     auto ping = ping_of_peer();
     ping.reporting_machines = {"vm-0"};
     ping.heartbeat_ages_ms = {0};
-    receive(ping);
+    receive_ping(ping);
     timers.run_until(2);
     auto brief = ping_of_peer();
     brief.lists_omitted = true;
-    receive(brief);
+    receive_ping(brief);
     // The age of vm-0's heartbeat increases from the time of the full ping.
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.2}}), 0u);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 1u);
     brief.incarnation = protocol::Incarnation{78};
-    receive(brief);
+    receive_ping(brief);
     EXPECT_EQ(peers.heartbeats_seen_by_peers({{"vm-0", 2.4}}), 0u) << "a restarted peer has no lists yet";
 }
 
@@ -173,7 +173,7 @@
     ping.leader_version = protocol::LeaderVersion{5};
     ping.suspected = {"vm-0", "vm-1"};
     ping.suspected_silence_ms = {8000, 9000};
-    receive(ping);
+    receive_ping(ping);
     timers.run_until(101);
     tracker.record("vm-1", protocol::AgentEpoch{1}, protocol::SequenceNumber{1}, timers.now());
     EXPECT_EQ(peers.inherited_suspicions(), (std::map<std::string, double>{{"vm-0", 9}}));
@@ -182,10 +182,10 @@
 TEST_F(PeerMonitorTest, PassesOnTaskCountsOfTheLeaderOnly) {
     auto ping = ping_of_peer();
     ping.task_counts = {{"job-1", 2, 3}};
-    receive(ping);
+    receive_ping(ping);
     EXPECT_TRUE(received_counts.empty());
     ping.leader = ping.label;
-    receive(ping);
+    receive_ping(ping);
     ASSERT_EQ(received_counts.size(), 1u);
     EXPECT_EQ(received_counts[0].running, 3u);
 }
--- a/tests/controller/task_count_service_test.cpp
+++ b/tests/controller/task_count_service_test.cpp
@@ -19,7 +19,7 @@
         auto ping = ping_of_peer();
         ping.leader = ping.label;
         ping.leader_version = protocol::LeaderVersion{5};
-        receive(ping);
+        receive_ping(ping);
     }
     TaskCountService service{timers, network, settings, leader, peers};
 };
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -74,7 +74,7 @@
 }
 
 TEST_F(UserRouterTest, ForwardsToAPeerThatReachesTheKeyValueStoreWhileThisOneDoesNot) {
-    receive(ping_of_peer());
+    receive_ping(ping_of_peer());
     peer_answers({200, R"({"a":1})", 7});
     auto answer = serve("GET", jobs_path + "/a?x=1");
     EXPECT_EQ(answer.status, 200);
@@ -87,14 +87,14 @@
 }
 
 TEST_F(UserRouterTest, Answers503WhenThePeerDoesNotAnswer) {
-    receive(ping_of_peer());
+    receive_ping(ping_of_peer());
     auto answer = serve("GET", jobs_path + "/a");
     EXPECT_EQ(answer.status, 503);
     EXPECT_EQ(answer.retry_after_s, 1);
 }
 
 TEST_F(UserRouterTest, ForwardsNothingWhileItReachesTheKeyValueStore) {
-    receive(ping_of_peer());
+    receive_ping(ping_of_peer());
     key_value_store_answers();
     read_key_value_store();
     EXPECT_EQ(serve("POST", jobs_path, "{").status, 400);
@@ -102,7 +102,7 @@
 }
 
 TEST_F(UserRouterTest, DoesNotForwardForwardedRequestsAgain) {
-    receive(ping_of_peer());
+    receive_ping(ping_of_peer());
     auto body = protocol::pack_peer(protocol::PeerUserRequest{"POST", jobs_path, "{"});
     auto response = serve_peer("POST", protocol::peer_user_path, body);
     EXPECT_EQ(response.status, 200);
