--- a/tests/controller/task_count_service_test.cpp
+++ b/tests/controller/task_count_service_test.cpp
@@ -15,7 +15,7 @@
         service.query(job, [&](std::optional<api::TaskCounts> counts) { answer = counts; });
         return answer;
     }
-    void peer_leads() {
+    void make_peer_leader() {
         auto ping = ping_of_peer();
         ping.leader = ping.label;
         ping.leader_version = protocol::LeaderVersion{5};
@@ -30,7 +30,7 @@
 }
 
 TEST_F(TaskCountServiceTest, AnswersFromTheLeadersLastPingWhileThatIsRecent) {
-    peer_leads();
+    make_peer_leader();
     service.set_all({{"job-1", 2, 3}});
     timers.run_until(2.2);
     ASSERT_TRUE(query("job-1"));
@@ -42,7 +42,7 @@
 }
 
 TEST_F(TaskCountServiceTest, AsksTheLeaderWithoutARecentPing) {
-    peer_leads();
+    make_peer_leader();
     service.set_all({{"job-1", 2, 3}});
     timers.run_until(2.3);
     network.peer = [](const http::Request&) {
