--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -108,7 +108,7 @@
                     return peers_.heartbeats_seen_by_peers(silent_s);
                 },
             .inherited_image_caches = peers_.image_caches(),
-            .resign_leadership = [this] { return resign_leadership(); },
+            .resign_leadership = [this] { return approve_resignation(); },
             .incarnation = incarnation_,
             .inherited_suspicions = peers_.inherited_suspicions(),
             .replica = replica_.replica(),
@@ -124,7 +124,7 @@
 
 // Returns true, and records the time, if the leader may resign because it suspects that it is cut off itself.
 // Returns false if the last resignation was too recent.
-bool Controller::resign_leadership() {
+bool Controller::approve_resignation() {
     const double now = timers_.now();
     if (last_resigned_at_ && now - *last_resigned_at_ < settings_.lease_s * resign_interval_leases)
         return false;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -70,7 +70,7 @@
     void on_elected(protocol::LeaderVersion version);
     void on_lease_lost();
     [[nodiscard]] leader::LeaderDependencies leader_dependencies();
-    bool resign_leadership();
+    bool approve_resignation();
     void check_periodically();
 
     event_loop::Timers& timers_;
