--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -16,9 +16,10 @@
 // arrived after the agent left.
 constexpr double recent_heartbeat_periods = 3;
 
-// Delayed copies of a heartbeat may arrive for this long, relative to the agents' lease.
+// Delayed copies of a heartbeat may arrive up to this long after the heartbeat, relative to the agents'
+// lease.
 constexpr double duplicate_retention_leases = 8;
-// Minimum time between two resignations, relative to the agents' lease. A controller that is elected again
+// Minimum time between two resignations. A controller that is elected again
 // earlier keeps its leadership even if it receives no heartbeats.
 constexpr double resign_interval_leases = 4;
 
@@ -85,7 +86,7 @@
 void Controller::on_elected(protocol::LeaderVersion version) {
     auto dependencies = leader_dependencies();
     // The leader records heartbeats itself. The tracker must list only machines whose heartbeats arrive here
-    // after this leadership.
+    // after this leadership has ended.
     heartbeat_tracker_.reset_recent();
     leader_.start_leading(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
     heartbeats_.requeue_from_relay();
@@ -158,7 +159,7 @@
     peer_messages_.serve(request, reply);
 }
 
-// --- api::ClusterQueries -----------------------------------------------------------------------------------
+// --- api::ClusterQueries -------------------------------------------------------------------------------
 
 void Controller::task_counts(const std::string& id, TaskCountsCallback done) {
     task_counts_.query(id, done);
--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -15,8 +15,9 @@
                settings_.heartbeat_interval_s * unhealthy_after_heartbeat_periods;
 }
 
-// Also returns true if no peer has pinged recently: then this controller is probably the one that is cut off,
-// and the load balancer would otherwise keep sending users to it until the network has recovered.
+// Returns true if a peer reaches the key-value store. Also returns true if there are peers and none has
+// pinged recently: then this controller is probably the one that is cut off, and the load balancer would
+// otherwise keep sending users to it until the network has recovered.
 bool HealthMonitor::only_peers_can_serve() const {
     if (peers_.peer_that_reaches_kv(0)) return true;
     return peers_.has_peers() && !peers_.any_reachable();
--- a/src/controller/health_monitor.hpp
+++ b/src/controller/health_monitor.hpp
@@ -1,4 +1,4 @@
-// Decides if the load balancer should send users to this controller.
+// Decides for the load balancer's health check if this controller should receive users' requests.
 //
 // Users are better served by a controller that reaches the key-value store. If no controller reaches it,
 // becoming unhealthy would only prolong the outage: the load balancer sends no users to a removed controller
@@ -18,7 +18,7 @@
 
 namespace coralhitch::controller {
 
-// The state behind the health check that the load balancer requests. Not thread safe.
+// The state that determines the answer to the load balancer's health check. Not thread safe.
 class HealthMonitor {
   public:
     HealthMonitor(const event_loop::Timers& timers, kv::KvClient& kv, const config::Settings& settings,
@@ -51,7 +51,7 @@
     const PeerMonitor& peers_;
     const MachineTypeCatalog& machine_types_;
     bool kv_has_answered_ = false;
-    // Seconds of the steady clock; since when peers can serve users and this controller cannot.
+    // Since when peers may serve users and this controller cannot; seconds of the steady clock.
     std::optional<double> only_peers_can_serve_since_;
 };
 
--- a/src/controller/kv_queues.hpp
+++ b/src/controller/kv_queues.hpp
@@ -1,5 +1,4 @@
-// The request queues of the key-value store client that appear in metrics and the log, with their names
-// there.
+// The request queues of the key-value store client that appear in metrics and the log, and their names.
 #pragma once
 #include <array>
 
--- a/src/controller/kv_reachability.hpp
+++ b/src/controller/kv_reachability.hpp
@@ -1,4 +1,4 @@
-// Tells if this controller reaches the key-value store: the last request was answered, and recently.
+// Determines if this controller reaches the key-value store: the last request was answered, and recently.
 // Reads only the client's statistics and sends no requests.
 #pragma once
 #include "config/settings.hpp"
@@ -6,7 +6,7 @@
 
 namespace coralhitch::controller {
 
-// A predicate on the key-value store client: whether the store has answered recently.
+// The reachability of the key-value store, derived from the client's recent requests.
 class KvReachability {
   public:
     // Both must outlive this.
