--- a/src/controller/health_monitor.cpp
+++ b/src/controller/health_monitor.cpp
@@ -18,13 +18,13 @@
 // Returns true if a peer reaches the key-value store. Also returns true if there are peers and none has
 // pinged recently: then this controller is probably the one that is cut off, and the load balancer would
 // otherwise keep sending users to it until the network has recovered.
-bool HealthMonitor::only_peers_can_serve() const {
+bool HealthMonitor::peers_may_serve() const {
     if (peers_.peer_that_reaches_kv(0)) return true;
     return peers_.has_peers() && !peers_.any_reachable();
 }
 
 void HealthMonitor::check() {
-    if (kv_reachability_.reachable() || !only_peers_can_serve())
+    if (kv_reachability_.reachable() || !peers_may_serve())
         only_peers_can_serve_since_.reset();
     else if (!only_peers_can_serve_since_)
         only_peers_can_serve_since_ = timers_.now();
--- a/src/controller/health_monitor.hpp
+++ b/src/controller/health_monitor.hpp
@@ -42,7 +42,7 @@
     [[nodiscard]] bool healthy() const;
 
   private:
-    [[nodiscard]] bool only_peers_can_serve() const;
+    [[nodiscard]] bool peers_may_serve() const;
 
     const event_loop::Timers& timers_;
     kv::KvClient& kv_;
