--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,15 +10,17 @@
 
 namespace {
 
-// In heartbeat periods.
-constexpr double check_interval_periods = 1.0 / 3;
-// Long enough for every worker that turns away from a leader to come by; the ages in pings say which came
-// since.
+constexpr double check_interval_heartbeat_periods = 1.0 / 3;
+// A machine is listed in pings for this long after its last heartbeat. This is long enough for every agent
+// that leaves a leader to send a heartbeat here. The heartbeat ages in the pings show which heartbeats
+// arrived after the agent left.
 constexpr double recent_heartbeat_periods = 3;
 
-// In worker leases.
-constexpr double late_copy_leases = 8;  // within which copies of a heartbeat may come
-// After resigning, a controller keeps its next leadership for so long, even if it receives no heartbeats.
+// Delayed copies of a heartbeat may arrive up to this long after the heartbeat, relative to the agents'
+// lease.
+constexpr double duplicate_retention_leases = 8;
+// Minimum time between two resignations. A controller that is elected again
+// earlier keeps its leadership even if it receives no heartbeats.
 constexpr double resign_interval_leases = 4;
 
 }  // namespace
@@ -38,7 +40,7 @@
       machine_types_(timers, cloud_, kv_, election_, settings, leader_),
       replica_(incarnation_),
       heartbeat_tracker_(settings.heartbeat_interval_s * recent_heartbeat_periods,
-                         settings.lease_s * late_copy_leases),
+                         settings.lease_s * duplicate_retention_leases),
       peers_({timers, http, settings, election_, kv_reachability_, leader_, heartbeat_tracker_, replica_,
               incarnation_},
              [this](auto& counts) { task_counts_.set_all(counts); }),
@@ -53,7 +55,7 @@
       overload_log_(timers, settings, kv_, user_api_.admission()) {}
 
 Controller::~Controller() {
-    leader_.end();
+    leader_.stop_leading();
 }
 
 void Controller::start() {
@@ -75,17 +77,19 @@
     health_.check();
     user_api_.live_jobs().refresh_if_stale();
     overload_log_.update();
-    timers_.after(settings_.heartbeat_interval_s * check_interval_periods, [this] { check_periodically(); });
+    timers_.after(settings_.heartbeat_interval_s * check_interval_heartbeat_periods,
+                  [this] { check_periodically(); });
 }
 
 // --- Leadership -----------------------------------------------------------------------------------------
 
 void Controller::on_elected(protocol::LeaderVersion version) {
     auto dependencies = leader_dependencies();
-    // The leader keeps its own account; what is kept here says only whose heartbeats came since it led.
+    // The leader records heartbeats itself. The tracker must list only machines whose heartbeats arrive here
+    // after this leadership has ended.
     heartbeat_tracker_.reset_recent();
-    leader_.begin(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
-    heartbeats_.take_back_from_relay();
+    leader_.start_leading(std::make_shared<leader::Leader>(std::move(dependencies), version, random_()));
+    heartbeats_.requeue_from_relay();
     metrics_.increment(metrics::Metric::elections_won);
     machine_types_.store();
 }
@@ -105,7 +109,7 @@
                     return peers_.heartbeats_seen_by_peers(silent_s);
                 },
             .inherited_image_caches = peers_.image_caches(),
-            .resign_leadership = [this] { return resign_leadership(); },
+            .resign_leadership = [this] { return approve_resignation(); },
             .incarnation = incarnation_,
             .inherited_suspicions = peers_.inherited_suspicions(),
             .replica = replica_.replica(),
@@ -116,11 +120,12 @@
 void Controller::on_lease_lost() {
     metrics_.increment(metrics::Metric::leaderships_lost);
     if (leader_) peers_.set_image_caches(leader_->image_caches());
-    leader_.end();
+    leader_.stop_leading();
 }
 
-// Whether the leader is to resign for its self-suspicion; remembered if so.
-bool Controller::resign_leadership() {
+// Returns true, and records the time, if the leader may resign because it suspects that it is cut off itself.
+// Returns false if the last resignation was too recent.
+bool Controller::approve_resignation() {
     const double now = timers_.now();
     if (last_resigned_at_ && now - *last_resigned_at_ < settings_.lease_s * resign_interval_leases)
         return false;
@@ -154,13 +159,14 @@
     peer_messages_.serve(request, reply);
 }
 
-// --- For the user API -----------------------------------------------------------------------------------
+// --- api::ClusterQueries -------------------------------------------------------------------------------
 
 void Controller::task_counts(const std::string& id, TaskCountsCallback done) {
     task_counts_.query(id, done);
 }
 
-// The other controllers are notified also if this one leads: its lease may have expired without its knowing.
+// Notifies the other controllers even if this one leads, because its lease may have expired without its
+// noticing.
 void Controller::notify_cancelled(const std::string& id, std::uint64_t version) {
     if (leader_) leader_->apply_cancellation(id, version);
     cancellations_.announce(id, version,
--- a/src/controller/machine_type_catalog.cpp
+++ b/src/controller/machine_type_catalog.cpp
@@ -12,18 +12,18 @@
 
 namespace coralhitch::controller {
 namespace {
-// Heartbeat periods from an answer of the cloud to the next question, and from a failure to the next attempt.
-constexpr double refresh_periods = 20;
-constexpr double retry_periods = 1.0 / 2;
+// Delay of the next request to the cloud after an answer, and after a failure.
+constexpr double refresh_heartbeat_periods = 20;
+constexpr double retry_heartbeat_periods = 1.0 / 2;
 }  // namespace
 
 void MachineTypeCatalog::refresh() {
     cloud_.list_machine_types([this](std::optional<std::vector<protocol::MachineType>> types) {
-        take_from_cloud(std::move(types));
+        handle_cloud_response(std::move(types));
     });
 }
 
-void MachineTypeCatalog::take_from_cloud(std::optional<std::vector<protocol::MachineType>> types) {
+void MachineTypeCatalog::handle_cloud_response(std::optional<std::vector<protocol::MachineType>> types) {
     const bool answered = types && !types->empty();
     if (answered) {
         set(std::move(*types));
@@ -31,7 +31,8 @@
     } else if (types_.empty()) {
         load_stored();
     }
-    const double delay_s = settings_.heartbeat_interval_s * (answered ? refresh_periods : retry_periods);
+    const double delay_s =
+        settings_.heartbeat_interval_s * (answered ? refresh_heartbeat_periods : retry_heartbeat_periods);
     timers_.after(delay_s, [this] { refresh(); });
 }
 
--- a/src/controller/peer_message_handler.cpp
+++ b/src/controller/peer_message_handler.cpp
@@ -52,7 +52,7 @@
         });
     } else if (request.target == protocol::peer_cancellation_path) {
         with_message<protocol::PeerCancellationBatch>(
-            request, reply, [&](const auto& message) { reply_packed(reply, take_cancellations(message)); });
+            request, reply, [&](const auto& message) { reply_packed(reply, apply_cancellations(message)); });
     } else {
         reply({404, {}});
     }
@@ -64,7 +64,7 @@
     reply_packed(reply, protocol::RelayResponse{});
 }
 
-// With its own replica switched off, a controller has no part in that of others.
+// Rejects the request if replication is switched off on this controller.
 void PeerMessageHandler::replicate(const http::Request& request, const http::Reply& reply) {
     with_message<protocol::ReplicationRequest>(request, reply, [&](protocol::ReplicationRequest piece) {
         if (!dependencies_.settings.op.replicate_starts) return reply_malformed(reply);
@@ -72,7 +72,7 @@
     });
 }
 
-protocol::PeerCancellationResponse PeerMessageHandler::take_cancellations(
+protocol::PeerCancellationResponse PeerMessageHandler::apply_cancellations(
     const protocol::PeerCancellationBatch& message) const {
     const auto& leader = dependencies_.leader;
     if (!leader) return {protocol::LeaderVersion::none()};
--- a/src/controller/user_router.cpp
+++ b/src/controller/user_router.cpp
@@ -11,8 +11,8 @@
 namespace paths = protocol::paths;
 
 namespace {
-constexpr double forward_timeout_periods = 1.0 / 3;  // in heartbeat periods
-constexpr int first_error_of_overload = 429;
+constexpr double forward_timeout_heartbeat_periods = 1.0 / 3;
+constexpr int min_overload_status = 429;
 
 void refuse(const http::Reply& reply, int status, const char* error) {
     reply({status, protocol::error_body(error)});
@@ -38,8 +38,9 @@
     });
 }
 
-// Nobody if this controller reaches the key-value store. Otherwise one that does and understands the request:
-// a version that knows nothing of dependencies would store a job that awaits others as if it awaited none.
+// Returns null if this controller reaches the key-value store or no suitable peer does. A suitable peer
+// supports all features that the request uses: a version without dependencies would store a job that depends
+// on others as a job without dependencies.
 const PeerMonitor::Peer* UserRouter::peer_to_forward_to(const http::Request& request) const {
     if (dependencies_.kv_reachability.reachable()) return nullptr;
     const bool has_dependencies = request.method == "POST" && protocol::names_dependencies(request.body);
@@ -47,13 +48,13 @@
                                                                      : 0);
 }
 
-// `fallback`: answered if the peer does not.
+// Forwards the request and passes on the peer's answer. Answers `fallback` if the peer does not answer.
 void UserRouter::forward(const http::Request& request, const config::Peer& peer, http::Response fallback,
                          const http::Reply& reply) {
     auto body = protocol::pack_peer(protocol::PeerUserRequest{request.method, request.target, request.body});
     dependencies_.http.send(
         peer.addr, msgpack_request(protocol::peer_user_path, std::move(body)),
-        dependencies_.settings.heartbeat_interval_s * forward_timeout_periods,
+        dependencies_.settings.heartbeat_interval_s * forward_timeout_heartbeat_periods,
         [fallback = std::move(fallback), reply](std::optional<http::Response> response) {
             if (!response || response->status != 200) return reply(fallback);
             auto answer = protocol::unpack_peer<protocol::PeerUserResponse>(response->body);
@@ -84,11 +85,11 @@
     if (rest.ends_with(paths::cancel)) {
         if (request.method != "POST") return refuse(reply, 405, "wrong method");
         const auto job = rest.substr(0, rest.size() - paths::cancel.size());
-        return dependencies_.user_api.cancel(job, counted("cancel", std::move(reply)));
+        return dependencies_.user_api.cancel(job, with_request_count("cancel", std::move(reply)));
     }
     if (rest.empty() || rest.find('/') != std::string::npos) return refuse(reply, 404, "no such path");
     if (request.method != "GET") return refuse(reply, 405, "wrong method");
-    dependencies_.user_api.query(rest, counted("query", std::move(reply)));
+    dependencies_.user_api.query(rest, with_request_count("query", std::move(reply)));
 }
 
 void UserRouter::submit(const http::Request& request, const http::Reply& reply) {
@@ -96,13 +97,13 @@
     dependencies_.user_api.submit(request.body, [this, started_at, reply](http::Response response) {
         dependencies_.metrics.observe_submission(dependencies_.timers.now() - started_at);
         dependencies_.metrics.count_request("submit", response.status);
-        if (response.status >= first_error_of_overload)
+        if (response.status >= min_overload_status)
             spdlog::debug("component=controller event=submission_deferred status={}", response.status);
         reply(std::move(response));
     });
 }
 
-http::Reply UserRouter::counted(const char* route, http::Reply reply) {
+http::Reply UserRouter::with_request_count(const char* route, http::Reply reply) {
     return [this, route, reply = std::move(reply)](http::Response response) {
         dependencies_.metrics.count_request(route, response.status);
         reply(std::move(response));
--- a/tests/controller/health_monitor_test.cpp
+++ b/tests/controller/health_monitor_test.cpp
@@ -36,7 +36,7 @@
     ping.kv_reachable = false;
     for (double t = 1; t <= 20; ++t) {
         timers.run_until(t);
-        receive(ping);
+        receive_ping(ping);
         health.check();
         EXPECT_TRUE(health.healthy()) << t;
     }
@@ -47,8 +47,8 @@
     machine_types.start();
     health.check();
     key_value_store_is_down();
-    health.check();  // fails
-    receive(ping_of_peer());
+    health.check();  // the read fails
+    receive_ping(ping_of_peer());
     timers.run_until(1);
     health.check();
     EXPECT_TRUE(health.healthy());
@@ -66,7 +66,7 @@
     machine_types.start();
     health.check();
     key_value_store_is_down();
-    health.check();  // fails
+    health.check();  // the read fails
     timers.run_until(1);
     health.check();
     timers.run_until(2.6);
--- a/tests/controller/task_count_service_test.cpp
+++ b/tests/controller/task_count_service_test.cpp
@@ -15,34 +15,34 @@
         service.query(job, [&](std::optional<api::TaskCounts> counts) { answer = counts; });
         return answer;
     }
-    void peer_leads() {
+    void make_peer_leader() {
         auto ping = ping_of_peer();
         ping.leader = ping.label;
         ping.leader_version = protocol::LeaderVersion{5};
-        receive(ping);
+        receive_ping(ping);
     }
     TaskCountService service{timers, network, settings, leader, peers};
 };
 
-TEST_F(TaskCountServiceTest, KnowsNothingWithoutALeader) {
+TEST_F(TaskCountServiceTest, ReturnsNoCountsWithoutALeader) {
     EXPECT_FALSE(query("job-1"));
     EXPECT_TRUE(network.sent.empty());
 }
 
 TEST_F(TaskCountServiceTest, AnswersFromTheLeadersLastPingWhileThatIsRecent) {
-    peer_leads();
+    make_peer_leader();
     service.set_all({{"job-1", 2, 3}});
     timers.run_until(2.2);
     ASSERT_TRUE(query("job-1"));
     EXPECT_EQ(query("job-1")->done, 2u);
     EXPECT_EQ(query("job-1")->running, 3u);
-    ASSERT_TRUE(query("job-2")) << "the ping names all live jobs with tasks";
+    ASSERT_TRUE(query("job-2")) << "a job that is not in the leader's ping has no tasks";
     EXPECT_EQ(query("job-2")->running, 0u);
     EXPECT_TRUE(network.sent.empty());
 }
 
 TEST_F(TaskCountServiceTest, AsksTheLeaderWithoutARecentPing) {
-    peer_leads();
+    make_peer_leader();
     service.set_all({{"job-1", 2, 3}});
     timers.run_until(2.3);
     network.peer = [](const http::Request&) {
