--- a/src/kv/keys.hpp
+++ b/src/kv/keys.hpp
@@ -9,32 +9,35 @@
 namespace coralhitch::kv::keys {
 
 // Single keys.
-inline const std::string leader = "leader";  // held under the leader's lease; its version: fencing token
-// The replicas that know every start that may have been sent (protocol::InSyncReplicas).
+// Record of the current leader, attached to the leader's lease. The key's version is the fencing token.
+inline const std::string leader = "leader";
+// The replicas that hold every task start that may have been sent (protocol::InSyncReplicas).
 inline const std::string in_sync_replicas = "standby";
-inline const std::string attempts = "attempts";  // rewritten to advance the revision; its value means nothing
-// Machine types, for controllers that start while the cloud is down.
+// Rewritten only to advance the store's revision. The value is not read.
+inline const std::string attempts = "attempts";
+// Machine types last read from the cloud, for controllers that start while the cloud is unavailable.
 inline const std::string types = "types";
 
 // Prefixes.
-inline const std::string jobs = "job/";       // live jobs, cancelled ones included until their tasks are gone
-inline const std::string finals = "final/";   // final states of jobs, kept for ever
-inline const std::string progress = "prog/";  // finished tasks of live jobs, in blocks
-inline const std::string machines = "mach/";  // machines that may hold tasks
-inline const std::string machine_pages = machines + "page/";  // many machines in one value
+inline const std::string jobs = "job/";      // live jobs, and cancelled jobs until all their tasks have ended
+inline const std::string finals = "final/";  // final states of jobs, never deleted
+inline const std::string progress = "prog/";                  // finished tasks of live jobs, in blocks
+inline const std::string machines = "mach/";                  // machines that may run tasks
+inline const std::string machine_pages = machines + "page/";  // pages: many machines in one value
 
-// The record of a live job.
+// Returns the key of a live job's record.
 inline std::string job(const std::string& id) {
     return jobs + id;
 }
-// The record of a job's final state.
+// Returns the key of the record of a job's final state.
 inline std::string final(const std::string& id) {
     return finals + id;
 }
+// Returns the key of a page of machines.
 inline std::string machine_page(std::size_t number) {
     return machine_pages + std::to_string(number);
 }
-// One block of the finished tasks of a live job.
+// Returns the key of one block of the finished tasks of a live job.
 inline std::string progress_of(const std::string& id, const std::string& block) {
     return progress + id + "/" + block;
 }
--- a/src/kv/kv_client.cpp
+++ b/src/kv/kv_client.cpp
@@ -14,7 +14,7 @@
 
 constexpr int list_page_size = 500;  // keys
 
-// The status of a read that did not get the answer it asked for.
+// Returns the status of a read that failed: `response` is absent or holds an error status.
 ReadStatus failure_of(const Response& response) {
     if (!response) return ReadStatus::no_response;
     return response->status == 429 ? ReadStatus::refused : ReadStatus::unavailable;
@@ -23,8 +23,9 @@
 GetResult parse_get(const Response& response) try {
     if (response && response->status == 200) return {ReadStatus::ok, protocol::parse_entry(response->body)};
     if (response && response->status == 404) {
-        protocol::parse_revision(
-            response->body);  // only the store's own 404 has one, not that of a wrong path
+        // Throws for a 404 that does not come from the store, such as that of a wrong path: it has no
+        // revision.
+        protocol::parse_revision(response->body);
         return {ReadStatus::ok, std::nullopt};
     }
     return {failure_of(response), std::nullopt};
@@ -51,11 +52,11 @@
     if (response->status == 200) return {Status::committed, protocol::parse_revision(response->body), {}};
     if (response->status == 409)
         return {Status::conflict, 0, protocol::parse_conflict(response->body).failed};
-    // A put under a lease that has expired gets 400, too: that one is not too large.
+    // The store also answers 400 to a put under an expired lease. Such a transaction is not too large.
     if (response->status == 400 && !uses_lease(transaction)) return {Status::rejected, 0, {}};
     return {Status::refused, 0, {}};
 } catch (const Malformed&) {
-    return {TxnResult::Status::unknown, 0, {}};  // it may have been a commit
+    return {TxnResult::Status::unknown, 0, {}};  // the transaction may have been committed
 }
 }  // namespace
 
@@ -68,7 +69,7 @@
     [[nodiscard]] std::string last_key() const {
         return result.entries.empty() ? std::string() : result.entries.back().key;
     }
-    // Takes a page; true if another one follows.
+    // Appends one page. Returns true if another page follows.
     bool append(protocol::EntryPage page) {
         if (result.revision == 0) result.revision = page.revision;
         for (auto& entry : page.entries) result.entries.push_back(std::move(entry));
@@ -143,7 +144,7 @@
                    .changes = changes,
                    .on_response = [this, on_txn = std::move(on_txn),
                                    transaction = std::move(transaction)](Response response) {
-                       // 429 is also what the queue answers for a request that it never sent.
+                       // The queue also answers 429, for a request that it never sent.
                        if (!response || response->status != 429) count_changes(transaction);
                        auto result = parse_txn(transaction, response);
                        if (result.status == TxnResult::Status::rejected) handle_rejection(transaction);
@@ -189,7 +190,7 @@
                  if (response && response->status == 200)
                      result = {LeaseResult::Status::ok, protocol::parse_lease(response->body), sent_at};
              } catch (const Malformed&) {
-                 // Without its id the lease can't be used: it runs out unused.
+                 // Without its id the lease cannot be used, so the store lets it expire.
              }
              on_lease(result);
          }});
--- a/src/kv/kv_client.hpp
+++ b/src/kv/kv_client.hpp
@@ -1,16 +1,16 @@
-// Client of the consensus-backed key-value store, the only place where controllers keep state.
+// Client of the consensus-backed key-value store, the only place where controllers keep durable state.
 //
-// All requests of this controller pass through one queue by priority and keep to this controller's share of
-// the store's request budget (request_queue.hpp, request_budget.hpp).
+// All requests of this controller pass through one priority queue, which keeps them within this controller's
+// share of the store's request budget (request_queue.hpp, request_budget.hpp).
 //
 // Consistency: the store is strongly consistent. A key's version is the store's revision at which it was last
-// put, so versions only grow; a condition names the version that a key must have, 0 for "no such key". A
-// request without an answer may have been executed, or may be executed later.
+// put, so versions only grow. A condition names the version that a key must have, where 0 means that the key
+// must not exist. A request without an answer may have been executed, or may be executed later.
 //
 // Everything runs on the event loop's thread. Each callback is called exactly once, and never from within the
-// call that it was given to unless the transport answers at once. The client doesn't guard its callers'
-// lifetime: whoever may be gone by the time of the answer wraps its callback in an event_loop::LifetimeGuard.
-// No call throws for what the store does; see results.hpp for what can go wrong.
+// call that it was given to unless the transport answers at once. The client does not guard its callers'
+// lifetime: a caller that may be destroyed before the answer wraps its callback in an
+// event_loop::LifetimeGuard. Errors of the store are returned as results (results.hpp), never thrown.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -30,6 +30,7 @@
 
 namespace coralhitch::kv {
 
+// Sends reads, transactions and lease requests to the key-value store.
 class KvClient {
   public:
     using OnGet = std::function<void(GetResult)>;
@@ -39,48 +40,53 @@
     using OnLease = std::function<void(LeaseResult)>;
     using OnLeaseEnded = std::function<void(bool ended)>;
 
-    // Starts with a follower's share of the budget. The references must outlive the client, and the client
-    // its timers and requests.
+    // Starts with a follower's share of the budget. The referenced objects must outlive the client, and the
+    // client must outlive its pending timers and requests.
     KvClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
 
     // Reads one key.
     void get(const std::string& key, RequestPriority priority, OnGet on_get);
-    // Reads all keys with a prefix, page by page: not a snapshot, see ListResult::revision.
+    // Reads all keys with a prefix, page by page. The result is not a snapshot, see ListResult::revision.
     void list(const std::string& prefix, RequestPriority priority, OnList on_list);
     // Executes a compare-and-swap transaction.
     void txn(protocol::Txn transaction, RequestPriority priority, OnTxn on_txn);
 
     // Reads the changes to keys with a prefix since a store revision. The store waits up to `wait_s` seconds
-    // for the first one; with 0 it answers at once, and the answer proves that nothing else was committed
-    // before the request was sent. `timeout_s` is for an answer at once only; a quarter of the report period
-    // if absent.
+    // for the first change. With `wait_s` 0 the store answers at once, and the answer holds every change that
+    // was committed before the request was sent. `timeout_s` is used only with `wait_s` 0. Its default is a
+    // quarter of the heartbeat period.
     void watch(const std::string& prefix, std::uint64_t since_revision, double wait_s, OnWatch on_watch,
                std::optional<double> timeout_s = {});
 
-    // Leases: the store deletes a lease's keys when it was not renewed for its time to live, never earlier.
+    // Creates a lease. The store deletes the lease's keys once it has not been renewed for its time to live,
+    // never earlier.
     void create_lease(double ttl_s, OnLease on_lease);
+    // Renews a lease for its time to live.
     void renew_lease(std::uint64_t lease_id, double timeout_s, OnLease on_lease);
-    // Ends a lease before its time. `ended` is false if the store did not confirm it: it runs out by itself.
+    // Ends a lease early. `ended` is false if the store did not confirm this: the lease then expires after
+    // its time to live.
     void end_lease(std::uint64_t lease_id, OnLeaseEnded on_ended);
 
-    // Takes the leader's share of the budget, or a follower's.
+    // Sets this controller's share of the budget to the leader's or to a follower's.
     void set_leading(bool leading) { budget_.set_leading(leading); }
-    // Whether less than half of the changes allowed at once are left: a transaction that would only fail on a
-    // condition is then worth a read before.
+    // Returns true if less than half of the burst of changes is left. A caller should then read first to
+    // avoid sending a transaction whose condition would fail.
     [[nodiscard]] bool short_of_changes() { return budget_.short_of_changes(timers_.now()); }
-    // How large transactions and values may be now; to be asked for each transaction.
+    // Returns the current size limits of transactions and values. They may shrink, so they must be read anew
+    // for each transaction.
     [[nodiscard]] const SizeLimits& limits() const { return limits_; }
 
-    // Whether the latest answer or failure was an answer, and not longer than that many seconds ago.
+    // Returns true if the request that finished last was answered with a status below 500, less than
+    // `seconds` ago.
     [[nodiscard]] bool answered_within(double seconds) const;
 
-    // For metrics, since the process began.
+    // Returns the counts of requests of one priority since the process started, for metrics.
     [[nodiscard]] const QueueCounts& queue_counts(RequestPriority priority) const {
         return queue_.counts(priority);
     }
-    // Changes sent, by kind: the first part of the key.
+    // Returns the number of changes sent, by the first part of their key.
     [[nodiscard]] const std::map<std::string, double>& changes_by_kind() const { return changes_by_kind_; }
-    // Transactions that the store rejected as too large or malformed.
+    // Returns the number of transactions that the store rejected as too large or malformed.
     [[nodiscard]] std::uint64_t rejections() const { return rejections_; }
 
   private:
@@ -99,7 +105,7 @@
     SizeLimits limits_;
     std::map<std::string, double> changes_by_kind_;
     std::uint64_t rejections_ = 0;
-    bool latest_was_answered_ = false;
+    bool latest_was_answered_ = false;      // with a status below 500
     std::optional<double> last_answer_at_;  // steady time
 };
 
--- a/src/kv/list_watch.cpp
+++ b/src/kv/list_watch.cpp
@@ -39,7 +39,8 @@
     kv_.watch(prefix_, reader.revision, reader.wait_s, guarded_(std::move(on_watch)), reader.timeout_s);
 }
 
-// Takes several requests; the first says from which revision on changes are still to be read.
+// Lists all keys, which takes several requests. Changes after the revision of the first page are read by the
+// next watch.
 void ListWatch::list_all(Reader& reader) {
     double sent_at = timers_.now();
     kv_.list(prefix_, RequestPriority::write, guarded_([this, &reader, sent_at](const ListResult& result) {
--- a/src/kv/list_watch.hpp
+++ b/src/kv/list_watch.hpp
@@ -1,12 +1,12 @@
-// Follows all keys with a prefix: a list, then a watch on the changes since (list-watch). It also says up to
-// which moment no committed change can be missing.
+// Follows all keys with a prefix by a list and then a watch on later changes (list-watch), and tells up to
+// which time all committed changes have been delivered.
 //
-// A watch that waits delivers changes soon but proves nothing: it may be quiet because there was no change,
-// or because it waits through an outage, or through one that hits this controller alone. So the changes are
-// also read without waiting, every `confirm_interval_s`. Such an answer holds all that was committed before
-// its request was sent; that moment is `complete_until`.
+// A long-polling watch delivers changes soon, but its silence is no evidence that nothing changed: the store
+// may be down, or unreachable from this controller alone. The changes are therefore also read without
+// waiting, every `confirm_interval_s`. The answer to such a confirming read holds every change that was
+// committed before its request was sent, and the time of sending becomes `complete_until`.
 //
-// Runs on the event loop's thread. Once it is destroyed, no callback is called any more.
+// Runs on the event loop's thread. No callback is called after the ListWatch is destroyed.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -21,40 +21,43 @@
 
 namespace coralhitch::kv {
 
+// Delivers all changes to the keys with one prefix to its callbacks.
 class ListWatch {
   public:
-    // All in seconds.
+    // Times in seconds.
     struct Timing {
-        double watch_wait_s = 0;        // how long the store may wait for a change
-        double watch_interval_s = 0;    // between a watch and the next, so that changes come together
-        double retry_backoff_s = 0;     // after a read that failed
-        double confirm_interval_s = 0;  // between two reads that don't wait
-        double confirm_timeout_s = 0;   // for the answer to one: a late one still proves something
+        double watch_wait_s = 0;        // longest time that the store holds a watch without a change
+        double watch_interval_s = 0;    // between two watches, so that changes are batched
+        double retry_backoff_s = 0;     // delay after a failed read
+        double confirm_interval_s = 0;  // between two confirming reads
+        double confirm_timeout_s = 0;   // time-out of a confirming read; a late answer is still useful
     };
     struct Callbacks {
-        // The same change may come twice, and after newer ones of its key: compare versions. Every change up
-        // to store revision `delivered_until` has been delivered for the last time.
+        // Delivers changes. A change may be delivered twice, and after a newer change to the same key, so the
+        // receiver must compare versions. Changes up to the store revision `delivered_until` are not
+        // delivered again.
         std::function<void(const std::vector<protocol::Event>& events, std::uint64_t delivered_until)>
             on_changes;
-        // All keys, since the store no longer keeps the changes that are missing. Keys that are not among
-        // them were deleted.
+        // Delivers all keys, because the store has compacted the changes that were to be read. A key that is
+        // not in the list was deleted.
         std::function<void(const ListResult& all)> on_listed;
     };
 
-    // The references must outlive this object.
+    // `timers` and `kv` must outlive this object.
     ListWatch(event_loop::Timers& timers, KvClient& kv, std::string prefix, Timing timing,
               Callbacks callbacks);
 
-    // Follows the changes after `revision`, that of a list whose first request was sent at steady time
-    // `listed_at` (seconds). To be called once.
+    // Starts to follow the changes after `revision`, the revision of a list whose first request was sent at
+    // `listed_at` (steady time in seconds). Must be called once only.
     void start(std::uint64_t revision, double listed_at);
 
-    // Steady time in seconds: all that was committed before it has been delivered. Nothing before `start`;
-    // from within `on_changes` and `on_listed`, still that of the answers before.
+    // Returns the steady time in seconds before which every committed change has been delivered, or nullopt
+    // before `start`. During `on_changes` and `on_listed` the value does not yet include the current answer.
     [[nodiscard]] std::optional<double> complete_until() const { return complete_until_; }
 
   private:
-    // Two readers of the same changes, each from its own revision on.
+    // The state of one of two independent readers of the same changes. Times in seconds. A confirming reader
+    // has `wait_s` 0. `revision` is the store revision from which it reads next.
     struct Reader {
         double wait_s = 0, interval_s = 0, timeout_s = 0;
         std::uint64_t revision = 0;
--- a/src/kv/request_budget.cpp
+++ b/src/kv/request_budget.cpp
@@ -4,15 +4,15 @@
 
 namespace coralhitch::kv {
 namespace {
-// Other controllers may still be spending their old share while leadership moves, hence a little less than
-// all.
+// Part of the store's limits that is shared out. It is below 1 because other controllers may still use their
+// old share while leadership moves.
 constexpr double usable_ratio = 0.9;
-// The leader's shares. It stores the end of each job, two changes, besides its part of what users ask for:
-// with half of the changes it ran out at ten jobs of one task a second, while the others used a third of
-// theirs.
+// The leader's shares of requests and changes. The leader stores the end of each job, which is two changes,
+// in addition to its part of the users' requests. With half of the changes it had none left at ten one-task
+// jobs per second, while the other controllers used a third of theirs.
 constexpr double leader_request_share = 0.5, leader_change_share = 0.6;
-constexpr double short_of_changes_ratio = 0.5;  // of the burst
-constexpr double user_read_ratio = 0.5;         // of the requests
+constexpr double short_of_changes_ratio = 0.5;  // of the changes per second
+constexpr double user_read_ratio = 0.5;         // of the requests per second
 
 double share_of(const config::Settings& settings, bool leading, double leader_share) {
     if (settings.nodes <= 1) return 1.0;
--- a/src/kv/request_queue.cpp
+++ b/src/kv/request_queue.cpp
@@ -6,9 +6,9 @@
 
 namespace coralhitch::kv {
 namespace {
-// Longest wait in the queue, in report periods.
-constexpr double max_wait_reports = 1.0;
-// What a user waits for may spend this part of the user's time-out in the queue; the rest is for the answer.
+// Longest wait in the queue.
+constexpr double max_wait_heartbeat_periods = 1.0;
+// Part of a user's time-out that the user's request may spend in the queue. The rest is left for the answer.
 constexpr double user_wait_ratio = 0.5;
 constexpr double min_timer_s = 0.005;
 }  // namespace
@@ -18,15 +18,16 @@
     : timers_(timers), settings_(settings), budget_(budget), send_(std::move(send)) {}
 
 double RequestQueue::max_wait_s(RequestPriority priority) const {
-    double general = settings_.heartbeat_interval_s * max_wait_reports;
+    double general = settings_.heartbeat_interval_s * max_wait_heartbeat_periods;
     if (priority == RequestPriority::cancellation || priority == RequestPriority::submission)
         return std::min(general, submission_timeout_s * user_wait_ratio);
     if (priority == RequestPriority::read) return std::min(general, read_timeout_s * user_wait_ratio);
     return general;
 }
 
-// A submission behind more changes than can be sent in time. Kept in the queue until its deadline, it was
-// refused just when its user had given up, and submitted again: time-outs instead of refusals, without end.
+// Returns true for a submission behind more changes than can be sent before its deadline. It is refused at
+// once. When such submissions stayed in the queue until their deadline, they were refused just after their
+// users had timed out and submitted again, so that users kept getting time-outs instead of refusals.
 bool RequestQueue::would_miss_deadline(const PendingRequest& request) {
     if (request.priority != RequestPriority::submission) return false;
     double changes_ahead = request.changes;
@@ -36,7 +37,7 @@
     return budget_.seconds_for_changes(timers_.now(), changes_ahead) > max_wait_s(request.priority);
 }
 
-// Answered from a timer, since this may run within a call of the one who is answered.
+// Answers from a timer, because the caller of submit() must not be called back from within that call.
 void RequestQueue::refuse(PendingRequest request) {
     ++counts_of(request.priority).refused;
     timers_.after(0, [on_response = std::move(request.on_response)] {
@@ -53,10 +54,10 @@
     send_due();
 }
 
-// Sends what the budget allows, highest priority first; a timer goes on when the next request fits.
+// Sends what the budget allows, highest priority first, and sets a timer for when the next request will fit.
 void RequestQueue::send_due() {
     double now = timers_.now();
-    std::optional<double> next_s;       // until the first of those that don't fit now does
+    std::optional<double> next_s;       // seconds until the first waiting request fits
     bool changes_are_reserved = false;  // for a transaction of a higher priority
     for (auto& queue : queues_) {
         while (!queue.empty()) {
@@ -67,8 +68,8 @@
                 refuse(std::move(expired));
                 continue;
             }
-            // A transaction with many changes waits until there is budget for all of them: if transactions of
-            // lower priority took what gathers meanwhile, it would wait for ever.
+            // A transaction with many changes waits until there is budget for all of them. It would starve if
+            // transactions of lower priority took the budget that accumulates in the meantime.
             if (first.changes > 0 && changes_are_reserved) break;
             if (!budget_.has(now, first.cost())) {
                 changes_are_reserved = changes_are_reserved || first.changes > 0;
--- a/src/kv/request_queue.hpp
+++ b/src/kv/request_queue.hpp
@@ -1,7 +1,7 @@
-// Requests to the key-value store that wait for this controller's budget, by priority.
+// A priority queue of requests to the key-value store that wait for this controller's request budget.
 //
-// Every request has a deadline from the moment it is queued: the time after which nobody would wait for its
-// answer any more. What can't be sent by then is refused, so the queue can't grow without bound when the
+// Every request gets a deadline when it is queued, after which its answer would no longer be of use. A
+// request that cannot be sent by its deadline is refused, so the queue cannot grow without bound when the
 // store is slow or the load is too high. Runs on the event loop's thread.
 #pragma once
 #include <array>
@@ -16,46 +16,48 @@
 
 namespace coralhitch::kv {
 
-// Who goes first when the budget is short, from first to last.
+// Priorities of requests when the budget is short, the highest first.
 enum class RequestPriority {
-    lease,         // leases, the leader's key, the replicas' record, watches: never queued, sent at once
+    lease,         // leases, the leader's key, the in-sync replicas' key, watches: never queued, sent at once
     cancellation,  // users' cancellations
     submission,    // users' submissions
     write,         // the leader's own writes, and reads that these depend on
     read,          // users' status queries
-    background     // can wait for a report period
+    background     // can wait for a heartbeat period
 };
 inline constexpr std::size_t request_priority_count = 6;
 
-// How long users wait for an answer (seconds): to a submission or cancellation, and to a status query.
+// Users' time-outs in seconds: of a submission or cancellation, and of a status query.
 inline constexpr double submission_timeout_s = 5, read_timeout_s = 2;
 
-// What became of the requests of one priority in this controller's queue, since the process began.
+// Counts of one priority's requests in this controller's queue, since the process started.
 struct QueueCounts {
-    double sent = 0;            // that were queued first
-    double refused = 0;         // never sent: their deadline would have passed
-    double waited_s = 0;        // by all that were sent, in sum
-    double longest_wait_s = 0;  // by one that was sent
+    double sent = 0;            // requests sent after they were queued
+    double refused = 0;         // requests never sent, because they would have missed their deadline
+    double waited_s = 0;        // total time in the queue of all requests sent
+    double longest_wait_s = 0;  // longest time in the queue of a request sent
 };
 
+// A request to the store with what the queue needs to schedule it.
 struct PendingRequest {
     RequestPriority priority = RequestPriority::background;
     http::Request request;
-    double timeout_s = 0;  // for the store's answer, from the sending on
-    double changes = 0;    // keys that it puts or deletes
+    double timeout_s = 0;  // for the store's answer, from the time of sending
+    double changes = 0;    // number of keys put or deleted
     http::Result on_response;
-    // Steady times, set by the queue.
+    // Steady times in seconds, set by the queue.
     double queued_at = 0, deadline = 0;
 
     [[nodiscard]] RequestCost cost() const { return {changes, priority == RequestPriority::read}; }
 };
 
+// Holds requests until the budget allows them, and sends them by priority.
 class RequestQueue {
   public:
     using Send = std::function<void(PendingRequest)>;
 
-    // `send` is called when a request's turn has come and its cost is taken. The references must outlive the
-    // queue.
+    // `send` is called for each request that may be sent, after its cost was taken from the budget. The
+    // referenced objects must outlive the queue, and the queue must outlive its pending timers.
     RequestQueue(event_loop::Timers& timers, const config::Settings& settings, RequestBudget& budget,
                  Send send);
 
--- a/src/kv/size_limits.cpp
+++ b/src/kv/size_limits.cpp
@@ -18,8 +18,8 @@
     for (const auto& change : rejected.changes)
         largest = std::max(largest, change.value ? change.value->size() : 0);
     value_bytes_ = std::max(min_value_bytes, std::min(value_bytes_, largest * 3 / 4));
-    // Halving the transactions has isolated the value that was too large. The number of changes may have been
-    // right all the time: kept low, every later write would cost more requests than it must.
+    // Halving the transactions has isolated the value that was too large. The number of changes may never
+    // have been the cause: if it stayed low, every later write would cost more requests than necessary.
     txn_ops_ = promised_txn_ops_;
 }
 
--- a/src/kv/size_limits.hpp
+++ b/src/kv/size_limits.hpp
@@ -1,9 +1,10 @@
-// How large a transaction and a single value may be, as far as this controller knows.
+// This controller's current estimate of how large a transaction and a single value may be.
 //
-// It starts from what the settings promise and shrinks when the key-value store rejects a transaction all
-// the same: the store's limits may fall without notice. A rejection does not say what was too large, so the
-// next transactions get fewer changes first; if one with hardly any changes is rejected still, its largest
-// value was too large. The limits never grow back beyond the settings' while the process runs.
+// The limits start at the configured values and shrink when the key-value store rejects a transaction,
+// because the store's limits may be lowered without notice. A rejection does not say what was too large, so
+// the number of changes is reduced first. If a transaction with at most `min_txn_ops` changes is still
+// rejected, its largest value was too large: the limit of values is reduced, and that of changes returns to
+// its configured value. The limit of values never grows again while the process runs.
 #pragma once
 #include <cstddef>
 
@@ -12,23 +13,24 @@
 
 namespace coralhitch::kv {
 
+// Limits of the size of transactions and values. Used on the event loop's thread.
 class SizeLimits {
   public:
-    // Below these, smaller transactions or values are not tried.
+    // The limits never shrink below these numbers of changes and of bytes.
     static constexpr std::size_t min_txn_ops = 2, min_value_bytes = 256;
 
     explicit SizeLimits(const config::Settings& settings);
 
-    // Most changes that one transaction should hold.
+    // Returns the maximum number of changes in one transaction.
     [[nodiscard]] std::size_t txn_ops() const { return txn_ops_; }
-    // Most bytes of JSON that one value should hold.
+    // Returns the maximum size of one value, in bytes of JSON.
     [[nodiscard]] std::size_t value_bytes() const { return value_bytes_; }
 
-    // To be called for each transaction that the store rejected as too large.
+    // Shrinks the limits. Must be called for each transaction that the store rejected as too large.
     void shrink_after_rejection(const protocol::Txn& rejected);
 
   private:
-    std::size_t promised_txn_ops_;  // by the settings
+    std::size_t promised_txn_ops_;
     std::size_t txn_ops_;
     std::size_t value_bytes_;
 };
--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -1,4 +1,5 @@
-// Until when a list-watch has delivered all changes: which answers prove it, and which don't.
+// ListWatch::complete_until: only a confirming read or a list that was answered may advance it, and only to
+// the time at which its request was sent. Otherwise a quiet watch during an outage would count as up to date.
 #include "kv/list_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 namespace {
 using nlohmann::json;
 
-// Answers as the test says; a watch that waits stays open for its whole wait.
+// Answers according to its flags, after `delay` seconds. A watch that waits is answered after 12 s.
 struct FakeWatchableStore : http::Requester {
     explicit FakeWatchableStore(FakeTimers& t) : timers(t) {}
     void send(const std::string&, http::Request r, double timeout, http::Result result) override {
@@ -36,12 +37,12 @@
     struct Case {
         const char* name;
         void (*fault)(FakeWatchableStore&);
-        double least, most;  // how long ago it was complete, after 8 s of the fault, s
+        double least, most;  // expected age of complete_until in seconds, after 8 s of the fault
         bool listed;
     };
     const Case cases[] = {
         {"none", [](FakeWatchableStore&) {}, 0, 1.1, false},
-        {"slow: the sending counts", [](FakeWatchableStore& s) { s.delay = 1; }, 1, 3.1, false},
+        {"slow: the time of sending counts", [](FakeWatchableStore& s) { s.delay = 1; }, 1, 3.1, false},
         {"slower than a user waits", [](FakeWatchableStore& s) { s.delay = 2; }, 2, 5.1, false},
         {"refused", [](FakeWatchableStore& s) { s.refuses = true; }, 8, 9.1, false},
         {"no answer, watches open", [](FakeWatchableStore& s) { s.no_answer = true; }, 8, 9.1, false},
--- a/tests/kv/request_budget_test.cpp
+++ b/tests/kv/request_budget_test.cpp
@@ -20,7 +20,7 @@
             auto settings = settings_for(nodes);
             RequestBudget budget(settings);
             budget.set_leading(k == 0);
-            budget.take(0, {1, false});  // a new budget holds one token; the rest gathers from here on
+            budget.take(0, {1, false});  // a new budget holds one token and fills up from now on
             EXPECT_GT(budget.wait_s(0, {1, false}), 0) << nodes;
             for (; budget.has(10, {}); ++requests) budget.take(10, {});
             for (; budget.seconds_for_changes(20, 1) == 0; ++changes) budget.take(20, {1, false});
--- a/tests/kv/request_queue_test.cpp
+++ b/tests/kv/request_queue_test.cpp
@@ -10,7 +10,7 @@
 namespace coralhitch::kv {
 namespace {
 
-// A queue with a share of 9 requests and 9 changes a second, and bursts of as many that have gathered.
+// A queue with a share of 9 requests and 9 changes a second, whose budget has filled up to a burst of 9 each.
 struct Bench {
     Bench() {
         (void)budget.has(0, {0, true});
@@ -70,23 +70,24 @@
     b.submit(RequestPriority::background, "small", 1);
     b.submit(RequestPriority::background, "read");
     b.run_until(0.9);
-    EXPECT_EQ(b.sent, (std::vector<std::string>{"first"}));  // in order within a priority
+    EXPECT_EQ(b.sent, (std::vector<std::string>{"first"}));  // requests of one priority are sent in order
     b.run_until(1.2);
     EXPECT_EQ(b.sent, (std::vector<std::string>{"first", "large", "small", "read"}));
 }
-TEST(RequestQueue, RefusesWhatCannotBeSentBeforeItsDeadline) {
+TEST(RequestQueue, RefusesSubmissionsThatWouldMissTheirDeadline) {
     Bench b;
     b.submit(RequestPriority::write, "first", 9);
     for (int k = 0; k < 5; ++k) b.submit(RequestPriority::submission, "submission", 9);
-    EXPECT_TRUE(b.refused.empty());  // answered from a timer
+    EXPECT_TRUE(b.refused.empty());  // refusals are answered from a timer
     b.run_until(0.1);
-    EXPECT_EQ(b.refused, (std::vector<int>{429, 429, 429}));  // those behind 2.5 s worth of changes
+    EXPECT_EQ(b.refused,
+              (std::vector<int>{429, 429, 429}));  // the submissions behind more changes than fit in 2.5 s
     EXPECT_EQ(b.queue.counts(RequestPriority::submission).refused, 3);
     b.run_until(10);
     EXPECT_EQ(b.queue.counts(RequestPriority::submission).sent, 2);
     EXPECT_LE(b.queue.counts(RequestPriority::submission).longest_wait_s, 2.5);
 }
-TEST(RequestQueue, RefusesWhatHasWaitedForAReportPeriod) {
+TEST(RequestQueue, RefusesRequestsThatHaveWaitedForAHeartbeatPeriod) {
     Bench b;
     for (int k = 0; k < 60; ++k) b.submit(RequestPriority::background, "background", 1);
     b.run_until(20);
--- a/tests/kv/size_limits_test.cpp
+++ b/tests/kv/size_limits_test.cpp
@@ -10,14 +10,14 @@
 namespace coralhitch::kv {
 namespace {
 
-// What a rejection leads to: fewer changes at first, and when hardly any are left, smaller values.
-TEST(SizeLimits, FallWithEachRejectionToABound) {
+// Rejections first reduce the number of changes, and once it is at its minimum, the size of values.
+TEST(SizeLimits, ShrinkWithEachRejectionToAMinimum) {
     config::Settings settings;
     settings.txn_ops = 24;
     settings.safe_value_kb = 16;
     struct Case {
-        std::vector<std::size_t> changes;  // of each rejected transaction, of values of so many bytes
-        std::size_t bytes, txn_ops, value_bytes;
+        std::vector<std::size_t> changes;         // number of changes in each rejected transaction
+        std::size_t bytes, txn_ops, value_bytes;  // size of each value, then the expected limits
     };
     const Case cases[] = {{{}, 0, 24, 16384},
                           {{24}, 100, 12, 16384},
