--- a/src/kv/size_limits.cpp
+++ b/src/kv/size_limits.cpp
@@ -5,7 +5,7 @@
 namespace coralhitch::kv {
 
 SizeLimits::SizeLimits(const config::Settings& settings)
-    : promised_txn_ops_(settings.txn_ops),
+    : configured_txn_ops_(settings.txn_ops),
       txn_ops_(settings.txn_ops),
       value_bytes_(static_cast<std::size_t>(settings.safe_value_kb * 1024)) {}
 
@@ -20,7 +20,7 @@
     value_bytes_ = std::max(min_value_bytes, std::min(value_bytes_, largest * 3 / 4));
     // Halving the transactions has isolated the value that was too large. The number of changes may never
     // have been the cause: if it stayed low, every later write would cost more requests than necessary.
-    txn_ops_ = promised_txn_ops_;
+    txn_ops_ = configured_txn_ops_;
 }
 
 }  // namespace coralhitch::kv
--- a/src/kv/size_limits.hpp
+++ b/src/kv/size_limits.hpp
@@ -30,7 +30,7 @@
     void shrink_after_rejection(const protocol::Txn& rejected);
 
   private:
-    std::size_t promised_txn_ops_;
+    std::size_t configured_txn_ops_;
     std::size_t txn_ops_;
     std::size_t value_bytes_;
 };
