--- a/tests/kv/request_queue_test.cpp
+++ b/tests/kv/request_queue_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 // A queue with a share of 9 requests and 9 changes a second, whose budget has filled up to a burst of 9 each.
-struct Bench {
-    Bench() {
+struct RequestQueueFixture {
+    RequestQueueFixture() {
         (void)budget.has(0, {0, true});
         timers.run_until(start);
     }
@@ -43,7 +43,7 @@
 };
 
 TEST(RequestQueue, SendsByPriorityOnceTheBudgetIsShort) {
-    Bench b;
+    RequestQueueFixture b;
     for (int k = 0; k < 9; ++k) b.submit(RequestPriority::background, "first");
     b.sent.clear();
     b.submit(RequestPriority::background, "background");
@@ -57,14 +57,14 @@
               (std::vector<std::string>{"cancellation", "submission", "write", "read", "background"}));
 }
 TEST(RequestQueue, SendsLeaseRequestsWithoutBudget) {
-    Bench b;
+    RequestQueueFixture b;
     for (int k = 0; k < 9; ++k) b.submit(RequestPriority::write, "first");
     b.submit(RequestPriority::lease, "lease");
     EXPECT_EQ(b.sent.back(), "lease");
     EXPECT_EQ(b.queue.counts(RequestPriority::write).sent, 9);
 }
 TEST(RequestQueue, ReservesChangesForALargeTransaction) {
-    Bench b;
+    RequestQueueFixture b;
     b.submit(RequestPriority::write, "first", 9);
     b.submit(RequestPriority::write, "large", 9);
     b.submit(RequestPriority::background, "small", 1);
@@ -75,7 +75,7 @@
     EXPECT_EQ(b.sent, (std::vector<std::string>{"first", "large", "small", "read"}));
 }
 TEST(RequestQueue, RefusesSubmissionsThatWouldMissTheirDeadline) {
-    Bench b;
+    RequestQueueFixture b;
     b.submit(RequestPriority::write, "first", 9);
     for (int k = 0; k < 5; ++k) b.submit(RequestPriority::submission, "submission", 9);
     EXPECT_TRUE(b.refused.empty());  // refusals are answered from a timer
@@ -88,7 +88,7 @@
     EXPECT_LE(b.queue.counts(RequestPriority::submission).longest_wait_s, 2.5);
 }
 TEST(RequestQueue, RefusesRequestsThatHaveWaitedForAHeartbeatPeriod) {
-    Bench b;
+    RequestQueueFixture b;
     for (int k = 0; k < 60; ++k) b.submit(RequestPriority::background, "background", 1);
     b.run_until(20);
     auto& counts = b.queue.counts(RequestPriority::background);
