--- a/tests/kv/request_queue_test.cpp
+++ b/tests/kv/request_queue_test.cpp
@@ -43,58 +43,59 @@
 };
 
 TEST(RequestQueue, SendsByPriorityOnceTheBudgetIsShort) {
-    RequestQueueFixture b;
-    for (int k = 0; k < 9; ++k) b.submit(RequestPriority::background, "first");
-    b.sent.clear();
-    b.submit(RequestPriority::background, "background");
-    b.submit(RequestPriority::read, "read");
-    b.submit(RequestPriority::write, "write");
-    b.submit(RequestPriority::submission, "submission");
-    b.submit(RequestPriority::cancellation, "cancellation");
-    EXPECT_TRUE(b.sent.empty());
-    b.run_until(1);
-    EXPECT_EQ(b.sent,
+    RequestQueueFixture fixture;
+    for (int k = 0; k < 9; ++k) fixture.submit(RequestPriority::background, "first");
+    fixture.sent.clear();
+    fixture.submit(RequestPriority::background, "background");
+    fixture.submit(RequestPriority::read, "read");
+    fixture.submit(RequestPriority::write, "write");
+    fixture.submit(RequestPriority::submission, "submission");
+    fixture.submit(RequestPriority::cancellation, "cancellation");
+    EXPECT_TRUE(fixture.sent.empty());
+    fixture.run_until(1);
+    EXPECT_EQ(fixture.sent,
               (std::vector<std::string>{"cancellation", "submission", "write", "read", "background"}));
 }
 TEST(RequestQueue, SendsLeaseRequestsWithoutBudget) {
-    RequestQueueFixture b;
-    for (int k = 0; k < 9; ++k) b.submit(RequestPriority::write, "first");
-    b.submit(RequestPriority::lease, "lease");
-    EXPECT_EQ(b.sent.back(), "lease");
-    EXPECT_EQ(b.queue.counts(RequestPriority::write).sent, 9);
+    RequestQueueFixture fixture;
+    for (int k = 0; k < 9; ++k) fixture.submit(RequestPriority::write, "first");
+    fixture.submit(RequestPriority::lease, "lease");
+    EXPECT_EQ(fixture.sent.back(), "lease");
+    EXPECT_EQ(fixture.queue.counts(RequestPriority::write).sent, 9);
 }
 TEST(RequestQueue, ReservesChangesForALargeTransaction) {
-    RequestQueueFixture b;
-    b.submit(RequestPriority::write, "first", 9);
-    b.submit(RequestPriority::write, "large", 9);
-    b.submit(RequestPriority::background, "small", 1);
-    b.submit(RequestPriority::background, "read");
-    b.run_until(0.9);
-    EXPECT_EQ(b.sent, (std::vector<std::string>{"first"}));  // requests of one priority are sent in order
-    b.run_until(1.2);
-    EXPECT_EQ(b.sent, (std::vector<std::string>{"first", "large", "small", "read"}));
+    RequestQueueFixture fixture;
+    fixture.submit(RequestPriority::write, "first", 9);
+    fixture.submit(RequestPriority::write, "large", 9);
+    fixture.submit(RequestPriority::background, "small", 1);
+    fixture.submit(RequestPriority::background, "read");
+    fixture.run_until(0.9);
+    EXPECT_EQ(fixture.sent,
+              (std::vector<std::string>{"first"}));  // requests of one priority are sent in order
+    fixture.run_until(1.2);
+    EXPECT_EQ(fixture.sent, (std::vector<std::string>{"first", "large", "small", "read"}));
 }
 TEST(RequestQueue, RefusesSubmissionsThatWouldMissTheirDeadline) {
-    RequestQueueFixture b;
-    b.submit(RequestPriority::write, "first", 9);
-    for (int k = 0; k < 5; ++k) b.submit(RequestPriority::submission, "submission", 9);
-    EXPECT_TRUE(b.refused.empty());  // refusals are answered from a timer
-    b.run_until(0.1);
-    EXPECT_EQ(b.refused,
+    RequestQueueFixture fixture;
+    fixture.submit(RequestPriority::write, "first", 9);
+    for (int k = 0; k < 5; ++k) fixture.submit(RequestPriority::submission, "submission", 9);
+    EXPECT_TRUE(fixture.refused.empty());  // refusals are answered from a timer
+    fixture.run_until(0.1);
+    EXPECT_EQ(fixture.refused,
               (std::vector<int>{429, 429, 429}));  // the submissions behind more changes than fit in 2.5 s
-    EXPECT_EQ(b.queue.counts(RequestPriority::submission).refused, 3);
-    b.run_until(10);
-    EXPECT_EQ(b.queue.counts(RequestPriority::submission).sent, 2);
-    EXPECT_LE(b.queue.counts(RequestPriority::submission).longest_wait_s, 2.5);
+    EXPECT_EQ(fixture.queue.counts(RequestPriority::submission).refused, 3);
+    fixture.run_until(10);
+    EXPECT_EQ(fixture.queue.counts(RequestPriority::submission).sent, 2);
+    EXPECT_LE(fixture.queue.counts(RequestPriority::submission).longest_wait_s, 2.5);
 }
 TEST(RequestQueue, RefusesRequestsThatHaveWaitedForAHeartbeatPeriod) {
-    RequestQueueFixture b;
-    for (int k = 0; k < 60; ++k) b.submit(RequestPriority::background, "background", 1);
-    b.run_until(20);
-    auto& counts = b.queue.counts(RequestPriority::background);
+    RequestQueueFixture fixture;
+    for (int k = 0; k < 60; ++k) fixture.submit(RequestPriority::background, "background", 1);
+    fixture.run_until(20);
+    auto& counts = fixture.queue.counts(RequestPriority::background);
     EXPECT_EQ(counts.sent + counts.refused, 60);
     EXPECT_GE(counts.refused, 60 - 9 * 5 - 1);
-    EXPECT_EQ(b.refused.size(), static_cast<std::size_t>(counts.refused));
+    EXPECT_EQ(fixture.refused.size(), static_cast<std::size_t>(counts.refused));
     EXPECT_LE(counts.longest_wait_s, 4);
 }
 
