--- a/tests/http/socket_budget_test.cpp
+++ b/tests/http/socket_budget_test.cpp
@@ -12,14 +12,14 @@
 // take at most.
 constexpr SocketShares shares = {{{0.2, 0.5}, {0.2, 0.6}, {0.1, 0.1}, {0.1, 0.3}, {0.1, 0.4}}};
 
-struct Flood {
+struct Case {
     const char* name;
     std::vector<std::pair<PeerKind, std::size_t>> taken;  // one kind after the other, as many as it can get
     PeerKind then;
     bool admitted;
 };
 TEST(SocketBudget, NobodyTakesWhatIsGuaranteedToOthers) {
-    const Flood floods[] = {
+    const Case floods[] = {
         {"workers leave users theirs", {{worker, 5}}, user, true},
         {"workers and machines leave users theirs", {{worker, 5}, {machine, 1}}, user, true},
         {"workers leave machines theirs", {{worker, 5}}, machine, true},
