--- a/tests/cloud/cloud_client_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -28,8 +28,8 @@
     std::deque<std::optional<http::Response>> answers;
 };
 
-struct Bench {
-    explicit Bench(double requests_per_s) { settings.cloud_rps = requests_per_s; }
+struct CloudClientFixture {
+    explicit CloudClientFixture(double requests_per_s) { settings.cloud_rps = requests_per_s; }
     config::Settings settings;
     FakeTimers timers;
     FakeCloud cloud;
@@ -41,7 +41,7 @@
 }
 
 TEST(CloudClient, SendsDeletionsFirstOnceTheBudgetAllows) {
-    Bench bench(1);
+    CloudClientFixture bench(1);
     CloudClient client(bench.timers, bench.cloud, bench.settings);
     auto ignore_types = [](auto) {};
     client.list_machine_types(ignore_types);  // takes all of the burst
@@ -73,7 +73,7 @@
         {"no answer", std::nullopt, Status::failed, {}},
     };
     for (auto& c : cases) {
-        Bench bench(100);
+        CloudClientFixture bench(100);
         CloudClient client(bench.timers, bench.cloud, bench.settings);
         bench.cloud.answers = {c.answer};
         std::optional<CreateMachinesResult> result;
@@ -88,7 +88,7 @@
     auto first = http::Response{200, R"({"berths":[)" + host("vm-1") + R"(],"more":true})"};
     auto last = http::Response{200, R"({"berths":[)" + host("vm-2") + R"(],"more":false})"};
     for (bool is_last_answered : {true, false}) {
-        Bench bench(100);
+        CloudClientFixture bench(100);
         CloudClient client(bench.timers, bench.cloud, bench.settings);
         bench.cloud.answers = {first};
         if (is_last_answered) bench.cloud.answers.push_back(last);
@@ -116,7 +116,7 @@
     const Case cases[] = {
         {http::Response{200, "{}"}, true}, {http::Response{503, "{}"}, false}, {std::nullopt, false}};
     for (auto& c : cases) {
-        Bench bench(100);
+        CloudClientFixture bench(100);
         CloudClient client(bench.timers, bench.cloud, bench.settings);
         bench.cloud.answers = {c.answer};
         std::optional<bool> deleted;
