--- a/tests/cloud/cloud_client_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -41,19 +41,19 @@
 }
 
 TEST(CloudClient, SendsDeletionsFirstOnceTheBudgetAllows) {
-    CloudClientFixture bench(1);
-    CloudClient client(bench.timers, bench.cloud, bench.settings);
+    CloudClientFixture fixture(1);
+    CloudClient client(fixture.timers, fixture.cloud, fixture.settings);
     auto ignore_types = [](auto) {};
     client.list_machine_types(ignore_types);  // takes all of the burst
     client.list_machine_types(ignore_types);
     bool was_answered = false;
     client.delete_machines({"vm-1"}, [&](bool) { was_answered = true; });
-    EXPECT_EQ(bench.cloud.targets.size(), 1u);
+    EXPECT_EQ(fixture.cloud.targets.size(), 1u);
     EXPECT_FALSE(was_answered);
-    bench.timers.run_until(20);
-    ASSERT_EQ(bench.cloud.targets.size(), 3u);
-    EXPECT_EQ(bench.cloud.targets[1], protocol::paths::hosts_delete);
-    EXPECT_EQ(bench.cloud.targets[2], protocol::paths::types);
+    fixture.timers.run_until(20);
+    ASSERT_EQ(fixture.cloud.targets.size(), 3u);
+    EXPECT_EQ(fixture.cloud.targets[1], protocol::paths::hosts_delete);
+    EXPECT_EQ(fixture.cloud.targets[2], protocol::paths::types);
     EXPECT_TRUE(was_answered);
 }
 
@@ -73,9 +73,9 @@
         {"no answer", std::nullopt, Status::failed, {}},
     };
     for (auto& c : cases) {
-        CloudClientFixture bench(100);
-        CloudClient client(bench.timers, bench.cloud, bench.settings);
-        bench.cloud.answers = {c.answer};
+        CloudClientFixture fixture(100);
+        CloudClient client(fixture.timers, fixture.cloud, fixture.settings);
+        fixture.cloud.answers = {c.answer};
         std::optional<CreateMachinesResult> result;
         client.create_machines({"r-1", "g4", "z1", false, 2}, [&](auto answered) { result = answered; });
         ASSERT_TRUE(result) << c.name;
@@ -88,10 +88,10 @@
     auto first = http::Response{200, R"({"berths":[)" + host("vm-1") + R"(],"more":true})"};
     auto last = http::Response{200, R"({"berths":[)" + host("vm-2") + R"(],"more":false})"};
     for (bool is_last_answered : {true, false}) {
-        CloudClientFixture bench(100);
-        CloudClient client(bench.timers, bench.cloud, bench.settings);
-        bench.cloud.answers = {first};
-        if (is_last_answered) bench.cloud.answers.push_back(last);
+        CloudClientFixture fixture(100);
+        CloudClient client(fixture.timers, fixture.cloud, fixture.settings);
+        fixture.cloud.answers = {first};
+        if (is_last_answered) fixture.cloud.answers.push_back(last);
         int answers = 0;
         std::optional<std::vector<protocol::Host>> listed;
         client.list_machines([&](auto machines) {
@@ -99,8 +99,8 @@
             listed = machines;
         });
         EXPECT_EQ(answers, 1);
-        ASSERT_EQ(bench.cloud.targets.size(), 2u);
-        EXPECT_NE(bench.cloud.targets[1].find("since=vm-1"), std::string::npos);
+        ASSERT_EQ(fixture.cloud.targets.size(), 2u);
+        EXPECT_NE(fixture.cloud.targets[1].find("since=vm-1"), std::string::npos);
         ASSERT_EQ(listed.has_value(), is_last_answered);
         if (is_last_answered) {
             EXPECT_EQ(listed->size(), 2u);
@@ -116,9 +116,9 @@
     const Case cases[] = {
         {http::Response{200, "{}"}, true}, {http::Response{503, "{}"}, false}, {std::nullopt, false}};
     for (auto& c : cases) {
-        CloudClientFixture bench(100);
-        CloudClient client(bench.timers, bench.cloud, bench.settings);
-        bench.cloud.answers = {c.answer};
+        CloudClientFixture fixture(100);
+        CloudClient client(fixture.timers, fixture.cloud, fixture.settings);
+        fixture.cloud.answers = {c.answer};
         std::optional<bool> deleted;
         client.delete_machines({"vm-1"}, [&](bool is_deleted) { deleted = is_deleted; });
         EXPECT_EQ(deleted, c.deleted);
