--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -24,7 +24,7 @@
     return "127.0.0.1:" + std::to_string(ntohs(sa.sin_port));
 }
 
-struct Bench {
+struct ServerFixture {
     event_loop::EventLoop loop;
     std::string addr = free_address();
     ServerLimits limits;
@@ -44,7 +44,7 @@
 };
 
 // Raw bytes in, everything that comes back until the server closes or answers once.
-std::string raw(Bench& b, const std::string& bytes) {
+std::string raw(ServerFixture& b, const std::string& bytes) {
     event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
     auto sa = socket_address(b.addr);
     EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
@@ -79,7 +79,7 @@
         {"a header without an end", "GET /x HTTP/1.1\r\nA: " + std::string(20000, 'x'), "HTTP/1.1 413", 0},
     };
     for (auto& c : cases) {
-        Bench b;
+        ServerFixture b;
         b.serve();
         EXPECT_EQ(raw(b, c.bytes).substr(0, c.answer.size()), c.answer) << c.name;
         EXPECT_EQ(b.served, c.served) << c.name;
@@ -87,7 +87,7 @@
 }
 // With more machines than connections, idle ones held every place and each new request was refused.
 TEST(Http, IdleConnectionsGiveWayToNewRequests) {
-    Bench b;
+    ServerFixture b;
     b.serve();
     std::vector<std::unique_ptr<Server>> others;
     std::vector<std::string> addresses{b.addr};
@@ -113,7 +113,7 @@
     EXPECT_EQ(answered, addresses.size() * 2);
 }
 TEST(Http, ABusyClientRefusesAtOnceAndNothingIsHeldBack) {
-    Bench b;
+    ServerFixture b;
     b.server = std::make_unique<Server>(b.loop, b.addr, b.limits, [](Request, Reply) {});  // never answers
     Client client(b.loop, {1024, 2, 4, 60});
     int refused = 0;
@@ -128,7 +128,7 @@
 // Nearly full, a server still answers, and closes, instead of turning peers away.
 TEST(Http, ANearlyFullServerClosesAfterEachAnswer) {
     for (auto [limit, closes] : {std::pair(100u, false), {1u, true}}) {
-        Bench b;
+        ServerFixture b;
         b.limits.connections = limit;
         b.serve();
         auto answer = raw(b, "GET /x HTTP/1.1\r\n\r\n");
@@ -141,7 +141,7 @@
 constexpr std::size_t most_workers = 10;
 
 // Many workers at one server that has a share of the sockets, with those of the clients apart.
-struct Crowd : Bench {
+struct Crowd : ServerFixture {
     Crowd() {
         limits.budget = &budget;
         limits.is_bulk = [](const std::string& path) { return path == "/report"; };
@@ -307,7 +307,7 @@
 // What a worker gave up on is not read: served in turn, each would be too late, and so all that come after.
 TEST(Http, ABulkRequestWhoseSenderHasLeftIsNotServed) {
     for (bool bulk : {true, false}) {
-        Bench b;
+        ServerFixture b;
         b.limits.is_bulk = [&](const std::string& path) { return bulk && path == "/x"; };
         b.serve();
         event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
@@ -337,7 +337,7 @@
 
 // The answer lies in the socket when the time is up, since others had their turn first: it is not given up.
 TEST(Http, AnAnswerThatHasComeIsReadThoughItsTimeIsUp) {
-    Bench b;
+    ServerFixture b;
     event_loop::Fd listener(::socket(AF_INET, SOCK_STREAM, 0));
     auto sa = socket_address(b.addr);
     ASSERT_EQ(::bind(listener.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
