--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -141,14 +141,14 @@
 constexpr std::size_t most_workers = 10;
 
 // Many workers at one server that has a share of the sockets, with those of the clients apart.
-struct Crowd : ServerFixture {
-    Crowd() {
+struct WorkerLoadFixture : ServerFixture {
+    WorkerLoadFixture() {
         limits.budget = &budget;
         limits.is_bulk = [](const std::string& path) { return path == "/report"; };
         limits.on_bulk_refused = [this] { ++shed; };
         limits.keep_share = 1;
     }
-    ~Crowd() { server.reset(); }
+    ~WorkerLoadFixture() { server.reset(); }
     // `held` reports stay without an answer, and `full` is called with the last one.
     void serve_holding(std::size_t held, std::function<void()> full) {
         server = std::make_unique<Server>(loop, addr, limits, [this, held, full](Request r, Reply reply) {
@@ -166,7 +166,7 @@
 };
 // Workers that came to one controller used to hold every socket: users and health checks were refused.
 TEST(Http, WorkersLeaveUsersTheirSockets) {
-    Crowd c;
+    WorkerLoadFixture c;
     std::optional<Response> worker, user;
     c.serve_holding(most_workers, [&] {
         c.send("/report", 1, [&](auto r) {
@@ -191,7 +191,7 @@
 // longest ago gives way, but none that may still be used.
 TEST(Http, ConnectionsThatWorkersLeftGiveWay) {
     for (auto [quiet_s, status] : {std::pair(0.0, 200), {60.0, 503}}) {
-        Crowd c;
+        WorkerLoadFixture c;
         c.limits.bulk_reclaim_s = quiet_s;
         c.serve_holding(0, [] {});
         std::size_t answered = 0;
@@ -213,7 +213,7 @@
 // Connections on which nothing is ever asked give way to users, too.
 TEST(Http, SilentConnectionsGiveWayToUsers) {
     for (auto [first_s, served] : {std::pair(0.0, true), {60.0, false}}) {
-        Crowd c;
+        WorkerLoadFixture c;
         c.limits.first_request_s = first_s;
         c.limits.accepts_per_event = 100;
         c.serve_holding(0, [] {});
@@ -235,7 +235,7 @@
 // A worker that is told to go elsewhere held a socket at each controller that it had come by.
 TEST(Http, AWorkerThatIsRefusedIsNotKept) {
     for (auto [path, kept] : {std::pair("/report", 0u), {"/api/jobs", 1u}}) {
-        Crowd c;
+        WorkerLoadFixture c;
         c.server = std::make_unique<Server>(c.loop, c.addr, c.limits, [](Request, Reply reply) {
             reply({421, "{}"});
         });
@@ -249,7 +249,7 @@
 }
 // Commands to machines that don't answer leave the lease's renewal its socket.
 TEST(Http, MachinesLeaveServicesTheirSockets) {
-    Crowd c;
+    WorkerLoadFixture c;
     c.server = std::make_unique<Server>(c.loop, c.addr, ServerLimits{}, [](Request r, Reply reply) {
         if (r.target != "/do") reply({200, "{}"});
     });
