--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -145,7 +145,7 @@
     WorkerLoadFixture() {
         limits.budget = &budget;
         limits.is_bulk = [](const std::string& path) { return path == "/report"; };
-        limits.on_bulk_refused = [this] { ++shed; };
+        limits.on_bulk_refused = [this] { ++refused_heartbeats; };
         limits.keep_share = 1;
     }
     ~WorkerLoadFixture() { server.reset(); }
@@ -161,7 +161,7 @@
         for (std::size_t k = 0; k < n; ++k) client.send(addr, {"POST", path, "{}"}, 15, result);
     }
     SocketBudget budget{20, test_shares};
-    std::size_t shed = 0, reports = 0;
+    std::size_t refused_heartbeats = 0, reports = 0;
     Client client{loop, {1024, 200, 200, 60}};
 };
 // Workers that came to one controller used to hold every socket: users and health checks were refused.
@@ -182,7 +182,7 @@
     ASSERT_TRUE(worker && user);
     EXPECT_EQ(worker->status, 503);
     EXPECT_GT(worker->retry_after_s, 0);
-    EXPECT_EQ(c.shed, 1u);
+    EXPECT_EQ(c.refused_heartbeats, 1u);
     EXPECT_EQ(user->status, 200);
     EXPECT_EQ(c.budget.used(PeerKind::worker), most_workers);
     EXPECT_EQ(c.budget.used(PeerKind::user), 1u);
