--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -44,7 +44,7 @@
 };
 
 // Raw bytes in, everything that comes back until the server closes or answers once.
-std::string raw(ServerFixture& b, const std::string& bytes) {
+std::string send_raw(ServerFixture& b, const std::string& bytes) {
     event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
     auto sa = socket_address(b.addr);
     EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
@@ -81,7 +81,7 @@
     for (auto& c : cases) {
         ServerFixture b;
         b.serve();
-        EXPECT_EQ(raw(b, c.bytes).substr(0, c.answer.size()), c.answer) << c.name;
+        EXPECT_EQ(send_raw(b, c.bytes).substr(0, c.answer.size()), c.answer) << c.name;
         EXPECT_EQ(b.served, c.served) << c.name;
     }
 }
@@ -131,7 +131,7 @@
         ServerFixture b;
         b.limits.connections = limit;
         b.serve();
-        auto answer = raw(b, "GET /x HTTP/1.1\r\n\r\n");
+        auto answer = send_raw(b, "GET /x HTTP/1.1\r\n\r\n");
         EXPECT_EQ(answer.find("Connection: close") != std::string::npos, closes);
     }
 }
