--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -171,8 +171,8 @@
 // --- Writing --------------------------------------------------------------------------------------------
 
 void Connection::watch(event_loop::EventLoop::Handler handler, Origin origin) {
-    if (origin == Origin::accepted) always_ |= EPOLLRDHUP;
-    events_ = origin == Origin::opened ? always_ | EPOLLOUT : always_;
+    if (origin == Origin::accepted) base_events_ |= EPOLLRDHUP;
+    events_ = origin == Origin::opened ? base_events_ | EPOLLOUT : base_events_;
     loop_.watch(fd_.get(), events_, std::move(handler));
 }
 
@@ -200,7 +200,7 @@
         unsent_.clear();
         sent_bytes_ = 0;
     }
-    std::uint32_t wanted = always_ | (has_unsent() ? EPOLLOUT : 0U);
+    std::uint32_t wanted = base_events_ | (has_unsent() ? EPOLLOUT : 0U);
     if (wanted != events_) {
         events_ = wanted;
         loop_.set_events(fd_.get(), wanted);
--- a/src/http/connection.hpp
+++ b/src/http/connection.hpp
@@ -103,9 +103,9 @@
     Incoming incoming_;
     Parsing parsing_;
     std::string unsent_;
-    std::size_t sent_bytes_ = 0;      // of `unsent_`
-    std::uint32_t events_ = 0;        // epoll flags that are watched
-    std::uint32_t always_ = EPOLLIN;  // those of them that are watched with nothing to send, too
+    std::size_t sent_bytes_ = 0;           // of `unsent_`
+    std::uint32_t events_ = 0;             // epoll flags that are watched
+    std::uint32_t base_events_ = EPOLLIN;  // those of them that are watched with nothing to send, too
 };
 
 }  // namespace coralhitch::http
