--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -172,8 +172,8 @@
 
 void Connection::watch(event_loop::EventLoop::Handler handler, Origin origin) {
     if (origin == Origin::accepted) base_events_ |= EPOLLRDHUP;
-    events_ = origin == Origin::opened ? base_events_ | EPOLLOUT : base_events_;
-    loop_.watch(fd_.get(), events_, std::move(handler));
+    watched_events_ = origin == Origin::opened ? base_events_ | EPOLLOUT : base_events_;
+    loop_.watch(fd_.get(), watched_events_, std::move(handler));
 }
 
 void Connection::write(std::string bytes) {
@@ -201,8 +201,8 @@
         sent_bytes_ = 0;
     }
     std::uint32_t wanted = base_events_ | (has_unsent() ? EPOLLOUT : 0U);
-    if (wanted != events_) {
-        events_ = wanted;
+    if (wanted != watched_events_) {
+        watched_events_ = wanted;
         loop_.set_events(fd_.get(), wanted);
     }
     return true;
--- a/src/http/connection.hpp
+++ b/src/http/connection.hpp
@@ -104,7 +104,7 @@
     Parsing parsing_;
     std::string unsent_;
     std::size_t sent_bytes_ = 0;           // of `unsent_`
-    std::uint32_t events_ = 0;             // epoll flags that are watched
+    std::uint32_t watched_events_ = 0;     // epoll flags that are watched
     std::uint32_t base_events_ = EPOLLIN;  // those of them that are watched with nothing to send, too
 };
 
