--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -49,7 +49,7 @@
     return !parsing_.too_large;
 }
 
-void Connection::end_header() {
+void Connection::finish_header() {
     auto is_named = [&](const char* name) { return strcasecmp(parsing_.field.c_str(), name) == 0; };
     if (is_named("retry-after")) incoming_.retry_after_s = std::atof(parsing_.value.c_str());
     if (is_named("content-type")) incoming_.type = parsing_.value;
@@ -60,7 +60,7 @@
 
 int Connection::on_field(http_parser* parser, const char* data, std::size_t size) {
     auto& self = connection_of(parser);
-    if (self.parsing_.in_value) self.end_header();
+    if (self.parsing_.in_value) self.finish_header();
     if (!self.grow_head(size)) return abort_parsing;
     self.parsing_.field.append(data, size);
     return proceed;
@@ -83,7 +83,7 @@
 
 int Connection::on_headers(http_parser* parser) {
     auto& self = connection_of(parser);
-    if (self.parsing_.in_value) self.end_header();
+    if (self.parsing_.in_value) self.finish_header();
     bool has_length = parser->content_length != ULLONG_MAX;
     if (!has_length || parser->content_length <= self.limits_.body) return proceed;
     self.parsing_.too_large = true;
--- a/src/http/connection.hpp
+++ b/src/http/connection.hpp
@@ -92,7 +92,7 @@
         bool too_large = false;
     };
     [[nodiscard]] bool grow_head(std::size_t bytes);
-    void end_header();
+    void finish_header();
     void reset_parser(http_parser_type type);
     [[nodiscard]] ReadResult parse(const char* data, std::size_t size);
 
