--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr double budget_share = 0.7;  // the other controllers send requests now and then too
-constexpr double timeout_heartbeats = 2;
+constexpr double timeout_heartbeat_periods = 2;
 constexpr double min_send_delay_s = 0.005;
 constexpr int page_size = 500;
 
@@ -50,7 +50,7 @@
         auto next = std::move(queue_.front());
         queue_.pop_front();
         http_.send(settings_.cloud_addr, std::move(next.request),
-                   settings_.heartbeat_interval_s * timeout_heartbeats, std::move(next.done));
+                   settings_.heartbeat_interval_s * timeout_heartbeat_periods, std::move(next.done));
     }
     if (queue_.empty() || send_scheduled_) return;
     send_scheduled_ = true;
