--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -39,10 +39,10 @@
       limits_(std::move(limits)),
       own_budget_(limits_.connections),
       budget_(limits_.budget ? *limits_.budget : own_budget_),
-      reclaimer_(budget_.add([this](PeerKind kind) { return close_idle(kind); })) {}
+      reclaimer_registration_(budget_.add([this](PeerKind kind) { return close_idle(kind); })) {}
 
 Client::~Client() {
-    budget_.remove(reclaimer_);
+    budget_.remove(reclaimer_registration_);
     for (auto& [id, open] : connections_) {
         loop_.cancel(open.timer);
         budget_.give_back(open.kind);
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -71,7 +71,7 @@
     ClientLimits limits_;
     SocketBudget own_budget_;
     SocketBudget& budget_;
-    SocketBudget::Reclaimer reclaimer_;
+    SocketBudget::Reclaimer reclaimer_registration_;
     ConnectionId next_id_ = 1;
     std::unordered_map<ConnectionId, OpenConnection> connections_;
     std::unordered_map<std::string, std::list<ConnectionId>> idle_by_addr_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -75,14 +75,14 @@
       handler_(std::move(handler)),
       own_budget_(limits_.connections),
       budget_(limits_.budget ? *limits_.budget : own_budget_),
-      reclaimer_(budget_.add([this](PeerKind kind) { return close_idle(kind); })),
+      reclaimer_registration_(budget_.add([this](PeerKind kind) { return close_idle(kind); })),
       alive_(std::make_shared<Server*>(this)) {
     loop_.watch(listener_.get(), EPOLLIN, [this](std::uint32_t) { accept_all(); });
 }
 
 Server::~Server() {
     *alive_ = nullptr;
-    budget_.remove(reclaimer_);
+    budget_.remove(reclaimer_registration_);
     for (auto& [id, peer] : peers_) {
         loop_.cancel(peer.timer);
         budget_.give_back(peer.kind);
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -104,7 +104,7 @@
     Handler handler_;
     SocketBudget own_budget_;
     SocketBudget& budget_;
-    SocketBudget::Reclaimer reclaimer_;
+    SocketBudget::Reclaimer reclaimer_registration_;
     // Idle connections by their traffic, the one that was used longest ago first.
     std::array<std::list<PeerId>, 3> idle_peers_;
     PeerId next_id_ = 1;
