--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -22,7 +22,7 @@
     return bytes;
 }
 
-// A socket that is connected or on its way; none if the system refuses.
+// Returns a socket that is connected or being connected, or an empty Fd if the system reports an error.
 event_loop::Fd start_connecting(const sockaddr_in& address) {
     event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd) return fd;
@@ -39,10 +39,10 @@
       limits_(std::move(limits)),
       own_budget_(limits_.connections),
       budget_(limits_.budget ? *limits_.budget : own_budget_),
-      reclaimer_registration_(budget_.add([this](PeerKind kind) { return close_idle(kind); })) {}
+      reclaimer_registration_(budget_.add_reclaimer([this](PeerKind kind) { return close_idle(kind); })) {}
 
 Client::~Client() {
-    budget_.remove(reclaimer_registration_);
+    budget_.remove_reclaimer(reclaimer_registration_);
     for (auto& [id, open] : connections_) {
         loop_.cancel(open.timer);
         budget_.give_back(open.kind);
@@ -59,8 +59,8 @@
     return id;
 }
 
-// Idle connections give way: with more machines than connections they would otherwise hold every place, and
-// each new request would be refused until the first of them times out.
+// Closes the connection that has been idle for longest. With more machines than sockets, idle connections
+// would otherwise hold every socket, and each new request would be refused until the first of them timed out.
 bool Client::close_idle(PeerKind kind) {
     if (idle_order(kind).empty()) return false;
     close(idle_order(kind).front());
@@ -105,12 +105,13 @@
     auto number = ++open.request_number;
     open.timer = loop_.after(timeout_s, [this, id, number] { handle_timeout(id, number); });
     open.connection->write(to_bytes(addr, request));
-    // A new connection is written to once it is established.
+    // A new connection is flushed by its first writable event, once it is established.
     if (idle && !open.connection->flush()) loop_.after(0, [this, id] { fail(id); });
 }
 
-// An answer that waits for its turn in the bulk lane has come. Given up unread, it was asked for again: a new
-// leader of thousands of machines had most of its probes answered for nothing.
+// Reads once more before the request fails, because the answer may have arrived and still wait for its turn
+// in the bulk lane. When such answers were dropped, the requests were sent again: most of the answers to the
+// probes that a new leader sent to thousands of machines were lost in this way.
 void Client::handle_timeout(ConnectionId id, std::uint64_t request_number) {
     handle_event(id, EPOLLIN);
     auto found = connections_.find(id);
@@ -140,7 +141,7 @@
     auto& idle = idle_by_addr_[open.addr];
     if (reuse == Reuse::yes && idle.size() < limits_.idle_per_addr) {
         open.idle = true;
-        open.connection->next();
+        open.connection->reset_for_next_message();
         idle.push_back(id);
         auto& order = idle_order(open.kind);
         open.idle_position = order.insert(order.end(), id);
@@ -157,7 +158,7 @@
     auto found = connections_.find(id);
     if (found == connections_.end()) return;
     auto& open = found->second;
-    if (open.idle) return close(id);  // closed by the other side, or it sent what nobody asked for
+    if (open.idle) return close(id);  // closed by the peer, or the peer sent data without a request
     if ((events & EPOLLOUT) && !open.connection->flush()) return fail(id);
     if (!(events & (EPOLLIN | EPOLLHUP | EPOLLERR))) return;
     auto result = open.connection->read();
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -1,8 +1,8 @@
-// An HTTP client that keeps connections open for reuse, one request on each at a time.
+// An HTTP client that keeps connections open for reuse, with one request on each at a time.
 //
-// Owns its connections. Runs on the event loop's thread. What fails (no socket left, no connection, no answer
-// in time, a malformed one) is reported as an absent response, never by an exception; each result callback is
-// called exactly once, unless the client is destroyed before, and never from within send().
+// Owns its connections. Runs on the event loop's thread. Every failure (no socket left, no connection, no
+// answer in time, a malformed answer) is reported as an absent response, never by an exception. Each result
+// callback is called exactly once, never from within send(), and not at all if the client is destroyed first.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -20,17 +20,21 @@
 
 namespace coralhitch::http {
 
+// Limits and options of a client. Times in seconds.
 struct ClientLimits {
-    std::size_t response = std::size_t{8} * 1024 * 1024;  // bytes of a body
-    std::size_t connections = 500;  // above this, requests fail at once; not used with a budget
-    std::size_t idle_per_addr = 4;
-    double idle_s = 300;  // to open a connection costs several times as much as a request
-    // Requests whose answers wait for others when there is more to do than can be done, by their path. Their
-    // connections are those to machines, all others those to services.
+    std::size_t response = std::size_t{8} * 1024 * 1024;  // size of a response body, in bytes
+    std::size_t connections = 500;  // with more, requests fail at once; ignored if `budget` is set
+    std::size_t idle_per_addr = 4;  // idle connections kept for each address
+    // Time after which an idle connection is closed. Opening one costs several times as much as a request.
+    double idle_s = 300;
+    // Returns true for bulk requests, selected by path. Under overload their answers are handled after all
+    // other events (Lane::bulk). Their connections count as connections to machines, all others as
+    // connections to services.
     std::function<bool(const std::string& path)> is_bulk = {};
-    SocketBudget* budget = nullptr;  // shared with servers; must live longer than the client
+    SocketBudget* budget = nullptr;  // shared with servers; must outlive the client
 };
 
+// Sends requests over a pool of connections.
 class Client : public Requester {
   public:
     // The loop must outlive the client.
@@ -45,12 +49,12 @@
     struct OpenConnection {
         std::string addr;
         std::unique_ptr<Connection> connection;
-        Result result;                     // of the request under way
-        event_loop::TimerId timer = 0;     // the request's timeout; while idle, when it is closed
-        std::uint64_t request_number = 0;  // of requests on this connection, so far
+        Result result;                     // of the request in progress
+        event_loop::TimerId timer = 0;     // request time-out, or the closing of the idle connection
+        std::uint64_t request_number = 0;  // number of requests sent on this connection
         PeerKind kind = PeerKind::service;
         bool idle = false;
-        std::list<ConnectionId>::iterator idle_position;  // in its kind's list; valid while idle
+        std::list<ConnectionId>::iterator idle_position;  // in the idle list of its kind; valid while idle
     };
     enum class Reuse { yes, no };
 
@@ -75,7 +79,7 @@
     ConnectionId next_id_ = 1;
     std::unordered_map<ConnectionId, OpenConnection> connections_;
     std::unordered_map<std::string, std::list<ConnectionId>> idle_by_addr_;
-    // All idle connections by their kind, the one unused for longest first.
+    // All idle connections by their kind, the connection that has been idle for longest first.
     std::array<std::list<ConnectionId>, peer_kinds> idle_order_;
 };
 
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -11,8 +11,8 @@
 namespace {
 constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
 
-// What a callback returns to let the parser go on, or to end it with an error. That of the headers has codes
-// of its own: 1 would say that there is no body.
+// Return values of the parser's callbacks, to continue or to stop with an error. The callback for the end of
+// the headers needs a different error code, because its return value 1 means that the message has no body.
 constexpr int proceed = 0;
 constexpr int abort_parsing = 1;
 constexpr int abort_after_headers = -1;
@@ -136,7 +136,7 @@
 }
 
 Connection::ReadResult Connection::read() {
-    char buffer[read_buffer_bytes];  // not cleared: it is filled again and again
+    char buffer[read_buffer_bytes];  // left uninitialized, since recv() fills it before each use
     while (!parsing_.complete) {
         ssize_t received = ::recv(fd_.get(), buffer, sizeof buffer, 0);
         if (received < 0) {
@@ -144,7 +144,8 @@
             return is_try_again(errno) ? ReadResult::incomplete : ReadResult::closed;
         }
         if (received == 0) {
-            // A body may end with the stream, of which no bytes tell the parser.
+            // A body without a length ends with the stream. Size 0 tells the parser that the stream has
+            // ended.
             http_parser_execute(&parser_, &callbacks(), buffer, 0);
             return parsing_.complete ? ReadResult::complete : ReadResult::closed;
         }
@@ -155,10 +156,10 @@
     return ReadResult::complete;
 }
 
-void Connection::next() {
+void Connection::reset_for_next_message() {
     incoming_ = {};
     parsing_ = {};
-    // Nobody pipelines: what may still lie in the buffer of the last read belongs to no message.
+    // Pipelining is not supported: bytes that were read after the end of the last message are dropped.
     reset_parser(static_cast<http_parser_type>(parser_.type));
 }
 
--- a/src/http/connection.hpp
+++ b/src/http/connection.hpp
@@ -1,7 +1,8 @@
 // A socket with a write buffer and a parser, shared by client and server.
 //
-// Owns its socket and its place in the event loop. One message is read at a time: pipelined requests are not
-// supported. Runs on the event loop's thread; errors of the system are results, never exceptions.
+// Owns its socket and the socket's registration in the event loop. One message is read at a time: pipelined
+// requests are not supported. Runs on the event loop's thread. Errors of reading and writing are returned as
+// results, not thrown.
 #pragma once
 #include <http_parser.h>
 #include <sys/epoll.h>
@@ -15,61 +16,64 @@
 
 namespace coralhitch::http {
 
-// In bytes.
+// Size limits of one message, in bytes.
 struct MessageLimits {
     std::size_t body = std::size_t{64} * 1024;
     std::size_t head = std::size_t{16} * 1024;  // request line or status line and headers together
 };
 
-// One HTTP message, as far as it is read. Requests have a method and a target, responses a status.
+// One HTTP message, as far as it has been read. Requests have a method and a target, responses a status.
 struct Incoming {
     std::string method;
     std::string target;
     std::string body;
-    std::string type;  // of the body
+    std::string type;  // content type of the body
     int status = 0;
-    bool keep_alive = true;    // the sender doesn't close the connection after this message
-    double retry_after_s = 0;  // 0: no such header
+    bool keep_alive = true;    // the sender keeps the connection open after this message
+    double retry_after_s = 0;  // 0 without a Retry-After header
 };
 
+// Reads and writes messages on one non-blocking socket.
 class Connection {
   public:
     enum class ReadResult {
-        incomplete,  // more has to come
+        incomplete,  // the message continues in later input
         complete,    // incoming() holds the message
-        closed,      // by the peer, or by an error
+        closed,      // the peer closed the connection, or an error occurred
         malformed,
-        too_large,  // beyond the limits
+        too_large,  // the message exceeds the limits
     };
-    // Who made the connection. Of an accepted one, events also tell when the peer has closed its side.
+    // The side that opened the connection. The handler of an accepted connection also gets an event
+    // (EPOLLRDHUP) when the peer closes its side.
     enum class Origin { accepted, opened };
 
-    // `type`: whether requests or responses are read.
+    // `type` selects the messages to read: HTTP_REQUEST or HTTP_RESPONSE. `loop` must outlive the connection.
     Connection(event_loop::EventLoop& loop, event_loop::Fd fd, http_parser_type type,
                const MessageLimits& limits);
     ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    // Calls the handler with the epoll flags that are ready. To be called once, before all that follows.
+    // Registers the handler, which is called with the epoll flags that are ready. Must be called once, before
+    // any other function. Throws std::system_error if the system refuses.
     void watch(event_loop::EventLoop::Handler handler, Origin origin);
     void set_lane(event_loop::Lane lane) { loop_.set_lane(fd_.get(), lane); }
 
-    // Reads what has come, up to the end of a message.
+    // Reads the input that has arrived, up to the end of a message.
     [[nodiscard]] ReadResult read();
-    // The message that read() has completed; the caller may move it out.
+    // Returns the message that read() has completed. The caller may move out of it.
     [[nodiscard]] Incoming& incoming() { return incoming_; }
-    // Forgets the message just handled, and is ready for the next.
-    void next();
-    // Whether the peer has sent more, or closed its side. Leaves what it sent to be read.
+    // Drops the message that was handled, so that the next one can be read.
+    void reset_for_next_message();
+    // Returns true if unread input has arrived or the peer has closed its side. Does not consume the input.
     [[nodiscard]] bool has_input() const;
 
-    // Adds to the write buffer; flush() sends.
+    // Appends to the write buffer, which flush() sends.
     void write(std::string bytes);
-    // Sends what the socket takes; the rest goes with the next writable event. False: the connection is
-    // closed.
+    // Sends as much of the write buffer as the socket accepts, and requests a writable event for the rest.
+    // Returns false if the connection has failed.
     [[nodiscard]] bool flush();
-    // Whether some of what was written is still to be sent.
+    // Returns true if the write buffer holds bytes that are not sent yet.
     [[nodiscard]] bool has_unsent() const { return sent_bytes_ < unsent_.size(); }
 
   private:
@@ -82,10 +86,10 @@
     static int on_headers(http_parser* parser);
     static const http_parser_settings& callbacks();
 
-    // What is known of the message that is being read.
+    // State of the message that is being read.
     struct Parsing {
-        std::string field;  // of the header that is being read
-        std::string value;
+        std::string field;  // name of the header that is being read
+        std::string value;  // value of that header
         bool in_value = false;
         std::size_t head_bytes = 0;
         bool complete = false;
@@ -103,9 +107,9 @@
     Incoming incoming_;
     Parsing parsing_;
     std::string unsent_;
-    std::size_t sent_bytes_ = 0;           // of `unsent_`
-    std::uint32_t watched_events_ = 0;     // epoll flags that are watched
-    std::uint32_t base_events_ = EPOLLIN;  // those of them that are watched with nothing to send, too
+    std::size_t sent_bytes_ = 0;           // sent part of `unsent_`
+    std::uint32_t watched_events_ = 0;     // epoll flags that are watched now
+    std::uint32_t base_events_ = EPOLLIN;  // epoll flags watched even with nothing to send
 };
 
 }  // namespace coralhitch::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-// Throws std::system_error.
+// Returns a listening socket. Throws std::system_error if the address is malformed or cannot be used.
 event_loop::Fd listen_on(const std::string& addr) {
     auto address = socket_address(addr);
     event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -75,14 +75,14 @@
       handler_(std::move(handler)),
       own_budget_(limits_.connections),
       budget_(limits_.budget ? *limits_.budget : own_budget_),
-      reclaimer_registration_(budget_.add([this](PeerKind kind) { return close_idle(kind); })),
+      reclaimer_registration_(budget_.add_reclaimer([this](PeerKind kind) { return close_idle(kind); })),
       alive_(std::make_shared<Server*>(this)) {
     loop_.watch(listener_.get(), EPOLLIN, [this](std::uint32_t) { accept_all(); });
 }
 
 Server::~Server() {
     *alive_ = nullptr;
-    budget_.remove(reclaimer_registration_);
+    budget_.remove_reclaimer(reclaimer_registration_);
     for (auto& [id, peer] : peers_) {
         loop_.cancel(peer.timer);
         budget_.give_back(peer.kind);
@@ -95,8 +95,8 @@
 void Server::accept_all() {
     for (std::size_t accepted = 0; accepted < limits_.accepts_per_event; ++accepted) {
         event_loop::Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-        if (!fd) return;  // EAGAIN, or out of descriptors: the next event tries again
-        if (!budget_.take(limits_.kind)) continue;  // closed at once; others are not disturbed
+        if (!fd) return;  // EAGAIN, or out of file descriptors: retried at the next event
+        if (!budget_.take(limits_.kind)) continue;  // no socket left: closes `fd`, not the connections in use
         add_peer(std::move(fd));
     }
 }
@@ -122,7 +122,8 @@
     peer.idle_position = peers.insert(peers.end(), id);
 }
 
-// To be called before its traffic changes, which says in which list it is.
+// Removes the peer from its list of idle connections. Must be called before `traffic` changes, which selects
+// the list.
 void Server::set_busy(Peer& peer) {
     if (!peer.idle_position) return;
     idle_peers(peer.traffic).erase(*peer.idle_position);
@@ -143,9 +144,10 @@
            close_longest_idle(Traffic::ordinary, limits_.first_request_s);
 }
 
-// The first request tells that this is a worker: it counts as one, and users have their socket back.
+// Counts the connection as a worker's, because its first request is a heartbeat. This frees the socket for
+// the kind that it was counted as. Returns false if no socket is left for workers.
 bool Server::admit_bulk(Peer& peer) {
-    if (!budget_.move(peer.kind, PeerKind::worker)) return false;
+    if (!budget_.reclassify(peer.kind, PeerKind::worker)) return false;
     peer.kind = PeerKind::worker;
     peer.traffic = Traffic::bulk;
     peer.connection->set_lane(event_loop::Lane::bulk);
@@ -153,8 +155,8 @@
 }
 
 void Server::set_deadline(PeerId id, Peer& peer, double seconds) {
-    // A timer that is due no later looks at the deadline when it fires: to set it anew with each request took
-    // more time than reading it.
+    // A timer that fires before the deadline sets itself again, so an earlier timer is kept. Setting a new
+    // timer for each request took more time than reading the request.
     peer.deadline = loop_.now() + seconds;
     if (peer.timer != 0 && peer.timer_due <= peer.deadline) return;
     loop_.cancel(peer.timer);
@@ -190,12 +192,14 @@
         if (!peer.connection->flush()) return close(id);
         if (peer.phase == Phase::closing && !peer.connection->has_unsent()) return close(id);
     }
-    // Its sender has given up waiting. To read it all the same would let the next ones wait until they give
-    // up, too, and then nobody is answered in time any more.
+    // The worker has closed its side and no longer waits for an answer. Under overload, serving such a
+    // request would delay the next ones until their senders give up as well, and no request would be answered
+    // in time.
     if (peer.traffic == Traffic::bulk && (events & EPOLLRDHUP)) return close(id);
     if (!(events & (EPOLLIN | EPOLLHUP | EPOLLERR))) return;
     if (peer.phase != Phase::answering && peer.phase != Phase::closing) return read(id, peer);
-    // Readable while a request is being answered: the peer gave up, or breaks the protocol.
+    // Input while a request is being answered: the peer closed the connection, or sent an unsupported
+    // pipelined request.
     if ((events & (EPOLLHUP | EPOLLERR)) || peer.connection->has_input()) close(id);
 }
 
@@ -215,7 +219,7 @@
     if (peer.phase == Phase::reading) return;
     peer.phase = Phase::reading;
     set_busy(peer);
-    set_deadline(id, peer, limits_.request_s);  // a slow sender holds its place for a bounded time
+    set_deadline(id, peer, limits_.request_s);  // bounds the time for which a slow sender holds a socket
 }
 
 void Server::refuse(PeerId id, Peer& peer, int status) {
@@ -233,7 +237,8 @@
     peer.phase = Phase::answering;
     set_busy(peer);
     if (peer.traffic == Traffic::none) peer.traffic = Traffic::ordinary;
-    // Refused before it is read: it costs nothing but this, and its worker goes to another controller.
+    // A worker without a socket is refused before its request is parsed, which costs little. The worker then
+    // turns to another controller.
     bool is_first_bulk = peer.traffic != Traffic::bulk && limits_.is_bulk && limits_.is_bulk(request.target);
     if (is_first_bulk && !admit_bulk(peer)) {
         if (limits_.on_bulk_refused) limits_.on_bulk_refused();
@@ -251,13 +256,14 @@
     if (found == peers_.end() || found->second.phase != Phase::answering) return;
     auto& peer = found->second;
     bool is_bulk = peer.traffic == Traffic::bulk;
-    // Nearly full: connections are closed after each answer, so that more peers than places are still served,
-    // and none is turned away.
+    // When sockets run short, connections are closed after each answer, so that more peers than sockets can
+    // be served and none is refused.
     if (budget_.nearly_full(peer.kind, limits_.keep_share)) keep_alive = false;
-    // A worker that is refused goes to another controller, and would hold a socket at both.
+    // A worker that is refused turns to another controller. If kept, its connection would hold a socket at
+    // both.
     if (is_bulk && response.status != 200) keep_alive = false;
     peer.phase = keep_alive ? Phase::idle : Phase::closing;
-    peer.connection->next();
+    peer.connection->reset_for_next_message();
     peer.connection->write(to_bytes(response, keep_alive));
     if (!peer.connection->flush()) return close(id);
     if (!keep_alive && !peer.connection->has_unsent()) return close(id);
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,8 +1,8 @@
-// An HTTP server: accepts connections within a socket budget, and hands complete requests to a handler.
+// An HTTP server that accepts connections within a socket budget and passes complete requests to a handler.
 //
 // Owns its listener and its connections. Runs on the event loop's thread. A reply may be given at any later
-// time, also once the connection or the server is gone, when nothing comes of it. What peers do wrong costs
-// them their connection, and nobody else's.
+// time, and is ignored if the connection or the server no longer exists. A peer that sends malformed or
+// oversized requests loses its connection, and other connections are not affected.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -20,35 +20,44 @@
 
 namespace coralhitch::http {
 
+// Limits and options of a server. Times in seconds.
 struct ServerLimits {
     MessageLimits message;
-    std::size_t connections = 1000;  // not used with a budget
-    double request_s = 10;  // a request must be complete this long after its first byte or the connection
+    std::size_t connections = 1000;  // ignored if `budget` is set
+    // Time within which a request must be complete, from its first byte. For PeerKind::user also the time
+    // within which a new connection must send its first byte.
+    double request_s = 10;
+    // Time after which a connection other than a worker's is closed if no request starts or no answer is
+    // given.
     double idle_s = 120;
-    // Without a request for so long, a worker has gone elsewhere, and its connection may be closed for
-    // another: one that sends its heartbeats here would have done so.
+    // Idle time after which a worker's connection may be closed to free its socket. A worker that still sends
+    // its heartbeats here would have sent one within this time, so it has turned to another controller.
     double bulk_reclaim_s = 7;
-    double bulk_idle_s = 20;  // it is closed then, though the socket is not needed
-    // An accepted connection without a request may be closed for another after this.
+    // Idle time after which a worker's connection is closed even if its socket is not needed.
+    double bulk_idle_s = 20;
+    // Idle time after which any other accepted connection may be closed to free its socket, also before its
+    // first request.
     double first_request_s = 1;
-    // Above this share of what its kind of peers may hold no connection is kept open.
+    // Ratio to the socket limit of a kind of peers. Above it connections are closed after each answer.
     double keep_share = 0.9;
-    double retry_after_s = 1;            // sent with each rejection
-    std::size_t accepts_per_event = 16;  // at once, in between other events
-    event_loop::Lane lane = event_loop::Lane::urgent;
-    // Requests that wait for others when there is more to do than can be done, by their path. A connection
-    // that has carried one is taken for such a peer's from then on: when the peer closes it, what it sent
-    // last is not read any more.
+    double retry_after_s = 1;                          // sent when a worker is refused for lack of sockets
+    std::size_t accepts_per_event = 16;                // connections accepted before other events are handled
+    event_loop::Lane lane = event_loop::Lane::urgent;  // of connections without a bulk request so far
+    // Returns true for bulk requests (workers' heartbeats), selected by path. Under overload they are handled
+    // after all other events (Lane::bulk). A connection that has carried one counts as a worker's from then
+    // on, and when the peer closes it, its last request is not read.
     std::function<bool(const std::string& path)> is_bulk = {};
-    PeerKind kind = PeerKind::user;  // of all others
-    // Shared with other servers and clients; must live longer than the server.
+    PeerKind kind = PeerKind::user;  // kind of the peers that have not sent a bulk request
+    // Shared with other servers and clients. Must outlive the server.
     SocketBudget* budget = nullptr;
-    std::function<void()> on_bulk_refused = {};  // a bulk request was refused for want of sockets
+    // Called when a bulk request is refused because no socket is left for workers.
+    std::function<void()> on_bulk_refused = {};
 };
 
+// Listens on one address and serves its connections.
 class Server {
   public:
-    // Throws std::system_error if it can't listen on the address. The loop must outlive the server.
+    // Throws std::system_error if the server cannot listen on the address. The loop must outlive the server.
     Server(event_loop::EventLoop& loop, const std::string& addr, ServerLimits limits, Handler handler);
     ~Server();
     Server(const Server&) = delete;
@@ -58,22 +67,22 @@
   private:
     using PeerId = std::uint64_t;
     enum class Phase {
-        idle,       // no byte of a next request so far
-        reading,    // a part of a request has come
+        idle,       // no byte of a request has arrived
+        reading,    // a part of a request has arrived
         answering,  // the handler has the request
         closing,    // the last answer is being sent
     };
-    // What the peer has sent so far.
+    // The kind of requests that the peer has sent so far.
     enum class Traffic { none, ordinary, bulk };
     struct Peer {
         std::unique_ptr<Connection> connection;
         event_loop::TimerId timer = 0;
         double timer_due = 0;
-        double deadline = 0;  // when the connection is closed; the timer may fire earlier
+        double deadline = 0;  // steady time at which the connection is closed; the timer may fire earlier
         Phase phase = Phase::idle;
         Traffic traffic = Traffic::none;
         PeerKind kind = PeerKind::user;
-        // Its place in the list of idle connections with its traffic; nothing while it is not idle.
+        // Position in the list of idle connections with the same traffic, or nullopt while not idle.
         std::optional<std::list<PeerId>::iterator> idle_position;
         double idle_since = 0;
     };
@@ -105,11 +114,11 @@
     SocketBudget own_budget_;
     SocketBudget& budget_;
     SocketBudget::Reclaimer reclaimer_registration_;
-    // Idle connections by their traffic, the one that was used longest ago first.
+    // Idle connections by their traffic, the connection that has been idle for longest first.
     std::array<std::list<PeerId>, 3> idle_peers_;
     PeerId next_id_ = 1;
     std::unordered_map<PeerId, Peer> peers_;
-    // Answers may come after the server is gone; they look here first.
+    // Holds nullptr once the server is destroyed. Replies check it, because they may be given later.
     std::shared_ptr<Server*> alive_;
 };
 
--- a/src/http/socket_budget.cpp
+++ b/src/http/socket_budget.cpp
@@ -4,8 +4,8 @@
 
 namespace coralhitch::http {
 namespace {
-// Whose idle connections are closed first: what is opened again at need, then workers that have gone
-// elsewhere.
+// The order in which kinds of peers lose idle connections: first connections to machines, which are reopened
+// when needed, then connections of workers that have turned to another controller.
 constexpr std::array reclaim_order = {PeerKind::machine, PeerKind::worker, PeerKind::user, PeerKind::service};
 }  // namespace
 
@@ -19,7 +19,7 @@
     }
 }
 
-// What a kind has not taken of its guarantee counts as taken for all others.
+// Returns true if a socket is free for this kind. The unused part of the other kinds' guarantees is not free.
 bool SocketBudget::fits(PeerKind kind) const {
     auto& budget = kinds_[index(kind)];
     if (budget.usage.used < budget.guaranteed) return true;
@@ -33,6 +33,8 @@
     return std::any_of(reclaimers_.begin(), reclaimers_.end(), [&](auto& reclaim) { return reclaim(kind); });
 }
 
+// Closes one idle connection to free a socket for this kind: a connection of another kind beyond that kind's
+// guarantee, or else a connection of this kind. Returns true if a socket is now free for this kind.
 bool SocketBudget::reclaim_for(PeerKind kind) {
     auto& budget = kinds_[index(kind)];
     if (budget.usage.used < budget.limit)
@@ -59,7 +61,7 @@
     --kinds_[index(kind)].usage.used;
 }
 
-bool SocketBudget::move(PeerKind from, PeerKind to) {
+bool SocketBudget::reclassify(PeerKind from, PeerKind to) {
     if (from == to) return true;
     auto& from_usage = kinds_[index(from)].usage;
     --from_usage.used;
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -1,4 +1,5 @@
-// HTTP client and server on the loopback: limits, malformed input, and connections that run out.
+// Tests HTTP client and server on the loopback interface: limits, malformed input, and running out of
+// sockets.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/epoll.h>
@@ -12,7 +13,7 @@
 namespace coralhitch::http {
 namespace {
 
-// A free port of the loopback.
+// Returns an address with a free port of the loopback interface.
 std::string free_address() {
     event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
     sockaddr_in sa{};
@@ -36,14 +37,14 @@
             reply({200, r.body.empty() ? "{}" : r.body});
         });
     }
-    // The loop ends when the test is done; the guard only keeps a failing test from hanging.
+    // Runs the loop until the test stops it. The timer only keeps a failing test from hanging.
     void run() {
         loop.after(20, [this] { loop.stop(); });
         loop.run();
     }
 };
 
-// Raw bytes in, everything that comes back until the server closes or answers once.
+// Sends raw bytes to the server, and returns what the first read of the answer yields.
 std::string send_raw(ServerFixture& b, const std::string& bytes) {
     event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
     auto sa = socket_address(b.addr);
@@ -61,7 +62,7 @@
     return out;
 }
 
-TEST(Http, MalformedAndOversizeRequestsCostTheirSenderOnly) {
+TEST(Http, MalformedAndOversizeRequestsAreRejected) {
     struct Case {
         const char* name;
         std::string bytes, answer;
@@ -85,8 +86,8 @@
         EXPECT_EQ(b.served, c.served) << c.name;
     }
 }
-// With more machines than connections, idle ones held every place and each new request was refused.
-TEST(Http, IdleConnectionsGiveWayToNewRequests) {
+// With more machines than connections, idle connections held every socket, and each new request was refused.
+TEST(Http, IdleConnectionsAreClosedForNewRequests) {
     ServerFixture b;
     b.serve();
     std::vector<std::unique_ptr<Server>> others;
@@ -112,7 +113,7 @@
     b.run();
     EXPECT_EQ(answered, addresses.size() * 2);
 }
-TEST(Http, ABusyClientRefusesAtOnceAndNothingIsHeldBack) {
+TEST(Http, AClientWithoutFreeConnectionsFailsRequestsAtOnce) {
     ServerFixture b;
     b.server = std::make_unique<Server>(b.loop, b.addr, b.limits, [](Request, Reply) {});  // never answers
     Client client(b.loop, {1024, 2, 4, 60});
@@ -125,7 +126,7 @@
     b.run();
     EXPECT_EQ(refused, 1);
 }
-// Nearly full, a server still answers, and closes, instead of turning peers away.
+// A server that is nearly out of connections closes each after its answer, instead of refusing new peers.
 TEST(Http, ANearlyFullServerClosesAfterEachAnswer) {
     for (auto [limit, closes] : {std::pair(100u, false), {1u, true}}) {
         ServerFixture b;
@@ -136,11 +137,11 @@
     }
 }
 
-// Of 20 sockets 4 are kept for users and 2 for each other kind; workers may have 10 at most.
+// Of 20 sockets, 4 are guaranteed to users and 2 to each other kind. Workers may hold at most 10.
 constexpr SocketShares test_shares = {{{0.2, 0.5}, {0.1, 0.5}, {0.1, 0.1}, {0.1, 0.3}, {0.1, 0.4}}};
 constexpr std::size_t most_workers = 10;
 
-// Many workers at one server that has a share of the sockets, with those of the clients apart.
+// Many workers that send heartbeats to one server with a socket budget. Their client has a budget of its own.
 struct WorkerLoadFixture : ServerFixture {
     WorkerLoadFixture() {
         limits.budget = &budget;
@@ -149,7 +150,7 @@
         limits.keep_share = 1;
     }
     ~WorkerLoadFixture() { server.reset(); }
-    // `held` reports stay without an answer, and `full` is called with the last one.
+    // Leaves the first `held` heartbeats without an answer, and calls `full` when the last of them arrives.
     void serve_holding(std::size_t held, std::function<void()> full) {
         server = std::make_unique<Server>(loop, addr, limits, [this, held, full](Request r, Reply reply) {
             if (r.target != "/report" || ++reports > held) return reply({200, "{}"});
@@ -164,8 +165,8 @@
     std::size_t refused_heartbeats = 0, reports = 0;
     Client client{loop, {1024, 200, 200, 60}};
 };
-// Workers that came to one controller used to hold every socket: users and health checks were refused.
-TEST(Http, WorkersLeaveUsersTheirSockets) {
+// Workers that all turned to one controller held every socket, so that users and health checks were refused.
+TEST(Http, WorkersCannotTakeSocketsOfUsers) {
     WorkerLoadFixture c;
     std::optional<Response> worker, user;
     c.serve_holding(most_workers, [&] {
@@ -187,9 +188,10 @@
     EXPECT_EQ(c.budget.used(PeerKind::worker), most_workers);
     EXPECT_EQ(c.budget.used(PeerKind::user), 1u);
 }
-// Workers that have gone elsewhere may leave connections behind whose end never comes: the one that was used
-// longest ago gives way, but none that may still be used.
-TEST(Http, ConnectionsThatWorkersLeftGiveWay) {
+// Workers that turned to another controller may leave connections that are never closed by them. The server
+// closes the connection that has been idle for longest when a new worker needs a socket, but none that may
+// still be used.
+TEST(Http, AbandonedWorkerConnectionsAreClosedForNewWorkers) {
     for (auto [quiet_s, status] : {std::pair(0.0, 200), {60.0, 503}}) {
         WorkerLoadFixture c;
         c.limits.bulk_reclaim_s = quiet_s;
@@ -210,8 +212,8 @@
         EXPECT_EQ(c.budget.used(PeerKind::worker), most_workers);
     }
 }
-// Connections on which nothing is ever asked give way to users, too.
-TEST(Http, SilentConnectionsGiveWayToUsers) {
+// Connections that never send a request are closed when a user needs a socket.
+TEST(Http, SilentConnectionsAreClosedForUsers) {
     for (auto [first_s, served] : {std::pair(0.0, true), {60.0, false}}) {
         WorkerLoadFixture c;
         c.limits.first_request_s = first_s;
@@ -232,8 +234,8 @@
         EXPECT_EQ(user && user->status == 200, served);
     }
 }
-// A worker that is told to go elsewhere held a socket at each controller that it had come by.
-TEST(Http, AWorkerThatIsRefusedIsNotKept) {
+// A worker that was redirected held a socket at each controller that it had tried.
+TEST(Http, ConnectionsOfRefusedWorkersAreClosed) {
     for (auto [path, kept] : {std::pair("/report", 0u), {"/api/jobs", 1u}}) {
         WorkerLoadFixture c;
         c.server = std::make_unique<Server>(c.loop, c.addr, c.limits, [](Request, Reply reply) {
@@ -247,8 +249,8 @@
         EXPECT_EQ(c.server->connections(), kept) << path;
     }
 }
-// Commands to machines that don't answer leave the lease's renewal its socket.
-TEST(Http, MachinesLeaveServicesTheirSockets) {
+// Commands to machines that do not answer must not take the socket that the lease renewal needs.
+TEST(Http, MachinesCannotTakeSocketsOfServices) {
     WorkerLoadFixture c;
     c.server = std::make_unique<Server>(c.loop, c.addr, ServerLimits{}, [](Request r, Reply reply) {
         if (r.target != "/do") reply({200, "{}"});
@@ -271,9 +273,9 @@
     EXPECT_EQ(c.budget.used(PeerKind::machine), 8u);
 }
 
-// With more ready than a turn handles: what is urgent goes first, users before workers, and a timer that is
-// due waits for one turn only.
-TEST(Loop, LanesHaveTheirTurns) {
+// With more ready events than one turn handles, urgent events come first, users' (ordinary) before workers'
+// (bulk), and a timer that is due waits for one turn only.
+TEST(Loop, HandlesLanesByPriority) {
     event_loop::EventLoop l;
     struct End {
         event_loop::Fd in, out;
@@ -304,7 +306,8 @@
     EXPECT_EQ(order, times(40, 'u') + times(32, 'o') + times(16, 'b') + "t" + times(8, 'o') + times(16, 'b') +
                          times(8, 'b'));
 }
-// What a worker gave up on is not read: served in turn, each would be too late, and so all that come after.
+// A bulk request whose sender has closed its connection is not read. Under overload, serving such requests
+// made all later ones late as well.
 TEST(Http, ABulkRequestWhoseSenderHasLeftIsNotServed) {
     for (bool bulk : {true, false}) {
         ServerFixture b;
@@ -335,8 +338,9 @@
     }
 }
 
-// The answer lies in the socket when the time is up, since others had their turn first: it is not given up.
-TEST(Http, AnAnswerThatHasComeIsReadThoughItsTimeIsUp) {
+// An answer that is already in the socket when the request times out, because other events were handled
+// first, is read and not dropped.
+TEST(Http, AnAnswerThatArrivedBeforeTheTimeoutIsRead) {
     ServerFixture b;
     event_loop::Fd listener(::socket(AF_INET, SOCK_STREAM, 0));
     auto sa = socket_address(b.addr);
@@ -353,7 +357,8 @@
     std::optional<Response> second;
     client.send(b.addr, {"GET", "/1", {}}, 10, [&](std::optional<Response> first) {
         EXPECT_TRUE(first);
-        // Over the same connection, and answered before the loop looks; then the time is up at once.
+        // Sent over the same connection and answered before the loop polls. Its time-out of 0 s has then
+        // passed.
         client.send(b.addr, {"GET", "/2", {}}, 0, [&](std::optional<Response> r) {
             second = std::move(r);
             b.loop.stop();
--- a/tests/http/socket_budget_test.cpp
+++ b/tests/http/socket_budget_test.cpp
@@ -1,4 +1,4 @@
-// How sockets are shared out among kinds of peers. What servers and clients make of it: http_test.cpp.
+// Tests the division of sockets among kinds of peers. http_test.cpp tests how servers and clients use it.
 #include "http/socket_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -8,17 +8,18 @@
 constexpr auto user = PeerKind::user, worker = PeerKind::worker, controller = PeerKind::controller,
                service = PeerKind::service, machine = PeerKind::machine;
 
-// Of ten sockets: what is guaranteed to users, workers, controllers, services and machines, and what they may
-// take at most.
+// With ten sockets, the guarantees of users, workers, controllers, services and machines are 2, 2, 1, 1 and
+// 1, and their limits are 5, 6, 1, 3 and 4.
 constexpr SocketShares shares = {{{0.2, 0.5}, {0.2, 0.6}, {0.1, 0.1}, {0.1, 0.3}, {0.1, 0.4}}};
 
 struct Case {
     const char* name;
-    std::vector<std::pair<PeerKind, std::size_t>> taken;  // one kind after the other, as many as it can get
+    std::vector<std::pair<PeerKind, std::size_t>>
+        taken;  // in this order, as many sockets as each kind can get
     PeerKind then;
     bool admitted;
 };
-TEST(SocketBudget, NobodyTakesWhatIsGuaranteedToOthers) {
+TEST(SocketBudget, NoKindTakesSocketsGuaranteedToOthers) {
     const Case floods[] = {
         {"workers leave users theirs", {{worker, 5}}, user, true},
         {"workers and machines leave users theirs", {{worker, 5}, {machine, 1}}, user, true},
@@ -42,7 +43,7 @@
 TEST(SocketBudget, IdleConnectionsBeyondAGuaranteeAreClosedForOthers) {
     SocketBudget b(10, shares);
     std::vector<PeerKind> closed;
-    auto r = b.add([&](PeerKind kind) {
+    auto r = b.add_reclaimer([&](PeerKind kind) {
         if (kind != machine && kind != worker) return false;
         b.give_back(kind);
         closed.push_back(kind);
@@ -50,14 +51,14 @@
     });
     for (int k = 0; k < 4; ++k) ASSERT_TRUE(b.take(machine));
     for (int k = 0; k < 3; ++k) ASSERT_TRUE(b.take(worker));
-    EXPECT_EQ(closed, std::vector{machine});  // only 3 of 10 are free to all
+    EXPECT_EQ(closed, std::vector{machine});  // only 3 of the 10 sockets are not guaranteed to a kind
     for (int k = 0; k < 4; ++k) ASSERT_TRUE(b.take(user));
     EXPECT_EQ(closed, (std::vector{machine, machine, machine}));
     EXPECT_EQ(b.used(machine), 1u);
-    b.remove(r);
+    b.remove_reclaimer(r);
     while (b.take(user)) {
     }
-    EXPECT_EQ(b.used(worker) + b.used(user), 7u);  // one each is kept for the three others
+    EXPECT_EQ(b.used(worker) + b.used(user), 7u);  // the three other kinds hold or are guaranteed one each
 }
 
 }  // namespace
--- a/tests/kv/request_queue_test.cpp
+++ b/tests/kv/request_queue_test.cpp
@@ -81,8 +81,8 @@
     for (int k = 0; k < 5; ++k) fixture.submit(RequestPriority::submission, "submission", 9);
     EXPECT_TRUE(fixture.refused.empty());  // refusals are answered from a timer
     fixture.run_until(0.1);
-    EXPECT_EQ(fixture.refused,
-              (std::vector<int>{429, 429, 429}));  // the submissions behind more changes than fit in 2.5 s
+    // The submissions behind more changes than fit in 2.5 s are refused.
+    EXPECT_EQ(fixture.refused, (std::vector<int>{429, 429, 429}));
     EXPECT_EQ(fixture.queue.counts(RequestPriority::submission).refused, 3);
     fixture.run_until(10);
     EXPECT_EQ(fixture.queue.counts(RequestPriority::submission).sent, 2);
