--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -10,10 +10,12 @@
 using protocol::Malformed;
 
 namespace {
-constexpr double budget_share = 0.7;  // the other controllers send requests now and then too
+// Part of the cloud's request limit that this controller uses. The rest is left for the other controllers,
+// which send requests occasionally.
+constexpr double budget_share = 0.7;
 constexpr double timeout_heartbeat_periods = 2;
 constexpr double min_send_delay_s = 0.005;
-constexpr int page_size = 500;
+constexpr int page_size = 500;  // machines
 
 CreateMachinesResult parse_create_response(const std::optional<http::Response>& response) {
     using Status = CreateMachinesResult::Status;
@@ -76,7 +78,7 @@
     list_page(std::make_shared<Machines>(), "", done);
 }
 
-// Reads the machines after the id `after`, and all further pages.
+// Lists the machines whose ids follow `after`, on this and all further pages.
 void CloudClient::list_page(const std::shared_ptr<Machines>& listed, const std::string& after,
                             const MachinesCallback& done) {
     enqueue({"GET", protocol::paths::host_list(after, page_size), {}}, QueuePosition::back,
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -1,9 +1,9 @@
-// The cloud's API for machines: lists, creates and deletes them, within this controller's share of the
+// Client of the cloud's API, which lists, creates and deletes machines within this controller's share of the
 // request budget.
 //
-// Requests are queued and sent in order, deletions before all others: the tasks of an unreachable machine
-// start elsewhere only once its deletion is confirmed. All functions and callbacks run on the event loop's
-// thread.
+// Requests are queued and sent in order, deletions before all others, because the tasks of an unreachable
+// machine are started on another machine only once its deletion is confirmed. All functions and callbacks run
+// on the event loop's thread.
 #pragma once
 #include <deque>
 #include <functional>
@@ -20,8 +20,9 @@
 
 namespace coralhitch::cloud {
 
+// A request to create `count` machines of one type in one zone.
 struct CreateMachinesRequest {
-    // Identifies the request: repeated under the same name, it creates nothing more.
+    // Identifies the request. A repeated request with the same name creates no further machines.
     std::string name;
     std::string type;
     std::string zone;
@@ -29,33 +30,36 @@
     int count = 0;
 };
 
+// The outcome of a request to create machines.
 struct CreateMachinesResult {
     enum class Status {
-        created,      // perhaps fewer machines than requested
-        no_capacity,  // none was created
-        failed,       // no usable answer: machines may have been created; repeat it under the same name
+        created,      // machines were created, possibly fewer than requested
+        no_capacity,  // no machine was created
+        failed,  // no usable answer: machines may have been created; repeat the request with the same name
     };
     Status status = Status::failed;
-    std::vector<std::string> machines;  // ids of those created
+    std::vector<std::string> machines;  // ids of the machines created
 };
 
+// Sends requests to the cloud's API.
 class CloudClient {
   public:
-    // How many machines one request may create and delete.
+    // Maximum numbers of machines that one request may create and delete.
     static constexpr int max_machines_per_create = 50;
     static constexpr std::size_t max_machines_per_delete = 100;
 
-    // Lists are nullopt if the cloud gave no usable answer.
+    // Receive a list, or nullopt if the cloud gave no usable answer.
     using MachineTypesCallback = std::function<void(std::optional<std::vector<protocol::MachineType>>)>;
     using MachinesCallback = std::function<void(std::optional<std::vector<protocol::Host>>)>;
     using CreateMachinesCallback = std::function<void(CreateMachinesResult)>;
-    // True: at the time of the answer the machines are terminated, and all that ran on them. False: nothing
-    // is known.
+    // Receives true if the machines and everything that ran on them are terminated at the time of the answer,
+    // and false if nothing is known about them.
     using DeleteMachinesCallback = std::function<void(bool deleted)>;
 
-    // The references must outlive the client, and the client its timers and requests.
+    // The referenced objects must outlive the client, and the client must outlive its pending timers and
+    // requests.
     CloudClient(event_loop::Timers& timers, http::Requester& http, const config::Settings& settings);
-    // Each sends one request, or one a page, and calls `done` once.
+    // Each function sends one request, or one for each page of a list, and calls `done` once.
     void list_machine_types(const MachineTypesCallback& done);
     void list_machines(const MachinesCallback& done);
     void create_machines(const CreateMachinesRequest& request, const CreateMachinesCallback& done);
--- a/src/event_loop/event_loop.cpp
+++ b/src/event_loop/event_loop.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t max_events_per_wait = 1024;
-// Few, so that timers, the lease's renewal among them, wait for little work.
+// Small limits, so that timers, including the one that renews the lease, are not delayed by much.
 constexpr std::size_t ordinary_events_per_turn = 32, bulk_events_per_turn = 16;
 constexpr double max_wait_ms = 60000;
 
@@ -72,7 +72,7 @@
 
 void EventLoop::run_due_timers() {
     while (!timers_.empty() && timers_.begin()->first.first <= now_) {
-        // Taken out first: the task may set and cancel timers.
+        // The timer is removed before its task runs, because the task may set and cancel timers.
         auto timer = timers_.extract(timers_.begin());
         due_times_.erase(timer.key().second);
         timer.mapped()();
@@ -104,7 +104,8 @@
     watched_.erase(fd);
 }
 
-// Fetches everything that is ready: urgent events are handled now, the others queued, each descriptor once.
+// Fetches all ready events. Handles urgent events at once, and queues the other descriptors, each at most
+// once.
 void EventLoop::wait_for_events(int timeout_ms) {
     const int count =
         epoll_wait(epoll_.get(), event_buffer_.data(), static_cast<int>(event_buffer_.size()), timeout_ms);
@@ -115,25 +116,27 @@
         handle_event(event_buffer_[static_cast<std::size_t>(i)], newest_generation);
 }
 
-// A handler may close a descriptor whose number is used again within this turn: an event that was fetched
-// before that is not the new descriptor's, whose generation is later than all that were fetched.
+// A handler may close a descriptor, and its number may be reused within the same turn. An event that was
+// fetched earlier then belongs to the closed descriptor. It is recognized by the generation of the new
+// descriptor, which is above `newest_generation`, the newest generation when the events were fetched.
 void EventLoop::handle_event(const epoll_event& event, std::uint64_t newest_generation) {
     const int fd = event.data.fd;
     auto it = watched_.find(fd);
     if (it == watched_.end() || it->second->generation > newest_generation) return;
-    const auto descriptor = it->second;  // its handler may unwatch it
+    const auto descriptor = it->second;  // copied, since the handler may unwatch the descriptor
     if (descriptor->lane == Lane::urgent) return descriptor->handler(event.events);
     if (descriptor->pending_events == 0) (descriptor->lane == Lane::bulk ? bulk_ : ordinary_).push_back(fd);
     descriptor->pending_events |= event.events;
 }
 
 void EventLoop::run_lane(std::deque<int>& queue, std::size_t limit) {
-    for (std::size_t k = 0; k < limit && !queue.empty(); ++k) {
+    for (std::size_t handled = 0; handled < limit && !queue.empty(); ++handled) {
         auto it = watched_.find(queue.front());
         queue.pop_front();
-        // Closed meanwhile, and perhaps its number used again: the new descriptor is queued by itself.
+        // The descriptor was closed after it was queued. If its number has been reused, the new descriptor
+        // has its own entry in the queue.
         if (it == watched_.end() || it->second->pending_events == 0) continue;
-        const auto descriptor = it->second;  // its handler may unwatch it
+        const auto descriptor = it->second;  // copied, since the handler may unwatch the descriptor
         descriptor->handler(std::exchange(descriptor->pending_events, 0));
     }
 }
@@ -160,7 +163,7 @@
 
 // --- The loop -------------------------------------------------------------------------------------------
 
-// For epoll_wait: 0 while events are queued, -1 (no limit) without timers.
+// Returns the time-out for epoll_wait: 0 while events are queued, -1 (no time-out) without timers.
 int EventLoop::milliseconds_until_next_task() {
     if (!ordinary_.empty() || !bulk_.empty()) return 0;
     if (timers_.empty()) return -1;
--- a/src/event_loop/event_loop.hpp
+++ b/src/event_loop/event_loop.hpp
@@ -1,5 +1,5 @@
-// The process's only event loop: events of file descriptors (epoll), timers, and tasks posted from other
-// threads, all run on the thread that calls run().
+// The process's only event loop. It handles events of file descriptors (epoll), timers, and tasks posted from
+// other threads, all on the thread that calls run().
 #pragma once
 #include <sys/epoll.h>
 
@@ -19,51 +19,56 @@
 
 namespace coralhitch::event_loop {
 
-// The order in which descriptors' events are handled when there are more than the processor can do. With
-// thousands of workers calling, the answer to the lease's renewal waited behind all of them until the lease
-// had expired, and so did health checks.
+// Priority of a descriptor's events under overload. Without lanes, the answer to the lease renewal waited
+// behind the requests of thousands of workers until the lease had expired, and health checks waited as long.
 enum class Lane {
-    urgent,    // all, as they come
-    ordinary,  // then some of these in each turn
-    bulk,      // then fewer of these
+    urgent,    // all ready events are handled in each turn
+    ordinary,  // after urgent events, a limited number in each turn
+    bulk,      // after ordinary events, a smaller number in each turn
 };
 
-// All functions but now(), unix_time() and post() are for the loop's thread only, or for the time before
-// run(). Constructor and watch functions throw std::system_error when the system refuses.
+// Runs handlers and tasks on one thread. now(), unix_time() and post() may be called from any thread, all
+// other functions only from the loop's thread or before run(). The constructor, watch() and set_events()
+// throw std::system_error if the system refuses.
 class EventLoop : public Timers {
   public:
-    // `events`: the epoll flags that are ready (EPOLLIN, EPOLLOUT, ...).
+    // Gets the epoll flags that are ready (EPOLLIN, EPOLLOUT, ...).
     using Handler = std::function<void(std::uint32_t events)>;
 
     EventLoop();
-    // Reads the clock at each call, rather than once a turn: authority goes by it, and other threads call it.
+    // Reads the clock at each call, not once per turn, because the leader's authority depends on the exact
+    // time and other threads call this function.
     [[nodiscard]] double now() const override;
     [[nodiscard]] double unix_time() const override;
     TimerId after(double seconds, Task task) override;
     void cancel(TimerId id) override;
 
-    // Calls the handler whenever one of these epoll flags is ready at the descriptor; in Lane::urgent.
+    // Calls the handler whenever one of these epoll flags is ready for the descriptor. Starts in
+    // Lane::urgent.
     void watch(int fd, std::uint32_t events, Handler handler);
-    // The descriptor must be watched.
+    // Sets the lane of a watched descriptor.
     void set_lane(int fd, Lane lane);
+    // Replaces the epoll flags of a watched descriptor.
     void set_events(int fd, std::uint32_t events);
-    // Forgets the handler. The caller closes the descriptor right after, which ends its events.
+    // Removes the handler. The caller must close the descriptor right afterwards, which removes it from
+    // epoll.
     void unwatch(int fd);
 
-    // Runs the task on the loop's thread. From any thread.
+    // Runs the task on the loop's thread. May be called from any thread.
     void post(Task task);
-    // Returns after stop(), once the turn is over.
+    // Runs the loop. Returns at the end of the turn in which stop() was called.
     void run();
     void stop() { stopped_ = true; }
 
   private:
     struct WatchedDescriptor {
         Handler handler;
-        std::uint64_t generation;  // of the watch: a descriptor's number may be used again
+        std::uint64_t generation;  // increases with each watch(), since descriptor numbers are reused
         Lane lane;
-        std::uint32_t pending_events;  // that wait in the lane's queue; 0: it is not in the queue
+        std::uint32_t pending_events;  // flags waiting in the lane's queue; 0 if not queued
     };
-    using DueTime = std::pair<double, TimerId>;  // with the id: timers due at once run in order
+    // Steady time in seconds and the id, so that timers due at the same time run in the order of their ids.
+    using DueTime = std::pair<double, TimerId>;
 
     void refresh_now();
     [[nodiscard]] int milliseconds_until_next_task();
@@ -75,7 +80,7 @@
     void control_epoll(int operation, int fd, std::uint32_t events, const char* what);
 
     Fd epoll_, wake_;  // wake_: an eventfd that ends epoll_wait for posted tasks
-    double now_ = 0;   // at the last refresh
+    double now_ = 0;   // steady time in seconds at the last refresh_now()
     bool stopped_ = false;
 
     TimerId next_timer_id_ = 1;
@@ -85,7 +90,7 @@
     std::unordered_map<int, std::shared_ptr<WatchedDescriptor>> watched_;
     std::uint64_t last_generation_ = 0;
     std::vector<epoll_event> event_buffer_;
-    std::deque<int> ordinary_, bulk_;  // descriptors with pending events, the longest waiting one in front
+    std::deque<int> ordinary_, bulk_;  // descriptors with pending events, first in first out
 
     std::mutex posted_mutex_;  // guards posted_
     std::vector<Task> posted_;
--- a/src/event_loop/file_descriptor.hpp
+++ b/src/event_loop/file_descriptor.hpp
@@ -3,7 +3,8 @@
 
 namespace coralhitch::event_loop {
 
-// Closes its descriptor when it is destroyed or gets another one. Movable, not copyable.
+// Owns a file descriptor, and closes it on destruction or when another descriptor is assigned. Movable, not
+// copyable.
 class Fd {
   public:
     Fd() = default;
@@ -15,16 +16,16 @@
     }
     ~Fd() { reset(); }
 
-    // -1: none.
+    // Returns the descriptor, or -1 if there is none.
     [[nodiscard]] int get() const { return fd_; }
     explicit operator bool() const { return fd_ >= 0; }
-    // Gives up ownership without closing.
+    // Returns the descriptor and gives up ownership without closing it.
     [[nodiscard]] int release() {
         const int fd = fd_;
         fd_ = -1;
         return fd;
     }
-    // Closes the descriptor and takes over `fd`.
+    // Closes the current descriptor and takes ownership of `fd`.
     void reset(int fd = -1);
 
   private:
--- a/src/event_loop/lifetime_guard.hpp
+++ b/src/event_loop/lifetime_guard.hpp
@@ -1,16 +1,16 @@
-// Callbacks that do nothing once the object that they belong to is gone.
+// Callbacks that do nothing after the object that created them is destroyed.
 #pragma once
 #include <memory>
 #include <utility>
 
 namespace coralhitch::event_loop {
 
-// A member of the object that makes callbacks: `timers.after(1, guarded_([this] { ... }))`. Declared as the
-// object's last member, so that it is destroyed first, before what callbacks use. Not thread-safe: callbacks
-// run on the thread that destroys the object.
+// Wraps the callbacks of the object that holds it as a member: `timers.after(1, guarded_([this] { ... }))`.
+// Must be the object's last member, so that it is destroyed before the members that the callbacks use. Not
+// thread-safe: callbacks must run on the thread that destroys the object.
 class LifetimeGuard {
   public:
-    // Wraps a callback; its arguments are passed on, its result is dropped.
+    // Returns a callback that passes its arguments on as long as the guard exists. The result is dropped.
     template <class Callback>
     [[nodiscard]] auto operator()(Callback callback) const {
         return [alive = std::weak_ptr<int>(alive_), callback = std::move(callback)](auto&&... args) mutable {
--- a/src/event_loop/token_bucket.hpp
+++ b/src/event_loop/token_bucket.hpp
@@ -1,38 +1,40 @@
-// A token bucket: at most `rate` tokens a second, in bursts of at most `burst`.
+// A token bucket that limits a rate.
 #pragma once
 #include <algorithm>
 #include <optional>
 
 namespace coralhitch::event_loop {
 
-// `now` is in seconds of a steady clock and never smaller than in the call before. Counts may be fractions.
+// Provides at most `rate` tokens a second, in bursts of at most `burst` tokens. `now` is steady time in
+// seconds and must not decrease from call to call. Counts of tokens may be fractions.
 class TokenBucket {
   public:
-    // Starts full. `rate`: tokens a second, above 0; `burst`: tokens.
+    // Starts with a full bucket. `rate` is in tokens a second and must be above 0.
     TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
 
-    // Whether `count` tokens are there; for more than the burst, whether the bucket is full.
+    // Returns true if `count` tokens are available, or if the bucket is full and `count` is above the burst.
     [[nodiscard]] bool has(double now, double count = 1) {
         refill(now);
         return tokens_ >= std::min(count, burst_);
     }
-    // Takes tokens even when there are too few: what must not wait still counts against what comes after it.
-    // A negative count gives tokens back.
+    // Takes tokens even if there are too few, so that requests that must not wait delay later ones. A
+    // negative count gives tokens back.
     void take(double now, double count = 1) {
         refill(now);
         tokens_ -= count;
     }
-    // Seconds until has() is true for this count, if nothing else takes any.
+    // Returns the seconds until has() is true for this count, provided that no tokens are taken until then.
     [[nodiscard]] double seconds_until_available(double now, double count = 1) {
         refill(now);
         return std::max(0.0, (std::min(count, burst_) - tokens_) / rate_);
     }
-    // Seconds in which `count` tokens come, one taken after the other: also more than the burst.
+    // Returns the seconds until `count` tokens could have been taken one after the other. The count may
+    // exceed the burst.
     [[nodiscard]] double seconds_to_drain(double now, double count) {
         refill(now);
         return std::max(0.0, (count - tokens_) / rate_);
     }
-    // From now on; tokens beyond the new burst are lost.
+    // Changes rate and burst. Tokens beyond the new burst are dropped.
     void set_rate(double rate, double burst) {
         rate_ = rate;
         burst_ = burst;
--- a/tests/cloud/cloud_client_test.cpp
+++ b/tests/cloud/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-// The client of the cloud's API: order, budget, pages, and what its answers mean.
+// Tests the client of the cloud's API: order of requests, budget, pages, and interpretation of answers.
 #include "cloud/cloud_client.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace coralhitch::cloud {
 namespace {
 
-// Answers each request at once: with the prepared answers in turn, then with none.
+// Answers each request at once, with the prepared answers in order, and then without an answer.
 class FakeCloud : public http::Requester {
   public:
     void send(const std::string&, http::Request request, double, http::Result result) override {
@@ -44,7 +44,7 @@
     CloudClientFixture fixture(1);
     CloudClient client(fixture.timers, fixture.cloud, fixture.settings);
     auto ignore_types = [](auto) {};
-    client.list_machine_types(ignore_types);  // takes all of the burst
+    client.list_machine_types(ignore_types);  // uses up the burst
     client.list_machine_types(ignore_types);
     bool was_answered = false;
     client.delete_machines({"vm-1"}, [&](bool) { was_answered = true; });
@@ -57,7 +57,7 @@
     EXPECT_TRUE(was_answered);
 }
 
-TEST(CloudClient, TellsWhatBecameOfACreation) {
+TEST(CloudClient, ReportsTheOutcomeOfACreation) {
     using Status = CreateMachinesResult::Status;
     struct Case {
         const char* name;
@@ -69,7 +69,7 @@
         {"fewer than requested", http::Response{200, R"({"berths":["vm-1"]})"}, Status::created, {"vm-1"}},
         {"none left", http::Response{503, R"({"error":"no capacity"})"}, Status::no_capacity, {}},
         {"overloaded", http::Response{503, "{}"}, Status::failed, {}},
-        {"not to be read", http::Response{200, "{"}, Status::failed, {}},
+        {"malformed", http::Response{200, "{"}, Status::failed, {}},
         {"no answer", std::nullopt, Status::failed, {}},
     };
     for (auto& c : cases) {
