--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -237,8 +237,8 @@
     peer.phase = Phase::answering;
     set_busy(peer);
     if (peer.traffic == Traffic::none) peer.traffic = Traffic::ordinary;
-    // A worker without a socket is refused before its request is parsed, which costs little. The worker then
-    // turns to another controller.
+    // If no socket is left for workers, a heartbeat is refused before its body is parsed, which costs little.
+    // The worker then turns to another controller.
     bool is_first_bulk = peer.traffic != Traffic::bulk && limits_.is_bulk && limits_.is_bulk(request.target);
     if (is_first_bulk && !admit_bulk(peer)) {
         if (limits_.on_bulk_refused) limits_.on_bulk_refused();
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -27,8 +27,8 @@
     // Time within which a request must be complete, from its first byte. For PeerKind::user also the time
     // within which a new connection must send its first byte.
     double request_s = 10;
-    // Time after which a connection other than a worker's is closed if no request starts or no answer is
-    // given.
+    // Time after which a connection is closed if its handler gives no answer, or, except for a worker's
+    // connection, if no request starts.
     double idle_s = 120;
     // Idle time after which a worker's connection may be closed to free its socket. A worker that still sends
     // its heartbeats here would have sent one within this time, so it has turned to another controller.
--- a/src/kv/keys.hpp
+++ b/src/kv/keys.hpp
@@ -19,8 +19,9 @@
 inline const std::string types = "types";
 
 // Prefixes.
-inline const std::string jobs = "job/";      // live jobs, and cancelled jobs until all their tasks have ended
-inline const std::string finals = "final/";  // final states of jobs, never deleted
+// Live jobs, and cancelled jobs until all their tasks have ended.
+inline const std::string jobs = "job/";
+inline const std::string finals = "final/";                   // final states of jobs, never deleted
 inline const std::string progress = "prog/";                  // finished tasks of live jobs, in blocks
 inline const std::string machines = "mach/";                  // machines that may run tasks
 inline const std::string machine_pages = machines + "page/";  // pages: many machines in one value
--- a/src/kv/results.hpp
+++ b/src/kv/results.hpp
@@ -56,8 +56,7 @@
     enum class Status {
         committed,
         conflict,  // a condition did not hold, nothing was changed: read the `failed` keys again
-        refused,   // not executed (queue full, store over its rate or unavailable): may be sent again
-                   // unchanged
+        refused,   // not executed (queue full, store over its rate or unavailable): may be retried unchanged
         rejected,  // not executed and never will be: the transaction or one of its values is too large
         unknown    // no usable answer: may have been executed, or may be later: read the keys again
     } status = Status::unknown;
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -167,110 +167,112 @@
 };
 // Workers that all turned to one controller held every socket, so that users and health checks were refused.
 TEST(Http, WorkersCannotTakeSocketsOfUsers) {
-    WorkerLoadFixture c;
+    WorkerLoadFixture fixture;
     std::optional<Response> worker, user;
-    c.serve_holding(most_workers, [&] {
-        c.send("/report", 1, [&](auto r) {
+    fixture.serve_holding(most_workers, [&] {
+        fixture.send("/report", 1, [&](auto r) {
             worker = std::move(r);
-            c.send("/healthz", 1, [&](auto r) {
+            fixture.send("/healthz", 1, [&](auto r) {
                 user = std::move(r);
-                c.loop.stop();
+                fixture.loop.stop();
             });
         });
     });
-    c.send("/report", most_workers);
-    c.run();
+    fixture.send("/report", most_workers);
+    fixture.run();
     ASSERT_TRUE(worker && user);
     EXPECT_EQ(worker->status, 503);
     EXPECT_GT(worker->retry_after_s, 0);
-    EXPECT_EQ(c.refused_heartbeats, 1u);
+    EXPECT_EQ(fixture.refused_heartbeats, 1u);
     EXPECT_EQ(user->status, 200);
-    EXPECT_EQ(c.budget.used(PeerKind::worker), most_workers);
-    EXPECT_EQ(c.budget.used(PeerKind::user), 1u);
+    EXPECT_EQ(fixture.budget.used(PeerKind::worker), most_workers);
+    EXPECT_EQ(fixture.budget.used(PeerKind::user), 1u);
 }
 // Workers that turned to another controller may leave connections that are never closed by them. The server
 // closes the connection that has been idle for longest when a new worker needs a socket, but none that may
 // still be used.
 TEST(Http, AbandonedWorkerConnectionsAreClosedForNewWorkers) {
     for (auto [quiet_s, status] : {std::pair(0.0, 200), {60.0, 503}}) {
-        WorkerLoadFixture c;
-        c.limits.bulk_reclaim_s = quiet_s;
-        c.serve_holding(0, [] {});
+        WorkerLoadFixture fixture;
+        fixture.limits.bulk_reclaim_s = quiet_s;
+        fixture.serve_holding(0, [] {});
         std::size_t answered = 0;
         std::optional<Response> last;
-        Client other(c.loop, {1024, 10, 10, 60});
-        c.send("/report", most_workers, [&](auto) {
+        Client other(fixture.loop, {1024, 10, 10, 60});
+        fixture.send("/report", most_workers, [&](auto) {
             if (++answered < most_workers) return;
-            other.send(c.addr, {"POST", "/report", "{}"}, 15, [&](auto r) {
+            other.send(fixture.addr, {"POST", "/report", "{}"}, 15, [&](auto r) {
                 last = std::move(r);
-                c.loop.stop();
+                fixture.loop.stop();
             });
         });
-        c.run();
+        fixture.run();
         ASSERT_TRUE(last);
         EXPECT_EQ(last->status, status);
-        EXPECT_EQ(c.budget.used(PeerKind::worker), most_workers);
+        EXPECT_EQ(fixture.budget.used(PeerKind::worker), most_workers);
     }
 }
 // Connections that never send a request are closed when a user needs a socket.
 TEST(Http, SilentConnectionsAreClosedForUsers) {
     for (auto [first_s, served] : {std::pair(0.0, true), {60.0, false}}) {
-        WorkerLoadFixture c;
-        c.limits.first_request_s = first_s;
-        c.limits.accepts_per_event = 100;
-        c.serve_holding(0, [] {});
+        WorkerLoadFixture fixture;
+        fixture.limits.first_request_s = first_s;
+        fixture.limits.accepts_per_event = 100;
+        fixture.serve_holding(0, [] {});
         std::vector<event_loop::Fd> silent;
-        auto sa = socket_address(c.addr);
+        auto sa = socket_address(fixture.addr);
         for (std::size_t k = 0; k < 10; ++k) {
             silent.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
             ASSERT_EQ(::connect(silent.back().get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
         }
         std::optional<Response> user;
-        c.send("/healthz", 1, [&](auto r) {
+        fixture.send("/healthz", 1, [&](auto r) {
             user = std::move(r);
-            c.loop.stop();
+            fixture.loop.stop();
         });
-        c.run();
+        fixture.run();
         EXPECT_EQ(user && user->status == 200, served);
     }
 }
 // A worker that was redirected held a socket at each controller that it had tried.
 TEST(Http, ConnectionsOfRefusedWorkersAreClosed) {
     for (auto [path, kept] : {std::pair("/report", 0u), {"/api/jobs", 1u}}) {
-        WorkerLoadFixture c;
-        c.server = std::make_unique<Server>(c.loop, c.addr, c.limits, [](Request, Reply reply) {
-            reply({421, "{}"});
-        });
-        c.send(path, 1, [&](auto r) {
+        WorkerLoadFixture fixture;
+        fixture.server =
+            std::make_unique<Server>(fixture.loop, fixture.addr, fixture.limits, [](Request, Reply reply) {
+                reply({421, "{}"});
+            });
+        fixture.send(path, 1, [&](auto r) {
             EXPECT_EQ(r ? r->status : 0, 421);
-            c.loop.stop();
+            fixture.loop.stop();
         });
-        c.run();
-        EXPECT_EQ(c.server->connections(), kept) << path;
+        fixture.run();
+        EXPECT_EQ(fixture.server->connections(), kept) << path;
     }
 }
 // Commands to machines that do not answer must not take the socket that the lease renewal needs.
 TEST(Http, MachinesCannotTakeSocketsOfServices) {
-    WorkerLoadFixture c;
-    c.server = std::make_unique<Server>(c.loop, c.addr, ServerLimits{}, [](Request r, Reply reply) {
-        if (r.target != "/do") reply({200, "{}"});
-    });
+    WorkerLoadFixture fixture;
+    fixture.server =
+        std::make_unique<Server>(fixture.loop, fixture.addr, ServerLimits{}, [](Request r, Reply reply) {
+            if (r.target != "/do") reply({200, "{}"});
+        });
     ClientLimits limits;
     limits.is_bulk = [](const std::string& path) { return path == "/do"; };
-    limits.budget = &c.budget;
-    Client client(c.loop, limits);
+    limits.budget = &fixture.budget;
+    Client client(fixture.loop, limits);
     std::size_t refused = 0;
     for (int k = 0; k < 20; ++k)
-        client.send(c.addr, {"POST", "/do", "{}"}, 60, [&](auto r) { refused += !r; });
+        client.send(fixture.addr, {"POST", "/do", "{}"}, 60, [&](auto r) { refused += !r; });
     std::optional<Response> renewed;
-    client.send(c.addr, {"POST", "/renew", "{}"}, 15, [&](auto r) {
+    client.send(fixture.addr, {"POST", "/renew", "{}"}, 15, [&](auto r) {
         renewed = std::move(r);
-        c.loop.stop();
+        fixture.loop.stop();
     });
-    c.run();
+    fixture.run();
     EXPECT_TRUE(renewed);
     EXPECT_EQ(refused, 12u);
-    EXPECT_EQ(c.budget.used(PeerKind::machine), 8u);
+    EXPECT_EQ(fixture.budget.used(PeerKind::machine), 8u);
 }
 
 // With more ready events than one turn handles, urgent events come first, users' (ordinary) before workers'
