--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -45,20 +45,20 @@
 };
 
 // Sends raw bytes to the server, and returns what the first read of the answer yields.
-std::string send_raw(ServerFixture& b, const std::string& bytes) {
+std::string send_raw(ServerFixture& fixture, const std::string& bytes) {
     event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
-    auto sa = socket_address(b.addr);
+    auto sa = socket_address(fixture.addr);
     EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
     EXPECT_EQ(::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     std::string out;
-    b.loop.watch(fd.get(), EPOLLIN, [&](std::uint32_t) {
+    fixture.loop.watch(fd.get(), EPOLLIN, [&](std::uint32_t) {
         char buffer[4096];
         auto n = ::recv(fd.get(), buffer, sizeof buffer, MSG_DONTWAIT);
         if (n > 0) out.append(buffer, static_cast<std::size_t>(n));
-        b.loop.unwatch(fd.get());
-        b.loop.stop();
+        fixture.loop.unwatch(fd.get());
+        fixture.loop.stop();
     });
-    b.run();
+    fixture.run();
     return out;
 }
 
@@ -80,29 +80,29 @@
         {"a header without an end", "GET /x HTTP/1.1\r\nA: " + std::string(20000, 'x'), "HTTP/1.1 413", 0},
     };
     for (auto& c : cases) {
-        ServerFixture b;
-        b.serve();
-        EXPECT_EQ(send_raw(b, c.bytes).substr(0, c.answer.size()), c.answer) << c.name;
-        EXPECT_EQ(b.served, c.served) << c.name;
+        ServerFixture fixture;
+        fixture.serve();
+        EXPECT_EQ(send_raw(fixture, c.bytes).substr(0, c.answer.size()), c.answer) << c.name;
+        EXPECT_EQ(fixture.served, c.served) << c.name;
     }
 }
 // With more machines than connections, idle connections held every socket, and each new request was refused.
 TEST(Http, IdleConnectionsAreClosedForNewRequests) {
-    ServerFixture b;
-    b.serve();
+    ServerFixture fixture;
+    fixture.serve();
     std::vector<std::unique_ptr<Server>> others;
-    std::vector<std::string> addresses{b.addr};
+    std::vector<std::string> addresses{fixture.addr};
     for (int k = 0; k < 4; ++k) {
         addresses.push_back(free_address());
-        others.push_back(
-            std::make_unique<Server>(b.loop, addresses.back(), ServerLimits{}, [](Request, Reply reply) {
-                reply({200, "{}"});
-            }));
+        others.push_back(std::make_unique<Server>(fixture.loop, addresses.back(), ServerLimits{},
+                                                  [](Request, Reply reply) {
+                                                      reply({200, "{}"});
+                                                  }));
     }
-    Client client(b.loop, {1024, 2, 4, 60});
+    Client client(fixture.loop, {1024, 2, 4, 60});
     std::size_t answered = 0, next = 0;
     std::function<void()> ask = [&] {
-        if (next == addresses.size() * 2) return b.loop.stop();
+        if (next == addresses.size() * 2) return fixture.loop.stop();
         client.send(addresses[next++ % addresses.size()], {"GET", "/x", {}}, 5,
                     [&](std::optional<Response> r) {
                         answered += r && r->status == 200;
@@ -110,29 +110,30 @@
                     });
     };
     ask();
-    b.run();
+    fixture.run();
     EXPECT_EQ(answered, addresses.size() * 2);
 }
 TEST(Http, AClientWithoutFreeConnectionsFailsRequestsAtOnce) {
-    ServerFixture b;
-    b.server = std::make_unique<Server>(b.loop, b.addr, b.limits, [](Request, Reply) {});  // never answers
-    Client client(b.loop, {1024, 2, 4, 60});
+    ServerFixture fixture;
+    fixture.server = std::make_unique<Server>(fixture.loop, fixture.addr, fixture.limits,
+                                              [](Request, Reply) {});  // never answers
+    Client client(fixture.loop, {1024, 2, 4, 60});
     int refused = 0;
     for (int k = 0; k < 3; ++k)
-        client.send(b.addr, {"GET", "/x", {}}, 60, [&](std::optional<Response> r) {
+        client.send(fixture.addr, {"GET", "/x", {}}, 60, [&](std::optional<Response> r) {
             refused += !r;
-            b.loop.stop();
+            fixture.loop.stop();
         });
-    b.run();
+    fixture.run();
     EXPECT_EQ(refused, 1);
 }
 // A server that is nearly out of connections closes each after its answer, instead of refusing new peers.
 TEST(Http, ANearlyFullServerClosesAfterEachAnswer) {
     for (auto [limit, closes] : {std::pair(100u, false), {1u, true}}) {
-        ServerFixture b;
-        b.limits.connections = limit;
-        b.serve();
-        auto answer = send_raw(b, "GET /x HTTP/1.1\r\n\r\n");
+        ServerFixture fixture;
+        fixture.limits.connections = limit;
+        fixture.serve();
+        auto answer = send_raw(fixture, "GET /x HTTP/1.1\r\n\r\n");
         EXPECT_EQ(answer.find("Connection: close") != std::string::npos, closes);
     }
 }
@@ -312,11 +313,11 @@
 // made all later ones late as well.
 TEST(Http, ABulkRequestWhoseSenderHasLeftIsNotServed) {
     for (bool bulk : {true, false}) {
-        ServerFixture b;
-        b.limits.is_bulk = [&](const std::string& path) { return bulk && path == "/x"; };
-        b.serve();
+        ServerFixture fixture;
+        fixture.limits.is_bulk = [&](const std::string& path) { return bulk && path == "/x"; };
+        fixture.serve();
         event_loop::Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
-        auto sa = socket_address(b.addr);
+        auto sa = socket_address(fixture.addr);
         ASSERT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
         const std::string request = "POST /x HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
         auto send = [&] {
@@ -325,30 +326,30 @@
         };
         send();
         std::function<void()> gone = [&] {
-            if (b.server->connections() == 0) return b.loop.stop();
-            b.loop.after(0, gone);
+            if (fixture.server->connections() == 0) return fixture.loop.stop();
+            fixture.loop.after(0, gone);
         };
-        b.loop.watch(fd.get(), EPOLLIN, [&](std::uint32_t) {
-            b.loop.unwatch(fd.get());
+        fixture.loop.watch(fd.get(), EPOLLIN, [&](std::uint32_t) {
+            fixture.loop.unwatch(fd.get());
             send();
             fd.reset();
             gone();
         });
-        b.run();
-        EXPECT_EQ(b.server->connections(), 0u);
-        EXPECT_EQ(b.served, bulk ? 1u : 2u);
+        fixture.run();
+        EXPECT_EQ(fixture.server->connections(), 0u);
+        EXPECT_EQ(fixture.served, bulk ? 1u : 2u);
     }
 }
 
 // An answer that is already in the socket when the request times out, because other events were handled
 // first, is read and not dropped.
 TEST(Http, AnAnswerThatArrivedBeforeTheTimeoutIsRead) {
-    ServerFixture b;
+    ServerFixture fixture;
     event_loop::Fd listener(::socket(AF_INET, SOCK_STREAM, 0));
-    auto sa = socket_address(b.addr);
+    auto sa = socket_address(fixture.addr);
     ASSERT_EQ(::bind(listener.get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
     ASSERT_EQ(::listen(listener.get(), 1), 0);
-    Client client(b.loop, {});
+    Client client(fixture.loop, {});
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
     event_loop::Fd peer;
     auto respond = [&] {
@@ -357,25 +358,25 @@
         ASSERT_EQ(::send(peer.get(), answer.data(), answer.size(), 0), static_cast<ssize_t>(answer.size()));
     };
     std::optional<Response> second;
-    client.send(b.addr, {"GET", "/1", {}}, 10, [&](std::optional<Response> first) {
+    client.send(fixture.addr, {"GET", "/1", {}}, 10, [&](std::optional<Response> first) {
         EXPECT_TRUE(first);
         // Sent over the same connection and answered before the loop polls. Its time-out of 0 s has then
         // passed.
-        client.send(b.addr, {"GET", "/2", {}}, 0, [&](std::optional<Response> r) {
+        client.send(fixture.addr, {"GET", "/2", {}}, 0, [&](std::optional<Response> r) {
             second = std::move(r);
-            b.loop.stop();
+            fixture.loop.stop();
         });
         respond();
     });
-    b.loop.watch(listener.get(), EPOLLIN, [&](std::uint32_t) {
+    fixture.loop.watch(listener.get(), EPOLLIN, [&](std::uint32_t) {
         peer = event_loop::Fd(::accept(listener.get(), nullptr, nullptr));
-        b.loop.unwatch(listener.get());
-        b.loop.watch(peer.get(), EPOLLIN, [&](std::uint32_t) {
-            b.loop.unwatch(peer.get());
+        fixture.loop.unwatch(listener.get());
+        fixture.loop.watch(peer.get(), EPOLLIN, [&](std::uint32_t) {
+            fixture.loop.unwatch(peer.get());
             respond();
         });
     });
-    b.run();
+    fixture.run();
     ASSERT_TRUE(second);
     EXPECT_EQ(second->body, "hi");
 }
