--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -54,8 +54,8 @@
         settings.nodes = 3;
         settings.kv_rps = settings.kv_write_rps = 200;
         FakeTimers timers;
-        FakeWatchableStore service(timers);
-        KvClient client(timers, service, settings);
+        FakeWatchableStore store(timers);
+        KvClient client(timers, store, settings);
         bool listed = false;
         ListWatch w(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
                     {[](auto&, auto) {}, [&](auto&) { listed = true; }});
@@ -63,7 +63,7 @@
         w.start(5, 0);
         timers.run_until(20);
         ASSERT_TRUE(w.complete_until());
-        c.fault(service);
+        c.fault(store);
         timers.run_until(28);
         EXPECT_GE(28 - *w.complete_until(), c.least) << c.name;
         EXPECT_LE(28 - *w.complete_until(), c.most) << c.name;
