--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -57,16 +57,16 @@
         FakeWatchableStore store(timers);
         KvClient client(timers, store, settings);
         bool listed = false;
-        ListWatch w(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
-                    {[](auto&, auto) {}, [&](auto&) { listed = true; }});
-        EXPECT_FALSE(w.complete_until());
-        w.start(5, 0);
+        ListWatch list_watch(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
+                             {[](auto&, auto) {}, [&](auto&) { listed = true; }});
+        EXPECT_FALSE(list_watch.complete_until());
+        list_watch.start(5, 0);
         timers.run_until(20);
-        ASSERT_TRUE(w.complete_until());
+        ASSERT_TRUE(list_watch.complete_until());
         c.fault(store);
         timers.run_until(28);
-        EXPECT_GE(28 - *w.complete_until(), c.least) << c.name;
-        EXPECT_LE(28 - *w.complete_until(), c.most) << c.name;
+        EXPECT_GE(28 - *list_watch.complete_until(), c.least) << c.name;
+        EXPECT_LE(28 - *list_watch.complete_until(), c.most) << c.name;
         EXPECT_EQ(listed, c.listed) << c.name;
     }
 }
