--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -140,8 +140,8 @@
 bool Server::close_idle(PeerKind kind) {
     if (kind == PeerKind::worker) return close_longest_idle(Traffic::bulk, limits_.bulk_reclaim_s);
     if (kind != limits_.kind) return false;
-    return close_longest_idle(Traffic::none, limits_.first_request_s) ||
-           close_longest_idle(Traffic::ordinary, limits_.first_request_s);
+    return close_longest_idle(Traffic::none, limits_.ordinary_reclaim_s) ||
+           close_longest_idle(Traffic::ordinary, limits_.ordinary_reclaim_s);
 }
 
 // Counts the connection as a worker's, because its first request is a heartbeat. This frees the socket for
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -37,7 +37,7 @@
     double bulk_idle_s = 20;
     // Idle time after which any other accepted connection may be closed to free its socket, also before its
     // first request.
-    double first_request_s = 1;
+    double ordinary_reclaim_s = 1;
     // Ratio to the socket limit of a kind of peers. Above it connections are closed after each answer.
     double keep_share = 0.9;
     double retry_after_s = 1;                          // sent when a worker is refused for lack of sockets
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -217,7 +217,7 @@
 TEST(Http, SilentConnectionsAreClosedForUsers) {
     for (auto [first_s, served] : {std::pair(0.0, true), {60.0, false}}) {
         WorkerLoadFixture fixture;
-        fixture.limits.first_request_s = first_s;
+        fixture.limits.ordinary_reclaim_s = first_s;
         fixture.limits.accepts_per_event = 100;
         fixture.serve_holding(0, [] {});
         std::vector<event_loop::Fd> silent;
