--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -168,112 +168,110 @@
 };
 // Workers that all turned to one controller held every socket, so that users and health checks were refused.
 TEST(Http, WorkersCannotTakeSocketsOfUsers) {
-    WorkerLoadFixture fixture;
+    WorkerLoadFixture load;
     std::optional<Response> worker, user;
-    fixture.serve_holding(most_workers, [&] {
-        fixture.send("/report", 1, [&](auto r) {
+    load.serve_holding(most_workers, [&] {
+        load.send("/report", 1, [&](auto r) {
             worker = std::move(r);
-            fixture.send("/healthz", 1, [&](auto r) {
+            load.send("/healthz", 1, [&](auto r) {
                 user = std::move(r);
-                fixture.loop.stop();
+                load.loop.stop();
             });
         });
     });
-    fixture.send("/report", most_workers);
-    fixture.run();
+    load.send("/report", most_workers);
+    load.run();
     ASSERT_TRUE(worker && user);
     EXPECT_EQ(worker->status, 503);
     EXPECT_GT(worker->retry_after_s, 0);
-    EXPECT_EQ(fixture.refused_heartbeats, 1u);
+    EXPECT_EQ(load.refused_heartbeats, 1u);
     EXPECT_EQ(user->status, 200);
-    EXPECT_EQ(fixture.budget.used(PeerKind::worker), most_workers);
-    EXPECT_EQ(fixture.budget.used(PeerKind::user), 1u);
+    EXPECT_EQ(load.budget.used(PeerKind::worker), most_workers);
+    EXPECT_EQ(load.budget.used(PeerKind::user), 1u);
 }
 // Workers that turned to another controller may leave connections that are never closed by them. The server
 // closes the connection that has been idle for longest when a new worker needs a socket, but none that may
 // still be used.
 TEST(Http, AbandonedWorkerConnectionsAreClosedForNewWorkers) {
     for (auto [quiet_s, status] : {std::pair(0.0, 200), {60.0, 503}}) {
-        WorkerLoadFixture fixture;
-        fixture.limits.bulk_reclaim_s = quiet_s;
-        fixture.serve_holding(0, [] {});
+        WorkerLoadFixture load;
+        load.limits.bulk_reclaim_s = quiet_s;
+        load.serve_holding(0, [] {});
         std::size_t answered = 0;
         std::optional<Response> last;
-        Client other(fixture.loop, {1024, 10, 10, 60});
-        fixture.send("/report", most_workers, [&](auto) {
+        Client other(load.loop, {1024, 10, 10, 60});
+        load.send("/report", most_workers, [&](auto) {
             if (++answered < most_workers) return;
-            other.send(fixture.addr, {"POST", "/report", "{}"}, 15, [&](auto r) {
+            other.send(load.addr, {"POST", "/report", "{}"}, 15, [&](auto r) {
                 last = std::move(r);
-                fixture.loop.stop();
+                load.loop.stop();
             });
         });
-        fixture.run();
+        load.run();
         ASSERT_TRUE(last);
         EXPECT_EQ(last->status, status);
-        EXPECT_EQ(fixture.budget.used(PeerKind::worker), most_workers);
+        EXPECT_EQ(load.budget.used(PeerKind::worker), most_workers);
     }
 }
 // Connections that never send a request are closed when a user needs a socket.
 TEST(Http, SilentConnectionsAreClosedForUsers) {
-    for (auto [first_s, served] : {std::pair(0.0, true), {60.0, false}}) {
-        WorkerLoadFixture fixture;
-        fixture.limits.ordinary_reclaim_s = first_s;
-        fixture.limits.accepts_per_event = 100;
-        fixture.serve_holding(0, [] {});
+    for (auto [reclaim_s, served] : {std::pair(0.0, true), {60.0, false}}) {
+        WorkerLoadFixture load;
+        load.limits.ordinary_reclaim_s = reclaim_s;
+        load.limits.accepts_per_event = 100;
+        load.serve_holding(0, [] {});
         std::vector<event_loop::Fd> silent;
-        auto sa = socket_address(fixture.addr);
+        auto sa = socket_address(load.addr);
         for (std::size_t k = 0; k < 10; ++k) {
             silent.emplace_back(::socket(AF_INET, SOCK_STREAM, 0));
             ASSERT_EQ(::connect(silent.back().get(), reinterpret_cast<sockaddr*>(&*sa), sizeof *sa), 0);
         }
         std::optional<Response> user;
-        fixture.send("/healthz", 1, [&](auto r) {
+        load.send("/healthz", 1, [&](auto r) {
             user = std::move(r);
-            fixture.loop.stop();
+            load.loop.stop();
         });
-        fixture.run();
+        load.run();
         EXPECT_EQ(user && user->status == 200, served);
     }
 }
 // A worker that was redirected held a socket at each controller that it had tried.
 TEST(Http, ConnectionsOfRefusedWorkersAreClosed) {
     for (auto [path, kept] : {std::pair("/report", 0u), {"/api/jobs", 1u}}) {
-        WorkerLoadFixture fixture;
-        fixture.server =
-            std::make_unique<Server>(fixture.loop, fixture.addr, fixture.limits, [](Request, Reply reply) {
-                reply({421, "{}"});
-            });
-        fixture.send(path, 1, [&](auto r) {
+        WorkerLoadFixture load;
+        load.server = std::make_unique<Server>(load.loop, load.addr, load.limits, [](Request, Reply reply) {
+            reply({421, "{}"});
+        });
+        load.send(path, 1, [&](auto r) {
             EXPECT_EQ(r ? r->status : 0, 421);
-            fixture.loop.stop();
+            load.loop.stop();
         });
-        fixture.run();
-        EXPECT_EQ(fixture.server->connections(), kept) << path;
+        load.run();
+        EXPECT_EQ(load.server->connections(), kept) << path;
     }
 }
 // Commands to machines that do not answer must not take the socket that the lease renewal needs.
 TEST(Http, MachinesCannotTakeSocketsOfServices) {
-    WorkerLoadFixture fixture;
-    fixture.server =
-        std::make_unique<Server>(fixture.loop, fixture.addr, ServerLimits{}, [](Request r, Reply reply) {
-            if (r.target != "/do") reply({200, "{}"});
-        });
+    WorkerLoadFixture load;
+    load.server = std::make_unique<Server>(load.loop, load.addr, ServerLimits{}, [](Request r, Reply reply) {
+        if (r.target != "/do") reply({200, "{}"});
+    });
     ClientLimits limits;
     limits.is_bulk = [](const std::string& path) { return path == "/do"; };
-    limits.budget = &fixture.budget;
-    Client client(fixture.loop, limits);
+    limits.budget = &load.budget;
+    Client client(load.loop, limits);
     std::size_t refused = 0;
     for (int k = 0; k < 20; ++k)
-        client.send(fixture.addr, {"POST", "/do", "{}"}, 60, [&](auto r) { refused += !r; });
+        client.send(load.addr, {"POST", "/do", "{}"}, 60, [&](auto r) { refused += !r; });
     std::optional<Response> renewed;
-    client.send(fixture.addr, {"POST", "/renew", "{}"}, 15, [&](auto r) {
+    client.send(load.addr, {"POST", "/renew", "{}"}, 15, [&](auto r) {
         renewed = std::move(r);
-        fixture.loop.stop();
+        load.loop.stop();
     });
-    fixture.run();
+    load.run();
     EXPECT_TRUE(renewed);
     EXPECT_EQ(refused, 12u);
-    EXPECT_EQ(fixture.budget.used(PeerKind::machine), 8u);
+    EXPECT_EQ(load.budget.used(PeerKind::machine), 8u);
 }
 
 // With more ready events than one turn handles, urgent events come first, users' (ordinary) before workers'
