--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -101,15 +101,15 @@
     }
     Client client(fixture.loop, {1024, 2, 4, 60});
     std::size_t answered = 0, next = 0;
-    std::function<void()> ask = [&] {
+    std::function<void()> send_next = [&] {
         if (next == addresses.size() * 2) return fixture.loop.stop();
         client.send(addresses[next++ % addresses.size()], {"GET", "/x", {}}, 5,
                     [&](std::optional<Response> r) {
                         answered += r && r->status == 200;
-                        ask();
+                        send_next();
                     });
     };
-    ask();
+    send_next();
     fixture.run();
     EXPECT_EQ(answered, addresses.size() * 2);
 }
