--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -323,15 +323,15 @@
                       static_cast<ssize_t>(request.size()));
         };
         send();
-        std::function<void()> gone = [&] {
+        std::function<void()> stop_when_closed = [&] {
             if (fixture.server->connections() == 0) return fixture.loop.stop();
-            fixture.loop.after(0, gone);
+            fixture.loop.after(0, stop_when_closed);
         };
         fixture.loop.watch(fd.get(), EPOLLIN, [&](std::uint32_t) {
             fixture.loop.unwatch(fd.get());
             send();
             fd.reset();
-            gone();
+            stop_when_closed();
         });
         fixture.run();
         EXPECT_EQ(fixture.server->connections(), 0u);
