--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -154,8 +154,8 @@
     // Leaves the first `held` heartbeats without an answer, and calls `full` when the last of them arrives.
     void serve_holding(std::size_t held, std::function<void()> full) {
         server = std::make_unique<Server>(loop, addr, limits, [this, held, full](Request r, Reply reply) {
-            if (r.target != "/report" || ++reports > held) return reply({200, "{}"});
-            if (reports == held) full();
+            if (r.target != "/report" || ++heartbeats > held) return reply({200, "{}"});
+            if (heartbeats == held) full();
         });
     }
     void send(
@@ -163,7 +163,7 @@
         for (std::size_t k = 0; k < n; ++k) client.send(addr, {"POST", path, "{}"}, 15, result);
     }
     SocketBudget budget{20, test_shares};
-    std::size_t refused_heartbeats = 0, reports = 0;
+    std::size_t refused_heartbeats = 0, heartbeats = 0;
     Client client{loop, {1024, 200, 200, 60}};
 };
 // Workers that all turned to one controller held every socket, so that users and health checks were refused.
