--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -46,6 +46,7 @@
 
   private:
     using ConnectionId = std::uint64_t;
+    // A connection of the pool, idle or with a request in progress.
     struct OpenConnection {
         std::string addr;
         std::unique_ptr<Connection> connection;
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -66,6 +66,7 @@
 
   private:
     using PeerId = std::uint64_t;
+    // State of a connection.
     enum class Phase {
         idle,       // no byte of a request has arrived
         reading,    // a part of a request has arrived
@@ -74,6 +75,7 @@
     };
     // The kind of requests that the peer has sent so far.
     enum class Traffic { none, ordinary, bulk };
+    // An accepted connection and its state.
     struct Peer {
         std::unique_ptr<Connection> connection;
         event_loop::TimerId timer = 0;
--- a/src/http/socket_budget.hpp
+++ b/src/http/socket_budget.hpp
@@ -27,6 +27,7 @@
     machine,     // connections opened to workers
 };
 inline constexpr std::size_t peer_kinds = 5;
+// Names of the kinds in logs and metrics, by PeerKind.
 inline constexpr std::array<std::string_view, peer_kinds> peer_kind_names = {
     "users", "workers", "controllers", "services", "machines"};
 
@@ -86,6 +87,7 @@
     // Closes an idle connection to a peer of this kind and gives its socket back. Returns false if there is
     // none.
     using Reclaim = std::function<bool(PeerKind)>;
+    // Identifies a registered function.
     using Reclaimer = std::list<Reclaim>::iterator;
     // Registers a function that closes idle connections, until remove_reclaimer() is called.
     [[nodiscard]] Reclaimer add_reclaimer(Reclaim reclaim) {
--- a/src/kv/kv_client.cpp
+++ b/src/kv/kv_client.cpp
@@ -60,6 +60,7 @@
 }
 }  // namespace
 
+// A list whose pages are still being read.
 struct KvClient::ListInProgress {
     std::string prefix;
     RequestPriority priority;
--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -12,7 +12,8 @@
 namespace {
 using nlohmann::json;
 
-// Answers according to its flags, after `delay` seconds. A watch that waits is answered after 12 s.
+// Answers according to its flags after `delay` seconds, or after 12 s to a watch that waits. With
+// `no_answer`, watches get no answer.
 struct FakeWatchableStore : http::Requester {
     explicit FakeWatchableStore(FakeTimers& t) : timers(t) {}
     void send(const std::string&, http::Request r, double timeout, http::Result result) override {
