--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -10,10 +10,12 @@
 using protocol::Malformed;
 
 namespace {
-constexpr double budget_share = 0.7;  // the other controllers send requests now and then too
-constexpr double timeout_heartbeats = 2;
+// Part of the cloud's request limit that this controller uses. The rest is left for the other controllers,
+// which send requests occasionally.
+constexpr double budget_share = 0.7;
+constexpr double timeout_heartbeat_periods = 2;
 constexpr double min_send_delay_s = 0.005;
-constexpr int page_size = 500;
+constexpr int page_size = 500;  // machines
 
 CreateMachinesResult parse_create_response(const std::optional<http::Response>& response) {
     using Status = CreateMachinesResult::Status;
@@ -50,7 +52,7 @@
         auto next = std::move(queue_.front());
         queue_.pop_front();
         http_.send(settings_.cloud_addr, std::move(next.request),
-                   settings_.heartbeat_interval_s * timeout_heartbeats, std::move(next.done));
+                   settings_.heartbeat_interval_s * timeout_heartbeat_periods, std::move(next.done));
     }
     if (queue_.empty() || send_scheduled_) return;
     send_scheduled_ = true;
@@ -76,7 +78,7 @@
     list_page(std::make_shared<Machines>(), "", done);
 }
 
-// Reads the machines after the id `after`, and all further pages.
+// Lists the machines whose ids follow `after`, on this and all further pages.
 void CloudClient::list_page(const std::shared_ptr<Machines>& listed, const std::string& after,
                             const MachinesCallback& done) {
     enqueue({"GET", protocol::paths::host_list(after, page_size), {}}, QueuePosition::back,
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -11,8 +11,8 @@
 namespace {
 constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
 
-// What a callback returns to let the parser go on, or to end it with an error. That of the headers has codes
-// of its own: 1 would say that there is no body.
+// Return values of the parser's callbacks, to continue or to stop with an error. The callback for the end of
+// the headers needs a different error code, because its return value 1 means that the message has no body.
 constexpr int proceed = 0;
 constexpr int abort_parsing = 1;
 constexpr int abort_after_headers = -1;
@@ -49,7 +49,7 @@
     return !parsing_.too_large;
 }
 
-void Connection::end_header() {
+void Connection::finish_header() {
     auto is_named = [&](const char* name) { return strcasecmp(parsing_.field.c_str(), name) == 0; };
     if (is_named("retry-after")) incoming_.retry_after_s = std::atof(parsing_.value.c_str());
     if (is_named("content-type")) incoming_.type = parsing_.value;
@@ -60,7 +60,7 @@
 
 int Connection::on_field(http_parser* parser, const char* data, std::size_t size) {
     auto& self = connection_of(parser);
-    if (self.parsing_.in_value) self.end_header();
+    if (self.parsing_.in_value) self.finish_header();
     if (!self.grow_head(size)) return abort_parsing;
     self.parsing_.field.append(data, size);
     return proceed;
@@ -83,7 +83,7 @@
 
 int Connection::on_headers(http_parser* parser) {
     auto& self = connection_of(parser);
-    if (self.parsing_.in_value) self.end_header();
+    if (self.parsing_.in_value) self.finish_header();
     bool has_length = parser->content_length != ULLONG_MAX;
     if (!has_length || parser->content_length <= self.limits_.body) return proceed;
     self.parsing_.too_large = true;
@@ -136,7 +136,7 @@
 }
 
 Connection::ReadResult Connection::read() {
-    char buffer[read_buffer_bytes];  // not cleared: it is filled again and again
+    char buffer[read_buffer_bytes];  // left uninitialized, since recv() fills it before each use
     while (!parsing_.complete) {
         ssize_t received = ::recv(fd_.get(), buffer, sizeof buffer, 0);
         if (received < 0) {
@@ -144,7 +144,8 @@
             return is_try_again(errno) ? ReadResult::incomplete : ReadResult::closed;
         }
         if (received == 0) {
-            // A body may end with the stream, of which no bytes tell the parser.
+            // A body without a length ends with the stream. Size 0 tells the parser that the stream has
+            // ended.
             http_parser_execute(&parser_, &callbacks(), buffer, 0);
             return parsing_.complete ? ReadResult::complete : ReadResult::closed;
         }
@@ -155,10 +156,10 @@
     return ReadResult::complete;
 }
 
-void Connection::next() {
+void Connection::reset_for_next_message() {
     incoming_ = {};
     parsing_ = {};
-    // Nobody pipelines: what may still lie in the buffer of the last read belongs to no message.
+    // Pipelining is not supported: bytes that were read after the end of the last message are dropped.
     reset_parser(static_cast<http_parser_type>(parser_.type));
 }
 
@@ -171,9 +172,9 @@
 // --- Writing --------------------------------------------------------------------------------------------
 
 void Connection::watch(event_loop::EventLoop::Handler handler, Origin origin) {
-    if (origin == Origin::accepted) always_ |= EPOLLRDHUP;
-    events_ = origin == Origin::opened ? always_ | EPOLLOUT : always_;
-    loop_.watch(fd_.get(), events_, std::move(handler));
+    if (origin == Origin::accepted) base_events_ |= EPOLLRDHUP;
+    watched_events_ = origin == Origin::opened ? base_events_ | EPOLLOUT : base_events_;
+    loop_.watch(fd_.get(), watched_events_, std::move(handler));
 }
 
 void Connection::write(std::string bytes) {
@@ -200,9 +201,9 @@
         unsent_.clear();
         sent_bytes_ = 0;
     }
-    std::uint32_t wanted = always_ | (has_unsent() ? EPOLLOUT : 0U);
-    if (wanted != events_) {
-        events_ = wanted;
+    std::uint32_t wanted = base_events_ | (has_unsent() ? EPOLLOUT : 0U);
+    if (wanted != watched_events_) {
+        watched_events_ = wanted;
         loop_.set_events(fd_.get(), wanted);
     }
     return true;
--- a/tests/kv/list_watch_test.cpp
+++ b/tests/kv/list_watch_test.cpp
@@ -1,4 +1,5 @@
-// Until when a list-watch has delivered all changes: which answers prove it, and which don't.
+// ListWatch::complete_until: only a confirming read or a list that was answered may advance it, and only to
+// the time at which its request was sent. Otherwise a quiet watch during an outage would count as up to date.
 #include "kv/list_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,8 @@
 namespace {
 using nlohmann::json;
 
-// Answers as the test says; a watch that waits stays open for its whole wait.
+// Answers according to its flags after `delay` seconds, or after 12 s to a watch that waits. With
+// `no_answer`, watches get no answer.
 struct FakeWatchableStore : http::Requester {
     explicit FakeWatchableStore(FakeTimers& t) : timers(t) {}
     void send(const std::string&, http::Request r, double timeout, http::Result result) override {
@@ -36,12 +38,12 @@
     struct Case {
         const char* name;
         void (*fault)(FakeWatchableStore&);
-        double least, most;  // how long ago it was complete, after 8 s of the fault, s
+        double least, most;  // expected age of complete_until in seconds, after 8 s of the fault
         bool listed;
     };
     const Case cases[] = {
         {"none", [](FakeWatchableStore&) {}, 0, 1.1, false},
-        {"slow: the sending counts", [](FakeWatchableStore& s) { s.delay = 1; }, 1, 3.1, false},
+        {"slow: the time of sending counts", [](FakeWatchableStore& s) { s.delay = 1; }, 1, 3.1, false},
         {"slower than a user waits", [](FakeWatchableStore& s) { s.delay = 2; }, 2, 5.1, false},
         {"refused", [](FakeWatchableStore& s) { s.refuses = true; }, 8, 9.1, false},
         {"no answer, watches open", [](FakeWatchableStore& s) { s.no_answer = true; }, 8, 9.1, false},
@@ -53,19 +55,19 @@
         settings.nodes = 3;
         settings.kv_rps = settings.kv_write_rps = 200;
         FakeTimers timers;
-        FakeWatchableStore service(timers);
-        KvClient client(timers, service, settings);
+        FakeWatchableStore store(timers);
+        KvClient client(timers, store, settings);
         bool listed = false;
-        ListWatch w(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
-                    {[](auto&, auto) {}, [&](auto&) { listed = true; }});
-        EXPECT_FALSE(w.complete_until());
-        w.start(5, 0);
+        ListWatch list_watch(timers, client, "job/", {12, 0.05, 0.3, 1, 3},
+                             {[](auto&, auto) {}, [&](auto&) { listed = true; }});
+        EXPECT_FALSE(list_watch.complete_until());
+        list_watch.start(5, 0);
         timers.run_until(20);
-        ASSERT_TRUE(w.complete_until());
-        c.fault(service);
+        ASSERT_TRUE(list_watch.complete_until());
+        c.fault(store);
         timers.run_until(28);
-        EXPECT_GE(28 - *w.complete_until(), c.least) << c.name;
-        EXPECT_LE(28 - *w.complete_until(), c.most) << c.name;
+        EXPECT_GE(28 - *list_watch.complete_until(), c.least) << c.name;
+        EXPECT_LE(28 - *list_watch.complete_until(), c.most) << c.name;
         EXPECT_EQ(listed, c.listed) << c.name;
     }
 }
