--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -8,7 +8,7 @@
 using nlohmann::json;
 
 namespace {
-// Most responses hold none.
+// Skips the JSON library for an empty list, because most responses carry no commands.
 std::string command_list(std::span<const Command> commands) {
     if (commands.empty()) return "[]";
     json list = json::array();
@@ -47,7 +47,7 @@
     auto [last, error] = std::from_chars(body.data() + outline.sequence_offset, text_end, sequence);
     outline.sequence = SequenceNumber{sequence};
     outline.sequence_digits = static_cast<std::size_t>(last - body.data()) - outline.sequence_offset;
-    // An escape would make the name another one.
+    // With an escape sequence in it, the raw text is not the machine's name.
     if (error != std::errc() || outline.machine.find('\\') != npos) return std::nullopt;
     return outline;
 }
--- a/src/protocol/agent_api.hpp
+++ b/src/protocol/agent_api.hpp
@@ -1,5 +1,5 @@
-// What workers (the agents on the machines) and controllers say to each other: heartbeats, their responses,
-// direct commands.
+// Messages between agents (the worker processes on the machines) and controllers: heartbeats, their
+// responses, and direct commands.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -21,22 +21,22 @@
 inline constexpr std::string_view inspect = "/inspect";
 }  // namespace paths
 
-// A worker drops the response to a heartbeat that comes later than this after it was sent, seconds.
+// Seconds after which an agent ignores the response to a heartbeat, counted from sending the heartbeat.
 inline constexpr double heartbeat_timeout_s = 4;
-// By then it has turned to the next controller, seconds.
+// Seconds after sending an unanswered heartbeat by which the agent has switched to the next controller.
 inline constexpr double heartbeat_retry_s = heartbeat_timeout_s + 1;
 
-// Throws Malformed.
+// Parses one heartbeat. Throws Malformed.
 Heartbeat parse_heartbeat(std::string_view body);
 
-// The same for many heartbeats: keeps its buffers.
+// Parser for many heartbeats; reuses its buffers from one call to the next.
 class HeartbeatReader {
   public:
     HeartbeatReader();
     ~HeartbeatReader();
     HeartbeatReader(const HeartbeatReader&) = delete;
     HeartbeatReader& operator=(const HeartbeatReader&) = delete;
-    // Throws Malformed.
+    // Parses one heartbeat. Throws Malformed.
     Heartbeat read(std::string_view body);
 
   private:
@@ -44,22 +44,23 @@
     std::unique_ptr<Parser> parser_;
 };
 
-// What tells two heartbeats of a machine apart that have the same content: the sequence number, and where it
-// stands in the text.
+// The fields of a heartbeat that identify it, and the position of its sequence number in the body. Two
+// heartbeats of a machine that differ only in the sequence number have the same content.
 struct HeartbeatOutline {
-    std::string_view machine;  // part of the body
+    std::string_view machine;  // view into the body
     AgentEpoch agent_epoch;
     SequenceNumber sequence;
-    std::size_t sequence_offset = 0, sequence_digits = 0;  // where its digits stand in the body
+    std::size_t sequence_offset = 0, sequence_digits = 0;  // position and length of its digits
 };
-// Found without reading the rest; nothing if the text is laid out in a way that this does not expect.
+// Finds the outline without parsing the whole body. Returns nullopt if the body is not laid out as expected.
 std::optional<HeartbeatOutline> outline_heartbeat(std::string_view body);
 
-// The body of a 200 to a heartbeat. `token`: the fencing token.
+// Returns the body of the 200 response to a heartbeat.
 std::string heartbeat_response(FencingToken token, std::span<const Command> commands);
-// The body of a 421: send heartbeats to that controller instead; an empty label if none is known.
+// Returns the body of the 421 response that tells an agent to send its heartbeats to the controller `label`.
+// `label` is empty if no leader is known.
 std::string heartbeat_redirect(std::string_view label);
-// The body of commands that are sent to a machine's own address.
+// Returns the body of a request that sends commands directly to a machine's address.
 std::string direct_commands(FencingToken token, AgentEpoch agent_epoch, std::span<const Command> commands);
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/cloud_api.hpp
+++ b/src/protocol/cloud_api.hpp
@@ -1,4 +1,4 @@
-// What controllers and the cloud say to each other: machine types, rental, deletion, lists of machines.
+// Messages between controllers and the cloud: machine types, rental, deletion, lists of machines.
 #pragma once
 #include <span>
 #include <string>
@@ -14,22 +14,26 @@
 inline constexpr std::string_view types = "/flavors";
 inline constexpr std::string_view hosts = "/hosts";
 inline constexpr std::string_view hosts_delete = "/hosts/delete";
-// A page of at most `limit` machines whose names come after `after`.
+// Returns the path of a page of at most `limit` machines whose ids sort after `after`; an empty `after` asks
+// for the first page.
 std::string host_list(std::string_view after, int limit);
 }  // namespace paths
 
-// Throws Malformed; so do the others that parse.
+// The parse functions throw Malformed.
 std::vector<MachineType> parse_types(std::string_view body);
-// `name` identifies the request for ever: the cloud answers a repetition without renting again.
+// Returns the body of a request to rent `count` machines. `name` is an idempotency key that never expires:
+// the cloud answers a repeated request without renting again.
 std::string rent_request(std::string_view name, std::string_view type, std::string_view zone, bool spot,
                          int count);
-// The names of the machines that were rented.
+// Returns the ids of the machines that were rented.
 std::vector<std::string> parse_rented(std::string_view body);
+// Returns the body of a request to delete machines.
 std::string delete_request(std::span<const std::string> machines);
 
+// One page of the cloud's list of machines.
 struct HostPage {
     std::vector<Host> hosts;
-    bool more = false;  // there are others after these
+    bool more = false;  // further pages follow
 };
 HostPage parse_hosts(std::string_view body);
 
--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -1,4 +1,5 @@
-// Heartbeats, read without a tree of values: they are most of what a leader reads.
+// Parses heartbeats with simdjson instead of nlohmann::json trees, because they are most of what a leader
+// reads.
 #include <charconv>
 
 #include "protocol/agent_api.hpp"
@@ -17,7 +18,7 @@
     if (error != std::errc() || end != text_end) bad("shard", "is not a task id");
     return id;
 }
-// A cause this program doesn't know still is an end of the task.
+// Maps causes that this version does not know to `error`: the task has exited all the same.
 ExitCause exit_cause(const reader::object& task) {
     element field;
     std::string_view text;
--- a/src/protocol/job_json.hpp
+++ b/src/protocol/job_json.hpp
@@ -1,5 +1,5 @@
-// The JSON form of a job's description: as users submit it, and in the records of live jobs. For the sources
-// of this package only.
+// The JSON form of a job's description, used in submissions and in the stored records of live jobs. Internal
+// to this package.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -9,12 +9,13 @@
 
 namespace coralhitch::protocol {
 
+// Returns the JSON form of a job.
 nlohmann::json job_json(const Job& job);
-// Throws Malformed.
+// Parses a job. Throws Malformed.
 Job job_of(const nlohmann::json& object);
-// The jobs that it depends on, in order, each once; throws Malformed.
+// Returns the ids of the jobs that the job depends on, sorted and without duplicates. Throws Malformed.
 std::vector<std::string> dependencies_of(const nlohmann::json& object);
-// Whether it names any.
+// Returns whether the dependencies field is present, even if its list is empty.
 bool has_dependencies(const nlohmann::json& object);
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/json_fields.hpp
+++ b/src/protocol/json_fields.hpp
@@ -1,6 +1,6 @@
-// Reads fields of JSON objects that come seldom or are small, as nlohmann::json trees. For the sources of
-// this package only. Every function throws Malformed, which names the field, if the value is not what it
-// reads.
+// Reads fields of JSON objects as nlohmann::json trees, for messages that are rare or small. Internal to this
+// package. Unless said otherwise, a function throws Malformed, which names the field, if the field is missing
+// or its value has the wrong type.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -12,21 +12,24 @@
 
 namespace coralhitch::protocol::fields {
 
+// Parses a JSON object. Throws Malformed if the body is not JSON or not an object.
 nlohmann::json parse_object(std::string_view body);
-// Null if the field is absent or null, which mean the same.
+// Returns nullptr if the field is absent or null; the protocol treats both alike.
 const nlohmann::json* find(const nlohmann::json& object, const char* field);
+// Returns a required field.
 const nlohmann::json& need(const nlohmann::json& object, const char* field);
-// Not empty, and no longer than max_text.
+// Returns a string that is not empty and not longer than max_text bytes.
 std::string text(const nlohmann::json& object, const char* field);
 bool flag(const nlohmann::json& object, const char* field);
-// Finite and not negative.
+// Returns a number that is finite and not negative. `field` is only used in the error.
 double as_amount(const nlohmann::json& value, const char* field);
+// Returns a field as `as_amount` does.
 double amount(const nlohmann::json& object, const char* field);
-// Counts, versions and tokens reach up to 2^64 and never pass through a double.
+// Returns an unsigned integer. Counts, versions and tokens use all 64 bits and are never converted to double.
 std::uint64_t count(const nlohmann::json& object, const char* field);
 const nlohmann::json& list(const nlohmann::json& object, const char* field);
 std::vector<std::string> texts(const nlohmann::json& value, const char* field);
-// The JSON text; bytes that are not UTF-8 are replaced.
+// Returns the JSON text; bytes that are not UTF-8 are replaced. Does not throw Malformed.
 std::string dumped(const nlohmann::json& value);
 
 }  // namespace coralhitch::protocol::fields
--- a/src/protocol/json_reader.hpp
+++ b/src/protocol/json_reader.hpp
@@ -1,5 +1,7 @@
-// Reads JSON that comes often or is long, without building a tree of values: what a new leader reads first
-// took it longer that way than all it did with it. For the sources of this package only. Throws Malformed.
+// Reads fields of JSON with simdjson, for messages that are frequent or long. Building nlohmann::json trees
+// of the state that a new leader loads took longer than all processing of that state. Internal to this
+// package. Unless said otherwise, a function throws Malformed if the field is missing or its value has the
+// wrong type.
 #pragma once
 #include <simdjson.h>
 
@@ -15,16 +17,17 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// Absent and null are the same.
+// Returns false if the field is absent or null; the protocol treats both alike. Does not throw.
 inline bool find(const object& parent, const char* field, element& value) {
     return parent.at_key(field).get(value) == simdjson::SUCCESS && !value.is_null();
 }
+// Returns a required field.
 inline element need(const object& parent, const char* field) {
     element value;
     if (!find(parent, field, value)) bad(field, "is missing");
     return value;
 }
-// Not empty, and no longer than max_text.
+// Returns a string that is not empty and not longer than max_text bytes.
 inline std::string text(const object& parent, const char* field) {
     std::string_view value;
     if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a string");
@@ -43,7 +46,7 @@
     if (number.get(value) != simdjson::SUCCESS) bad(field, "is not a count");
     return value;
 }
-// Finite and not negative.
+// Returns a number that is finite and not negative.
 inline double amount(const object& parent, const char* field) {
     double value = 0;
     if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a number");
@@ -56,13 +59,13 @@
     if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a list");
     return value;
 }
-// An element of the list of this name.
+// Returns an element of the list `list_name` as an object; the name is only used in the error.
 inline object as_object(const element& value, const char* list_name) {
     object row;
     if (value.get(row) != simdjson::SUCCESS) bad(list_name, "holds something that is not an object");
     return row;
 }
-// The body's object; valid as long as the parser has read nothing else.
+// Parses the body, which must be a JSON object. The result is valid until the parser is used again.
 inline object root(simdjson::dom::parser& parser, std::string_view body) {
     element value;
     object root;
@@ -70,7 +73,7 @@
     if (value.get(root) != simdjson::SUCCESS) throw Malformed("not an object");
     return root;
 }
-// Whether a list says that it goes on after this page.
+// Returns whether further pages of the list follow this one; false if the page does not say. Does not throw.
 inline bool more(const object& page) {
     element value;
     bool more = false;
--- a/src/protocol/kv_api.cpp
+++ b/src/protocol/kv_api.cpp
@@ -41,7 +41,7 @@
         entry.lease = lease->get<std::uint64_t>();
     return entry;
 }
-// Values are JSON texts of this program: they go in as they are.
+// Inserts the values unescaped: they are JSON texts that this program has produced.
 std::string txn_request(const Txn& transaction) {
     std::string text = R"({"if":[)";
     for (auto& condition : transaction.conditions) {
--- a/src/protocol/kv_api.hpp
+++ b/src/protocol/kv_api.hpp
@@ -1,5 +1,4 @@
-// What controllers and the consensus-backed key-value store say to each other: keys, transactions, leases,
-// watches.
+// Messages between controllers and the consensus-backed key-value store: keys, transactions, leases, watches.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -15,42 +14,44 @@
 inline constexpr std::string_view txn = "/txn";
 inline constexpr std::string_view leases = "/holds";
 std::string kv(std::string_view key);
-// A page of at most `limit` keys with the prefix that come after `after`.
+// Returns the path of a page of at most `limit` keys that have the prefix and sort after `after`; an empty
+// `after` asks for the first page.
 std::string kv_list(std::string_view prefix, std::string_view after, int limit);
-// Changes after that revision; the answer waits so long for one.
+// Returns the path of a long poll for changes after revision `since`; the store holds the request for up to
+// `wait_ms` until there is one.
 std::string watch(std::string_view prefix, std::uint64_t since, std::uint64_t wait_ms);
 std::string lease(std::uint64_t id);
 std::string lease_renew(std::uint64_t id);
 }  // namespace paths
 
-// A key with its value (JSON text) and the revision of its last change.
+// A key with its value, the revision of its last change (`version`) and its lease (0: none).
 struct Entry {
     std::string key, value;  // value: JSON text
     std::uint64_t version = 0, lease = 0;
 };
-// Keys in their order.
+// One page of a list of keys, in key order.
 struct EntryPage {
     std::vector<Entry> entries;
-    bool more = false;
+    bool more = false;  // further pages follow
     std::uint64_t revision = 0;
 };
-// A change of one key.
+// A change of one key, as a watch returns it.
 struct Event {
     std::string key;
     std::optional<std::string> value;  // absent: deleted
     std::uint64_t version = 0;
 };
-// All changes up to a revision.
+// The answer to a watch: all changes up to `revision`.
 struct Events {
     std::uint64_t revision = 0;
     std::vector<Event> events;
 };
-// The key must have this version; 0: must not exist.
+// A condition of a transaction: the key has this version, or does not exist if the version is 0.
 struct Condition {
     std::string key;
     std::uint64_t version = 0;
 };
-// A put or a delete.
+// A put or a delete in a transaction.
 struct Change {
     std::string key;
     std::optional<std::string> value;  // absent: delete
@@ -65,14 +66,19 @@
 struct Conflict {
     std::vector<std::string> failed;
 };
-// All that parse throw Malformed.
+// The parse functions throw Malformed.
 Entry parse_entry(std::string_view body);
 EntryPage parse_entries(std::string_view body);
 Events parse_events(std::string_view body);
+// Returns the body of a transaction request.
 std::string txn_request(const Txn& transaction);
+// Returns the revision of a transaction that was applied.
 std::uint64_t parse_revision(std::string_view body);
+// Parses the answer to a transaction that was rejected.
 Conflict parse_conflict(std::string_view body);
+// Returns the body of a request for a lease.
 std::string lease_request(std::uint64_t ttl_ms);
+// Returns the id of the lease that was granted.
 std::uint64_t parse_lease(std::string_view body);
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/malformed.hpp
+++ b/src/protocol/malformed.hpp
@@ -1,12 +1,12 @@
-// The error of every parser in this package.
+// The exception that every parser of this package throws.
 #pragma once
 #include <stdexcept>
 #include <string>
 
 namespace coralhitch::protocol {
 
-// A message or stored value that does not follow the protocol; what() names the field and what is wrong with
-// it.
+// Error for a message or stored value that does not follow the protocol. what() names the field, if it is
+// about one, and what is wrong.
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -1,5 +1,5 @@
-// Plain values that every package shares. Their names on the wire are only in the .cpp files of this package
-// and in protocol/names.hpp.
+// Plain value types that every package shares. Their names on the wire are defined only in the .cpp files of
+// this package and in protocol/names.hpp. Fields that end in `_s` are in seconds, in `_gb` in gigabytes.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -12,10 +12,11 @@
 
 namespace coralhitch::protocol {
 
+// How the tasks of a job are scheduled: independently, all together, or as a long-running service.
 enum class JobKind { array, gang, service };
 enum class Priority { low, normal, high, production };
 
-// One task of a job: its index from 0.
+// Identifies one task of a job by its index, counted from 0.
 struct TaskId {
     std::string job;
     std::uint32_t index = 0;
@@ -27,7 +28,7 @@
     std::string str() const { return job + "/" + std::to_string(index); }
 };
 
-// What a task requests, or what a machine offers.
+// Resources that a task requests or that a machine offers.
 struct Resources {
     double cpus = 0, gpus = 0, memory_gb = 0;
     Resources& operator+=(const Resources& other) {
@@ -43,7 +44,8 @@
         return *this;
     }
     Resources times(double count) const { return {cpus * count, gpus * count, memory_gb * count}; }
-    // Sums of decimal amounts carry rounding; a task that fills a machine exactly still fits.
+    // Returns whether a request fits into these resources. Tolerates the rounding errors of sums of decimal
+    // amounts, so that a task that fills a machine exactly still fits.
     bool fits(const Resources& request) const {
         constexpr double slack = 1e-6;
         return request.cpus <= cpus + slack && request.gpus <= gpus + slack &&
@@ -51,7 +53,9 @@
     }
 };
 
-// A job as its user described it.
+// A job as its user described it. `types` and `zone`, where set, restrict the machines its tasks may run on;
+// `one_zone` keeps all tasks in one zone, `spread` places at most half of them in any one; `spot` permits
+// spot machines.
 struct Job {
     std::string id, job_class, team;
     JobKind kind = JobKind::array;
@@ -64,9 +68,10 @@
     std::optional<std::string> zone;
     bool one_zone = false, spread = false, spot = false;
     double estimated_run_s = 0, checkpoint_interval_s = 0;
-    double checkpoint_save_s = 0;  // how long a task takes to save one
+    double checkpoint_save_s = 0;  // time that a task takes to save a checkpoint
     std::optional<double> deadline_s;
-    std::vector<std::string> dependencies;  // jobs to be done before any task of this one starts; each once
+    std::vector<std::string>
+        dependencies;  // ids of jobs that must be done before a task of this job starts, sorted
 };
 
 enum class JobState { queued, running, done, cancelled };
@@ -75,7 +80,7 @@
 struct JobStatus {
     std::string id;
     JobState state = JobState::queued;
-    std::optional<std::uint64_t> done, running;
+    std::optional<std::uint64_t> done, running;  // numbers of tasks; unset if not known
 };
 
 enum class TaskState { fetching, waiting, running, checkpointing, exited };
@@ -83,21 +88,21 @@
     none,
     done,
     stopped,
-    gang_member_lost,  // another task of its gang has disappeared
-    gang_incomplete,   // its gang was not complete in time
+    gang_member_lost,  // another task of its gang was lost
+    gang_incomplete,   // its gang did not become complete in time
     error,
-    insufficient_resources,  // the start was refused
-    other_attempt_present,   // the start was refused: the machine has this task with another attempt number
+    insufficient_resources,  // the agent refused the start
+    other_attempt_present,   // the agent refused the start: the machine runs another attempt of this task
     unknown
 };
 
-// A task as the agent reports it.
+// The status of a task as the agent reports it in a heartbeat.
 struct TaskStatus {
     TaskId task;
     AttemptNumber attempt;
     TaskState state = TaskState::fetching;
-    ExitCause cause = ExitCause::none;  // none: it has not exited
-    bool saved = false;                 // it had stored a checkpoint when it exited
+    ExitCause cause = ExitCause::none;  // none: the task has not exited
+    bool saved = false;                 // the task had stored a checkpoint when it exited
 };
 
 // An agent's periodic message. `token`: the highest fencing token that it has seen.
@@ -107,12 +112,12 @@
     AgentEpoch agent_epoch;
     SequenceNumber sequence;
     FencingToken token;
-    std::optional<double> preemption_notice_s;  // a spot instance is taken back in so many seconds
+    std::optional<double> preemption_notice_s;  // seconds until the cloud reclaims the spot machine
     std::vector<TaskStatus> tasks;
 };
 
 enum class CommandKind { start, stop, forget };
-// What a worker is to do with one task; `grace_s` is for stops.
+// A command to an agent about one task. `grace_s` is only used by `stop`.
 struct Command {
     CommandKind kind = CommandKind::start;
     TaskId task;
@@ -120,7 +125,7 @@
     double grace_s = 0;
 };
 
-// A machine type of the cloud. Prices are by the hour.
+// A machine type of the cloud. Prices are per hour.
 struct MachineType {
     std::string name;
     Resources capacity;
@@ -128,7 +133,8 @@
     std::vector<std::string> zones;
 };
 
-// Machines of one type, zone and kind: what a job allows is decided once for all of them.
+// A group of machines of the same type and zone that are all spot or all regular. A job's placement
+// constraints are evaluated once for the whole pool.
 struct Pool {
     std::string type, zone;
     bool spot = false;
@@ -136,7 +142,7 @@
     Resources total;
     double fetch_gb_per_s = 0;  // 0: not known
 };
-using ImageIds = std::vector<std::uint32_t>;  // sorted; a number for each image's name
+using ImageIds = std::vector<std::uint32_t>;  // sorted ids, one for each image name
 
 enum class HostState { booting, running, failed };
 // A machine as the cloud lists it.
@@ -147,47 +153,49 @@
     double age_s = 0;
 };
 
-// What the controllers keep at the key-value store; see protocol/records.hpp.
+// The structs below are stored in the key-value store; see protocol/records.hpp.
 
-// A live job.
+// The record of a live job.
 struct JobRecord {
     Job job;
     double submitted = 0;  // unix seconds
     bool cancelled = false;
 };
-// How a job has ended.
+// The final record of a job: its last state and its number of tasks.
 struct FinalRecord {
     JobState state = JobState::done;
     std::uint32_t tasks = 0;
 };
-// A machine that may hold tasks.
+// The record of a machine that may hold tasks.
 struct MachineRecord {
     std::string addr, type, zone;
     bool spot = false;
-    bool marked_for_deletion = false;  // a deletion was asked for: never to be used again
+    bool marked_for_deletion = false;  // its deletion was requested; it must not be used again
 };
+// A machine's id with its record.
 struct StoredMachine {
     std::string id;
     MachineRecord record;
 };
-using MachinePage = std::vector<StoredMachine>;  // many machines in one stored value
+using MachinePage = std::vector<StoredMachine>;  // machines that share one stored value
 // The value of the leader's key.
 struct LeaderRecord {
     std::string label;
     Incarnation incarnation;
-    // This leader stores `InSyncReplicas` before its first start. Versions that do not store it leave this
-    // out.
+    // This leader stores `InSyncReplicas` before it sends its first start command. Older versions, which do
+    // not store that record, omit this field.
     bool stores_in_sync_replicas = false;
 };
-// Which controllers have acknowledged every start that can have been sent under a leadership, or before it.
+// The controllers whose replicas contain every start that may have been sent, both under this leadership and
+// under earlier ones.
 struct InSyncReplicas {
     struct Member {
         std::string label;
-        Incarnation incarnation;     // of its process
-        LeaderVersion base_version;  // the leadership whose snapshot its replica began from
+        Incarnation incarnation;     // of the controller process
+        LeaderVersion base_version;  // leadership whose snapshot its replica began from
         bool operator==(const Member&) const = default;
     };
-    LeaderVersion leader_version;  // of the leader's key
+    LeaderVersion leader_version;  // leadership that stored the record
     std::vector<Member> members;
 };
 
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -1,5 +1,5 @@
-// The words that the protocol uses for values of ours. For the sources of this package, and for the
-// protocol's other side in scale/protocol/.
+// The names of enum values on the wire. Used only by this package and by the other side of the protocol in
+// scale/protocol/.
 #pragma once
 #include <array>
 #include <string>
@@ -10,15 +10,16 @@
 
 namespace coralhitch::protocol {
 
-// Strings that are stored or used in keys stay short, so that no record can pass the key-value store's limit.
+// Maximum length in bytes of a string that is stored or used in a key, so that no record exceeds the size
+// limit of the key-value store.
 inline constexpr std::size_t max_text = 512;
 
-// Complains about a field of a message or record.
+// Throws Malformed for a field of a message or record.
 [[noreturn]] inline void bad(const char* field, const char* what) {
     throw Malformed(std::string("field '") + field + "' " + what);
 }
 
-// The protocol's word for a value of an enum.
+// An enum value and its name on the wire.
 template <class E>
 struct Name {
     E value;
@@ -55,14 +56,14 @@
 inline constexpr Names<HostState, 3> host_state_names{
     {{HostState::booting, "booting"}, {HostState::running, "running"}, {HostState::failed, "failed"}}};
 
-// Empty if it has none.
+// Returns the wire name of a value; empty if the table has none.
 template <class E, std::size_t N>
 std::string_view name_of(const Names<E, N>& names, E value) {
     for (auto& entry : names)
         if (entry.value == value) return entry.name;
     return {};
 }
-// Throws Malformed, with the field's name, if no value is called so.
+// Returns the value with this wire name. Throws Malformed, which names the field, if there is none.
 template <class E, std::size_t N>
 E named(const Names<E, N>& names, const std::string& text, const char* field) {
     for (auto& entry : names)
--- a/src/protocol/numbers.hpp
+++ b/src/protocol/numbers.hpp
@@ -1,31 +1,33 @@
-// The numbers that decide what is newer, whose it is, and what may still be acted on. Zero means that there
-// is none.
+// Integer types that order messages, identify their sender and fence off outdated commands. Zero stands for
+// "no value".
 #pragma once
 #include "protocol/strong_number.hpp"
 
 namespace coralhitch::protocol {
 
-// Commands carry one; an agent drops all that come under a lower one than it has seen. Made of the version of
-// the leader's key and a counter of each machine: see cluster::FencingTokens.
+// Fencing token that every command carries: an agent rejects commands whose token is lower than the highest
+// one it has seen. Composed of the version of the leader's key and a counter for each machine, see
+// cluster::FencingTokens.
 using FencingToken = StrongNumber<struct FencingTokenTag>;
 
-// Which leadership: the version of the leader's key as it claimed it, the key-value store's revision of that.
-// A later leadership has a higher one. What machines are shown is the fencing token, which is far larger.
+// Identifies a leadership: the key-value store's revision at which the leader wrote its key. A later
+// leadership has a higher one. Machines are sent the fencing token instead, which is a far larger number.
 using LeaderVersion = StrongNumber<struct LeaderVersionTag>;
 
-// Which life of a machine's agent: the agent begins a higher one with no tasks, after it has killed those of
-// the last. A machine that was set up anew may begin with low ones again.
+// Counts the sessions of a machine's agent. The agent begins a higher epoch without tasks, after it has
+// killed the tasks of the previous epoch. A machine that was set up again may restart from a low number.
 using AgentEpoch = StrongNumber<struct AgentEpochTag>;
 
-// Of the reports within an agent epoch: each carries a higher one. Of two reports of a machine the one with
-// the larger (agent epoch, sequence number) is newer.
+// Sequence number of a heartbeat, increasing within an agent epoch. Of two heartbeats of a machine, the one
+// with the larger pair (agent epoch, sequence number) is newer.
 using SequenceNumber = StrongNumber<struct SequenceNumberTag>;
 
-// Which process of a controller: drawn at random at its start, so neither of two is the newer one.
+// Identifies a process of a controller. Drawn at random when the process starts, so the order of two
+// incarnations has no meaning.
 using Incarnation = StrongNumber<struct IncarnationTag>;
 
-// One try to run a task, or all tasks of a gang: each is used once, and a later try has a higher one, also
-// under a later leadership. See leader::AttemptNumbers.
+// Identifies one attempt to run a task, or all tasks of a gang. Each number is used once, and a later attempt
+// has a higher number, also under a later leadership. See leader::AttemptNumbers.
 using AttemptNumber = StrongNumber<struct AttemptNumberTag>;
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/peer_cancellation_messages.hpp
+++ b/src/protocol/peer_cancellation_messages.hpp
@@ -1,20 +1,22 @@
-// Messages between controllers about cancellations, beside the single notice (`PeerCancellation`).
+// Messages between controllers that carry several cancellations; peer_messages.hpp has the message for one
+// (`PeerCancellation`).
 #pragma once
 #include "protocol/numbers.hpp"
 #include "protocol/peer_messages.hpp"
 
 namespace coralhitch::protocol {
 
-// On the path of the single notice; the previous version reads only the first two fields.
+// Several cancellations, sent to the same path as a `PeerCancellation`. The previous version reads only the
+// first two fields, which are those of a `PeerCancellation`.
 struct PeerCancellationBatch {
     std::string id;
-    std::uint64_t version = 0;             // of its record, which says since then that it is cancelled
-    std::vector<PeerCancellation> more{};  // notified together with the first one
+    std::uint64_t version = 0;             // revision at which its record was marked as cancelled
+    std::vector<PeerCancellation> more{};  // further cancellations
     MSGPACK_DEFINE(id, version, more)
 };
-// The previous version answers without a body.
+// The answer to a `PeerCancellationBatch`. The previous version answers without a body.
 struct PeerCancellationResponse {
-    LeaderVersion taken_by;  // the leadership that has applied it; none: the answering one does not lead
+    LeaderVersion taken_by;  // leadership that has applied it; none: the answering controller does not lead
     MSGPACK_DEFINE(taken_by)
 };
 
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -8,12 +8,13 @@
 using nlohmann::json;
 
 namespace {
-// The job of a record. Versions without dependencies would start one that has any at once;
-// they refuse a record without the first name, and leave the job alone.
+// The field of a record that holds the job. A job with dependencies is stored under the second name: versions
+// without dependencies would start it at once, but they reject a record without the first name and leave the
+// job alone.
 constexpr const char* job_field = "job";
 constexpr const char* awaiting_field = "awaiting_job";
 
-constexpr std::size_t bits_per_digit = 4;  // of stored bits, the lowest first
+constexpr std::size_t bits_per_digit = 4;  // a hexadecimal digit stores four bits, the lowest first
 
 StoredMachine stored_machine(const json& row) {
     constexpr std::size_t text_columns = 4, columns = 6;  // the flags follow the texts
@@ -142,7 +143,8 @@
     InSyncReplicas replicas{LeaderVersion{fields::count(object, "version")}, {}};
     for (auto& member : fields::list(object, "members")) {
         if (!member.is_object()) bad("members", "holds something that is not a member");
-        // Versions before replicas were handed over name only those that they sent a snapshot themselves.
+        // Versions without replica handover omit the field: they list only followers to which the leader of
+        // this record has sent a snapshot itself.
         replicas.members.push_back({fields::text(member, "label"),
                                     Incarnation{fields::count(member, "incarnation")},
                                     member.contains("begun") ? LeaderVersion{fields::count(member, "begun")}
--- a/src/protocol/strong_number.hpp
+++ b/src/protocol/strong_number.hpp
@@ -1,5 +1,5 @@
-// An integer that can't be taken for an integer of another meaning: comparing a fencing token with a sequence
-// number, or passing one for the other, does not compile.
+// Integer types that cannot be mixed up: comparing a fencing token with a sequence number, or passing one for
+// the other, does not compile.
 #pragma once
 #include <fmt/core.h>
 
@@ -10,19 +10,19 @@
 
 namespace coralhitch::protocol {
 
-// `Tag` makes the types differ; it need not be defined. On the wire, in stored records and in logs the number
-// looks as the bare integer does.
+// A 64-bit unsigned integer with a type of its own for each `Tag`, which need not be defined. On the wire, in
+// stored records and in logs it is written as a plain integer.
 template <class Tag>
 class StrongNumber {
   public:
     constexpr StrongNumber() = default;
     constexpr explicit StrongNumber(std::uint64_t value) : value_(value) {}
 
-    // Zero, which stands for "never" or "not known" wherever these numbers are sent or stored.
+    // Returns zero, which stands for "never" or "not known" wherever these numbers are sent or stored.
     static constexpr StrongNumber none() { return {}; }
     [[nodiscard]] constexpr bool is_set() const { return value_ != 0; }
 
-    // For the edges, where bytes and text are read and written.
+    // Returns the plain integer, for code that reads or writes bytes and text.
     [[nodiscard]] constexpr std::uint64_t value() const { return value_; }
     [[nodiscard]] constexpr StrongNumber next() const { return StrongNumber{value_ + 1}; }
 
@@ -32,7 +32,8 @@
         return out << number.value_;
     }
 
-    // Used by msgpack, which finds them by these names. Templates, so that this header needs no msgpack.
+    // Called by msgpack, which looks for members of these names. They are templates so that this header does
+    // not include msgpack.
     template <class Packer>
     void msgpack_pack(Packer& packer) const {
         packer.pack(value_);
