--- a/src/metrics/metric_definitions.hpp
+++ b/src/metrics/metric_definitions.hpp
@@ -1,5 +1,5 @@
-// Every metric of a controller that is a single number: its name, type and meaning, in one table, and the
-// name under which the release before served it.
+// The table of a controller's counters and gauges: name, type and help text of each, and the name under which
+// the previous release served it.
 #pragma once
 #include <cstddef>
 #include <span>
@@ -7,9 +7,10 @@
 
 namespace coralhitch::metrics {
 
-// Handle of a metric. Grouped by who sets it; the table in metric_definitions.cpp is in the same order.
+// Identifies a metric. Grouped by the code that sets it; the table in metric_definitions.cpp has the same
+// order.
 enum class Metric {
-    // The leader's figures. They keep their last values on a controller that has stopped leading.
+    // Set by the leader. They keep their last values on a controller that has stopped leading.
     leader_jobs,
     leader_jobs_with_pending_dependencies,
     leader_unstored_job_ends,
@@ -18,22 +19,21 @@
     leader_suspected_machines,
     leader_machines_marked_for_deletion,
     leader_machines_quarantined,
-    // The leader's scheduler.
+    // Set by the leader's scheduler.
     scheduler_tasks_placed,
     scheduler_draws,
     scheduler_redraws,
     scheduler_fallbacks,
     scheduler_tasks_packed,
     scheduler_tasks_preempted,
-    // The leader's figures that are read when they are served; 0 on other controllers, but for the steps,
-    // which
-    // stay those of the last failover to this controller.
+    // Read from the leader when the metrics are served. They are 0 on other controllers, except that
+    // leader_failover_step keeps the times of the last failover to this controller.
     leader_delegated_machines,
     leader_replication_members,
     leader_replication_messages,
     leader_replication_members_dropped,
     leader_failover_step,
-    // Every controller.
+    // Set by every controller.
     elections_won,
     leaderships_lost,
     replica_machines,
@@ -59,29 +59,31 @@
 };
 
 enum class MetricType {
-    counter,  // only grows, until the process or, for the leader's, its leadership ends
-    gauge,    // grows and shrinks
+    counter,  // only increases, until the process ends or, for the leader's metrics, the leadership ends
+    gauge,    // increases and decreases
 };
 
-// Where the release before served the same value: `family{label="PREFIX + label value + SUFFIX"}`.
+// The series in which the previous release served the same value:
+// `family{label="PREFIX + label value + SUFFIX"}`.
 struct LegacySeries {
     std::string_view family, label, prefix, suffix = "";
 };
 
+// A row of the table of metrics.
 struct MetricDefinition {
     Metric metric;
     MetricType type;
     std::string_view name;
-    std::string_view label;  // name of the metric's only label; empty: it has none
+    std::string_view label;  // name of the metric's only label; empty: no label
     std::string_view help;
     LegacySeries legacy;
 };
 
-// All of them, in the order of `Metric`: the definition of a metric is the element at its number.
+// Returns the whole table in the order of `Metric`, so that a metric's numeric value is its index.
 std::span<const MetricDefinition> metric_definitions();
 const MetricDefinition& definition_of(Metric metric);
 
-// The value that the release before had in place of this label value; the same one for most.
+// Returns the label value that the previous release used for this one; it is the same for most.
 std::string_view legacy_label_value(Metric metric, std::string_view label_value);
 
 }  // namespace coralhitch::metrics
--- a/tests/metrics/metrics_test.cpp
+++ b/tests/metrics/metrics_test.cpp
@@ -16,7 +16,7 @@
     std::string label_value, current, legacy;
 };
 
-// Written out, so that a slip in the table of definitions shows.
+// Written out in full so that a mistake in the table of definitions makes the test fail.
 const std::vector<Expected> expected_series = {
     {Metric::leader_jobs, "", "coralhitch_leader_jobs", R"(coralhitch_current{of="jobs"})"},
     {Metric::leader_jobs_with_pending_dependencies, "", "coralhitch_leader_jobs_with_pending_dependencies",
@@ -100,7 +100,7 @@
      R"(coralhitch_current{of="queue_cancellations_longest_wait_s"})"},
 };
 
-TEST(Metrics, ServesEachValueUnderItsNameAndUnderTheOldOne) {
+TEST(Metrics, ServesEachValueUnderItsNameAndItsFormerName) {
     ASSERT_EQ(expected_series.size(), metric_definitions().size());
     Metrics metrics;
     double value = 0.5;
@@ -151,7 +151,7 @@
             return c == '_' || (c >= 'a' && c <= 'z');
         })) << definition.name;
         EXPECT_FALSE(definition.help.empty()) << definition.name;
-        // No metric of its own may have a series that readers of the old ones take for one of those.
+        // `of` is the label of the former series; a metric with this label could be mistaken for one of them.
         EXPECT_NE(definition.label, "of") << definition.name;
     }
 }
