--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -1,4 +1,4 @@
-// Rules of the answers that users get.
+// The rules about the answers that users receive.
 #include <limits>
 #include <optional>
 #include <string>
@@ -11,15 +11,16 @@
 namespace {
 
 constexpr double infinity = std::numeric_limits<double>::infinity();
-// Received before the request of this answer was sent.
-bool before(std::optional<double> received, const Answer& answer) {
+// Returns whether something was received before the request of this answer was sent.
+bool received_before(std::optional<double> received, const Answer& answer) {
     return received && *received < answer.sent;
 }
-bool denies(const Answer& answer) {
+// Returns whether the answer says that the job does not exist or is invalid.
+bool denies_job(const Answer& answer) {
     return answer.status == 404 || answer.status == 400 || answer.status == 422;
 }
-// A user has seen the job in a state that is never left, and this answer says another one.
-std::string went_back(const Answer& answer, protocol::JobState from) {
+// Returns the violation of an answer that contradicts an earlier answer with a final state.
+std::string final_state_left(const Answer& answer, protocol::JobState from) {
     using protocol::job_state_names;
     using protocol::name_of;
     auto to = answer.state ? name_of(job_state_names, *answer.state) : "no state";
@@ -47,7 +48,7 @@
         return;
     }
     if (job->must_be_refused) return check_refusal(*job, answer);
-    if (denies(answer) && before(job->accepted_at, answer))
+    if (denies_job(answer) && received_before(job->accepted_at, answer))
         report(answer.received, "forgotten " + answer.job + " got " + std::to_string(answer.status));
     if (!answer.success()) return;
     check_against_earlier_answers(*job, answer);
@@ -62,14 +63,15 @@
 }
 void Checker::check_against_earlier_answers(const ObservedJob& job, const Answer& answer) {
     constexpr int created = 201;
-    if (answer.status == created && before(job.accepted_at, answer))
+    if (answer.status == created && received_before(job.accepted_at, answer))
         report(answer.received, "accepted_twice " + answer.job);
-    if (before(job.done_at, answer) && answer.state != protocol::JobState::done)
-        report(answer.received, went_back(answer, protocol::JobState::done));
-    if (before(job.cancelled_at, answer) && answer.state != protocol::JobState::cancelled)
-        report(answer.received, went_back(answer, protocol::JobState::cancelled));
+    if (received_before(job.done_at, answer) && answer.state != protocol::JobState::done)
+        report(answer.received, final_state_left(answer, protocol::JobState::done));
+    if (received_before(job.cancelled_at, answer) && answer.state != protocol::JobState::cancelled)
+        report(answer.received, final_state_left(answer, protocol::JobState::cancelled));
 }
-// An answer that came so long after a job before this one was told to be cancelled must say cancelled too.
+// A job must be reported as cancelled once `cancel_s` has passed since a user received confirmation that a
+// dependency of the job is cancelled.
 void Checker::check_awaited(const Answer& answer) {
     if (answer.state != protocol::JobState::queued && answer.state != protocol::JobState::running) return;
     auto cancelled_at = observations_.awaited_cancelled_at(answer.job);
@@ -82,7 +84,8 @@
     if (cancelled && !cancel_wanted(answer.job))
         report(answer.received, "went_back " + answer.job + ": nobody cancelled it");
     if (done && !job.is_done()) report(answer.received, "not_done " + answer.job);
-    // Of two ends one is wrong, whichever request was first.
+    // A job has one final state, so two different ones are a violation regardless of the order of the
+    // requests.
     if ((done && !job.done_at && job.cancelled_at) || (cancelled && !job.cancelled_at && job.done_at))
         report(answer.received, "went_back " + answer.job + ": done and withdrawn");
 }
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -1,5 +1,5 @@
-// What is on machines: each start, and what stays there. The rules about answers and about what waits are in
-// answer_rules.cpp and waiting_rules.cpp.
+// The rules about tasks on machines: when and where they start, and how long they stay after a cancellation.
+// The rules about answers are in answer_rules.cpp, those about waiting in waiting_rules.cpp.
 #include "verification/checker.hpp"
 
 #include <algorithm>
@@ -19,7 +19,8 @@
     auto [begin, end] = job.machines_of_task.equal_range(task.index);
     auto what = "ran_twice " + task.str() + " on " + machine + " and ";
     for (auto other = begin; other != end; ++other) report(now, what + other->second);
-    observations_.remove_task(job, task.index, machine);  // it takes its place there once
+    observations_.remove_task(job, task.index,
+                              machine);  // a second start on the same machine occupies no more resources
 }
 void Checker::check_awaits(double now, const protocol::Job& job, const std::string& task) {
     for (auto& awaited : job.dependencies)
@@ -30,9 +31,11 @@
     auto limit = rules_.teams.find(job.team);
     if (limit == rules_.teams.end()) return report(now, "quota " + task + ": unknown team " + job.team);
     auto used = observations_.used_by(job.team);
-    auto beyond = [this](double sum, double most) { return most > 0 && sum > most + rules_.rounding; };
-    if (beyond(used.cpus + job.request.cpus, limit->second.cpus_max) ||
-        beyond(used.gpus + job.request.gpus, limit->second.gpus_max))
+    auto exceeds = [this](double sum, double allowed) {
+        return allowed > 0 && sum > allowed + rules_.rounding;
+    };
+    if (exceeds(used.cpus + job.request.cpus, limit->second.cpus_max) ||
+        exceeds(used.gpus + job.request.gpus, limit->second.gpus_max))
         report(now, "quota " + task + " of " + job.team);
 }
 void Checker::check_not_cancelled(double now, const ObservedJob& job, const std::string& task) {
@@ -69,7 +72,8 @@
     if (outcome == StartOutcome::no_room) return;
     check_place(now, *job, observations_.place_of(machine), task.str());
     observations_.add_task(*job, task.index, machine);
-    if (job->cancelled_at) cancelled_.insert(task.job);  // the next look sees it, whatever the last one saw
+    if (job->cancelled_at)
+        cancelled_.insert(task.job);  // the last check_cancelled_jobs may have removed the job
 }
 void Checker::task_ended(const std::string& machine, const protocol::TaskId& task,
                          protocol::ExitCause cause) {
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -1,6 +1,6 @@
-// The rules of the protocol, checked on events in the order of their times. Pure: no clock, no network, no
-// decision of the scheduler. Whoever observes workers and users feeds it: the simulated cluster of the tests,
-// and the users of `scale/`. docs/testing.md lists the rules.
+// Checks the rules that the cluster promises to users, on a sequence of observed events in order of time. Has
+// no clock, network access or scheduling decisions of its own. The events come from the simulated cluster of
+// the tests and from the load tool in `scale/`. docs/testing.md lists the rules.
 #pragma once
 #include <map>
 #include <optional>
@@ -13,77 +13,82 @@
 
 namespace coralhitch::verification {
 
+// The hard limits of a team.
 struct TeamLimit {
     double cpus_max = 0, gpus_max = 0;  // 0: no limit
 };
+// The parameters of the rules. Times are in seconds.
 struct Rules {
-    double cancel_s = 0;
+    double cancel_s = 0;  // longest time that a task may stay after its job's cancellation was confirmed
     std::map<std::string, TeamLimit> teams;
-    double rounding = 1e-6;  // of sums of decimal amounts that are held against a limit
-    // For the rules about what waits and what is not answered, which are checked by `check_waiting` and
-    // `check_unanswered` only.
+    double rounding = 1e-6;  // tolerance when sums of decimal amounts are compared with a limit
+    // Longest time that a job that could start may wait, and that a job's queries may stay unanswered. Only
+    // used by `check_waiting` and `check_unanswered`.
     double max_waiting_s = 90, max_unanswered_s = 45;
 };
 
-// An answer that a user got about a job.
+// An answer about a job that a user received.
 struct Answer {
     enum class Request { submission, query, cancellation };
     std::string job;
     Request request = Request::query;
-    double sent = 0, received = 0;  // the request, the answer
-    int status = 200;               // of HTTP
+    double sent = 0, received = 0;  // times of sending the request and of receiving the answer
+    int status = 200;               // HTTP status code
     std::optional<protocol::JobState> state;
 
     bool success() const { return status == 200 || status == 201; }
 };
 
-// What the machine does with a command to start a task.
+// The response of an agent to a command to start a task.
 enum class StartOutcome { placed, no_room };
 
-// All times are seconds of one clock; each call's time is at least that of the call before.
+// Checks every rule. All times are in seconds of one clock and must not decrease from one call to the next.
 class Checker {
   public:
     explicit Checker(Rules rules) : rules_(std::move(rules)) {}
 
-    // What users do, and what they are answered.
+    // The calls below report what users do and which answers they receive.
     void submitted(const protocol::Job& job);
     void must_be_refused(const std::string& id) { known_job(id).must_be_refused = true; }
     void fails_everywhere(const std::string& id) { known_job(id).fails_everywhere = true; }
     void accepted(const std::string& id);
     void cancel_requested(const std::string& id) { known_job(id).cancel_requested = true; }
-    // Answers overtake each other. Each is held against what anyone had received before its request was sent:
-    // from then on nothing older is right.
+    // Checks an answer. Answers may overtake each other, so an answer is only compared with those that any
+    // user had received before its request was sent: it must not be older than those.
     void answered(const Answer& answer);
-    // An answer for which the caller has seen to the order: one that says neither done nor cancelled counts
-    // only if the user had been told that the job is over before asking.
+    // Checks an answer for which the caller ensures the order. The caller must pass a state other than done
+    // and cancelled to a job that has ended only if the user knew of the end before sending the request.
     void status_answered(double now, const std::string& id, protocol::JobState state);
-    // A status query that got 404.
+    // Checks an answer with status 404 to a status query.
     void not_found_answered(double now, const std::string& id);
 
-    // What happens on machines. A task takes its place when its worker carries out the command to start it.
+    // The calls below report what happens on machines. A task occupies resources of a machine from the moment
+    // its agent executes the start command.
     void machine_added(const std::string& id, MachinePlace place) {
         observations_.add_machine(id, std::move(place));
     }
     void task_started(double now, const std::string& machine, const protocol::TaskId& task,
                       StartOutcome outcome = StartOutcome::placed);
     void task_ended(const std::string& machine, const protocol::TaskId& task, protocol::ExitCause cause);
-    // Its tasks run no more: it has crashed or was deleted, or its worker's lease has expired.
+    // Reports that a machine runs no tasks any longer: it has crashed or was deleted, or its agent's lease
+    // has expired.
     void machine_terminated(const std::string& machine) { observations_.remove_tasks_of(machine); }
 
-    // Looks for tasks of cancelled jobs that are still on a machine.
+    // Reports tasks of cancelled jobs that are still on a machine after `cancel_s`.
     void check_cancelled_jobs(double now);
-    // Looks for jobs that have waited too long although these machines and their team's limit would take
-    // them.
+    // Reports jobs that have waited too long although the usable machines and their team's limit have room
+    // for them.
     void check_waiting(double now, const std::set<std::string>& usable_machines);
-    // Looks for accepted jobs about which nothing has been answered for too long, and for as long since then.
+    // Reports accepted jobs without an answer for longer than `max_unanswered_s`. Time before `since` does
+    // not count.
     void check_unanswered(double now, double since);
-    // A rule that the observer checks itself is broken.
+    // Records a violation of a rule; also called by observers that check rules of their own.
     void report(double now, const std::string& what);
 
     const std::vector<std::string>& violations() const { return violations_; }
     std::size_t started_tasks() const { return starts_; }
-    // Starts that came after the user had been told that the job is cancelled: no rule forbids them within
-    // `cancel_s`.
+    // Returns the number of starts after the cancellation of their job was confirmed to a user. They are not
+    // violations within `cancel_s`.
     std::size_t starts_after_cancellation() const { return starts_after_cancellation_; }
     std::size_t tasks_on_machines() const { return observations_.tasks_on_machines(); }
     bool is_done(const std::string& id) const { return observations_.jobs().at(id).is_done(); }
@@ -106,7 +111,7 @@
 
     Rules rules_;
     Observations observations_;
-    std::set<std::string> cancelled_;  // with tasks on machines, perhaps
+    std::set<std::string> cancelled_;  // jobs that may still have tasks on machines
     std::size_t starts_ = 0, starts_after_cancellation_ = 0;
     std::vector<std::string> violations_;
 };
--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -5,11 +5,12 @@
 namespace coralhitch::verification {
 namespace {
 
-constexpr double most_places = 100'000;  // a job's tasks at most
+constexpr double max_tasks_per_job = 100'000;
 
-double places(double free, double request) {
+// Returns how often the request fits, at most max_tasks_per_job.
+double free_slots(double free, double request) {
     constexpr double rounding = 1e-9;
-    return request > 0 ? std::clamp((free + rounding) / request, 0.0, most_places) : most_places;
+    return request > 0 ? std::clamp((free + rounding) / request, 0.0, max_tasks_per_job) : max_tasks_per_job;
 }
 }  // namespace
 
@@ -87,8 +88,9 @@
     auto free = known->second.capacity;
     if (auto tasks = tasks_of_machine_.find(machine); tasks != tasks_of_machine_.end())
         for (auto& task : tasks->second) free -= jobs_.at(task.job).job.request;
-    double fewest = std::min({places(free.cpus, job.request.cpus), places(free.gpus, job.request.gpus),
-                              places(free.memory_gb, job.request.memory_gb)});
+    double fewest =
+        std::min({free_slots(free.cpus, job.request.cpus), free_slots(free.gpus, job.request.gpus),
+                  free_slots(free.memory_gb, job.request.memory_gb)});
     return static_cast<std::size_t>(fewest);
 }
 protocol::Resources Observations::used_by(const std::string& team) const {
--- a/src/verification/observations.hpp
+++ b/src/verification/observations.hpp
@@ -1,5 +1,5 @@
-// What has been observed so far: what users were told about jobs, and what runs on which machine. Keeps no
-// rule; the rules read it.
+// The observations so far: the answers that users received about jobs, and the tasks on each machine. Checks
+// no rules itself; the checker reads it.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,31 +11,35 @@
 
 namespace coralhitch::verification {
 
+// The properties of a machine that decide which tasks may be placed on it.
 struct MachinePlace {
     std::string type, zone;
     bool spot = false;
     protocol::Resources capacity;
 };
 
+// A submitted job with all observations about it. Times are in seconds.
 struct ObservedJob {
     protocol::Job job;
-    bool must_be_refused = false;   // it can't run, and no answer may accept it
-    bool fails_everywhere = false;  // its tasks do: it may be held back for as long as the cluster likes
+    bool must_be_refused = false;   // the job cannot run, and no answer may accept it
+    bool fails_everywhere = false;  // its tasks always fail, so the cluster may delay it without limit
     bool cancel_requested = false;
-    // When a user first received it.
+    // Times at which a user first received an answer of this kind.
     std::optional<double> accepted_at, cancelled_at, done_at;
-    double answered_at = 0;  // a query about it, or its submission, most recently
+    double answered_at = 0;  // time of the most recent successful answer about the job
     bool unanswered_too_long = false;
-    std::optional<double> waiting_since;  // with room and quota, and nothing of it started since
+    std::optional<double> waiting_since;  // since then there were room and quota, but no task started
     bool waited_too_long = false;
     std::set<std::uint32_t> tasks_done;
-    std::multimap<std::uint32_t, std::string> machines_of_task;  // more than one only if a rule is broken
+    std::multimap<std::uint32_t, std::string>
+        machines_of_task;  // more than one machine only if a rule is violated
     std::map<std::string, std::uint32_t> tasks_per_zone;
 
-    // Tasks of a gang complete together.
+    // Returns whether all tasks are done. One task is enough for a gang, whose tasks complete together.
     bool is_done() const;
 };
 
+// The observed jobs, machines, and tasks on machines.
 class Observations {
   public:
     using Jobs = std::map<std::string, ObservedJob>;
@@ -46,9 +50,11 @@
     Jobs& jobs() { return jobs_; }
     const Jobs& jobs() const { return jobs_; }
     bool is_done(const std::string& job) const;
-    // Of the job itself, or of one that it awaits.
+    // Returns whether a user has requested the cancellation of the job or of a job that it depends on,
+    // directly or indirectly.
     bool cancel_wanted(const std::string& job) const;
-    // When a user was first told that a job which this one awaits is cancelled.
+    // Returns the time at which a user first received confirmation that a dependency of the job, direct or
+    // indirect, is cancelled after a request to cancel it.
     std::optional<double> awaited_cancelled_at(const std::string& job) const;
 
     void add_machine(const std::string& machine, MachinePlace place) {
@@ -56,13 +62,13 @@
     }
     const MachinePlace& place_of(const std::string& machine) { return machines_[machine]; }
     void add_task(ObservedJob& job, std::uint32_t index, const std::string& machine);
-    // Does nothing if the task is not there.
+    // Does nothing if the task is not on the machine.
     void remove_task(ObservedJob& job, std::uint32_t index, const std::string& machine);
     void remove_tasks_of(const std::string& machine);
 
-    // For how many more tasks of the job the machine has room.
+    // Returns the number of further tasks of the job that fit on the machine.
     std::size_t places_for(const protocol::Job& job, const std::string& machine) const;
-    // Of a team, by all that is on machines.
+    // Returns the resources that all tasks of a team occupy on machines.
     protocol::Resources used_by(const std::string& team) const;
     std::size_t tasks_on_machines() const { return present_; }
 
--- a/src/verification/waiting_rules.cpp
+++ b/src/verification/waiting_rules.cpp
@@ -1,4 +1,4 @@
-// What waits: jobs for tasks to start, users for answers.
+// The rules about waiting: jobs for their tasks to start, and users for answers.
 #include <algorithm>
 
 #include "protocol/model.hpp"
@@ -12,11 +12,11 @@
     if (job.zone && *job.zone != place.zone) return false;
     return !job.types || std::find(job.types->begin(), job.types->end(), place.type) != job.types->end();
 }
-std::size_t present_tasks(const ObservedJob& job) {
+std::size_t count_on_machines(const ObservedJob& job) {
     return job.machines_of_task.size();
 }
-// Tasks that are done or on a machine.
-std::size_t done_or_present(const ObservedJob& job) {
+// Returns the number of tasks that are done or on a machine.
+std::size_t count_done_or_on_machines(const ObservedJob& job) {
     auto started = job.tasks_done;
     for (auto& [index, machine] : job.machines_of_task) started.insert(index);
     return started.size();
@@ -26,18 +26,18 @@
     return found == job.tasks_per_zone.end() ? 0 : found->second;
 }
 
-// Tasks that could start now with what is free.
+// The number of tasks that could start now.
 struct Startable {
     std::size_t in_all_zones = 0, in_best_zone = 0;
 };
-Startable startable(const ObservedJob& observed, const std::map<std::string, std::size_t>& free_places) {
+Startable startable(const ObservedJob& observed, const std::map<std::string, std::size_t>& free_slots) {
     auto& job = observed.job;
-    std::size_t most = job.spread ? (job.tasks + 1) / 2 : job.tasks;
+    std::size_t max_per_zone = job.spread ? (job.tasks + 1) / 2 : job.tasks;
     Startable result;
-    for (auto& [zone, places] : free_places) {
+    for (auto& [zone, slots] : free_slots) {
         auto here = tasks_in(observed, zone);
-        if (job.one_zone && present_tasks(observed) != here) continue;  // the rest is in another zone
-        auto count = std::min(places, most - std::min(most, here));
+        if (job.one_zone && count_on_machines(observed) != here) continue;  // the job is in another zone
+        auto count = std::min(slots, max_per_zone - std::min(max_per_zone, here));
         result.in_all_zones += count;
         result.in_best_zone = std::max(result.in_best_zone, count);
     }
@@ -45,27 +45,29 @@
 }
 }  // namespace
 
-// Whether something of the job waits that a machine and the team's limit would take now: of a gang, all of
-// it.
+// Returns whether a waiting task of the job could start now on a usable machine within the team's limit. For
+// a gang, all tasks must be able to start.
 bool Checker::may_start(const ObservedJob& observed, const std::set<std::string>& usable_machines) {
     auto& job = observed.job;
     bool gang = job.kind == protocol::JobKind::gang;
-    if (observed.is_done() || done_or_present(observed) >= job.tasks) return false;
-    if (gang && present_tasks(observed) > 0) return false;
+    if (observed.is_done() || count_done_or_on_machines(observed) >= job.tasks) return false;
+    if (gang && count_on_machines(observed) > 0) return false;
     std::size_t needed = gang ? job.tasks : 1;
     if (auto limit = rules_.teams.find(job.team); limit != rules_.teams.end()) {
         auto used = observations_.used_by(job.team);
         used += job.request.times(static_cast<double>(needed));
-        auto beyond = [this](double sum, double most) { return most > 0 && sum > most + rules_.rounding; };
-        if (beyond(used.cpus, limit->second.cpus_max) || beyond(used.gpus, limit->second.gpus_max))
+        auto exceeds = [this](double sum, double allowed) {
+            return allowed > 0 && sum > allowed + rules_.rounding;
+        };
+        if (exceeds(used.cpus, limit->second.cpus_max) || exceeds(used.gpus, limit->second.gpus_max))
             return false;
     }
-    std::map<std::string, std::size_t> free_places;  // by zone
+    std::map<std::string, std::size_t> free_slots;  // by zone
     for (auto& machine : usable_machines) {
         auto& place = observations_.place_of(machine);
-        if (allows(job, place)) free_places[place.zone] += observations_.places_for(job, machine);
+        if (allows(job, place)) free_slots[place.zone] += observations_.places_for(job, machine);
     }
-    auto can_start = startable(observed, free_places);
+    auto can_start = startable(observed, free_slots);
     return (job.one_zone ? can_start.in_best_zone : can_start.in_all_zones) >= needed;
 }
 void Checker::check_waiting(double now, const std::set<std::string>& usable_machines) {
--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -1,5 +1,4 @@
-// The checker of the simulated cluster: for each rule a history that breaks it on purpose, which must be
-// found.
+// Tests of the checker: each rule has a history that violates it deliberately, which the checker must report.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -11,7 +10,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-// The checker itself: a command that breaks a rule on purpose must be seen.
+// A start command that violates a rule deliberately must be reported.
 TEST(RulesOfSimulatedCluster, DetectATaskStartedTwice) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
@@ -37,14 +36,14 @@
     EXPECT_NE(cluster.violations()[0].find("ran_cancelled"), std::string::npos);
 }
 
-struct Broken {
+struct Violation {
     const char* rule;
-    void (*breaks)(SimulatedCluster&);  // at 30 s
+    void (*violate)(SimulatedCluster&);  // called at 30 s
 };
-std::string over(protocol::JobState state) {
+std::string final_record(protocol::JobState state) {
     return protocol::stored(protocol::FinalRecord{state, 1});
 }
-const Broken broken[] = {
+const Violation deliberate_violations[] = {
     {"quota", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-2/7", 99, 0); }},
     {"wrong_place (spot)", [](SimulatedCluster& cluster) { cluster.start_against_rules("j-3/1", 99, 2); }},
     {"wrong_place (spread)",
@@ -84,12 +83,12 @@
          cluster.key_value_store.tamper_with("final/j-7", over(protocol::JobState::done));
          cluster.key_value_store.tamper_with("job/j-7", {});
      }},
-    {"quota j-1/",  // of the other team: eight cards; some machines have been returned
+    {"quota j-1/",  // the other team's limit is eight GPUs; some machines have been deleted
      [](SimulatedCluster& cluster) {
          for (std::size_t k = 0; k < 4 * cluster.workers.size(); ++k)
              cluster.start_against_rules("j-1/" + std::to_string(7 + k), 99, k % cluster.workers.size());
      }},
-    {"accepted_impossible j-8",  // for the users it is one that can't run; the service sees nothing wrong
+    {"accepted_impossible j-8",  // the checker expects a refusal, but the controller sees a valid job
      [](SimulatedCluster& cluster) {
          cluster.submit("j-8", "batch", 1, 5);
          cluster.expect_refusal("j-8", 422);
@@ -99,14 +98,14 @@
          cluster.expect_refusal("j-1", 400);
          cluster.start_against_rules("j-1/7", 99, 0);
      }},
-    {"left_waiting j-8",  // its machines are outbound unreachable
+    {"left_waiting j-8",  // controllers cannot reach the machines
      [](SimulatedCluster& cluster) {
          cluster.faults_over_at = cluster.now();
          cluster.partition("10.0.", "10.1.", 100);
          cluster.start_cloud_outage(100);
          cluster.submit("j-8", "batch", 1, 5);
      }},
-    // A cancelled task goes on after its machine hung, for longer than the machine's lease.
+    // A cancelled task keeps running after its machine hung for longer than its lease.
     {"ran_cancelled j-3/0",
      [](SimulatedCluster& cluster) {
          cluster.start_cloud_outage(100);
@@ -117,10 +116,10 @@
          cluster.cancel("j-3");
      }},
 };
-class RulesOfSimulatedCluster : public testing::TestWithParam<Broken> {};
-INSTANTIATE_TEST_SUITE_P(EachRule, RulesOfSimulatedCluster, testing::ValuesIn(broken),
+class RulesOfSimulatedCluster : public testing::TestWithParam<Violation> {};
+INSTANTIATE_TEST_SUITE_P(EachRule, RulesOfSimulatedCluster, testing::ValuesIn(deliberate_violations),
                          [](auto& info) { return camel_case(info.param.rule); });
-TEST_P(RulesOfSimulatedCluster, DetectEachDeliberateBreach) {
+TEST_P(RulesOfSimulatedCluster, DetectEachDeliberateViolation) {
     spdlog::set_level(spdlog::level::off);
     Options options;
     options.gpus_max = 2;
@@ -139,7 +138,7 @@
     cluster.at(27, [&cluster] { cluster.cancel("j-7"); });
     cluster.run_until(30);
     ASSERT_TRUE(cluster.violations().empty()) << cluster.violations()[0];
-    GetParam().breaks(cluster);
+    GetParam().violate(cluster);
     cluster.run_until(100);
     auto found = std::any_of(cluster.violations().begin(), cluster.violations().end(), [&](auto& violation) {
         return violation.find(GetParam().rule) != std::string::npos;
@@ -148,8 +147,8 @@
                        << (cluster.violations().empty() ? "nothing" : cluster.violations()[0]);
 }
 
-// Made-up histories of what users were told of one job, and the rule that the last answer breaks, if any. All
-// but the last keep the rules.
+// Histories of the answers that users received about one job. The last answer violates the rule `breaks`, if
+// one is given; all earlier answers violate none.
 struct History {
     const char* name;
     std::vector<verification::Answer> answers;
@@ -228,7 +227,7 @@
             << history.name << ": " << violation;
 }
 
-// A start after a confirmed cancellation that was on its way is counted, and no rule.
+// A start command that was in flight when the cancellation was confirmed is counted, but is not a violation.
 TEST(RulesOfSimulatedCluster, CountStartsAfterAConfirmedCancellation) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
