--- a/tests/protocol/golden_bytes.hpp
+++ b/tests/protocol/golden_bytes.hpp
@@ -1,7 +1,7 @@
-// What this program writes and reads, byte for byte: at the key-value store, between controllers, and to and
-// from users, workers, the cloud and the key-value store. Older versions run beside newer ones, and records
-// live for ever. So a change of names in the code must not touch this file; a change of this file changes the
-// protocol.
+// The exact bytes that this program writes and reads: stored records, and messages between controllers and to
+// and from users, agents, the cloud and the key-value store. Older versions run beside newer ones, and
+// records are kept indefinitely. Renaming things in the code must therefore not touch this file; a change
+// here is a change of the protocol.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,7 +13,7 @@
 
 inline constexpr std::string_view submission =
     R"({"anchor_s":30.25,"awaits":["j-000411","j-1"],"cards":1.5,"cohort":"train","crew":"vision","driftwood":true,"hulls":["g8","g16"],"id":"j-000412","image_gb":6.2,"payload":"img-07","ram_gb":64.75,"rank":"high","reckon_s":240.125,"reef":"a","scatter":false,"shape":"gang","shards":16,"stow_s":4.0,"tide_s":900.0,"together":true,"vcpus":8.5})";
-// Nothing that may be left out.
+// Without any optional field.
 inline constexpr std::string_view submission_least =
     R"({"anchor_s":0.0,"cards":0.0,"cohort":"c","crew":"t","driftwood":false,"id":"j-1","image_gb":0.0,"payload":"i","ram_gb":0.0,"rank":"normal","reckon_s":0.0,"scatter":false,"shape":"batch","shards":1,"stow_s":0.0,"together":false,"vcpus":0.0})";
 
@@ -25,7 +25,7 @@
     R"({"cancelled":false,"job":{"anchor_s":30.25,"cards":1.5,"cohort":"train","crew":"vision","driftwood":true,"hulls":["g8","g16"],"id":"j-000412","image_gb":6.2,"payload":"img-07","ram_gb":64.75,"rank":"high","reckon_s":240.125,"reef":"a","scatter":false,"shape":"gang","shards":16,"stow_s":4.0,"tide_s":900.0,"together":true,"vcpus":8.5},"submitted":1733119009.25})";
 inline constexpr std::string_view job_record_cancelled =
     R"({"cancelled":true,"job":{"anchor_s":30.25,"cards":1.5,"cohort":"train","crew":"vision","driftwood":true,"hulls":["g8","g16"],"id":"j-000412","image_gb":6.2,"payload":"img-07","ram_gb":64.75,"rank":"high","reckon_s":240.125,"reef":"a","scatter":false,"shape":"gang","shards":16,"stow_s":4.0,"tide_s":900.0,"together":true,"vcpus":8.5},"submitted":1733119009.25})";
-// Versions that don't know of awaited jobs must not find the job.
+// Versions without support for dependencies must not find a job with dependencies under `job`.
 inline constexpr std::string_view job_record_awaits =
     R"({"awaiting_job":{"anchor_s":30.25,"awaits":["j-000411","j-1"],"cards":1.5,"cohort":"train","crew":"vision","driftwood":true,"hulls":["g8","g16"],"id":"j-000412","image_gb":6.2,"payload":"img-07","ram_gb":64.75,"rank":"high","reckon_s":240.125,"reef":"a","scatter":false,"shape":"gang","shards":16,"stow_s":4.0,"tide_s":900.0,"together":true,"vcpus":8.5},"cancelled":false,"submitted":1733119009.25})";
 inline constexpr std::string_view job_record_awaits_cancelled =
@@ -41,7 +41,7 @@
 inline constexpr std::string_view machine_page =
     R"({"machines":[["vm-1","10.1.0.1:9000","g8","a",true,false],["vm-2","10.1.0.2:9001","c4","b",false,true]]})";
 inline constexpr std::string_view machine_page_empty = R"({"machines":[]})";
-// At mach/ID, before there were pages: read, and no longer written.
+// Stored at mach/ID by versions without machine pages. Still read, but no longer written.
 inline constexpr std::string_view machine_spot =
     R"({"addr":"10.1.0.1:9000","type":"g8","zone":"a","spot":true,"condemned":false})";
 inline constexpr std::string_view machine_marked =
@@ -54,7 +54,7 @@
 inline constexpr std::string_view standby =
     R"({"members":[{"begun":11,"incarnation":18446744073709551615,"label":"berth-0"},{"begun":12,"incarnation":5,"label":"berth-2"}],"version":9007199254740993})";
 inline constexpr std::string_view standby_nobody = R"({"members":[],"version":7})";
-// Before copies were carried over.
+// As versions without replica handover write it.
 inline constexpr std::string_view standby_old =
     R"({"members":[{"incarnation":5,"label":"berth-2"}],"version":7})";
 
@@ -65,7 +65,7 @@
 inline constexpr std::string_view types =
     R"({"hulls":[{"cache_gb":200.5,"cards":8.0,"fetch_gb_per_s":1.25,"hourly":12.5,"name":"g8","ram_gb":768.0,"reefs":["a","b"],"spot_price":4.5,"startup_s":45.0,"vcpus":96.0},{"cache_gb":20.0,"cards":0.0,"fetch_gb_per_s":0.5,"hourly":1.5,"name":"c4","ram_gb":16.0,"reefs":[],"spot_price":0.25,"startup_s":30.0,"vcpus":4.0}]})";
 
-// ---- Workers
+// ---- Agents
 
 inline constexpr std::string_view report =
     R"({"berth":"vm-1","addr":"10.1.0.1:9000","hull":"g8","reef":"a","driftwood":true,"watch":9007199254740993,"tally":18446744073709551615,"helm":9007199254740995,"warning_s":12.5,"shards":[{"shard":"j-7/3","launch":9007199254740997,"status":"exited","cause":"halted","saved":true},{"shard":"j-000412/15","launch":2,"status":"running","saved":false}]})";
@@ -95,7 +95,7 @@
 inline constexpr std::string_view hosts_last =
     R"({"berths":[{"id":"vm-3","hull":"c4","reef":"a","driftwood":false,"status":"failed","age_s":7}],"more":false})";
 
-// ---- State service
+// ---- Key-value store
 
 inline constexpr std::string_view entry =
     R"({"path":"leader","value":{"label":"berth-0","n":18446744073709551615},"stamp":9007199254740993,"mooring":9007199254740995})";
@@ -113,7 +113,8 @@
     R"({"if":[{"path":"leader","stamp":9007199254740993},{"path":"job/j-1","stamp":0}],"then":[{"put":"leader","value":{"label":"berth-0"},"mooring":18446744073709551615},{"put":"job/j-1","value":{}},{"drop":"final/j-2"}]})";
 inline constexpr std::string_view txn_empty = R"({"if":[],"then":[]})";
 
-// ---- Between controllers: msgpack in hexadecimal, a field a line. `unset`: a value that nobody filled in.
+// ---- Between controllers: msgpack in hexadecimal, one field per line. `unset` messages have all fields at
+// their defaults.
 
 inline constexpr std::string_view peer_ping =
     "9d"                                          // 13 fields
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -1,4 +1,5 @@
-// What controllers say to each other, byte for byte, and what versions before and after may leave out or add.
+// Tests that messages between controllers keep their exact bytes, and that messages of older versions, with
+// fewer fields, and of newer versions, with more fields, are read.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -15,7 +16,7 @@
 template <class T>
 T read(std::string_view golden_hex) {
     auto v = unpack_peer<T>(unhex(golden_hex));
-    if (!v) throw std::runtime_error("a golden message can't be read");
+    if (!v) throw std::runtime_error("cannot decode a golden message");
     return *v;
 }
 
@@ -137,7 +138,8 @@
     };
 }
 
-// The fields of a message, each as it stands there. All have fewer than 16: one byte says how many.
+// Returns the encoded fields of a message. Every message has fewer than 16 fields, so that one byte holds
+// their number.
 std::vector<std::string> fields_of(const std::string& bytes) {
     std::vector<std::string> out;
     for (std::size_t at = 1; at < bytes.size();) {
@@ -169,17 +171,17 @@
         EXPECT_EQ(hex(*again), m);
     }
 }
-// Fields were only ever added at the end: an older version leaves out some of them.
+// Fields are only added at the end, so an older version omits some of the last ones.
 TEST_P(PeerMessages, WithoutTheLastFieldsAreReadWithTheseUnset) {
     auto fields = fields_of(unhex(GetParam().golden)), unset = fields_of(unhex(GetParam().unset));
     ASSERT_EQ(fields.size(), unset.size());
-    for (std::size_t told = 0; told <= fields.size(); ++told) {
+    for (std::size_t sent = 0; sent <= fields.size(); ++sent) {
         auto expected = unset;
-        std::copy_n(fields.begin(), told, expected.begin());
+        std::copy_n(fields.begin(), sent, expected.begin());
         auto again =
-            GetParam().read_and_packed(message_of({fields.begin(), fields.begin() + std::ptrdiff_t(told)}));
-        ASSERT_TRUE(again) << told << " fields";
-        EXPECT_EQ(hex(*again), hex(message_of(expected))) << told << " fields";
+            GetParam().read_and_packed(message_of({fields.begin(), fields.begin() + std::ptrdiff_t(sent)}));
+        ASSERT_TRUE(again) << sent << " fields";
+        EXPECT_EQ(hex(*again), hex(message_of(expected))) << sent << " fields";
     }
 }
 TEST_P(PeerMessages, WithMoreFieldsThanAreKnownAreRead) {
@@ -260,8 +262,8 @@
     EXPECT_EQ(again.more[1].version, 9u);
     EXPECT_EQ(read<PeerCancellationResponse>(golden::peer_cancelled_answer).taken_by, LeaderVersion{12});
 }
-// Both go to the same path.
-TEST(GoldenBytes, SingleAndRepeatedCancellationsAreReadAsEachOther) {
+// Both messages are sent to the same path, so each must be readable as the other.
+TEST(GoldenBytes, SingleAndBatchedCancellationsAreReadAsEachOther) {
     auto again = read<PeerCancellationBatch>(golden::peer_cancelled);
     EXPECT_EQ(again.id, "j-1");
     EXPECT_EQ(again.version, (1ull << 53) + 1);
@@ -270,7 +272,7 @@
     EXPECT_EQ(one.id, "j-1");
     EXPECT_EQ(one.version, 7u);
 }
-TEST(GoldenBytes, CancellationAnsweredByAnOlderVersionSaysNothing) {
+TEST(GoldenBytes, CancellationResponseOfAnOlderVersionIsNotDecoded) {
     for (const char* old : {"", "{}"}) EXPECT_FALSE(unpack_peer<PeerCancellationResponse>(old)) << old;
 }
 TEST(GoldenBytes, ImagesAreReadFieldByField) {
@@ -297,7 +299,7 @@
     EXPECT_EQ(r.answered_heartbeats[1].machine, "vm-4");
     EXPECT_EQ(r.answered_heartbeats[1].age_ms, 65536u);
 }
-TEST(GoldenBytes, RelayAnswerIsReadFieldByField) {
+TEST(GoldenBytes, RelayResponseIsReadFieldByField) {
     auto a = read<RelayResponse>(golden::peer_relay_answer);
     EXPECT_TRUE(a.is_leader);
     EXPECT_FALSE(a.ready);
@@ -311,7 +313,7 @@
     EXPECT_FALSE(a.replies[1].nothing_pending);
     EXPECT_EQ(a.revoked, std::vector<std::string>{"vm-9"});
 }
-TEST(GoldenBytes, FleetIsReadFieldByField) {
+TEST(GoldenBytes, ReplicationRequestIsReadFieldByField) {
     auto f = read<ReplicationRequest>(golden::peer_fleet);
     EXPECT_EQ(f.leader_version, LeaderVersion{8});
     EXPECT_EQ(f.sequence_number, 3u);
@@ -338,14 +340,14 @@
     EXPECT_EQ(second.sequence, SequenceNumber{12});
     EXPECT_TRUE(second.tasks.empty());
 }
-TEST(GoldenBytes, FleetAnswerIsReadFieldByField) {
+TEST(GoldenBytes, ReplicationResponseIsReadFieldByField) {
     auto a = read<ReplicationResponse>(golden::peer_fleet_answer);
     EXPECT_TRUE(a.applied);
     EXPECT_EQ(a.incarnation, Incarnation{9});
     EXPECT_EQ(a.base_version, LeaderVersion{8});
 }
 
-// What stands within messages grows at its end, too.
+// Structs inside messages also get new fields only at their end.
 TEST(GoldenBytes, PartsOfMessagesWithoutTheLastFieldsAreRead) {
     auto ping = read<PeerPing>(
         "97a161"
--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -1,5 +1,5 @@
-// Stored records, and messages to and from users, workers, the cloud and the key-value store, byte for byte:
-// that they are written as they were, and that each field read stands where it stood.
+// Tests that stored records, and messages to and from users, agents, the cloud and the key-value store, keep
+// their exact bytes, and that every field is read from its place.
 #include "protocol/golden_bytes.hpp"
 
 #include <gtest/gtest.h>
@@ -86,7 +86,7 @@
     EXPECT_EQ(a.deadline_s, b.deadline_s);
     EXPECT_EQ(a.dependencies, b.dependencies);
 }
-// A golden message with one field set to something else; `at`: of an object within it.
+// Returns a golden message with one field replaced. `at` is the JSON pointer to the object with the field.
 std::string with(std::string_view golden, const char* field, const json& value, const char* at = "") {
     auto j = json::parse(golden);
     j[json::json_pointer(at)][field] = value;
@@ -123,7 +123,7 @@
     for (auto field : {"hulls", "reef", "tide_s", "awaits"}) j[field] = nullptr;
     expect_same(parse_job(j.dump()), least_job());
 }
-// One at a time, so that none stands for another.
+// Sets one flag at a time, to detect flags that are confused with each other.
 TEST(GoldenBytes, FlagsOfASubmissionAreNotMixedUp) {
     struct Case {
         const char* field;
@@ -138,14 +138,14 @@
         expect_same(parse_job(body), job);
     }
 }
-TEST(GoldenBytes, EveryNeededFieldOfASubmissionIsCalledByItsNameWhenMissing) {
+TEST(GoldenBytes, ErrorNamesEachMissingFieldOfASubmission) {
     auto whole = json::parse(golden::submission_least);
     for (auto& [field, value] : whole.items()) {
         auto body = without(golden::submission_least, field.c_str());
         EXPECT_EQ(refusal([&] { parse_job(body); }), "field '" + field + "' is missing");
     }
 }
-TEST(GoldenBytes, KindsHaveTheirWords) {
+TEST(GoldenBytes, KindsHaveTheirWireNames) {
     for (auto [kind, word] :
          {std::pair(JobKind::array, "batch"), {JobKind::gang, "gang"}, {JobKind::service, "service"}}) {
         auto job = least_job();
@@ -155,7 +155,7 @@
         EXPECT_EQ(parse_job(body).kind, kind) << word;
     }
 }
-TEST(GoldenBytes, PrioritiesHaveTheirWords) {
+TEST(GoldenBytes, PrioritiesHaveTheirWireNames) {
     for (auto [priority, word] : {std::pair(Priority::low, "idle"),
                                   {Priority::normal, "normal"},
                                   {Priority::high, "high"},
@@ -313,7 +313,7 @@
     EXPECT_TRUE(now.stores_in_sync_replicas);
     EXPECT_TRUE(stores_in_sync_replicas(golden::leader));
 }
-TEST(GoldenBytes, LeaderRecordThatSaysFalseOrCannotBeReadKeepsNoRecord) {
+TEST(GoldenBytes, LeaderWithFalseOrMalformedRecordDoesNotStoreInSyncReplicas) {
     EXPECT_FALSE(stores_in_sync_replicas(with(golden::leader, "standby", false)));
     EXPECT_FALSE(stores_in_sync_replicas(R"({"label":"berth-1","standby":true})"));
 }
@@ -342,7 +342,7 @@
     EXPECT_EQ(nobody.leader_version, LeaderVersion{7});
     EXPECT_TRUE(nobody.members.empty());
 }
-// A version that carried nothing over began each copy itself.
+// In a version without replica handover, the leader began each replica with a snapshot of its own.
 TEST(GoldenBytes, InSyncReplicasOfAnOlderVersionBeganUnderItsOwnLeadership) {
     auto r = parse_in_sync_replicas(golden::standby_old);
     ASSERT_EQ(r.members.size(), 1u);
@@ -352,7 +352,7 @@
 }
 
 TEST(GoldenBytes, ProgressBitsAreWrittenAndReadAsBefore) {
-    // The letters in their order, the lowest bit first.
+    // The hexadecimal digits in order, the lowest bit first.
     std::vector<bool> all;
     for (unsigned letter = 0; letter < 16; ++letter)
         for (unsigned bit = 0; bit < 4; ++bit) all.push_back((letter >> bit) & 1);
@@ -375,7 +375,7 @@
     EXPECT_EQ(table.progress_layout().block_of(e.done.size(), 1024, 1024), "1");
     EXPECT_EQ(table.progress_layout().block_of(e.done.size(), 2999, 1024), "2");
     EXPECT_EQ(table.progress_layout().block_of(e.done.size(), 2999, 200),
-              "from-2560");  // too large for a value now
+              "from-2560");  // too large for the present limit of a value
     EXPECT_EQ(table.progress_layout().encode(e.done, "0", 1024),
               R"({"bits":"1)" + std::string(254, '0') + R"(8"})");
     EXPECT_EQ(table.progress_layout().encode(e.done, "from-2560", 200),
@@ -403,7 +403,7 @@
 TEST(GoldenBytes, MachineTypesAreStoredAsBefore) {
     EXPECT_EQ(stored_types(machine_types()), golden::types);
 }
-// As the cloud tells them, and as they are stored.
+// The cloud's answer and the stored record have the same layout.
 TEST(GoldenBytes, MachineTypesAreReadFieldByField) {
     auto types = parse_types(golden::types);
     auto expected = machine_types();
@@ -536,7 +536,7 @@
     for (auto& c : cases) EXPECT_EQ(refusal([&] { c.read(c.body); }), c.refusal) << c.body;
 }
 
-// ---- Workers
+// ---- Agents
 
 std::vector<Command> commands_of_each_kind() {
     return {{.kind = CommandKind::start, .task = {"j-7", 0}, .attempt = AttemptNumber{3}, .grace_s = 9},
@@ -546,7 +546,7 @@
              .grace_s = 1.5},
             {.kind = CommandKind::forget, .task = {"j-9", 99999}, .attempt = AttemptNumber{5}, .grace_s = 9}};
 }
-TEST(GoldenBytes, ReportAnswerIsWrittenAsBefore) {
+TEST(GoldenBytes, HeartbeatResponseIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_response(FencingToken{UINT64_MAX}, commands_of_each_kind()),
               golden::heartbeat_response);
     EXPECT_EQ(heartbeat_response(FencingToken{7}, {}), golden::report_answer_empty);
@@ -556,7 +556,7 @@
               golden::direct_commands);
     EXPECT_EQ(direct_commands(FencingToken{7}, AgentEpoch{8}, {}), golden::direct_commands_empty);
 }
-TEST(GoldenBytes, AnswerThatPointsElsewhereIsWrittenAsBefore) {
+TEST(GoldenBytes, HeartbeatRedirectIsWrittenAsBefore) {
     EXPECT_EQ(heartbeat_redirect("berth-2"), golden::elsewhere);
     EXPECT_EQ(heartbeat_redirect(""), golden::elsewhere_unknown);
 }
@@ -583,12 +583,12 @@
     EXPECT_EQ(r.tasks[1].cause, ExitCause::none);
     EXPECT_FALSE(r.tasks[1].saved);
 }
-TEST(GoldenBytes, ReportIsReadFieldByField) {
+TEST(GoldenBytes, HeartbeatIsReadFieldByField) {
     expect_golden_report(parse_heartbeat(golden::report));
     HeartbeatReader reader;
     for (int time = 0; time < 2; ++time) expect_golden_report(reader.read(golden::report));
 }
-TEST(GoldenBytes, ReportWithoutTasksOrNoticeIsReadFieldByField) {
+TEST(GoldenBytes, HeartbeatWithoutTasksOrNoticeIsReadFieldByField) {
     auto r = parse_heartbeat(golden::report_least);
     EXPECT_EQ(r.machine, "vm-2");
     EXPECT_EQ(r.addr, "10.1.0.2:9001");
@@ -601,14 +601,14 @@
     EXPECT_FALSE(r.preemption_notice_s);
     EXPECT_TRUE(r.tasks.empty());
 }
-TEST(GoldenBytes, EveryNeededFieldOfAReportIsCalledByItsNameWhenMissing) {
+TEST(GoldenBytes, ErrorNamesEachMissingFieldOfAHeartbeat) {
     auto whole = json::parse(golden::report_least);
     for (auto& [field, value] : whole.items()) {
         auto body = without(golden::report_least, field.c_str());
         EXPECT_EQ(refusal([&] { parse_heartbeat(body); }), "field '" + field + "' is missing");
     }
 }
-TEST(GoldenBytes, OutlineOfAReportIsFound) {
+TEST(GoldenBytes, OutlineOfAHeartbeatIsFound) {
     auto o = outline_heartbeat(golden::report);
     ASSERT_TRUE(o);
     EXPECT_EQ(o->machine, "vm-1");
@@ -616,7 +616,7 @@
     EXPECT_EQ(o->sequence, SequenceNumber{UINT64_MAX});
     EXPECT_EQ(golden::report.substr(o->sequence_offset, o->sequence_digits), "18446744073709551615");
 }
-TEST(GoldenBytes, TaskStatesHaveTheirWords) {
+TEST(GoldenBytes, TaskStatesHaveTheirWireNames) {
     for (auto [state, word] : {std::pair(TaskState::fetching, "fetching"),
                                {TaskState::waiting, "waiting"},
                                {TaskState::running, "running"},
@@ -626,7 +626,7 @@
         EXPECT_EQ(r.tasks.at(1).state, state) << word;
     }
 }
-TEST(GoldenBytes, CausesHaveTheirWords) {
+TEST(GoldenBytes, CausesHaveTheirWireNames) {
     for (auto [cause, word] : {std::pair(ExitCause::done, "done"),
                                {ExitCause::stopped, "halted"},
                                {ExitCause::gang_member_lost, "mates_gone"},
@@ -702,7 +702,7 @@
     EXPECT_EQ(last.hosts[0].id, "vm-3");
     EXPECT_EQ(last.hosts[0].state, HostState::failed);
 }
-TEST(GoldenBytes, HostStatesHaveTheirWords) {
+TEST(GoldenBytes, HostStatesHaveTheirWireNames) {
     for (auto [state, word] : {std::pair(HostState::booting, "booting"),
                                {HostState::running, "running"},
                                {HostState::failed, "failed"}})
@@ -710,7 +710,7 @@
             << word;
 }
 
-// ---- State service
+// ---- Key-value store
 
 TEST(GoldenBytes, EntryIsReadFieldByField) {
     auto e = parse_entry(golden::entry);
@@ -777,7 +777,7 @@
 void PrintTo(const Sent& s, std::ostream* out) {
     *out << s.method << ' ' << s.target << " to " << s.addr << ", " << s.type << ": " << s.body;
 }
-// Answers what it was given, in that order.
+// Records requests and answers them with the given responses in order; without any left, the request fails.
 class Recorder : public http::Requester {
   public:
     void send(const std::string& addr, http::Request r, double, http::Result result) override {
@@ -805,7 +805,7 @@
         return {addr, method, target, std::string(body), "application/json"};
     }
     void expect_sent(const std::vector<Sent>& expected) {
-        timers_.run_until(1);  // the budgets let one call after the other through
+        timers_.run_until(1);  // the rate limits admit one request after the other
         EXPECT_EQ(http_.sent, expected);
     }
     config::Settings settings_;
@@ -836,7 +836,7 @@
     ASSERT_EQ(listed.entries.size(), 3u);
     EXPECT_EQ(listed.entries[2].key, "job/j-3");
 }
-TEST_F(GoldenBytesRequests, TransactionsAndWhatBecomesOfThem) {
+TEST_F(GoldenBytesRequests, CommittedAndConflictingTransactions) {
     using S = kv::TxnResult::Status;
     kv::KvClient client(timers_, http_, settings_);
     http_.answer(200, golden::revision);
--- a/tests/protocol/message_size_test.cpp
+++ b/tests/protocol/message_size_test.cpp
@@ -1,5 +1,5 @@
-// The largest messages between controllers, and the largest values, at the size of a large fleet: 8,000
-// machines with 17 tasks each.
+// Tests that the largest messages between controllers and the largest stored values stay within their limits
+// for a large cluster: 8,000 machines with 17 tasks each.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -13,8 +13,8 @@
 
 constexpr std::size_t machine_count = 8000, tasks_per_machine = 17, images_per_machine = 10;
 constexpr std::size_t live_jobs = 1400;
-constexpr std::size_t memory_bytes = 136 * 1024 * 1024;  // as sites of 1,300 machines grant it
-constexpr std::size_t body_limit = memory_bytes / 32;    // src/controller/main.cpp
+constexpr std::size_t memory_bytes = 136 * 1024 * 1024;  // the memory limit at sites of 1,300 machines
+constexpr std::size_t body_limit = memory_bytes / 32;    // as in src/controller/main.cpp
 constexpr std::uint64_t version = 1ull << 32;
 
 std::string name(const char* form, std::size_t k) {
@@ -38,10 +38,10 @@
     }
     for (std::size_t k = 0; k < live_jobs; ++k)
         ping.task_counts.push_back({name("j-%09zu", k), 70000, 70000});
-    EXPECT_LT(packed_bytes("ping, 8,000 heard and 8,000 silent", ping), body_limit / 8);
+    EXPECT_LT(packed_bytes("ping, 8,000 reporting and 8,000 suspected", ping), body_limit / 8);
 }
 
-TEST(MessageSize, OfAPieceOfWhatFollowersAreTold) {
+TEST(MessageSize, OfAReplicationRequest) {
     ReplicationRequest piece;
     for (std::size_t k = 0; k < 1024; ++k) {  // replication::ReplicationSender's max_batch_machines
         ReplicatedMachine row{name("vm-%06zu", k), true, false, AgentEpoch{1}, SequenceNumber{70000}, {}};
@@ -49,7 +49,7 @@
             row.tasks.push_back({name("j-%09zu", k), 70000 + t, AttemptNumber{version << 20}});
         piece.rows.push_back(std::move(row));
     }
-    EXPECT_LT(packed_bytes("piece of 1,024 machines for a follower", piece), body_limit / 4);
+    EXPECT_LT(packed_bytes("replication request of 1,024 machines", piece), body_limit / 4);
 }
 
 TEST(MessageSize, OfAllCachedImages) {
@@ -66,17 +66,17 @@
     EXPECT_LT(packed_bytes("cached images of 8,000 machines", images), body_limit / 4);
 }
 
-TEST(MessageSize, OfAMessageThatPassesReportsOn) {
+TEST(MessageSize, OfARelayRequest) {
     RelayRequest relay;
-    // relay::HeartbeatRelay's max_batch_heartbeats, 17 ends in each
+    // relay::HeartbeatRelay's max_batch_heartbeats; 1,900 bytes hold 17 ended tasks
     relay.heartbeats.assign(96, std::string(1900, 'x'));
     for (std::size_t k = 0; k < machine_count; ++k)
         relay.answered_heartbeats.push_back({name("vm-%06zu", k), 70000});
-    EXPECT_LT(packed_bytes("96 reports passed on, 8,000 repeated", relay), body_limit / 4);
+    EXPECT_LT(packed_bytes("relay request, 96 heartbeats, 8,000 answered", relay), body_limit / 4);
 }
 
-// They grow with what the cloud offers, not with the fleet.
-TEST(MessageSize, OfTheMachineTypesThatAreStored) {
+// The stored machine types grow with the cloud's offer, not with the number of machines.
+TEST(MessageSize, OfTheStoredMachineTypes) {
     std::vector<MachineType> types;
     for (std::size_t k = 0; k < 50; ++k) {
         MachineType t;
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -1,4 +1,5 @@
-// Tables of messages: what is taken, what is refused, and that nothing is lost on the way.
+// Tests which messages and records are accepted and which are rejected, and that none loses data in a round
+// trip.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -22,7 +23,7 @@
             {"reckon_s", 240.0}, {"anchor_s", 30.0},    {"stow_s", 4.0},    {"tide_s", 900.0}};
 }
 
-TEST(JobMessage, IsTakenAndStoredWithoutLoss) {
+TEST(JobMessage, IsAcceptedAndStoredWithoutLoss) {
     auto job = parse_job(good_job().dump());
     EXPECT_EQ(job.kind, JobKind::gang);
     EXPECT_EQ(job.priority, Priority::high);
@@ -35,7 +36,7 @@
     EXPECT_TRUE(back.cancelled);
 }
 
-TEST(JobMessage, RefusesWhatIsMalformed) {
+TEST(JobMessage, RejectsMalformedBodies) {
     struct Case {
         const char* field;
         nlohmann::json value;
@@ -82,7 +83,7 @@
     EXPECT_THROW(parse_job(text), Malformed);
 }
 
-TEST(JobMessage, AwaitedJobsAreNamedOnce) {
+TEST(JobMessage, DependenciesAreSortedWithoutDuplicates) {
     struct Case {
         nlohmann::json value;
         std::vector<std::string> awaits;
@@ -98,14 +99,16 @@
         auto record = stored(JobRecord{job, 1, false});
         EXPECT_EQ(parse_job_record(record).job.dependencies, c.awaits);
         EXPECT_EQ(parse_live_record(record).dependencies, c.awaits);
-        // The version before reads `job`, and must not find one that it would start at once.
+        // A version without support for dependencies reads `job`. It would start the job at once if it found
+        // it.
         EXPECT_EQ(nlohmann::json::parse(record).contains("job"), c.awaits.empty());
     }
     EXPECT_TRUE(names_dependencies(R"({"\u0061waits":["j-1"]})"));
 }
 
-// Every record as the version in production writes it: read, and where both write it, written alike.
-TEST(Stored, RecordsOfTheVersionBeforeAreReadAndWrittenAlike) {
+// Records in the form that the version in production writes. They must be readable, and records that both
+// versions write must be identical.
+TEST(Stored, RecordsOfThePreviousVersionAreReadAndWrittenIdentically) {
     constexpr const char* job =
         R"({"cancelled":false,"job":{"anchor_s":30.0,"cards":1.0,"cohort":"train","crew":"vision","driftwood":true,"hulls":["g8"],"id":"j-000412","image_gb":6.2,"payload":"img-07","ram_gb":64.0,"rank":"high","reckon_s":240.0,"scatter":false,"shape":"gang","shards":16,"stow_s":4.0,"tide_s":900.0,"together":true,"vcpus":8.0},"submitted":12.5})";
     EXPECT_EQ(stored(JobRecord{parse_job(good_job().dump()), 12.5, false}), job);
@@ -123,8 +126,9 @@
         R"({"hulls":[{"cache_gb":200.0,"cards":8.0,"fetch_gb_per_s":1.0,"hourly":12.0,"name":"g8","ram_gb":768.0,"reefs":["a","b"],"spot_price":4.5,"startup_s":45.0,"vcpus":96.0}]})";
     EXPECT_EQ(stored_types(parse_types(types)), types);
 }
-// A cancellation rewrites the record, which may have been stored when larger values were allowed.
-TEST(Stored, ACancelledRecordCanAlwaysBeMadeShort) {
+// A cancellation rewrites the record, which may have been stored when the store's limit for values was
+// larger.
+TEST(Stored, ACancelledRecordCanBeCompacted) {
     auto j = good_job();
     for (auto f : {"cohort", "payload"}) j[f] = std::string(512, 'x');
     j["hulls"] = std::vector<std::string>(300, "g8");
@@ -135,12 +139,12 @@
     EXPECT_LT(brief.size(), 1024u);
     auto back = parse_job_record(brief);
     EXPECT_TRUE(back.cancelled);
-    EXPECT_EQ(back.job.team, "vision");  // its tasks count against the team until they are gone
+    EXPECT_EQ(back.job.team, "vision");  // its tasks count against the team's limit until they have ended
     EXPECT_EQ(back.job.request.gpus, 1);
     EXPECT_EQ(back.job.tasks, 16u);
 }
 
-TEST(Report, KeepsCountsAbove53Bits) {
+TEST(Heartbeat, KeepsCountsAbove53Bits) {
     auto r =
         parse_heartbeat(R"({"berth":"vm-1","addr":"10.1.0.1:9000","hull":"g8","reef":"a","driftwood":true,
         "watch":2,"tally":18446744073709551615,"helm":9007199254740993,"warning_s":12.5,"news":1,
@@ -151,11 +155,11 @@
     EXPECT_EQ(r.tasks[0].attempt, AttemptNumber{9007199254740995ull});
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
-    EXPECT_EQ(r.tasks[1].cause, ExitCause::error);  // an end of a kind not known yet still is an end
+    EXPECT_EQ(r.tasks[1].cause, ExitCause::error);  // an unknown cause is still an end of the task
     EXPECT_EQ(r.preemption_notice_s, 12.5);
 }
 
-TEST(Report, RefusesWhatIsMalformed) {
+TEST(Heartbeat, RejectsMalformedBodies) {
     for (
         const char* body :
         {"{}", "[]", R"({"berth":"vm-1"})",
@@ -175,7 +179,7 @@
     }
 }
 
-TEST(Peer, RoundTripsAndRefusesNoise) {
+TEST(Peer, RoundTripsAndRejectsOtherBytes) {
     PeerPing p{"berth-1",       Incarnation{7},        LeaderVersion{1ull << 60}, "berth-2", true, {"vm-1"},
                {{"j-1", 3, 4}}, peer_features::latest, LeaderVersion::none()};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
@@ -184,15 +188,15 @@
     EXPECT_EQ(back->task_counts[0].running, 4u);
     EXPECT_EQ(back->leader_version, LeaderVersion{1ull << 60});
     PeerImages images{{"img-1", "img-2"}, {5, 7}, {{"vm-1", {1, 0}}}};
-    auto told = unpack_peer<PeerImages>(pack_peer(images));
-    ASSERT_TRUE(told && told->machines.size() == 1);
-    EXPECT_EQ(told->machines[0].images, (std::vector<std::uint32_t>{1, 0}));
+    auto unpacked = unpack_peer<PeerImages>(pack_peer(images));
+    ASSERT_TRUE(unpacked && unpacked->machines.size() == 1);
+    EXPECT_EQ(unpacked->machines[0].images, (std::vector<std::uint32_t>{1, 0}));
     EXPECT_EQ(back->features, peer_features::latest);
     EXPECT_FALSE(unpack_peer<PeerPing>("{\"label\":1}"));
     EXPECT_FALSE(unpack_peer<PeerPing>(""));
 }
 
-// Messages of the version before, byte for byte, and its layouts reading the present ones.
+// The layout of a ping in the previous version, used to read present messages.
 struct OldPing {
     std::string label;
     std::uint64_t incarnation = 0, leader_version = 0;
@@ -213,7 +217,7 @@
     EXPECT_EQ(ping->label, "berth-1");
     EXPECT_EQ(ping->leader_version, LeaderVersion{8});
     ASSERT_EQ(ping->task_counts.size(), 1u);
-    EXPECT_EQ(ping->features, 0u);  // unknown means old
+    EXPECT_EQ(ping->features, 0u);  // the previous version does not send its features
     const PeerPing present{"a", Incarnation{1},       LeaderVersion{2}, "b", true, {"vm-2"}, {{"j-2", 5, 6}},
                            9,   LeaderVersion::none()};
     auto back = unpack_peer<OldPing>(pack_peer(present));
@@ -221,7 +225,7 @@
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
     EXPECT_EQ(back->counts.at(0).done, 5u);
     EXPECT_EQ(pack_peer(*unpack_peer<OldPing>(old)), old);
-    // These are as they were.
+    // These messages have not changed.
     EXPECT_EQ(pack_peer(PeerUserRequest{"GET", "/", ""}), std::string("\x93\xa3GET\xa1/\xa0", 8));
     EXPECT_EQ(pack_peer(PeerUserResponse{200, "{}", 1}), std::string("\x93\xcc\xc8\xa2{}\x01", 7));
     EXPECT_EQ(pack_peer(PeerJobQuery{"j-1"}), std::string("\x91\xa3j-1", 5));
--- a/tests/protocol/strong_number_test.cpp
+++ b/tests/protocol/strong_number_test.cpp
@@ -19,7 +19,7 @@
     0,     1,     127,      128,        255,        256,
     65535, 65536, 1u << 31, 4294967295, 4294967296, std::numeric_limits<std::uint64_t>::max()};
 
-TEST(StrongNumber, IsNoOtherNumber) {
+TEST(StrongNumber, DoesNotConvertToOrFromOtherNumbers) {
     static_assert(!std::is_convertible_v<std::uint64_t, Apples>);
     static_assert(!std::is_convertible_v<Apples, std::uint64_t>);
     static_assert(!std::is_convertible_v<Apples, bool>);
@@ -30,7 +30,7 @@
     static_assert(sizeof(Apples) == sizeof(std::uint64_t) && std::is_trivially_copyable_v<Apples>);
 }
 
-TEST(StrongNumber, OrdersAsTheIntegerDoes) {
+TEST(StrongNumber, OrdersLikeTheInteger) {
     static_assert(Apples{1} < Apples{2} && Apples{2} == Apples{2} && Apples{2}.next() == Apples{3});
     for (auto left : edge_values)
         for (auto right : edge_values) {
@@ -46,7 +46,7 @@
     EXPECT_TRUE(Apples::none().next().is_set());
 }
 
-TEST(StrongNumber, PacksAsTheIntegerDoes) {
+TEST(StrongNumber, PacksLikeTheInteger) {
     for (auto value : edge_values) {
         EXPECT_EQ(pack_peer(Apples{value}), pack_peer(value));
         EXPECT_EQ(unpack_peer<Apples>(pack_peer(value)), Apples{value});
@@ -63,7 +63,7 @@
     EXPECT_EQ(fmt::format("{:>4}", Apples{7}), "   7");
 }
 
-TEST(StrongNumber, IsAKeyOfUnorderedContainers) {
+TEST(StrongNumber, CanBeAKeyOfUnorderedContainers) {
     std::unordered_set<Apples> numbers{Apples{1}, Apples{2}, Apples{1}};
     EXPECT_EQ(numbers.size(), 2u);
 }
