--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -54,7 +54,7 @@
     check_against_earlier_answers(*job, answer);
     check_awaited(answer);
     check_state(*job, answer);
-    take_in(*job, answer);
+    record_answer(*job, answer);
 }
 void Checker::check_refusal(const ObservedJob& job, const Answer& answer) {
     if (answer.success())
@@ -89,7 +89,7 @@
     if ((done && !job.done_at && job.cancelled_at) || (cancelled && !job.cancelled_at && job.done_at))
         report(answer.received, "went_back " + answer.job + ": done and withdrawn");
 }
-void Checker::take_in(ObservedJob& job, const Answer& answer) {
+void Checker::record_answer(ObservedJob& job, const Answer& answer) {
     job.answered_at = answer.received;
     if (!job.accepted_at) job.accepted_at = answer.received;
     if (answer.state == protocol::JobState::done && !job.done_at) job.done_at = answer.received;
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -100,7 +100,7 @@
     void check_against_earlier_answers(const ObservedJob& job, const Answer& answer);
     void check_state(const ObservedJob& job, const Answer& answer);
     void check_awaited(const Answer& answer);
-    void take_in(ObservedJob& job, const Answer& answer);
+    void record_answer(ObservedJob& job, const Answer& answer);
     void check_runs_once(double now, ObservedJob& job, const std::string& machine,
                          const protocol::TaskId& task);
     void check_awaits(double now, const protocol::Job& job, const std::string& task);
