--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -52,7 +52,7 @@
         report(answer.received, "forgotten " + answer.job + " got " + std::to_string(answer.status));
     if (!answer.success()) return;
     check_against_earlier_answers(*job, answer);
-    check_awaited(answer);
+    check_cancelled_dependencies(answer);
     check_state(*job, answer);
     record_answer(*job, answer);
 }
@@ -72,7 +72,7 @@
 }
 // A job must be reported as cancelled once `cancel_s` has passed since a user received confirmation that a
 // dependency of the job is cancelled.
-void Checker::check_awaited(const Answer& answer) {
+void Checker::check_cancelled_dependencies(const Answer& answer) {
     if (answer.state != protocol::JobState::queued && answer.state != protocol::JobState::running) return;
     auto cancelled_at = observations_.awaited_cancelled_at(answer.job);
     if (cancelled_at && answer.received > *cancelled_at + rules_.cancel_s)
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -99,7 +99,7 @@
     void check_refusal(const ObservedJob& job, const Answer& answer);
     void check_against_earlier_answers(const ObservedJob& job, const Answer& answer);
     void check_state(const ObservedJob& job, const Answer& answer);
-    void check_awaited(const Answer& answer);
+    void check_cancelled_dependencies(const Answer& answer);
     void record_answer(ObservedJob& job, const Answer& answer);
     void check_runs_once(double now, ObservedJob& job, const std::string& machine,
                          const protocol::TaskId& task);
