--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -22,7 +22,7 @@
     observations_.remove_task(job, task.index,
                               machine);  // a second start on the same machine occupies no more resources
 }
-void Checker::check_awaits(double now, const protocol::Job& job, const std::string& task) {
+void Checker::check_dependencies_done(double now, const protocol::Job& job, const std::string& task) {
     for (auto& awaited : job.dependencies)
         if (!observations_.is_done(awaited))
             report(now, std::string("too_early ").append(task).append(" before ").append(awaited));
@@ -66,7 +66,7 @@
     if (job->must_be_refused) return report(now, "accepted_impossible (start) " + task.str());
     job->waiting_since.reset();
     check_runs_once(now, *job, machine, task);
-    check_awaits(now, job->job, task.str());
+    check_dependencies_done(now, job->job, task.str());
     check_quota(now, job->job, task.str());
     check_not_cancelled(now, *job, task.str());
     if (outcome == StartOutcome::no_room) return;
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -103,7 +103,7 @@
     void record_answer(ObservedJob& job, const Answer& answer);
     void check_runs_once(double now, ObservedJob& job, const std::string& machine,
                          const protocol::TaskId& task);
-    void check_awaits(double now, const protocol::Job& job, const std::string& task);
+    void check_dependencies_done(double now, const protocol::Job& job, const std::string& task);
     void check_quota(double now, const protocol::Job& job, const std::string& task);
     void check_not_cancelled(double now, const ObservedJob& job, const std::string& task);
     void check_place(double now, const ObservedJob& job, const MachinePlace& place, const std::string& task);
