--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -74,7 +74,7 @@
 // dependency of the job is cancelled.
 void Checker::check_cancelled_dependencies(const Answer& answer) {
     if (answer.state != protocol::JobState::queued && answer.state != protocol::JobState::running) return;
-    auto cancelled_at = observations_.awaited_cancelled_at(answer.job);
+    auto cancelled_at = observations_.dependency_cancelled_at(answer.job);
     if (cancelled_at && answer.received > *cancelled_at + rules_.cancel_s)
         report(answer.received, "orphaned " + answer.job);
 }
--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -44,7 +44,7 @@
     return std::any_of(awaits.begin(), awaits.end(),
                        [this](auto& awaited) { return cancel_wanted(awaited); });
 }
-std::optional<double> Observations::awaited_cancelled_at(const std::string& job) const {
+std::optional<double> Observations::dependency_cancelled_at(const std::string& job) const {
     std::optional<double> first;
     auto consider = [&first](std::optional<double> time) {
         if (time && (!first || *time < *first)) first = time;
@@ -54,7 +54,7 @@
     for (auto& id : observed->job.dependencies) {
         auto* awaited = find(id);
         if (awaited && awaited->cancel_requested) consider(awaited->cancelled_at);
-        consider(awaited_cancelled_at(id));
+        consider(dependency_cancelled_at(id));
     }
     return first;
 }
--- a/src/verification/observations.hpp
+++ b/src/verification/observations.hpp
@@ -55,7 +55,7 @@
     bool cancel_wanted(const std::string& job) const;
     // Returns the time at which a user first received confirmation that a dependency of the job, direct or
     // indirect, is cancelled after a request to cancel it.
-    std::optional<double> awaited_cancelled_at(const std::string& job) const;
+    std::optional<double> dependency_cancelled_at(const std::string& job) const;
 
     void add_machine(const std::string& machine, MachinePlace place) {
         machines_[machine] = std::move(place);
