--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -82,7 +82,7 @@
     tasks_of_machine_.erase(machine);
 }
 
-std::size_t Observations::places_for(const protocol::Job& job, const std::string& machine) const {
+std::size_t Observations::free_slots_for(const protocol::Job& job, const std::string& machine) const {
     auto known = machines_.find(machine);
     if (known == machines_.end()) return 0;
     auto free = known->second.capacity;
--- a/src/verification/observations.hpp
+++ b/src/verification/observations.hpp
@@ -67,7 +67,7 @@
     void remove_tasks_of(const std::string& machine);
 
     // Returns the number of further tasks of the job that fit on the machine.
-    std::size_t places_for(const protocol::Job& job, const std::string& machine) const;
+    std::size_t free_slots_for(const protocol::Job& job, const std::string& machine) const;
     // Returns the resources that all tasks of a team occupy on machines.
     protocol::Resources used_by(const std::string& team) const;
     std::size_t tasks_on_machines() const { return present_; }
--- a/src/verification/waiting_rules.cpp
+++ b/src/verification/waiting_rules.cpp
@@ -65,7 +65,7 @@
     std::map<std::string, std::size_t> free_slots;  // by zone
     for (auto& machine : usable_machines) {
         auto& place = observations_.place_of(machine);
-        if (allows(job, place)) free_slots[place.zone] += observations_.places_for(job, machine);
+        if (allows(job, place)) free_slots[place.zone] += observations_.free_slots_for(job, machine);
     }
     auto can_start = startable(observed, free_slots);
     return (job.one_zone ? can_start.in_best_zone : can_start.in_all_zones) >= needed;
