--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -64,7 +64,7 @@
     ++job.tasks_per_zone[machines_[machine].zone];
     tasks_of_machine_[machine].insert({job.job.id, index});
     used_by_team_[job.job.team] += job.job.request;
-    ++present_;
+    ++tasks_on_machines_;
 }
 void Observations::remove_task(ObservedJob& job, std::uint32_t index, const std::string& machine) {
     auto [begin, end] = job.machines_of_task.equal_range(index);
@@ -74,7 +74,7 @@
     --job.tasks_per_zone[machines_[machine].zone];
     tasks_of_machine_[machine].erase({job.job.id, index});
     used_by_team_[job.job.team] -= job.job.request;
-    --present_;
+    --tasks_on_machines_;
 }
 void Observations::remove_tasks_of(const std::string& machine) {
     auto tasks = tasks_of_machine_[machine];
--- a/src/verification/observations.hpp
+++ b/src/verification/observations.hpp
@@ -70,14 +70,14 @@
     std::size_t free_slots_for(const protocol::Job& job, const std::string& machine) const;
     // Returns the resources that all tasks of a team occupy on machines.
     protocol::Resources used_by(const std::string& team) const;
-    std::size_t tasks_on_machines() const { return present_; }
+    std::size_t tasks_on_machines() const { return tasks_on_machines_; }
 
   private:
     Jobs jobs_;
     std::map<std::string, MachinePlace> machines_;
     std::map<std::string, std::set<protocol::TaskId>> tasks_of_machine_;
     std::map<std::string, protocol::Resources> used_by_team_;
-    std::size_t present_ = 0;
+    std::size_t tasks_on_machines_ = 0;
 };
 
 }  // namespace coralhitch::verification
