--- a/tests/verification/checker_test.cpp
+++ b/tests/verification/checker_test.cpp
@@ -70,17 +70,17 @@
      }},
     {"not_done",
      [](SimulatedCluster& cluster) {
-         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::done));
+         cluster.key_value_store.tamper_with("final/j-1", final_record(protocol::JobState::done));
          cluster.key_value_store.tamper_with("job/j-1", {});
      }},
     {"went_back j-1: nobody cancelled it",
      [](SimulatedCluster& cluster) {
-         cluster.key_value_store.tamper_with("final/j-1", over(protocol::JobState::cancelled));
+         cluster.key_value_store.tamper_with("final/j-1", final_record(protocol::JobState::cancelled));
          cluster.key_value_store.tamper_with("job/j-1", {});
      }},
     {"went_back j-7 from withdrawn to done",
      [](SimulatedCluster& cluster) {
-         cluster.key_value_store.tamper_with("final/j-7", over(protocol::JobState::done));
+         cluster.key_value_store.tamper_with("final/j-7", final_record(protocol::JobState::done));
          cluster.key_value_store.tamper_with("job/j-7", {});
      }},
     {"quota j-1/",  // the other team's limit is eight GPUs; some machines have been deleted
