--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -54,8 +54,8 @@
 };
 
 // A job as its user described it. `types` and `zone`, where set, restrict the machines its tasks may run on;
-// `one_zone` keeps all tasks in one zone, `spread` places at most half of them in any one; `spot` permits
-// spot machines.
+// `one_zone` keeps all tasks in one zone, `spread` places at most half of them (rounded up) in any one zone;
+// `spot` permits spot machines.
 struct Job {
     std::string id, job_class, team;
     JobKind kind = JobKind::array;
@@ -70,8 +70,7 @@
     double estimated_run_s = 0, checkpoint_interval_s = 0;
     double checkpoint_save_s = 0;  // time that a task takes to save a checkpoint
     std::optional<double> deadline_s;
-    std::vector<std::string>
-        dependencies;  // ids of jobs that must be done before a task of this job starts, sorted
+    std::vector<std::string> dependencies;  // sorted ids of jobs that must be done before this one starts
 };
 
 enum class JobState { queued, running, done, cancelled };
@@ -186,7 +185,7 @@
     // not store that record, omit this field.
     bool stores_in_sync_replicas = false;
 };
-// The controllers whose replicas contain every start that may have been sent, both under this leadership and
+// The controllers that have acknowledged every start that may have been sent, both under this leadership and
 // under earlier ones.
 struct InSyncReplicas {
     struct Member {
