--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <fstream>
+#include <iomanip>
 #include <sstream>
 
 #include "config/toml_table.hpp"
@@ -13,11 +14,11 @@
 namespace coralhitch::config {
 namespace {
 
-constexpr std::uint32_t min_txn_ops = 2;  // the leadership as a condition, and one change
+constexpr std::uint32_t min_txn_ops = 2;  // the condition on the leader's key, and one change
 
 std::string read_file(const std::string& file) {
     std::ifstream stream(file);
-    if (!stream) throw BadSettings(file, "can't be read");
+    if (!stream) throw BadSettings(file, "cannot be opened for reading");
     std::ostringstream text;
     text << stream.rdbuf();
     return text.str();
@@ -75,13 +76,13 @@
     settings.gang_wait_s = workers.number("gang_wait_s", 0);
     settings.gang_peer_s = workers.number("gang_peer_s", 0);
     settings.cancel_s = workers.positive_number("cancel_s");
-    // What ends the tasks of a cancelled job on a machine that no command reaches is its worker's lease. With
-    // less time than this nobody could renew one without breaking the rule.
+    // On a machine that commands cannot reach, the tasks of a cancelled job end only when the agent's lease
+    // expires. With a shorter cancel_s, any renewal of a lease could let such a task run for too long.
     if (settings.cancel_s < settings.lease_s + settings.heartbeat_interval_s)
-        workers.fail("cancel_s", "must be at least lease_s + report_s");
+        workers.fail_with_value("cancel_s", "must be at least lease_s + report_s");
 }
 
-// The limits that the store may go over to, as far as they are lower than the present ones.
+// Lowers the store's limits to those that it may switch to, where these are lower.
 void apply_next_limits(const TomlTable& next, Settings& settings) {
     auto lower = [&](const char* field, double& limit) {
         if (next.has(field)) limit = std::min(limit, next.positive_number(field));
@@ -107,7 +108,7 @@
     settings.list_lag_s = cloud.number("list_lag_s", 0);
 }
 
-// Below or beyond these somebody has mistaken the unit.
+// Values outside these ranges are taken for a mistake in the unit.
 void read_process_limits(const TomlTable& limits, Settings& settings) {
     settings.cpu_share = limits.number_within("core_share", 1e-4, 1024);
     settings.memory_mb = limits.number_within("memory_mb", 8, 16e6);
@@ -147,8 +148,8 @@
 }
 
 double expected_cpu_share(const Settings& settings) {
-    // As many workers as there are sockets for them, each heartbeat and its answer at what they were measured
-    // to cost.
+    // heartbeat_cost_s is the measured processor time of a heartbeat and its response; worker_socket_ratio is
+    // the share of the sockets that agents may use.
     constexpr double heartbeat_cost_s = 1e-4, worker_socket_ratio = 0.7;
     return settings.sockets * worker_socket_ratio / settings.heartbeat_interval_s * heartbeat_cost_s;
 }
@@ -158,7 +159,7 @@
 }
 
 namespace {
-// Keeps the first error of a parse, with its place.
+// Keeps the first error of a parse, with its line and column.
 class FirstError : public google::protobuf::io::ErrorCollector {
   public:
     void AddError(int line, int column, const std::string& message) override {
@@ -182,23 +183,24 @@
 }
 
 struct Range {
-    double least = 0;
-    double most = 0;
+    double min = 0;
+    double max = 0;
 };
 
-double within(const std::string& file, const char* field, double value, Range range) {
-    if (value >= range.least && value <= range.most) return value;
+double require_within(const std::string& file, const char* field, double value, Range range) {
+    if (value >= range.min && value <= range.max) return value;
     std::ostringstream problem;
-    problem << "must be from " << range.least << " to " << range.most;
+    problem << "must be from " << range.min << " to " << range.max << ", found " << std::setprecision(15)
+            << value;
     throw BadSettings(file, field, problem.str());
 }
 
-// Fields under the names that they had before; see operator.proto.
+// Reads fields under their former names; see operator.proto.
 void read_former_names(const OperatorSettings& fields, const std::string& file, Range suspicion_timeout,
                        Operator& op) {
     if (fields.has_silence_reports())
         op.suspicion_timeout_periods =
-            within(file, "silence_reports", fields.silence_reports(), suspicion_timeout);
+            require_within(file, "silence_reports", fields.silence_reports(), suspicion_timeout);
     if (fields.has_hearing()) op.relay_heartbeats = fields.hearing();
     if (fields.has_standby()) op.replicate_starts = fields.standby();
 }
@@ -208,7 +210,7 @@
     Operator op;
     read_former_names(fields, file, suspicion_timeout, op);
     auto number = [&](const char* field, double value, Range range) {
-        return within(file, field, value, range);
+        return require_within(file, field, value, range);
     };
     if (fields.has_lease_ratio()) op.lease_ratio = number("lease_ratio", fields.lease_ratio(), {0.02, 0.5});
     if (fields.has_suspicion_timeout_periods())
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,7 +1,7 @@
-// The platform's settings (TOML) and the operators' own (protobuf text format).
+// The platform's settings (TOML) and the operators' settings (protobuf text format).
 //
-// Plain values, read once when the process starts and never changed. Times are in seconds. Names of fields in
-// the files are part of the interface, and stay.
+// Plain values, read once when the process starts and not changed afterwards. Times are in seconds. The field
+// names in the files are a public interface and must not change.
 #pragma once
 #include <cstdint>
 #include <stdexcept>
@@ -11,11 +11,11 @@
 
 namespace coralhitch::config {
 
-// A file that can't be used. what() is a line for operators: the file, the field with the sections that it is
-// in, and what it must be.
+// Error for a settings file that cannot be used. what() is one line for operators with the file, the path of
+// the field, the values it allows and the value found.
 class BadSettings : public std::runtime_error {
   public:
-    // The file as a whole, or a place in it that is no field.
+    // For a problem with the whole file, or at a place in it that is not a field.
     BadSettings(std::string file, const std::string& problem)
         : std::runtime_error(file + ": " + problem), file_(std::move(file)) {}
     BadSettings(std::string file, std::string field, const std::string& problem)
@@ -23,7 +23,8 @@
           file_(std::move(file)),
           field_(std::move(field)) {}
     [[nodiscard]] const std::string& file() const { return file_; }
-    // Like `cluster.workers.lease_s`; empty: not a single field.
+    // Returns the path of the field, such as `cluster.workers.lease_s`; empty if the error is not about a
+    // single field.
     [[nodiscard]] const std::string& field() const { return field_; }
 
   private:
@@ -31,21 +32,21 @@
     std::string field_;
 };
 
-// Another controller.
+// The address of another controller.
 struct Peer {
     std::string label, zone, addr;
 };
 // A team's guaranteed quota and hard limit.
 struct Team {
     std::string name;
-    double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // a maximum of 0: no limit
+    double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0 in a `_max` field: no limit
 };
-// A service-level objective: what share of the jobs of a kind and class must start or end within how long.
+// A service-level objective: the share of the jobs of a kind and class that must start or end within a time.
 struct Objective {
     std::string kind, job_class;
     double within_s = 0, share = 0;
 };
-// Operators' own settings with their defaults; operator.proto says what each does.
+// The operators' settings with their defaults; operator.proto describes each.
 struct Operator {
     double lease_ratio = 0.1;
     double suspicion_timeout_periods = 1.6;
@@ -57,7 +58,7 @@
     bool relay_heartbeats = true;
     bool replicate_starts = true;
 };
-// The platform's settings. Names follow the field's terms; the parser maps them from those in the file.
+// The platform's settings, with their names in the file mapped to the usual terms.
 struct Settings {
     std::string label, zone, listen, peer_listen;
     std::vector<Peer> peers;
@@ -68,11 +69,12 @@
     std::vector<Team> teams;
     std::vector<Objective> objectives;
     double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
-    // The key-value store's limits. It may go over to others at any moment without notice (`state.next`), so
-    // what is asked of it and written keeps to the smaller of both from the start.
+    // The limits of the key-value store. The store may switch to the limits in `state.next` at any moment
+    // without notice, so requests and values observe the smaller of both from the start.
     double kv_rps = 0, kv_write_rps = 0, safe_value_kb = 0;
     std::uint32_t txn_ops = 0;
-    // The present limit of a value alone: the layout of stored progress goes by it in every version.
+    // The store's present limit for a value, without `state.next`. The layout of stored progress depends on
+    // it in every version.
     double value_kb = 0;
     double cloud_rps = 0, list_lag_s = 0;
     double cpu_share = 1, memory_mb = 0;
@@ -80,17 +82,17 @@
     Operator op;
 };
 
-// These throw BadSettings, with one line that names file and field. `file`: only for that line.
+// The functions below throw BadSettings. For the parse functions, `file` is only the name given in the error.
 Settings parse_settings(const std::string& text, const std::string& file);
 Settings load_settings(const std::string& file);
 Operator parse_operator(const std::string& text, const std::string& file);
 Operator load_operator(const std::string& file);
 
-// How many status queries a second, each on a connection of its own, take half of the processor, at their
-// measured cost: 0.25 ms, packets included.
+// Returns the rate of status queries, per second, that uses half of the processor share. A query on its own
+// connection was measured to cost 0.25 ms, packets included.
 [[nodiscard]] double status_queries_per_s(const Settings& settings);
-// The share of a core with which a controller handles the heartbeats of as many workers as it has sockets
-// for, and does little else.
+// Returns the share of a core that a controller needs to handle the heartbeats of as many agents as it has
+// sockets for, with little left for other work.
 [[nodiscard]] double expected_cpu_share(const Settings& settings);
 
 }  // namespace coralhitch::config
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -1,6 +1,8 @@
 #include "config/toml_table.hpp"
 
+#include <algorithm>
 #include <cmath>
+#include <iomanip>
 #include <limits>
 #include <sstream>
 
@@ -10,14 +12,28 @@
 namespace {
 constexpr int max_port = 65535;
 
-// Without zeros at the end.
-std::string to_text(double number) {
+std::string to_text(double number, int significant_digits = 6) {
     std::ostringstream out;
-    out << number;
+    out << std::setprecision(significant_digits) << number;
     return out.str();
 }
 
-// 0 if the address has none.
+// Returns a value as an error shows it, on one line.
+std::string describe(const toml::node& node) {
+    if (auto* integer = node.as_integer()) return std::to_string(integer->get());
+    if (auto* number = node.as_floating_point()) return to_text(number->get(), 15);
+    if (auto* boolean = node.as_boolean()) return boolean->get() ? "true" : "false";
+    if (node.is_array()) return "a list";
+    if (node.is_table()) return "a table";
+    auto* string = node.as_string();
+    if (!string) return "a date or time";
+    auto text = string->get();
+    std::replace_if(
+        text.begin(), text.end(), [](unsigned char letter) { return letter < ' '; }, ' ');
+    return '"' + text + '"';
+}
+
+// Returns the port of an address, or 0 if it has none.
 int port_of(const std::string& address) {
     auto colon = address.rfind(':');
     if (colon == std::string::npos) return 0;
@@ -31,7 +47,7 @@
 
 std::string TomlTable::text(const char* field) const {
     auto value = node(field).value<std::string>();
-    if (!value || value->empty()) fail(field, "must be a string that is not empty");
+    if (!value || value->empty()) fail_with_value(field, "must be a string that is not empty");
     return *value;
 }
 
@@ -39,50 +55,52 @@
     auto value = text(field);
     int port = port_of(value);
     if (value.rfind(':') == 0 || port < 1 || port > max_port)
-        fail(field, "must be an address like 10.0.0.1:8080");
+        fail_with_value(field, "must be an address like 10.0.0.1:8080");
     return value;
 }
 
 double TomlTable::finite_number(const char* field) const {
     auto value = node(field).value<double>();
-    if (!value || !std::isfinite(*value)) fail(field, "must be a number");
+    if (!value || !std::isfinite(*value)) fail_with_value(field, "must be a number");
     return *value;
 }
 
-double TomlTable::number(const char* field, double least) const {
+double TomlTable::number(const char* field, double min) const {
     double value = finite_number(field);
-    if (value < least) fail(field, "must be at least " + to_text(least));
+    if (value < min) fail_with_value(field, "must be at least " + to_text(min));
     return value;
 }
 
-double TomlTable::number_within(const char* field, double least, double most) const {
-    double value = number(field, least);
-    if (value > most) fail(field, "must be at most " + to_text(most));
+double TomlTable::number_within(const char* field, double min, double max) const {
+    double value = number(field, min);
+    if (value > max) fail_with_value(field, "must be at most " + to_text(max));
     return value;
 }
 
 double TomlTable::positive_number(const char* field) const {
     double value = finite_number(field);
-    if (value <= 0) fail(field, "must be above 0");
+    if (value <= 0) fail_with_value(field, "must be above 0");
     return value;
 }
 
-std::uint32_t TomlTable::count(const char* field, std::uint32_t least) const {
+std::uint32_t TomlTable::count(const char* field, std::uint32_t min) const {
     auto value = node(field).value<std::int64_t>();
-    if (!value || *value < least || *value > std::numeric_limits<std::uint32_t>::max())
-        fail(field, "must be a whole number from " + std::to_string(least));
+    constexpr auto max = std::numeric_limits<std::uint32_t>::max();
+    if (!value || *value < min || *value > max)
+        fail_with_value(field,
+                        "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
     return static_cast<std::uint32_t>(*value);
 }
 
 std::vector<std::string> TomlTable::texts(const char* field) const {
     constexpr auto problem = "must be a list of strings";
     auto* array = node(field).as_array();
-    if (!array) fail(field, problem);
+    if (!array) fail_with_value(field, problem);
     std::vector<std::string> values;
     values.reserve(array->size());
     for (auto& element : *array) {
         auto value = element.value<std::string>();
-        if (!value) fail(field, problem);
+        if (!value) fail_with_value(field, problem, element);
         values.push_back(*value);
     }
     return values;
@@ -90,7 +108,7 @@
 
 TomlTable TomlTable::subtable(const char* field) const {
     auto* table = node(field).as_table();
-    if (!table) fail(field, "must be a table");
+    if (!table) fail_with_value(field, "must be a table");
     return {*table, file_, path(field)};
 }
 
@@ -98,12 +116,12 @@
     constexpr auto problem = "must be a list of tables";
     if (!has(field)) return {};
     auto* array = node(field).as_array();
-    if (!array) fail(field, problem);
+    if (!array) fail_with_value(field, problem);
     std::vector<TomlTable> tables;
     tables.reserve(array->size());
     for (auto& element : *array) {
         auto* table = element.as_table();
-        if (!table) fail(field, problem);
+        if (!table) fail_with_value(field, problem, element);
         tables.emplace_back(*table, file_, path(field) + "[" + std::to_string(tables.size()) + "]");
     }
     return tables;
@@ -123,4 +141,13 @@
     throw BadSettings(file_, path(field), problem);
 }
 
+void TomlTable::fail_with_value(const char* field, const std::string& problem) const {
+    fail_with_value(field, problem, node(field));
+}
+
+void TomlTable::fail_with_value(const char* field, const std::string& problem,
+                                const toml::node& found) const {
+    fail(field, problem + ", found " + describe(found));
+}
+
 }  // namespace coralhitch::config
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: what is taken, and complaints that name the field.
+// Tests that settings are read, and that errors name the field and the value found.
 #include "config/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -58,8 +58,9 @@
     EXPECT_EQ(s.teams.at(0).gpus, 8);
     EXPECT_EQ(s.txn_ops, 24u);
 }
-// The limits to come are kept to from the start; the layout of stored progress goes by the present one.
-TEST(Settings, KeepToTheSmallerOfThePresentAndTheNextLimits) {
+// The store may switch to its next limits without notice, so they apply from the start. The layout of stored
+// progress depends on the present limit alone.
+TEST(Settings, UseTheSmallerOfThePresentAndNextLimits) {
     struct Case {
         const char* next;
         double write_rps, safe_value_kb;
@@ -79,56 +80,64 @@
         EXPECT_EQ(s.value_kb, 16);
     }
 }
-TEST(Settings, TheShareExpectedGrowsWithTheWorkersThatMayCall) {
+TEST(Settings, ExpectedCpuShareGrowsWithTheNumberOfAgents) {
     auto s = parse_settings(good(), "f");
-    double all = expected_cpu_share(s), questions = status_queries_per_s(s);
-    EXPECT_GT(questions, 0);
-    EXPECT_GT(all, 0);
+    double share = expected_cpu_share(s), queries = status_queries_per_s(s);
+    EXPECT_GT(queries, 0);
+    EXPECT_GT(share, 0);
     s.sockets *= 2;
-    EXPECT_DOUBLE_EQ(expected_cpu_share(s), 2 * all);
+    EXPECT_DOUBLE_EQ(expected_cpu_share(s), 2 * share);
     s.heartbeat_interval_s *= 4;
-    EXPECT_DOUBLE_EQ(expected_cpu_share(s), all / 2);
+    EXPECT_DOUBLE_EQ(expected_cpu_share(s), share / 2);
     s.cpu_share /= 2;
-    EXPECT_DOUBLE_EQ(status_queries_per_s(s), questions / 2);
+    EXPECT_DOUBLE_EQ(status_queries_per_s(s), queries / 2);
 }
-TEST(Settings, ComplaintsNameFileAndField) {
+TEST(Settings, ErrorsNameFileFieldAndValue) {
     struct Case {
-        const char *from, *to, *says;
+        const char *from, *to, *message;
     };
     const Case cases[] = {
         {"label = \"berth-0\"\n", "", "'label' is missing"},
-        {"10.0.0.1:8080", "10.0.0.1", "'public_addr' must be an address"},
-        {"10.0.0.2:8081", "10.0.0.2:99999", "'seeds[0].peer_addr' must be an address"},
-        {"report_s = 3.0", "report_s = 0", "'cluster.workers.report_s' must be above 0"},
-        {"report_s = 3.0", "report_s = \"x\"", "'cluster.workers.report_s' must be a number"},
-        {"txn_ops = 24", "txn_ops = 1", "'cluster.state.txn_ops' must be a whole number"},
+        {"10.0.0.1:8080", "10.0.0.1",
+         "'public_addr' must be an address like 10.0.0.1:8080, found \"10.0.0.1\""},
+        {"10.0.0.2:8081", "10.0.0.2:99999",
+         "'seeds[0].peer_addr' must be an address like 10.0.0.1:8080, found \"10.0.0.2:99999\""},
+        {"report_s = 3.0", "report_s = 0", "'cluster.workers.report_s' must be above 0, found 0"},
+        {"report_s = 3.0", "report_s = \"x\"", "'cluster.workers.report_s' must be a number, found \"x\""},
+        {"txn_ops = 24", "txn_ops = 1",
+         "'cluster.state.txn_ops' must be a whole number from 2 to 4294967295, found 1"},
         {"[cluster.cloud]", "[cluster.clouds]", "'cluster.cloud' is missing"},
         {"nodes = 3", "nodes = ", "f: line"},
         {"core_share = 0.08\n", "", "'cluster.limits.core_share' is missing"},
-        {"core_share = 0.08", "core_share = 0", "'cluster.limits.core_share' must be at least 0.0001"},
-        {"core_share = 0.08", "core_share = -1", "'cluster.limits.core_share' must be at least 0.0001"},
-        {"core_share = 0.08", "core_share = 8000.0", "'cluster.limits.core_share' must be at most 1024"},
-        {"memory_mb = 136.0", "memory_mb = 0.1", "'cluster.limits.memory_mb' must be at least 8"},
-        {"memory_mb = 136.0", "memory_mb = 1e9", "'cluster.limits.memory_mb' must be at most 1.6e+07"},
-        {"sockets = 2500", "sockets = 0", "'cluster.limits.sockets' must be a whole number"},
+        {"core_share = 0.08", "core_share = 0",
+         "'cluster.limits.core_share' must be at least 0.0001, found 0"},
+        {"core_share = 0.08", "core_share = -1",
+         "'cluster.limits.core_share' must be at least 0.0001, found -1"},
+        {"core_share = 0.08", "core_share = 8000.0",
+         "'cluster.limits.core_share' must be at most 1024, found 8000"},
+        {"memory_mb = 136.0", "memory_mb = 0.1", "'cluster.limits.memory_mb' must be at least 8, found 0.1"},
+        {"memory_mb = 136.0", "memory_mb = 1e9",
+         "'cluster.limits.memory_mb' must be at most 1.6e+07, found 1000000000"},
+        {"sockets = 2500", "sockets = 0",
+         "'cluster.limits.sockets' must be a whole number from 16 to 4294967295, found 0"},
         {"cancel_s = 61.0", "cancel_s = 33.0",
-         "'cluster.workers.cancel_s' must be at least lease_s + report_s"},
-        {"gpus = 8", "gpus = -8", "'cluster.teams[0].gpus' must be at least 0"},
+         "'cluster.workers.cancel_s' must be at least lease_s + report_s, found 33"},
+        {"gpus = 8", "gpus = -8", "'cluster.teams[0].gpus' must be at least 0, found -8"},
     };
     for (auto& c : cases) {
         auto text = good();
         text.replace(text.find(c.from), std::string(c.from).size(), c.to);
         try {
             parse_settings(text, "f");
-            ADD_FAILURE() << c.says;
+            ADD_FAILURE() << c.message;
         } catch (const BadSettings& e) {
-            EXPECT_NE(std::string(e.what()).find(c.says), std::string::npos) << e.what();
+            EXPECT_NE(std::string(e.what()).find(c.message), std::string::npos) << e.what();
             EXPECT_EQ(std::string(e.what()).rfind("f: ", 0), 0u) << e.what();
         }
     }
     EXPECT_THROW(load_settings("/nowhere/at/all.toml"), BadSettings);
 }
-TEST(Settings, ComplaintsCarryTheFileAndTheField) {
+TEST(Settings, ErrorsCarryTheFileAndTheField) {
     auto text = good();
     text.replace(text.find("report_s = 3.0"), 14, "report_s = 0.0");
     try {
@@ -137,16 +146,16 @@
     } catch (const BadSettings& error) {
         EXPECT_EQ(error.file(), "f");
         EXPECT_EQ(error.field(), "cluster.workers.report_s");
-        EXPECT_STREQ(error.what(), "f: field 'cluster.workers.report_s' must be above 0");
+        EXPECT_STREQ(error.what(), "f: field 'cluster.workers.report_s' must be above 0, found 0");
     }
 }
-TEST(Operator, ComplaintsCarryTheFileAndTheField) {
+TEST(Operator, ErrorsCarryTheFileAndTheField) {
     try {
         parse_operator("draws: 1", "f");
         ADD_FAILURE();
     } catch (const BadSettings& error) {
         EXPECT_EQ(error.field(), "draws");
-        EXPECT_STREQ(error.what(), "f: field 'draws' must be from 2 to 64");
+        EXPECT_STREQ(error.what(), "f: field 'draws' must be from 2 to 64, found 1");
     }
 }
 TEST(Operator, IsReadAndRangesAreChecked) {
@@ -158,7 +167,8 @@
          {"draws: 1", "lease_ratio: 0.9", "nonsense: 1", "draws: \"x\"", "reserve_ratio: -1"})
         EXPECT_THROW(parse_operator(bad, "f"), BadSettings) << bad;
 }
-// Renamed fields are read under both names for a release; a file may hold both during an upgrade.
+// Renamed fields are read under both names for one release, because a file may contain both during an
+// upgrade.
 TEST(Operator, RelayHeartbeatsIsReadUnderBothNames) {
     EXPECT_TRUE(parse_operator("", "f").relay_heartbeats);
     EXPECT_FALSE(parse_operator("relay_heartbeats: false", "f").relay_heartbeats);
