--- a/src/protocol/heartbeat_reader.cpp
+++ b/src/protocol/heartbeat_reader.cpp
@@ -11,11 +11,11 @@
 
 TaskId task_id(std::string_view text) {
     auto slash = text.rfind('/');
-    if (slash == std::string_view::npos) bad("shard", "is not a task id");
+    if (slash == std::string_view::npos) throw_malformed("shard", "is not a task id");
     TaskId id{std::string(text.substr(0, slash)), 0};
     auto* text_end = text.data() + text.size();
     auto [end, error] = std::from_chars(text.data() + slash + 1, text_end, id.index);
-    if (error != std::errc() || end != text_end) bad("shard", "is not a task id");
+    if (error != std::errc() || end != text_end) throw_malformed("shard", "is not a task id");
     return id;
 }
 // Maps causes that this version does not know to `error`: the task has exited all the same.
@@ -61,7 +61,7 @@
     element notice;
     if (reader::find(object, "warning_s", notice)) {
         double seconds = 0;
-        if (notice.get(seconds) != simdjson::SUCCESS) bad("warning_s", "is not a number");
+        if (notice.get(seconds) != simdjson::SUCCESS) throw_malformed("warning_s", "is not a number");
         heartbeat.preemption_notice_s = seconds;
     }
     for (auto row : reader::list(object, "shards")) heartbeat.tasks.push_back(task_status(row));
--- a/src/protocol/job_json.cpp
+++ b/src/protocol/job_json.cpp
@@ -42,7 +42,8 @@
     if (!list) return {};
     auto ids = fields::texts(*list, dependencies_field);
     for (auto& id : ids)
-        if (!valid_job_id(id)) bad(dependencies_field, "holds something that is not of the form j-000412");
+        if (!valid_job_id(id))
+            throw_malformed(dependencies_field, "holds something that is not of the form j-000412");
     std::sort(ids.begin(), ids.end());
     ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
     return ids;
@@ -51,14 +52,14 @@
 Job job_of(const json& object) {
     Job job;
     job.id = fields::text(object, "id");
-    if (!valid_job_id(job.id)) bad("id", "is not of the form j-000412");
+    if (!valid_job_id(job.id)) throw_malformed("id", "is not of the form j-000412");
     job.job_class = fields::text(object, "cohort");
     job.team = fields::text(object, "crew");
     job.kind = named(kind_names, fields::text(object, "shape"), "shape");
     job.priority = named(priority_names, fields::text(object, "rank"), "rank");
     auto tasks = fields::count(object, "shards");
     constexpr std::uint64_t max_tasks = 100000;
-    if (tasks == 0 || tasks > max_tasks) bad("shards", "is out of range");
+    if (tasks == 0 || tasks > max_tasks) throw_malformed("shards", "is out of range");
     job.tasks = static_cast<std::uint32_t>(tasks);
     job.request = {fields::amount(object, "vcpus"), fields::amount(object, "cards"),
                    fields::amount(object, "ram_gb")};
--- a/src/protocol/json_fields.cpp
+++ b/src/protocol/json_fields.cpp
@@ -17,27 +17,27 @@
 }
 const json& need(const json& object, const char* field) {
     auto* value = find(object, field);
-    if (!value) bad(field, "is missing");
+    if (!value) throw_malformed(field, "is missing");
     return *value;
 }
 std::string text(const json& object, const char* field) {
     auto& value = need(object, field);
-    if (!value.is_string()) bad(field, "is not a string");
+    if (!value.is_string()) throw_malformed(field, "is not a string");
     auto string = value.get<std::string>();
-    if (string.empty()) bad(field, "is empty");
-    if (string.size() > max_text) bad(field, "is too long");
+    if (string.empty()) throw_malformed(field, "is empty");
+    if (string.size() > max_text) throw_malformed(field, "is too long");
     return string;
 }
 bool flag(const json& object, const char* field) {
     auto& value = need(object, field);
-    if (!value.is_boolean()) bad(field, "is not true or false");
+    if (!value.is_boolean()) throw_malformed(field, "is not true or false");
     return value.get<bool>();
 }
 double as_amount(const json& value, const char* field) {
-    if (!value.is_number()) bad(field, "is not a number");
+    if (!value.is_number()) throw_malformed(field, "is not a number");
     auto number = value.get<double>();
-    if (!std::isfinite(number)) bad(field, "is not finite");
-    if (number < 0) bad(field, "is negative");
+    if (!std::isfinite(number)) throw_malformed(field, "is not finite");
+    if (number < 0) throw_malformed(field, "is negative");
     return number;
 }
 double amount(const json& object, const char* field) {
@@ -45,19 +45,19 @@
 }
 std::uint64_t count(const json& object, const char* field) {
     auto& value = need(object, field);
-    if (!value.is_number_unsigned()) bad(field, "is not a count");
+    if (!value.is_number_unsigned()) throw_malformed(field, "is not a count");
     return value.get<std::uint64_t>();
 }
 const json& list(const json& object, const char* field) {
     auto& value = need(object, field);
-    if (!value.is_array()) bad(field, "is not a list");
+    if (!value.is_array()) throw_malformed(field, "is not a list");
     return value;
 }
 std::vector<std::string> texts(const json& value, const char* field) {
-    if (!value.is_array()) bad(field, "is not a list");
+    if (!value.is_array()) throw_malformed(field, "is not a list");
     std::vector<std::string> strings;
     for (auto& element : value) {
-        if (!element.is_string()) bad(field, "holds something that is not a string");
+        if (!element.is_string()) throw_malformed(field, "holds something that is not a string");
         strings.push_back(element.get<std::string>());
     }
     return strings;
--- a/src/protocol/json_reader.hpp
+++ b/src/protocol/json_reader.hpp
@@ -24,45 +24,46 @@
 // Returns a required field.
 inline element need(const object& parent, const char* field) {
     element value;
-    if (!find(parent, field, value)) bad(field, "is missing");
+    if (!find(parent, field, value)) throw_malformed(field, "is missing");
     return value;
 }
 // Returns a string that is not empty and not longer than max_text bytes.
 inline std::string text(const object& parent, const char* field) {
     std::string_view value;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a string");
-    if (value.empty()) bad(field, "is empty");
-    if (value.size() > max_text) bad(field, "is too long");
+    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a string");
+    if (value.empty()) throw_malformed(field, "is empty");
+    if (value.size() > max_text) throw_malformed(field, "is too long");
     return std::string(value);
 }
 inline bool flag(const object& parent, const char* field) {
     bool value = false;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not true or false");
+    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not true or false");
     return value;
 }
 inline std::uint64_t count(const object& parent, const char* field) {
     auto number = need(parent, field);
     std::uint64_t value = 0;
-    if (number.get(value) != simdjson::SUCCESS) bad(field, "is not a count");
+    if (number.get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a count");
     return value;
 }
 // Returns a number that is finite and not negative.
 inline double amount(const object& parent, const char* field) {
     double value = 0;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a number");
-    if (!std::isfinite(value)) bad(field, "is not finite");
-    if (value < 0) bad(field, "is negative");
+    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a number");
+    if (!std::isfinite(value)) throw_malformed(field, "is not finite");
+    if (value < 0) throw_malformed(field, "is negative");
     return value;
 }
 inline array list(const object& parent, const char* field) {
     array value;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a list");
+    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a list");
     return value;
 }
 // Returns an element of the list `list_name` as an object; the name is only used in the error.
 inline object as_object(const element& value, const char* list_name) {
     object row;
-    if (value.get(row) != simdjson::SUCCESS) bad(list_name, "holds something that is not an object");
+    if (value.get(row) != simdjson::SUCCESS)
+        throw_malformed(list_name, "holds something that is not an object");
     return row;
 }
 // Parses the body, which must be a JSON object. The result is valid until the parser is used again.
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -15,7 +15,7 @@
 inline constexpr std::size_t max_text = 512;
 
 // Throws Malformed for a field of a message or record.
-[[noreturn]] inline void bad(const char* field, const char* what) {
+[[noreturn]] inline void throw_malformed(const char* field, const char* what) {
     throw Malformed(std::string("field '") + field + "' " + what);
 }
 
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -18,10 +18,11 @@
 
 StoredMachine stored_machine(const json& row) {
     constexpr std::size_t text_columns = 4, columns = 6;  // the flags follow the texts
-    if (!row.is_array() || row.size() < columns) bad("machines", "holds something that is not a machine");
+    if (!row.is_array() || row.size() < columns)
+        throw_malformed("machines", "holds something that is not a machine");
     for (std::size_t k = 0; k < columns; ++k)
         if (k < text_columns ? !row[k].is_string() : !row[k].is_boolean())
-            bad("machines", "holds something that is not a machine");
+            throw_malformed("machines", "holds something that is not a machine");
     return {row[0].get<std::string>(),
             {row[1].get<std::string>(), row[2].get<std::string>(), row[3].get<std::string>(),
              row[4].get<bool>(), row[5].get<bool>()}};
@@ -142,7 +143,7 @@
     json object = fields::parse_object(text);
     InSyncReplicas replicas{LeaderVersion{fields::count(object, "version")}, {}};
     for (auto& member : fields::list(object, "members")) {
-        if (!member.is_object()) bad("members", "holds something that is not a member");
+        if (!member.is_object()) throw_malformed("members", "holds something that is not a member");
         // Versions without replica handover omit the field: they list only followers to which the leader of
         // this record has sent a snapshot itself.
         replicas.members.push_back({fields::text(member, "label"),
@@ -155,12 +156,12 @@
 std::vector<bool> parse_bits(std::string_view text) {
     json object = fields::parse_object(text);
     auto& value = fields::need(object, "bits");
-    if (!value.is_string()) bad("bits", "is not a string");
+    if (!value.is_string()) throw_malformed("bits", "is not a string");
     auto& hex = value.get_ref<const std::string&>();
     std::vector<bool> bits(hex.size() * bits_per_digit);
     for (std::size_t i = 0; i < hex.size(); ++i) {
         int digit = hex[i] >= 'a' ? hex[i] - 'a' + 10 : hex[i] - '0';
-        if (digit < 0 || digit > 15) bad("bits", "is not hexadecimal");
+        if (digit < 0 || digit > 15) throw_malformed("bits", "is not hexadecimal");
         for (std::size_t k = 0; k < bits_per_digit; ++k) bits[i * bits_per_digit + k] = (digit >> k) & 1;
     }
     return bits;
