--- a/src/protocol/json_fields.cpp
+++ b/src/protocol/json_fields.cpp
@@ -15,13 +15,13 @@
     auto it = object.find(field);
     return it == object.end() || it->is_null() ? nullptr : &*it;
 }
-const json& need(const json& object, const char* field) {
+const json& required(const json& object, const char* field) {
     auto* value = find(object, field);
     if (!value) throw_malformed(field, "is missing");
     return *value;
 }
 std::string text(const json& object, const char* field) {
-    auto& value = need(object, field);
+    auto& value = required(object, field);
     if (!value.is_string()) throw_malformed(field, "is not a string");
     auto string = value.get<std::string>();
     if (string.empty()) throw_malformed(field, "is empty");
@@ -29,7 +29,7 @@
     return string;
 }
 bool flag(const json& object, const char* field) {
-    auto& value = need(object, field);
+    auto& value = required(object, field);
     if (!value.is_boolean()) throw_malformed(field, "is not true or false");
     return value.get<bool>();
 }
@@ -41,15 +41,15 @@
     return number;
 }
 double amount(const json& object, const char* field) {
-    return as_amount(need(object, field), field);
+    return as_amount(required(object, field), field);
 }
 std::uint64_t count(const json& object, const char* field) {
-    auto& value = need(object, field);
+    auto& value = required(object, field);
     if (!value.is_number_unsigned()) throw_malformed(field, "is not a count");
     return value.get<std::uint64_t>();
 }
 const json& list(const json& object, const char* field) {
-    auto& value = need(object, field);
+    auto& value = required(object, field);
     if (!value.is_array()) throw_malformed(field, "is not a list");
     return value;
 }
--- a/src/protocol/json_fields.hpp
+++ b/src/protocol/json_fields.hpp
@@ -17,7 +17,7 @@
 // Returns nullptr if the field is absent or null; the protocol treats both alike.
 const nlohmann::json* find(const nlohmann::json& object, const char* field);
 // Returns a required field.
-const nlohmann::json& need(const nlohmann::json& object, const char* field);
+const nlohmann::json& required(const nlohmann::json& object, const char* field);
 // Returns a string that is not empty and not longer than max_text bytes.
 std::string text(const nlohmann::json& object, const char* field);
 bool flag(const nlohmann::json& object, const char* field);
--- a/src/protocol/json_reader.hpp
+++ b/src/protocol/json_reader.hpp
@@ -22,7 +22,7 @@
     return parent.at_key(field).get(value) == simdjson::SUCCESS && !value.is_null();
 }
 // Returns a required field.
-inline element need(const object& parent, const char* field) {
+inline element required(const object& parent, const char* field) {
     element value;
     if (!find(parent, field, value)) throw_malformed(field, "is missing");
     return value;
@@ -30,18 +30,19 @@
 // Returns a string that is not empty and not longer than max_text bytes.
 inline std::string text(const object& parent, const char* field) {
     std::string_view value;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a string");
+    if (required(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a string");
     if (value.empty()) throw_malformed(field, "is empty");
     if (value.size() > max_text) throw_malformed(field, "is too long");
     return std::string(value);
 }
 inline bool flag(const object& parent, const char* field) {
     bool value = false;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not true or false");
+    if (required(parent, field).get(value) != simdjson::SUCCESS)
+        throw_malformed(field, "is not true or false");
     return value;
 }
 inline std::uint64_t count(const object& parent, const char* field) {
-    auto number = need(parent, field);
+    auto number = required(parent, field);
     std::uint64_t value = 0;
     if (number.get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a count");
     return value;
@@ -49,14 +50,14 @@
 // Returns a number that is finite and not negative.
 inline double amount(const object& parent, const char* field) {
     double value = 0;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a number");
+    if (required(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a number");
     if (!std::isfinite(value)) throw_malformed(field, "is not finite");
     if (value < 0) throw_malformed(field, "is negative");
     return value;
 }
 inline array list(const object& parent, const char* field) {
     array value;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a list");
+    if (required(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a list");
     return value;
 }
 // Returns an element of the list `list_name` as an object; the name is only used in the error.
--- a/src/protocol/kv_api.cpp
+++ b/src/protocol/kv_api.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 std::string value_of(const reader::object& row) {
-    return simdjson::minify(reader::need(row, "value"));
+    return simdjson::minify(reader::required(row, "value"));
 }
 }  // namespace
 
@@ -35,7 +35,7 @@
 
 Entry parse_entry(std::string_view body) {
     json object = fields::parse_object(body);
-    Entry entry{fields::text(object, "path"), fields::dump(fields::need(object, "value")),
+    Entry entry{fields::text(object, "path"), fields::dump(fields::required(object, "value")),
                 fields::count(object, "stamp"), 0};
     if (auto* lease = fields::find(object, "mooring"); lease && lease->is_number_unsigned())
         entry.lease = lease->get<std::uint64_t>();
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -90,7 +90,7 @@
 JobRecord parse_job_record(std::string_view text) {
     json object = fields::parse_object(text);
     auto* awaiting = fields::find(object, awaiting_field);
-    return {job_of(awaiting ? *awaiting : fields::need(object, job_field)),
+    return {job_of(awaiting ? *awaiting : fields::required(object, job_field)),
             fields::amount(object, "submitted"), fields::flag(object, "cancelled")};
 }
 LiveRecord parse_live_record(std::string_view text) {
@@ -155,7 +155,7 @@
 }
 std::vector<bool> parse_bits(std::string_view text) {
     json object = fields::parse_object(text);
-    auto& value = fields::need(object, "bits");
+    auto& value = fields::required(object, "bits");
     if (!value.is_string()) throw_malformed("bits", "is not a string");
     auto& hex = value.get_ref<const std::string&>();
     std::vector<bool> bits(hex.size() * bits_per_digit);
