--- a/src/protocol/job_json.cpp
+++ b/src/protocol/job_json.cpp
@@ -49,7 +49,7 @@
     return ids;
 }
 
-Job job_of(const json& object) {
+Job parse_job_object(const json& object) {
     Job job;
     job.id = fields::text(object, "id");
     if (!valid_job_id(job.id)) throw_malformed("id", "is not of the form j-000412");
--- a/src/protocol/job_json.hpp
+++ b/src/protocol/job_json.hpp
@@ -12,7 +12,7 @@
 // Returns the JSON form of a job.
 nlohmann::json job_json(const Job& job);
 // Parses a job. Throws Malformed.
-Job job_of(const nlohmann::json& object);
+Job parse_job_object(const nlohmann::json& object);
 // Returns the ids of the jobs that the job depends on, sorted and without duplicates. Throws Malformed.
 std::vector<std::string> dependencies_of(const nlohmann::json& object);
 // Returns whether the dependencies field is present, even if its list is empty.
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -90,7 +90,7 @@
 JobRecord parse_job_record(std::string_view text) {
     json object = fields::parse_object(text);
     auto* awaiting = fields::find(object, awaiting_field);
-    return {job_of(awaiting ? *awaiting : fields::required(object, job_field)),
+    return {parse_job_object(awaiting ? *awaiting : fields::required(object, job_field)),
             fields::amount(object, "submitted"), fields::flag(object, "cancelled")};
 }
 LiveRecord parse_live_record(std::string_view text) {
--- a/src/protocol/user_api.cpp
+++ b/src/protocol/user_api.cpp
@@ -16,7 +16,7 @@
     return fields::dump(job_json(job));
 }
 Job parse_job(std::string_view body) {
-    return job_of(fields::parse_object(body));
+    return parse_job_object(fields::parse_object(body));
 }
 std::optional<std::string> job_id_of(std::string_view body) {
     json object = json::parse(body, nullptr, false);
