--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -8,7 +8,7 @@
 namespace coralhitch::config {
 namespace {
 
-std::string good() {
+std::string valid_settings() {
     return R"(label = "berth-0"
 domain = "z1"
 public_addr = "10.0.0.1:8080"
@@ -53,7 +53,7 @@
 }
 
 TEST(Settings, AreRead) {
-    auto s = parse_settings(good(), "f");
+    auto s = parse_settings(valid_settings(), "f");
     EXPECT_EQ(s.peers.at(0).addr, "10.0.0.2:8081");
     EXPECT_EQ(s.teams.at(0).gpus, 8);
     EXPECT_EQ(s.txn_ops, 24u);
@@ -73,7 +73,7 @@
         {"[cluster.state.next]\nwrite_rps = 80.0\nvalue_kb = 64.0\ntxn_ops = 99\n", 40, 16, 24},
     };
     for (auto& c : cases) {
-        auto s = parse_settings(good() + c.next, "f");
+        auto s = parse_settings(valid_settings() + c.next, "f");
         EXPECT_EQ(s.kv_write_rps, c.write_rps);
         EXPECT_EQ(s.safe_value_kb, c.safe_value_kb);
         EXPECT_EQ(s.txn_ops, c.txn_ops);
@@ -81,7 +81,7 @@
     }
 }
 TEST(Settings, ExpectedCpuShareGrowsWithTheNumberOfAgents) {
-    auto s = parse_settings(good(), "f");
+    auto s = parse_settings(valid_settings(), "f");
     double share = expected_cpu_share(s), queries = status_queries_per_s(s);
     EXPECT_GT(queries, 0);
     EXPECT_GT(share, 0);
@@ -125,7 +125,7 @@
         {"gpus = 8", "gpus = -8", "'cluster.teams[0].gpus' must be at least 0, found -8"},
     };
     for (auto& c : cases) {
-        auto text = good();
+        auto text = valid_settings();
         text.replace(text.find(c.from), std::string(c.from).size(), c.to);
         try {
             parse_settings(text, "f");
@@ -138,7 +138,7 @@
     EXPECT_THROW(load_settings("/nowhere/at/all.toml"), BadSettings);
 }
 TEST(Settings, ErrorsCarryTheFileAndTheField) {
-    auto text = good();
+    auto text = valid_settings();
     text.replace(text.find("report_s = 3.0"), 14, "report_s = 0.0");
     try {
         parse_settings(text, "f");
