--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -15,7 +15,7 @@
 namespace coralhitch::protocol {
 namespace {
 
-nlohmann::json good_job() {
+nlohmann::json valid_job() {
     return {{"id", "j-000412"},  {"cohort", "train"},   {"crew", "vision"}, {"shape", "gang"},
             {"rank", "high"},    {"shards", 16},        {"vcpus", 8.0},     {"cards", 1.0},
             {"ram_gb", 64.0},    {"payload", "img-07"}, {"image_gb", 6.2},  {"hulls", {"g8"}},
@@ -24,7 +24,7 @@
 }
 
 TEST(JobMessage, IsAcceptedAndStoredWithoutLoss) {
-    auto job = parse_job(good_job().dump());
+    auto job = parse_job(valid_job().dump());
     EXPECT_EQ(job.kind, JobKind::gang);
     EXPECT_EQ(job.priority, Priority::high);
     auto back = parse_job_record(stored(JobRecord{job, 12.5, true}));
@@ -71,13 +71,13 @@
         {"awaits", {{"j-1", true}}},
     };
     for (auto& c : cases) {
-        auto j = good_job();
+        auto j = valid_job();
         j[c.field] = c.value;
         EXPECT_THROW(parse_job(j.dump()), Malformed) << c.field << " = " << c.value;
     }
     for (const char* body : {"", "{", "[]", "7", "null", "{\"id\":\"j-1\"}"})
         EXPECT_THROW(parse_job(body), Malformed) << body;
-    auto j = good_job();
+    auto j = valid_job();
     auto text = j.dump();
     text.replace(text.find("8.0"), 3, "1e999");  // not finite
     EXPECT_THROW(parse_job(text), Malformed);
@@ -90,7 +90,7 @@
     };
     for (auto& c : {Case{nullptr, {}}, Case{nlohmann::json::array(), {}}, Case{{"j-2"}, {"j-2"}},
                     Case{{"j-2", "j-1", "j-2"}, {"j-1", "j-2"}}}) {
-        auto j = good_job();
+        auto j = valid_job();
         EXPECT_TRUE(parse_job(j.dump()).dependencies.empty());
         j["awaits"] = c.value;
         auto job = parse_job(j.dump());
@@ -111,7 +111,7 @@
 TEST(Stored, RecordsOfThePreviousVersionAreReadAndWrittenIdentically) {
     constexpr const char* job =
         R"({"cancelled":false,"job":{"anchor_s":30.0,"cards":1.0,"cohort":"train","crew":"vision","driftwood":true,"hulls":["g8"],"id":"j-000412","image_gb":6.2,"payload":"img-07","ram_gb":64.0,"rank":"high","reckon_s":240.0,"scatter":false,"shape":"gang","shards":16,"stow_s":4.0,"tide_s":900.0,"together":true,"vcpus":8.0},"submitted":12.5})";
-    EXPECT_EQ(stored(JobRecord{parse_job(good_job().dump()), 12.5, false}), job);
+    EXPECT_EQ(stored(JobRecord{parse_job(valid_job().dump()), 12.5, false}), job);
     EXPECT_EQ(stored(parse_job_record(job)), job);
     EXPECT_FALSE(parse_live_record(job).cancelled);
     constexpr const char* final = R"({"state":"done","tasks":16})";
@@ -129,7 +129,7 @@
 // A cancellation rewrites the record, which may have been stored when the store's limit for values was
 // larger.
 TEST(Stored, ACancelledRecordCanBeCompacted) {
-    auto j = good_job();
+    auto j = valid_job();
     for (auto f : {"cohort", "payload"}) j[f] = std::string(512, 'x');
     j["hulls"] = std::vector<std::string>(300, "g8");
     j["id"] = "j-" + std::string(62, '1');
