--- a/tests/protocol/strong_number_test.cpp
+++ b/tests/protocol/strong_number_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using FirstNumber = StrongNumber<struct ApplesTag>;
-using Pears = StrongNumber<struct PearsTag>;
+using SecondNumber = StrongNumber<struct PearsTag>;
 
 constexpr std::uint64_t edge_values[] = {
     0,     1,     127,      128,        255,        256,
@@ -23,9 +23,9 @@
     static_assert(!std::is_convertible_v<std::uint64_t, FirstNumber>);
     static_assert(!std::is_convertible_v<FirstNumber, std::uint64_t>);
     static_assert(!std::is_convertible_v<FirstNumber, bool>);
-    static_assert(!std::is_constructible_v<FirstNumber, Pears>);
-    static_assert(!std::is_assignable_v<FirstNumber&, Pears>);
-    static_assert(!std::equality_comparable_with<FirstNumber, Pears>);
+    static_assert(!std::is_constructible_v<FirstNumber, SecondNumber>);
+    static_assert(!std::is_assignable_v<FirstNumber&, SecondNumber>);
+    static_assert(!std::equality_comparable_with<FirstNumber, SecondNumber>);
     static_assert(!std::equality_comparable_with<FirstNumber, std::uint64_t>);
     static_assert(sizeof(FirstNumber) == sizeof(std::uint64_t) && std::is_trivially_copyable_v<FirstNumber>);
 }
