--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -12,6 +12,7 @@
 namespace {
 constexpr int max_port = 65535;
 
+// Returns a number without trailing zeros.
 std::string to_text(double number, int significant_digits = 6) {
     std::ostringstream out;
     out << std::setprecision(significant_digits) << number;
--- a/src/protocol/model.hpp
+++ b/src/protocol/model.hpp
@@ -14,6 +14,7 @@
 
 // How the tasks of a job are scheduled: independently, all together, or as a long-running service.
 enum class JobKind { array, gang, service };
+// The priority of a job, lowest first.
 enum class Priority { low, normal, high, production };
 
 // Identifies one task of a job by its index, counted from 0.
@@ -73,6 +74,7 @@
     std::vector<std::string> dependencies;  // sorted ids of jobs that must be done before this one starts
 };
 
+// The state of a job, as users see it.
 enum class JobState { queued, running, done, cancelled };
 
 // The status of a job as a user sees it.
@@ -82,7 +84,9 @@
     std::optional<std::uint64_t> done, running;  // numbers of tasks; unset if not known
 };
 
+// The state of a task on a machine.
 enum class TaskState { fetching, waiting, running, checkpointing, exited };
+// The reason for the exit of a task.
 enum class ExitCause {
     none,
     done,
@@ -91,7 +95,7 @@
     gang_incomplete,   // its gang did not become complete in time
     error,
     insufficient_resources,  // the agent refused the start
-    other_attempt_present,   // the agent refused the start: the machine runs another attempt of this task
+    other_attempt_present,   // the agent refused the start: the machine holds another attempt of this task
     unknown
 };
 
@@ -115,6 +119,8 @@
     std::vector<TaskStatus> tasks;
 };
 
+// Kinds of commands. `forget` tells the agent that the outcome of an exited task is stored, so that it may
+// drop the task.
 enum class CommandKind { start, stop, forget };
 // A command to an agent about one task. `grace_s` is only used by `stop`.
 struct Command {
@@ -143,6 +149,7 @@
 };
 using ImageIds = std::vector<std::uint32_t>;  // sorted ids, one for each image name
 
+// The state of a machine, as the cloud lists it.
 enum class HostState { booting, running, failed };
 // A machine as the cloud lists it.
 struct Host {
--- a/src/verification/checker.hpp
+++ b/src/verification/checker.hpp
@@ -49,15 +49,19 @@
 
     // The calls below report what users do and which answers they receive.
     void submitted(const protocol::Job& job);
+    // Declares that the job cannot run, so that no answer may accept it.
     void must_be_refused(const std::string& id) { known_job(id).must_be_refused = true; }
+    // Declares that the job's tasks always fail, so that the job may wait without limit.
     void fails_everywhere(const std::string& id) { known_job(id).fails_everywhere = true; }
+    // Records that the job was accepted before any later call.
     void accepted(const std::string& id);
     void cancel_requested(const std::string& id) { known_job(id).cancel_requested = true; }
     // Checks an answer. Answers may overtake each other, so an answer is only compared with those that any
     // user had received before its request was sent: it must not be older than those.
     void answered(const Answer& answer);
-    // Checks an answer for which the caller ensures the order. The caller must pass a state other than done
-    // and cancelled to a job that has ended only if the user knew of the end before sending the request.
+    // Checks an answer against every answer received so far. The caller ensures the order: it must not pass a
+    // state other than done and cancelled if a user learned that the job had ended only after the request was
+    // sent.
     void status_answered(double now, const std::string& id, protocol::JobState state);
     // Checks an answer with status 404 to a status query.
     void not_found_answered(double now, const std::string& id);
