--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -19,7 +19,7 @@
         if (command.kind == CommandKind::stop) object["slack_s"] = command.grace_s;
         list.push_back(std::move(object));
     }
-    return fields::dump(list);
+    return fields::to_json_text(list);
 }
 }  // namespace
 
@@ -59,7 +59,7 @@
            std::to_string(agent_epoch.value()) + R"(,"orders":)" + command_list(commands) + '}';
 }
 std::string heartbeat_redirect(std::string_view label) {
-    return label.empty() ? "{}" : fields::dump(json{{"harbor", label}});
+    return label.empty() ? "{}" : fields::to_json_text(json{{"harbor", label}});
 }
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/cloud_api.cpp
+++ b/src/protocol/cloud_api.cpp
@@ -52,7 +52,7 @@
 }
 std::string rent_request(std::string_view name, std::string_view type, std::string_view zone, bool spot,
                          int count) {
-    return fields::dump(
+    return fields::to_json_text(
         json{{"charter", name}, {"hull", type}, {"reef", zone}, {"driftwood", spot}, {"how_many", count}});
 }
 std::vector<std::string> parse_rented(std::string_view body) {
@@ -62,7 +62,7 @@
 std::string delete_request(std::span<const std::string> machines) {
     json ids = json::array();
     for (auto& id : machines) ids.push_back(id);
-    return fields::dump(json{{"berths", ids}});
+    return fields::to_json_text(json{{"berths", ids}});
 }
 
 HostPage parse_hosts(std::string_view body) {
--- a/src/protocol/json_fields.cpp
+++ b/src/protocol/json_fields.cpp
@@ -62,7 +62,7 @@
     }
     return strings;
 }
-std::string dump(const json& value) {
+std::string to_json_text(const json& value) {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/src/protocol/json_fields.hpp
+++ b/src/protocol/json_fields.hpp
@@ -30,6 +30,6 @@
 const nlohmann::json& list(const nlohmann::json& object, const char* field);
 std::vector<std::string> texts(const nlohmann::json& value, const char* field);
 // Returns the JSON text; bytes that are not UTF-8 are replaced. Does not throw Malformed.
-std::string dump(const nlohmann::json& value);
+std::string to_json_text(const nlohmann::json& value);
 
 }  // namespace coralhitch::protocol::fields
--- a/src/protocol/kv_api.cpp
+++ b/src/protocol/kv_api.cpp
@@ -35,7 +35,7 @@
 
 Entry parse_entry(std::string_view body) {
     json object = fields::parse_object(body);
-    Entry entry{fields::text(object, "path"), fields::dump(fields::required(object, "value")),
+    Entry entry{fields::text(object, "path"), fields::to_json_text(fields::required(object, "value")),
                 fields::count(object, "stamp"), 0};
     if (auto* lease = fields::find(object, "mooring"); lease && lease->is_number_unsigned())
         entry.lease = lease->get<std::uint64_t>();
@@ -46,13 +46,13 @@
     std::string text = R"({"if":[)";
     for (auto& condition : transaction.conditions) {
         if (text.back() == '}') text += ',';
-        text += R"({"path":)" + fields::dump(condition.key);
+        text += R"({"path":)" + fields::to_json_text(condition.key);
         text += R"(,"stamp":)" + std::to_string(condition.version) + '}';
     }
     text += R"(],"then":[)";
     for (auto& change : transaction.changes) {
         if (text.back() == '}') text += ',';
-        text += (change.value ? R"({"put":)" : R"({"drop":)") + fields::dump(change.key);
+        text += (change.value ? R"({"put":)" : R"({"drop":)") + fields::to_json_text(change.key);
         if (change.value) text += R"(,"value":)" + *change.value;
         if (change.value && change.lease) text += R"(,"mooring":)" + std::to_string(change.lease);
         text += '}';
@@ -67,7 +67,7 @@
     return {fields::texts(fields::list(object, "failed"), "failed")};
 }
 std::string lease_request(std::uint64_t ttl_ms) {
-    return fields::dump(json{{"ttl_ms", ttl_ms}});
+    return fields::to_json_text(json{{"ttl_ms", ttl_ms}});
 }
 std::uint64_t parse_lease(std::string_view body) {
     return fields::count(fields::parse_object(body), "mooring");
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -43,27 +43,28 @@
                             {"spot_price", type.spot_price},
                             {"startup_s", type.boot_s},
                             {"reefs", type.zones}});
-    return fields::dump(json{{"hulls", rows}});
+    return fields::to_json_text(json{{"hulls", rows}});
 }
 std::string stored(const JobRecord& record) {
     auto* field = record.job.dependencies.empty() ? job_field : awaiting_field;
-    return fields::dump(json{
+    return fields::to_json_text(json{
         {field, job_json(record.job)}, {"submitted", record.submitted}, {"cancelled", record.cancelled}});
 }
 std::string stored(const FinalRecord& record) {
-    return fields::dump(json{{"state", name_of(job_state_names, record.state)}, {"tasks", record.tasks}});
+    return fields::to_json_text(
+        json{{"state", name_of(job_state_names, record.state)}, {"tasks", record.tasks}});
 }
 std::string stored(const MachinePage& page) {
     json rows = json::array();
     for (auto& [id, record] : page)
         rows.push_back(json::array(
             {id, record.addr, record.type, record.zone, record.spot, record.marked_for_deletion}));
-    return fields::dump(json{{"machines", std::move(rows)}});
+    return fields::to_json_text(json{{"machines", std::move(rows)}});
 }
 std::string stored(const LeaderRecord& record) {
     json object{{"label", record.label}, {"incarnation", record.incarnation.value()}};
     if (record.stores_in_sync_replicas) object["standby"] = true;
-    return fields::dump(object);
+    return fields::to_json_text(object);
 }
 std::string stored(const InSyncReplicas& replicas) {
     json members = json::array();
@@ -71,7 +72,7 @@
         members.push_back(json{{"label", member.label},
                                {"incarnation", member.incarnation.value()},
                                {"begun", member.base_version.value()}});
-    return fields::dump(json{{"version", replicas.leader_version.value()}, {"members", members}});
+    return fields::to_json_text(json{{"version", replicas.leader_version.value()}, {"members", members}});
 }
 std::string stored_bits(const std::vector<bool>& bits) {
     constexpr std::string_view digits = "0123456789abcdef";
@@ -84,7 +85,7 @@
         }
         hex[i] = digits[value];
     }
-    return fields::dump(json{{"bits", hex}});
+    return fields::to_json_text(json{{"bits", hex}});
 }
 
 JobRecord parse_job_record(std::string_view text) {
--- a/src/protocol/user_api.cpp
+++ b/src/protocol/user_api.cpp
@@ -13,7 +13,7 @@
     return std::all_of(id.begin() + 2, id.end(), [](char digit) { return digit >= '0' && digit <= '9'; });
 }
 std::string submission(const Job& job) {
-    return fields::dump(job_json(job));
+    return fields::to_json_text(job_json(job));
 }
 Job parse_job(std::string_view body) {
     return parse_job_object(fields::parse_object(body));
@@ -29,14 +29,14 @@
     json object{{"id", status.id}, {"status", name_of(job_state_names, status.state)}};
     if (status.done) object["done"] = *status.done;
     if (status.running) object["running"] = *status.running;
-    return fields::dump(object);
+    return fields::to_json_text(object);
 }
 bool names_dependencies(std::string_view body) {
     json object = json::parse(body, nullptr, false);
     return object.is_object() && has_dependencies(object);
 }
 std::string error_body(std::string_view text) {
-    return fields::dump(json{{"error", text}});
+    return fields::to_json_text(json{{"error", text}});
 }
 
 }  // namespace coralhitch::protocol
