--- a/tests/protocol/golden_bytes_test.cpp
+++ b/tests/protocol/golden_bytes_test.cpp
@@ -213,7 +213,7 @@
     EXPECT_EQ(r.cancelled, GetParam().record.cancelled);
     EXPECT_EQ(stored(r), GetParam().golden);
 }
-TEST_P(JobRecords, AreReadAsFarAsAnswersNeedThem) {
+TEST_P(JobRecords, AreReadAsLiveRecords) {
     auto live = parse_live_record(GetParam().golden);
     EXPECT_EQ(live.cancelled, GetParam().record.cancelled);
     EXPECT_EQ(live.dependencies, GetParam().record.job.dependencies);
