--- a/src/protocol/peer_cancellation_messages.hpp
+++ b/src/protocol/peer_cancellation_messages.hpp
@@ -16,8 +16,8 @@
 };
 // The answer to a `PeerCancellationBatch`. The previous version answers without a body.
 struct PeerCancellationResponse {
-    LeaderVersion taken_by;  // leadership that has applied it; none: the answering controller does not lead
-    MSGPACK_DEFINE(taken_by)
+    LeaderVersion applied_by;  // leadership that has applied it; none: the answering controller does not lead
+    MSGPACK_DEFINE(applied_by)
 };
 
 }  // namespace coralhitch::protocol
--- a/src/relay/cancellation_notices.cpp
+++ b/src/relay/cancellation_notices.cpp
@@ -35,7 +35,7 @@
                 // A controller of the previous software version answers without a body, which does not count
                 // as an acknowledgement.
                 auto answer = protocol::unpack_peer<protocol::PeerCancellationResponse>(response->body);
-                if (answer && answer->taken_by.is_set()) acknowledge(message, answer->taken_by);
+                if (answer && answer->applied_by.is_set()) acknowledge(message, answer->applied_by);
             }));
 }
 
--- a/tests/controller/user_router_test.cpp
+++ b/tests/controller/user_router_test.cpp
@@ -128,7 +128,7 @@
     EXPECT_FALSE(protocol::unpack_peer<protocol::RelayResponse>(relayed.body)->is_leader);
     auto cancelled = serve_peer("POST", protocol::peer_cancellation_path,
                                 protocol::pack_peer(protocol::PeerCancellation{"job-1", 3}));
-    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancellationResponse>(cancelled.body)->taken_by,
+    EXPECT_EQ(protocol::unpack_peer<protocol::PeerCancellationResponse>(cancelled.body)->applied_by,
               protocol::LeaderVersion::none());
 }
 
--- a/tests/protocol/golden_bytes_peer_test.cpp
+++ b/tests/protocol/golden_bytes_peer_test.cpp
@@ -123,7 +123,7 @@
                                       .version = 7,
                                       .more = {{.id = "j-2", .version = 8}, {.id = "j-3", .version = 9}}}),
         message("CancelledAnswer", peer_cancelled_answer, peer_cancelled_answer_unset,
-                PeerCancellationResponse{.taken_by = LeaderVersion{12}}),
+                PeerCancellationResponse{.applied_by = LeaderVersion{12}}),
         message("Images", peer_images, peer_images_unset,
                 PeerImages{
                     .names = {"img-1", "img-2"},
@@ -260,7 +260,7 @@
     EXPECT_EQ(again.more[0].version, 8u);
     EXPECT_EQ(again.more[1].id, "j-3");
     EXPECT_EQ(again.more[1].version, 9u);
-    EXPECT_EQ(read<PeerCancellationResponse>(golden::peer_cancelled_answer).taken_by, LeaderVersion{12});
+    EXPECT_EQ(read<PeerCancellationResponse>(golden::peer_cancelled_answer).applied_by, LeaderVersion{12});
 }
 // Both messages are sent to the same path, so each must be readable as the other.
 TEST(GoldenBytes, SingleAndBatchedCancellationsAreReadAsEachOther) {
