--- a/src/protocol/agent_api.cpp
+++ b/src/protocol/agent_api.cpp
@@ -8,7 +8,7 @@
 using nlohmann::json;
 
 namespace {
-// Most responses hold none.
+// Skips the JSON library for an empty list, because most responses carry no commands.
 std::string command_list(std::span<const Command> commands) {
     if (commands.empty()) return "[]";
     json list = json::array();
@@ -19,7 +19,7 @@
         if (command.kind == CommandKind::stop) object["slack_s"] = command.grace_s;
         list.push_back(std::move(object));
     }
-    return fields::dumped(list);
+    return fields::to_json_text(list);
 }
 }  // namespace
 
@@ -47,7 +47,7 @@
     auto [last, error] = std::from_chars(body.data() + outline.sequence_offset, text_end, sequence);
     outline.sequence = SequenceNumber{sequence};
     outline.sequence_digits = static_cast<std::size_t>(last - body.data()) - outline.sequence_offset;
-    // An escape would make the name another one.
+    // With an escape sequence in it, the raw text is not the machine's name.
     if (error != std::errc() || outline.machine.find('\\') != npos) return std::nullopt;
     return outline;
 }
@@ -59,7 +59,7 @@
            std::to_string(agent_epoch.value()) + R"(,"orders":)" + command_list(commands) + '}';
 }
 std::string heartbeat_redirect(std::string_view label) {
-    return label.empty() ? "{}" : fields::dumped(json{{"harbor", label}});
+    return label.empty() ? "{}" : fields::to_json_text(json{{"harbor", label}});
 }
 
 }  // namespace coralhitch::protocol
--- a/src/protocol/json_reader.hpp
+++ b/src/protocol/json_reader.hpp
@@ -1,5 +1,7 @@
-// Reads JSON that comes often or is long, without building a tree of values: what a new leader reads first
-// took it longer that way than all it did with it. For the sources of this package only. Throws Malformed.
+// Reads fields of JSON with simdjson, for messages that are frequent or long. Building nlohmann::json trees
+// of the state that a new leader loads took longer than all processing of that state. Internal to this
+// package. Unless said otherwise, a function throws Malformed if the field is missing or its value has the
+// wrong type.
 #pragma once
 #include <simdjson.h>
 
@@ -15,54 +17,57 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// Absent and null are the same.
+// Returns false if the field is absent or null; the protocol treats both alike. Does not throw.
 inline bool find(const object& parent, const char* field, element& value) {
     return parent.at_key(field).get(value) == simdjson::SUCCESS && !value.is_null();
 }
-inline element need(const object& parent, const char* field) {
+// Returns a required field.
+inline element required(const object& parent, const char* field) {
     element value;
-    if (!find(parent, field, value)) bad(field, "is missing");
+    if (!find(parent, field, value)) throw_malformed(field, "is missing");
     return value;
 }
-// Not empty, and no longer than max_text.
+// Returns a string that is not empty and not longer than max_text bytes.
 inline std::string text(const object& parent, const char* field) {
     std::string_view value;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a string");
-    if (value.empty()) bad(field, "is empty");
-    if (value.size() > max_text) bad(field, "is too long");
+    if (required(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a string");
+    if (value.empty()) throw_malformed(field, "is empty");
+    if (value.size() > max_text) throw_malformed(field, "is too long");
     return std::string(value);
 }
 inline bool flag(const object& parent, const char* field) {
     bool value = false;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not true or false");
+    if (required(parent, field).get(value) != simdjson::SUCCESS)
+        throw_malformed(field, "is not true or false");
     return value;
 }
 inline std::uint64_t count(const object& parent, const char* field) {
-    auto number = need(parent, field);
+    auto number = required(parent, field);
     std::uint64_t value = 0;
-    if (number.get(value) != simdjson::SUCCESS) bad(field, "is not a count");
+    if (number.get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a count");
     return value;
 }
-// Finite and not negative.
+// Returns a number that is finite and not negative.
 inline double amount(const object& parent, const char* field) {
     double value = 0;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a number");
-    if (!std::isfinite(value)) bad(field, "is not finite");
-    if (value < 0) bad(field, "is negative");
+    if (required(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a number");
+    if (!std::isfinite(value)) throw_malformed(field, "is not finite");
+    if (value < 0) throw_malformed(field, "is negative");
     return value;
 }
 inline array list(const object& parent, const char* field) {
     array value;
-    if (need(parent, field).get(value) != simdjson::SUCCESS) bad(field, "is not a list");
+    if (required(parent, field).get(value) != simdjson::SUCCESS) throw_malformed(field, "is not a list");
     return value;
 }
-// An element of the list of this name.
+// Returns an element of the list `list_name` as an object; the name is only used in the error.
 inline object as_object(const element& value, const char* list_name) {
     object row;
-    if (value.get(row) != simdjson::SUCCESS) bad(list_name, "holds something that is not an object");
+    if (value.get(row) != simdjson::SUCCESS)
+        throw_malformed(list_name, "holds something that is not an object");
     return row;
 }
-// The body's object; valid as long as the parser has read nothing else.
+// Parses the body, which must be a JSON object. The result is valid until the parser is used again.
 inline object root(simdjson::dom::parser& parser, std::string_view body) {
     element value;
     object root;
@@ -70,7 +75,7 @@
     if (value.get(root) != simdjson::SUCCESS) throw Malformed("not an object");
     return root;
 }
-// Whether a list says that it goes on after this page.
+// Returns whether further pages of the list follow this one; false if the page does not say. Does not throw.
 inline bool more(const object& page) {
     element value;
     bool more = false;
--- a/src/protocol/kv_api.cpp
+++ b/src/protocol/kv_api.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 std::string value_of(const reader::object& row) {
-    return simdjson::minify(reader::need(row, "value"));
+    return simdjson::minify(reader::required(row, "value"));
 }
 }  // namespace
 
@@ -35,24 +35,24 @@
 
 Entry parse_entry(std::string_view body) {
     json object = fields::parse_object(body);
-    Entry entry{fields::text(object, "path"), fields::dumped(fields::need(object, "value")),
+    Entry entry{fields::text(object, "path"), fields::to_json_text(fields::required(object, "value")),
                 fields::count(object, "stamp"), 0};
     if (auto* lease = fields::find(object, "mooring"); lease && lease->is_number_unsigned())
         entry.lease = lease->get<std::uint64_t>();
     return entry;
 }
-// Values are JSON texts of this program: they go in as they are.
+// Inserts the values unescaped: they are JSON texts that this program has produced.
 std::string txn_request(const Txn& transaction) {
     std::string text = R"({"if":[)";
     for (auto& condition : transaction.conditions) {
         if (text.back() == '}') text += ',';
-        text += R"({"path":)" + fields::dumped(condition.key);
+        text += R"({"path":)" + fields::to_json_text(condition.key);
         text += R"(,"stamp":)" + std::to_string(condition.version) + '}';
     }
     text += R"(],"then":[)";
     for (auto& change : transaction.changes) {
         if (text.back() == '}') text += ',';
-        text += (change.value ? R"({"put":)" : R"({"drop":)") + fields::dumped(change.key);
+        text += (change.value ? R"({"put":)" : R"({"drop":)") + fields::to_json_text(change.key);
         if (change.value) text += R"(,"value":)" + *change.value;
         if (change.value && change.lease) text += R"(,"mooring":)" + std::to_string(change.lease);
         text += '}';
@@ -67,7 +67,7 @@
     return {fields::texts(fields::list(object, "failed"), "failed")};
 }
 std::string lease_request(std::uint64_t ttl_ms) {
-    return fields::dumped(json{{"ttl_ms", ttl_ms}});
+    return fields::to_json_text(json{{"ttl_ms", ttl_ms}});
 }
 std::uint64_t parse_lease(std::string_view body) {
     return fields::count(fields::parse_object(body), "mooring");
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -8,19 +8,21 @@
 using nlohmann::json;
 
 namespace {
-// The job of a record. Versions without dependencies would start one that has any at once;
-// they refuse a record without the first name, and leave the job alone.
+// The field of a record that holds the job. A job with dependencies is stored under the second name: versions
+// without dependencies would start it at once, but they reject a record without the first name and leave the
+// job alone.
 constexpr const char* job_field = "job";
 constexpr const char* awaiting_field = "awaiting_job";
 
-constexpr std::size_t bits_per_digit = 4;  // of stored bits, the lowest first
+constexpr std::size_t bits_per_digit = 4;  // a hexadecimal digit stores four bits, the lowest first
 
 StoredMachine stored_machine(const json& row) {
     constexpr std::size_t text_columns = 4, columns = 6;  // the flags follow the texts
-    if (!row.is_array() || row.size() < columns) bad("machines", "holds something that is not a machine");
+    if (!row.is_array() || row.size() < columns)
+        throw_malformed("machines", "holds something that is not a machine");
     for (std::size_t k = 0; k < columns; ++k)
         if (k < text_columns ? !row[k].is_string() : !row[k].is_boolean())
-            bad("machines", "holds something that is not a machine");
+            throw_malformed("machines", "holds something that is not a machine");
     return {row[0].get<std::string>(),
             {row[1].get<std::string>(), row[2].get<std::string>(), row[3].get<std::string>(),
              row[4].get<bool>(), row[5].get<bool>()}};
@@ -41,27 +43,28 @@
                             {"spot_price", type.spot_price},
                             {"startup_s", type.boot_s},
                             {"reefs", type.zones}});
-    return fields::dumped(json{{"hulls", rows}});
+    return fields::to_json_text(json{{"hulls", rows}});
 }
 std::string stored(const JobRecord& record) {
     auto* field = record.job.dependencies.empty() ? job_field : awaiting_field;
-    return fields::dumped(json{
+    return fields::to_json_text(json{
         {field, job_json(record.job)}, {"submitted", record.submitted}, {"cancelled", record.cancelled}});
 }
 std::string stored(const FinalRecord& record) {
-    return fields::dumped(json{{"state", name_of(job_state_names, record.state)}, {"tasks", record.tasks}});
+    return fields::to_json_text(
+        json{{"state", name_of(job_state_names, record.state)}, {"tasks", record.tasks}});
 }
 std::string stored(const MachinePage& page) {
     json rows = json::array();
     for (auto& [id, record] : page)
         rows.push_back(json::array(
             {id, record.addr, record.type, record.zone, record.spot, record.marked_for_deletion}));
-    return fields::dumped(json{{"machines", std::move(rows)}});
+    return fields::to_json_text(json{{"machines", std::move(rows)}});
 }
 std::string stored(const LeaderRecord& record) {
     json object{{"label", record.label}, {"incarnation", record.incarnation.value()}};
     if (record.stores_in_sync_replicas) object["standby"] = true;
-    return fields::dumped(object);
+    return fields::to_json_text(object);
 }
 std::string stored(const InSyncReplicas& replicas) {
     json members = json::array();
@@ -69,7 +72,7 @@
         members.push_back(json{{"label", member.label},
                                {"incarnation", member.incarnation.value()},
                                {"begun", member.base_version.value()}});
-    return fields::dumped(json{{"version", replicas.leader_version.value()}, {"members", members}});
+    return fields::to_json_text(json{{"version", replicas.leader_version.value()}, {"members", members}});
 }
 std::string stored_bits(const std::vector<bool>& bits) {
     constexpr std::string_view digits = "0123456789abcdef";
@@ -82,13 +85,13 @@
         }
         hex[i] = digits[value];
     }
-    return fields::dumped(json{{"bits", hex}});
+    return fields::to_json_text(json{{"bits", hex}});
 }
 
 JobRecord parse_job_record(std::string_view text) {
     json object = fields::parse_object(text);
     auto* awaiting = fields::find(object, awaiting_field);
-    return {job_of(awaiting ? *awaiting : fields::need(object, job_field)),
+    return {parse_job_object(awaiting ? *awaiting : fields::required(object, job_field)),
             fields::amount(object, "submitted"), fields::flag(object, "cancelled")};
 }
 LiveRecord parse_live_record(std::string_view text) {
@@ -141,8 +144,9 @@
     json object = fields::parse_object(text);
     InSyncReplicas replicas{LeaderVersion{fields::count(object, "version")}, {}};
     for (auto& member : fields::list(object, "members")) {
-        if (!member.is_object()) bad("members", "holds something that is not a member");
-        // Versions before replicas were handed over name only those that they sent a snapshot themselves.
+        if (!member.is_object()) throw_malformed("members", "holds something that is not a member");
+        // Versions without replica handover omit the field: they list only followers to which the leader of
+        // this record has sent a snapshot itself.
         replicas.members.push_back({fields::text(member, "label"),
                                     Incarnation{fields::count(member, "incarnation")},
                                     member.contains("begun") ? LeaderVersion{fields::count(member, "begun")}
@@ -152,13 +156,13 @@
 }
 std::vector<bool> parse_bits(std::string_view text) {
     json object = fields::parse_object(text);
-    auto& value = fields::need(object, "bits");
-    if (!value.is_string()) bad("bits", "is not a string");
+    auto& value = fields::required(object, "bits");
+    if (!value.is_string()) throw_malformed("bits", "is not a string");
     auto& hex = value.get_ref<const std::string&>();
     std::vector<bool> bits(hex.size() * bits_per_digit);
     for (std::size_t i = 0; i < hex.size(); ++i) {
         int digit = hex[i] >= 'a' ? hex[i] - 'a' + 10 : hex[i] - '0';
-        if (digit < 0 || digit > 15) bad("bits", "is not hexadecimal");
+        if (digit < 0 || digit > 15) throw_malformed("bits", "is not hexadecimal");
         for (std::size_t k = 0; k < bits_per_digit; ++k) bits[i * bits_per_digit + k] = (digit >> k) & 1;
     }
     return bits;
--- a/src/verification/observations.cpp
+++ b/src/verification/observations.cpp
@@ -5,11 +5,12 @@
 namespace coralhitch::verification {
 namespace {
 
-constexpr double most_places = 100'000;  // a job's tasks at most
+constexpr double max_tasks_per_job = 100'000;
 
-double places(double free, double request) {
+// Returns how often the request fits, at most max_tasks_per_job.
+double free_slots(double free, double request) {
     constexpr double rounding = 1e-9;
-    return request > 0 ? std::clamp((free + rounding) / request, 0.0, most_places) : most_places;
+    return request > 0 ? std::clamp((free + rounding) / request, 0.0, max_tasks_per_job) : max_tasks_per_job;
 }
 }  // namespace
 
@@ -43,7 +44,7 @@
     return std::any_of(awaits.begin(), awaits.end(),
                        [this](auto& awaited) { return cancel_wanted(awaited); });
 }
-std::optional<double> Observations::awaited_cancelled_at(const std::string& job) const {
+std::optional<double> Observations::dependency_cancelled_at(const std::string& job) const {
     std::optional<double> first;
     auto consider = [&first](std::optional<double> time) {
         if (time && (!first || *time < *first)) first = time;
@@ -53,7 +54,7 @@
     for (auto& id : observed->job.dependencies) {
         auto* awaited = find(id);
         if (awaited && awaited->cancel_requested) consider(awaited->cancelled_at);
-        consider(awaited_cancelled_at(id));
+        consider(dependency_cancelled_at(id));
     }
     return first;
 }
@@ -63,7 +64,7 @@
     ++job.tasks_per_zone[machines_[machine].zone];
     tasks_of_machine_[machine].insert({job.job.id, index});
     used_by_team_[job.job.team] += job.job.request;
-    ++present_;
+    ++tasks_on_machines_;
 }
 void Observations::remove_task(ObservedJob& job, std::uint32_t index, const std::string& machine) {
     auto [begin, end] = job.machines_of_task.equal_range(index);
@@ -73,7 +74,7 @@
     --job.tasks_per_zone[machines_[machine].zone];
     tasks_of_machine_[machine].erase({job.job.id, index});
     used_by_team_[job.job.team] -= job.job.request;
-    --present_;
+    --tasks_on_machines_;
 }
 void Observations::remove_tasks_of(const std::string& machine) {
     auto tasks = tasks_of_machine_[machine];
@@ -81,14 +82,15 @@
     tasks_of_machine_.erase(machine);
 }
 
-std::size_t Observations::places_for(const protocol::Job& job, const std::string& machine) const {
+std::size_t Observations::free_slots_for(const protocol::Job& job, const std::string& machine) const {
     auto known = machines_.find(machine);
     if (known == machines_.end()) return 0;
     auto free = known->second.capacity;
     if (auto tasks = tasks_of_machine_.find(machine); tasks != tasks_of_machine_.end())
         for (auto& task : tasks->second) free -= jobs_.at(task.job).job.request;
-    double fewest = std::min({places(free.cpus, job.request.cpus), places(free.gpus, job.request.gpus),
-                              places(free.memory_gb, job.request.memory_gb)});
+    double fewest =
+        std::min({free_slots(free.cpus, job.request.cpus), free_slots(free.gpus, job.request.gpus),
+                  free_slots(free.memory_gb, job.request.memory_gb)});
     return static_cast<std::size_t>(fewest);
 }
 protocol::Resources Observations::used_by(const std::string& team) const {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -1,4 +1,5 @@
-// Tables of messages: what is taken, what is refused, and that nothing is lost on the way.
+// Tests which messages and records are accepted and which are rejected, and that none loses data in a round
+// trip.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -14,7 +15,7 @@
 namespace coralhitch::protocol {
 namespace {
 
-nlohmann::json good_job() {
+nlohmann::json valid_job() {
     return {{"id", "j-000412"},  {"cohort", "train"},   {"crew", "vision"}, {"shape", "gang"},
             {"rank", "high"},    {"shards", 16},        {"vcpus", 8.0},     {"cards", 1.0},
             {"ram_gb", 64.0},    {"payload", "img-07"}, {"image_gb", 6.2},  {"hulls", {"g8"}},
@@ -22,8 +23,8 @@
             {"reckon_s", 240.0}, {"anchor_s", 30.0},    {"stow_s", 4.0},    {"tide_s", 900.0}};
 }
 
-TEST(JobMessage, IsTakenAndStoredWithoutLoss) {
-    auto job = parse_job(good_job().dump());
+TEST(JobMessage, IsAcceptedAndStoredWithoutLoss) {
+    auto job = parse_job(valid_job().dump());
     EXPECT_EQ(job.kind, JobKind::gang);
     EXPECT_EQ(job.priority, Priority::high);
     auto back = parse_job_record(stored(JobRecord{job, 12.5, true}));
@@ -35,7 +36,7 @@
     EXPECT_TRUE(back.cancelled);
 }
 
-TEST(JobMessage, RefusesWhatIsMalformed) {
+TEST(JobMessage, RejectsMalformedBodies) {
     struct Case {
         const char* field;
         nlohmann::json value;
@@ -70,26 +71,26 @@
         {"awaits", {{"j-1", true}}},
     };
     for (auto& c : cases) {
-        auto j = good_job();
+        auto j = valid_job();
         j[c.field] = c.value;
         EXPECT_THROW(parse_job(j.dump()), Malformed) << c.field << " = " << c.value;
     }
     for (const char* body : {"", "{", "[]", "7", "null", "{\"id\":\"j-1\"}"})
         EXPECT_THROW(parse_job(body), Malformed) << body;
-    auto j = good_job();
+    auto j = valid_job();
     auto text = j.dump();
     text.replace(text.find("8.0"), 3, "1e999");  // not finite
     EXPECT_THROW(parse_job(text), Malformed);
 }
 
-TEST(JobMessage, AwaitedJobsAreNamedOnce) {
+TEST(JobMessage, DependenciesAreSortedWithoutDuplicates) {
     struct Case {
         nlohmann::json value;
         std::vector<std::string> awaits;
     };
     for (auto& c : {Case{nullptr, {}}, Case{nlohmann::json::array(), {}}, Case{{"j-2"}, {"j-2"}},
                     Case{{"j-2", "j-1", "j-2"}, {"j-1", "j-2"}}}) {
-        auto j = good_job();
+        auto j = valid_job();
         EXPECT_TRUE(parse_job(j.dump()).dependencies.empty());
         j["awaits"] = c.value;
         auto job = parse_job(j.dump());
@@ -98,17 +99,19 @@
         auto record = stored(JobRecord{job, 1, false});
         EXPECT_EQ(parse_job_record(record).job.dependencies, c.awaits);
         EXPECT_EQ(parse_live_record(record).dependencies, c.awaits);
-        // The version before reads `job`, and must not find one that it would start at once.
+        // A version without support for dependencies reads `job`. It would start the job at once if it found
+        // it.
         EXPECT_EQ(nlohmann::json::parse(record).contains("job"), c.awaits.empty());
     }
     EXPECT_TRUE(names_dependencies(R"({"\u0061waits":["j-1"]})"));
 }
 
-// Every record as the version in production writes it: read, and where both write it, written alike.
-TEST(Stored, RecordsOfTheVersionBeforeAreReadAndWrittenAlike) {
+// Records in the form that the version in production writes. They must be readable, and records that both
+// versions write must be identical.
+TEST(Stored, RecordsOfThePreviousVersionAreReadAndWrittenIdentically) {
     constexpr const char* job =
         R"({"cancelled":false,"job":{"anchor_s":30.0,"cards":1.0,"cohort":"train","crew":"vision","driftwood":true,"hulls":["g8"],"id":"j-000412","image_gb":6.2,"payload":"img-07","ram_gb":64.0,"rank":"high","reckon_s":240.0,"scatter":false,"shape":"gang","shards":16,"stow_s":4.0,"tide_s":900.0,"together":true,"vcpus":8.0},"submitted":12.5})";
-    EXPECT_EQ(stored(JobRecord{parse_job(good_job().dump()), 12.5, false}), job);
+    EXPECT_EQ(stored(JobRecord{parse_job(valid_job().dump()), 12.5, false}), job);
     EXPECT_EQ(stored(parse_job_record(job)), job);
     EXPECT_FALSE(parse_live_record(job).cancelled);
     constexpr const char* final = R"({"state":"done","tasks":16})";
@@ -123,9 +126,10 @@
         R"({"hulls":[{"cache_gb":200.0,"cards":8.0,"fetch_gb_per_s":1.0,"hourly":12.0,"name":"g8","ram_gb":768.0,"reefs":["a","b"],"spot_price":4.5,"startup_s":45.0,"vcpus":96.0}]})";
     EXPECT_EQ(stored_types(parse_types(types)), types);
 }
-// A cancellation rewrites the record, which may have been stored when larger values were allowed.
-TEST(Stored, ACancelledRecordCanAlwaysBeMadeShort) {
-    auto j = good_job();
+// A cancellation rewrites the record, which may have been stored when the store's limit for values was
+// larger.
+TEST(Stored, ACancelledRecordCanBeCompacted) {
+    auto j = valid_job();
     for (auto f : {"cohort", "payload"}) j[f] = std::string(512, 'x');
     j["hulls"] = std::vector<std::string>(300, "g8");
     j["id"] = "j-" + std::string(62, '1');
@@ -135,12 +139,12 @@
     EXPECT_LT(brief.size(), 1024u);
     auto back = parse_job_record(brief);
     EXPECT_TRUE(back.cancelled);
-    EXPECT_EQ(back.job.team, "vision");  // its tasks count against the team until they are gone
+    EXPECT_EQ(back.job.team, "vision");  // its tasks count against the team's limit until they have ended
     EXPECT_EQ(back.job.request.gpus, 1);
     EXPECT_EQ(back.job.tasks, 16u);
 }
 
-TEST(Report, KeepsCountsAbove53Bits) {
+TEST(Heartbeat, KeepsCountsAbove53Bits) {
     auto r =
         parse_heartbeat(R"({"berth":"vm-1","addr":"10.1.0.1:9000","hull":"g8","reef":"a","driftwood":true,
         "watch":2,"tally":18446744073709551615,"helm":9007199254740993,"warning_s":12.5,"news":1,
@@ -151,11 +155,11 @@
     EXPECT_EQ(r.tasks[0].attempt, AttemptNumber{9007199254740995ull});
     EXPECT_EQ(r.tasks[0].cause, ExitCause::stopped);
     EXPECT_TRUE(r.tasks[0].saved);
-    EXPECT_EQ(r.tasks[1].cause, ExitCause::error);  // an end of a kind not known yet still is an end
+    EXPECT_EQ(r.tasks[1].cause, ExitCause::error);  // an unknown cause is still an end of the task
     EXPECT_EQ(r.preemption_notice_s, 12.5);
 }
 
-TEST(Report, RefusesWhatIsMalformed) {
+TEST(Heartbeat, RejectsMalformedBodies) {
     for (
         const char* body :
         {"{}", "[]", R"({"berth":"vm-1"})",
@@ -175,7 +179,7 @@
     }
 }
 
-TEST(Peer, RoundTripsAndRefusesNoise) {
+TEST(Peer, RoundTripsAndRejectsOtherBytes) {
     PeerPing p{"berth-1",       Incarnation{7},        LeaderVersion{1ull << 60}, "berth-2", true, {"vm-1"},
                {{"j-1", 3, 4}}, peer_features::latest, LeaderVersion::none()};
     auto back = unpack_peer<PeerPing>(pack_peer(p));
@@ -184,15 +188,15 @@
     EXPECT_EQ(back->task_counts[0].running, 4u);
     EXPECT_EQ(back->leader_version, LeaderVersion{1ull << 60});
     PeerImages images{{"img-1", "img-2"}, {5, 7}, {{"vm-1", {1, 0}}}};
-    auto told = unpack_peer<PeerImages>(pack_peer(images));
-    ASSERT_TRUE(told && told->machines.size() == 1);
-    EXPECT_EQ(told->machines[0].images, (std::vector<std::uint32_t>{1, 0}));
+    auto unpacked = unpack_peer<PeerImages>(pack_peer(images));
+    ASSERT_TRUE(unpacked && unpacked->machines.size() == 1);
+    EXPECT_EQ(unpacked->machines[0].images, (std::vector<std::uint32_t>{1, 0}));
     EXPECT_EQ(back->features, peer_features::latest);
     EXPECT_FALSE(unpack_peer<PeerPing>("{\"label\":1}"));
     EXPECT_FALSE(unpack_peer<PeerPing>(""));
 }
 
-// Messages of the version before, byte for byte, and its layouts reading the present ones.
+// The layout of a ping in the previous version, used to read present messages.
 struct OldPing {
     std::string label;
     std::uint64_t incarnation = 0, leader_version = 0;
@@ -213,7 +217,7 @@
     EXPECT_EQ(ping->label, "berth-1");
     EXPECT_EQ(ping->leader_version, LeaderVersion{8});
     ASSERT_EQ(ping->task_counts.size(), 1u);
-    EXPECT_EQ(ping->features, 0u);  // unknown means old
+    EXPECT_EQ(ping->features, 0u);  // the previous version does not send its features
     const PeerPing present{"a", Incarnation{1},       LeaderVersion{2}, "b", true, {"vm-2"}, {{"j-2", 5, 6}},
                            9,   LeaderVersion::none()};
     auto back = unpack_peer<OldPing>(pack_peer(present));
@@ -221,7 +225,7 @@
     EXPECT_EQ(back->workers, std::vector<std::string>{"vm-2"});
     EXPECT_EQ(back->counts.at(0).done, 5u);
     EXPECT_EQ(pack_peer(*unpack_peer<OldPing>(old)), old);
-    // These are as they were.
+    // These messages have not changed.
     EXPECT_EQ(pack_peer(PeerUserRequest{"GET", "/", ""}), std::string("\x93\xa3GET\xa1/\xa0", 8));
     EXPECT_EQ(pack_peer(PeerUserResponse{200, "{}", 1}), std::string("\x93\xcc\xc8\xa2{}\x01", 7));
     EXPECT_EQ(pack_peer(PeerJobQuery{"j-1"}), std::string("\x91\xa3j-1", 5));
