--- a/tests/scenarios/fault.hpp
+++ b/tests/scenarios/fault.hpp
@@ -1,4 +1,5 @@
-// One fault of a scenario, and all kinds of them.
+// Declares the kinds of faults that scenarios inject into a simulated cluster, and one fault with its
+// parameters.
 #pragma once
 #include <string>
 
@@ -6,8 +7,8 @@
 
 namespace coralhitch::simulation {
 
-// The order is that in which seeds draw them: a new kind goes before the last one, and changes what each seed
-// draws.
+// Kinds of faults. Seeds draw kinds by number, so the order of the enumerators decides which faults a seed
+// gives. A new kind goes before the last enumerator and changes the faults of every seed.
 enum class FaultKind {
     controller_crash,
     all_controllers_crash,
@@ -42,28 +43,33 @@
     small_job_stream
 };
 inline constexpr std::size_t fault_kind_count = static_cast<std::size_t>(FaultKind::small_job_stream) + 1;
-// As the target of a fault: the controller that leads when the fault begins.
+// Value of Fault::target that selects the controller that is the leader when the fault begins.
 inline constexpr std::size_t current_leader = controller_count;
 
+// A fault of one kind with its time, target and strength.
 struct Fault {
-    double at = 0;  // s
+    double at = 0;  // start of the fault, in s of simulated time
     FaultKind kind = FaultKind::controller_crash;
-    std::size_t target = 0;  // a controller or `current_leader`, a machine, or a zone
-    // How much, where a kind can do more or less: messages until the crash, jobs to cancel, one machine or a
-    // third of them.
+    std::size_t target = 0;  // index of a controller (or `current_leader`), of a machine, or of a zone
+    // Strength of the fault, for kinds that have one: the number of messages until the leader crashes, the
+    // number of jobs to cancel, or the choice between one machine and a third of the machines.
     std::size_t amount = 0;
-    double for_s = 0;  // how long it lasts, or until a controller is back
-    // Of a partition: packets are held and arrive when it ends. Of other kinds: the longer delay.
+    double for_s = 0;  // duration of the fault, or the time until a crashed controller restarts
+    // In partitions: packets are held and arrive when the partition ends. In other kinds that use it: the
+    // more severe of two variants, usually the longer delay.
     bool hold_packets = false;
 
     double until() const { return at + for_s; }
     bool crashes_controllers() const { return kind <= FaultKind::leader_crash_after_messages; }
 };
 
+// Returns the name of the fault's kind as printed in reports.
 std::string kind_name(const Fault& fault);
+// Returns one line with the time, the kind and all parameters of the fault.
 std::string to_string(const Fault& fault);
 
-// Begins the fault now; it ends by itself.
+// Starts the fault at the current simulated time, whatever `fault.at` says. The fault ends without another
+// call.
 void inject(SimulatedCluster& cluster, const Fault& fault);
 
 }  // namespace coralhitch::simulation
--- a/tests/scenarios/fault_generator.cpp
+++ b/tests/scenarios/fault_generator.cpp
@@ -40,7 +40,7 @@
     if (!fault.crashes_controllers()) return between(random, 0.5, may_last_long(fault.kind) ? 30 : 12);
     return random() % 3 ? between(random, 0.05, 0.5) : between(random, 2, 6);
 }
-// The order of the draws decides what each seed means: the recorded digests depend on it.
+// The order of the random draws decides which faults a seed gives. The recorded digests depend on it.
 Fault draw_fault(std::mt19937_64& random, FaultKind kind, double at, std::size_t machines) {
     Fault fault;
     fault.at = at;
@@ -53,13 +53,16 @@
     return fault;
 }
 
-// A process is away for as long as its machine takes to start it; a stream ends in time for its jobs.
+// Limits the duration of two kinds: a crashed controller is restarted by its machine within a few seconds,
+// and a stream of small jobs must stop early enough for its jobs to end within the scenario.
 void limit_duration(Fault& fault) {
     constexpr double longest_crash_s = 6, longest_stream_s = 12;
     if (fault.crashes_controllers()) fault.for_s = std::min(fault.for_s, longest_crash_s);
     if (fault.kind == FaultKind::small_job_stream) fault.for_s = std::min(fault.for_s, longest_stream_s);
 }
-// The second is placed in the first by ratios of the times that matter where the two meet.
+// Draws both faults of a pair. Their durations and the start of the second are derived from one of the
+// cluster's time limits (leases, heartbeat period, cancellation), so that the faults interact at these
+// limits.
 FaultPair draw_pair(std::mt19937_64& random, std::size_t pair, double at, std::size_t machines) {
     constexpr double leader_lease_s = 2.4, heartbeat_period_s = 3, worker_lease_s = 24, cancel_s = 44;
     constexpr std::array spans{leader_lease_s, heartbeat_period_s, worker_lease_s, cancel_s};
@@ -71,7 +74,7 @@
         case 0:  // back to back
             second.at = std::min(first.until(), first.at + span) + between(random, -0.2, 0.2);
             break;
-        case 1:  // overlapping: the first is over while the second lasts
+        case 1:  // overlapping: the second starts before the first ends
             first.for_s = std::max(first.for_s, span * between(random, 0.3, 1.1));
             second.at = first.at + first.for_s * between(random, 0.3, 0.95);
             break;
@@ -89,7 +92,7 @@
 std::vector<Fault> draw_faults(std::uint64_t seed, std::size_t machines) {
     std::mt19937_64 random(seed);
     std::vector<Fault> faults;
-    // Some come singly, some within a second of the one before.
+    // Two thirds of the faults start at most 1.5 s after the previous one, the others 3 s to 15 s after it.
     double at = faults_from_s;
     while ((at += random() % 3 ? between(random, 0.05, 1.5) : between(random, 3, 15)) < faults_until_s)
         faults.push_back(
@@ -98,8 +101,8 @@
 }
 
 std::vector<Fault> draw_fault_pairs(std::uint64_t seed, std::size_t machines) {
-    // Pairs that share a kind are next to each other: a step through them, without a common factor with their
-    // number, mixes the kinds of a scenario.
+    // Pairs with adjacent numbers share a kind. Numbering them with a step that is coprime to `pair_count`
+    // gives each scenario different kinds and still reaches every pair.
     constexpr std::size_t step = 331;
     static_assert(pair_count % step != 0 && pair_count % 2 == 1);
     std::mt19937_64 random(seed);
--- a/tests/scenarios/fault_injection.cpp
+++ b/tests/scenarios/fault_injection.cpp
@@ -1,4 +1,4 @@
-// What each kind of fault does to the simulated cluster.
+// Implements each kind of fault in the simulated cluster.
 #include <algorithm>
 #include <array>
 #include <cstdio>
@@ -21,7 +21,7 @@
 std::size_t target_controller(const SimulatedCluster& cluster, const Fault& fault) {
     return fault.target < controller_count ? fault.target : leader_or_first(cluster);
 }
-// The target and, for large amounts, every third machine after it.
+// Returns the target machine and, if the amount is above 8, every third machine after it.
 std::vector<std::size_t> target_machines(const SimulatedCluster& cluster, const Fault& fault) {
     constexpr std::size_t one_machine_up_to = 8;
     std::size_t count = cluster.workers.size(), step = fault.amount > one_machine_up_to ? 3 : count;
@@ -80,7 +80,8 @@
     cluster.partition(host_of_controller(zone), all_hosts, fault.for_s,
                       fault.hold_packets ? Packets::held : Packets::dropped);
 }
-// From all controllers, or from one.
+// Drops packets to the machines from all controllers or, if the amount is a multiple of 4, from one
+// controller.
 void make_outbound_unreachable(SimulatedCluster& cluster, const Fault& fault) {
     auto from = fault.amount % 4 == 0 ? host_of_controller(fault.target % controller_count) : all_controllers;
     for (auto machine : target_machines(cluster, fault))
@@ -91,7 +92,7 @@
         cluster.make_inbound_unreachable(machine, fault.for_s);
 }
 void duplicate_messages(SimulatedCluster& cluster, const Fault& fault) {
-    constexpr double soon_s = 3, late_s = 60;  // a worker's lease is 24 s
+    constexpr double soon_s = 3, late_s = 60;  // shorter and longer than a worker's lease (24 s)
     cluster.duplicate_messages(fault.for_s, fault.hold_packets ? late_s : soon_s);
 }
 void replay_heartbeats(SimulatedCluster& cluster, const Fault& fault) {
@@ -103,7 +104,8 @@
 
 // --- Key-value store and cloud ----------------------------------------------------------------------------
 
-// A leader's lease is 2.4 s, a query waits 1.5 s.
+// Returns the delay of each answer. Both delays stay below a leader's lease (2.4 s) and the time-out of a
+// query (1.5 s).
 double key_value_store_delay_s(const Fault& fault) {
     return fault.hold_packets ? 1.2 : 0.4;
 }
@@ -119,7 +121,9 @@
 void start_cloud_outage(SimulatedCluster& cluster, const Fault& fault) {
     cluster.start_cloud_outage(fault.for_s);
 }
-// Of a quarter of the transactions. Where two faults of this kind overlap, the earlier one decides first.
+// Delays a quarter of the transactions for the duration of the fault. `draw_delay` returns the delay in s, or
+// a negative value if the transaction is carried out at once and its answer is lost. If two such faults
+// overlap, the later one applies only to transactions that the earlier one does not delay.
 void delay_transactions(SimulatedCluster& cluster, const Fault& fault,
                         double (*draw_delay)(std::minstd_rand&)) {
     auto random = std::make_shared<std::minstd_rand>(fault.amount + fault.target);
@@ -150,7 +154,7 @@
     bool forgets_agent_epoch = fault.hold_packets;
     cluster.reboot_machine(fault.target, forgets_agent_epoch);
 }
-// Machines that are gone make the leader scale out.
+// Crashes two machines, so that the leader scales out while new machines boot fast and writes are slow.
 void boot_fast_with_slow_writes(SimulatedCluster& cluster, const Fault& fault) {
     for (std::size_t machine = 0; machine < 2; ++machine) cluster.crash_machine(fault.amount + 5 * machine);
     cluster.boot_fast_with_slow_writes(fault.for_s, key_value_store_delay_s(fault));
@@ -181,12 +185,13 @@
     cluster.submit_small_jobs(fault.for_s);
 }
 
+// Name and implementation of a kind of fault.
 struct KindDefinition {
     FaultKind kind;
     const char* name;
     void (*inject)(SimulatedCluster&, const Fault&);
 };
-// In the order of FaultKind.
+// Must be in the order of FaultKind (checked below).
 constexpr std::array definitions{
     KindDefinition{FaultKind::controller_crash, "controller crashes", crash_controller},
     KindDefinition{FaultKind::all_controllers_crash, "all controllers crash", crash_all_controllers},
--- a/tests/scenarios/fault_scenarios.cpp
+++ b/tests/scenarios/fault_scenarios.cpp
@@ -12,9 +12,9 @@
     Options options;
     options.seed = scenario.seed;
     options.machines = scenario.machines;
-    // Of four GPUs a machine; services take 18.
+    // Each machine has four GPUs. Services take 18 GPUs in all.
     options.free_gpus_max = 2.5 * static_cast<double>(scenario.machines);
-    // Users go on asking for as long as the longest fault lasts, and then some.
+    // Users must retry their submissions for longer than the longest fault lasts.
     for (auto& fault : scenario.faults)
         if (fault.for_s > long_fault_s) options.submit_tries = many_tries;
     return options;
--- a/tests/scenarios/fault_scenarios.hpp
+++ b/tests/scenarios/fault_scenarios.hpp
@@ -1,5 +1,6 @@
-// Scenarios of three controllers, machines and users in a simulated cluster, among given faults. One that
-// breaks a rule is shrunk to the fewest faults that still do.
+// Runs scenarios: three controllers, machines and users in a simulated cluster into which given faults are
+// injected. A scenario that violates an invariant can be shrunk to a small set of faults that still violates
+// one.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,35 +9,41 @@
 
 namespace coralhitch::simulation {
 
-// Under the sanitizers a scenario takes ten times as long: a part of the seeds must do.
+// Divisor of the number of seeds that a test runs. With AddressSanitizer a scenario takes ten times as long,
+// so only a fifth of the seeds is run.
 #ifdef __SANITIZE_ADDRESS__
 inline constexpr std::uint64_t seeds_part = 5;
 #else
 inline constexpr std::uint64_t seeds_part = 1;
 #endif
 
-// Jobs of every kind come all the time, so that starts are on their way at any moment; all crash in time.
+// Submits a job of alternating shape every 2.5 s until the given time (s), so that starts of tasks are in
+// flight at any moment. Services are cancelled 30 s after that time, so that all jobs end within the
+// scenario.
 void submit_steady_jobs(SimulatedCluster& cluster, double until);
-// What is wrong at the end: rules that were broken, jobs that were not accepted or have not ended.
+// Returns one line for each failure at the end of a scenario: violated invariants, too few started tasks, and
+// jobs that were not accepted or have not ended. Refused jobs are not counted.
 std::vector<std::string> find_failures(const SimulatedCluster& cluster);
 
-// What scenarios have had besides broken rules.
+// Counts that are summed over scenarios, whether these fail or not.
 struct ScenarioCounts {
-    std::size_t answers = 0;  // that users got
-    std::size_t starts = 0;   // of tasks
-    // After the cancellation was confirmed, and within `cancel_s` of it.
+    std::size_t answers = 0;  // answers that users received
+    std::size_t starts = 0;   // starts of tasks
+    // Starts of tasks after the cancellation of their job was confirmed, and within `cancel_s` of it.
     std::size_t starts_after_cancellation = 0;
-    std::uint64_t digest = 0;  // of the messages of the last scenario
+    std::uint64_t digest = 0;  // hash of all messages of the last scenario
 };
 
+// Input of one run: the seed of the simulation, the number of machines at the start, and the faults.
 struct Scenario {
     std::uint64_t seed = 1;
     std::size_t machines = 12;
     std::vector<Fault> faults;
 };
-// What is wrong at its end; adds to the counts, if there are any.
+// Runs the scenario and returns its failures (see find_failures). Adds to `counts` unless it is null.
 std::vector<std::string> run_scenario(const Scenario& scenario, ScenarioCounts* counts = nullptr);
-// With the fewest faults with which something is still wrong.
+// Removes faults from a failing scenario for as long as it still fails, and returns what is left. Runs the
+// scenario many times.
 Scenario shrink(Scenario scenario);
 
 }  // namespace coralhitch::simulation
--- a/tests/scenarios/fault_scenarios_main.cpp
+++ b/tests/scenarios/fault_scenarios_main.cpp
@@ -1,4 +1,4 @@
-// Runs fault scenarios from seeds by hand:
+// Command-line tool that runs fault scenarios for a range of seeds and prints those that fail:
 // coralhitch_fault_scenarios --from 1 --seeds 10000 [--combinations] [--size 12] [--no-shrink]
 #include <spdlog/spdlog.h>
 
@@ -19,7 +19,7 @@
 };
 struct Totals {
     std::size_t failed = 0;
-    std::map<std::string, std::size_t> pairs;  // of kinds, and how often each was drawn
+    std::map<std::string, std::size_t> pairs;  // names of both kinds -> how often the pair was drawn
     ScenarioCounts counts;
 };
 
@@ -27,7 +27,7 @@
     app.add_option("--from", arguments.from, "the first seed");
     app.add_option("--seeds", arguments.seeds, "how many");
     app.add_option("--size", arguments.size, "machines at the start")->check(CLI::Range(4, 10000));
-    // The former name is read for one release more.
+    // --meetings is the former name and is accepted for one more release.
     app.add_flag("--combinations,--meetings", arguments.combinations,
                  "pairs of faults that follow each other or overlap; says how often each pair of kinds did");
     app.add_flag("--no-shrink", arguments.no_shrink, "print all faults of a scenario that fails");
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -16,7 +16,8 @@
         ADD_FAILURE() << "seed " << seed << ": " << failure;
 }
 
-// In parts, so that they can run side by side. `coralhitch_fault_scenarios` runs more by hand.
+// Runs the seeds in parts, so that the parts can run in parallel. `coralhitch_fault_scenarios` runs any
+// number of seeds from the command line.
 class FaultScenario : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(RandomSeeds, FaultScenario, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultScenario, KeepsAllRulesUnderRandomFaults) {
@@ -26,7 +27,7 @@
         expect_rules_kept(seed, draw_faults(seed, machines));
 }
 
-// Each pair of kinds once, a few in each scenario.
+// Covers each pair of kinds once, with a few pairs in each scenario.
 class FaultPairs : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(AllPairs, FaultPairs, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultPairs, KeepAllRules) {
@@ -45,7 +46,8 @@
     EXPECT_EQ(drawn.size(), pair_count);
 }
 
-// The checker sees what is wrong, and a failing scenario shrinks to what it needs.
+// Guards against a checker that reports nothing: a scenario with one fatal and six harmless faults must fail,
+// and shrinking it must leave only the fatal fault.
 TEST(FaultScenario, ShrinksToTheFaultsItNeeds) {
     spdlog::set_level(spdlog::level::off);
     Scenario scenario{.seed = 1, .machines = 8, .faults = {}};
@@ -55,7 +57,7 @@
                                    .target = current_leader,
                                    .amount = 1,
                                    .for_s = 0.2});
-    // The key-value store never comes back: nothing ends.
+    // The key-value store outage outlasts the scenario, so no job can end.
     scenario.faults.push_back(
         {.at = 60, .kind = FaultKind::key_value_store_outage, .target = 0, .amount = 1, .for_s = 1000});
     EXPECT_FALSE(run_scenario(scenario).empty());
--- a/tests/scenarios/parameter_names.hpp
+++ b/tests/scenarios/parameter_names.hpp
@@ -1,4 +1,4 @@
-// Readable names for the cases of parameterised tests.
+// Makes readable names for the cases of parameterized tests.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -9,7 +9,8 @@
 
 namespace coralhitch::simulation {
 
-// The words of a description in camel case; whatever a test's name may not contain separates words.
+// Returns the words of a description joined in camel case. Every character that a test's name may not contain
+// separates words.
 inline std::string camel_case(std::string_view words) {
     std::string name;
     bool word_begins = true;
@@ -24,7 +25,7 @@
     return name;
 }
 
-// 2.5 gives "2p5s", -0.5 "Minus0p5s".
+// Returns a name for a number of seconds: "2p5s" for 2.5, "Minus0p5s" for -0.5.
 inline std::string seconds_name(double seconds) {
     constexpr std::size_t longest = 32;
     char digits[longest];
@@ -34,7 +35,7 @@
     return name + "s";
 }
 
-// For cases that have a field `name`.
+// Name generator for cases that have a field `name`.
 struct NameOfCase {
     template <class Case>
     std::string operator()(const testing::TestParamInfo<Case>& info) const {
@@ -42,7 +43,7 @@
     }
 };
 
-// For cases that are numbers, with what they count.
+// Name generator for cases that are numbers: `what` followed by the number.
 struct Numbered {
     const char* what;
     template <class Number>
