--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -1,4 +1,5 @@
-// New machines get work at once while writes lag, and the leader crashes.
+// Tests of new machines that are up at once and get tasks while writes to the key-value store are slow, and
+// of a leader crash in between.
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
@@ -11,7 +12,7 @@
     auto ours = [&](auto& change) { return change.value("put", "").starts_with(prefix); };
     return std::any_of(txn["then"].begin(), txn["then"].end(), ours);
 }
-// Whether the key-value store's page of machines names this one.
+// Returns true if the page of machines in the key-value store names this machine.
 bool stored(const SimulatedCluster& cluster, const std::string& id) {
     try {
         return cluster.key_value_store.record("mach/page/0").find(id) != std::string::npos;
@@ -20,7 +21,8 @@
     }
 }
 
-// Two machines that a service fills, so that other work makes the leader scale out; new ones are up at once.
+// Returns options for two machines, to be filled by a service so that any other job makes the leader scale
+// out. New machines are up at once.
 Options two_machines(bool replicated) {
     Options options;
     options.machines = 2;
@@ -33,13 +35,13 @@
     cluster.run_until(25);
 }
 
-// One task that takes a whole machine.
+// Submits a job of one task that takes a whole machine.
 void submit_for_new_machine(SimulatedCluster& cluster, const std::string& kind, double run_s) {
     cluster.submit("j-1", kind, 1, run_s, {{"cards", 4.0}, {"driftwood", false}});
 }
 
-// Called as soon as a machine added by scaling out since then has been told to run something of `j-1`, by a
-// command or with the answer to a heartbeat.
+// Calls `then` once, as soon as a machine with index `first_new` or above has received a `run` for a task of
+// `j-1`, by a command or in the answer to a heartbeat. Watches for 40 s of simulated time.
 void on_first_run(SimulatedCluster& cluster, std::size_t first_new, std::function<void(Worker&)> then) {
     auto seen = std::make_shared<bool>(false);
     for (double time = cluster.now(); time < cluster.now() + 40; time += 0.005)
@@ -52,10 +54,11 @@
         });
 }
 
-// What becomes of the first write of the new machine.
+// Outcome of the first transaction that writes the new machine's record: every write is slow, the transaction
+// is carried out late, it is carried out after the next leader's claim, or its answer is lost.
 enum class FirstWrite { slow, late, after_the_claim, answer_lost };
 constexpr double after_claim_s = 14;
-// Of a write that is answered late or never.
+// Returns the delay of the write in s; its answer never arrives.
 double delay_of(FirstWrite write) {
     constexpr double at_once_s = 1e-6, late_s = 2;
     if (write == FirstWrite::answer_lost) return at_once_s;
@@ -64,7 +67,7 @@
 struct BootCase {
     const char* name;
     FirstWrite write;
-    bool replicated;  // the next leader follows the one before
+    bool replicated;  // the next leader has a replica of the crashed leader's state
 };
 void PrintTo(const BootCase& boot_case, std::ostream* out) {
     *out << boot_case.name;
@@ -80,14 +83,15 @@
     {"answer lost, no replica", FirstWrite::answer_lost, false},
 };
 
-// A new machine is up at once. The leader crashes right after the first `run` was sent there, and from then
-// on nobody reaches the machine for most of a lease, nor can it be deleted. Whoever leads next knows of it
-// from what is stored: it counts what runs there, although the old machines have room by then.
+// Guards against starting a task twice because the next leader does not know the machine it runs on. A new
+// machine is up at once, and the leader crashes right after the first `run` was sent to it. From then on no
+// controller reaches the machine for most of a lease, and it cannot be deleted. The next leader must know the
+// machine from the stored page and count the task there, although the old machines have room by then.
 class FirstStart : public testing::TestWithParam<BootCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, FirstStart, testing::ValuesIn(boot_cases), NameOfCase());
 void lose_machine_and_leader(SimulatedCluster& cluster, const Worker& worker) {
     cluster.start_cloud_outage(60);
-    cluster.cancel("j-8");  // gives room to the old machines
+    cluster.cancel("j-8");  // frees the old machines
     cluster.partition("10.0.", worker.addr, lease_s * 0.75);
     cluster.crash(leader_of(cluster), 0.2);
 }
@@ -132,9 +136,10 @@
     expect_no_violations(cluster);
 }
 
-// A new machine reports while the write that names it stays without an answer, is never carried out before
-// the leader crashes, and is then too late. The cloud lists the machine and no page names it: nothing ran
-// there, and the next leader uses it.
+// A new machine sends heartbeats while the transaction that stores it is unanswered. The transaction is not
+// carried out before the leader crashes, and is rejected afterwards. Guards against a start on a machine that
+// is not stored: the cloud lists the machine and no page names it, so nothing may have run on it, and the
+// next leader uses it.
 TEST(FaultCombination, AdoptsMachineThatOnlyTheCloudLists) {
     spdlog::set_level(spdlog::level::off);
     for (bool replicated : {true, false}) {
@@ -170,8 +175,9 @@
     }
 }
 
-// A page names a machine that the cloud does not list: it is gone, which only its lease or a deletion proves.
-// Its place and its team's limit stay taken until then, and its task goes on elsewhere afterwards.
+// A stored page names a machine that the cloud does not list because it has crashed. Only the end of its
+// lease or a deletion is evidence that its task has terminated. Guards against counting the resources and the
+// team's limit as free before that, and against not restarting the task afterwards.
 TEST(FaultCombination, ProvesTerminationOfMachineThatOnlyAPageNames) {
     spdlog::set_level(spdlog::level::off);
     for (bool replicated : {true, false}) {
@@ -192,7 +198,7 @@
         EXPECT_TRUE(stored(cluster, id));
         cluster.crash(leader_of(cluster), 0.2);
         cluster.crash_machine(*held);
-        // Room is there at once; the proof is not.
+        // There is room for the task at once, but no evidence yet that it has terminated.
         cluster.cancel("j-8");
         cluster.start_cloud_outage(14);
         cluster.run_until(49);
@@ -205,14 +211,14 @@
     }
 }
 
-// The machine is up, reports and works before its scale-out request is answered: the answer is lost, and
-// asked for again under the same name, or the leader crashes meanwhile. It is one machine for all, and its
-// task stays there.
+// A new machine is up, sends heartbeats and runs a task before the scale-out request is answered. The answer
+// is lost and the request repeated under the same name, or the leader crashes meanwhile. Guards against
+// counting the machine twice: each rental must give one machine, and the task must stay on it.
 TEST(FaultCombination, CountsMachineOnceWhenUpBeforeScaleOutIsAnswered) {
     spdlog::set_level(spdlog::level::off);
-    for (bool ends : {false, true}) {
+    for (bool leader_crashes : {false, true}) {
         SimulatedCluster cluster(two_machines(true));
-        std::map<std::string, std::size_t> asked;  // how often, of each rental
+        std::map<std::string, std::size_t> asked;  // number of requests for each rental
         std::string lost;
         cluster.on_message = [&](auto&, auto&, auto& request) {
             if (request.target != "/hosts" || request.method != "POST") return;
@@ -228,15 +234,15 @@
         on_first_run(cluster, cluster.workers.size(), [&](Worker& worker) {
             run_at = cluster.now();
             on = &worker;
-            if (ends) cluster.crash(leader_of(cluster), 0.2);
+            if (leader_crashes) cluster.crash(leader_of(cluster), 0.2);
         });
         cluster.at(26, [&cluster] { submit_for_new_machine(cluster, "service", 0); });
         cluster.run_until(37);
         ASSERT_TRUE(run_at);
         auto starts = cluster.starts;
         cluster.run_until(110);
-        EXPECT_EQ(asked[lost] > 1, !ends);
-        EXPECT_EQ(cluster.workers.size(), 2 + asked.size());  // each rental gave one
+        EXPECT_EQ(asked[lost] > 1, !leader_crashes);
+        EXPECT_EQ(cluster.workers.size(), 2 + asked.size());  // one machine for each rental
         EXPECT_EQ(on_machine(*on, "j-1"), 1u);
         EXPECT_EQ(cluster.starts, starts);
         EXPECT_EQ(on_machines(cluster, "j-8"), 2u);
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that are cancelled in the seconds in which one controller's work changes hands.
+// Tests of jobs that are cancelled in the seconds of a failover.
 #include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
@@ -6,7 +6,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-// Through this controller, and no other.
+// Cancels the job through this controller only.
 void cancel_at(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
     cluster.ask_cancellation(id);
     cluster.send_user_request(node, {"POST", "/api/jobs/" + id + "/cancel", ""},
@@ -15,13 +15,15 @@
                                   cluster.confirm_cancellation(id);
                               });
 }
-// The service's answers to this controller don't show that the job is cancelled, so that only notices tell
-// it. Users are not led there: it would tell them what it was told.
+// Hides changes of the job's record from this controller's watches, so that it learns of the cancellation
+// only from the notices of other controllers. Removes it from the load balancer, because it would give users
+// an outdated answer.
 void hide_cancellation_from(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
     cluster.hide_job_from(node, id);
     cluster.remove_from_load_balancer(node);
 }
-// Two jobs on all machines, one that is cancelled and one that stays.
+// Starts a job that the test cancels (j-1) and a service that stays (j-2), each with one task per machine,
+// and runs until 30 s.
 void fill_machines(SimulatedCluster& cluster) {
     cluster.at(2, [&cluster] {
         cluster.submit("j-1", "batch", 6, 300);
@@ -32,7 +34,8 @@
     ASSERT_EQ(on_machines(cluster, "j-2"), 6u);
 }
 
-// The confirming controller's notice is lost, and the leader's watch does not say it either.
+// Guards against a cancellation that the leader never learns of: the notice of the controller that confirmed
+// it is lost, and the leader's watch does not return it. The notice must be repeated.
 TEST(FaultCombination, LostCancellationNoticeIsRepeated) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
@@ -51,8 +54,9 @@
     expect_no_violations(cluster);
 }
 
-// Between the end of a lease and the first decision of the next leader. What leads next may have listed the
-// jobs before or after; its watch says nothing of it, and the notice may come before it has read them.
+// Guards against losing a cancellation that is confirmed between the crash of a leader and the first plan of
+// the next one. The next leader lists the jobs before or after the cancellation, its watch does not return
+// it, and the notice may arrive before it has read the jobs.
 class CancellationBetweenLeaders : public testing::TestWithParam<std::tuple<double, std::size_t>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationBetweenLeaders,
                          testing::Combine(testing::Values(0.01, 0.5, 1.0, 1.5, 1.9, 2.1, 2.2, 2.3, 2.4, 2.5,
@@ -84,8 +88,9 @@
     expect_no_violations(cluster);
 }
 
-// The same at each moment of a failover that is slow to read: the first notice comes while the list is read,
-// and what the list says is older.
+// Guards against losing a cancellation during a failover whose reads are slow: the first notice arrives while
+// the next leader reads the list of jobs, and the list is older than the cancellation. The cancellation comes
+// at each of several moments after the claim of the leadership.
 class CancellationWhileNextLeaderReads : public testing::TestWithParam<double> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationWhileNextLeaderReads, testing::Range(0.0, 1.2, 0.1),
                          [](auto& info) { return "After" + seconds_name(info.param); });
@@ -116,8 +121,9 @@
     expect_no_violations(cluster);
 }
 
-// The relays change their leader: heartbeats that they hold go to the next one, commands reach no machine
-// soon after, and the cloud deletes nothing. No answer may give a cancelled task more than its time.
+// Guards against answers to heartbeats that extend the lease of a worker with a cancelled task beyond the
+// bound for cancellations (`cancel_s`). The relays change their leader and send the heartbeats that they hold
+// to the next one. Soon afterwards no command reaches a machine, and the cloud deletes none.
 class RelaysThatChangeLeader : public testing::TestWithParam<std::tuple<double, double>> {};
 INSTANTIATE_TEST_SUITE_P(
     FaultCombinations, RelaysThatChangeLeader,
@@ -140,7 +146,7 @@
     ASSERT_EQ(on_machines(cluster, "j-1"), 9u);
     auto old = leader_of(cluster);
     cluster.start_cloud_outage(100);
-    cluster.partition(host_of(old), "10.1.", 20, Packets::held);  // what it has sent comes 20 s later
+    cluster.partition(host_of(old), "10.1.", 20, Packets::held);  // its messages arrive 20 s later
     cluster.at(40.3, [&cluster, old] { cluster.crash(old, 0.2); });
     cluster.at(40 + after, [&cluster] { cluster.cancel("j-1"); });
     cluster.at(40 + after + cut_after, [&cluster] { cluster.partition_one_way("10.0.", "10.1.", 60); });
@@ -152,8 +158,9 @@
     expect_no_violations(cluster);
 }
 
-// Starts of the leader that ends are held up on their way, the next one starts the rest, and the job is
-// cancelled before, between or after.
+// Guards against tasks of a cancelled job that keep running because their `run` commands arrive late. The
+// commands of a crashed leader are delayed, the next leader starts the remaining tasks, and the job is
+// cancelled before, between or after these starts.
 class StartsOfTwoLeaders : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, StartsOfTwoLeaders,
                          testing::Combine(testing::Values(0.05, 0.5, 2.2, 2.8, 4.0, 7.0), testing::Bool()),
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -1,4 +1,4 @@
-// Messages that arrive after newer ones, or after their sender has crashed.
+// Tests of messages that arrive after newer messages, or after their sender has crashed.
 #include "protocol/agent_api.hpp"
 #include "scenarios/scenario_support.hpp"
 
@@ -10,13 +10,14 @@
         cluster.send(from.addr, cluster.addr_of(n), request, 1, [](std::optional<http::Response>) {});
 }
 
-// An old heartbeat arrives after newer ones, at a leader that has received nothing newer of that machine:
-// what it shows has moved on since, and what runs elsewhere must go on.
+// Guards against stopping a task because of an old heartbeat. The heartbeat arrives after newer ones, at a
+// new leader that has received no newer one from that machine. The task that it shows has since been
+// restarted on another machine and must keep running there.
 TEST(FaultCombination, OldHeartbeatStopsNothingThatRunsElsewhere) {
     spdlog::set_level(spdlog::level::off);
     Options options;
     options.machines = 2;
-    options.without_replication = {0, 1, 2};  // nothing is known of the machines but what they say
+    options.without_replication = {0, 1, 2};  // a new leader knows the machines' tasks only from heartbeats
     SimulatedCluster cluster(options);
     keep_machines(cluster);
     cluster.at(4, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
@@ -29,8 +30,8 @@
     cluster.run_until(25);
     ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
     std::size_t first = on_machine(*cluster.workers[0], "j-1") ? 0 : 1;
-    // For longer than a lease, and it can't be deleted: the task goes on elsewhere, the machine in its next
-    // agent epoch.
+    // The machine hangs for longer than its lease and cannot be deleted. The task is restarted on the other
+    // machine, and the hung machine continues in its next agent epoch.
     cluster.hang_machine(first, 30);
     cluster.start_cloud_outage(60);
     cluster.run_until(70);
@@ -50,14 +51,15 @@
     expect_no_violations(cluster);
 }
 
-// A `run` is held up on its way to a machine that is outbound unreachable, and its job is cancelled
-// meanwhile. It arrives between a heartbeat and the answer to it, and then the machine is partitioned from
-// all: an answer that renews its lease would leave the task there for a lease more.
+// Guards against renewing the lease of a machine for a task that is already cancelled. A `run` command to a
+// machine that no controller reaches is delayed, and its job is cancelled meanwhile. The command arrives
+// between a heartbeat and its answer, and then the machine is partitioned from all controllers. An answer
+// that renews the lease would let the task run for another lease.
 TEST(FaultCombination, DelayedStartOfCancelledJobGetsNoLeaseRenewal) {
     spdlog::set_level(spdlog::level::off);
     Options options;
     options.machines = 12;
-    options.heartbeat_processing_s = 0.05;  // so that the answer comes after the `run`
+    options.heartbeat_processing_s = 0.05;  // so that the answer to the heartbeat arrives after the `run`
     options.cancel_s = 34;
     SimulatedCluster cluster(options);
     keep_machines(cluster);
@@ -81,14 +83,15 @@
     cluster.at(31.5, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(45);
     ASSERT_FALSE(met.empty());
-    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);  // it has arrived
+    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);  // the delayed `run` has arrived
     cluster.run_until(150);
     EXPECT_TRUE(cluster.jobs["j-1"].cancelled);
     expect_no_violations(cluster);
 }
 
-// Controllers hand over and back within moments, all crash, one returns; what its first process sent comes
-// later.
+// Leadership alternates between controllers within seconds, then all controllers crash and one restarts
+// first. Messages that a crashed leader sent arrive after its process has been restarted. All invariants must
+// hold.
 TEST(FaultCombination, KeepsAllRulesWhenLeadershipAlternates) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -100,7 +103,7 @@
             cluster.at(time, [&cluster] {
                 auto leader = leader_of(cluster);
                 cluster.partition(host_of(leader), "10.", 4,
-                                  Packets::held);  // held, and sent on when its second life leads
+                                  Packets::held);  // delivered after the process has restarted
                 cluster.crash(leader, 0.1);
             });
             cluster.at(time + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
--- a/tests/scenarios/fault_combinations_invalid_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_invalid_requests_test.cpp
@@ -1,4 +1,5 @@
-// Jobs that can't run or lack a field, and requests that make no sense, during other faults.
+// Tests of submissions that cannot run or lack a field, and of requests that conflict with a job's state,
+// during other faults.
 #include <array>
 
 #include "scenarios/parameter_names.hpp"
@@ -9,11 +10,11 @@
 
 constexpr std::size_t controllers = 3;
 
-// What users send that must be refused, with what it gets once nothing is in the way.
+// A submission that must be refused.
 struct InvalidRequest {
     std::string id;
     json body;
-    int refused;
+    int refused;  // HTTP status of the answer without a fault
 };
 constexpr std::array needed_fields{"cohort",    "crew",     "shape",    "rank",     "shards",   "vcpus",
                                    "cards",     "ram_gb",   "payload",  "image_gb", "together", "scatter",
@@ -81,12 +82,13 @@
     {"all just ended", FaultDuringRequest::all_crashed},
 };
 constexpr double fault_at_s = 30, fault_s = 9;
-// After the fault begins. The first ones find a controller that has just begun.
+// Times of the requests in s after the fault begins. The first requests reach a controller that has just
+// started.
 constexpr std::array request_times{0.25, 0.6, 1.5, 3.0, 6.0};
 
 void start_fault(SimulatedCluster& cluster, FaultDuringRequest fault) {
     if (fault == FaultDuringRequest::types_unknown)
-        cluster.start_cloud_outage(fault_at_s + fault_s);  // from the start
+        cluster.start_cloud_outage(fault_at_s + fault_s);  // begins with the simulation
     cluster.at(fault_at_s, [&cluster, fault] {
         if (fault == FaultDuringRequest::store_outage) cluster.key_value_store.start_outage(fault_s);
         if (fault == FaultDuringRequest::store_slow) cluster.key_value_store.slow_down(fault_s, 1.5);
@@ -103,18 +105,17 @@
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, InvalidRequestDuringFault, testing::ValuesIn(fault_cases),
                          NameOfCase());
 
-// Every node, during a fault: refused as it is without one, or 503; never accepted. Nothing of it is stored,
-// and once the fault is over each is refused with its own code.
-// What the controllers answered to invalid submissions.
+// Counts of the controllers' answers to invalid submissions.
 struct Refusals {
     std::size_t sent = 0, during_fault = 0, afterwards = 0;
-    std::size_t unavailable = 0;  // 503
+    std::size_t unavailable = 0;  // answers with status 503
 };
+// Sends the request to each controller and checks the status of each answer.
 void submit_invalid(SimulatedCluster& cluster, double time, const InvalidRequest& request, bool fault_over,
                     Refusals& refusals) {
     for (std::size_t n = 0; n < controllers; ++n)
         cluster.at(time, [&cluster, &request, &refusals, n, fault_over] {
-            // A controller that is down can't be asked; it is back in 0.2 s.
+            // A crashed controller is down for 0.2 s only, which is over before the first request.
             ++refusals.sent;
             cluster.post_job_to(n, request.body.dump(), [&, fault_over](http::Response response) {
                 bool unavailable = response.status == 503;
@@ -127,7 +128,8 @@
             });
         });
 }
-// What can run is not refused for a fault either.
+// Submits a valid job to each controller. It must not be refused because of the fault, except with status
+// 503.
 void submit_valid(SimulatedCluster& cluster, const std::string& id, std::size_t& accepted) {
     auto body = plain_job(id);
     cluster.expect_job(id, body);
@@ -138,6 +140,9 @@
             if (!right) ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
         });
 }
+// During a fault, every controller must answer an invalid submission with the status it gives without a
+// fault, or with 503. After the fault, it must give the status of the error again. Nothing of the job may be
+// stored.
 TEST_P(InvalidRequestDuringFault, IsNeverAccepted) {
     spdlog::set_level(spdlog::level::off);
     auto fault = GetParam().fault;
@@ -157,23 +162,23 @@
             submit_valid(cluster, id, accepted);
         });
     cluster.run_until(100);
-    EXPECT_EQ(refusals.during_fault + refusals.afterwards, refusals.sent);  // all are answered
+    EXPECT_EQ(refusals.during_fault + refusals.afterwards, refusals.sent);  // every request was answered
     EXPECT_EQ(refusals.afterwards, invalid_requests.size() * controllers);
     bool all_503 = fault == FaultDuringRequest::types_unknown || fault == FaultDuringRequest::store_outage;
     EXPECT_GE(refusals.unavailable, all_503 ? refusals.sent / 8 : 0u) << "of " << refusals.sent;
     EXPECT_TRUE(refusals.unavailable == 0 || fault != FaultDuringRequest::nothing);
-    EXPECT_LE(accepted, 3u);  // each once
+    EXPECT_LE(accepted, 3u);  // each of the three jobs at most once
     for (auto& request : invalid_requests)
         EXPECT_THROW(cluster.key_value_store.record("job/" + request.id), std::out_of_range) << request.id;
     expect_no_violations(cluster);
 }
 
-// The submission of an unfinished job is repeated with other bodies, good and bad, and jobs that are done are
-// cancelled: the job stays as it was first accepted, and no answer is a refusal.
+// Counts of repeated requests and of their answers.
 struct RepeatedRequests {
     std::size_t sent = 0, answered = 0, successful = 0;
 };
-// Checks answers about a job that is over with this state, or unfinished.
+// Returns a reply handler that checks an answer about the job: its status must be `final_state` or, if that
+// is empty, the status of an unfinished job. During the fault, 503 is allowed too.
 http::Reply check_answer(SimulatedCluster& cluster, const std::string& id, const std::string& final_state,
                          bool fault_over, RepeatedRequests& requests) {
     ++requests.sent;
@@ -213,7 +218,7 @@
         for (auto* id : {"j-3", "j-4"}) cancel_and_repeat_done(cluster, n, id, fault_over, requests);
     }
 }
-// The controllers have just begun, and nothing was stored of the types.
+// Restarts all controllers during a cloud outage, after the stored machine types have been removed.
 void start_without_types(SimulatedCluster& cluster) {
     cluster.at(fault_at_s - 0.1, [&cluster] {
         cluster.start_cloud_outage(fault_s);
@@ -221,6 +226,8 @@
         for (std::size_t n = 0; n < controllers; ++n) cluster.crash(n, 0.2);
     });
 }
+// Submissions of unfinished and of done jobs are repeated with other bodies, valid and invalid, and done jobs
+// are cancelled. Each job must stay as it was first accepted or ended, and no answer may be a refusal.
 TEST_P(InvalidRequestDuringFault, ChangesNoJob) {
     spdlog::set_level(spdlog::level::off);
     auto fault = GetParam().fault;
--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -1,4 +1,4 @@
-// Leaders and machines that only a part of the cluster reaches, and a second fault meanwhile.
+// Tests of leaders and machines that only a part of the cluster reaches, combined with a second fault.
 #include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
@@ -6,17 +6,20 @@
 namespace coralhitch::simulation {
 namespace {
 
-// The key-value store refuses the leader alone, another controller confirms a cancellation, and the service
-// is then out for all for longer than `cancel_s`, while the workers report to the old leader. Others don't
-// reach it: what they tell it proves nothing.
+// Guards against cancelled tasks that run longer than `cancel_s` because the leader does not learn of the
+// cancellation. The key-value store refuses the leader alone, and another controller confirms a cancellation.
+// Then the store is unavailable to all for longer than `cancel_s`, while the workers send heartbeats to the
+// old leader. The other controllers cannot reach it, so their cancellation notices do not arrive.
 struct RefusalCase {
     const char* name;
-    double refused_s;      // the leader alone, from 30 s on; the cancellation comes 0.3 s later
-    double outage_from_s;  // for all, for 70 s; before the leader's lease is out, which thus is kept
-    // A first outage ends, the leader renews its lease, and the next outage begins at once.
+    double refused_s;  // how long the store refuses the leader, from 30 s on; the cancellation is at 30.3 s
+    // Start of the outage for all, in s. It lasts 70 s, unless a second outage follows. If it starts before
+    // the leader's lease ends, the leader keeps the lease.
+    double outage_from_s;
+    // The first outage is short, the leader renews its lease after it, and a second outage begins at once.
     bool second_outage = false;
-    bool crash = false;       // the leader crashes in the middle, and is back at once
-    bool late_watch = false;  // the leader's watch, still open, says nothing of it
+    bool crash = false;       // the leader crashes at 33 s and restarts at once
+    bool late_watch = false;  // the leader's open watch does not return the cancellation
 };
 const RefusalCase refusal_cases[] = {
     {.name = "refused on", .refused_s = 14, .outage_from_s = 31.0},
@@ -72,9 +75,10 @@
     EXPECT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 0u);
 }
 
-// A leader crashes while machines with long tasks can't be reached, or are outbound unreachable, for longer
-// than a lease, and can't be deleted: their places, quota and zone stay taken until their leases are out, and
-// everything goes on.
+// Guards against counting tasks on unreachable machines as terminated too early. A leader crashes while
+// machines with long tasks are partitioned from the controllers or outbound unreachable, in some cases for
+// longer than a lease, and cannot be deleted. Their resources, quota and zone must stay in use until their
+// leases end, and all tasks must run in the end.
 class UnreachableMachines : public testing::TestWithParam<std::tuple<bool, double>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, UnreachableMachines,
                          testing::Combine(testing::Bool(), testing::Values(12.0, 22.0, 40.0)),
@@ -115,8 +119,9 @@
     expect_no_violations(cluster);
 }
 
-// Workers can't open connections to any controller, while direct commands still reach them: their answers
-// show them well, but every lease that ends kills what was started there since.
+// Guards against starting tasks on machines that cannot connect to any controller while commands still reach
+// them. Their answers to commands look healthy, but their leases are not renewed, and the end of a lease
+// kills the tasks that were started since.
 TEST(FaultCombination, StartsNothingOnInboundUnreachableMachines) {
     spdlog::set_level(spdlog::level::off);
     for (bool crash : {false, true}) {
@@ -133,7 +138,8 @@
         std::set<std::string> unreachable;
         for (std::size_t machine = 0; machine < 4; ++machine)
             unreachable.insert(cluster.workers[machine]->addr);
-        // Half of a lease and a look later, longer with a new leader, which begins to count at its start.
+        // Starts must stop half a lease and one check after the fault begins. A new leader measures the time
+        // from its own start, so it may take longer.
         double from = cluster.now() + options.lease_s / 2 + (crash ? 20 : 3);
         cluster.on_message = [&](auto&, auto& to, auto& request) {
             bool run = request.target == protocol::paths::commands &&
@@ -141,14 +147,14 @@
             runs += run && !over && cluster.now() > from && unreachable.contains(to);
         };
         if (crash) cluster.at(35, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
-        // The other half has room for these, one after the other.
+        // The reachable half of the machines has room for these jobs one after the other.
         for (int k = 0; k < 8; ++k)
             cluster.at(from + 1 + k * 6,
                        [&cluster, k] { cluster.submit("j-" + std::to_string(k), "batch", 2, 8); });
         cluster.run_until(30 + unreachable_s);
         over = true;
         EXPECT_EQ(runs, 0u) << crash;
-        // They are well again, and are used.
+        // The machines can connect again and must be used.
         cluster.at(cluster.now() + 5, [&cluster] { cluster.submit("j-20", "batch", 8, 20); });
         cluster.run_until(cluster.now() + 90);
         EXPECT_TRUE(cluster.jobs["j-20"].done);
@@ -160,6 +166,8 @@
 struct QueryCounts {
     std::size_t asked = 0, answered = 0;
 };
+// Queries the job at this controller. Fails the test if the answer is 404, or shows the job as unfinished
+// although it had already ended or been cancelled when the query was sent.
 void expect_nothing_older(SimulatedCluster& cluster, std::size_t node, const std::string& id,
                           QueryCounts& counts) {
     bool over = cluster.jobs[id].cancelled || cluster.jobs[id].done;
@@ -172,6 +180,8 @@
                 ADD_FAILURE() << cluster.now() << " " << response.status << " " << response.body;
         });
 }
+// Submits the cancelled job again to this controller. Fails the test if the answer has status 201, or status
+// 200 and a state other than cancelled.
 void expect_cancelled_job_refuses_repeat(SimulatedCluster& cluster, std::size_t node, const std::string& id) {
     cluster.post_job_to(node, cluster.jobs[id].spec.dump(), [&cluster](http::Response response) {
         bool older = response.status == 201 ||
@@ -180,9 +190,9 @@
     });
 }
 
-// A leader is partitioned from the key-value store and from the other controllers, while workers and users
-// still reach it, and jobs are cancelled through the new one: the old one answers nothing older, and keeps no
-// task too long.
+// Guards against outdated answers from an isolated leader. The leader is partitioned from the key-value store
+// and from the other controllers, while workers and users still reach it, and jobs are cancelled through the
+// new leader. The old leader must not answer with an older state, and must not keep cancelled tasks too long.
 TEST(FaultCombination, IsolatedLeaderAnswersNothingOlder) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
@@ -206,7 +216,7 @@
         });
     cluster.run_until(150);
     EXPECT_TRUE(cluster.jobs["j-1"].cancelled && cluster.jobs["j-2"].cancelled && cluster.jobs["j-3"].done);
-    EXPECT_GT(counts.answered, counts.asked / 5);  // once it is back
+    EXPECT_GT(counts.answered, counts.asked / 5);  // answers arrive once the partition has ended
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/fault_combinations_late_transactions_test.cpp
+++ b/tests/scenarios/fault_combinations_late_transactions_test.cpp
@@ -1,12 +1,13 @@
-// Transactions that are carried out late, and a key-value store that answers slowly, as leaders change.
+// Tests of transactions that are carried out late, and of a slow key-value store, during leader changes.
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-// A transaction without an answer is carried out late, after newer ones of the same leader: what these stored
-// of tasks that are done must not be lost, since their machines have been told to forget them.
+// Guards against losing the progress of a job. A transaction without an answer is carried out after newer
+// ones of the same leader. The records of completed tasks in the newer ones must stay, because the machines
+// have already been told to forget these tasks.
 TEST(FaultCombination, LateTransactionLosesNoProgress) {
     spdlog::set_level(spdlog::level::off);
     Options options;
@@ -29,8 +30,8 @@
     expect_no_violations(cluster);
 }
 
-// Each kind of transaction of the controllers, again and again without an answer and carried out after newer
-// ones, over leaders that end and are back at once.
+// A third of the controllers' transactions on one kind of key gets no answer and is carried out 2 s to 12 s
+// late, after newer ones, while leaders crash and restart at once. All invariants must hold.
 class LateTransactions : public testing::TestWithParam<const char*> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, LateTransactions,
                          testing::Values("leader", "standby", "mach/page/", "job/", "prog/", "final/",
@@ -48,7 +49,7 @@
     cluster.key_value_store.transaction_delay = [&](const json& txn) {
         for (auto& change : txn["then"]) {
             auto key = change.value("put", change.value("drop", ""));
-            // Not so many that nobody leads for long.
+            // Only a third is delayed, so that there is a leader most of the time.
             if (!key.starts_with(kind) || cluster.now() > 100 || random() % 3) continue;
             ++late;
             return std::uniform_real_distribution<double>(2, 12)(random);
@@ -63,8 +64,9 @@
     expect_no_failures(cluster);
 }
 
-// The key-value store answers slowly, up to the edge of a leader's lease, while users cancel and ask, refuses
-// the leader alone in between, and is then out for all.
+// The key-value store answers slowly, with delays close to the time in which a leader must renew its lease,
+// while users cancel and query jobs. In between it refuses the leader alone, and is then unavailable to all.
+// All invariants must hold.
 TEST(FaultCombination, KeepsAllRulesWhenKeyValueStoreIsSlowAtTheEdgeOfALease) {
     spdlog::set_level(spdlog::level::off);
     for (double by : {0.6, 1.2, 1.6}) {
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -1,4 +1,4 @@
-// Transactions that are carried out at once while their answers are lost.
+// Tests of transactions that are carried out at once but whose answers are lost.
 #include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
@@ -6,10 +6,11 @@
 namespace coralhitch::simulation {
 namespace {
 
-// The simulated key-value store carries such a transaction out after this time, and never answers it.
+// Delay in s after which the simulated key-value store carries such a transaction out. It never answers it.
 constexpr double at_once = 1e-6;
 
-// Each kind of the controllers' own transactions, a third of the time, over leaders that end.
+// A third of the controllers' own transactions on one kind of key loses its answer, while leaders crash and
+// restart. All invariants must hold and all jobs must end.
 class LostTransactionAnswers : public testing::TestWithParam<const char*> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, LostTransactionAnswers,
                          testing::Values("leader", "standby", "mach/page/", "prog/", "types"),
@@ -48,8 +49,9 @@
     cluster.run_until(30);
 }
 
-// A claim succeeds, its answer is lost, and its claimer reaches the key-value store no more for a while: it
-// does not act as a leader, and another one leads once the lease is out that nobody renews.
+// A controller's claim of the leadership succeeds, its answer is lost, and the key-value store then refuses
+// this controller for a while. Guards against a claimer that acts as the leader without knowing the result,
+// and against an election that waits for longer than the unrenewed lease.
 TEST(FaultCombination, LostAnswerToClaimDelaysElectionByOneLeaseAtMost) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
@@ -80,7 +82,7 @@
     cluster.run_until(60);
     ASSERT_TRUE(claimed);
     ASSERT_TRUE(led);
-    // The leader's lease is a tenth of a worker's; the rest is for the election.
+    // The leader's lease is a tenth of a worker's lease (24 s). The other tenth is allowed for the election.
     EXPECT_LT(*led - *claimed, 24 / 5.0);
     EXPECT_EQ(commands, 0u);
     EXPECT_NE(cluster.leader(), claimer);
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -1,4 +1,5 @@
-// Teams at their limits while jobs are cancelled or end on machines that don't answer, and leaders change.
+// Tests of teams at their limits while jobs are cancelled or end on machines that do not answer, and the
+// leader changes.
 #include <array>
 
 #include "scenarios/parameter_names.hpp"
@@ -7,7 +8,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-// What the machines go through that hold all of a team's limit.
+// Fault of the machines whose tasks use up a team's limit.
 enum class Unavailability { hang, hang_briefly, no_answers, partitioned };
 
 void make_unavailable(SimulatedCluster& cluster, Unavailability how, std::size_t machine, double for_s) {
@@ -18,25 +19,27 @@
     if (how == Unavailability::partitioned) cluster.partition("10.0.", worker.addr, for_s);
 }
 
-// The bound that docs/design.md states, after the last change of the leader: the new one counts on the one
-// before having renewed leases for as long as `cancel_s` allows. Some heartbeat periods are for the plan and
-// the start.
+// Returns the time in s after the last change of the leader within which a waiting job must start. It is the
+// bound of docs/design.md: the new leader assumes that its predecessor renewed leases for as long as
+// `cancel_s` allows. Two heartbeat periods are added for the plan and the start.
 double quota_release_bound_s(const Options& options) {
     return options.cancel_s + 2 * options.heartbeat_interval_s;
 }
 
-// Both teams are at their limits. Their machines are away while the jobs are cancelled, and the leader
-// changes before, after or in between, to one that knows the jobs only from what is stored. The cloud answers
-// no deletion, so only time proves anything gone. What waits starts within the bound, and nothing before the
-// proof.
+// Guards against exceeding a team's limit, and against waiting for longer than the bound. Both teams are at
+// their limits, and their machines are unavailable while the jobs are cancelled. The leader crashes shortly
+// before or after the cancellation, and its successor a few seconds later. The last leader knows the jobs
+// only from the key-value store. The cloud deletes no machine, so only the end of a lease is evidence that a
+// task has terminated. Waiting jobs must start after that evidence, and within the bound.
 struct LimitCase {
     const char* name;
     Unavailability how;
-    double leader_crashes_after;  // after the cancellation; it comes 2 s after the machines go away
-    bool replicated;              // the next leader follows the one before
+    // Time of the crash in s after the cancellation, which is 2 s after the machines become unavailable.
+    double leader_crashes_after;
+    bool replicated;  // the next leader has a replica of the crashed leader's state
 };
-void PrintTo(const LimitCase& limit_cases, std::ostream* out) {
-    *out << limit_cases.name;
+void PrintTo(const LimitCase& limit_case, std::ostream* out) {
+    *out << limit_case.name;
 }
 const LimitCase limit_cases[] = {
     {"hang, leader crashes before", Unavailability::hang, -1, true},
@@ -51,7 +54,8 @@
 };
 class TeamsAtTheirLimits : public testing::TestWithParam<LimitCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limit_cases), NameOfCase());
-// Two jobs of each team, which fill its limit, on machines that a filler keeps.
+// Two jobs of each team (j-1x: `tight`, j-2x: `free`), which use up its limit. They run on machines that a
+// filler service keeps from being returned to the cloud.
 constexpr std::array first_jobs{"j-11", "j-12", "j-21", "j-22"};
 void fill_both_teams(SimulatedCluster& cluster) {
     cluster.at(1.9, [&cluster] { submit_filler(cluster); });
@@ -69,7 +73,7 @@
     return std::any_of(first_jobs.begin(), first_jobs.end(),
                        [&worker](auto* id) { return on_machine(worker, id) > 0; });
 }
-TEST_P(TeamsAtTheirLimits, StartNothingBeforeProofOfTerminationAndWaitNoLonger) {
+TEST_P(TeamsAtTheirLimits, StartNothingBeforeEvidenceOfTerminationAndWaitNoLonger) {
     spdlog::set_level(spdlog::level::off);
     auto test_case = GetParam();
     Options options;
@@ -99,8 +103,9 @@
     expect_no_violations(cluster);
 }
 
-// A gang is over for its user when one of its tasks has ended; those on a machine that hangs are still there.
-// The next leader knows of the job only that it is done, and must not fill the team's limit beside them.
+// Guards against exceeding a team's limit with the remaining tasks of a done gang. A gang is done when one of
+// its tasks has ended, but its tasks on a hung machine still exist. The next leader knows only that the job
+// is done, and must count these tasks for the team.
 class DoneGangStillOnMachine : public testing::TestWithParam<bool> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DoneGangStillOnMachine, testing::Bool(),
                          [](auto& info) { return info.param ? "WithReplicas" : "WithoutReplicas"; });
@@ -136,8 +141,9 @@
     expect_no_violations(cluster);
 }
 
-// A cancellation falls into the spell in which a new leader can't ask some machines of a team at its limit:
-// whether it comes before or after the new one has listed the jobs, what is there counts.
+// Guards against exceeding a team's limit when a job is cancelled during a failover. The new leader cannot
+// query some of the machines that run tasks of the team. The tasks on them must count, both if the
+// cancellation comes before and if it comes after the new leader has listed the jobs.
 class CancellationDuringFailover : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationDuringFailover,
                          testing::Combine(testing::Values(0.05, 1.0, 2.2, 2.6, 3.2, 5.0), testing::Bool()),
--- a/tests/scenarios/fault_combinations_task_ends_test.cpp
+++ b/tests/scenarios/fault_combinations_task_ends_test.cpp
@@ -1,4 +1,4 @@
-// Ends of tasks that are far apart, as leaders change.
+// Tests of tasks of one job that end far apart, during leader changes.
 #include "protocol/agent_api.hpp"
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
@@ -6,8 +6,9 @@
 namespace coralhitch::simulation {
 namespace {
 
-// Jobs of two or three tasks that end far apart, and the leader crashes in between, or right when an end was
-// reported to it alone.
+// Guards against losing or repeating the end of a task. The three tasks of an array job run one after the
+// other, and a gang has a single task. The leader crashes between the ends, or right after it alone has
+// received the heartbeat that reports an end.
 class TaskEndsFarApart : public testing::TestWithParam<std::tuple<const char*, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, TaskEndsFarApart,
                          testing::Combine(testing::Values("batch", "gang"), testing::Bool()), [](auto& info) {
@@ -22,7 +23,7 @@
     options.machines = 1;
     SimulatedCluster cluster(options);
     bool gang = std::string(shape) == "gang";
-    // One at a time finds room.
+    // The only machine has room for one task at a time.
     cluster.at(2, [&cluster, s = std::string(shape), gang] {
         cluster.submit("j-1", s, gang ? 1 : 3, 8, {{"cards", 3.0}, {"driftwood", false}});
     });
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -1,5 +1,5 @@
-// Jobs bound to one zone whose machines are lost, and more work than room: once the faults are over,
-// nothing waits that has room and quota.
+// Tests of jobs that are bound to a zone whose machines are lost, and of overload. Once the faults are over,
+// no job may wait that has room and quota.
 #include <array>
 
 #include "scenarios/parameter_names.hpp"
@@ -12,7 +12,7 @@
 struct BoundJobCase {
     const char* name;
     const char* shape;
-    bool named = false;  // the zone is named by the job; else it is where its first task went
+    bool named = false;  // the job names its zone; otherwise it is bound to the zone of its first task
     Loss loss;
     bool leader_crashes = false;
 };
@@ -75,9 +75,10 @@
      .leader_crashes = true},
 };
 
-// Machines of the zone with tasks of a job bound to it go, and the leader may end a moment later. What is
-// left there counts until it is proven gone; then all of it goes on, in one zone again, within the time for
-// which anything may wait.
+// Guards against a zone-bound job that does not restart, or restarts across zones. Machines with tasks of the
+// job are lost in its zone, and in some cases the leader crashes a moment later. The lost tasks count as
+// running until there is evidence that they have terminated. Then all tasks of the job must run again, in one
+// zone, within the time that a job may wait.
 class ZoneBoundJob : public testing::TestWithParam<BoundJobCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs), NameOfCase());
 std::size_t first_machine_with(const SimulatedCluster& cluster, const std::string& job) {
@@ -85,7 +86,8 @@
     while (on_machine(*cluster.workers.at(machine), job) == 0) ++machine;
     return machine;
 }
-// Of this machine or its zone; returns of how many machines.
+// Injects the loss at machine `first` or at all machines of its zone, and returns the number of machines
+// lost.
 std::size_t lose_machines(SimulatedCluster& cluster, Loss loss, std::size_t first, double away_s) {
     std::size_t lost = 0;
     auto zone = cluster.workers[first]->zone;
@@ -114,15 +116,16 @@
     cluster.run_until(30);
     ASSERT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     auto first = first_machine_with(cluster, "j-1");
-    // Those that are partitioned can't be deleted either: only the time proves anything. The bound is that of
-    // docs/design.md for a new leader, with two heartbeat periods for the plan and the start.
+    // Partitioned machines cannot be deleted during the cloud outage, so only the end of their leases is
+    // evidence that their tasks have terminated. The bound is that of docs/design.md for a new leader, plus
+    // two heartbeat periods for the plan and the start.
     bool partitioned = test_case.loss == Loss::zone_partitioned;
     double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s,
            away_s = partitioned ? proven_s + 10 : 40;
     if (partitioned) cluster.start_cloud_outage(away_s);
     ASSERT_GT(lose_machines(cluster, test_case.loss, first, away_s), 0u);
     if (test_case.leader_crashes) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
-    if (partitioned && !test_case.named) {  // the other zone has room
+    if (partitioned && !test_case.named) {  // the other zone has room for the job
         cluster.run_until(30 + proven_s);
         EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     }
@@ -136,8 +139,10 @@
     expect_no_violations(cluster);
 }
 
-// One machine is partitioned and can't be deleted, the leader stays: only the end of its lease proves
-// anything, whoever answered it until then. What was there goes on elsewhere within that time.
+// Guards against waiting too long for the tasks of a partitioned machine. The machine cannot be deleted and
+// the leader stays, so only the end of the machine's lease is evidence that its tasks have terminated,
+// whichever controller answered its last heartbeat. The tasks must be restarted on other machines within the
+// bound.
 class PartitionedMachine : public testing::TestWithParam<std::size_t> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, PartitionedMachine, testing::Range<std::size_t>(0, 6),
                          Numbered{"Machine"});
@@ -160,9 +165,10 @@
     expect_no_violations(cluster);
 }
 
-// More than twice the work that there is room for with all that the cloud gives, of each rank. Machines
-// die, hang and are partitioned, leaders crash and a part is cancelled meanwhile. The urgent work is not
-// behind the rest, and once the faults are over everything is served: nothing waits with room and quota.
+// Guards against starvation and priority inversion under overload. The jobs of all ranks need more than twice
+// the capacity that the cloud can provide. Meanwhile machines crash, hang and are partitioned, leaders crash,
+// and some jobs are cancelled. Urgent jobs must end earlier on average than idle ones, and once the faults
+// are over every job must run: none may wait that has room and quota.
 class Overload : public testing::TestWithParam<std::tuple<int, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, Overload,
                          testing::Combine(testing::Values(1, 2, 3), testing::Bool()), [](auto& info) {
@@ -215,8 +221,7 @@
     options.machines = 6;
     options.gpus_max = 8;
     options.max_waiting_s = 90;
-    if (slow)
-        options.heartbeat_processing_s = 0.15;  // what workers say takes long on its way, and waits in line
+    if (slow) options.heartbeat_processing_s = 0.15;  // messages of workers queue at the controllers
     SimulatedCluster cluster(options);
     cluster.at(2, [&cluster] {
         cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0, {{"cards", 0.0}});
