--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -1,5 +1,5 @@
-// Copies of heartbeats that reach every controller just as a new leader begins, and direct commands that are
-// held up on their way: scripted cases, with the order of messages fixed.
+// Tests with a scripted order of messages: copies of old heartbeats that reach every controller just as a new
+// leader starts, and commands to machines that are delayed by the network.
 #include <gtest/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
 #include <spdlog/spdlog.h>
@@ -13,7 +13,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-// What the log says at level error meanwhile.
+// Collects log lines of level error for as long as it exists, in place of the default logger.
 class ErrorLog {
   public:
     ErrorLog() : before_(spdlog::default_logger()) {
@@ -30,7 +30,7 @@
     std::shared_ptr<spdlog::logger> before_;
 };
 
-// Where each task of a job is.
+// Returns the machine of each task of a job that has not exited: task id -> machine id.
 std::map<std::string, std::string> places(const SimulatedCluster& cluster, const std::string& job) {
     std::map<std::string, std::string> out;
     for (auto& worker : cluster.workers)
@@ -42,7 +42,8 @@
     for (std::size_t n = 0; n < 3; ++n) cluster.crash(n, 0.2);
 }
 
-// Of each machine the newest heartbeat that was sent before some time and showed a task.
+// Keeps copies of heartbeats: for each machine the newest one that was sent before a given time and showed a
+// running task.
 class HeartbeatCopies {
   public:
     void keep(SimulatedCluster& cluster, double until) {
@@ -53,8 +54,8 @@
             if (shows && cluster.now() < until) kept_[from] = request;
         };
     }
-    // They reach every controller again and again, so that each may be the first that a new leader receives,
-    // or come through another controller.
+    // Sends all copies to every controller every 0.1 s, so that a copy can be the first heartbeat that a new
+    // leader receives from a machine, directly or relayed by another controller.
     void deliver(SimulatedCluster& cluster, double from, double until) {
         for (double time = from; time < until; time += 0.1)
             cluster.at(time, [this, &cluster] {
@@ -68,13 +69,14 @@
     std::map<std::string, http::Request> kept_;
 };
 
+// An event that makes the copied heartbeats outdated.
 struct EventBeforeFailover {
     const char* name;
-    void (*happens)(
-        SimulatedCluster& cluster);  // after the copies were made, and well before the leader crashes
+    // Called after the copies were made and 55 s before the controllers crash.
+    void (*happens)(SimulatedCluster& cluster);
 };
 const EventBeforeFailover events_before_failover[] = {
-    // The rest of the gang was stopped and cleared, and runs under its next attempt.
+    // The remaining tasks of the gang are stopped, and the whole gang runs again as its next attempt.
     {"a machine of a gang is deleted",
      [](SimulatedCluster& cluster) {
          auto on = places(cluster, "j-1").begin()->second;
@@ -94,8 +96,10 @@
 class OldHeartbeats : public testing::TestWithParam<EventBeforeFailover> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, OldHeartbeats, testing::ValuesIn(events_before_failover),
                          NameOfCase());
-// The new leader, which has no replica, moved tasks that ran, gangs whole, because an old heartbeat
-// that it received first showed one of them elsewhere and the next heartbeat of that machine did not.
+// Guards against restarts of running tasks by a new leader without a replica. An old heartbeat that the
+// leader received first showed a task on one machine, and the next heartbeat of that machine no longer showed
+// it. The leader then started the task again, for a gang all of its tasks, although it ran on another
+// machine.
 TEST_P(OldHeartbeats, MoveNothingAtTheNextLeader) {
     ErrorLog log;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -132,8 +136,9 @@
     EXPECT_EQ(log.text(), "");
 }
 
-// Machines back under their names begin with low numbers. The copies of their earlier incarnations come
-// first.
+// Guards against ignoring the heartbeats of a rebooted machine. The machine keeps its name but starts again
+// at low agent epochs and sequence numbers, and the leader has already received copies of heartbeats from
+// before the reboot with higher ones.
 TEST(OldHeartbeats, OfAnEarlierIncarnationDoNotShutAMachineOut) {
     ErrorLog log;
     SimulatedCluster cluster({});
@@ -144,7 +149,7 @@
     for (std::size_t k = 0; k < 6; ++k) cluster.reboot_machine(k, true);
     crash_all_controllers(cluster);
     copies.deliver(cluster, 40.2, 52);
-    cluster.run_until(60);  // less than a lease later
+    cluster.run_until(60);  // less than a worker's lease (24 s) after the crash
     EXPECT_EQ(places(cluster, "j-1").size(), 6u);
     cluster.run_until(220);
     EXPECT_TRUE(cluster.jobs["j-1"].done);
@@ -156,8 +161,8 @@
     return request.body.find(verb) != std::string::npos;
 }
 
-// The leader's direct `run`s are held up for some seconds and the leader crashes, so that they arrive before
-// the next one leads, as it begins, or after its own commands.
+// The `run` commands of a leader are delayed by some seconds and the leader crashes. The commands arrive
+// before the next leader is elected, as it starts, or after its own commands. They must violate no invariant.
 class DelayedStart : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStart,
                          testing::Combine(testing::Values(2.0, 5.0, 6.0, 7.0, 9.0, 16.0), testing::Bool()),
@@ -194,13 +199,14 @@
     EXPECT_EQ(log.text(), "");
 }
 
-// The same leader's `run` is held up, and what it was for is over when it arrives: the task has run by the
-// one in the answer to a heartbeat and was forgotten, or was called off before that.
+// Guards against starting a task that is already over. The `run` command of a leader is delayed while the
+// leader stays the same. Before the command arrives, the task was started by the answer to a heartbeat, ended
+// and was forgotten by the worker, or the task was cancelled before it started.
 struct EndedTask {
     const char* name;
-    double run_s;         // of the task
-    double cancel_after;  // s after the `run` was sent; 0: it ends by itself
-    bool stop_too;        // the direct `kill` is held up, too, for longer
+    double run_s;         // run time of the task
+    double cancel_after;  // time in s from sending `run` to the cancellation; 0 if the task ends by itself
+    bool delays_kill;     // the `kill` command is delayed as well, 1 s longer than `run`
 };
 const EndedTask ended_tasks[] = {
     {"done", 1, 0, false},
@@ -225,7 +231,7 @@
     bool held = false;
     cluster.at(20, [&cluster, run_s = ended_task.run_s] { cluster.submit("j-1", "batch", 1, run_s); });
     cluster.command_delay = [&, ended_task = ended_task, late_s = late_s](auto&, auto& request) {
-        if (has(request, "\"kill\"") && ended_task.stop_too) return late_s + 1;
+        if (has(request, "\"kill\"") && ended_task.delays_kill) return late_s + 1;
         if (!has(request, "\"run\"") || std::exchange(held, true)) return 0.0;
         if (ended_task.cancel_after > 0)
             cluster.at(cluster.now() + ended_task.cancel_after, [&cluster] { cluster.cancel("j-1"); });
@@ -236,7 +242,7 @@
     cluster.run_until(120);
     EXPECT_TRUE(held);
     EXPECT_LE(cluster.starts, 1u);
-    EXPECT_EQ(cluster.starts, starts);  // nothing by then that was not there before the last ones arrived
+    EXPECT_EQ(cluster.starts, starts);  // the late commands started nothing
     EXPECT_TRUE(places(cluster, "j-1").empty());
     EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
     EXPECT_TRUE(ended_task.cancel_after > 0 ? cluster.jobs["j-1"].cancelled : cluster.jobs["j-1"].done);
--- a/tests/scenarios/dependency_test.cpp
+++ b/tests/scenarios/dependency_test.cpp
@@ -1,10 +1,11 @@
-// Jobs that await others, while leaders change and the key-value store is away.
+// Tests of jobs that await other jobs, while the leader changes and the key-value store is unavailable.
 #include "scenarios/scenario_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-// What is submitted with jobs to await is judged by what these are, and a retry by what became of it.
+// One submission and its expected answer. The answer to a first submission depends on the states of the
+// awaited jobs, and the answer to a repeated one on the state of the job itself, whatever its body says.
 struct SubmissionCase {
     const char* id;
     json awaits;
@@ -55,13 +56,14 @@
     }
     expect_no_violations(cluster);
 }
-// Behind job `first`, each awaits the one before it.
+// Submits the jobs `first` + 1 to `end` - 1, each of which awaits the job with the preceding number.
 void submit_chain(SimulatedCluster& cluster, int first, int end, double run_s) {
     auto id = [](int number) { return "j-" + std::to_string(number); };
     for (int k = first + 1; k < end; ++k) cluster.submit_awaiting(id(k), "batch", 1, run_s, {id(k - 1)});
 }
-// While the key-value store is away nobody can mark the jobs behind a cancelled one, and right after it there
-// may be no leader: whoever answers must work it out from the awaited jobs.
+// Guards against answering "pending" for a dependent of a cancelled job. No controller can store the end of
+// the dependents while the key-value store is unavailable, and there may be no leader right after the outage.
+// The controller that answers must then derive the state from the awaited jobs.
 TEST(DependencyScenario, CancelsDependentsDuringAnOutageWithoutALeader) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3}) {
@@ -75,7 +77,7 @@
         });
         cluster.run_until(30);
         cluster.cancel("j-10");
-        cluster.run_until(30.2);  // told, and hardly anything else
+        cluster.run_until(30.2);  // the cancellation is confirmed, and hardly anything else has happened
         ASSERT_TRUE(cluster.jobs["j-10"].cancelled);
         cluster.key_value_store.start_outage(options.cancel_s + 1);
         cluster.at(30.2 + options.cancel_s, [&cluster] { cluster.crash(leader_of(cluster), 4); });
@@ -84,8 +86,9 @@
         for (int k = 11; k < 30; ++k) EXPECT_TRUE(cluster.jobs["j-" + std::to_string(k)].cancelled) << k;
     }
 }
-// A controller that is partitioned from the key-value store passes users' requests on, but a submission that
-// awaits jobs only to a version that knows of that: any other would store it as one that may start.
+// A controller without the key-value store forwards users' requests to other controllers. Guards against
+// forwarding a submission that awaits jobs to a version that does not support this: that version would store
+// a job that may start at once. The submission is answered with 503 instead.
 TEST(DependencyScenario, ForwardsNoDependentJobToAnOlderVersion) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
@@ -113,7 +116,8 @@
         expect_no_violations(cluster);
     }
 }
-// Hundreds of questions that hang on how one job ended share the read of it.
+// Guards against one read of a final record per query: hundreds of queries that depend on how one job ended
+// must share few reads of its final record.
 TEST(DependencyScenario, SharesTheReadOfAnEndAmongManyQueries) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
@@ -123,14 +127,14 @@
     });
     cluster.run_until(30);
     ASSERT_TRUE(cluster.jobs["j-1"].done);
-    for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 1);  // whoever answers starts with nothing
+    for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 1);  // so that no controller has the state in memory
     cluster.run_until(31.2);
     cluster.key_value_store.reads.clear();
     for (int k = 0; k < 5; ++k) cluster.query_all_jobs();
     cluster.run_until(36);
     EXPECT_GT(cluster.key_value_store.reads["/kv/final/j-1"], 0u);
     EXPECT_LE(cluster.key_value_store.reads["/kv/final/j-1"],
-              8u);  // three controllers, the leader once more, users of j-1 itself
+              8u);  // one read by each controller, one more by the leader, and queries of j-1 itself
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/failover_faults_test.cpp
+++ b/tests/scenarios/failover_faults_test.cpp
@@ -1,10 +1,11 @@
-// Days with every kind of job, and one kind of fault in each.
+// Runs a schedule with every kind of job under one kind of fault at a time.
 #include "scenarios/parameter_names.hpp"
 #include "scenarios/scenario_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
+// Schedules the faults of one run.
 struct FaultPlan {
     const char* name;
     std::function<void(SimulatedCluster&, std::mt19937_64&)> plan;
@@ -131,7 +132,8 @@
         cluster.submit(id, "gang", 3, 10, {{"together", true}, {"rank", "high"}, {"cards", 2.0}});
     if (number % 4 == 3) cluster.submit(id, "batch", 5, 15, {{"scatter", true}});
 }
-// One job, two that await it, a gang that awaits these, and a last one.
+// Returns the id of a stage of a pipeline. A pipeline is a job (stage 0), two jobs that await it (1 and 2), a
+// gang that awaits both (3), and a job that awaits stages 0 and 3 (4).
 std::string stage_id(int pipeline, int stage) {
     return job_id(100 + 10 * pipeline + stage);
 }
@@ -145,11 +147,12 @@
     auto last = [&cluster, stage] {
         cluster.submit_awaiting(stage(4), "batch", 2, 2, {stage(0), stage(3)}, {{"rank", "high"}});
     };
-    // That of the third comes when all else is over.
+    // The last stage of pipeline 2 is submitted when all other jobs have ended. Its awaited jobs were
+    // cancelled.
     if (pipeline != 2) last();
     if (pipeline == 2) cluster.at(260, last);
 }
-// Of the pipelines, one is cancelled in its middle and one at its root.
+// Schedules all jobs and cancellations. Pipeline 1 is cancelled at stage 1, pipeline 2 at stage 0.
 void schedule_day(SimulatedCluster& cluster) {
     for (int number = 0; number < 12; ++number)
         cluster.at(2 + 7.0 * number, [&cluster, number] { submit_numbered_job(cluster, number); });
@@ -162,8 +165,9 @@
     cluster.at(45, [&cluster] { cluster.cancel(stage_id(1, 1)); });
 }
 
-// A day with every kind of job, some cancelled while the fault lasts. Checked at its end: no rule was broken,
-// every accepted job of the kinds that end has ended, and something ran.
+// Runs a schedule with every kind of job, some of them cancelled during the fault. Checks at the end that no
+// invariant was violated, every job was accepted and has ended, only jobs whose cancellation was requested
+// (or that awaited one) are cancelled, and tasks were started.
 void run_day(const FaultPlan& fault, std::uint64_t seed) {
     SCOPED_TRACE(std::string(fault.name) + ", seed " + std::to_string(seed));
     Options options;
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -1,28 +1,31 @@
-// What a new leader, or one that lacks something, must not do to machines and their tasks.
+// Tests that a new leader, or a leader that is slow or partly unreachable, keeps healthy machines and their
+// tasks.
 #include "scenarios/scenario_support.hpp"
 
 namespace coralhitch::simulation {
 namespace {
 
-// A leader that no longer receives heartbeats must not take the workers for dead one by one: the other
-// controllers receive them, so one of these becomes the leader, and the machines and their tasks stay.
-// Likewise a controller that is partitioned when it becomes the leader: it fences unreconciled machines
-// early, but must suspect itself first. In a large cluster those whose heartbeats are missed first are few,
-// and must not be fenced before the rest is missed. While the others relay heartbeats to the leader it may go
-// on leading, and fences none of the machines that need some seconds to turn to them: few of them are
-// reported before the first is overdue.
+// Guards against fencing healthy machines because the leader is partitioned from the workers.
+// - A leader that no longer receives heartbeats must not declare the workers dead one by one. The other
+//   controllers receive the heartbeats, so one of them must become the leader, and machines and tasks stay.
+// - A controller that is partitioned when it becomes the leader must suspect itself first, although a new
+//   leader fences unreconciled machines early.
+// - In a large cluster the heartbeats of only a few machines are overdue at first. These must not be fenced
+//   before the heartbeats of the other machines are overdue as well.
+// - If the other controllers relay heartbeats, the leader may stay. Machines need some seconds to switch to
+//   another controller, and few have done so before the first heartbeat is overdue. None may be fenced.
 struct PartitionedLeaderCase {
     std::size_t machines;
-    bool new_leader;
+    bool new_leader;  // the leader crashes and its partitioned successor is tested
     std::uint64_t seed;
     bool relay_heartbeats;
 };
 std::vector<PartitionedLeaderCase> partitioned_leader_cases() {
     std::vector<PartitionedLeaderCase> cases;
     for (bool relay_heartbeats : {false, true}) {
-        // Of eight machines a new leader that is partitioned learns late that half report elsewhere: with
-        // seed 1 one worker came to the controller that could lead a second before it did, was sent back, and
-        // lost its lease.
+        // With eight machines, a partitioned new leader learns late that half of the machines send their
+        // heartbeats to another controller. Seed 1 is not used with a new leader: one worker reached the
+        // controller that was to lead a second before it did, was redirected, and lost its lease.
         cases.insert(cases.end(), {{8, false, 1, relay_heartbeats},
                                    {8, true, 2, relay_heartbeats},
                                    {8, true, 3, relay_heartbeats}});
@@ -55,13 +58,13 @@
         if (!test_case.relay_heartbeats) {
             EXPECT_EQ(leader_of(cluster) == first, test_case.new_leader);
         }
-        EXPECT_EQ(cluster.starts, before);  // nothing had to start again
+        EXPECT_EQ(cluster.starts, before);  // no task was restarted
         expect_no_violations(cluster);
     }
 }
 
-// A new leader that processes heartbeats more slowly than it could fence machines: their answers wait unread,
-// which is no fault of theirs. It used to delete those that came last.
+// Guards against fencing machines whose answers wait unread at a slow leader. A new leader that took longer
+// to process the heartbeats than to decide which machines to fence deleted the machines that came last.
 TEST(FailoverScenario, FencesNoMachineWhenTheLeaderIsSlow) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3, 4}) {
@@ -85,9 +88,10 @@
     }
 }
 
-// Its heartbeats arrive, but nothing reaches it: after a restart of all controllers they used to hold up
-// every task for as long as they came, since nobody could tell what ran there. And what is placed there while
-// it is otherwise healthy must not wait.
+// Guards against blocking all starts because of one machine whose heartbeats arrive but which no controller
+// can reach. After a restart of all controllers (`cold`) no task was started for as long as its heartbeats
+// came, because no controller knew what ran on the machine. Without a restart, the machine still looks
+// healthy, and tasks that are placed on it must not wait for it either.
 TEST(FailoverScenario, StartsTasksDespiteAnUnreachableMachine) {
     spdlog::set_level(spdlog::level::off);
     for (bool cold : {true, false})
@@ -111,14 +115,14 @@
         }
 }
 
-// A controller that has lost the key-value store and the others is left by the balancer, once; all of them
-// stay while nobody could serve, or one answer is late.
+// The load balancer must remove a controller that has lost the key-value store while others can serve. It
+// must keep all controllers if none can serve, and a controller with a single refused answer.
 TEST(FailoverScenario, HealthReportsWhichControllersCanServe) {
     spdlog::set_level(spdlog::level::off);
     struct Case {
         const char* name;
         std::function<void(SimulatedCluster&)> begin_fault;
-        bool first, others;  // are healthy ten seconds later
+        bool first, others;  // expected health of controller 0 and of the others, ten seconds later
     };
     const Case cases[] = {
         {"all is well", [](SimulatedCluster&) {}, true, true},
@@ -150,8 +154,8 @@
 
 TEST(FailoverScenario, AuditFindsAJobThatTheWatchMissed) {
     spdlog::set_level(spdlog::level::off);
-    // A watch that waits misses it: the next read of the changes has it. All that the leader reads of changes
-    // does: only the audit can find it.
+    // If only waiting watches miss the job, the next read of the changes returns it. If all reads of changes
+    // by the leader miss it (`all`), only the periodic audit of jobs can find it.
     for (bool all : {false, true}) {
         SimulatedCluster cluster({});
         cluster.run_until(9);
@@ -168,7 +172,8 @@
     }
 }
 
-// A job submitted with a mistake costs its own tasks once, and a probe now and then; others are not held up.
+// Guards against endless restarts of a job whose tasks fail on every machine. Each of its tasks is started
+// once, then only one is retried now and then, and other jobs are not delayed.
 TEST(FailoverScenario, RetriesAJobThatFailsEverywhereOneTaskAtATime) {
     spdlog::set_level(spdlog::level::off);
     SimulatedCluster cluster({});
@@ -185,13 +190,13 @@
     expect_no_violations(cluster);
 }
 
-// Machines that boot several times as slowly as usual come up in the end, if they are not given up a moment
-// before, which a new leader is tempted to do: it has seen no boot yet.
+// Guards against giving up machines that boot several times more slowly than the nominal time, shortly before
+// they are up. This can happen at a new leader, which has not yet seen how long a boot takes.
 TEST(FailoverScenario, WaitsForSlowlyBootingMachinesAfterAFailover) {
     spdlog::set_level(spdlog::level::off);
     Options options;
     options.machines = 0;
-    options.boot_s = 22;  // more than four nominal times
+    options.boot_s = 22;  // more than four times the nominal boot time of 5 s
     SimulatedCluster cluster(options);
     cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 4, 5); });
     cluster.at(16, [&cluster] { cluster.crash(leader_of(cluster), 6); });
@@ -200,7 +205,8 @@
     expect_no_violations(cluster);
 }
 
-// The limits fall without notice, once to what was announced and once lower: everything goes on.
+// The limits of the key-value store are reduced without notice, either to the announced values or, with
+// `lower`, below them. All jobs must still be processed.
 TEST(FailoverScenario, ToleratesLimitsThatFallAtAnyMoment) {
     spdlog::set_level(spdlog::level::off);
     for (bool lower : {false, true})
