--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -1,4 +1,5 @@
-// The ends of jobs: what meets them, and at what price they are stored.
+// Tests of the ends of jobs: races with cancellations and lost answers, and the time and number of changes
+// that storing them takes.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -16,20 +17,21 @@
     return response.status == 200 ? json::parse(response.body)["status"].get<std::string>()
                                   : std::to_string(response.status);
 }
+// Returns true for a transaction that stores the final record of the job.
 bool ends(const http::Request& request, const std::string& job) {
     return request.target == "/txn" &&
            request.body.find("\"put\":\"final/" + job + "\"") != std::string::npos;
 }
 
-// The end of a job's last task meets a cancellation at one node, at two or at all, before, while and after
-// its transaction is carried out: one of both wins in the store, and all nodes tell that one from then on.
-// When the cancellation comes: some time after the transaction of the end is sent, or, if that is negative,
-// with the heartbeat that reports the end. The end is stored a moment later.
+// Returns true for the request after which the cancellation is sent: the transaction that stores the job's
+// end or, if `after` is negative, the heartbeat that reports the end, a moment before that transaction.
 bool is_moment_of_cancellation(const http::Request& request, double after) {
     if (after >= 0) return ends(request, "j-1");
     return request.target == protocol::paths::heartbeat && request.body.find("\"done\"") != std::string::npos;
 }
-// The state that won; empty if none was stored.
+// Runs one job whose cancellation is sent to the first `nodes` controllers `after` seconds after the
+// transaction of its end (see is_moment_of_cancellation). Returns the stored final state, or an empty string
+// on a failure.
 std::string cancel_at_end(std::size_t nodes, double after) {
     SimulatedCluster cluster({});
     std::vector<std::string> answers;
@@ -58,6 +60,10 @@
     expect_no_violations(cluster);
     return state;
 }
+// Guards against controllers that disagree on how a job ended. The job's last task ends while the job is
+// cancelled at one, two or all controllers, before, during or after the transaction that stores the end.
+// Either the end or the cancellation is stored, and all controllers must answer with the stored state from
+// then on.
 TEST(JobEnd, OrCancellationWinsOnAllControllers) {
     spdlog::set_level(spdlog::level::off);
     std::set<std::string> won;
@@ -71,9 +77,8 @@
     EXPECT_EQ(won, (std::set<std::string>{"done", "withdrawn"}));
 }
 
-// The transaction of an end is carried out and its answer lost, or late, while other nodes read what it
-// wrote, and the job is submitted again: it ends once, and nobody is told anything else.
-// Asks all controllers, and keeps what they say from the first "done" on.
+// Queries the job at all controllers and submits it again. Adds the states that they answer to `told`,
+// beginning with the first "done".
 void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& told) {
     for (std::size_t n = 0; n < 3; ++n) {
         cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
@@ -87,6 +92,9 @@
         });
     }
 }
+// Guards against storing the end of a job twice, or answering another state after "done". The transaction of
+// the end is carried out and its answer lost, or it is carried out late without an answer, while other
+// controllers read the final record and the job is submitted again.
 TEST(JobEnd, IsStoredOnceWhenTheAnswerIsLost) {
     spdlog::set_level(spdlog::level::off);
     for (double late : {-1.0, 1.0, 4.0, 9.0}) {
@@ -113,7 +121,8 @@
         cluster.run_until(60);
         EXPECT_EQ(told, (std::set<std::string>{"done"}));
         EXPECT_EQ(cluster.starts, 3u);
-        // It is read what became of the first, so that no second one is spent on a job that has ended.
+        // The leader reads the result of the unanswered transaction before it sends another one. If the first
+        // one has been carried out by then, no second one is sent.
         EXPECT_EQ(written, late < options.heartbeat_interval_s / 2 ? 1u : 2u);
         EXPECT_FALSE(cluster.key_value_store.stored("job/j-1"));
         EXPECT_TRUE(cluster.jobs["j-2"].done && cluster.jobs["j-3"].done);
@@ -121,17 +130,18 @@
     }
 }
 
-// Jobs of one task come for two minutes, a quarter of them are cancelled, and the key-value store allows few
-// changes. Ends are stored in time, since those of cancelled jobs wait for them and not the other way round.
+// Guards against ends of jobs that are stored late because the ends of cancelled jobs use up the budget of
+// changes. Jobs of one task are submitted for two minutes, a quarter of them is cancelled, and the key-value
+// store allows few changes. Ends of cancelled jobs must wait for the other ends, not the other way round.
 //
-// Counted from the heartbeat that says it: a worker reports a change within half a second, so that this bound
-// keeps the three seconds in which users expect it, but those simulated here report only once a period, which
-// alone may take longer. With ends of cancelled jobs at the rank of the others each of 24 seeds took 2.31 s
-// or more.
+// The time is measured from the heartbeat that reports the end. A real worker reports a change within half a
+// second, so the bound of 2.2 s keeps within the three seconds that users expect. The simulated workers
+// report only once per heartbeat period, which alone may take longer. With ends of cancelled jobs at the same
+// priority as other ends, each of 24 seeds took 2.31 s or more.
 class JobEndsUnderWriteLimit : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3), Numbered{"Seed"});
 constexpr double job_rate = 4.6, jobs_from_s = 20, jobs_until_s = 140;
-// Cancels one in four; returns how many there are.
+// Submits the jobs, cancels one in four of them 4 s later, and returns the number of jobs.
 std::size_t submit_stream(SimulatedCluster& cluster) {
     std::size_t number = 0;
     for (double time = jobs_from_s; time < jobs_until_s; time += 1 / job_rate) {
@@ -175,13 +185,13 @@
     EXPECT_GE(cancelled, submitted / 5);
     EXPECT_LT(worst, 2.2);
     EXPECT_EQ(cluster.key_value_store.changes_refused, 0u);
-    // Three changes for one that is done, four for one that is cancelled.
+    // Three changes for each done job, four for each cancelled job.
     EXPECT_EQ(changes_of_jobs(cluster), 3 * done + 4 * cancelled);
     expect_no_violations(cluster);
 }
 
-// A transaction with many changes waits until the budget has room for it. Small ones of lower ranks used to
-// take what gathered meanwhile.
+// Guards against starving transactions with many changes. Such a transaction waits until the budget has room
+// for all of its changes. Small transactions of lower priority used up the budget that accumulated meanwhile.
 TEST(KvClientBudget, SmallChangesDoNotOvertakeLargeOnes) {
     FakeTimers timers;
     FakeKeyValueStore service(timers);
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -1,5 +1,6 @@
-// What workers' leases do when nobody, or not everybody, may renew them: a zone that is partitioned with its
-// controller, leaders that change again and again, and no controller at all. docs/testing.md lists the cases.
+// Tests of workers' leases when no controller, or only some controllers, may renew them: a zone is
+// partitioned together with a controller, the leader changes repeatedly, or all controllers are down.
+// docs/testing.md lists the cases.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -9,7 +10,8 @@
 namespace coralhitch::simulation {
 namespace {
 
-// Machines in a zone, both if it is empty: all, or those whose workers' leases have run out.
+// Returns the number of machines in a zone, or in both zones if `zone` is empty. With `expired_only`, counts
+// only machines whose worker's lease has expired.
 std::size_t machines(const SimulatedCluster& cluster, const std::string& zone = "",
                      bool expired_only = false) {
     std::size_t n = 0;
@@ -21,7 +23,7 @@
 std::size_t with_expired_lease(const SimulatedCluster& cluster, const std::string& zone = "") {
     return machines(cluster, zone, true);
 }
-// Leaders crash until this controller leads, or until another one does.
+// Crashes leaders until this controller is the leader (`wanted`) or is not the leader (not `wanted`).
 void change_leader_until(SimulatedCluster& cluster, std::size_t node, bool wanted) {
     for (int tries = 0; tries < 30 && (leader_of(cluster) == node) != wanted; ++tries) {
         cluster.crash(leader_of(cluster), 2);
@@ -30,8 +32,9 @@
     cluster.run_until(cluster.now() + 8);
     ASSERT_EQ(leader_of(cluster) == node, wanted);
 }
-// Zone b, that is one controller and every other machine, from the other zone and from the region.
+// The controller in zone b. Every other machine is in zone b as well.
 constexpr std::size_t controller_inside = 1;
+// Partitions zone b from the other zone, the key-value store and the cloud.
 void partition_zone(SimulatedCluster& cluster, double for_s, Packets packets) {
     std::vector<std::string> in{host_of(controller_inside)}, out{"10.2.", host_of(0), host_of(2)};
     for (auto& worker : cluster.workers) (worker->zone == "b" ? in : out).push_back(host_of(*worker));
@@ -40,7 +43,7 @@
     cluster.remove_from_load_balancer(controller_inside);
 }
 
-// Six tasks of an array that last, and six replicas, all of them running by then.
+// Starts an array job with six long tasks (j-1) and a service with six tasks (j-2), and runs until 25 s.
 void run_long_jobs(SimulatedCluster& cluster) {
     cluster.at(2, [&cluster] {
         cluster.submit("j-1", "batch", 6, 400);
@@ -49,12 +52,14 @@
     cluster.run_until(25);
 }
 
-// A zone with workers and a controller is partitioned for longer than `lease_s`. That controller renews their
-// leases for as long as it may, which ends early enough for a cancellation that it can't learn of, and a
-// leader outside starts nothing again before that time and a lease more are over.
+// A zone with workers and a controller is partitioned for longer than `lease_s`. Guards against two faults:
+// - The controller inside renews the leases for too long. It must stop early enough to meet the bound for a
+//   cancellation that it cannot learn of.
+// - A leader outside restarts the zone's tasks too early. It must wait until the controller inside may no
+//   longer renew leases and one more lease has passed.
 struct ZonePartition {
     const char* name;
-    bool leads = false;  // the controller inside, as the partition begins
+    bool leads = false;  // the controller inside is the leader when the partition begins
     Packets packets = Packets::dropped;
 };
 const ZonePartition zone_partitions[] = {
@@ -77,18 +82,18 @@
     ASSERT_EQ(with_expired_lease(cluster), 0u);
     double from = cluster.now();
     partition_zone(cluster, options.lease_s * 3, test_case.packets);
-    // The cloud can't be asked to delete: time is the only proof that is left.
+    // The cloud deletes no machine, so only the end of a lease is evidence that a task has terminated.
     cluster.start_cloud_outage(options.lease_s * 3);
     cluster.at(from + 4, [&cluster] { cluster.cancel("j-2"); });
     std::size_t kept_by_leader = 0;
     cluster.at(from + options.lease_s + options.heartbeat_interval_s * 1.5,
                [&] { kept_by_leader = on_machines(cluster, "j-1", "b"); });
     cluster.run_until(from + options.lease_s * 3);
-    // Nobody but these was to lose anything.
+    // Only the leases of the partitioned zone may expire.
     EXPECT_EQ(with_expired_lease(cluster, "a"), 0u);
     EXPECT_EQ(with_expired_lease(cluster, "b"), machines(cluster, "b"));
-    EXPECT_EQ(kept_by_leader > 0, test_case.leads) << "inside, after a lease without the region";
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u) << "started anew once it was proven gone";
+    EXPECT_EQ(kept_by_leader > 0, test_case.leads) << "tasks in the zone one lease after the partition began";
+    EXPECT_EQ(on_machines(cluster, "j-1"), 6u) << "not restarted after the leases in the zone ended";
     EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
     cluster.run_until(from + options.lease_s * 5);
     EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
@@ -96,12 +101,14 @@
     expect_no_violations(cluster);
 }
 
-// Leaders change ten times in two minutes, also inside an outage. Each change takes leases some seconds, but
-// what is renewed in between lasts over it: nothing is killed, deleted or started again.
+// Guards against workers' leases that expire because of frequent leader changes. The leader changes ten times
+// in two minutes, in some cases during an outage of the key-value store. No lease is renewed for some seconds
+// at each change, but the renewals in between must suffice: no task is killed or restarted, and no machine is
+// deleted.
 struct LeaderChangeCase {
     const char* name;
-    double outage_s;      // of the key-value store, begun with the fifth change; 0: none
-    double back_after_s;  // of the one that ended
+    double outage_s;      // outage of the key-value store from 1 s before the fifth change; 0: no outage
+    double back_after_s;  // time until the crashed leader restarts
 };
 const LeaderChangeCase leader_change_cases[] = {
     {"one after the other", 0, 4},
@@ -139,14 +146,15 @@
     expect_no_violations(cluster);
 }
 
-// All controllers are away for longer than `lease_s`, perhaps but for a moment in which some workers are
-// answered and others not. Afterwards nothing is placed before each machine has said what is left there.
+// All controllers are down for longer than `lease_s`, in some cases interrupted by a short time in which some
+// of the workers' heartbeats are answered. Guards against starting tasks twice afterwards: no task may be
+// placed before each machine has reported which tasks it still has.
 struct OutageCase {
     const char* name;
-    double back_s = 0;  // when they are back for a moment, after they went; 0: they aren't
-    double for_s = 0;   // that moment
-    double away_s;      // in all
-    bool replicated;    // whether they know of what was where, before
+    double back_s = 0;  // time from the crash to the interruption in s; 0: no interruption
+    double for_s = 0;   // duration of the interruption in s
+    double away_s;      // duration of the whole outage, including the interruption, in s
+    bool replicated;    // the controllers replicate state before the outage
 };
 const OutageCase outage_cases[] = {
     {.name = "throughout", .away_s = 32, .replicated = true},
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -1,5 +1,5 @@
-// The real controllers in simulated time: leaders crash at the moments that matter for replication, against
-// the simulated users' rules.
+// Tests of replication with the real controllers in simulated time: leaders crash at the moments that matter
+// for replication, and the invariants that users rely on are checked.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -17,14 +17,14 @@
     return request.target == protocol::paths::commands && request.body.find("\"run\"") != std::string::npos;
 }
 
-// The next leader crashes as soon as it leads.
+// Crashes the next leader as soon as it is elected. `leader` is the current one.
 void crash_next_leader(SimulatedCluster& cluster, std::size_t leader) {
     if (cluster.leader() && leader_of(cluster) != leader) return cluster.crash(leader_of(cluster), 3);
     cluster.at(cluster.now() + 0.02, [&cluster, leader] { crash_next_leader(cluster, leader); });
 }
 
-// The leader crashes right after a message of some kind is sent, for the n-th time from some moment on; its
-// successor likewise, if the case says so. Machines crash or hang over it.
+// A fault that begins when the leader sends the n-th message of some kind after a given time, usually a crash
+// of the leader. Machines may crash or hang at the same time.
 struct FaultAtMessage {
     const char* name;
     std::function<bool(const http::Request&)> message;
@@ -65,7 +65,8 @@
          cluster.crash(leader, 5);
          cluster.crash((leader + 1) % 3, 7);
      }},
-    // Sent all the same, the start would reach a machine that goes on only when the next leader has begun.
+    // Guards against sending a start that was not replicated: it would reach a hung machine that continues
+    // only after the next leader has been elected.
     {"a start is replicated, reaches nobody, and the leader crashes while machines hang",
      [](auto& request) { return request.target == protocol::peer_replication_path; },
      [](SimulatedCluster& cluster, std::size_t leader) {
@@ -110,7 +111,7 @@
     cluster.run_until(230);
     expect_no_failures(cluster);
 }
-// A case for each fault, so that they can run in parallel.
+// One test case for each fault, so that the cases can run in parallel.
 class ReplicationFaults : public testing::TestWithParam<std::size_t> {
   protected:
     void SetUp() override { spdlog::set_level(spdlog::level::off); }
@@ -119,18 +120,19 @@
 INSTANTIATE_TEST_SUITE_P(AtEachMessage, ReplicationFaults, testing::Range<std::size_t>(0, std::size(faults)),
                          [](auto& info) { return camel_case(faults[info.param].name); });
 TEST_P(ReplicationFaults, KeepInvariants) {
-    const char* more = std::getenv("CORALHITCH_SEEDS");  // by hand
+    const char* more = std::getenv("CORALHITCH_SEEDS");  // set to run more seeds manually
     std::uint64_t seeds = more ? std::stoull(more) : 16 / seeds_part;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) run_with_fault(fault(), seed);
 }
-// One of the controllers, or two, are of a version without replication.
+// Guards against faults in a mixed cluster, in which one or two controllers run a version without
+// replication.
 TEST_P(ReplicationFaults, KeepInvariantsBesideAVersionWithoutReplication) {
     run_with_fault(fault(), 51, {0});
     run_with_fault(fault(), 52, {1, 2});
 }
 
-// No replica is left, since all ended together: a dead machine is fenced after some seconds, not only when
-// its lease expires.
+// Guards against waiting for the lease of a dead machine after all controllers have restarted together, so
+// that no replica is left. The machine must be fenced after some seconds.
 TEST(ReplicationScenario, FencesADeadMachineSoonAfterARestartOfAll) {
     spdlog::set_level(spdlog::level::off);
     for (std::uint64_t seed : {1, 2, 3}) {
@@ -150,7 +152,8 @@
     }
 }
 
-// The leader is back about when its lease ends, and must not win before its followers.
+// Guards against electing the restarted leader, which has no replica, before one of its followers when it is
+// back at about the time its lease ends.
 TEST(ReplicationScenario, ElectsAFollowerBeforeARestartedLeader) {
     spdlog::set_level(spdlog::level::off);
     for (double back : {1.5, 2.3, 2.4, 2.45, 2.5, 2.6}) {
@@ -163,14 +166,15 @@
             cluster.crash(before, back);
             cluster.run_until(time + 8);
             EXPECT_TRUE(cluster.leader());
-            if (back > 1.6) {  // sooner, it ends its own lease, and nobody else has seen it end yet
+            if (back > 1.6) {  // if it is back sooner, it ends its own lease before a follower notices
                 EXPECT_NE(leader_of(cluster), before) << time;
             }
         }
     }
 }
 
-// One dead machine of many used to hold up the first start until it was proven gone.
+// Guards against a dead machine that delays the first start of a new leader. Previously one dead machine
+// among many blocked every start until there was evidence that its tasks had terminated.
 TEST(ReplicationScenario, StartsTasksDespiteADeadMachine) {
     spdlog::set_level(spdlog::level::off);
     for (bool replicated : {true, false}) {
@@ -180,7 +184,7 @@
         SimulatedCluster cluster(options);
         cluster.at(2, [&cluster] { cluster.submit("j-1", "service", 18, 0); });
         cluster.run_until(30);
-        cluster.start_cloud_outage(60);  // so that it is proven gone by its lease alone
+        cluster.start_cloud_outage(60);  // so that only the end of its lease is evidence
         std::size_t used = 0;
         while (used + 1 < cluster.workers.size() && cluster.workers[used]->tasks.empty()) ++used;
         cluster.crash_machine(used);
@@ -188,7 +192,7 @@
         cluster.at(30.1, [&cluster] { cluster.submit("j-2", "batch", 1, 2); });
         cluster.run_until(50);
         EXPECT_EQ(!cluster.jobs["j-2"].tasks_done.empty(),
-                  replicated);  // its user may have asked the dead controller
+                  replicated);  // `done` may be false: the user may have queried the crashed controller
         expect_no_violations(cluster);
     }
 }
