--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -47,7 +47,7 @@
     for (double time = cluster.now(); time < cluster.now() + 40; time += 0.005)
         cluster.at(time, [&cluster, first_new, then, seen] {
             for (std::size_t k = first_new; k < cluster.workers.size() && !*seen; ++k) {
-                if (on_machine(*cluster.workers[k], "j-1") == 0) continue;
+                if (tasks_on_machine(*cluster.workers[k], "j-1") == 0) continue;
                 *seen = true;
                 then(*cluster.workers[k]);
             }
@@ -192,7 +192,7 @@
         ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
         std::optional<std::size_t> held;
         for (std::size_t k = 0; k < cluster.workers.size(); ++k)
-            if (on_machine(*cluster.workers[k], "j-1") > 0) held = k;
+            if (tasks_on_machine(*cluster.workers[k], "j-1") > 0) held = k;
         ASSERT_TRUE(held);
         auto id = cluster.workers[*held]->id;
         EXPECT_TRUE(stored(cluster, id));
@@ -243,7 +243,7 @@
         cluster.run_until(110);
         EXPECT_EQ(asked[lost] > 1, !leader_crashes);
         EXPECT_EQ(cluster.workers.size(), 2 + asked.size());  // one machine for each rental
-        EXPECT_EQ(on_machine(*on, "j-1"), 1u);
+        EXPECT_EQ(tasks_on_machine(*on, "j-1"), 1u);
         EXPECT_EQ(cluster.starts, starts);
         EXPECT_EQ(on_machines(cluster, "j-8"), 2u);
         expect_no_violations(cluster);
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -29,7 +29,7 @@
     };
     cluster.run_until(25);
     ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
-    std::size_t first = on_machine(*cluster.workers[0], "j-1") ? 0 : 1;
+    std::size_t first = tasks_on_machine(*cluster.workers[0], "j-1") ? 0 : 1;
     // The machine hangs for longer than its lease and cannot be deleted. The task is restarted on the other
     // machine, and the hung machine continues in its next agent epoch.
     cluster.hang_machine(first, 30);
@@ -37,7 +37,7 @@
     cluster.run_until(70);
     ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
     std::size_t second = 1 - first;
-    ASSERT_EQ(on_machine(*cluster.workers[first], "j-1"), 0u);
+    ASSERT_EQ(tasks_on_machine(*cluster.workers[first], "j-1"), 0u);
     auto copy = last_heartbeats.at(cluster.workers[first]->addr);
     auto starts = cluster.starts;
     cluster.hang_machine(first, 8);
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -71,7 +71,7 @@
 }
 bool holds_any_first_job(const Worker& worker) {
     return std::any_of(first_jobs.begin(), first_jobs.end(),
-                       [&worker](auto* id) { return on_machine(worker, id) > 0; });
+                       [&worker](auto* id) { return tasks_on_machine(worker, id) > 0; });
 }
 TEST_P(TeamsAtTheirLimits, StartNothingBeforeEvidenceOfTerminationAndWaitNoLonger) {
     spdlog::set_level(spdlog::level::off);
@@ -122,7 +122,7 @@
     ASSERT_EQ(on_machines(cluster, "j-1"), 2u);
     std::optional<std::size_t> held;
     for (std::size_t k = 0; k < cluster.workers.size() && !held; ++k)
-        if (on_machine(*cluster.workers[k], "j-1") == 1) held = k;
+        if (tasks_on_machine(*cluster.workers[k], "j-1") == 1) held = k;
     ASSERT_TRUE(held);
     cluster.start_cloud_outage(60);
     cluster.at(cluster.now() + 4, [&cluster, held] { cluster.hang_machine(*held, 18); });
@@ -173,7 +173,7 @@
     cluster.start_cloud_outage(90);
     std::size_t unreached = 0;
     for (auto& worker : cluster.workers)
-        if (on_machine(*worker, "j-1") > 0 && unreached++ % 2 == 0)
+        if (tasks_on_machine(*worker, "j-1") > 0 && unreached++ % 2 == 0)
             cluster.partition("10.0.", worker->addr, 70);
     ASSERT_GT(unreached, 1u);
     cluster.at(30, [&cluster] { cluster.crash(leader_of(cluster), 5); });
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -83,7 +83,7 @@
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, ZoneBoundJob, testing::ValuesIn(bound_jobs), NameOfCase());
 std::size_t first_machine_with(const SimulatedCluster& cluster, const std::string& job) {
     std::size_t machine = 0;
-    while (on_machine(*cluster.workers.at(machine), job) == 0) ++machine;
+    while (tasks_on_machine(*cluster.workers.at(machine), job) == 0) ++machine;
     return machine;
 }
 // Injects the loss at machine `first` or at all machines of its zone, and returns the number of machines
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -31,7 +31,7 @@
 }
 // Returns the number of the job's tasks that this machine holds and that have not exited, 0 if the machine is
 // dead.
-inline std::size_t on_machine(const Worker& worker, const std::string& job) {
+inline std::size_t tasks_on_machine(const Worker& worker, const std::string& job) {
     auto here = [&](auto& entry) {
         return !worker.dead && entry.second.job == job && entry.second.status != "exited";
     };
@@ -40,7 +40,7 @@
 // Returns the number of the job's tasks on all machines that have not exited.
 inline std::size_t on_machines(const SimulatedCluster& cluster, const std::string& job) {
     std::size_t count = 0;
-    for (auto& worker : cluster.workers) count += on_machine(*worker, job);
+    for (auto& worker : cluster.workers) count += tasks_on_machine(*worker, job);
     return count;
 }
 // Returns the number of the job's tasks on the machines of one zone that have not exited.
@@ -48,7 +48,7 @@
                                const std::string& zone) {
     std::size_t count = 0;
     for (auto& worker : cluster.workers)
-        if (worker->zone == zone) count += on_machine(*worker, job);
+        if (worker->zone == zone) count += tasks_on_machine(*worker, job);
     return count;
 }
 // Submits the service j-9 with one task for each machine, so that no machine is idle and returned to the
