--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -100,7 +100,7 @@
     auto test_case = GetParam();
     SimulatedCluster cluster(two_machines(test_case.replicated));
     fill_machines(cluster);
-    ASSERT_EQ(on_machines(cluster, "j-8"), 2u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-8"), 2u);
     std::size_t first_new = cluster.workers.size(), met = 0;
     std::optional<double> late_at, run_at;
     std::string machine;
@@ -131,7 +131,7 @@
         EXPECT_LT(*run_at, *late_at + after_claim_s);
     }
     cluster.run_until(150);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 1u);
     EXPECT_TRUE(cluster.jobs["j-8"].cancelled);
     expect_no_violations(cluster);
 }
@@ -153,7 +153,7 @@
                 cluster.at(cluster.now() + 4, [&] {
                     ended = true;
                     was_stored = stored(cluster, cluster.workers.at(first_new)->id);
-                    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+                    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
                     cluster.crash(leader_of(cluster), 0.2);
                 });
             return 12.0;
@@ -170,7 +170,7 @@
         EXPECT_GT(lost, 0u);
         EXPECT_FALSE(early);
         EXPECT_TRUE(cluster.jobs["j-1"].done);
-        EXPECT_EQ(on_machines(cluster, "j-8"), 2u);
+        EXPECT_EQ(tasks_on_machines(cluster, "j-8"), 2u);
         expect_no_violations(cluster);
     }
 }
@@ -189,7 +189,7 @@
             cluster.submit("j-1", "service", 1, 0, {{"cards", 4.0}, {"crew", "tight"}, {"driftwood", false}});
         });
         cluster.run_until(36);
-        ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
+        ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 1u);
         std::optional<std::size_t> held;
         for (std::size_t k = 0; k < cluster.workers.size(); ++k)
             if (tasks_on_machine(*cluster.workers[k], "j-1") > 0) held = k;
@@ -202,9 +202,9 @@
         cluster.cancel("j-8");
         cluster.start_cloud_outage(14);
         cluster.run_until(49);
-        EXPECT_EQ(on_machines(cluster, "j-1"), 0u) << replicated;
+        EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u) << replicated;
         cluster.run_until(36 + lease_s + 20);
-        EXPECT_EQ(on_machines(cluster, "j-1"), 1u) << replicated;
+        EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 1u) << replicated;
         cluster.run_until(120);
         EXPECT_FALSE(stored(cluster, id));
         expect_no_violations(cluster);
@@ -245,7 +245,7 @@
         EXPECT_EQ(cluster.workers.size(), 2 + asked.size());  // one machine for each rental
         EXPECT_EQ(tasks_on_machine(*on, "j-1"), 1u);
         EXPECT_EQ(cluster.starts, starts);
-        EXPECT_EQ(on_machines(cluster, "j-8"), 2u);
+        EXPECT_EQ(tasks_on_machines(cluster, "j-8"), 2u);
         expect_no_violations(cluster);
     }
 }
--- a/tests/scenarios/fault_combinations_cancel_test.cpp
+++ b/tests/scenarios/fault_combinations_cancel_test.cpp
@@ -30,8 +30,8 @@
         cluster.submit("j-2", "service", 6, 0);
     });
     cluster.run_until(30);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
-    ASSERT_EQ(on_machines(cluster, "j-2"), 6u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-2"), 6u);
 }
 
 // Guards against a cancellation that the leader never learns of: the notice of the controller that confirmed
@@ -46,11 +46,11 @@
     cancel_at(cluster, other, "j-1");
     cluster.run_until(32);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     cluster.run_until(36);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
     cluster.run_until(90);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 6u);
     expect_no_violations(cluster);
 }
 
@@ -82,9 +82,9 @@
     cluster.run_until(30 + after + 1);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
     cluster.run_until(38);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
     cluster.run_until(100);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 6u);
     expect_no_violations(cluster);
 }
 
@@ -115,9 +115,9 @@
     cluster.run_until(41);
     ASSERT_TRUE(claimed);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
     cluster.run_until(100);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 6u);
     expect_no_violations(cluster);
 }
 
@@ -143,7 +143,7 @@
         cluster.submit("j-2", "service", 9, 0);
     });
     cluster.run_until(40);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 9u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 9u);
     auto old = leader_of(cluster);
     cluster.start_cloud_outage(100);
     cluster.partition(host_of(old), "10.1.", 20, Packets::held);  // its messages arrive 20 s later
@@ -152,9 +152,9 @@
     cluster.at(40 + after + cut_after, [&cluster] { cluster.partition_one_way("10.0.", "10.1.", 60); });
     cluster.run_until(160);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
     cluster.run_until(200);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 9u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 9u);
     expect_no_violations(cluster);
 }
 
@@ -196,9 +196,9 @@
     cluster.run_until(52);
     ASSERT_TRUE(begun);
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
     cluster.run_until(120);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 8u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 8u);
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -28,14 +28,14 @@
             last_heartbeats[from] = request;
     };
     cluster.run_until(25);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 1u);
     std::size_t first = tasks_on_machine(*cluster.workers[0], "j-1") ? 0 : 1;
     // The machine hangs for longer than its lease and cannot be deleted. The task is restarted on the other
     // machine, and the hung machine continues in its next agent epoch.
     cluster.hang_machine(first, 30);
     cluster.start_cloud_outage(60);
     cluster.run_until(70);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 1u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 1u);
     std::size_t second = 1 - first;
     ASSERT_EQ(tasks_on_machine(*cluster.workers[first], "j-1"), 0u);
     auto copy = last_heartbeats.at(cluster.workers[first]->addr);
@@ -46,7 +46,7 @@
     for (double time = 70; time < 78; time += 0.2)
         cluster.at(time, [&cluster, &copy, first] { send_to_all(cluster, *cluster.workers[first], copy); });
     cluster.run_until(110);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 1u);
     EXPECT_EQ(cluster.starts, starts);
     expect_no_violations(cluster);
 }
@@ -83,7 +83,7 @@
     cluster.at(31.5, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(45);
     ASSERT_FALSE(met.empty());
-    EXPECT_EQ(on_machines(cluster, "j-1"), 1u);  // the delayed `run` has arrived
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 1u);  // the delayed `run` has arrived
     cluster.run_until(150);
     EXPECT_TRUE(cluster.jobs["j-1"].cancelled);
     expect_no_violations(cluster);
--- a/tests/scenarios/fault_combinations_invalid_requests_test.cpp
+++ b/tests/scenarios/fault_combinations_invalid_requests_test.cpp
@@ -257,8 +257,8 @@
     for (auto& [key, value] : first) EXPECT_EQ(cluster.key_value_store.record(key), value) << key;
     for (auto* key : {"final/j-1", "final/j-2", "job/j-3", "job/j-4"})
         EXPECT_THROW(cluster.key_value_store.record(key), std::out_of_range) << key;
-    EXPECT_EQ(on_machines(cluster, "j-1"), 2u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 2u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 2u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 2u);
     EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
     expect_no_violations(cluster);
 }
--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -46,7 +46,7 @@
         cluster.submit("j-2", "service", 3, 0);
     });
     cluster.run_until(30);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     auto old_leader = leader_of(cluster);
     cluster.remove_from_load_balancer(old_leader);
     if (test_case.late_watch)
@@ -72,7 +72,7 @@
     ASSERT_TRUE(cluster.jobs["j-1"].cancelled && cluster.jobs["j-2"].cancelled);
     cluster.run_until(150);
     expect_no_violations(cluster);
-    EXPECT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1") + tasks_on_machines(cluster, "j-2"), 0u);
 }
 
 // Guards against counting tasks on unreachable machines as terminated too early. A leader crashes while
@@ -99,7 +99,9 @@
         cluster.submit("j-3", "service", 4, 0, {{"scatter", true}});
     });
     cluster.run_until(30);
-    ASSERT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2") + on_machines(cluster, "j-3"), 13u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1") + tasks_on_machines(cluster, "j-2") +
+                  tasks_on_machines(cluster, "j-3"),
+              13u);
     for (std::size_t machine = 0; machine < 3; ++machine) {
         if (both_ways)
             cluster.partition("10.0.", cluster.workers[machine]->addr, for_s);
@@ -110,9 +112,9 @@
     cluster.at(31, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
     cluster.at(34, [&cluster] { cluster.crash(leader_of(cluster), 3); });
     cluster.run_until(30 + for_s + 60);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 3u);
-    EXPECT_EQ(on_machines(cluster, "j-3"), 4u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 3u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-3"), 4u);
     cluster.cancel("j-3");
     cluster.run_until(500);
     EXPECT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-2"].done);
--- a/tests/scenarios/fault_combinations_lost_answers_test.cpp
+++ b/tests/scenarios/fault_combinations_lost_answers_test.cpp
@@ -87,8 +87,8 @@
     EXPECT_EQ(commands, 0u);
     EXPECT_NE(cluster.leader(), claimer);
     cluster.run_until(120);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 6u);
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -67,7 +67,7 @@
         }
     });
     cluster.run_until(25);
-    for (auto* id : first_jobs) ASSERT_EQ(on_machines(cluster, id), 2u) << id;
+    for (auto* id : first_jobs) ASSERT_EQ(tasks_on_machines(cluster, id), 2u) << id;
 }
 bool holds_any_first_job(const Worker& worker) {
     return std::any_of(first_jobs.begin(), first_jobs.end(),
@@ -95,9 +95,9 @@
     cluster.at(32 + test_case.leader_crashes_after + 3.5,
                [&cluster] { cluster.crash(leader_of(cluster), 4); });
     cluster.run_until(32 + test_case.leader_crashes_after + 3.5 + quota_release_bound_s(options));
-    EXPECT_EQ(on_machines(cluster, "j-11") + on_machines(cluster, "j-12"), 0u);
-    EXPECT_GT(on_machines(cluster, "j-13") + cluster.jobs["j-13"].tasks_done.size(), 0u);
-    EXPECT_GT(on_machines(cluster, "j-23") + cluster.jobs["j-23"].tasks_done.size(), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-11") + tasks_on_machines(cluster, "j-12"), 0u);
+    EXPECT_GT(tasks_on_machines(cluster, "j-13") + cluster.jobs["j-13"].tasks_done.size(), 0u);
+    EXPECT_GT(tasks_on_machines(cluster, "j-23") + cluster.jobs["j-23"].tasks_done.size(), 0u);
     cluster.run_until(240);
     EXPECT_TRUE(cluster.jobs["j-13"].done && cluster.jobs["j-23"].done);
     expect_no_violations(cluster);
@@ -119,7 +119,7 @@
     cluster.at(2, [&cluster] { cluster.submit("j-1", "gang", 2, 25, {{"crew", "tight"}, {"cards", 3.0}}); });
     cluster.at(2, [&cluster] { cluster.submit("j-9", "service", 4, 0, {{"cards", 1.0}}); });
     cluster.run_until(20);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 2u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 2u);
     std::optional<std::size_t> held;
     for (std::size_t k = 0; k < cluster.workers.size() && !held; ++k)
         if (tasks_on_machine(*cluster.workers[k], "j-1") == 1) held = k;
@@ -166,7 +166,7 @@
         cluster.submit("j-9", "service", 5, 0);
     });
     cluster.run_until(25);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 5u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 5u);
     cluster.at(25, [&cluster] {
         cluster.submit("j-2", "service", 5, 0, {{"crew", "tight"}, {"rank", "high"}});
     });
@@ -179,8 +179,8 @@
     cluster.at(30, [&cluster] { cluster.crash(leader_of(cluster), 5); });
     cluster.at(30 + cancelled_after, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(30 + cancelled_after + quota_release_bound_s(options));
-    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 5u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 5u);
     cluster.cancel("j-2");
     cluster.run_until(200);
     expect_no_violations(cluster);
--- a/tests/scenarios/fault_combinations_task_ends_test.cpp
+++ b/tests/scenarios/fault_combinations_task_ends_test.cpp
@@ -45,7 +45,7 @@
     EXPECT_TRUE(cluster.jobs["j-1"].done);
     EXPECT_EQ(cluster.jobs["j-1"].tasks_done.size(), gang ? 1u : 3u);
     EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 1u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 1u);
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -114,7 +114,7 @@
     cluster.at(2, [&cluster] { submit_filler(cluster); });
     cluster.at(8, [&] { cluster.submit("j-1", test_case.shape, tasks, service ? 0 : 60, more); });
     cluster.run_until(30);
-    ASSERT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     auto first = first_machine_with(cluster, "j-1");
     // Partitioned machines cannot be deleted during the cloud outage, so only the end of their leases is
     // evidence that their tasks have terminated. The bound is that of docs/design.md for a new leader, plus
@@ -127,15 +127,15 @@
     if (test_case.leader_crashes) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     if (partitioned && !test_case.named) {  // the other zone has room for the job
         cluster.run_until(30 + proven_s);
-        EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
+        EXPECT_EQ(tasks_on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     }
     cluster.faults_over_at = 30 + (test_case.loss == Loss::zone_hangs || partitioned ? away_s : 1);
     cluster.run_until(cluster.faults_over_at + 200);
     if (service)
-        EXPECT_EQ(on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
+        EXPECT_EQ(tasks_on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     else
         EXPECT_TRUE(cluster.jobs["j-1"].done);
-    EXPECT_EQ(on_machines(cluster, "j-9"), options.machines);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-9"), options.machines);
     expect_no_violations(cluster);
 }
 
@@ -153,15 +153,15 @@
     cluster.at(2, [&cluster] { submit_filler(cluster); });
     cluster.at(8, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
     cluster.run_until(30);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s;
     cluster.start_cloud_outage(proven_s + 10);
     cluster.partition("10.0.", cluster.workers[GetParam()]->addr, proven_s + 10);
     cluster.run_until(30 + proven_s);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     cluster.faults_over_at = 30 + proven_s + 10;
     cluster.run_until(cluster.faults_over_at + 100);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -77,8 +77,8 @@
     SimulatedCluster cluster(options);
     run_long_jobs(cluster);
     change_leader_until(cluster, controller_inside, test_case.leads);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 6u);
-    ASSERT_GT(on_machines(cluster, "j-1", "b"), 0u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
+    ASSERT_GT(tasks_on_machines(cluster, "j-1", "b"), 0u);
     ASSERT_EQ(with_expired_lease(cluster), 0u);
     double from = cluster.now();
     partition_zone(cluster, options.lease_s * 3, test_case.packets);
@@ -87,17 +87,17 @@
     cluster.at(from + 4, [&cluster] { cluster.cancel("j-2"); });
     std::size_t kept_by_leader = 0;
     cluster.at(from + options.lease_s + options.heartbeat_interval_s * 1.5,
-               [&] { kept_by_leader = on_machines(cluster, "j-1", "b"); });
+               [&] { kept_by_leader = tasks_on_machines(cluster, "j-1", "b"); });
     cluster.run_until(from + options.lease_s * 3);
     // Only the leases of the partitioned zone may expire.
     EXPECT_EQ(with_expired_lease(cluster, "a"), 0u);
     EXPECT_EQ(with_expired_lease(cluster, "b"), machines(cluster, "b"));
     EXPECT_EQ(kept_by_leader > 0, test_case.leads) << "tasks in the zone one lease after the partition began";
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u) << "not restarted after the leases in the zone ended";
-    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u) << "not restarted after the leases in the zone ended";
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
     cluster.run_until(from + options.lease_s * 5);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
     expect_no_violations(cluster);
 }
 
@@ -124,7 +124,7 @@
     Options options;
     SimulatedCluster cluster(options);
     run_long_jobs(cluster);
-    ASSERT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 12u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1") + tasks_on_machines(cluster, "j-2"), 12u);
     auto starts = cluster.starts;
     std::set<std::size_t> led;
     for (int k = 0; k < 10; ++k)
@@ -140,8 +140,8 @@
     EXPECT_EQ(with_expired_lease(cluster), 0u);
     EXPECT_EQ(cluster.machines_deleted_with_tasks, 0u);
     EXPECT_EQ(cluster.starts, starts);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
     EXPECT_GT(led.size(), 1u);
     expect_no_violations(cluster);
 }
@@ -180,7 +180,7 @@
         cluster.submit("j-2", "service", 6, 0);
     });
     cluster.run_until(24);
-    ASSERT_EQ(on_machines(cluster, "j-1") + on_machines(cluster, "j-2"), 12u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1") + tasks_on_machines(cluster, "j-2"), 12u);
     cluster.cancel("j-2");
     cluster.run_until(25);
     ASSERT_TRUE(cluster.jobs["j-2"].cancelled);
@@ -195,10 +195,10 @@
     auto dead = with_expired_lease(cluster);
     EXPECT_EQ(dead == machines(cluster), test_case.back_s == 0) << dead;
     EXPECT_GT(dead, 0u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
     cluster.run_until(25 + test_case.away_s + 50);
-    EXPECT_EQ(on_machines(cluster, "j-1"), 6u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
     expect_no_violations(cluster);
 }
 
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -38,14 +38,14 @@
     return static_cast<std::size_t>(std::count_if(worker.tasks.begin(), worker.tasks.end(), here));
 }
 // Returns the number of the job's tasks on all machines that have not exited.
-inline std::size_t on_machines(const SimulatedCluster& cluster, const std::string& job) {
+inline std::size_t tasks_on_machines(const SimulatedCluster& cluster, const std::string& job) {
     std::size_t count = 0;
     for (auto& worker : cluster.workers) count += tasks_on_machine(*worker, job);
     return count;
 }
 // Returns the number of the job's tasks on the machines of one zone that have not exited.
-inline std::size_t on_machines(const SimulatedCluster& cluster, const std::string& job,
-                               const std::string& zone) {
+inline std::size_t tasks_on_machines(const SimulatedCluster& cluster, const std::string& job,
+                                     const std::string& zone) {
     std::size_t count = 0;
     for (auto& worker : cluster.workers)
         if (worker->zone == zone) count += tasks_on_machine(*worker, job);
