--- a/tests/scenarios/fault_scenarios.hpp
+++ b/tests/scenarios/fault_scenarios.hpp
@@ -12,9 +12,9 @@
 // Divisor of the number of seeds that a test runs. With AddressSanitizer a scenario takes ten times as long,
 // so only a fifth of the seeds is run.
 #ifdef __SANITIZE_ADDRESS__
-inline constexpr std::uint64_t seeds_part = 5;
+inline constexpr std::uint64_t seed_count_divisor = 5;
 #else
-inline constexpr std::uint64_t seeds_part = 1;
+inline constexpr std::uint64_t seed_count_divisor = 1;
 #endif
 
 // Submits a job of alternating shape every 2.5 s until the given time (s), so that starts of tasks are in
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -22,7 +22,7 @@
 INSTANTIATE_TEST_SUITE_P(RandomSeeds, FaultScenario, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultScenario, KeepsAllRulesUnderRandomFaults) {
     spdlog::set_level(spdlog::level::off);
-    constexpr std::uint64_t each = 15 / seeds_part;
+    constexpr std::uint64_t each = 15 / seed_count_divisor;
     for (auto seed = 1 + GetParam() * each; seed <= (1 + GetParam()) * each; ++seed)
         expect_rules_kept(seed, draw_faults(seed, machines));
 }
@@ -32,7 +32,7 @@
 INSTANTIATE_TEST_SUITE_P(AllPairs, FaultPairs, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultPairs, KeepAllRules) {
     spdlog::set_level(spdlog::level::off);
-    for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seeds_part)
+    for (auto seed = GetParam(); seed < pair_seeds; seed += 16 * seed_count_divisor)
         expect_rules_kept(seed, draw_fault_pairs(seed, machines));
 }
 
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -121,7 +121,7 @@
                          [](auto& info) { return camel_case(faults[info.param].name); });
 TEST_P(ReplicationFaults, KeepInvariants) {
     const char* more = std::getenv("CORALHITCH_SEEDS");  // set to run more seeds manually
-    std::uint64_t seeds = more ? std::stoull(more) : 16 / seeds_part;
+    std::uint64_t seeds = more ? std::stoull(more) : 16 / seed_count_divisor;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) run_with_fault(fault(), seed);
 }
 // Guards against faults in a mixed cluster, in which one or two controllers run a version without
