--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -19,7 +19,7 @@
     options.machines = 2;
     options.without_replication = {0, 1, 2};  // a new leader knows the machines' tasks only from heartbeats
     SimulatedCluster cluster(options);
-    keep_machines(cluster);
+    schedule_service_on_every_machine(cluster);
     cluster.at(4, [&cluster] { cluster.submit("j-1", "service", 1, 0); });
     std::map<std::string, http::Request> last_heartbeats;  // the last heartbeat of each machine with the task
     cluster.on_message = [&](auto& from, auto&, auto& request) {
@@ -62,7 +62,7 @@
     options.heartbeat_processing_s = 0.05;  // so that the answer to the heartbeat arrives after the `run`
     options.cancel_s = 34;
     SimulatedCluster cluster(options);
-    keep_machines(cluster);
+    schedule_service_on_every_machine(cluster);
     cluster.run_until(30);
     cluster.partition_one_way("10.0.", "10.1.", 13);
     cluster.start_cloud_outage(90);
--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -130,7 +130,7 @@
         Options options;
         options.machines = 8;
         SimulatedCluster cluster(options);
-        keep_machines(cluster);
+        schedule_service_on_every_machine(cluster);
         cluster.run_until(30);
         constexpr double unreachable_s = 90;
         for (std::size_t machine = 0; machine < 4; ++machine)
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -59,7 +59,7 @@
 }
 // Submits the service j-9 at 2 s with one task for each machine, so that no machine is idle and returned to
 // the cloud. One GPU of each machine stays free.
-inline void keep_machines(SimulatedCluster& cluster) {
+inline void schedule_service_on_every_machine(SimulatedCluster& cluster) {
     cluster.at(2, [&cluster] {
         cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0, {{"cards", 3.0}});
     });
