--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -58,7 +58,7 @@
 // filler service keeps from being returned to the cloud.
 constexpr std::array first_jobs{"j-11", "j-12", "j-21", "j-22"};
 void fill_both_teams(SimulatedCluster& cluster) {
-    cluster.at(1.9, [&cluster] { submit_filler(cluster); });
+    cluster.at(1.9, [&cluster] { submit_service_on_every_machine(cluster); });
     cluster.at(2, [&cluster] {
         for (auto* team : {"tight", "free"}) {
             std::string prefix = team == std::string("tight") ? "j-1" : "j-2";
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -111,7 +111,7 @@
     if (test_case.named) more["reef"] = "a";
     bool service = std::string(test_case.shape) == "service";
     constexpr int tasks = 4;
-    cluster.at(2, [&cluster] { submit_filler(cluster); });
+    cluster.at(2, [&cluster] { submit_service_on_every_machine(cluster); });
     cluster.at(8, [&] { cluster.submit("j-1", test_case.shape, tasks, service ? 0 : 60, more); });
     cluster.run_until(30);
     ASSERT_EQ(tasks_on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
@@ -150,7 +150,7 @@
     spdlog::set_level(spdlog::level::off);
     Options options;
     SimulatedCluster cluster(options);
-    cluster.at(2, [&cluster] { submit_filler(cluster); });
+    cluster.at(2, [&cluster] { submit_service_on_every_machine(cluster); });
     cluster.at(8, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
     cluster.run_until(30);
     ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
--- a/tests/scenarios/scenario_support.hpp
+++ b/tests/scenarios/scenario_support.hpp
@@ -53,7 +53,7 @@
 }
 // Submits the service j-9 with one task for each machine, so that no machine is idle and returned to the
 // cloud. The service takes no GPU.
-inline void submit_filler(SimulatedCluster& cluster) {
+inline void submit_service_on_every_machine(SimulatedCluster& cluster) {
     cluster.submit("j-9", "service", static_cast<int>(cluster.workers.size()), 0,
                    {{"cards", 0.0}, {"vcpus", 13.0}});
 }
