--- a/tests/scenarios/fault_combinations_isolation_test.cpp
+++ b/tests/scenarios/fault_combinations_isolation_test.cpp
@@ -87,7 +87,7 @@
                              auto for_s = std::get<1>(info.param);
                              return (both_ways ? "BothWaysFor" : "OutboundFor") + seconds_name(for_s);
                          });
-TEST_P(UnreachableMachines, CountAsUsedUntilProvenTerminated) {
+TEST_P(UnreachableMachines, CountAsUsedUntilEvidenceOfTermination) {
     spdlog::set_level(spdlog::level::off);
     auto [both_ways, for_s] = GetParam();
     Options options;
