--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -178,7 +178,7 @@
 // A stored page names a machine that the cloud does not list because it has crashed. Only the end of its
 // lease or a deletion is evidence that its task has terminated. Guards against counting the resources and the
 // team's limit as free before that, and against not restarting the task afterwards.
-TEST(FaultCombination, ProvesTerminationOfMachineThatOnlyAPageNames) {
+TEST(FaultCombination, AwaitsEvidenceOfTerminationOfMachineThatOnlyAPageNames) {
     spdlog::set_level(spdlog::level::off);
     for (bool replicated : {true, false}) {
         auto options = two_machines(replicated);
