--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -31,7 +31,7 @@
 };
 
 // Returns the machine of each task of a job that has not exited: task id -> machine id.
-std::map<std::string, std::string> places(const SimulatedCluster& cluster, const std::string& job) {
+std::map<std::string, std::string> task_locations(const SimulatedCluster& cluster, const std::string& job) {
     std::map<std::string, std::string> out;
     for (auto& worker : cluster.workers)
         for (auto& [task, t] : worker->tasks)
@@ -79,7 +79,7 @@
     // The remaining tasks of the gang are stopped, and the whole gang runs again as its next attempt.
     {"a machine of a gang is deleted",
      [](SimulatedCluster& cluster) {
-         auto on = places(cluster, "j-1").begin()->second;
+         auto on = task_locations(cluster, "j-1").begin()->second;
          for (std::size_t k = 0; k < cluster.workers.size(); ++k)
              if (cluster.workers[k]->id == on) cluster.crash_machine(k);
      }},
@@ -116,9 +116,9 @@
         cluster.at(25, [&cluster] { GetParam().happens(cluster); });
         cluster.run_until(24);
         std::map<std::string, std::map<std::string, std::string>> before, now;
-        for (auto* job : {"j-1", "j-2", "j-3"}) before[job] = places(cluster, job);
+        for (auto* job : {"j-1", "j-2", "j-3"}) before[job] = task_locations(cluster, job);
         cluster.run_until(80);
-        for (auto* job : {"j-1", "j-2", "j-3"}) now[job] = places(cluster, job);
+        for (auto* job : {"j-1", "j-2", "j-3"}) now[job] = task_locations(cluster, job);
         EXPECT_NE(before, now);
         EXPECT_GE(copies.size(), 3u);
         auto starts = cluster.starts;
@@ -126,7 +126,7 @@
         copies.deliver(cluster, 80.2, 92);
         cluster.run_until(100);
         EXPECT_EQ(cluster.starts, starts);
-        for (auto* job : {"j-1", "j-2", "j-3"}) EXPECT_EQ(places(cluster, job), now[job]) << job;
+        for (auto* job : {"j-1", "j-2", "j-3"}) EXPECT_EQ(task_locations(cluster, job), now[job]) << job;
         cluster.cancel("j-3");
         cluster.run_until(300);
         EXPECT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-2"].done && cluster.jobs["j-3"].cancelled);
@@ -150,7 +150,7 @@
     crash_all_controllers(cluster);
     copies.deliver(cluster, 40.2, 52);
     cluster.run_until(60);  // less than a worker's lease (24 s) after the crash
-    EXPECT_EQ(places(cluster, "j-1").size(), 6u);
+    EXPECT_EQ(task_locations(cluster, "j-1").size(), 6u);
     cluster.run_until(220);
     EXPECT_TRUE(cluster.jobs["j-1"].done);
     expect_no_violations(cluster);
@@ -243,7 +243,7 @@
     EXPECT_TRUE(held);
     EXPECT_LE(cluster.starts, 1u);
     EXPECT_EQ(cluster.starts, starts);  // the late commands started nothing
-    EXPECT_TRUE(places(cluster, "j-1").empty());
+    EXPECT_TRUE(task_locations(cluster, "j-1").empty());
     EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
     EXPECT_TRUE(ended_task.cancel_after > 0 ? cluster.jobs["j-1"].cancelled : cluster.jobs["j-1"].done);
     expect_no_violations(cluster);
