--- a/tests/scenarios/delayed_heartbeats_test.cpp
+++ b/tests/scenarios/delayed_heartbeats_test.cpp
@@ -79,9 +79,9 @@
     // The remaining tasks of the gang are stopped, and the whole gang runs again as its next attempt.
     {"a machine of a gang is deleted",
      [](SimulatedCluster& cluster) {
-         auto on = task_locations(cluster, "j-1").begin()->second;
+         auto machine_id = task_locations(cluster, "j-1").begin()->second;
          for (std::size_t k = 0; k < cluster.workers.size(); ++k)
-             if (cluster.workers[k]->id == on) cluster.crash_machine(k);
+             if (cluster.workers[k]->id == machine_id) cluster.crash_machine(k);
      }},
     {"three machines are in their next agent epoch",
      [](SimulatedCluster& cluster) {
@@ -157,7 +157,7 @@
     EXPECT_EQ(log.text(), "");
 }
 
-bool has(const http::Request& request, const char* verb) {
+bool body_contains(const http::Request& request, const char* verb) {
     return request.body.find(verb) != std::string::npos;
 }
 
@@ -167,32 +167,32 @@
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DelayedStart,
                          testing::Combine(testing::Values(2.0, 5.0, 6.0, 7.0, 9.0, 16.0), testing::Bool()),
                          [](auto& info) {
-                             auto late_s = std::get<0>(info.param);
+                             auto delay_s = std::get<0>(info.param);
                              auto all = std::get<1>(info.param);
-                             return "By" + seconds_name(late_s) +
+                             return "By" + seconds_name(delay_s) +
                                     (all ? "AllControllersCrash" : "LeaderCrashes");
                          });
 TEST_P(DelayedStart, OfACrashedLeaderBreaksNoRule) {
     ErrorLog log;
-    auto [late_s, all] = GetParam();
+    auto [delay_s, all_crash] = GetParam();
     SimulatedCluster cluster({});
-    bool held = false;
+    bool run_was_delayed = false;
     cluster.at(20, [&cluster] {
         cluster.submit("j-1", "batch", 6, 30, {{"crew", "tight"}});
         cluster.submit("j-2", "gang", 3, 30, {{"together", true}});
     });
-    cluster.command_delay = [&, late_s = late_s, all = all](auto&, auto& request) {
-        if (!has(request, "run")) return 0.0;
+    cluster.command_delay = [&, delay_s = delay_s, all_crash = all_crash](auto&, auto& request) {
+        if (!body_contains(request, "run")) return 0.0;
         if (cluster.now() < 20 || cluster.now() > 24) return 0.0;
-        if (!std::exchange(held, true))
-            cluster.at(cluster.now() + 0.005, [&cluster, all] {
-                if (all) return crash_all_controllers(cluster);
+        if (!std::exchange(run_was_delayed, true))
+            cluster.at(cluster.now() + 0.005, [&cluster, all_crash] {
+                if (all_crash) return crash_all_controllers(cluster);
                 if (auto leader = cluster.leader()) cluster.crash(*leader, 0.2);
             });
-        return late_s;
+        return delay_s;
     };
     cluster.run_until(150);
-    EXPECT_TRUE(held);
+    EXPECT_TRUE(run_was_delayed);
     EXPECT_TRUE(cluster.jobs["j-1"].done && cluster.jobs["j-2"].done);
     EXPECT_EQ(cluster.restarts_of_done_tasks, 0u);
     expect_no_violations(cluster);
@@ -221,26 +221,26 @@
                                           testing::Values(3.0, 7.0, 12.0, 16.0)),
                          [](auto& info) {
                              auto ended_task = std::get<0>(info.param);
-                             auto late_s = std::get<1>(info.param);
-                             return camel_case(ended_task.name) + "By" + seconds_name(late_s);
+                             auto delay_s = std::get<1>(info.param);
+                             return camel_case(ended_task.name) + "By" + seconds_name(delay_s);
                          });
 TEST_P(DelayedStartOfTheSameLeader, StartsNothingThatHasEnded) {
     ErrorLog log;
-    auto [ended_task, late_s] = GetParam();
+    auto [ended_task, delay_s] = GetParam();
     SimulatedCluster cluster({});
-    bool held = false;
+    bool run_was_delayed = false;
     cluster.at(20, [&cluster, run_s = ended_task.run_s] { cluster.submit("j-1", "batch", 1, run_s); });
-    cluster.command_delay = [&, ended_task = ended_task, late_s = late_s](auto&, auto& request) {
-        if (has(request, "\"kill\"") && ended_task.delays_kill) return late_s + 1;
-        if (!has(request, "\"run\"") || std::exchange(held, true)) return 0.0;
+    cluster.command_delay = [&, ended_task = ended_task, delay_s = delay_s](auto&, auto& request) {
+        if (body_contains(request, "\"kill\"") && ended_task.delays_kill) return delay_s + 1;
+        if (!body_contains(request, "\"run\"") || std::exchange(run_was_delayed, true)) return 0.0;
         if (ended_task.cancel_after > 0)
             cluster.at(cluster.now() + ended_task.cancel_after, [&cluster] { cluster.cancel("j-1"); });
-        return late_s;
+        return delay_s;
     };
     std::size_t starts = 0;
     cluster.at(33, [&] { starts = cluster.starts; });
     cluster.run_until(120);
-    EXPECT_TRUE(held);
+    EXPECT_TRUE(run_was_delayed);
     EXPECT_LE(cluster.starts, 1u);
     EXPECT_EQ(cluster.starts, starts);  // the late commands started nothing
     EXPECT_TRUE(task_locations(cluster, "j-1").empty());
--- a/tests/scenarios/failover_test.cpp
+++ b/tests/scenarios/failover_test.cpp
@@ -89,20 +89,20 @@
 }
 
 // Guards against blocking all starts because of one machine whose heartbeats arrive but which no controller
-// can reach. After a restart of all controllers (`cold`) no task was started for as long as its heartbeats
-// came, because no controller knew what ran on the machine. Without a restart, the machine still looks
-// healthy, and tasks that are placed on it must not wait for it either.
+// can reach. After a restart of all controllers (`restart_all`) no task was started for as long as its
+// heartbeats came, because no controller knew what ran on the machine. Without a restart, the machine still
+// looks healthy, and tasks that are placed on it must not wait for it either.
 TEST(FailoverScenario, StartsTasksDespiteAnUnreachableMachine) {
     spdlog::set_level(spdlog::level::off);
-    for (bool cold : {true, false})
+    for (bool restart_all : {true, false})
         for (std::uint64_t seed : {1, 2, 3}) {
-            SCOPED_TRACE((cold ? "cold, seed " : "warm, seed ") + std::to_string(seed));
+            SCOPED_TRACE((restart_all ? "cold, seed " : "warm, seed ") + std::to_string(seed));
             Options options;
             options.seed = seed;
             SimulatedCluster cluster(options);
             cluster.at(5, [&cluster] { cluster.submit("j-1", "service", 3, 0); });
             cluster.at(40, [&cluster] { cluster.partition_one_way("10.0.", cluster.workers[0]->addr, 90); });
-            if (cold)
+            if (restart_all)
                 cluster.at(41, [&cluster] {
                     for (std::size_t k = 0; k < 3; ++k) cluster.crash(k, 1);
                 });
@@ -155,18 +155,18 @@
 TEST(FailoverScenario, AuditFindsAJobThatTheWatchMissed) {
     spdlog::set_level(spdlog::level::off);
     // If only waiting watches miss the job, the next read of the changes returns it. If all reads of changes
-    // by the leader miss it (`all`), only the periodic audit of jobs can find it.
-    for (bool all : {false, true}) {
+    // by the leader miss it (`hide_from_all_reads`), only the periodic audit of jobs can find it.
+    for (bool hide_from_all_reads : {false, true}) {
         SimulatedCluster cluster({});
         cluster.run_until(9);
         auto leader = leader_of(cluster);
         cluster.remove_from_load_balancer(leader);
-        if (all)
+        if (hide_from_all_reads)
             cluster.hide_job_from(leader, "j-7");
         else
             cluster.key_value_store.hide_job_from_watches("j-7");
         cluster.at(10, [&cluster] { cluster.submit("j-7", "batch", 2, 4); });
-        cluster.run_until(all ? 130 : 25);
+        cluster.run_until(hide_from_all_reads ? 130 : 25);
         EXPECT_TRUE(cluster.jobs["j-7"].done);
         expect_no_violations(cluster);
     }
@@ -206,12 +206,12 @@
 }
 
 // The limits of the key-value store are reduced without notice, either to the announced values or, with
-// `lower`, below them. All jobs must still be processed.
+// `below_announced`, below them. All jobs must still be processed.
 TEST(FailoverScenario, ToleratesLimitsThatFallAtAnyMoment) {
     spdlog::set_level(spdlog::level::off);
-    for (bool lower : {false, true})
+    for (bool below_announced : {false, true})
         for (std::uint64_t seed : {1, 2}) {
-            SCOPED_TRACE(lower);
+            SCOPED_TRACE(below_announced);
             Options options;
             options.seed = seed;
             options.machines = 40;
@@ -220,7 +220,7 @@
             options.reduced_value_kb = 2;
             options.limits_reduced_at = 40;
             SimulatedCluster cluster(options);
-            if (lower) cluster.key_value_store.reduce_limits_further({1, 4});
+            if (below_announced) cluster.key_value_store.reduce_limits_further({1, 4});
             cluster.at(2, [&cluster] {
                 cluster.submit("j-1", "service", 8, 0);
                 json large{{"cohort", std::string(500, 'c')}, {"payload", std::string(500, 'p')}};
--- a/tests/scenarios/fault_combinations_boot_test.cpp
+++ b/tests/scenarios/fault_combinations_boot_test.cpp
@@ -13,7 +13,7 @@
     return std::any_of(txn["then"].begin(), txn["then"].end(), ours);
 }
 // Returns true if the page of machines in the key-value store names this machine.
-bool stored(const SimulatedCluster& cluster, const std::string& id) {
+bool is_machine_stored(const SimulatedCluster& cluster, const std::string& id) {
     try {
         return cluster.key_value_store.record("mach/page/0").find(id) != std::string::npos;
     } catch (const std::out_of_range&) {
@@ -101,34 +101,34 @@
     SimulatedCluster cluster(two_machines(test_case.replicated));
     fill_machines(cluster);
     ASSERT_EQ(tasks_on_machines(cluster, "j-8"), 2u);
-    std::size_t first_new = cluster.workers.size(), met = 0;
-    std::optional<double> late_at, run_at;
+    std::size_t first_new = cluster.workers.size(), writes_seen = 0;
+    std::optional<double> first_write_at, first_run_at;
     std::string machine;
     bool was_stored = false, claimed = false;
     cluster.key_value_store.transaction_delay = [&](const json& txn) {
-        if (writes(txn, "leader") && run_at) claimed = true;
+        if (writes(txn, "leader") && first_run_at) claimed = true;
         bool names_new = writes(txn, "mach/page/") && cluster.workers.size() > first_new &&
                          txn.dump().find(cluster.workers[first_new]->id) != std::string::npos;
-        if (!names_new || test_case.write == FirstWrite::slow || met++ > 0) return 0.0;
-        late_at = cluster.now();
+        if (!names_new || test_case.write == FirstWrite::slow || writes_seen++ > 0) return 0.0;
+        first_write_at = cluster.now();
         return delay_of(test_case.write);
     };
     on_first_run(cluster, first_new, [&](Worker& worker) {
-        run_at = cluster.now();
+        first_run_at = cluster.now();
         machine = worker.id;
-        was_stored = stored(cluster, machine);
+        was_stored = is_machine_stored(cluster, machine);
         lose_machine_and_leader(cluster, worker);
     });
     if (test_case.write == FirstWrite::slow)
         cluster.at(25.5, [&cluster] { cluster.boot_fast_with_slow_writes(30, 1.6); });
     cluster.at(26, [&cluster] { submit_for_new_machine(cluster, "service", 0); });
     cluster.run_until(60);
-    ASSERT_TRUE(run_at);
+    ASSERT_TRUE(first_run_at);
     EXPECT_TRUE(was_stored) << machine;
     EXPECT_TRUE(claimed);
-    ASSERT_EQ(late_at.has_value(), test_case.write != FirstWrite::slow);
+    ASSERT_EQ(first_write_at.has_value(), test_case.write != FirstWrite::slow);
     if (test_case.write == FirstWrite::after_the_claim) {
-        EXPECT_LT(*run_at, *late_at + after_claim_s);
+        EXPECT_LT(*first_run_at, *first_write_at + after_claim_s);
     }
     cluster.run_until(150);
     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 1u);
@@ -152,7 +152,7 @@
             if (lost++ == 0)
                 cluster.at(cluster.now() + 4, [&] {
                     ended = true;
-                    was_stored = stored(cluster, cluster.workers.at(first_new)->id);
+                    was_stored = is_machine_stored(cluster, cluster.workers.at(first_new)->id);
                     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
                     cluster.crash(leader_of(cluster), 0.2);
                 });
@@ -160,7 +160,7 @@
         };
         bool early = false;
         on_first_run(cluster, first_new,
-                     [&](Worker& worker) { early = !ended || !stored(cluster, worker.id); });
+                     [&](Worker& worker) { early = !ended || !is_machine_stored(cluster, worker.id); });
         cluster.at(26, [&cluster] { submit_for_new_machine(cluster, "batch", 10); });
         cluster.run_until(34);
         EXPECT_TRUE(ended);
@@ -190,14 +190,14 @@
         });
         cluster.run_until(36);
         ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 1u);
-        std::optional<std::size_t> held;
+        std::optional<std::size_t> machine_with_task;
         for (std::size_t k = 0; k < cluster.workers.size(); ++k)
-            if (tasks_on_machine(*cluster.workers[k], "j-1") > 0) held = k;
-        ASSERT_TRUE(held);
-        auto id = cluster.workers[*held]->id;
-        EXPECT_TRUE(stored(cluster, id));
+            if (tasks_on_machine(*cluster.workers[k], "j-1") > 0) machine_with_task = k;
+        ASSERT_TRUE(machine_with_task);
+        auto id = cluster.workers[*machine_with_task]->id;
+        EXPECT_TRUE(is_machine_stored(cluster, id));
         cluster.crash(leader_of(cluster), 0.2);
-        cluster.crash_machine(*held);
+        cluster.crash_machine(*machine_with_task);
         // There is room for the task at once, but no evidence yet that it has terminated.
         cluster.cancel("j-8");
         cluster.start_cloud_outage(14);
@@ -206,7 +206,7 @@
         cluster.run_until(36 + lease_s + 20);
         EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 1u) << replicated;
         cluster.run_until(120);
-        EXPECT_FALSE(stored(cluster, id));
+        EXPECT_FALSE(is_machine_stored(cluster, id));
         expect_no_violations(cluster);
     }
 }
@@ -218,32 +218,32 @@
     spdlog::set_level(spdlog::level::off);
     for (bool leader_crashes : {false, true}) {
         SimulatedCluster cluster(two_machines(true));
-        std::map<std::string, std::size_t> asked;  // number of requests for each rental
-        std::string lost;
+        std::map<std::string, std::size_t> requests_by_rental;  // number of requests for each rental
+        std::string lost_rental;
         cluster.on_message = [&](auto&, auto&, auto& request) {
             if (request.target != "/hosts" || request.method != "POST") return;
             auto name = json::parse(request.body)["charter"].template get<std::string>();
-            ++asked[name];
-            if (cluster.now() < 26 || !lost.empty()) return;
-            lost = name;
+            ++requests_by_rental[name];
+            if (cluster.now() < 26 || !lost_rental.empty()) return;
+            lost_rental = name;
             cluster.partition_one_way("10.2.0.2", "10.0.", 12);
         };
         fill_machines(cluster);
-        std::optional<double> run_at;
-        Worker* on = nullptr;
+        std::optional<double> first_run_at;
+        Worker* worker_with_task = nullptr;
         on_first_run(cluster, cluster.workers.size(), [&](Worker& worker) {
-            run_at = cluster.now();
-            on = &worker;
+            first_run_at = cluster.now();
+            worker_with_task = &worker;
             if (leader_crashes) cluster.crash(leader_of(cluster), 0.2);
         });
         cluster.at(26, [&cluster] { submit_for_new_machine(cluster, "service", 0); });
         cluster.run_until(37);
-        ASSERT_TRUE(run_at);
+        ASSERT_TRUE(first_run_at);
         auto starts = cluster.starts;
         cluster.run_until(110);
-        EXPECT_EQ(asked[lost] > 1, !leader_crashes);
-        EXPECT_EQ(cluster.workers.size(), 2 + asked.size());  // one machine for each rental
-        EXPECT_EQ(tasks_on_machine(*on, "j-1"), 1u);
+        EXPECT_EQ(requests_by_rental[lost_rental] > 1, !leader_crashes);
+        EXPECT_EQ(cluster.workers.size(), 2 + requests_by_rental.size());  // one machine for each rental
+        EXPECT_EQ(tasks_on_machine(*worker_with_task, "j-1"), 1u);
         EXPECT_EQ(cluster.starts, starts);
         EXPECT_EQ(tasks_on_machines(cluster, "j-8"), 2u);
         expect_no_violations(cluster);
--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -66,23 +66,24 @@
     cluster.run_until(30);
     cluster.partition_one_way("10.0.", "10.1.", 13);
     cluster.start_cloud_outage(90);
-    std::map<std::string, http::Request> held;
-    std::string met;
+    std::map<std::string, http::Request> delayed_runs;
+    std::string target_addr;
     cluster.on_message = [&](auto& from, auto& to, auto& request) {
         if (request.target == protocol::paths::commands && request.body.find("run") != std::string::npos &&
             cluster.now() < 43)
-            held.emplace(to, request);
-        if (request.target != protocol::paths::heartbeat || cluster.now() < 43 || !met.empty() ||
-            !held.contains(from))
+            delayed_runs.emplace(to, request);
+        if (request.target != protocol::paths::heartbeat || cluster.now() < 43 || !target_addr.empty() ||
+            !delayed_runs.contains(from))
             return;
-        met = from;
-        cluster.send("10.9.0.1", met, held.at(met), 1, [](std::optional<http::Response>) {});
+        target_addr = from;
+        cluster.send("10.9.0.1", target_addr, delayed_runs.at(target_addr), 1,
+                     [](std::optional<http::Response>) {});
         cluster.at(cluster.now() + 0.4, [&cluster] { cluster.partition("10.0.", "10.1.", 60); });
     };
     cluster.submit("j-1", "batch", 12, 300);
     cluster.at(31.5, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(45);
-    ASSERT_FALSE(met.empty());
+    ASSERT_FALSE(target_addr.empty());
     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 1u);  // the delayed `run` has arrived
     cluster.run_until(150);
     EXPECT_TRUE(cluster.jobs["j-1"].cancelled);
@@ -103,7 +104,7 @@
             cluster.at(time, [&cluster] {
                 auto leader = leader_of(cluster);
                 cluster.partition(host_of(leader), "10.", 4,
-                                  Packets::held);  // delivered after the process has restarted
+                                  Packets::delayed_runs);  // delivered after the process has restarted
                 cluster.crash(leader, 0.1);
             });
             cluster.at(time + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
--- a/tests/scenarios/fault_combinations_late_transactions_test.cpp
+++ b/tests/scenarios/fault_combinations_late_transactions_test.cpp
@@ -42,7 +42,7 @@
                          });
 TEST_P(LateTransactions, BreakNoRule) {
     spdlog::set_level(spdlog::level::off);
-    std::string kind = GetParam();
+    std::string delayed_prefix = GetParam();
     SimulatedCluster cluster({});
     std::minstd_rand random(7);
     std::size_t late = 0;
@@ -50,7 +50,7 @@
         for (auto& change : txn["then"]) {
             auto key = change.value("put", change.value("drop", ""));
             // Only a third is delayed, so that there is a leader most of the time.
-            if (!key.starts_with(kind) || cluster.now() > 100 || random() % 3) continue;
+            if (!key.starts_with(delayed_prefix) || cluster.now() > 100 || random() % 3) continue;
             ++late;
             return std::uniform_real_distribution<double>(2, 12)(random);
         }
@@ -60,7 +60,7 @@
     for (double time = 25; time < 100; time += 13)
         cluster.at(time, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     cluster.run_until(260);
-    EXPECT_GT(late, kind == "types" ? 0u : 2u);
+    EXPECT_GT(late, delayed_prefix == "types" ? 0u : 2u);
     expect_no_failures(cluster);
 }
 
@@ -69,16 +69,16 @@
 // All invariants must hold.
 TEST(FaultCombination, KeepsAllRulesWhenKeyValueStoreIsSlowAtTheEdgeOfALease) {
     spdlog::set_level(spdlog::level::off);
-    for (double by : {0.6, 1.2, 1.6}) {
+    for (double delay_s : {0.6, 1.2, 1.6}) {
         SimulatedCluster cluster({});
         submit_steady_jobs(cluster, 110);
         for (double time = 25; time < 95; time += 20) {
-            cluster.at(time, [&cluster, by] { cluster.key_value_store.slow_down(15, by); });
+            cluster.at(time, [&cluster, delay_s] { cluster.key_value_store.slow_down(15, delay_s); });
             cluster.at(time + 6, [&cluster] { cluster.refuse_at_key_value_store(leader_of(cluster), 4); });
             cluster.at(time + 9, [&cluster] { cluster.key_value_store.start_outage(3); });
         }
         cluster.run_until(260);
-        for (auto& failure : find_failures(cluster)) ADD_FAILURE() << by << ": " << failure;
+        for (auto& failure : find_failures(cluster)) ADD_FAILURE() << delay_s << ": " << failure;
     }
 }
 
--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -120,12 +120,13 @@
     cluster.at(2, [&cluster] { cluster.submit("j-9", "service", 4, 0, {{"cards", 1.0}}); });
     cluster.run_until(20);
     ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 2u);
-    std::optional<std::size_t> held;
-    for (std::size_t k = 0; k < cluster.workers.size() && !held; ++k)
-        if (tasks_on_machine(*cluster.workers[k], "j-1") == 1) held = k;
-    ASSERT_TRUE(held);
+    std::optional<std::size_t> machine_with_task;
+    for (std::size_t k = 0; k < cluster.workers.size() && !machine_with_task; ++k)
+        if (tasks_on_machine(*cluster.workers[k], "j-1") == 1) machine_with_task = k;
+    ASSERT_TRUE(machine_with_task);
     cluster.start_cloud_outage(60);
-    cluster.at(cluster.now() + 4, [&cluster, held] { cluster.hang_machine(*held, 18); });
+    cluster.at(cluster.now() + 4,
+               [&cluster, machine_with_task] { cluster.hang_machine(*machine_with_task, 18); });
     cluster.at(21, [&cluster] { cluster.submit("j-2", "batch", 6, 30, {{"crew", "tight"}}); });
     double done_at = -1;
     for (double time = 21; time < 60; time += 0.1)
@@ -171,11 +172,11 @@
         cluster.submit("j-2", "service", 5, 0, {{"crew", "tight"}, {"rank", "high"}});
     });
     cluster.start_cloud_outage(90);
-    std::size_t unreached = 0;
+    std::size_t machines_with_task = 0;
     for (auto& worker : cluster.workers)
-        if (tasks_on_machine(*worker, "j-1") > 0 && unreached++ % 2 == 0)
+        if (tasks_on_machine(*worker, "j-1") > 0 && machines_with_task++ % 2 == 0)
             cluster.partition("10.0.", worker->addr, 70);
-    ASSERT_GT(unreached, 1u);
+    ASSERT_GT(machines_with_task, 1u);
     cluster.at(30, [&cluster] { cluster.crash(leader_of(cluster), 5); });
     cluster.at(30 + cancelled_after, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(30 + cancelled_after + quota_release_bound_s(options));
--- a/tests/scenarios/fault_combinations_zones_test.cpp
+++ b/tests/scenarios/fault_combinations_zones_test.cpp
@@ -88,7 +88,7 @@
 }
 // Injects the loss at machine `first` or at all machines of its zone, and returns the number of machines
 // lost.
-std::size_t lose_machines(SimulatedCluster& cluster, Loss loss, std::size_t first, double away_s) {
+std::size_t lose_machines(SimulatedCluster& cluster, Loss loss, std::size_t first, double unavailable_s) {
     std::size_t lost = 0;
     auto zone = cluster.workers[first]->zone;
     for (std::size_t k = 0; k < cluster.workers.size(); ++k) {
@@ -96,8 +96,8 @@
         if (loss == Loss::one_crashes ? k != first : worker.zone != zone || worker.dead) continue;
         ++lost;
         if (loss == Loss::one_crashes || loss == Loss::zone_crashes) cluster.crash_machine(k);
-        if (loss == Loss::zone_hangs) cluster.hang_machine(k, away_s);
-        if (loss == Loss::zone_partitioned) cluster.partition("10.0.", worker.addr, away_s);
+        if (loss == Loss::zone_hangs) cluster.hang_machine(k, unavailable_s);
+        if (loss == Loss::zone_partitioned) cluster.partition("10.0.", worker.addr, unavailable_s);
     }
     return lost;
 }
@@ -120,16 +120,16 @@
     // evidence that their tasks have terminated. The bound is that of docs/design.md for a new leader, plus
     // two heartbeat periods for the plan and the start.
     bool partitioned = test_case.loss == Loss::zone_partitioned;
-    double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s,
-           away_s = partitioned ? proven_s + 10 : 40;
-    if (partitioned) cluster.start_cloud_outage(away_s);
-    ASSERT_GT(lose_machines(cluster, test_case.loss, first, away_s), 0u);
+    double restart_bound_s = options.cancel_s + 2 * options.heartbeat_interval_s,
+           unavailable_s = partitioned ? restart_bound_s + 10 : 40;
+    if (partitioned) cluster.start_cloud_outage(unavailable_s);
+    ASSERT_GT(lose_machines(cluster, test_case.loss, first, unavailable_s), 0u);
     if (test_case.leader_crashes) cluster.at(30.6, [&cluster] { cluster.crash(leader_of(cluster), 0.2); });
     if (partitioned && !test_case.named) {  // the other zone has room for the job
-        cluster.run_until(30 + proven_s);
+        cluster.run_until(30 + restart_bound_s);
         EXPECT_EQ(tasks_on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
     }
-    cluster.faults_over_at = 30 + (test_case.loss == Loss::zone_hangs || partitioned ? away_s : 1);
+    cluster.faults_over_at = 30 + (test_case.loss == Loss::zone_hangs || partitioned ? unavailable_s : 1);
     cluster.run_until(cluster.faults_over_at + 200);
     if (service)
         EXPECT_EQ(tasks_on_machines(cluster, "j-1"), static_cast<std::size_t>(tasks));
@@ -154,12 +154,12 @@
     cluster.at(8, [&cluster] { cluster.submit("j-1", "service", 6, 0); });
     cluster.run_until(30);
     ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
-    double proven_s = options.cancel_s + 2 * options.heartbeat_interval_s;
-    cluster.start_cloud_outage(proven_s + 10);
-    cluster.partition("10.0.", cluster.workers[GetParam()]->addr, proven_s + 10);
-    cluster.run_until(30 + proven_s);
+    double restart_bound_s = options.cancel_s + 2 * options.heartbeat_interval_s;
+    cluster.start_cloud_outage(restart_bound_s + 10);
+    cluster.partition("10.0.", cluster.workers[GetParam()]->addr, restart_bound_s + 10);
+    cluster.run_until(30 + restart_bound_s);
     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
-    cluster.faults_over_at = 30 + proven_s + 10;
+    cluster.faults_over_at = 30 + restart_bound_s + 10;
     cluster.run_until(cluster.faults_over_at + 100);
     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     expect_no_violations(cluster);
--- a/tests/scenarios/fault_injection.cpp
+++ b/tests/scenarios/fault_injection.cpp
@@ -40,11 +40,14 @@
         cluster.crash(controller, fault.for_s);
 }
 void crash_leader_after_messages(SimulatedCluster& cluster, const Fault& fault) {
-    auto left = std::make_shared<std::size_t>(fault.amount);
-    cluster.on_message = [&cluster, left, back = fault.for_s](const std::string& from, auto&, auto&) {
+    auto messages_left = std::make_shared<std::size_t>(fault.amount);
+    cluster.on_message = [&cluster, messages_left, restart_after_s = fault.for_s](const std::string& from,
+                                                                                  auto&, auto&) {
         auto leader = leader_or_first(cluster);
-        if (*left == 0 || !cluster.leader() || from != cluster.addr_of(leader) || --*left > 0) return;
-        cluster.crash(leader, back);
+        if (*messages_left == 0 || !cluster.leader() || from != cluster.addr_of(leader) ||
+            --*messages_left > 0)
+            return;
+        cluster.crash(leader, restart_after_s);
     };
 }
 void freeze_controller(SimulatedCluster& cluster, const Fault& fault) {
@@ -252,8 +255,8 @@
     return definition_of(fault).name;
 }
 std::string to_string(const Fault& fault) {
-    constexpr std::size_t longest = 160;
-    char line[longest];
+    constexpr std::size_t max_length = 160;
+    char line[max_length];
     std::snprintf(line, sizeof line, "%8.3f s  %-38s  target %zu, amount %zu, for %.3f s%s", fault.at,
                   definition_of(fault).name, fault.target, fault.amount, fault.for_s,
                   fault.hold_packets ? ", held" : "");
--- a/tests/scenarios/fault_scenarios.cpp
+++ b/tests/scenarios/fault_scenarios.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double submissions_until_s = 110, scenario_s = 280, long_fault_s = 20;
-constexpr int many_tries = 200;
+constexpr int submit_tries_in_long_faults = 200;
 
 Options options_for(const Scenario& scenario) {
     Options options;
@@ -16,7 +16,7 @@
     options.free_gpus_max = 2.5 * static_cast<double>(scenario.machines);
     // Users must retry their submissions for longer than the longest fault lasts.
     for (auto& fault : scenario.faults)
-        if (fault.for_s > long_fault_s) options.submit_tries = many_tries;
+        if (fault.for_s > long_fault_s) options.submit_tries = submit_tries_in_long_faults;
     return options;
 }
 
@@ -41,9 +41,9 @@
         cluster.at(until + services_end_after_s, [&cluster, service] { cluster.cancel(job_id(service)); });
 }
 std::vector<std::string> find_failures(const SimulatedCluster& cluster) {
-    constexpr std::size_t least_starts = 40;
+    constexpr std::size_t min_starts = 40;
     auto failures = cluster.violations();
-    if (cluster.starts <= least_starts) failures.push_back("hardly anything was started");
+    if (cluster.starts <= min_starts) failures.push_back("hardly anything was started");
     for (auto& [id, job] : cluster.jobs) {
         if (job.refused) continue;
         if (!job.accepted) failures.push_back(id + " was not accepted");
--- a/tests/scenarios/fault_scenarios_test.cpp
+++ b/tests/scenarios/fault_scenarios_test.cpp
@@ -22,8 +22,8 @@
 INSTANTIATE_TEST_SUITE_P(RandomSeeds, FaultScenario, testing::Range<std::uint64_t>(0, 16), Numbered{"Part"});
 TEST_P(FaultScenario, KeepsAllRulesUnderRandomFaults) {
     spdlog::set_level(spdlog::level::off);
-    constexpr std::uint64_t each = 15 / seed_count_divisor;
-    for (auto seed = 1 + GetParam() * each; seed <= (1 + GetParam()) * each; ++seed)
+    constexpr std::uint64_t seeds_per_part = 15 / seed_count_divisor;
+    for (auto seed = 1 + GetParam() * seeds_per_part; seed <= (1 + GetParam()) * seeds_per_part; ++seed)
         expect_rules_kept(seed, draw_faults(seed, machines));
 }
 
@@ -61,9 +61,9 @@
     scenario.faults.push_back(
         {.at = 60, .kind = FaultKind::key_value_store_outage, .target = 0, .amount = 1, .for_s = 1000});
     EXPECT_FALSE(run_scenario(scenario).empty());
-    auto least = shrink(scenario).faults;
-    ASSERT_EQ(least.size(), 1u);
-    EXPECT_EQ(least[0].kind, FaultKind::key_value_store_outage);
+    auto shrunk = shrink(scenario).faults;
+    ASSERT_EQ(shrunk.size(), 1u);
+    EXPECT_EQ(shrunk[0].kind, FaultKind::key_value_store_outage);
 }
 
 }  // namespace
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -18,7 +18,7 @@
                                   : std::to_string(response.status);
 }
 // Returns true for a transaction that stores the final record of the job.
-bool ends(const http::Request& request, const std::string& job) {
+bool stores_end_of(const http::Request& request, const std::string& job) {
     return request.target == "/txn" &&
            request.body.find("\"put\":\"final/" + job + "\"") != std::string::npos;
 }
@@ -26,7 +26,7 @@
 // Returns true for the request after which the cancellation is sent: the transaction that stores the job's
 // end or, if `after` is negative, the heartbeat that reports the end, a moment before that transaction.
 bool is_moment_of_cancellation(const http::Request& request, double after) {
-    if (after >= 0) return ends(request, "j-1");
+    if (after >= 0) return stores_end_of(request, "j-1");
     return request.target == protocol::paths::heartbeat && request.body.find("\"done\"") != std::string::npos;
 }
 // Runs one job whose cancellation is sent to the first `nodes` controllers `after` seconds after the
@@ -36,9 +36,9 @@
     SimulatedCluster cluster({});
     std::vector<std::string> answers;
     auto take_answer = [&answers](http::Response response) { answers.push_back(status_of(response)); };
-    bool met = false;
+    bool cancel_sent = false;
     cluster.on_message = [&](auto&, auto&, const http::Request& request) {
-        if (!is_moment_of_cancellation(request, after) || std::exchange(met, true)) return;
+        if (!is_moment_of_cancellation(request, after) || std::exchange(cancel_sent, true)) return;
         cluster.at(cluster.now() + std::max(0.0, after), [&] {
             cluster.ask_cancellation("j-1");
             for (std::size_t n = 0; n < nodes; ++n)
@@ -47,11 +47,11 @@
     };
     cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 1, 10); });
     cluster.run_until(40);
-    EXPECT_TRUE(met);
+    EXPECT_TRUE(cancel_sent);
     EXPECT_EQ(answers.size(), nodes);
     auto record = cluster.key_value_store.stored("final/j-1");
     EXPECT_TRUE(record);
-    if (!met || answers.size() != nodes || !record) return "";
+    if (!cancel_sent || answers.size() != nodes || !record) return "";
     auto state = json::parse(*record)["state"].get<std::string>();
     for (std::size_t n = 0; n < 3; ++n)
         cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, take_answer);
@@ -77,15 +77,15 @@
     EXPECT_EQ(won, (std::set<std::string>{"done", "withdrawn"}));
 }
 
-// Queries the job at all controllers and submits it again. Adds the states that they answer to `told`,
-// beginning with the first "done".
-void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& told) {
+// Queries the job at all controllers and submits it again. Adds the states that they answer to
+// `answered_states`, beginning with the first "done".
+void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& answered_states) {
     for (std::size_t n = 0; n < 3; ++n) {
         cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
             auto& job = cluster.jobs["j-1"];
             if (job.stored_at < 0) return;
             if (status_of(response) == "done") job.done = true;
-            if (job.done) told.insert(status_of(response));
+            if (job.done) answered_states.insert(status_of(response));
         });
         cluster.post_job_to(n, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
             EXPECT_TRUE(response.status == 200 || response.status == 503) << response.status;
@@ -115,11 +115,11 @@
             cluster.submit("j-2", "batch", 1, 10);
             cluster.submit("j-3", "batch", 1, 30);
         });
-        std::set<std::string> told;
+        std::set<std::string> answered_states;
         for (double time = 14; time < 40; time += 0.3)
-            cluster.at(time, [&] { query_and_repeat(cluster, told); });
+            cluster.at(time, [&] { query_and_repeat(cluster, answered_states); });
         cluster.run_until(60);
-        EXPECT_EQ(told, (std::set<std::string>{"done"}));
+        EXPECT_EQ(answered_states, (std::set<std::string>{"done"}));
         EXPECT_EQ(cluster.starts, 3u);
         // The leader reads the result of the unanswered transaction before it sends another one. If the first
         // one has been carried out by then, no second one is sent.
@@ -194,15 +194,15 @@
 // for all of its changes. Small transactions of lower priority used up the budget that accumulated meanwhile.
 TEST(KvClientBudget, SmallChangesDoNotOvertakeLargeOnes) {
     FakeTimers timers;
-    FakeKeyValueStore service(timers);
-    config::Settings s;
-    s.nodes = 3;
-    s.heartbeat_interval_s = 5;
-    s.kv_rps = 250;
-    s.kv_write_rps = 50;
-    s.txn_ops = 24;
-    s.safe_value_kb = 16;
-    kv::KvClient client(timers, service, s);
+    FakeKeyValueStore kv_store(timers);
+    config::Settings settings;
+    settings.nodes = 3;
+    settings.heartbeat_interval_s = 5;
+    settings.kv_rps = 250;
+    settings.kv_write_rps = 50;
+    settings.txn_ops = 24;
+    settings.safe_value_kb = 16;
+    kv::KvClient client(timers, kv_store, settings);
     client.set_leading(true);
     auto put = [&](const std::string& key, int changes, kv::RequestPriority rank,
                    std::function<void()> done) {
--- a/tests/scenarios/liveness_test.cpp
+++ b/tests/scenarios/liveness_test.cpp
@@ -12,16 +12,16 @@
 
 // Returns the number of machines in a zone, or in both zones if `zone` is empty. With `expired_only`, counts
 // only machines whose worker's lease has expired.
-std::size_t machines(const SimulatedCluster& cluster, const std::string& zone = "",
-                     bool expired_only = false) {
+std::size_t count_machines(const SimulatedCluster& cluster, const std::string& zone = "",
+                           bool expired_only = false) {
     std::size_t n = 0;
     for (auto& worker : cluster.workers)
         n += !worker->dead && (zone.empty() || worker->zone == zone) &&
              (!expired_only || worker->agent_epoch > 1);
     return n;
 }
-std::size_t with_expired_lease(const SimulatedCluster& cluster, const std::string& zone = "") {
-    return machines(cluster, zone, true);
+std::size_t count_expired_leases(const SimulatedCluster& cluster, const std::string& zone = "") {
+    return count_machines(cluster, zone, true);
 }
 // Crashes leaders until this controller is the leader (`wanted`) or is not the leader (not `wanted`).
 void change_leader_until(SimulatedCluster& cluster, std::size_t node, bool wanted) {
@@ -79,7 +79,7 @@
     change_leader_until(cluster, controller_inside, test_case.leads);
     ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     ASSERT_GT(tasks_on_machines(cluster, "j-1", "b"), 0u);
-    ASSERT_EQ(with_expired_lease(cluster), 0u);
+    ASSERT_EQ(count_expired_leases(cluster), 0u);
     double from = cluster.now();
     partition_zone(cluster, options.lease_s * 3, test_case.packets);
     // The cloud deletes no machine, so only the end of a lease is evidence that a task has terminated.
@@ -90,8 +90,8 @@
                [&] { kept_by_leader = tasks_on_machines(cluster, "j-1", "b"); });
     cluster.run_until(from + options.lease_s * 3);
     // Only the leases of the partitioned zone may expire.
-    EXPECT_EQ(with_expired_lease(cluster, "a"), 0u);
-    EXPECT_EQ(with_expired_lease(cluster, "b"), machines(cluster, "b"));
+    EXPECT_EQ(count_expired_leases(cluster, "a"), 0u);
+    EXPECT_EQ(count_expired_leases(cluster, "b"), count_machines(cluster, "b"));
     EXPECT_EQ(kept_by_leader > 0, test_case.leads) << "tasks in the zone one lease after the partition began";
     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u) << "not restarted after the leases in the zone ended";
     EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
@@ -126,10 +126,10 @@
     run_long_jobs(cluster);
     ASSERT_EQ(tasks_on_machines(cluster, "j-1") + tasks_on_machines(cluster, "j-2"), 12u);
     auto starts = cluster.starts;
-    std::set<std::size_t> led;
+    std::set<std::size_t> leaders;
     for (int k = 0; k < 10; ++k)
-        cluster.at(30 + 12 * k, [&cluster, &led, test_case] {
-            led.insert(leader_of(cluster));
+        cluster.at(30 + 12 * k, [&cluster, &leaders, test_case] {
+            leaders.insert(leader_of(cluster));
             cluster.crash(leader_of(cluster), test_case.back_after_s);
         });
     if (test_case.outage_s > 0)
@@ -137,12 +137,12 @@
                    [&cluster, test_case] { cluster.key_value_store.start_outage(test_case.outage_s); });
     cluster.at(100, [&cluster] { cluster.cancel("j-2"); });
     cluster.run_until(200);
-    EXPECT_EQ(with_expired_lease(cluster), 0u);
+    EXPECT_EQ(count_expired_leases(cluster), 0u);
     EXPECT_EQ(cluster.machines_deleted_with_tasks, 0u);
     EXPECT_EQ(cluster.starts, starts);
     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
     EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
-    EXPECT_GT(led.size(), 1u);
+    EXPECT_GT(leaders.size(), 1u);
     expect_no_violations(cluster);
 }
 
@@ -192,9 +192,9 @@
         cluster.at(25 + test_case.back_s + test_case.for_s,
                    [&] { all(test_case.away_s - test_case.back_s - test_case.for_s); });
     cluster.run_until(25 + test_case.away_s);
-    auto dead = with_expired_lease(cluster);
-    EXPECT_EQ(dead == machines(cluster), test_case.back_s == 0) << dead;
-    EXPECT_GT(dead, 0u);
+    auto expired = count_expired_leases(cluster);
+    EXPECT_EQ(expired == count_machines(cluster), test_case.back_s == 0) << expired;
+    EXPECT_GT(expired, 0u);
     EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 0u);
     cluster.run_until(25 + test_case.away_s + 50);
     EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 6u);
--- a/tests/scenarios/parameter_names.hpp
+++ b/tests/scenarios/parameter_names.hpp
@@ -27,8 +27,8 @@
 
 // Returns a name for a number of seconds: "2p5s" for 2.5, "Minus0p5s" for -0.5.
 inline std::string seconds_name(double seconds) {
-    constexpr std::size_t longest = 32;
-    char digits[longest];
+    constexpr std::size_t max_length = 32;
+    char digits[max_length];
     std::snprintf(digits, sizeof digits, "%.3g", seconds < 0 ? -seconds : seconds);
     std::string name = seconds < 0 ? "Minus" : "";
     for (const char* digit = digits; *digit != '\0'; ++digit) name += *digit == '.' ? 'p' : *digit;
--- a/tests/scenarios/replication_test.cpp
+++ b/tests/scenarios/replication_test.cpp
@@ -92,16 +92,16 @@
     std::mt19937_64 random(seed);
     for (double time : {30.0, 60.0, 90.0}) {
         std::size_t hung = random() % 12, dead = random() % 12;
-        auto left = std::make_shared<std::size_t>(1 + random() % 6);
+        auto messages_left = std::make_shared<std::size_t>(1 + random() % 6);
         auto with_machines = random() % 3;
-        cluster.at(time, [&cluster, &fault, left, hung, dead, with_machines] {
-            cluster.on_message = [&cluster, &fault, left, hung, dead, with_machines](
+        cluster.at(time, [&cluster, &fault, messages_left, hung, dead, with_machines] {
+            cluster.on_message = [&cluster, &fault, messages_left, hung, dead, with_machines](
                                      const std::string& from, const std::string&,
                                      const http::Request& request) {
-                if (*left == 0 || !cluster.leader() || from != cluster.addr_of(leader_of(cluster)) ||
+                if (*messages_left == 0 || !cluster.leader() || from != cluster.addr_of(leader_of(cluster)) ||
                     !fault.message(request))
                     return;
-                if (--*left > 0) return;
+                if (--*messages_left > 0) return;
                 if (with_machines > 0) cluster.hang_machine(hung, 8.0 * static_cast<double>(with_machines));
                 if (with_machines > 1) cluster.crash_machine(dead);
                 fault.what(cluster, leader_of(cluster));
