--- a/tests/scenarios/fault_combinations_delayed_messages_test.cpp
+++ b/tests/scenarios/fault_combinations_delayed_messages_test.cpp
@@ -104,7 +104,7 @@
             cluster.at(time, [&cluster] {
                 auto leader = leader_of(cluster);
                 cluster.partition(host_of(leader), "10.", 4,
-                                  Packets::delayed_runs);  // delivered after the process has restarted
+                                  Packets::held);  // delivered after the process has restarted
                 cluster.crash(leader, 0.1);
             });
             cluster.at(time + 3.5, [&cluster] { cluster.crash(leader_of(cluster), 0.1); });
