--- a/tests/scenarios/fault_combinations_quota_test.cpp
+++ b/tests/scenarios/fault_combinations_quota_test.cpp
@@ -1,4 +1,5 @@
-// Teams at their limits while jobs are cancelled or end on machines that don't answer, and leaders change.
+// Tests of teams at their limits while jobs are cancelled or end on machines that do not answer, and the
+// leader changes.
 #include <array>
 
 #include "scenarios/parameter_names.hpp"
@@ -7,7 +8,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-// What the machines go through that hold all of a team's limit.
+// Fault of the machines whose tasks use up a team's limit.
 enum class Unavailability { hang, hang_briefly, no_answers, partitioned };
 
 void make_unavailable(SimulatedCluster& cluster, Unavailability how, std::size_t machine, double for_s) {
@@ -18,25 +19,27 @@
     if (how == Unavailability::partitioned) cluster.partition("10.0.", worker.addr, for_s);
 }
 
-// The bound that docs/design.md states, after the last change of the leader: the new one counts on the one
-// before having renewed leases for as long as `cancel_s` allows. Some heartbeat periods are for the plan and
-// the start.
+// Returns the time in s after the last change of the leader within which a waiting job must start. It is the
+// bound of docs/design.md: the new leader assumes that its predecessor renewed leases for as long as
+// `cancel_s` allows. Two heartbeat periods are added for the plan and the start.
 double quota_release_bound_s(const Options& options) {
     return options.cancel_s + 2 * options.heartbeat_interval_s;
 }
 
-// Both teams are at their limits. Their machines are away while the jobs are cancelled, and the leader
-// changes before, after or in between, to one that knows the jobs only from what is stored. The cloud answers
-// no deletion, so only time proves anything gone. What waits starts within the bound, and nothing before the
-// proof.
+// Guards against exceeding a team's limit, and against waiting for longer than the bound. Both teams are at
+// their limits, and their machines are unavailable while the jobs are cancelled. The leader crashes shortly
+// before or after the cancellation, and its successor a few seconds later. The last leader knows the jobs
+// only from the key-value store. The cloud deletes no machine, so only the end of a lease is evidence that a
+// task has terminated. Waiting jobs must start after that evidence, and within the bound.
 struct LimitCase {
     const char* name;
     Unavailability how;
-    double leader_crashes_after;  // after the cancellation; it comes 2 s after the machines go away
-    bool replicated;              // the next leader follows the one before
+    // Time of the crash in s after the cancellation, which is 2 s after the machines become unavailable.
+    double leader_crashes_after;
+    bool replicated;  // the next leader has a replica of the crashed leader's state
 };
-void PrintTo(const LimitCase& limit_cases, std::ostream* out) {
-    *out << limit_cases.name;
+void PrintTo(const LimitCase& limit_case, std::ostream* out) {
+    *out << limit_case.name;
 }
 const LimitCase limit_cases[] = {
     {"hang, leader crashes before", Unavailability::hang, -1, true},
@@ -51,10 +54,11 @@
 };
 class TeamsAtTheirLimits : public testing::TestWithParam<LimitCase> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, TeamsAtTheirLimits, testing::ValuesIn(limit_cases), NameOfCase());
-// Two jobs of each team, which fill its limit, on machines that a filler keeps.
+// Two jobs of each team (j-1x: `tight`, j-2x: `free`), which use up its limit. They run on machines that a
+// filler service keeps from being returned to the cloud.
 constexpr std::array first_jobs{"j-11", "j-12", "j-21", "j-22"};
 void fill_both_teams(SimulatedCluster& cluster) {
-    cluster.at(1.9, [&cluster] { submit_filler(cluster); });
+    cluster.at(1.9, [&cluster] { submit_service_on_every_machine(cluster); });
     cluster.at(2, [&cluster] {
         for (auto* team : {"tight", "free"}) {
             std::string prefix = team == std::string("tight") ? "j-1" : "j-2";
@@ -63,13 +67,13 @@
         }
     });
     cluster.run_until(25);
-    for (auto* id : first_jobs) ASSERT_EQ(on_machines(cluster, id), 2u) << id;
+    for (auto* id : first_jobs) ASSERT_EQ(tasks_on_machines(cluster, id), 2u) << id;
 }
 bool holds_any_first_job(const Worker& worker) {
     return std::any_of(first_jobs.begin(), first_jobs.end(),
-                       [&worker](auto* id) { return on_machine(worker, id) > 0; });
+                       [&worker](auto* id) { return tasks_on_machine(worker, id) > 0; });
 }
-TEST_P(TeamsAtTheirLimits, StartNothingBeforeProofOfTerminationAndWaitNoLonger) {
+TEST_P(TeamsAtTheirLimits, StartNothingBeforeEvidenceOfTerminationAndWaitNoLonger) {
     spdlog::set_level(spdlog::level::off);
     auto test_case = GetParam();
     Options options;
@@ -91,16 +95,17 @@
     cluster.at(32 + test_case.leader_crashes_after + 3.5,
                [&cluster] { cluster.crash(leader_of(cluster), 4); });
     cluster.run_until(32 + test_case.leader_crashes_after + 3.5 + quota_release_bound_s(options));
-    EXPECT_EQ(on_machines(cluster, "j-11") + on_machines(cluster, "j-12"), 0u);
-    EXPECT_GT(on_machines(cluster, "j-13") + cluster.jobs["j-13"].tasks_done.size(), 0u);
-    EXPECT_GT(on_machines(cluster, "j-23") + cluster.jobs["j-23"].tasks_done.size(), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-11") + tasks_on_machines(cluster, "j-12"), 0u);
+    EXPECT_GT(tasks_on_machines(cluster, "j-13") + cluster.jobs["j-13"].tasks_done.size(), 0u);
+    EXPECT_GT(tasks_on_machines(cluster, "j-23") + cluster.jobs["j-23"].tasks_done.size(), 0u);
     cluster.run_until(240);
     EXPECT_TRUE(cluster.jobs["j-13"].done && cluster.jobs["j-23"].done);
     expect_no_violations(cluster);
 }
 
-// A gang is over for its user when one of its tasks has ended; those on a machine that hangs are still there.
-// The next leader knows of the job only that it is done, and must not fill the team's limit beside them.
+// Guards against exceeding a team's limit with the remaining tasks of a done gang. A gang is done when one of
+// its tasks has ended, but its tasks on a hung machine still exist. The next leader knows only that the job
+// is done, and must count these tasks for the team.
 class DoneGangStillOnMachine : public testing::TestWithParam<bool> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, DoneGangStillOnMachine, testing::Bool(),
                          [](auto& info) { return info.param ? "WithReplicas" : "WithoutReplicas"; });
@@ -114,13 +119,14 @@
     cluster.at(2, [&cluster] { cluster.submit("j-1", "gang", 2, 25, {{"crew", "tight"}, {"cards", 3.0}}); });
     cluster.at(2, [&cluster] { cluster.submit("j-9", "service", 4, 0, {{"cards", 1.0}}); });
     cluster.run_until(20);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 2u);
-    std::optional<std::size_t> held;
-    for (std::size_t k = 0; k < cluster.workers.size() && !held; ++k)
-        if (on_machine(*cluster.workers[k], "j-1") == 1) held = k;
-    ASSERT_TRUE(held);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 2u);
+    std::optional<std::size_t> machine_with_task;
+    for (std::size_t k = 0; k < cluster.workers.size() && !machine_with_task; ++k)
+        if (tasks_on_machine(*cluster.workers[k], "j-1") == 1) machine_with_task = k;
+    ASSERT_TRUE(machine_with_task);
     cluster.start_cloud_outage(60);
-    cluster.at(cluster.now() + 4, [&cluster, held] { cluster.hang_machine(*held, 18); });
+    cluster.at(cluster.now() + 4,
+               [&cluster, machine_with_task] { cluster.hang_machine(*machine_with_task, 18); });
     cluster.at(21, [&cluster] { cluster.submit("j-2", "batch", 6, 30, {{"crew", "tight"}}); });
     double done_at = -1;
     for (double time = 21; time < 60; time += 0.1)
@@ -136,8 +142,9 @@
     expect_no_violations(cluster);
 }
 
-// A cancellation falls into the spell in which a new leader can't ask some machines of a team at its limit:
-// whether it comes before or after the new one has listed the jobs, what is there counts.
+// Guards against exceeding a team's limit when a job is cancelled during a failover. The new leader cannot
+// query some of the machines that run tasks of the team. The tasks on them must count, both if the
+// cancellation comes before and if it comes after the new leader has listed the jobs.
 class CancellationDuringFailover : public testing::TestWithParam<std::tuple<double, bool>> {};
 INSTANTIATE_TEST_SUITE_P(FaultCombinations, CancellationDuringFailover,
                          testing::Combine(testing::Values(0.05, 1.0, 2.2, 2.6, 3.2, 5.0), testing::Bool()),
@@ -160,21 +167,21 @@
         cluster.submit("j-9", "service", 5, 0);
     });
     cluster.run_until(25);
-    ASSERT_EQ(on_machines(cluster, "j-1"), 5u);
+    ASSERT_EQ(tasks_on_machines(cluster, "j-1"), 5u);
     cluster.at(25, [&cluster] {
         cluster.submit("j-2", "service", 5, 0, {{"crew", "tight"}, {"rank", "high"}});
     });
     cluster.start_cloud_outage(90);
-    std::size_t unreached = 0;
+    std::size_t machines_with_task = 0;
     for (auto& worker : cluster.workers)
-        if (on_machine(*worker, "j-1") > 0 && unreached++ % 2 == 0)
+        if (tasks_on_machine(*worker, "j-1") > 0 && machines_with_task++ % 2 == 0)
             cluster.partition("10.0.", worker->addr, 70);
-    ASSERT_GT(unreached, 1u);
+    ASSERT_GT(machines_with_task, 1u);
     cluster.at(30, [&cluster] { cluster.crash(leader_of(cluster), 5); });
     cluster.at(30 + cancelled_after, [&cluster] { cluster.cancel("j-1"); });
     cluster.run_until(30 + cancelled_after + quota_release_bound_s(options));
-    EXPECT_EQ(on_machines(cluster, "j-1"), 0u);
-    EXPECT_EQ(on_machines(cluster, "j-2"), 5u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-1"), 0u);
+    EXPECT_EQ(tasks_on_machines(cluster, "j-2"), 5u);
     cluster.cancel("j-2");
     cluster.run_until(200);
     expect_no_violations(cluster);
--- a/tests/scenarios/job_ends_test.cpp
+++ b/tests/scenarios/job_ends_test.cpp
@@ -1,4 +1,5 @@
-// The ends of jobs: what meets them, and at what price they are stored.
+// Tests of the ends of jobs: races with cancellations and lost answers, and the time and number of changes
+// that storing them takes.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -16,27 +17,28 @@
     return response.status == 200 ? json::parse(response.body)["status"].get<std::string>()
                                   : std::to_string(response.status);
 }
-bool ends(const http::Request& request, const std::string& job) {
+// Returns true for a transaction that stores the final record of the job.
+bool stores_end_of(const http::Request& request, const std::string& job) {
     return request.target == "/txn" &&
            request.body.find("\"put\":\"final/" + job + "\"") != std::string::npos;
 }
 
-// The end of a job's last task meets a cancellation at one node, at two or at all, before, while and after
-// its transaction is carried out: one of both wins in the store, and all nodes tell that one from then on.
-// When the cancellation comes: some time after the transaction of the end is sent, or, if that is negative,
-// with the heartbeat that reports the end. The end is stored a moment later.
+// Returns true for the request after which the cancellation is sent: the transaction that stores the job's
+// end or, if `after` is negative, the heartbeat that reports the end, a moment before that transaction.
 bool is_moment_of_cancellation(const http::Request& request, double after) {
-    if (after >= 0) return ends(request, "j-1");
+    if (after >= 0) return stores_end_of(request, "j-1");
     return request.target == protocol::paths::heartbeat && request.body.find("\"done\"") != std::string::npos;
 }
-// The state that won; empty if none was stored.
+// Runs one job whose cancellation is sent to the first `nodes` controllers `after` seconds after the
+// transaction of its end (see is_moment_of_cancellation). Returns the stored final state, or an empty string
+// on a failure.
 std::string cancel_at_end(std::size_t nodes, double after) {
     SimulatedCluster cluster({});
     std::vector<std::string> answers;
     auto take_answer = [&answers](http::Response response) { answers.push_back(status_of(response)); };
-    bool met = false;
+    bool cancel_sent = false;
     cluster.on_message = [&](auto&, auto&, const http::Request& request) {
-        if (!is_moment_of_cancellation(request, after) || std::exchange(met, true)) return;
+        if (!is_moment_of_cancellation(request, after) || std::exchange(cancel_sent, true)) return;
         cluster.at(cluster.now() + std::max(0.0, after), [&] {
             cluster.ask_cancellation("j-1");
             for (std::size_t n = 0; n < nodes; ++n)
@@ -45,11 +47,11 @@
     };
     cluster.at(2, [&cluster] { cluster.submit("j-1", "batch", 1, 10); });
     cluster.run_until(40);
-    EXPECT_TRUE(met);
+    EXPECT_TRUE(cancel_sent);
     EXPECT_EQ(answers.size(), nodes);
     auto record = cluster.key_value_store.stored("final/j-1");
     EXPECT_TRUE(record);
-    if (!met || answers.size() != nodes || !record) return "";
+    if (!cancel_sent || answers.size() != nodes || !record) return "";
     auto state = json::parse(*record)["state"].get<std::string>();
     for (std::size_t n = 0; n < 3; ++n)
         cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, take_answer);
@@ -58,6 +60,10 @@
     expect_no_violations(cluster);
     return state;
 }
+// Guards against controllers that disagree on how a job ended. The job's last task ends while the job is
+// cancelled at one, two or all controllers, before, during or after the transaction that stores the end.
+// Either the end or the cancellation is stored, and all controllers must answer with the stored state from
+// then on.
 TEST(JobEnd, OrCancellationWinsOnAllControllers) {
     spdlog::set_level(spdlog::level::off);
     std::set<std::string> won;
@@ -71,22 +77,24 @@
     EXPECT_EQ(won, (std::set<std::string>{"done", "withdrawn"}));
 }
 
-// The transaction of an end is carried out and its answer lost, or late, while other nodes read what it
-// wrote, and the job is submitted again: it ends once, and nobody is told anything else.
-// Asks all controllers, and keeps what they say from the first "done" on.
-void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& told) {
+// Queries the job at all controllers and submits it again. Adds the states that they answer to
+// `answered_states`, beginning with the first "done".
+void query_and_repeat(SimulatedCluster& cluster, std::set<std::string>& answered_states) {
     for (std::size_t n = 0; n < 3; ++n) {
         cluster.send_user_request(n, {"GET", "/api/jobs/j-1", ""}, [&](http::Response response) {
             auto& job = cluster.jobs["j-1"];
             if (job.stored_at < 0) return;
             if (status_of(response) == "done") job.done = true;
-            if (job.done) told.insert(status_of(response));
+            if (job.done) answered_states.insert(status_of(response));
         });
         cluster.post_job_to(n, cluster.jobs["j-1"].spec.dump(), [&](http::Response response) {
             EXPECT_TRUE(response.status == 200 || response.status == 503) << response.status;
         });
     }
 }
+// Guards against storing the end of a job twice, or answering another state after "done". The transaction of
+// the end is carried out and its answer lost, or it is carried out late without an answer, while other
+// controllers read the final record and the job is submitted again.
 TEST(JobEnd, IsStoredOnceWhenTheAnswerIsLost) {
     spdlog::set_level(spdlog::level::off);
     for (double late : {-1.0, 1.0, 4.0, 9.0}) {
@@ -107,13 +115,14 @@
             cluster.submit("j-2", "batch", 1, 10);
             cluster.submit("j-3", "batch", 1, 30);
         });
-        std::set<std::string> told;
+        std::set<std::string> answered_states;
         for (double time = 14; time < 40; time += 0.3)
-            cluster.at(time, [&] { query_and_repeat(cluster, told); });
+            cluster.at(time, [&] { query_and_repeat(cluster, answered_states); });
         cluster.run_until(60);
-        EXPECT_EQ(told, (std::set<std::string>{"done"}));
+        EXPECT_EQ(answered_states, (std::set<std::string>{"done"}));
         EXPECT_EQ(cluster.starts, 3u);
-        // It is read what became of the first, so that no second one is spent on a job that has ended.
+        // The leader reads the result of the unanswered transaction before it sends another one. If the first
+        // one has been carried out by then, no second one is sent.
         EXPECT_EQ(written, late < options.heartbeat_interval_s / 2 ? 1u : 2u);
         EXPECT_FALSE(cluster.key_value_store.stored("job/j-1"));
         EXPECT_TRUE(cluster.jobs["j-2"].done && cluster.jobs["j-3"].done);
@@ -121,17 +130,18 @@
     }
 }
 
-// Jobs of one task come for two minutes, a quarter of them are cancelled, and the key-value store allows few
-// changes. Ends are stored in time, since those of cancelled jobs wait for them and not the other way round.
+// Guards against ends of jobs that are stored late because the ends of cancelled jobs use up the budget of
+// changes. Jobs of one task are submitted for two minutes, a quarter of them is cancelled, and the key-value
+// store allows few changes. Ends of cancelled jobs must wait for the other ends, not the other way round.
 //
-// Counted from the heartbeat that says it: a worker reports a change within half a second, so that this bound
-// keeps the three seconds in which users expect it, but those simulated here report only once a period, which
-// alone may take longer. With ends of cancelled jobs at the rank of the others each of 24 seeds took 2.31 s
-// or more.
+// The time is measured from the heartbeat that reports the end. A real worker reports a change within half a
+// second, so the bound of 2.2 s keeps within the three seconds that users expect. The simulated workers
+// report only once per heartbeat period, which alone may take longer. With ends of cancelled jobs at the same
+// priority as other ends, each of 24 seeds took 2.31 s or more.
 class JobEndsUnderWriteLimit : public testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, JobEndsUnderWriteLimit, testing::Values(1, 2, 3), Numbered{"Seed"});
 constexpr double job_rate = 4.6, jobs_from_s = 20, jobs_until_s = 140;
-// Cancels one in four; returns how many there are.
+// Submits the jobs, cancels one in four of them 4 s later, and returns the number of jobs.
 std::size_t submit_stream(SimulatedCluster& cluster) {
     std::size_t number = 0;
     for (double time = jobs_from_s; time < jobs_until_s; time += 1 / job_rate) {
@@ -175,24 +185,24 @@
     EXPECT_GE(cancelled, submitted / 5);
     EXPECT_LT(worst, 2.2);
     EXPECT_EQ(cluster.key_value_store.changes_refused, 0u);
-    // Three changes for one that is done, four for one that is cancelled.
+    // Three changes for each done job, four for each cancelled job.
     EXPECT_EQ(changes_of_jobs(cluster), 3 * done + 4 * cancelled);
     expect_no_violations(cluster);
 }
 
-// A transaction with many changes waits until the budget has room for it. Small ones of lower ranks used to
-// take what gathered meanwhile.
+// Guards against starving transactions with many changes. Such a transaction waits until the budget has room
+// for all of its changes. Small transactions of lower priority used up the budget that accumulated meanwhile.
 TEST(KvClientBudget, SmallChangesDoNotOvertakeLargeOnes) {
     FakeTimers timers;
-    FakeKeyValueStore service(timers);
-    config::Settings s;
-    s.nodes = 3;
-    s.heartbeat_interval_s = 5;
-    s.kv_rps = 250;
-    s.kv_write_rps = 50;
-    s.txn_ops = 24;
-    s.safe_value_kb = 16;
-    kv::KvClient client(timers, service, s);
+    FakeKeyValueStore kv_store(timers);
+    config::Settings settings;
+    settings.nodes = 3;
+    settings.heartbeat_interval_s = 5;
+    settings.kv_rps = 250;
+    settings.kv_write_rps = 50;
+    settings.txn_ops = 24;
+    settings.safe_value_kb = 16;
+    kv::KvClient client(timers, kv_store, settings);
     client.set_leading(true);
     auto put = [&](const std::string& key, int changes, kv::RequestPriority rank,
                    std::function<void()> done) {
