--- a/tests/support/fake_key_value_store.hpp
+++ b/tests/support/fake_key_value_store.hpp
@@ -1,7 +1,8 @@
-// A small consensus-backed key-value store in memory, for tests of single classes on the injected clock.
+// A small consensus-backed key-value store in memory, for tests of single classes with FakeTimers.
 //
 // Speaks the HTTP interface that the client uses: gets, lists in one page, watches that answer at once, and
-// compare-and-swap transactions. Has no leases. Not for the simulated cluster, which has a store of its own.
+// compare-and-swap transactions. Has no leases. The simulated cluster has a store of its own
+// (simulation/simulated_key_value_store.hpp).
 #pragma once
 #include <deque>
 #include <functional>
@@ -17,7 +18,7 @@
 class FakeKeyValueStore : public http::Requester {
   public:
     explicit FakeKeyValueStore(FakeTimers& t) : timers_(t) {}
-    // What becomes of a transaction. All but the first get no answer.
+    // Outcome of a transaction. Only `answered` gives an answer before the client's time-out.
     enum class TxnFate {
         answered,
         answer_lost,    // executed at once
@@ -28,12 +29,12 @@
         nlohmann::json value;
         std::uint64_t version = 0;
     };
-    std::deque<TxnFate> txn_fates;          // of the next transactions; answered if empty
+    std::deque<TxnFate> txn_fates;          // outcomes of the next transactions; `answered` if empty
     std::map<std::string, StoredValue> kv;  // all keys; a test may change it between requests
     std::uint64_t revision = 4;
-    int changes = 0;                                        // executed so far
+    int changes = 0;                                        // number of changes executed
     std::function<double()> latency = [] { return 0.01; };  // from the execution to the answer, seconds
-    std::map<std::string, int> requests;                    // executed so far, by kind: kv, list, watch, txn
+    std::map<std::string, int> requests;                    // number executed, by kind: kv, list, watch, txn
     // Answers requests to other addresses than the store's, if set.
     std::function<void(const std::string& addr, const http::Request&, double timeout, http::Result)> others;
     std::size_t value_bytes = 16 * 1024, txn_ops = 24;  // limits: what is larger is rejected with 400
@@ -57,10 +58,11 @@
         auto prefix = target.substr(target.find("starts=") + 7);
         prefix.erase(std::min(prefix.size(), prefix.find('&')));
         auto since = std::stoull(target.substr(target.find("since=") + 6));
-        nlohmann::json news = nlohmann::json::array();
+        nlohmann::json events = nlohmann::json::array();
         for (auto& [key, event] : history_)
-            if (key.starts_with(prefix) && event["stamp"].get<std::uint64_t>() > since) news.push_back(event);
-        return {200, nlohmann::json{{"epoch", revision}, {"news", news}}.dump()};
+            if (key.starts_with(prefix) && event["stamp"].get<std::uint64_t>() > since)
+                events.push_back(event);
+        return {200, nlohmann::json{{"epoch", revision}, {"news", events}}.dump()};
     }
     http::Response list(const std::string& target) {
         auto prefix = target.substr(target.find("starts=") + 7);
--- a/tests/support/fake_timers.hpp
+++ b/tests/support/fake_timers.hpp
@@ -1,4 +1,5 @@
-// An injected clock for tests of single parts: time moves only when told to.
+// A clock and timers for tests of single classes. Time advances only in `run_until` and `run_late`, in
+// seconds.
 #pragma once
 #include <map>
 
@@ -6,6 +7,7 @@
 
 namespace coralhitch {
 
+// Ignores cancellations: cancelled tasks run.
 class FakeTimers : public event_loop::Timers {
   public:
     double now() const override { return now_; }
@@ -15,11 +17,12 @@
         return next_;
     }
     void cancel(event_loop::TimerId) override {}
-    // The process had no processor until then: all that was due runs late.
+    // Simulates a process that had no processor time until `t`: all tasks that are due run at `t`.
     void run_late(double t) {
         now_ = t;
         run_until(t);
     }
+    // Runs the tasks that are due at `t` or before, each at its time, and sets the clock to `t`.
     void run_until(double t) {
         while (!tasks_.empty() && tasks_.begin()->first.first <= t) {
             auto node = tasks_.extract(tasks_.begin());
--- a/tests/support/prometheus_series.hpp
+++ b/tests/support/prometheus_series.hpp
@@ -1,4 +1,4 @@
-// Reads what a controller serves at /metrics.
+// Parses the Prometheus text format, which a controller serves at /metrics.
 #pragma once
 #include <map>
 #include <sstream>
@@ -6,7 +6,7 @@
 
 namespace coralhitch {
 
-// Series with its labels -> value, as written.
+// Returns each series, with its labels as written, and its value as text.
 inline std::map<std::string, std::string> parse_series(const std::string& text) {
     std::map<std::string, std::string> series;
     std::istringstream lines(text);
--- a/tests/support/test_settings.hpp
+++ b/tests/support/test_settings.hpp
@@ -1,5 +1,5 @@
-// The platform's settings for tests of single classes. A test names what its figures depend on; the rest is a
-// small key-value store that is never short of anything.
+// The platform's settings for tests of single classes. A test sets the fields on which its expectations
+// depend. The defaults describe a small key-value store whose limits are not reached.
 #pragma once
 #include <cstdint>
 
@@ -7,6 +7,7 @@
 
 namespace coralhitch {
 
+// The part of the settings that tests choose.
 struct TestPlatform {
     std::uint32_t nodes = 1;
     double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
@@ -15,6 +16,7 @@
     std::uint32_t txn_ops = 24;
 };
 
+// Returns complete settings with these values.
 inline config::Settings settings_of(const TestPlatform& platform) {
     config::Settings settings;
     settings.nodes = platform.nodes;
