--- a/tests/simulation/event_queue.hpp
+++ b/tests/simulation/event_queue.hpp
@@ -1,4 +1,5 @@
-// Simulated time: what happens next, in the order of its time, and of planning for equal times.
+// Simulated time: tasks run in the order of their times, and tasks with equal times in the order in which
+// they were scheduled.
 #pragma once
 #include <cstdint>
 #include <queue>
@@ -10,10 +11,13 @@
 
 namespace coralhitch::simulation {
 
+// The clock and the scheduled tasks of one simulation. Times are in seconds and begin at 0. Single-threaded.
 class EventQueue {
   public:
     double now() const { return now_; }
+    // Schedules the task. `time` must not be before `now()`: the clock would go back.
     void at(double time, event_loop::Task task) { events_.push({time, next_number_++, std::move(task)}); }
+    // Runs all tasks that are due at `time` or before, and sets the clock to `time`.
     void run_until(double time) {
         while (!events_.empty() && events_.top().time <= time) {
             auto event = events_.top();
@@ -27,8 +31,9 @@
   private:
     struct Event {
         double time;
-        std::uint64_t number;
+        std::uint64_t number;  // orders events with equal times
         event_loop::Task task;
+        // Reversed, since std::priority_queue has its greatest element on top.
         bool operator<(const Event& other) const {
             return std::tie(time, number) > std::tie(other.time, other.number);
         }
--- a/tests/simulation/host_timers.hpp
+++ b/tests/simulation/host_timers.hpp
@@ -1,4 +1,4 @@
-// What a controller needs of its host, in simulated time.
+// The timers and the planner of a simulated controller, both in simulated time.
 #pragma once
 #include <memory>
 #include <set>
@@ -9,7 +9,8 @@
 
 namespace coralhitch::simulation {
 
-// Timers of one host: when the host dies, what it had planned does not happen.
+// Timers of one host process. No task runs after the process has been killed, and none runs while it is
+// frozen.
 class HostTimers : public event_loop::Timers {
   public:
     explicit HostTimers(EventQueue& events) : events_(events) {}
@@ -17,8 +18,9 @@
     double unix_time() const override { return now() + 1e9; }
     event_loop::TimerId after(double delay_s, event_loop::Task task) override;
     void cancel(event_loop::TimerId id) override { cancelled_->insert(id); }
+    // Discards all tasks that have not run yet.
     void kill() { *alive_ = false; }
-    // Nothing that is due happens until then; it happens all at once afterwards.
+    // Simulates a process without processor time: tasks that are due before `until` run at `until`.
     void freeze(double until) { *frozen_until_ = until; }
     double frozen_until() const { return *frozen_until_; }
 
@@ -27,14 +29,14 @@
 
     EventQueue& events_;
     event_loop::TimerId next_ = 1;
-    // Shared with what is planned, which may come after the host has gone.
+    // Shared with the scheduled events, which may be reached after this object has been destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::shared_ptr<double> frozen_until_ = std::make_shared<double>(0);
     std::shared_ptr<std::set<event_loop::TimerId>> cancelled_ =
         std::make_shared<std::set<event_loop::TimerId>>();
 };
 
-// Plans on the host's own timers, a moment later.
+// Computes each plan on the host's timers, 10 ms of simulated time after it was submitted.
 class InlinePlanner : public leader::Planner {
   public:
     explicit InlinePlanner(event_loop::Timers& timers) : timers_(timers) {}
--- a/tests/simulation/hosts.hpp
+++ b/tests/simulation/hosts.hpp
@@ -1,4 +1,4 @@
-// The machines with their workers, and the controllers, as processes of the simulation.
+// The simulated processes: the worker on each machine, and the controllers.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -16,25 +16,31 @@
 
 namespace coralhitch::simulation {
 
+// An instance of a task, as its worker reports it.
 struct Task {
     std::string job;
     std::uint64_t attempt = 0;
-    std::string status, cause;
-    bool saved = false;
+    std::string status, cause;  // values of the protocol; the cause is empty until the task has exited
+    bool saved = false;         // a checkpoint was saved when the task was stopped
 };
 
+// A machine together with its worker. Times are simulated seconds.
 struct Worker {
     std::string id, addr, type, zone;
     bool spot = false, dead = false, hung = false, fails_every_task = false;
     std::uint64_t agent_epoch = 1, sequence = 0, token = 0;
-    bool ignores_lease = false;  // for ever, whatever its lease says: a broken worker
+    bool ignores_lease = false;  // a faulty worker that keeps its tasks after its lease has expired
+    // Creation, end of the boot, and the sending of the latest heartbeat that was answered: the lease starts
+    // anew at `last_answered`.
     double created = 0, up_at = 0, last_answered = 0;
-    double inbound_unreachable_until = 0;  // it can't open connections to controllers
-    std::uint64_t incarnation = 0;  // reboots so far: what was on its way to the one before does not reach it
-    std::size_t node = 0;
-    std::map<std::string, Task> tasks;
+    double inbound_unreachable_until = 0;  // until then the worker can't open connections to controllers
+    std::uint64_t incarnation =
+        0;                 // number of reboots; answers to requests of an earlier incarnation are dropped
+    std::size_t node = 0;  // number of the controller that gets the next heartbeat
+    std::map<std::string, Task> tasks;  // by task id, `j-000412/0`
 };
 
+// A controller process with its settings, and its state at the load balancer. Times are simulated seconds.
 struct Node {
     Node();
     Node(Node&&) noexcept;
@@ -46,12 +52,13 @@
     std::unique_ptr<InlinePlanner> planner;
     std::unique_ptr<controller::Controller> controller;
     bool up = false;
-    // What the load balancer makes of its health.
+    // Load balancer: whether users' requests are sent to this controller, the latest health checks, and the
+    // pause before a controller that was taken out of rotation is put back.
     bool in_rotation = false, ever_in_rotation = false;
     std::deque<bool> health_checks;
     double readmission_pause_s = 3, removed_at = -1e9;
-    std::uint64_t incarnation = 0;  // processes so far: what is answered to one is not for the next
-    double busy_until = 0;          // with what workers sent
+    std::uint64_t incarnation = 0;  // number of starts; responses to an earlier process are dropped
+    double busy_until = 0;          // when all workers' messages that have arrived will be processed
 };
 
 }  // namespace coralhitch::simulation
--- a/tests/simulation/network_partitions.hpp
+++ b/tests/simulation/network_partitions.hpp
@@ -1,4 +1,4 @@
-// Which hosts can't reach which, and until when.
+// Network partitions: pairs of hosts that can't reach each other, and until when.
 #pragma once
 #include <algorithm>
 #include <optional>
@@ -11,21 +11,24 @@
     return address.substr(0, address.find(':'));
 }
 
-// What becomes of messages that are sent across a partition: held ones arrive when it ends, even if the
-// sender has given up.
+// Handling of messages that are sent across a partition: dropped ones are lost, held ones arrive when the
+// partition ends, even if the sender's request has timed out.
 enum class Packets { dropped, held };
 
-// Its ends are hosts, with or without a port, or, with a dot at the end, all hosts that begin so. (A
-// machine's address with its port used to match no host at all, so that such a partition did nothing.)
+// A partition between two ends. An end is a host, with or without a port, or a prefix that ends with a dot
+// and stands for all hosts that begin with it. The port is removed before hosts are compared: a machine's
+// address with its port once matched no host, and such a partition had no effect.
 struct NetworkPartition {
     std::string from, to;
-    double until = 0;
+    double until = 0;  // simulated seconds
     Packets packets = Packets::dropped;
-    bool one_way = false;
+    bool one_way = false;  // only messages from `from` to `to` are blocked
 };
 
+// All partitions of a simulated network.
 class NetworkPartitions {
   public:
+    // The partitions between two hosts, combined.
     struct Blocked {
         Packets packets = Packets::dropped;
         double until = 0;
@@ -36,7 +39,9 @@
         partition.to = host_of_address(partition.to);
         partitions_.push_back(std::move(partition));
     }
-    // Of several, the one that was added last says what becomes of packets, and the longest counts.
+    // Returns how messages from one host to another are blocked at `now`, or nothing if they are not. Of
+    // several partitions that apply, the one that was added last decides on the packets, and the one that
+    // ends last on the time.
     std::optional<Blocked> find(const std::string& from, const std::string& to, double now) const {
         std::optional<Blocked> blocked;
         for (auto& partition : partitions_) {
--- a/tests/simulation/options.hpp
+++ b/tests/simulation/options.hpp
@@ -1,31 +1,37 @@
-// What a simulated cluster begins with.
+// Settings of a simulated cluster.
 #pragma once
 #include <cstdint>
 #include <set>
 
 namespace coralhitch::simulation {
 
+// The defaults suit most tests. Times are in seconds.
 struct Options {
     std::uint64_t seed = 1;
     std::size_t machines = 6;
+    // The heartbeat period, the lease of workers, and the time within which tasks of a cancelled job must
+    // end.
     double heartbeat_interval_s = 3, lease_s = 24, cancel_s = 44;
-    double gpus_max = 12;          // limit of team `tight`
-    double free_gpus_max = 0;      // of team `free`; 0: none
-    double max_waiting_s = 90;     // a job may wait for so long with room and quota, once the faults are over
-    double max_unanswered_s = 45;  // and its users for an answer
-    double boot_s = 1;             // what a machine takes; the nominal time is 5 s
-    // Controllers of a version, or with settings, without replication.
+    double gpus_max = 12;       // GPU limit of team `tight`
+    double free_gpus_max = 0;   // GPU limit of team `free`; 0: no limit
+    double max_waiting_s = 90;  // limit for the wait of a job that has room and quota, after the last fault
+    double max_unanswered_s =
+        45;             // limit for the time without an answer to a job's users, after the last fault
+    double boot_s = 1;  // boot time of a machine; the machine type's nominal time is 5 s
+    // Numbers of the controllers that run without replication of task starts, by their settings or because of
+    // their version.
     std::set<std::size_t> without_replication;
-    bool relay_heartbeats = true;  // controllers that do not lead relay heartbeats to the one that does
-    // What a controller takes for each message of a worker; the next ones wait.
+    bool relay_heartbeats = true;  // followers relay heartbeats to the leader
+    // Processing time of each message of a worker at a controller, one message after the other.
     double heartbeat_processing_s = 0;
-    bool pings_of_previous_version = false;  // between controllers
-    // The key-value store's limits, and what they fall to without notice, if they do.
+    bool pings_of_previous_version = false;  // pings between controllers announce no features
+    // Limits of the key-value store: size of a value and changes in a transaction. The reduced ones apply
+    // from `limits_reduced_at` without notice.
     double value_kb = 16, reduced_value_kb = 16;
     std::uint32_t txn_ops = 8, reduced_txn_ops = 8;
     double limits_reduced_at = 1e9;
-    int submit_tries = 40;  // of a user, 1.5 s apart
-    // Changes a second that the key-value store allows; beyond them, and a second's worth more, it refuses.
+    int submit_tries = 40;  // repeats of a submission or cancellation without an answer, 1.5 s apart
+    // Changes a second that the key-value store accepts on average; in a burst it accepts one second's worth.
     double write_rps = 80;
 };
 
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-// The three controllers as processes in simulated time, and what happens regularly.
+// The three controllers as processes in simulated time, and the periodic checks.
 #include "simulation/simulated_cluster.hpp"
 
 #include <algorithm>
@@ -7,6 +7,7 @@
 
 namespace coralhitch::simulation {
 namespace {
+// Sends a controller's requests through the simulated network.
 class NodeRequester : public http::Requester {
   public:
     NodeRequester(SimulatedCluster& cluster, std::string from) : cluster_(cluster), from_(std::move(from)) {}
@@ -24,7 +25,7 @@
 }
 }  // namespace
 
-// Here, where the controller's type is complete.
+// Defined here, where the controller's type is complete.
 Node::Node() = default;
 Node::Node(Node&&) noexcept = default;
 Node& Node::operator=(Node&&) noexcept = default;
@@ -98,7 +99,7 @@
     repeat_every(1.0, [this] { check_waiting(); });
     repeat_every(0.05, [this] { replay_kept_heartbeats(); });
     repeat_every(4.0, [this] { query_all_jobs(); });
-    // A hanging machine's tasks end with its lease too.
+    // The tasks of a hanging machine end when its lease expires, too.
     repeat_every(0.1, [this] {
         for (auto& worker : workers)
             if (!worker->dead) check_lease(*worker);
@@ -107,7 +108,8 @@
 SimulatedCluster::~SimulatedCluster() {
     for (auto& node : nodes_)
         if (node.timers) node.timers->kill();
-    // A controller that ends answers what still waits with it, into a cluster that must be whole.
+    // A controller's destructor answers the requests that still wait in it. The answers reach this cluster,
+    // whose members must still exist then.
     for (auto* all : {&nodes_, &crashed_nodes_})
         for (auto& node : *all) node.controller.reset();
 }
@@ -129,7 +131,8 @@
     if (!node.up) return;
     node.up = false;
     node.timers->kill();
-    // What was under way may still call back; the dead process only never acts on it.
+    // Pending responses may still call back into these objects, so they are kept. Their timers are dead, and
+    // the process takes no further action.
     Node dead;
     dead.timers = std::move(node.timers);
     dead.http = std::move(node.http);
--- a/tests/simulation/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -1,4 +1,4 @@
-// The cloud.
+// The cloud: lists machine types and machines, rents machines and deletes them.
 #include <algorithm>
 
 #include "simulation/simulated_cluster.hpp"
@@ -50,7 +50,7 @@
         }
     return {200, "{}"};
 }
-// The same name again gives the same machine.
+// A request with a name that was used before gets the same machine again.
 http::Response SimulatedCluster::rent(const json& body) {
     constexpr std::size_t spare_machines = 3;
     auto name = body["charter"].get<std::string>();
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -8,6 +8,7 @@
 
 namespace coralhitch::simulation {
 namespace {
+// Removes the feature flags from a ping, as the previous version sends it.
 std::string old_ping(const std::string& body) {
     auto ping = protocol::unpack_peer<protocol::PeerPing>(body).value();
     ping.features = 0;
@@ -15,8 +16,8 @@
 }
 }  // namespace
 
-// Seconds by which a direct command is held up, 0 if it is not: by a script, or for one in four while that
-// fault lasts.
+// Returns the delay of a direct command in seconds, 0 if it is not delayed. A test's `command_delay` decides
+// alone if it is set; otherwise one command in four is delayed while that fault lasts.
 double SimulatedCluster::draw_command_delay(const std::string& to, const http::Request& request) {
     if (request.target != protocol::paths::commands) return 0;
     if (command_delay) return command_delay(to, request);
@@ -24,15 +25,16 @@
     return std::uniform_real_distribution<double>(2, 16)(random_);
 }
 
-// A request that a host has sent, until it is answered or its time is up.
+// A request that a host has sent and that has neither been answered nor timed out.
 struct SimulatedCluster::PendingRequest {
     std::string sender, receiver;
     http::Result result;
-    std::uint64_t incarnation = 0;  // of the sender's process
+    std::uint64_t incarnation = 0;  // the sender's process
     bool ended = false;
-    // Has come and was not read yet; is read at the latest when the time is up.
+    // A response that has arrived and waits to be processed. It is passed on at the time-out at the latest.
     std::optional<http::Response> unread = {};
 
+    // Passes the response, or nothing at the time-out, to the sender. Only the first call has an effect.
     void end(std::optional<http::Response> response) {
         if (std::exchange(ended, true)) return;
         result(std::move(response));
@@ -84,8 +86,8 @@
     at(now() + latency(),
        [this, pending, response = std::move(response)] { read_response(pending, response); });
 }
-// A process that is back within a fraction of a second must not receive what the one before it asked: that
-// one would go on acting, and end the lease of the process that runs in its place.
+// A process that is restarted within a fraction of a second must not receive responses to its predecessor's
+// requests: the callbacks of the dead process would run, and end the lease of the process that replaces it.
 void SimulatedCluster::read_response(const std::shared_ptr<PendingRequest>& pending,
                                      const http::Response& response) {
     for (auto& node : nodes_) {
@@ -138,7 +140,7 @@
                                          const http::Request& request, const http::Reply& reply) {
     if (worker.dead || now() < worker.up_at) return;
     if (!worker.hung) return reply(serve_command(worker, request));
-    // A hanging machine reads what came in once it goes on.
+    // A hanging machine reads the requests that have arrived once it responds again.
     constexpr double try_again_s = 0.5;
     at(now() + try_again_s,
        [this, from, to = worker.addr, request, reply] { deliver(from, to, request, reply); });
@@ -154,15 +156,17 @@
             });
 }
 
-// Messages of workers take time to read and wait for each other; what else comes does not wait for them.
+// Processes workers' messages one after the other, each in `heartbeat_processing_s`. Other messages do not
+// wait for them.
 void SimulatedCluster::process_in_turn(Node& node, event_loop::Task task) {
     if (options_.heartbeat_processing_s <= 0) return task();
     node.busy_until = std::max(now(), node.busy_until) + options_.heartbeat_processing_s;
     node.timers->after(node.busy_until - now(), std::move(task));
 }
 
-// The load balancer's view of the controllers: out after two failures in a row or three of six, back after
-// two successes and a pause that doubles.
+// Checks the controllers' health for the load balancer. A controller is taken out of rotation after two
+// failures in a row or three of the last six checks. It is put back after two successes in a row and a pause
+// of 3 s, which doubles up to 60 s each time that it is removed again within 120 s.
 void SimulatedCluster::check_health() {
     for (auto& node : nodes_) {
         bool ok = node.up && node.timers->frozen_until() <= now() && node.controller->healthy();
@@ -184,7 +188,8 @@
         }
     }
 }
-// A refused connection is tried at another controller.
+// Returns a random controller that is up and in rotation, or one that is only up as long as none was in
+// rotation yet; null if there is none. A refused connection is tried at the next controller.
 Node* SimulatedCluster::pick_controller() {
     bool ever = std::any_of(nodes_.begin(), nodes_.end(), [](auto& node) { return node.ever_in_rotation; });
     auto first = random_() % nodes_.size();
--- a/tests/simulation/simulated_cluster_observation.cpp
+++ b/tests/simulation/simulated_cluster_observation.cpp
@@ -1,4 +1,4 @@
-// What the checker of the rules is told of users, jobs and machines.
+// Passes the observations of users, jobs and machines to the rule checker.
 #include <limits>
 
 #include "protocol/model.hpp"
@@ -7,7 +7,8 @@
 namespace coralhitch::simulation {
 namespace {
 
-// Of a job that can run; one that must be refused may lack any field.
+// Parses the specification of a job that can run. A job that must be refused may lack any field, and does not
+// come here.
 protocol::Job parse_spec(const json& spec) {
     auto text = [&spec](const char* field) { return spec.value(field, std::string()); };
     protocol::Job job;
@@ -33,7 +34,7 @@
     verification::Rules rules;
     rules.cancel_s = options.cancel_s;
     rules.teams = {{"free", {0, options.free_gpus_max}}, {"tight", {0, options.gpus_max}}};
-    rules.rounding = 1e-9;  // its jobs ask for whole GPUs
+    rules.rounding = 1e-9;  // the simulated jobs request whole GPUs, so sums are exact
     rules.max_waiting_s = options.max_waiting_s;
     rules.max_unanswered_s = options.max_unanswered_s;
     return rules;
@@ -47,7 +48,7 @@
     job.id = id;
     checker_.submitted(job);
     if (spec.value("mistake", false)) checker_.fails_everywhere(id);
-    if (jobs[id].cancel_asked) checker_.cancel_requested(id);  // before it was submitted
+    if (jobs[id].cancel_asked) checker_.cancel_requested(id);  // cancelled before it was submitted
 }
 void SimulatedCluster::expect_refusal(const std::string& id, int status) {
     jobs[id].refused = status;
@@ -70,16 +71,16 @@
     checker_.status_answered(now(), id, protocol::JobState::cancelled);
 }
 void SimulatedCluster::record_answer(const verification::Answer& answer) {
-    if (answer.job.empty()) return;  // a scripted request, judged by its test
+    if (answer.job.empty()) return;  // the answer to a scripted request, which the test judges
     ++answers;
     checker_.answered(answer);
     auto found = jobs.find(answer.job);
     if (found == jobs.end() || found->second.refused || !answer.success()) return;
     auto& job = found->second;
-    bool news = !std::exchange(job.accepted, true);
-    if (answer.state == protocol::JobState::cancelled && !std::exchange(job.cancelled, true)) news = true;
-    if (answer.state == protocol::JobState::done && !std::exchange(job.done, true)) news = true;
-    if (!news) return;
+    bool changed = !std::exchange(job.accepted, true);
+    if (answer.state == protocol::JobState::cancelled && !std::exchange(job.cancelled, true)) changed = true;
+    if (answer.state == protocol::JobState::done && !std::exchange(job.done, true)) changed = true;
+    if (!changed) return;
     bool just_accepted = answer.request == verification::Answer::Request::submission &&
                          answer.state == protocol::JobState::queued;
     query_all_controllers_repeatedly(answer.job, just_accepted);
--- a/tests/simulation/simulated_cluster_test.cpp
+++ b/tests/simulation/simulated_cluster_test.cpp
@@ -8,8 +8,9 @@
 namespace coralhitch::simulation {
 namespace {
 
-// A partition of one machine, named by its address, keeps away what it says and what is said to it, and
-// nobody else's.
+// A partition between some hosts and one machine, given by its address with port, blocks the messages of that
+// machine only. Guards against addresses that match no host, or also those that begin like it (10.1.0.1
+// and 10.1.0.10).
 TEST(SimulatedCluster, PartitionsOneMachine) {
     spdlog::set_level(spdlog::level::off);
     Options options;
@@ -21,23 +22,23 @@
         });
         cluster.run_until(5);
         auto& worker = *cluster.workers[0];
-        auto ask = [&](const Worker& to, bool& came) {
+        auto inspect = [&](const Worker& to, bool& answered) {
             cluster.send("10.9.0.1", to.addr, {"POST", "/inspect", "{}"}, 1,
-                         [&](std::optional<http::Response> response) { came = response.has_value(); });
+                         [&](std::optional<http::Response> response) { answered = response.has_value(); });
         };
         if (one_way)
             cluster.partition_one_way("10.9.", worker.addr, 3);
         else
             cluster.partition("10.9.", worker.addr, 3);
-        bool came = false, other_came = false, came_later = false;
-        ask(worker, came);
-        ask(*cluster.workers[9], other_came);
+        bool answered = false, other_answered = false, answered_later = false;
+        inspect(worker, answered);
+        inspect(*cluster.workers[9], other_answered);
         cluster.run_until(7);
-        EXPECT_FALSE(came);
-        EXPECT_TRUE(other_came);
-        cluster.at(9, [&] { ask(worker, came_later); });
+        EXPECT_FALSE(answered);
+        EXPECT_TRUE(other_answered);
+        cluster.at(9, [&] { inspect(worker, answered_later); });
         cluster.run_until(10);
-        EXPECT_TRUE(came_later);
+        EXPECT_TRUE(answered_later);
     }
 }
 
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -1,4 +1,4 @@
-// The users: what they submit, ask and cancel.
+// The users, who submit, query and cancel jobs.
 #include <algorithm>
 
 #include "controller/controller.hpp"
@@ -29,13 +29,13 @@
     auto kind = request.method == "GET"         ? Request::query
                 : request.target == "/api/jobs" ? Request::submission
                                                 : Request::cancellation;
-    // What comes while the controller is frozen is read when it goes on.
+    // A frozen controller reads the request when it has processor time again.
     node.timers->after(0, [=, this, &node, sent = now(), request = std::move(request)] {
         digest.add(now(), "user", node.settings.listen, request.method + " " + request.target, request.body);
         node.controller->serve(request, [=, this, &node](http::Response response) {
             digest.add(now(), node.settings.listen, "user", std::to_string(response.status), response.body);
             at(now() + latency(), [=, this] {
-                if (now() - sent > 5) return;  // nobody listens any more
+                if (now() - sent > 5) return;  // the user has given up
                 verification::Answer answer{id, kind, sent, now(), response.status, {}};
                 if (answer.success()) answer.state = parse_state(json::parse(response.body)["status"]);
                 record_answer(answer);
@@ -107,7 +107,7 @@
     ask(
         id, "POST", "/api/jobs/" + id + "/cancel", "",
         [this, id, accepted](const http::Response& response) {
-            if (response.status == 404 && !accepted) return cancel(id);  // not there yet when it was asked
+            if (response.status == 404 && !accepted) return cancel(id);  // overtook the submission
             if (response.status != 200)
                 add_violation("cancellation of " + id + " got " + std::to_string(response.status));
         },
@@ -174,7 +174,7 @@
     constexpr int tries = 3;
     auto first = random_() % std::max<std::size_t>(1, jobs.size());
     auto entry = std::next(jobs.begin(), static_cast<std::ptrdiff_t>(first));
-    // The first accepted one from there on, around the end.
+    // Takes the first accepted job from the random position on, and continues at the beginning.
     for (std::size_t k = 0; k < jobs.size(); ++k, ++entry) {
         if (entry == jobs.end()) entry = jobs.begin();
         auto& [id, job] = *entry;
@@ -187,7 +187,7 @@
     }
     submit_invalid_job();
 }
-// Fits no machine, needs more than its team's limit, is of no team, or lacks a field.
+// Submits a job that fits no machine, needs more than its team's limit, belongs to no team, or lacks a field.
 void SimulatedCluster::submit_invalid_job() {
     auto id = "j-" + std::to_string(700000 + next_invalid_job_++);
     auto spec = plain_job(id, "gang", 2, 5);
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -1,4 +1,4 @@
-// The workers.
+// The workers: send heartbeats, carry out commands, and run tasks.
 #include <algorithm>
 
 #include "protocol/model.hpp"
@@ -7,7 +7,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-constexpr double hang_check_s = 0.5;  // a hanging machine goes on within this
+constexpr double hang_check_s = 0.5;  // period at which a hanging machine checks whether the hang has ended
 
 protocol::TaskId parse_task_id(const std::string& task) {
     auto slash = task.find('/');
@@ -66,7 +66,7 @@
             {"reef", worker.zone},        {"driftwood", worker.spot}, {"watch", worker.agent_epoch},
             {"tally", ++worker.sequence}, {"helm", worker.token},     {"shards", tasks}};
 }
-// A heartbeat that was sent, until it is answered or given up.
+// A heartbeat that was sent and has neither been answered nor timed out.
 struct SimulatedCluster::HeartbeatAttempt {
     Worker& worker;
     double sent;
@@ -181,13 +181,14 @@
     auto& job = jobs[id];
     restarts_of_done_tasks += job.tasks_done.contains(task);
     if (auto it = worker.tasks.find(task); it != worker.tasks.end() && present(it->second)) {
-        // Refused by the worker; what is there stays. Reported under the new attempt once it has gone.
+        // The worker refuses the start, and keeps the instance that it has. Heartbeats can name the new
+        // attempt only after this instance has gone.
         return;
     }
     bool has_room = !job.refused && places(worker, job.spec) > 0;
     auto outcome = has_room ? verification::StartOutcome::placed : verification::StartOutcome::no_room;
     checker_.task_started(now(), worker.id, parse_task_id(task), outcome);
-    // Only a test that breaks a rule on purpose starts something on a dead machine: nothing stays there.
+    // Only a test that breaks a rule on purpose starts a task on a dead machine, where no task remains.
     if (worker.dead) checker_.machine_terminated(worker.id);
     if (job.refused) return;
     if (!has_room) {
@@ -213,7 +214,8 @@
     at(now() + spec["reckon_s"].get<double>(),
        [this, &worker, name, attempt] { finish(worker, name, attempt, "done"); });
 }
-// The gang starts once its last task has its image.
+// Lets the task wait until the last task of its gang has its image; then all of them start. A task that has
+// waited for `gang_wait_s` exits.
 void SimulatedCluster::wait_for_gang(Worker& worker, const std::string& name) {
     auto& task = worker.tasks.at(name);
     task.status = "waiting";
@@ -240,14 +242,14 @@
            [this, member, attempt = task.attempt] { finish(*member.worker, member.task, attempt, "done"); });
     }
 }
-// For how many more tasks of this job the machine has room.
+// Returns the number of further tasks of this job that fit on the machine.
 std::size_t SimulatedCluster::places(const Worker& worker, const json& spec) const {
     double cards = machine_gpus;
     for (auto& [name, task] : worker.tasks)
         if (present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
-    constexpr std::size_t without_end = 100'000;  // a job's tasks at most
+    constexpr std::size_t most_tasks_of_job = 100'000;  // limit of the protocol
     double each = spec["cards"].get<double>();
-    return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : without_end;
+    return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : most_tasks_of_job;
 }
 void SimulatedCluster::start_against_rules(const std::string& task, std::uint64_t attempt,
                                            std::optional<std::size_t> machine) {
--- a/tests/simulation/simulated_key_value_store.cpp
+++ b/tests/simulation/simulated_key_value_store.cpp
@@ -45,13 +45,13 @@
     return {200, entry.dump()};
 }
 http::Response SimulatedKeyValueStore::list(const std::string& target) const {
-    constexpr std::size_t page = 3;  // small, so that lists are continued
+    constexpr std::size_t page_size = 3;  // small, so that lists need several requests
     auto prefix = query(target, "starts"), since = query(target, "since");
     json entries = json::array();
     bool more = false;
     for (auto& [key, item] : items_) {
         if (!key.starts_with(prefix) || (!since.empty() && key <= since)) continue;
-        if (entries.size() == page) {
+        if (entries.size() == page_size) {
             more = true;
             break;
         }
@@ -84,9 +84,9 @@
     watches_.clear();
     for (auto& watch : open) {
         bool refused = refuses(watch.from);
-        auto news = refused ? json::array() : events_for(watch);
-        if (!refused && (!news.empty() || now() >= watch.until))
-            watch.reply({200, json{{"epoch", revision_}, {"news", news}}.dump()});
+        auto events = refused ? json::array() : events_for(watch);
+        if (!refused && (!events.empty() || now() >= watch.until))
+            watch.reply({200, json{{"epoch", revision_}, {"news", events}}.dump()});
         else
             watches_.push_back(std::move(watch));
     }
@@ -95,7 +95,7 @@
 // --- Transactions -----------------------------------------------------------------------------------------
 
 void SimulatedKeyValueStore::receive_transaction(const json& transaction, const http::Reply& reply) {
-    // Transactions with failing conditions count, too.
+    // Counts the changes of transactions whose conditions fail, too.
     auto wanted = static_cast<double>(transaction["then"].size());
     if (!changes_left_.has(now(), wanted)) {
         ++changes_refused;
@@ -123,11 +123,11 @@
 }
 std::optional<http::Response> SimulatedKeyValueStore::reject(const json& transaction) const {
     auto& limits = now() >= options_.limits_reduced_at ? options_.reduced_limits : options_.limits;
-    double most_bytes = 1024 * limits.value_kb;
+    double max_value_bytes = 1024 * limits.value_kb;
     if (transaction["then"].size() > limits.txn_ops || transaction["if"].size() > 4 * limits.txn_ops)
         return http::Response{400, R"({"error":"too many"})"};
     for (auto& change : transaction["then"])
-        if (change.contains("put") && static_cast<double>(change["value"].dump().size()) > most_bytes)
+        if (change.contains("put") && static_cast<double>(change["value"].dump().size()) > max_value_bytes)
             return http::Response{400, R"({"error":"too large"})"};
     return {};
 }
--- a/tests/simulation/simulated_key_value_store.hpp
+++ b/tests/simulation/simulated_key_value_store.hpp
@@ -1,4 +1,5 @@
-// The key-value store: it speaks the protocol, and fails as a scenario says.
+// A simulated consensus-backed key-value store, which speaks the protocol and has the faults that a scenario
+// sets.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,18 +18,21 @@
 namespace coralhitch::simulation {
 using nlohmann::json;
 
+// Limits of a transaction: size of a value, and number of changes. Larger ones are rejected with 400.
 struct KeyValueStoreLimits {
     double value_kb = 16;
     std::uint32_t txn_ops = 8;
 };
 
+// Keys with values, leases, watches, and transactions with conditions on versions. Times are simulated
+// seconds.
 class SimulatedKeyValueStore {
   public:
     struct Options {
-        // The limits, and what they fall to without notice, if they do.
+        // The reduced limits apply from `limits_reduced_at` without notice.
         KeyValueStoreLimits limits, reduced_limits;
         double limits_reduced_at = 1e9;
-        // Changes a second; beyond them, and a second's worth more, it refuses.
+        // Changes a second that are accepted on average; a burst may have one second's worth. More get 429.
         double write_rps = 80;
     };
     SimulatedKeyValueStore(EventQueue& events, std::mt19937_64& random, Options options)
@@ -37,49 +41,54 @@
           options_(options),
           changes_left_(options.write_rps, options.write_rps) {}
 
+    // Processes a request of the host `from`, late if `slow_down` applies. `reply` is called when there is an
+    // answer.
     void receive(const std::string& from, const http::Request& request, http::Reply reply);
-    // To be called often.
+    // Removes expired leases with their keys, and answers watches that are due. Must be called periodically.
     void expire_leases();
 
     // Faults
     void start_outage(double for_s) { outage_until_ = now() + for_s; }
-    // Each answer takes so much longer, or half as much at the least.
+    // Delays the processing of each request by 0.5 to 1 times `by_s` seconds.
     void slow_down(double for_s, double by_s) {
         slow_until_ = now() + for_s;
         slow_by_s_ = by_s;
     }
-    // Transactions take so much longer until they are carried out.
+    // Delays the execution of each transaction by 0.5 to 1 times `by_s` seconds.
     void slow_writes(double for_s, double by_s) {
         slow_writes_until_ = now() + for_s;
         slow_writes_by_s_ = by_s;
     }
+    // Answers all requests of one client with 503.
     void refuse(const std::string& client, double for_s) { refused_until_[client] = now() + for_s; }
-    // Than the settings announce.
+    // Replaces the reduced limits by other ones, which the controllers' settings do not announce.
     void reduce_limits_further(KeyValueStoreLimits limits) { options_.reduced_limits = limits; }
-    // Watches that wait are never told of this job's record; those of one client not even if they don't.
+    // Hides this job's record from watches that wait for changes. `hide_job_from` also hides it from the
+    // watches of one client that return at once.
     void hide_job_from_watches(const std::string& job) { hidden_keys_.insert("job/" + job); }
     void hide_job_from(const std::string& client, const std::string& job) {
         hide_job_from_watches(job);
         hidden_from_client_ = client;
     }
-    // Seconds for which a transaction stays without an answer before it is carried out, after newer ones;
-    // 0: it is answered at once; less: it is carried out at once, and only its answer is lost. Empty: all are
-    // answered at once.
+    // Returns the delay of a transaction in seconds. Above 0: the transaction is carried out that much later,
+    // after newer ones, and its answer is lost. 0: it is carried out and answered without this fault. Below
+    // 0: it is carried out at once, and only its answer is lost. Not set: as 0.
     std::function<double(const json& transaction)> transaction_delay;
-    // Writes what no controller has written.
+    // Writes a value that no controller has written, or removes the key if there is none.
     void tamper_with(const std::string& key, std::optional<std::string> value);
 
-    // Called with each key as a transaction on it is carried out.
+    // Called for each change of a transaction, with its key, while the transaction is carried out.
     std::function<void(const std::string& key)> on_change;
-    // Throws std::out_of_range if there is none.
+    // Returns the value of the key. Throws std::out_of_range if the key does not exist.
     std::string record(const std::string& key) const { return items_.at(key).value; }
+    // Returns the value of the key, or nothing if the key does not exist.
     std::optional<std::string> stored(const std::string& key) const {
         auto found = items_.find(key);
         return found == items_.end() ? std::nullopt : std::optional(found->second.value);
     }
-    std::map<std::string, std::size_t> reads;    // of each key
-    std::map<std::string, std::size_t> changes;  // by the first part of the key
-    std::size_t changes_refused = 0;             // calls, for too many changes a second
+    std::map<std::string, std::size_t> reads;    // number of reads, by request target `/kv/KEY`
+    std::map<std::string, std::size_t> changes;  // number of changes, by the key up to the first slash
+    std::size_t changes_refused = 0;             // transactions refused for too many changes a second
 
   private:
     struct Item {
