--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -241,7 +241,7 @@
     void command(Worker& worker, const json& orders);
     http::Response serve_command(Worker& worker, const http::Request& request);
     void start(Worker& worker, const std::string& task, std::uint64_t attempt);
-    void image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt);
+    void on_image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt);
     void wait_for_gang(Worker& worker, const std::string& name);
     void finish(Worker& worker, const std::string& task, std::uint64_t attempt, const std::string& cause);
     void check_lease(Worker& worker);
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -197,9 +197,9 @@
     }
     constexpr double fetch_s = 1;
     worker.tasks[task] = {id, attempt, "fetching", ""};
-    at(now() + fetch_s, [this, &worker, task, attempt] { image_fetched(worker, task, attempt); });
+    at(now() + fetch_s, [this, &worker, task, attempt] { on_image_fetched(worker, task, attempt); });
 }
-void SimulatedCluster::image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt) {
+void SimulatedCluster::on_image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt) {
     auto it = worker.tasks.find(name);
     if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt ||
         it->second.status != "fetching")
