--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -213,7 +213,7 @@
     void check_health();
     Node* pick_controller();
     struct PendingRequest;
-    void copy_sometimes(const std::string& from, const std::string& to, const http::Request& request);
+    void maybe_duplicate(const std::string& from, const std::string& to, const http::Request& request);
     void send_back(const std::shared_ptr<PendingRequest>& pending, http::Response response);
     void read_response(const std::shared_ptr<PendingRequest>& pending, const http::Response& response);
     void deliver(const std::string& from, const std::string& to, const http::Request& request,
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -45,7 +45,7 @@
                             double timeout, http::Result result) {
     digest.add(now(), from, to, request.method + " " + request.target, request.body);
     if (on_message) at(now(), [this, from, to, request] { on_message(from, to, request); });
-    copy_sometimes(from, to, request);
+    maybe_duplicate(from, to, request);
     auto pending = std::make_shared<PendingRequest>(PendingRequest{from, to, std::move(result)});
     for (auto& node : nodes_) {
         if (node.settings.listen != from) continue;
@@ -65,8 +65,8 @@
                 [this, pending](http::Response response) { send_back(pending, std::move(response)); });
     });
 }
-void SimulatedCluster::copy_sometimes(const std::string& from, const std::string& to,
-                                      const http::Request& request) {
+void SimulatedCluster::maybe_duplicate(const std::string& from, const std::string& to,
+                                       const http::Request& request) {
     constexpr std::size_t most_kept = 200;
     bool heartbeat = request.target == protocol::paths::heartbeat;
     if (now() < duplicates_until_ && random_() % 4 == 0) {
