--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -43,7 +43,7 @@
 };
 
 // Returns the jobs whose ends this one waits for.
-std::vector<std::string> awaits_of(const json& spec);
+std::vector<std::string> dependencies_of(const json& spec);
 
 // Three controllers with their surroundings. A test schedules requests and faults, runs the simulation with
 // `run_until`, and examines the observations. Runs with equal options and calls are equal: all random draws
--- a/tests/simulation/simulated_cluster_observation.cpp
+++ b/tests/simulation/simulated_cluster_observation.cpp
@@ -25,7 +25,7 @@
     job.one_zone = spec.value("together", false);
     job.spread = spec.value("scatter", false);
     job.spot = spec.value("driftwood", false);
-    job.dependencies = awaits_of(spec);
+    job.dependencies = dependencies_of(spec);
     return job;
 }
 }  // namespace
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -18,7 +18,7 @@
 }
 }  // namespace
 
-std::vector<std::string> awaits_of(const json& spec) {
+std::vector<std::string> dependencies_of(const json& spec) {
     auto it = spec.find("awaits");
     return it == spec.end() || it->is_null() ? std::vector<std::string>{}
                                              : it->get<std::vector<std::string>>();
