--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -185,7 +185,7 @@
         // attempt only after this instance has gone.
         return;
     }
-    bool has_room = !job.refused && places(worker, job.spec) > 0;
+    bool has_room = !job.refused && tasks_that_fit(worker, job.spec) > 0;
     auto outcome = has_room ? verification::StartOutcome::placed : verification::StartOutcome::no_room;
     checker_.task_started(now(), worker.id, parse_task_id(task), outcome);
     // Only a test that breaks a rule on purpose starts a task on a dead machine, where no task remains.
@@ -243,7 +243,7 @@
     }
 }
 // Returns the number of further tasks of this job that fit on the machine.
-std::size_t SimulatedCluster::places(const Worker& worker, const json& spec) const {
+std::size_t SimulatedCluster::tasks_that_fit(const Worker& worker, const json& spec) const {
     double cards = machine_gpus;
     for (auto& [name, task] : worker.tasks)
         if (present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
