--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -282,7 +282,7 @@
     };
     std::vector<KeptHeartbeat> kept_heartbeats_;
     std::optional<std::size_t> last_leader_;
-    int next_invalid_job_ = 0, next_extra_ = 0;
+    int next_invalid_job_ = 0, next_extra_job_ = 0;
     std::optional<std::size_t> removed_from_load_balancer_;
     std::map<std::string, json> rentals_;
 };
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -216,7 +216,7 @@
     for (auto* team : {"free", "tight"}) {
         if (limit_of(team) <= 0) continue;
         for (int part = 0; part < 3; ++part) {
-            auto id = "j-" + std::to_string(500000 + next_extra_++);
+            auto id = "j-" + std::to_string(500000 + next_extra_job_++);
             int tasks = std::max(1, static_cast<int>(limit_of(team)) / 3);
             submit(id, "batch", tasks, 8, {{"crew", team}});
             if (part == 0) at(now() + 5, [this, id] { cancel(id); });
@@ -226,7 +226,7 @@
 void SimulatedCluster::submit_small_jobs(double for_s, double per_s) {
     for (double time = 0; time < for_s; time += 1 / per_s)
         at(now() + time, [this] {
-            auto id = "j-" + std::to_string(500000 + next_extra_++);
+            auto id = "j-" + std::to_string(500000 + next_extra_job_++);
             submit(id, "batch", 1, 2);
             double after = std::uniform_real_distribution<double>(0.05, 5)(random_);
             if (random_() % 4 == 0) at(now() + after, [this, id] { cancel(id); });
