--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -262,7 +262,7 @@
     json plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const;
     // Checks
     std::size_t tasks_that_fit(const Worker& worker, const json& spec) const;
-    double limit_of(const std::string& team) const;
+    double gpu_limit_of(const std::string& team) const;
     bool is_done(const std::string& id) const { return checker_.is_done(id); }
     static verification::Rules rules_of(const Options& options);
     void observe_machine(const Worker& worker);
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -209,15 +209,15 @@
             add_violation("invalid job " + id + " got " + std::to_string(response.status));
     });
 }
-double SimulatedCluster::limit_of(const std::string& team) const {
+double SimulatedCluster::gpu_limit_of(const std::string& team) const {
     return team == "tight" ? options_.gpus_max : options_.free_gpus_max;
 }
 void SimulatedCluster::fill_team_limits() {
     for (auto* team : {"free", "tight"}) {
-        if (limit_of(team) <= 0) continue;
+        if (gpu_limit_of(team) <= 0) continue;
         for (int part = 0; part < 3; ++part) {
             auto id = "j-" + std::to_string(500000 + next_extra_job_++);
-            int tasks = std::max(1, static_cast<int>(limit_of(team)) / 3);
+            int tasks = std::max(1, static_cast<int>(gpu_limit_of(team)) / 3);
             submit(id, "batch", tasks, 8, {{"crew", team}});
             if (part == 0) at(now() + 5, [this, id] { cancel(id); });
         }
