--- a/tests/simulation/host_timers.cpp
+++ b/tests/simulation/host_timers.cpp
@@ -5,7 +5,7 @@
 namespace coralhitch::simulation {
 
 event_loop::TimerId HostTimers::after(double delay_s, event_loop::Task task) {
-    auto id = next_++;
+    auto id = next_id_++;
     fire(id, events_.now() + std::max(0.0, delay_s), std::move(task));
     return id;
 }
--- a/tests/simulation/host_timers.hpp
+++ b/tests/simulation/host_timers.hpp
@@ -28,7 +28,7 @@
     void fire(event_loop::TimerId id, double due, event_loop::Task task);
 
     EventQueue& events_;
-    event_loop::TimerId next_ = 1;
+    event_loop::TimerId next_id_ = 1;
     // Shared with the scheduled events, which may be reached after this object has been destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::shared_ptr<double> frozen_until_ = std::make_shared<double>(0);
