--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -245,7 +245,7 @@
     void wait_for_gang(Worker& worker, const std::string& name);
     void finish(Worker& worker, const std::string& task, std::uint64_t attempt, const std::string& cause);
     void check_lease(Worker& worker);
-    bool present(const Task& task) const { return task.status != "exited"; }
+    bool is_present(const Task& task) const { return task.status != "exited"; }
     // Users
     // Sends the request through the load balancer, and repeats it up to `tries` times, 1.5 s after a 503
     // answer or after 5 s without an answer.
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -161,8 +161,9 @@
     std::vector<std::size_t> machines;
     for (std::size_t machine = 0; machine < workers.size(); ++machine) {
         auto& worker = *workers[machine];
-        bool any = std::any_of(worker.tasks.begin(), worker.tasks.end(),
-                               [&](auto& entry) { return entry.second.job == job && present(entry.second); });
+        bool any = std::any_of(worker.tasks.begin(), worker.tasks.end(), [&](auto& entry) {
+            return entry.second.job == job && is_present(entry.second);
+        });
         if (any && !worker.dead) machines.push_back(machine);
     }
     return machines;
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -54,7 +54,7 @@
     json tasks = json::array();
     for (auto& [name, task] : worker.tasks) {
         json entry{{"shard", name}, {"launch", task.attempt}, {"status", task.status}};
-        if (!present(task)) {
+        if (!is_present(task)) {
             entry["cause"] = task.cause;
             entry["saved"] = task.saved;
         }
@@ -143,7 +143,7 @@
         auto it = worker.tasks.find(task);
         bool same = it != worker.tasks.end() && it->second.attempt == attempt;
         if (verb == "run" && !same) start(worker, task, attempt);
-        if (verb == "kill" && same && present(it->second)) {
+        if (verb == "kill" && same && is_present(it->second)) {
             auto stow = jobs[it->second.job].spec.value("stow_s", 0.0);
             bool saves = it->second.status == "running" && order["slack_s"].get<double>() >= stow && stow > 0;
             if (saves) {
@@ -153,13 +153,13 @@
                 finish(worker, task, attempt, "halted");
             }
         }
-        if (verb == "clear" && same && !present(it->second)) worker.tasks.erase(it);
+        if (verb == "clear" && same && !is_present(it->second)) worker.tasks.erase(it);
     }
 }
 void SimulatedCluster::finish(Worker& worker, const std::string& task, std::uint64_t attempt,
                               const std::string& cause) {
     auto it = worker.tasks.find(task);
-    if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt || !present(it->second))
+    if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt || !is_present(it->second))
         return;
     if (worker.hung)
         return at(now() + hang_check_s,
@@ -180,7 +180,7 @@
     auto id = task.substr(0, task.find('/'));
     auto& job = jobs[id];
     restarts_of_done_tasks += job.tasks_done.contains(task);
-    if (auto it = worker.tasks.find(task); it != worker.tasks.end() && present(it->second)) {
+    if (auto it = worker.tasks.find(task); it != worker.tasks.end() && is_present(it->second)) {
         // The worker refuses the start, and keeps the instance that it has. Heartbeats can name the new
         // attempt only after this instance has gone.
         return;
@@ -246,7 +246,7 @@
 std::size_t SimulatedCluster::tasks_that_fit(const Worker& worker, const json& spec) const {
     double cards = machine_gpus;
     for (auto& [name, task] : worker.tasks)
-        if (present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
+        if (is_present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
     constexpr std::size_t most_tasks_of_job = 100'000;  // limit of the protocol
     double each = spec["cards"].get<double>();
     return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : most_tasks_of_job;
