--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -202,7 +202,7 @@
   private:
     // Records an answer to a user, and passes it to the checker.
     void record_answer(const verification::Answer& answer);
-    void add_violation(const std::string& what) { checker_.report(now(), what); }
+    void add_violation(const std::string& what) { checker_.heartbeat_body(now(), what); }
     double latency() { return std::uniform_real_distribution<double>(0.001, 0.008)(random_); }
     config::Settings settings_for(std::size_t node) const;
     void repeat_every(double period_s, const std::function<void()>& action);
@@ -237,7 +237,7 @@
     void send_heartbeats_after(Worker& worker, double delay_s);
     void try_next_controller(Worker& worker);
     void receive_heartbeat_answer(HeartbeatAttempt& attempt, const http::Response& response);
-    json report(Worker& worker);
+    json heartbeat_body(Worker& worker);
     void command(Worker& worker, const json& orders);
     http::Response serve_command(Worker& worker, const http::Request& request);
     void start(Worker& worker, const std::string& task, std::uint64_t attempt);
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -50,7 +50,7 @@
     worker.sequence = 0;
     worker.last_answered = now();
 }
-json SimulatedCluster::report(Worker& worker) {
+json SimulatedCluster::heartbeat_body(Worker& worker) {
     json tasks = json::array();
     for (auto& [name, task] : worker.tasks) {
         json entry{{"shard", name}, {"launch", task.attempt}, {"status", task.status}};
@@ -92,7 +92,7 @@
     at(now() + give_up_s, [this, attempt] {
         if (!std::exchange(attempt->over, true)) try_next_controller(attempt->worker);
     });
-    http::Request request{"POST", "/hello", report(worker).dump()};
+    http::Request request{"POST", "/hello", heartbeat_body(worker).dump()};
     send(worker.addr, addr_of(worker.node), request, answer_timeout_s,
          [this, attempt](std::optional<http::Response> response) {
              if (response) receive_heartbeat_answer(*attempt, *response);
@@ -126,14 +126,14 @@
 }
 http::Response SimulatedCluster::serve_command(Worker& worker, const http::Request& request) {
     check_lease(worker);
-    if (request.target == "/inspect") return {200, report(worker).dump()};
+    if (request.target == "/inspect") return {200, heartbeat_body(worker).dump()};
     auto body = json::parse(request.body);
     auto token = body["helm"].get<std::uint64_t>();
     if (token < worker.token || body["watch"].get<std::uint64_t>() != worker.agent_epoch)
-        return {409, report(worker).dump()};
+        return {409, heartbeat_body(worker).dump()};
     worker.token = token;
     command(worker, body["orders"]);
-    return {200, report(worker).dump()};
+    return {200, heartbeat_body(worker).dump()};
 }
 void SimulatedCluster::command(Worker& worker, const json& orders) {
     for (auto& order : orders) {
