--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -238,7 +238,7 @@
     void try_next_controller(Worker& worker);
     void receive_heartbeat_answer(HeartbeatAttempt& attempt, const http::Response& response);
     json heartbeat_body(Worker& worker);
-    void command(Worker& worker, const json& orders);
+    void execute_commands(Worker& worker, const json& orders);
     http::Response serve_command(Worker& worker, const http::Request& request);
     void start(Worker& worker, const std::string& task, std::uint64_t attempt);
     void on_image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt);
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -118,7 +118,7 @@
         bool higher = token > worker.token;
         worker.token = token;
         worker.last_answered = std::max(worker.last_answered, attempt.sent);
-        command(worker, body["orders"]);
+        execute_commands(worker, body["orders"]);
         if (higher) return send_heartbeats_after(worker, new_leader_s);
     }
     double jitter = std::uniform_real_distribution<double>(0.75, 1.25)(random_);
@@ -132,10 +132,10 @@
     if (token < worker.token || body["watch"].get<std::uint64_t>() != worker.agent_epoch)
         return {409, heartbeat_body(worker).dump()};
     worker.token = token;
-    command(worker, body["orders"]);
+    execute_commands(worker, body["orders"]);
     return {200, heartbeat_body(worker).dump()};
 }
-void SimulatedCluster::command(Worker& worker, const json& orders) {
+void SimulatedCluster::execute_commands(Worker& worker, const json& orders) {
     for (auto& order : orders) {
         auto verb = order["verb"].get<std::string>();
         auto task = order["shard"].get<std::string>();
