--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -225,7 +225,7 @@
     double draw_command_delay(const std::string& to, const http::Request& request);
 
     // Cloud
-    http::Response cloud(const http::Request& request);
+    http::Response serve_cloud_request(const http::Request& request);
     http::Response list_machine_types() const;
     http::Response delete_machines(const json& body);
     http::Response rent(const json& body);
--- a/tests/simulation/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -27,7 +27,7 @@
     at(machine->up_at, [this, machine] { send_heartbeats(*machine); });
     return *machine;
 }
-http::Response SimulatedCluster::cloud(const http::Request& request) {
+http::Response SimulatedCluster::serve_cloud_request(const http::Request& request) {
     if (cloud_outage_until_ > now()) return {503, R"({"error":"trouble"})"};
     if (request.target == "/flavors") return list_machine_types();
     if (request.target == "/hosts/delete") return delete_machines(json::parse(request.body));
--- a/tests/simulation/simulated_cluster_network.cpp
+++ b/tests/simulation/simulated_cluster_network.cpp
@@ -108,7 +108,7 @@
 void SimulatedCluster::deliver(const std::string& from, const std::string& to, const http::Request& request,
                                const http::Reply& reply) {
     if (to == state_addr) return key_value_store.receive(from, request, reply);
-    if (to == cloud_addr) return reply(cloud(request));
+    if (to == cloud_addr) return reply(serve_cloud_request(request));
     for (auto& node : nodes_)
         if (host_of_address(node.settings.listen) == host_of_address(to))
             return deliver_to_controller(node, from, to, request, reply);
