--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -258,7 +258,7 @@
     std::vector<std::size_t> machines_with(const std::string& job) const;
     void send_unusual_request();
     void submit_invalid_job();
-    void ended(const std::string& id);
+    void on_job_ended(const std::string& id);
     json plain_job(const std::string& id, const std::string& kind, int tasks, double run_s) const;
     // Checks
     std::size_t tasks_that_fit(const Worker& worker, const json& spec) const;
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -140,7 +140,7 @@
     });
     if (just_accepted && random_() % 4 == 0) at(now() + 0.003, [this, id] { cancel(id); });
 }
-void SimulatedCluster::ended(const std::string& id) {
+void SimulatedCluster::on_job_ended(const std::string& id) {
     if (now() < cancel_at_job_end_until_ && random_() % 2) cancel(id);
     query_all_controllers_repeatedly(id, false);
 }
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -173,7 +173,7 @@
     auto& job = jobs[id];
     if (!job.tasks_done.insert(task).second) return;
     job.completed_at = now();
-    if (is_done(id)) ended(id);
+    if (is_done(id)) on_job_ended(id);
 }
 void SimulatedCluster::start(Worker& worker, const std::string& task, std::uint64_t attempt) {
     ++starts;
