--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -202,7 +202,7 @@
   private:
     // Records an answer to a user, and passes it to the checker.
     void record_answer(const verification::Answer& answer);
-    void add_violation(const std::string& what) { checker_.heartbeat_body(now(), what); }
+    void add_violation(const std::string& what) { checker_.report(now(), what); }
     double latency() { return std::uniform_real_distribution<double>(0.001, 0.008)(random_); }
     config::Settings settings_for(std::size_t node) const;
     void repeat_every(double period_s, const std::function<void()>& action);
