--- a/tests/check_dependencies.py
+++ b/tests/check_dependencies.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Checks that the packages of src/ depend on each other as CMakeLists.txt declares, and without a circle.
+"""Checks that the packages of src/ depend on each other as CMakeLists.txt declares, and that there is no cycle.
 
     tests/check_dependencies.py [ROOT]
 
-A package may include its own headers and those of packages that it declares, directly or through others. Ends with 1
-and names each include that breaks this, and each declared circle.
+A package may include its own headers and those of the packages that it depends on, directly or through others. Prints each
+include that breaks this rule and each package in a cycle of declarations, and exits with 1 if there are any.
 """
 import pathlib
 import re
@@ -14,8 +14,8 @@
 INCLUDE = re.compile(r'^#include "(\w+)/', re.MULTILINE)
 
 
-def declared(cmake_text):
-    """Package -> the packages that it names."""
+def declared_dependencies(cmake_text):
+    """Returns the packages that each package names in its declaration."""
     return {
         match[1]: {name.removesuffix("_pkg") for name in match[2].split() if name.endswith("_pkg")}
         for match in DECLARATION.finditer(cmake_text)
@@ -23,19 +23,20 @@
 
 
 def reachable(package, packages):
-    """All packages below `package`, itself included if it is part of a circle."""
-    seen, todo = set(), list(packages[package])
-    while todo:
-        name = todo.pop()
+    """Returns all direct and indirect dependencies of `package`: `package` too if it is part of a cycle."""
+    seen, pending = set(), list(packages[package])
+    while pending:
+        name = pending.pop()
         if name in seen:
             continue
         seen.add(name)
-        todo.extend(packages.get(name, ()))
+        pending.extend(packages.get(name, ()))
     return seen
 
 
-def problems(root):
-    packages = declared((root / "CMakeLists.txt").read_text())
+def violations(root):
+    """Returns a line for each violation of the rules below `root`."""
+    packages = declared_dependencies((root / "CMakeLists.txt").read_text())
     found = [f"package {name} depends on itself" for name in packages if name in reachable(name, packages)]
     for source in sorted((root / "src").glob("*/*.?pp")):
         package = source.parent.name
@@ -44,7 +45,7 @@
             continue
         allowed = reachable(package, packages) | {package}
         for included in INCLUDE.findall(source.read_text()):
-            # Generated headers (config/operator.pb.h) belong to the package that they are named after.
+            # Generated headers (config/operator.pb.h) belong to the package whose name their folder has.
             if included not in allowed:
                 found.append(f"{source.relative_to(root)}: includes {included}/, which {package} does not declare")
     return found
@@ -52,11 +53,11 @@
 
 def main():
     root = pathlib.Path(sys.argv[1]) if len(sys.argv) > 1 else pathlib.Path(__file__).resolve().parent.parent
-    found = problems(root)
+    found = violations(root)
     for line in found:
         print(line, file=sys.stderr)
     if not found:
-        print("dependencies: as declared, no circle")
+        print("dependencies: all are declared, and there is no cycle")
     return 1 if found else 0
 
 
--- a/tests/check_digests.sh
+++ b/tests/check_digests.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Runs fault scenarios and compares the hash of all their messages with the recorded ones: a change that is meant
-# to change no behaviour leaves every one of them equal.
+# Runs fault scenarios, and compares the digest of all messages of each one with the recorded digest. A change that is
+# meant to keep the behaviour must leave all digests equal.
 #
-#   tests/check_digests.sh BINARY [SEEDS]      compares the first SEEDS of each kind (default: all recorded)
-#   tests/check_digests.sh BINARY --write      records them anew; the commit says which behaviour has changed
+#   tests/check_digests.sh BINARY [SEEDS]      compares the first SEEDS seeds of each kind (default: all 300)
+#   tests/check_digests.sh BINARY --write      records all digests anew; the commit must state the change of behaviour
 #
-# BINARY is coralhitch_fault_scenarios. Up to DIGEST_JOBS (default: all processors) runs go on side by side.
+# BINARY is the path of coralhitch_fault_scenarios. Up to DIGEST_JOBS processes (default: one for each processor) run in
+# parallel. Exits with 1 if a digest differs.
 set -euo pipefail
 binary=$1 seeds=${2:-300}
 cd "$(dirname "$0")/digests"
@@ -13,16 +14,17 @@
 if [ "$seeds" = --write ]; then
     write=1 seeds=300
 fi
-[[ $seeds =~ ^[1-9][0-9]*$ ]] || { echo "check_digests.sh: not a number of seeds: $seeds" >&2; exit 2; }
+[[ $seeds =~ ^[1-9][0-9]*$ ]] || { echo "check_digests.sh: SEEDS must be a positive number or --write, not $seeds" >&2; exit 2; }
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
-# name, then the options that run it; the first seed is 1
+# Each kind: its name, which is also the file of its digests, and the options that run it. The first seed is 1.
 kinds=("random --size 12" "pairs --size 12 --combinations" "machines-40 --size 40")
-step=10
+seeds_per_run=10
 for kind in "${kinds[@]}"; do
     read -r name options <<<"$kind"
-    for ((first = 1; first <= seeds; first += step)); do
-        count=$((seeds - first + 1 < step ? seeds - first + 1 : step))
+    for ((first = 1; first <= seeds; first += seeds_per_run)); do
+        remaining=$((seeds - first + 1))
+        count=$((remaining < seeds_per_run ? remaining : seeds_per_run))
         echo "$work/$name.$(printf %06d "$first") --digest --from $first --seeds $count $options"
     done
 done >"$work/runs"
@@ -35,10 +37,10 @@
         cp "$work/$name.txt" "$name.txt"
     elif ! diff <(head -n "$seeds" "$name.txt") "$work/$name.txt" >"$work/diff"; then
         differ=1
-        echo "$name: $(grep -c '^>' "$work/diff") of $seeds seeds sent other messages, the first:" >&2
+        echo "$name: $(grep -c '^>' "$work/diff") of $seeds digests differ from the recorded ones (<); the first:" >&2
         head -4 "$work/diff" >&2
     else
-        echo "$name: $seeds seeds sent the recorded messages"
+        echo "$name: $seeds digests equal the recorded ones"
     fi
 done
 exit $differ
--- a/tests/takeovers_test.sh
+++ b/tests/takeovers_test.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# bench/takeovers.py must find the same failover in a log of today's lines and in one of former lines. It was
-# left behind once when log lines were renamed, and reported no failovers without an error.
+# Checks that bench/takeovers.py finds the same failover in a log of the current format and in one of the former format.
+# When log lines were renamed once, the script was not updated, and it reported no failovers and no error.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
-mkdir "$work/today" "$work/former"
-cat >"$work/today/day.log" <<'LOG'
+mkdir "$work/current" "$work/former"
+cat >"$work/current/day.log" <<'LOG'
 101.50 berth-0 00:01:41.500 info component=election event=elected fencing_token=7
 101.75 berth-0 00:01:41.750 info component=failover event=step_completed step=loaded seconds=0.25
 102.00 berth-0 00:01:42.000 info component=failover event=step_completed step=placement_allowed seconds=0.50
@@ -26,9 +26,9 @@
   loaded: median 0.25, most 0.25, of 1
   first: median 0.50, most 0.50, of 1
   settled: median 2.00, most 2.00, of 1'
-for form in today former; do
-    if ! diff <(echo "$expected") <(python3 bench/takeovers.py "$work/$form/day.log"); then
-        echo "takeovers.py misreads a log of $form" >&2
+for format in current former; do
+    if ! diff <(echo "$expected") <(python3 bench/takeovers.py "$work/$format/day.log"); then
+        echo "takeovers.py misreads a log of the $format format" >&2
         exit 1
     fi
 done
