--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build needs, as deploy/service.toml lists them; with --ci also the formatter
-# and the linter (.ci/packages.txt). Needs root.
+# Installs the Debian packages that the build needs, as listed in deploy/service.toml. --ci also installs those of
+# .ci/packages.txt: the formatter and the linter. Must run as root.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 packages=$(sed -n '/^packages = \[/,/^\]/p' deploy/service.toml | grep -o '"[^"]*"' | tr -d '"')
--- a/tools/quickstart.sh
+++ b/tools/quickstart.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# From a fresh Debian 12 to a running cluster: installs what the build needs, builds the service and the load tool,
-# and runs three controllers among 60 hollow workers on loopback. Ends with a table of what it measured.
+# Starts a cluster on a fresh Debian 12: installs the packages that the build needs, builds the service and the load
+# tool, and runs three controllers and 60 simulated workers on the loopback interface. Prints a table of the results.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/install_packages.sh
