--- a/tests/simulation/hosts.hpp
+++ b/tests/simulation/hosts.hpp
@@ -30,13 +30,12 @@
     bool spot = false, dead = false, hung = false, fails_every_task = false;
     std::uint64_t agent_epoch = 1, sequence = 0, token = 0;
     bool ignores_lease = false;  // a faulty worker that keeps its tasks after its lease has expired
-    // Creation, end of the boot, and the sending of the latest heartbeat that was answered: the lease starts
-    // anew at `last_answered`.
+    // `last_answered` is when the latest answered heartbeat was sent; the worker's lease counts from then.
     double created = 0, up_at = 0, last_answered = 0;
     double inbound_unreachable_until = 0;  // until then the worker can't open connections to controllers
-    std::uint64_t incarnation =
-        0;                 // number of reboots; answers to requests of an earlier incarnation are dropped
-    std::size_t node = 0;  // number of the controller that gets the next heartbeat
+    // Number of reboots. Answers to requests of an earlier incarnation are dropped.
+    std::uint64_t incarnation = 0;
+    std::size_t node = 0;               // number of the controller that gets the next heartbeat
     std::map<std::string, Task> tasks;  // by task id, `j-000412/0`
 };
 
--- a/tests/simulation/options.hpp
+++ b/tests/simulation/options.hpp
@@ -9,14 +9,13 @@
 struct Options {
     std::uint64_t seed = 1;
     std::size_t machines = 6;
-    // The heartbeat period, the lease of workers, and the time within which tasks of a cancelled job must
-    // end.
+    // Heartbeat period, lease of workers, and time within which the tasks of a cancelled job must end.
     double heartbeat_interval_s = 3, lease_s = 24, cancel_s = 44;
-    double gpus_max = 12;       // GPU limit of team `tight`
-    double free_gpus_max = 0;   // GPU limit of team `free`; 0: no limit
-    double max_waiting_s = 90;  // limit for the wait of a job that has room and quota, after the last fault
-    double max_unanswered_s =
-        45;             // limit for the time without an answer to a job's users, after the last fault
+    double gpus_max = 12;      // GPU limit of team `tight`
+    double free_gpus_max = 0;  // GPU limit of team `free`; 0: no limit
+    // Rules that apply after the last fault: how long a job may wait although there is room and quota for it,
+    // and how long its users may be without an answer.
+    double max_waiting_s = 90, max_unanswered_s = 45;
     double boot_s = 1;  // boot time of a machine; the machine type's nominal time is 5 s
     // Numbers of the controllers that run without replication of task starts, by their settings or because of
     // their version.
