--- a/bench/teams.py
+++ b/bench/teams.py
@@ -4,8 +4,8 @@
     bench/teams.py LOG...
 
 Adds up the leaders' `teams:` lines. Exits non-zero if fewer tasks were started for a team than half of the median over all teams:
-on days whose teams request equal amounts, that team was not served. The counts that a killed leader had not logged yet are missing,
-which are those of one worker lease at the most.
+on days whose teams request equal amounts, that team was not served. The counts that a killed leader had not logged yet are
+missing; they cover one worker lease at the most.
 """
 import collections
 import dataclasses
