--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -247,8 +247,8 @@
     void check_lease(Worker& worker);
     bool is_present(const Task& task) const { return task.status != "exited"; }
     // Users
-    // Sends the request through the load balancer, and repeats it up to `tries` times, 1.5 s after a 503
-    // answer or after 5 s without an answer.
+    // Sends the request through the load balancer, and repeats it up to `tries` times. A repeat comes 1.5 s
+    // after a 503 answer, or 1.5 s after 5 s have passed without an answer.
     void ask(const std::string& id, const std::string& method, const std::string& path,
              const std::string& body, std::function<void(const http::Response&)> done, int tries = 40);
     // Sends the request to this controller once. `answered` gets the response if it comes within 5 s.
