--- a/tests/simulation/options.hpp
+++ b/tests/simulation/options.hpp
@@ -15,7 +15,8 @@
     double free_gpus_max = 0;  // GPU limit of team `free`; 0: no limit
     // Rules that apply after the last fault: how long a job may wait although there is room and quota for it,
     // and how long its users may be without an answer.
-    double max_waiting_s = 90, max_unanswered_s = 45;
+    double max_waiting_s = 90;
+    double max_unanswered_s = 45;
     double boot_s = 1;  // boot time of a machine; the machine type's nominal time is 5 s
     // Numbers of the controllers that run without replication of task starts, by their settings or because of
     // their version.
