--- a/tests/simulation/simulated_cluster_cloud.cpp
+++ b/tests/simulation/simulated_cluster_cloud.cpp
@@ -1,4 +1,4 @@
-// The cloud.
+// The cloud: lists machine types and machines, rents machines and deletes them.
 #include <algorithm>
 
 #include "simulation/simulated_cluster.hpp"
@@ -27,7 +27,7 @@
     at(machine->up_at, [this, machine] { send_heartbeats(*machine); });
     return *machine;
 }
-http::Response SimulatedCluster::cloud(const http::Request& request) {
+http::Response SimulatedCluster::serve_cloud_request(const http::Request& request) {
     if (cloud_outage_until_ > now()) return {503, R"({"error":"trouble"})"};
     if (request.target == "/flavors") return list_machine_types();
     if (request.target == "/hosts/delete") return delete_machines(json::parse(request.body));
@@ -50,7 +50,7 @@
         }
     return {200, "{}"};
 }
-// The same name again gives the same machine.
+// A request with a name that was used before gets the same machine again.
 http::Response SimulatedCluster::rent(const json& body) {
     constexpr std::size_t spare_machines = 3;
     auto name = body["charter"].get<std::string>();
--- a/tests/simulation/simulated_cluster_users.cpp
+++ b/tests/simulation/simulated_cluster_users.cpp
@@ -1,4 +1,4 @@
-// The users: what they submit, ask and cancel.
+// The users, who submit, query and cancel jobs.
 #include <algorithm>
 
 #include "controller/controller.hpp"
@@ -18,7 +18,7 @@
 }
 }  // namespace
 
-std::vector<std::string> awaits_of(const json& spec) {
+std::vector<std::string> dependencies_of(const json& spec) {
     auto it = spec.find("awaits");
     return it == spec.end() || it->is_null() ? std::vector<std::string>{}
                                              : it->get<std::vector<std::string>>();
@@ -29,13 +29,13 @@
     auto kind = request.method == "GET"         ? Request::query
                 : request.target == "/api/jobs" ? Request::submission
                                                 : Request::cancellation;
-    // What comes while the controller is frozen is read when it goes on.
+    // A frozen controller reads the request when it has processor time again.
     node.timers->after(0, [=, this, &node, sent = now(), request = std::move(request)] {
         digest.add(now(), "user", node.settings.listen, request.method + " " + request.target, request.body);
         node.controller->serve(request, [=, this, &node](http::Response response) {
             digest.add(now(), node.settings.listen, "user", std::to_string(response.status), response.body);
             at(now() + latency(), [=, this] {
-                if (now() - sent > 5) return;  // nobody listens any more
+                if (now() - sent > 5) return;  // the user has given up
                 verification::Answer answer{id, kind, sent, now(), response.status, {}};
                 if (answer.success()) answer.state = parse_state(json::parse(response.body)["status"]);
                 record_answer(answer);
@@ -107,7 +107,7 @@
     ask(
         id, "POST", "/api/jobs/" + id + "/cancel", "",
         [this, id, accepted](const http::Response& response) {
-            if (response.status == 404 && !accepted) return cancel(id);  // not there yet when it was asked
+            if (response.status == 404 && !accepted) return cancel(id);  // overtook the submission
             if (response.status != 200)
                 add_violation("cancellation of " + id + " got " + std::to_string(response.status));
         },
@@ -140,7 +140,7 @@
     });
     if (just_accepted && random_() % 4 == 0) at(now() + 0.003, [this, id] { cancel(id); });
 }
-void SimulatedCluster::ended(const std::string& id) {
+void SimulatedCluster::on_job_ended(const std::string& id) {
     if (now() < cancel_at_job_end_until_ && random_() % 2) cancel(id);
     query_all_controllers_repeatedly(id, false);
 }
@@ -161,8 +161,9 @@
     std::vector<std::size_t> machines;
     for (std::size_t machine = 0; machine < workers.size(); ++machine) {
         auto& worker = *workers[machine];
-        bool any = std::any_of(worker.tasks.begin(), worker.tasks.end(),
-                               [&](auto& entry) { return entry.second.job == job && present(entry.second); });
+        bool any = std::any_of(worker.tasks.begin(), worker.tasks.end(), [&](auto& entry) {
+            return entry.second.job == job && is_present(entry.second);
+        });
         if (any && !worker.dead) machines.push_back(machine);
     }
     return machines;
@@ -174,7 +175,7 @@
     constexpr int tries = 3;
     auto first = random_() % std::max<std::size_t>(1, jobs.size());
     auto entry = std::next(jobs.begin(), static_cast<std::ptrdiff_t>(first));
-    // The first accepted one from there on, around the end.
+    // Takes the first accepted job from the random position on, and continues at the beginning.
     for (std::size_t k = 0; k < jobs.size(); ++k, ++entry) {
         if (entry == jobs.end()) entry = jobs.begin();
         auto& [id, job] = *entry;
@@ -187,7 +188,7 @@
     }
     submit_invalid_job();
 }
-// Fits no machine, needs more than its team's limit, is of no team, or lacks a field.
+// Submits a job that fits no machine, needs more than its team's limit, belongs to no team, or lacks a field.
 void SimulatedCluster::submit_invalid_job() {
     auto id = "j-" + std::to_string(700000 + next_invalid_job_++);
     auto spec = plain_job(id, "gang", 2, 5);
@@ -209,15 +210,15 @@
             add_violation("invalid job " + id + " got " + std::to_string(response.status));
     });
 }
-double SimulatedCluster::limit_of(const std::string& team) const {
+double SimulatedCluster::gpu_limit_of(const std::string& team) const {
     return team == "tight" ? options_.gpus_max : options_.free_gpus_max;
 }
 void SimulatedCluster::fill_team_limits() {
     for (auto* team : {"free", "tight"}) {
-        if (limit_of(team) <= 0) continue;
+        if (gpu_limit_of(team) <= 0) continue;
         for (int part = 0; part < 3; ++part) {
-            auto id = "j-" + std::to_string(500000 + next_extra_++);
-            int tasks = std::max(1, static_cast<int>(limit_of(team)) / 3);
+            auto id = "j-" + std::to_string(500000 + next_extra_job_++);
+            int tasks = std::max(1, static_cast<int>(gpu_limit_of(team)) / 3);
             submit(id, "batch", tasks, 8, {{"crew", team}});
             if (part == 0) at(now() + 5, [this, id] { cancel(id); });
         }
@@ -226,7 +227,7 @@
 void SimulatedCluster::submit_small_jobs(double for_s, double per_s) {
     for (double time = 0; time < for_s; time += 1 / per_s)
         at(now() + time, [this] {
-            auto id = "j-" + std::to_string(500000 + next_extra_++);
+            auto id = "j-" + std::to_string(500000 + next_extra_job_++);
             submit(id, "batch", 1, 2);
             double after = std::uniform_real_distribution<double>(0.05, 5)(random_);
             if (random_() % 4 == 0) at(now() + after, [this, id] { cancel(id); });
--- a/tests/simulation/simulated_cluster_workers.cpp
+++ b/tests/simulation/simulated_cluster_workers.cpp
@@ -1,4 +1,4 @@
-// The workers.
+// The workers: send heartbeats, carry out commands, and run tasks.
 #include <algorithm>
 
 #include "protocol/model.hpp"
@@ -7,7 +7,7 @@
 namespace coralhitch::simulation {
 namespace {
 
-constexpr double hang_check_s = 0.5;  // a hanging machine goes on within this
+constexpr double hang_check_s = 0.5;  // period at which a hanging machine checks whether the hang has ended
 
 protocol::TaskId parse_task_id(const std::string& task) {
     auto slash = task.find('/');
@@ -50,11 +50,11 @@
     worker.sequence = 0;
     worker.last_answered = now();
 }
-json SimulatedCluster::report(Worker& worker) {
+json SimulatedCluster::heartbeat_body(Worker& worker) {
     json tasks = json::array();
     for (auto& [name, task] : worker.tasks) {
         json entry{{"shard", name}, {"launch", task.attempt}, {"status", task.status}};
-        if (!present(task)) {
+        if (!is_present(task)) {
             entry["cause"] = task.cause;
             entry["saved"] = task.saved;
         }
@@ -66,7 +66,7 @@
             {"reef", worker.zone},        {"driftwood", worker.spot}, {"watch", worker.agent_epoch},
             {"tally", ++worker.sequence}, {"helm", worker.token},     {"shards", tasks}};
 }
-// A heartbeat that was sent, until it is answered or given up.
+// A heartbeat that was sent and has neither been answered nor timed out.
 struct SimulatedCluster::HeartbeatAttempt {
     Worker& worker;
     double sent;
@@ -92,7 +92,7 @@
     at(now() + give_up_s, [this, attempt] {
         if (!std::exchange(attempt->over, true)) try_next_controller(attempt->worker);
     });
-    http::Request request{"POST", "/hello", report(worker).dump()};
+    http::Request request{"POST", "/hello", heartbeat_body(worker).dump()};
     send(worker.addr, addr_of(worker.node), request, answer_timeout_s,
          [this, attempt](std::optional<http::Response> response) {
              if (response) receive_heartbeat_answer(*attempt, *response);
@@ -118,7 +118,7 @@
         bool higher = token > worker.token;
         worker.token = token;
         worker.last_answered = std::max(worker.last_answered, attempt.sent);
-        command(worker, body["orders"]);
+        execute_commands(worker, body["orders"]);
         if (higher) return send_heartbeats_after(worker, new_leader_s);
     }
     double jitter = std::uniform_real_distribution<double>(0.75, 1.25)(random_);
@@ -126,16 +126,16 @@
 }
 http::Response SimulatedCluster::serve_command(Worker& worker, const http::Request& request) {
     check_lease(worker);
-    if (request.target == "/inspect") return {200, report(worker).dump()};
+    if (request.target == "/inspect") return {200, heartbeat_body(worker).dump()};
     auto body = json::parse(request.body);
     auto token = body["helm"].get<std::uint64_t>();
     if (token < worker.token || body["watch"].get<std::uint64_t>() != worker.agent_epoch)
-        return {409, report(worker).dump()};
+        return {409, heartbeat_body(worker).dump()};
     worker.token = token;
-    command(worker, body["orders"]);
-    return {200, report(worker).dump()};
+    execute_commands(worker, body["orders"]);
+    return {200, heartbeat_body(worker).dump()};
 }
-void SimulatedCluster::command(Worker& worker, const json& orders) {
+void SimulatedCluster::execute_commands(Worker& worker, const json& orders) {
     for (auto& order : orders) {
         auto verb = order["verb"].get<std::string>();
         auto task = order["shard"].get<std::string>();
@@ -143,7 +143,7 @@
         auto it = worker.tasks.find(task);
         bool same = it != worker.tasks.end() && it->second.attempt == attempt;
         if (verb == "run" && !same) start(worker, task, attempt);
-        if (verb == "kill" && same && present(it->second)) {
+        if (verb == "kill" && same && is_present(it->second)) {
             auto stow = jobs[it->second.job].spec.value("stow_s", 0.0);
             bool saves = it->second.status == "running" && order["slack_s"].get<double>() >= stow && stow > 0;
             if (saves) {
@@ -153,13 +153,13 @@
                 finish(worker, task, attempt, "halted");
             }
         }
-        if (verb == "clear" && same && !present(it->second)) worker.tasks.erase(it);
+        if (verb == "clear" && same && !is_present(it->second)) worker.tasks.erase(it);
     }
 }
 void SimulatedCluster::finish(Worker& worker, const std::string& task, std::uint64_t attempt,
                               const std::string& cause) {
     auto it = worker.tasks.find(task);
-    if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt || !present(it->second))
+    if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt || !is_present(it->second))
         return;
     if (worker.hung)
         return at(now() + hang_check_s,
@@ -173,21 +173,22 @@
     auto& job = jobs[id];
     if (!job.tasks_done.insert(task).second) return;
     job.completed_at = now();
-    if (is_done(id)) ended(id);
+    if (is_done(id)) on_job_ended(id);
 }
 void SimulatedCluster::start(Worker& worker, const std::string& task, std::uint64_t attempt) {
     ++starts;
     auto id = task.substr(0, task.find('/'));
     auto& job = jobs[id];
     restarts_of_done_tasks += job.tasks_done.contains(task);
-    if (auto it = worker.tasks.find(task); it != worker.tasks.end() && present(it->second)) {
-        // Refused by the worker; what is there stays. Reported under the new attempt once it has gone.
+    if (auto it = worker.tasks.find(task); it != worker.tasks.end() && is_present(it->second)) {
+        // The worker refuses the start, and keeps the instance that it has. Heartbeats can name the new
+        // attempt only after this instance has gone.
         return;
     }
-    bool has_room = !job.refused && places(worker, job.spec) > 0;
+    bool has_room = !job.refused && tasks_that_fit(worker, job.spec) > 0;
     auto outcome = has_room ? verification::StartOutcome::placed : verification::StartOutcome::no_room;
     checker_.task_started(now(), worker.id, parse_task_id(task), outcome);
-    // Only a test that breaks a rule on purpose starts something on a dead machine: nothing stays there.
+    // Only a test that breaks a rule on purpose starts a task on a dead machine, where no task remains.
     if (worker.dead) checker_.machine_terminated(worker.id);
     if (job.refused) return;
     if (!has_room) {
@@ -196,9 +197,9 @@
     }
     constexpr double fetch_s = 1;
     worker.tasks[task] = {id, attempt, "fetching", ""};
-    at(now() + fetch_s, [this, &worker, task, attempt] { image_fetched(worker, task, attempt); });
+    at(now() + fetch_s, [this, &worker, task, attempt] { on_image_fetched(worker, task, attempt); });
 }
-void SimulatedCluster::image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt) {
+void SimulatedCluster::on_image_fetched(Worker& worker, const std::string& name, std::uint64_t attempt) {
     auto it = worker.tasks.find(name);
     if (worker.dead || it == worker.tasks.end() || it->second.attempt != attempt ||
         it->second.status != "fetching")
@@ -213,7 +214,8 @@
     at(now() + spec["reckon_s"].get<double>(),
        [this, &worker, name, attempt] { finish(worker, name, attempt, "done"); });
 }
-// The gang starts once its last task has its image.
+// Lets the task wait until the last task of its gang has its image; then all of them start. A task that has
+// waited for `gang_wait_s` exits.
 void SimulatedCluster::wait_for_gang(Worker& worker, const std::string& name) {
     auto& task = worker.tasks.at(name);
     task.status = "waiting";
@@ -240,14 +242,14 @@
            [this, member, attempt = task.attempt] { finish(*member.worker, member.task, attempt, "done"); });
     }
 }
-// For how many more tasks of this job the machine has room.
-std::size_t SimulatedCluster::places(const Worker& worker, const json& spec) const {
+// Returns the number of further tasks of this job that fit on the machine.
+std::size_t SimulatedCluster::tasks_that_fit(const Worker& worker, const json& spec) const {
     double cards = machine_gpus;
     for (auto& [name, task] : worker.tasks)
-        if (present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
-    constexpr std::size_t without_end = 100'000;  // a job's tasks at most
+        if (is_present(task)) cards -= jobs.at(task.job).spec["cards"].get<double>();
+    constexpr std::size_t most_tasks_of_job = 100'000;  // limit of the protocol
     double each = spec["cards"].get<double>();
-    return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : without_end;
+    return each > 0 ? static_cast<std::size_t>((cards + 1e-9) / each) : most_tasks_of_job;
 }
 void SimulatedCluster::start_against_rules(const std::string& task, std::uint64_t attempt,
                                            std::optional<std::size_t> machine) {
