--- a/scale/workers/event_reporter.cpp
+++ b/scale/workers/event_reporter.cpp
@@ -19,8 +19,9 @@
     loop_.after(interval_s, [this] { report(); });
 }
 
-// All that happened before `now` is in it. Numbered: one whose answer was lost is sent again, and counts
-// once.
+// Sends all events recorded since the last message. The message states that it holds every event before
+// `now`. Messages are numbered, so that the load process counts a message once that was sent again because
+// its answer was lost.
 void EventReporter::report() {
     nlohmann::json body{{"process", process_},
                         {"number", ++last_message_},
@@ -40,7 +41,7 @@
                        loop_.after(retry_after_s, [this, body, tries_left] { send(body, tries_left - 1); });
                        return;
                    }
-                   spdlog::error("workers {}: the users' process took no events: {}", process_,
+                   spdlog::error("workers {}: the load process did not accept the events: {}", process_,
                                  response ? response->body : "no answer");
                    std::exit(1);
                });
--- a/scale/workers/event_reporter.hpp
+++ b/scale/workers/event_reporter.hpp
@@ -1,4 +1,4 @@
-// Sends what a worker process has recorded to the load process, where the checker is.
+// Sends the events that a worker process has recorded to the load process, which runs the checker.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -11,14 +11,16 @@
 
 namespace coralhitch::scale {
 
-// One message at a time, so that the checker gets them in order; also when nothing has happened, since the
-// checker waits until it knows all up to a time. Ends the process if the load process takes none: what
-// follows would be judged wrongly.
+// Sends one message at a time, so that the checker receives events in order. A message is also sent when
+// nothing has happened, since the checker waits until it has the events of every worker process up to a time.
+// Ends the process with an error if the load process accepts no message after several attempts: the checker
+// would judge all later events wrongly.
 class EventReporter {
   public:
-    // All references must outlive this.
+    // All references must outlive this. `process` is the index of this worker process.
     EventReporter(event_loop::EventLoop& loop, http::Client& http, const Experiment& experiment,
                   std::uint32_t process);
+    // Adds the event to the next message.
     void record(const WorkerEvent& event) { events_.push_back(event_to_json(event)); }
 
   private:
--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -10,11 +10,12 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
+// These values are set by the protocol.
 constexpr double shortest_interval_s = 0.5, next_controller_after_s = 1, longest_redirect_wait_s = 0.5,
                  interval_spread = 0.25;
 
-// Turning to another controller closes the connection to the one before.
+// Limits the client to one connection, so that changing the controller closes the connection to the previous
+// one.
 http::ClientLimits one_connection() {
     http::ClientLimits limits;
     limits.connections = 1;
@@ -22,7 +23,7 @@
     return limits;
 }
 
-// Of two heartbeats, whether they say the same but for the sequence number.
+// Returns true if two heartbeats differ only in the sequence number. Returns false if either is malformed.
 bool repeats(const std::string& body, const std::string& last_body) {
     auto outline = protocol::outline_heartbeat(body), last_outline = protocol::outline_heartbeat(last_body);
     if (!outline || !last_outline) return false;
@@ -86,7 +87,7 @@
     last_sent_ = now;
     regular_due_ = now + experiment.worker.heartbeat_interval_s *
                              draw_uniform(context_.random(), 1 - interval_spread, 1 + interval_spread);
-    // Its own timeout, since the lease may expire while an answer is awaited.
+    // The timeout does not depend on the lease, which may expire while the answer is outstanding.
     client_.send(controller, std::move(request), protocol::heartbeat_timeout_s,
                  guard_([this, now,
                          agent_epoch = heartbeat.agent_epoch](const std::optional<http::Response>& response) {
--- a/scale/workers/heartbeat_sender.hpp
+++ b/scale/workers/heartbeat_sender.hpp
@@ -1,4 +1,4 @@
-// When a hollow worker sends heartbeats, and to which controller, as the protocol describes it.
+// Decides when a hollow worker sends heartbeats and to which controller, as the protocol specifies.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -13,25 +13,30 @@
 
 namespace coralhitch::scale {
 
-// One heartbeat at a time: regularly, and sooner if the worker's status has changed. Turns to another
-// controller when one does not answer, redirects or rejects.
+// Sends one heartbeat at a time: at regular intervals, and earlier if the worker's status has changed.
+// Changes to another controller when the current one does not answer, redirects the worker, or rejects the
+// heartbeat.
 class HeartbeatSender {
   public:
+    // A heartbeat to send, and the agent epoch that it was made in.
     struct OutgoingHeartbeat {
         std::string body;
         protocol::AgentEpoch agent_epoch;
     };
+    // A controller's answer with status 200.
     struct Answer {
-        protocol::AgentEpoch agent_epoch;  // of the heartbeat
-        double sent_at = 0;                // the heartbeat
+        protocol::AgentEpoch agent_epoch;  // epoch that the answered heartbeat was made in
+        double sent_at = 0;                // time at which the answered heartbeat was sent
         std::string body;
     };
-    // The worker that the heartbeats are of.
+    // The worker whose heartbeats are sent.
     class Agent {
       public:
         virtual ~Agent() = default;
+        // Returns the next heartbeat, with a new sequence number.
         virtual OutgoingHeartbeat next_heartbeat() = 0;
-        // Called before each answer, since time has passed.
+        // Called when a heartbeat was answered or timed out, before the result is handled: the lease may have
+        // expired in the meantime.
         virtual void check_lease() = 0;
         virtual void handle_answer(const Answer& answer) = 0;
     };
@@ -39,10 +44,11 @@
     // Both must outlive this.
     HeartbeatSender(WorkerContext& context, Agent& agent);
 
-    // The first heartbeat is sent at once.
+    // Begins to send heartbeats. The first one is sent at once.
     void start();
+    // Requests a heartbeat before the next regular one, because the worker's status has changed.
     void status_changed();
-    // For good. Answers that still come are ignored.
+    // Stops permanently. Answers that arrive later are ignored.
     void stop();
 
   private:
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -69,7 +69,7 @@
     try {
         orders = messages::parse_orders(answer.body);
     } catch (const std::exception&) {
-        // Has no token then, and is ignored.
+        // A malformed answer leaves `orders` without a token, so that it is ignored below.
     }
     if (answer.agent_epoch != agent_epoch_ || !orders.token || *orders.token < token_) {
         ++context_.counts().ignored_answers;
@@ -129,7 +129,8 @@
     }
 }
 
-// A new leader learns soon, but not with every answer, that its token has come.
+// Stores a newer fencing token. Requests an early heartbeat at most once in half a lease, so that a new
+// leader learns soon that its token has arrived, without a heartbeat after every answer.
 void HollowWorker::see_token(protocol::FencingToken token) {
     if (token <= token_) return;
     token_ = token;
@@ -141,7 +142,8 @@
 
 // --- Lease ----------------------------------------------------------------------------------------------
 
-// Answers move the lease's expiry; what fires early looks again.
+// Schedules a check for the lease's expiry. Answers move the expiry, so that a timer may fire before it and
+// is then scheduled again.
 void HollowWorker::schedule_lease_check() {
     double left_s = lease_renewed_at_ + context_.experiment().worker.lease_s - context_.loop().now();
     lease_timer_ = context_.loop().after(std::max(0.0, left_s) + shortest_lease_check_s, guard_([this] {
@@ -151,8 +153,9 @@
                                          }));
 }
 
-// After the expiry all tasks have ended, and the next agent epoch begins. The time recorded is that of the
-// expiry, not when this process came to it: it may be late, and its tasks are no real ones.
+// If the lease has expired, ends all tasks and begins the next agent epoch. The ends are recorded at the time
+// of the expiry, not at the present time: this process may notice the expiry late, and its tasks are only
+// simulated.
 void HollowWorker::check_lease() {
     double now = context_.loop().now(), expiry = lease_renewed_at_ + context_.experiment().worker.lease_s;
     if (now <= expiry) return;
--- a/scale/workers/image_cache.hpp
+++ b/scale/workers/image_cache.hpp
@@ -1,4 +1,4 @@
-// The images on one hollow worker's disk.
+// The container images on one hollow worker's disk.
 #pragma once
 #include <map>
 #include <string>
@@ -6,15 +6,16 @@
 
 namespace coralhitch::scale {
 
-// Keeps the images used last, up to a size; the one in use always stays.
+// Evicts the least recently used images once the capacity is exceeded. The image used last always stays.
 class ImageCache {
   public:
     explicit ImageCache(double capacity_gb) : capacity_gb_(capacity_gb) {}
 
     [[nodiscard]] bool has(const std::string& image) const { return images_.contains(image); }
-    // The image is used now. Seconds until its fetch, which is under way or over, has ended.
+    // Marks the image as used now. Returns the seconds until its fetch ends, 0 if it has ended. Throws
+    // std::out_of_range if the cache does not have the image.
     double use(const std::string& image, double now);
-    // The image is fetched from now on, in so many seconds.
+    // Adds the image, whose fetch begins now and takes `fetch_s` seconds.
     void fetch(const std::string& image, double size_gb, double now, double fetch_s);
 
   private:
@@ -26,7 +27,7 @@
 
     double capacity_gb_;
     std::map<std::string, Image> images_;
-    std::vector<std::string> by_last_use_;  // the one used longest ago first
+    std::vector<std::string> by_last_use_;  // least recently used first
 };
 
 }  // namespace coralhitch::scale
--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -11,7 +11,7 @@
 using protocol::JobKind;
 using protocol::TaskState;
 
-// Parts and multiples of the mean, within which times are drawn.
+// Bounds within which fetch rates and run times are drawn, as ratios to their means.
 constexpr double slowest_fetch = 2.0 / 3, fastest_fetch = 4.0 / 3, shortest_run = 0.5, longest_run = 1.5;
 
 }  // namespace
@@ -45,7 +45,7 @@
                             guard_([this, attempt](const TaskSpec* spec) { fetch_image(attempt, spec); }));
 }
 
-// At once: no task here saves a checkpoint.
+// Ends the task at once, because simulated tasks save no checkpoint.
 void TaskRunner::stop(const TaskAttempt& attempt) {
     end(attempt, ExitCause::stopped);
 }
@@ -57,7 +57,7 @@
     agent_.status_changed();
 }
 
-// --- A task's life --------------------------------------------------------------------------------------
+// --- Task lifecycle -------------------------------------------------------------------------------------
 
 TaskRunner::Task* TaskRunner::find_fetching(const TaskAttempt& attempt) {
     auto* task = find_present(attempt);
@@ -119,7 +119,8 @@
 
 void TaskRunner::end(const TaskAttempt& attempt, ExitCause cause, std::optional<double> time) {
     if (!find_present(attempt)) return;
-    agent_.check_lease();  // what ends after the lease's expiry was killed with it
+    // A task that would end after the lease's expiry has been killed at the expiry.
+    agent_.check_lease();
     auto* task = find_present(attempt);
     if (!task) return;
     context_.loop().cancel(task->timer);
--- a/scale/workers/task_runner.hpp
+++ b/scale/workers/task_runner.hpp
@@ -1,4 +1,5 @@
-// The tasks on a hollow worker: they take up resources and end at drawn times, but run nothing.
+// The simulated tasks on a hollow worker. They occupy resources and end at randomly drawn times, but run
+// nothing.
 #pragma once
 #include <map>
 #include <optional>
@@ -13,6 +14,7 @@
 
 namespace coralhitch::scale {
 
+// One attempt to run a task.
 struct TaskAttempt {
     protocol::TaskId task;
     std::uint64_t attempt = 0;
@@ -21,36 +23,42 @@
     }
 };
 
+// Executes the controllers' commands for the tasks of one hollow worker and records their events.
 class TaskRunner {
   public:
-    // The worker that the tasks are on.
+    // The worker on which the tasks run.
     class Agent {
       public:
         virtual ~Agent() = default;
-        // Ends all tasks if the lease has expired.
+        // Calls end_all() if the lease has expired.
         virtual void check_lease() = 0;
+        // Called whenever statuses() has changed.
         virtual void status_changed() = 0;
     };
 
-    // Both must outlive this.
+    // `context` and `agent` must outlive this. `machine` is the worker's machine id.
     TaskRunner(WorkerContext& context, Agent& agent, std::string machine);
 
-    // Commands. Each may come again.
+    // Commands of the controllers. A repeated command has no further effect.
     void start(const TaskAttempt& attempt);
     void stop(const TaskAttempt& attempt);
     void forget(const TaskAttempt& attempt);
 
-    // Of a gang's attempt: all its tasks have their image; or one of them has ended too early.
+    // Starts this worker's tasks of a gang's attempt, once all tasks of the gang have their image. They run
+    // for `run_s` seconds.
     void start_gang(const std::string& job, std::uint64_t attempt, double run_s);
+    // Ends this worker's running tasks of a gang's attempt, because another task of the gang has ended too
+    // early.
     void stop_gang(const std::string& job, std::uint64_t attempt);
 
-    // The lease expired then. No status is kept: the next agent epoch knows of none of them.
+    // Ends all tasks at `expiry`, the time at which the lease expired. Their statuses are discarded, because
+    // the next agent epoch reports none of them.
     void end_all(double expiry);
-    // The machine runs nothing any more. Not recorded task by task.
+    // Discards all tasks, because the machine has failed. No event is recorded for the single tasks.
     void halt();
 
     [[nodiscard]] std::vector<protocol::TaskStatus> statuses() const;
-    // Tasks that have not ended.
+    // Returns the number of tasks that have not ended.
     [[nodiscard]] std::size_t present() const { return present_; }
 
   private:
@@ -65,9 +73,9 @@
     void end_after(const TaskAttempt& attempt, double seconds, protocol::ExitCause cause);
     void end(const TaskAttempt& attempt, protocol::ExitCause cause, std::optional<double> time = {});
     double draw_fetch_s(const TaskSpec& spec);
-    // Nothing unless the task is fetching its image.
+    // Returns nullptr unless the task is fetching its image.
     Task* find_fetching(const TaskAttempt& attempt);
-    // Nothing unless the task is there and has not ended.
+    // Returns nullptr unless the task exists and has not ended.
     Task* find_present(const TaskAttempt& attempt);
     [[nodiscard]] std::vector<TaskAttempt> attempts_of(const std::string& job, std::uint64_t attempt,
                                                        protocol::TaskState state) const;
--- a/scale/workers/task_spec.hpp
+++ b/scale/workers/task_spec.hpp
@@ -1,4 +1,4 @@
-// How the tasks of a job are to run.
+// Describes how the tasks of a job run.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace coralhitch::scale {
 
-// The load process knows it of each job; workers fetch it from there.
+// Kind, size, resource request, image and mean run time of a job's tasks. The load process has the spec of
+// each job, and worker processes fetch it from there.
 struct TaskSpec {
     protocol::JobKind kind = protocol::JobKind::array;
     std::uint32_t tasks = 0;
--- a/scale/workers/task_spec_cache.hpp
+++ b/scale/workers/task_spec_cache.hpp
@@ -1,4 +1,4 @@
-// The specs of jobs, fetched once for all workers of a process.
+// Caches the specs of jobs, so that each is fetched once for all workers of a process.
 #pragma once
 #include <functional>
 #include <map>
@@ -11,6 +11,7 @@
 
 namespace coralhitch::scale {
 
+// Fetches specs from the load process. Only found specs are cached.
 class TaskSpecCache {
   public:
     using Found = std::function<void(const TaskSpec*)>;
@@ -18,7 +19,8 @@
     // Both must outlive this.
     TaskSpecCache(http::Client& http, const Experiment& experiment) : http_(http), experiment_(experiment) {}
 
-    // Calls `found` now or later; with nullptr if the load process knows of no such job.
+    // Calls `found` with the job's spec, either before this returns or when the load process has answered.
+    // Passes nullptr if the load process has no such job or does not answer.
     void find(const std::string& job, Found found);
 
   private:
--- a/scale/workers/worker_event.hpp
+++ b/scale/workers/worker_event.hpp
@@ -1,4 +1,4 @@
-// What hollow workers report to the checker: what happened on which machine.
+// The events that hollow workers report to the checker.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -7,26 +7,28 @@
 
 namespace coralhitch::scale {
 
+// Kind of an event. The values are sent as numbers.
 enum class WorkerEventKind {
     machine_up,
-    task_started,  // the command was carried out; the image is fetched
-    image_ready,   // the task runs, or waits for the others of its gang
+    task_started,  // the start command was executed, and the image is being fetched
+    image_ready,   // the task runs, or waits for the other tasks of its gang
     task_ended,
     machine_gone,
 };
 
+// One event on one machine. Fields that do not apply to the kind have their default values.
 struct WorkerEvent {
-    double time = 0;  // on the machine's monotonic clock, which all processes share
+    double time = 0;  // seconds on the host's monotonic clock, which all processes share
     WorkerEventKind kind = WorkerEventKind::task_started;
     std::string machine;
     protocol::TaskId task;
     std::uint64_t attempt = 0;
     protocol::ExitCause cause = protocol::ExitCause::none;
-    std::string zone;  // of a machine that came up
+    std::string zone;  // set for `machine_up`, as is `spot`
     bool spot = false;
 };
 
-// As an array, to be short: there are some for each task of a run.
+// Converts an event to a JSON array, which is shorter than an object: a run has several events for each task.
 nlohmann::json event_to_json(const WorkerEvent& event);
 WorkerEvent event_from_json(const nlohmann::json& array);
 
--- a/scale/workers/worker_process.cpp
+++ b/scale/workers/worker_process.cpp
@@ -1,4 +1,4 @@
-// A process that holds hollow workers.
+// The worker process: simulates many hollow workers.
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
@@ -20,9 +20,10 @@
 namespace {
 using nlohmann::json;
 
-// What is under way may still call back a worker that was removed: it is destroyed a little later.
+// A removed worker is destroyed after a delay, because operations in progress may still call it.
 constexpr double destroyed_after_s = 1;
 
+// The hollow workers of one process, and what they share.
 class WorkerProcess : public WorkerContext {
   public:
     WorkerProcess(event_loop::EventLoop& loop, const Experiment& experiment, std::uint32_t process)
@@ -43,7 +44,7 @@
         specs_.find(job, std::move(done));
     }
 
-    // Of the control servers, by their targets.
+    // Handles a request to the control server, by its target.
     void handle_control(const http::Request& request);
     [[nodiscard]] json stats() const;
 
@@ -102,8 +103,8 @@
     loop_.after(destroyed_after_s, [worker] {});
 }
 
-// All tasks of the gang's attempt have their image if there is a run time; else one of them has ended too
-// early.
+// Passes a message about a gang's attempt to all workers. A message with a run time says that all tasks of
+// the gang have their image, and one without says that a task of the gang has ended too early.
 void WorkerProcess::notify_gang(const json& message) {
     auto job = message.at("job").get<std::string>();
     auto attempt = message.at("attempt").get<std::uint64_t>();
