--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -8,14 +8,14 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own limits.
+// These limits are set by the protocol.
 constexpr std::size_t largest_page_items = 1000, largest_page_bytes = std::size_t{512} * 1024,
                       largest_transaction_bytes = std::size_t{64} * 1024, longest_key_bytes = 200,
                       conditions_per_change = 4;
 constexpr double longest_watch_s = 60, shortest_ttl_s = 0.1, longest_ttl_s = 600;
-// A list counts so many bytes for an entry beside its key and value.
+// Bytes that a list counts for an entry in addition to its key and value.
 constexpr std::size_t entry_overhead_bytes = 64;
-constexpr double latest_expiry_s = 0.1;  // a lease expires up to so much late
+constexpr double latest_expiry_s = 0.1;  // largest delay after which an overdue lease expires
 constexpr double timer_margin_s = 0.001;
 
 std::string key_space(const std::string& key) {
@@ -69,7 +69,7 @@
     try {
         response = execute(request);
     } catch (const std::exception&) {
-        // Answered as malformed.
+        // The response stays "malformed".
     }
     answer(reply, std::move(response));
 }
@@ -197,7 +197,8 @@
     return {200, messages::lease_body(id)};
 }
 
-// A renewal only moves the time; what fires early is scheduled again.
+// Schedules the lease's expiry. A renewal only moves the lease's expiry time, so that a timer which fires
+// before it is scheduled again.
 void InMemoryKvStore::schedule_expiry(std::uint64_t id) {
     auto& lease = leases_.at(id);
     double late_s = std::uniform_real_distribution<double>(0, latest_expiry_s)(random_);
@@ -252,7 +253,7 @@
     watches_.answer_due(timers_.now(), revision_);
 }
 
-// --- Figures --------------------------------------------------------------------------------------------
+// --- Statistics -----------------------------------------------------------------------------------------
 
 InMemoryKvStore::CountByKeySpace InMemoryKvStore::bytes_by_key_space() const {
     CountByKeySpace bytes;
--- a/scale/kv/in_memory_kv_store.hpp
+++ b/scale/kv/in_memory_kv_store.hpp
@@ -1,5 +1,5 @@
-// The key-value store as the protocol describes it, held in memory: versions, transactions, watches, leases,
-// limits of rate and size, latency, outages.
+// A key-value store in memory that follows the protocol: versions, transactions, watches, leases, limits of
+// rate and size. It simulates latency and outages.
 #pragma once
 #include <map>
 #include <random>
@@ -16,28 +16,35 @@
 
 namespace coralhitch::scale {
 
+// Serves HTTP requests for keys, transactions, leases and watches. Stored data is lost with the object.
 class InMemoryKvStore {
   public:
+    // Counters since the store was created. `refused` counts answers with status 429 or 503, `conflicts`
+    // transactions whose conditions failed, `bytes_in` targets and bodies of requests, `bytes_out` bodies of
+    // answers.
     struct Counts {
         std::uint64_t requests = 0, reads = 0, watches = 0, renewals = 0, transactions = 0, conflicts = 0,
                       changes = 0, refused = 0, bytes_in = 0, bytes_out = 0;
     };
-    using CountByKeySpace = std::map<std::string, std::uint64_t>;  // by the key's part before the first slash
+    // Counts by key space, the part of a key before the first slash.
+    using CountByKeySpace = std::map<std::string, std::uint64_t>;
 
     // `timers` must outlive this.
     InMemoryKvStore(event_loop::Timers& timers, const KvStoreSettings& settings, std::uint64_t seed);
 
-    // Answers later, after a latency that is drawn.
+    // Executes the request now and answers after a randomly drawn latency. A watch is answered when it has
+    // events or its hold time ends.
     void handle(const http::Request& request, const http::Reply& reply);
-    // Refuses all requests for so long. Then leases have their full time again.
+    // Refuses all requests for this many seconds. All leases have their full time to live again after the
+    // outage.
     void begin_outage(double seconds);
 
     [[nodiscard]] const Counts& counts() const { return counts_; }
     [[nodiscard]] const CountByKeySpace& changes_by_key_space() const { return changes_by_key_space_; }
-    // Of keys and values.
+    // Returns the bytes of keys and values.
     [[nodiscard]] CountByKeySpace bytes_by_key_space() const;
     [[nodiscard]] CountByKeySpace keys_by_key_space() const;
-    // A key's value, or "".
+    // Returns a key's value, or "" if there is no such key.
     [[nodiscard]] std::string value(const std::string& key) const;
 
   private:
@@ -61,7 +68,7 @@
     http::Response execute_transaction(const protocol::Txn& transaction, std::size_t bytes);
     [[nodiscard]] bool within_size_limits(const protocol::Txn& transaction, std::size_t bytes) const;
     [[nodiscard]] std::vector<std::string> failed_conditions(const protocol::Txn& transaction) const;
-    // One change, under the present revision.
+    // Applies one change under the current revision.
     void apply(const protocol::Change& change);
 
     http::Response handle_lease(const http::Request& request);
--- a/scale/kv/watch_list.cpp
+++ b/scale/kv/watch_list.cpp
@@ -6,7 +6,7 @@
 
 namespace coralhitch::scale {
 namespace {
-constexpr std::size_t kept_events = 10000;  // the protocol's own limit
+constexpr std::size_t kept_events = 10000;  // set by the protocol
 }  // namespace
 
 void WatchList::append(protocol::Event event) {
@@ -32,7 +32,7 @@
     for (auto it = watches_.begin(); it != watches_.end();) {
         auto events = events_for(*it);
         if (events.empty() && now < it->deadline) {
-            it->since = revision;  // so that nothing is looked through twice
+            it->since = revision;  // no event is examined twice for a watch
             ++it;
             continue;
         }
--- a/scale/kv/watch_list.hpp
+++ b/scale/kv/watch_list.hpp
@@ -1,4 +1,4 @@
-// The key-value store's recent changes, and the requests that wait for some.
+// The key-value store's recent changes, and the requests that wait for changes.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -12,13 +12,15 @@
 
 namespace coralhitch::scale {
 
+// A request that waits for changes of keys with a prefix.
 struct Watch {
-    std::string prefix;  // of the keys
-    std::uint64_t since = 0;
-    double deadline = 0;
+    std::string prefix;       // keys to watch begin with this
+    std::uint64_t since = 0;  // only events with a later version count
+    double deadline = 0;      // time at which the watch is answered even without events
     http::Reply reply;
 };
 
+// Matches recent events with open watches.
 class WatchList {
   public:
     using Answer = std::function<void(const http::Reply& reply, http::Response response)>;
@@ -26,12 +28,14 @@
     // `answer` sends an answer to a watch.
     explicit WatchList(Answer answer) : answer_(std::move(answer)) {}
 
-    // Events come in the order of their versions. Old ones are forgotten.
+    // Adds an event. Events must be added in the order of their versions. The oldest are discarded once there
+    // are more than the protocol's limit.
     void append(protocol::Event event);
-    // Whether events after this version may have been forgotten.
+    // Returns true if events after this version may have been discarded.
     [[nodiscard]] bool has_forgotten_since(std::uint64_t version) const;
+    // Adds a watch, which answer_due() answers.
     void open(Watch watch) { watches_.push_back(std::move(watch)); }
-    // Answers the watches that have events or whose time is over.
+    // Answers and removes the watches that have events or whose deadline has passed.
     void answer_due(double now, std::uint64_t revision);
 
   private:
