--- a/scale/cloud/infrastructure_process.cpp
+++ b/scale/cloud/infrastructure_process.cpp
@@ -1,4 +1,4 @@
-// The process that holds the key-value store and the cloud.
+// The infrastructure process: simulates the key-value store and the cloud.
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
@@ -26,6 +26,7 @@
             {"bytes_in", counts.bytes_in},       {"bytes_out", counts.bytes_out}};
 }
 
+// The simulated services of the process, and its control requests.
 class Infrastructure {
   public:
     Infrastructure(event_loop::EventLoop& loop, const Experiment& experiment)
@@ -46,7 +47,7 @@
     }
 
   private:
-    // Returns how many machines failed.
+    // Returns the number of machines that failed. Throws if the kind of fault is unknown.
     std::size_t inject_fault(const json& fault) {
         auto kind = fault.at("kind").get<std::string>();
         if (kind == "zone")
--- a/scale/cloud/machine_hosts.hpp
+++ b/scale/cloud/machine_hosts.hpp
@@ -1,4 +1,4 @@
-// Where the cloud's machines are.
+// Interface through which the simulated cloud starts and ends its machines.
 #pragma once
 #include <functional>
 #include <string>
@@ -8,14 +8,15 @@
 
 namespace coralhitch::scale {
 
-// The hollow workers, as the cloud sees them.
+// Starts and ends the hollow workers that simulate the cloud's machines.
 class MachineHosts {
   public:
     virtual ~MachineHosts() = default;
+    // Starts the worker of a machine that has booted.
     virtual void boot(const protocol::Host& host) = 0;
-    // `done` once the machines and all on them are gone.
+    // Removes the machines. Calls `done` once the machines and the tasks on them no longer exist.
     virtual void remove(const std::vector<std::string>& ids, std::function<void()> done) = 0;
-    // They give no answer any more, and run nothing.
+    // Simulates the failure of the machines: from now on they answer nothing and run nothing.
     virtual void silence(const std::vector<std::string>& ids) = 0;
 };
 
--- a/scale/cloud/remote_machine_hosts.cpp
+++ b/scale/cloud/remote_machine_hosts.cpp
@@ -36,7 +36,7 @@
     http_.send(experiment_.worker_control_addr(process), {"POST", std::string(path), std::move(body)},
                control_timeout_s, [done](const std::optional<http::Response>& response) {
                    if (!response || response->status != 200)
-                       spdlog::error("cloud: a process of workers gave no answer");
+                       spdlog::error("cloud: a worker process did not answer, or answered with an error");
                    done();
                });
 }
--- a/scale/cloud/remote_machine_hosts.hpp
+++ b/scale/cloud/remote_machine_hosts.hpp
@@ -1,4 +1,4 @@
-// Machines that live in the worker processes.
+// Machines that the worker processes simulate.
 #pragma once
 #include <string_view>
 
@@ -9,9 +9,11 @@
 
 namespace coralhitch::scale {
 
-// The n-th machine is in process n modulo their number. `loop` and `experiment` must outlive this.
+// Sends commands to the worker processes. Machine number n is in process n modulo the number of worker
+// processes. If a process does not answer, an error is logged and the command counts as done.
 class RemoteMachineHosts : public MachineHosts {
   public:
+    // `loop` and `experiment` must outlive this.
     RemoteMachineHosts(event_loop::EventLoop& loop, const Experiment& experiment);
     void boot(const protocol::Host& host) override;
     void remove(const std::vector<std::string>& ids, std::function<void()> done) override;
@@ -21,7 +23,7 @@
     [[nodiscard]] std::uint32_t process_of(const std::string& id) const;
     void send(std::uint32_t process, std::string_view path, std::string body,
               const std::function<void()>& done);
-    // To each process what it has of the machines; `done` once all have answered.
+    // Sends each process the ids of its machines. Calls `done` once all processes have answered or timed out.
     void send_to_all(const std::vector<std::string>& ids, std::string_view path,
                      const std::function<void()>& done);
 
--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -12,10 +12,10 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
+// These values are set by the protocol.
 constexpr std::size_t most_created = 50, most_deleted = 100, largest_page = 500;
 constexpr double failed_is_listed_after_s = 30, burst_s = 2;
-// A machine boots in this part to that multiple of its type's time.
+// Bounds of a machine's boot time, as ratios to the boot time of its type.
 constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
 
 constexpr const char* machine_type_name = "hollow";
@@ -100,7 +100,8 @@
     if (wanted.type != machine_type_name || !zone_exists || wanted.count == 0 || wanted.count > most_created)
         return {400, R"({"error":"malformed"})"};
     if (auto it = answers_.find(wanted.name); it != answers_.end()) return {200, it->second};
-    // Each zone has its share of the workers, rounded up, and all zones together no more than the workers.
+    // Each zone has capacity for an equal share of the workers, rounded up. All zones together have no more
+    // machines than the experiment has workers.
     std::size_t share = (experiment_.workers + zones.size() - 1) / zones.size();
     std::size_t used_in_zone = usable_in_zone_[wanted.zone], used = usable_machines();
     bool zone_is_down = zone_back_at_[wanted.zone] > timers_.now();
@@ -154,7 +155,7 @@
     hosts_.remove(removed, guard_([this, reply] { answer(reply, {200, "{}"}); }));
 }
 
-// Lists what there was some time ago, as the protocol allows.
+// Lists the machines as they were up to `list_lag_s` seconds ago, which the protocol allows.
 http::Response SimulatedCloud::list(const std::string& target) {
     ++counts_.lists;
     auto since = query_parameter(target, "since"), limit_text = query_parameter(target, "limit");
--- a/scale/cloud/simulated_cloud.hpp
+++ b/scale/cloud/simulated_cloud.hpp
@@ -1,5 +1,5 @@
-// The cloud as the protocol describes it: machines of one type are created on request, booted, listed late,
-// deleted.
+// A simulated cloud that follows the protocol: it creates machines of one type on request, boots them, lists
+// them with a delay, and deletes them.
 #pragma once
 #include <functional>
 #include <map>
@@ -18,8 +18,11 @@
 
 namespace coralhitch::scale {
 
+// Serves the cloud's HTTP requests and injects failures of machines.
 class SimulatedCloud {
   public:
+    // Counters since the start. `refused` counts answers with status 429, `no_capacity` requests that no
+    // machine was created for, `bytes_in` targets and bodies of requests, `bytes_out` bodies of answers.
     struct Counts {
         std::uint64_t requests = 0, refused = 0, bytes_in = 0, bytes_out = 0, created = 0, deleted = 0,
                       lists = 0, no_capacity = 0;
@@ -28,16 +31,20 @@
     // All arguments must outlive this.
     SimulatedCloud(event_loop::Timers& timers, const Experiment& experiment, MachineHosts& hosts);
 
-    // Answers later, after a latency that is drawn.
+    // Executes the request now and answers after a randomly drawn latency. The answer to a deletion is sent
+    // after the machines are gone.
     void handle(const http::Request& request, const http::Reply& reply);
 
-    // Faults: machines fail together. Return how many.
-    std::size_t fail_zone(const std::string& zone, double back_s);  // none can be created there until then
-    std::size_t fail_rack();                                        // the fullest one
-    std::size_t fail_machines(std::size_t count);                   // drawn
+    // Faults. Each makes machines fail at the same time and returns how many have failed.
+    // Fails all machines of the zone. No machine can be created there for `back_s` seconds.
+    std::size_t fail_zone(const std::string& zone, double back_s);
+    // Fails all machines of the rack that has the most usable machines.
+    std::size_t fail_rack();
+    // Fails `count` randomly drawn machines, or all if there are fewer.
+    std::size_t fail_machines(std::size_t count);
 
     [[nodiscard]] const Counts& counts() const { return counts_; }
-    // Machines that were neither deleted nor failed.
+    // Returns the number of machines that were neither deleted nor failed.
     [[nodiscard]] std::size_t usable_machines() const;
 
   private:
@@ -63,8 +70,9 @@
     MachineHosts& hosts_;
     std::mt19937_64 random_;
     event_loop::TokenBucket request_budget_;
-    std::map<std::string, Machine> machines_;     // by name, which is the order of creation
-    std::map<std::string, std::string> answers_;  // to requests for machines, by the request's name
+    std::map<std::string, Machine> machines_;  // by name, so in the order of creation
+    std::map<std::string, std::string>
+        answers_;  // bodies of answers to creation requests, by the request's name
     std::map<std::string, std::uint32_t> created_in_zone_, usable_in_zone_;
     std::map<std::string, double> zone_back_at_;
     std::uint64_t next_machine_ = 0;
