--- a/scale/load/checker_feed.hpp
+++ b/scale/load/checker_feed.hpp
@@ -1,4 +1,5 @@
-// Brings what users and workers saw into the order of its times, for the checker of the protocol's rules.
+// Passes the observations of users and workers to the checker of the protocol's rules, in the order of their
+// times.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -8,19 +9,23 @@
 
 namespace coralhitch::scale {
 
-// Workers' events come late, from several processes. A step waits until every process has reported all up to
-// its time.
+// Workers' events arrive late and from several processes. Therefore a step waits until every worker process
+// has reported all its events up to the step's time.
 class CheckerFeed {
   public:
+    // Reports one observation, made at `time`, to the checker.
     using Step = std::function<void(verification::Checker& checker, double time)>;
 
+    // `worker_processes` is the number of processes that events_complete() must be called for.
     CheckerFeed(verification::Rules rules, std::uint32_t worker_processes);
-    // Steps of the same time run in the order of the calls.
+    // Adds a step. Steps of the same time run in the order of the calls.
     void add(double time, Step step) { steps_.emplace(time, std::move(step)); }
-    // All events of a process up to this time have been added.
+    // Declares that all events of a worker process up to this time have been added. Runs the steps that need
+    // not wait any longer.
     void events_complete(std::uint32_t process, double time);
 
     [[nodiscard]] const verification::Checker& checker() const { return checker_; }
+    // Returns the number of steps that have not run.
     [[nodiscard]] std::size_t waiting() const { return steps_.size(); }
 
   private:
--- a/scale/load/gang_coordinator.hpp
+++ b/scale/load/gang_coordinator.hpp
@@ -1,5 +1,5 @@
-// What the tasks of a gang learn of each other. Real ones connect to each other; hollow ones are told by the
-// load process, which sees the events of all workers.
+// Coordinates the tasks of a gang. Real tasks connect to each other. Simulated tasks get messages from the
+// load process instead, because it receives the events of all workers.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -16,14 +16,15 @@
 
 namespace coralhitch::scale {
 
-// Notifies the worker processes when all tasks of a gang's attempt have their image, and when one of a
-// running gang has ended too early.
+// Notifies the worker processes when all tasks of a gang's attempt have their image, and when a task of a
+// running gang has ended too early. The second message is sent after the delay in which tasks notice the loss
+// of a peer.
 class GangCoordinator {
   public:
     // All references must outlive this.
     GangCoordinator(event_loop::EventLoop& loop, http::Client& http, const Experiment& experiment);
-    // Called for each event as it comes. `spec`: of the event's job; nullptr if there is none. `started` is
-    // called when the gang's last task has its image.
+    // Handles an event when it arrives. `spec` is the spec of the event's job, or nullptr if the event has no
+    // known job. Calls `started` when the gang's last task has its image.
     void handle(const WorkerEvent& event, const TaskSpec* spec, const std::function<void()>& started);
 
   private:
@@ -35,7 +36,7 @@
         }
     };
     struct Attempt {
-        std::set<std::uint32_t> waiting;  // tasks with their image
+        std::set<std::uint32_t> waiting;  // indices of the tasks that have their image
         bool running = false, over = false;
     };
     struct Member {
--- a/scale/load/generated_job.hpp
+++ b/scale/load/generated_job.hpp
@@ -1,4 +1,4 @@
-// A job of the generated load, and what its user knows of it.
+// A job of the generated load, and its state as its user knows it.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,12 +10,13 @@
 
 namespace coralhitch::scale {
 
+// Times are those of the event loop of the load process.
 struct GeneratedJob {
     protocol::Job job;
     TaskSpec spec;
-    std::string phase, job_class;       // that its latencies count for
-    double first_tried_at = 0;          // to submit it
-    std::optional<double> all_done_at;  // when its last task ended
+    std::string phase, job_class;       // labels under which its latencies are recorded
+    double first_tried_at = 0;          // time of the first attempt to submit it
+    std::optional<double> all_done_at;  // time at which its last task ended
     bool accepted = false, over = false;
     bool to_be_cancelled = false, cancel_requested = false;
     std::set<std::uint32_t> tasks_begun;
--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -11,7 +11,7 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
+// These values are set by the protocol.
 constexpr double submit_timeout_s = 5, poll_timeout_s = 2, shortest_retry_s = 1, longest_retry_s = 30,
                  retries_for_s = 60;
 
--- a/scale/load/latency_histograms.cpp
+++ b/scale/load/latency_histograms.cpp
@@ -21,7 +21,7 @@
     return boundaries;
 }
 
-// The upper bound of the bucket that holds the observation of this rank.
+// Returns the upper bound of the bucket that holds the observation of this rank.
 double bound_at(const std::vector<prometheus::ClientMetric::Bucket>& buckets, double rank) {
     for (auto& bucket : buckets)
         if (static_cast<double>(bucket.cumulative_count) >= rank) return bucket.upper_bound;
--- a/scale/load/latency_histograms.hpp
+++ b/scale/load/latency_histograms.hpp
@@ -1,5 +1,5 @@
-// Latencies by class of work, in prometheus-cpp's histogram with buckets a twentieth apart (Debian 12 has no
-// HdrHistogram or DDSketch for C or C++).
+// Histograms of latencies by class of job. They use prometheus-cpp's histogram with bucket bounds 5 % apart,
+// because Debian 12 has no HdrHistogram or DDSketch for C or C++.
 #pragma once
 #include <prometheus/histogram.h>
 
@@ -10,12 +10,14 @@
 
 namespace coralhitch::scale {
 
+// One histogram for each phase, class of job and measured latency.
 class LatencyHistograms {
   public:
+    // Adds one latency.
     void observe(const std::string& phase, const std::string& job_class, const std::string& measure,
                  double seconds);
-    // By "phase/class/measure": count, percentiles and maximum, in seconds. A percentile is the upper end of
-    // its bucket, so up to a twentieth too high.
+    // Returns the count, mean, percentiles and maximum in seconds under the key "phase/class/measure". A
+    // percentile is the upper bound of its bucket, so it may be up to 5 % too high.
     [[nodiscard]] nlohmann::json summary() const;
 
   private:
--- a/scale/load/load_balancer.cpp
+++ b/scale/load/load_balancer.cpp
@@ -7,7 +7,7 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
+// These values are set by the protocol.
 constexpr double probe_interval_s = 1, probe_timeout_s = 1, shortest_pause_s = 3, longest_pause_s = 60,
                  pause_doubles_within_s = 120;
 constexpr std::size_t probes_kept = 6;
--- a/scale/load/load_balancer.hpp
+++ b/scale/load/load_balancer.hpp
@@ -1,4 +1,4 @@
-// The load balancer of the users: which controllers are healthy, by probes, and which takes the next request.
+// The load balancer in front of the controllers: probes their health and selects one for each request.
 #pragma once
 #include <deque>
 #include <limits>
@@ -11,21 +11,22 @@
 
 namespace coralhitch::scale {
 
-// Probes and pauses go by the protocol. It differs in two things: a controller that comes back takes its
-// share at once, and users' connections are shared, so that open requests are counted instead of open
-// connections.
+// Probes controllers and removes unhealthy ones as the protocol specifies. It differs from the protocol in
+// two ways: a controller that is healthy again receives its full share of the requests at once, and open
+// requests are counted instead of open connections, because the simulated users share connections.
 class LoadBalancer {
   public:
     // All references must outlive this.
     LoadBalancer(event_loop::Timers& timers, http::Requester& http, const Experiment& experiment);
-    // A healthy controller with the fewest open requests; nothing if there is none.
+    // Returns the healthy controller with the fewest open requests, or std::nullopt if no controller is
+    // healthy.
     std::optional<std::uint32_t> pick();
     void request_opened(std::uint32_t controller) { ++backends_[controller].open_requests; }
     void request_closed(std::uint32_t controller) { --backends_[controller].open_requests; }
 
   private:
     struct Backend {
-        std::deque<bool> probes;  // the last ones, whether they succeeded
+        std::deque<bool> probes;  // results of the last probes, true for success
         bool healthy = false, ever_healthy = false;
         double pause_s = 0, removed_at = std::numeric_limits<double>::lowest();
         int open_requests = 0;
--- a/scale/load/load_generator.cpp
+++ b/scale/load/load_generator.cpp
@@ -48,7 +48,7 @@
     phase_ = name;
     for (auto& phase : experiment_.phases)
         if (phase.name == name) starts_per_s_ = phase.starts_per_worker_s * experiment_.workers;
-    // The wait that was drawn at the rate before may be longer than this phase.
+    // Draws a new waiting time, since the one drawn at the previous rate may be longer than this phase.
     loop_.cancel(arrival_timer_);
     schedule_arrival();
 }
@@ -68,7 +68,8 @@
     return job;
 }
 
-// Spread over some seconds, and over no more of the key-value store's changes than half.
+// Submits the services one by one, spread over `services_spread_s`, or over more time if their submission
+// would otherwise use more than half of the key-value store's rate of changes.
 void LoadGenerator::submit_services(double tasks_left) {
     if (tasks_left < 1) return;
     auto tasks =
--- a/scale/load/load_generator.hpp
+++ b/scale/load/load_generator.hpp
@@ -1,4 +1,5 @@
-// The load: services at first, then arrays and gangs that arrive whether the service keeps up or not.
+// Generates the load: services first, then arrays and gangs. Jobs arrive independently of how fast the
+// controllers handle them (open-loop load).
 #pragma once
 #include <cstdint>
 #include <random>
@@ -11,14 +12,16 @@
 
 namespace coralhitch::scale {
 
+// Submits jobs with random properties at random times, at the rate of the current phase.
 class LoadGenerator {
   public:
     // All references must outlive this.
     LoadGenerator(event_loop::EventLoop& loop, const Experiment& experiment, std::mt19937_64& random,
                   JobClient& client);
-    // The services, and arrivals at the first phase's rate.
+    // Begins to submit the services, and arrays and gangs at the first phase's rate.
     void begin();
-    // Arrivals have this phase's rate, and latencies of new jobs count for it, from now on.
+    // Switches to a phase. From now on, jobs arrive at its rate, and latencies of new jobs are recorded under
+    // its name.
     void begin_phase(const std::string& name);
 
   private:
--- a/scale/load/load_process.cpp
+++ b/scale/load/load_process.cpp
@@ -1,5 +1,5 @@
-// The process of the users: the generated load, the load balancer, and the checker of what users and workers
-// see.
+// The load process: simulated users with the generated load, the load balancer, and the checker of the
+// observations of users and workers.
 #include <nlohmann/json.hpp>
 #include <random>
 
@@ -19,13 +19,14 @@
 verification::Rules rules_of(const Experiment& experiment) {
     verification::Rules rules;
     rules.cancel_s = experiment.worker.cancel_s;
-    double cpus_max = experiment.equal_share_cpus() * 4;  // as controller_settings() has it
+    double cpus_max = experiment.equal_share_cpus() * 4;  // must equal the limit in controller_settings()
     for (std::uint32_t team = 0; team < experiment.load.teams; ++team)
         rules.teams["team-" + std::to_string(team)] = {cpus_max, 0};
     if (experiment.load.tight_cpus > 0) rules.teams["team-tight"] = {experiment.load.tight_cpus, 0};
     return rules;
 }
 
+// The components of the process, and its control requests.
 class LoadProcess {
   public:
     LoadProcess(event_loop::EventLoop& loop, const Experiment& experiment)
--- a/scale/load/worker_event_handler.cpp
+++ b/scale/load/worker_event_handler.cpp
@@ -16,7 +16,7 @@
 void WorkerEventHandler::handle(const nlohmann::json& message) {
     auto process = message.at("process").get<std::uint32_t>();
     auto number = message.at("number").get<std::uint64_t>();
-    if (number <= last_message_[process]) return;  // sent again, since our answer was lost
+    if (number <= last_message_[process]) return;  // a repetition, sent because the answer was lost
     last_message_[process] = number;
     for (auto& event : message.at("events")) handle_event(event_from_json(event));
     feed_.events_complete(process, message.at("now").get<double>());
--- a/scale/load/worker_event_handler.hpp
+++ b/scale/load/worker_event_handler.hpp
@@ -1,4 +1,5 @@
-// Takes the events that worker processes report: to the checker, to gangs, and into latencies.
+// Handles the events that worker processes report: passes them to the checker and the gang coordinator, and
+// records latencies.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,16 +14,19 @@
 
 namespace coralhitch::scale {
 
+// Handles each message of an EventReporter once, even if it was sent again.
 class WorkerEventHandler {
   public:
+    // Counters since the start. `images_ready` counts attempts whose image was fetched, `tasks_begun` tasks
+    // that ran at least once, `tasks_done` attempts that ended with success.
     struct Counts {
         std::uint64_t images_ready = 0, tasks_begun = 0, tasks_done = 0;
     };
 
-    // All references must outlive this. `http` speaks with the control servers.
+    // All references must outlive this. `http` sends requests to the control servers.
     WorkerEventHandler(event_loop::EventLoop& loop, http::Client& http, const Experiment& experiment,
                        JobClient& jobs, CheckerFeed& feed, LatencyHistograms& latencies);
-    // A message of EventReporter.
+    // Handles a message of an EventReporter. Throws if it is malformed.
     void handle(const nlohmann::json& message);
     [[nodiscard]] const Counts& counts() const { return counts_; }
 
@@ -30,7 +34,7 @@
     void handle_event(const WorkerEvent& event);
     void check(const WorkerEvent& event, verification::Checker& checker);
     void check_end(const WorkerEvent& event, verification::Checker& checker);
-    // The first time a task runs: what its user waited for.
+    // Records, the first time that a task runs, how long its user has waited for that.
     void note_begun(GeneratedJob& job, std::uint32_t task, double time);
 
     const Experiment& experiment_;
@@ -38,7 +42,7 @@
     CheckerFeed& feed_;
     LatencyHistograms& latencies_;
     GangCoordinator gangs_;
-    std::map<std::uint32_t, std::uint64_t> last_message_;  // number, by process
+    std::map<std::uint32_t, std::uint64_t> last_message_;  // number of the last message, by process
     Counts counts_;
 };
 
