--- a/scale/protocol/cloud_messages.hpp
+++ b/scale/protocol/cloud_messages.hpp
@@ -1,4 +1,4 @@
-// What the cloud reads and answers.
+// Messages of the cloud: parses requests to it and writes its answers.
 #pragma once
 #include <string>
 #include <string_view>
@@ -8,16 +8,20 @@
 
 namespace coralhitch::scale::messages {
 
+// A request to create machines.
 struct CreateRequest {
-    std::string name;  // of the request: repeated ones have the same
+    std::string name;  // identifies the request; a repetition has the same name
     std::string type, zone;
     bool spot = false;
     std::uint32_t count = 0;
 };
+// Parses a request to create machines. Throws if it is malformed.
 CreateRequest parse_create_request(std::string_view body);
-// Ids of machines, as requests to delete them name them and as answers to requests for some do.
+// Parse and write a list of machine ids, as in requests to delete machines and in answers to requests to
+// create them.
 std::vector<std::string> parse_machines(std::string_view body);
 std::string machines_body(const std::vector<std::string>& machines);
+// Writes one page of the list of machines. `more` says that further pages follow.
 std::string hosts_body(const std::vector<protocol::Host>& hosts, bool more);
 
 }  // namespace coralhitch::scale::messages
--- a/scale/protocol/json_object.hpp
+++ b/scale/protocol/json_object.hpp
@@ -1,4 +1,4 @@
-// What the messages of all counterparts are parsed with.
+// Parses the JSON object of a message.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string_view>
@@ -7,7 +7,7 @@
 
 namespace coralhitch::scale::messages {
 
-// Throws protocol::Malformed unless the body is a JSON object.
+// Parses a body. Throws protocol::Malformed if it is not a JSON object.
 inline nlohmann::json parse_object(std::string_view body) {
     auto object = nlohmann::json::parse(body, nullptr, false);
     if (!object.is_object()) throw protocol::Malformed("not an object");
--- a/scale/protocol/kv_messages.hpp
+++ b/scale/protocol/kv_messages.hpp
@@ -1,4 +1,5 @@
-// What the key-value store reads and answers.
+// Messages of the key-value store: parses requests to it and writes its answers. Parsers throw if the body is
+// malformed.
 #pragma once
 #include <string>
 #include <string_view>
--- a/scale/protocol/query_parameter.hpp
+++ b/scale/protocol/query_parameter.hpp
@@ -1,10 +1,10 @@
-// Parameters of a request's target.
+// Query parameters of a request's target.
 #pragma once
 #include <string>
 
 namespace coralhitch::scale {
 
-// The value of `name` in the target's query, as it stands there; "" if there is none.
+// Returns the value of `name` in the target's query without decoding it, or "" if there is none.
 std::string query_parameter(const std::string& target, const std::string& name);
 
 }  // namespace coralhitch::scale
--- a/scale/protocol/user_messages.hpp
+++ b/scale/protocol/user_messages.hpp
@@ -1,4 +1,4 @@
-// What users read of the controllers' answers.
+// Parses the controllers' answers to users.
 #pragma once
 #include <string_view>
 
@@ -6,6 +6,7 @@
 
 namespace coralhitch::scale::messages {
 
+// Parses a job's status. Throws if it is malformed.
 protocol::JobStatus parse_status(std::string_view body);
 
 }  // namespace coralhitch::scale::messages
--- a/scale/protocol/worker_messages.hpp
+++ b/scale/protocol/worker_messages.hpp
@@ -1,4 +1,4 @@
-// What a worker's agent sends, and what it reads of answers and direct commands.
+// Messages of a worker's agent: writes its heartbeats, and parses answers and direct commands.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,15 +12,16 @@
 
 std::string heartbeat_body(const protocol::Heartbeat& heartbeat);
 
+// The content of an answer to a heartbeat, or of direct commands.
 struct Orders {
     std::optional<protocol::FencingToken> token;
     std::optional<protocol::AgentEpoch> agent_epoch;
     std::vector<protocol::Command> commands;
 };
-// An answer to a heartbeat, or direct commands. Throws if it is malformed.
+// Parses an answer to a heartbeat, or direct commands. Throws if it is malformed.
 Orders parse_orders(std::string_view body);
 
-// The label of the controller that an answer 421 names; nothing if it names none.
+// Returns the label of the controller that an answer with status 421 names, or std::nullopt if it names none.
 std::optional<std::string> parse_redirect(std::string_view body);
 
 }  // namespace coralhitch::scale::messages
