--- a/scale/config/controller_settings.cpp
+++ b/scale/config/controller_settings.cpp
@@ -28,7 +28,7 @@
     }
     out << "]\nskew_ms = 25.0\n" << std::fixed;
 }
-// Guarantees are half of an equal share of the machines; each team may use four times the share.
+// Guarantees each team half of an equal share of the machines' CPUs, and limits it to four times that share.
 void write_teams(std::ostream& out, const Experiment& experiment) {
     double share = experiment.equal_share_cpus();
     for (std::uint32_t team = 0; team < experiment.load.teams; ++team)
@@ -69,8 +69,8 @@
 }
 
 std::string operator_settings(const Experiment& experiment) {
-    // All of the machines are to be rented and stay, whatever the load: the count is what the experiment is
-    // about.
+    // The settings make the controllers rent all machines and keep them at any load, because the experiment
+    // measures a cluster of this size.
     return "max_machines: " + std::to_string(experiment.workers) + "\nreserve_ratio: 2\nidle_boots: 1000\n";
 }
 
--- a/scale/config/controller_settings.hpp
+++ b/scale/config/controller_settings.hpp
@@ -1,4 +1,4 @@
-// The files that the controllers of an experiment are started with.
+// Writes the settings files with which the controllers of an experiment are started.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,9 +7,9 @@
 
 namespace coralhitch::scale {
 
-// The platform's settings of one controller: TOML.
+// Returns the platform's settings of one controller as TOML.
 std::string controller_settings(const Experiment& experiment, std::uint32_t controller);
-// The operators' settings, the same for all: protobuf text format.
+// Returns the operators' settings, which all controllers share, in protobuf text format.
 std::string operator_settings(const Experiment& experiment);
 
 }  // namespace coralhitch::scale
--- a/scale/config/experiment.cpp
+++ b/scale/config/experiment.cpp
@@ -6,7 +6,7 @@
 namespace coralhitch::scale {
 namespace {
 
-// Ports above the base.
+// Port numbers relative to the base port.
 constexpr std::uint32_t cloud_port = 1, load_control_port = 2, infrastructure_control_port = 3,
                         first_worker_control_port = 10, controller_port = 50, peer_port = 51,
                         worker_port = 60;
@@ -68,7 +68,8 @@
     return address(controller_host(index), port_base + peer_port);
 }
 std::string Experiment::worker_addr(std::uint64_t number) const {
-    // 127.64.0.1 and up, 250 addresses to each block: 16,000 blocks are more than the workers of any run.
+    // Addresses begin at 127.64.0.1, with 250 in each /24 block. The 16,000 blocks are enough for the workers
+    // of any run.
     auto block = number / 250;
     return address("127." + std::to_string(64 + block / 256) + "." + std::to_string(block % 256) + "." +
                        std::to_string(number % 250 + 1),
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -1,5 +1,5 @@
-// What an experiment is: the cluster, the load on it, its phases and faults. Read from a file by
-// experiment_file.hpp.
+// The description of an experiment: the cluster, the load on it, its phases and faults. experiment_file.hpp
+// reads it from a file.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,66 +7,79 @@
 
 namespace coralhitch::scale {
 
-// Timings that the controllers are told of, and what a hollow worker needs to start a task.
+// Timings that are also in the controllers' settings, and the properties of hollow workers. `boot_s` and
+// `fetch_gb_per_s` are means.
 struct WorkerSettings {
     double heartbeat_interval_s = 3, lease_s = 31, gang_wait_s = 50, gang_peer_s = 5, cancel_s = 61;
     double boot_s = 2, fetch_gb_per_s = 10, cache_gb = 50;
 };
 
+// The generated load.
 struct LoadSettings {
-    // Of the tasks that are to run, this share comes and goes at the highest rate of starts of all phases;
-    // the rest are replicas of services.
+    // Mean number of running array and gang tasks at the highest rate of starts of all phases, as a ratio to
+    // workers * tasks_per_worker. base_tasks() gives the number of service replicas beside them.
     double turnover_share = 0.18;
     std::uint32_t service_tasks = 100;  // replicas of one service
     std::uint32_t array_tasks = 20;     // tasks of one array
     std::vector<std::uint32_t> gang_sizes{2, 4, 8};
-    // Shares of the jobs that arrive.
+    // Shares of the arriving arrays and gangs: gangs, jobs of production priority, and jobs that are
+    // cancelled.
     double gang_share = 0.1, urgent_share = 0.1, cancel_share = 0.02;
     std::uint32_t teams = 4, images = 8;
     double image_gb = 0.5;
-    double tight_cpus = 0;  // the limit of one team more, which takes part in the load; 0: there is none
-    double poll_s = 5;
+    double tight_cpus =
+        0;              // CPU limit of an additional team, which also submits jobs; 0: there is no such team
+    double poll_s = 5;  // interval at which users poll the status of a job
 };
 
-// Table `state` of the file.
+// Limits and latencies of the key-value store: table `state` of the file.
 struct KvStoreSettings {
     double rps = 200, write_rps = 40, value_kb = 16;
     std::uint32_t txn_ops = 24;
-    double latency_ms = 2, slow_share = 0.002, slow_ms = 200;  // of answers; both latencies are means
+    // Mean latency of most answers, share of slow answers, and mean latency of slow answers.
+    double latency_ms = 2, slow_share = 0.002, slow_ms = 200;
 };
 
+// Limits and latencies of the simulated cloud. Lists of machines are up to `list_lag_s` old, and `latency_ms`
+// is the mean latency of answers.
 struct CloudSettings {
     double rps = 10, list_lag_s = 10, latency_ms = 20;
 };
 
-// What each controller is told that it may use.
+// Resources that each controller may use, according to its settings.
 struct LimitSettings {
     double core_share = 0.5, memory_mb = 512;
     std::uint32_t sockets = 8000;
 };
 
+// A period of the run with a constant rate of starts. Results are reported for each phase.
 struct Phase {
     std::string name;
     double seconds = 0, starts_per_worker_s = 0;
 };
 
+// What a fault does: kills one controller, kills all at the same time, kills them one after the other, fails
+// a number of machines, fails a rack of machines, fails the machines and controllers of a zone, or makes the
+// key-value store refuse requests.
 enum class FaultKind { controller, restart_all, roll, machines, rack, zone, state_outage };
 
+// A fault to inject.
 struct Fault {
     FaultKind kind = FaultKind::controller;
-    std::string name;   // of the kind, as in the file
-    double at_s = 0;    // after the first phase began
-    double back_s = 1;  // until what ended is started again, or until the outage is over
-    std::string which;  // a controller's label, or "leader"; a zone; a rack's number
-    std::uint32_t machines = 0;
+    std::string name;            // name of the kind in the file
+    double at_s = 0;             // seconds after the beginning of the first phase
+    double back_s = 1;           // seconds until killed controllers are restarted, or until the outage ends
+    std::string which;           // `controller`: a label or "leader"; `zone`: a zone; ignored otherwise
+    std::uint32_t machines = 0;  // `machines`: how many fail
 };
 
+// One experiment. Members that the file may leave out have their default values.
 struct Experiment {
     std::string name;
     std::uint64_t seed = 1;
     std::uint32_t workers = 0, controllers = 3, worker_processes = 1, machines_a_rack = 16;
     double tasks_per_worker = 0, room_ratio = 1.15, fill_s = 60, drain_s = 5;
-    std::uint16_t port_base = 0;  // 0: one that is free
+    std::uint16_t port_base = 0;  // first port; 0: choose_ports() chooses free ports
     std::vector<std::string> zones{"a", "b", "c"};
     WorkerSettings worker;
     LoadSettings load;
@@ -76,14 +89,15 @@
     std::vector<Phase> phases;
     std::vector<Fault> faults;
 
-    [[nodiscard]] std::uint32_t slots() const;      // tasks that fit into one machine
-    [[nodiscard]] double base_tasks() const;        // replicas of services, in all
-    [[nodiscard]] double turnover_run_s() const;    // mean run time of what comes and goes
-    [[nodiscard]] double highest_rate() const;      // starts a worker and second
-    [[nodiscard]] double phases_s() const;          // all together
-    [[nodiscard]] double equal_share_cpus() const;  // of one team, if all had the same
+    [[nodiscard]] std::uint32_t slots() const;    // tasks that fit on one machine
+    [[nodiscard]] double base_tasks() const;      // total number of service replicas
+    [[nodiscard]] double turnover_run_s() const;  // mean run time of array and gang tasks
+    [[nodiscard]] double highest_rate() const;  // highest rate of all phases, in starts per worker and second
+    [[nodiscard]] double phases_s() const;      // total duration of all phases
+    [[nodiscard]] double equal_share_cpus()
+        const;  // CPUs per team if all teams had equal shares of the machines
 
-    // Addresses on loopback; ports from the base.
+    // Return addresses on the loopback interface, with ports relative to `port_base`.
     [[nodiscard]] std::string kv_store_addr() const;
     [[nodiscard]] std::string cloud_addr() const;
     [[nodiscard]] std::string load_control_addr() const;
--- a/scale/config/experiment_error.hpp
+++ b/scale/config/experiment_error.hpp
@@ -1,11 +1,11 @@
-// The one exception of the load tool that its user is meant to read.
+// The exception whose text the load tool shows to its user.
 #pragma once
 #include <stdexcept>
 
 namespace coralhitch::scale {
 
-// A run can't be made, or was broken off. Says what is wrong, for whoever wrote the experiment or started the
-// run.
+// Reports that a run can't be started or was aborted. The text says what is wrong, for the user who wrote the
+// experiment or started the run.
 struct ExperimentError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
--- a/scale/config/experiment_file.cpp
+++ b/scale/config/experiment_file.cpp
@@ -20,7 +20,8 @@
                                           {"rack", FaultKind::rack},
                                           {"zone", FaultKind::zone},
                                           {"state_outage", FaultKind::state_outage}};
-// Named in the plans for this tool, and not made: a run that left them out silently would claim too much.
+// Kinds of faults that were planned for this tool but are not implemented. They are an error, because a run
+// that ignored them would claim to have tested more than it has.
 constexpr const char* unsupported_faults[] = {"region_link", "configuration"};
 
 FaultKind fault_kind(const TomlFields& fields, const std::string& name) {
--- a/scale/config/experiment_file.hpp
+++ b/scale/config/experiment_file.hpp
@@ -1,4 +1,4 @@
-// Experiment files: TOML, checked whole before anything is started.
+// Reads experiment files in TOML. A file is checked completely before any process is started.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,15 +8,16 @@
 
 namespace coralhitch::scale {
 
-// Another value for a field of the file.
+// A value that replaces the value of a field of the file.
 struct Override {
-    std::string key;    // such as workers or load.teams
-    std::string value;  // TOML; what is none is taken as a string
+    std::string key;    // name of the field, such as workers or load.teams
+    std::string value;  // a TOML value; any other text is used as a string
 };
 
-// `file` names the text in errors. Throws ExperimentError.
+// Parses and checks an experiment. `file` names the text in errors. Throws ExperimentError.
 Experiment parse_experiment(const std::string& text, const std::string& file,
                             const std::vector<Override>& overrides = {});
+// Reads, parses and checks an experiment file. Throws ExperimentError.
 Experiment load_experiment(const std::string& file, const std::vector<Override>& overrides = {});
 
 }  // namespace coralhitch::scale
--- a/scale/config/toml_fields.cpp
+++ b/scale/config/toml_fields.cpp
@@ -7,7 +7,7 @@
 namespace coralhitch::scale {
 namespace {
 
-// Without the zeros that std::to_string adds.
+// Formats a number without the trailing zeros that std::to_string adds.
 std::string number_text(double value) {
     std::ostringstream text;
     text << value;
--- a/scale/config/toml_fields.hpp
+++ b/scale/config/toml_fields.hpp
@@ -1,5 +1,5 @@
-// Reads the fields of one TOML table and refuses those that nobody reads: a misspelt field would change the
-// experiment in silence.
+// Reads the fields of one TOML table and rejects fields that were not read: a misspelt field would otherwise
+// change the experiment without notice.
 #pragma once
 #include <toml++/toml.h>
 
@@ -11,20 +11,24 @@
 
 namespace coralhitch::scale {
 
-// All functions throw ExperimentError that names the field. A field that is missing keeps the value it had.
+// All functions throw an ExperimentError that names the field. If a field is missing, the output parameter
+// keeps its value.
 class TomlFields {
   public:
     // `path` names the table in errors; empty for the root. The table must outlive this.
     TomlFields(const toml::table& table, std::string path);
 
+    // Reads a finite number in [least, most].
     void number(const char* key, double& out, double least, double most = 1e9);
+    // Reads an integer in [least, most].
     template <class Integer>
     void count(const char* key, Integer& out, std::int64_t least, std::int64_t most) {
         auto* node = take(key);
         if (node) out = static_cast<Integer>(integer(key, *node, least, most));
     }
+    // Reads a string.
     void text(const char* key, std::string& out);
-    // Neither missing elements nor other types; not empty.
+    // Reads a list that is not empty, all of whose elements have the type `Element`.
     template <class Element>
     void list(const char* key, std::vector<Element>& out) {
         auto* node = take(key);
@@ -33,11 +37,11 @@
         out.clear();
         for (auto& element : *node->as_array()) {
             auto value = element.value<Element>();
-            if (!value) fail(key, "holds something of another type");
+            if (!value) fail(key, "has an element of another type");
             out.push_back(*value);
         }
     }
-    // A table within this one, read by `read(TomlFields&)`.
+    // Reads a nested table with `read(TomlFields&)`.
     template <class Read>
     void table(const char* key, Read read) {
         auto* node = take(key);
@@ -47,7 +51,7 @@
         read(fields);
         fields.check_all_read();
     }
-    // A list of tables, each read by `read(TomlFields&)`.
+    // Reads a list of tables, each with `read(TomlFields&)`.
     template <class Read>
     void tables(const char* key, Read read) {
         auto* node = take(key);
@@ -62,8 +66,11 @@
         }
     }
 
+    // Throws if the field is missing.
     void require(const char* key) const;
+    // Throws if the table has a field that was not read.
     void check_all_read() const;
+    // Throws an error that names the field.
     [[noreturn]] void fail(const std::string& key, const std::string& problem) const;
 
   private:
