--- a/scale/process/child_process.cpp
+++ b/scale/process/child_process.cpp
@@ -17,13 +17,13 @@
 namespace coralhitch::scale {
 namespace {
 
-constexpr int parent_has_ended = 126, cannot_execute = 127;  // exit statuses, as of a shell
+constexpr int parent_has_ended = 126, cannot_execute = 127;  // exit statuses like those of a shell
 
-// In the child, between fork and exec: system calls only, and memory of its own.
+// Runs in the child between fork and exec, so it makes only system calls and uses only its own memory.
 [[noreturn]] void become(const std::vector<std::string>& arguments, int log, pid_t parent) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(parent_has_ended);
-    ::setpgid(0, 0);  // a terminal's interrupt goes to the parent alone, which ends the others
+    ::setpgid(0, 0);  // a terminal's interrupt reaches only the parent, which ends its children
     sigset_t none;
     ::sigemptyset(&none);
     ::sigprocmask(SIG_SETMASK, &none, nullptr);
--- a/scale/process/control_server.hpp
+++ b/scale/process/control_server.hpp
@@ -1,4 +1,4 @@
-// How the processes of an experiment speak with each other beside the service's own protocol: HTTP with JSON.
+// The control interface of an experiment's processes: HTTP with JSON, separate from the protocol under test.
 #pragma once
 #include <functional>
 #include <memory>
@@ -11,13 +11,14 @@
 
 namespace coralhitch::scale {
 
-// Targets of the control servers. All answer 200 with a JSON object, or 500 with the error.
+// Targets of the control servers. All answer 200 with a JSON object, or 500 with the error's text. A request
+// for the spec of an unknown job is answered with 404.
 namespace control_paths {
-// Every process.
+// All processes.
 inline constexpr std::string_view stats = "/stats";
 // The load process.
 inline constexpr std::string_view begin = "/begin", phase = "/phase", worker_events = "/observed",
-                                  task_spec = "/spec/";  // and a job's id
+                                  task_spec = "/spec/";  // followed by a job's id
 // Worker processes.
 inline constexpr std::string_view machine_up = "/up", remove_machines = "/remove",
                                   silence_machines = "/silence", gang = "/gang";
@@ -25,14 +26,15 @@
 inline constexpr std::string_view fault = "/fault";
 }  // namespace control_paths
 
+// Timeout of requests between the simulated processes.
 inline constexpr double control_timeout_s = 30;
 
 using ControlHandler = std::function<void(const http::Request&, const http::Reply&)>;
 
-// A handler that throws answers 500 with the text.
+// Starts a control server on `addr`. If the handler throws, the answer is 500 with the exception's text.
 std::unique_ptr<http::Server> control_server(event_loop::EventLoop& loop, const std::string& addr,
                                              ControlHandler handler);
-// Of clients that speak with control servers.
+// Returns the limits for clients of control servers.
 http::ClientLimits control_client_limits();
 
 }  // namespace coralhitch::scale
