--- a/scale/runner/cluster_processes.cpp
+++ b/scale/runner/cluster_processes.cpp
@@ -10,7 +10,7 @@
 namespace coralhitch::scale {
 namespace {
 
-constexpr double largest_memory_share = 0.5;  // of the machine
+constexpr double largest_memory_share = 0.5;  // of the host's memory
 constexpr std::size_t log_lines_shown = 5;
 constexpr const char* operator_settings_file = "operator.textproto";
 
@@ -45,7 +45,7 @@
 
 void ClusterProcesses::start_all(ControlClient& control, const std::function<void()>& ready) {
     write_file(path_of(operator_settings_file), operator_settings(experiment_));
-    // Results call the load process `users`, as its only name was once.
+    // Results name the load process `users`, which was its former name.
     start_role("users", {"load"});
     control.wait_until_ready(experiment_.load_control_addr(), control_paths::stats, [this, &control, ready] {
         start_workers_and_infrastructure();
@@ -118,12 +118,12 @@
     most_memory_bytes_ = std::max(most_memory_bytes_, memory_bytes);
     double allowed = largest_memory_share * static_cast<double>(machine_memory_bytes());
     if (static_cast<double>(memory_bytes) > allowed)
-        on_failure("the processes hold more than half of the machine's memory");
+        on_failure("the processes use more than half of the machine's memory");
 }
 
 ProcessUsage ClusterProcesses::controller_usage(const Controller& controller) const {
     auto usage = controller.child->usage();
-    // Once it is down, its last process is among those before.
+    // If the controller is down, `cpu_s_before` already includes its last process.
     usage.cpu_s = controller.cpu_s_before + (controller.down ? 0 : usage.cpu_s);
     usage.peak_bytes = std::max(usage.peak_bytes, controller.peak_bytes_before);
     return usage;
--- a/scale/runner/cluster_processes.hpp
+++ b/scale/runner/cluster_processes.hpp
@@ -1,4 +1,4 @@
-// The child processes of a run: controllers, and the roles around them.
+// The child processes of a run: the controllers, and the load tool's own processes ("roles").
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,34 +14,38 @@
 
 namespace coralhitch::scale {
 
-// They are killed when this is destroyed.
+// Starts, monitors and ends the processes. The destructor kills them.
 class ClusterProcesses {
   public:
     // Both must outlive this.
     ClusterProcesses(const Experiment& experiment, const RunOptions& options);
 
-    // Starts all, each before those that call it, and calls `ready` when the first controller answers.
+    // Starts all processes, each before those that send requests to it. Calls `ready` when the first
+    // controller answers.
     void start_all(ControlClient& control, const std::function<void()>& ready);
+    // Starts a controller, also after end_controller(). Throws ExperimentError if it can't be started.
     void start_controller(std::uint32_t index);
-    // Kills it. False if it was down already.
+    // Kills the controller. Returns false if it was down already.
     bool end_controller(std::uint32_t index);
     [[nodiscard]] bool is_down(std::uint32_t index) const { return controllers_[index].down; }
+    // Kills all processes.
     void end_all();
 
-    // Reads what all use. Calls `on_failure` for each that has ended by itself, and if they take too much of
-    // the machine's memory together.
+    // Reads the resource usage of all processes. Calls `on_failure` for each process that has ended by
+    // itself, and if all together use too much of the host's memory.
     void check(const std::function<void(const std::string& reason)>& on_failure);
-    // Of all processes together, at the checks.
+    // Returns the highest memory usage of all processes together that check() has seen.
     [[nodiscard]] std::uint64_t most_memory_bytes() const { return most_memory_bytes_; }
-    // Of each process, by name; of a controller over all its starts.
+    // Returns the usage of each process by name. That of a controller covers all its processes since the
+    // first start.
     [[nodiscard]] nlohmann::json usage() const;
 
   private:
     struct Controller {
         std::unique_ptr<ChildProcess> child;
-        double cpu_s_before = 0;  // of processes that were ended
+        double cpu_s_before = 0;  // CPU time of its previous processes
         std::uint64_t peak_bytes_before = 0;
-        bool down = false;  // by a fault
+        bool down = false;  // killed by a fault and not restarted yet
     };
     void start_role(const std::string& name, std::vector<std::string> arguments);
     void start_workers_and_infrastructure();
--- a/scale/runner/control_client.cpp
+++ b/scale/runner/control_client.cpp
@@ -27,7 +27,7 @@
     http_.send(addr, std::move(request), answer_timeout_s,
                [this, asked, on_answer](const std::optional<http::Response>& response) {
                    if (!response || response->status != 200)
-                       return on_failure_(asked + " gave " + (response ? response->body : "no answer"));
+                       return on_failure_(asked + " failed: " + (response ? response->body : "no answer"));
                    on_answer(nlohmann::json::parse(response->body));
                });
 }
@@ -50,7 +50,7 @@
     auto on_response = [this, addr, path, ready, deadline](const std::optional<http::Response>& response) {
         if (response && response->status == 200) return ready();
         if (loop_.now() > deadline)
-            return on_failure_(addr + " was not there within " +
+            return on_failure_(addr + " was not ready within " +
                                std::to_string(static_cast<int>(ready_within_s)) + " s");
         loop_.after(ready_poll_s,
                     [this, addr, path, ready, deadline] { poll_until_ready(addr, path, ready, deadline); });
--- a/scale/runner/control_client.hpp
+++ b/scale/runner/control_client.hpp
@@ -1,4 +1,4 @@
-// Asks the processes of a run, and ends the run when one does not answer.
+// Sends control requests to the processes of a run.
 #pragma once
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -10,6 +10,8 @@
 
 namespace coralhitch::scale {
 
+// Calls `on_failure`, which aborts the run, if a process does not answer in time or answers with another
+// status than 200.
 class ControlClient {
   public:
     using OnAnswer = std::function<void(const nlohmann::json&)>;
@@ -18,12 +20,14 @@
     // `loop` must outlive this.
     ControlClient(event_loop::EventLoop& loop, OnFailure on_failure);
 
+    // Send a request and call `on_answer` with the JSON body of the answer.
     void get(const std::string& addr, std::string_view path, const OnAnswer& on_answer);
     void post(const std::string& addr, std::string_view path, const nlohmann::json& body,
               const OnAnswer& on_answer);
-    // The text of a controller's metrics; "" if it gives none, which is no failure.
+    // Requests a controller's metrics and calls `on_text` with their text. Passes "" if the controller does
+    // not answer with status 200, which does not abort the run.
     void get_metrics(const std::string& addr, const std::function<void(const std::string&)>& on_text);
-    // Asks again and again until there is an answer 200.
+    // Repeats the request until it is answered with status 200, then calls `ready`.
     void wait_until_ready(const std::string& addr, std::string_view path, const std::function<void()>& ready);
 
   private:
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -17,8 +17,9 @@
 using nlohmann::json;
 
 constexpr double check_interval_s = 0.5, progress_interval_s = 2;
-constexpr double start_allowance_s = 40, other_allowance_s = 120;  // beside what the experiment says
-constexpr double filled_share = 0.97;                              // of the tasks that are to run
+constexpr double start_allowance_s = 40,
+                 other_allowance_s = 120;  // in addition to the times in the experiment file
+constexpr double filled_share = 0.97;  // share of the service replicas at which the cluster counts as filled
 
 json describe(const Experiment& experiment) {
     return {{"name", experiment.name},
@@ -41,6 +42,7 @@
            longest_fault_s + other_allowance_s;
 }
 
+// One run of an experiment.
 class ExperimentRunner : private FaultInjector::Run {
   public:
     ExperimentRunner(const Experiment& experiment, const RunOptions& options)
@@ -53,18 +55,18 @@
     json run();
 
   private:
-    // The course of a run, in order.
+    // Stages of a run, in their order.
     void begin_fill();
     void wait_until_filled();
     void begin_phase(std::size_t number);
     void end_phase(std::size_t number);
     void finish();
-    // Beside it.
+    // Monitoring during the run.
     void check_processes();
     void report_progress();
     void print_progress() const;
     void fail(const std::string& reason);
-    // For faults.
+    // Interface for the fault injector.
     [[nodiscard]] std::uint32_t leader() const override;
     [[nodiscard]] double elapsed_s() const override { return loop_.now() - began_; }
     [[nodiscard]] const std::string& stage() const override { return stage_; }
@@ -78,11 +80,11 @@
     SnapshotCollector snapshots_;
     FaultInjector faults_;
     std::string failure_, stage_ = "start";
-    json load_stats_ = json::object(), infrastructure_stats_ = json::object();  // the last ones
-    json phase_began_;                                                          // snapshot
+    json load_stats_ = json::object(), infrastructure_stats_ = json::object();  // last answers
+    json phase_began_;  // snapshot at the beginning of the phase
     json result_ = json::object();
     double began_ = 0, deadline_ = 0, fill_began_ = 0;
-    std::size_t tasks_wanted_ = 0;  // that are to run once it is filled
+    std::size_t tasks_wanted_ = 0;  // number of service replicas
 };
 
 void ExperimentRunner::fail(const std::string& reason) {
@@ -90,7 +92,7 @@
     loop_.stop();
 }
 
-// --- Course ---------------------------------------------------------------------------------------------
+// --- Stages ---------------------------------------------------------------------------------------------
 
 void ExperimentRunner::begin_fill() {
     stage_ = "fill";
@@ -161,11 +163,11 @@
     return result_;
 }
 
-// --- Beside it ------------------------------------------------------------------------------------------
+// --- Monitoring ----------------------------------------------------------------------------------------
 
 void ExperimentRunner::check_processes() {
     processes_.check([this](const std::string& reason) { fail(reason); });
-    if (loop_.now() > deadline_) fail("the run took longer than it may");
+    if (loop_.now() > deadline_) fail("the run exceeded its time limit");
     loop_.after(check_interval_s, [this] { check_processes(); });
 }
 
--- a/scale/runner/experiment_runner.hpp
+++ b/scale/runner/experiment_runner.hpp
@@ -1,5 +1,5 @@
-// Runs one experiment: starts all processes, fills the cluster, plays the phases and faults, measures, and
-// ends all processes.
+// Runs one experiment: starts all processes, fills the cluster with services, runs the phases, injects the
+// faults, measures, and ends all processes.
 #pragma once
 #include <nlohmann/json.hpp>
 
@@ -8,8 +8,9 @@
 
 namespace coralhitch::scale {
 
-// What was measured: snapshots at the bounds of the phases (see summarize()). Throws ExperimentError with a
-// clear line if the run can't be made or was broken off; no process is left then either.
+// Returns the measurements: snapshots at the beginning and end of each phase (see summarize()). Throws
+// ExperimentError that tells the reason if the run can't be started or was aborted. All processes have ended
+// in either case.
 nlohmann::json run_experiment(Experiment experiment, const RunOptions& options);
 
 }  // namespace coralhitch::scale
--- a/scale/runner/fault_injector.cpp
+++ b/scale/runner/fault_injector.cpp
@@ -6,8 +6,9 @@
 namespace {
 using nlohmann::json;
 
-// In a roll, each controller has three times `back_s` to come back and settle.
-constexpr double roll_interval = 4;  // times `back_s`
+// Time between two kills in a rolling restart, as a multiple of `back_s`. After its restart each controller
+// has three times `back_s` to start and become stable.
+constexpr double roll_interval = 4;
 
 }  // namespace
 
--- a/scale/runner/fault_injector.hpp
+++ b/scale/runner/fault_injector.hpp
@@ -1,4 +1,4 @@
-// Makes the faults of an experiment at their times.
+// Injects the faults of an experiment at their times.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -11,23 +11,27 @@
 
 namespace coralhitch::scale {
 
+// Kills and restarts controllers itself, and forwards other faults to the infrastructure process.
 class FaultInjector {
   public:
-    // The run that the faults are made in.
+    // The run into which the faults are injected.
     class Run {
       public:
         virtual ~Run() = default;
-        [[nodiscard]] virtual std::uint32_t leader() const = 0;  // index of the controller
+        // Returns the index of the leading controller, as last reported by the key-value store.
+        [[nodiscard]] virtual std::uint32_t leader() const = 0;
+        // Returns the seconds since the beginning of the run.
         [[nodiscard]] virtual double elapsed_s() const = 0;
+        // Returns the name of the current phase or stage.
         [[nodiscard]] virtual const std::string& stage() const = 0;
-        // What was done, as the result file has it.
+        // Adds an injected fault to the results, in the form of the result file.
         virtual void record_fault(const nlohmann::json& fault) = 0;
     };
 
     // All must outlive this.
     FaultInjector(event_loop::EventLoop& loop, const Experiment& experiment, ClusterProcesses& processes,
                   ControlClient& control, Run& run);
-    // From now on, when the first phase begins.
+    // Schedules all faults relative to the present time, which must be the beginning of the first phase.
     void schedule_all();
 
   private:
--- a/scale/runner/interrupt_signals.cpp
+++ b/scale/runner/interrupt_signals.cpp
@@ -34,7 +34,7 @@
 }
 
 void InterruptSignals::read_signals() {
-    // A signal that was not read would end the process once it is let through again.
+    // Read all pending signals, since an unread signal would end the process once the signals are unblocked.
     signalfd_siginfo info{};
     while (::read(signals_.get(), &info, sizeof info) > 0) {
     }
--- a/scale/runner/interrupt_signals.hpp
+++ b/scale/runner/interrupt_signals.hpp
@@ -1,4 +1,4 @@
-// Signals that ask the program to end, as events of its loop.
+// Handles signals that ask the program to end as events of its event loop.
 #pragma once
 #include <functional>
 
@@ -7,7 +7,7 @@
 
 namespace coralhitch::scale {
 
-// While it lives, SIGINT, SIGTERM and SIGHUP call `on_interrupt` in place of ending the process.
+// During its lifetime, SIGINT, SIGTERM and SIGHUP call `on_interrupt` instead of ending the process.
 class InterruptSignals {
   public:
     // `loop` must outlive this.
--- a/scale/runner/preflight_checks.cpp
+++ b/scale/runner/preflight_checks.cpp
@@ -11,11 +11,11 @@
 namespace coralhitch::scale {
 namespace {
 
-// Of a hollow worker: it listens, has one connection to a controller, and is asked by up to four others at a
-// time.
+// File descriptors of a hollow worker: a listening socket, a connection to a controller, and connections from
+// up to four other controllers at a time.
 constexpr std::uint64_t descriptors_per_worker = 6, other_descriptors = 512;
 
-// Below the ports that the kernel gives to connections.
+// Candidates for the base port. They are below the kernel's range of ephemeral ports.
 constexpr std::uint32_t first_port_base = 10000, port_base_step = 100, port_bases = 200, port_base_tries = 40,
                         bases_per_try = 7;
 
@@ -52,14 +52,14 @@
 
 void check_descriptors(const Experiment& experiment) {
     auto limit = raise_descriptor_limit();
-    // A tenth more than its share: machines that were replaced are there for a while beside the new ones.
+    // Allows a tenth more workers than the equal share, since replaced machines exist for a while beside the
+    // new ones.
     auto workers =
         (experiment.workers * 11ULL / 10 + experiment.worker_processes) / experiment.worker_processes;
     auto needed = workers * descriptors_per_worker + other_descriptors;
     if (limit < needed)
-        throw ExperimentError("too few file descriptors: a process of workers needs " +
-                              std::to_string(needed) + ", the limit is " + std::to_string(limit) +
-                              "; raise it or 'worker_processes'");
+        throw ExperimentError("too few file descriptors: a worker process needs " + std::to_string(needed) +
+                              ", the limit is " + std::to_string(limit) + "; raise it or 'worker_processes'");
     if (limit < experiment.limits.sockets)
         throw ExperimentError("too few file descriptors: limits.sockets is " +
                               std::to_string(experiment.limits.sockets) + ", the limit is " +
@@ -68,7 +68,7 @@
 
 void choose_ports(Experiment& experiment) {
     if (experiment.port_base) return check_ports(experiment);
-    auto start = static_cast<std::uint32_t>(::getpid());  // so that runs at the same time try others
+    auto start = static_cast<std::uint32_t>(::getpid());  // concurrent runs begin with different ports
     for (std::uint32_t tried = 1; true; ++tried) {
         auto base = (start + (tried - 1) * bases_per_try) % port_bases;
         experiment.port_base = static_cast<std::uint16_t>(first_port_base + base * port_base_step);
--- a/scale/runner/preflight_checks.hpp
+++ b/scale/runner/preflight_checks.hpp
@@ -1,4 +1,5 @@
-// What must hold before a run starts anything. All throw ExperimentError that says what is missing.
+// Checks of the preconditions of a run, made before any process is started. All throw an ExperimentError that
+// says what is missing.
 #pragma once
 #include <string>
 
@@ -6,11 +7,12 @@
 
 namespace coralhitch::scale {
 
+// Checks that the program can be executed.
 void check_executable(const std::string& program);
-// Raises the limit of file descriptors as far as it goes, and checks that it is enough for any of the
-// processes.
+// Raises the limit of file descriptors as far as possible, and checks that it is high enough for each
+// process.
 void check_descriptors(const Experiment& experiment);
-// Chooses the base of the ports if the experiment names none, and checks that they are free.
+// Chooses a base port if the experiment sets none, and checks that the ports of the experiment are free.
 void choose_ports(Experiment& experiment);
 
 }  // namespace coralhitch::scale
--- a/scale/runner/run_command.cpp
+++ b/scale/runner/run_command.cpp
@@ -20,7 +20,7 @@
     return std::filesystem::read_symlink("/proc/self/exe");
 }
 
-// The overrides of each run of a sweep; of one run without any if there is no sweep.
+// Returns the overrides of each run of a sweep, or no overrides for a single run if there is no sweep.
 std::vector<std::vector<std::string>> overrides_of_runs(const std::string& sweep) {
     if (sweep.empty()) return {{}};
     auto equals = sweep.find('=');
@@ -47,7 +47,8 @@
     return options;
 }
 
-// The run's result; its failures are printed.
+// Runs the experiment once and prints its results and failures. Returns the results, and sets `failed` if
+// there are failures.
 json run_once(const RunArguments& arguments, RunOptions options, bool& failed) {
     WorkDirectory directory(arguments.keep_directory);
     if (arguments.keep_directory) std::cerr << "settings and logs: " << directory.path() << "\n";
@@ -82,7 +83,7 @@
     for (auto& more_overrides : overrides_of_runs(arguments.sweep)) {
         results.push_back(run_once(arguments, options_of(arguments, more_overrides), failed));
         if (arguments.results_file.empty()) continue;
-        // After each run: what was measured stays if the next one is broken off.
+        // The file is written after each run, so that results are kept if the next run is aborted.
         std::ofstream out(arguments.results_file);
         if (!(out << (arguments.sweep.empty() ? results[0] : results).dump(1) << "\n"))
             throw ExperimentError(arguments.results_file + ": can't be written");
--- a/scale/runner/run_options.hpp
+++ b/scale/runner/run_options.hpp
@@ -1,4 +1,4 @@
-// How one run of an experiment is to be made.
+// Options of one run of an experiment.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,13 +7,14 @@
 
 namespace coralhitch::scale {
 
+// Paths of programs and files, and options of the command line.
 struct RunOptions {
-    std::string self;        // this program
-    std::string controller;  // the service's program
-    std::string directory;   // for settings and logs; exists
-    std::string file;        // of the experiment; the processes read it and the overrides again
+    std::string self;        // path of this program
+    std::string controller;  // path of the controller program
+    std::string directory;   // existing directory for settings and logs
+    std::string file;        // experiment file; the started processes also read it, with the same overrides
     std::vector<Override> overrides;
-    bool quiet = false;  // no progress lines
+    bool quiet = false;  // print no progress lines
 };
 
 }  // namespace coralhitch::scale
--- a/scale/runner/snapshot_collector.cpp
+++ b/scale/runner/snapshot_collector.cpp
@@ -6,7 +6,7 @@
 namespace coralhitch::scale {
 using nlohmann::json;
 
-// One snapshot under way.
+// A snapshot for which some answers are outstanding.
 struct SnapshotCollector::Collection {
     json snapshot = json::object();
     std::size_t answers_left = 0;
@@ -46,7 +46,7 @@
         ask(experiment_.worker_control_addr(process), "/workers/workers-" + std::to_string(process));
 }
 
-// One that is down has an empty row.
+// Requests the controllers' metrics. A controller that is down gets an empty object.
 void SnapshotCollector::ask_controllers(const std::shared_ptr<Collection>& collection) {
     for (std::uint32_t index = 0; index < experiment_.controllers; ++index) {
         auto label = Experiment::controller_label(index);
--- a/scale/runner/snapshot_collector.hpp
+++ b/scale/runner/snapshot_collector.hpp
@@ -1,4 +1,4 @@
-// Snapshots of all that the processes of a run count.
+// Takes snapshots of the statistics of all processes of a run.
 #pragma once
 #include <functional>
 #include <memory>
@@ -11,6 +11,7 @@
 
 namespace coralhitch::scale {
 
+// Requests the statistics of all processes and combines the answers.
 class SnapshotCollector {
   public:
     using OnSnapshot = std::function<void(const nlohmann::json&)>;
@@ -19,8 +20,10 @@
     SnapshotCollector(event_loop::EventLoop& loop, const Experiment& experiment,
                       const ClusterProcesses& processes, ControlClient& control);
 
-    // All of this moment, as near to each other as requests come: time `t`, usage of `processes`, metrics of
-    // `controllers`, and what the `users`, `infrastructure` and `workers` processes say.
+    // Takes a snapshot and passes it to `on_snapshot` once all processes have answered. The statistics are
+    // from slightly different times, since each process is asked separately. Keys: time `t`, resource usage
+    // of `processes`, metrics of `controllers`, and statistics of the `users`, `infrastructure` and `workers`
+    // processes.
     void collect(const OnSnapshot& on_snapshot);
 
   private:
--- a/scale/runner/work_directory.hpp
+++ b/scale/runner/work_directory.hpp
@@ -1,13 +1,13 @@
-// A directory for the settings and logs of one run.
+// The directory for settings and logs of one run.
 #pragma once
 #include <string>
 
 namespace coralhitch::scale {
 
-// Below the temporary directory; removed at the end unless it is to be kept.
+// A new directory below the temporary directory. The destructor removes it unless `keep` is set.
 class WorkDirectory {
   public:
-    // Throws ExperimentError if it can't be made.
+    // Throws ExperimentError if the directory can't be created.
     explicit WorkDirectory(bool keep);
     ~WorkDirectory();
     WorkDirectory(const WorkDirectory&) = delete;
