--- a/scale/report/controller_metrics.cpp
+++ b/scale/report/controller_metrics.cpp
@@ -3,12 +3,12 @@
 namespace coralhitch::scale {
 namespace {
 
-// A field of the result files, and the metric that it is read from.
+// A field of the result files, and the metric from which it is read.
 struct ResultField {
     const char* field = "";
     const char* metric = "";
-    // Of a metric with a label: the label's name. The field's name is then followed by the label's value and
-    // by `suffix`.
+    // Name of the metric's label, or nullptr. If there is a label, the name of the result field is `field`,
+    // the label's value and `suffix`, joined.
     const char* label = nullptr;
     const char* suffix = "";
 };
@@ -53,7 +53,8 @@
     {"queue_", "coralhitch_kv_request_longest_wait_seconds", "queue", "_longest_wait_s"},
 };
 
-// Result files call the queue of reads as the first of them did.
+// Returns the name of a label value in the result files. They call the queue of reads `looks`, its name in
+// the first version.
 std::string label_in_results(const ResultField& field, const std::string& label_value) {
     return std::string_view(field.field) == "queue_" && label_value == "reads" ? "looks" : label_value;
 }
--- a/scale/report/json_numbers.hpp
+++ b/scale/report/json_numbers.hpp
@@ -1,4 +1,4 @@
-// Numbers out of and into result files.
+// Reads numbers from result files and rounds numbers for them.
 #pragma once
 #include <cstdio>
 #include <cstdlib>
@@ -7,13 +7,13 @@
 
 namespace coralhitch::scale {
 
-// 0 if there is no number at the JSON pointer.
+// Returns the number at the JSON pointer, or 0 if there is none.
 inline double number_at(const nlohmann::json& document, const std::string& pointer) {
     nlohmann::json::json_pointer place(pointer);
     return document.contains(place) && document.at(place).is_number() ? document.at(place).get<double>() : 0;
 }
 
-// To four significant digits: results of one run are not exact, and files of them are read by people.
+// Rounds to four significant digits, since results of one run are not exact and people read the result files.
 inline double rounded(double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%.4g", value);
--- a/scale/report/phase_summary.cpp
+++ b/scale/report/phase_summary.cpp
@@ -60,10 +60,10 @@
 
 // --- Hollow workers -------------------------------------------------------------------------------------
 
-// Of the hollow workers of all processes.
+// Totals over the hollow workers of all processes. `lateness_s` is the maximum.
 struct WorkerTotals {
     double workers = 0, tasks = 0, cores = 0, lateness_s = 0;
-    std::map<std::string, double> growth;  // of each counter in the interval
+    std::map<std::string, double> growth;  // growth of each counter in the interval
 
     double of(const std::string& counter) const {
         auto it = growth.find(counter);
--- a/scale/report/prometheus_text.cpp
+++ b/scale/report/prometheus_text.cpp
@@ -20,7 +20,7 @@
     while (!text.empty()) {
         auto line = text.substr(0, text.find('\n'));
         text.remove_prefix(std::min(text.size(), line.size() + 1));
-        // Label values may hold spaces, so that the last one is what separates the value.
+        // Label values may contain spaces, so the value is what follows the last space.
         auto space = line.rfind(' ');
         if (line.starts_with('#') || space == std::string_view::npos) continue;
         auto series = line.substr(0, space);
--- a/scale/report/prometheus_text.hpp
+++ b/scale/report/prometheus_text.hpp
@@ -1,4 +1,4 @@
-// Samples out of Prometheus' text format, as far as the controllers use it.
+// Parses the part of Prometheus' text format that the controllers use.
 #pragma once
 #include <map>
 #include <optional>
@@ -8,20 +8,21 @@
 
 namespace coralhitch::scale {
 
+// The samples of one text.
 class PrometheusText {
   public:
-    // Comments and lines that are no samples are skipped.
+    // Parses the text. Skips comments and lines that are not samples.
     explicit PrometheusText(std::string_view text);
 
-    // Of a metric without labels; nothing if it is not served.
+    // Returns the value of a metric without labels, or std::nullopt if the text does not have the metric.
     [[nodiscard]] std::optional<double> value(std::string_view metric) const;
-    // The sums of a metric's series by the value of one of its labels.
+    // Returns the sums of a metric's series, grouped by the value of one of its labels.
     [[nodiscard]] std::map<std::string, double> sums_by_label(std::string_view metric,
                                                               std::string_view label) const;
 
   private:
     struct Sample {
-        std::string metric, labels;  // labels: what stands between the braces
+        std::string metric, labels;  // labels: the text between the braces
         double value = 0;
     };
     std::vector<Sample> samples_;
--- a/scale/report/run_failures.hpp
+++ b/scale/report/run_failures.hpp
@@ -1,4 +1,4 @@
-// What makes a run a failure, whatever its figures are.
+// Decides whether a run has failed, independently of its measurements.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -6,7 +6,8 @@
 
 namespace coralhitch::scale {
 
-// Broken rules, no work done, refused jobs: one line each, of what summarize() gave. Empty: the run is good.
+// Returns one line for each failure in the value returned by summarize(): broken rules, no completed work,
+// rejected jobs. Returns an empty list if the run succeeded.
 std::vector<std::string> run_failures(const nlohmann::json& summary);
 
 }  // namespace coralhitch::scale
--- a/scale/report/snapshot_interval.hpp
+++ b/scale/report/snapshot_interval.hpp
@@ -1,22 +1,24 @@
-// Two snapshots of all processes, and how much their counters grew between them.
+// Compares two snapshots of all processes and calculates the growth of their counters.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
 
 namespace coralhitch::scale {
 
-// Refers to the snapshots: they must outlive it.
+// Keeps references to the snapshots, which must outlive this.
 class SnapshotInterval {
   public:
     SnapshotInterval(const nlohmann::json& before, const nlohmann::json& after);
 
     [[nodiscard]] const nlohmann::json& after() const { return after_; }
     [[nodiscard]] double seconds() const { return seconds_; }
-    // Of the counter at a JSON pointer. Counters of a process that was started again begin at nothing.
+    // Returns the growth of the counter at a JSON pointer. If it fell, its process was restarted, and the
+    // counter is assumed to have begun at 0.
     [[nodiscard]] double growth(const std::string& pointer) const;
-    // Growth a second, rounded.
+    // Returns the growth per second, rounded.
     [[nodiscard]] double rate(const std::string& pointer) const;
-    // Of all numbers of the object at a JSON pointer, by name; empty if there is none.
+    // Returns the rates of all numbers of the object at a JSON pointer, by name. Returns an empty object if
+    // there is no object.
     [[nodiscard]] nlohmann::json rates(const std::string& pointer) const;
 
   private:
--- a/scale/report/summary.cpp
+++ b/scale/report/summary.cpp
@@ -22,7 +22,7 @@
              {"most_memory_mb", rounded(measured.at("most_memory_bytes").get<double>() / 1e6)},
              {"fill", measured.at("fill")},
              {"faults", measured.value("faults", json::array())},
-             // Seconds since the start, stage, machines, tasks on them.
+             // Rows of: seconds since the start, stage, number of machines, number of tasks on them.
              {"course", measured.value("course", json::array())},
              {"phases", json::array()}};
     for (auto& phase : measured.at("phases")) out["phases"].push_back(summarize_phase(phase));
