--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,5 +1,5 @@
-// coralhitch-scale: real controllers on loopback beside hollow workers, generated load, key-value store and
-// cloud.
+// coralhitch-scale: runs real controllers on the loopback interface, among simulated workers, users,
+// key-value store and cloud.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -14,7 +14,7 @@
 namespace coralhitch::scale {
 namespace {
 
-// Of the processes that `run` starts.
+// Arguments of the processes that `run` starts.
 struct RoleArguments {
     std::string experiment_file;
     std::vector<std::string> overrides;
@@ -35,14 +35,15 @@
     auto* run = app.add_subcommand("run", "run an experiment");
     run->add_option("experiment", arguments.experiment_file, "the experiment (TOML)")->required();
     run->add_option("--controller", arguments.controller,
-                    "the service's program; else coralhitch beside this one");
+                    "the controller program; default: coralhitch in the directory of this program");
     run->add_option("--out", arguments.results_file, "the file for the results (JSON)");
-    run->add_option("--set", arguments.overrides, "KEY=VALUE: another value for a field of the experiment")
+    run->add_option("--set", arguments.overrides,
+                    "KEY=VALUE: replaces the value of a field of the experiment")
         ->take_all();
     run->add_option("--sweep", arguments.sweep, "KEY=V1,V2,...: one run for each value");
     run->add_flag("--keep", arguments.keep_directory, "keep settings and logs");
-    run->add_flag("--raw", arguments.with_snapshots, "snapshots too in the results");
-    run->add_flag("--quiet", arguments.quiet, "no progress lines");
+    run->add_flag("--raw", arguments.with_snapshots, "include the snapshots in the results");
+    run->add_flag("--quiet", arguments.quiet, "print no progress lines");
     return run;
 }
 
@@ -57,12 +58,12 @@
     Commands commands{};
     commands.run = add_run(app, run);
     commands.infrastructure =
-        add_role(app, "infrastructure", "the process of key-value store and cloud; started by `run`", role);
-    commands.workers = add_role(app, "workers", "a process of hollow workers; started by `run`", role);
+        add_role(app, "infrastructure", "simulate the key-value store and the cloud; started by `run`", role);
+    commands.workers = add_role(app, "workers", "simulate hollow workers; started by `run`", role);
     commands.workers->add_option("--process", role.process)->required();
     commands.load =
-        add_role(app, "load", "the process of load, load balancer and checker; started by `run`", role);
-    commands.load->alias("users");  // its name before
+        add_role(app, "load", "simulate the users, with load balancer and checker; started by `run`", role);
+    commands.load->alias("users");  // its former name
     return commands;
 }
 
