--- a/scale/tests/checker_feed_test.cpp
+++ b/scale/tests/checker_feed_test.cpp
@@ -7,6 +7,7 @@
 namespace coralhitch::scale {
 namespace {
 
+// Records the names of the steps in the order in which they run.
 struct Steps {
     CheckerFeed feed{{}, 2};
     std::string done;
@@ -15,7 +16,7 @@
     }
 };
 
-TEST(CheckerFeed, WaitsUntilEveryProcessHasReportedAllUpToAStep) {
+TEST(CheckerFeed, WaitsUntilEveryProcessHasReportedUpToTheStep) {
     Steps steps;
     steps.add(1, 'a');
     steps.feed.events_complete(0, 5);
@@ -38,7 +39,7 @@
     EXPECT_EQ(steps.done, "abcd");
     EXPECT_EQ(steps.feed.waiting(), 1u);
 }
-TEST(CheckerFeed, HandsOnTheTimeOfTheStep) {
+TEST(CheckerFeed, PassesTheTimeToTheStep) {
     Steps steps;
     double seen = 0;
     steps.feed.add(2.5, [&](verification::Checker&, double time) { seen = time; });
--- a/scale/tests/checker_test.cpp
+++ b/scale/tests/checker_test.cpp
@@ -1,4 +1,5 @@
-// For each rule a history that breaks it, and the same without the break.
+// Checks each rule of the checker with a history of events that breaks the rule, and several rules also with
+// a similar history that does not.
 #include "verification/checker.hpp"
 
 #include <gtest/gtest.h>
@@ -18,8 +19,8 @@
 }
 struct History {
     const char* name;
-    const char* rule;  // "": none is broken
-    void (*happens)(Checker&);
+    const char* broken_rule;  // "": none is broken
+    void (*replay)(Checker&);
 };
 void begin(Checker& checker, const protocol::Job& submitted) {
     checker.submitted(submitted);
@@ -54,12 +55,12 @@
     {"at_limit", "",
      [](Checker& checker) {
          begin(checker, job("j-1", 3));
-         for (std::uint32_t k = 0; k < 3; ++k) checker.task_started(1, "a1", {"j-1", k});
+         for (std::uint32_t index = 0; index < 3; ++index) checker.task_started(1, "a1", {"j-1", index});
      }},
     {"over_limit", "quota",
      [](Checker& checker) {
          begin(checker, job("j-1", 4));
-         for (std::uint32_t k = 0; k < 4; ++k) checker.task_started(1, "a1", {"j-1", k});
+         for (std::uint32_t index = 0; index < 4; ++index) checker.task_started(1, "a1", {"j-1", index});
      }},
     {"spot", "wrong_place (spot)",
      [](Checker& checker) {
@@ -169,26 +170,26 @@
 class Histories : public testing::TestWithParam<History> {};
 INSTANTIATE_TEST_SUITE_P(Rules, Histories, testing::ValuesIn(histories),
                          [](auto& info) { return std::string(info.param.name); });
-TEST_P(Histories, SeesExactlyWhatIsBroken) {
+TEST_P(Histories, ReportsExactlyTheBrokenRule) {
     Checker checker({10, {{"t", {3, 0}}}});
     checker.machine_added("a1", {"m", "a", false, {8, 0, 8}});
     checker.machine_added("b1", {"m", "b", false, {8, 0, 8}});
     checker.machine_added("b2", {"m", "b", true, {8, 0, 8}});
-    GetParam().happens(checker);
-    std::string rule = GetParam().rule;
+    GetParam().replay(checker);
+    std::string rule = GetParam().broken_rule;
     ASSERT_EQ(checker.violations().size(), rule.empty() ? 0u : 1u)
         << (checker.violations().empty() ? "" : checker.violations()[0]);
     if (rule.empty()) return;
     EXPECT_NE(checker.violations()[0].find(rule), std::string::npos) << checker.violations()[0];
 }
-TEST(Checker, GivesBackWhatEnds) {
+TEST(Checker, ReleasesTheQuotaOfEndedTasks) {
     Checker checker({10, {{"t", {1, 0}}}});
     checker.machine_added("a1", {"m", "a", false, {8, 0, 8}});
     begin(checker, job("j-1", 2));
-    for (std::uint32_t k = 0; k < 2; ++k) {
-        checker.task_started(k, "a1", {"j-1", k});
+    for (std::uint32_t index = 0; index < 2; ++index) {
+        checker.task_started(index, "a1", {"j-1", index});
         EXPECT_EQ(checker.tasks_on_machines(), 1u);
-        checker.task_ended("a1", {"j-1", k}, protocol::ExitCause::done);
+        checker.task_ended("a1", {"j-1", index}, protocol::ExitCause::done);
         EXPECT_EQ(checker.tasks_on_machines(), 0u);
     }
     EXPECT_TRUE(checker.violations().empty());
--- a/scale/tests/controller_metrics_test.cpp
+++ b/scale/tests/controller_metrics_test.cpp
@@ -1,5 +1,5 @@
-// Result files hold the same figures whether a controller serves them under its metrics' names or under those
-// of the release before.
+// Result files must have the same fields and values for metrics under their present names as for those under
+// the names of the previous release. Otherwise results of different versions could not be compared.
 #include "scale/report/controller_metrics.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,8 @@
 namespace coralhitch::scale {
 namespace {
 
-// A controller's metrics with a different value in each series, two series for each metric with a label.
+// Returns a controller's metrics with a different value in each series, and two series for each metric with a
+// label.
 std::string text_with_every_metric() {
     metrics::Metrics metrics;
     double value = 0.5;
@@ -29,8 +30,8 @@
     return metrics.text();
 }
 
-// Can only be checked while the old series are served.
-TEST(ControllerMetrics, HaveTheValuesOfTheReleaseBefore) {
+// This can be checked only while controllers still serve the old series.
+TEST(ControllerMetrics, EqualThoseOfThePreviousRelease) {
     PrometheusText text(text_with_every_metric());
     auto metrics = read_controller_metrics(text);
     EXPECT_EQ(metrics.events, text.sums_by_label("coralhitch_events_total", "event"));
@@ -44,7 +45,7 @@
     EXPECT_EQ(metrics.planning_rounds, 2);
     EXPECT_DOUBLE_EQ(metrics.planning_s, 0.75);
 }
-TEST(ControllerMetrics, LeaveOutWhatIsNotServed) {
+TEST(ControllerMetrics, OmitMetricsThatAreNotServed) {
     auto metrics =
         read_controller_metrics(PrometheusText("# HELP coralhitch_live_jobs Jobs\ncoralhitch_live_jobs 7\n"));
     EXPECT_TRUE(metrics.events.empty());
--- a/scale/tests/controller_settings_test.cpp
+++ b/scale/tests/controller_settings_test.cpp
@@ -9,8 +9,8 @@
 namespace coralhitch::scale {
 namespace {
 
-// The controllers themselves read them.
-TEST(ControllerSettings, AreTakenByControllers) {
+// Parses the settings with the controllers' own parser, since a difference would prevent a run from starting.
+TEST(ControllerSettings, AreAcceptedByControllers) {
     auto experiment =
         parse_experiment(smallest_experiment, "f", {{"port_base", "20000"}, {"load.tight_cpus", "3"}});
     auto settings = config::parse_settings(controller_settings(experiment, 1), "settings");
--- a/scale/tests/experiment_file_test.cpp
+++ b/scale/tests/experiment_file_test.cpp
@@ -1,4 +1,5 @@
-// What an experiment's file may hold, and that all else is refused by name.
+// An experiment file with an error must be rejected with a text that names the field, instead of running
+// another experiment than was meant.
 #include "scale/config/experiment_file.hpp"
 
 #include <gtest/gtest.h>
@@ -8,12 +9,12 @@
 namespace coralhitch::scale {
 namespace {
 
-struct Bad {
+struct InvalidFile {
     const char* name;
     std::string text;
-    const char* said;
+    const char* expected_error;
 };
-const Bad bad[] = {
+const InvalidFile invalid_files[] = {
     {"empty", "", "field 'name' is missing"},
     {"syntax", "name = ", "line 1"},
     {"unknown", "wrokers = 3\n" + smallest_experiment, "field 'wrokers' is not known"},
@@ -31,15 +32,16 @@
     {"lease", smallest_experiment + "[worker]\nlease_s = 60\ncancel_s = 61\n",
      "must be at least lease_s + report_s"},
 };
-class BadExperiment : public testing::TestWithParam<Bad> {};
-INSTANTIATE_TEST_SUITE_P(Experiments, BadExperiment, testing::ValuesIn(bad),
+class InvalidExperiment : public testing::TestWithParam<InvalidFile> {};
+INSTANTIATE_TEST_SUITE_P(Experiments, InvalidExperiment, testing::ValuesIn(invalid_files),
                          [](auto& info) { return std::string(info.param.name); });
-TEST_P(BadExperiment, IsRefusedByName) {
+TEST_P(InvalidExperiment, IsRejectedWithTheExpectedError) {
     try {
         parse_experiment(GetParam().text, "file.toml");
-        FAIL() << "was taken";
+        FAIL() << "the invalid file was accepted";
     } catch (const ExperimentError& error) {
-        EXPECT_NE(std::string(error.what()).find(GetParam().said), std::string::npos) << error.what();
+        EXPECT_NE(std::string(error.what()).find(GetParam().expected_error), std::string::npos)
+            << error.what();
         EXPECT_TRUE(std::string(error.what()).starts_with("file.toml: "));
     }
 }
--- a/scale/tests/image_cache_test.cpp
+++ b/scale/tests/image_cache_test.cpp
@@ -5,13 +5,13 @@
 namespace coralhitch::scale {
 namespace {
 
-TEST(ImageCache, WaitsForAFetchThatIsUnderWay) {
+TEST(ImageCache, ReturnsTheRemainingTimeOfAFetchInProgress) {
     ImageCache cache(10);
     cache.fetch("a", 4, 100, 8);
     EXPECT_EQ(cache.use("a", 102), 6);
     EXPECT_EQ(cache.use("a", 109), 0);
 }
-TEST(ImageCache, EvictsWhatWasUsedLongestAgo) {
+TEST(ImageCache, EvictsTheLeastRecentlyUsedImage) {
     ImageCache cache(10);
     cache.fetch("a", 4, 0, 1);
     cache.fetch("b", 4, 1, 1);
@@ -21,7 +21,7 @@
     EXPECT_FALSE(cache.has("b"));
     EXPECT_TRUE(cache.has("c"));
 }
-TEST(ImageCache, KeepsTheImageInUseThoughItIsTooLarge) {
+TEST(ImageCache, KeepsTheLastUsedImageEvenIfItIsTooLarge) {
     ImageCache cache(10);
     cache.fetch("a", 4, 0, 1);
     cache.fetch("b", 11, 1, 1);
--- a/scale/tests/in_memory_kv_store_test.cpp
+++ b/scale/tests/in_memory_kv_store_test.cpp
@@ -1,5 +1,5 @@
-// The stand-in for the key-value store keeps to the protocol: what it allowed beyond it would flatter the
-// store.
+// The simulated key-value store must enforce the protocol. If it were more permissive, experiments would
+// report results that controllers can't reach with a real store.
 #include "scale/kv/in_memory_kv_store.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,8 @@
     InMemoryKvStore store;
     explicit StoreFixture(const KvStoreSettings& settings = {1000, 1000, 1, 3, 0.001, 0, 0})
         : store(timers, settings, 1) {}
-    // The answer, which comes within a second of simulated time; status 0 if none did.
+    // Sends a request and returns the answer, or status 0 if there is no answer within a second of simulated
+    // time.
     http::Response ask(const std::string& method, const std::string& target, const std::string& body = "") {
         http::Response answer{0, ""};
         store.handle({method, target, body}, [&](http::Response response) { answer = std::move(response); });
@@ -30,7 +31,7 @@
     }
 };
 
-TEST(InMemoryKvStore, ChangesOnlyOnTheVersionsNamed) {
+TEST(InMemoryKvStore, AppliesTransactionsOnlyIfVersionsMatch) {
     StoreFixture store;
     EXPECT_EQ(store.put("a/1", 0), 200);
     EXPECT_EQ(store.put("a/1", 0), 409);
@@ -50,7 +51,7 @@
     EXPECT_EQ(rest.entries[0].key, "a/3");
     EXPECT_FALSE(rest.more);
 }
-TEST(InMemoryKvStore, WatchesWaitForTheirPrefix) {
+TEST(InMemoryKvStore, AnswersAWatchOnlyWhenItsPrefixChanges) {
     StoreFixture store;
     store.put("a/1", 0);
     std::optional<http::Response> answer;
@@ -65,7 +66,7 @@
     EXPECT_EQ(events.events[0].key, "a/2");
     EXPECT_EQ(events.events[0].version, 3u);
 }
-TEST(InMemoryKvStore, ALeaseEndsWithItsKeysUnlessRenewed) {
+TEST(InMemoryKvStore, DeletesTheKeysOfALeaseThatIsNotRenewed) {
     StoreFixture store;
     auto lease = protocol::parse_lease(store.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
     EXPECT_EQ(store.put("a/1", 0, R"(,"mooring":)" + std::to_string(lease)), 200);
@@ -78,7 +79,7 @@
     EXPECT_EQ(store.ask("POST", protocol::paths::lease_renew(lease)).status, 404);
     EXPECT_EQ(store.put("a/2", 0, R"(,"mooring":)" + std::to_string(lease)), 400);
 }
-TEST(InMemoryKvStore, AnOutageGivesLeasesTheirTimeAgain) {
+TEST(InMemoryKvStore, RestoresTheTimeToLiveOfLeasesAfterAnOutage) {
     StoreFixture store;
     auto lease = protocol::parse_lease(store.ask("POST", "/holds", R"({"ttl_ms":5000})").body);
     store.store.begin_outage(20);
@@ -86,11 +87,13 @@
     store.timers.run_until(store.timers.now() + 23);
     EXPECT_EQ(store.ask("POST", protocol::paths::lease_renew(lease)).status, 200);
 }
+// A transaction at or above a limit, and the expected status.
 struct Limit {
     const char* name;
     std::string body;
     int status;
 };
+// Returns a transaction that puts `count` keys with values of `bytes` characters.
 std::string puts(int count, std::size_t bytes = 1) {
     std::string out = R"({"if":[],"then":[)";
     for (int index = 0; index < count; ++index)
@@ -107,10 +110,10 @@
 class InMemoryKvStoreLimits : public testing::TestWithParam<Limit> {};
 INSTANTIATE_TEST_SUITE_P(Limits, InMemoryKvStoreLimits, testing::ValuesIn(limits),
                          [](auto& info) { return std::string(info.param.name); });
-TEST_P(InMemoryKvStoreLimits, AreKept) {
+TEST_P(InMemoryKvStoreLimits, AreEnforced) {
     EXPECT_EQ(StoreFixture().ask("POST", "/txn", GetParam().body).status, GetParam().status);
 }
-TEST(InMemoryKvStore, RefusesWhatIsBeyondItsRates) {
+TEST(InMemoryKvStore, RejectsRequestsAboveTheRateLimits) {
     StoreFixture store({4, 2, 1, 3, 0.001, 0, 0});
     int refused = 0;
     for (int request = 0; request < 6; ++request)
--- a/scale/tests/run_failures_test.cpp
+++ b/scale/tests/run_failures_test.cpp
@@ -5,7 +5,7 @@
 namespace coralhitch::scale {
 namespace {
 
-TEST(RunFailures, NameBrokenRulesAndWorkThatWasNotDone) {
+TEST(RunFailures, IncludeBrokenRulesAndMissingWork) {
     nlohmann::json end{{"broken", nlohmann::json::array()},
                        {"tasks_begun", 5},
                        {"tasks_done", 4},
--- a/scale/tests/smallest_experiment.hpp
+++ b/scale/tests/smallest_experiment.hpp
@@ -1,10 +1,10 @@
-// Text of an experiment file for tests.
+// An experiment file for tests.
 #pragma once
 #include <string>
 
 namespace coralhitch::scale {
 
-// The least that an experiment needs.
+// Text of an experiment file with only the required fields.
 inline const std::string smallest_experiment = R"(name = "x"
 workers = 30
 tasks_per_worker = 4
--- a/scale/tests/snapshot_interval_test.cpp
+++ b/scale/tests/snapshot_interval_test.cpp
@@ -16,10 +16,10 @@
     EXPECT_EQ(interval.rate("/counts/a"), 1.5);
     EXPECT_EQ(interval.growth("/counts/missing"), 0);
 }
-TEST(SnapshotInterval, TakesACounterThatFellForOneThatBeganAgain) {
+TEST(SnapshotInterval, TreatsADecreasedCounterAsRestartedFromZero) {
     EXPECT_EQ(SnapshotInterval(before, after).growth("/counts/b"), 2);
 }
-TEST(SnapshotInterval, GivesRatesOfAllNumbers) {
+TEST(SnapshotInterval, ReturnsRatesOfAllNumbers) {
     SnapshotInterval interval(before, after);
     EXPECT_EQ(interval.rates("/counts"), (json{{"a", 1.5}, {"b", 0.5}}));
     EXPECT_EQ(interval.rates("/missing"), json::object());
