--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Slopes from results of coralhitch-scale: least squares of each figure on what it grows with.
+"""Fits results of coralhitch-scale: each figure by least squares to the quantities with which it grows.
 
     python3 scale/slopes.py docs/capacity/*.json
 
-Prints a table: the fit, the largest and the mean residual, and how many phases it was made of.
+Prints a table: the fit, the largest and the mean residual, and the number of phases in the fit.
 """
 import dataclasses
 import json
@@ -11,11 +11,11 @@
 import sys
 from collections.abc import Callable
 
-SINGULAR = 1e-12  # a pivot below this: the points don't tell the terms apart
+MIN_PIVOT = 1e-12  # below this the matrix counts as singular: the terms are collinear in the points
 
 
-class CannotTellApart(ValueError):
-    """The terms of a fit grow together in all points."""
+class CollinearTermsError(ValueError):
+    """The terms of a fit are collinear in all points, so their coefficients can't be determined."""
 
 
 # --- Least squares ------------------------------------------------------------------------------------------------
@@ -31,18 +31,18 @@
 class Fit:
     coefficients: list[float]
     largest_residual: float
-    mean_residual: float  # root of the mean square
+    mean_residual: float  # root mean square
 
 
 def solve(matrix, constants):
-    """Gaussian elimination with pivots; the matrix is square."""
+    """Solves linear equations by Gaussian elimination with pivoting. The matrix must be square."""
     size = len(constants)
     rows = [[*matrix[index], constants[index]] for index in range(size)]
     for column in range(size):
         pivot = max(range(column, size), key=lambda row: abs(rows[row][column]))
         rows[column], rows[pivot] = rows[pivot], rows[column]
-        if abs(rows[column][column]) < SINGULAR:
-            raise CannotTellApart("the runs do not tell these apart")
+        if abs(rows[column][column]) < MIN_PIVOT:
+            raise CollinearTermsError("the runs do not tell these apart")
         for row in range(size):
             if row == column:
                 continue
@@ -52,7 +52,7 @@
 
 
 def fit(points):
-    """Terms are scaled first, since they differ by orders of magnitude."""
+    """Fits the points by least squares. Scales the terms first, since they differ by orders of magnitude."""
     term_count = len(points[0].terms)
     scales = [max(abs(point.terms[term]) for point in points) or 1 for term in range(term_count)]
     scaled = [[value / scale for value, scale in zip(point.terms, scales)] for point in points]
@@ -151,21 +151,24 @@
 
 @dataclasses.dataclass
 class Line:
-    """A figure and the terms that it is fitted to. KeyError for a phase that doesn't have it."""
+    """A figure and the terms to which it is fitted. `points` raises KeyError if a phase does not have the figure."""
 
     name: str
     phases: tuple[str, ...]
-    terms: list[str]  # names; "": the constant
+    terms: list[str]  # names of the terms; "": the constant term
     points: Callable[[dict], list[Point]]
 
 
 def each_phase(figure, *terms):
-    """One point a phase."""
+    """Returns a function that makes one point for each phase."""
     return lambda phase: [Point([term(phase) for term in terms], figure(phase))]
 
 
 def each_relay(field, *terms):
-    """One point a phase and relaying controller; terms are of the phase, or fields of the controller's row."""
+    """Returns a function that makes one point for each phase and relaying controller.
+
+    A term is a function of the phase, or the name of a field of the controller's row.
+    """
     def points(phase):
         return [Point([row[term] if isinstance(term, str) else term(phase) for term in terms], row[field])
                 for row in relays(phase)]
@@ -225,7 +228,7 @@
         try:
             points += line.points(phase)
         except KeyError:
-            continue  # of a controller that was not there, or took over nothing
+            continue  # the controller was down in this phase, or did not take over
     return points
 
 
@@ -235,7 +238,7 @@
         return f"| {line.name} | too few phases | | {len(points)} |"
     try:
         result = fit(points)
-    except CannotTellApart as error:
+    except CollinearTermsError as error:
         return f"| {line.name} | {error} | | {len(points)} |"
     text = " + ".join(f"{coefficient:.3g}" + (f" × {term}" if term else "")
                       for coefficient, term in zip(result.coefficients, line.terms))
