--- a/scale/tests/ends_test.sh
+++ b/scale/tests/ends_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# A run that can't be made, or is broken off, says why in a line, exits with an error, and leaves no process.
+# Tests that a run which can't be started, or is aborted, prints the reason in one line, exits with an error, and leaves no
+# process running.
 set -uo pipefail
 scale=$1 controller=$2 experiment=$3
 work=$(mktemp -d)
@@ -14,17 +15,17 @@
     cat "$work/err" 2>/dev/null
     exit 1
 }
-# What `run` says and returns: expect TEXT CONTROLLER ARGUMENTS...
+# Checks that `run` fails with status 1 and an error that contains TEXT: expect TEXT CONTROLLER ARGUMENTS...
 expect() {
     local text=$1 program=$2
     shift 2
     TMPDIR=$work timeout 60 "$scale" run "$experiment" --controller "$program" "$@" >"$work/out" 2>"$work/err"
     local status=$?
     [ $status -eq 1 ] || fail "'$text': status $status instead of 1"
-    grep -q "$text" "$work/err" || fail "'$text' was not said"
+    grep -q "$text" "$work/err" || fail "'$text' is not in the error output"
 }
-# Processes that name the directory of the run in their arguments: controllers by their settings, the others by
-# their experiment, which lies there too. (The pattern does not match the arguments of the search itself.)
+# Counts the processes of the run by the work directory in their arguments: controllers have their settings file there, the
+# others the experiment file. (The pattern does not match the arguments of grep itself.)
 left() { grep -ls "[/]${work#/}" /proc/[0-9]*/cmdline | wc -l; }
 gone_within() {
     for _ in $(seq "$1"); do
@@ -52,7 +53,8 @@
 
 (ulimit -n 300 && expect "too few file descriptors" "$controller") || exit 1
 
-# Controllers that take a team's limit for more than it is break a rule, and the run must see it.
+# Controllers that get a higher limit for a team than the experiment sets will break the quota rule. The run must report
+# that.
 cat >"$work/generous" <<END
 #!/bin/sh
 sed -i '/team-tight/,/cpus_max/s/^cpus_max = .*/cpus_max = 60.0/' "\$2"
@@ -62,10 +64,10 @@
 expect "rule broken: .* quota j-" "$work/generous" --set 'faults=[]' --set drain_s=1 \
     --set 'phases=[{name="p",seconds=10,starts_per_worker_s=0.4}]'
 
-# Broken off while all processes are there, in ways that it can and can't answer to.
+# Abort the run while all processes exist, with a signal that it can handle (TERM) and one that it can't (KILL).
 cp "$experiment" "$work/experiment.toml"
 for signal in TERM KILL; do
-    rm -f "$work/err"  # the run before it names machines too
+    rm -f "$work/err"  # the previous run's output also contains "machines"
     TMPDIR=$work "$scale" run "$work/experiment.toml" --controller "$controller" >"$work/out" 2>"$work/err" &
     driver=$!
     started+=("$driver")
@@ -73,14 +75,14 @@
         grep -qs "machines" "$work/err" && break
         sleep 0.1
     done
-    [ "$(left)" -ge 8 ] || fail "SIG$signal: only $(left) processes were there"
+    [ "$(left)" -ge 8 ] || fail "SIG$signal: only $(left) processes were running"
     kill -$signal "$driver"
     wait "$driver" 2>/dev/null
     status=$?
-    gone_within 100 || fail "SIG$signal: $(left) processes are left"
+    gone_within 100 || fail "SIG$signal: $(left) processes are still running"
     if [ $signal = TERM ]; then
         [ $status -eq 1 ] || fail "SIGTERM: status $status instead of 1"
-        grep -q "broken off" "$work/err" || fail "SIGTERM: nothing was said"
+        grep -q "broken off" "$work/err" || fail "SIGTERM: the error output does not contain 'broken off'"
     fi
 done
 echo "all ended"
