--- a/scale/workers/event_reporter.cpp
+++ b/scale/workers/event_reporter.cpp
@@ -10,7 +10,7 @@
 namespace coralhitch::scale {
 namespace {
 constexpr double interval_s = 0.1, retry_after_s = 0.5;
-constexpr int most_tries = 10;
+constexpr int max_attempts = 10;
 }  // namespace
 
 EventReporter::EventReporter(event_loop::EventLoop& loop, http::Client& http, const Experiment& experiment,
@@ -27,7 +27,7 @@
                         {"number", ++last_message_},
                         {"now", loop_.now()},
                         {"events", std::exchange(events_, nlohmann::json::array())}};
-    send(body.dump(), most_tries);
+    send(body.dump(), max_attempts);
 }
 
 void EventReporter::send(const std::string& body, int tries_left) {
