--- a/scale/workers/event_reporter.cpp
+++ b/scale/workers/event_reporter.cpp
@@ -30,15 +30,16 @@
     send(body.dump(), max_attempts);
 }
 
-void EventReporter::send(const std::string& body, int tries_left) {
+void EventReporter::send(const std::string& body, int attempts_left) {
     http_.send(experiment_.load_control_addr(), {"POST", std::string(control_paths::worker_events), body},
-               control_timeout_s, [this, body, tries_left](const std::optional<http::Response>& response) {
+               control_timeout_s, [this, body, attempts_left](const std::optional<http::Response>& response) {
                    if (response && response->status == 200) {
                        loop_.after(interval_s, [this] { report(); });
                        return;
                    }
-                   if (tries_left > 1) {
-                       loop_.after(retry_after_s, [this, body, tries_left] { send(body, tries_left - 1); });
+                   if (attempts_left > 1) {
+                       loop_.after(retry_after_s,
+                                   [this, body, attempts_left] { send(body, attempts_left - 1); });
                        return;
                    }
                    spdlog::error("workers {}: the load process did not accept the events: {}", process_,
--- a/scale/workers/event_reporter.hpp
+++ b/scale/workers/event_reporter.hpp
@@ -25,7 +25,7 @@
 
   private:
     void report();
-    void send(const std::string& body, int tries_left);
+    void send(const std::string& body, int attempts_left);
 
     event_loop::EventLoop& loop_;
     http::Client& http_;
