--- a/scale/workers/event_reporter.cpp
+++ b/scale/workers/event_reporter.cpp
@@ -9,14 +9,14 @@
 
 namespace coralhitch::scale {
 namespace {
-constexpr double interval_s = 0.1, retry_after_s = 0.5;
+constexpr double send_interval_s = 0.1, retry_after_s = 0.5;
 constexpr int max_attempts = 10;
 }  // namespace
 
 EventReporter::EventReporter(event_loop::EventLoop& loop, http::Client& http, const Experiment& experiment,
                              std::uint32_t process)
     : loop_(loop), http_(http), experiment_(experiment), process_(process) {
-    loop_.after(interval_s, [this] { report(); });
+    loop_.after(send_interval_s, [this] { report(); });
 }
 
 // Sends all events recorded since the last message. The message states that it holds every event before
@@ -34,7 +34,7 @@
     http_.send(experiment_.load_control_addr(), {"POST", std::string(control_paths::worker_events), body},
                control_timeout_s, [this, body, attempts_left](const std::optional<http::Response>& response) {
                    if (response && response->status == 200) {
-                       loop_.after(interval_s, [this] { report(); });
+                       loop_.after(send_interval_s, [this] { report(); });
                        return;
                    }
                    if (attempts_left > 1) {
