--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr double shortest_interval_s = 0.5, next_controller_after_s = 1, longest_redirect_wait_s = 0.5,
+constexpr double min_heartbeat_interval_s = 0.5, next_controller_after_s = 1, longest_redirect_wait_s = 0.5,
                  interval_spread = 0.25;
 
 // Limits the client to one connection, so that changing the controller closes the connection to the previous
@@ -59,7 +59,7 @@
 void HeartbeatSender::schedule() {
     if (in_flight_ || stopped_) return;
     double due = regular_due_;
-    if (status_changed_) due = std::min(due, last_sent_ + shortest_interval_s);
+    if (status_changed_) due = std::min(due, last_sent_ + min_heartbeat_interval_s);
     if (timer_ && due >= timer_due_) return;
     context_.loop().cancel(timer_);
     timer_due_ = due;
@@ -69,7 +69,7 @@
     timer_ = 0;
     timer_due_ = never;
     double now = context_.loop().now();
-    bool change_is_due = status_changed_ && now >= last_sent_ + shortest_interval_s;
+    bool change_is_due = status_changed_ && now >= last_sent_ + min_heartbeat_interval_s;
     if (now >= regular_due_ || change_is_due) return send();
     schedule();
 }
