--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr double min_heartbeat_interval_s = 0.5, next_controller_after_s = 1, longest_redirect_wait_s = 0.5,
+constexpr double min_heartbeat_interval_s = 0.5, next_controller_delay_s = 1, longest_redirect_wait_s = 0.5,
                  interval_spread = 0.25;
 
 // Limits the client to one connection, so that changing the controller closes the connection to the previous
@@ -140,7 +140,7 @@
 }
 void HeartbeatSender::turn_to_next_controller() {
     controller_ = (controller_ + 1) % context_.experiment().controllers;
-    regular_due_ = context_.loop().now() + next_controller_after_s;
+    regular_due_ = context_.loop().now() + next_controller_delay_s;
     status_changed_ = false;
 }
 
