--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr double min_heartbeat_interval_s = 0.5, next_controller_delay_s = 1, longest_redirect_wait_s = 0.5,
+constexpr double min_heartbeat_interval_s = 0.5, next_controller_delay_s = 1, max_redirect_delay_s = 0.5,
                  interval_spread = 0.25;
 
 // Limits the client to one connection, so that changing the controller closes the connection to the previous
@@ -133,7 +133,7 @@
     for (std::uint32_t index = 0; named && index < context_.experiment().controllers; ++index) {
         if (*named != Experiment::controller_label(index) || index == controller_) continue;
         controller_ = index;
-        regular_due_ = context_.loop().now() + draw_uniform(context_.random(), 0, longest_redirect_wait_s);
+        regular_due_ = context_.loop().now() + draw_uniform(context_.random(), 0, max_redirect_delay_s);
         return;
     }
     turn_to_next_controller();
