--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -24,7 +24,7 @@
 }
 
 // Returns true if two heartbeats differ only in the sequence number. Returns false if either is malformed.
-bool repeats(const std::string& body, const std::string& last_body) {
+bool differ_only_in_sequence(const std::string& body, const std::string& last_body) {
     auto outline = protocol::outline_heartbeat(body), last_outline = protocol::outline_heartbeat(last_body);
     if (!outline || !last_outline) return false;
     auto before = [](std::string_view text, const auto& of) { return text.substr(0, of.sequence_offset); };
@@ -99,7 +99,7 @@
     ++counts.heartbeats;
     counts.heartbeat_bytes += bytes;
     ++counts.heartbeats_by_controller[Experiment::controller_label(controller_)];
-    if (!repeats(body, last_body_)) return;
+    if (!differ_only_in_sequence(body, last_body_)) return;
     ++counts.repeated_heartbeats;
     counts.repeated_bytes += bytes;
 }
