--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -112,7 +112,7 @@
     agent_.check_lease();
     if (!response) {
         ++counts.unanswered;
-        turn_to_next_controller();
+        switch_to_next_controller();
         return schedule();
     }
     ++counts.answers;
@@ -122,7 +122,7 @@
         on_redirect(response->body);
     } else if (response->status != 200) {
         ++counts.rejected;
-        turn_to_next_controller();
+        switch_to_next_controller();
     } else {
         agent_.handle_answer({agent_epoch, sent_at, response->body});
     }
@@ -136,9 +136,9 @@
         regular_due_ = context_.loop().now() + draw_uniform(context_.random(), 0, max_redirect_delay_s);
         return;
     }
-    turn_to_next_controller();
+    switch_to_next_controller();
 }
-void HeartbeatSender::turn_to_next_controller() {
+void HeartbeatSender::switch_to_next_controller() {
     controller_ = (controller_ + 1) % context_.experiment().controllers;
     regular_due_ = context_.loop().now() + next_controller_delay_s;
     status_changed_ = false;
--- a/scale/workers/heartbeat_sender.hpp
+++ b/scale/workers/heartbeat_sender.hpp
@@ -61,7 +61,7 @@
     void on_answer(protocol::AgentEpoch agent_epoch, double sent_at,
                    const std::optional<http::Response>& response);
     void on_redirect(const std::string& body);
-    void turn_to_next_controller();
+    void switch_to_next_controller();
 
     WorkerContext& context_;
     Agent& agent_;
