--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -10,7 +10,7 @@
 namespace coralhitch::scale {
 namespace {
 
-constexpr double shortest_lease_check_s = 0.0005, server_idle_timeout_s = 600;
+constexpr double lease_check_margin_s = 0.0005, server_idle_timeout_s = 600;
 constexpr std::size_t server_connections = 16;
 
 http::ServerLimits server_limits() {
@@ -146,7 +146,7 @@
 // is then scheduled again.
 void HollowWorker::schedule_lease_check() {
     double left_s = lease_renewed_at_ + context_.experiment().worker.lease_s - context_.loop().now();
-    lease_timer_ = context_.loop().after(std::max(0.0, left_s) + shortest_lease_check_s, guard_([this] {
+    lease_timer_ = context_.loop().after(std::max(0.0, left_s) + lease_check_margin_s, guard_([this] {
                                              if (silent_) return;
                                              check_lease();
                                              schedule_lease_check();
