--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -76,7 +76,7 @@
         return;
     }
     lease_renewed_at_ = std::max(lease_renewed_at_, answer.sent_at);
-    see_token(*orders.token);
+    update_token(*orders.token);
     execute(orders.commands);
 }
 
@@ -106,7 +106,7 @@
         ++context_.counts().rejected_commands;
         return {409, status_body()};
     }
-    see_token(*orders.token);
+    update_token(*orders.token);
     execute(orders.commands);
     return {200, status_body()};
 }
@@ -131,7 +131,7 @@
 
 // Stores a newer fencing token. Requests an early heartbeat at most once in half a lease, so that a new
 // leader learns soon that its token has arrived, without a heartbeat after every answer.
-void HollowWorker::see_token(protocol::FencingToken token) {
+void HollowWorker::update_token(protocol::FencingToken token) {
     if (token <= token_) return;
     token_ = token;
     double now = context_.loop().now();
--- a/scale/workers/hollow_worker.hpp
+++ b/scale/workers/hollow_worker.hpp
@@ -37,7 +37,7 @@
     http::Response serve(const http::Request& request);
     http::Response serve_commands(const http::Request& request);
     void execute(const std::vector<protocol::Command>& commands);
-    void see_token(protocol::FencingToken token);
+    void update_token(protocol::FencingToken token);
     // Lease.
     void schedule_lease_check();
     void check_lease() override;
