--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -12,7 +12,7 @@
 using protocol::TaskState;
 
 // Bounds within which fetch rates and run times are drawn, as ratios to their means.
-constexpr double min_fetch_rate_ratio = 2.0 / 3, fastest_fetch = 4.0 / 3, shortest_run = 0.5,
+constexpr double min_fetch_rate_ratio = 2.0 / 3, max_fetch_rate_ratio = 4.0 / 3, shortest_run = 0.5,
                  longest_run = 1.5;
 
 }  // namespace
@@ -92,7 +92,7 @@
     double now = context_.loop().now();
     if (images_.has(spec.image)) return images_.use(spec.image, now);
     double gb_per_s = context_.experiment().worker.fetch_gb_per_s *
-                      draw_uniform(context_.random(), min_fetch_rate_ratio, fastest_fetch);
+                      draw_uniform(context_.random(), min_fetch_rate_ratio, max_fetch_rate_ratio);
     double fetch_s = spec.image_gb / gb_per_s;
     images_.fetch(spec.image, spec.image_gb, now, fetch_s);
     return fetch_s;
