--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -13,7 +13,7 @@
 
 // Bounds within which fetch rates and run times are drawn, as ratios to their means.
 constexpr double min_fetch_rate_ratio = 2.0 / 3, max_fetch_rate_ratio = 4.0 / 3, min_run_time_ratio = 0.5,
-                 longest_run = 1.5;
+                 max_run_time_ratio = 1.5;
 
 }  // namespace
 
@@ -108,7 +108,8 @@
     if (spec.kind == JobKind::gang)
         end_after(attempt, context_.experiment().worker.gang_wait_s, ExitCause::gang_incomplete);
     if (spec.kind == JobKind::array)
-        end_after(attempt, spec.run_s * draw_uniform(context_.random(), min_run_time_ratio, longest_run),
+        end_after(attempt,
+                  spec.run_s * draw_uniform(context_.random(), min_run_time_ratio, max_run_time_ratio),
                   ExitCause::done);
 }
 
