--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -61,10 +61,10 @@
 // --- Task lifecycle -------------------------------------------------------------------------------------
 
 TaskRunner::Task* TaskRunner::find_fetching(const TaskAttempt& attempt) {
-    auto* task = find_present(attempt);
+    auto* task = find_active(attempt);
     return task && task->state == TaskState::fetching ? task : nullptr;
 }
-TaskRunner::Task* TaskRunner::find_present(const TaskAttempt& attempt) {
+TaskRunner::Task* TaskRunner::find_active(const TaskAttempt& attempt) {
     auto it = tasks_.find(attempt);
     if (halted_ || it == tasks_.end() || it->second.state == TaskState::exited) return nullptr;
     return &it->second;
@@ -120,10 +120,10 @@
 }
 
 void TaskRunner::end(const TaskAttempt& attempt, ExitCause cause, std::optional<double> time) {
-    if (!find_present(attempt)) return;
+    if (!find_active(attempt)) return;
     // A task that would end after the lease's expiry has been killed at the expiry.
     agent_.check_lease();
-    auto* task = find_present(attempt);
+    auto* task = find_active(attempt);
     if (!task) return;
     context_.loop().cancel(task->timer);
     *task = {TaskState::exited, cause, 0, {}};
--- a/scale/workers/task_runner.hpp
+++ b/scale/workers/task_runner.hpp
@@ -76,7 +76,7 @@
     // Returns nullptr unless the task is fetching its image.
     Task* find_fetching(const TaskAttempt& attempt);
     // Returns nullptr unless the task exists and has not ended.
-    Task* find_present(const TaskAttempt& attempt);
+    Task* find_active(const TaskAttempt& attempt);
     [[nodiscard]] std::vector<TaskAttempt> attempts_of(const std::string& job, std::uint64_t attempt,
                                                        protocol::TaskState state) const;
     [[nodiscard]] bool has_another_attempt(const protocol::TaskId& task) const;
