--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -38,7 +38,7 @@
         return agent_.status_changed();
     }
     tasks_[attempt] = {};
-    ++present_;
+    ++active_tasks_;
     ++context_.counts().tasks_started;
     context_.record(event(WorkerEventKind::task_started, attempt));
     agent_.status_changed();
@@ -127,7 +127,7 @@
     if (!task) return;
     context_.loop().cancel(task->timer);
     *task = {TaskState::exited, cause, 0, {}};
-    --present_;
+    --active_tasks_;
     ++context_.counts().tasks_ended;
     ++context_.counts().ends_by_cause[std::to_string(static_cast<int>(cause))];
     auto ended = event(WorkerEventKind::task_ended, attempt);
@@ -148,7 +148,7 @@
     if (std::exchange(halted_, true)) return;
     for (auto& [attempt, task] : tasks_) context_.loop().cancel(task.timer);
     tasks_.clear();
-    present_ = 0;
+    active_tasks_ = 0;
 }
 
 // --- Gangs ----------------------------------------------------------------------------------------------
--- a/scale/workers/task_runner.hpp
+++ b/scale/workers/task_runner.hpp
@@ -59,7 +59,7 @@
 
     [[nodiscard]] std::vector<protocol::TaskStatus> statuses() const;
     // Returns the number of tasks that have not ended.
-    [[nodiscard]] std::size_t present() const { return present_; }
+    [[nodiscard]] std::size_t present() const { return active_tasks_; }
 
   private:
     struct Task {
@@ -88,7 +88,7 @@
     std::string machine_;
     ImageCache images_;
     std::map<TaskAttempt, Task> tasks_;
-    std::size_t present_ = 0;
+    std::size_t active_tasks_ = 0;
     bool halted_ = false;
     event_loop::LifetimeGuard guard_;
 };
