--- a/scale/workers/task_runner.hpp
+++ b/scale/workers/task_runner.hpp
@@ -59,7 +59,7 @@
 
     [[nodiscard]] std::vector<protocol::TaskStatus> statuses() const;
     // Returns the number of tasks that have not ended.
-    [[nodiscard]] std::size_t present() const { return active_tasks_; }
+    [[nodiscard]] std::size_t active_tasks() const { return active_tasks_; }
 
   private:
     struct Task {
--- a/scale/workers/worker_process.cpp
+++ b/scale/workers/worker_process.cpp
@@ -118,10 +118,10 @@
 
 json WorkerProcess::stats() const {
     auto& counts = counts_;
-    std::size_t present = 0;
-    for (auto& [id, worker] : workers_) present += std::as_const(*worker).tasks().present();
+    std::size_t active_tasks = 0;
+    for (auto& [id, worker] : workers_) active_tasks += std::as_const(*worker).tasks().active_tasks();
     return {{"workers", workers_.size()},
-            {"present", present},
+            {"present", active_tasks},
             {"reports", counts.heartbeats},
             {"report_bytes", counts.heartbeat_bytes},
             {"repeated", counts.repeated_heartbeats},
