--- a/scale/workers/worker_process.cpp
+++ b/scale/workers/worker_process.cpp
@@ -21,7 +21,7 @@
 using nlohmann::json;
 
 // A removed worker is destroyed after a delay, because operations in progress may still call it.
-constexpr double destroyed_after_s = 1;
+constexpr double destruction_delay_s = 1;
 
 // The hollow workers of one process, and what they share.
 class WorkerProcess : public WorkerContext {
@@ -100,7 +100,7 @@
     it->second->silence();
     std::shared_ptr<HollowWorker> worker = std::move(it->second);
     workers_.erase(it);
-    loop_.after(destroyed_after_s, [worker] {});
+    loop_.after(destruction_delay_s, [worker] {});
 }
 
 // Passes a message about a gang's attempt to all workers. A message with a run time says that all tasks of
