--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -240,7 +240,7 @@
     } catch (const std::exception&) {
         return answer(reply, {400, "{}"});
     }
-    if (watches_.has_forgotten_since(watch.since)) return answer(reply, {410, "{}"});
+    if (watches_.has_discarded_since(watch.since)) return answer(reply, {410, "{}"});
     watch.reply = reply;
     double left = watch.deadline - timers_.now();
     watches_.open(std::move(watch));
--- a/scale/kv/watch_list.cpp
+++ b/scale/kv/watch_list.cpp
@@ -14,7 +14,7 @@
     while (events_.size() > kept_events) events_.pop_front();
 }
 
-bool WatchList::has_forgotten_since(std::uint64_t version) const {
+bool WatchList::has_discarded_since(std::uint64_t version) const {
     return events_.size() == kept_events && version + 1 < events_.front().version;
 }
 
--- a/scale/kv/watch_list.hpp
+++ b/scale/kv/watch_list.hpp
@@ -32,7 +32,7 @@
     // are more than the protocol's limit.
     void append(protocol::Event event);
     // Returns true if events after this version may have been discarded.
-    [[nodiscard]] bool has_forgotten_since(std::uint64_t version) const;
+    [[nodiscard]] bool has_discarded_since(std::uint64_t version) const;
     // Adds a watch, which answer_due() answers.
     void open(Watch watch) { watches_.push_back(std::move(watch)); }
     // Answers and removes the watches that have events or whose deadline has passed.
