--- a/scale/kv/watch_list.cpp
+++ b/scale/kv/watch_list.cpp
@@ -6,16 +6,16 @@
 
 namespace coralhitch::scale {
 namespace {
-constexpr std::size_t kept_events = 10000;  // set by the protocol
+constexpr std::size_t max_events = 10000;  // set by the protocol
 }  // namespace
 
 void WatchList::append(protocol::Event event) {
     events_.push_back(std::move(event));
-    while (events_.size() > kept_events) events_.pop_front();
+    while (events_.size() > max_events) events_.pop_front();
 }
 
 bool WatchList::has_discarded_since(std::uint64_t version) const {
-    return events_.size() == kept_events && version + 1 < events_.front().version;
+    return events_.size() == max_events && version + 1 < events_.front().version;
 }
 
 std::vector<const protocol::Event*> WatchList::events_for(const Watch& watch) const {
