--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -15,7 +15,7 @@
 constexpr double longest_watch_s = 60, shortest_ttl_s = 0.1, longest_ttl_s = 600;
 // Bytes that a list counts for an entry in addition to its key and value.
 constexpr std::size_t entry_overhead_bytes = 64;
-constexpr double latest_expiry_s = 0.1;  // largest delay after which an overdue lease expires
+constexpr double max_expiry_delay_s = 0.1;  // largest delay after which an overdue lease expires
 constexpr double timer_margin_s = 0.001;
 
 std::string key_space(const std::string& key) {
@@ -201,7 +201,7 @@
 // before it is scheduled again.
 void InMemoryKvStore::schedule_expiry(std::uint64_t id) {
     auto& lease = leases_.at(id);
-    double late_s = std::uniform_real_distribution<double>(0, latest_expiry_s)(random_);
+    double late_s = std::uniform_real_distribution<double>(0, max_expiry_delay_s)(random_);
     lease.timer = timers_.after(lease.expiry - timers_.now() + late_s, guard_([this, id] {
                                     auto it = leases_.find(id);
                                     if (it == leases_.end()) return;
