--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr std::size_t most_created = 50, most_deleted = 100, largest_page = 500;
+constexpr std::size_t max_machines_per_creation = 50, most_deleted = 100, largest_page = 500;
 constexpr double failed_is_listed_after_s = 30, burst_s = 2;
 // Bounds of a machine's boot time, as ratios to the boot time of its type.
 constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
@@ -97,7 +97,8 @@
     auto wanted = messages::parse_create_request(request.body);
     auto& zones = experiment_.zones;
     bool zone_exists = std::find(zones.begin(), zones.end(), wanted.zone) != zones.end();
-    if (wanted.type != machine_type_name || !zone_exists || wanted.count == 0 || wanted.count > most_created)
+    if (wanted.type != machine_type_name || !zone_exists || wanted.count == 0 ||
+        wanted.count > max_machines_per_creation)
         return {400, R"({"error":"malformed"})"};
     if (auto it = answers_.find(wanted.name); it != answers_.end()) return {200, it->second};
     // Each zone has capacity for an equal share of the workers, rounded up. All zones together have no more
