--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr std::size_t max_machines_per_creation = 50, most_deleted = 100, largest_page = 500;
+constexpr std::size_t max_machines_per_creation = 50, max_machines_per_deletion = 100, largest_page = 500;
 constexpr double failed_is_listed_after_s = 30, burst_s = 2;
 // Bounds of a machine's boot time, as ratios to the boot time of its type.
 constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
@@ -143,7 +143,7 @@
 }
 
 void SimulatedCloud::remove(const std::vector<std::string>& ids, const http::Reply& reply) {
-    if (ids.size() > most_deleted) return answer(reply, {400, "{}"});
+    if (ids.size() > max_machines_per_deletion) return answer(reply, {400, "{}"});
     std::vector<std::string> removed;
     for (auto& id : ids) {
         auto it = machines_.find(id);
