--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr std::size_t max_machines_per_creation = 50, max_machines_per_deletion = 100, largest_page = 500;
+constexpr std::size_t max_machines_per_creation = 50, max_machines_per_deletion = 100,
+                      max_page_machines = 500;
 constexpr double failed_is_listed_after_s = 30, burst_s = 2;
 // Bounds of a machine's boot time, as ratios to the boot time of its type.
 constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
@@ -160,8 +161,8 @@
 http::Response SimulatedCloud::list(const std::string& target) {
     ++counts_.lists;
     auto since = query_parameter(target, "since"), limit_text = query_parameter(target, "limit");
-    std::size_t limit =
-        limit_text.empty() ? largest_page : std::min<std::size_t>(largest_page, std::stoul(limit_text));
+    std::size_t limit = limit_text.empty() ? max_page_machines
+                                           : std::min<std::size_t>(max_page_machines, std::stoul(limit_text));
     double lag_s = experiment_.cloud.list_lag_s * std::uniform_real_distribution<double>(0.5, 1)(random_);
     double time = timers_.now() - lag_s;
     std::vector<protocol::Host> hosts;
