--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -15,7 +15,7 @@
 // These values are set by the protocol.
 constexpr std::size_t max_machines_per_creation = 50, max_machines_per_deletion = 100,
                       max_page_machines = 500;
-constexpr double failed_is_listed_after_s = 30, burst_s = 2;
+constexpr double failed_state_delay_s = 30, burst_s = 2;
 // Bounds of a machine's boot time, as ratios to the boot time of its type.
 constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
 
@@ -30,7 +30,7 @@
 }  // namespace
 
 protocol::HostState SimulatedCloud::Machine::state_at(double time) const {
-    if (failed_at && time >= *failed_at + failed_is_listed_after_s) return protocol::HostState::failed;
+    if (failed_at && time >= *failed_at + failed_state_delay_s) return protocol::HostState::failed;
     return time >= up_at ? protocol::HostState::running : protocol::HostState::booting;
 }
 
