--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -15,7 +15,7 @@
 // These values are set by the protocol.
 constexpr std::size_t max_machines_per_creation = 50, max_machines_per_deletion = 100,
                       max_page_machines = 500;
-constexpr double failed_state_delay_s = 30, burst_s = 2;
+constexpr double failed_state_delay_s = 30, request_burst_s = 2;
 // Bounds of a machine's boot time, as ratios to the boot time of its type.
 constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
 
@@ -39,7 +39,7 @@
       experiment_(experiment),
       hosts_(hosts),
       random_(experiment.seed * 7 + 3),
-      request_budget_(experiment.cloud.rps, experiment.cloud.rps * burst_s) {}
+      request_budget_(experiment.cloud.rps, experiment.cloud.rps * request_burst_s) {}
 
 protocol::MachineType SimulatedCloud::type() const {
     protocol::MachineType type;
