--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -17,7 +17,7 @@
                       max_page_machines = 500;
 constexpr double failed_state_delay_s = 30, request_burst_s = 2;
 // Bounds of a machine's boot time, as ratios to the boot time of its type.
-constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
+constexpr double min_boot_time_ratio = 0.6, slowest_boot = 1.5;
 
 constexpr const char* machine_type_name = "hollow";
 
@@ -133,7 +133,7 @@
     machine.rack = created_in_zone_[zone]++ / experiment_.machines_a_rack;
     machine.created_at = timers_.now();
     machine.up_at = machine.created_at + type().boot_s * std::uniform_real_distribution<double>(
-                                                             fastest_boot, slowest_boot)(random_);
+                                                             min_boot_time_ratio, slowest_boot)(random_);
     ++usable_in_zone_[zone];
     timers_.after(machine.up_at - machine.created_at, guard_([this, name] {
                       auto it = machines_.find(name);
