--- a/scale/load/checker_feed.cpp
+++ b/scale/load/checker_feed.cpp
@@ -6,7 +6,7 @@
 
 namespace coralhitch::scale {
 namespace {
-constexpr double look_interval_s = 0.5;
+constexpr double cancellation_check_interval_s = 0.5;
 }  // namespace
 
 CheckerFeed::CheckerFeed(verification::Rules rules, std::uint32_t worker_processes)
@@ -25,7 +25,7 @@
         auto next = steps_.extract(steps_.begin());
         next.mapped()(checker_, next.key());
     }
-    if (until > last_look_ + look_interval_s) {
+    if (until > last_look_ + cancellation_check_interval_s) {
         checker_.check_cancelled_jobs(until);
         last_look_ = until;
     }
