--- a/scale/load/checker_feed.cpp
+++ b/scale/load/checker_feed.cpp
@@ -25,9 +25,9 @@
         auto next = steps_.extract(steps_.begin());
         next.mapped()(checker_, next.key());
     }
-    if (until > last_look_ + cancellation_check_interval_s) {
+    if (until > last_cancellation_check_ + cancellation_check_interval_s) {
         checker_.check_cancelled_jobs(until);
-        last_look_ = until;
+        last_cancellation_check_ = until;
     }
 }
 
--- a/scale/load/checker_feed.hpp
+++ b/scale/load/checker_feed.hpp
@@ -35,7 +35,7 @@
     std::uint32_t worker_processes_;
     std::multimap<double, Step> steps_;
     std::map<std::uint32_t, double> complete_until_;  // by process
-    double last_look_ = 0;
+    double last_cancellation_check_ = 0;
 };
 
 }  // namespace coralhitch::scale
