--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr double submit_timeout_s = 5, poll_timeout_s = 2, shortest_retry_s = 1, max_retry_delay_s = 30,
+constexpr double submit_timeout_s = 5, poll_timeout_s = 2, min_retry_delay_s = 1, max_retry_delay_s = 30,
                  retries_for_s = 60;
 
 constexpr std::size_t connections = 3000, idle_connections = 500;
@@ -113,8 +113,8 @@
 }
 
 void JobClient::retry_submission(const std::string& id, const std::optional<http::Response>& response) {
-    double wait_s = shortest_retry_s;
-    if (response) wait_s = std::clamp(response->retry_after_s, shortest_retry_s, max_retry_delay_s);
+    double wait_s = min_retry_delay_s;
+    if (response) wait_s = std::clamp(response->retry_after_s, min_retry_delay_s, max_retry_delay_s);
     if (loop_.now() + wait_s > jobs_.at(id).first_tried_at + retries_for_s) {
         ++counts_.given_up;
         return;
@@ -182,7 +182,7 @@
     send({"POST", job_path(id) + std::string(protocol::paths::cancel), {}}, submit_timeout_s,
          [this, id, requested_at](const std::optional<http::Response>& response) {
              if (!response || response->status != 200) {
-                 loop_.after(shortest_retry_s, [this, id] { cancel(id); });
+                 loop_.after(min_retry_delay_s, [this, id] { cancel(id); });
                  return;
              }
              auto& cancelled = jobs_.at(id);
