--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -13,7 +13,7 @@
 
 // These values are set by the protocol.
 constexpr double submit_timeout_s = 5, poll_timeout_s = 2, min_retry_delay_s = 1, max_retry_delay_s = 30,
-                 retries_for_s = 60;
+                 retry_period_s = 60;
 
 constexpr std::size_t connections = 3000, idle_connections = 500;
 constexpr const char* unknown_job = "j-999999999";
@@ -115,7 +115,7 @@
 void JobClient::retry_submission(const std::string& id, const std::optional<http::Response>& response) {
     double wait_s = min_retry_delay_s;
     if (response) wait_s = std::clamp(response->retry_after_s, min_retry_delay_s, max_retry_delay_s);
-    if (loop_.now() + wait_s > jobs_.at(id).first_tried_at + retries_for_s) {
+    if (loop_.now() + wait_s > jobs_.at(id).first_tried_at + retry_period_s) {
         ++counts_.given_up;
         return;
     }
