--- a/scale/load/load_balancer.cpp
+++ b/scale/load/load_balancer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // These values are set by the protocol.
-constexpr double probe_interval_s = 1, probe_timeout_s = 1, min_pause_s = 3, longest_pause_s = 60,
+constexpr double probe_interval_s = 1, probe_timeout_s = 1, min_pause_s = 3, max_pause_s = 60,
                  pause_doubles_within_s = 120;
 constexpr std::size_t probes_kept = 6;
 constexpr int failures_to_remove = 3;
@@ -38,7 +38,7 @@
     if (backend.healthy && !succeeded && (twice || failed >= failures_to_remove)) {
         bool again = now - backend.removed_at < pause_doubles_within_s;
         backend.healthy = false;
-        backend.pause_s = again ? std::min(longest_pause_s, backend.pause_s * 2) : min_pause_s;
+        backend.pause_s = again ? std::min(max_pause_s, backend.pause_s * 2) : min_pause_s;
         backend.removed_at = now;
         return;
     }
