--- a/scale/load/generated_job.hpp
+++ b/scale/load/generated_job.hpp
@@ -15,7 +15,7 @@
     protocol::Job job;
     TaskSpec spec;
     std::string phase, job_class;       // labels under which its latencies are recorded
-    double first_tried_at = 0;          // time of the first attempt to submit it
+    double first_attempt_at = 0;        // time of the first attempt to submit it
     std::optional<double> all_done_at;  // time at which its last task ended
     bool accepted = false, over = false;
     bool to_be_cancelled = false, cancel_requested = false;
--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -77,7 +77,7 @@
 // --- Submission -----------------------------------------------------------------------------------------
 
 void JobClient::submit(GeneratedJob job) {
-    job.first_tried_at = loop_.now();
+    job.first_attempt_at = loop_.now();
     auto id = job.job.id;
     check([submitted = job.job](verification::Checker& checker, double) { checker.submitted(submitted); });
     ++counts_.submissions;
@@ -104,7 +104,7 @@
     auto& job = jobs_.at(id);
     job.accepted = true;
     ++counts_.accepted;
-    observe(job, "accepted", loop_.now() - job.first_tried_at);
+    observe(job, "accepted", loop_.now() - job.first_attempt_at);
     check([id](verification::Checker& checker, double) { checker.accepted(id); });
     loop_.after(experiment_.load.poll_s, [this, id] { poll(id); });
     if (!job.to_be_cancelled) return;
@@ -115,7 +115,7 @@
 void JobClient::retry_submission(const std::string& id, const std::optional<http::Response>& response) {
     double wait_s = min_retry_delay_s;
     if (response) wait_s = std::clamp(response->retry_after_s, min_retry_delay_s, max_retry_delay_s);
-    if (loop_.now() + wait_s > jobs_.at(id).first_tried_at + retry_period_s) {
+    if (loop_.now() + wait_s > jobs_.at(id).first_attempt_at + retry_period_s) {
         ++counts_.given_up;
         return;
     }
@@ -154,7 +154,7 @@
     }
     ++counts_.done;
     double now = loop_.now();
-    observe(job, "done", now - job.first_tried_at);
+    observe(job, "done", now - job.first_attempt_at);
     if (job.all_done_at) observe(job, "told_done_after", now - *job.all_done_at);
 }
 
--- a/scale/load/worker_event_handler.cpp
+++ b/scale/load/worker_event_handler.cpp
@@ -37,7 +37,7 @@
 void WorkerEventHandler::note_begun(GeneratedJob& job, std::uint32_t task, double time) {
     if (!job.tasks_begun.insert(task).second) return;
     ++counts_.tasks_begun;
-    latencies_.observe(job.phase, job.job_class, "begun", time - job.first_tried_at);
+    latencies_.observe(job.phase, job.job_class, "begun", time - job.first_attempt_at);
 }
 
 void WorkerEventHandler::check(const WorkerEvent& event, verification::Checker& checker) {
