--- a/scale/load/load_balancer.cpp
+++ b/scale/load/load_balancer.cpp
@@ -23,12 +23,12 @@
 void LoadBalancer::probe(std::uint32_t controller) {
     http_.send(experiment_.controller_addr(controller), {"GET", std::string(protocol::paths::health), {}},
                probe_timeout_s, [this, controller](const std::optional<http::Response>& response) {
-                   note_probe(backends_[controller], response && response->status == 200);
+                   record_probe(backends_[controller], response && response->status == 200);
                });
     timers_.after(probe_interval_s, [this, controller] { probe(controller); });
 }
 
-void LoadBalancer::note_probe(Backend& backend, bool succeeded) {
+void LoadBalancer::record_probe(Backend& backend, bool succeeded) {
     double now = timers_.now();
     auto& probes = backend.probes;
     probes.push_back(succeeded);
--- a/scale/load/load_balancer.hpp
+++ b/scale/load/load_balancer.hpp
@@ -32,7 +32,7 @@
         int open_requests = 0;
     };
     void probe(std::uint32_t controller);
-    void note_probe(Backend& backend, bool succeeded);
+    void record_probe(Backend& backend, bool succeeded);
 
     event_loop::Timers& timers_;
     http::Requester& http_;
