--- a/scale/load/worker_event_handler.cpp
+++ b/scale/load/worker_event_handler.cpp
@@ -25,16 +25,17 @@
 void WorkerEventHandler::handle_event(const WorkerEvent& event) {
     auto* job = jobs_.find(event.task.job);
     gangs_.handle(event, job ? &job->spec : nullptr, [&] {
-        for (std::uint32_t task = 0; task < job->spec.tasks; ++task) note_begun(*job, task, event.time);
+        for (std::uint32_t task = 0; task < job->spec.tasks; ++task) record_first_run(*job, task, event.time);
     });
     if (event.kind == WorkerEventKind::image_ready) {
         ++counts_.images_ready;
-        if (job && job->spec.kind != protocol::JobKind::gang) note_begun(*job, event.task.index, event.time);
+        if (job && job->spec.kind != protocol::JobKind::gang)
+            record_first_run(*job, event.task.index, event.time);
     }
     feed_.add(event.time, [this, event](verification::Checker& checker, double) { check(event, checker); });
 }
 
-void WorkerEventHandler::note_begun(GeneratedJob& job, std::uint32_t task, double time) {
+void WorkerEventHandler::record_first_run(GeneratedJob& job, std::uint32_t task, double time) {
     if (!job.tasks_begun.insert(task).second) return;
     ++counts_.tasks_begun;
     latencies_.observe(job.phase, job.job_class, "begun", time - job.first_attempt_at);
--- a/scale/load/worker_event_handler.hpp
+++ b/scale/load/worker_event_handler.hpp
@@ -35,7 +35,7 @@
     void check(const WorkerEvent& event, verification::Checker& checker);
     void check_end(const WorkerEvent& event, verification::Checker& checker);
     // Records, the first time that a task runs, how long its user has waited for that.
-    void note_begun(GeneratedJob& job, std::uint32_t task, double time);
+    void record_first_run(GeneratedJob& job, std::uint32_t task, double time);
 
     const Experiment& experiment_;
     JobClient& jobs_;
