--- a/scale/load/checker_feed.hpp
+++ b/scale/load/checker_feed.hpp
@@ -26,7 +26,7 @@
 
     [[nodiscard]] const verification::Checker& checker() const { return checker_; }
     // Returns the number of steps that have not run.
-    [[nodiscard]] std::size_t waiting() const { return steps_.size(); }
+    [[nodiscard]] std::size_t pending_steps() const { return steps_.size(); }
 
   private:
     void run_complete_steps();
--- a/scale/load/load_process.cpp
+++ b/scale/load/load_process.cpp
@@ -73,7 +73,7 @@
                 {"tasks_done", events.tasks_done},
                 {"jobs_open", jobs_.open_jobs()},
                 {"broken", checker.violations()},
-                {"to_judge", feed_.waiting()},
+                {"to_judge", feed_.pending_steps()},
                 {"submissions", jobs.submissions},
                 {"accepted", jobs.accepted},
                 {"retries", jobs.retries},
--- a/scale/tests/checker_feed_test.cpp
+++ b/scale/tests/checker_feed_test.cpp
@@ -25,7 +25,7 @@
     EXPECT_EQ(steps.done, "");
     steps.feed.events_complete(1, 1);
     EXPECT_EQ(steps.done, "a");
-    EXPECT_EQ(steps.feed.waiting(), 0u);
+    EXPECT_EQ(steps.feed.pending_steps(), 0u);
 }
 TEST(CheckerFeed, RunsStepsInTheOrderOfTheirTimesAndOfTheCalls) {
     Steps steps;
@@ -37,7 +37,7 @@
     steps.feed.events_complete(0, 4);
     steps.feed.events_complete(1, 4);
     EXPECT_EQ(steps.done, "abcd");
-    EXPECT_EQ(steps.feed.waiting(), 1u);
+    EXPECT_EQ(steps.feed.pending_steps(), 1u);
 }
 TEST(CheckerFeed, PassesTheTimeToTheStep) {
     Steps steps;
