--- a/scale/runner/fault_injector.cpp
+++ b/scale/runner/fault_injector.cpp
@@ -8,7 +8,7 @@
 
 // Time between two kills in a rolling restart, as a multiple of `back_s`. After its restart each controller
 // has three times `back_s` to start and become stable.
-constexpr double roll_interval = 4;
+constexpr double roll_interval_restart_delays = 4;
 
 }  // namespace
 
@@ -61,7 +61,7 @@
 
 void FaultInjector::roll(const Fault& fault) {
     for (std::uint32_t index = 0; index < experiment_.controllers; ++index)
-        loop_.after(index * (fault.back_s * roll_interval),
+        loop_.after(index * (fault.back_s * roll_interval_restart_delays),
                     [this, index, back_s = fault.back_s] { end_controller(index, back_s); });
 }
 
