--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -84,7 +84,7 @@
     json phase_began_;  // snapshot at the beginning of the phase
     json result_ = json::object();
     double began_ = 0, deadline_ = 0, fill_began_ = 0;
-    std::size_t tasks_wanted_ = 0;  // number of service replicas
+    std::size_t expected_tasks_ = 0;  // number of service replicas
 };
 
 void ExperimentRunner::fail(const std::string& reason) {
@@ -97,7 +97,7 @@
 void ExperimentRunner::begin_fill() {
     stage_ = "fill";
     fill_began_ = loop_.now();
-    tasks_wanted_ = static_cast<std::size_t>(experiment_.base_tasks());
+    expected_tasks_ = static_cast<std::size_t>(experiment_.base_tasks());
     report_progress();
     control_.post(experiment_.load_control_addr(), control_paths::begin, json::object(),
                   [this](const json&) { wait_until_filled(); });
@@ -106,7 +106,7 @@
 void ExperimentRunner::wait_until_filled() {
     auto present = load_stats_.value("present", std::size_t{0});
     double seconds = loop_.now() - fill_began_;
-    bool filled = static_cast<double>(present) >= filled_share * static_cast<double>(tasks_wanted_);
+    bool filled = static_cast<double>(present) >= filled_share * static_cast<double>(expected_tasks_);
     if (!filled && seconds < experiment_.fill_s) {
         loop_.after(check_interval_s, [this] { wait_until_filled(); });
         return;
@@ -204,7 +204,7 @@
                  "%6.1f s %-10s %5llu machines  %6llu of %zu tasks on them  %4llu jobs open  %llu done  "
                  "leader %s  %zu rules broken\n",
                  elapsed_s(), stage_.c_str(), count(infrastructure_stats_, "machines"),
-                 count(load_stats_, "present"), tasks_wanted_, count(load_stats_, "jobs_open"),
+                 count(load_stats_, "present"), expected_tasks_, count(load_stats_, "jobs_open"),
                  count(load_stats_, "done"), Experiment::controller_label(leader()).c_str(),
                  load_stats_.at("broken").size());
 }
