--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -68,7 +68,7 @@
     void fail(const std::string& reason);
     // Interface for the fault injector.
     [[nodiscard]] std::uint32_t leader() const override;
-    [[nodiscard]] double elapsed_s() const override { return loop_.now() - began_; }
+    [[nodiscard]] double elapsed_s() const override { return loop_.now() - started_at_; }
     [[nodiscard]] const std::string& stage() const override { return stage_; }
     void record_fault(const json& fault) override;
 
@@ -83,7 +83,7 @@
     json load_stats_ = json::object(), infrastructure_stats_ = json::object();  // last answers
     json phase_began_;  // snapshot at the beginning of the phase
     json result_ = json::object();
-    double began_ = 0, deadline_ = 0, fill_began_ = 0;
+    double started_at_ = 0, deadline_ = 0, fill_began_ = 0;
     std::size_t expected_tasks_ = 0;  // number of service replicas
 };
 
@@ -149,8 +149,8 @@
 }
 
 json ExperimentRunner::run() {
-    began_ = loop_.now();
-    deadline_ = began_ + longest_run_s(experiment_);
+    started_at_ = loop_.now();
+    deadline_ = started_at_ + longest_run_s(experiment_);
     InterruptSignals interrupts(loop_, [this] { fail("broken off"); });
     processes_.start_all(control_, [this] { begin_fill(); });
     check_processes();
