--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -83,7 +83,7 @@
     json load_stats_ = json::object(), infrastructure_stats_ = json::object();  // last answers
     json phase_began_;  // snapshot at the beginning of the phase
     json result_ = json::object();
-    double started_at_ = 0, deadline_ = 0, fill_began_ = 0;
+    double started_at_ = 0, deadline_ = 0, fill_started_at_ = 0;
     std::size_t expected_tasks_ = 0;  // number of service replicas
 };
 
@@ -96,7 +96,7 @@
 
 void ExperimentRunner::begin_fill() {
     stage_ = "fill";
-    fill_began_ = loop_.now();
+    fill_started_at_ = loop_.now();
     expected_tasks_ = static_cast<std::size_t>(experiment_.base_tasks());
     report_progress();
     control_.post(experiment_.load_control_addr(), control_paths::begin, json::object(),
@@ -105,7 +105,7 @@
 
 void ExperimentRunner::wait_until_filled() {
     auto present = load_stats_.value("present", std::size_t{0});
-    double seconds = loop_.now() - fill_began_;
+    double seconds = loop_.now() - fill_started_at_;
     bool filled = static_cast<double>(present) >= filled_share * static_cast<double>(expected_tasks_);
     if (!filled && seconds < experiment_.fill_s) {
         loop_.after(check_interval_s, [this] { wait_until_filled(); });
