--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -81,7 +81,7 @@
     FaultInjector faults_;
     std::string failure_, stage_ = "start";
     json load_stats_ = json::object(), infrastructure_stats_ = json::object();  // last answers
-    json phase_began_;  // snapshot at the beginning of the phase
+    json snapshot_at_phase_start_;  // snapshot at the beginning of the phase
     json result_ = json::object();
     double started_at_ = 0, deadline_ = 0, fill_started_at_ = 0;
     std::size_t expected_tasks_ = 0;  // number of service replicas
@@ -120,7 +120,7 @@
     auto& phase = experiment_.phases[number];
     stage_ = phase.name;
     auto after_snapshot = [this, number](const json& snapshot) {
-        phase_began_ = snapshot;
+        snapshot_at_phase_start_ = snapshot;
         loop_.after(experiment_.phases[number].seconds, [this, number] { end_phase(number); });
     };
     control_.post(experiment_.load_control_addr(), control_paths::phase, {{"name", phase.name}},
@@ -132,7 +132,7 @@
         auto& phase = experiment_.phases[number];
         result_["phases"].push_back({{"name", phase.name},
                                      {"starts_per_worker_s", phase.starts_per_worker_s},
-                                     {"before", phase_began_},
+                                     {"before", snapshot_at_phase_start_},
                                      {"after", snapshot},
                                      {"leader", Experiment::controller_label(leader())}});
         if (number + 1 < experiment_.phases.size()) return begin_phase(number + 1);
