--- a/scale/runner/preflight_checks.cpp
+++ b/scale/runner/preflight_checks.cpp
@@ -16,8 +16,8 @@
 constexpr std::uint64_t descriptors_per_worker = 6, other_descriptors = 512;
 
 // Candidates for the base port. They are below the kernel's range of ephemeral ports.
-constexpr std::uint32_t first_port_base = 10000, port_base_step = 100, port_bases = 200, port_base_tries = 40,
-                        bases_per_try = 7;
+constexpr std::uint32_t first_port_base = 10000, port_base_step = 100, port_bases = 200,
+                        port_base_attempts = 40, bases_per_try = 7;
 
 void check_free(const std::string& addr) {
     auto socket_address = http::socket_address(addr);
@@ -75,7 +75,7 @@
         try {
             return check_ports(experiment);
         } catch (const ExperimentError&) {
-            if (tried == port_base_tries) throw;
+            if (tried == port_base_attempts) throw;
         }
     }
 }
