--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -159,7 +159,7 @@
     if (!failure_.empty()) throw ExperimentError(failure_);
     result_["experiment"] = describe(experiment_);
     result_["seconds"] = elapsed_s();
-    result_["most_memory_bytes"] = processes_.most_memory_bytes();
+    result_["most_memory_bytes"] = processes_.peak_memory_bytes();
     return result_;
 }
 
