--- a/scale/runner/cluster_processes.cpp
+++ b/scale/runner/cluster_processes.cpp
@@ -115,7 +115,7 @@
     for (auto& role : roles_) check_child(*role);
     for (auto& controller : controllers_)
         if (controller.child && !controller.down) check_child(*controller.child);
-    most_memory_bytes_ = std::max(most_memory_bytes_, memory_bytes);
+    peak_memory_bytes_ = std::max(peak_memory_bytes_, memory_bytes);
     double allowed = largest_memory_share * static_cast<double>(machine_memory_bytes());
     if (static_cast<double>(memory_bytes) > allowed)
         on_failure("the processes use more than half of the machine's memory");
--- a/scale/runner/cluster_processes.hpp
+++ b/scale/runner/cluster_processes.hpp
@@ -35,7 +35,7 @@
     // itself, and if all together use too much of the host's memory.
     void check(const std::function<void(const std::string& reason)>& on_failure);
     // Returns the highest memory usage of all processes together that check() has seen.
-    [[nodiscard]] std::uint64_t peak_memory_bytes() const { return most_memory_bytes_; }
+    [[nodiscard]] std::uint64_t peak_memory_bytes() const { return peak_memory_bytes_; }
     // Returns the usage of each process by name. That of a controller covers all its processes since the
     // first start.
     [[nodiscard]] nlohmann::json usage() const;
@@ -59,7 +59,7 @@
     const RunOptions& options_;
     std::vector<std::unique_ptr<ChildProcess>> roles_;
     std::vector<Controller> controllers_;
-    std::uint64_t most_memory_bytes_ = 0;
+    std::uint64_t peak_memory_bytes_ = 0;
 };
 
 }  // namespace coralhitch::scale
