--- a/scale/process/child_process.cpp
+++ b/scale/process/child_process.cpp
@@ -20,7 +20,7 @@
 constexpr int parent_has_ended = 126, cannot_execute = 127;  // exit statuses like those of a shell
 
 // Runs in the child between fork and exec, so it makes only system calls and uses only its own memory.
-[[noreturn]] void become(const std::vector<std::string>& arguments, int log, pid_t parent) {
+[[noreturn]] void exec_child(const std::vector<std::string>& arguments, int log, pid_t parent) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(parent_has_ended);
     ::setpgid(0, 0);  // a terminal's interrupt reaches only the parent, which ends its children
@@ -46,7 +46,7 @@
     if (fd < 0) throw ExperimentError(log + ": " + std::strerror(errno));
     pid_t parent = ::getpid();
     pid_ = ::fork();
-    if (pid_ == 0) become(arguments, fd, parent);
+    if (pid_ == 0) exec_child(arguments, fd, parent);
     ::close(fd);
     if (pid_ < 0) throw ExperimentError("can't start " + name_ + ": " + std::strerror(errno));
 }
