--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -130,7 +130,7 @@
                     protocol::HostState::booting,
                     0};
     ++next_machine_;
-    machine.rack = created_in_zone_[zone]++ / experiment_.machines_a_rack;
+    machine.rack = created_in_zone_[zone]++ / experiment_.machines_per_rack;
     machine.created_at = timers_.now();
     machine.up_at =
         machine.created_at + type().boot_s * std::uniform_real_distribution<double>(
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -77,7 +77,7 @@
 struct Experiment {
     std::string name;
     std::uint64_t seed = 1;
-    std::uint32_t workers = 0, controllers = 3, worker_processes = 1, machines_a_rack = 16;
+    std::uint32_t workers = 0, controllers = 3, worker_processes = 1, machines_per_rack = 16;
     double tasks_per_worker = 0, room_ratio = 1.15, fill_s = 60, drain_s = 5;
     std::uint16_t port_base = 0;  // first port; 0: choose_ports() chooses free ports
     std::vector<std::string> zones{"a", "b", "c"};
--- a/scale/config/experiment_file.cpp
+++ b/scale/config/experiment_file.cpp
@@ -103,7 +103,7 @@
     fields.count("workers", experiment.workers, 1, 20000);
     fields.count("controllers", experiment.controllers, 1, 17);
     fields.count("worker_processes", experiment.worker_processes, 1, 32);
-    fields.count("machines_a_rack", experiment.machines_a_rack, 1, 1000);
+    fields.count("machines_a_rack", experiment.machines_per_rack, 1, 1000);
     fields.number("tasks_per_worker", experiment.tasks_per_worker, 0.1, 200);
     fields.number("room_ratio", experiment.room_ratio, 1, 10);
     fields.number("fill_s", experiment.fill_s, 1, 3600);
