--- a/scale/config/experiment.cpp
+++ b/scale/config/experiment.cpp
@@ -30,9 +30,9 @@
     return workers * tasks_per_worker * (1 - load.turnover_share / 2);
 }
 double Experiment::turnover_run_s() const {
-    return load.turnover_share * tasks_per_worker / highest_rate();
+    return load.turnover_share * tasks_per_worker / max_starts_per_worker_s();
 }
-double Experiment::highest_rate() const {
+double Experiment::max_starts_per_worker_s() const {
     double most = 0;
     for (auto& phase : phases) most = std::max(most, phase.starts_per_worker_s);
     return most;
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -92,8 +92,9 @@
     [[nodiscard]] std::uint32_t slots() const;    // tasks that fit on one machine
     [[nodiscard]] double base_tasks() const;      // total number of service replicas
     [[nodiscard]] double turnover_run_s() const;  // mean run time of array and gang tasks
-    [[nodiscard]] double highest_rate() const;  // highest rate of all phases, in starts per worker and second
-    [[nodiscard]] double phases_s() const;      // total duration of all phases
+    [[nodiscard]] double max_starts_per_worker_s()
+        const;                              // highest rate of all phases, in starts per worker and second
+    [[nodiscard]] double phases_s() const;  // total duration of all phases
     [[nodiscard]] double equal_share_cpus()
         const;  // CPUs per team if all teams had equal shares of the machines
 
