--- a/scale/config/experiment.cpp
+++ b/scale/config/experiment.cpp
@@ -26,7 +26,7 @@
 std::uint32_t Experiment::slots() const {
     return static_cast<std::uint32_t>(std::ceil(tasks_per_worker * room_ratio));
 }
-double Experiment::base_tasks() const {
+double Experiment::total_service_tasks() const {
     return workers * tasks_per_worker * (1 - load.turnover_share / 2);
 }
 double Experiment::turnover_run_s() const {
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -17,7 +17,7 @@
 // The generated load.
 struct LoadSettings {
     // Mean number of running array and gang tasks at the highest rate of starts of all phases, as a ratio to
-    // workers * tasks_per_worker. base_tasks() gives the number of service replicas beside them.
+    // workers * tasks_per_worker. total_service_tasks() gives the number of service replicas beside them.
     double turnover_share = 0.18;
     std::uint32_t service_tasks = 100;  // replicas of one service
     std::uint32_t array_tasks = 20;     // tasks of one array
@@ -89,9 +89,9 @@
     std::vector<Phase> phases;
     std::vector<Fault> faults;
 
-    [[nodiscard]] std::uint32_t slots() const;    // tasks that fit on one machine
-    [[nodiscard]] double base_tasks() const;      // total number of service replicas
-    [[nodiscard]] double turnover_run_s() const;  // mean run time of array and gang tasks
+    [[nodiscard]] std::uint32_t slots() const;         // tasks that fit on one machine
+    [[nodiscard]] double total_service_tasks() const;  // total number of service replicas
+    [[nodiscard]] double turnover_run_s() const;       // mean run time of array and gang tasks
     [[nodiscard]] double max_starts_per_worker_s()
         const;                              // highest rate of all phases, in starts per worker and second
     [[nodiscard]] double phases_s() const;  // total duration of all phases
--- a/scale/load/load_generator.cpp
+++ b/scale/load/load_generator.cpp
@@ -40,7 +40,7 @@
 
 void LoadGenerator::begin() {
     starts_per_s_ = experiment_.phases.front().starts_per_worker_s * experiment_.workers;
-    submit_services(experiment_.base_tasks());
+    submit_services(experiment_.total_service_tasks());
     schedule_arrival();
 }
 
@@ -78,7 +78,7 @@
     service.job = new_job(protocol::JobKind::service, tasks);
     service.job.priority = protocol::Priority::high;
     submit(std::move(service));
-    double services = experiment_.base_tasks() / experiment_.load.service_tasks;
+    double services = experiment_.total_service_tasks() / experiment_.load.service_tasks;
     double pause_s =
         std::max(services_spread_s / std::max(1.0, services), 2 / experiment_.kv_store.write_rps);
     loop_.after(pause_s, [this, left = tasks_left - tasks] { submit_services(left); });
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -97,7 +97,7 @@
 void ExperimentRunner::begin_fill() {
     stage_ = "fill";
     fill_started_at_ = loop_.now();
-    expected_tasks_ = static_cast<std::size_t>(experiment_.base_tasks());
+    expected_tasks_ = static_cast<std::size_t>(experiment_.total_service_tasks());
     report_progress();
     control_.post(experiment_.load_control_addr(), control_paths::begin, json::object(),
                   [this](const json&) { wait_until_filled(); });
