--- a/scale/cloud/simulated_cloud.hpp
+++ b/scale/cloud/simulated_cloud.hpp
@@ -71,8 +71,8 @@
     std::mt19937_64 random_;
     event_loop::TokenBucket request_budget_;
     std::map<std::string, Machine> machines_;  // by name, so in the order of creation
-    std::map<std::string, std::string>
-        answers_;  // bodies of answers to creation requests, by the request's name
+    // Bodies of answers to creation requests, by the request's name. A repeated request gets the same answer.
+    std::map<std::string, std::string> answers_;
     std::map<std::string, std::uint32_t> created_in_zone_, usable_in_zone_;
     std::map<std::string, double> zone_back_at_;
     std::uint64_t next_machine_ = 0;
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -27,8 +27,8 @@
     double gang_share = 0.1, urgent_share = 0.1, cancel_share = 0.02;
     std::uint32_t teams = 4, images = 8;
     double image_gb = 0.5;
-    double tight_cpus =
-        0;              // CPU limit of an additional team, which also submits jobs; 0: there is no such team
+    // CPU limit of an additional team, which also submits jobs. 0: there is no such team.
+    double tight_cpus = 0;
     double poll_s = 5;  // interval at which users poll the status of a job
 };
 
@@ -92,11 +92,11 @@
     [[nodiscard]] std::uint32_t slots() const;         // tasks that fit on one machine
     [[nodiscard]] double total_service_tasks() const;  // total number of service replicas
     [[nodiscard]] double turnover_run_s() const;       // mean run time of array and gang tasks
-    [[nodiscard]] double max_starts_per_worker_s()
-        const;                              // highest rate of all phases, in starts per worker and second
+    // Returns the highest rate of all phases, in starts per worker and second.
+    [[nodiscard]] double max_starts_per_worker_s() const;
     [[nodiscard]] double phases_s() const;  // total duration of all phases
-    [[nodiscard]] double equal_share_cpus()
-        const;  // CPUs per team if all teams had equal shares of the machines
+    // Returns the CPUs per team if all teams had equal shares of the machines.
+    [[nodiscard]] double equal_share_cpus() const;
 
     // Return addresses on the loopback interface, with ports relative to `port_base`.
     [[nodiscard]] std::string kv_store_addr() const;
--- a/scale/kv/in_memory_kv_store.cpp
+++ b/scale/kv/in_memory_kv_store.cpp
@@ -197,8 +197,8 @@
     return {200, messages::lease_body(id)};
 }
 
-// Schedules the lease's expiry. A renewal only moves the lease's expiry time, so that a timer which fires
-// before it is scheduled again.
+// Schedules the lease's expiry. A renewal only postpones the expiry time and leaves the timer as it is. A
+// timer that fires before the postponed expiry schedules another one.
 void InMemoryKvStore::schedule_expiry(std::uint64_t id) {
     auto& lease = leases_.at(id);
     double late_s = std::uniform_real_distribution<double>(0, max_expiry_delay_s)(random_);
--- a/scale/report/controller_metrics.hpp
+++ b/scale/report/controller_metrics.hpp
@@ -11,8 +11,8 @@
 // Values of one controller's metrics. Metrics that the controller does not serve are left out.
 struct ControllerMetrics {
     std::map<std::string, double> requests_by_route;
-    std::map<std::string, double>
-        events;  // counters of elections, and of machines quarantined or marked for deletion
+    // Counters of elections, and of machines quarantined or marked for deletion.
+    std::map<std::string, double> events;
     std::map<std::string, double> figures;  // all other numbers
     double planning_rounds = 0, planning_s = 0;
 };
--- a/scale/runner/control_client.hpp
+++ b/scale/runner/control_client.hpp
@@ -27,7 +27,7 @@
     // Requests a controller's metrics and calls `on_text` with their text. Passes "" if the controller does
     // not answer with status 200, which does not abort the run.
     void get_metrics(const std::string& addr, const std::function<void(const std::string&)>& on_text);
-    // Repeats the request until it is answered with status 200, then calls `ready`.
+    // Repeats the request until it is answered with status 200, then calls `ready`. Fails after 20 s.
     void wait_until_ready(const std::string& addr, std::string_view path, const std::function<void()>& ready);
 
   private:
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -17,9 +17,10 @@
 using nlohmann::json;
 
 constexpr double check_interval_s = 0.5, progress_interval_s = 2;
-constexpr double start_allowance_s = 40,
-                 other_allowance_s = 120;  // in addition to the times in the experiment file
-constexpr double filled_share = 0.97;  // share of the service replicas at which the cluster counts as filled
+// Time allowed for a run in addition to the times in the experiment file.
+constexpr double start_allowance_s = 40, other_allowance_s = 120;
+// Share of the service replicas at which the cluster counts as filled.
+constexpr double filled_share = 0.97;
 
 json describe(const Experiment& experiment) {
     return {{"name", experiment.name},
@@ -163,7 +164,7 @@
     return result_;
 }
 
-// --- Monitoring ----------------------------------------------------------------------------------------
+// --- Monitoring -----------------------------------------------------------------------------------------
 
 void ExperimentRunner::check_processes() {
     processes_.check([this](const std::string& reason) { fail(reason); });
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -142,8 +142,8 @@
 
 // --- Lease ----------------------------------------------------------------------------------------------
 
-// Schedules a check for the lease's expiry. Answers move the expiry, so that a timer may fire before it and
-// is then scheduled again.
+// Schedules a check for the lease's expiry. Answers postpone the expiry. A timer that fires before the
+// postponed expiry schedules another check.
 void HollowWorker::schedule_lease_check() {
     double left_s = lease_renewed_at_ + context_.experiment().worker.lease_s - context_.loop().now();
     lease_timer_ = context_.loop().after(std::max(0.0, left_s) + lease_check_margin_s, guard_([this] {
