--- a/scale/cloud/simulated_cloud.cpp
+++ b/scale/cloud/simulated_cloud.cpp
@@ -12,11 +12,12 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
-constexpr std::size_t most_created = 50, most_deleted = 100, largest_page = 500;
-constexpr double failed_is_listed_after_s = 30, burst_s = 2;
-// A machine boots in this part to that multiple of its type's time.
-constexpr double fastest_boot = 0.6, slowest_boot = 1.5;
+// These values are set by the protocol.
+constexpr std::size_t max_machines_per_creation = 50, max_machines_per_deletion = 100,
+                      max_page_machines = 500;
+constexpr double failed_state_delay_s = 30, request_burst_s = 2;
+// Bounds of a machine's boot time, as ratios to the boot time of its type.
+constexpr double min_boot_time_ratio = 0.6, max_boot_time_ratio = 1.5;
 
 constexpr const char* machine_type_name = "hollow";
 
@@ -29,7 +30,7 @@
 }  // namespace
 
 protocol::HostState SimulatedCloud::Machine::state_at(double time) const {
-    if (failed_at && time >= *failed_at + failed_is_listed_after_s) return protocol::HostState::failed;
+    if (failed_at && time >= *failed_at + failed_state_delay_s) return protocol::HostState::failed;
     return time >= up_at ? protocol::HostState::running : protocol::HostState::booting;
 }
 
@@ -38,7 +39,7 @@
       experiment_(experiment),
       hosts_(hosts),
       random_(experiment.seed * 7 + 3),
-      request_budget_(experiment.cloud.rps, experiment.cloud.rps * burst_s) {}
+      request_budget_(experiment.cloud.rps, experiment.cloud.rps * request_burst_s) {}
 
 protocol::MachineType SimulatedCloud::type() const {
     protocol::MachineType type;
@@ -97,10 +98,12 @@
     auto wanted = messages::parse_create_request(request.body);
     auto& zones = experiment_.zones;
     bool zone_exists = std::find(zones.begin(), zones.end(), wanted.zone) != zones.end();
-    if (wanted.type != machine_type_name || !zone_exists || wanted.count == 0 || wanted.count > most_created)
+    if (wanted.type != machine_type_name || !zone_exists || wanted.count == 0 ||
+        wanted.count > max_machines_per_creation)
         return {400, R"({"error":"malformed"})"};
     if (auto it = answers_.find(wanted.name); it != answers_.end()) return {200, it->second};
-    // Each zone has its share of the workers, rounded up, and all zones together no more than the workers.
+    // Each zone has capacity for an equal share of the workers, rounded up. All zones together have no more
+    // machines than the experiment has workers.
     std::size_t share = (experiment_.workers + zones.size() - 1) / zones.size();
     std::size_t used_in_zone = usable_in_zone_[wanted.zone], used = usable_machines();
     bool zone_is_down = zone_back_at_[wanted.zone] > timers_.now();
@@ -127,10 +130,11 @@
                     protocol::HostState::booting,
                     0};
     ++next_machine_;
-    machine.rack = created_in_zone_[zone]++ / experiment_.machines_a_rack;
+    machine.rack = created_in_zone_[zone]++ / experiment_.machines_per_rack;
     machine.created_at = timers_.now();
-    machine.up_at = machine.created_at + type().boot_s * std::uniform_real_distribution<double>(
-                                                             fastest_boot, slowest_boot)(random_);
+    machine.up_at =
+        machine.created_at + type().boot_s * std::uniform_real_distribution<double>(
+                                                 min_boot_time_ratio, max_boot_time_ratio)(random_);
     ++usable_in_zone_[zone];
     timers_.after(machine.up_at - machine.created_at, guard_([this, name] {
                       auto it = machines_.find(name);
@@ -141,7 +145,7 @@
 }
 
 void SimulatedCloud::remove(const std::vector<std::string>& ids, const http::Reply& reply) {
-    if (ids.size() > most_deleted) return answer(reply, {400, "{}"});
+    if (ids.size() > max_machines_per_deletion) return answer(reply, {400, "{}"});
     std::vector<std::string> removed;
     for (auto& id : ids) {
         auto it = machines_.find(id);
@@ -154,12 +158,12 @@
     hosts_.remove(removed, guard_([this, reply] { answer(reply, {200, "{}"}); }));
 }
 
-// Lists what there was some time ago, as the protocol allows.
+// Lists the machines as they were up to `list_lag_s` seconds ago, which the protocol allows.
 http::Response SimulatedCloud::list(const std::string& target) {
     ++counts_.lists;
     auto since = query_parameter(target, "since"), limit_text = query_parameter(target, "limit");
-    std::size_t limit =
-        limit_text.empty() ? largest_page : std::min<std::size_t>(largest_page, std::stoul(limit_text));
+    std::size_t limit = limit_text.empty() ? max_page_machines
+                                           : std::min<std::size_t>(max_page_machines, std::stoul(limit_text));
     double lag_s = experiment_.cloud.list_lag_s * std::uniform_real_distribution<double>(0.5, 1)(random_);
     double time = timers_.now() - lag_s;
     std::vector<protocol::Host> hosts;
--- a/scale/config/experiment.cpp
+++ b/scale/config/experiment.cpp
@@ -6,7 +6,7 @@
 namespace coralhitch::scale {
 namespace {
 
-// Ports above the base.
+// Port numbers relative to the base port.
 constexpr std::uint32_t cloud_port = 1, load_control_port = 2, infrastructure_control_port = 3,
                         first_worker_control_port = 10, controller_port = 50, peer_port = 51,
                         worker_port = 60;
@@ -26,13 +26,13 @@
 std::uint32_t Experiment::slots() const {
     return static_cast<std::uint32_t>(std::ceil(tasks_per_worker * room_ratio));
 }
-double Experiment::base_tasks() const {
+double Experiment::total_service_tasks() const {
     return workers * tasks_per_worker * (1 - load.turnover_share / 2);
 }
 double Experiment::turnover_run_s() const {
-    return load.turnover_share * tasks_per_worker / highest_rate();
+    return load.turnover_share * tasks_per_worker / max_starts_per_worker_s();
 }
-double Experiment::highest_rate() const {
+double Experiment::max_starts_per_worker_s() const {
     double most = 0;
     for (auto& phase : phases) most = std::max(most, phase.starts_per_worker_s);
     return most;
@@ -68,7 +68,8 @@
     return address(controller_host(index), port_base + peer_port);
 }
 std::string Experiment::worker_addr(std::uint64_t number) const {
-    // 127.64.0.1 and up, 250 addresses to each block: 16,000 blocks are more than the workers of any run.
+    // Addresses begin at 127.64.0.1, with 250 in each /24 block. The 16,000 blocks are enough for the workers
+    // of any run.
     auto block = number / 250;
     return address("127." + std::to_string(64 + block / 256) + "." + std::to_string(block % 256) + "." +
                        std::to_string(number % 250 + 1),
--- a/scale/config/experiment_file.cpp
+++ b/scale/config/experiment_file.cpp
@@ -20,7 +20,8 @@
                                           {"rack", FaultKind::rack},
                                           {"zone", FaultKind::zone},
                                           {"state_outage", FaultKind::state_outage}};
-// Named in the plans for this tool, and not made: a run that left them out silently would claim too much.
+// Kinds of faults that were planned for this tool but are not implemented. They are an error, because a run
+// that ignored them would claim to have tested more than it has.
 constexpr const char* unsupported_faults[] = {"region_link", "configuration"};
 
 FaultKind fault_kind(const TomlFields& fields, const std::string& name) {
@@ -102,7 +103,7 @@
     fields.count("workers", experiment.workers, 1, 20000);
     fields.count("controllers", experiment.controllers, 1, 17);
     fields.count("worker_processes", experiment.worker_processes, 1, 32);
-    fields.count("machines_a_rack", experiment.machines_a_rack, 1, 1000);
+    fields.count("machines_a_rack", experiment.machines_per_rack, 1, 1000);
     fields.number("tasks_per_worker", experiment.tasks_per_worker, 0.1, 200);
     fields.number("room_ratio", experiment.room_ratio, 1, 10);
     fields.number("fill_s", experiment.fill_s, 1, 3600);
--- a/scale/kv/watch_list.cpp
+++ b/scale/kv/watch_list.cpp
@@ -6,16 +6,16 @@
 
 namespace coralhitch::scale {
 namespace {
-constexpr std::size_t kept_events = 10000;  // the protocol's own limit
+constexpr std::size_t max_events = 10000;  // set by the protocol
 }  // namespace
 
 void WatchList::append(protocol::Event event) {
     events_.push_back(std::move(event));
-    while (events_.size() > kept_events) events_.pop_front();
+    while (events_.size() > max_events) events_.pop_front();
 }
 
-bool WatchList::has_forgotten_since(std::uint64_t version) const {
-    return events_.size() == kept_events && version + 1 < events_.front().version;
+bool WatchList::has_discarded_since(std::uint64_t version) const {
+    return events_.size() == max_events && version + 1 < events_.front().version;
 }
 
 std::vector<const protocol::Event*> WatchList::events_for(const Watch& watch) const {
@@ -32,7 +32,7 @@
     for (auto it = watches_.begin(); it != watches_.end();) {
         auto events = events_for(*it);
         if (events.empty() && now < it->deadline) {
-            it->since = revision;  // so that nothing is looked through twice
+            it->since = revision;  // no event is examined twice for a watch
             ++it;
             continue;
         }
--- a/scale/load/job_client.cpp
+++ b/scale/load/job_client.cpp
@@ -11,9 +11,9 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
-constexpr double submit_timeout_s = 5, poll_timeout_s = 2, shortest_retry_s = 1, longest_retry_s = 30,
-                 retries_for_s = 60;
+// These values are set by the protocol.
+constexpr double submit_timeout_s = 5, poll_timeout_s = 2, min_retry_delay_s = 1, max_retry_delay_s = 30,
+                 retry_period_s = 60;
 
 constexpr std::size_t connections = 3000, idle_connections = 500;
 constexpr const char* unknown_job = "j-999999999";
@@ -77,7 +77,7 @@
 // --- Submission -----------------------------------------------------------------------------------------
 
 void JobClient::submit(GeneratedJob job) {
-    job.first_tried_at = loop_.now();
+    job.first_attempt_at = loop_.now();
     auto id = job.job.id;
     check([submitted = job.job](verification::Checker& checker, double) { checker.submitted(submitted); });
     ++counts_.submissions;
@@ -104,7 +104,7 @@
     auto& job = jobs_.at(id);
     job.accepted = true;
     ++counts_.accepted;
-    observe(job, "accepted", loop_.now() - job.first_tried_at);
+    observe(job, "accepted", loop_.now() - job.first_attempt_at);
     check([id](verification::Checker& checker, double) { checker.accepted(id); });
     loop_.after(experiment_.load.poll_s, [this, id] { poll(id); });
     if (!job.to_be_cancelled) return;
@@ -113,9 +113,9 @@
 }
 
 void JobClient::retry_submission(const std::string& id, const std::optional<http::Response>& response) {
-    double wait_s = shortest_retry_s;
-    if (response) wait_s = std::clamp(response->retry_after_s, shortest_retry_s, longest_retry_s);
-    if (loop_.now() + wait_s > jobs_.at(id).first_tried_at + retries_for_s) {
+    double wait_s = min_retry_delay_s;
+    if (response) wait_s = std::clamp(response->retry_after_s, min_retry_delay_s, max_retry_delay_s);
+    if (loop_.now() + wait_s > jobs_.at(id).first_attempt_at + retry_period_s) {
         ++counts_.given_up;
         return;
     }
@@ -154,7 +154,7 @@
     }
     ++counts_.done;
     double now = loop_.now();
-    observe(job, "done", now - job.first_tried_at);
+    observe(job, "done", now - job.first_attempt_at);
     if (job.all_done_at) observe(job, "told_done_after", now - *job.all_done_at);
 }
 
@@ -182,7 +182,7 @@
     send({"POST", job_path(id) + std::string(protocol::paths::cancel), {}}, submit_timeout_s,
          [this, id, requested_at](const std::optional<http::Response>& response) {
              if (!response || response->status != 200) {
-                 loop_.after(shortest_retry_s, [this, id] { cancel(id); });
+                 loop_.after(min_retry_delay_s, [this, id] { cancel(id); });
                  return;
              }
              auto& cancelled = jobs_.at(id);
--- a/scale/load/load_balancer.cpp
+++ b/scale/load/load_balancer.cpp
@@ -7,8 +7,8 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
-constexpr double probe_interval_s = 1, probe_timeout_s = 1, shortest_pause_s = 3, longest_pause_s = 60,
+// These values are set by the protocol.
+constexpr double probe_interval_s = 1, probe_timeout_s = 1, min_pause_s = 3, max_pause_s = 60,
                  pause_doubles_within_s = 120;
 constexpr std::size_t probes_kept = 6;
 constexpr int failures_to_remove = 3;
@@ -23,12 +23,12 @@
 void LoadBalancer::probe(std::uint32_t controller) {
     http_.send(experiment_.controller_addr(controller), {"GET", std::string(protocol::paths::health), {}},
                probe_timeout_s, [this, controller](const std::optional<http::Response>& response) {
-                   note_probe(backends_[controller], response && response->status == 200);
+                   record_probe(backends_[controller], response && response->status == 200);
                });
     timers_.after(probe_interval_s, [this, controller] { probe(controller); });
 }
 
-void LoadBalancer::note_probe(Backend& backend, bool succeeded) {
+void LoadBalancer::record_probe(Backend& backend, bool succeeded) {
     double now = timers_.now();
     auto& probes = backend.probes;
     probes.push_back(succeeded);
@@ -38,7 +38,7 @@
     if (backend.healthy && !succeeded && (twice || failed >= failures_to_remove)) {
         bool again = now - backend.removed_at < pause_doubles_within_s;
         backend.healthy = false;
-        backend.pause_s = again ? std::min(longest_pause_s, backend.pause_s * 2) : shortest_pause_s;
+        backend.pause_s = again ? std::min(max_pause_s, backend.pause_s * 2) : min_pause_s;
         backend.removed_at = now;
         return;
     }
--- a/scale/runner/experiment_runner.cpp
+++ b/scale/runner/experiment_runner.cpp
@@ -17,8 +17,10 @@
 using nlohmann::json;
 
 constexpr double check_interval_s = 0.5, progress_interval_s = 2;
-constexpr double start_allowance_s = 40, other_allowance_s = 120;  // beside what the experiment says
-constexpr double filled_share = 0.97;                              // of the tasks that are to run
+// Time allowed for a run in addition to the times in the experiment file.
+constexpr double start_allowance_s = 40, other_allowance_s = 120;
+// Share of the service replicas at which the cluster counts as filled.
+constexpr double filled_share = 0.97;
 
 json describe(const Experiment& experiment) {
     return {{"name", experiment.name},
@@ -41,6 +43,7 @@
            longest_fault_s + other_allowance_s;
 }
 
+// One run of an experiment.
 class ExperimentRunner : private FaultInjector::Run {
   public:
     ExperimentRunner(const Experiment& experiment, const RunOptions& options)
@@ -53,20 +56,20 @@
     json run();
 
   private:
-    // The course of a run, in order.
+    // Stages of a run, in their order.
     void begin_fill();
     void wait_until_filled();
     void begin_phase(std::size_t number);
     void end_phase(std::size_t number);
     void finish();
-    // Beside it.
+    // Monitoring during the run.
     void check_processes();
     void report_progress();
     void print_progress() const;
     void fail(const std::string& reason);
-    // For faults.
+    // Interface for the fault injector.
     [[nodiscard]] std::uint32_t leader() const override;
-    [[nodiscard]] double elapsed_s() const override { return loop_.now() - began_; }
+    [[nodiscard]] double elapsed_s() const override { return loop_.now() - started_at_; }
     [[nodiscard]] const std::string& stage() const override { return stage_; }
     void record_fault(const json& fault) override;
 
@@ -78,11 +81,11 @@
     SnapshotCollector snapshots_;
     FaultInjector faults_;
     std::string failure_, stage_ = "start";
-    json load_stats_ = json::object(), infrastructure_stats_ = json::object();  // the last ones
-    json phase_began_;                                                          // snapshot
+    json load_stats_ = json::object(), infrastructure_stats_ = json::object();  // last answers
+    json snapshot_at_phase_start_;  // snapshot at the beginning of the phase
     json result_ = json::object();
-    double began_ = 0, deadline_ = 0, fill_began_ = 0;
-    std::size_t tasks_wanted_ = 0;  // that are to run once it is filled
+    double started_at_ = 0, deadline_ = 0, fill_started_at_ = 0;
+    std::size_t expected_tasks_ = 0;  // number of service replicas
 };
 
 void ExperimentRunner::fail(const std::string& reason) {
@@ -90,12 +93,12 @@
     loop_.stop();
 }
 
-// --- Course ---------------------------------------------------------------------------------------------
+// --- Stages ---------------------------------------------------------------------------------------------
 
 void ExperimentRunner::begin_fill() {
     stage_ = "fill";
-    fill_began_ = loop_.now();
-    tasks_wanted_ = static_cast<std::size_t>(experiment_.base_tasks());
+    fill_started_at_ = loop_.now();
+    expected_tasks_ = static_cast<std::size_t>(experiment_.total_service_tasks());
     report_progress();
     control_.post(experiment_.load_control_addr(), control_paths::begin, json::object(),
                   [this](const json&) { wait_until_filled(); });
@@ -103,8 +106,8 @@
 
 void ExperimentRunner::wait_until_filled() {
     auto present = load_stats_.value("present", std::size_t{0});
-    double seconds = loop_.now() - fill_began_;
-    bool filled = static_cast<double>(present) >= filled_share * static_cast<double>(tasks_wanted_);
+    double seconds = loop_.now() - fill_started_at_;
+    bool filled = static_cast<double>(present) >= filled_share * static_cast<double>(expected_tasks_);
     if (!filled && seconds < experiment_.fill_s) {
         loop_.after(check_interval_s, [this] { wait_until_filled(); });
         return;
@@ -118,7 +121,7 @@
     auto& phase = experiment_.phases[number];
     stage_ = phase.name;
     auto after_snapshot = [this, number](const json& snapshot) {
-        phase_began_ = snapshot;
+        snapshot_at_phase_start_ = snapshot;
         loop_.after(experiment_.phases[number].seconds, [this, number] { end_phase(number); });
     };
     control_.post(experiment_.load_control_addr(), control_paths::phase, {{"name", phase.name}},
@@ -130,7 +133,7 @@
         auto& phase = experiment_.phases[number];
         result_["phases"].push_back({{"name", phase.name},
                                      {"starts_per_worker_s", phase.starts_per_worker_s},
-                                     {"before", phase_began_},
+                                     {"before", snapshot_at_phase_start_},
                                      {"after", snapshot},
                                      {"leader", Experiment::controller_label(leader())}});
         if (number + 1 < experiment_.phases.size()) return begin_phase(number + 1);
@@ -147,8 +150,8 @@
 }
 
 json ExperimentRunner::run() {
-    began_ = loop_.now();
-    deadline_ = began_ + longest_run_s(experiment_);
+    started_at_ = loop_.now();
+    deadline_ = started_at_ + longest_run_s(experiment_);
     InterruptSignals interrupts(loop_, [this] { fail("broken off"); });
     processes_.start_all(control_, [this] { begin_fill(); });
     check_processes();
@@ -157,15 +160,15 @@
     if (!failure_.empty()) throw ExperimentError(failure_);
     result_["experiment"] = describe(experiment_);
     result_["seconds"] = elapsed_s();
-    result_["most_memory_bytes"] = processes_.most_memory_bytes();
+    result_["most_memory_bytes"] = processes_.peak_memory_bytes();
     return result_;
 }
 
-// --- Beside it ------------------------------------------------------------------------------------------
+// --- Monitoring -----------------------------------------------------------------------------------------
 
 void ExperimentRunner::check_processes() {
     processes_.check([this](const std::string& reason) { fail(reason); });
-    if (loop_.now() > deadline_) fail("the run took longer than it may");
+    if (loop_.now() > deadline_) fail("the run exceeded its time limit");
     loop_.after(check_interval_s, [this] { check_processes(); });
 }
 
@@ -202,7 +205,7 @@
                  "%6.1f s %-10s %5llu machines  %6llu of %zu tasks on them  %4llu jobs open  %llu done  "
                  "leader %s  %zu rules broken\n",
                  elapsed_s(), stage_.c_str(), count(infrastructure_stats_, "machines"),
-                 count(load_stats_, "present"), tasks_wanted_, count(load_stats_, "jobs_open"),
+                 count(load_stats_, "present"), expected_tasks_, count(load_stats_, "jobs_open"),
                  count(load_stats_, "done"), Experiment::controller_label(leader()).c_str(),
                  load_stats_.at("broken").size());
 }
--- a/scale/workers/heartbeat_sender.cpp
+++ b/scale/workers/heartbeat_sender.cpp
@@ -10,11 +10,12 @@
 namespace coralhitch::scale {
 namespace {
 
-// The protocol's own figures.
-constexpr double shortest_interval_s = 0.5, next_controller_after_s = 1, longest_redirect_wait_s = 0.5,
+// These values are set by the protocol.
+constexpr double min_heartbeat_interval_s = 0.5, next_controller_delay_s = 1, max_redirect_delay_s = 0.5,
                  interval_spread = 0.25;
 
-// Turning to another controller closes the connection to the one before.
+// Limits the client to one connection, so that changing the controller closes the connection to the previous
+// one.
 http::ClientLimits one_connection() {
     http::ClientLimits limits;
     limits.connections = 1;
@@ -22,8 +23,8 @@
     return limits;
 }
 
-// Of two heartbeats, whether they say the same but for the sequence number.
-bool repeats(const std::string& body, const std::string& last_body) {
+// Returns true if two heartbeats differ only in the sequence number. Returns false if either is malformed.
+bool differ_only_in_sequence(const std::string& body, const std::string& last_body) {
     auto outline = protocol::outline_heartbeat(body), last_outline = protocol::outline_heartbeat(last_body);
     if (!outline || !last_outline) return false;
     auto before = [](std::string_view text, const auto& of) { return text.substr(0, of.sequence_offset); };
@@ -58,7 +59,7 @@
 void HeartbeatSender::schedule() {
     if (in_flight_ || stopped_) return;
     double due = regular_due_;
-    if (status_changed_) due = std::min(due, last_sent_ + shortest_interval_s);
+    if (status_changed_) due = std::min(due, last_sent_ + min_heartbeat_interval_s);
     if (timer_ && due >= timer_due_) return;
     context_.loop().cancel(timer_);
     timer_due_ = due;
@@ -68,7 +69,7 @@
     timer_ = 0;
     timer_due_ = never;
     double now = context_.loop().now();
-    bool change_is_due = status_changed_ && now >= last_sent_ + shortest_interval_s;
+    bool change_is_due = status_changed_ && now >= last_sent_ + min_heartbeat_interval_s;
     if (now >= regular_due_ || change_is_due) return send();
     schedule();
 }
@@ -86,7 +87,7 @@
     last_sent_ = now;
     regular_due_ = now + experiment.worker.heartbeat_interval_s *
                              draw_uniform(context_.random(), 1 - interval_spread, 1 + interval_spread);
-    // Its own timeout, since the lease may expire while an answer is awaited.
+    // The timeout does not depend on the lease, which may expire while the answer is outstanding.
     client_.send(controller, std::move(request), protocol::heartbeat_timeout_s,
                  guard_([this, now,
                          agent_epoch = heartbeat.agent_epoch](const std::optional<http::Response>& response) {
@@ -98,7 +99,7 @@
     ++counts.heartbeats;
     counts.heartbeat_bytes += bytes;
     ++counts.heartbeats_by_controller[Experiment::controller_label(controller_)];
-    if (!repeats(body, last_body_)) return;
+    if (!differ_only_in_sequence(body, last_body_)) return;
     ++counts.repeated_heartbeats;
     counts.repeated_bytes += bytes;
 }
@@ -111,7 +112,7 @@
     agent_.check_lease();
     if (!response) {
         ++counts.unanswered;
-        turn_to_next_controller();
+        switch_to_next_controller();
         return schedule();
     }
     ++counts.answers;
@@ -121,7 +122,7 @@
         on_redirect(response->body);
     } else if (response->status != 200) {
         ++counts.rejected;
-        turn_to_next_controller();
+        switch_to_next_controller();
     } else {
         agent_.handle_answer({agent_epoch, sent_at, response->body});
     }
@@ -132,14 +133,14 @@
     for (std::uint32_t index = 0; named && index < context_.experiment().controllers; ++index) {
         if (*named != Experiment::controller_label(index) || index == controller_) continue;
         controller_ = index;
-        regular_due_ = context_.loop().now() + draw_uniform(context_.random(), 0, longest_redirect_wait_s);
+        regular_due_ = context_.loop().now() + draw_uniform(context_.random(), 0, max_redirect_delay_s);
         return;
     }
-    turn_to_next_controller();
+    switch_to_next_controller();
 }
-void HeartbeatSender::turn_to_next_controller() {
+void HeartbeatSender::switch_to_next_controller() {
     controller_ = (controller_ + 1) % context_.experiment().controllers;
-    regular_due_ = context_.loop().now() + next_controller_after_s;
+    regular_due_ = context_.loop().now() + next_controller_delay_s;
     status_changed_ = false;
 }
 
--- a/scale/workers/hollow_worker.cpp
+++ b/scale/workers/hollow_worker.cpp
@@ -10,7 +10,7 @@
 namespace coralhitch::scale {
 namespace {
 
-constexpr double shortest_lease_check_s = 0.0005, server_idle_timeout_s = 600;
+constexpr double lease_check_margin_s = 0.0005, server_idle_timeout_s = 600;
 constexpr std::size_t server_connections = 16;
 
 http::ServerLimits server_limits() {
@@ -69,14 +69,14 @@
     try {
         orders = messages::parse_orders(answer.body);
     } catch (const std::exception&) {
-        // Has no token then, and is ignored.
+        // A malformed answer leaves `orders` without a token, so that it is ignored below.
     }
     if (answer.agent_epoch != agent_epoch_ || !orders.token || *orders.token < token_) {
         ++context_.counts().ignored_answers;
         return;
     }
     lease_renewed_at_ = std::max(lease_renewed_at_, answer.sent_at);
-    see_token(*orders.token);
+    update_token(*orders.token);
     execute(orders.commands);
 }
 
@@ -106,7 +106,7 @@
         ++context_.counts().rejected_commands;
         return {409, status_body()};
     }
-    see_token(*orders.token);
+    update_token(*orders.token);
     execute(orders.commands);
     return {200, status_body()};
 }
@@ -129,8 +129,9 @@
     }
 }
 
-// A new leader learns soon, but not with every answer, that its token has come.
-void HollowWorker::see_token(protocol::FencingToken token) {
+// Stores a newer fencing token. Requests an early heartbeat at most once in half a lease, so that a new
+// leader learns soon that its token has arrived, without a heartbeat after every answer.
+void HollowWorker::update_token(protocol::FencingToken token) {
     if (token <= token_) return;
     token_ = token;
     double now = context_.loop().now();
@@ -141,18 +142,20 @@
 
 // --- Lease ----------------------------------------------------------------------------------------------
 
-// Answers move the lease's expiry; what fires early looks again.
+// Schedules a check for the lease's expiry. Answers postpone the expiry. A timer that fires before the
+// postponed expiry schedules another check.
 void HollowWorker::schedule_lease_check() {
     double left_s = lease_renewed_at_ + context_.experiment().worker.lease_s - context_.loop().now();
-    lease_timer_ = context_.loop().after(std::max(0.0, left_s) + shortest_lease_check_s, guard_([this] {
+    lease_timer_ = context_.loop().after(std::max(0.0, left_s) + lease_check_margin_s, guard_([this] {
                                              if (silent_) return;
                                              check_lease();
                                              schedule_lease_check();
                                          }));
 }
 
-// After the expiry all tasks have ended, and the next agent epoch begins. The time recorded is that of the
-// expiry, not when this process came to it: it may be late, and its tasks are no real ones.
+// If the lease has expired, ends all tasks and begins the next agent epoch. The ends are recorded at the time
+// of the expiry, not at the present time: this process may notice the expiry late, and its tasks are only
+// simulated.
 void HollowWorker::check_lease() {
     double now = context_.loop().now(), expiry = lease_renewed_at_ + context_.experiment().worker.lease_s;
     if (now <= expiry) return;
--- a/scale/workers/task_runner.cpp
+++ b/scale/workers/task_runner.cpp
@@ -11,8 +11,9 @@
 using protocol::JobKind;
 using protocol::TaskState;
 
-// Parts and multiples of the mean, within which times are drawn.
-constexpr double slowest_fetch = 2.0 / 3, fastest_fetch = 4.0 / 3, shortest_run = 0.5, longest_run = 1.5;
+// Bounds within which fetch rates and run times are drawn, as ratios to their means.
+constexpr double min_fetch_rate_ratio = 2.0 / 3, max_fetch_rate_ratio = 4.0 / 3, min_run_time_ratio = 0.5,
+                 max_run_time_ratio = 1.5;
 
 }  // namespace
 
@@ -37,7 +38,7 @@
         return agent_.status_changed();
     }
     tasks_[attempt] = {};
-    ++present_;
+    ++active_tasks_;
     ++context_.counts().tasks_started;
     context_.record(event(WorkerEventKind::task_started, attempt));
     agent_.status_changed();
@@ -45,7 +46,7 @@
                             guard_([this, attempt](const TaskSpec* spec) { fetch_image(attempt, spec); }));
 }
 
-// At once: no task here saves a checkpoint.
+// Ends the task at once, because simulated tasks save no checkpoint.
 void TaskRunner::stop(const TaskAttempt& attempt) {
     end(attempt, ExitCause::stopped);
 }
@@ -57,13 +58,13 @@
     agent_.status_changed();
 }
 
-// --- A task's life --------------------------------------------------------------------------------------
+// --- Task lifecycle -------------------------------------------------------------------------------------
 
 TaskRunner::Task* TaskRunner::find_fetching(const TaskAttempt& attempt) {
-    auto* task = find_present(attempt);
+    auto* task = find_active(attempt);
     return task && task->state == TaskState::fetching ? task : nullptr;
 }
-TaskRunner::Task* TaskRunner::find_present(const TaskAttempt& attempt) {
+TaskRunner::Task* TaskRunner::find_active(const TaskAttempt& attempt) {
     auto it = tasks_.find(attempt);
     if (halted_ || it == tasks_.end() || it->second.state == TaskState::exited) return nullptr;
     return &it->second;
@@ -91,7 +92,7 @@
     double now = context_.loop().now();
     if (images_.has(spec.image)) return images_.use(spec.image, now);
     double gb_per_s = context_.experiment().worker.fetch_gb_per_s *
-                      draw_uniform(context_.random(), slowest_fetch, fastest_fetch);
+                      draw_uniform(context_.random(), min_fetch_rate_ratio, max_fetch_rate_ratio);
     double fetch_s = spec.image_gb / gb_per_s;
     images_.fetch(spec.image, spec.image_gb, now, fetch_s);
     return fetch_s;
@@ -107,7 +108,8 @@
     if (spec.kind == JobKind::gang)
         end_after(attempt, context_.experiment().worker.gang_wait_s, ExitCause::gang_incomplete);
     if (spec.kind == JobKind::array)
-        end_after(attempt, spec.run_s * draw_uniform(context_.random(), shortest_run, longest_run),
+        end_after(attempt,
+                  spec.run_s * draw_uniform(context_.random(), min_run_time_ratio, max_run_time_ratio),
                   ExitCause::done);
 }
 
@@ -118,13 +120,14 @@
 }
 
 void TaskRunner::end(const TaskAttempt& attempt, ExitCause cause, std::optional<double> time) {
-    if (!find_present(attempt)) return;
-    agent_.check_lease();  // what ends after the lease's expiry was killed with it
-    auto* task = find_present(attempt);
+    if (!find_active(attempt)) return;
+    // A task that would end after the lease's expiry has been killed at the expiry.
+    agent_.check_lease();
+    auto* task = find_active(attempt);
     if (!task) return;
     context_.loop().cancel(task->timer);
     *task = {TaskState::exited, cause, 0, {}};
-    --present_;
+    --active_tasks_;
     ++context_.counts().tasks_ended;
     ++context_.counts().ends_by_cause[std::to_string(static_cast<int>(cause))];
     auto ended = event(WorkerEventKind::task_ended, attempt);
@@ -145,7 +148,7 @@
     if (std::exchange(halted_, true)) return;
     for (auto& [attempt, task] : tasks_) context_.loop().cancel(task.timer);
     tasks_.clear();
-    present_ = 0;
+    active_tasks_ = 0;
 }
 
 // --- Gangs ----------------------------------------------------------------------------------------------
