--- a/src/failover/reconciliation.cpp
+++ b/src/failover/reconciliation.cpp
@@ -9,7 +9,7 @@
 // Reconciliation is progressing as long as, within this many heartbeat periods, at least this share of the
 // remaining machines is reconciled.
 constexpr double progress_window_heartbeat_periods = 1.0 / 2, min_progress_share = 1.0 / 64;
-// Extra time before the silence of a machine counts that has not been probed yet.
+// Extra time before the silence of a machine that has not been probed yet counts.
 constexpr double unprobed_allowance_heartbeat_periods = 2;
 // Time for which a probe must be unanswered before the silence that the previous leader observed counts, too.
 constexpr double probe_timeout_heartbeat_periods = 1.0 / 2;
--- a/src/failover/reconciliation.hpp
+++ b/src/failover/reconciliation.hpp
@@ -35,9 +35,10 @@
     void tick(double now, double interval_s);
     // Records that a machine answered a direct command of this leader after `latency_s` seconds.
     void record_answer(double latency_s, double now);
-    // Returns true if most answers of the last seconds were so late that they must have waited in this
-    // process, which then lacks the processor time to process heartbeats as they arrive. While this is so,
-    // missed heartbeats indicate neither a failed machine nor that this leader is isolated.
+    // Returns true if most of the last ten or so answers were so late that they must have waited in this
+    // process, and the last answer is recent. The process then lacks the processor time to process heartbeats
+    // as they arrive, so missed heartbeats indicate neither a failed machine nor that this leader is
+    // isolated.
     [[nodiscard]] bool is_overloaded(double now) const;
     // Returns for how many seconds nothing arrived from a machine, counting only the time for which the
     // machine rather than this leader is responsible.
--- a/src/leader/authority.hpp
+++ b/src/leader/authority.hpp
@@ -55,7 +55,7 @@
     // Ends the authority permanently. Guarded callbacks that run later do nothing (see CallbackGuard).
     void end() { ended_ = true; }
     [[nodiscard]] bool ended() const { return ended_; }
-    // Gives up leadership, and lets other controllers go first in elections for `pause_s` seconds.
+    // Gives up leadership, and lets other controllers go first in elections for up to `pause_s` seconds.
     void resign(double pause_s) { election_.resign(pause_s); }
     // Gives up leadership if `fencing_token`, received in a message, belongs to a later leadership.
     void step_down_if_superseded(protocol::LeaderVersion fencing_token) {
--- a/src/leader/command_sender.cpp
+++ b/src/leader/command_sender.cpp
@@ -214,8 +214,8 @@
         auto* before = state_.cluster.find(machine_id);
         new_epoch = before && before->agent_epoch < status.agent_epoch;
         if (status.machine == machine_id) apply_status_(status);
-        // The response that a relay continues to give may be out of date: commands are pending, or the
-        // machine's last heartbeat did not show all instances that are known to be on it.
+        // The response that a relay continues to give may be out of date if something is pending for the
+        // machine, such as a command, or an instance that no heartbeat has shown yet.
         if (auto* machine = state_.cluster.find(machine_id);
             machine && !state_.cluster.nothing_pending(*machine))
             delegations_.revoke(machine_id);
--- a/src/leader/fleet_scaler.hpp
+++ b/src/leader/fleet_scaler.hpp
@@ -24,8 +24,8 @@
 // Requests machines from the cloud, and retries each request until the cloud responds.
 class FleetScaler : private LeaderPart {
   public:
-    // Returns true if heartbeats from the zone with this index have stopped, for a limited time only (see
-    // membership::FailureDetector::zone_silent).
+    // Returns true if no heartbeats come any more from the zone with this index. A zone counts as unreachable
+    // only for a limited time (see membership::FailureDetector::zone_silent).
     using ZoneUnreachable = std::function<bool(std::size_t zone)>;
 
     FleetScaler(const PartContext& context, cloud::CloudClient& cloud,
@@ -39,7 +39,7 @@
     [[nodiscard]] bool knows_machine_types() const { return !types_.empty(); }
     // Requests these machines, in calls of at most cloud::CloudClient::max_machines_per_create machines each.
     void scale_out(std::span<const autoscaler::ScaleOutRequest> requests);
-    // Sends every pending request that is not in flight again. Must be called at each tick.
+    // Retries every pending request that is not in flight. Must be called at each tick.
     void retry_unanswered();
 
   private:
--- a/src/leader/job_watcher.cpp
+++ b/src/leader/job_watcher.cpp
@@ -138,8 +138,8 @@
     callbacks_.request_plan();
 }
 
-// Applies the listed records that are missing from the job table or newer there. Adds the ids of all listed
-// jobs to `ids`. Returns the number of records that the table did not have.
+// Applies the listed records that the job table does not have in this version. Adds the ids of all listed
+// jobs to `ids`. Returns the number of records that were applied.
 std::size_t JobWatcher::apply_unknown(const kv::ListResult& stored, std::set<std::string>& ids) {
     std::lock_guard lock(state_.mutex);
     std::size_t unknown = 0;
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -3,8 +3,8 @@
 // Leader class forwards external events to them and runs the periodic tick.
 //
 // There is one Leader object per leadership, used on the event loop's thread. It is released when the
-// leadership ends. Callbacks that run later do nothing (CallbackGuard), and every earlier action first checks
-// that it is allowed (Authority).
+// leadership ends. Until then, every action first checks that the leader may act (Authority). Callbacks that
+// run after the end do nothing (CallbackGuard).
 //
 // After an election, Recovery loads the stored state. Then heartbeats are answered and the tick starts. Plans
 // are computed once enough machines have reconciled.
--- a/src/leader/leader_dependencies.hpp
+++ b/src/leader/leader_dependencies.hpp
@@ -38,7 +38,8 @@
     const std::vector<protocol::MachineType>& machine_types;
     // Takes machines that sent no heartbeat to this controller, with the duration of their silence in
     // seconds. Returns how many of them have sent a heartbeat to another controller since then, as the
-    // maximum over the other controllers. Returns nothing if no other controller that could lead sends pings.
+    // maximum over the other controllers. Returns nothing if no other controller that could lead has sent a
+    // ping recently.
     std::function<std::optional<std::size_t>(const std::map<std::string, double>&)> heartbeats_seen_by_peers;
     // Image caches of the machines as the previous leader sent them.
     const protocol::PeerImages& inherited_image_caches;
--- a/src/leader/machine_store.hpp
+++ b/src/leader/machine_store.hpp
@@ -33,7 +33,8 @@
     // once, before any other function.
     [[nodiscard]] std::vector<Record> load(const kv::ListResult& listed) { return registry_.load(listed); }
     // Stores the record of a machine that is up and has sent a status, unless it is stored or being stored.
-    // Does nothing if the only statuses came from the time of an earlier leader.
+    // Does nothing while its statuses have shown only the fencing token of an earlier leader, since the
+    // machine may have been deleted after that.
     void store_if_new(cluster::Machine& machine);
     // Queues the machine's record to be written again.
     void update(const std::string& machine_id) { registry_.put(machine_id); }
--- a/src/leader/machine_supervisor.cpp
+++ b/src/leader/machine_supervisor.cpp
@@ -73,7 +73,7 @@
                             {}};
     // Commands may not reach this machine, though its heartbeats arrive. Tasks that it has reported run until
     // the agent's lease expires, and the agent reports that. Tasks that were sent to it and never reported
-    // would wait for as long, so the time without contact counts against the machine.
+    // would wait for as long, so the time without contact counts against a machine that has reported none.
     if (machine.reconciled && machine.reachability.outbound_unreachable() &&
         !machine.has_reported_instances())
         observation.unreached_s =
@@ -83,8 +83,9 @@
     return observation;
 }
 
-// Returns whose work is held up while a dead machine is not evicted: nobody's, that of the array tasks
-// running on it, or also that of others.
+// Returns what would wait if the machine were dead and not evicted: nothing if it has no tasks, only the
+// tasks themselves if all are running tasks of array jobs, and otherwise also others, such as the rest of a
+// gang.
 EvictionCost MachineSupervisor::eviction_cost(const Machine& machine) const {
     if (machine.tasks.empty()) return EvictionCost::none;
     bool only_running_arrays = std::all_of(machine.tasks.begin(), machine.tasks.end(), [](auto& entry) {
@@ -178,10 +179,11 @@
     if (due) parts_.commands.probe(machine);
 }
 
-// Returns whether the machine's lease has expired, and if so ends all instances on it. The evidence that they
-// have terminated is time: the agent kills its tasks lease_s after it sent the last heartbeat that was
-// answered, and it sent that heartbeat before the answer. The answer to a delayed heartbeat counts as well,
-// and so does one that a relay may have given.
+// Returns whether the machine's lease has expired. If it has, and no heartbeat has come for as long as a
+// lease or the machine is outbound unreachable, ends all instances on it. The evidence that they have
+// terminated is time: the agent kills its tasks lease_s after it sent the last heartbeat that was answered,
+// and it sent that heartbeat before the answer. The answer to a delayed heartbeat counts as well, and so does
+// one that a relay may have given.
 bool MachineSupervisor::check_lease(Machine& machine) {
     double renewed_at = parts_.delegations.last_possible_renewal(machine);
     double lease_s = settings_.lease_s;
--- a/src/leader/machine_supervisor.hpp
+++ b/src/leader/machine_supervisor.hpp
@@ -44,7 +44,7 @@
     struct Hooks {
         // Given machine ids with the seconds since this leader last received a heartbeat from each, returns
         // from how many of them another controller has received one since: the highest such count of any
-        // controller. Returns nothing if no other controller answers that could lead.
+        // controller. Returns nothing if no other controller that could lead has sent a ping recently.
         std::function<std::optional<std::size_t>(const std::map<std::string, double>& silent_s)>
             heartbeats_seen_by_peers;
         // Returns whether the leader should resign because it seems isolated. If so, the controller records
