--- a/bench/compare.py
+++ b/bench/compare.py
@@ -31,9 +31,9 @@
 def unserved(day):
     """Returns the classes and teams of which less than half was served on a day at large size.
 
-    The shares are those that the entry has for each class and team, and those of the day's objectives. Of several objectives
-    for one kind and class, the one with the highest share counts, which allows the longest time. Teams occur
-    in the objectives only under a name that they share, so the share of all guarantees that were kept is included too.
+    The shares are those that the entry has for each class and team, and those of the day's objectives. If a kind and class has
+    several objectives, only the one with the highest share counts, which is the one that allows the longest time. Teams occur in
+    the objectives only under a name that they share, so the share of all guarantees that were kept is included too.
     """
     shares = {("served", name): share for name, _, share in day.get("served", [])}
     for text, _ in day["aims"]:
@@ -121,7 +121,10 @@
 
 
 def may_be_accepted(failures):
-    """Returns true if no failure forbids a new baseline, as a fall of a score does not. Words of the texts tell the others."""
+    """Returns true if no failure forbids a new baseline.
+
+    A fallen score does not forbid one. The failures that do are recognized by words in their texts.
+    """
     return not any(word in failure for failure in failures for word in ("rule", "played", "ended", "served"))
 
 
--- a/scale/config/experiment.hpp
+++ b/scale/config/experiment.hpp
@@ -7,8 +7,8 @@
 
 namespace coralhitch::scale {
 
-// Timings that are also in the controllers' settings, and the properties of hollow workers. `boot_s` and
-// `fetch_gb_per_s` are means.
+// Timings that are also in the controllers' settings, and the properties of hollow workers. A machine boots
+// in 0.6 to 1.5 times `boot_s`, and `fetch_gb_per_s` is the mean rate at which images are fetched.
 struct WorkerSettings {
     double heartbeat_interval_s = 3, lease_s = 31, gang_wait_s = 50, gang_peer_s = 5, cancel_s = 61;
     double boot_s = 2, fetch_gb_per_s = 10, cache_gb = 50;
@@ -58,7 +58,7 @@
     double seconds = 0, starts_per_worker_s = 0;
 };
 
-// What a fault does: kills one controller, kills all at the same time, kills them one after the other, fails
+// Effect of a fault: kills one controller, kills all at the same time, kills them one after the other, fails
 // a number of machines, fails a rack of machines, fails the machines and controllers of a zone, or makes the
 // key-value store refuse requests.
 enum class FaultKind { controller, restart_all, roll, machines, rack, zone, state_outage };
@@ -66,9 +66,11 @@
 // A fault to inject.
 struct Fault {
     FaultKind kind = FaultKind::controller;
-    std::string name;            // name of the kind in the file
-    double at_s = 0;             // seconds after the beginning of the first phase
-    double back_s = 1;           // seconds until killed controllers are restarted, or until the outage ends
+    std::string name;  // name of the kind in the file
+    double at_s = 0;   // seconds after the beginning of the first phase
+    // Seconds until killed controllers are restarted, machines can be created in a failed zone again, or the
+    // outage ends.
+    double back_s = 1;
     std::string which;           // `controller`: a label or "leader"; `zone`: a zone; ignored otherwise
     std::uint32_t machines = 0;  // `machines`: how many fail
 };
