--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -23,13 +23,13 @@
     // the live record.
     static constexpr double writes_per_job = 3;
     // Size of the burst that is accepted after an idle time: the number of jobs that the sustained rate
-    // admits in this many machine leases.
+    // admits in this many agent leases.
     static constexpr double burst_leases = 1;
 
     explicit Admission(const config::Settings& settings);
     // Admits one job of a team if a token is available, and returns whether it did. Each team has an equal
     // share of the rate for itself. Beyond its share, a team may use the whole common burst if no other team
-    // has submitted a job within the last machine lease; otherwise it leaves a reserve to the other teams.
+    // has submitted a job within the last agent lease; otherwise it leaves a reserve to the other teams.
     bool admit(const std::string& team, double now);
     // Returns whether `admit` would admit a job now, without taking tokens or counting a rejection.
     [[nodiscard]] bool can_admit(const std::string& team, double now);
--- a/src/api/cancellation_handler.cpp
+++ b/src/api/cancellation_handler.cpp
@@ -64,8 +64,8 @@
         return reply(retry_later());
     }
     if (record.cancelled) {
-        // The previous attempt may have stored this and its answer was lost. The leader was not notified
-        // then.
+        // A previous attempt of this request may have stored the cancellation although its answer was lost.
+        // The leader was not notified in that case.
         if (attempt > 0) cluster_.notify_cancelled(id, entry.version);
         return reply(cancelled_job(id));
     }
--- a/src/api/live_jobs.cpp
+++ b/src/api/live_jobs.cpp
@@ -19,7 +19,8 @@
 // Age of the last request after which `refresh_if_stale` sends another one. The number of changes in this
 // time is far below the number of changes that the key-value store keeps.
 constexpr double refresh_interval_leases = 0.5;
-// Minimum number of jobs ended between two requests for which all final records are read with one request.
+// If at least this many jobs have ended between two requests, all their final records are read with one
+// request.
 constexpr std::size_t min_ends_for_bulk_read = 2;
 }  // namespace
 
--- a/src/api/live_jobs.hpp
+++ b/src/api/live_jobs.hpp
@@ -40,6 +40,7 @@
 // outlive it.
 class LiveJobs {
   public:
+    // Result of a read of one job.
     struct ReadResult {
         bool ok = false;              // false if the key-value store did not answer; the rest is empty then
         std::optional<LiveJob> live;  // empty if the job is not live
@@ -60,7 +61,7 @@
     // Applies the outcome of an ended job, which never changes, to its dependents. Has no effect unless the
     // outcome is unresolved.
     void apply_outcome(const std::string& id, protocol::JobState state);
-    // Sends a request if the last one was sent more than half a machine lease ago, so that the store still
+    // Sends a request if the last one was sent more than half an agent lease ago, so that the store still
     // keeps the changes since the revision of the copy. Must be called regularly. Does nothing before the
     // first read.
     void refresh_if_stale();
@@ -76,6 +77,7 @@
     [[nodiscard]] std::uint64_t request_count() const { return request_count_; }
 
   private:
+    // Read that waits for an answer of the key-value store.
     struct PendingRead {
         std::string id;
         ReadCallback done;
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -119,7 +119,7 @@
     const Input& input_;
     const config::Settings& settings_;
     BinPacker packer_;
-    double spare_machines_ = 0;  // in machines
+    double spare_machines_ = 0;  // spare capacity that the plan leaves, in machines
 };
 
 }  // namespace
--- a/src/autoscaler/bin_packer.cpp
+++ b/src/autoscaler/bin_packer.cpp
@@ -75,8 +75,9 @@
     std::size_t next = 0;
     std::size_t next_unreachable = 0;
     for (std::size_t packed = 0; packed < demand.count; ++packed) {
-        // Machines of a zone from which no heartbeats arrive may become available again at any time, or late.
-        // Demand is packed on them only if no machine can be created in a reachable zone.
+        // It is not known when suspected machines, and machines of a zone from which no heartbeats arrive,
+        // become available again. Demand is packed on them only if no other machine has enough free
+        // resources and none can be created in a reachable zone.
         auto* bin = find_or_open(job, pools, ZoneState::reachable, next);
         if (!bin) bin = find_or_open(job, pools, ZoneState::unreachable, next_unreachable);
         if (!bin) return;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -16,11 +16,11 @@
 // arrived after the agent left.
 constexpr double recent_heartbeat_periods = 3;
 
-// Delayed copies of a heartbeat may arrive up to this long after the heartbeat, relative to the agents'
-// lease.
+// The tracker remembers a machine's latest heartbeat for this long, since delayed copies of it may still
+// arrive.
 constexpr double duplicate_retention_leases = 8;
-// Minimum time between two resignations. A controller that is elected again
-// earlier keeps its leadership even if it receives no heartbeats.
+// Minimum time between two resignations. A controller that is elected again earlier keeps its leadership even
+// if it receives no heartbeats.
 constexpr double resign_interval_leases = 4;
 
 }  // namespace
--- a/src/controller/overload_log.hpp
+++ b/src/controller/overload_log.hpp
@@ -1,6 +1,6 @@
-// Logs what this controller refused for lack of capacity: connections for which no socket was free, and
-// requests to the key-value store beyond its rate limit. Logs nothing while nothing is refused, and sends no
-// requests.
+// Logs what this controller refused for lack of capacity: connections for which no socket was free,
+// submissions beyond the admitted rate, and requests to the key-value store beyond its rate limit. Logs
+// nothing while nothing is refused, and sends no requests.
 #pragma once
 #include <cstdint>
 #include <optional>
--- a/src/controller/peer_monitor.cpp
+++ b/src/controller/peer_monitor.cpp
@@ -11,8 +11,8 @@
 constexpr double ping_interval_heartbeat_periods = 1.0 / 2,
                  ping_interval_while_suspecting_itself_heartbeat_periods = 1.0 / 6;
 constexpr double ping_recent_heartbeat_periods = 1.5;
-constexpr double relay_delay_heartbeat_periods =
-    1.0 / 10;  // relayed heartbeats arrive here later by up to this
+// A relayed heartbeat may arrive here up to this much later than it arrived at the relay.
+constexpr double relay_delay_heartbeat_periods = 1.0 / 10;
 constexpr double startup_grace_heartbeat_periods = 1.0 / 5;  // time for the peers to answer the first ping
 
 // Image caches are sent only with every third round of pings, since they change slowly.
--- a/src/jobs/job_table.hpp
+++ b/src/jobs/job_table.hpp
@@ -68,7 +68,8 @@
 
     // To be called when all changes up to this revision have been applied. Drops what is remembered about
     // jobs that ended before it: older records of them can arrive only from a list that is being read, so
-    // while a list is in progress nothing is dropped.
+    // while a list is in progress nothing is dropped. Also drops the cancellations up to this revision that
+    // `cancel` has kept for jobs that are not in the table.
     void forget_ended_before(std::uint64_t revision);
     // Sets whether a list of the key-value store is being read.
     void set_list_in_progress(bool in_progress) { list_in_progress_ = in_progress; }
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -44,7 +44,7 @@
         auto& view = plan_.input.jobs[job];
         if (view.waiting_tasks.empty()) return;
         bool may_wait = plan_.order.may_wait_for_image(job);
-        // Such a job was allowed to use any machine in the first pass already.
+        // A job that does not wait for its image could use any machine in the first pass already.
         if (image_requirement == ImageRequirement::none && !may_wait) return;
         if (!may_wait) image_requirement = ImageRequirement::none;
         if (view.spec->kind == protocol::JobKind::gang)
