--- a/src/event_loop/event_loop.hpp
+++ b/src/event_loop/event_loop.hpp
@@ -43,8 +43,8 @@
     TimerId after(double seconds, Task task) override;
     void cancel(TimerId id) override;
 
-    // Calls the handler whenever one of these epoll flags is ready for the descriptor. Starts in
-    // Lane::urgent.
+    // Calls the handler whenever one of these epoll flags is ready for the descriptor. The descriptor is in
+    // Lane::urgent until set_lane() is called.
     void watch(int fd, std::uint32_t events, Handler handler);
     // Sets the lane of a watched descriptor.
     void set_lane(int fd, Lane lane);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -144,8 +144,8 @@
            close_longest_idle(Traffic::ordinary, limits_.ordinary_reclaim_s);
 }
 
-// Counts the connection as a worker's, because its first request is a heartbeat. This frees the socket for
-// the kind that it was counted as. Returns false if no socket is left for workers.
+// Counts the connection as a worker's from its first heartbeat on. This frees the socket for the kind that it
+// was counted as. Returns false if no socket is left for workers.
 bool Server::admit_bulk(Peer& peer) {
     if (!budget_.reclassify(peer.kind, PeerKind::worker)) return false;
     peer.kind = PeerKind::worker;
--- a/src/kv/list_watch.hpp
+++ b/src/kv/list_watch.hpp
@@ -34,8 +34,8 @@
     };
     struct Callbacks {
         // Delivers changes. A change may be delivered twice, and after a newer change to the same key, so the
-        // receiver must compare versions. Changes up to the store revision `delivered_until` are not
-        // delivered again.
+        // receiver must compare versions. With this call every change up to the store revision
+        // `delivered_until` has been delivered, and none of them is delivered again.
         std::function<void(const std::vector<protocol::Event>& events, std::uint64_t delivered_until)>
             on_changes;
         // Delivers all keys, because the store has compacted the changes that were to be read. A key that is
--- a/src/kv/request_queue.cpp
+++ b/src/kv/request_queue.cpp
@@ -26,7 +26,7 @@
 }
 
 // Returns true for a submission behind more changes than can be sent before its deadline. It is refused at
-// once. When such submissions stayed in the queue until their deadline, they were refused just after their
+// once. When such submissions stayed in the queue until their deadline, they were refused just when their
 // users had timed out and submitted again, so that users kept getting time-outs instead of refusals.
 bool RequestQueue::would_miss_deadline(const PendingRequest& request) {
     if (request.priority != RequestPriority::submission) return false;
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -47,8 +47,8 @@
     LeaderVersion leader_version;  // newest leadership that the sender knows of
     std::string leader;
     bool kv_reachable = false;  // the key-value store answered the sender recently
-    std::vector<std::string>
-        reporting_machines;                   // from a follower: machines that recently sent it heartbeats
+    // From a follower: the machines that recently sent it heartbeats.
+    std::vector<std::string> reporting_machines;
     std::vector<PeerTaskCounts> task_counts;  // from a leader: of all live jobs
     std::uint64_t features = 0;               // a level of peer_features; 0: an older version
     LeaderVersion replicated_leadership;      // last leadership of which the sender has a complete replica
@@ -141,8 +141,8 @@
     bool ready = false;  // the leader handled the heartbeats; otherwise the relay may send them again
     std::uint64_t delegation_ms = 0;    // duration of the delegation, from the sending of the request
     std::vector<RelayedReply> replies;  // to each of the request's heartbeats
-    std::vector<std::string>
-        revoked;  // machines whose next heartbeat must be relayed; applied after `replies`
+    // Machines whose next heartbeat must be relayed. Applied after `replies`.
+    std::vector<std::string> revoked;
     MSGPACK_DEFINE(is_leader, ready, delegation_ms, replies, revoked)
 };
 
--- a/src/verification/answer_rules.cpp
+++ b/src/verification/answer_rules.cpp
@@ -70,8 +70,8 @@
     if (received_before(job.cancelled_at, answer) && answer.state != protocol::JobState::cancelled)
         report(answer.received, final_state_left(answer, protocol::JobState::cancelled));
 }
-// A job must be reported as cancelled once `cancel_s` has passed since a user received confirmation that a
-// dependency of the job is cancelled.
+// An answer must not say that a job is queued or running once `cancel_s` has passed since a user received
+// confirmation that a dependency of the job is cancelled.
 void Checker::check_cancelled_dependencies(const Answer& answer) {
     if (answer.state != protocol::JobState::queued && answer.state != protocol::JobState::running) return;
     auto cancelled_at = observations_.dependency_cancelled_at(answer.job);
--- a/src/verification/checker.cpp
+++ b/src/verification/checker.cpp
@@ -19,8 +19,8 @@
     auto [begin, end] = job.machines_of_task.equal_range(task.index);
     auto what = "ran_twice " + task.str() + " on " + machine + " and ";
     for (auto other = begin; other != end; ++other) report(now, what + other->second);
-    observations_.remove_task(job, task.index,
-                              machine);  // a second start on the same machine occupies no more resources
+    // A second start on the same machine occupies no more resources.
+    observations_.remove_task(job, task.index, machine);
 }
 void Checker::check_dependencies_done(double now, const protocol::Job& job, const std::string& task) {
     for (auto& awaited : job.dependencies)
--- a/src/verification/observations.hpp
+++ b/src/verification/observations.hpp
@@ -31,8 +31,8 @@
     std::optional<double> waiting_since;  // since then there were room and quota, but no task started
     bool waited_too_long = false;
     std::set<std::uint32_t> tasks_done;
-    std::multimap<std::uint32_t, std::string>
-        machines_of_task;  // more than one machine only if a rule is violated
+    // Machines by task index. A task has more than one machine only if a rule is violated.
+    std::multimap<std::uint32_t, std::string> machines_of_task;
     std::map<std::string, std::uint32_t> tasks_per_zone;
 
     // Returns whether all tasks are done. One task is enough for a gang, whose tasks complete together.
--- a/tests/http/socket_budget_test.cpp
+++ b/tests/http/socket_budget_test.cpp
@@ -14,8 +14,8 @@
 
 struct Case {
     const char* name;
-    std::vector<std::pair<PeerKind, std::size_t>>
-        taken;  // in this order, as many sockets as each kind can get
+    // The kinds that take sockets until they are refused, in this order, each with the expected number.
+    std::vector<std::pair<PeerKind, std::size_t>> taken;
     PeerKind then;
     bool admitted;
 };
--- a/tests/simulation/options.hpp
+++ b/tests/simulation/options.hpp
@@ -30,7 +30,9 @@
     double value_kb = 16, reduced_value_kb = 16;
     std::uint32_t txn_ops = 8, reduced_txn_ops = 8;
     double limits_reduced_at = 1e9;
-    int submit_tries = 40;  // repeats of a submission or cancellation without an answer, 1.5 s apart
+    // Maximum number of repeats of a submission or cancellation that got no answer or 503, each 1.5 s after
+    // the failure.
+    int submit_tries = 40;
     // Changes a second that the key-value store accepts on average; in a burst it accepts one second's worth.
     double write_rps = 80;
 };
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -39,7 +39,7 @@
     int refused = 0;  // HTTP status that the submission must get; 0: the submission must be accepted
     std::set<std::string> tasks_done;
     double completed_at = -1, stored_at = -1;  // end of its last task; write of its final record
-    double reported_at = -1;                   // first heartbeat after its last task was done
+    double reported_at = -1;  // first report of one of its tasks by a worker after its last task was done
 };
 
 // Returns the jobs whose ends this one waits for.
