--- a/tests/protocol/strong_number_test.cpp
+++ b/tests/protocol/strong_number_test.cpp
@@ -12,7 +12,7 @@
 namespace coralhitch::protocol {
 namespace {
 
-using FirstNumber = StrongNumber<struct ApplesTag>;
+using FirstNumber = StrongNumber<struct FirstTag>;
 using SecondNumber = StrongNumber<struct PearsTag>;
 
 constexpr std::uint64_t edge_values[] = {
