--- a/tests/protocol/strong_number_test.cpp
+++ b/tests/protocol/strong_number_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using FirstNumber = StrongNumber<struct FirstTag>;
-using SecondNumber = StrongNumber<struct PearsTag>;
+using SecondNumber = StrongNumber<struct SecondTag>;
 
 constexpr std::uint64_t edge_values[] = {
     0,     1,     127,      128,        255,        256,
