--- a/tests/protocol/strong_number_test.cpp
+++ b/tests/protocol/strong_number_test.cpp
@@ -12,8 +12,8 @@
 namespace coralhitch::protocol {
 namespace {
 
-using FirstNumber = StrongNumber<struct ApplesTag>;
-using SecondNumber = StrongNumber<struct PearsTag>;
+using FirstNumber = StrongNumber<struct FirstTag>;
+using SecondNumber = StrongNumber<struct SecondTag>;
 
 constexpr std::uint64_t edge_values[] = {
     0,     1,     127,      128,        255,        256,
