--- a/src/cluster/heartbeat_freshness.cpp
+++ b/src/cluster/heartbeat_freshness.cpp
@@ -33,7 +33,8 @@
 // As a rule, the heartbeat with the larger (agent epoch, sequence number) is newer. But a machine that was
 // set up anew under the same id begins with low numbers. A heartbeat from before this leadership may stem
 // from the earlier machine of that id and have larger numbers, so it does not outrank one that was sent
-// since. This cannot happen with what is known from the replica.
+// since. If the machine is known from the replica, the rule has no exception, because the replica does
+// not stem from an earlier machine of that id.
 bool is_newer(const Machine& machine, const protocol::Heartbeat& heartbeat, HeartbeatChannel channel,
               const FencingTokens& tokens) {
     if (std::pair(heartbeat.agent_epoch, heartbeat.sequence) >
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -25,7 +25,8 @@
     protocol::Resources total;  // zero while the machine type is unknown
 
     // --- Lifecycle ---
-    // A machine that an earlier leader stored counts as `up` from the start, before its first heartbeat.
+    // A machine that an earlier leader stored begins as `up`, or as `marked_for_deletion` if that mark was
+    // stored, even before this leader has received a heartbeat from it.
     enum class Lifecycle { booting, up, marked_for_deletion };
     Lifecycle lifecycle = Lifecycle::booting;
     // State of the machine's record in the key-value store. The record is stored before the first `run`
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -28,7 +28,8 @@
 constexpr double reroute_periods = 2;
 // Bounds of the silence for which a zone counts as silent.
 constexpr double zone_silent_periods = 2, zone_silent_leases = 4;
-// In timeouts of machines that others wait for. An eviction costs independent tasks as much work as the wait.
+// Timeout of a machine with only independent tasks, as a multiple of the timeout of one that others wait for.
+// It is longer, up to one agent lease, because an eviction costs independent tasks as much work as the wait.
 constexpr double own_work_timeouts = 2.5;
 // Timeouts in an unreachable zone: of a reconciled machine with tasks, of an unreconciled machine with tasks,
 // and of a machine without tasks. While a machine is unreconciled, the leader is new: the expiry of leases is
@@ -37,7 +38,8 @@
 // Timeout of a machine without tasks in a reachable zone.
 constexpr double empty_leases = 1;
 // The time that an eviction costs, including the boot of a new machine and the fetching of images. The leader
-// waits for a silent machine while the expected gain is higher.
+// waits another heartbeat period for a silent machine if the probability that the machine returns within that
+// period, multiplied by this cost, is more than the period.
 constexpr double eviction_cost_periods = 4;
 // Ended silences are remembered for this long.
 constexpr double history_leases = 8;
--- a/src/relay/heartbeat_relay.cpp
+++ b/src/relay/heartbeat_relay.cpp
@@ -198,8 +198,9 @@
         }));
 }
 
-// Handles a message that was not answered, or whose receiver does not lead. None of its heartbeats has been
-// answered. Within the failover window they wait for the next leader; otherwise they are rejected.
+// Handles a message that was not answered, or whose receiver does not lead or is no longer the known leader.
+// None of its heartbeats has been answered. Within the failover window they wait for the next leader;
+// otherwise they are rejected.
 void HeartbeatRelay::handle_failure(const LeaderEndpoint& receiver, Batch batch) {
     if (connection_ == LeaderConnection::connected) record_disconnect();
     if (receiver == leader_) connection_ = LeaderConnection::failed;
--- a/src/relay/heartbeat_relay.hpp
+++ b/src/relay/heartbeat_relay.hpp
@@ -53,7 +53,8 @@
     // relay to. An accepted heartbeat is answered at once or later, possibly only after a failover, and its
     // arguments may be moved from.
     [[nodiscard]] bool try_accept(std::string& body, http::Reply& reply);
-    // Removes and returns the waiting heartbeats. To be called when this controller becomes the leader.
+    // Removes and returns the waiting heartbeats, and rejects those whose agents can no longer be answered in
+    // time. To be called when this controller becomes the leader.
     [[nodiscard]] std::deque<PendingHeartbeat> take_pending();
 
     // Returns the number of heartbeats answered by this relay.
--- a/src/replication/replication_sender.cpp
+++ b/src/replication/replication_sender.cpp
@@ -59,7 +59,8 @@
     for (auto& [label, session] : sessions_) {
         if (session.may_retry(timers_.now()) && capable_peer(label, protocol::peer_features::replication))
             begin_snapshot(session);
-        // After a lease in sync, the follower's next failure is retried with the shortest backoff again.
+        // Once a follower has been in sync for longer than an agent lease, the backoff after its next failure
+        // is the shortest one again.
         if (session.in_sync() && timers_.now() - session.in_sync_since() > settings_.lease_s)
             session.reset_backoff();
     }
--- a/tests/relay/worker_lease_test.cpp
+++ b/tests/relay/worker_lease_test.cpp
@@ -26,7 +26,8 @@
         double complete_at = 100, last = lease_renewal_deadline(s, ttl, complete_at, 1e9);
         EXPECT_LT((last - complete_at) * slow + s.lease_s * slow, s.cancel_s) << c.cancel_s;
         EXPECT_EQ(renewal_grace_s(s, ttl) > 0, c.grace) << c.cancel_s;
-        // The successor relies on the grace period. No later cancellation knowledge may extend it.
+        // The successor relies on the grace period as a bound. A leader must keep to it even if it knows all
+        // cancellations up to a much later time.
         EXPECT_LE(lease_renewal_deadline(s, ttl, 1e9, 50), 50 + renewal_grace_s(s, ttl));
         // A leader that does not learn of new cancellations stops renewing leases, even with authority.
         EXPECT_LE(last, complete_at + s.cancel_s - s.lease_s);
