--- a/src/replication/in_sync_record.hpp
+++ b/src/replication/in_sync_record.hpp
@@ -51,7 +51,8 @@
 
     // Returns true once a write or a read has confirmed that the stored record is of this leadership.
     [[nodiscard]] bool owned() const { return owned_; }
-    // Returns true if the stored record names this controller, or a write that may still be executed does.
+    // Returns true if the stored record names the controller with this label, or if a write that may still be
+    // executed names it.
     [[nodiscard]] bool may_name(const std::string& label) const;
     // Returns the number of followers in the last confirmed record.
     [[nodiscard]] std::size_t confirmed_count() const { return confirmed_.size(); }
