--- a/tests/cluster/machine_commands_test.cpp
+++ b/tests/cluster/machine_commands_test.cpp
@@ -51,7 +51,7 @@
 
 // A relay may answer the heartbeats of a machine with nothing pending by itself. Anything that was pending
 // all the same would be delayed for as long as the machine's heartbeats keep the same content.
-TEST(MachineCommands, HasNothingPendingOnlyWhenNoCommandOrHeartbeatIsDue) {
+TEST(MachineCommands, HasNothingPendingOnlyWhenNoCommandOrChangeIsDue) {
     struct Case {
         const char* what;
         std::function<void(ClusterStateFixture&)> change;
