--- a/bench/regress.sh
+++ b/bench/regress.sh
@@ -1,13 +1,17 @@
 #!/usr/bin/env bash
-# Plays simulated days before a change is merged and compares the scores with bench/baseline.toml. Ends non-zero for a broken
-# rule, a controller that ends by itself, a day that could not be played, or a fall beyond 0.03, naming site and day.
+# Runs simulated days before a change is merged, and compares the scores with bench/baseline.toml. Exits non-zero, and prints
+# site and day, if a rule was broken, a controller exited by itself, a day could not be run, or a score fell by more than 0.03.
 #
 #   bench/regress.sh KIT [--fleet] [--full] [--accept] [--why TEXT]
 #
-# KIT is the folder with the site files. --fleet adds the fleet and the hunt sites, and days of bench/days at 1.5 times their
-# size with controllers that are back at once, on which no class or team may be served less than half; --full plays all days and
-# hunts; --accept rewrites the baseline of the sites that were played in full; --why goes into the journal. Minutes of processor
-# time; not for CI.
+# KIT        is the folder with the site files
+# --fleet    adds the fleet and hunt sites, and some days of bench/days on the fleet sites at 1.5 times their size, with
+#            controllers that restart after 0.2 s; on these sites each class and team must be served at least half
+# --full     as --fleet, and runs all days, the grown sites, and hunts
+# --accept   replaces the baseline of the sites that were run in full
+# --why      is written into the journal
+#
+# Takes minutes of processor time, so it is not part of CI.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 kit=${1:?"the folder with the site files"}
@@ -19,7 +23,7 @@
         --full) full=1 ;;
         --accept) accept=--accept ;;
         --why) reason=$2; shift ;;
-        *) echo "unknown: $1" >&2; exit 2 ;;
+        *) echo "unknown option: $1" >&2; exit 2 ;;
     esac
     shift
 done
@@ -32,15 +36,14 @@
 if [ -n "$full" ]; then
     sites+=("$kit"/next/{quetzal-hipoteca,majlis-muscat}-grown.toml)
 fi
-# Before anything is played: what is not there must not pass for what did well.
+# Checked before the first run: a missing site must not be taken for one without failures.
 for file in "$fleetbench" "${sites[@]}"; do
     [ -r "$file" ] || { echo "no such file: $file" >&2; exit 2; }
 done
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 ls journal >"$work/known_entries"
-# The exit status is not used: compare.py reads the outcome from the journal, where a score that breaks a rule is an entry like
-# any other.
+# The exit code is ignored: compare.py reads the results from the journal, which also has the scores of runs that broke a rule.
 quick=(--quick)
 [ -z "$full" ] || quick=()
 "$fleetbench" score "${sites[@]}" "${quick[@]}" --why "$reason" || true
